--- a/src/request/policy/home_regions.c
+++ b/src/request/policy/home_regions.c
@@ -1,30 +1,31 @@
 #include "request/policy/home_regions.h"
 
 bool
-home_regions_bind (const home_regions_t *homes)
+home_regions_bind (const home_regions_t *regions)
 {
-  return homes->route || homes->account;
+  return regions->route || regions->account;
 }
 
 static bool
-is_in (const char *const *regions, const char *region)
+is_in_list (const char *const *names, const char *region)
 {
-  return !regions || (region && g_strv_contains (regions, region));
+  return !names || (region && g_strv_contains (names, region));
 }
 
 bool
-home_regions_allow (const home_regions_t *homes, const egn_t *egn)
+home_regions_allow (const home_regions_t *regions, const egn_t *engine)
 {
-  return is_in (homes->route, egn->entry.region) && is_in (homes->account, egn->entry.region);
+  return is_in_list (regions->route, engine->entry.region) &&
+         is_in_list (regions->account, engine->entry.region);
 }
 
 GPtrArray *
-home_regions_engines (const home_regions_t *homes, const GPtrArray *engines)
+home_regions_engines (const home_regions_t *regions, const GPtrArray *engines)
 {
   GPtrArray *allowed = g_ptr_array_new ();
 
   for (guint i = 0; i < engines->len; i++)
-    if (home_regions_allow (homes, g_ptr_array_index (engines, i)))
+    if (home_regions_allow (regions, g_ptr_array_index (engines, i)))
       g_ptr_array_add (allowed, g_ptr_array_index (engines, i));
   return allowed;
 }
--- a/src/request/policy/home_regions.h
+++ b/src/request/policy/home_regions.h
@@ -1,27 +1,32 @@
 /**
  * DOC: home_regions
  *
- * Which engines a request may reach that operators bind to regions, by its route or by its client
- * account. Where both are bound, both bind. Pure functions.
+ * Restriction of a request to regions, which operators set for its route or for its client account.
+ * When both are restricted, an engine must be allowed by both. Pure functions.
  */
 #ifndef REQUEST_POLICY_HOME_REGIONS_H
 #define REQUEST_POLICY_HOME_REGIONS_H
 
 #include "request/policy/engines.h"
 
-/** struct home_regions - names of regions, each list ended by NULL; a list that is NULL binds to
- * none */
+/**
+ * struct region_filter - names of the allowed regions, in lists that end with NULL
+ * @route: of the request's route; NULL when it is not restricted
+ * @account: of its client account; NULL when it is not restricted
+ */
 typedef struct
 {
   const char *const *route;
   const char *const *account;
 } home_regions_t;
 
-bool home_regions_bind (const home_regions_t *homes);
-/** home_regions_allow() - an engine whose region is not known is in none */
-bool home_regions_allow (const home_regions_t *homes, const egn_t *egn);
-/** home_regions_engines() - those of @engines, of egn_t, that are allowed; freed by
- * g_ptr_array_unref() */
-GPtrArray *home_regions_engines (const home_regions_t *homes, const GPtrArray *engines);
+/** home_regions_bind() - whether there is any restriction */
+bool home_regions_bind (const home_regions_t *regions);
+/** home_regions_allow() - whether a request may reach @engine; an engine whose region is unknown is
+ * in none */
+bool home_regions_allow (const home_regions_t *regions, const egn_t *engine);
+/** home_regions_engines() - the allowed ones of @engines, an array of egn_t. Return: a new array,
+ * to be freed with g_ptr_array_unref() */
+GPtrArray *home_regions_engines (const home_regions_t *regions, const GPtrArray *engines);
 
 #endif
--- a/src/request/policy/own_word.c
+++ b/src/request/policy/own_word.c
@@ -2,40 +2,40 @@
 
 #include <glib.h>
 
-/** struct oww - @words: hash of an engine -> oww_word_t */
-struct oww
+/** struct self_reports - @by_engine: hash of an engine's id and start time -> oww_word_t */
+struct self_reports
 {
-  GHashTable *words;
+  GHashTable *by_engine;
 };
 
 oww_t *
 oww_new (void)
 {
-  oww_t *oww = g_new0 (oww_t, 1);
+  oww_t *reports = g_new0 (oww_t, 1);
 
-  oww->words = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  return oww;
+  reports->by_engine = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  return reports;
 }
 
 void
-oww_free (oww_t *oww)
+oww_free (oww_t *reports)
 {
-  g_hash_table_destroy (oww->words);
-  g_free (oww);
+  g_hash_table_destroy (reports->by_engine);
+  g_free (reports);
 }
 
 static gboolean
-is_over (gpointer key, gpointer value, gpointer context)
+is_expired (gpointer key, gpointer value, gpointer context)
 {
-  const oww_word_t *word = value;
+  const oww_word_t *report = value;
   const uint64_t *now_us = context;
 
   (void)key;
-  return *now_us >= MAX (word->said_us + OWW_KEPT_US, word->rest_until_us);
+  return *now_us >= MAX (report->stated_us + OWW_KEPT_US, report->backoff_until_us);
 }
 
 static void
-drop_oldest (oww_t *oww)
+drop_oldest (oww_t *reports)
 {
   GHashTableIter iter;
   gpointer key;
@@ -43,56 +43,56 @@
   gpointer oldest = NULL;
   uint64_t oldest_us = UINT64_MAX;
 
-  g_hash_table_iter_init (&iter, oww->words);
+  g_hash_table_iter_init (&iter, reports->by_engine);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    if (((oww_word_t *)value)->said_us < oldest_us)
+    if (((oww_word_t *)value)->stated_us < oldest_us)
       {
         oldest = key;
-        oldest_us = ((oww_word_t *)value)->said_us;
+        oldest_us = ((oww_word_t *)value)->stated_us;
       }
-  g_hash_table_remove (oww->words, oldest);
+  g_hash_table_remove (reports->by_engine, oldest);
 }
 
 static oww_word_t *
-word_of (oww_t *oww, uint64_t now_us, uint64_t engine_hash)
+get_or_add (oww_t *reports, uint64_t now_us, uint64_t engine_hash)
 {
-  oww_word_t *word = g_hash_table_lookup (oww->words, &engine_hash);
-
-  if (word)
-    return word;
-  g_hash_table_foreach_remove (oww->words, is_over, &now_us);
-  if (g_hash_table_size (oww->words) >= OWW_MOST)
-    drop_oldest (oww);
-  word = g_new0 (oww_word_t, 1);
-  g_hash_table_insert (oww->words, g_memdup2 (&engine_hash, sizeof engine_hash), word);
-  return word;
+  oww_word_t *report = g_hash_table_lookup (reports->by_engine, &engine_hash);
+
+  if (report)
+    return report;
+  g_hash_table_foreach_remove (reports->by_engine, is_expired, &now_us);
+  if (g_hash_table_size (reports->by_engine) >= OWW_MOST)
+    drop_oldest (reports);
+  report = g_new0 (oww_word_t, 1);
+  g_hash_table_insert (reports->by_engine, g_memdup2 (&engine_hash, sizeof engine_hash), report);
+  return report;
 }
 
 bool
-oww_leaves (oww_t *oww, uint64_t now_us, uint64_t engine_hash)
+oww_leaves (oww_t *reports, uint64_t now_us, uint64_t engine_hash)
 {
-  oww_word_t *word = word_of (oww, now_us, engine_hash);
-  bool is_news = !word->leaving;
+  oww_word_t *report = get_or_add (reports, now_us, engine_hash);
+  bool is_first = !report->leaving;
 
-  word->said_us = now_us;
-  word->leaving = true;
-  return is_news;
+  report->stated_us = now_us;
+  report->leaving = true;
+  return is_first;
 }
 
 uint64_t
-oww_rests (oww_t *oww, uint64_t now_us, uint64_t engine_hash, uint64_t rest_us)
+oww_rests (oww_t *reports, uint64_t now_us, uint64_t engine_hash, uint64_t backoff_us)
 {
-  oww_word_t *word = word_of (oww, now_us, engine_hash);
+  oww_word_t *report = get_or_add (reports, now_us, engine_hash);
 
-  word->said_us = now_us;
-  word->rest_until_us = MAX (word->rest_until_us, now_us + rest_us);
-  return word->rest_until_us;
+  report->stated_us = now_us;
+  report->backoff_until_us = MAX (report->backoff_until_us, now_us + backoff_us);
+  return report->backoff_until_us;
 }
 
 oww_word_t
-oww_get (const oww_t *oww, uint64_t engine_hash)
+oww_get (const oww_t *reports, uint64_t engine_hash)
 {
-  const oww_word_t *word = g_hash_table_lookup (oww->words, &engine_hash);
+  const oww_word_t *report = g_hash_table_lookup (reports->by_engine, &engine_hash);
 
-  return word ? *word : (oww_word_t){ 0 };
+  return report ? *report : (oww_word_t){ 0 };
 }
--- a/src/request/policy/own_word.h
+++ b/src/request/policy/own_word.h
@@ -1,12 +1,12 @@
 /**
  * DOC: own_word
  *
- * What engines said of themselves in their answers to this router: that they leave, or want rest. A
- * pure state machine.
+ * What engines stated about themselves in their answers to this gateway: that they are leaving, or
+ * want no requests for a time. A state machine without I/O; the caller passes the time.
  *
- * The registry hears of it late or never, and not at all while the platform's store is out; and it
- * may drop an engine's entry and have it back. So what a start of an engine said stands, whatever
- * its entry says.
+ * The registry learns of it late or never, and not at all while the platform's store is
+ * unreachable. It may also drop an engine's entry and list it again. So a statement of an engine
+ * process holds until the process ends, whatever its registry entry says.
  */
 #ifndef REQUEST_POLICY_OWN_WORD_H
 #define REQUEST_POLICY_OWN_WORD_H
@@ -14,33 +14,35 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* An engine that leaves has ended by then. */
+/* Time that a statement is kept: an engine that is leaving has ended by then. */
 #define OWW_KEPT_US (UINT64_C (600) * 1000 * 1000)
-#define OWW_MOST 4096 /* engines; the word that is oldest gives way */
+#define OWW_MOST 4096 /* engines; when full, the oldest statement is dropped */
 
 /**
- * struct oww_word - of one start of an engine
- * @said_us: when it said something last
- * @rest_until_us: it wants no requests until then; 0 when it never said so
+ * struct oww_word - statements of one engine process
+ * @stated_us: time of the latest one
+ * @backoff_until_us: it wants no requests until then; 0 when it never stated that
+ * @leaving: it is shutting down
  */
 typedef struct
 {
-  uint64_t said_us;
-  uint64_t rest_until_us;
+  uint64_t stated_us;
+  uint64_t backoff_until_us;
   bool leaving;
 } oww_word_t;
 
-typedef struct oww oww_t;
+/** struct self_reports - statements of all engines, by the hash of an engine's id and start time */
+typedef struct self_reports oww_t;
 
 oww_t *oww_new (void);
-void oww_free (oww_t *oww);
-/** oww_leaves() - the engine of @engine_hash, of its id and its start, says that it leaves. Return:
- * whether that is news */
-bool oww_leaves (oww_t *oww, uint64_t now_us, uint64_t engine_hash);
-/** oww_rests() - it refused a request and wants none for @rest_us. Return: until when; a shorter
- * rest ends none that was longer */
-uint64_t oww_rests (oww_t *oww, uint64_t now_us, uint64_t engine_hash, uint64_t rest_us);
-/** oww_get() - what it said; all zero when nothing */
-oww_word_t oww_get (const oww_t *oww, uint64_t engine_hash);
+void oww_free (oww_t *reports);
+/** oww_leaves() - records that an engine is leaving. Return: whether it states so for the first
+ * time */
+bool oww_leaves (oww_t *reports, uint64_t now_us, uint64_t engine_hash);
+/** oww_rests() - records that an engine refused a request and wants none for @backoff_us. Return:
+ * until when; a shorter backoff doesn't end a longer one */
+uint64_t oww_rests (oww_t *reports, uint64_t now_us, uint64_t engine_hash, uint64_t backoff_us);
+/** oww_get() - statements of an engine; all zero when there are none */
+oww_word_t oww_get (const oww_t *reports, uint64_t engine_hash);
 
 #endif
--- a/src/request/policy/spread.c
+++ b/src/request/policy/spread.c
@@ -7,7 +7,22 @@
 
 #define MILLI 1000
 
-/** struct world - what the choice sees of the service */
+/**
+ * struct service_view - a request and the state of the engines of its service
+ * @open: engines that take new requests
+ * @mean_milli: mean load of the open engines, in thousandths of a request
+ * @service_mean_milli: likewise, with the idle engines
+ * @others_mean_milli: mean number of requests of other gateways at an engine, in thousandths
+ * @own: requests of this gateway at open engines
+ * @slots: of the open engines
+ * @joined: open engines that have joined or returned and not yet reported a load
+ * @error_limit_milli: error rate above which an engine is used last
+ * @ignores_ejections: most engines are ejected, so ejections are ignored
+ * @uses_expired: many entries have expired, so their engines stay candidates
+ * @crowded: nearly all slots are taken
+ * @full: all slots are taken, so the gateway keeps to its share of them
+ * @is_below_share: the gateway has less than its share of the slots
+ */
 typedef struct
 {
   const GPtrArray *engines;
@@ -15,68 +30,68 @@
   const spr_request_t *request;
   uint32_t open;
   uint64_t mean_milli;
-  uint64_t all_mean_milli;
-  uint64_t usual_milli;
+  uint64_t service_mean_milli;
+  uint64_t others_mean_milli;
   uint64_t own;
   uint64_t slots;
   uint32_t joined;
   uint32_t error_limit_milli;
-  bool distrust;
-  bool keeps_lapsed;
+  bool ignores_ejections;
+  bool uses_expired;
   bool crowded;
   bool full;
-  bool has_share;
-} world_t;
+  bool is_below_share;
+} service_view_t;
 
 static egn_t *
-engine_at (const world_t *world, guint index)
+engine_at (const service_view_t *view, guint index)
 {
-  return g_ptr_array_index (world->engines, index);
+  return g_ptr_array_index (view->engines, index);
 }
 
 static bool
-is_cold (const world_t *world, const egn_t *egn)
+is_cold (const service_view_t *view, const egn_t *engine)
 {
-  return egn_is_cold (egn, world->now_us, world->request->cold_start_us);
+  return egn_is_cold (engine, view->now_us, view->request->cold_start_us);
 }
 
-/* It takes requests, and has joined or come back and told nothing yet. One that is cold gets little
- * until it is warm. */
+/* Whether the engine has joined or returned and has not yet reported a load. A cold engine gets few
+ * requests, so it counts until it is warm. */
 static bool
-has_joined (const world_t *world, const egn_t *egn)
+has_joined (const service_view_t *view, const egn_t *engine)
 {
-  if (!egn_is_open (egn) || egn->told_us != 0 || egn->since_us == 0)
+  if (!egn_is_open (engine) || engine->told_us != 0 || engine->joined_us == 0)
     return false;
-  return is_cold (world, egn) || world->now_us < egn->since_us + SPR_IDLE_US;
+  return is_cold (view, engine) || view->now_us < engine->joined_us + SPR_IDLE_US;
 }
 
-/* It has hardly any load, and lowers the mean of its service. */
+/* Whether the engine has hardly any load and so lowers the mean of its service. */
 static bool
-is_idle (const world_t *world, const egn_t *egn)
+is_idle (const service_view_t *view, const egn_t *engine)
 {
-  if (egn->drained_us != 0)
-    return egn->entry.state == EGN_READY;
-  return has_joined (world, egn);
+  if (engine->drained_us != 0)
+    return engine->entry.state == EGN_READY;
+  return has_joined (view, engine);
 }
 
 /*
- * Of an engine that has joined others know as little: it has at most what is usual. Were it taken
- * for one that others fill, nobody would send there while the margin is narrow, and the engines
- * that were there before would carry a burst alone.
+ * Other gateways know as little of an engine that has joined, so it has at most the usual number of
+ * their requests. If more were assumed, no gateway would send there while the margin is narrow, and
+ * the older engines would carry a burst alone.
  */
 static uint32_t
-load_of (const world_t *world, const egn_t *egn)
+load_at (const service_view_t *view, const egn_t *engine)
 {
-  if (has_joined (world, egn))
-    return egn->own + (uint32_t)(world->usual_milli / MILLI);
-  return egn_load_now (egn, world->now_us, world->usual_milli);
+  if (has_joined (view, engine))
+    return engine->own + (uint32_t)(view->others_mean_milli / MILLI);
+  return egn_load_now (engine, view->now_us, view->others_mean_milli);
 }
 
 static bool
-was_tried (const world_t *world, const egn_t *egn)
+was_tried (const service_view_t *view, const egn_t *engine)
 {
-  for (uint32_t i = 0; i < world->request->tried_count; i++)
-    if (world->request->tried[i] == egn->hash)
+  for (uint32_t i = 0; i < view->request->tried_count; i++)
+    if (view->request->tried[i] == engine->hash)
       return true;
   return false;
 }
@@ -91,13 +106,13 @@
 }
 
 static uint32_t
-error_limit (const world_t *world)
+error_limit (const service_view_t *view)
 {
-  g_autofree uint32_t *values = g_new (uint32_t, world->engines->len + 1);
+  g_autofree uint32_t *values = g_new (uint32_t, view->engines->len + 1);
   uint32_t count = 0;
 
-  for (guint i = 0; i < world->engines->len; i++)
-    values[count++] = egn_errors_now (engine_at (world, i), world->now_us);
+  for (guint i = 0; i < view->engines->len; i++)
+    values[count++] = egn_errors_now (engine_at (view, i), view->now_us);
   if (count == 0)
     return SPR_ERROR_MILLI;
   qsort (values, count, sizeof *values, compare_u32);
@@ -105,304 +120,311 @@
 }
 
 /*
- * Means are of what was heard lately, as far as anything was. After a burst the engines that were
- * not asked since still look full: with them in the mean, all others had room beyond their bound.
+ * Weights the reported loads by their age. After a burst, engines that were not called since still
+ * look full: counted fully, they would raise the bound of all others.
  */
 static void
-weigh (world_t *world)
+compute_means (service_view_t *view)
 {
   uint64_t weights = 0;
   uint64_t own = 0;
   uint64_t others = 0;
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *egn = engine_at (world, i);
-      uint32_t weight = egn_is_open (egn) ? egn_trust_milli (egn, world->now_us) : 0;
+      const egn_t *engine = engine_at (view, i);
+      uint32_t weight = egn_is_open (engine) ? egn_trust_milli (engine, view->now_us) : 0;
 
       weights += weight;
-      own += (uint64_t)weight * egn->own;
-      others += (uint64_t)weight * egn->others;
+      own += (uint64_t)weight * engine->own;
+      others += (uint64_t)weight * engine->others;
     }
-  /* As if one idle engine more had told: the first one that tells says little of the others. */
-  world->usual_milli = others * MILLI / (weights + MILLI);
-  world->mean_milli = weights > 0 ? (own + others) * MILLI / weights : 0;
+  /* One idle engine is added: the first report says little about the other engines. */
+  view->others_mean_milli = others * MILLI / (weights + MILLI);
+  view->mean_milli = weights > 0 ? (own + others) * MILLI / weights : 0;
 }
 
 static bool
-is_new (const world_t *world, const egn_t *egn)
+is_new (const service_view_t *view, const egn_t *engine)
 {
-  return egn->since_us != 0 && world->now_us - egn->since_us < SPR_NEW_US;
+  return engine->joined_us != 0 && view->now_us - engine->joined_us < SPR_NEW_US;
 }
 
-/* The mean is of the engines that may be asked and have told their load; that of the whole service
- * is less while others of it stand idle. */
+/* The mean of the whole service is below that of the engines in use while others of it are idle. */
 static void
-weigh_idle (world_t *world)
+compute_service_mean (service_view_t *view)
 {
   uint32_t idle = 0;
   uint32_t busy = 0;
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *egn = engine_at (world, i);
+      const egn_t *engine = engine_at (view, i);
 
-      if (is_idle (world, egn))
+      if (is_idle (view, engine))
         idle++;
-      else if (egn_is_open (egn))
+      else if (egn_is_open (engine))
         busy++;
     }
-  world->all_mean_milli = busy > 0 ? world->mean_milli * busy / (busy + idle) : 0;
+  view->service_mean_milli = busy > 0 ? view->mean_milli * busy / (busy + idle) : 0;
 }
 
-/* The mean is not that of engines that have joined, which have room for what the others have not.
- */
+/* Engines that have joined are left out of the load, but not of the slots, as they have room. */
 static bool
-is_crowded (const world_t *world)
+is_crowded (const service_view_t *view)
 {
-  uint64_t load_milli = world->mean_milli * (world->open - world->joined);
+  uint64_t load_milli = view->mean_milli * (view->open - view->joined);
 
-  return world->slots > 0 && load_milli >= world->slots * SPR_CROWDED_MILLI;
+  return view->slots > 0 && load_milli >= view->slots * SPR_CROWDED_MILLI;
 }
 
 /*
- * When most engines look lost, it is more likely that this router is cut off or that one kind of
- * request fails everywhere: then all are asked, as they would be without the evidence.
+ * If most engines are ejected, it is more likely that this gateway has lost its network or that one
+ * kind of request fails everywhere, so ejections are ignored then.
  */
 static void
-survey (world_t *world)
+evaluate_service (service_view_t *view)
 {
-  uint64_t gateways = MAX (world->request->gateways, 1U);
-  uint32_t skipped = 0;
-  uint32_t lapsed = 0;
+  uint64_t gateways = MAX (view->request->gateways, 1U);
+  uint32_t ejected = 0;
+  uint32_t expired = 0;
 
-  weigh (world);
-  for (guint i = 0; i < world->engines->len; i++)
+  compute_means (view);
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *egn = engine_at (world, i);
+      const egn_t *engine = engine_at (view, i);
 
-      if (!egn_is_open (egn))
+      if (!egn_is_open (engine))
         continue;
-      world->open++;
-      world->own += egn->own;
-      world->slots += egn_slots (egn, world->request->default_slots);
-      world->joined += has_joined (world, egn) ? 1 : 0;
-      skipped += egn->failures >= EGN_FAILURES ? 1 : 0;
-      lapsed += egn->lapsed ? 1 : 0;
+      view->open++;
+      view->own += engine->own;
+      view->slots += egn_slots (engine, view->request->default_slots);
+      view->joined += has_joined (view, engine) ? 1 : 0;
+      ejected += engine->failures >= EGN_FAILURES ? 1 : 0;
+      expired += engine->entry_expired ? 1 : 0;
     }
-  if (world->mean_milli == 0 && world->open > 0)
-    world->mean_milli = world->own * MILLI / world->open;
-  weigh_idle (world);
-  world->distrust = skipped * 2 > world->open;
-  world->keeps_lapsed = lapsed * SPR_LAPSED_PART > world->open;
-  world->crowded = is_crowded (world);
-  world->full = world->request->surge || (world->request->told_milli >= SPR_FULL_MILLI &&
-                                          world->slots >= gateways * SPR_SHARE_SLOTS);
-  world->has_share = !world->request->late && world->own * gateways < world->slots + gateways - 1;
-  world->error_limit_milli = error_limit (world);
+  if (view->mean_milli == 0 && view->open > 0)
+    view->mean_milli = view->own * MILLI / view->open;
+  compute_service_mean (view);
+  view->ignores_ejections = ejected * 2 > view->open;
+  view->uses_expired = expired * SPR_LAPSED_PART > view->open;
+  view->crowded = is_crowded (view);
+  view->full = view->request->surge || (view->request->told_milli >= SPR_FULL_MILLI &&
+                                        view->slots >= gateways * SPR_SHARE_SLOTS);
+  view->is_below_share = !view->request->late && view->own * gateways < view->slots + gateways - 1;
+  view->error_limit_milli = error_limit (view);
 }
 
 static bool
-may_ask (const world_t *world, const egn_t *egn)
+is_candidate (const service_view_t *view, const egn_t *engine)
 {
-  if (!egn_is_open (egn) || egn_is_resting (egn, world->now_us) || was_tried (world, egn))
+  if (!egn_is_open (engine) || egn_is_resting (engine, view->now_us) || was_tried (view, engine))
     return false;
-  if (egn->lapsed && !world->keeps_lapsed)
+  if (engine->entry_expired && !view->uses_expired)
     return false;
-  return world->distrust || !egn_is_skipped (egn, world->now_us, world->request->repeatable);
+  return view->ignores_ejections ||
+         !egn_is_skipped (engine, view->now_us, view->request->repeatable);
 }
 
-/* One that is cold has room for this gateway at its turns, for what will be in its cache. */
+/* Whether the engine is warm, or this gateway may send to it in its cold start. */
 static bool
-has_turn (const world_t *world, const egn_t *egn)
+may_send_cold (const service_view_t *view, const egn_t *engine)
 {
-  const spr_request_t *request = world->request;
+  const spr_request_t *request = view->request;
   cold_share_t share = { .per_s = request->cold_per_s,
                          .gateways = request->known_gateways,
                          .gateway_hash = request->gateway_hash,
-                         .engine_hash = egn->hash,
-                         .since_us = egn_cold_since_us (egn),
-                         .sent_us = egn->sent_us };
+                         .engine_hash = engine->hash,
+                         .since_us = egn_cold_since_us (engine),
+                         .sent_us = engine->sent_us };
 
-  return !is_cold (world, egn) || cold_share_has_turn (&share, world->now_us);
+  return !is_cold (view, engine) || cold_share_has_turn (&share, view->now_us);
 }
 
+/* Whether the engine fails, is slow or silent, or is cold where no limit is known for that: other
+ * engines within the bound are used first. */
 static bool
-is_doubtful (const world_t *world, const egn_t *egn)
+is_degraded (const service_view_t *view, const egn_t *engine)
 {
-  return egn_errors_now (egn, world->now_us) > world->error_limit_milli ||
-         (world->request->cold_per_s == 0 && is_cold (world, egn)) ||
-         egn_pace_now (egn, world->now_us) > SPR_PACE_MILLI ||
-         egn_is_silent (egn, world->now_us, world->request->head_us, world->request->repeatable);
+  return egn_errors_now (engine, view->now_us) > view->error_limit_milli ||
+         (view->request->cold_per_s == 0 && is_cold (view, engine)) ||
+         egn_pace_now (engine, view->now_us) > SPR_PACE_MILLI ||
+         egn_is_silent (engine, view->now_us, view->request->head_us, view->request->repeatable);
 }
 
 /*
- * An engine queues a few requests more than it runs. Where many gateways share few slots, all of
- * them learn of a free slot late, and it stays free meanwhile: of six slots that 22 gateways
- * shared, a third of the requests was refused at 93% of load. So each may keep its share there and
- * one more, whatever the others have there, and the engine always has a next one. In an overload
- * the engine's queue would be full for good, and all late, also those whose account has little. So
- * a gateway sends there no more than twice as often as its share of the slots comes free.
+ * An engine queues a few requests beyond those it runs. Where many gateways share few slots, all of
+ * them learn of a free slot late, and it is idle meanwhile: with six slots shared by 22 gateways, a
+ * third of the requests was refused at a load of 93%. So each gateway may have its share of the
+ * slots plus one request there, whatever the others have, and the engine always has a next request.
+ * In an overload this alone would keep the engine's queue full and make all requests late, also
+ * those of accounts with few, so a gateway sends there at most twice as often as its share of the
+ * slots comes free.
  */
 static bool
-may_queue (const world_t *world, const egn_t *egn, uint32_t slots)
+may_queue (const service_view_t *view, const egn_t *engine, uint32_t slots)
 {
-  uint64_t gateways = MAX (world->request->gateways, 1U);
-  uint64_t share_us = world->request->run_us * gateways / slots;
+  uint64_t gateways = MAX (view->request->gateways, 1U);
+  uint64_t share_us = view->request->run_us * gateways / slots;
 
-  return world->has_share && !egn_is_full (egn, world->now_us) &&
-         egn->own * gateways < slots + gateways - 1 &&
-         world->now_us >= egn->sent_us + share_us / SPR_SHARE_PART;
+  return view->is_below_share && !egn_is_full (engine, view->now_us) &&
+         engine->own * gateways < slots + gateways - 1 &&
+         view->now_us >= engine->sent_us + share_us / SPR_SHARE_PART;
 }
 
-/* The time in which this gateway's share of one slot comes free, and it hears whether the engine
- * took what it sent there. */
+/* Time in which a slot of this gateway's share comes free, and in which it learns whether the
+ * engine accepted its last request. */
 static uint64_t
-window_pause_us (const world_t *world, uint32_t slots)
+window_pause_us (const service_view_t *view, uint32_t slots)
 {
-  uint64_t gateways = MAX (world->request->gateways, 1U);
-  uint64_t share_us = world->request->run_us * gateways / MAX (slots, 1U);
+  uint64_t gateways = MAX (view->request->gateways, 1U);
+  uint64_t share_us = view->request->run_us * gateways / MAX (slots, 1U);
 
-  return MAX (share_us / SPR_SHARE_PART, world->request->head_us);
+  return MAX (share_us / SPR_SHARE_PART, view->request->head_us);
 }
 
+/* Whether the engine has a slot, or a place in its queue, for one more request of this gateway. */
 static bool
-has_room (const world_t *world, const egn_t *egn)
+has_room (const service_view_t *view, const egn_t *engine)
 {
-  uint32_t slots = egn_slots (egn, world->request->default_slots);
+  uint32_t slots = egn_slots (engine, view->request->default_slots);
 
-  if (!has_turn (world, egn) ||
-      !egn_has_window (egn, world->now_us, window_pause_us (world, slots)))
+  if (!may_send_cold (view, engine) ||
+      !egn_has_window (engine, view->now_us, window_pause_us (view, slots)))
     return false;
-  if (slots == 0 || (!world->full && load_of (world, egn) < slots))
+  if (slots == 0 || (!view->full && load_at (view, engine) < slots))
     return true;
-  return may_queue (world, egn, slots);
+  return may_queue (view, engine, slots);
 }
 
 static uint64_t
-overload_milli (uint64_t mean_milli)
+overload_limit_milli (uint64_t mean_milli)
 {
   return mean_milli * SPR_OVERLOAD_FACTOR + SPR_OVERLOAD_MORE_MILLI;
 }
 
 /*
- * An engine is overloaded over twice the mean of its whole service and three more. While a data
- * centre is drained, or many engines join, that is nearer to the mean of those that have the load,
- * and the margin is a part of the distance as it always is. Else, of 40 engines of which 13 were
- * drained, one request in 25 met an engine over it. One request more is always allowed.
+ * The overload limit depends on the mean of the whole service. While a data centre is drained, or
+ * many engines join, the limit is nearer to the mean of the engines that have the load, so the
+ * margin is reduced in proportion to the distance between them. Without this, with 13 of 40 engines
+ * drained, one request in 25 met an overloaded engine. One request more is always allowed.
  */
 static uint64_t
-narrowed (const world_t *world, uint64_t margin_milli)
+narrow_margin_milli (const service_view_t *view, uint64_t margin_milli)
 {
-  uint64_t usual_milli = world->mean_milli + SPR_OVERLOAD_MORE_MILLI;
-  uint64_t limit_milli = overload_milli (world->all_mean_milli);
-  uint64_t left_milli = limit_milli - MIN (limit_milli, world->mean_milli);
+  uint64_t full_distance_milli = view->mean_milli + SPR_OVERLOAD_MORE_MILLI;
+  uint64_t limit_milli = overload_limit_milli (view->service_mean_milli);
+  uint64_t distance_milli = limit_milli - MIN (limit_milli, view->mean_milli);
 
-  g_assert (usual_milli >= SPR_OVERLOAD_MORE_MILLI);
-  return MAX (margin_milli * MIN (left_milli, usual_milli) / usual_milli, MILLI);
+  g_assert (full_distance_milli >= SPR_OVERLOAD_MORE_MILLI);
+  return MAX (margin_milli * MIN (distance_milli, full_distance_milli) / full_distance_milli,
+              MILLI);
 }
 
 /*
- * How far beyond the mean an engine may be. What other gateways send before they hear of each other
- * is in proportion to their number. Engines that are nearly full are slow, and one that is full
- * makes its requests wait, so the margin goes with the slots that are free; but half of it stays,
- * or no prompt would meet its cache any more just when there is no time to read it.
+ * Load above the mean that an engine may have. The number of requests that other gateways send
+ * before they learn of each other's is in proportion to the number of gateways. Nearly full engines
+ * are slow, and a full one makes its requests wait, so the margin falls with the free slots; half
+ * of it remains, or no prompt would reach the engine that caches it when there is no time to read
+ * it again.
  */
 static uint64_t
-margin_milli (const world_t *world, const egn_t *egn)
+bound_margin_milli (const service_view_t *view, const egn_t *engine)
 {
-  uint64_t gateways = MAX (world->request->gateways, SPR_FEW_GATEWAYS);
-  uint64_t any_milli = world->mean_milli * SPR_BOUND_MILLI / MILLI + SPR_BOUND_MORE_MILLI;
-  uint64_t few_milli = world->mean_milli * SPR_FEW_MILLI / MILLI + SPR_FEW_MORE_MILLI;
-  uint64_t margin_milli = narrowed (world, any_milli + few_milli * SPR_FEW_GATEWAYS / gateways);
-  uint64_t slots_milli = (uint64_t)egn_slots (egn, world->request->default_slots) * MILLI;
-  uint64_t free_milli = slots_milli - MIN (slots_milli, world->mean_milli);
+  uint64_t gateways = MAX (view->request->gateways, SPR_FEW_GATEWAYS);
+  uint64_t any_gateways_milli = view->mean_milli * SPR_BOUND_MILLI / MILLI + SPR_BOUND_MORE_MILLI;
+  uint64_t few_gateways_milli = view->mean_milli * SPR_FEW_MILLI / MILLI + SPR_FEW_MORE_MILLI;
+  uint64_t margin_milli = narrow_margin_milli (
+      view, any_gateways_milli + few_gateways_milli * SPR_FEW_GATEWAYS / gateways);
+  uint64_t slots_milli = (uint64_t)egn_slots (engine, view->request->default_slots) * MILLI;
+  uint64_t free_milli = slots_milli - MIN (slots_milli, view->mean_milli);
 
   if (slots_milli == 0)
     return margin_milli;
   return margin_milli * MAX (free_milli, slots_milli / SPR_MARGIN_KEPT) / slots_milli;
 }
 
-/* Where a gateway's share of an engine is less than one slot it hears of each engine once in
- * seconds, however full engines are. */
+/* Whether this gateway's share of the engine is less than one slot, so that it gets a load report
+ * of the engine only every few seconds, however full engines are. */
 static bool
-is_seldom_heard (const world_t *world, const egn_t *egn)
+reports_seldom (const service_view_t *view, const egn_t *engine)
 {
-  return egn_slots (egn, world->request->default_slots) < world->request->gateways;
+  return egn_slots (engine, view->request->default_slots) < view->request->gateways;
 }
 
-/* An engine that holds a request of each other gateway, of which nobody knows, is overloaded. */
+/* Whether one unreported request of each other gateway would overload an engine. */
 static bool
-is_crowd (const world_t *world)
+unreported_may_overload (const service_view_t *view)
 {
-  uint64_t others = MAX (world->request->gateways, 1U) - 1;
+  uint64_t others = MAX (view->request->gateways, 1U) - 1;
 
-  return others * MILLI > overload_milli (world->mean_milli);
+  return others * MILLI > overload_limit_milli (view->mean_milli);
 }
 
 /*
- * Where gateways hear of engines seldom, all of them would send what they have for the home of a
- * popular part before any of them hears of it: an engine that had joined got three times the mean
- * within a second. So half of the gateways begin, and the others follow when they hear of it.
+ * Where load reports are rare, all gateways would send their requests for a popular part to an
+ * engine that has joined before any of them learns of its load: such an engine got three times the
+ * mean within a second. So half of the gateways begin, and the others follow after a load report.
  */
 static bool
-begins_at_joined (const world_t *world, const egn_t *egn)
+uses_joined_engine (const service_view_t *view, const egn_t *engine)
 {
-  uint64_t hash = world->request->gateway_hash;
+  uint64_t hash = view->request->gateway_hash;
 
-  return !is_seldom_heard (world, egn) || (XXH64 (&hash, sizeof hash, egn->hash) & 1) != 0;
+  return !reports_seldom (view, engine) || (XXH64 (&hash, sizeof hash, engine->hash) & 1) != 0;
 }
 
 static bool
-within_bound (const world_t *world, const egn_t *egn)
+within_bound (const service_view_t *view, const egn_t *engine)
 {
-  uint64_t after_milli = ((uint64_t)load_of (world, egn) + 1) * MILLI;
+  uint64_t load_after_milli = ((uint64_t)load_at (view, engine) + 1) * MILLI;
 
-  if (has_joined (world, egn) && !begins_at_joined (world, egn))
+  if (has_joined (view, engine) && !uses_joined_engine (view, engine))
     return false;
-  return after_milli <= world->mean_milli + margin_milli (world, egn);
+  return load_after_milli <= view->mean_milli + bound_margin_milli (view, engine);
 }
 
+/* Rendezvous hashing of the request's affinity: the engine with the highest value ranks first. */
 static uint64_t
-rank_of (const world_t *world, const egn_t *egn)
+rank_value (const service_view_t *view, const egn_t *engine)
 {
-  return XXH64 (&egn->rank_hash, sizeof egn->rank_hash, world->request->affinity);
+  return XXH64 (&engine->rank_hash, sizeof engine->rank_hash, view->request->affinity);
 }
 
 /*
- * Where a gateway hears of each engine once in seconds, and least at its start, nobody sees that
- * the home of some popular parts is over the bound: with 103 gateways 3.3% of the requests of a
- * start went to engines over twice the mean. There a part has two homes, and half of the gateways
- * begin at the second one.
+ * Where load reports are rare, most of all after a start, no gateway sees that the home of a
+ * popular part is over the bound: with 103 gateways 3.3% of the requests after a start went to
+ * engines over twice the mean. There a small part has two homes, and half of the gateways begin at
+ * the second.
  */
 static bool
-begins_at_second (const world_t *world, const egn_t *egn)
+uses_second_home (const service_view_t *view, const egn_t *engine)
 {
-  uint64_t seed = world->request->affinity;
-  uint64_t hash = world->request->gateway_hash;
+  uint64_t seed = view->request->affinity;
+  uint64_t hash = view->request->gateway_hash;
 
-  uint32_t tokens = world->request->affinity_tokens;
+  uint32_t tokens = view->request->affinity_tokens;
 
   if (tokens == 0 || tokens > SPR_SMALL_TOKENS ||
-      !(is_seldom_heard (world, egn) || is_crowd (world)))
+      !(reports_seldom (view, engine) || unreported_may_overload (view)))
     return false;
   return (XXH64 (&hash, sizeof hash, seed) & 1) != 0;
 }
 
-/* Return: the rank of the last of the first few, of those that may be asked and are trusted; 0 when
- * there are no more than that many, UINT64_MAX when there is none */
+/* Return: the rank value of the last of the first SPR_FEW_HOMES candidates that are not degraded; 0
+ * when there are fewer, UINT64_MAX when there is none */
 static uint64_t
-few_rank (const world_t *world)
+last_home_rank (const service_view_t *view)
 {
   uint64_t top[SPR_FEW_HOMES] = { 0 };
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *egn = engine_at (world, i);
-      uint64_t rank = rank_of (world, egn);
+      const egn_t *engine = engine_at (view, i);
+      uint64_t rank = rank_value (view, engine);
       uint32_t at = SPR_FEW_HOMES;
 
-      if (!may_ask (world, egn) || is_doubtful (world, egn))
+      if (!is_candidate (view, engine) || is_degraded (view, engine))
         continue;
       for (; at > 0 && top[at - 1] < rank; at--)
         if (at < SPR_FEW_HOMES)
@@ -413,245 +435,250 @@
   return top[0] == 0 ? UINT64_MAX : top[SPR_FEW_HOMES - 1];
 }
 
-/** struct wish - what an engine must be to be chosen */
+/** struct criteria - conditions for an engine to be chosen */
 typedef struct
 {
   bool within_bound;
-  bool trusted;
-} wish_t;
+  bool not_degraded;
+} criteria_t;
 
 static bool
-meets (const world_t *world, const egn_t *egn, wish_t wish)
+meets (const service_view_t *view, const egn_t *engine, criteria_t criteria)
 {
-  if (!may_ask (world, egn) || !has_room (world, egn))
+  if (!is_candidate (view, engine) || !has_room (view, engine))
     return false;
-  if (wish.within_bound && !within_bound (world, egn))
+  if (criteria.within_bound && !within_bound (view, engine))
     return false;
-  return !wish.trusted || !is_doubtful (world, egn);
+  return !criteria.not_degraded || !is_degraded (view, engine);
 }
 
-/* Return: the best rank below @below among those that meet the wish, NULL when none does */
+/* Return: the engine with the highest rank value below @below that meets the criteria, or NULL */
 static egn_t *
-first_in_rank (const world_t *world, wish_t wish, uint64_t below)
+find_highest_rank (const service_view_t *view, criteria_t criteria, uint64_t below)
 {
   egn_t *best = NULL;
   uint64_t best_rank = 0;
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *egn = engine_at (world, i);
-      uint64_t rank = rank_of (world, egn);
+      egn_t *engine = engine_at (view, i);
+      uint64_t rank = rank_value (view, engine);
 
-      if (rank >= below || (best && rank <= best_rank) || !meets (world, egn, wish))
+      if (rank >= below || (best && rank <= best_rank) || !meets (view, engine, criteria))
         continue;
-      best = egn;
+      best = engine;
       best_rank = rank;
     }
   return best;
 }
 
-/* Return: the home of the request's part as this gateway sees it, NULL when none meets the wish */
+/* Return: the engine that caches the request's prompt part for this gateway, or NULL when none
+ * meets the criteria */
 static egn_t *
-home (const world_t *world, wish_t wish)
+find_home (const service_view_t *view, criteria_t criteria)
 {
-  egn_t *first = first_in_rank (world, wish, UINT64_MAX);
+  egn_t *first = find_highest_rank (view, criteria, UINT64_MAX);
   egn_t *second = NULL;
 
-  if (first && begins_at_second (world, first))
-    second = first_in_rank (world, wish, rank_of (world, first));
+  if (first && uses_second_home (view, first))
+    second = find_highest_rank (view, criteria, rank_value (view, first));
   return second ? second : first;
 }
 
-/* Time that a request would wait and run there, in thousandths of the time that one takes on a host
- * as usual, twice over; one in another data centre must be better by more than its way is worth. */
+/* Return: twice the load after this request, weighted by the slowdown of the host, in thousandths;
+ * with a penalty for another data centre that is larger than SPR_NEAR_MORE requests */
 static uint64_t
-distance (const world_t *world, const egn_t *egn)
+weighted_load (const service_view_t *view, const egn_t *engine)
 {
-  uint64_t after = (uint64_t)load_of (world, egn) + 1;
-  uint64_t effort_milli = (uint64_t)egn_effort_now (egn, world->now_us) * MILLI / EGN_EFFORT_USUAL;
-  bool near = strcmp (egn->entry.data_center, world->request->data_center) == 0;
+  uint64_t load_after = (uint64_t)load_at (view, engine) + 1;
+  uint64_t slowdown_milli =
+      (uint64_t)egn_effort_now (engine, view->now_us) * MILLI / EGN_EFFORT_USUAL;
+  bool is_local = strcmp (engine->entry.data_center, view->request->data_center) == 0;
 
-  return after * effort_milli * 2 + (near ? 0 : (SPR_NEAR_MORE * 2 + 1) * MILLI);
+  return load_after * slowdown_milli * 2 + (is_local ? 0 : (SPR_NEAR_MORE * 2 + 1) * MILLI);
 }
 
 static egn_t *
-least_loaded (const world_t *world, wish_t wish)
+find_least_loaded (const service_view_t *view, criteria_t criteria)
 {
   egn_t *best = NULL;
-  uint64_t best_distance = 0;
+  uint64_t best_load = 0;
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *egn = engine_at (world, i);
-      uint64_t far = distance (world, egn);
+      egn_t *engine = engine_at (view, i);
+      uint64_t load = weighted_load (view, engine);
 
-      if ((best && far >= best_distance) || !meets (world, egn, wish))
+      if ((best && load >= best_load) || !meets (view, engine, criteria))
         continue;
-      best = egn;
-      best_distance = far;
+      best = engine;
+      best_load = load;
     }
   return best;
 }
 
 /*
- * Where slots are scarce, a request that took any free one would have its prompt read there anew,
- * and all engines would do nothing else than read: callers would wait for prompts that another
- * engine has in its cache. So it waits for the first few in rank, whose caches hold its part; the
- * slot goes to one that waits for just that engine.
+ * When slots are scarce, a request that took any free slot would have its whole prompt read there,
+ * and the engines would spend their time on prompts that another engine has cached. So the request
+ * waits for the first ranks, which have its part cached; the free slot goes to a request that waits
+ * for that engine.
  */
 static egn_t *
-first_of_few (const world_t *world, uint64_t last_rank)
+find_least_loaded_home (const service_view_t *view, uint64_t last_rank)
 {
   egn_t *best = NULL;
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *egn = engine_at (world, i);
+      egn_t *engine = engine_at (view, i);
 
-      if (rank_of (world, egn) < last_rank || !meets (world, egn, (wish_t){ .trusted = true }))
+      if (rank_value (view, engine) < last_rank ||
+          !meets (view, engine, (criteria_t){ .not_degraded = true }))
         continue;
-      if (!best || load_of (world, egn) < load_of (world, best))
-        best = egn;
+      if (!best || load_at (view, engine) < load_at (view, best))
+        best = engine;
     }
   return best;
 }
 
-/* An engine over the bound makes all its requests wait, one that errs fails some: the bound goes
- * before the doubt. */
+/* An engine over the bound delays all its requests and a degraded one fails or delays some, so a
+ * degraded engine within the bound is preferred to one over it. */
 static egn_t *
-choose_engine (const world_t *world)
+choose_engine (const service_view_t *view)
 {
-  static const wish_t wishes[] = { { true, true }, { true, false }, { false, false } };
-  bool few_only = world->crowded && world->request->affinity != 0;
-  uint64_t last_rank = few_only ? few_rank (world) : UINT64_MAX;
-  egn_t *egn = NULL;
+  static const criteria_t preferences[] = { { true, true }, { true, false }, { false, false } };
+  bool first_ranks_only = view->crowded && view->request->affinity != 0;
+  uint64_t last_rank = first_ranks_only ? last_home_rank (view) : UINT64_MAX;
+  egn_t *engine = NULL;
 
-  if (world->request->affinity != 0)
-    egn = home (world, wishes[0]);
+  if (view->request->affinity != 0)
+    engine = find_home (view, preferences[0]);
   if (last_rank != UINT64_MAX)
-    return egn && rank_of (world, egn) >= last_rank ? egn : first_of_few (world, last_rank);
-  for (size_t i = 0; !egn && i < G_N_ELEMENTS (wishes); i++)
-    egn = least_loaded (world, wishes[i]);
-  return egn;
+    return engine && rank_value (view, engine) >= last_rank
+               ? engine
+               : find_least_loaded_home (view, last_rank);
+  for (size_t i = 0; !engine && i < G_N_ELEMENTS (preferences); i++)
+    engine = find_least_loaded (view, preferences[i]);
+  return engine;
 }
 
 static uint32_t
-rank_count (const world_t *world, const egn_t *chosen)
+rank_position (const service_view_t *view, const egn_t *chosen)
 {
   uint32_t before = 0;
 
-  if (world->request->affinity == 0)
+  if (view->request->affinity == 0)
     return 0;
-  for (guint i = 0; i < world->engines->len; i++)
-    before += rank_of (world, engine_at (world, i)) > rank_of (world, chosen) ? 1 : 0;
+  for (guint i = 0; i < view->engines->len; i++)
+    before += rank_value (view, engine_at (view, i)) > rank_value (view, chosen) ? 1 : 0;
   return before;
 }
 
-/* Its data centre must get nothing more soon, a copy's read neither. */
+/* Whether the drain of the data centre is so far that its caches must not be read for copies. */
 static bool
-is_drained_dry (const world_t *world, const egn_t *egn)
+is_drain_copy_over (const service_view_t *view, const egn_t *engine)
 {
-  return egn->drained_us != 0 &&
-         world->now_us >= egn->drained_us + world->request->drain_us / SPR_DRAIN_PART;
+  return engine->drained_us != 0 &&
+         view->now_us >= engine->drained_us + view->request->drain_us / SPR_DRAIN_PART;
 }
 
 /*
- * All routers rank alike, so the engine that ranks first of those that have been there for a while
- * has served the part, also when it takes no new work any more; and where the first one itself is
- * chosen, the second one has, in a time when the first was full. To copy the part from its cache
- * takes a few milliseconds; to read 10,000 tokens again takes 94 ms, in which every other request
- * on that engine waits for its tokens.
+ * All gateways rank alike, so the highest-ranked engine that is not new has served the part, even
+ * if it takes no new requests now. If that engine is the chosen one, the next has served it while
+ * the first was full. Copying the part from its cache takes a few milliseconds; reading 10,000
+ * tokens again takes 94 ms, in which every other request on that engine waits for its tokens.
  */
 static egn_t *
-source_for (const world_t *world, const egn_t *chosen)
+find_copy_source (const service_view_t *view, const egn_t *chosen)
 {
   egn_t *best = NULL;
 
-  if (world->request->affinity == 0)
+  if (view->request->affinity == 0)
     return NULL;
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *egn = engine_at (world, i);
+      egn_t *engine = engine_at (view, i);
 
-      if (egn == chosen || is_new (world, egn) || egn->failures > 0 ||
-          egn->entry.state == EGN_GONE || is_drained_dry (world, egn))
+      if (engine == chosen || is_new (view, engine) || engine->failures > 0 ||
+          engine->entry.state == EGN_GONE || is_drain_copy_over (view, engine))
         continue;
-      if (!best || rank_of (world, egn) > rank_of (world, best))
-        best = egn;
+      if (!best || rank_value (view, engine) > rank_value (view, best))
+        best = engine;
     }
   return best;
 }
 
 static uint32_t
-askable (const world_t *world)
+count_candidates (const service_view_t *view)
 {
   uint32_t count = 0;
 
-  for (guint i = 0; i < world->engines->len; i++)
-    count += may_ask (world, engine_at (world, i)) ? 1 : 0;
+  for (guint i = 0; i < view->engines->len; i++)
+    count += is_candidate (view, engine_at (view, i)) ? 1 : 0;
   return count;
 }
 
 static bool
-is_all_drained (const world_t *world)
+is_all_drained (const service_view_t *view)
 {
   bool any = false;
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *egn = engine_at (world, i);
+      const egn_t *engine = engine_at (view, i);
 
-      if (egn_is_open (egn))
+      if (egn_is_open (engine))
         return false;
-      any = any || (egn->entry.state == EGN_READY && egn->drained_us != 0);
+      any = any || (engine->entry.state == EGN_READY && engine->drained_us != 0);
     }
   return any;
 }
 
-/* Return: until one that may be asked then has rested, 0 when none rests */
+/* Return: time until the first engine that asked for no requests accepts them again, 0 when none
+ * did */
 static uint64_t
-least_rest_us (const world_t *world)
+min_backoff_us (const service_view_t *view)
 {
-  uint64_t least_us = 0;
+  uint64_t min_us = 0;
 
-  for (guint i = 0; i < world->engines->len; i++)
+  for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *egn = engine_at (world, i);
-      uint64_t left_us = egn->rest_until_us - MIN (egn->rest_until_us, world->now_us);
+      const egn_t *engine = engine_at (view, i);
+      uint64_t left_us = engine->backoff_until_us - MIN (engine->backoff_until_us, view->now_us);
 
-      if (left_us == 0 || !egn_is_open (egn) || was_tried (world, egn))
+      if (left_us == 0 || !egn_is_open (engine) || was_tried (view, engine))
         continue;
-      least_us = least_us == 0 ? left_us : MIN (least_us, left_us);
+      min_us = min_us == 0 ? left_us : MIN (min_us, left_us);
     }
-  return least_us;
+  return min_us;
 }
 
 static spr_choice_t
-choose_of (const GPtrArray *engines, uint64_t now_us, const spr_request_t *request)
+choose_among (const GPtrArray *engines, uint64_t now_us, const spr_request_t *request)
 {
-  world_t world = { .engines = engines, .now_us = now_us, .request = request };
+  service_view_t view = { .engines = engines, .now_us = now_us, .request = request };
   spr_choice_t choice = { 0 };
 
-  survey (&world);
-  choice.candidates = askable (&world);
-  choice.mean_milli = (uint32_t)world.mean_milli;
-  choice.engine = world.full && !world.has_share ? NULL : choose_engine (&world);
+  evaluate_service (&view);
+  choice.candidates = count_candidates (&view);
+  choice.mean_milli = (uint32_t)view.mean_milli;
+  choice.engine = view.full && !view.is_below_share ? NULL : choose_engine (&view);
   if (!choice.engine)
     {
       choice.action = choice.candidates > 0 ? SPR_WAIT : SPR_NONE;
-      choice.drained = choice.action == SPR_NONE && is_all_drained (&world);
-      choice.rest_us = choice.action == SPR_NONE ? least_rest_us (&world) : 0;
+      choice.drained = choice.action == SPR_NONE && is_all_drained (&view);
+      choice.rest_us = choice.action == SPR_NONE ? min_backoff_us (&view) : 0;
       return choice;
     }
   choice.action = SPR_SEND;
-  choice.load = load_of (&world, choice.engine);
-  choice.source = source_for (&world, choice.engine);
-  choice.rank = rank_count (&world, choice.engine);
+  choice.load = load_at (&view, choice.engine);
+  choice.source = find_copy_source (&view, choice.engine);
+  choice.rank = rank_position (&view, choice.engine);
   return choice;
 }
 
-/* What is bound to regions must not reach others by any way, a copy from their caches neither, so
- * the engines there are left out of the whole choice. */
+/* A request that is restricted to regions must not reach others in any way, not even by a copy from
+ * their caches, so engines elsewhere are left out of the whole choice. */
 spr_choice_t
 spr_choose (const GPtrArray *engines, uint64_t now_us, const spr_request_t *request)
 {
@@ -659,5 +686,5 @@
 
   if (home_regions_bind (&request->homes))
     allowed = home_regions_engines (&request->homes, engines);
-  return choose_of (allowed ? allowed : engines, now_us, request);
+  return choose_among (allowed ? allowed : engines, now_us, request);
 }
--- a/src/request/policy/spread.h
+++ b/src/request/policy/spread.h
@@ -1,12 +1,12 @@
 /**
  * DOC: spread
  *
- * Which engine of a service gets a request that the router sends there itself. A pure function.
+ * Chooses the engine of a service to which a gateway sends a request. A pure function.
  *
  * Requests that share a long part of their prompt go to the engine that ranks first for that part
- * by rendezvous hashing, where it is likely to be cached; to the next in rank when that one would
- * go over the load bound. Requests without such a part go to the least loaded of the own data
- * centre, or of all when that is much less loaded.
+ * by rendezvous hashing, its home, where the part is likely to be cached; to the next in rank when
+ * that engine would exceed the load bound. Requests without such a part go to the least loaded
+ * engine of the gateway's data centre, or of all data centres when that one has much less load.
  */
 #ifndef REQUEST_POLICY_SPREAD_H
 #define REQUEST_POLICY_SPREAD_H
@@ -14,96 +14,102 @@
 #include "request/policy/engines.h"
 #include "request/policy/home_regions.h"
 
-/*
- * The bound: the mean load, and beyond it a part of the mean and some requests, both in
- * thousandths. Over twice the mean and three more an engine would be overloaded. Loads of other
- * routers are known late, and with many of them each sends without knowing what the others send. So
- * of that a third go to any number of gateways, and the rest to a few, and less to more. With a
- * narrower margin more requests leave the home of their part, where no copy of it has to be moved
- * or read; with a wider one more of them meet an engine over the bound.
- */
-/* Users call an engine overloaded from so many times the mean of its service on, and so much more,
- * in thousandths of a request. */
+/* An engine is overloaded above this multiple of the mean load of its service plus this number of
+ * requests, in thousandths: the limit that the users' service level sets. */
 #define SPR_OVERLOAD_FACTOR 2
 #define SPR_OVERLOAD_MORE_MILLI 3000
+/*
+ * The load bound of an engine is the mean load plus a margin. The margin is a fraction of the mean
+ * plus a number of requests, both in thousandths, and stays below the distance to the overload
+ * limit, because the load that other gateways cause is known late. A third of that distance is
+ * granted to any number of gateways. The rest is granted to SPR_FEW_GATEWAYS or fewer, and falls in
+ * inverse proportion to their number above that. A narrower margin sends more requests away from
+ * the engine that caches their prompt part; a wider one sends more of them to engines over the
+ * bound.
+ */
 #define SPR_BOUND_MILLI 300
 #define SPR_BOUND_MORE_MILLI 1100
 #define SPR_FEW_MILLI 650
 #define SPR_FEW_MORE_MILLI 1400
 #define SPR_FEW_GATEWAYS UINT64_C (4)
-/* Of its share of the slots' time, what a gateway waits at least between sends to a full engine. At
- * its whole share engines stood idle for moments (on time 0.976 of all for 0.991, bench-gateway).
- */
+/* A gateway sends to a full engine at most this many times as often as its share of the slots comes
+ * free. With a factor of 1 engines were idle for moments: 0.976 of all requests were on time
+ * instead of 0.991 in bench-gateway. */
 #define SPR_SHARE_PART 2
-#define SPR_MARGIN_KEPT 2 /* one part in so many of the margin stays when engines are full */
-/* Engines are crowded from this share of their slots on, in thousandths. Below it a free slot is
- * found near the first in rank anyway; other values were not measured. */
+/* Divisor: 1/2 of the margin remains when the engines are full. */
+#define SPR_MARGIN_KEPT 2
+/* From this share of their slots on, in thousandths, engines are crowded. Below it a free slot is
+ * found near the first rank anyway. */
 #define SPR_CROWDED_MILLI 800
-/* Engines in rank that a request may go to then: a part has so many homes at most. Three, so that
- * one that fails and one that is full leave another; other values were not measured. */
+/* Ranks that a request may go to while engines are crowded, and so the engines that cache its
+ * prompt part. With three, one that fails and one that is full leave another. */
 #define SPR_FEW_HOMES 3
-/* From here on, in thousandths of the slots, engines are full on the whole, and a gateway keeps to
- * its share of all slots: what it knows of single engines is older. */
+/* From this utilization on, in thousandths of the slots, a gateway keeps to its share of all slots,
+ * because what it knows of single engines is older. */
 #define SPR_FULL_MILLI 1000
-/* Where its share is smaller than this it can't keep to it evenly: of six slots that 22 gateways
- * share some would stand idle. */
+/* Minimum share in slots of a gateway that keeps to it. A smaller one can't be used evenly: with
+ * six slots shared by 22 gateways some would stay idle. */
 #define SPR_SHARE_SLOTS 4
-/* A part of so few tokens is read in 9 ms or copied in 1 ms, so a second home of it costs little; a
- * second home of parts of 10,000 tokens doubled the bytes of memory moved in a day. */
+/* Tokens of a prompt part that may have two homes. It is read in 9 ms or copied in 1 ms, so a
+ * second copy costs little; a second home of parts of 10,000 tokens doubled the bytes of memory
+ * moved in a day. */
 #define SPR_SMALL_TOKENS 1000
-/* An engine of the own data centre is preferred while it has at most so many requests more. */
+/* An engine of the gateway's data centre is preferred while it has at most this many requests more
+ * than one of another. */
 #define SPR_NEAR_MORE 1
-/*
- * An engine that joined less than this ago does not hold yet what its rank says: chats return to
- * most shared parts within it.
- */
+/* Time after its start in which an engine is not expected to cache the parts that it ranks first
+ * for: chats return to most shared parts within it. */
 #define SPR_NEW_US (UINT64_C (10) * 1000 * 1000)
-/* An engine that has joined or come back counts as idle until it tells its load, but no longer than
- * this once it is warm: by then other gateways have filled it, and this one may ask it seldom. */
+/* An engine that joined or returned counts as idle until it reports its load, and once it is warm
+ * no longer than this: by then other gateways have filled it, and this gateway may call it
+ * seldom. */
 #define SPR_IDLE_US (UINT64_C (4000) * 1000)
-/* One part in so many of the time in which a data centre must be drained, its caches are copied
- * from: what is popular there has new homes by then, and the engines that make the copies need
- * time. */
+/* Caches of a drained data centre are copied from for 1/2 of the time allowed for its drain. By
+ * then popular parts have new homes, and the engines that make the copies need the rest. */
 #define SPR_DRAIN_PART 2
-/* An engine that failed more than this share of its answers, in thousandths, and so many times the
- * service's median, goes last. A service's own errors are in the median. */
+/* An engine is used last when its error rate is above this, in thousandths, and above this multiple
+ * of the service's median, which contains the errors of the service itself. */
 #define SPR_ERROR_MILLI 300
 #define SPR_ERROR_FACTOR 2
-/* An engine that takes so many times as long as the service's median, in thousandths, likewise. */
+/* An engine whose answers take more than this, in thousandths of the service's usual time, is used
+ * last too. */
 #define SPR_PACE_MILLI 2000
-
 /*
- * While the store is out, the entries of all engines lapse within the time of a renewal. Where no
- * more than one in so many of a service's has gone, that engine has left rather, in a time in which
- * nobody read the store: it is asked no more, and the others bear what it had.
+ * While the store is unreachable, the entries of all engines expire within one renewal interval. If
+ * at most one in this many of a service's entries has expired, the engine has probably left while
+ * nobody could read the store: it gets no requests, and the others take over its load.
  */
 #define SPR_LAPSED_PART 3
 
 typedef enum
 {
   SPR_SEND, /* to @engine */
-  SPR_WAIT, /* all engines that may be asked are full */
-  SPR_NONE  /* no engine is left to ask */
+  SPR_WAIT, /* all candidates are full */
+  SPR_NONE  /* there is no candidate */
 } spr_action_t;
 
 /**
- * struct spr_request - what the choice looks at
- * @affinity: hash of the part of the prompt that is worth most in a cache; 0 for none
- * @affinity_tokens: of that part
- * @tried: engines that had this request already
- * @repeatable: it may go on at another engine when this one fails it
- * @gateways: that share the engines; 0 counts as one
- * @gateway_hash: of this one's name
- * @run_us, @head_us: that a request usually keeps its slot, and until the head of its answer
- * @surge: traffic has grown so fast that the engines are full whatever is known of each
- * @told_milli: requests at the engines as told lately, in thousandths of their slots; 0 is unknown
- * @late: it can't be answered in time any more: it takes only room that is surely free
- * @default_slots: of an engine that doesn't tell its slots
- * @cold_per_s: requests a second that an engine bears while it is cold; 0 is unknown
- * @cold_start_us: how long an engine is cold after its start
- * @known_gateways: that may send to the engines, also those not heard lately; 0 is unknown
- * @homes: regions that it is bound to
- * @drain_us: from the order to drain a data centre until its engines must get nothing more
+ * struct spr_request - a request, and what the gateway knows of its service
+ * @affinity: hash of the prompt part that saves most when it is cached; 0 for none
+ * @affinity_tokens: length of that part
+ * @data_center: of this gateway
+ * @tried: hashes of the engines that already had this request
+ * @repeatable: it can be sent to another engine when one fails it
+ * @gateways: number that share the engines; 0 counts as 1
+ * @gateway_hash: of this gateway's name
+ * @run_us: usual time that a request of the service keeps its slot
+ * @head_us: usual time until the head of an answer
+ * @surge: traffic has grown so fast that the engines are full, whatever they last reported
+ * @told_milli: recently reported requests at the engines, in thousandths of their slots; 0 when
+ *   unknown
+ * @late: it can't be answered in time any more, so it gets only a slot that is surely free
+ * @default_slots: of an engine that doesn't state its slots
+ * @cold_per_s: requests per second that an engine sustains in its cold start; 0 when unknown
+ * @cold_start_us: duration of a cold start
+ * @known_gateways: number that may send to the engines, with those not heard recently; 0 when
+ *   unknown
+ * @homes: regions that the request is restricted to
+ * @drain_us: time from the order to drain a data centre until its engines must get nothing more
  */
 typedef struct
 {
@@ -129,12 +135,17 @@
 } spr_request_t;
 
 /**
- * struct spr_choice - the choice, and what it was made by
- * @source: engine other than @engine that most likely has the request's shared parts in its cache;
- *   NULL when there is none
- * @rank: 0 when @engine is the first for the affinity
- * @drained: with %SPR_NONE: engines are left, but their data centres are drained
- * @rest_us: with %SPR_NONE: until the first of those that are left has rested; 0 when none rests
+ * struct spr_choice - the chosen engine and what the choice was based on
+ * @engine: with %SPR_SEND, else NULL
+ * @source: another engine that most likely has the request's shared parts in its cache, to copy
+ *   them from; NULL when there is none
+ * @rank: of @engine for the affinity; 0 is the first
+ * @load: estimated requests at @engine
+ * @mean_milli: mean load of the service, in thousandths of a request
+ * @candidates: number of engines that may get the request, also those that are full
+ * @drained: with %SPR_NONE: there are engines, but all their data centres are drained
+ * @rest_us: with %SPR_NONE: time until the first engine that asked for no requests accepts them
+ *   again; 0 when none did
  */
 typedef struct
 {
@@ -149,7 +160,7 @@
   uint64_t rest_us;
 } spr_choice_t;
 
-/** spr_choose() - among @engines, egn_t of one service */
+/** spr_choose() - chooses among @engines, an array of egn_t of one service */
 spr_choice_t spr_choose (const GPtrArray *engines, uint64_t now_us, const spr_request_t *request);
 
 #endif
--- a/tests/test_cold_share.c
+++ b/tests/test_cold_share.c
@@ -106,7 +106,7 @@
 }
 
 static egn_t *
-put (egs_t *egs, uint64_t now_us, const char *id, const char *data_center, uint32_t cold_ms)
+put (egs_t *engines, uint64_t now_us, const char *id, const char *data_center, uint32_t cold_ms)
 {
   egn_entry_t entry = {
     .service = g_intern_static_string ("pool"), .slots = 8, .state = EGN_READY, .cold_ms = cold_ms
@@ -114,13 +114,13 @@
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, data_center, sizeof entry.data_center);
-  return egs_put (egs, now_us, &entry);
+  return egs_put (engines, now_us, &entry);
 }
 
 static spr_choice_t
-choose (const egs_t *egs, uint64_t now_us, uint32_t known_gateways)
+choose (const egs_t *engines, uint64_t now_us, uint32_t known_gateways)
 {
-  return spr_choose (egs_list (egs, g_intern_static_string ("pool")), now_us,
+  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), now_us,
                      &(spr_request_t){ .data_center = "hall-1",
                                        .gateways = 2,
                                        .known_gateways = known_gateways,
@@ -136,14 +136,14 @@
 static void
 test_request_waits_for_a_turn (void)
 {
-  g_autoptr (egs_t) egs = egs_new ();
+  g_autoptr (egs_t) engines = egs_new ();
   uint64_t interval_us = cold_share_interval_us (PER_S, 2);
   uint32_t sent = 0;
 
-  put (egs, NOW_US, "e0", "hall-1", COLD_US / 1000);
+  put (engines, NOW_US, "e0", "hall-1", COLD_US / 1000);
   for (uint64_t at_us = NOW_US; at_us < NOW_US + SECOND_US; at_us += STEP_US)
     {
-      spr_choice_t choice = choose (egs, at_us, 2);
+      spr_choice_t choice = choose (engines, at_us, 2);
 
       CU_ASSERT (choice.action != SPR_NONE);
       if (choice.action != SPR_SEND)
@@ -153,8 +153,8 @@
       sent++;
     }
   CU_ASSERT (sent >= 1 && sent <= 1 + SECOND_US / interval_us);
-  CU_ASSERT_EQUAL (choose (egs, NOW_US + SECOND_US, 0).action, SPR_WAIT);
-  CU_ASSERT_EQUAL (choose (egs, NOW_US + COLD_US, 0).action, SPR_SEND);
+  CU_ASSERT_EQUAL (choose (engines, NOW_US + SECOND_US, 0).action, SPR_WAIT);
+  CU_ASSERT_EQUAL (choose (engines, NOW_US + COLD_US, 0).action, SPR_SEND);
 }
 
 /*
@@ -164,14 +164,14 @@
 static void
 test_engines_taken_back_are_cold (void)
 {
-  g_autoptr (egs_t) egs = egs_new ();
-  egn_t *engine = put (egs, NOW_US, "e0", "hall-1", 0);
+  g_autoptr (egs_t) engines = egs_new ();
+  egn_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
 
   CU_ASSERT (!egn_is_cold (engine, NOW_US, COLD_US));
-  egs_set_drained (egs, NOW_US, "hall-1", true);
-  egs_set_drained (egs, NOW_US + SECOND_US, "hall-1", false);
+  egs_set_drained (engines, NOW_US, "hall-1", true);
+  egs_set_drained (engines, NOW_US + SECOND_US, "hall-1", false);
   CU_ASSERT (egn_is_cold (engine, NOW_US + SECOND_US, COLD_US));
-  put (egs, NOW_US + SECOND_US, "e0", "hall-1", 0);
+  put (engines, NOW_US + SECOND_US, "e0", "hall-1", 0);
   CU_ASSERT (egn_is_cold (engine, NOW_US + 2 * SECOND_US, COLD_US));
   CU_ASSERT (!egn_is_cold (engine, NOW_US + SECOND_US + COLD_US, COLD_US));
 }
@@ -181,8 +181,8 @@
 static void
 test_engine_that_was_down_is_cold (void)
 {
-  g_autoptr (egs_t) egs = egs_new ();
-  egn_t *engine = put (egs, NOW_US, "e0", "hall-1", 0);
+  g_autoptr (egs_t) engines = egs_new ();
+  egn_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
 
   egn_unreachable (engine, NOW_US);
   egn_worked (engine, NOW_US, false);
@@ -201,37 +201,38 @@
 static void
 test_drained_engines_get_nothing (void)
 {
-  g_autoptr (egs_t) egs = egs_new ();
+  g_autoptr (egs_t) engines = egs_new ();
   egn_t *other;
 
-  put (egs, NOW_US, "e0", "hall-1", 0);
-  other = put (egs, NOW_US, "e1", "hall-2", 0);
-  CU_ASSERT (egs_set_drained (egs, NOW_US, "hall-1", true));
-  CU_ASSERT (!egs_set_drained (egs, NOW_US, "hall-1", true));
-  put (egs, NOW_US, "e2", "hall-1", 0);
-  CU_ASSERT_PTR_EQUAL (choose (egs, NOW_US, 2).engine, other);
-  CU_ASSERT_EQUAL (choose (egs, NOW_US, 2).candidates, 1);
-  egs_set_drained (egs, NOW_US, "hall-2", true);
-  CU_ASSERT_EQUAL (choose (egs, NOW_US, 2).action, SPR_NONE);
-  CU_ASSERT (choose (egs, NOW_US, 2).drained);
-  egs_set_drained (egs, NOW_US, "hall-1", false);
-  CU_ASSERT_STRING_EQUAL (choose (egs, NOW_US + COLD_US, 2).engine->entry.data_center, "hall-1");
+  put (engines, NOW_US, "e0", "hall-1", 0);
+  other = put (engines, NOW_US, "e1", "hall-2", 0);
+  CU_ASSERT (egs_set_drained (engines, NOW_US, "hall-1", true));
+  CU_ASSERT (!egs_set_drained (engines, NOW_US, "hall-1", true));
+  put (engines, NOW_US, "e2", "hall-1", 0);
+  CU_ASSERT_PTR_EQUAL (choose (engines, NOW_US, 2).engine, other);
+  CU_ASSERT_EQUAL (choose (engines, NOW_US, 2).candidates, 1);
+  egs_set_drained (engines, NOW_US, "hall-2", true);
+  CU_ASSERT_EQUAL (choose (engines, NOW_US, 2).action, SPR_NONE);
+  CU_ASSERT (choose (engines, NOW_US, 2).drained);
+  egs_set_drained (engines, NOW_US, "hall-1", false);
+  CU_ASSERT_STRING_EQUAL (choose (engines, NOW_US + COLD_US, 2).engine->entry.data_center,
+                          "hall-1");
 }
 
 static void
 test_drained_caches_are_copied_for_a_while (void)
 {
-  g_autoptr (egs_t) egs = egs_new ();
+  g_autoptr (egs_t) engines = egs_new ();
   spr_request_t request = { .data_center = "hall-1", .affinity = 7, .drain_us = 4 * SECOND_US };
-  const GPtrArray *engines;
-
-  put (egs, NOW_US, "e0", "hall-1", 0);
-  put (egs, NOW_US, "e1", "hall-2", 0);
-  engines = egs_list (egs, g_intern_static_string ("pool"));
-  egs_set_drained (egs, NOW_US, "hall-1", true);
-  CU_ASSERT_PTR_EQUAL (spr_choose (engines, NOW_US + SECOND_US, &request).source,
-                       egs_find (egs, "e0"));
-  CU_ASSERT_PTR_NULL (spr_choose (engines, NOW_US + 2 * SECOND_US, &request).source);
+  const GPtrArray *list;
+
+  put (engines, NOW_US, "e0", "hall-1", 0);
+  put (engines, NOW_US, "e1", "hall-2", 0);
+  list = egs_list (engines, g_intern_static_string ("pool"));
+  egs_set_drained (engines, NOW_US, "hall-1", true);
+  CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US + SECOND_US, &request).source,
+                       egs_find (engines, "e0"));
+  CU_ASSERT_PTR_NULL (spr_choose (list, NOW_US + 2 * SECOND_US, &request).source);
 }
 
 int
--- a/tests/test_load_news.c
+++ b/tests/test_load_news.c
@@ -17,29 +17,29 @@
 static void
 test_latest_word_of_an_engine_counts (void)
 {
-  lnw_t lnw = { 0 };
+  lnw_t reports = { 0 };
   lnw_item_t out[LNW_MOST];
 
-  CU_ASSERT_TRUE (lnw_add (&lnw, NOW_US, &(lnw_item_t){ 1, 12, NOW_US - S_US }));
-  CU_ASSERT_FALSE (lnw_add (&lnw, NOW_US, &(lnw_item_t){ 1, 30, NOW_US - 2 * S_US }));
-  CU_ASSERT_TRUE (lnw_add (&lnw, NOW_US, &(lnw_item_t){ 1, 10, NOW_US }));
-  CU_ASSERT_TRUE (lnw_add (&lnw, NOW_US, &(lnw_item_t){ 2, 20, NOW_US - S_US }));
-  CU_ASSERT_FALSE (lnw_add (&lnw, NOW_US, &(lnw_item_t){ 3, 9, NOW_US - LNW_AGE_US }));
-  CU_ASSERT_EQUAL (lnw_take (&lnw, NOW_US, out, LNW_MOST), 2);
+  CU_ASSERT_TRUE (lnw_add (&reports, NOW_US, &(lnw_item_t){ 1, 12, NOW_US - S_US }));
+  CU_ASSERT_FALSE (lnw_add (&reports, NOW_US, &(lnw_item_t){ 1, 30, NOW_US - 2 * S_US }));
+  CU_ASSERT_TRUE (lnw_add (&reports, NOW_US, &(lnw_item_t){ 1, 10, NOW_US }));
+  CU_ASSERT_TRUE (lnw_add (&reports, NOW_US, &(lnw_item_t){ 2, 20, NOW_US - S_US }));
+  CU_ASSERT_FALSE (lnw_add (&reports, NOW_US, &(lnw_item_t){ 3, 9, NOW_US - LNW_AGE_US }));
+  CU_ASSERT_EQUAL (lnw_take (&reports, NOW_US, out, LNW_MOST), 2);
   CU_ASSERT (out[0].engine_hash == 1 && out[0].load == 10);
   CU_ASSERT (out[1].engine_hash == 2 && out[1].load == 20);
-  CU_ASSERT_EQUAL (lnw_take (&lnw, NOW_US + LNW_AGE_US, out, LNW_MOST), 0);
+  CU_ASSERT_EQUAL (lnw_take (&reports, NOW_US + LNW_AGE_US, out, LNW_MOST), 0);
 }
 
 static void
 test_no_more_than_room_is_kept (void)
 {
-  lnw_t lnw = { 0 };
+  lnw_t reports = { 0 };
   lnw_item_t out[LNW_MOST];
 
   for (uint64_t i = 1; i <= 3 * LNW_MOST; i++)
-    CU_ASSERT_TRUE (lnw_add (&lnw, NOW_US, &(lnw_item_t){ i, 12, NOW_US - 100 + i }));
-  CU_ASSERT_EQUAL (lnw_take (&lnw, NOW_US, out, 4), 4);
+    CU_ASSERT_TRUE (lnw_add (&reports, NOW_US, &(lnw_item_t){ i, 12, NOW_US - 100 + i }));
+  CU_ASSERT_EQUAL (lnw_take (&reports, NOW_US, out, 4), 4);
   CU_ASSERT_EQUAL (out[0].engine_hash, 3 * LNW_MOST);
 }
 
@@ -47,9 +47,9 @@
 static void
 test_peers_word_counts_until_the_engine_tells_itself (void)
 {
-  egs_t *egs = egs_new ();
+  egs_t *engines = egs_new ();
   egn_entry_t entry = { .id = "e0", .service = g_intern_static_string ("pool"), .slots = 64 };
-  egn_t *engine = egs_put (egs, NOW_US, &entry);
+  egn_t *engine = egs_put (engines, NOW_US, &entry);
 
   egn_told (engine, NOW_US, &(egn_load_t){ .running = 2, .slots = 64 });
   egn_heard (engine, NOW_US - 1, 40);
@@ -58,9 +58,9 @@
   CU_ASSERT (egn_load_now (engine, NOW_US + 1, 2000) >= 39);
   egn_told (engine, NOW_US + 2, &(egn_load_t){ .running = 3, .slots = 64 });
   CU_ASSERT_EQUAL (egn_load_now (engine, NOW_US + 2, 2000), 3);
-  CU_ASSERT_PTR_EQUAL (egs_find_hash (egs, engine->hash), engine);
-  CU_ASSERT_PTR_NULL (egs_find_hash (egs, engine->hash + 1));
-  egs_free (egs);
+  CU_ASSERT_PTR_EQUAL (egs_find_hash (engines, engine->hash), engine);
+  CU_ASSERT_PTR_NULL (egs_find_hash (engines, engine->hash + 1));
+  egs_free (engines);
 }
 
 int
--- a/tests/test_own_word.c
+++ b/tests/test_own_word.c
@@ -74,50 +74,50 @@
 static void
 test_word_outlives_the_entry (void)
 {
-  egs_t *egs = egs_new ();
+  egs_t *engines = egs_new ();
   egn_entry_t entry = { .id = "e0", .born_ms = 5, .service = g_intern_static_string ("pool") };
-  egn_t *engine = egs_put (egs, NOW_US, &entry);
+  egn_t *engine = egs_put (engines, NOW_US, &entry);
 
-  CU_ASSERT_TRUE (egs_leaves (egs, NOW_US, engine));
-  CU_ASSERT_FALSE (egs_leaves (egs, NOW_US, engine));
-  CU_ASSERT_FALSE (egn_is_open (egs_put (egs, NOW_US, &entry)));
-  egs_gone (egs, "e0");
-  CU_ASSERT_FALSE (egn_is_open (egs_put (egs, NOW_US, &entry)));
+  CU_ASSERT_TRUE (egs_leaves (engines, NOW_US, engine));
+  CU_ASSERT_FALSE (egs_leaves (engines, NOW_US, engine));
+  CU_ASSERT_FALSE (egn_is_open (egs_put (engines, NOW_US, &entry)));
+  egs_gone (engines, "e0");
+  CU_ASSERT_FALSE (egn_is_open (egs_put (engines, NOW_US, &entry)));
   entry.born_ms = 6;
-  CU_ASSERT_TRUE (egn_is_open (egs_put (egs, NOW_US, &entry)));
-  egs_free (egs);
+  CU_ASSERT_TRUE (egn_is_open (egs_put (engines, NOW_US, &entry)));
+  egs_free (engines);
 }
 
 static void
 test_words_are_bounded_and_lapse (void)
 {
-  oww_t *oww = oww_new ();
+  oww_t *reports = oww_new ();
 
   for (uint64_t i = 1; i <= OWW_MOST + 1; i++)
-    CU_ASSERT_TRUE (oww_leaves (oww, NOW_US + i, i));
-  CU_ASSERT_FALSE (oww_get (oww, 1).leaving);
-  CU_ASSERT_TRUE (oww_get (oww, 2).leaving && oww_get (oww, OWW_MOST + 1).leaving);
-  CU_ASSERT_TRUE (oww_leaves (oww, NOW_US + OWW_MOST + 1 + OWW_KEPT_US, 9999));
-  CU_ASSERT_FALSE (oww_get (oww, 2).leaving);
-  oww_free (oww);
+    CU_ASSERT_TRUE (oww_leaves (reports, NOW_US + i, i));
+  CU_ASSERT_FALSE (oww_get (reports, 1).leaving);
+  CU_ASSERT_TRUE (oww_get (reports, 2).leaving && oww_get (reports, OWW_MOST + 1).leaving);
+  CU_ASSERT_TRUE (oww_leaves (reports, NOW_US + OWW_MOST + 1 + OWW_KEPT_US, 9999));
+  CU_ASSERT_FALSE (oww_get (reports, 2).leaving);
+  oww_free (reports);
 }
 
 /* Guards against a longer rest being ended by a shorter one, or by an entry that came back. */
 static void
 test_longest_rest_counts (void)
 {
-  egs_t *egs = egs_new ();
+  egs_t *engines = egs_new ();
   egn_entry_t entry = { .id = "e0", .service = g_intern_static_string ("pool") };
-  egn_t *engine = egs_put (egs, NOW_US, &entry);
+  egn_t *engine = egs_put (engines, NOW_US, &entry);
 
-  egs_rests (egs, NOW_US, engine, 3000);
-  egs_rests (egs, NOW_US + 100, engine, 100);
+  egs_rests (engines, NOW_US, engine, 3000);
+  egs_rests (engines, NOW_US + 100, engine, 100);
   CU_ASSERT_TRUE (egn_is_resting (engine, NOW_US + 2999));
   CU_ASSERT_FALSE (egn_is_resting (engine, NOW_US + 3000));
   CU_ASSERT_TRUE (egn_is_open (engine));
-  egs_gone (egs, "e0");
-  CU_ASSERT_TRUE (egn_is_resting (egs_put (egs, NOW_US + 200, &entry), NOW_US + 2999));
-  egs_free (egs);
+  egs_gone (engines, "e0");
+  CU_ASSERT_TRUE (egn_is_resting (egs_put (engines, NOW_US + 200, &entry), NOW_US + 2999));
+  egs_free (engines);
 }
 
 int
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -96,7 +96,7 @@
 static egs_t *
 random_engines (GRand *rand)
 {
-  egs_t *egs = egs_new ();
+  egs_t *engines = egs_new ();
 
   for (uint32_t i = 0; i < ENGINES; i++)
     {
@@ -107,16 +107,16 @@
                             .region = region < REGIONS
                                           ? g_intern_static_string (region_names[region])
                                           : NULL };
-      egn_t *egn;
+      egn_t *engine;
 
       g_snprintf (entry.id, sizeof entry.id, "e%u", i);
-      egn = egs_put (egs, NOW_US, &entry);
+      engine = egs_put (engines, NOW_US, &entry);
       for (gint32 load = g_rand_int_range (rand, 0, 4); load > 0; load--)
-        egn_begin (egn, NOW_US);
+        egn_begin (engine, NOW_US);
       for (gint32 failures = g_rand_int_range (rand, 0, 4); failures > 0; failures--)
-        egn_failed (egn, NOW_US);
+        egn_failed (engine, NOW_US);
     }
-  return egs;
+  return engines;
 }
 
 static const char *const *
@@ -134,9 +134,9 @@
 }
 
 static bool
-is_allowed (const egn_t *egn, const char *const *regions)
+is_allowed (const egn_t *engine, const char *const *regions)
 {
-  return !regions || (egn->entry.region && g_strv_contains (regions, egn->entry.region));
+  return !regions || (engine->entry.region && g_strv_contains (regions, engine->entry.region));
 }
 
 /*
@@ -155,21 +155,21 @@
     {
       const char *by_route[REGIONS + 1];
       const char *by_account[REGIONS + 1];
-      g_autoptr (egs_t) egs = random_engines (rand);
+      g_autoptr (egs_t) engines = random_engines (rand);
       spr_request_t request = { .affinity = g_rand_int_range (rand, 0, 3),
                                 .data_center = "hall-1",
                                 .homes = { .route = random_regions (rand, by_route),
                                            .account = random_regions (rand, by_account) } };
-      const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+      const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
       spr_choice_t choice = spr_choose (list, NOW_US, &request);
       uint32_t allowed = 0;
 
       for (guint k = 0; k < list->len; k++)
         {
-          const egn_t *egn = g_ptr_array_index (list, k);
+          const egn_t *engine = g_ptr_array_index (list, k);
 
-          allowed += egn_is_open (egn) && is_allowed (egn, request.homes.route) &&
-                             is_allowed (egn, request.homes.account)
+          allowed += egn_is_open (engine) && is_allowed (engine, request.homes.route) &&
+                             is_allowed (engine, request.homes.account)
                          ? 1
                          : 0;
         }
@@ -185,10 +185,10 @@
       refused += choice.action == SPR_NONE ? 1 : 0;
       for (guint k = 0; k < list->len; k++)
         {
-          egn_t *egn = g_ptr_array_index (list, k);
+          egn_t *engine = g_ptr_array_index (list, k);
 
-          while (egn->own > 0)
-            egn_end (egn);
+          while (engine->own > 0)
+            egn_end (engine);
         }
     }
   CU_ASSERT (sent > ROUNDS / 2 && refused > ROUNDS / 50);
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -11,68 +11,68 @@
 #define HERE "hall-1"
 
 static egn_t *
-put (egs_t *egs, const char *id, egn_state_t state)
+put (egs_t *engines, const char *id, egn_state_t state)
 {
   egn_entry_t entry = { .service = g_intern_static_string ("pool"), .slots = 8, .state = state };
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, HERE, sizeof entry.data_center);
-  return egs_put (egs, NOW_US, &entry);
+  return egs_put (engines, NOW_US, &entry);
 }
 
 static egs_t *
 make_engines (uint32_t count)
 {
-  egs_t *egs = egs_new ();
+  egs_t *engines = egs_new ();
 
   for (uint32_t i = 0; i < count; i++)
     {
       char id[16];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      put (egs, id, EGN_READY);
+      put (engines, id, EGN_READY);
     }
-  egs_set_complete (egs);
-  return egs;
+  egs_set_complete (engines);
+  return engines;
 }
 
 static spr_choice_t
-choose_at (const egs_t *egs, uint64_t now_us, uint64_t affinity)
+choose_at (const egs_t *engines, uint64_t now_us, uint64_t affinity)
 {
-  return spr_choose (egs_list (egs, g_intern_static_string ("pool")), now_us,
+  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), now_us,
                      &(spr_request_t){ .affinity = affinity, .data_center = HERE });
 }
 
 static spr_choice_t
-choose (const egs_t *egs, uint64_t affinity)
+choose (const egs_t *engines, uint64_t affinity)
 {
-  return choose_at (egs, NOW_US, affinity);
+  return choose_at (engines, NOW_US, affinity);
 }
 
 static void
-load (egn_t *egn, uint32_t count)
+load (egn_t *engine, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    egn_begin (egn, NOW_US);
+    egn_begin (engine, NOW_US);
 }
 
 static void
-unload (egs_t *egs, uint32_t engines)
+unload (egs_t *engines, uint32_t count)
 {
-  for (uint32_t i = 0; i < engines; i++)
+  for (uint32_t i = 0; i < count; i++)
     {
       char id[16];
-      egn_t *egn;
+      egn_t *engine;
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn = egs_find (egs, id);
-      while (egn && egn->own > 0)
-        egn_end (egn);
+      engine = egs_find (engines, id);
+      while (engine && engine->own > 0)
+        egn_end (engine);
     }
 }
 
 static egn_t *
-put_start (egs_t *egs, const char *id, uint64_t born_ms, egn_state_t state)
+put_start (egs_t *engines, const char *id, uint64_t born_ms, egn_state_t state)
 {
   egn_entry_t entry = {
     .service = g_intern_static_string ("pool"), .born_ms = born_ms, .slots = 8, .state = state
@@ -80,7 +80,7 @@
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, HERE, sizeof entry.data_center);
-  return egs_put (egs, NOW_US, &entry);
+  return egs_put (engines, NOW_US, &entry);
 }
 
 /* An engine crashes and starts again under its id. Its cache is empty, its load and its failures
@@ -88,8 +88,8 @@
 static void
 test_restarted_engine_is_another_one (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *before = put_start (egs, "e0", 7, EGN_READY);
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *before = put_start (engines, "e0", 7, EGN_READY);
   uint64_t hash = before->hash;
   egn_t *after;
 
@@ -98,15 +98,15 @@
   for (uint32_t i = 0; i < EGN_FAILURES; i++)
     egn_failed (before, NOW_US);
   egn_paced (before, NOW_US, 9000);
-  after = put_start (egs, "e0", 8, EGN_READY);
+  after = put_start (engines, "e0", 8, EGN_READY);
   CU_ASSERT (after != before && after->hash != hash);
   CU_ASSERT_EQUAL (after->rank_hash, before->rank_hash);
   CU_ASSERT_EQUAL (egn_load_now (after, NOW_US, 0), 0);
   CU_ASSERT (!egn_is_skipped (after, NOW_US, false));
   CU_ASSERT_EQUAL (egn_pace_now (after, NOW_US), 1000);
   CU_ASSERT_EQUAL (egn_errors_now (after, NOW_US), 0);
-  CU_ASSERT_EQUAL (after->since_us, NOW_US);
-  CU_ASSERT_EQUAL (egs_count (egs), 3);
+  CU_ASSERT_EQUAL (after->joined_us, NOW_US);
+  CU_ASSERT_EQUAL (egs_count (engines), 3);
   egn_end (before);
 }
 
@@ -114,29 +114,29 @@
 static void
 test_late_entry_of_an_older_start_changes_nothing (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *engine = put_start (egs, "e0", 8, EGN_READY);
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = put_start (engines, "e0", 8, EGN_READY);
 
-  CU_ASSERT_PTR_EQUAL (put_start (egs, "e0", 7, EGN_LEAVING), engine);
+  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 7, EGN_LEAVING), engine);
   CU_ASSERT (egn_is_open (engine));
-  CU_ASSERT_PTR_EQUAL (put_start (egs, "e0", 8, EGN_LEAVING), engine);
+  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 8, EGN_LEAVING), engine);
   CU_ASSERT (!egn_is_open (engine));
 }
 
 static void
 test_shared_part_has_one_home (void)
 {
-  g_autoptr (egs_t) egs = make_engines (6);
+  g_autoptr (egs_t) engines = make_engines (6);
   uint32_t homes[6] = { 0 };
 
   for (uint64_t affinity = 1; affinity <= 600; affinity++)
     {
-      spr_choice_t first = choose (egs, affinity);
+      spr_choice_t first = choose (engines, affinity);
 
       CU_ASSERT_EQUAL (first.action, SPR_SEND);
       CU_ASSERT_EQUAL (first.rank, 0);
       CU_ASSERT (first.source && first.source != first.engine);
-      CU_ASSERT_PTR_EQUAL (choose (egs, affinity).engine, first.engine);
+      CU_ASSERT_PTR_EQUAL (choose (engines, affinity).engine, first.engine);
       homes[atoi (first.engine->entry.id + 1)]++;
     }
   for (uint32_t i = 0; i < 6; i++)
@@ -150,19 +150,19 @@
 static void
 test_hot_part_spills_at_the_bound (void)
 {
-  g_autoptr (egs_t) egs = make_engines (6);
-  egn_t *home = choose (egs, 42).engine;
-  egn_t *home_source = choose (egs, 42).source;
+  g_autoptr (egs_t) engines = make_engines (6);
+  egn_t *home = choose (engines, 42).engine;
+  egn_t *home_source = choose (engines, 42).source;
   spr_choice_t spill;
 
-  while (choose (egs, 42).engine == home)
+  while (choose (engines, 42).engine == home)
     egn_begin (home, NOW_US);
-  spill = choose (egs, 42);
+  spill = choose (engines, 42);
   CU_ASSERT (home->own <= 2 * SPR_BOUND_MORE_MILLI / 1000 + 1);
   CU_ASSERT_EQUAL (spill.rank, 1);
   CU_ASSERT_PTR_EQUAL (spill.source, home);
   CU_ASSERT_PTR_EQUAL (spill.engine, home_source);
-  unload (egs, 6);
+  unload (engines, 6);
 }
 
 /*
@@ -172,24 +172,24 @@
 static void
 test_new_home_copies_from_the_former (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *former = choose (egs, 7).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *former = choose (engines, 7).engine;
   egn_t *joined = NULL;
   spr_choice_t later;
   char id[16];
 
-  for (uint32_t i = 0; choose (egs, 7).engine == former; i++)
+  for (uint32_t i = 0; choose (engines, 7).engine == former; i++)
     {
       g_snprintf (id, sizeof id, "n%u", i);
-      joined = put (egs, id, EGN_READY);
+      joined = put (engines, id, EGN_READY);
     }
-  CU_ASSERT_PTR_EQUAL (choose (egs, 7).engine, joined);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 7).source, former);
-  put (egs, former->entry.id, EGN_LEAVING);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 7).source, former);
-  egs_gone (egs, former->entry.id);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 7).source, former);
-  later = choose_at (egs, NOW_US + SPR_NEW_US, 7);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 7).engine, joined);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 7).source, former);
+  put (engines, former->entry.id, EGN_LEAVING);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 7).source, former);
+  egs_gone (engines, former->entry.id);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 7).source, former);
+  later = choose_at (engines, NOW_US + SPR_NEW_US, 7);
   CU_ASSERT (later.engine == joined && later.source && later.source != former);
   CU_ASSERT_PTR_NOT_EQUAL (later.source, joined);
 }
@@ -197,38 +197,38 @@
 static void
 test_leaving_engine_gets_nothing (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
+  g_autoptr (egs_t) engines = make_engines (2);
 
-  put (egs, "e0", EGN_LEAVING);
+  put (engines, "e0", EGN_LEAVING);
   for (uint64_t affinity = 0; affinity < 50; affinity++)
-    CU_ASSERT_STRING_EQUAL (choose (egs, affinity).engine->entry.id, "e1");
-  put (egs, "e1", EGN_LEAVING);
-  CU_ASSERT_EQUAL (choose (egs, 1).action, SPR_NONE);
+    CU_ASSERT_STRING_EQUAL (choose (engines, affinity).engine->entry.id, "e1");
+  put (engines, "e1", EGN_LEAVING);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_NONE);
 }
 
 static void
 test_full_engines_make_it_wait (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
+  g_autoptr (egs_t) engines = make_engines (2);
 
-  load (egs_find (egs, "e0"), 8);
-  load (egs_find (egs, "e1"), 8);
-  CU_ASSERT_EQUAL (choose (egs, 1).action, SPR_WAIT);
-  egn_end (egs_find (egs, "e0"));
-  CU_ASSERT_STRING_EQUAL (choose (egs, 1).engine->entry.id, "e0");
-  unload (egs, 2);
+  load (egs_find (engines, "e0"), 8);
+  load (egs_find (engines, "e1"), 8);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_WAIT);
+  egn_end (egs_find (engines, "e0"));
+  CU_ASSERT_STRING_EQUAL (choose (engines, 1).engine->entry.id, "e0");
+  unload (engines, 2);
 }
 
 /* Other routers' requests count as the engine tells them, less and less as that grows old. */
 static void
 test_told_load_counts_and_ages (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
-  egn_t *busy = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (2);
+  egn_t *busy = egs_find (engines, "e0");
 
   egn_told (busy, NOW_US, &(egn_load_t){ .running = 6, .waiting = 2, .slots = 8 });
   CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US, 0), 8);
-  CU_ASSERT_STRING_EQUAL (choose (egs, 0).engine->entry.id, "e1");
+  CU_ASSERT_STRING_EQUAL (choose (engines, 0).engine->entry.id, "e1");
   CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US + EGN_TOLD_US, 0), 4);
   CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US + 100 * EGN_TOLD_US, 0), 0);
 }
@@ -238,19 +238,19 @@
 static void
 test_told_effort_counts_and_fades (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
-  egn_t *slow = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (2);
+  egn_t *slow = egs_find (engines, "e0");
   egn_load_t told = { .running = 1, .slots = 8, .effort_percent = 300 };
 
   egn_told (slow, NOW_US, &told);
   told.running = 2;
   told.effort_percent = 100;
-  egn_told (egs_find (egs, "e1"), NOW_US, &told);
-  CU_ASSERT_STRING_EQUAL (choose (egs, 0).engine->entry.id, "e1");
+  egn_told (egs_find (engines, "e1"), NOW_US, &told);
+  CU_ASSERT_STRING_EQUAL (choose (engines, 0).engine->entry.id, "e1");
   CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US), 300);
   CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US + EGN_EFFORT_HALF_US), 200);
   CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US + 40 * EGN_EFFORT_HALF_US), EGN_EFFORT_USUAL);
-  CU_ASSERT_STRING_EQUAL (choose_at (egs, NOW_US + 4 * EGN_EFFORT_HALF_US, 0).engine->entry.id,
+  CU_ASSERT_STRING_EQUAL (choose_at (engines, NOW_US + 4 * EGN_EFFORT_HALF_US, 0).engine->entry.id,
                           "e0");
   told.effort_percent = 0;
   egn_told (slow, NOW_US, &told);
@@ -264,47 +264,47 @@
 static void
 test_failing_engine_is_put_aside (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *bad = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *bad = choose (engines, 9).engine;
 
   egn_failed (bad, NOW_US);
   egn_failed (bad, NOW_US);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, bad);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, bad);
   CU_ASSERT (!egn_is_skipped (bad, NOW_US + EGN_SKIP_MIN_US, true));
   egn_probe (bad, NOW_US + EGN_SKIP_MIN_US);
   CU_ASSERT (egn_is_skipped (bad, NOW_US + EGN_SKIP_MIN_US + 1, true));
   for (uint32_t i = 0; i < 20; i++)
     egn_worked (bad, NOW_US, false);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 9).engine, bad);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, bad);
 }
 
 /* All engines of a service look lost: more likely this router is cut off. It goes on trying. */
 static void
 test_router_distrusts_its_own_view (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
+  g_autoptr (egs_t) engines = make_engines (3);
 
   for (uint32_t i = 0; i < 3; i++)
     {
       char id[16];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_failed (egs_find (egs, id), NOW_US);
-      egn_failed (egs_find (egs, id), NOW_US);
+      egn_failed (egs_find (engines, id), NOW_US);
+      egn_failed (egs_find (engines, id), NOW_US);
     }
-  CU_ASSERT_EQUAL (choose (egs, 1).action, SPR_SEND);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_SEND);
 }
 
 static void
 test_erring_engine_goes_last (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *grey = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *grey = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 8; i++)
     egn_worked (grey, NOW_US, true);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, grey);
-  CU_ASSERT_EQUAL (choose (egs, 9).action, SPR_SEND);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, grey);
+  CU_ASSERT_EQUAL (choose (engines, 9).action, SPR_SEND);
 }
 
 /*
@@ -315,7 +315,7 @@
 static void
 test_errors_of_all_put_none_aside (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
+  g_autoptr (egs_t) engines = make_engines (12);
   uint32_t got[12] = { 0 };
 
   for (uint32_t i = 0; i < 12; i++)
@@ -324,10 +324,10 @@
 
       g_snprintf (id, sizeof id, "e%u", i);
       for (uint32_t k = 0; k < 8; k++)
-        egn_worked (egs_find (egs, id), NOW_US, i > 3 || k % 2 == 0);
+        egn_worked (egs_find (engines, id), NOW_US, i > 3 || k % 2 == 0);
     }
   for (uint64_t affinity = 1; affinity <= 1200; affinity++)
-    got[atoi (choose (egs, affinity).engine->entry.id + 1)]++;
+    got[atoi (choose (engines, affinity).engine->entry.id + 1)]++;
   for (uint32_t i = 0; i < 12; i++)
     CU_ASSERT (got[i] > 40);
 }
@@ -335,13 +335,13 @@
 static void
 test_errors_fade (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *grey = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *grey = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 30; i++)
     egn_worked (grey, NOW_US, true);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, grey);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, grey);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, grey);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, grey);
 }
 
 /* Engines that err are not asked, and the sound ones are all over the bound: rather one that errs
@@ -349,33 +349,33 @@
 static void
 test_bound_goes_before_doubt (void)
 {
-  g_autoptr (egs_t) egs = make_engines (4);
+  g_autoptr (egs_t) engines = make_engines (4);
 
   for (uint32_t i = 0; i < 30; i++)
-    egn_worked (egs_find (egs, "e0"), NOW_US, true);
-  load (egs_find (egs, "e1"), 7);
-  load (egs_find (egs, "e2"), 7);
-  load (egs_find (egs, "e3"), 7);
-  egn_entry_t idle = egs_find (egs, "e0")->entry;
+    egn_worked (egs_find (engines, "e0"), NOW_US, true);
+  load (egs_find (engines, "e1"), 7);
+  load (egs_find (engines, "e2"), 7);
+  load (egs_find (engines, "e3"), 7);
+  egn_entry_t idle = egs_find (engines, "e0")->entry;
   for (uint32_t i = 0; i < 8; i++)
     {
       g_snprintf (idle.id, sizeof idle.id, "x%u", i);
       idle.state = EGN_READY;
-      egs_put (egs, NOW_US, &idle);
+      egs_put (engines, NOW_US, &idle);
       for (uint32_t k = 0; k < 30; k++)
-        egn_worked (egs_find (egs, idle.id), NOW_US, true);
+        egn_worked (egs_find (engines, idle.id), NOW_US, true);
     }
-  CU_ASSERT_EQUAL (choose (egs, 0).load, 0);
-  unload (egs, 4);
+  CU_ASSERT_EQUAL (choose (engines, 0).load, 0);
+  unload (engines, 4);
 }
 
 static void
 test_tried_engines_are_left_out (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
-  uint64_t tried[2] = { egs_find (egs, "e0")->hash, egs_find (egs, "e1")->hash };
+  g_autoptr (egs_t) engines = make_engines (2);
+  uint64_t tried[2] = { egs_find (engines, "e0")->hash, egs_find (engines, "e1")->hash };
   spr_request_t request = { .data_center = HERE, .tried = tried, .tried_count = 1 };
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
 
   CU_ASSERT_STRING_EQUAL (spr_choose (list, NOW_US, &request).engine->entry.id, "e1");
   request.tried_count = 2;
@@ -386,14 +386,14 @@
 static void
 test_engine_outlives_its_entry (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *egn = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = egs_find (engines, "e0");
 
-  egn_begin (egn, NOW_US);
-  egs_gone (egs, "e0");
-  CU_ASSERT_EQUAL (egn->entry.state, EGN_GONE);
-  CU_ASSERT_EQUAL (egs_count (egs), 0);
-  egn_end (egn);
+  egn_begin (engine, NOW_US);
+  egs_gone (engines, "e0");
+  CU_ASSERT_EQUAL (engine->entry.state, EGN_GONE);
+  CU_ASSERT_EQUAL (egs_count (engines), 0);
+  egn_end (engine);
 }
 
 /*
@@ -404,7 +404,7 @@
 static void
 test_skewed_parts_stay_below_the_cap (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
+  g_autoptr (egs_t) engines = make_engines (12);
   g_autoptr (GRand) rand = g_rand_new_with_seed (7);
   egn_t *under_way[40] = { NULL };
   uint32_t at_home = 0;
@@ -415,7 +415,7 @@
   for (uint32_t i = 0; i < 4000; i++)
     {
       uint64_t affinity = 1 + (uint64_t)(85 * g_rand_double (rand) * g_rand_double (rand));
-      spr_choice_t choice = choose (egs, affinity);
+      spr_choice_t choice = choose (engines, affinity);
       uint32_t slot = i % 40;
       uint32_t same = 0;
 
@@ -449,21 +449,21 @@
 static void
 test_silent_engine_goes_last (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *dark = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *dark = choose (engines, 9).engine;
   uint64_t silent_us = NOW_US + EGN_SILENT_US;
   uint64_t probe_us = silent_us + EGN_SILENT_PROBE_US + EGN_RISK_US;
 
   egn_begin (dark, NOW_US);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, silent_us - 1, 9).engine, dark);
-  CU_ASSERT_PTR_NOT_EQUAL (choose_at (egs, silent_us, 9).engine, dark);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, probe_us, 9).engine, dark);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, silent_us - 1, 9).engine, dark);
+  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, silent_us, 9).engine, dark);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us, 9).engine, dark);
   egn_begin (dark, probe_us);
-  CU_ASSERT_PTR_NOT_EQUAL (choose_at (egs, probe_us + 1, 9).engine, dark);
+  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, probe_us + 1, 9).engine, dark);
   dark->heard_us = probe_us + 2;
   egn_end (dark);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, probe_us + 3, 9).engine, dark);
-  unload (egs, 3);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us + 3, 9).engine, dark);
+  unload (engines, 3);
 }
 
 /* A service's answers take two seconds to begin. An engine that has brought nothing for one is not
@@ -471,16 +471,16 @@
 static void
 test_silence_is_measured_by_the_usual (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (3);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .head_us = 2 * CLK_US_PER_S };
-  egn_t *home = choose (egs, 9).engine;
+  egn_t *home = choose (engines, 9).engine;
 
   egn_begin (home, NOW_US);
   CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US + CLK_US_PER_S, &request).engine, home);
   CU_ASSERT_PTR_NOT_EQUAL (
       spr_choose (list, NOW_US + EGN_SILENT_FACTOR * request.head_us, &request).engine, home);
-  unload (egs, 3);
+  unload (engines, 3);
 }
 
 /* An engine was put aside, and a probe is due. What may go on at another engine is the probe; a
@@ -488,15 +488,15 @@
 static void
 test_probe_is_what_may_go_on (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *bad = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *bad = choose (engines, 9).engine;
   uint64_t due_us = NOW_US + EGN_SKIP_MIN_US;
   spr_request_t request = { .affinity = 9, .data_center = HERE };
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
 
   egn_failed (bad, NOW_US);
   egn_failed (bad, NOW_US);
-  bad->error_milli = 0;
+  bad->error_rate_milli = 0;
   CU_ASSERT_PTR_NOT_EQUAL (spr_choose (list, due_us, &request).engine, bad);
   request.repeatable = true;
   CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us, &request).engine, bad);
@@ -509,14 +509,14 @@
 static void
 test_slow_engine_goes_last (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *slow = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *slow = choose (engines, 9).engine;
 
   egn_paced (slow, NOW_US, 1100);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 9).engine, slow);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, slow);
   egn_paced (slow, NOW_US, 6000);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, slow);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, slow);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, slow);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, slow);
 }
 
 /*
@@ -527,9 +527,9 @@
 static void
 test_each_gateway_keeps_its_share_of_few_slots (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *engine = egs_find (egs, "e0");
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = egs_find (engines, "e0");
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .data_center = HERE, .gateways = 22 };
 
   egn_told (engine, NOW_US, &(egn_load_t){ .running = 6, .waiting = 8, .slots = 6 });
@@ -541,7 +541,7 @@
   egn_full (engine, NOW_US);
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_WAIT);
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US + EGN_FULL_US, &request).action, SPR_SEND);
-  unload (egs, 1);
+  unload (engines, 1);
 }
 
 /* Guards against gateways that each send all they have to a full engine as soon as it tells of one
@@ -549,9 +549,9 @@
 static void
 test_refusals_cut_what_a_gateway_has_at_an_engine (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *engine = egs_find (egs, "e0");
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = egs_find (engines, "e0");
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   const egn_load_t one_free = { .running = 15, .slots = 16 };
   spr_request_t request = { .data_center = HERE, .gateways = 2, .run_us = 3000, .head_us = 3000 };
 
@@ -570,7 +570,7 @@
   for (uint32_t i = 0; i < 9; i++)
     egn_worked (engine, NOW_US, false);
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
-  unload (egs, 1);
+  unload (engines, 1);
 }
 
 /*
@@ -581,7 +581,7 @@
 static void
 test_old_loads_neither_raise_the_bound_nor_stay (void)
 {
-  g_autoptr (egs_t) egs = make_engines (6);
+  g_autoptr (egs_t) engines = make_engines (6);
   const egn_load_t full = { .running = 100, .slots = 128 };
   const egn_load_t idle = { .running = 4, .slots = 128 };
   uint64_t later_us = NOW_US + 4 * EGN_TOLD_US;
@@ -592,12 +592,12 @@
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_told (egs_find (egs, id), i < 3 ? NOW_US : later_us, i < 3 ? &full : &idle);
+      egn_told (egs_find (engines, id), i < 3 ? NOW_US : later_us, i < 3 ? &full : &idle);
     }
-  CU_ASSERT (choose_at (egs, later_us, 1).mean_milli < 12000);
+  CU_ASSERT (choose_at (engines, later_us, 1).mean_milli < 12000);
   for (uint64_t affinity = 1; affinity <= 60; affinity++)
-    old_ones += choose_at (egs, later_us + 2 * EGN_TOLD_US, affinity).engine->hash ==
-                        egs_find (egs, "e0")->hash
+    old_ones += choose_at (engines, later_us + 2 * EGN_TOLD_US, affinity).engine->hash ==
+                        egs_find (engines, "e0")->hash
                     ? 1
                     : 0;
   CU_ASSERT (old_ones > 0);
@@ -609,25 +609,26 @@
 static void
 test_unknown_load_is_the_usual_one (void)
 {
-  g_autoptr (egs_t) egs = make_engines (8);
-  egn_t *unknown = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (8);
+  egn_t *unknown = egs_find (engines, "e0");
 
   for (uint32_t i = 1; i < 8; i++)
     {
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_told (egs_find (egs, id), NOW_US, &(egn_load_t){ .running = 10, .slots = 128 });
+      egn_told (egs_find (engines, id), NOW_US, &(egn_load_t){ .running = 10, .slots = 128 });
     }
   for (uint64_t affinity = 0; affinity <= 100; affinity++)
-    CU_ASSERT (choose (egs, affinity).engine != unknown || choose (egs, affinity).load >= 9);
+    CU_ASSERT (choose (engines, affinity).engine != unknown ||
+               choose (engines, affinity).load >= 9);
 }
 
 /* Return: of 100 prompts those that go to the first @lapsed of twelve engines */
 static uint32_t
 sent_to_lapsed (uint32_t lapsed)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
+  g_autoptr (egs_t) engines = make_engines (12);
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < lapsed; i++)
@@ -635,10 +636,10 @@
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egs_lapsed (egs, id);
+      egs_lapsed (engines, id);
     }
   for (uint64_t affinity = 1; affinity <= 100; affinity++)
-    count += choose (egs, affinity).engine->lapsed ? 1 : 0;
+    count += choose (engines, affinity).engine->entry_expired ? 1 : 0;
   return count;
 }
 
@@ -657,8 +658,8 @@
 static uint32_t
 at_first_home (uint32_t gateways, uint32_t tokens)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (12);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways };
   egn_t *home = spr_choose (list, NOW_US, &request).engine;
   uint32_t count = 0;
@@ -700,8 +701,8 @@
 
   for (uint32_t i = 0; i < 3; i++)
     {
-      g_autoptr (egs_t) egs = make_engines (12);
-      const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+      g_autoptr (egs_t) engines = make_engines (12);
+      const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
       spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways[i] };
       egn_t *home = spr_choose (list, NOW_US, &request).engine;
 
@@ -711,7 +712,7 @@
       while (spr_choose (list, NOW_US, &request).engine == home)
         egn_begin (home, NOW_US);
       margins[i] = home->own * 1000 / loads[i];
-      unload (egs, 12);
+      unload (engines, 12);
     }
   CU_ASSERT (margins[1] > 0 && margins[1] < margins[0]);
   CU_ASSERT (margins[2] > 0 && margins[2] < margins[0] / 2);
@@ -757,31 +758,31 @@
 test_idle_engines_narrow_the_bound (void)
 {
   uint32_t service_mean = (FLEET_ENGINES - FLEET_IDLE) * FLEET_LOAD / FLEET_ENGINES;
-  g_autoptr (egs_t) egs = make_engines (FLEET_ENGINES);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (FLEET_ENGINES);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   uint32_t usual;
   uint32_t narrowed;
 
   tell_all (list, NOW_US);
   usual = fill_home (list);
-  unload (egs, FLEET_ENGINES);
+  unload (engines, FLEET_ENGINES);
   for (guint k = 0; k < FLEET_IDLE; k++)
     g_strlcpy (((egn_t *)g_ptr_array_index (list, k))->entry.data_center, "hall-2", LIM_NAME_BYTES);
-  egs_set_drained (egs, NOW_US, "hall-2", true);
+  egs_set_drained (engines, NOW_US, "hall-2", true);
   narrowed = fill_home (list);
   CU_ASSERT (usual >= FLEET_LOAD * 14 / 10);
   CU_ASSERT (narrowed > FLEET_LOAD);
   CU_ASSERT (narrowed <= (FLEET_LOAD + 2 * service_mean + 3) / 2);
-  unload (egs, FLEET_ENGINES);
+  unload (engines, FLEET_ENGINES);
   tell_all (list, LATER_US);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
-  unload (egs, FLEET_ENGINES);
-  egs_set_drained (egs, LATER_US, "hall-2", false);
+  unload (engines, FLEET_ENGINES);
+  egs_set_drained (engines, LATER_US, "hall-2", false);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
-  unload (egs, FLEET_ENGINES);
+  unload (engines, FLEET_ENGINES);
   tell_all (list, LATER_US);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), usual);
-  unload (egs, FLEET_ENGINES);
+  unload (engines, FLEET_ENGINES);
 }
 
 #define BUSY_ENGINES 20
@@ -792,8 +793,8 @@
 static egs_t *
 make_engines_that_join (uint32_t busy)
 {
-  egs_t *egs = make_engines (BUSY_ENGINES);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  egs_t *engines = make_engines (BUSY_ENGINES);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
 
   for (guint k = 0; k < list->len; k++)
     egn_told (g_ptr_array_index (list, k), NOW_US,
@@ -803,33 +804,33 @@
       char id[16];
 
       g_snprintf (id, sizeof id, "joined%u", i);
-      put (egs, id, EGN_READY)->entry.slots = 24;
+      put (engines, id, EGN_READY)->entry.slots = 24;
     }
-  return egs;
+  return engines;
 }
 
 static egn_t *
-choose_by (const egs_t *egs, uint32_t gateways, uint64_t gateway_hash, uint64_t part)
+choose_by (const egs_t *engines, uint32_t gateways, uint64_t gateway_hash, uint64_t part)
 {
   spr_request_t request = {
     .affinity = part, .data_center = HERE, .gateways = gateways, .gateway_hash = gateway_hash
   };
 
-  return spr_choose (egs_list (egs, g_intern_static_string ("pool")), NOW_US, &request).engine;
+  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), NOW_US, &request).engine;
 }
 
 /* Return: of @PARTS choices, how many go to engines that have just joined */
 static uint32_t
 choices_of_joined (uint32_t busy)
 {
-  g_autoptr (egs_t) egs = make_engines_that_join (busy);
+  g_autoptr (egs_t) engines = make_engines_that_join (busy);
   uint32_t joined = 0;
 
   for (uint64_t part = 1; part <= PARTS; part++)
     {
-      const egn_t *egn = choose_by (egs, 103, part, part);
+      const egn_t *engine = choose_by (engines, 103, part, part);
 
-      joined += egn && egn->told_us == 0 ? 1 : 0;
+      joined += engine && engine->told_us == 0 ? 1 : 0;
     }
   return joined;
 }
@@ -851,18 +852,18 @@
 static void
 test_half_of_the_gateways_begin_at_an_engine_that_joined (void)
 {
-  g_autoptr (egs_t) egs = make_engines_that_join (4);
+  g_autoptr (egs_t) engines = make_engines_that_join (4);
   const egn_t *home = NULL;
   uint64_t part = 0;
   uint32_t few = 0;
   uint32_t many = 0;
 
   while (!home || home->told_us != 0)
-    home = choose_by (egs, 1, 0, ++part);
+    home = choose_by (engines, 1, 0, ++part);
   for (uint64_t gateway = 1; gateway <= PARTS; gateway++)
     {
-      few += choose_by (egs, 22, gateway, part) == home ? 1 : 0;
-      many += choose_by (egs, 103, gateway, part) == home ? 1 : 0;
+      few += choose_by (engines, 22, gateway, part) == home ? 1 : 0;
+      many += choose_by (engines, 103, gateway, part) == home ? 1 : 0;
     }
   CU_ASSERT_EQUAL (few, PARTS);
   CU_ASSERT (many > PARTS / 3 && many < PARTS * 2 / 3);
@@ -873,8 +874,8 @@
 static void
 test_few_gateways_keep_parts_at_home (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (12);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 4 };
   egn_t *home = spr_choose (list, NOW_US, &request).engine;
   uint32_t mean;
@@ -886,7 +887,7 @@
   mean = (11 * 6 + 6 + home->own) / 12;
   CU_ASSERT (6 + home->own >= 2 * mean);
   CU_ASSERT (6 + home->own <= 2 * mean + 3);
-  unload (egs, 12);
+  unload (engines, 12);
 }
 
 /*
@@ -898,8 +899,8 @@
 static void
 test_crowded_parts_keep_to_the_first_few (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (12);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
   egn_t *few[SPR_FEW_HOMES];
   egn_t *far = NULL;
@@ -913,12 +914,12 @@
   request.tried_count = 0;
   for (guint k = 0; k < list->len; k++)
     {
-      egn_t *egn = g_ptr_array_index (list, k);
-      bool is_few = egn == few[0] || egn == few[1] || egn == few[2];
+      egn_t *engine = g_ptr_array_index (list, k);
+      bool is_few = engine == few[0] || engine == few[1] || engine == few[2];
 
-      egn_told (egn, NOW_US, &(egn_load_t){ .running = 8, .slots = 8 });
+      egn_told (engine, NOW_US, &(egn_load_t){ .running = 8, .slots = 8 });
       if (!is_few)
-        far = egn;
+        far = engine;
     }
   for (uint32_t i = 0; i < SPR_FEW_HOMES; i++)
     load (few[i], 2); /* as many as this gateway may keep in an engine's queue */
@@ -929,7 +930,7 @@
   CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US, &request).engine, few[2]);
   request.affinity = 0;
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
-  unload (egs, 12);
+  unload (engines, 12);
 }
 
 int
