--- a/src/request/policy/choose.c
+++ b/src/request/policy/choose.c
@@ -5,14 +5,14 @@
 #include <glib.h>
 #include <stddef.h>
 
-/* Ranked to begin with: what is left after skipping must fill the candidates. */
-#define CHS_RANKED (ATT_CANDIDATES + 8)
+/* More than ATT_CANDIDATES, as unusable engines are left out afterwards. */
+#define RANKED_MAX (ATT_CANDIDATES + 8)
 
-/* Ranked engines, best first, with those put off at the end. */
+/* Ranked engines; the first @settled_count can be the home of chats, the others joined recently. */
 typedef struct
 {
-  uint64_t hash[CHS_RANKED];
-  uint64_t joined_us[CHS_RANKED];
+  uint64_t hash[RANKED_MAX];
+  uint64_t joined_us[RANKED_MAX];
   uint32_t count;
   uint32_t settled_count;
 } ranked_t;
@@ -24,7 +24,7 @@
 }
 
 static void
-append (
+append_usable (
     const chs_query_t *query, const uint32_t *order, uint32_t found, bool settled, ranked_t *out)
 {
   for (uint32_t i = 0; i < found; i++)
@@ -39,20 +39,21 @@
 }
 
 static void
-rank (const chs_query_t *query, ranked_t *out)
+rank_engines (const chs_query_t *query, ranked_t *out)
 {
-  uint32_t order[CHS_RANKED];
+  uint32_t order[RANKED_MAX];
   const uint32_t found = plc_rank (query->engines, query->engine_count, query->service_hash,
-                                   query->chat_hash, order, CHS_RANKED);
+                                   query->chat_hash, order, RANKED_MAX);
   out->count = 0;
-  append (query, order, found, true, out);
+  append_usable (query, order, found, true, out);
   out->settled_count = out->count;
-  append (query, order, found, false, out);
+  append_usable (query, order, found, false, out);
 }
 
-/* The first that was there before the home joined, while anything can still be warm on it. */
+/* Return: the first engine that was there before the home joined, while it can still have the chat
+ * cached; 0 when none */
 static uint64_t
-former_of (const chs_query_t *query, const ranked_t *ranked)
+find_former (const chs_query_t *query, const ranked_t *ranked)
 {
   const uint64_t joined_us = ranked->joined_us[0];
   if (!query->has_chat || query->first_turn || joined_us == 0 ||
@@ -64,27 +65,27 @@
   return 0;
 }
 
-/* load_of() - of two views the higher: a sample misses what was sent since, and what is under way
- * from here misses what other routers sent. */
+/* The higher of two counts: a sample misses the requests sent since, and this router's own count
+ * misses those of other routers. */
 static uint32_t
-load_of (const chs_query_t *query, const mean_sample_t *sample, uint64_t engine_hash)
+estimated_load (const chs_query_t *query, const mean_sample_t *sample, uint64_t engine_hash)
 {
   const uint32_t own = query->under_way != NULL ? uwy_count (query->under_way, engine_hash) : 0;
   return sample == NULL ? own : MAX (own, sample->load + sample->waiting);
 }
 
 static bool
-second_goes_first (const chs_query_t *query, const ranked_t *ranked)
+is_second_less_loaded (const chs_query_t *query, const ranked_t *ranked)
 {
   if (query->has_chat || query->samples == NULL || ranked->settled_count < 2)
     return false;
   const mean_sample_t *first = ref_find (query->samples, query->now_us, ranked->hash[0]);
   const mean_sample_t *second = ref_find (query->samples, query->now_us, ranked->hash[1]);
-  /* An engine that nothing was heard of is not empty for that. */
+  /* An engine without a sample is not empty, so the samples are then not compared. */
   if (first == NULL || second == NULL)
     first = second = NULL;
-  const uint32_t first_load = load_of (query, first, ranked->hash[0]);
-  const uint32_t second_load = load_of (query, second, ranked->hash[1]);
+  const uint32_t first_load = estimated_load (query, first, ranked->hash[0]);
+  const uint32_t second_load = estimated_load (query, second, ranked->hash[1]);
   return second_load < first_load || (second_load == first_load && (query->tie & 1) != 0);
 }
 
@@ -93,17 +94,17 @@
 {
   ranked_t ranked;
   chs_t chosen = { 0 };
-  rank (query, &ranked);
+  rank_engines (query, &ranked);
   if (ranked.count == 0)
     return chosen;
   chosen.home_hash = ranked.hash[0];
-  chosen.former_hash = former_of (query, &ranked);
+  chosen.former_hash = find_former (query, &ranked);
   while (chosen.candidate_count < ranked.count && chosen.candidate_count < ATT_CANDIDATES)
     {
       chosen.candidates[chosen.candidate_count] = ranked.hash[chosen.candidate_count];
       chosen.candidate_count++;
     }
-  if (second_goes_first (query, &ranked))
+  if (is_second_less_loaded (query, &ranked))
     {
       chosen.candidates[0] = ranked.hash[1];
       chosen.candidates[1] = ranked.hash[0];
--- a/src/request/policy/choose.h
+++ b/src/request/policy/choose.h
@@ -1,14 +1,16 @@
 /**
  * DOC: choose
  *
- * Whom a router asks first, and whom then: the candidates of a request, with the home of its chat
- * and the one that was home before it. A guess, as the sidecars decide; a wrong one costs a hop.
+ * The engines that a router tries for a request, in their order, with the chat's home engine and
+ * the one that was its home before. The sidecars make the final decision; a wrong order costs a
+ * hop.
  *
- * A request with a chat goes by rendezvous alone. One without has nothing warm anywhere: of its
- * first two candidates the emptier one goes first, which evens out the load without a hop. What the
- * router itself has under way there counts as much as samples, which are older.
+ * A request with a chat is placed by rendezvous hashing alone. No engine has anything cached for a
+ * request without one, so of its first two engines the less loaded one goes first, which balances
+ * the load without a hop. The router's own requests there are compared as well as the load samples,
+ * which are older.
  *
- * An engine that returned too lately (flap damping) is nobody's home, and goes last.
+ * An engine that has returned too recently (flap damping) is no chat's home, and goes last.
  */
 #ifndef REQUEST_POLICY_CHOOSE_H
 #define REQUEST_POLICY_CHOOSE_H
@@ -21,7 +23,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** struct chs_engine - what the router knows of an engine besides its name; as in mem_host_t */
+/**
+ * struct chs_engine - times of an engine, as in mem_host_t
+ * @joined_us: when it joined
+ * @settled_us: from when on it can be the home of chats
+ */
 typedef struct
 {
   uint64_t joined_us;
@@ -30,14 +36,21 @@
 
 /**
  * struct chs_query - one request
- * @engines: of the service in the router's region; weight 0 for those that leave. Made once for
- *   each snapshot of the members; the index of each is its place, here and in @details
- * @chat_hash: of the chat, or of the fingerprint without one
- * @first_turn: the first message of its chat, which is warm nowhere
- * @tie: decides by its lowest bit which of two equally loaded candidates goes first
- * @samples: load samples heard by this router, or NULL
- * @under_way: what this router has under way at engines, or NULL
- * @is_usable: false for a host to be skipped after direct failures; NULL for none
+ * @now_us: current time
+ * @engines: of the service in the router's region, with weight 0 for those that are leaving. The
+ *   index of each is its position, here and in @details
+ * @details: times of each of @engines
+ * @engine_count: of @engines and @details
+ * @service_hash: of the service's name
+ * @chat_hash: of the chat, or the fingerprint of a request without one
+ * @has_chat: whether the request belongs to a chat
+ * @first_turn: it is the first message of its chat, of which no engine has anything cached
+ * @cache_lifetime_us: how long an engine keeps the prompt of a chat cached
+ * @tie: its lowest bit decides which of two equally loaded engines goes first
+ * @samples: load samples that this router received, or NULL
+ * @under_way: this router's requests at engines, or NULL
+ * @is_usable: returns false for an engine to be left out after failures; NULL to use all
+ * @context: passed to @is_usable
  */
 typedef struct
 {
@@ -57,7 +70,13 @@
   void *context;
 } chs_query_t;
 
-/** struct chs - @home_hash and @former_hash: as in adm_request_t; 0 for none */
+/**
+ * struct candidates - engines for a request
+ * @candidates: hashes in the order in which they are tried
+ * @candidate_count: number of @candidates
+ * @home_hash: home engine of the chat, as in adm_request_t; 0 for none
+ * @former_hash: its home before, as in adm_request_t; 0 for none
+ */
 typedef struct
 {
   uint64_t candidates[ATT_CANDIDATES];
@@ -66,7 +85,7 @@
   uint64_t former_hash;
 } chs_t;
 
-/** chs_choose() - O(engines), no memory taken */
+/** chs_choose() - finds the engines for a request; takes O(engines) time and allocates no memory */
 chs_t chs_choose (const chs_query_t *query);
 
 #endif
--- a/src/request/policy/cold_share.c
+++ b/src/request/policy/cold_share.c
@@ -15,7 +15,7 @@
 cold_share_has_turn (const cold_share_t *share, uint64_t now_us)
 {
   uint64_t interval_us;
-  uint64_t first_us;
+  uint64_t offset_us;
 
   if (share->per_s == 0)
     return true;
@@ -23,9 +23,9 @@
     return false;
   interval_us = cold_share_interval_us (share->per_s, share->gateways);
   g_assert (interval_us > 0);
-  first_us =
+  offset_us =
       XXH64 (&share->engine_hash, sizeof share->engine_hash, share->gateway_hash) % interval_us;
-  if (now_us < share->since_us + first_us)
+  if (now_us < share->since_us + offset_us)
     return false;
   return share->sent_us == 0 || now_us >= share->sent_us + interval_us;
 }
--- a/src/request/policy/cold_share.h
+++ b/src/request/policy/cold_share.h
@@ -1,15 +1,15 @@
 /**
  * DOC: cold_share
  *
- * When a gateway may send a request to an engine that is cold. One that has just started bears few
- * requests a second and crashes well above that, and no gateway hears in time what the others send.
- * So each has turns of its own, an interval apart, from a moment that differs between gateways. A
- * pure function.
+ * Rate limit of a gateway for an engine in its cold start. An engine that has just started sustains
+ * few requests per second and crashes well above that, and gateways do not learn in time what the
+ * others send. So each gateway may send one request per interval, beginning at an offset that
+ * differs between gateways. A pure function.
  *
- * Weighed: equal shares of each second give 22 gateways one request each of the 29 that an engine
- * bears, and a hundred of them nothing or too much; a share by traffic has to be agreed on; answers
- * tell of a crash when it is too late. Turns need no message and no common clock, and one that was
- * paused has one turn when it wakes.
+ * Alternatives: equal shares of each second leave each of 22 gateways one request of the 29 that an
+ * engine sustains, and each of a hundred gateways none or too many; shares by traffic have to be
+ * agreed on; answers show a crash too late. Intervals need neither messages nor a common clock, and
+ * a gateway that was suspended may send one request when it resumes.
  */
 #ifndef REQUEST_POLICY_COLD_SHARE_H
 #define REQUEST_POLICY_COLD_SHARE_H
@@ -18,20 +18,22 @@
 #include <stdint.h>
 
 /*
- * Of what a cold engine bears in a second, what all gateways together send there on average. With
- * many gateways turns fall together by chance: at half of 16 a second, by calculation, a second has
- * over 29 with a chance of 1.4e-10 where there are 103 gateways, and of 1.6e-9 where there are 880.
+ * Percentage of the rate that a cold engine sustains that all gateways together send on average.
+ * With many gateways, sends coincide by chance. At half of 16 requests per second, the calculated
+ * probability of a second with more than 29 is 1.4e-10 with 103 gateways and 1.6e-9 with 880.
  */
 #define COLD_SHARE_PERCENT 50
 
 /**
- * struct cold_share - of one gateway at one engine
- * @per_s: requests that the engine bears in a second while it is cold; 0 is unknown, and no limit
- * @gateways: that may send there, also those that were not heard lately: a gateway that is cut off
- *   sends as well. 0 is unknown: nothing may be sent
- * @gateway_hash, @engine_hash: the two together choose when the first turn is
- * @since_us: when it was seen to be cold
- * @sent_us: when this gateway sent a request there last; 0 for never
+ * struct cold_share - one gateway at one engine
+ * @per_s: requests per second that the engine sustains in its cold start; 0 when unknown, and then
+ *   there is no limit
+ * @gateways: number that may send there, with those not heard recently, as a gateway that is cut
+ *   off from the others sends too; 0 when unknown, and then nothing may be sent
+ * @gateway_hash: with @engine_hash determines the offset of the first interval
+ * @engine_hash: of the engine's id and start time
+ * @since_us: when the cold start was noticed
+ * @sent_us: when this gateway last sent a request there; 0 for never
  */
 typedef struct
 {
@@ -43,9 +45,10 @@
   uint64_t sent_us;
 } cold_share_t;
 
-/** cold_share_interval_us() - between two turns of a gateway */
+/** cold_share_interval_us() - minimum time between two requests of a gateway; 0 when @per_s is
+ * unknown */
 uint64_t cold_share_interval_us (uint32_t per_s, uint32_t gateways);
-/** cold_share_has_turn() - whether the gateway may send a request there now */
+/** cold_share_has_turn() - whether the gateway may send a request to the engine now */
 bool cold_share_has_turn (const cold_share_t *share, uint64_t now_us);
 
 #endif
--- a/src/request/policy/drift.h
+++ b/src/request/policy/drift.h
@@ -1,9 +1,10 @@
 /**
  * DOC: drift
  *
- * How fast the mean load of a service moves, measured on its own estimates. Samples are some
- * tenths of a second old, so the true mean has drifted since; with all engines sampled this is the
- * whole error, and the sampling error alone would claim that there is none.
+ * Average change of a service's mean load between estimates. Load samples are some tenths of a
+ * second old, so the mean has changed since they were taken. When all engines are sampled, this
+ * change is the whole error of the estimate, and the sampling error alone, which is then 0, would
+ * understate it.
  */
 #ifndef REQUEST_POLICY_DRIFT_H
 #define REQUEST_POLICY_DRIFT_H
@@ -13,7 +14,12 @@
 
 #define DFT_STEP_US (500 * 1000) /* about the age of a sample */
 
-/** struct dft - @drift_milli: mean size of the change over one step, in thousandths of a request */
+/**
+ * struct load_drift - change of one service's mean load; initialized with zeros
+ * @noted_us: time of the last estimate that was used; 0 for none
+ * @mean_milli: that estimate, in thousandths of a request
+ * @drift_milli: smoothed absolute change over %DFT_STEP_US, in thousandths of a request
+ */
 typedef struct
 {
   uint64_t noted_us;
@@ -21,9 +27,10 @@
   uint64_t drift_milli;
 } dft_t;
 
-/** dft_note() - an estimate of the mean; more than one for each step is ignored */
+/** dft_note() - adds an estimate of the mean; ignored within %DFT_STEP_US of the last one */
 void dft_note (dft_t *drift, uint64_t now_us, uint64_t mean_milli);
-/** dft_margin_milli() - by how much the true mean may be lower than the estimate */
+/** dft_margin_milli() - by how much the mean may be below the estimate, in thousandths of a
+ * request */
 uint64_t dft_margin_milli (const dft_t *drift);
 
 #endif
--- a/src/request/policy/first_ask.h
+++ b/src/request/policy/first_ask.h
@@ -1,29 +1,30 @@
 /**
  * DOC: first_ask
  *
- * How long ago a caller asked first, where it comes back after a refusal with a new id: told by the
- * time that it still has. A pure state machine, one for each route.
+ * Age of a request whose caller sends it again with a new id after a refusal, estimated from the
+ * time that the caller still has. A state machine without I/O, one for each route.
  *
- * The first try of a request states all the time that its caller has, a later one what is left.
- * Callers of one route have about as much time each, so one that states far less than others do has
- * asked before.
+ * The first attempt states all the time that the caller has, a later attempt the remaining time.
+ * Callers of one route have about the same time, so a request that states much less than the
+ * others is a later attempt.
  */
 #ifndef REQUEST_POLICY_FIRST_ASK_H
 #define REQUEST_POLICY_FIRST_ASK_H
 
 #include <stdint.h>
 
-/* The longest time stated counts until none has been as long for so long: callers of a new release
- * may have less. */
+/* Time after which the longest time stated is replaced by a shorter one: callers of a new release
+ * may have less time. */
 #define FAS_FORGET_US (UINT64_C (10000) * 1000)
-/* Of the longest time, in thousandths: first tries were seen to state 850 and more. One that comes
- * back after a third of its time, the most that callers wait when they are told to, states less
- * than 700. */
+/* A request that states less than this share of the longest time, in thousandths, is a later
+ * attempt. First attempts state 850 or more; one after a third of the caller's time, the longest
+ * that callers are told to wait, states less than 700. */
 #define FAS_SPREAD_MILLI 750
 
 /**
- * struct fas - zeroed to begin with
- * @longest_ms: time stated lately; @seen_us: when it was stated
+ * struct first_attempt - times stated on one route; initialized with zeros
+ * @longest_ms: longest time stated recently
+ * @seen_us: when it was stated
  */
 typedef struct
 {
@@ -31,8 +32,8 @@
   uint64_t seen_us;
 } fas_t;
 
-/** fas_age_us() - a request states that its caller waits for @left_ms (0: it doesn't say). Return:
- * how long ago it asked first, 0 when this is its first try or that is not known */
-uint64_t fas_age_us (fas_t *fas, uint64_t now_us, uint32_t left_ms);
+/** fas_age_us() - processes a request whose caller waits for @left_ms more; 0 when not stated.
+ * Return: time since its first attempt, 0 when this is the first or that is unknown */
+uint64_t fas_age_us (fas_t *route, uint64_t now_us, uint32_t left_ms);
 
 #endif
--- a/src/request/policy/load_gauge.h
+++ b/src/request/policy/load_gauge.h
@@ -1,16 +1,17 @@
 /**
  * DOC: load_gauge
  *
- * How full the engines of a service are, of all of them together, by what their latest answers told
- * here. A pure state machine.
+ * Utilization of all engines of a service together, from the loads in the latest answers to this
+ * gateway. A state machine without I/O; the caller passes the time.
  *
- * A gateway of many hears of each single engine once in seconds, but of some engine many times a
- * second. When traffic triples at once, engines fill within a second, while what is known of each
- * one still says that it has room; so all gateways go on sending, and requests queue at the engines
- * for seconds, where nobody can refuse them any more. Then this gateway's own requests grow as all
- * others' do, and those it knows without delay: the load is taken to have grown with them since the
- * answers that told it. Where only this gateway's callers have become more, it holds back for the
- * fraction of a second until further answers have come.
+ * One of many gateways gets a report of each single engine every few seconds, but of some engine
+ * many times a second. When traffic triples suddenly, the engines fill within a second, while the
+ * last reports still show free slots. All gateways then go on sending, and requests queue at the
+ * engines for seconds, where no gateway can refuse them any more. A gateway knows the number of its
+ * own requests without delay, and during such a surge they grow as those of all others do. So the
+ * load is assumed to have grown since the last reports by the same factor as the gateway's own
+ * requests. If only this gateway's traffic has grown, it holds requests back for the fraction of a
+ * second until further reports have come.
  */
 #ifndef REQUEST_POLICY_LOAD_GAUGE_H
 #define REQUEST_POLICY_LOAD_GAUGE_H
@@ -18,34 +19,36 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define GAU_GAIN 12 /* of the smoothing: about the last twelve answers count */
-/* What was told before this says nothing: streams of a second or two have ended since. */
+#define GAU_GAIN 12 /* reports over which the utilization is smoothed */
+/* Age at which the utilization is unknown: streams of one to two seconds have ended since. */
 #define GAU_FORGET_US (UINT64_C (1000) * 1000)
 
-#define GAU_OWN_LEAST 8 /* requests that come and go by chance */
-/* Growth within the last answers that is no chance, in thousandths. */
+/* Added to the gateway's own requests, as a few more or fewer come by chance. */
+#define GAU_OWN_LEAST 8
+/* Growth of the gateway's own requests since the last reports that is a surge, in thousandths. */
 #define GAU_SURGE_MILLI 1250
 
 /**
- * struct gau - zeroed to begin with
- * @told_milli: requests there, in thousandths of the slots
- * @own_milli: requests of this gateway there meanwhile, in thousandths
+ * struct load_gauge - utilization of a service; initialized with zeros
+ * @utilization_milli: requests at the engines, in thousandths of their slots, smoothed
+ * @own_milli: requests of this gateway there at the same times, in thousandths of a request
+ * @reported_us: time of the latest report; 0 for none
  */
 typedef struct
 {
-  uint64_t told_milli;
+  uint64_t utilization_milli;
   uint64_t own_milli;
-  uint64_t told_us;
+  uint64_t reported_us;
 } gau_t;
 
-/** gau_told() - an engine of @slots told that @requests run or wait there, while @own of this
- * gateway were at the engines of the service */
-void gau_told (gau_t *gau, uint64_t now_us, uint32_t requests, uint32_t slots, uint64_t own);
-/** gau_told_milli() - requests at the engines as told, in thousandths of their slots; 0 when not
- * known */
-uint32_t gau_told_milli (const gau_t *gau, uint64_t now_us);
-/** gau_is_surge() - whether engines that told of room are full by now, as this gateway's requests,
- * of which @own are there, have grown so much */
-bool gau_is_surge (const gau_t *gau, uint64_t now_us, uint64_t own);
+/** gau_told() - adds a report: @requests run or wait at an engine with @slots, while this gateway
+ * has @own requests at the engines of the service */
+void gau_told (gau_t *gauge, uint64_t now_us, uint32_t requests, uint32_t slots, uint64_t own);
+/** gau_told_milli() - reported requests at the engines, in thousandths of their slots; 0 when
+ * unknown */
+uint32_t gau_told_milli (const gau_t *gauge, uint64_t now_us);
+/** gau_is_surge() - whether the engines are probably full although they reported free slots, as
+ * this gateway now has @own requests there */
+bool gau_is_surge (const gau_t *gauge, uint64_t now_us, uint64_t own);
 
 #endif
--- a/src/request/policy/load_news.c
+++ b/src/request/policy/load_news.c
@@ -18,15 +18,15 @@
   return (uint64_t)load * MILLI >= limit_milli * LNW_NEAR_MILLI / MILLI;
 }
 
-/* Return: the engine's own slot, else that of the oldest news */
+/* Return: the slot of the engine, or the slot with the oldest report when it has none */
 static lnw_item_t *
-slot_of (lnw_t *lnw, uint64_t engine_hash)
+find_slot (lnw_t *reports, uint64_t engine_hash)
 {
-  lnw_item_t *oldest = &lnw->items[0];
+  lnw_item_t *oldest = &reports->items[0];
 
   for (uint32_t i = 0; i < LNW_MOST; i++)
     {
-      lnw_item_t *slot = &lnw->items[i];
+      lnw_item_t *slot = &reports->items[i];
 
       if (slot->engine_hash == engine_hash)
         return slot;
@@ -37,9 +37,9 @@
 }
 
 bool
-lnw_add (lnw_t *lnw, uint64_t now_us, const lnw_item_t *item)
+lnw_add (lnw_t *reports, uint64_t now_us, const lnw_item_t *item)
 {
-  lnw_item_t *slot = slot_of (lnw, item->engine_hash);
+  lnw_item_t *slot = find_slot (reports, item->engine_hash);
 
   if (!is_fresh (item, now_us) || slot->told_us >= item->told_us)
     return false;
@@ -48,7 +48,7 @@
 }
 
 static int
-compare_latest (const void *a, const void *b)
+compare_latest_first (const void *a, const void *b)
 {
   const lnw_item_t *left = a;
   const lnw_item_t *right = b;
@@ -57,12 +57,12 @@
 }
 
 uint32_t
-lnw_take (const lnw_t *lnw, uint64_t now_us, lnw_item_t *out, uint32_t want)
+lnw_take (const lnw_t *reports, uint64_t now_us, lnw_item_t *out, uint32_t want)
 {
-  lnw_t sorted = *lnw;
+  lnw_t sorted = *reports;
   uint32_t count = 0;
 
-  qsort (sorted.items, LNW_MOST, sizeof *sorted.items, compare_latest);
+  qsort (sorted.items, LNW_MOST, sizeof *sorted.items, compare_latest_first);
   while (count < want && count < LNW_MOST && is_fresh (&sorted.items[count], now_us))
     {
       out[count] = sorted.items[count];
--- a/src/request/policy/load_news.h
+++ b/src/request/policy/load_news.h
@@ -1,12 +1,13 @@
 /**
  * DOC: load_news
  *
- * Loads of engines that are near the overload line, as they told them to any router, to be passed
- * on. A pure state machine.
+ * Reports of high engine loads that gateways pass on to each other. A state machine without I/O;
+ * the caller passes the time.
  *
- * A router of many asks each engine once in seconds. What it was told fades meanwhile, while all
- * others send to the home of a popular part; each of them knows as little. So a load that is much
- * over the mean is told to the others, with its age.
+ * One of many gateways calls each engine once every few seconds. In between, the load that the
+ * engine reported becomes outdated, while all gateways send to the engine that caches a popular
+ * prompt part, without knowing of each other. So a load near the overload limit is passed on, with
+ * its age.
  */
 #ifndef REQUEST_POLICY_LOAD_NEWS_H
 #define REQUEST_POLICY_LOAD_NEWS_H
@@ -14,17 +15,17 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LNW_MOST 16
-/* Older news says little: as many requests have ended and begun since. */
+#define LNW_MOST 16 /* engines; when full, the oldest report is replaced */
+/* Maximum age of a report: later the requests of then have ended and others have begun. */
 #define LNW_AGE_US (UINT64_C (3000) * 1000)
-/* Of the load from which on an engine is overloaded, in thousandths: from here on it is news. */
+/* Share of the overload limit from which on a load is passed on, in thousandths. */
 #define LNW_NEAR_MILLI 1000
 
 /**
- * struct lnw_item - what an engine told
- * @engine_hash: of its id and its start
+ * struct lnw_item - load that an engine reported to some gateway
+ * @engine_hash: of the engine's id and start time
  * @load: requests that ran or waited there
- * @told_us: when
+ * @told_us: when it was reported, on the clock of this process
  */
 typedef struct
 {
@@ -33,18 +34,19 @@
   uint64_t told_us;
 } lnw_item_t;
 
-/** struct lnw - zeroed to begin with */
+/** struct load_reports - the latest report of each engine; initialized with zeros */
 typedef struct
 {
   lnw_item_t items[LNW_MOST];
 } lnw_t;
 
-/** lnw_is_news() - whether @load is worth passing on where the mean is @mean_milli thousandths and
- * an engine is overloaded over @factor times the mean and @more_milli */
+/** lnw_is_news() - whether @load should be passed on, where the mean load is @mean_milli and the
+ * overload limit is @factor times the mean plus @more_milli, in thousandths of a request */
 bool lnw_is_news (uint32_t load, uint64_t mean_milli, uint32_t factor, uint64_t more_milli);
-/** lnw_add() - Return: whether it is later than what was known of the engine */
-bool lnw_add (lnw_t *lnw, uint64_t now_us, const lnw_item_t *item);
-/** lnw_take() - up to @want of the latest. Return: how many */
-uint32_t lnw_take (const lnw_t *lnw, uint64_t now_us, lnw_item_t *out, uint32_t want);
+/** lnw_add() - adds a report. Return: false when it is too old or a later one of the engine is
+ * known */
+bool lnw_add (lnw_t *reports, uint64_t now_us, const lnw_item_t *item);
+/** lnw_take() - copies up to @want reports to @out, the latest first. Return: their number */
+uint32_t lnw_take (const lnw_t *reports, uint64_t now_us, lnw_item_t *out, uint32_t want);
 
 #endif
--- a/src/request/policy/mean.c
+++ b/src/request/policy/mean.c
@@ -9,7 +9,7 @@
 static uint64_t
 next_random (mean_table_t *table)
 {
-  /* xorshift64*: cheap, and seeded, so that tests repeat */
+  /* xorshift64*, seeded so that tests are reproducible */
   table->rng ^= table->rng >> 12;
   table->rng ^= table->rng << 25;
   table->rng ^= table->rng >> 27;
@@ -23,7 +23,7 @@
 }
 
 static uint32_t
-find (const mean_table_t *table, uint64_t engine_hash)
+find_index (const mean_table_t *table, uint64_t engine_hash)
 {
   uint32_t i = 0;
   while (i < table->count && table->samples[i].engine_hash != engine_hash)
@@ -31,13 +31,14 @@
   return i;
 }
 
-/* Moves those that routers seem to reach to the front, if those are the most, and busy: in a quiet
- * service engines are idle for lack of requests. Return: how many count */
+/* Moves the samples of engines that routers can reach to the front of @items. All samples count if
+ * these are fewer than half or not busy, as engines of a service with little traffic are idle for
+ * lack of requests. Return: how many samples count, from the front */
 static uint32_t
-reached_first (const mean_table_t *table,
-               const mean_sample_t **items,
-               uint32_t count,
-               uint64_t now_us)
+partition_reached (const mean_table_t *table,
+                   const mean_sample_t **items,
+                   uint32_t count,
+                   uint64_t now_us)
 {
   uint32_t reached = 0;
   uint64_t sum = 0;
@@ -66,7 +67,7 @@
   return oldest;
 }
 
-/* Moves @want random elements of @items to its front. */
+/* Moves @want randomly chosen elements of @items to its front. */
 static void
 shuffle_front (mean_table_t *table, const mean_sample_t **items, uint32_t count, uint32_t want)
 {
@@ -104,8 +105,8 @@
 }
 
 /*
- * Standard error of the mean of @count of @population values, drawn without replacement. One value
- * tells nothing of the spread: the error is then taken to be as large as the value.
+ * Standard error of the mean of @count out of @population values, sampled without replacement. A
+ * single value has no variance, so the error is then assumed to be as large as the value.
  */
 static double
 standard_error (double sum, double squares, uint32_t count, uint32_t population)
@@ -121,7 +122,7 @@
 }
 
 static void
-put (mean_table_t *table, uint32_t i, const mean_sample_t *sample, bool is_new)
+set_sample (mean_table_t *table, uint32_t i, const mean_sample_t *sample, bool is_new)
 {
   const bool idle = sample->load == 0 && sample->waiting == 0;
   const bool was_idle = !is_new && table->idle_since_us[i] != 0;
@@ -147,27 +148,27 @@
 void
 mean_add (mean_table_t *table, const mean_sample_t *sample)
 {
-  uint32_t i = find (table, sample->engine_hash);
+  uint32_t i = find_index (table, sample->engine_hash);
   if (i < table->count)
     {
       if (sample->taken_us > table->samples[i].taken_us)
-        put (table, i, sample, false);
+        set_sample (table, i, sample, false);
       return;
     }
   if (table->count < LIM_SAMPLES_KEPT)
     {
-      put (table, table->count++, sample, true);
+      set_sample (table, table->count++, sample, true);
       return;
     }
   i = find_oldest (table);
   if (table->samples[i].taken_us < sample->taken_us)
-    put (table, i, sample, true);
+    set_sample (table, i, sample, true);
 }
 
 void
 mean_forget (mean_table_t *table, uint64_t engine_hash)
 {
-  uint32_t i = find (table, engine_hash);
+  uint32_t i = find_index (table, engine_hash);
   if (i == table->count)
     return;
   table->samples[i] = table->samples[--table->count];
@@ -183,8 +184,8 @@
   const mean_sample_t *fresh[LIM_SAMPLES_KEPT];
   uint64_t own_hash = own != NULL ? own->engine_hash : 0;
   uint32_t own_count = own != NULL ? 1 : 0;
-  uint32_t heard = collect_fresh (table, now_us, own_hash, fresh);
-  uint32_t count = reached_first (table, fresh, heard, now_us);
+  uint32_t sampled = collect_fresh (table, now_us, own_hash, fresh);
+  uint32_t count = partition_reached (table, fresh, sampled, now_us);
   double sum = 0;
   double squares = 0;
   for (uint32_t i = 0; i < count; i++)
@@ -192,15 +193,16 @@
       sum += fresh[i]->load;
       squares += (double)fresh[i]->load * fresh[i]->load;
     }
-  uint32_t total = MAX (engine_count, heard + own_count) - (heard - count);
+  uint32_t total = MAX (engine_count, sampled + own_count) - (sampled - count);
   uint32_t others = total - own_count;
   double others_mean = count > 0 ? sum / count : (own != NULL ? own->load : 0);
   double error = standard_error (sum, squares, count, others);
-  /* Without any sample the own load stands in for the others, and is as uncertain as can be. */
+  /* Without any sample the others are assumed to have this engine's load, with an error as large.
+   */
   if (count == 0 && others > 0)
     error = others_mean;
-  /* The own load is known, not sampled: it weighs one engine, and an engine with much load does
-   * not raise its own bound by more than its share. */
+  /* This engine's load is known and not sampled, so it has the weight of one engine. With more, a
+   * high load would raise the bound of the engine that has it. */
   double weight = total > 0 ? (double)others / total : 0;
   double mean = others_mean * weight + (own != NULL ? (double)own->load / total : 0);
   mean_estimate_t estimate = {
@@ -217,7 +219,7 @@
   const mean_sample_t *fresh[LIM_SAMPLES_KEPT];
   uint32_t count = collect_fresh (table, now_us, 0, fresh);
   qsort (fresh, count, sizeof (mean_sample_t *), compare_newest_first);
-  /* Of the newest, a random half: peers that hear the same samples do not all pass on the same. */
+  /* Peers with the same samples should not all pass on the same ones. */
   count = MIN (count, 2 * want);
   want = MIN (want, count);
   shuffle_front (table, fresh, count, want);
--- a/src/request/policy/mean.h
+++ b/src/request/policy/mean.h
@@ -1,9 +1,9 @@
 /**
  * DOC: mean
  *
- * Mean load of a service, estimated from samples that came with the exchange. The newest sample of
- * each engine counts, for %LIM_SAMPLE_AGE_US; at most %LIM_SAMPLES_KEPT are kept, so neither
- * memory nor messages grow with the fleet.
+ * Load samples of the engines of a service, received in exchange messages, and the mean load
+ * estimated from them. The newest sample of each engine counts, for %LIM_SAMPLE_AGE_US. At most
+ * %LIM_SAMPLES_KEPT are kept, so neither memory nor messages grow with the fleet.
  */
 #ifndef REQUEST_POLICY_MEAN_H
 #define REQUEST_POLICY_MEAN_H
@@ -13,13 +13,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define MEAN_BUSY 4 /* requests */
+/* Mean load, in requests, from which on a service has enough requests for every engine: one without
+ * any is then unreached and not merely idle. */
+#define MEAN_BUSY 4
 
 /**
  * struct mean_sample - the load of one engine at one time
+ * @engine_hash: of the engine's name
+ * @service_hash: of the service's name
  * @load: requests dispatched to it
- * @cost: milliseconds of a slot that its requests are expected to take
- * @taken_us: on the clock of the daemon that keeps it
+ * @waiting: requests that wait for it
+ * @cost: expected time that its requests occupy a slot, in milliseconds
+ * @taken_us: when it was taken, on the clock of the process that keeps the sample
  */
 typedef struct
 {
@@ -32,8 +37,12 @@
 } mean_sample_t;
 
 /**
- * struct mean_table - samples of one service
- * @idle_since_us: from when on all samples of an engine said no load, else 0
+ * struct mean_table - the samples of one service
+ * @samples: in no order, at most one of each engine
+ * @idle_since_us: at the index of each sample, since when all samples of its engine have shown no
+ *   load; 0 when it has load
+ * @count: of @samples
+ * @rng: state of the random number generator
  */
 typedef struct
 {
@@ -44,8 +53,11 @@
 } mean_table_t;
 
 /**
- * struct mean_estimate - in thousandths of a request
- * @margin_milli: standard error of the mean, with the finite population corrected for
+ * struct mean_estimate - estimated mean load of a service
+ * @mean_milli: in thousandths of a request
+ * @margin_milli: standard error of the mean with the finite population correction, in thousandths
+ *   of a request
+ * @count: number of loads that it is based on
  */
 typedef struct
 {
@@ -54,34 +66,41 @@
   uint32_t count;
 } mean_estimate_t;
 
+/** mean_init() - empties the table and seeds its random numbers */
 void mean_init (mean_table_t *table, uint64_t seed);
-/** mean_add() - keep a sample; an older one of the same engine goes, a full table drops its oldest
- */
+/** mean_add() - keeps a sample in place of an older one of the same engine, or of the oldest one
+ * when the table is full */
 void mean_add (mean_table_t *table, const mean_sample_t *sample);
-/** mean_is_unreached() - whether an engine whose sample stands in @table has had no load for
- * %LIM_SAMPLE_AGE_US: among busy engines, routers do not reach it */
+/** mean_is_unreached() - whether the engine of @sample, which must be in @table, has had no load
+ * for %LIM_SAMPLE_AGE_US; while the others are busy, this means that routers can't reach it */
 bool mean_is_unreached (const mean_table_t *table, const mean_sample_t *sample, uint64_t now_us);
+/** mean_forget() - removes the sample of an engine */
 void mean_forget (mean_table_t *table, uint64_t engine_hash);
 /**
- * mean_estimate() - over the samples not too old, with the daemon's @own load when it is an
- * engine's
+ * mean_estimate() - estimates the mean load from the samples that are recent enough
+ * @own: the load of this process's engine, or NULL when it has none
+ * @engine_count: engines of the service, of which some may have no sample
  *
- * Engines that have had no load for %LIM_SAMPLE_AGE_US while the others, not fewer, have
- * %MEAN_BUSY or more on average are not part of the mean: they have room, are named by every
- * refusal, and yet get nothing, so routers do not reach them. Counted, they would hold the bound of
- * all others below what they carry.
+ * Engines without load for %LIM_SAMPLE_AGE_US are left out if they are at most half of the sampled
+ * engines and the others have a mean of %MEAN_BUSY or more. Refusals name such engines as having
+ * room, and still they get no requests, so routers can't reach them. Counting them would keep the
+ * load bound of the others below the load that they have to carry.
  */
 mean_estimate_t mean_estimate (const mean_table_t *table,
                                uint64_t now_us,
                                const mean_sample_t *own,
                                uint32_t engine_count);
-/** mean_pick() - up to @want recent samples to pass on, at random; newest first chosen */
+/** mean_pick() - copies up to @want samples to pass on to @out, chosen at random among the 2 x
+ * @want newest. Return: their number */
 uint32_t mean_pick (mean_table_t *table, uint64_t now_us, mean_sample_t *out, uint32_t want);
 /**
- * mean_room() - up to @want engines that lately had the most room, not counting @except_hash
+ * mean_room() - chooses up to @want engines other than @except_hash with a load at or below the
+ * mean
+ * @out: receives their hashes
+ *
+ * The choice is random, so that the refusals of many sidecars do not all name the same engine.
  *
- * Chosen at random among those at or below the mean, so that refusals of many sidecars do not
- * all point to one engine.
+ * Return: the number of engines in @out
  */
 uint32_t mean_room (
     mean_table_t *table, uint64_t now_us, uint64_t except_hash, uint64_t *out, uint32_t want);
--- a/src/request/policy/odds.h
+++ b/src/request/policy/odds.h
@@ -1,15 +1,16 @@
 /**
  * DOC: odds
  *
- * The odds that a request of each priority has in an overload to start in time, and what to do
- * where they are uneven. A pure state machine, one for each service of a gateway.
+ * Fairness between priorities in an overload: counts for each priority the share of requests that
+ * start in time, and decides on the order where the shares are uneven. A state machine without I/O,
+ * one for each service of a gateway.
  *
- * Priorities alone make odds very uneven. Short requests that are less urgent wait behind long ones
- * that are more urgent, and nearly all of them are refused, though together they would take a tenth
- * of the slots; and a less urgent kind whose callers wait a little longer is served more often than
- * a more urgent one. So levels keep within %ODD_EDGE_MILLI of each other, the more urgent ahead:
- * one that is ahead of a more urgent one gives way, one that is further behind goes first for a
- * while.
+ * Strict priorities make the shares very uneven. Short requests of low priority wait behind long
+ * ones of high priority, and nearly all are refused although they would take only a tenth of the
+ * slots; and a low priority whose callers wait a little longer is served more often than a high
+ * one. So the shares are kept within %ODD_EDGE_MILLI of each other from one priority to the next,
+ * with the higher priority ahead: a priority with a larger share than a higher one yields to it,
+ * and one that is further behind goes first for a while.
  */
 #ifndef REQUEST_POLICY_ODDS_H
 #define REQUEST_POLICY_ODDS_H
@@ -17,29 +18,32 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ODD_LEVELS 4 /* priorities 0..3; a higher number counts as the last */
-/* What was counted halves in this time: an overload of a few seconds is to be answered in it, and a
- * gateway that gets 40 requests a second still has some of each level. */
+#define ODD_LEVELS 4 /* priorities 0 (highest) to 3; a higher number counts as 3 */
+/* Half-life of the counts: an overload of a few seconds must be handled while it lasts, and a
+ * gateway with 40 requests a second must still have counted some of each priority. */
 #define ODD_HALF_US (UINT64_C (1000) * 1000)
-/* How far a level may be behind the next more urgent one, in thousandths: operators that rank
- * requests expect a difference, callers none that looks like a failure. */
+/* Allowed difference between the shares of a priority and the next higher one, in thousandths:
+ * operators who rank requests expect a difference, callers none that looks like a failure. */
 #define ODD_EDGE_MILLI 50
-/* A level with less than this gives way to none. */
+/* A priority with a share below this, in thousandths, yields to none: a higher priority that gets
+ * nothing for another reason must not hold back all others. */
 #define ODD_LEAST_MILLI 150
-/* Fewer than so many, in thousandths, say nothing. */
+/* Minimum count of requests for a share to be used, in thousandths of a request. */
 #define ODD_ENOUGH_MILLI 4000
 
 typedef enum
 {
-  ODD_IN_TURN,   /* by its priority */
+  ODD_IN_TURN,   /* in the order of priorities */
   ODD_FIRST,     /* before all others */
-  ODD_GIVES_WAY, /* it is refused in favour of more urgent ones */
+  ODD_GIVES_WAY, /* refused in favour of higher priorities */
 } odd_turn_t;
 
 /**
- * struct odd - zeroed to begin with
- * @asked_milli, @started_milli: requests of each level, in thousandths, what is older counting less
- * @counted_us: as of when
+ * struct priority_fairness - counts of each priority, decaying by half per %ODD_HALF_US;
+ * initialized with zeros
+ * @asked_milli: requests, in thousandths
+ * @started_milli: those of them that started in time, in thousandths
+ * @counted_us: up to when the counts have decayed
  */
 typedef struct
 {
@@ -48,13 +52,14 @@
   uint64_t counted_us;
 } odd_t;
 
-/** odd_note() - a request of @priority started in time, or didn't */
-void odd_note (odd_t *odd, uint64_t now_us, uint32_t priority, bool started);
-/** odd_turn() - when one of @priority comes while others wait */
-odd_turn_t odd_turn (const odd_t *odd, uint32_t priority);
-/** odd_asked_milli() - requests counted, in thousandths, what is older counting less */
-uint64_t odd_asked_milli (const odd_t *odd);
-/** odd_share_milli() - of all requests counted that started in time; 1000 when there were few */
-uint32_t odd_share_milli (const odd_t *odd);
+/** odd_note() - counts a request of @priority that @started in time or did not */
+void odd_note (odd_t *fairness, uint64_t now_us, uint32_t priority, bool started);
+/** odd_turn() - how to order a request of @priority that arrives while others wait */
+odd_turn_t odd_turn (const odd_t *fairness, uint32_t priority);
+/** odd_asked_milli() - decayed count of all requests, in thousandths */
+uint64_t odd_asked_milli (const odd_t *fairness);
+/** odd_share_milli() - share of all counted requests that started in time, in thousandths; 1000
+ * when too few were counted */
+uint32_t odd_share_milli (const odd_t *fairness);
 
 #endif
--- a/src/request/policy/place.c
+++ b/src/request/policy/place.c
@@ -6,21 +6,24 @@
 
 #include <xxhash.h>
 
-#define PLC_UNIT (1.0 / 9007199254740992.0) /* 2^-53: the top 53 bits of a hash as a fraction */
-#define PLC_CHAT_SEED 0x63686174ULL         /* keeps chat ids and body hashes in separate spaces */
-#define PLC_BODY_SEED 0x626f6479ULL
-
-/* Ordering of candidates: by score, then by engine hash so that all routers agree on a tie. */
+#define HASH_UNIT                                                                                  \
+  (1.0 / 9007199254740992.0) /* 2^-53 turns the top 53 bits of a hash into a fraction */
+#define CHAT_SEED                                                                                  \
+  0x63686174ULL /* differs from BODY_SEED: a chat id equal to a body has another hash */
+#define BODY_SEED 0x626f6479ULL
+
+/* An engine in the ranking: ordered by score, key and engine hash, so that all routers agree on a
+ * tie. */
 typedef struct
 {
   double score;
   uint64_t key;
   uint64_t engine_hash;
   uint32_t index;
-} plc_slot_t;
+} ranked_t;
 
-/* Bijective mixing of the combined key (the finaliser of MurmurHash3): each engine's order over
- * chats must look independent of every other engine's. */
+/* The finalizer of MurmurHash3, which is bijective. It makes the order of chats at an engine
+ * independent of that at every other engine. */
 static uint64_t
 mix (uint64_t x)
 {
@@ -50,7 +53,7 @@
 {
   if (weight <= 0.0f)
     return 0.0;
-  const double unit = ((double)(key >> 11) + 0.5) * PLC_UNIT;
+  const double unit = ((double)(key >> 11) + 0.5) * HASH_UNIT;
   return -(double)weight / log (unit);
 }
 
@@ -70,7 +73,7 @@
 }
 
 static bool
-goes_before (const plc_slot_t *a, const plc_slot_t *b)
+ranks_before (const ranked_t *a, const ranked_t *b)
 {
   if (a->score != b->score)
     return a->score > b->score;
@@ -79,57 +82,57 @@
   return a->engine_hash > b->engine_hash;
 }
 
-/* The heap keeps its worst slot on top, so that a newcomer is compared with that one alone. */
+/* The heap has its lowest entry on top, so a new entry is compared with that one only. */
 static void
-sift_down (plc_slot_t *heap, uint32_t count, uint32_t at)
+sift_down (ranked_t *heap, uint32_t count, uint32_t at)
 {
   for (;;)
     {
-      uint32_t worst = at;
+      uint32_t lowest = at;
       for (uint32_t child = 2 * at + 1; child <= 2 * at + 2 && child < count; child++)
-        if (goes_before (&heap[worst], &heap[child]))
-          worst = child;
-      if (worst == at)
+        if (ranks_before (&heap[lowest], &heap[child]))
+          lowest = child;
+      if (lowest == at)
         return;
-      const plc_slot_t held = heap[at];
-      heap[at] = heap[worst];
-      heap[worst] = held;
-      at = worst;
+      const ranked_t swap = heap[at];
+      heap[at] = heap[lowest];
+      heap[lowest] = swap;
+      at = lowest;
     }
 }
 
 static void
-sift_up (plc_slot_t *heap, uint32_t at)
+sift_up (ranked_t *heap, uint32_t at)
 {
   while (at > 0)
     {
       const uint32_t parent = (at - 1) / 2;
-      if (!goes_before (&heap[parent], &heap[at]))
+      if (!ranks_before (&heap[parent], &heap[at]))
         return;
-      const plc_slot_t held = heap[at];
+      const ranked_t swap = heap[at];
       heap[at] = heap[parent];
-      heap[parent] = held;
+      heap[parent] = swap;
       at = parent;
     }
 }
 
 static void
-heap_offer (plc_slot_t *heap, uint32_t *count, uint32_t want, const plc_slot_t *slot)
+heap_add (ranked_t *heap, uint32_t *count, uint32_t want, const ranked_t *entry)
 {
   if (*count < want)
     {
-      heap[*count] = *slot;
+      heap[*count] = *entry;
       sift_up (heap, (*count)++);
       return;
     }
-  if (!goes_before (slot, &heap[0]))
+  if (!ranks_before (entry, &heap[0]))
     return;
-  heap[0] = *slot;
+  heap[0] = *entry;
   sift_down (heap, *count, 0);
 }
 
 static uint32_t
-heap_drain (plc_slot_t *heap, uint32_t count, uint32_t *out)
+heap_extract_all (ranked_t *heap, uint32_t count, uint32_t *out)
 {
   const uint32_t found = count;
   while (count > 0)
@@ -150,13 +153,13 @@
 uint64_t
 plc_hash_chat (const char *account, const char *chat_id)
 {
-  return XXH64 (chat_id, strlen (chat_id), XXH64 (account, strlen (account), PLC_CHAT_SEED));
+  return XXH64 (chat_id, strlen (chat_id), XXH64 (account, strlen (account), CHAT_SEED));
 }
 
 uint64_t
 plc_hash_body (const char *account, const char *text, uint32_t text_bytes)
 {
-  return XXH64 (text, text_bytes, XXH64 (account, strlen (account), PLC_BODY_SEED));
+  return XXH64 (text, text_bytes, XXH64 (account, strlen (account), BODY_SEED));
 }
 
 double
@@ -173,9 +176,9 @@
           uint32_t *out,
           uint32_t want)
 {
-  plc_slot_t heap[PLC_WANT_MAX];
+  ranked_t heap[PLC_WANT_MAX];
   const uint64_t key = chat_key (service_hash, chat_hash);
-  /* With equal weights the score grows with the hash, so the logarithm is not needed. */
+  /* With equal weights the score grows with the hash, so no logarithm is computed. */
   const bool equal = weights_equal (engines, engine_count);
   uint32_t count = 0;
   if (want > PLC_WANT_MAX)
@@ -186,15 +189,15 @@
     {
       if (engines[i].weight <= 0.0f)
         continue;
-      const uint64_t engine = engine_key (key, engines[i].hash);
-      if (equal && count == want && engine < heap[0].key)
+      const uint64_t candidate_key = engine_key (key, engines[i].hash);
+      if (equal && count == want && candidate_key < heap[0].key)
         continue;
-      plc_slot_t slot = { .key = engine,
-                          .engine_hash = engines[i].hash,
-                          .index = engines[i].index };
+      ranked_t entry = { .key = candidate_key,
+                         .engine_hash = engines[i].hash,
+                         .index = engines[i].index };
       if (!equal)
-        slot.score = score_of_key (slot.key, engines[i].weight);
-      heap_offer (heap, &count, want, &slot);
+        entry.score = score_of_key (entry.key, engines[i].weight);
+      heap_add (heap, &count, want, &entry);
     }
-  return heap_drain (heap, count, out);
+  return heap_extract_all (heap, count, out);
 }
--- a/src/request/policy/place.h
+++ b/src/request/policy/place.h
@@ -1,37 +1,45 @@
 /**
  * DOC: place
  *
- * Weighted rendezvous hashing of chats over the engines of a service. Keyed by engine names, not
- * addresses, so that an engine that was replaced or flapped gets its chats back.
+ * Weighted rendezvous hashing of chats over the engines of a service. The hash is of an engine's
+ * name and not of its address, so an engine that was replaced or was away gets its chats back.
  */
 #ifndef REQUEST_POLICY_PLACE_H
 #define REQUEST_POLICY_PLACE_H
 
 #include <stdint.h>
 
-#define PLC_WANT_MAX 64 /* candidates that plc_rank() gives at most */
+#define PLC_WANT_MAX 64 /* maximum number of engines that plc_rank() returns */
 
-/** struct plc_engine - one engine as a candidate; @weight 1 is ordinary, 0 means not a candidate */
+/**
+ * struct plc_engine - one engine
+ * @hash: plc_hash_name() of the engine's name
+ * @index: number that the caller identifies it by
+ * @weight: relative share of the chats; 1 is the usual one, 0 leaves the engine out
+ */
 typedef struct
 {
-  uint64_t hash;  /* plc_hash_name() of the engine */
-  uint32_t index; /* the caller's own number for it */
+  uint64_t hash;
+  uint32_t index;
   float weight;
 } plc_engine_t;
 
+/** plc_hash_name() - hash of the name of an engine, host or service */
 uint64_t plc_hash_name (const char *name);
-/** plc_hash_chat() - a chat of an account; ids of two accounts never collide but by hash */
+/** plc_hash_chat() - hash of a chat; equal ids of two accounts have different hashes */
 uint64_t plc_hash_chat (const char *account, const char *chat_id);
-/** plc_hash_body() - stands in for a chat id: the first messages of a chat */
+/** plc_hash_body() - hash of the first messages of a chat, used for requests without a chat id */
 uint64_t plc_hash_body (const char *account, const char *text, uint32_t text_bytes);
-/** plc_score() - higher goes first */
+/** plc_score() - score of an engine for a chat; the highest ranks first */
 double plc_score (uint64_t service_hash, uint64_t chat_hash, uint64_t engine_hash, float weight);
 
 /**
- * plc_rank() - the best candidates of a chat, best first
- * @out: room for @want indices
+ * plc_rank() - finds the engines with the highest scores for a chat
+ * @out: receives the index of up to @want engines, the highest score first
+ *
+ * Takes O(engines x log want) time and allocates no memory.
  *
- * Return: how many were found. O(engines x log want), no memory taken.
+ * Return: the number of engines in @out
  */
 uint32_t plc_rank (const plc_engine_t *engines,
                    uint32_t engine_count,
--- a/src/request/policy/proven.c
+++ b/src/request/policy/proven.c
@@ -5,10 +5,10 @@
 typedef struct
 {
   uint64_t fingerprint;
-  uint64_t answered_us; /* 0: empty */
+  uint64_t answered_us; /* 0 for an empty entry */
 } entry_t;
 
-struct prv
+struct recent_answers
 {
   entry_t *entries;
   uint32_t count;
@@ -16,51 +16,51 @@
 };
 
 static entry_t *
-entry_of (const prv_t *prv, uint64_t fingerprint)
+entry_at (const prv_t *answers, uint64_t fingerprint)
 {
-  return &prv->entries[fingerprint % prv->count];
+  return &answers->entries[fingerprint % answers->count];
 }
 
 prv_t *
 prv_new (uint32_t entries, uint64_t lifetime_us)
 {
-  prv_t *prv = g_new0 (prv_t, 1);
+  prv_t *answers = g_new0 (prv_t, 1);
 
-  prv->entries = g_new0 (entry_t, entries);
-  prv->count = entries;
-  prv->lifetime_us = lifetime_us;
-  return prv;
+  answers->entries = g_new0 (entry_t, entries);
+  answers->count = entries;
+  answers->lifetime_us = lifetime_us;
+  return answers;
 }
 
 void
-prv_free (prv_t *prv)
+prv_free (prv_t *answers)
 {
-  if (prv == NULL)
+  if (answers == NULL)
     return;
-  g_free (prv->entries);
-  g_free (prv);
+  g_free (answers->entries);
+  g_free (answers);
 }
 
 void
-prv_answered (prv_t *prv, uint64_t now_us, uint64_t fingerprint)
+prv_answered (prv_t *answers, uint64_t now_us, uint64_t fingerprint)
 {
-  *entry_of (prv, fingerprint) = (entry_t){ .fingerprint = fingerprint, .answered_us = now_us };
+  *entry_at (answers, fingerprint) = (entry_t){ .fingerprint = fingerprint, .answered_us = now_us };
 }
 
 void
-prv_forget (prv_t *prv, uint64_t fingerprint)
+prv_forget (prv_t *answers, uint64_t fingerprint)
 {
-  entry_t *entry = entry_of (prv, fingerprint);
+  entry_t *entry = entry_at (answers, fingerprint);
 
   if (entry->fingerprint == fingerprint)
     entry->answered_us = 0;
 }
 
 bool
-prv_has (const prv_t *prv, uint64_t now_us, uint64_t fingerprint)
+prv_has (const prv_t *answers, uint64_t now_us, uint64_t fingerprint)
 {
-  const entry_t *entry = entry_of (prv, fingerprint);
+  const entry_t *entry = entry_at (answers, fingerprint);
 
   return entry->answered_us != 0 && entry->fingerprint == fingerprint &&
-         now_us < entry->answered_us + prv->lifetime_us;
+         now_us < entry->answered_us + answers->lifetime_us;
 }
--- a/src/request/policy/proven.h
+++ b/src/request/policy/proven.h
@@ -1,15 +1,16 @@
 /**
  * DOC: proven
  *
- * Requests that engines answered lately, by fingerprint. A request is usually placed by its
- * fingerprint, so that one that crashes engines always meets the two that know it. The same status
- * check sent over and over would then load two engines and leave all others idle. What was answered
- * a moment ago is not a request that crashes each engine that runs it, so it may go anywhere.
+ * Fingerprints of requests that engines answered recently. Requests are usually placed by their
+ * fingerprint, so that one that crashes engines reaches the same two engines, which know it from
+ * the first crash. But then an identical status check that is sent over and over would load two
+ * engines and leave the others idle. A request that was just answered does not crash every engine
+ * that runs it, so it may be sent to any.
  *
- * Only briefly, as the engines may change: a router that has not seen the crash would then send a
- * resend to a third engine, until the marks of the others reach it.
+ * Entries are kept briefly, because engines may change: a router that has not seen a crash would
+ * send a repeated request to a third engine until it receives the other routers' crash marks.
  *
- * A direct-mapped table: of two fingerprints in one place the later is kept.
+ * A direct-mapped table: of two fingerprints with the same index the later one is kept.
  */
 #ifndef REQUEST_POLICY_PROVEN_H
 #define REQUEST_POLICY_PROVEN_H
@@ -17,14 +18,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef struct prv prv_t;
+/** struct recent_answers - the table of fingerprints */
+typedef struct recent_answers prv_t;
 
+/** prv_new() - a table with @entries places, which keeps a fingerprint for @lifetime_us */
 prv_t *prv_new (uint32_t entries, uint64_t lifetime_us);
-void prv_free (prv_t *prv);
-/** prv_answered() - an engine answered the request */
-void prv_answered (prv_t *prv, uint64_t now_us, uint64_t fingerprint);
-/** prv_forget() - the request is suspected of a crash after all */
-void prv_forget (prv_t *prv, uint64_t fingerprint);
-bool prv_has (const prv_t *prv, uint64_t now_us, uint64_t fingerprint);
+/** prv_free() - NULL is allowed */
+void prv_free (prv_t *answers);
+/** prv_answered() - records that an engine answered the request with @fingerprint */
+void prv_answered (prv_t *answers, uint64_t now_us, uint64_t fingerprint);
+/** prv_forget() - removes @fingerprint, whose request is suspected of a crash after all */
+void prv_forget (prv_t *answers, uint64_t fingerprint);
+/** prv_has() - whether the request with @fingerprint was answered within the lifetime */
+bool prv_has (const prv_t *answers, uint64_t now_us, uint64_t fingerprint);
 
 #endif
