--- a/tests/test_cold_share.c
+++ b/tests/test_cold_share.c
@@ -1,5 +1,5 @@
-/* Unit tests of the turns at which gateways may send to engines that are cold, and of engines that
- * come back. */
+/* Unit tests of the rate limit of gateways for engines in their cold start, and of engines that
+ * return. */
 #include "request/policy/cold_share.h"
 #include "request/policy/engines.h"
 #include "request/policy/spread.h"
@@ -11,16 +11,17 @@
 
 #define SECOND_US (UINT64_C (1000) * 1000)
 #define NOW_US (100 * SECOND_US)
-#define STEP_US (UINT64_C (25) * 1000) /* a gateway looks at what waits this often */
+/* Interval at which a gateway checks its waiting requests. */
+#define STEP_US (UINT64_C (25) * 1000)
 #define COLD_US (3 * SECOND_US)
-#define PER_S 16       /* what a cold engine bears in a second */
-#define BOUND_PER_S 29 /* one and a half times that and five: above it engines crash */
+#define PER_S 16       /* requests per second that a cold engine sustains */
+#define BOUND_PER_S 29 /* 1.5 x PER_S + 5: above it engines crash */
 #define ENGINES 20
 #define GATEWAYS_MOST 880
 
-/* Return: the most that was sent within any one second */
+/* Return: the maximum number of sends within one second */
 static uint32_t
-most_in_a_second (const GArray *sent_us)
+max_per_second (const GArray *sent_us)
 {
   uint32_t most = 0;
   guint from = 0;
@@ -35,10 +36,10 @@
   return most;
 }
 
-/* Each gateway sends whenever it may, as in a burst; it sees the engine cold @late_us later than
- * the gateway before. */
+/* Each gateway sends whenever it may, as in a burst, and notices the cold start @late_us later than
+ * the gateway before. Return: the maximum number of sends within one second */
 static uint32_t
-flood (uint32_t gateways, uint64_t engine_hash, uint64_t late_us)
+max_sent_per_second (uint32_t gateways, uint64_t engine_hash, uint64_t late_us)
 {
   g_autofree uint64_t *sent_us = g_new0 (uint64_t, gateways);
   g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (uint64_t));
@@ -58,43 +59,42 @@
         sent_us[i] = at_us;
         g_array_append_val (all, at_us);
       }
-  return most_in_a_second (all);
+  return max_per_second (all);
 }
 
 /*
- * All engines of a service return at once, cold, in a burst, and every gateway sends whatever it
- * may. Callers would lose what runs on an engine that gets over its bound in a second, as it
- * crashes: none does, from four gateways to hundreds, and whether they learn of it together or one
- * after the other.
+ * Guards against cold engines crashing, and losing their requests, because they get more than their
+ * bound in a second: when all engines of a service return together in a burst, with one gateway to
+ * hundreds, which notice the cold start together or one after the other.
  */
 static void
-test_no_engine_gets_over_its_bound (void)
+test_cold_engines_stay_below_their_bound (void)
 {
   static const uint32_t fleets[] = { 1, 4, 22, 103, GATEWAYS_MOST };
 
   for (size_t i = 0; i < G_N_ELEMENTS (fleets); i++)
     for (uint64_t engine = 1; engine <= ENGINES; engine++)
       {
-        CU_ASSERT (flood (fleets[i], engine, 0) <= BOUND_PER_S);
-        CU_ASSERT (flood (fleets[i], engine, 1000) <= BOUND_PER_S);
+        CU_ASSERT (max_sent_per_second (fleets[i], engine, 0) <= BOUND_PER_S);
+        CU_ASSERT (max_sent_per_second (fleets[i], engine, 1000) <= BOUND_PER_S);
       }
 }
 
-/* Nor is it left idle: with few gateways it gets a good part of what it bears, with many at least
- * something in its first seconds. */
+/* Cold engines are not left idle: with few gateways they get a good part of the rate that they
+ * sustain, with many at least one request in their first seconds. */
 static void
 test_cold_engines_are_warmed (void)
 {
   for (uint64_t engine = 1; engine <= ENGINES; engine++)
     {
-      CU_ASSERT (flood (4, engine, 0) >= PER_S * COLD_SHARE_PERCENT / 100);
-      CU_ASSERT (flood (22, engine, 0) >= PER_S / 4);
-      CU_ASSERT (flood (103, engine, 0) >= 1);
+      CU_ASSERT (max_sent_per_second (4, engine, 0) >= PER_S * COLD_SHARE_PERCENT / 100);
+      CU_ASSERT (max_sent_per_second (22, engine, 0) >= PER_S / 4);
+      CU_ASSERT (max_sent_per_second (103, engine, 0) >= 1);
     }
 }
 
-/* A gateway that does not know the others sends nothing there; where nobody said what a cold engine
- * bears there is no limit. */
+/* A gateway that does not know the number of gateways sends nothing to cold engines; without a
+ * known rate there is no limit. */
 static void
 test_unknown_fleet_and_unknown_rate (void)
 {
@@ -130,11 +130,11 @@
 }
 
 /*
- * The only engines are cold, and all requests of a burst want them. What has no turn waits for the
- * next one: it is neither refused, as if nobody were left, nor sent.
+ * While the only engines are cold, a request of a burst that may not be sent yet waits: it is
+ * neither refused, as if there were no engines, nor sent.
  */
 static void
-test_request_waits_for_a_turn (void)
+test_request_waits_for_a_cold_engine (void)
 {
   g_autoptr (egs_t) engines = egs_new ();
   uint64_t interval_us = cold_share_interval_us (PER_S, 2);
@@ -158,11 +158,11 @@
 }
 
 /*
- * A data centre is taken back. Its engines' entries are from before it was drained and say nothing
- * of a cold start: a burst that was sent there at once would crash them.
+ * Guards against engines crashing after the drain of their data centre ends. Their entries are from
+ * before the drain and state no cold start, so a burst could be sent to them at once.
  */
 static void
-test_engines_taken_back_are_cold (void)
+test_engines_are_cold_after_a_drain (void)
 {
   g_autoptr (egs_t) engines = egs_new ();
   egn_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
@@ -176,10 +176,10 @@
   CU_ASSERT (!egn_is_cold (engine, NOW_US + SECOND_US + COLD_US, COLD_US));
 }
 
-/* An engine refuses connections, and answers again under its id before its entry tells that it has
- * started anew. */
+/* Guards against requests in full to an engine that has restarted: it refused connections, and
+ * answers again before its entry states the new start. */
 static void
-test_engine_that_was_down_is_cold (void)
+test_engine_that_was_unreachable_is_cold (void)
 {
   g_autoptr (egs_t) engines = egs_new ();
   egn_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
@@ -194,12 +194,11 @@
 }
 
 /*
- * A data centre is drained: nothing is sent to its engines, those that register later neither.
- * Their caches are still copied from for a part of the time in which that must be so. With no other
- * engine left, callers hear why at once.
+ * Engines of a drained data centre get no requests, not even those that register later. When no
+ * other engine is left, the choice says that this is because of a drain.
  */
 static void
-test_drained_engines_get_nothing (void)
+test_drained_engines_get_no_requests (void)
 {
   g_autoptr (egs_t) engines = egs_new ();
   egn_t *other;
@@ -219,6 +218,7 @@
                           "hall-1");
 }
 
+/* Caches of a drained data centre are copied from for half of the time allowed for the drain. */
 static void
 test_drained_caches_are_copied_for_a_while (void)
 {
@@ -238,13 +238,13 @@
 int
 main (void)
 {
-  static const CU_TestInfo tests[] = { SUITE_TEST (test_no_engine_gets_over_its_bound),
+  static const CU_TestInfo tests[] = { SUITE_TEST (test_cold_engines_stay_below_their_bound),
                                        SUITE_TEST (test_cold_engines_are_warmed),
                                        SUITE_TEST (test_unknown_fleet_and_unknown_rate),
-                                       SUITE_TEST (test_request_waits_for_a_turn),
-                                       SUITE_TEST (test_engines_taken_back_are_cold),
-                                       SUITE_TEST (test_engine_that_was_down_is_cold),
-                                       SUITE_TEST (test_drained_engines_get_nothing),
+                                       SUITE_TEST (test_request_waits_for_a_cold_engine),
+                                       SUITE_TEST (test_engines_are_cold_after_a_drain),
+                                       SUITE_TEST (test_engine_that_was_unreachable_is_cold),
+                                       SUITE_TEST (test_drained_engines_get_no_requests),
                                        SUITE_TEST (test_drained_caches_are_copied_for_a_while),
                                        CU_TEST_INFO_NULL };
 
--- a/tests/test_load_news.c
+++ b/tests/test_load_news.c
@@ -1,4 +1,4 @@
-/* High loads of engines that gateways tell each other. */
+/* Unit tests of the reports of high engine loads that gateways pass on to each other. */
 #include "request/policy/engines.h"
 #include "request/policy/load_news.h"
 #include "tests/suite.h"
@@ -7,7 +7,7 @@
 #define NOW_US (UINT64_C (1000) * S_US)
 
 static void
-test_loads_over_the_line_are_news (void)
+test_loads_over_the_limit_are_passed_on (void)
 {
   CU_ASSERT_FALSE (lnw_is_news (8, 3000, 2, 3000));
   CU_ASSERT_TRUE (lnw_is_news (9, 3000, 2, 3000));
@@ -15,7 +15,7 @@
 }
 
 static void
-test_latest_word_of_an_engine_counts (void)
+test_latest_report_of_an_engine_counts (void)
 {
   lnw_t reports = { 0 };
   lnw_item_t out[LNW_MOST];
@@ -32,7 +32,7 @@
 }
 
 static void
-test_no_more_than_room_is_kept (void)
+test_number_of_reports_is_limited (void)
 {
   lnw_t reports = { 0 };
   lnw_item_t out[LNW_MOST];
@@ -43,9 +43,10 @@
   CU_ASSERT_EQUAL (out[0].engine_hash, 3 * LNW_MOST);
 }
 
-/* Guards against an engine that looks empty to whoever asks it seldom, while others know better. */
+/* Guards against an engine that looks empty to a gateway that calls it seldom, although others have
+ * reports of its load. */
 static void
-test_peers_word_counts_until_the_engine_tells_itself (void)
+test_peer_report_counts_until_the_engine_reports (void)
 {
   egs_t *engines = egs_new ();
   egn_entry_t entry = { .id = "e0", .service = g_intern_static_string ("pool"), .slots = 64 };
@@ -67,10 +68,10 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_loads_over_the_line_are_news),
-    SUITE_TEST (test_latest_word_of_an_engine_counts),
-    SUITE_TEST (test_no_more_than_room_is_kept),
-    SUITE_TEST (test_peers_word_counts_until_the_engine_tells_itself),
+    SUITE_TEST (test_loads_over_the_limit_are_passed_on),
+    SUITE_TEST (test_latest_report_of_an_engine_counts),
+    SUITE_TEST (test_number_of_reports_is_limited),
+    SUITE_TEST (test_peer_report_counts_until_the_engine_reports),
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_mean.c
+++ b/tests/test_mean.c
@@ -60,7 +60,7 @@
   add (&table, 1, 4, S);
   add (&table, 2, 6, S);
   add (&table, 3, 8, S);
-  /* variance 4, error sqrt (4 / 3) x sqrt (9 / 11) of 12 engines */
+  /* variance 4, so with 12 engines the error is sqrt (4 / 3) x sqrt (9 / 11) */
   mean_estimate_t estimate = mean_estimate (&table, S, NULL, 12);
   CU_ASSERT_EQUAL (estimate.mean_milli, 6000);
   CU_ASSERT_EQUAL (estimate.margin_milli, 1044);
@@ -70,8 +70,8 @@
   CU_ASSERT_EQUAL (mean_estimate (&table, S, NULL, 12).margin_milli, 4000);
 }
 
-/* An engine carries far more than the others. If its own load weighed as much as each sample its
- * bound would rise with its load, and it could carry more than its share of the service. */
+/* Guards against an engine with far more load than the others raising its own bound: its load has
+ * the weight of one engine of the service, and not that of one sample. */
 static void
 test_own_load_counts_once (void)
 {
@@ -92,7 +92,7 @@
 }
 
 static void
-test_pick_is_recent_and_varied (void)
+test_picked_samples_are_recent_and_random (void)
 {
   mean_table_t table;
   mean_init (&table, 7);
@@ -118,7 +118,7 @@
 }
 
 static void
-test_room_is_at_or_below_mean (void)
+test_named_engines_are_at_or_below_the_mean (void)
 {
   mean_table_t table;
   mean_init (&table, 7);
@@ -148,8 +148,8 @@
     SUITE_TEST (test_full_table_drops_oldest),
     SUITE_TEST (test_margin),
     SUITE_TEST (test_own_load_counts_once),
-    SUITE_TEST (test_pick_is_recent_and_varied),
-    SUITE_TEST (test_room_is_at_or_below_mean),
+    SUITE_TEST (test_picked_samples_are_recent_and_random),
+    SUITE_TEST (test_named_engines_are_at_or_below_the_mean),
     CU_TEST_INFO_NULL,
   };
   return suite_run ("mean", tests);
--- a/tests/test_overloaded.c
+++ b/tests/test_overloaded.c
@@ -1,5 +1,5 @@
-/* Many gateways before engines that each of them asks seldom, in virtual time: how many requests
- * meet an engine that is overloaded. */
+/* Simulates many gateways, each of which calls each engine seldom, in virtual time, and counts the
+ * requests that are sent to an overloaded engine. */
 #include "request/policy/load_news.h"
 #include "request/policy/spread.h"
 #include "tests/suite.h"
@@ -13,7 +13,7 @@
 #define BEGIN_US (UINT64_C (1000) * S_US)
 #define WINDOW_TICKS 1000
 #define TICKS 5000
-#define RUN_TICKS 240 /* that a request keeps its slot */
+#define RUN_TICKS 240 /* for which a request occupies its slot */
 #define HEAD_TICKS 50 /* until the head of its answer */
 #define EXCHANGE_TICKS 100
 #define MESSAGE_ITEMS 8
@@ -22,7 +22,13 @@
 #define ENGINES_MOST 60
 #define SERVICE g_intern_static_string ("pool")
 
-/** struct kind - of requests, and the parts that they share; @skew: how few of those are popular */
+/**
+ * struct kind - a kind of requests that share prompt parts
+ * @tokens: length of its parts
+ * @weight: its percentage of all requests
+ * @parts: number of its parts
+ * @skew: exponent of their popularity; the higher, the fewer parts get most of the requests
+ */
 typedef struct
 {
   uint32_t tokens;
@@ -40,7 +46,7 @@
                                      { 700, 34, 120, 3 },
                                      { 2000, 40, 120, 3 } };
 
-/** struct run - a request at an engine */
+/** struct run - a request at an engine; @sent is a tick */
 typedef struct
 {
   uint32_t gateway;
@@ -48,15 +54,24 @@
   uint32_t sent;
 } run_t;
 
-/** struct fleet - what each gateway knows, and what is so */
+/**
+ * struct fleet - the state that each gateway knows, and the actual state
+ * @known: engines as each gateway knows them
+ * @reports: reports of high loads at each gateway
+ * @mean_milli: mean load as each gateway estimates it
+ * @load: actual requests at each engine
+ * @total: actual requests at all engines
+ * @sent: requests sent at each tick
+ * @over: those of them that were sent to an overloaded engine
+ */
 typedef struct
 {
   const kind_t *kinds;
   egs_t *known[GATEWAYS_MOST];
-  lnw_t news[GATEWAYS_MOST];
+  lnw_t reports[GATEWAYS_MOST];
   uint32_t mean_milli[GATEWAYS_MOST];
   uint32_t load[ENGINES_MOST];
-  GQueue runs[2]; /* that wait for their heads, that wait for their ends */
+  GQueue runs[2]; /* requests without the head of the answer, and with it */
   uint32_t gateways;
   uint32_t engines;
   uint32_t per_s;
@@ -115,7 +130,7 @@
   g_free (fleet);
 }
 
-/* A few parts are popular, most are not. */
+/* Draws one of the kind's parts, of which a few are popular. */
 static uint64_t
 draw_part (fleet_t *fleet, uint32_t kind)
 {
@@ -171,7 +186,7 @@
 }
 
 static void
-pass_on (fleet_t *fleet, const run_t *run, uint64_t now_us)
+add_report (fleet_t *fleet, const run_t *run, uint64_t now_us)
 {
   lnw_item_t item = { .engine_hash = engine_of (fleet, run->gateway, run->engine)->hash,
                       .load = fleet->load[run->engine],
@@ -179,22 +194,22 @@
 
   if (lnw_is_news (item.load, fleet->mean_milli[run->gateway], SPR_OVERLOAD_FACTOR,
                    SPR_OVERLOAD_MORE_MILLI))
-    lnw_add (&fleet->news[run->gateway], now_us, &item);
+    lnw_add (&fleet->reports[run->gateway], now_us, &item);
 }
 
 static void
-tell (fleet_t *fleet, uint32_t from, uint32_t to, uint64_t now_us)
+send_reports (fleet_t *fleet, uint32_t from, uint32_t to, uint64_t now_us)
 {
   lnw_item_t items[MESSAGE_ITEMS];
-  uint32_t count = lnw_take (&fleet->news[from], now_us, items, MESSAGE_ITEMS);
+  uint32_t count = lnw_take (&fleet->reports[from], now_us, items, MESSAGE_ITEMS);
 
   for (uint32_t i = 0; i < count; i++)
-    if (lnw_add (&fleet->news[to], now_us, &items[i]))
+    if (lnw_add (&fleet->reports[to], now_us, &items[i]))
       egn_heard (egs_find_hash (fleet->known[to], items[i].engine_hash), items[i].told_us,
                  items[i].load);
 }
 
-/* A call to a peer at random, and its answer. */
+/* Each gateway exchanges its reports with a random peer, once per EXCHANGE_TICKS. */
 static void
 exchange (fleet_t *fleet, uint32_t tick)
 {
@@ -206,13 +221,13 @@
 
       if (peer == i || (tick + i * 7) % EXCHANGE_TICKS != 0)
         continue;
-      tell (fleet, i, peer, now_us);
-      tell (fleet, peer, i, now_us);
+      send_reports (fleet, i, peer, now_us);
+      send_reports (fleet, peer, i, now_us);
     }
 }
 
 static void
-take_heads (fleet_t *fleet, uint32_t tick)
+receive_heads (fleet_t *fleet, uint32_t tick)
 {
   uint64_t now_us = BEGIN_US + tick * TICK_US;
   run_t *run;
@@ -224,13 +239,13 @@
       egn_told (engine, now_us,
                 &(egn_load_t){ .running = fleet->load[run->engine], .slots = SLOTS });
       egn_worked (engine, now_us, false);
-      pass_on (fleet, run, now_us);
+      add_report (fleet, run, now_us);
       g_queue_push_tail (&fleet->runs[1], g_queue_pop_head (&fleet->runs[0]));
     }
 }
 
 static void
-take_ends (fleet_t *fleet, uint32_t tick)
+receive_ends (fleet_t *fleet, uint32_t tick)
 {
   run_t *run;
 
@@ -244,7 +259,7 @@
 }
 
 static void
-play (fleet_t *fleet)
+simulate (fleet_t *fleet)
 {
   uint32_t ticks_per_s = S_US / TICK_US;
 
@@ -252,16 +267,16 @@
     {
       uint32_t due = (tick + 1) * fleet->per_s / ticks_per_s - tick * fleet->per_s / ticks_per_s;
 
-      take_heads (fleet, tick);
-      take_ends (fleet, tick);
+      receive_heads (fleet, tick);
+      receive_ends (fleet, tick);
       exchange (fleet, tick);
       for (; due > 0; due--)
         send_one (fleet, tick);
     }
 }
 
-/* Return: of the five seconds in which most requests met an overloaded engine, their share, in
- * thousandths */
+/* Return: the highest share of requests to overloaded engines within five seconds, in thousandths
+ */
 static uint32_t
 worst_milli (const fleet_t *fleet)
 {
@@ -283,7 +298,7 @@
 }
 
 static void
-check_share (const kind_t *kinds, uint32_t gateways, uint32_t engines, uint32_t per_s)
+check_overloaded_share (const kind_t *kinds, uint32_t gateways, uint32_t engines, uint32_t per_s)
 {
   for (uint32_t seed = 1; seed <= 5; seed++)
     {
@@ -291,7 +306,7 @@
       uint32_t worst;
 
       fleet->kinds = kinds;
-      play (fleet);
+      simulate (fleet);
       worst = worst_milli (fleet);
       if (worst > 30)
         g_print ("%u gateways, seed %u: %u of 1000\n", gateways, seed, worst);
@@ -300,26 +315,27 @@
     }
 }
 
-/* Guards against homes of popular parts that all gateways fill before one of them hears of it. */
+/* Guards against all gateways filling the home of a popular part before one of them gets a report
+ * of its load. */
 static void
 test_seventeen_gateways_overload_few_engines (void)
 {
-  check_share (steep, 17, 25, 85);
+  check_overloaded_share (steep, 17, 25, 85);
 }
 
-/* Likewise, at another size. */
+/* As above with more gateways and engines. */
 static void
 test_thirty_one_gateways_overload_few_engines (void)
 {
-  check_share (steep, 31, 60, 230);
+  check_overloaded_share (steep, 31, 60, 230);
 }
 
-/* Guards against the same where a few parts are as popular as customers have them. */
+/* As above with the popularity of parts that is usual at customers. */
 static void
 test_homes_of_popular_parts (void)
 {
-  check_share (usual, 17, 25, 110);
-  check_share (usual, 31, 60, 230);
+  check_overloaded_share (usual, 17, 25, 110);
+  check_overloaded_share (usual, 31, 60, 230);
 }
 
 int
--- a/tests/test_own_word.c
+++ b/tests/test_own_word.c
@@ -1,4 +1,5 @@
-/* What engines say of themselves in their answers: that they leave, or want rest. */
+/* Unit tests of what engines state about themselves in their answers: that they are leaving, or
+ * want no requests for a time. */
 #include "platform/request_format.h"
 #include "request/policy/engines.h"
 #include "request/policy/own_word.h"
@@ -34,15 +35,16 @@
   CU_ASSERT_FALSE (answer_with (200, "Server-Leaving", "").leaving);
 }
 
-/* Guards against an engine being left alone for the word of another one at its address. */
+/* Guards against an engine losing its requests because of a statement of another one at its
+ * address. */
 static void
-test_word_of_another_engine_is_not_its_own (void)
+test_statement_of_another_engine_is_ignored (void)
 {
   CU_ASSERT_FALSE (answer_with (421, "Server-Leaving", "1").leaving);
 }
 
 static void
-test_rest_is_read (void)
+test_backoff_is_read (void)
 {
   CU_ASSERT_EQUAL (answer_with (503, "Retry-After", "3").rest_ms, 3000);
   CU_ASSERT_EQUAL (answer_with (503, "Retry-After", "0.25").rest_ms, 250);
@@ -50,9 +52,9 @@
   CU_ASSERT_EQUAL (answer_with (200, "Retry-After", "3").rest_ms, 0);
 }
 
-/* Guards against an engine that gets nothing for years by a slip. */
+/* Guards against an engine that gets no requests for years because of a malformed header. */
 static void
-test_unsound_rest_says_nothing (void)
+test_malformed_backoff_is_ignored (void)
 {
   static const char *const texts[] = { "",    "x",   "-3",
                                        "3x",  "3 s", "Thu, 01 Jan 1970 00:00:00 GMT",
@@ -64,15 +66,16 @@
 }
 
 static void
-test_callers_do_not_hear_it (void)
+test_statements_are_not_passed_to_callers (void)
 {
   CU_ASSERT_FALSE (prf_format ()->passes_back ("Server-Leaving"));
   CU_ASSERT_TRUE (prf_format ()->passes_back ("X-Response-Stamp"));
 }
 
-/* Guards against an engine that left being asked again as its entry went and came back. */
+/* Guards against requests to an engine that is leaving because its entry was removed and added
+ * again. */
 static void
-test_word_outlives_the_entry (void)
+test_statement_outlives_the_entry (void)
 {
   egs_t *engines = egs_new ();
   egn_entry_t entry = { .id = "e0", .born_ms = 5, .service = g_intern_static_string ("pool") };
@@ -89,7 +92,7 @@
 }
 
 static void
-test_words_are_bounded_and_lapse (void)
+test_statements_are_limited_and_expire (void)
 {
   oww_t *reports = oww_new ();
 
@@ -102,9 +105,10 @@
   oww_free (reports);
 }
 
-/* Guards against a longer rest being ended by a shorter one, or by an entry that came back. */
+/* Guards against a longer backoff being ended by a shorter one, or by an entry that is added again.
+ */
 static void
-test_longest_rest_counts (void)
+test_longest_backoff_counts (void)
 {
   egs_t *engines = egs_new ();
   egn_entry_t entry = { .id = "e0", .service = g_intern_static_string ("pool") };
@@ -125,13 +129,13 @@
 {
   static const CU_TestInfo tests[] = {
     SUITE_TEST (test_leaving_is_read),
-    SUITE_TEST (test_word_of_another_engine_is_not_its_own),
-    SUITE_TEST (test_rest_is_read),
-    SUITE_TEST (test_unsound_rest_says_nothing),
-    SUITE_TEST (test_callers_do_not_hear_it),
-    SUITE_TEST (test_word_outlives_the_entry),
-    SUITE_TEST (test_words_are_bounded_and_lapse),
-    SUITE_TEST (test_longest_rest_counts),
+    SUITE_TEST (test_statement_of_another_engine_is_ignored),
+    SUITE_TEST (test_backoff_is_read),
+    SUITE_TEST (test_malformed_backoff_is_ignored),
+    SUITE_TEST (test_statements_are_not_passed_to_callers),
+    SUITE_TEST (test_statement_outlives_the_entry),
+    SUITE_TEST (test_statements_are_limited_and_expire),
+    SUITE_TEST (test_longest_backoff_counts),
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -24,7 +24,7 @@
 }
 
 static uint64_t
-chat_number (uint32_t number)
+hash_chat_number (uint32_t number)
 {
   char id[32];
   snprintf (id, sizeof id, "chat-%u", number);
@@ -43,16 +43,16 @@
       for (uint32_t chat = 0; chat < 500; chat++)
         {
           uint32_t out[40];
-          CU_ASSERT_EQUAL_FATAL (plc_rank (engines, 40, 7, chat_number (chat), out, 40), 40);
+          CU_ASSERT_EQUAL_FATAL (plc_rank (engines, 40, 7, hash_chat_number (chat), out, 40), 40);
           for (uint32_t i = 1; i < 40; i++)
             {
               const plc_engine_t *a = &engines[out[i - 1]];
               const plc_engine_t *b = &engines[out[i]];
-              CU_ASSERT (plc_score (7, chat_number (chat), a->hash, a->weight) >=
-                         plc_score (7, chat_number (chat), b->hash, b->weight));
+              CU_ASSERT (plc_score (7, hash_chat_number (chat), a->hash, a->weight) >=
+                         plc_score (7, hash_chat_number (chat), b->hash, b->weight));
             }
           uint32_t first[3];
-          CU_ASSERT_EQUAL (plc_rank (engines, 40, 7, chat_number (chat), first, 3), 3);
+          CU_ASSERT_EQUAL (plc_rank (engines, 40, 7, hash_chat_number (chat), first, 3), 3);
           CU_ASSERT (memcmp (first, out, sizeof first) == 0);
         }
     }
@@ -69,7 +69,7 @@
   for (uint32_t chat = 0; chat < CHATS; chat++)
     {
       uint32_t out;
-      CU_ASSERT_EQUAL_FATAL (plc_rank (engines, ENGINES, 7, chat_number (chat), &out, 1), 1);
+      CU_ASSERT_EQUAL_FATAL (plc_rank (engines, ENGINES, 7, hash_chat_number (chat), &out, 1), 1);
       homes[out]++;
     }
   CU_ASSERT_EQUAL (homes[5], 0);
@@ -80,18 +80,18 @@
     }
 }
 
-/* An engine is taken out of the list. Chats that were at home there move; the caller of any other
- * chat must still reach the engine that holds its prefix, or every leave would empty the caches. */
+/* Guards against every leaving engine emptying the caches of the others: only the chats whose home
+ * it was may move, all others must reach the engine that has their prefix cached. */
 static void
-test_leave_moves_only_its_own_chats (void)
+test_leaving_engine_moves_only_its_chats (void)
 {
   plc_engine_t engines[ENGINES];
   make_engines (engines, ENGINES);
   for (uint32_t chat = 0; chat < 2000; chat++)
     {
       uint32_t before[2], after;
-      plc_rank (engines, ENGINES, 7, chat_number (chat), before, 2);
-      plc_rank (engines, ENGINES - 1, 7, chat_number (chat), &after, 1);
+      plc_rank (engines, ENGINES, 7, hash_chat_number (chat), before, 2);
+      plc_rank (engines, ENGINES - 1, 7, hash_chat_number (chat), &after, 1);
       CU_ASSERT_EQUAL (after, before[0] == ENGINES - 1 ? before[1] : before[0]);
     }
 }
@@ -99,15 +99,15 @@
 static void
 test_rank_ignores_list_order (void)
 {
-  plc_engine_t engines[ENGINES], turned[ENGINES];
+  plc_engine_t engines[ENGINES], reversed[ENGINES];
   make_engines (engines, ENGINES);
   for (uint32_t i = 0; i < ENGINES; i++)
-    turned[i] = engines[ENGINES - 1 - i];
+    reversed[i] = engines[ENGINES - 1 - i];
   for (uint32_t chat = 0; chat < 500; chat++)
     {
       uint32_t a[4], b[4];
-      plc_rank (engines, ENGINES, 7, chat_number (chat), a, 4);
-      plc_rank (turned, ENGINES, 7, chat_number (chat), b, 4);
+      plc_rank (engines, ENGINES, 7, hash_chat_number (chat), a, 4);
+      plc_rank (reversed, ENGINES, 7, hash_chat_number (chat), b, 4);
       CU_ASSERT (memcmp (a, b, sizeof a) == 0);
     }
 }
@@ -135,7 +135,7 @@
 }
 
 static chs_query_t
-make_query (plc_engine_t *engines, const chs_engine_t *details)
+init_query (plc_engine_t *engines, const chs_engine_t *details)
 {
   make_engines (engines, ENGINES);
   return (chs_query_t){ .now_us = 1000,
@@ -143,21 +143,21 @@
                         .details = details,
                         .engine_count = ENGINES,
                         .service_hash = 7,
-                        .chat_hash = chat_number (1) };
+                        .chat_hash = hash_chat_number (1) };
 }
 
 static bool
-is_not_first (uint64_t engine_hash, void *context)
+is_not_dead (uint64_t engine_hash, void *context)
 {
   return engine_hash != *(const uint64_t *)context;
 }
 
 static void
-test_choose_skips_and_puts_off (void)
+test_unusable_and_unsettled_engines_are_not_first (void)
 {
   plc_engine_t engines[ENGINES];
   chs_engine_t details[ENGINES] = { 0 };
-  chs_query_t query = make_query (engines, details);
+  chs_query_t query = init_query (engines, details);
   query.has_chat = true;
   query.cache_lifetime_us = 500;
   const chs_t all = chs_choose (&query);
@@ -165,7 +165,7 @@
   CU_ASSERT_EQUAL (all.home_hash, all.candidates[0]);
   CU_ASSERT_EQUAL (all.former_hash, 0);
   uint64_t dead = all.candidates[0];
-  query.is_usable = is_not_first;
+  query.is_usable = is_not_dead;
   query.context = &dead;
   const chs_t rest = chs_choose (&query);
   CU_ASSERT_EQUAL (rest.home_hash, all.candidates[1]);
@@ -185,13 +185,13 @@
 }
 
 static void
-test_choose_evens_out_without_a_chat (void)
+test_less_loaded_engine_is_first_without_a_chat (void)
 {
   plc_engine_t engines[ENGINES];
   const chs_engine_t details[ENGINES] = { 0 };
   mean_table_t samples;
   mean_init (&samples, 1);
-  chs_query_t query = make_query (engines, details);
+  chs_query_t query = init_query (engines, details);
   query.samples = &samples;
   const chs_t plain = chs_choose (&query);
   for (uint32_t i = 0; i < 2; i++)
@@ -201,22 +201,22 @@
                                      .taken_us = 900 };
       mean_add (&samples, &sample);
     }
-  const chs_t evened = chs_choose (&query);
-  CU_ASSERT_EQUAL (evened.candidates[0], plain.candidates[1]);
-  CU_ASSERT_EQUAL (evened.candidates[1], plain.candidates[0]);
+  const chs_t balanced = chs_choose (&query);
+  CU_ASSERT_EQUAL (balanced.candidates[0], plain.candidates[1]);
+  CU_ASSERT_EQUAL (balanced.candidates[1], plain.candidates[0]);
   query.has_chat = true;
   CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[0]);
 }
 
 static void
-test_choose_counts_what_is_under_way (void)
+test_own_requests_count (void)
 {
   plc_engine_t engines[ENGINES];
   const chs_engine_t details[ENGINES] = { 0 };
   mean_table_t samples;
   uwy_t *uwy = uwy_new ();
   mean_init (&samples, 1);
-  chs_query_t query = make_query (engines, details);
+  chs_query_t query = init_query (engines, details);
   query.samples = &samples;
   query.under_way = uwy;
   const chs_t plain = chs_choose (&query);
@@ -233,7 +233,7 @@
   const mean_sample_t busy = { .engine_hash = plain.candidates[1], .load = 5, .taken_us = 900 };
   mean_add (&samples, &busy);
   uwy_begin (uwy, plain.candidates[0]);
-  /* Of the first nothing was heard, so the two are compared by what is under way. */
+  /* There is no sample of the first, so the two are compared by the router's own requests. */
   CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[1]);
   const mean_sample_t idle = { .engine_hash = plain.candidates[0], .taken_us = 900 };
   mean_add (&samples, &idle);
@@ -242,26 +242,26 @@
 }
 
 static void
-test_proven_lasts_until_forgotten (void)
+test_recent_answers_last_until_removed (void)
 {
-  prv_t *prv = prv_new (4, 100);
-  CU_ASSERT_FALSE (prv_has (prv, 50, 0));
-  prv_answered (prv, 50, 8);
-  CU_ASSERT_TRUE (prv_has (prv, 149, 8));
-  CU_ASSERT_FALSE (prv_has (prv, 150, 8));
-  CU_ASSERT_FALSE (prv_has (prv, 50, 4));
-  prv_forget (prv, 4);
-  CU_ASSERT_TRUE (prv_has (prv, 50, 8));
-  prv_forget (prv, 8);
-  CU_ASSERT_FALSE (prv_has (prv, 50, 8));
-  prv_answered (prv, 50, 8);
-  prv_answered (prv, 50, 4);
-  CU_ASSERT_FALSE (prv_has (prv, 50, 8));
-  prv_free (prv);
+  prv_t *answers = prv_new (4, 100);
+  CU_ASSERT_FALSE (prv_has (answers, 50, 0));
+  prv_answered (answers, 50, 8);
+  CU_ASSERT_TRUE (prv_has (answers, 149, 8));
+  CU_ASSERT_FALSE (prv_has (answers, 150, 8));
+  CU_ASSERT_FALSE (prv_has (answers, 50, 4));
+  prv_forget (answers, 4);
+  CU_ASSERT_TRUE (prv_has (answers, 50, 8));
+  prv_forget (answers, 8);
+  CU_ASSERT_FALSE (prv_has (answers, 50, 8));
+  prv_answered (answers, 50, 8);
+  prv_answered (answers, 50, 4);
+  CU_ASSERT_FALSE (prv_has (answers, 50, 8));
+  prv_free (answers);
 }
 
 static void
-test_verdict_words (void)
+test_verdict_names (void)
 {
   for (vrd_t verdict = VRD_NOT_RUN; verdict <= VRD_RAN; verdict++)
     CU_ASSERT_EQUAL (vrd_parse (vrd_name (verdict)), verdict);
@@ -278,15 +278,17 @@
   static const CU_TestInfo tests[] = {
     { "rank matches the scores", test_rank_matches_scores },
     { "rank spreads by weight", test_rank_spreads_by_weight },
-    { "a leave moves only its own chats", test_leave_moves_only_its_own_chats },
+    { "a leaving engine moves only its chats", test_leaving_engine_moves_only_its_chats },
     { "rank ignores the order of the list", test_rank_ignores_list_order },
     { "rank of nothing and of one", test_rank_edges },
     { "chats of two accounts differ", test_chats_of_accounts_differ },
-    { "choice skips and puts off", test_choose_skips_and_puts_off },
-    { "choice evens out the load", test_choose_evens_out_without_a_chat },
-    { "choice counts what is under way", test_choose_counts_what_is_under_way },
-    { "proven lasts until forgotten", test_proven_lasts_until_forgotten },
-    { "words of verdicts and reasons", test_verdict_words },
+    { "unusable and unsettled engines are not first",
+      test_unusable_and_unsettled_engines_are_not_first },
+    { "the less loaded engine is first without a chat",
+      test_less_loaded_engine_is_first_without_a_chat },
+    { "own requests count", test_own_requests_count },
+    { "recent answers last until removed", test_recent_answers_last_until_removed },
+    { "names of verdicts and reasons", test_verdict_names },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("place", tests);
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -1,4 +1,4 @@
-/* Unit tests of requests that are bound to regions: the settings, the configuration, the choice. */
+/* Unit tests of requests that are restricted to regions: settings, configuration and choice. */
 #include "base/region_map.h"
 #include "platform/records.h"
 #include "request/policy/spread.h"
@@ -31,11 +31,11 @@
   CU_ASSERT_STRING_EQUAL (text, "hall-1=north,hall-2=south,hall-3=north");
 }
 
-/* A slip in the settings must not leave half of a map in force. */
+/* Guards against an error in the settings leaving half of a map in force. */
 static void
-test_unsound_map_is_refused_whole (void)
+test_invalid_map_is_rejected_whole (void)
 {
-  static const char *const unsound[] = { "hall-1",   "hall-1=",         "=north",
+  static const char *const invalid[] = { "hall-1",   "hall-1=",         "=north",
                                          "a=b=c",    "hall-1=north,",   "hall-1=north,hall-1=south",
                                          ",a=north", "a=north,,b=north" };
   g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'x');
@@ -44,8 +44,8 @@
   rgn_map_t map = { 0 };
 
   CU_ASSERT (rgn_parse (&map, "hall-1=north"));
-  for (size_t i = 0; i < G_N_ELEMENTS (unsound); i++)
-    CU_ASSERT (!rgn_parse (&map, unsound[i]));
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid); i++)
+    CU_ASSERT (!rgn_parse (&map, invalid[i]));
   CU_ASSERT (!rgn_parse (&map, too_long));
   for (uint32_t i = 0; i < RGN_DATA_CENTERS; i++)
     g_string_append_printf (many, ",h%u=r", i);
@@ -58,8 +58,8 @@
 #define ROUTE(prefix, more)                                                                        \
   "{\"host\":\"h\",\"path_prefix\":\"" prefix "\",\"kind\":\"stream\",\"service\":\"pool\"" more "}"
 
-/* A list that holds no name binds to no region at all: read as "any", it would open what it was to
- * close. */
+/* An empty or malformed list allows no region. If it were read as no restriction, requests would
+ * reach regions that operators meant to exclude. */
 static void
 test_regions_are_read (void)
 {
@@ -92,7 +92,7 @@
   CU_ASSERT_PTR_NULL (rte_account (rte, "l")->regions);
 }
 
-/* One engine in four is in a data centre whose region the settings do not name. */
+/* The region of one engine in four is unknown. */
 static egs_t *
 random_engines (GRand *rand)
 {
@@ -140,12 +140,12 @@
 }
 
 /*
- * Whatever the engines' load and failures, whatever the lists: neither a request nor the engine
- * that its memory is copied from is outside of a region that its route and its account allow, and
- * an engine that both allow and that is free is not passed over.
+ * For random loads, failures and lists: neither the chosen engine nor the one whose cache is copied
+ * is outside of the regions that the request's route and account allow, and the request is refused
+ * only if there is no candidate.
  */
 static void
-test_nothing_leaves_its_regions (void)
+test_requests_stay_in_their_regions (void)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (SEED);
   uint32_t sent = 0;
@@ -198,9 +198,9 @@
 main (void)
 {
   static const CU_TestInfo tests[] = { SUITE_TEST (test_map_is_read),
-                                       SUITE_TEST (test_unsound_map_is_refused_whole),
+                                       SUITE_TEST (test_invalid_map_is_rejected_whole),
                                        SUITE_TEST (test_regions_are_read),
-                                       SUITE_TEST (test_nothing_leaves_its_regions),
+                                       SUITE_TEST (test_requests_stay_in_their_regions),
                                        CU_TEST_INFO_NULL };
 
   return suite_run ("regions", tests);
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -1,4 +1,4 @@
-/* Unit tests of which engine gets a request that the router sends there itself. */
+/* Unit tests of the choice of the engine to which a gateway sends a request. */
 #include "base/clock.h"
 #include "request/policy/spread.h"
 #include "suite.h"
@@ -83,8 +83,8 @@
   return egs_put (engines, NOW_US, &entry);
 }
 
-/* An engine crashes and starts again under its id. Its cache is empty, its load and its failures
- * are those of the process before, whose last request still holds on to it. */
+/* Guards against an engine that restarted under its id being treated as the process before it,
+ * whose load and failures don't apply and whose last request still has a reference. */
 static void
 test_restarted_engine_is_another_one (void)
 {
@@ -110,7 +110,8 @@
   egn_end (before);
 }
 
-/* The store tells late what the process before had written: that it leaves. The new one goes on. */
+/* Guards against a delayed entry of an engine's earlier process, which was leaving, stopping the
+ * requests to the new one. */
 static void
 test_late_entry_of_an_older_start_changes_nothing (void)
 {
@@ -144,8 +145,9 @@
 }
 
 /*
- * One part gets a third of all requests. Its home goes to the bound and no further; the next in
- * rank takes the rest, and is told to copy the part from the home in place of reading it again.
+ * Guards against a popular prompt part overloading its home. The home gets requests up to the
+ * bound; the next in rank gets the rest, and copies the part from the home instead of reading it
+ * again.
  */
 static void
 test_hot_part_spills_at_the_bound (void)
@@ -166,8 +168,9 @@
 }
 
 /*
- * An engine is replaced: the new one ranks first for parts whose former home still has them. For a
- * while the former home is the source, also while it takes no new work; later the next in rank is.
+ * Guards against an engine that joins reading the parts it ranks first for anew, although their
+ * former home has them. The former home is the copy source for a while, also when it takes no new
+ * requests; later the next in rank is.
  */
 static void
 test_new_home_copies_from_the_former (void)
@@ -195,7 +198,7 @@
 }
 
 static void
-test_leaving_engine_gets_nothing (void)
+test_leaving_engine_gets_no_requests (void)
 {
   g_autoptr (egs_t) engines = make_engines (2);
 
@@ -207,7 +210,7 @@
 }
 
 static void
-test_full_engines_make_it_wait (void)
+test_request_waits_while_engines_are_full (void)
 {
   g_autoptr (egs_t) engines = make_engines (2);
 
@@ -219,9 +222,10 @@
   unload (engines, 2);
 }
 
-/* Other routers' requests count as the engine tells them, less and less as that grows old. */
+/* Requests of other gateways count as the engine reported them, with a weight that falls with age.
+ */
 static void
-test_told_load_counts_and_ages (void)
+test_reported_load_counts_and_ages (void)
 {
   g_autoptr (egs_t) engines = make_engines (2);
   egn_t *busy = egs_find (engines, "e0");
@@ -233,10 +237,10 @@
   CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US + 100 * EGN_TOLD_US, 0), 0);
 }
 
-/* Guards against requests that are late, as they are sent to a host on which work takes thrice as
- * long just now; what it told a while ago says little of now. */
+/* Guards against late requests because they are sent to a host on which work currently takes three
+ * times as long, and against an old report of a slowdown keeping requests away. */
 static void
-test_told_effort_counts_and_fades (void)
+test_reported_slowdown_counts_and_decays (void)
 {
   g_autoptr (egs_t) engines = make_engines (2);
   egn_t *slow = egs_find (engines, "e0");
@@ -258,11 +262,11 @@
 }
 
 /*
- * An engine refuses connections. After two failures in a row it gets no more requests but one probe
- * when its time has come; when it answers it is as the others.
+ * An engine refuses connections. After two consecutive failures it is ejected and gets a single
+ * probe when the ejection ends; once it answers it gets requests as before.
  */
 static void
-test_failing_engine_is_put_aside (void)
+test_failing_engine_is_ejected (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
   egn_t *bad = choose (engines, 9).engine;
@@ -278,9 +282,10 @@
   CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, bad);
 }
 
-/* All engines of a service look lost: more likely this router is cut off. It goes on trying. */
+/* When all engines of a service fail, it is more likely that this gateway has lost its network, so
+ * it keeps sending. */
 static void
-test_router_distrusts_its_own_view (void)
+test_ejections_of_all_engines_are_ignored (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
 
@@ -296,7 +301,7 @@
 }
 
 static void
-test_erring_engine_goes_last (void)
+test_failing_answers_put_an_engine_last (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
   egn_t *grey = choose (engines, 9).engine;
@@ -308,12 +313,12 @@
 }
 
 /*
- * All engines fail half of their requests for some seconds, then all are sound again. Callers see
- * that a few engines get everything and the others nothing, as those that are not asked cannot show
- * that they work. What is held against an engine must fade, and count only against the others'.
+ * Guards against a few engines getting all requests after all engines failed half of theirs for
+ * some seconds, as engines that are not called can't show that they work again. An error rate must
+ * decay, and count only in comparison with the other engines'.
  */
 static void
-test_errors_of_all_put_none_aside (void)
+test_errors_of_all_engines_put_none_last (void)
 {
   g_autoptr (egs_t) engines = make_engines (12);
   uint32_t got[12] = { 0 };
@@ -333,7 +338,7 @@
 }
 
 static void
-test_errors_fade (void)
+test_error_rate_decays (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
   egn_t *grey = choose (engines, 9).engine;
@@ -344,10 +349,10 @@
   CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, grey);
 }
 
-/* Engines that err are not asked, and the sound ones are all over the bound: rather one that errs
- * than one that is overloaded, whose other requests would wait too. */
+/* When all engines without errors are over the bound, one with errors is chosen rather than an
+ * overloaded one, whose other requests would be delayed too. */
 static void
-test_bound_goes_before_doubt (void)
+test_degraded_engine_is_preferred_to_overloaded (void)
 {
   g_autoptr (egs_t) engines = make_engines (4);
 
@@ -382,7 +387,7 @@
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_NONE);
 }
 
-/* The registry lets go of an engine while a request is there: the engine lives until it ends. */
+/* An engine that the registry removes is kept until its last request ends. */
 static void
 test_engine_outlives_its_entry (void)
 {
@@ -397,9 +402,9 @@
 }
 
 /*
- * Load: 12 engines, 85 shared parts asked for with skew, 40 requests under way at a time, far from
- * full. Beside it the plain baseline: hashing without a bound. The bound keeps each engine below
- * twice the mean and three more; nearly all requests still go to their part's home.
+ * Load test with 12 engines, 85 prompt parts of uneven popularity and 40 concurrent requests, far
+ * from full, compared with hashing without a bound. The bound keeps each engine below the overload
+ * limit of twice the mean plus three, and most requests still go to their part's home.
  */
 static void
 test_skewed_parts_stay_below_the_cap (void)
@@ -441,10 +446,9 @@
 }
 
 /*
- * An engine goes dark: it takes requests and answers none. Their callers wait until their
- * deadlines, and as nothing fails, and no load is told, more and more follow them. It goes last
- * once it has brought nothing for a while, gets a single request later, and is as the others when
- * it answers.
+ * Guards against an engine that accepts requests and answers none. Nothing fails before the
+ * deadlines and no load is reported, so more and more requests would go there. It is used last once
+ * it has sent nothing for a while, gets a single request later, and is used again when it answers.
  */
 static void
 test_silent_engine_goes_last (void)
@@ -466,10 +470,10 @@
   unload (engines, 3);
 }
 
-/* A service's answers take two seconds to begin. An engine that has brought nothing for one is not
- * silent for that, and keeps the prompts it has in its cache. */
+/* Where answers usually take two seconds to begin, an engine that has sent nothing for one second
+ * is not silent, and still gets the prompts that it has cached. */
 static void
-test_silence_is_measured_by_the_usual (void)
+test_silence_depends_on_usual_time (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
   const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
@@ -483,10 +487,10 @@
   unload (engines, 3);
 }
 
-/* An engine was put aside, and a probe is due. What may go on at another engine is the probe; a
- * request that would be lost with it goes to one that works. */
+/* When a probe of an ejected engine is due, only a request that can be repeated at another engine
+ * serves as the probe; one that would be lost goes to a working engine. */
 static void
-test_probe_is_what_may_go_on (void)
+test_probe_is_a_repeatable_request (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
   egn_t *bad = choose (engines, 9).engine;
@@ -504,8 +508,8 @@
   CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us + EGN_RISK_US, &request).engine, bad);
 }
 
-/* An engine takes six times as long as the others. It goes last, and is asked again when that has
- * faded, as nobody can tell otherwise whether it is still slow. */
+/* An engine that takes six times as long as the others is used last. It is called again once the
+ * latency ratio has decayed, as nothing else shows whether it is still slow. */
 static void
 test_slow_engine_goes_last (void)
 {
@@ -520,9 +524,10 @@
 }
 
 /*
- * Two of three plain engines are lost, and 22 gateways share the six slots of the third. Each
- * learns late that a slot is free. Callers heard 503 while it stood idle; now each gateway keeps
- * one more there, which the engine queues, until the engine says that it is full.
+ * Guards against 503 answers while slots are idle. With two of three engines lost, 22 gateways
+ * share the six slots of the third, and each learns late that a slot is free. Each gateway
+ * therefore keeps one more request there, which the engine queues, until the engine refuses one
+ * because it is full.
  */
 static void
 test_each_gateway_keeps_its_share_of_few_slots (void)
@@ -544,10 +549,10 @@
   unload (engines, 1);
 }
 
-/* Guards against gateways that each send all they have to a full engine as soon as it tells of one
- * free slot. */
+/* Guards against gateways that each send all their requests to a full engine as soon as it reports
+ * one free slot. */
 static void
-test_refusals_cut_what_a_gateway_has_at_an_engine (void)
+test_refusals_reduce_the_window (void)
 {
   g_autoptr (egs_t) engines = make_engines (1);
   egn_t *engine = egs_find (engines, "e0");
@@ -574,18 +579,18 @@
 }
 
 /*
- * An overload is over. Some engines were full when they last told their load and were not asked
- * since; the others are nearly idle and tell so. The old figures must neither raise the bound of
- * the others, which would then carry all, nor keep the first ones out for long.
+ * After an overload some engines have not been called since they reported that they were full; the
+ * others report that they are nearly idle. The old reports must neither raise the bound of the
+ * others, which would then get all requests, nor keep requests away from the first for long.
  */
 static void
-test_old_loads_neither_raise_the_bound_nor_stay (void)
+test_old_reports_neither_raise_the_bound_nor_persist (void)
 {
   g_autoptr (egs_t) engines = make_engines (6);
   const egn_load_t full = { .running = 100, .slots = 128 };
   const egn_load_t idle = { .running = 4, .slots = 128 };
   uint64_t later_us = NOW_US + 4 * EGN_TOLD_US;
-  uint32_t old_ones = 0;
+  uint32_t at_old_report = 0;
 
   for (uint32_t i = 0; i < 6; i++)
     {
@@ -596,18 +601,17 @@
     }
   CU_ASSERT (choose_at (engines, later_us, 1).mean_milli < 12000);
   for (uint64_t affinity = 1; affinity <= 60; affinity++)
-    old_ones += choose_at (engines, later_us + 2 * EGN_TOLD_US, affinity).engine->hash ==
-                        egs_find (engines, "e0")->hash
-                    ? 1
-                    : 0;
-  CU_ASSERT (old_ones > 0);
+    at_old_report += choose_at (engines, later_us + 2 * EGN_TOLD_US, affinity).engine->hash ==
+                             egs_find (engines, "e0")->hash
+                         ? 1
+                         : 0;
+  CU_ASSERT (at_old_report > 0);
 }
 
-/* A router asks an engine of which it has heard nothing for seconds. It counts as one like the
- * others, and not as empty: else each router in turn sends there what the bound should hold back.
- */
+/* Guards against an engine without a recent report being taken for empty: each gateway in turn
+ * would send it requests beyond the bound. It is assumed to have the usual load. */
 static void
-test_unknown_load_is_the_usual_one (void)
+test_unknown_load_is_assumed_usual (void)
 {
   g_autoptr (egs_t) engines = make_engines (8);
   egn_t *unknown = egs_find (engines, "e0");
@@ -624,14 +628,15 @@
                choose (engines, affinity).load >= 9);
 }
 
-/* Return: of 100 prompts those that go to the first @lapsed of twelve engines */
+/* Return: how many of 100 prompts go to the first @expired of twelve engines, whose entries expired
+ */
 static uint32_t
-sent_to_lapsed (uint32_t lapsed)
+count_sent_to_expired (uint32_t expired)
 {
   g_autoptr (egs_t) engines = make_engines (12);
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < lapsed; i++)
+  for (uint32_t i = 0; i < expired; i++)
     {
       char id[8];
 
@@ -643,20 +648,20 @@
   return count;
 }
 
-/* Guards against requests to an engine that left unheard, and against a service that has lost its
- * engines in an outage. */
+/* Guards against requests to an engine that left while nobody could read the store, and against a
+ * service losing all its engines because their entries expired in an outage of the store. */
 static void
-test_engines_that_lapsed_are_asked_where_many_did (void)
+test_expired_engines_are_used_when_many_expired (void)
 {
-  CU_ASSERT_EQUAL (sent_to_lapsed (1), 0);
-  CU_ASSERT_EQUAL (sent_to_lapsed (4), 0);
-  CU_ASSERT (sent_to_lapsed (5) > 20);
-  CU_ASSERT_EQUAL (sent_to_lapsed (12), 100);
+  CU_ASSERT_EQUAL (count_sent_to_expired (1), 0);
+  CU_ASSERT_EQUAL (count_sent_to_expired (4), 0);
+  CU_ASSERT (count_sent_to_expired (5) > 20);
+  CU_ASSERT_EQUAL (count_sent_to_expired (12), 100);
 }
 
 /* Return: how many of 100 gateways send a prompt with a part of @tokens to its first home */
 static uint32_t
-at_first_home (uint32_t gateways, uint32_t tokens)
+count_at_first_home (uint32_t gateways, uint32_t tokens)
 {
   g_autoptr (egs_t) engines = make_engines (12);
   const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
@@ -674,26 +679,26 @@
 }
 
 /*
- * A hundred gateways start, and none knows how full the home of a popular part is. Were all to
- * begin there it would hold several times the mean before anybody hears of it. Half of them begin
- * at the second home, if the part is small; where a gateway has a slot or more of each engine it
- * hears of them often enough.
+ * Guards against a hundred gateways that start together all sending a popular part to its home: it
+ * would have several times the mean load before any gateway gets a report. If the part is small,
+ * half of them begin at its second home. Gateways with a share of one slot or more at each engine
+ * get reports often enough.
  */
 static void
-test_small_parts_have_two_homes_where_little_is_known (void)
+test_small_parts_have_two_homes_where_reports_are_rare (void)
 {
-  uint32_t many = at_first_home (100, SPR_SMALL_TOKENS);
+  uint32_t many = count_at_first_home (100, SPR_SMALL_TOKENS);
 
   CU_ASSERT (many >= 30 && many <= 70);
-  CU_ASSERT_EQUAL (at_first_home (100, SPR_SMALL_TOKENS + 1), 100);
-  CU_ASSERT_EQUAL (at_first_home (4, SPR_SMALL_TOKENS), 100);
-  CU_ASSERT_EQUAL (at_first_home (100, 0), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (100, SPR_SMALL_TOKENS + 1), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (4, SPR_SMALL_TOKENS), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (100, 0), 100);
 }
 
-/* Load with one home that is far over the mean, at 4 gateways and at 22: the more there are, the
- * sooner the next in rank takes over; and with nearly full engines sooner than with idle ones. */
+/* A home far over the mean hands over to the next in rank at a lower load with 22 gateways than
+ * with 4, and with nearly full engines than with idle ones. */
 static void
-test_margin_goes_with_gateways_and_free_slots (void)
+test_margin_falls_with_gateways_and_rises_with_free_slots (void)
 {
   const uint32_t gateways[] = { 4, 22, 4 };
   const uint32_t loads[] = { 10, 10, 100 };
@@ -719,10 +724,10 @@
 }
 
 #define FLEET_ENGINES 40
-#define FLEET_LOAD 11 /* of each engine that has load */
+#define FLEET_LOAD 11 /* requests at each engine in use */
 #define FLEET_IDLE 13
 
-/* Return: requests at the home of a part once it goes elsewhere */
+/* Fills the home of a part until the part goes elsewhere. Return: requests at the home */
 static uint32_t
 fill_home_at (const GPtrArray *list, uint64_t now_us)
 {
@@ -741,7 +746,7 @@
 }
 
 static void
-tell_all (const GPtrArray *list, uint64_t now_us)
+report_all_loads (const GPtrArray *list, uint64_t now_us)
 {
   for (guint k = 0; k < list->len; k++)
     egn_told (g_ptr_array_index (list, k), now_us,
@@ -750,10 +755,11 @@
 
 #define LATER_US (NOW_US + 10 * SPR_IDLE_US)
 
-/* Guards against requests to overloaded engines in the later seconds of a drain, which lasts as
- * long as operators want. A third of the engines stands idle, so twice the mean of the service and
- * three more is 17 requests where the others have 11 on average. 22 gateways that each kept a part
- * at its home up to their usual bound, 17, would send beyond it before they hear of each other. */
+/* Guards against requests to overloaded engines during a drain, which lasts as long as operators
+ * want. A third of the engines is idle, so the overload limit, twice the mean of the service plus
+ * three, is 17 requests, while the others have 11 on average. If 22 gateways kept a part at its
+ * home up to their usual bound, 17, they would exceed the limit before they learn of each other's
+ * requests. */
 static void
 test_idle_engines_narrow_the_bound (void)
 {
@@ -763,7 +769,7 @@
   uint32_t usual;
   uint32_t narrowed;
 
-  tell_all (list, NOW_US);
+  report_all_loads (list, NOW_US);
   usual = fill_home (list);
   unload (engines, FLEET_ENGINES);
   for (guint k = 0; k < FLEET_IDLE; k++)
@@ -774,13 +780,13 @@
   CU_ASSERT (narrowed > FLEET_LOAD);
   CU_ASSERT (narrowed <= (FLEET_LOAD + 2 * service_mean + 3) / 2);
   unload (engines, FLEET_ENGINES);
-  tell_all (list, LATER_US);
+  report_all_loads (list, LATER_US);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
   unload (engines, FLEET_ENGINES);
   egs_set_drained (engines, LATER_US, "hall-2", false);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
   unload (engines, FLEET_ENGINES);
-  tell_all (list, LATER_US);
+  report_all_loads (list, LATER_US);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), usual);
   unload (engines, FLEET_ENGINES);
 }
@@ -789,7 +795,7 @@
 #define JOINED_ENGINES 15
 #define PARTS 200
 
-/* @busy: mean load of the engines that were there before, of 24 slots */
+/* Engines with a mean load of @busy of 24 slots, and others that have just joined. */
 static egs_t *
 make_engines_that_join (uint32_t busy)
 {
@@ -819,9 +825,9 @@
   return spr_choose (egs_list (engines, g_intern_static_string ("pool")), NOW_US, &request).engine;
 }
 
-/* Return: of @PARTS choices, how many go to engines that have just joined */
+/* Return: how many of PARTS choices go to engines that have just joined */
 static uint32_t
-choices_of_joined (uint32_t busy)
+count_sent_to_joined (uint32_t busy)
 {
   g_autoptr (egs_t) engines = make_engines_that_join (busy);
   uint32_t joined = 0;
@@ -835,22 +841,22 @@
   return joined;
 }
 
-/* Guards against engines that stand idle after they joined in a burst, while those before them
- * carry it alone and are overloaded. */
+/* Guards against engines that join during a burst staying idle while the older ones are
+ * overloaded. */
 static void
 test_engines_that_join_take_their_share (void)
 {
   uint32_t share = PARTS * JOINED_ENGINES / (BUSY_ENGINES + JOINED_ENGINES);
 
-  CU_ASSERT (choices_of_joined (4) > share / 3);
-  CU_ASSERT (choices_of_joined (14) > share / 3);
-  CU_ASSERT (choices_of_joined (20) > share / 3);
+  CU_ASSERT (count_sent_to_joined (4) > share / 3);
+  CU_ASSERT (count_sent_to_joined (14) > share / 3);
+  CU_ASSERT (count_sent_to_joined (20) > share / 3);
 }
 
-/* Guards against all of many gateways sending to an engine that has joined before any of them hears
- * of it. */
+/* Guards against many gateways all sending to an engine that has joined before any of them gets a
+ * load report of it. */
 static void
-test_half_of_the_gateways_begin_at_an_engine_that_joined (void)
+test_half_of_the_gateways_use_a_joined_engine_first (void)
 {
   g_autoptr (egs_t) engines = make_engines_that_join (4);
   const egn_t *home = NULL;
@@ -869,8 +875,8 @@
   CU_ASSERT (many > PARTS / 3 && many < PARTS * 2 / 3);
 }
 
-/* Four gateways know each other's loads well. A part stays at its home until that has nearly twice
- * the mean, and leaves it before the users' bound of twice the mean and three. */
+/* Four gateways get recent reports of all engines. A part stays at its home until that has nearly
+ * twice the mean, and leaves it before the overload limit of twice the mean plus three. */
 static void
 test_few_gateways_keep_parts_at_home (void)
 {
@@ -891,13 +897,13 @@
 }
 
 /*
- * Three and a half times the traffic: nearly all slots are taken. An engine far down in rank has
- * one free. A request that took it would have its whole prompt read there, and so would all:
- * engines would do nothing else, and answer fewer than half. It waits for the first few in rank,
- * and goes to one of them as soon as that has room.
+ * Guards against engines spending an overload on reading prompts that others have cached. At three
+ * and a half times the usual traffic nearly all slots are taken. If each request took any free
+ * slot, its whole prompt would be read there, and fewer than half would be answered. A request
+ * waits for the first ranks of its part, and goes to one of them as soon as that has a free slot.
  */
 static void
-test_crowded_parts_keep_to_the_first_few (void)
+test_crowded_parts_keep_to_the_first_ranks (void)
 {
   g_autoptr (egs_t) engines = make_engines (12);
   const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
@@ -942,35 +948,35 @@
     SUITE_TEST (test_shared_part_has_one_home),
     SUITE_TEST (test_hot_part_spills_at_the_bound),
     SUITE_TEST (test_new_home_copies_from_the_former),
-    SUITE_TEST (test_leaving_engine_gets_nothing),
-    SUITE_TEST (test_full_engines_make_it_wait),
-    SUITE_TEST (test_told_load_counts_and_ages),
-    SUITE_TEST (test_told_effort_counts_and_fades),
-    SUITE_TEST (test_failing_engine_is_put_aside),
-    SUITE_TEST (test_router_distrusts_its_own_view),
-    SUITE_TEST (test_erring_engine_goes_last),
-    SUITE_TEST (test_errors_of_all_put_none_aside),
-    SUITE_TEST (test_errors_fade),
-    SUITE_TEST (test_bound_goes_before_doubt),
+    SUITE_TEST (test_leaving_engine_gets_no_requests),
+    SUITE_TEST (test_request_waits_while_engines_are_full),
+    SUITE_TEST (test_reported_load_counts_and_ages),
+    SUITE_TEST (test_reported_slowdown_counts_and_decays),
+    SUITE_TEST (test_failing_engine_is_ejected),
+    SUITE_TEST (test_ejections_of_all_engines_are_ignored),
+    SUITE_TEST (test_failing_answers_put_an_engine_last),
+    SUITE_TEST (test_errors_of_all_engines_put_none_last),
+    SUITE_TEST (test_error_rate_decays),
+    SUITE_TEST (test_degraded_engine_is_preferred_to_overloaded),
     SUITE_TEST (test_idle_engines_narrow_the_bound),
     SUITE_TEST (test_engines_that_join_take_their_share),
-    SUITE_TEST (test_half_of_the_gateways_begin_at_an_engine_that_joined),
+    SUITE_TEST (test_half_of_the_gateways_use_a_joined_engine_first),
     SUITE_TEST (test_tried_engines_are_left_out),
     SUITE_TEST (test_engine_outlives_its_entry),
     SUITE_TEST (test_skewed_parts_stay_below_the_cap),
     SUITE_TEST (test_silent_engine_goes_last),
-    SUITE_TEST (test_silence_is_measured_by_the_usual),
-    SUITE_TEST (test_probe_is_what_may_go_on),
+    SUITE_TEST (test_silence_depends_on_usual_time),
+    SUITE_TEST (test_probe_is_a_repeatable_request),
     SUITE_TEST (test_slow_engine_goes_last),
     SUITE_TEST (test_each_gateway_keeps_its_share_of_few_slots),
-    SUITE_TEST (test_refusals_cut_what_a_gateway_has_at_an_engine),
-    SUITE_TEST (test_old_loads_neither_raise_the_bound_nor_stay),
-    SUITE_TEST (test_unknown_load_is_the_usual_one),
-    SUITE_TEST (test_engines_that_lapsed_are_asked_where_many_did),
-    SUITE_TEST (test_small_parts_have_two_homes_where_little_is_known),
-    SUITE_TEST (test_margin_goes_with_gateways_and_free_slots),
+    SUITE_TEST (test_refusals_reduce_the_window),
+    SUITE_TEST (test_old_reports_neither_raise_the_bound_nor_persist),
+    SUITE_TEST (test_unknown_load_is_assumed_usual),
+    SUITE_TEST (test_expired_engines_are_used_when_many_expired),
+    SUITE_TEST (test_small_parts_have_two_homes_where_reports_are_rare),
+    SUITE_TEST (test_margin_falls_with_gateways_and_rises_with_free_slots),
     SUITE_TEST (test_few_gateways_keep_parts_at_home),
-    SUITE_TEST (test_crowded_parts_keep_to_the_first_few),
+    SUITE_TEST (test_crowded_parts_keep_to_the_first_ranks),
     CU_TEST_INFO_NULL
   };
 
