--- a/src/request/policy/choose.h
+++ b/src/request/policy/choose.h
@@ -1,5 +1,5 @@
 /**
- * DOC: choose
+ * DOC: candidates
  *
  * The engines that a router tries for a request, in their order, with the chat's home engine and
  * the one that was its home before. The sidecars make the final decision; a wrong order costs a
--- a/src/request/policy/cold_share.h
+++ b/src/request/policy/cold_share.h
@@ -1,5 +1,5 @@
 /**
- * DOC: cold_share
+ * DOC: cold_start_limit
  *
  * Rate limit of a gateway for an engine in its cold start. An engine that has just started sustains
  * few requests per second and crashes well above that, and gateways do not learn in time what the
--- a/src/request/policy/drift.h
+++ b/src/request/policy/drift.h
@@ -1,5 +1,5 @@
 /**
- * DOC: drift
+ * DOC: load_drift
  *
  * Average change of a service's mean load between estimates. Load samples are some tenths of a
  * second old, so the mean has changed since they were taken. When all engines are sampled, this
--- a/src/request/policy/engines.c
+++ b/src/request/policy/engines.c
@@ -345,12 +345,12 @@
 }
 
 void
-egn_heard (egn_t *engine, uint64_t told_us, uint32_t load)
+egn_heard (egn_t *engine, uint64_t reported_us, uint32_t load)
 {
-  if (told_us <= MAX (engine->told_us, engine->news_us))
+  if (reported_us <= MAX (engine->told_us, engine->news_us))
     return;
   engine->peer_report_others = load > engine->own ? load - engine->own : 0;
-  engine->news_us = told_us;
+  engine->news_us = reported_us;
 }
 
 void
@@ -479,14 +479,15 @@
   engine->unreachable = engine->failures >= EGN_FAILURES;
 }
 
-/* Weight of a load reported at @told_us: halves each %EGN_TOLD_US, and falls linearly in between.
+/* Weight of a load reported at @reported_us: halves each %EGN_TOLD_US, and falls linearly in
+ * between.
  */
 static uint32_t
-report_weight_milli (uint64_t told_us, uint64_t now_us)
+report_weight_milli (uint64_t reported_us, uint64_t now_us)
 {
-  uint64_t age_us = now_us > told_us ? now_us - told_us : 0;
+  uint64_t age_us = now_us > reported_us ? now_us - reported_us : 0;
   uint64_t halvings = age_us / EGN_TOLD_US;
-  uint64_t milli = told_us != 0 && halvings < 32 ? (uint64_t)MILLI >> halvings : 0;
+  uint64_t milli = reported_us != 0 && halvings < 32 ? (uint64_t)MILLI >> halvings : 0;
 
   return (uint32_t)(milli - milli / 2 * (age_us % EGN_TOLD_US) / EGN_TOLD_US);
 }
--- a/src/request/policy/engines.h
+++ b/src/request/policy/engines.h
@@ -61,8 +61,9 @@
   uint32_t effort_percent;
 } egn_load_t;
 
-#define EGN_EFFORT_USUAL 100  /* percent: work takes its usual time */
-#define EGN_EFFORT_MOST 10000 /* percent; a larger value is taken for an error of the engine */
+#define EGN_EFFORT_USUAL 100 /* work takes its usual time */
+/* A larger value is taken for an error of the engine. */
+#define EGN_EFFORT_MOST 10000
 /* The speed of a host changes many times a second, so a reported slowdown halves in this time. */
 #define EGN_EFFORT_HALF_US (UINT64_C (200) * 1000)
 
@@ -182,9 +183,10 @@
 #define EGN_SILENT_FACTOR 4
 /* Interval of single requests to a silent engine, which show when it works again. */
 #define EGN_SILENT_PROBE_US (UINT64_C (4000) * 1000)
-/* Duration of an ejection; it doubles with each further failure up to the maximum. */
+/* Duration of an ejection; it doubles with each further failure up to the maximum, as a crashed
+ * engine is back after some seconds. */
 #define EGN_SKIP_MIN_US (UINT64_C (500) * 1000)
-#define EGN_SKIP_MAX_US (UINT64_C (4000) * 1000) /* a crashed engine is back after some seconds */
+#define EGN_SKIP_MAX_US (UINT64_C (4000) * 1000)
 /* A probe is likely to fail. A request that can be repeated at another engine loses a moment only,
  * so one that can't serves as the probe this much later, if no other came. */
 #define EGN_RISK_US (UINT64_C (4000) * 1000)
@@ -250,9 +252,9 @@
 void egn_end (egn_t *engine);
 /** egn_told() - records the @load that @engine reported in an answer */
 void egn_told (egn_t *engine, uint64_t now_us, const egn_load_t *load);
-/** egn_heard() - records that @engine reported @load requests to another gateway at @told_us.
+/** egn_heard() - records that @engine reported @load requests to another gateway at @reported_us.
  * Gateways pass on high loads only, so this is used for the engine and not for the mean */
-void egn_heard (egn_t *engine, uint64_t told_us, uint32_t load);
+void egn_heard (egn_t *engine, uint64_t reported_us, uint32_t load);
 /* Time after which a full engine is tried again when no request of this gateway ends there first.
  */
 #define EGN_FULL_US (UINT64_C (100) * 1000)
--- a/src/request/policy/first_ask.h
+++ b/src/request/policy/first_ask.h
@@ -1,5 +1,5 @@
 /**
- * DOC: first_ask
+ * DOC: first_attempt
  *
  * Age of a request whose caller sends it again with a new id after a refusal, estimated from the
  * time that the caller still has. A state machine without I/O, one for each route.
--- a/src/request/policy/home_regions.h
+++ b/src/request/policy/home_regions.h
@@ -1,5 +1,5 @@
 /**
- * DOC: home_regions
+ * DOC: region_filter
  *
  * Restriction of a request to regions, which operators set for its route or for its client account.
  * When both are restricted, an engine must be allowed by both. Pure functions.
--- a/src/request/policy/load_news.h
+++ b/src/request/policy/load_news.h
@@ -1,5 +1,5 @@
 /**
- * DOC: load_news
+ * DOC: load_reports
  *
  * Reports of high engine loads that gateways pass on to each other. A state machine without I/O;
  * the caller passes the time.
--- a/src/request/policy/mean.h
+++ b/src/request/policy/mean.h
@@ -1,5 +1,5 @@
 /**
- * DOC: mean
+ * DOC: load_samples
  *
  * Load samples of the engines of a service, received in exchange messages, and the mean load
  * estimated from them. The newest sample of each engine counts, for %LIM_SAMPLE_AGE_US. At most
--- a/src/request/policy/odds.h
+++ b/src/request/policy/odds.h
@@ -1,5 +1,5 @@
 /**
- * DOC: odds
+ * DOC: priority_fairness
  *
  * Fairness between priorities in an overload: counts for each priority the share of requests that
  * start in time, and decides on the order where the shares are uneven. A state machine without I/O,
--- a/src/request/policy/own_word.h
+++ b/src/request/policy/own_word.h
@@ -1,5 +1,5 @@
 /**
- * DOC: own_word
+ * DOC: self_reports
  *
  * What engines stated about themselves in their answers to this gateway: that they are leaving, or
  * want no requests for a time. A state machine without I/O; the caller passes the time.
--- a/src/request/policy/place.h
+++ b/src/request/policy/place.h
@@ -1,5 +1,5 @@
 /**
- * DOC: place
+ * DOC: rendezvous
  *
  * Weighted rendezvous hashing of chats over the engines of a service. The hash is of an engine's
  * name and not of its address, so an engine that was replaced or was away gets its chats back.
--- a/src/request/policy/proven.h
+++ b/src/request/policy/proven.h
@@ -1,5 +1,5 @@
 /**
- * DOC: proven
+ * DOC: recent_answers
  *
  * Fingerprints of requests that engines answered recently. Requests are usually placed by their
  * fingerprint, so that one that crashes engines reaches the same two engines, which know it from
--- a/src/request/policy/spread.h
+++ b/src/request/policy/spread.h
@@ -1,5 +1,5 @@
 /**
- * DOC: spread
+ * DOC: engine_choice
  *
  * Chooses the engine of a service to which a gateway sends a request. A pure function.
  *
--- a/tests/test_cold_share.c
+++ b/tests/test_cold_share.c
@@ -248,5 +248,5 @@
                                        SUITE_TEST (test_drained_caches_are_copied_for_a_while),
                                        CU_TEST_INFO_NULL };
 
-  return suite_run ("cold_share", tests);
+  return suite_run ("cold_start_limit", tests);
 }
--- a/tests/test_load_news.c
+++ b/tests/test_load_news.c
@@ -75,5 +75,5 @@
     CU_TEST_INFO_NULL,
   };
 
-  return suite_run ("load_news", tests);
+  return suite_run ("load_reports", tests);
 }
--- a/tests/test_mean.c
+++ b/tests/test_mean.c
@@ -152,5 +152,5 @@
     SUITE_TEST (test_named_engines_are_at_or_below_the_mean),
     CU_TEST_INFO_NULL,
   };
-  return suite_run ("mean", tests);
+  return suite_run ("load_samples", tests);
 }
--- a/tests/test_own_word.c
+++ b/tests/test_own_word.c
@@ -139,5 +139,5 @@
     CU_TEST_INFO_NULL,
   };
 
-  return suite_run ("own_word", tests);
+  return suite_run ("self_reports", tests);
 }
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -291,5 +291,5 @@
     { "names of verdicts and reasons", test_verdict_names },
     CU_TEST_INFO_NULL,
   };
-  return suite_run ("place", tests);
+  return suite_run ("rendezvous", tests);
 }
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -980,5 +980,5 @@
     CU_TEST_INFO_NULL
   };
 
-  return suite_run ("spread", tests);
+  return suite_run ("engine_choice", tests);
 }
