--- a/src/request/policy/engines.h
+++ b/src/request/policy/engines.h
@@ -81,8 +81,7 @@
  * @slowdown_us: when it reported @effort_percent
  * @effort_percent: as in egn_load_t; 0 when it never reported it
  * @failures: consecutive failed requests of this gateway
- * @ejected_until_us: end of the ejection after %EGN_FAILURES failures; then a single probe may be
- *   sent
+ * @ejected_until_us: end of the last ejection; a single probe may be sent then
  * @probe_us: when the last probe was sent; 0 for none since the last failure
  * @error_rate_us: as of when @error_rate_milli is
  * @full_until_us: the engine refused a request for lack of a slot and is not called until then
--- a/src/request/policy/mean.h
+++ b/src/request/policy/mean.h
@@ -53,7 +53,7 @@
 } mean_table_t;
 
 /**
- * struct mean_estimate - estimated mean load of a service
+ * struct load_samples_estimate - estimated mean load of a service
  * @mean_milli: in thousandths of a request
  * @margin_milli: standard error of the mean with the finite population correction, in thousandths
  *   of a request
--- a/src/request/policy/place.h
+++ b/src/request/policy/place.h
@@ -24,7 +24,7 @@
   float weight;
 } plc_engine_t;
 
-/** plc_hash_name() - hash of the name of an engine, host or service */
+/** plc_hash_name() - hash of a name, such as that of an engine, service, account or shard */
 uint64_t plc_hash_name (const char *name);
 /** plc_hash_chat() - hash of a chat; equal ids of two accounts have different hashes */
 uint64_t plc_hash_chat (const char *account, const char *chat_id);
--- a/src/request/policy/spread.h
+++ b/src/request/policy/spread.h
@@ -14,8 +14,8 @@
 #include "request/policy/engines.h"
 #include "request/policy/home_regions.h"
 
-/* An engine is overloaded above this multiple of the mean load of its service plus this number of
- * requests, in thousandths: the limit that the users' service level sets. */
+/* The overload limit, as users define it: this multiple of the mean load of a service plus this
+ * number of requests, in thousandths. */
 #define SPR_OVERLOAD_FACTOR 2
 #define SPR_OVERLOAD_MORE_MILLI 3000
 /*
--- a/tests/test_cold_share.c
+++ b/tests/test_cold_share.c
@@ -21,7 +21,7 @@
 
 /* Return: the maximum number of sends within one second */
 static uint32_t
-max_per_second (const GArray *sent_us)
+max_sends_per_second (const GArray *sent_us)
 {
   uint32_t most = 0;
   guint from = 0;
@@ -39,7 +39,7 @@
 /* Each gateway sends whenever it may, as in a burst, and notices the cold start @late_us later than
  * the gateway before. Return: the maximum number of sends within one second */
 static uint32_t
-max_sent_per_second (uint32_t gateways, uint64_t engine_hash, uint64_t late_us)
+simulate_burst (uint32_t gateways, uint64_t engine_hash, uint64_t late_us)
 {
   g_autofree uint64_t *sent_us = g_new0 (uint64_t, gateways);
   g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (uint64_t));
@@ -59,7 +59,7 @@
         sent_us[i] = at_us;
         g_array_append_val (all, at_us);
       }
-  return max_per_second (all);
+  return max_sends_per_second (all);
 }
 
 /*
@@ -75,8 +75,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS (fleets); i++)
     for (uint64_t engine = 1; engine <= ENGINES; engine++)
       {
-        CU_ASSERT (max_sent_per_second (fleets[i], engine, 0) <= BOUND_PER_S);
-        CU_ASSERT (max_sent_per_second (fleets[i], engine, 1000) <= BOUND_PER_S);
+        CU_ASSERT (simulate_burst (fleets[i], engine, 0) <= BOUND_PER_S);
+        CU_ASSERT (simulate_burst (fleets[i], engine, 1000) <= BOUND_PER_S);
       }
 }
 
@@ -87,9 +87,9 @@
 {
   for (uint64_t engine = 1; engine <= ENGINES; engine++)
     {
-      CU_ASSERT (max_sent_per_second (4, engine, 0) >= PER_S * COLD_SHARE_PERCENT / 100);
-      CU_ASSERT (max_sent_per_second (22, engine, 0) >= PER_S / 4);
-      CU_ASSERT (max_sent_per_second (103, engine, 0) >= 1);
+      CU_ASSERT (simulate_burst (4, engine, 0) >= PER_S * COLD_SHARE_PERCENT / 100);
+      CU_ASSERT (simulate_burst (22, engine, 0) >= PER_S / 4);
+      CU_ASSERT (simulate_burst (103, engine, 0) >= 1);
     }
 }
 
@@ -176,7 +176,7 @@
   CU_ASSERT (!egn_is_cold (engine, NOW_US + SECOND_US + COLD_US, COLD_US));
 }
 
-/* Guards against requests in full to an engine that has restarted: it refused connections, and
+/* Guards against unlimited requests to an engine that has restarted: it refused connections, and
  * answers again before its entry states the new start. */
 static void
 test_engine_that_was_unreachable_is_cold (void)
--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -112,8 +112,8 @@
   CU_ASSERT_EQUAL (odd_turn (&fairness, 1), ODD_IN_TURN);
 }
 
-/* Short requests of low priority wait behind all replies, and one in ten starts. They go first
- * until their share is near that of the replies. */
+/* Short requests of low priority wait behind all replies, and one in ten starts. They
+ * occupy slots only briefly, so they go first until their share is near that of the replies. */
 static void
 test_lower_priority_is_not_left_far_behind (void)
 {
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -86,7 +86,7 @@
 /* Guards against an engine that restarted under its id being treated as the process before it,
  * whose load and failures don't apply and whose last request still has a reference. */
 static void
-test_restarted_engine_is_another_one (void)
+test_restarted_engine_is_a_new_one (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
   egn_t *before = put_start (engines, "e0", 7, EGN_READY);
@@ -269,17 +269,17 @@
 test_failing_engine_is_ejected (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *bad = choose (engines, 9).engine;
-
-  egn_failed (bad, NOW_US);
-  egn_failed (bad, NOW_US);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, bad);
-  CU_ASSERT (!egn_is_skipped (bad, NOW_US + EGN_SKIP_MIN_US, true));
-  egn_probe (bad, NOW_US + EGN_SKIP_MIN_US);
-  CU_ASSERT (egn_is_skipped (bad, NOW_US + EGN_SKIP_MIN_US + 1, true));
+  egn_t *ejected = choose (engines, 9).engine;
+
+  egn_failed (ejected, NOW_US);
+  egn_failed (ejected, NOW_US);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, ejected);
+  CU_ASSERT (!egn_is_skipped (ejected, NOW_US + EGN_SKIP_MIN_US, true));
+  egn_probe (ejected, NOW_US + EGN_SKIP_MIN_US);
+  CU_ASSERT (egn_is_skipped (ejected, NOW_US + EGN_SKIP_MIN_US + 1, true));
   for (uint32_t i = 0; i < 20; i++)
-    egn_worked (bad, NOW_US, false);
-  CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, bad);
+    egn_worked (ejected, NOW_US, false);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, ejected);
 }
 
 /* When all engines of a service fail, it is more likely that this gateway has lost its network, so
@@ -304,11 +304,11 @@
 test_failing_answers_put_an_engine_last (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *grey = choose (engines, 9).engine;
+  egn_t *failing = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 8; i++)
-    egn_worked (grey, NOW_US, true);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, grey);
+    egn_worked (failing, NOW_US, true);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, failing);
   CU_ASSERT_EQUAL (choose (engines, 9).action, SPR_SEND);
 }
 
@@ -341,12 +341,12 @@
 test_error_rate_decays (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *grey = choose (engines, 9).engine;
+  egn_t *failing = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 30; i++)
-    egn_worked (grey, NOW_US, true);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, grey);
-  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, grey);
+    egn_worked (failing, NOW_US, true);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, failing);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, failing);
 }
 
 /* When all engines without errors are over the bound, one with errors is chosen rather than an
@@ -407,7 +407,7 @@
  * limit of twice the mean plus three, and most requests still go to their part's home.
  */
 static void
-test_skewed_parts_stay_below_the_cap (void)
+test_skewed_parts_stay_below_the_limit (void)
 {
   g_autoptr (egs_t) engines = make_engines (12);
   g_autoptr (GRand) rand = g_rand_new_with_seed (7);
@@ -454,19 +454,19 @@
 test_silent_engine_goes_last (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *dark = choose (engines, 9).engine;
+  egn_t *silent = choose (engines, 9).engine;
   uint64_t silent_us = NOW_US + EGN_SILENT_US;
   uint64_t probe_us = silent_us + EGN_SILENT_PROBE_US + EGN_RISK_US;
 
-  egn_begin (dark, NOW_US);
-  CU_ASSERT_PTR_EQUAL (choose_at (engines, silent_us - 1, 9).engine, dark);
-  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, silent_us, 9).engine, dark);
-  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us, 9).engine, dark);
-  egn_begin (dark, probe_us);
-  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, probe_us + 1, 9).engine, dark);
-  dark->heard_us = probe_us + 2;
-  egn_end (dark);
-  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us + 3, 9).engine, dark);
+  egn_begin (silent, NOW_US);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, silent_us - 1, 9).engine, silent);
+  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, silent_us, 9).engine, silent);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us, 9).engine, silent);
+  egn_begin (silent, probe_us);
+  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, probe_us + 1, 9).engine, silent);
+  silent->heard_us = probe_us + 2;
+  egn_end (silent);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us + 3, 9).engine, silent);
   unload (engines, 3);
 }
 
@@ -493,19 +493,19 @@
 test_probe_is_a_repeatable_request (void)
 {
   g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *bad = choose (engines, 9).engine;
+  egn_t *ejected = choose (engines, 9).engine;
   uint64_t due_us = NOW_US + EGN_SKIP_MIN_US;
   spr_request_t request = { .affinity = 9, .data_center = HERE };
   const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
 
-  egn_failed (bad, NOW_US);
-  egn_failed (bad, NOW_US);
-  bad->error_rate_milli = 0;
-  CU_ASSERT_PTR_NOT_EQUAL (spr_choose (list, due_us, &request).engine, bad);
+  egn_failed (ejected, NOW_US);
+  egn_failed (ejected, NOW_US);
+  ejected->error_rate_milli = 0;
+  CU_ASSERT_PTR_NOT_EQUAL (spr_choose (list, due_us, &request).engine, ejected);
   request.repeatable = true;
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us, &request).engine, bad);
+  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us, &request).engine, ejected);
   request.repeatable = false;
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us + EGN_RISK_US, &request).engine, bad);
+  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us + EGN_RISK_US, &request).engine, ejected);
 }
 
 /* An engine that takes six times as long as the others is used last. It is called again once the
@@ -943,7 +943,7 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_restarted_engine_is_another_one),
+    SUITE_TEST (test_restarted_engine_is_a_new_one),
     SUITE_TEST (test_late_entry_of_an_older_start_changes_nothing),
     SUITE_TEST (test_shared_part_has_one_home),
     SUITE_TEST (test_hot_part_spills_at_the_bound),
@@ -963,7 +963,7 @@
     SUITE_TEST (test_half_of_the_gateways_use_a_joined_engine_first),
     SUITE_TEST (test_tried_engines_are_left_out),
     SUITE_TEST (test_engine_outlives_its_entry),
-    SUITE_TEST (test_skewed_parts_stay_below_the_cap),
+    SUITE_TEST (test_skewed_parts_stay_below_the_limit),
     SUITE_TEST (test_silent_engine_goes_last),
     SUITE_TEST (test_silence_depends_on_usual_time),
     SUITE_TEST (test_probe_is_a_repeatable_request),
