--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -1,4 +1,4 @@
-/* Unit tests of requests that are bound to regions: the settings, the configuration, the choice. */
+/* Unit tests of requests that are restricted to regions: settings, configuration and choice. */
 #include "base/region_map.h"
 #include "platform/records.h"
 #include "request/policy/spread.h"
@@ -31,11 +31,11 @@
   CU_ASSERT_STRING_EQUAL (text, "hall-1=north,hall-2=south,hall-3=north");
 }
 
-/* A slip in the settings must not leave half of a map in force. */
+/* Guards against an error in the settings leaving half of a map in force. */
 static void
-test_unsound_map_is_refused_whole (void)
+test_invalid_map_is_rejected_whole (void)
 {
-  static const char *const unsound[] = { "hall-1",   "hall-1=",         "=north",
+  static const char *const invalid[] = { "hall-1",   "hall-1=",         "=north",
                                          "a=b=c",    "hall-1=north,",   "hall-1=north,hall-1=south",
                                          ",a=north", "a=north,,b=north" };
   g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'x');
@@ -44,8 +44,8 @@
   rgn_map_t map = { 0 };
 
   CU_ASSERT (rgn_parse (&map, "hall-1=north"));
-  for (size_t i = 0; i < G_N_ELEMENTS (unsound); i++)
-    CU_ASSERT (!rgn_parse (&map, unsound[i]));
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid); i++)
+    CU_ASSERT (!rgn_parse (&map, invalid[i]));
   CU_ASSERT (!rgn_parse (&map, too_long));
   for (uint32_t i = 0; i < RGN_DATA_CENTERS; i++)
     g_string_append_printf (many, ",h%u=r", i);
@@ -58,8 +58,8 @@
 #define ROUTE(prefix, more)                                                                        \
   "{\"host\":\"h\",\"path_prefix\":\"" prefix "\",\"kind\":\"stream\",\"service\":\"pool\"" more "}"
 
-/* A list that holds no name binds to no region at all: read as "any", it would open what it was to
- * close. */
+/* An empty or malformed list allows no region. If it were read as no restriction, requests would
+ * reach regions that operators meant to exclude. */
 static void
 test_regions_are_read (void)
 {
@@ -92,11 +92,11 @@
   CU_ASSERT_PTR_NULL (rte_account (rte, "l")->regions);
 }
 
-/* One engine in four is in a data centre whose region the settings do not name. */
+/* The region of one engine in four is unknown. */
 static egs_t *
 random_engines (GRand *rand)
 {
-  egs_t *egs = egs_new ();
+  egs_t *engines = egs_new ();
 
   for (uint32_t i = 0; i < ENGINES; i++)
     {
@@ -107,16 +107,16 @@
                             .region = region < REGIONS
                                           ? g_intern_static_string (region_names[region])
                                           : NULL };
-      egn_t *egn;
+      egn_t *engine;
 
       g_snprintf (entry.id, sizeof entry.id, "e%u", i);
-      egn = egs_put (egs, NOW_US, &entry);
+      engine = egs_put (engines, NOW_US, &entry);
       for (gint32 load = g_rand_int_range (rand, 0, 4); load > 0; load--)
-        egn_begin (egn, NOW_US);
+        egn_begin (engine, NOW_US);
       for (gint32 failures = g_rand_int_range (rand, 0, 4); failures > 0; failures--)
-        egn_failed (egn, NOW_US);
+        egn_failed (engine, NOW_US);
     }
-  return egs;
+  return engines;
 }
 
 static const char *const *
@@ -134,18 +134,18 @@
 }
 
 static bool
-is_allowed (const egn_t *egn, const char *const *regions)
+is_allowed (const egn_t *engine, const char *const *regions)
 {
-  return !regions || (egn->entry.region && g_strv_contains (regions, egn->entry.region));
+  return !regions || (engine->entry.region && g_strv_contains (regions, engine->entry.region));
 }
 
 /*
- * Whatever the engines' load and failures, whatever the lists: neither a request nor the engine
- * that its memory is copied from is outside of a region that its route and its account allow, and
- * an engine that both allow and that is free is not passed over.
+ * For random loads, failures and lists: neither the chosen engine nor the one whose cache is copied
+ * is outside of the regions that the request's route and account allow, and the request is refused
+ * only if there is no candidate.
  */
 static void
-test_nothing_leaves_its_regions (void)
+test_requests_stay_in_their_regions (void)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (SEED);
   uint32_t sent = 0;
@@ -155,21 +155,21 @@
     {
       const char *by_route[REGIONS + 1];
       const char *by_account[REGIONS + 1];
-      g_autoptr (egs_t) egs = random_engines (rand);
+      g_autoptr (egs_t) engines = random_engines (rand);
       spr_request_t request = { .affinity = g_rand_int_range (rand, 0, 3),
                                 .data_center = "hall-1",
                                 .homes = { .route = random_regions (rand, by_route),
                                            .account = random_regions (rand, by_account) } };
-      const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+      const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
       spr_choice_t choice = spr_choose (list, NOW_US, &request);
       uint32_t allowed = 0;
 
       for (guint k = 0; k < list->len; k++)
         {
-          const egn_t *egn = g_ptr_array_index (list, k);
+          const egn_t *engine = g_ptr_array_index (list, k);
 
-          allowed += egn_is_open (egn) && is_allowed (egn, request.homes.route) &&
-                             is_allowed (egn, request.homes.account)
+          allowed += egn_is_open (engine) && is_allowed (engine, request.homes.route) &&
+                             is_allowed (engine, request.homes.account)
                          ? 1
                          : 0;
         }
@@ -185,10 +185,10 @@
       refused += choice.action == SPR_NONE ? 1 : 0;
       for (guint k = 0; k < list->len; k++)
         {
-          egn_t *egn = g_ptr_array_index (list, k);
+          egn_t *engine = g_ptr_array_index (list, k);
 
-          while (egn->own > 0)
-            egn_end (egn);
+          while (engine->own > 0)
+            egn_end (engine);
         }
     }
   CU_ASSERT (sent > ROUNDS / 2 && refused > ROUNDS / 50);
@@ -198,9 +198,9 @@
 main (void)
 {
   static const CU_TestInfo tests[] = { SUITE_TEST (test_map_is_read),
-                                       SUITE_TEST (test_unsound_map_is_refused_whole),
+                                       SUITE_TEST (test_invalid_map_is_rejected_whole),
                                        SUITE_TEST (test_regions_are_read),
-                                       SUITE_TEST (test_nothing_leaves_its_regions),
+                                       SUITE_TEST (test_requests_stay_in_their_regions),
                                        CU_TEST_INFO_NULL };
 
   return suite_run ("regions", tests);
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -1,4 +1,4 @@
-/* Unit tests of which engine gets a request that the router sends there itself. */
+/* Unit tests of the choice of the engine to which a gateway sends a request. */
 #include "base/clock.h"
 #include "request/policy/spread.h"
 #include "suite.h"
@@ -11,68 +11,68 @@
 #define HERE "hall-1"
 
 static egn_t *
-put (egs_t *egs, const char *id, egn_state_t state)
+put (egs_t *engines, const char *id, egn_state_t state)
 {
   egn_entry_t entry = { .service = g_intern_static_string ("pool"), .slots = 8, .state = state };
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, HERE, sizeof entry.data_center);
-  return egs_put (egs, NOW_US, &entry);
+  return egs_put (engines, NOW_US, &entry);
 }
 
 static egs_t *
 make_engines (uint32_t count)
 {
-  egs_t *egs = egs_new ();
+  egs_t *engines = egs_new ();
 
   for (uint32_t i = 0; i < count; i++)
     {
       char id[16];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      put (egs, id, EGN_READY);
+      put (engines, id, EGN_READY);
     }
-  egs_set_complete (egs);
-  return egs;
+  egs_set_complete (engines);
+  return engines;
 }
 
 static spr_choice_t
-choose_at (const egs_t *egs, uint64_t now_us, uint64_t affinity)
+choose_at (const egs_t *engines, uint64_t now_us, uint64_t affinity)
 {
-  return spr_choose (egs_list (egs, g_intern_static_string ("pool")), now_us,
+  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), now_us,
                      &(spr_request_t){ .affinity = affinity, .data_center = HERE });
 }
 
 static spr_choice_t
-choose (const egs_t *egs, uint64_t affinity)
+choose (const egs_t *engines, uint64_t affinity)
 {
-  return choose_at (egs, NOW_US, affinity);
+  return choose_at (engines, NOW_US, affinity);
 }
 
 static void
-load (egn_t *egn, uint32_t count)
+load (egn_t *engine, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    egn_begin (egn, NOW_US);
+    egn_begin (engine, NOW_US);
 }
 
 static void
-unload (egs_t *egs, uint32_t engines)
+unload (egs_t *engines, uint32_t count)
 {
-  for (uint32_t i = 0; i < engines; i++)
+  for (uint32_t i = 0; i < count; i++)
     {
       char id[16];
-      egn_t *egn;
+      egn_t *engine;
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn = egs_find (egs, id);
-      while (egn && egn->own > 0)
-        egn_end (egn);
+      engine = egs_find (engines, id);
+      while (engine && engine->own > 0)
+        egn_end (engine);
     }
 }
 
 static egn_t *
-put_start (egs_t *egs, const char *id, uint64_t born_ms, egn_state_t state)
+put_start (egs_t *engines, const char *id, uint64_t born_ms, egn_state_t state)
 {
   egn_entry_t entry = {
     .service = g_intern_static_string ("pool"), .born_ms = born_ms, .slots = 8, .state = state
@@ -80,16 +80,16 @@
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, HERE, sizeof entry.data_center);
-  return egs_put (egs, NOW_US, &entry);
+  return egs_put (engines, NOW_US, &entry);
 }
 
-/* An engine crashes and starts again under its id. Its cache is empty, its load and its failures
- * are those of the process before, whose last request still holds on to it. */
+/* Guards against an engine that restarted under its id being treated as the process before it,
+ * whose load and failures don't apply and whose last request still has a reference. */
 static void
-test_restarted_engine_is_another_one (void)
+test_restarted_engine_is_a_new_one (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *before = put_start (egs, "e0", 7, EGN_READY);
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *before = put_start (engines, "e0", 7, EGN_READY);
   uint64_t hash = before->hash;
   egn_t *after;
 
@@ -98,45 +98,46 @@
   for (uint32_t i = 0; i < EGN_FAILURES; i++)
     egn_failed (before, NOW_US);
   egn_paced (before, NOW_US, 9000);
-  after = put_start (egs, "e0", 8, EGN_READY);
+  after = put_start (engines, "e0", 8, EGN_READY);
   CU_ASSERT (after != before && after->hash != hash);
   CU_ASSERT_EQUAL (after->rank_hash, before->rank_hash);
   CU_ASSERT_EQUAL (egn_load_now (after, NOW_US, 0), 0);
   CU_ASSERT (!egn_is_skipped (after, NOW_US, false));
   CU_ASSERT_EQUAL (egn_pace_now (after, NOW_US), 1000);
   CU_ASSERT_EQUAL (egn_errors_now (after, NOW_US), 0);
-  CU_ASSERT_EQUAL (after->since_us, NOW_US);
-  CU_ASSERT_EQUAL (egs_count (egs), 3);
+  CU_ASSERT_EQUAL (after->joined_us, NOW_US);
+  CU_ASSERT_EQUAL (egs_count (engines), 3);
   egn_end (before);
 }
 
-/* The store tells late what the process before had written: that it leaves. The new one goes on. */
+/* Guards against a delayed entry of an engine's earlier process, which was leaving, stopping the
+ * requests to the new one. */
 static void
 test_late_entry_of_an_older_start_changes_nothing (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *engine = put_start (egs, "e0", 8, EGN_READY);
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = put_start (engines, "e0", 8, EGN_READY);
 
-  CU_ASSERT_PTR_EQUAL (put_start (egs, "e0", 7, EGN_LEAVING), engine);
+  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 7, EGN_LEAVING), engine);
   CU_ASSERT (egn_is_open (engine));
-  CU_ASSERT_PTR_EQUAL (put_start (egs, "e0", 8, EGN_LEAVING), engine);
+  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 8, EGN_LEAVING), engine);
   CU_ASSERT (!egn_is_open (engine));
 }
 
 static void
 test_shared_part_has_one_home (void)
 {
-  g_autoptr (egs_t) egs = make_engines (6);
+  g_autoptr (egs_t) engines = make_engines (6);
   uint32_t homes[6] = { 0 };
 
   for (uint64_t affinity = 1; affinity <= 600; affinity++)
     {
-      spr_choice_t first = choose (egs, affinity);
+      spr_choice_t first = choose (engines, affinity);
 
       CU_ASSERT_EQUAL (first.action, SPR_SEND);
       CU_ASSERT_EQUAL (first.rank, 0);
       CU_ASSERT (first.source && first.source != first.engine);
-      CU_ASSERT_PTR_EQUAL (choose (egs, affinity).engine, first.engine);
+      CU_ASSERT_PTR_EQUAL (choose (engines, affinity).engine, first.engine);
       homes[atoi (first.engine->entry.id + 1)]++;
     }
   for (uint32_t i = 0; i < 6; i++)
@@ -144,113 +145,116 @@
 }
 
 /*
- * One part gets a third of all requests. Its home goes to the bound and no further; the next in
- * rank takes the rest, and is told to copy the part from the home in place of reading it again.
+ * Guards against a popular prompt part overloading its home. The home gets requests up to the
+ * bound; the next in rank gets the rest, and copies the part from the home instead of reading it
+ * again.
  */
 static void
 test_hot_part_spills_at_the_bound (void)
 {
-  g_autoptr (egs_t) egs = make_engines (6);
-  egn_t *home = choose (egs, 42).engine;
-  egn_t *home_source = choose (egs, 42).source;
+  g_autoptr (egs_t) engines = make_engines (6);
+  egn_t *home = choose (engines, 42).engine;
+  egn_t *home_source = choose (engines, 42).source;
   spr_choice_t spill;
 
-  while (choose (egs, 42).engine == home)
+  while (choose (engines, 42).engine == home)
     egn_begin (home, NOW_US);
-  spill = choose (egs, 42);
+  spill = choose (engines, 42);
   CU_ASSERT (home->own <= 2 * SPR_BOUND_MORE_MILLI / 1000 + 1);
   CU_ASSERT_EQUAL (spill.rank, 1);
   CU_ASSERT_PTR_EQUAL (spill.source, home);
   CU_ASSERT_PTR_EQUAL (spill.engine, home_source);
-  unload (egs, 6);
+  unload (engines, 6);
 }
 
 /*
- * An engine is replaced: the new one ranks first for parts whose former home still has them. For a
- * while the former home is the source, also while it takes no new work; later the next in rank is.
+ * Guards against an engine that joins reading the parts it ranks first for anew, although their
+ * former home has them. The former home is the copy source for a while, also when it takes no new
+ * requests; later the next in rank is.
  */
 static void
 test_new_home_copies_from_the_former (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *former = choose (egs, 7).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *former = choose (engines, 7).engine;
   egn_t *joined = NULL;
   spr_choice_t later;
   char id[16];
 
-  for (uint32_t i = 0; choose (egs, 7).engine == former; i++)
+  for (uint32_t i = 0; choose (engines, 7).engine == former; i++)
     {
       g_snprintf (id, sizeof id, "n%u", i);
-      joined = put (egs, id, EGN_READY);
+      joined = put (engines, id, EGN_READY);
     }
-  CU_ASSERT_PTR_EQUAL (choose (egs, 7).engine, joined);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 7).source, former);
-  put (egs, former->entry.id, EGN_LEAVING);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 7).source, former);
-  egs_gone (egs, former->entry.id);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 7).source, former);
-  later = choose_at (egs, NOW_US + SPR_NEW_US, 7);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 7).engine, joined);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 7).source, former);
+  put (engines, former->entry.id, EGN_LEAVING);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 7).source, former);
+  egs_gone (engines, former->entry.id);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 7).source, former);
+  later = choose_at (engines, NOW_US + SPR_NEW_US, 7);
   CU_ASSERT (later.engine == joined && later.source && later.source != former);
   CU_ASSERT_PTR_NOT_EQUAL (later.source, joined);
 }
 
 static void
-test_leaving_engine_gets_nothing (void)
+test_leaving_engine_gets_no_requests (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
+  g_autoptr (egs_t) engines = make_engines (2);
 
-  put (egs, "e0", EGN_LEAVING);
+  put (engines, "e0", EGN_LEAVING);
   for (uint64_t affinity = 0; affinity < 50; affinity++)
-    CU_ASSERT_STRING_EQUAL (choose (egs, affinity).engine->entry.id, "e1");
-  put (egs, "e1", EGN_LEAVING);
-  CU_ASSERT_EQUAL (choose (egs, 1).action, SPR_NONE);
+    CU_ASSERT_STRING_EQUAL (choose (engines, affinity).engine->entry.id, "e1");
+  put (engines, "e1", EGN_LEAVING);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_NONE);
 }
 
 static void
-test_full_engines_make_it_wait (void)
+test_request_waits_while_engines_are_full (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
+  g_autoptr (egs_t) engines = make_engines (2);
 
-  load (egs_find (egs, "e0"), 8);
-  load (egs_find (egs, "e1"), 8);
-  CU_ASSERT_EQUAL (choose (egs, 1).action, SPR_WAIT);
-  egn_end (egs_find (egs, "e0"));
-  CU_ASSERT_STRING_EQUAL (choose (egs, 1).engine->entry.id, "e0");
-  unload (egs, 2);
+  load (egs_find (engines, "e0"), 8);
+  load (egs_find (engines, "e1"), 8);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_WAIT);
+  egn_end (egs_find (engines, "e0"));
+  CU_ASSERT_STRING_EQUAL (choose (engines, 1).engine->entry.id, "e0");
+  unload (engines, 2);
 }
 
-/* Other routers' requests count as the engine tells them, less and less as that grows old. */
+/* Requests of other gateways count as the engine reported them, with a weight that falls with age.
+ */
 static void
-test_told_load_counts_and_ages (void)
+test_reported_load_counts_and_ages (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
-  egn_t *busy = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (2);
+  egn_t *busy = egs_find (engines, "e0");
 
   egn_told (busy, NOW_US, &(egn_load_t){ .running = 6, .waiting = 2, .slots = 8 });
   CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US, 0), 8);
-  CU_ASSERT_STRING_EQUAL (choose (egs, 0).engine->entry.id, "e1");
+  CU_ASSERT_STRING_EQUAL (choose (engines, 0).engine->entry.id, "e1");
   CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US + EGN_TOLD_US, 0), 4);
   CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US + 100 * EGN_TOLD_US, 0), 0);
 }
 
-/* Guards against requests that are late, as they are sent to a host on which work takes thrice as
- * long just now; what it told a while ago says little of now. */
+/* Guards against late requests because they are sent to a host on which work currently takes three
+ * times as long, and against an old report of a slowdown keeping requests away. */
 static void
-test_told_effort_counts_and_fades (void)
+test_reported_slowdown_counts_and_decays (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
-  egn_t *slow = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (2);
+  egn_t *slow = egs_find (engines, "e0");
   egn_load_t told = { .running = 1, .slots = 8, .effort_percent = 300 };
 
   egn_told (slow, NOW_US, &told);
   told.running = 2;
   told.effort_percent = 100;
-  egn_told (egs_find (egs, "e1"), NOW_US, &told);
-  CU_ASSERT_STRING_EQUAL (choose (egs, 0).engine->entry.id, "e1");
+  egn_told (egs_find (engines, "e1"), NOW_US, &told);
+  CU_ASSERT_STRING_EQUAL (choose (engines, 0).engine->entry.id, "e1");
   CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US), 300);
   CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US + EGN_EFFORT_HALF_US), 200);
   CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US + 40 * EGN_EFFORT_HALF_US), EGN_EFFORT_USUAL);
-  CU_ASSERT_STRING_EQUAL (choose_at (egs, NOW_US + 4 * EGN_EFFORT_HALF_US, 0).engine->entry.id,
+  CU_ASSERT_STRING_EQUAL (choose_at (engines, NOW_US + 4 * EGN_EFFORT_HALF_US, 0).engine->entry.id,
                           "e0");
   told.effort_percent = 0;
   egn_told (slow, NOW_US, &told);
@@ -258,64 +262,65 @@
 }
 
 /*
- * An engine refuses connections. After two failures in a row it gets no more requests but one probe
- * when its time has come; when it answers it is as the others.
+ * An engine refuses connections. After two consecutive failures it is ejected and gets a single
+ * probe when the ejection ends; once it answers it gets requests as before.
  */
 static void
-test_failing_engine_is_put_aside (void)
+test_failing_engine_is_ejected (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *bad = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *ejected = choose (engines, 9).engine;
 
-  egn_failed (bad, NOW_US);
-  egn_failed (bad, NOW_US);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, bad);
-  CU_ASSERT (!egn_is_skipped (bad, NOW_US + EGN_SKIP_MIN_US, true));
-  egn_probe (bad, NOW_US + EGN_SKIP_MIN_US);
-  CU_ASSERT (egn_is_skipped (bad, NOW_US + EGN_SKIP_MIN_US + 1, true));
+  egn_failed (ejected, NOW_US);
+  egn_failed (ejected, NOW_US);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, ejected);
+  CU_ASSERT (!egn_is_skipped (ejected, NOW_US + EGN_SKIP_MIN_US, true));
+  egn_probe (ejected, NOW_US + EGN_SKIP_MIN_US);
+  CU_ASSERT (egn_is_skipped (ejected, NOW_US + EGN_SKIP_MIN_US + 1, true));
   for (uint32_t i = 0; i < 20; i++)
-    egn_worked (bad, NOW_US, false);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 9).engine, bad);
+    egn_worked (ejected, NOW_US, false);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, ejected);
 }
 
-/* All engines of a service look lost: more likely this router is cut off. It goes on trying. */
+/* When all engines of a service fail, it is more likely that this gateway has lost its network, so
+ * it keeps sending. */
 static void
-test_router_distrusts_its_own_view (void)
+test_ejections_of_all_engines_are_ignored (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
+  g_autoptr (egs_t) engines = make_engines (3);
 
   for (uint32_t i = 0; i < 3; i++)
     {
       char id[16];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_failed (egs_find (egs, id), NOW_US);
-      egn_failed (egs_find (egs, id), NOW_US);
+      egn_failed (egs_find (engines, id), NOW_US);
+      egn_failed (egs_find (engines, id), NOW_US);
     }
-  CU_ASSERT_EQUAL (choose (egs, 1).action, SPR_SEND);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_SEND);
 }
 
 static void
-test_erring_engine_goes_last (void)
+test_failing_answers_put_an_engine_last (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *grey = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *failing = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 8; i++)
-    egn_worked (grey, NOW_US, true);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, grey);
-  CU_ASSERT_EQUAL (choose (egs, 9).action, SPR_SEND);
+    egn_worked (failing, NOW_US, true);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, failing);
+  CU_ASSERT_EQUAL (choose (engines, 9).action, SPR_SEND);
 }
 
 /*
- * All engines fail half of their requests for some seconds, then all are sound again. Callers see
- * that a few engines get everything and the others nothing, as those that are not asked cannot show
- * that they work. What is held against an engine must fade, and count only against the others'.
+ * Guards against a few engines getting all requests after all engines failed half of theirs for
+ * some seconds, as engines that are not called can't show that they work again. An error rate must
+ * decay, and count only in comparison with the other engines'.
  */
 static void
-test_errors_of_all_put_none_aside (void)
+test_errors_of_all_engines_put_none_last (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
+  g_autoptr (egs_t) engines = make_engines (12);
   uint32_t got[12] = { 0 };
 
   for (uint32_t i = 0; i < 12; i++)
@@ -324,87 +329,87 @@
 
       g_snprintf (id, sizeof id, "e%u", i);
       for (uint32_t k = 0; k < 8; k++)
-        egn_worked (egs_find (egs, id), NOW_US, i > 3 || k % 2 == 0);
+        egn_worked (egs_find (engines, id), NOW_US, i > 3 || k % 2 == 0);
     }
   for (uint64_t affinity = 1; affinity <= 1200; affinity++)
-    got[atoi (choose (egs, affinity).engine->entry.id + 1)]++;
+    got[atoi (choose (engines, affinity).engine->entry.id + 1)]++;
   for (uint32_t i = 0; i < 12; i++)
     CU_ASSERT (got[i] > 40);
 }
 
 static void
-test_errors_fade (void)
+test_error_rate_decays (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *grey = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *failing = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 30; i++)
-    egn_worked (grey, NOW_US, true);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, grey);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, grey);
+    egn_worked (failing, NOW_US, true);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, failing);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, failing);
 }
 
-/* Engines that err are not asked, and the sound ones are all over the bound: rather one that errs
- * than one that is overloaded, whose other requests would wait too. */
+/* When all engines without errors are over the bound, one with errors is chosen rather than an
+ * overloaded one, whose other requests would be delayed too. */
 static void
-test_bound_goes_before_doubt (void)
+test_degraded_engine_is_preferred_to_overloaded (void)
 {
-  g_autoptr (egs_t) egs = make_engines (4);
+  g_autoptr (egs_t) engines = make_engines (4);
 
   for (uint32_t i = 0; i < 30; i++)
-    egn_worked (egs_find (egs, "e0"), NOW_US, true);
-  load (egs_find (egs, "e1"), 7);
-  load (egs_find (egs, "e2"), 7);
-  load (egs_find (egs, "e3"), 7);
-  egn_entry_t idle = egs_find (egs, "e0")->entry;
+    egn_worked (egs_find (engines, "e0"), NOW_US, true);
+  load (egs_find (engines, "e1"), 7);
+  load (egs_find (engines, "e2"), 7);
+  load (egs_find (engines, "e3"), 7);
+  egn_entry_t idle = egs_find (engines, "e0")->entry;
   for (uint32_t i = 0; i < 8; i++)
     {
       g_snprintf (idle.id, sizeof idle.id, "x%u", i);
       idle.state = EGN_READY;
-      egs_put (egs, NOW_US, &idle);
+      egs_put (engines, NOW_US, &idle);
       for (uint32_t k = 0; k < 30; k++)
-        egn_worked (egs_find (egs, idle.id), NOW_US, true);
+        egn_worked (egs_find (engines, idle.id), NOW_US, true);
     }
-  CU_ASSERT_EQUAL (choose (egs, 0).load, 0);
-  unload (egs, 4);
+  CU_ASSERT_EQUAL (choose (engines, 0).load, 0);
+  unload (engines, 4);
 }
 
 static void
 test_tried_engines_are_left_out (void)
 {
-  g_autoptr (egs_t) egs = make_engines (2);
-  uint64_t tried[2] = { egs_find (egs, "e0")->hash, egs_find (egs, "e1")->hash };
+  g_autoptr (egs_t) engines = make_engines (2);
+  uint64_t tried[2] = { egs_find (engines, "e0")->hash, egs_find (engines, "e1")->hash };
   spr_request_t request = { .data_center = HERE, .tried = tried, .tried_count = 1 };
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
 
   CU_ASSERT_STRING_EQUAL (spr_choose (list, NOW_US, &request).engine->entry.id, "e1");
   request.tried_count = 2;
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_NONE);
 }
 
-/* The registry lets go of an engine while a request is there: the engine lives until it ends. */
+/* An engine that the registry removes is kept until its last request ends. */
 static void
 test_engine_outlives_its_entry (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *egn = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = egs_find (engines, "e0");
 
-  egn_begin (egn, NOW_US);
-  egs_gone (egs, "e0");
-  CU_ASSERT_EQUAL (egn->entry.state, EGN_GONE);
-  CU_ASSERT_EQUAL (egs_count (egs), 0);
-  egn_end (egn);
+  egn_begin (engine, NOW_US);
+  egs_gone (engines, "e0");
+  CU_ASSERT_EQUAL (engine->entry.state, EGN_GONE);
+  CU_ASSERT_EQUAL (egs_count (engines), 0);
+  egn_end (engine);
 }
 
 /*
- * Load: 12 engines, 85 shared parts asked for with skew, 40 requests under way at a time, far from
- * full. Beside it the plain baseline: hashing without a bound. The bound keeps each engine below
- * twice the mean and three more; nearly all requests still go to their part's home.
+ * Load test with 12 engines, 85 prompt parts of uneven popularity and 40 concurrent requests, far
+ * from full, compared with hashing without a bound. The bound keeps each engine below the overload
+ * limit of twice the mean plus three, and most requests still go to their part's home.
  */
 static void
-test_skewed_parts_stay_below_the_cap (void)
+test_skewed_parts_stay_below_the_limit (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
+  g_autoptr (egs_t) engines = make_engines (12);
   g_autoptr (GRand) rand = g_rand_new_with_seed (7);
   egn_t *under_way[40] = { NULL };
   uint32_t at_home = 0;
@@ -415,7 +420,7 @@
   for (uint32_t i = 0; i < 4000; i++)
     {
       uint64_t affinity = 1 + (uint64_t)(85 * g_rand_double (rand) * g_rand_double (rand));
-      spr_choice_t choice = choose (egs, affinity);
+      spr_choice_t choice = choose (engines, affinity);
       uint32_t slot = i % 40;
       uint32_t same = 0;
 
@@ -441,95 +446,95 @@
 }
 
 /*
- * An engine goes dark: it takes requests and answers none. Their callers wait until their
- * deadlines, and as nothing fails, and no load is told, more and more follow them. It goes last
- * once it has brought nothing for a while, gets a single request later, and is as the others when
- * it answers.
+ * Guards against an engine that accepts requests and answers none. Nothing fails before the
+ * deadlines and no load is reported, so more and more requests would go there. It is used last once
+ * it has sent nothing for a while, gets a single request later, and is used again when it answers.
  */
 static void
 test_silent_engine_goes_last (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *dark = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *silent = choose (engines, 9).engine;
   uint64_t silent_us = NOW_US + EGN_SILENT_US;
   uint64_t probe_us = silent_us + EGN_SILENT_PROBE_US + EGN_RISK_US;
 
-  egn_begin (dark, NOW_US);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, silent_us - 1, 9).engine, dark);
-  CU_ASSERT_PTR_NOT_EQUAL (choose_at (egs, silent_us, 9).engine, dark);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, probe_us, 9).engine, dark);
-  egn_begin (dark, probe_us);
-  CU_ASSERT_PTR_NOT_EQUAL (choose_at (egs, probe_us + 1, 9).engine, dark);
-  dark->heard_us = probe_us + 2;
-  egn_end (dark);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, probe_us + 3, 9).engine, dark);
-  unload (egs, 3);
+  egn_begin (silent, NOW_US);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, silent_us - 1, 9).engine, silent);
+  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, silent_us, 9).engine, silent);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us, 9).engine, silent);
+  egn_begin (silent, probe_us);
+  CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, probe_us + 1, 9).engine, silent);
+  silent->heard_us = probe_us + 2;
+  egn_end (silent);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us + 3, 9).engine, silent);
+  unload (engines, 3);
 }
 
-/* A service's answers take two seconds to begin. An engine that has brought nothing for one is not
- * silent for that, and keeps the prompts it has in its cache. */
+/* Where answers usually take two seconds to begin, an engine that has sent nothing for one second
+ * is not silent, and still gets the prompts that it has cached. */
 static void
-test_silence_is_measured_by_the_usual (void)
+test_silence_depends_on_usual_time (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (3);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .head_us = 2 * CLK_US_PER_S };
-  egn_t *home = choose (egs, 9).engine;
+  egn_t *home = choose (engines, 9).engine;
 
   egn_begin (home, NOW_US);
   CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US + CLK_US_PER_S, &request).engine, home);
   CU_ASSERT_PTR_NOT_EQUAL (
       spr_choose (list, NOW_US + EGN_SILENT_FACTOR * request.head_us, &request).engine, home);
-  unload (egs, 3);
+  unload (engines, 3);
 }
 
-/* An engine was put aside, and a probe is due. What may go on at another engine is the probe; a
- * request that would be lost with it goes to one that works. */
+/* When a probe of an ejected engine is due, only a request that can be repeated at another engine
+ * serves as the probe; one that would be lost goes to a working engine. */
 static void
-test_probe_is_what_may_go_on (void)
+test_probe_is_a_repeatable_request (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *bad = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *ejected = choose (engines, 9).engine;
   uint64_t due_us = NOW_US + EGN_SKIP_MIN_US;
   spr_request_t request = { .affinity = 9, .data_center = HERE };
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
 
-  egn_failed (bad, NOW_US);
-  egn_failed (bad, NOW_US);
-  bad->error_milli = 0;
-  CU_ASSERT_PTR_NOT_EQUAL (spr_choose (list, due_us, &request).engine, bad);
+  egn_failed (ejected, NOW_US);
+  egn_failed (ejected, NOW_US);
+  ejected->error_rate_milli = 0;
+  CU_ASSERT_PTR_NOT_EQUAL (spr_choose (list, due_us, &request).engine, ejected);
   request.repeatable = true;
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us, &request).engine, bad);
+  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us, &request).engine, ejected);
   request.repeatable = false;
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us + EGN_RISK_US, &request).engine, bad);
+  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us + EGN_RISK_US, &request).engine, ejected);
 }
 
-/* An engine takes six times as long as the others. It goes last, and is asked again when that has
- * faded, as nobody can tell otherwise whether it is still slow. */
+/* An engine that takes six times as long as the others is used last. It is called again once the
+ * latency ratio has decayed, as nothing else shows whether it is still slow. */
 static void
 test_slow_engine_goes_last (void)
 {
-  g_autoptr (egs_t) egs = make_engines (3);
-  egn_t *slow = choose (egs, 9).engine;
+  g_autoptr (egs_t) engines = make_engines (3);
+  egn_t *slow = choose (engines, 9).engine;
 
   egn_paced (slow, NOW_US, 1100);
-  CU_ASSERT_PTR_EQUAL (choose (egs, 9).engine, slow);
+  CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, slow);
   egn_paced (slow, NOW_US, 6000);
-  CU_ASSERT_PTR_NOT_EQUAL (choose (egs, 9).engine, slow);
-  CU_ASSERT_PTR_EQUAL (choose_at (egs, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, slow);
+  CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, slow);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, slow);
 }
 
 /*
- * Two of three plain engines are lost, and 22 gateways share the six slots of the third. Each
- * learns late that a slot is free. Callers heard 503 while it stood idle; now each gateway keeps
- * one more there, which the engine queues, until the engine says that it is full.
+ * Guards against 503 answers while slots are idle. With two of three engines lost, 22 gateways
+ * share the six slots of the third, and each learns late that a slot is free. Each gateway
+ * therefore keeps one more request there, which the engine queues, until the engine refuses one
+ * because it is full.
  */
 static void
 test_each_gateway_keeps_its_share_of_few_slots (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *engine = egs_find (egs, "e0");
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = egs_find (engines, "e0");
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .data_center = HERE, .gateways = 22 };
 
   egn_told (engine, NOW_US, &(egn_load_t){ .running = 6, .waiting = 8, .slots = 6 });
@@ -541,17 +546,17 @@
   egn_full (engine, NOW_US);
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_WAIT);
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US + EGN_FULL_US, &request).action, SPR_SEND);
-  unload (egs, 1);
+  unload (engines, 1);
 }
 
-/* Guards against gateways that each send all they have to a full engine as soon as it tells of one
- * free slot. */
+/* Guards against gateways that each send all their requests to a full engine as soon as it reports
+ * one free slot. */
 static void
-test_refusals_cut_what_a_gateway_has_at_an_engine (void)
+test_refusals_reduce_the_window (void)
 {
-  g_autoptr (egs_t) egs = make_engines (1);
-  egn_t *engine = egs_find (egs, "e0");
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (1);
+  egn_t *engine = egs_find (engines, "e0");
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   const egn_load_t one_free = { .running = 15, .slots = 16 };
   spr_request_t request = { .data_center = HERE, .gateways = 2, .run_us = 3000, .head_us = 3000 };
 
@@ -570,95 +575,96 @@
   for (uint32_t i = 0; i < 9; i++)
     egn_worked (engine, NOW_US, false);
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
-  unload (egs, 1);
+  unload (engines, 1);
 }
 
 /*
- * An overload is over. Some engines were full when they last told their load and were not asked
- * since; the others are nearly idle and tell so. The old figures must neither raise the bound of
- * the others, which would then carry all, nor keep the first ones out for long.
+ * After an overload some engines have not been called since they reported that they were full; the
+ * others report that they are nearly idle. The old reports must neither raise the bound of the
+ * others, which would then get all requests, nor keep requests away from the first for long.
  */
 static void
-test_old_loads_neither_raise_the_bound_nor_stay (void)
+test_old_reports_neither_raise_the_bound_nor_persist (void)
 {
-  g_autoptr (egs_t) egs = make_engines (6);
+  g_autoptr (egs_t) engines = make_engines (6);
   const egn_load_t full = { .running = 100, .slots = 128 };
   const egn_load_t idle = { .running = 4, .slots = 128 };
   uint64_t later_us = NOW_US + 4 * EGN_TOLD_US;
-  uint32_t old_ones = 0;
+  uint32_t at_old_report = 0;
 
   for (uint32_t i = 0; i < 6; i++)
     {
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_told (egs_find (egs, id), i < 3 ? NOW_US : later_us, i < 3 ? &full : &idle);
+      egn_told (egs_find (engines, id), i < 3 ? NOW_US : later_us, i < 3 ? &full : &idle);
     }
-  CU_ASSERT (choose_at (egs, later_us, 1).mean_milli < 12000);
+  CU_ASSERT (choose_at (engines, later_us, 1).mean_milli < 12000);
   for (uint64_t affinity = 1; affinity <= 60; affinity++)
-    old_ones += choose_at (egs, later_us + 2 * EGN_TOLD_US, affinity).engine->hash ==
-                        egs_find (egs, "e0")->hash
-                    ? 1
-                    : 0;
-  CU_ASSERT (old_ones > 0);
+    at_old_report += choose_at (engines, later_us + 2 * EGN_TOLD_US, affinity).engine->hash ==
+                             egs_find (engines, "e0")->hash
+                         ? 1
+                         : 0;
+  CU_ASSERT (at_old_report > 0);
 }
 
-/* A router asks an engine of which it has heard nothing for seconds. It counts as one like the
- * others, and not as empty: else each router in turn sends there what the bound should hold back.
- */
+/* Guards against an engine without a recent report being taken for empty: each gateway in turn
+ * would send it requests beyond the bound. It is assumed to have the usual load. */
 static void
-test_unknown_load_is_the_usual_one (void)
+test_unknown_load_is_assumed_usual (void)
 {
-  g_autoptr (egs_t) egs = make_engines (8);
-  egn_t *unknown = egs_find (egs, "e0");
+  g_autoptr (egs_t) engines = make_engines (8);
+  egn_t *unknown = egs_find (engines, "e0");
 
   for (uint32_t i = 1; i < 8; i++)
     {
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_told (egs_find (egs, id), NOW_US, &(egn_load_t){ .running = 10, .slots = 128 });
+      egn_told (egs_find (engines, id), NOW_US, &(egn_load_t){ .running = 10, .slots = 128 });
     }
   for (uint64_t affinity = 0; affinity <= 100; affinity++)
-    CU_ASSERT (choose (egs, affinity).engine != unknown || choose (egs, affinity).load >= 9);
+    CU_ASSERT (choose (engines, affinity).engine != unknown ||
+               choose (engines, affinity).load >= 9);
 }
 
-/* Return: of 100 prompts those that go to the first @lapsed of twelve engines */
+/* Return: how many of 100 prompts go to the first @expired of twelve engines, whose entries expired
+ */
 static uint32_t
-sent_to_lapsed (uint32_t lapsed)
+count_sent_to_expired (uint32_t expired)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
+  g_autoptr (egs_t) engines = make_engines (12);
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < lapsed; i++)
+  for (uint32_t i = 0; i < expired; i++)
     {
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egs_lapsed (egs, id);
+      egs_lapsed (engines, id);
     }
   for (uint64_t affinity = 1; affinity <= 100; affinity++)
-    count += choose (egs, affinity).engine->lapsed ? 1 : 0;
+    count += choose (engines, affinity).engine->entry_expired ? 1 : 0;
   return count;
 }
 
-/* Guards against requests to an engine that left unheard, and against a service that has lost its
- * engines in an outage. */
+/* Guards against requests to an engine that left while nobody could read the store, and against a
+ * service losing all its engines because their entries expired in an outage of the store. */
 static void
-test_engines_that_lapsed_are_asked_where_many_did (void)
+test_expired_engines_are_used_when_many_expired (void)
 {
-  CU_ASSERT_EQUAL (sent_to_lapsed (1), 0);
-  CU_ASSERT_EQUAL (sent_to_lapsed (4), 0);
-  CU_ASSERT (sent_to_lapsed (5) > 20);
-  CU_ASSERT_EQUAL (sent_to_lapsed (12), 100);
+  CU_ASSERT_EQUAL (count_sent_to_expired (1), 0);
+  CU_ASSERT_EQUAL (count_sent_to_expired (4), 0);
+  CU_ASSERT (count_sent_to_expired (5) > 20);
+  CU_ASSERT_EQUAL (count_sent_to_expired (12), 100);
 }
 
 /* Return: how many of 100 gateways send a prompt with a part of @tokens to its first home */
 static uint32_t
-at_first_home (uint32_t gateways, uint32_t tokens)
+count_at_first_home (uint32_t gateways, uint32_t tokens)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (12);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways };
   egn_t *home = spr_choose (list, NOW_US, &request).engine;
   uint32_t count = 0;
@@ -673,26 +679,26 @@
 }
 
 /*
- * A hundred gateways start, and none knows how full the home of a popular part is. Were all to
- * begin there it would hold several times the mean before anybody hears of it. Half of them begin
- * at the second home, if the part is small; where a gateway has a slot or more of each engine it
- * hears of them often enough.
+ * Guards against a hundred gateways that start together all sending a popular part to its home: it
+ * would have several times the mean load before any gateway gets a report. If the part is small,
+ * half of them begin at its second home. Gateways with a share of one slot or more at each engine
+ * get reports often enough.
  */
 static void
-test_small_parts_have_two_homes_where_little_is_known (void)
+test_small_parts_have_two_homes_where_reports_are_rare (void)
 {
-  uint32_t many = at_first_home (100, SPR_SMALL_TOKENS);
+  uint32_t many = count_at_first_home (100, SPR_SMALL_TOKENS);
 
   CU_ASSERT (many >= 30 && many <= 70);
-  CU_ASSERT_EQUAL (at_first_home (100, SPR_SMALL_TOKENS + 1), 100);
-  CU_ASSERT_EQUAL (at_first_home (4, SPR_SMALL_TOKENS), 100);
-  CU_ASSERT_EQUAL (at_first_home (100, 0), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (100, SPR_SMALL_TOKENS + 1), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (4, SPR_SMALL_TOKENS), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (100, 0), 100);
 }
 
-/* Load with one home that is far over the mean, at 4 gateways and at 22: the more there are, the
- * sooner the next in rank takes over; and with nearly full engines sooner than with idle ones. */
+/* A home far over the mean hands over to the next in rank at a lower load with 22 gateways than
+ * with 4, and with nearly full engines than with idle ones. */
 static void
-test_margin_goes_with_gateways_and_free_slots (void)
+test_margin_falls_with_gateways_and_rises_with_free_slots (void)
 {
   const uint32_t gateways[] = { 4, 22, 4 };
   const uint32_t loads[] = { 10, 10, 100 };
@@ -700,8 +706,8 @@
 
   for (uint32_t i = 0; i < 3; i++)
     {
-      g_autoptr (egs_t) egs = make_engines (12);
-      const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+      g_autoptr (egs_t) engines = make_engines (12);
+      const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
       spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways[i] };
       egn_t *home = spr_choose (list, NOW_US, &request).engine;
 
@@ -711,17 +717,17 @@
       while (spr_choose (list, NOW_US, &request).engine == home)
         egn_begin (home, NOW_US);
       margins[i] = home->own * 1000 / loads[i];
-      unload (egs, 12);
+      unload (engines, 12);
     }
   CU_ASSERT (margins[1] > 0 && margins[1] < margins[0]);
   CU_ASSERT (margins[2] > 0 && margins[2] < margins[0] / 2);
 }
 
 #define FLEET_ENGINES 40
-#define FLEET_LOAD 11 /* of each engine that has load */
+#define FLEET_LOAD 11 /* requests at each engine in use */
 #define FLEET_IDLE 13
 
-/* Return: requests at the home of a part once it goes elsewhere */
+/* Fills the home of a part until the part goes elsewhere. Return: requests at the home */
 static uint32_t
 fill_home_at (const GPtrArray *list, uint64_t now_us)
 {
@@ -740,7 +746,7 @@
 }
 
 static void
-tell_all (const GPtrArray *list, uint64_t now_us)
+report_all_loads (const GPtrArray *list, uint64_t now_us)
 {
   for (guint k = 0; k < list->len; k++)
     egn_told (g_ptr_array_index (list, k), now_us,
@@ -749,51 +755,52 @@
 
 #define LATER_US (NOW_US + 10 * SPR_IDLE_US)
 
-/* Guards against requests to overloaded engines in the later seconds of a drain, which lasts as
- * long as operators want. A third of the engines stands idle, so twice the mean of the service and
- * three more is 17 requests where the others have 11 on average. 22 gateways that each kept a part
- * at its home up to their usual bound, 17, would send beyond it before they hear of each other. */
+/* Guards against requests to overloaded engines during a drain, which lasts as long as operators
+ * want. A third of the engines is idle, so the overload limit, twice the mean of the service plus
+ * three, is 17 requests, while the others have 11 on average. If 22 gateways kept a part at its
+ * home up to their usual bound, 17, they would exceed the limit before they learn of each other's
+ * requests. */
 static void
 test_idle_engines_narrow_the_bound (void)
 {
   uint32_t service_mean = (FLEET_ENGINES - FLEET_IDLE) * FLEET_LOAD / FLEET_ENGINES;
-  g_autoptr (egs_t) egs = make_engines (FLEET_ENGINES);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (FLEET_ENGINES);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   uint32_t usual;
   uint32_t narrowed;
 
-  tell_all (list, NOW_US);
+  report_all_loads (list, NOW_US);
   usual = fill_home (list);
-  unload (egs, FLEET_ENGINES);
+  unload (engines, FLEET_ENGINES);
   for (guint k = 0; k < FLEET_IDLE; k++)
     g_strlcpy (((egn_t *)g_ptr_array_index (list, k))->entry.data_center, "hall-2", LIM_NAME_BYTES);
-  egs_set_drained (egs, NOW_US, "hall-2", true);
+  egs_set_drained (engines, NOW_US, "hall-2", true);
   narrowed = fill_home (list);
   CU_ASSERT (usual >= FLEET_LOAD * 14 / 10);
   CU_ASSERT (narrowed > FLEET_LOAD);
   CU_ASSERT (narrowed <= (FLEET_LOAD + 2 * service_mean + 3) / 2);
-  unload (egs, FLEET_ENGINES);
-  tell_all (list, LATER_US);
+  unload (engines, FLEET_ENGINES);
+  report_all_loads (list, LATER_US);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
-  unload (egs, FLEET_ENGINES);
-  egs_set_drained (egs, LATER_US, "hall-2", false);
+  unload (engines, FLEET_ENGINES);
+  egs_set_drained (engines, LATER_US, "hall-2", false);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
-  unload (egs, FLEET_ENGINES);
-  tell_all (list, LATER_US);
+  unload (engines, FLEET_ENGINES);
+  report_all_loads (list, LATER_US);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), usual);
-  unload (egs, FLEET_ENGINES);
+  unload (engines, FLEET_ENGINES);
 }
 
 #define BUSY_ENGINES 20
 #define JOINED_ENGINES 15
 #define PARTS 200
 
-/* @busy: mean load of the engines that were there before, of 24 slots */
+/* Engines with a mean load of @busy of 24 slots, and others that have just joined. */
 static egs_t *
 make_engines_that_join (uint32_t busy)
 {
-  egs_t *egs = make_engines (BUSY_ENGINES);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  egs_t *engines = make_engines (BUSY_ENGINES);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
 
   for (guint k = 0; k < list->len; k++)
     egn_told (g_ptr_array_index (list, k), NOW_US,
@@ -803,78 +810,78 @@
       char id[16];
 
       g_snprintf (id, sizeof id, "joined%u", i);
-      put (egs, id, EGN_READY)->entry.slots = 24;
+      put (engines, id, EGN_READY)->entry.slots = 24;
     }
-  return egs;
+  return engines;
 }
 
 static egn_t *
-choose_by (const egs_t *egs, uint32_t gateways, uint64_t gateway_hash, uint64_t part)
+choose_by (const egs_t *engines, uint32_t gateways, uint64_t gateway_hash, uint64_t part)
 {
   spr_request_t request = {
     .affinity = part, .data_center = HERE, .gateways = gateways, .gateway_hash = gateway_hash
   };
 
-  return spr_choose (egs_list (egs, g_intern_static_string ("pool")), NOW_US, &request).engine;
+  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), NOW_US, &request).engine;
 }
 
-/* Return: of @PARTS choices, how many go to engines that have just joined */
+/* Return: how many of PARTS choices go to engines that have just joined */
 static uint32_t
-choices_of_joined (uint32_t busy)
+count_sent_to_joined (uint32_t busy)
 {
-  g_autoptr (egs_t) egs = make_engines_that_join (busy);
+  g_autoptr (egs_t) engines = make_engines_that_join (busy);
   uint32_t joined = 0;
 
   for (uint64_t part = 1; part <= PARTS; part++)
     {
-      const egn_t *egn = choose_by (egs, 103, part, part);
+      const egn_t *engine = choose_by (engines, 103, part, part);
 
-      joined += egn && egn->told_us == 0 ? 1 : 0;
+      joined += engine && engine->told_us == 0 ? 1 : 0;
     }
   return joined;
 }
 
-/* Guards against engines that stand idle after they joined in a burst, while those before them
- * carry it alone and are overloaded. */
+/* Guards against engines that join during a burst staying idle while the older ones are
+ * overloaded. */
 static void
 test_engines_that_join_take_their_share (void)
 {
   uint32_t share = PARTS * JOINED_ENGINES / (BUSY_ENGINES + JOINED_ENGINES);
 
-  CU_ASSERT (choices_of_joined (4) > share / 3);
-  CU_ASSERT (choices_of_joined (14) > share / 3);
-  CU_ASSERT (choices_of_joined (20) > share / 3);
+  CU_ASSERT (count_sent_to_joined (4) > share / 3);
+  CU_ASSERT (count_sent_to_joined (14) > share / 3);
+  CU_ASSERT (count_sent_to_joined (20) > share / 3);
 }
 
-/* Guards against all of many gateways sending to an engine that has joined before any of them hears
- * of it. */
+/* Guards against many gateways all sending to an engine that has joined before any of them gets a
+ * load report of it. */
 static void
-test_half_of_the_gateways_begin_at_an_engine_that_joined (void)
+test_half_of_the_gateways_use_a_joined_engine_first (void)
 {
-  g_autoptr (egs_t) egs = make_engines_that_join (4);
+  g_autoptr (egs_t) engines = make_engines_that_join (4);
   const egn_t *home = NULL;
   uint64_t part = 0;
   uint32_t few = 0;
   uint32_t many = 0;
 
   while (!home || home->told_us != 0)
-    home = choose_by (egs, 1, 0, ++part);
+    home = choose_by (engines, 1, 0, ++part);
   for (uint64_t gateway = 1; gateway <= PARTS; gateway++)
     {
-      few += choose_by (egs, 22, gateway, part) == home ? 1 : 0;
-      many += choose_by (egs, 103, gateway, part) == home ? 1 : 0;
+      few += choose_by (engines, 22, gateway, part) == home ? 1 : 0;
+      many += choose_by (engines, 103, gateway, part) == home ? 1 : 0;
     }
   CU_ASSERT_EQUAL (few, PARTS);
   CU_ASSERT (many > PARTS / 3 && many < PARTS * 2 / 3);
 }
 
-/* Four gateways know each other's loads well. A part stays at its home until that has nearly twice
- * the mean, and leaves it before the users' bound of twice the mean and three. */
+/* Four gateways get recent reports of all engines. A part stays at its home until that has nearly
+ * twice the mean, and leaves it before the overload limit of twice the mean plus three. */
 static void
 test_few_gateways_keep_parts_at_home (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (12);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 4 };
   egn_t *home = spr_choose (list, NOW_US, &request).engine;
   uint32_t mean;
@@ -886,20 +893,20 @@
   mean = (11 * 6 + 6 + home->own) / 12;
   CU_ASSERT (6 + home->own >= 2 * mean);
   CU_ASSERT (6 + home->own <= 2 * mean + 3);
-  unload (egs, 12);
+  unload (engines, 12);
 }
 
 /*
- * Three and a half times the traffic: nearly all slots are taken. An engine far down in rank has
- * one free. A request that took it would have its whole prompt read there, and so would all:
- * engines would do nothing else, and answer fewer than half. It waits for the first few in rank,
- * and goes to one of them as soon as that has room.
+ * Guards against engines spending an overload on reading prompts that others have cached. At three
+ * and a half times the usual traffic nearly all slots are taken. If each request took any free
+ * slot, its whole prompt would be read there, and fewer than half would be answered. A request
+ * waits for the first ranks of its part, and goes to one of them as soon as that has a free slot.
  */
 static void
-test_crowded_parts_keep_to_the_first_few (void)
+test_crowded_parts_keep_to_the_first_ranks (void)
 {
-  g_autoptr (egs_t) egs = make_engines (12);
-  const GPtrArray *list = egs_list (egs, g_intern_static_string ("pool"));
+  g_autoptr (egs_t) engines = make_engines (12);
+  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
   spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
   egn_t *few[SPR_FEW_HOMES];
   egn_t *far = NULL;
@@ -913,12 +920,12 @@
   request.tried_count = 0;
   for (guint k = 0; k < list->len; k++)
     {
-      egn_t *egn = g_ptr_array_index (list, k);
-      bool is_few = egn == few[0] || egn == few[1] || egn == few[2];
+      egn_t *engine = g_ptr_array_index (list, k);
+      bool is_few = engine == few[0] || engine == few[1] || engine == few[2];
 
-      egn_told (egn, NOW_US, &(egn_load_t){ .running = 8, .slots = 8 });
+      egn_told (engine, NOW_US, &(egn_load_t){ .running = 8, .slots = 8 });
       if (!is_few)
-        far = egn;
+        far = engine;
     }
   for (uint32_t i = 0; i < SPR_FEW_HOMES; i++)
     load (few[i], 2); /* as many as this gateway may keep in an engine's queue */
@@ -929,49 +936,49 @@
   CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US, &request).engine, few[2]);
   request.affinity = 0;
   CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
-  unload (egs, 12);
+  unload (engines, 12);
 }
 
 int
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_restarted_engine_is_another_one),
+    SUITE_TEST (test_restarted_engine_is_a_new_one),
     SUITE_TEST (test_late_entry_of_an_older_start_changes_nothing),
     SUITE_TEST (test_shared_part_has_one_home),
     SUITE_TEST (test_hot_part_spills_at_the_bound),
     SUITE_TEST (test_new_home_copies_from_the_former),
-    SUITE_TEST (test_leaving_engine_gets_nothing),
-    SUITE_TEST (test_full_engines_make_it_wait),
-    SUITE_TEST (test_told_load_counts_and_ages),
-    SUITE_TEST (test_told_effort_counts_and_fades),
-    SUITE_TEST (test_failing_engine_is_put_aside),
-    SUITE_TEST (test_router_distrusts_its_own_view),
-    SUITE_TEST (test_erring_engine_goes_last),
-    SUITE_TEST (test_errors_of_all_put_none_aside),
-    SUITE_TEST (test_errors_fade),
-    SUITE_TEST (test_bound_goes_before_doubt),
+    SUITE_TEST (test_leaving_engine_gets_no_requests),
+    SUITE_TEST (test_request_waits_while_engines_are_full),
+    SUITE_TEST (test_reported_load_counts_and_ages),
+    SUITE_TEST (test_reported_slowdown_counts_and_decays),
+    SUITE_TEST (test_failing_engine_is_ejected),
+    SUITE_TEST (test_ejections_of_all_engines_are_ignored),
+    SUITE_TEST (test_failing_answers_put_an_engine_last),
+    SUITE_TEST (test_errors_of_all_engines_put_none_last),
+    SUITE_TEST (test_error_rate_decays),
+    SUITE_TEST (test_degraded_engine_is_preferred_to_overloaded),
     SUITE_TEST (test_idle_engines_narrow_the_bound),
     SUITE_TEST (test_engines_that_join_take_their_share),
-    SUITE_TEST (test_half_of_the_gateways_begin_at_an_engine_that_joined),
+    SUITE_TEST (test_half_of_the_gateways_use_a_joined_engine_first),
     SUITE_TEST (test_tried_engines_are_left_out),
     SUITE_TEST (test_engine_outlives_its_entry),
-    SUITE_TEST (test_skewed_parts_stay_below_the_cap),
+    SUITE_TEST (test_skewed_parts_stay_below_the_limit),
     SUITE_TEST (test_silent_engine_goes_last),
-    SUITE_TEST (test_silence_is_measured_by_the_usual),
-    SUITE_TEST (test_probe_is_what_may_go_on),
+    SUITE_TEST (test_silence_depends_on_usual_time),
+    SUITE_TEST (test_probe_is_a_repeatable_request),
     SUITE_TEST (test_slow_engine_goes_last),
     SUITE_TEST (test_each_gateway_keeps_its_share_of_few_slots),
-    SUITE_TEST (test_refusals_cut_what_a_gateway_has_at_an_engine),
-    SUITE_TEST (test_old_loads_neither_raise_the_bound_nor_stay),
-    SUITE_TEST (test_unknown_load_is_the_usual_one),
-    SUITE_TEST (test_engines_that_lapsed_are_asked_where_many_did),
-    SUITE_TEST (test_small_parts_have_two_homes_where_little_is_known),
-    SUITE_TEST (test_margin_goes_with_gateways_and_free_slots),
+    SUITE_TEST (test_refusals_reduce_the_window),
+    SUITE_TEST (test_old_reports_neither_raise_the_bound_nor_persist),
+    SUITE_TEST (test_unknown_load_is_assumed_usual),
+    SUITE_TEST (test_expired_engines_are_used_when_many_expired),
+    SUITE_TEST (test_small_parts_have_two_homes_where_reports_are_rare),
+    SUITE_TEST (test_margin_falls_with_gateways_and_rises_with_free_slots),
     SUITE_TEST (test_few_gateways_keep_parts_at_home),
-    SUITE_TEST (test_crowded_parts_keep_to_the_first_few),
+    SUITE_TEST (test_crowded_parts_keep_to_the_first_ranks),
     CU_TEST_INFO_NULL
   };
 
-  return suite_run ("spread", tests);
+  return suite_run ("engine_choice", tests);
 }
