--- a/src/request/policy/course.c
+++ b/src/request/policy/course.c
@@ -6,9 +6,9 @@
   *crs = (crs_t){ .rules = *rules };
 }
 
-/* Whether it may go on after what may have run; @ran: engines that may have run it by then. */
+/* Return: whether the request may be sent again after @ran engines may have executed it */
 static bool
-may_go_on (const crs_rules_t *rules, uint32_t ran, bool begun)
+may_rerun (const crs_rules_t *rules, uint32_t ran, bool begun)
 {
   if (ran >= rules->attempts)
     return false;
@@ -18,7 +18,7 @@
 bool
 crs_may_leave (const crs_t *crs, bool begun)
 {
-  return may_go_on (&crs->rules, crs->ran + 1, begun);
+  return may_rerun (&crs->rules, crs->ran + 1, begun);
 }
 
 static bool
@@ -39,7 +39,7 @@
     case CRS_BROKE:
       break;
     }
-  return may_go_on (&crs->rules, crs->ran, outcome == CRS_BROKE);
+  return may_rerun (&crs->rules, crs->ran, outcome == CRS_BROKE);
 }
 
 static crs_step_t
@@ -62,7 +62,7 @@
 }
 
 static void
-note (crs_t *crs, crs_outcome_t outcome)
+count_outcome (crs_t *crs, crs_outcome_t outcome)
 {
   switch (outcome)
     {
@@ -90,7 +90,7 @@
           bool (*may_retry) (void *context),
           void *context)
 {
-  note (crs, outcome);
+  count_outcome (crs, outcome);
   if (left_us < CRS_LEAST_US || !may_repeat (crs, outcome))
     return last_step (crs, outcome);
   if (outcome == CRS_UNSENT)
--- a/src/request/policy/course.h
+++ b/src/request/policy/course.h
@@ -1,12 +1,12 @@
 /**
  * DOC: course
  *
- * What comes after each outcome of a request that a router sends to engines itself. A pure state
- * machine.
+ * Decides what follows each outcome of a request that a gateway sends to engines directly. A pure
+ * state machine.
  *
- * Another engine is asked after a certainty that the one before did not run the request, or where
- * the request may be repeated: an idempotent one, or a stream that can be resumed. Never more
- * engines may run it than its route allows.
+ * The request goes to another engine if the previous one certainly did not execute it, or if it may
+ * be repeated: it is idempotent, or its response is a stream that can be resumed. The route limits
+ * how many engines may execute it.
  */
 #ifndef REQUEST_POLICY_COURSE_H
 #define REQUEST_POLICY_COURSE_H
@@ -14,45 +14,48 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Engines that refused a request with certainty, after which it is given up: each try costs the
- * retry budget that all share, and by then the view of the service is wrong. One that is full does
- * not count: it has a place again within the time of a request. */
+/* Engines that may reject a request without executing it before it fails. Each attempt uses the
+ * retry budget of all requests, and after so many the gateway's state of the service is wrong.
+ * Rejections by full engines don't count: those have a free slot again within the time of a
+ * request. */
 #define CRS_REFUSALS 3
-/* Of refusals by full engines: a request that is larger than an engine's memory is refused so by
- * each, and would use up the retries of all others. */
+/* Rejections by full engines before the request fails. A request that is larger than the memory of
+ * an engine is rejected as such by each, and would use up the retries of all other requests. */
 #define CRS_FULL_MOST 5
-/* Connections that were not made. They load no engine, so they take nothing from the retry budget,
- * and each one tells this router which engine is down: after a data centre is lost several in a row
- * are. */
+/* Failed connections before the request fails. They put no load on engines, so they don't use the
+ * retry budget, and each shows this gateway that an engine is down: after the loss of a data centre
+ * several fail in a row. */
 #define CRS_UNSENT_MOST 8
 #define CRS_LEAST_US (20 * 1000) /* with less time left no engine can answer */
 
+/** enum crs_outcome - how an attempt at an engine ended */
 typedef enum
 {
-  CRS_NOT_RUN, /* certain */
-  CRS_FULL,    /* certain: the engine had no place left */
-  CRS_UNSENT,  /* certain: no connection to the engine was made */
-  CRS_UNKNOWN, /* sent, and no answer that counts */
-  CRS_FAILED,  /* the engine answered with a failure of its own */
-  CRS_BROKE    /* the answer broke off after a part went to the caller */
+  CRS_NOT_RUN, /* certainly not executed */
+  CRS_FULL,    /* certainly not executed: the engine had no free slot */
+  CRS_UNSENT,  /* certainly not executed: the connection to the engine failed */
+  CRS_UNKNOWN, /* sent, but no usable response arrived */
+  CRS_FAILED,  /* the engine responded with an error of its own */
+  CRS_BROKE    /* the response broke off after a part of it went to the client */
 } crs_outcome_t;
 
+/** enum crs_step - what to do after an attempt */
 typedef enum
 {
   CRS_AGAIN,  /* send the whole request to another engine */
-  CRS_RESUME, /* send it to go on after the last whole event */
+  CRS_RESUME, /* send it to another engine, to continue after the last complete event */
   CRS_WAIT,   /* as CRS_AGAIN, once the retry budget allows it */
-  CRS_PASS,   /* pass the engine's own failure on */
-  CRS_REFUSE, /* 503: it ran nowhere */
-  CRS_FAIL,   /* 502: it may have run */
-  CRS_CUT     /* break the begun answer off */
+  CRS_PASS,   /* pass the engine's error response to the client */
+  CRS_REFUSE, /* answer 503: no engine executed the request */
+  CRS_FAIL,   /* answer 502: an engine may have executed the request */
+  CRS_CUT     /* close the client's connection within the response */
 } crs_step_t;
 
 /**
- * struct crs_rules - of the route
- * @idempotent: it may run more than once
- * @resumable: a stream that may go on elsewhere
- * @attempts: engines that may run it
+ * struct crs_rules - what the route allows
+ * @idempotent: the request may be executed more than once
+ * @resumable: the response is a stream that another engine can continue
+ * @attempts: maximum number of engines that may execute the request
  */
 typedef struct
 {
@@ -63,11 +66,12 @@
 
 /**
  * struct crs - state of one request
- * @ran: engines that ran it or may have
- * @refused: that refused it with certainty for other reasons than those below
- * @full: refusals by engines that had no place left
- * @unsent: connections that were not made
- * @retry_due: the next send is a retry that the budget does not count yet
+ * @rules: what its route allows
+ * @ran: engines that executed it or may have
+ * @refused: engines that certainly didn't execute it, other than those counted below
+ * @full: rejections by full engines
+ * @unsent: failed connections
+ * @retry_due: the next attempt is a retry that the retry budget hasn't counted yet
  */
 typedef struct
 {
@@ -79,14 +83,21 @@
   bool retry_due;
 } crs_t;
 
+/** crs_init() - starts a request, copying @rules */
 void crs_init (crs_t *crs, const crs_rules_t *rules);
-/** crs_may_leave() - whether the request may go on elsewhere if the engine that has it, or gets it
- * next, does not answer; @begun: a part of an answer went to the caller */
+/**
+ * crs_may_leave() - whether the request may go to another engine if its current or next one doesn't
+ * respond
+ *
+ * @begun: a part of a response went to the client
+ */
 bool crs_may_leave (const crs_t *crs, bool begun);
 /**
- * crs_next() - what follows @outcome
- * @left_us: until the caller's deadline or the route's timeout
- * @may_retry: whether the retry budget has one now; asked only when it matters
+ * crs_next() - decides what to do after an attempt ended with @outcome
+ *
+ * @left_us: time until the client's deadline or the route's timeout, whichever is earlier
+ * @may_retry: Return: whether the retry budget allows a retry now; called only if that matters
+ * @context: argument of @may_retry
  */
 crs_step_t crs_next (crs_t *crs,
                      crs_outcome_t outcome,
@@ -94,12 +105,12 @@
                      bool (*may_retry) (void *context),
                      void *context);
 /**
- * crs_sends() - the request goes to an engine now
+ * crs_sends() - records that the request is sent to an engine now
  *
- * A retry may wait for room for seconds after crs_next() and arrives in a later window, so it is
- * counted when it is sent.
+ * A retry may wait for seconds after crs_next() until an engine has a free slot. It then belongs to
+ * a later window of the retry budget, so it is counted when it is sent.
  *
- * Return: whether it is a retry, which the budget counts from now on
+ * Return: whether it is a retry that the budget has to count now
  */
 bool crs_sends (crs_t *crs);
 
--- a/src/request/policy/crash_watch.c
+++ b/src/request/policy/crash_watch.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 static uint64_t
-apart (uint64_t a_us, uint64_t b_us)
+time_between (uint64_t a_us, uint64_t b_us)
 {
   return a_us > b_us ? a_us - b_us : b_us - a_us;
 }
@@ -17,7 +17,8 @@
   return NULL;
 }
 
-/* Two requests of one engine that broke together are evidence too: a lost answer breaks one. */
+/* Two connections to an engine that break together also show a crash: a response lost in the
+ * network breaks only one. */
 static bool
 broke_together (const cwt_t *cwt, const cwt_loss_t *loss)
 {
@@ -26,7 +27,7 @@
       const cwt_loss_t *other = &cwt->losses[i];
 
       if (other != loss && other->engine_hash == loss->engine_hash &&
-          apart (other->lost_us, loss->lost_us) <= CWT_TOGETHER_US)
+          time_between (other->lost_us, loss->lost_us) <= CWT_TOGETHER_US)
         return true;
     }
   return false;
@@ -50,9 +51,9 @@
   cwt->downs[cwt->next_down++ % CWT_DOWNS] = (cwt_down_t){ engine_hash, now_us };
 }
 
-/* When its connections broke, if any did; else when it was found down. */
+/* Return: when connections to the engine broke, or if none did, when it was found down */
 static uint64_t
-crash_time (const cwt_t *cwt, const cwt_down_t *down)
+crash_time_us (const cwt_t *cwt, const cwt_down_t *down)
 {
   for (uint32_t i = 0; i < CWT_LOSSES; i++)
     if (cwt->losses[i].engine_hash == down->engine_hash)
@@ -61,21 +62,21 @@
 }
 
 static bool
-others_went_too (const cwt_t *cwt, const cwt_loss_t *loss)
+others_failed_too (const cwt_t *cwt, const cwt_loss_t *loss)
 {
   for (uint32_t i = 0; i < CWT_DOWNS; i++)
     {
       const cwt_down_t *down = &cwt->downs[i];
 
       if (down->engine_hash != 0 && down->engine_hash != loss->engine_hash &&
-          apart (crash_time (cwt, down), loss->lost_us) <= CWT_EVENT_US)
+          time_between (crash_time_us (cwt, down), loss->lost_us) <= CWT_EVENT_US)
         return true;
     }
   return false;
 }
 
 static bool
-is_due (const cwt_t *cwt, uint64_t now_us, const cwt_loss_t *loss)
+is_suspected (const cwt_t *cwt, uint64_t now_us, const cwt_loss_t *loss)
 {
   const cwt_down_t *down;
 
@@ -83,7 +84,7 @@
     return false;
   down = find_down (cwt, loss->engine_hash);
   return down && down->down_us + CWT_TOGETHER_US >= loss->lost_us &&
-         down->down_us <= loss->lost_us + CWT_DOWN_US && !others_went_too (cwt, loss);
+         down->down_us <= loss->lost_us + CWT_DOWN_US && !others_failed_too (cwt, loss);
 }
 
 bool
@@ -93,7 +94,7 @@
     {
       cwt_loss_t *loss = &cwt->losses[i];
 
-      if (!is_due (cwt, now_us, loss))
+      if (!is_suspected (cwt, now_us, loss))
         continue;
       *out = *loss;
       loss->fingerprint = 0;
--- a/src/request/policy/crash_watch.h
+++ b/src/request/policy/crash_watch.h
@@ -1,12 +1,13 @@
 /**
  * DOC: crash_watch
  *
- * Which request crashed its engine, as far as a gateway can tell from its own connections. A pure
- * state machine.
+ * Determines which requests may have crashed their engine, from the connections of this gateway. A
+ * pure state machine.
  *
- * A request is suspected when its connection broke, its engine was then found down, and no other
- * engine went down around that time: when several go at once, the cause is not a request. Requests
- * that ran beside it are suspected too; what is served later is cleared by its owner.
+ * A request is suspected if its connection broke, the engine then refused connections, and no other
+ * engine failed at about the same time: if several fail together, the cause is not a request. All
+ * requests whose connections broke with the engine are suspected; the caller clears those that
+ * succeed later.
  */
 #ifndef REQUEST_POLICY_CRASH_WATCH_H
 #define REQUEST_POLICY_CRASH_WATCH_H
@@ -14,17 +15,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CWT_LOSSES 64
-#define CWT_DOWNS 16
-/* An engine that crashed is down for some seconds; one that is found down later went for another
- * reason. */
+#define CWT_LOSSES 64 /* broken connections remembered */
+#define CWT_DOWNS 16  /* failed engines remembered */
+/* A crashed engine refuses connections for some seconds after its connections broke; one that
+ * refuses them only later failed for another reason. */
 #define CWT_DOWN_US (UINT64_C (3000) * 1000)
-/* Connections of one engine that break together; a crash closes them in the same moment. */
+/* Maximum time between the breaks of an engine's connections in one crash, which closes them all at
+ * once. */
 #define CWT_TOGETHER_US (UINT64_C (50) * 1000)
-/* Engines that go down this near to each other went for one reason, which is no request. */
+/* Engines that fail within this time of each other have a common cause, which is not a request. */
 #define CWT_EVENT_US (UINT64_C (500) * 1000)
 
-/** struct cwt_loss - a request whose connection broke */
+/** struct cwt_loss - a request whose connection broke at @lost_us; @engine_hash is 0 if unused */
 typedef struct
 {
   uint64_t engine_hash;
@@ -32,13 +34,15 @@
   uint64_t lost_us;
 } cwt_loss_t;
 
+/** struct crash_watch_down - an engine that failed, as found at @down_us; @engine_hash is 0 if
+ * unused */
 typedef struct
 {
   uint64_t engine_hash;
   uint64_t down_us;
 } cwt_down_t;
 
-/** struct cwt - of one gateway; zeroed to begin with. Rings: the oldest entry makes room */
+/** struct cwt - state of one gateway, initialized with zeros; both arrays are ring buffers */
 typedef struct
 {
   cwt_loss_t losses[CWT_LOSSES];
@@ -47,11 +51,17 @@
   uint32_t next_down;
 } cwt_t;
 
-/** cwt_lost() - the connection of a request to an engine broke after it was sent */
+/** cwt_lost() - the connection to the engine broke after the request was sent */
 void cwt_lost (cwt_t *cwt, uint64_t now_us, uint64_t engine_hash, uint64_t fingerprint);
-/** cwt_down() - an engine refuses connections */
+/** cwt_down() - the engine refuses connections */
 void cwt_down (cwt_t *cwt, uint64_t now_us, uint64_t engine_hash);
-/** cwt_take() - the next request that is suspected now, into @loss; call until false */
+/**
+ * cwt_take() - removes the next request that is suspected of a crash
+ *
+ * @loss: the request
+ *
+ * Return: false if there is none; to be called until then
+ */
 bool cwt_take (cwt_t *cwt, uint64_t now_us, cwt_loss_t *loss);
 
 #endif
--- a/src/request/policy/drain.c
+++ b/src/request/policy/drain.c
@@ -2,12 +2,12 @@
 
 #include <glib.h>
 
-#define DRN_SMOOTHING 16 /* requests over which the mean length is taken */
+#define SMOOTHING_REQUESTS 16 /* weight of the mean duration against one sample */
 
-/* With ends at random, a gap of three mean intervals is rarer than one in twenty. A longer one says
- * that the engine has stalled: waits must then grow with the gap, or callers would be held on a
- * promise that the past made. */
-#define DRN_GAP 3
+/* With random completions, fewer than one gap in twenty is longer than three mean intervals. After
+ * a longer gap the engine is assumed to have stalled, and the estimate grows with the gap.
+ * Otherwise requests would stay queued on the completion rate from before the stall. */
+#define STALL_INTERVALS 3
 
 void
 drn_started (drn_t *drn, uint64_t now_us, uint32_t load_before, uint64_t guess_us)
@@ -23,9 +23,9 @@
 {
   drn->last_us = now_us;
   if (length_us > drn->length_us)
-    drn->length_us += (length_us - drn->length_us) / DRN_SMOOTHING;
+    drn->length_us += (length_us - drn->length_us) / SMOOTHING_REQUESTS;
   else
-    drn->length_us -= (drn->length_us - length_us) / DRN_SMOOTHING;
+    drn->length_us -= (drn->length_us - length_us) / SMOOTHING_REQUESTS;
 }
 
 uint64_t
@@ -34,5 +34,5 @@
   if (load == 0)
     return 0;
   const uint64_t gap_us = now_us > drn->last_us ? now_us - drn->last_us : 0;
-  return MAX (drn->length_us / load, gap_us / DRN_GAP);
+  return MAX (drn->length_us / load, gap_us / STALL_INTERVALS);
 }
--- a/src/request/policy/drain.h
+++ b/src/request/policy/drain.h
@@ -1,9 +1,9 @@
 /**
  * DOC: drain
  *
- * How fast an engine frees its slots, measured: the base of every wait that a caller is told.
- * By Little's law an engine with L requests of mean length S ends one every S / L, so the figure
- * follows the load at once and needs no window.
+ * Estimates how often an engine completes a request and so frees a slot. All wait estimates of a
+ * sidecar are derived from it. By Little's law an engine with L requests of mean duration S
+ * completes one every S / L, so the estimate follows the load at once, without a time window.
  */
 #ifndef REQUEST_POLICY_DRAIN_H
 #define REQUEST_POLICY_DRAIN_H
@@ -11,9 +11,9 @@
 #include <stdint.h>
 
 /**
- * struct drn - drain rate of one engine
- * @length_us: mean length of a request, 0 before anything is known
- * @last_us: the last time that a request ended, or that the engine stopped being idle
+ * struct drn - completion rate of one engine
+ * @length_us: mean duration of a request, 0 before the first request
+ * @last_us: when a request last completed, or when the engine last became busy
  */
 typedef struct
 {
@@ -21,10 +21,15 @@
   uint64_t last_us;
 } drn_t;
 
-/** drn_started() - @load_before requests ran; @guess_us stands in until a length was measured */
+/**
+ * drn_started() - a request starts while @load_before others run
+ *
+ * @guess_us: the duration to assume until one has been measured
+ */
 void drn_started (drn_t *drn, uint64_t now_us, uint32_t load_before, uint64_t guess_us);
+/** drn_finished() - a request completes after @length_us */
 void drn_finished (drn_t *drn, uint64_t now_us, uint64_t length_us);
-/** drn_interval_us() - expected time between two ends at @load */
+/** drn_interval_us() - Return: expected time between two completions with @load requests running */
 uint64_t drn_interval_us (const drn_t *drn, uint64_t now_us, uint32_t load);
 
 #endif
--- a/src/request/policy/pace.c
+++ b/src/request/policy/pace.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 #define MILLI 1000
-#define MOST_MILLI (10 * MILLI)
+#define RATIO_MAX_MILLI (10 * MILLI)
 
 uint32_t
 pac_sample (pac_t *pac, uint64_t sample_us)
@@ -21,5 +21,5 @@
     return MILLI;
   if (usual_us == 1)
     return MILLI;
-  return (uint32_t)MIN (sample_us * MILLI / usual_us, MOST_MILLI);
+  return (uint32_t)MIN (sample_us * MILLI / usual_us, RATIO_MAX_MILLI);
 }
--- a/src/request/policy/pace.h
+++ b/src/request/policy/pace.h
@@ -1,27 +1,35 @@
 /**
  * DOC: pace
  *
- * How fast an engine answers against the others of its service. A pure state machine.
+ * Compares the latency of an engine with the median of all engines of its service. A pure state
+ * machine.
  *
- * What is compared is the time of an event of a stream, or of a whole plain answer. The usual time
- * is the median of all engines' samples, which follows by small steps: a quarter of the engines
- * that are slower by six move it by less than a third, while they would double a mean and look
- * ordinary against it.
+ * A sample is the time of one event of a stream, or of a complete plain response. The median of all
+ * samples is approximated by small steps towards each sample. If a quarter of the engines become
+ * six times slower, the median rises by less than a third, so that they remain visible as slow; a
+ * mean would double.
  */
 #ifndef REQUEST_POLICY_PACE_H
 #define REQUEST_POLICY_PACE_H
 
 #include <stdint.h>
 
-#define PAC_STEP 32 /* a sample moves the median by one part in so many */
+#define PAC_STEP 32 /* each sample moves the median by 1/32 of its value */
 
-/** struct pac - of one kind of answers of a service; zeroed to begin with */
+/**
+ * struct pac - median latency of one kind of responses of a service; initialized with zeros
+ * @usual_us: the median, 0 before the first sample
+ */
 typedef struct
 {
   uint64_t usual_us;
 } pac_t;
 
-/** pac_sample() - Return: the sample against the usual, in thousandths, at most ten times */
+/**
+ * pac_sample() - adds a latency sample to the median
+ *
+ * Return: the sample divided by the median before it, in thousandths, at most 10,000
+ */
 uint32_t pac_sample (pac_t *pac, uint64_t sample_us);
 
 #endif
--- a/src/request/policy/patience.h
+++ b/src/request/policy/patience.h
@@ -1,11 +1,12 @@
 /**
  * DOC: patience
  *
- * When a request that may be repeated is given up at an engine that brings nothing, so that another
- * one gets it in time. A pure function.
+ * Decides when to abandon a repeatable request at an engine that sends nothing, while there is
+ * still time to send it to another engine. A pure function.
  *
- * Silence of one request alone may be a long queue; silence of all requests on an engine is not,
- * since an engine that works brings some token every few milliseconds.
+ * One request without data may wait in a long queue, so it gets the longer timeout. An engine that
+ * sends no data for any request has failed, since a working engine emits a token every few
+ * milliseconds; then the shorter timeout applies.
  */
 #ifndef REQUEST_POLICY_PATIENCE_H
 #define REQUEST_POLICY_PATIENCE_H
@@ -13,36 +14,37 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* No engine is silent for so long when it works, but for the reading of long prompts: 112 tokens a
- * millisecond are usual, and another one may be read before. */
+/* Minimum time without data for any request after which an engine counts as failed. */
 #define PTC_SILENT_US (UINT64_C (500) * 1000)
+/* Additional time per prompt token, during which an engine emits nothing. Engines usually read 112
+ * tokens per millisecond (9 us each); the rest allows for another prompt that is read first. */
 #define PTC_TOKEN_US 25
-/* A request whose head is later than so many times the usual, and this, is lost where others of the
- * same engine are served. */
+/* Timeout for the response header while the engine sends data for other requests: this multiple of
+ * the usual time, and at least PTC_LATE_US. */
 #define PTC_LATE_FACTOR 8
 #define PTC_LATE_US (UINT64_C (1000) * 1000)
-/* Of a request with little time: whose answer was lost on the way is to be sent again while there
- * is time for an answer, also when the second one is lost. A status check has a second and takes 25
- * ms. */
+/* PTC_LATE_US is limited to the request's time divided by this, so that a short request whose
+ * response is lost can be sent again in time, even if the second response is lost too. A status
+ * check has a deadline of one second and takes 25 ms. */
 #define PTC_LATE_PART 4
-/* Between events of a stream: so many times the pause that is still on time. */
+/* Timeout between events of a stream, as a multiple of the longest regular gap. */
 #define PTC_GAP_FACTOR 3
 
-/* Where all engines are full a less urgent request waits there behind others: it is lost only after
- * so many times as long. In 3.5 times the usual traffic 5,400 of 74,000 requests were given up and
- * sent again, which an engine of the same service then had to do. */
+/* Factor on the timeouts while all engines are full, since a request of low priority then waits in
+ * the engine's queue behind others. Without it, at 3.5 times the usual traffic, 5,400 of 74,000
+ * requests were abandoned and sent again, which added load to engines of the same full service. */
 #define PTC_FULL_FACTOR 4
 
 /**
- * struct ptc - a hop
- * @sent_us: when it was sent
- * @heard_us: when a byte of it came last, 0 when none has
- * @engine_heard_us: when a byte of any request came from its engine, 0 when none has
- * @prompt_tokens: that the engine may have to read
- * @usual_us: from a send to the head, usually
- * @time_us: from its send to its deadline
- * @gap_us: of a stream: the longest pause that is on time; 0 when it is not known
- * @full: the engines of its service are full
+ * struct ptc - one attempt of a request at an engine; times in microseconds
+ * @sent_us: when the request was sent
+ * @heard_us: when the last byte of its response arrived, 0 if none has
+ * @engine_heard_us: when the engine last sent a byte for any request, 0 if it never has
+ * @prompt_tokens: prompt tokens that the engine may have to read
+ * @usual_us: usual time from sending a request to the response header
+ * @time_us: time from sending the request to its deadline
+ * @gap_us: longest regular gap between the events of a stream; 0 if unknown
+ * @full: all engines of the service are full
  */
 typedef struct
 {
@@ -56,7 +58,7 @@
   bool full;
 } ptc_t;
 
-/** ptc_is_lost() - whether to give the hop up */
+/** ptc_is_lost() - Return: whether to abandon the attempt */
 bool ptc_is_lost (const ptc_t *ptc, uint64_t now_us);
 
 #endif
--- a/src/request/policy/refer.c
+++ b/src/request/policy/refer.c
@@ -20,12 +20,12 @@
   return query->is_live == NULL || query->is_live (sample->engine_hash, query->context);
 }
 
-/* One that routers seem not to reach is named only when there is nobody else. */
+/* Engines that routers apparently can't reach are named only if there are no others. */
 static uint32_t
-drop_unreached (const mean_table_t *table,
-                const mean_sample_t **found,
-                uint32_t count,
-                uint64_t now_us)
+drop_unreachable (const mean_table_t *table,
+                  const mean_sample_t **found,
+                  uint32_t count,
+                  uint64_t now_us)
 {
   uint32_t kept = 0;
   for (uint32_t i = 0; i < count; i++)
@@ -35,11 +35,11 @@
 }
 
 static uint32_t
-pick (const mean_sample_t *const *found, uint32_t count, uint64_t *rng)
+pick_less_loaded (const mean_sample_t *const *found, uint32_t count, uint64_t *rng)
 {
-  const uint32_t one = (uint32_t)(ref_random (rng) % count);
-  const uint32_t two = (uint32_t)(ref_random (rng) % count);
-  return found[two]->load < found[one]->load ? two : one;
+  const uint32_t first = (uint32_t)(ref_random (rng) % count);
+  const uint32_t second = (uint32_t)(ref_random (rng) % count);
+  return found[second]->load < found[first]->load ? second : first;
 }
 
 uint64_t
@@ -51,8 +51,8 @@
   return *rng * UINT64_C (2685821657736338717);
 }
 
-/* The better of two at random, not the best of all: samples are old, and refusals of many sidecars
- * would send everything to the one engine that looked emptiest. */
+/* Picks the less loaded of two random engines rather than the least loaded of all: samples are
+ * delayed, and many sidecars would refer all their requests to the same engine. */
 uint32_t
 ref_room (const mean_table_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out)
 {
@@ -61,11 +61,11 @@
   for (uint32_t i = 0; i < table->count; i++)
     if (has_room (&table->samples[i], query))
       found[count++] = &table->samples[i];
-  count = drop_unreached (table, found, count, query->now_us);
+  count = drop_unreachable (table, found, count, query->now_us);
   uint32_t chosen = 0;
   while (chosen < LIM_REFERRALS && count > 0)
     {
-      const uint32_t at = pick (found, count, rng);
+      const uint32_t at = pick_less_loaded (found, count, rng);
       out[chosen++] = found[at]->engine_hash;
       found[at] = found[--count];
     }
--- a/src/request/policy/refer.h
+++ b/src/request/policy/refer.h
@@ -1,8 +1,8 @@
 /**
  * DOC: refer
  *
- * Refusals point to room: which engines a sidecar names when it refuses a request, chosen from the
- * load samples that it has heard.
+ * Selects the engines with free capacity that a sidecar names when it rejects a request. They are
+ * chosen from the load samples that other sidecars sent.
  */
 #ifndef REQUEST_POLICY_REFER_H
 #define REQUEST_POLICY_REFER_H
@@ -13,10 +13,12 @@
 #include <stdint.h>
 
 /**
- * struct ref_query - who may be named
- * @except_hash: the engine that refuses
- * @limit_milli: load that none may pass with one request more
- * @is_live: whether an engine is in use; NULL for all
+ * struct ref_query - which engines may be named
+ * @now_us: the current time, to ignore old samples
+ * @except_hash: the engine that rejects the request
+ * @limit_milli: load limit including the additional request, in thousandths of a request
+ * @is_live: Return: whether an engine is in use; NULL if all are
+ * @context: argument of @is_live
  */
 typedef struct
 {
@@ -27,12 +29,19 @@
   void *context;
 } ref_query_t;
 
-/** ref_room() - up to %LIM_REFERRALS engines with room, best first. Return: how many */
+/**
+ * ref_room() - selects up to %LIM_REFERRALS engines with free capacity
+ *
+ * @rng: state of ref_random()
+ * @out: their hashes, best first
+ *
+ * Return: the number of engines
+ */
 uint32_t
 ref_room (const mean_table_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out);
-/** ref_find() - the sample of an engine if it is fresh, or NULL */
+/** ref_find() - Return: the sample of an engine, or NULL if there is none or it is too old */
 const mean_sample_t *ref_find (const mean_table_t *table, uint64_t now_us, uint64_t engine_hash);
-/** ref_random() - xorshift64*: cheap, and seeded, so that runs repeat */
+/** ref_random() - xorshift64*; seeded through @rng so that simulations are repeatable */
 uint64_t ref_random (uint64_t *rng);
 
 #endif
--- a/src/request/policy/retry_share.c
+++ b/src/request/policy/retry_share.c
@@ -3,15 +3,16 @@
 #include <glib.h>
 #include <string.h>
 
-#define COUNT (RSH_BUCKETS + 1)
+#define BUCKET_COUNT (RSH_BUCKETS + 1)
 #define MILLI 1000
 
+/* Clears the buckets between the current one and that of @now_us, which becomes the current one. */
 static void
-turn (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us)
+advance (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us)
 {
   uint64_t epoch = now_us / (options->window_us / RSH_BUCKETS);
 
-  if (epoch >= rsh->epoch + COUNT)
+  if (epoch >= rsh->epoch + BUCKET_COUNT)
     {
       memset (rsh->requests, 0, sizeof rsh->requests);
       memset (rsh->retries, 0, sizeof rsh->retries);
@@ -20,8 +21,8 @@
   while (rsh->epoch < epoch)
     {
       rsh->epoch++;
-      rsh->requests[rsh->epoch % COUNT] = 0;
-      rsh->retries[rsh->epoch % COUNT] = 0;
+      rsh->requests[rsh->epoch % BUCKET_COUNT] = 0;
+      rsh->retries[rsh->epoch % BUCKET_COUNT] = 0;
     }
 }
 
@@ -30,7 +31,7 @@
 {
   uint64_t total = 0;
 
-  for (uint32_t i = 0; i < COUNT; i++)
+  for (uint32_t i = 0; i < BUCKET_COUNT; i++)
     total += counts[i];
   return total;
 }
@@ -38,8 +39,8 @@
 void
 rsh_request (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us)
 {
-  turn (rsh, options, now_us);
-  rsh->requests[rsh->epoch % COUNT]++;
+  advance (rsh, options, now_us);
+  rsh->requests[rsh->epoch % BUCKET_COUNT]++;
 }
 
 uint32_t
@@ -67,7 +68,7 @@
                    uint32_t routers)
 {
   uint64_t age_us = now_us - rsh->started_us;
-  uint64_t counted_us = options->window_us / RSH_BUCKETS * COUNT;
+  uint64_t counted_us = options->window_us / RSH_BUCKETS * BUCKET_COUNT;
   uint64_t slack_milli = routers > 0 ? (uint64_t)options->slack * MILLI / routers : 0;
   uint64_t ratio_milli = sum (rsh->requests) * options->ratio_milli;
 
@@ -77,7 +78,7 @@
   return (ratio_milli + slack_milli) * RSH_FIRST_MILLI / MILLI;
 }
 
-/* Return: whether one more retry is within what is allowed */
+/* Return: whether one more retry is within the limit */
 static bool
 is_allowed (const rsh_t *rsh, const rsh_options_t *options, uint64_t now_us, uint32_t routers)
 {
@@ -87,8 +88,8 @@
 void
 rsh_spend (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us)
 {
-  turn (rsh, options, now_us);
-  rsh->retries[rsh->epoch % COUNT]++;
+  advance (rsh, options, now_us);
+  rsh->retries[rsh->epoch % BUCKET_COUNT]++;
 }
 
 uint64_t
@@ -98,12 +99,12 @@
   uint64_t at_us = now_us;
   rsh_t ahead;
 
-  turn (rsh, options, now_us);
+  advance (rsh, options, now_us);
   ahead = *rsh;
-  while (!is_allowed (&ahead, options, at_us, routers) && ahead.epoch < rsh->epoch + COUNT)
+  while (!is_allowed (&ahead, options, at_us, routers) && ahead.epoch < rsh->epoch + BUCKET_COUNT)
     {
       at_us = (ahead.epoch + 1) * bucket_us;
-      turn (&ahead, options, at_us);
+      advance (&ahead, options, at_us);
     }
   return at_us - now_us;
 }
--- a/src/request/policy/retry_share.h
+++ b/src/request/policy/retry_share.h
@@ -1,17 +1,19 @@
 /**
  * DOC: retry_share
  *
- * This router's share of the retries that all routers may send to a service together: in any window
- * at most a ratio of the requests for it, and some slack. A pure state machine.
+ * Limits the retries that this router sends to a service, as its share of a limit for all routers
+ * together. In any time window the limit is a ratio of the requests for the service, plus a fixed
+ * allowance (slack). A pure state machine.
  *
- * Each router earns the ratio by its own requests and takes an equal part of the slack. It divides
- * by all that the registry names, heard or not: each half of a fleet that is cut in two would take
- * the part of the other. One that has not read the registry yet takes no slack.
+ * A router may use the ratio of its own requests and an equal part of the slack. The slack is
+ * divided by all routers in the registry, reachable or not: otherwise, after a network partition,
+ * each half of the fleet would also use the part of the other half. A router that hasn't read the
+ * registry yet uses no slack.
  *
- * What a router spent before a restart is not known after it. So its first window earns only
- * %RSH_FIRST_MILLI, and of the slack as much as the time since its start is of the window: however
- * often it starts in a window, all its starts earn no more than that, and with %RSH_PART_MILLI of
- * the time before, no more than is allowed.
+ * A router doesn't know after a restart how many retries it sent before. So in its first window it
+ * may send only %RSH_FIRST_MILLI of its share, with the slack reduced to the elapsed part of the
+ * window. However often a router restarts within a window, its retries stay within that part, and
+ * together with %RSH_PART_MILLI from before the restart within the limit.
  */
 #ifndef REQUEST_POLICY_RETRY_SHARE_H
 #define REQUEST_POLICY_RETRY_SHARE_H
@@ -19,16 +21,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RSH_BUCKETS 20
-/* Of what is allowed, in thousandths: windows of different routers begin at different moments, and
- * connections that are balanced unevenly give one router more failures than its share. */
+#define RSH_BUCKETS 20 /* counters that a window is divided into */
+/* Part of its share that a router may use, in thousandths. The rest is a margin, since the windows
+ * of different routers begin at different times, and unevenly balanced connections give one router
+ * more failures than its share. */
 #define RSH_PART_MILLI 750
-#define RSH_FIRST_MILLI (1000 - RSH_PART_MILLI) /* likewise, in the first window after a start */
+#define RSH_FIRST_MILLI (1000 - RSH_PART_MILLI) /* the same in the first window after a start */
 
 /**
- * struct rsh_options - the operators' bound
- * @ratio_milli: retries for each thousand requests
- * @slack: retries besides, in a window, of all routers together
+ * struct rsh_options - the configured limit of a service
+ * @ratio_milli: retries per thousand requests
+ * @slack: additional retries of all routers together in a window
+ * @window_us: length of the window
  */
 typedef struct
 {
@@ -38,7 +42,10 @@
 } rsh_options_t;
 
 /**
- * struct rsh - of one service: counts in buckets that together cover the window and one bucket
+ * struct rsh - state of one service; the buckets cover the window and one bucket more
+ * @requests: requests of clients in each bucket
+ * @retries: retries in each bucket
+ * @epoch: number of the current bucket since time zero; its index is the remainder by the buckets
  * @started_us: when this router started
  */
 typedef struct
@@ -49,27 +56,43 @@
   uint64_t started_us;
 } rsh_t;
 
-/** rsh_sharers() - routers that a share is a part of, this one too: the registry, once @listed,
- * names
- * @known others, of which @alive were heard lately; 0 before */
+/**
+ * rsh_sharers() - number of routers that share the slack, this one included
+ *
+ * @listed: whether this router has read the registry
+ * @known: other routers in the registry
+ * @alive: other routers that this one hears
+ *
+ * Return: 0 before the registry was read
+ */
 uint32_t rsh_sharers (bool listed, uint32_t known, uint32_t alive);
 
-/** rsh_init() - of a router that started at @started_us */
+/** rsh_init() - initializes the state of a router that started at @started_us */
 void rsh_init (rsh_t *rsh, uint64_t started_us);
 
-/** rsh_request() - a caller's request for the service came */
+/** rsh_request() - counts a client's request for the service */
 void rsh_request (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us);
-/** rsh_spend() - a retry is sent */
+/** rsh_spend() - counts a retry that is sent */
 void rsh_spend (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us);
 
-/** rsh_wait_us() - until one more retry may be sent if no request comes meanwhile; 0 for now
- * @routers: by rsh_sharers() */
+/**
+ * rsh_wait_us() - time until another retry may be sent if no further request arrives
+ *
+ * @routers: result of rsh_sharers()
+ *
+ * Return: 0 if a retry may be sent now
+ */
 uint64_t rsh_wait_us (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us, uint32_t routers);
 
-/** rsh_spent() - retries counted now */
+/** rsh_spent() - Return: retries counted in the current window */
 uint32_t rsh_spent (const rsh_t *rsh);
-/** rsh_allowed_milli() - retries that this router may send in a window, in thousandths, by the
- * requests counted now */
+/**
+ * rsh_allowed_milli() - retries that this router may send in the current window
+ *
+ * @routers: result of rsh_sharers()
+ *
+ * Return: thousandths of a retry, from the requests counted so far
+ */
 uint64_t rsh_allowed_milli (const rsh_t *rsh,
                             const rsh_options_t *options,
                             uint64_t now_us,
--- a/tests/test_course.c
+++ b/tests/test_course.c
@@ -1,4 +1,5 @@
-/* Unit tests of the course of a request at a gateway, its retry share and the split of events. */
+/* Unit tests of how a gateway retries requests, limits retries, splits event streams, times
+ * attempts out and attributes crashes. */
 #include "request/policy/course.h"
 #include "request/policy/crash_watch.h"
 #include "request/gateway/event_split.h"
@@ -45,10 +46,10 @@
   return crs;
 }
 
-/* A booking is sent, and its connection ends without an answer. It may have run: it goes nowhere
- * else, and its caller is not told that it did not run. */
+/* Guards against a request that is not idempotent being executed twice, or reported as not
+ * executed, after its connection broke without a response. */
 static void
-test_booking_is_sent_on_after_certainty_only (void)
+test_non_idempotent_is_resent_only_if_not_run (void)
 {
   crs_t crs = make (false, false, 2);
 
@@ -60,10 +61,10 @@
   CU_ASSERT_EQUAL (next (&crs, CRS_BROKE), CRS_CUT);
 }
 
-/* An idempotent request ran once with an unknown end; then every engine refuses it. It is a
- * failure, not a refusal: it may have run. */
+/* Guards against 503 for a request that one engine may have executed before all others rejected
+ * it. */
 static void
-test_not_run_is_said_only_if_it_ran_nowhere (void)
+test_may_have_run_is_not_reported_as_not_run (void)
 {
   crs_t crs = make (true, false, 3);
 
@@ -78,7 +79,7 @@
 }
 
 static void
-test_no_more_engines_run_it_than_its_route_allows (void)
+test_route_limits_engines_that_may_run (void)
 {
   crs_t crs = make (true, false, 2);
 
@@ -91,18 +92,18 @@
   CU_ASSERT_EQUAL (next (&crs, CRS_BROKE), CRS_CUT);
 }
 
-/* What may be the probe of an engine that failed, and what may leave one that is silent. */
+/* Only requests that may be sent again can probe a failed engine or be moved from a silent one. */
 static void
-test_who_may_leave (void)
+test_which_requests_may_move (void)
 {
-  crs_t booking;
+  crs_t payment;
   crs_t lookup;
   crs_t stream;
 
-  crs_init (&booking, &(crs_rules_t){ .attempts = 3 });
+  crs_init (&payment, &(crs_rules_t){ .attempts = 3 });
   crs_init (&lookup, &(crs_rules_t){ .idempotent = true, .attempts = 2 });
   crs_init (&stream, &(crs_rules_t){ .resumable = true, .attempts = 2 });
-  CU_ASSERT_FALSE (crs_may_leave (&booking, false));
+  CU_ASSERT_FALSE (crs_may_leave (&payment, false));
   CU_ASSERT_TRUE (crs_may_leave (&lookup, false));
   CU_ASSERT_FALSE (crs_may_leave (&lookup, true));
   CU_ASSERT_TRUE (crs_may_leave (&stream, true));
@@ -111,7 +112,7 @@
 }
 
 static void
-test_no_budget_or_time_no_retry (void)
+test_no_retry_without_budget_or_time (void)
 {
   crs_t crs = make (true, false, 2);
   uint32_t asked = 0;
@@ -122,10 +123,10 @@
   CU_ASSERT_EQUAL (asked, 0);
 }
 
-/* Guards against refusals of requests that have time left, after a few tries at engines that are
- * full for a moment. */
+/* Guards against 503 for requests with time left after a few attempts at engines that are full only
+ * for a moment. */
 static void
-test_full_engines_are_asked_again (void)
+test_full_engines_are_retried (void)
 {
   crs_t crs = make (true, false, 2);
 
@@ -139,10 +140,10 @@
   CU_ASSERT_EQUAL (crs_next (&crs, CRS_NOT_RUN, PLENTY_US, forbid, NULL), CRS_REFUSE);
 }
 
-/* Guards against refusals after a few connections that were not made, or as the retries are spent
- * on those, where many engines have been lost at once. */
+/* Guards against 503 when many engines fail at once: failed connections must not use the retry
+ * budget, and only several of them end a request. */
 static void
-test_connections_that_fail_cost_no_retry (void)
+test_failed_connections_use_no_retry (void)
 {
   crs_t crs = make (false, false, 1);
 
@@ -151,15 +152,15 @@
   CU_ASSERT_EQUAL (next (&crs, CRS_UNSENT), CRS_REFUSE);
 }
 
-static const rsh_options_t shares = { .ratio_milli = 200, .slack = 40, .window_us = 10 * S_US };
+static const rsh_options_t options = { .ratio_milli = 200, .slack = 40, .window_us = 10 * S_US };
 
 static uint32_t
 take_all (rsh_t *rsh, uint64_t now_us, uint32_t routers)
 {
   uint32_t taken = 0;
 
-  for (; taken < 1000 && rsh_wait_us (rsh, &shares, now_us, routers) == 0; taken++)
-    rsh_spend (rsh, &shares, now_us);
+  for (; taken < 1000 && rsh_wait_us (rsh, &options, now_us, routers) == 0; taken++)
+    rsh_spend (rsh, &options, now_us);
   return taken;
 }
 
@@ -180,18 +181,18 @@
   uint64_t now_us = 50 * S_US + 7;
   uint64_t wait_us;
 
-  CU_ASSERT_EQUAL (rsh_wait_us (&rsh, &shares, now_us, 1), 0);
+  CU_ASSERT_EQUAL (rsh_wait_us (&rsh, &options, now_us, 1), 0);
   take_all (&rsh, now_us, 1);
-  wait_us = rsh_wait_us (&rsh, &shares, now_us, 1);
-  CU_ASSERT (wait_us > shares.window_us / 2);
-  CU_ASSERT_NOT_EQUAL (rsh_wait_us (&rsh, &shares, now_us + wait_us - 1, 1), 0);
-  CU_ASSERT_EQUAL (rsh_wait_us (&rsh, &shares, now_us + wait_us, 1), 0);
+  wait_us = rsh_wait_us (&rsh, &options, now_us, 1);
+  CU_ASSERT (wait_us > options.window_us / 2);
+  CU_ASSERT_NOT_EQUAL (rsh_wait_us (&rsh, &options, now_us + wait_us - 1, 1), 0);
+  CU_ASSERT_EQUAL (rsh_wait_us (&rsh, &options, now_us + wait_us, 1), 0);
 }
 
-/* Four routers, unevenly used, retry whatever they may, for a minute: in no window of ten seconds
- * do they send more together than the bound allows. */
+/* Four routers with uneven traffic send all retries that they may, for a minute. In no window of
+ * ten seconds does their sum exceed the limit. */
 static void
-test_routers_keep_the_bound_together (void)
+test_routers_together_keep_the_limit (void)
 {
   rsh_t routers[4] = { 0 };
   uint32_t sent[600] = { 0 };
@@ -201,11 +202,11 @@
     for (uint32_t i = 0; i < 4; i++)
       {
         uint64_t now_us = (1000 + tick) * S_US / 10 + i * 7919;
-        uint32_t coming = tick % 97 < 40 ? i : 3 - i;
+        uint32_t arrivals = tick % 97 < 40 ? i : 3 - i;
 
-        for (uint32_t k = 0; k < coming; k++)
-          rsh_request (&routers[i], &shares, now_us);
-        requests[tick] += coming;
+        for (uint32_t k = 0; k < arrivals; k++)
+          rsh_request (&routers[i], &options, now_us);
+        requests[tick] += arrivals;
         sent[tick] += take_all (&routers[i], now_us, 4);
       }
   for (uint32_t from = 100; from < 500; from++)
@@ -218,12 +219,12 @@
           retries += sent[tick];
           in_window += requests[tick];
         }
-      CU_ASSERT (retries * 1000 <= in_window * shares.ratio_milli + shares.slack * 1000);
+      CU_ASSERT (retries * 1000 <= in_window * options.ratio_milli + options.slack * 1000);
       CU_ASSERT (retries > 0);
     }
 }
 
-/** struct split - a stream of events as it is passed on */
+/** struct split - an event stream with its input, and its output so far */
 typedef struct
 {
   evs_t evs;
@@ -260,7 +261,7 @@
 }
 
 static void
-test_events_are_passed_whole (void)
+test_events_are_forwarded_whole (void)
 {
   static const char text[] =
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid:3\ndata: c\n\n";
@@ -285,10 +286,10 @@
     }
 }
 
-/* An engine crashes in the middle of event 2; another goes on after event 1, and sends that one
- * once more. The caller gets each event once and whole. */
+/* An engine crashes within event 2, and another one continues the stream but repeats event 1.
+ * Guards against events that the client gets in part or twice. */
 static void
-test_stream_goes_on_after_the_last_whole_event (void)
+test_stream_resumes_after_the_last_whole_event (void)
 {
   split_t split;
 
@@ -304,7 +305,7 @@
 }
 
 static void
-test_endless_event_is_broken (void)
+test_oversized_event_breaks_the_stream (void)
 {
   split_t split;
   g_autofree char *text = g_strnfill (EVS_EVENT_LIMIT_BYTES + 1, 'x');
@@ -325,10 +326,11 @@
   return ptc_is_lost (ptc, SENT_US + after_ms * 1000);
 }
 
-/* An engine goes dark with a request on it: nothing breaks, nothing comes of any request. It is
- * given up within the time that its callers have; one that reads a long prompt is not. */
+/* An engine stops responding to all requests while its connections stay open. Guards against a
+ * timeout that is longer than the clients' deadlines, or one that hits an engine while it reads a
+ * long prompt. */
 static void
-test_dark_engine_is_given_up (void)
+test_silent_engine_is_abandoned (void)
 {
   ptc_t ptc = {
     .sent_us = SENT_US, .engine_heard_us = SENT_US - 1000, .usual_us = 50 * 1000, .time_us = TIME_US
@@ -341,9 +343,9 @@
   CU_ASSERT (is_lost (&ptc, 1300));
 }
 
-/* Others are served by the same engine: this request alone may be queued, for longer than usual. */
+/* The engine responds to other requests, so this one may only be queued: its timeout is longer. */
 static void
-test_late_request_is_given_up_later (void)
+test_late_request_is_abandoned_later (void)
 {
   ptc_t ptc = { .sent_us = SENT_US, .usual_us = 50 * 1000, .time_us = TIME_US };
 
@@ -355,10 +357,10 @@
   CU_ASSERT (!is_lost (&ptc, 2300));
 }
 
-/* The answer of one status check is lost on the way, and its engine serves others. Its caller waits
- * for a second: it must be sent again in time, but not while a slow engine still works on it. */
+/* The response of a request with a deadline of one second is lost. Guards against a timeout that
+ * leaves no time for a second attempt, or one that hits a slow engine while it works. */
 static void
-test_lost_answer_of_a_short_request (void)
+test_lost_response_of_a_short_request (void)
 {
   ptc_t ptc = { .sent_us = SENT_US, .usual_us = 25 * 1000, .time_us = 1000 * 1000 };
 
@@ -371,7 +373,7 @@
 }
 
 static void
-test_silent_stream_is_given_up (void)
+test_silent_stream_is_abandoned (void)
 {
   ptc_t ptc = {
     .sent_us = SENT_US, .heard_us = SENT_US + 100 * 1000, .usual_us = 50 * 1000, .time_us = TIME_US
@@ -402,7 +404,7 @@
 
 /* A request crashes its engine: its connection breaks, and the next one is refused. */
 static void
-test_lone_crash_makes_a_suspect (void)
+test_single_crash_suspects_the_request (void)
 {
   cwt_t cwt = { 0 };
   cwt_loss_t loss;
@@ -416,10 +418,10 @@
   CU_ASSERT_EQUAL (taken (&cwt, SENT_US + S_US), 0);
 }
 
-/* The answer was lost on the way, and the engine goes on: nothing is suspected, also when the
- * engine is released half a minute later. */
+/* Guards against a suspicion after responses that were lost in the network, when the engine is
+ * stopped regularly half a minute later. */
 static void
-test_lost_answer_makes_none (void)
+test_lost_response_suspects_nothing (void)
 {
   cwt_t cwt = { 0 };
 
@@ -429,10 +431,10 @@
   CU_ASSERT_EQUAL (taken (&cwt, SENT_US + 31 * S_US), 0);
 }
 
-/* Two engines go down at once: the cause is no request. All of their callers will send again, and
- * must not be refused for good. */
+/* Guards against requests being rejected permanently after two engines failed at once, which no
+ * request causes. */
 static void
-test_common_crash_makes_none (void)
+test_common_failure_suspects_nothing (void)
 {
   cwt_t cwt = { 0 };
 
@@ -443,7 +445,7 @@
 }
 
 static void
-test_neighbours_of_a_crash_are_suspected (void)
+test_all_requests_of_a_crash_are_suspected (void)
 {
   cwt_t cwt = { 0 };
 
@@ -453,10 +455,10 @@
   CU_ASSERT_EQUAL (taken (&cwt, SENT_US + S_US), 3);
 }
 
-/* All engines are full, and a less urgent request waits at one of them. It is not given up and sent
- * to another one, which is as full; where engines have room the same silence is a lost request. */
+/* Guards against a request of low priority being moved from one full engine to another, which only
+ * adds load. */
 static void
-test_patience_is_longer_where_engines_are_full (void)
+test_timeout_is_longer_if_engines_are_full (void)
 {
   ptc_t ptc = { .sent_us = SENT_US, .usual_us = 100 * 1000, .time_us = TIME_US };
 
@@ -470,29 +472,28 @@
 int
 main (void)
 {
-  static const CU_TestInfo tests[] = { SUITE_TEST (test_booking_is_sent_on_after_certainty_only),
-                                       SUITE_TEST (test_not_run_is_said_only_if_it_ran_nowhere),
-                                       SUITE_TEST (
-                                           test_no_more_engines_run_it_than_its_route_allows),
-                                       SUITE_TEST (test_who_may_leave),
-                                       SUITE_TEST (test_no_budget_or_time_no_retry),
-                                       SUITE_TEST (test_full_engines_are_asked_again),
-                                       SUITE_TEST (test_connections_that_fail_cost_no_retry),
+  static const CU_TestInfo tests[] = { SUITE_TEST (test_non_idempotent_is_resent_only_if_not_run),
+                                       SUITE_TEST (test_may_have_run_is_not_reported_as_not_run),
+                                       SUITE_TEST (test_route_limits_engines_that_may_run),
+                                       SUITE_TEST (test_which_requests_may_move),
+                                       SUITE_TEST (test_no_retry_without_budget_or_time),
+                                       SUITE_TEST (test_full_engines_are_retried),
+                                       SUITE_TEST (test_failed_connections_use_no_retry),
                                        SUITE_TEST (test_wait_for_a_retry),
                                        SUITE_TEST (test_share_of_the_slack),
-                                       SUITE_TEST (test_routers_keep_the_bound_together),
-                                       SUITE_TEST (test_events_are_passed_whole),
-                                       SUITE_TEST (test_stream_goes_on_after_the_last_whole_event),
-                                       SUITE_TEST (test_endless_event_is_broken),
-                                       SUITE_TEST (test_dark_engine_is_given_up),
-                                       SUITE_TEST (test_late_request_is_given_up_later),
-                                       SUITE_TEST (test_lost_answer_of_a_short_request),
-                                       SUITE_TEST (test_silent_stream_is_given_up),
-                                       SUITE_TEST (test_lone_crash_makes_a_suspect),
-                                       SUITE_TEST (test_lost_answer_makes_none),
-                                       SUITE_TEST (test_common_crash_makes_none),
-                                       SUITE_TEST (test_neighbours_of_a_crash_are_suspected),
-                                       SUITE_TEST (test_patience_is_longer_where_engines_are_full),
+                                       SUITE_TEST (test_routers_together_keep_the_limit),
+                                       SUITE_TEST (test_events_are_forwarded_whole),
+                                       SUITE_TEST (test_stream_resumes_after_the_last_whole_event),
+                                       SUITE_TEST (test_oversized_event_breaks_the_stream),
+                                       SUITE_TEST (test_silent_engine_is_abandoned),
+                                       SUITE_TEST (test_late_request_is_abandoned_later),
+                                       SUITE_TEST (test_lost_response_of_a_short_request),
+                                       SUITE_TEST (test_silent_stream_is_abandoned),
+                                       SUITE_TEST (test_single_crash_suspects_the_request),
+                                       SUITE_TEST (test_lost_response_suspects_nothing),
+                                       SUITE_TEST (test_common_failure_suspects_nothing),
+                                       SUITE_TEST (test_all_requests_of_a_crash_are_suspected),
+                                       SUITE_TEST (test_timeout_is_longer_if_engines_are_full),
                                        CU_TEST_INFO_NULL };
 
   return suite_run ("course", tests);
--- a/tests/test_retry_sum.c
+++ b/tests/test_retry_sum.c
@@ -1,4 +1,5 @@
-/* The sum of the retries of all gateways, in virtual time, whatever each of them knows. */
+/* Unit tests of the sum of the retries of all gateways, simulated in virtual time: it must stay
+ * within the configured limit whatever each gateway knows of the others. */
 #include "request/policy/course.h"
 #include "request/policy/retry_share.h"
 #include "tests/suite.h"
@@ -10,31 +11,39 @@
 #define TICK_US (S_US / 10)
 #define WINDOW_TICKS 100
 #define TICKS 600
-#define GATEWAYS_MOST 770
-#define WAITING_MOST 64
-#define WAIT_TICKS 60
-#define REQUESTS_PER_S 5 /* at a gateway, on the average */
-
-/** struct member - a gateway of the fleet: what it knows of the others */
+#define GATEWAYS_MAX 770
+#define WAITING_MAX 64   /* retries that wait for a free slot at one gateway */
+#define WAIT_TICKS 60    /* between free slots, while retries have to wait */
+#define REQUESTS_PER_S 5 /* mean at each gateway */
+
+/**
+ * struct member - a gateway of the fleet
+ * @known: other gateways in the registry as this one has read it
+ * @alive: other gateways that this one hears
+ */
 typedef struct
 {
   rsh_t rsh;
   uint32_t known;
   uint32_t alive;
   bool lists; /* it has read the registry since its start */
-  crs_t calls[WAITING_MOST];
+  crs_t calls[WAITING_MAX];
   uint32_t waiting;
 } member_t;
 
-/** struct fleet - gateways whose every request wants a retry; counts of each tick */
+/**
+ * struct fleet - gateways that send all retries that they may
+ * @requests: requests of clients in each tick, of all gateways
+ * @retries: retries in each tick, of all gateways
+ */
 typedef struct
 {
-  member_t members[GATEWAYS_MOST];
+  member_t members[GATEWAYS_MAX];
   uint32_t count;
   rsh_options_t options;
   GRand *rand;
-  bool uneven;
-  bool waits; /* retries find no room for seconds */
+  bool uneven; /* one gateway in eight gets most of the requests */
+  bool waits;  /* retries wait for a free slot for seconds */
   uint32_t requests[TICKS];
   uint32_t retries[TICKS];
 } fleet_t;
@@ -47,9 +56,9 @@
   return 1000 * S_US + tick * TICK_US;
 }
 
-/* As operators set it: it grows with the fleet. */
+/* Return: slack as operators configure it, which grows with the fleet */
 static uint32_t
-slack_of (uint32_t gateways)
+slack_for (uint32_t gateways)
 {
   return 44 + gateways * 26 / 10;
 }
@@ -81,7 +90,7 @@
   fleet_t *fleet = g_new0 (fleet_t, 1);
 
   fleet->options =
-      (rsh_options_t){ .ratio_milli = 200, .slack = slack_of (count), .window_us = 10 * S_US };
+      (rsh_options_t){ .ratio_milli = 200, .slack = slack_for (count), .window_us = 10 * S_US };
   fleet->rand = g_rand_new_with_seed (count);
   join (fleet, count);
   return fleet;
@@ -100,8 +109,9 @@
   return rsh_sharers (member->lists, member->known, member->alive);
 }
 
+/* Return: requests that arrive in one tick at the gateway with this index */
 static uint32_t
-requests_of (fleet_t *fleet, uint32_t index)
+arrivals_at (fleet_t *fleet, uint32_t index)
 {
   uint32_t per_s = REQUESTS_PER_S;
 
@@ -110,18 +120,19 @@
   return (uint32_t)g_rand_int_range (fleet->rand, 0, 20) < per_s * 2 ? 1 : 0;
 }
 
-/* Room comes for all that wait at once, as it does when an engine is back. */
+/* Sends waiting retries that the budget allows. All of them find free slots at the same time, as
+ * after the restart of an engine. */
 static void
-send_due (fleet_t *fleet, member_t *member, uint32_t tick)
+send_waiting (fleet_t *fleet, member_t *member, uint32_t tick)
 {
-  bool has_room = !fleet->waits || tick % WAIT_TICKS == 0;
+  bool has_free_slots = !fleet->waits || tick % WAIT_TICKS == 0;
   uint32_t left = 0;
 
   for (uint32_t i = 0; i < member->waiting; i++)
     {
       crs_t *crs = &member->calls[i];
 
-      if (!has_room ||
+      if (!has_free_slots ||
           rsh_wait_us (&member->rsh, &fleet->options, at_us (tick), sharers_of (member)))
         {
           member->calls[left++] = *crs;
@@ -134,7 +145,7 @@
   member->waiting = left;
 }
 
-/** struct chance - whom a retry is asked of */
+/** struct chance - the gateway and time for which may_retry() is called */
 typedef struct
 {
   fleet_t *fleet;
@@ -151,13 +162,14 @@
                       sharers_of (chance->member)) == 0;
 }
 
-/* Requests that failed are retried as far as it is allowed now, or a few wait for room instead. */
+/* Adds failed requests until the budget allows no further retry or the limit of waiting ones is
+ * reached. */
 static void
-decide (fleet_t *fleet, member_t *member, uint32_t tick)
+add_retries (fleet_t *fleet, member_t *member, uint32_t tick)
 {
   chance_t chance = { fleet, member, tick };
 
-  while (member->waiting < WAITING_MOST)
+  while (member->waiting < WAITING_MAX)
     {
       crs_t crs;
 
@@ -166,12 +178,12 @@
         return;
       member->calls[member->waiting++] = crs;
       if (!fleet->waits)
-        send_due (fleet, member, tick);
+        send_waiting (fleet, member, tick);
     }
 }
 
 static void
-play (fleet_t *fleet, event_fn event)
+simulate (fleet_t *fleet, event_fn event)
 {
   for (uint32_t tick = 0; tick < TICKS; tick++)
     {
@@ -181,19 +193,19 @@
         {
           member_t *member = &fleet->members[i];
 
-          for (uint32_t n = requests_of (fleet, i); n > 0; n--)
+          for (uint32_t n = arrivals_at (fleet, i); n > 0; n--)
             {
               rsh_request (&member->rsh, &fleet->options, at_us (tick));
               fleet->requests[tick]++;
             }
-          decide (fleet, member, tick);
-          send_due (fleet, member, tick);
+          add_retries (fleet, member, tick);
+          send_waiting (fleet, member, tick);
         }
     }
 }
 
 static uint32_t
-sum_from (const uint32_t *counts, uint32_t from)
+window_sum (const uint32_t *counts, uint32_t from)
 {
   uint32_t total = 0;
 
@@ -202,20 +214,20 @@
   return total;
 }
 
-/* Return: retries of the fullest window, in thousandths of what the operators allow there */
+/* Return: largest ratio of retries to the limit in any window, in thousandths */
 static uint32_t
-worst_milli (const fleet_t *fleet)
+max_use_milli (const fleet_t *fleet)
 {
   uint32_t worst = 0;
 
   for (uint32_t from = WINDOW_TICKS; from + WINDOW_TICKS <= TICKS; from++)
     {
-      uint32_t requests = sum_from (fleet->requests, from);
+      uint32_t requests = window_sum (fleet->requests, from);
 
-      requests = MAX (requests, sum_from (fleet->requests, from - WINDOW_TICKS));
-      requests = MAX (requests, sum_from (fleet->requests, from - WINDOW_TICKS / 2));
+      requests = MAX (requests, window_sum (fleet->requests, from - WINDOW_TICKS));
+      requests = MAX (requests, window_sum (fleet->requests, from - WINDOW_TICKS / 2));
       worst =
-          MAX (worst, sum_from (fleet->retries, from) * 1000 /
+          MAX (worst, window_sum (fleet->retries, from) * 1000 /
                           (requests * fleet->options.ratio_milli / 1000 + fleet->options.slack));
     }
   return worst;
@@ -233,8 +245,8 @@
 
       fleet->uneven = uneven;
       fleet->waits = waits;
-      play (fleet, event);
-      worst = worst_milli (fleet);
+      simulate (fleet, event);
+      worst = max_use_milli (fleet);
       if (worst > 1000 || worst < least_milli)
         g_print ("%u gateways: %u of 1000\n", sizes[i], worst);
       CU_ASSERT (worst <= 1000);
@@ -243,8 +255,9 @@
     }
 }
 
+/* Guards against a share that is far below the limit, so that allowed retries are not sent. */
 static void
-test_retries_that_are_allowed_are_used (void)
+test_allowed_retries_are_used (void)
 {
   check_sum (NULL, false, false, 600);
 }
@@ -255,9 +268,10 @@
   check_sum (NULL, true, false, 0);
 }
 
-/* Guards against retries that wait for room being counted seconds before they are sent. */
+/* Guards against retries that are counted seconds before they are sent, since they wait for a free
+ * slot. */
 static void
-test_retries_that_wait_for_room (void)
+test_retries_that_wait_for_slots (void)
 {
   check_sum (NULL, false, true, 0);
 }
@@ -272,8 +286,8 @@
     join (fleet, fleet->count);
 }
 
-/* Guards against a gateway that spends as if it were alone until it has read the registry, and once
- * more after each start. */
+/* Guards against gateways that use the whole slack until they have read the registry, again after
+ * each start. */
 static void
 test_all_restart_twice_in_a_window (void)
 {
@@ -295,7 +309,8 @@
                                       .alive = fleet->count / 2 };
 }
 
-/* Guards against what a gateway spent being forgotten with each start, by halves in turn. */
+/* Guards against the share being available again after each restart, while halves of the fleet
+ * restart in turn. */
 static void
 test_halves_restart_in_turn (void)
 {
@@ -309,7 +324,7 @@
     fleet->members[i].alive = tick >= 200 && tick < 400 ? fleet->count / 2 - 1 : fleet->count - 1;
 }
 
-/* Guards against two halves of a cut fleet that both take all of the slack. */
+/* Guards against two halves of a partitioned fleet that use the whole slack each. */
 static void
 test_fleet_split_in_halves (void)
 {
@@ -317,17 +332,17 @@
 }
 
 static void
-deafen (fleet_t *fleet, uint32_t tick)
+isolate_all (fleet_t *fleet, uint32_t tick)
 {
   for (uint32_t i = 0; i < fleet->count; i++)
     fleet->members[i].alive = tick >= 200 && tick < 400 ? 0 : fleet->count - 1;
 }
 
-/* Guards against gateways that hear nobody and take the share of those they do not hear. */
+/* Guards against gateways that use the share of others since they receive nothing from them. */
 static void
-test_all_are_deaf (void)
+test_all_are_isolated (void)
 {
-  check_sum (deafen, false, false, 0);
+  check_sum (isolate_all, false, false, 0);
 }
 
 static void
@@ -342,9 +357,9 @@
   fleet->count = before * 2;
 }
 
-/* Guards against gateways that have joined taking a share beside those that do not know them. */
+/* Guards against new gateways that use a share while the others don't know of them yet. */
 static void
-test_fleet_doubles_and_nobody_has_heard (void)
+test_fleet_doubles_before_others_know (void)
 {
   check_sum (join_many, false, false, 0);
 }
@@ -353,14 +368,14 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_retries_that_are_allowed_are_used),
+    SUITE_TEST (test_allowed_retries_are_used),
     SUITE_TEST (test_uneven_connections),
-    SUITE_TEST (test_retries_that_wait_for_room),
+    SUITE_TEST (test_retries_that_wait_for_slots),
     SUITE_TEST (test_all_restart_twice_in_a_window),
     SUITE_TEST (test_halves_restart_in_turn),
     SUITE_TEST (test_fleet_split_in_halves),
-    SUITE_TEST (test_all_are_deaf),
-    SUITE_TEST (test_fleet_doubles_and_nobody_has_heard),
+    SUITE_TEST (test_all_are_isolated),
+    SUITE_TEST (test_fleet_doubles_before_others_know),
     CU_TEST_INFO_NULL,
   };
 
