--- a/src/request/policy/line.c
+++ b/src/request/policy/line.c
@@ -1,18 +1,22 @@
 #include "request/policy/line.h"
 
 #define MILLI 1000
-#define LATE_MEAN_US (LIN_LATE_HALF_US * 1443 / MILLI) /* a half-life over the logarithm of two */
+/* Mean age of the late starts counted: the half-life divided by the natural logarithm of two. */
+#define LATE_MEAN_US (LIN_LATE_HALF_US * 1443 / MILLI)
 
 /**
- * struct lin - the line of a service
- * @in_time, @late: the two queues
- * @run_us, @head_us: usual times, smoothed
- * @pressed_us: since when requests wait without a break
- * @emptied_us: when the last one ceased to wait
- * @late_starts_milli: starts of late requests, in thousandths, what is older counting less, as of
- *   @late_at_us
- * @scarce: this gateway's share is a few slots or less
- * @odds, @quiet_odds: of first tries, and of those of accounts that have credit
+ * struct lin - the queues of one service
+ * @in_time: requests that can still be answered in time
+ * @late: requests that can't
+ * @run_us: smoothed duration of a request at an engine
+ * @head_us: smoothed time from sending a request to its response header
+ * @busy_since_us: since when requests have waited without a break
+ * @emptied_us: when the last waiting request left the queues
+ * @late_starts_milli: starts of late requests, in thousandths, exponentially decayed
+ * @decayed_us: the time to which @late_starts_milli is decayed
+ * @odds: share of first attempts that started in time
+ * @quiet_odds: the same for accounts with credit
+ * @scarce: this gateway's share is less than %LIN_SCARCE_SLOTS
  */
 struct lin
 {
@@ -20,10 +24,10 @@
   fq_t *late;
   uint64_t run_us;
   uint64_t head_us;
-  uint64_t pressed_us;
+  uint64_t busy_since_us;
   uint64_t emptied_us;
   uint64_t late_starts_milli;
-  uint64_t late_at_us;
+  uint64_t decayed_us;
   odd_t odds;
   odd_t quiet_odds;
   bool scarce;
@@ -61,7 +65,7 @@
   lin->head_us = smooth (lin->head_us, head_us);
 }
 
-/* @fair is the first member. */
+/* The cast is valid since @fair is the first member. */
 static lin_item_t *
 item_of (fq_item_t *fair)
 {
@@ -74,8 +78,8 @@
   return item->late ? lin->late : lin->in_time;
 }
 
-/* An account whose requests run longer than others' is charged for it, or it would have more of the
- * slots by as much. */
+/* The account is charged for what exceeds the estimate; otherwise accounts with longer requests
+ * would get a larger part of the slots. */
 void
 lin_note_run (lin_t *lin, const lin_item_t *item, uint64_t run_us)
 {
@@ -107,8 +111,7 @@
   return fq_count (lin->in_time);
 }
 
-/* A gateway gets its share of the slots that come free, which is less than one slot where few
- * engines serve many gateways. */
+/* The share of a gateway is less than one slot if few engines serve many gateways. */
 uint64_t
 lin_share_us (const lin_room_t *room, uint64_t work_us)
 {
@@ -128,7 +131,7 @@
 {
   bool waits = lin_count (lin) > 0 || now_us < lin->emptied_us + LIN_CALM_US;
 
-  return waits && now_us >= lin->pressed_us + LIN_PRESSED_US;
+  return waits && now_us >= lin->busy_since_us + LIN_PRESSED_US;
 }
 
 uint32_t
@@ -138,55 +141,55 @@
 }
 
 /*
- * How long an overload still lasts nobody knows; the best guess is as long again as it has lasted.
- * Who comes back sooner finds the same line, and as a second burst makes it longer.
+ * The remaining duration of an overload is unknown; it is assumed to be as long as the overload has
+ * lasted. Clients that retry sooner would find the same queue and lengthen it by a second burst.
  */
 uint64_t
 lin_retry_us (const lin_t *lin, uint64_t now_us, uint64_t wait_us)
 {
-  return lin_is_overloaded (lin, now_us) ? MAX (wait_us, now_us - lin->pressed_us) : wait_us;
+  return lin_is_overloaded (lin, now_us) ? MAX (wait_us, now_us - lin->busy_since_us) : wait_us;
 }
 
-/* Return: the latest start after which an answer still begins before its caller is gone */
+/* Return: the latest start for which the response begins before its client is gone */
 static uint64_t
 last_start_us (const lin_t *lin, const lin_item_t *item)
 {
   uint64_t end_us = item->deadline_us;
-  uint64_t least_us;
+  uint64_t reserve_us;
 
   if (item->leaves_us != 0)
     end_us = MIN (end_us, item->leaves_us);
-  least_us = MIN (lin->head_us + LIN_AGAIN_US, (end_us - MIN (item->arrived_us, end_us)) / 4);
-  return end_us - least_us;
+  reserve_us = MIN (lin->head_us + LIN_AGAIN_US, (end_us - MIN (item->arrived_us, end_us)) / 4);
+  return end_us - reserve_us;
 }
 
-/* Return: the latest start after which an answer still begins in time */
+/* Return: the latest start for which the response begins in time */
 static uint64_t
 in_time_start_us (const lin_t *lin, const lin_item_t *item)
 {
   uint64_t last_us = last_start_us (lin, item);
-  uint64_t aim_us = item->in_time_us - MIN (item->arrived_us, item->in_time_us);
+  uint64_t target_us = item->in_time_us - MIN (item->arrived_us, item->in_time_us);
   uint64_t start_us = item->in_time_us - MIN (lin->head_us, item->in_time_us);
 
   if (item->in_time_us == 0)
     return last_us;
   if (!item->returns)
-    start_us = MAX (start_us, item->arrived_us + aim_us / LIN_LEAST_PART);
+    start_us = MAX (start_us, item->arrived_us + target_us / LIN_LEAST_PART);
   return MIN (start_us, last_us);
 }
 
 static void
-fade_late (lin_t *lin, uint64_t now_us)
+decay_late_starts (lin_t *lin, uint64_t now_us)
 {
-  uint64_t halvings = (now_us - lin->late_at_us) / LIN_LATE_HALF_US;
+  uint64_t halvings = (now_us - lin->decayed_us) / LIN_LATE_HALF_US;
 
   if (halvings == 0)
     return;
   lin->late_starts_milli = halvings < 32 ? lin->late_starts_milli >> halvings : 0;
-  lin->late_at_us += halvings * LIN_LATE_HALF_US;
+  lin->decayed_us += halvings * LIN_LATE_HALF_US;
 }
 
-/* Return: expected until late requests start of which @ahead come first */
+/* Return: expected time until a late request with @ahead others before it starts */
 static uint64_t
 late_wait_us (lin_t *lin, uint64_t now_us, uint64_t ahead)
 {
@@ -194,39 +197,40 @@
 
   if (!lin_is_overloaded (lin, now_us))
     return 0;
-  fade_late (lin, now_us);
+  decay_late_starts (lin, now_us);
   if (lin->late_starts_milli > 0)
     wait_us = (ahead + 1) * LATE_MEAN_US * MILLI / lin->late_starts_milli;
   if (odd_share_milli (&lin->odds) >= LIN_MILD_MILLI)
-    wait_us = MIN (wait_us, now_us - lin->pressed_us);
+    wait_us = MIN (wait_us, now_us - lin->busy_since_us);
   return wait_us;
 }
 
-/* Return: whether some accounts have had so much that most of what comes is theirs */
+/* Return: whether accounts without credit, which were served more than others, send a large part of
+ * the requests */
 static bool
-is_surge_of_few (const lin_t *lin)
+is_surge (const lin_t *lin)
 {
   return odd_asked_milli (&lin->quiet_odds) * MILLI <
          odd_asked_milli (&lin->odds) * LIN_QUIET_MOST_MILLI;
 }
 
 /*
- * Where a gateway's share is a few slots or less, it has moments without requests in time while
- * they wait at others; a late one that took the slot then would take it from them. 22 gateways at
- * six slots gave late ones a third of the answers of an overload so.
+ * If slots are scarce, a gateway has moments in which none of its own requests in time waits, while
+ * some wait at other gateways. A late request that started then would take a slot from those: with
+ * 22 gateways at six slots, a third of the responses in an overload were late.
  */
 static bool
-is_for_others (const lin_t *lin, uint64_t now_us)
+leaves_slots_to_others (const lin_t *lin, uint64_t now_us)
 {
-  return lin->scarce && !is_surge_of_few (lin) && lin_is_overloaded (lin, now_us) &&
+  return lin->scarce && !is_surge (lin) && lin_is_overloaded (lin, now_us) &&
          odd_share_milli (&lin->odds) < LIN_MILD_MILLI;
 }
 
-/* Whether a late request that comes now may hope to start by @last_us. */
+/* Return: whether a late request that arrives now is expected to start by @last_us */
 static bool
 late_may_start (lin_t *lin, uint64_t now_us, uint64_t last_us)
 {
-  if (is_for_others (lin, now_us))
+  if (leaves_slots_to_others (lin, now_us))
     return false;
   return now_us + late_wait_us (lin, now_us, fq_count (lin->late)) < last_us;
 }
@@ -242,14 +246,14 @@
 }
 
 static void
-note_waits (lin_t *lin, uint64_t now_us)
+note_wait_begins (lin_t *lin, uint64_t now_us)
 {
   if (lin_count (lin) == 0 && now_us >= lin->emptied_us + LIN_CALM_US)
-    lin->pressed_us = now_us;
+    lin->busy_since_us = now_us;
 }
 
 static void
-fill (const lin_t *lin, lin_item_t *item)
+set_fair_queue_fields (const lin_t *lin, lin_item_t *item)
 {
   item->fair.weight = FQ_WEIGHT_ONE;
   item->fair.priority = item->priority;
@@ -257,21 +261,22 @@
   item->fair.queue_limit = LIN_LIMIT;
 }
 
-/* @until_us: when it is looked at again */
+/* @until_us: when the item expires from this queue */
 static lin_outcome_t
 push_into (lin_t *lin, uint64_t now_us, lin_item_t *item, bool late, uint64_t until_us)
 {
   item->late = late;
   item->fair.queued_us = now_us;
   item->fair.deadline_us = until_us;
-  note_waits (lin, now_us);
+  note_wait_begins (lin, now_us);
   if (fq_push (queue_of (lin, item), &item->fair) != FQ_QUEUED)
     return LIN_FULL;
   item->waiting = true;
   return LIN_WAITS;
 }
 
-/* An account that had less than others gives way to none: its odds are not those of the rest. */
+/* A request of an account with credit is never rejected in favour of other priorities: such an
+ * account starts before others, so the counted shares don't apply to it. */
 static odd_turn_t
 turn_of (const lin_t *lin, uint64_t now_us, const lin_item_t *item)
 {
@@ -283,13 +288,13 @@
   return turn;
 }
 
-/* One of an account that had less than others keeps its place: those of an account that surges, in
- * time as they are, would take all slots from it. Where many accounts surge together, or all have
- * little, that would make all of them late. */
+/* A late request of an account with credit stays in the first queue: behind it, the requests in
+ * time of a surging account would take all slots. This isn't done if accounts with credit rarely
+ * start in time, or if slots are scarce without a surge: then it would make all requests late. */
 static bool
-keeps_place (const lin_t *lin, const lin_item_t *item)
+stays_in_first_queue (const lin_t *lin, const lin_item_t *item)
 {
-  return (!lin->scarce || is_surge_of_few (lin)) &&
+  return (!lin->scarce || is_surge (lin)) &&
          odd_share_milli (&lin->quiet_odds) >= LIN_QUIET_MILLI &&
          fq_has_credit (lin->in_time, &item->fair);
 }
@@ -301,7 +306,7 @@
 
   if (now_us >= last_us)
     return LIN_TOO_LATE;
-  if (keeps_place (lin, item))
+  if (stays_in_first_queue (lin, item))
     return push_into (lin, now_us, item, false, last_us);
   if (!late_may_start (lin, now_us, last_us))
     return LIN_TOO_LATE;
@@ -318,7 +323,7 @@
 
   g_assert (!item->waiting);
   lin->scarce = room->slots < (uint64_t)room->gateways * LIN_SCARCE_SLOTS;
-  fill (lin, item);
+  set_fair_queue_fields (lin, item);
   turn = turn_of (lin, now_us, item);
   if (turn == ODD_FIRST)
     item->fair.priority = 0;
@@ -340,14 +345,14 @@
   uint64_t until_us = last_start_us (lin, item);
 
   g_assert (!item->waiting);
-  fill (lin, item);
+  set_fair_queue_fields (lin, item);
   if (wait_us >= until_us - MIN (now_us, until_us) || !late_may_start (lin, now_us, until_us))
     return false;
   return push_into (lin, now_us, item, true, until_us) == LIN_WAITS;
 }
 
 static void
-note_left (lin_t *lin, uint64_t now_us, lin_item_t *item)
+note_wait_ends (lin_t *lin, uint64_t now_us, lin_item_t *item)
 {
   item->waiting = false;
   if (lin_count (lin) == 0)
@@ -360,12 +365,13 @@
   if (!item->waiting)
     return;
   fq_remove (queue_of (lin, item), &item->fair);
-  note_left (lin, now_us, item);
+  note_wait_ends (lin, now_us, item);
 }
 
-/* Return: whether @item, which can't be answered in time any more, waits on */
+/* Queues @item, which can no longer be answered in time, with the late ones. Return: false if it
+ * has to be rejected */
 static bool
-wait_on (lin_t *lin, uint64_t now_us, lin_item_t *item)
+requeue_late (lin_t *lin, uint64_t now_us, lin_item_t *item)
 {
   item->waiting = false;
   note_odds (lin, now_us, item, false);
@@ -375,7 +381,7 @@
 static void *
 refuse (lin_t *lin, uint64_t now_us, fq_item_t *fair)
 {
-  note_left (lin, now_us, item_of (fair));
+  note_wait_ends (lin, now_us, item_of (fair));
   return fair->owner;
 }
 
@@ -385,7 +391,7 @@
   fq_item_t *fair;
 
   while ((fair = fq_expired (lin->in_time, now_us)))
-    if (!wait_on (lin, now_us, item_of (fair)))
+    if (!requeue_late (lin, now_us, item_of (fair)))
       return refuse (lin, now_us, fair);
   fair = fq_expired (lin->late, now_us + late_wait_us (lin, now_us, 0));
   return fair ? refuse (lin, now_us, fair) : NULL;
@@ -400,12 +406,12 @@
 static void
 note_late_start (lin_t *lin, uint64_t now_us)
 {
-  fade_late (lin, now_us);
+  decay_late_starts (lin, now_us);
   lin->late_starts_milli += MILLI;
 }
 
-/* Also one that found room at once is charged: else an account that had all of the slots would have
- * as much of them again as soon as others wait. */
+/* A request that starts without waiting is charged too: otherwise an account that used all slots
+ * until now would count as one that was served little as soon as others wait. */
 void
 lin_start (lin_t *lin, uint64_t now_us, lin_item_t *item)
 {
@@ -418,36 +424,36 @@
         note_late_start (lin, now_us);
       else
         note_odds (lin, now_us, item, true);
-      note_left (lin, now_us, item);
+      note_wait_ends (lin, now_us, item);
       return;
     }
   note_odds (lin, now_us, item, true);
-  fill (lin, item);
+  set_fair_queue_fields (lin, item);
   fq_served (lin->in_time, &item->fair);
 }
 
-/** struct ask - the owner's answer to whether a request may start */
+/** struct start_check - the owner's callback that decides whether a request may start */
 typedef struct
 {
   lin_may_t may;
   void *context;
-} ask_t;
+} start_check_t;
 
 static bool
 may_start (const fq_item_t *item, void *context)
 {
-  const ask_t *ask = context;
+  const start_check_t *check = context;
 
-  return ask->may (item->owner, ask->context);
+  return check->may (item->owner, check->context);
 }
 
 void *
 lin_first (const lin_t *lin, lin_may_t may, void *context)
 {
-  ask_t ask = { may, context };
-  fq_item_t *item = fq_peek_allowed (lin->in_time, may_start, &ask);
+  start_check_t check = { may, context };
+  fq_item_t *item = fq_peek_allowed (lin->in_time, may_start, &check);
 
   if (!item)
-    item = fq_peek_allowed (lin->late, may_start, &ask);
+    item = fq_peek_allowed (lin->late, may_start, &check);
   return item ? item->owner : NULL;
 }
--- a/src/request/policy/line.h
+++ b/src/request/policy/line.h
@@ -1,22 +1,24 @@
 /**
  * DOC: line
  *
- * Requests that wait at a gateway for room at the engines of their service: who starts next, how
- * long that is expected to take, and who is refused instead. A state machine without I/O.
+ * Queues the requests that wait at a gateway for a free slot at the engines of their service:
+ * decides which one starts next, estimates its wait, and decides which ones to reject. A state
+ * machine without I/O.
  *
- * Two queues, each fair between accounts. In the first wait those whose answer can still begin
- * within the aim of their route; in the second, behind them, those for which it is too late: a late
- * answer is worth something, but in an overload it would take the slot of one that is in time. With
- * one queue for both, each slot that came free there went to a request that had waited for seconds,
- * so all were answered, and nearly all too late.
+ * There are two queues, each fair between client accounts. The first has the requests whose
+ * response can still begin within the target time of their route. The second has the late ones,
+ * for which this is no longer possible; they start only when the first queue has none. A late
+ * response still has some value, but in an overload it would take the slot of a response in time:
+ * with a single queue, each free slot went to a request that had waited for seconds, so all
+ * requests were served and nearly all of them late.
  *
- * Once requests have waited without a break for %LIN_PRESSED_US, the service is overloaded. Late
- * ones then wait only while others of them do start, at the pace at which they do, or while few are
- * late and the overload may end before they leave; else they are refused at once, and told to come
- * back when it may be over.
+ * When requests have waited without a break for %LIN_PRESSED_US, the service is overloaded. A late
+ * request is then queued only if the rate at which late requests start lets it start before its
+ * client leaves, or if the overload is mild and may end before. All others are rejected at once,
+ * with a retry time by which the overload may be over.
  *
- * No wait lasts to the deadline: who is refused there has lost the time in which it could have been
- * sent again, and who starts a moment before can't be answered in time.
+ * A request never waits until its deadline: a client that is rejected then has no time left to
+ * retry, and a request that starts just before its deadline can't be answered in time.
  */
 #ifndef REQUEST_POLICY_LINE_H
 #define REQUEST_POLICY_LINE_H
@@ -28,49 +30,54 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LIN_LIMIT 1024         /* requests of one service that wait at one gateway, in each queue */
-#define LIN_RUN_US (50 * 1000) /* of a request, until it has been measured */
-#define LIN_GAIN 16            /* of the smoothing: about the last sixteen answers count */
-/* Of all slots of this gateway's share: what an account that had less may start first. A burst of a
- * quiet account, two seconds of everything, does not wait behind one that had the slots before. */
+#define LIN_LIMIT 1024         /* limit of each queue, for one service at one gateway */
+#define LIN_RUN_US (50 * 1000) /* duration of a request until one has been measured */
+#define LIN_GAIN 16            /* weight of a smoothed time against one new sample */
+/* Credit of an account that was served less than others, as a time of this gateway's whole share of
+ * the slots. A burst of such an account then starts before the requests of one that used the slots
+ * until now. */
 #define LIN_CREDIT_MS 2000
-/* Left to a caller that is refused, besides the time of an answer, to ask again elsewhere. */
+/* Time that a rejected client has left to retry elsewhere, in addition to that of a response. */
 #define LIN_AGAIN_US (100 * CLK_US_PER_MS)
-/* Longer than the time in which a few slow requests or a lost engine make others wait: what is
- * refused in such a moment could have been served. */
+/* Longer than requests wait after a few slow requests or the loss of an engine: rejecting any in
+ * such a moment would reject requests that could be served. */
 #define LIN_PRESSED_US (500 * CLK_US_PER_MS)
-/* A gateway that gets 40 requests a second has moments in which none waits also in an overload. */
+/* An overload ends only when no request has waited for this time, since a gateway with 40 requests
+ * per second has shorter moments without waiting requests also during an overload. */
 #define LIN_CALM_US (250 * CLK_US_PER_MS)
-/* Starts of late requests count by half after this: a change of load is to show within a second. */
+/* Half-life of the count of late starts, so that it follows a change of load within a second. */
 #define LIN_LATE_HALF_US (500 * CLK_US_PER_MS)
-/* While at least this share of first tries starts in time, in thousandths, an overload is mild:
- * late ones wait as long as it is likely to last. */
+/* An overload is mild while at least this share of first attempts starts in time, in thousandths.
+ * Late requests may then wait for as long as the overload is likely to last. */
 #define LIN_MILD_MILLI 700
-/* A gateway whose share is less has moments in which none of its own requests in time waits, also
- * in an overload. */
+/* Slots are scarce if this gateway's share is less than this. It then has moments without waiting
+ * requests in time also during an overload. */
 #define LIN_SCARCE_SLOTS 4
-/* While at least this share of the first tries of accounts that have credit starts in time, in
- * thousandths, their late ones keep their place. With half of the engines gone and one account
- * sending 60% of all, bench-gateway has 0.2% of the others' requests refused so; with 700, 4%. */
+/* Late requests of accounts with credit stay in the first queue while at least this share of the
+ * first attempts of such accounts starts in time, in thousandths. With half of the engines lost and
+ * one account sending 60% of all requests, bench-gateway has 0.2% of the other accounts' requests
+ * rejected; with 700, 4%. */
 #define LIN_QUIET_MILLI 500
-/* Of the first tries, in thousandths: while accounts that have credit send more than this, nobody
- * surges from whom their late ones could take the place. Four in ten of others are a surge: an
- * account at eight times its share sends six in ten. */
+/* Accounts without credit count as surging unless accounts with credit send more than this share of
+ * the first attempts, in thousandths. An account at eight times its usual traffic sends six in ten
+ * of all requests; four in ten already count as a surge. */
 #define LIN_QUIET_MOST_MILLI 600
-/* Of the aim: what a first try may always wait, also where engines alone take longer than that. */
+/* A first attempt may always wait for this fraction (a quarter) of the target time, even if engines
+ * alone take longer than the target. */
 #define LIN_LEAST_PART 4
 
+/** enum lin_outcome - result of adding a request */
 typedef enum
 {
-  LIN_WAITS,
-  LIN_TOO_LATE, /* it could not be answered in time */
-  LIN_FULL
+  LIN_WAITS,    /* queued */
+  LIN_TOO_LATE, /* rejected: it couldn't be answered in time */
+  LIN_FULL      /* rejected: the queue has reached its limit */
 } lin_outcome_t;
 
 /**
- * struct lin_room - what a line waits for
- * @slots: of all engines that may be asked
- * @gateways: that share them, each with a line alike
+ * struct lin_room - capacity that requests wait for
+ * @slots: slots of all engines that may serve the request
+ * @gateways: gateways that share them, with equal queues
  */
 typedef struct
 {
@@ -79,14 +86,17 @@
 } lin_room_t;
 
 /**
- * struct lin_item - embedded in what waits; all but @waiting and @late is set by its owner
- * @fair: account and owner
- * @priority: 0 is first
- * @deadline_us: of its caller
- * @leaves_us: when its caller leaves if no answer has begun; 0 when it stays
- * @in_time_us: an answer that begins by then is in time; 0 when any is
- * @run_us: that one of its kind usually keeps its slot; 0 when it is not known
- * @returns: its caller was refused before
+ * struct lin_item - embedded in a waiting request; its owner sets all but @waiting and @late
+ * @fair: entry in the fair queue, with the account and the owner
+ * @priority: 0 is the highest
+ * @arrived_us: when the request arrived
+ * @deadline_us: deadline of its client
+ * @leaves_us: when its client gives up unless a response has begun; 0 if it doesn't
+ * @in_time_us: target for the begin of the response; 0 if there is none
+ * @run_us: usual duration of this kind of request at an engine; 0 if unknown
+ * @returns: the client retries after a rejection
+ * @late: it is in the second queue
+ * @waiting: it is in one of the queues
  */
 typedef struct
 {
@@ -102,50 +112,80 @@
   bool waiting;
 } lin_item_t;
 
+/** struct lin - the queues of one service */
 typedef struct lin lin_t;
 
+/** lin_new() - Return: empty queues, to be freed by lin_free() */
 lin_t *lin_new (void);
 void lin_free (lin_t *lin);
-/** lin_push() - @wait_us: expected until it starts; valid for refusals too */
+/**
+ * lin_push() - queues a request, or rejects it
+ *
+ * @wait_us: set to the expected time until it starts, also if it is rejected
+ */
 lin_outcome_t
 lin_push (lin_t *lin, uint64_t now_us, const lin_room_t *room, lin_item_t *item, uint64_t *wait_us);
-/** lin_push_behind() - @item may start after @wait_us at the soonest, whatever room there is, and
- * waits behind those in time. Return: false when that is too late; it is not in the line then */
+/**
+ * lin_push_behind() - queues a request that may not start for @wait_us, even if slots are free,
+ * with the late ones
+ *
+ * Return: false if that is too late; it isn't queued then
+ */
 bool lin_push_behind (lin_t *lin, uint64_t now_us, lin_item_t *item, uint64_t wait_us);
+/** lin_remove() - removes @item if it is waiting */
 void lin_remove (lin_t *lin, uint64_t now_us, lin_item_t *item);
-/** lin_expired() - takes out one that is to be refused now. Return: its owner, or NULL; to be
- * called until then, every few milliseconds of those in which answers are to begin */
+/**
+ * lin_expired() - removes one request that has to be rejected now
+ *
+ * To be called until NULL, every few milliseconds, since target times are short.
+ *
+ * Return: its owner, or NULL if there is none
+ */
 void *lin_expired (lin_t *lin, uint64_t now_us);
-/** lin_may_t - whether the request of @owner may start now */
+/** lin_may_t - Return: whether the request of @owner may start now */
 typedef bool (*lin_may_t) (void *owner, void *context);
-/** lin_first() - owner of the request that starts next, or NULL. One that may not start holds up
- * its own account only */
+/**
+ * lin_first() - the request to start next; a request that may not start blocks only others of its
+ * own account
+ *
+ * Return: its owner, or NULL if none may start
+ */
 void *lin_first (const lin_t *lin, lin_may_t may, void *context);
-/** lin_start() - @item goes to an engine: lin_first(), or one that did not have to wait. Its
- * account is charged for it */
+/**
+ * lin_start() - records that @item is sent to an engine, and charges its account
+ *
+ * @item: of lin_first(), or one that was never queued
+ */
 void lin_start (lin_t *lin, uint64_t now_us, lin_item_t *item);
-/** lin_wait_us() - expected until @item would start if it were pushed now */
+/** lin_wait_us() - Return: expected time until @item starts if it is queued now */
 uint64_t lin_wait_us (const lin_t *lin, const lin_room_t *room, const lin_item_t *item);
-/** lin_retry_us() - until one that is refused now may hope for room; @wait_us as of lin_push() */
+/**
+ * lin_retry_us() - time after which a client that is rejected now should retry
+ *
+ * @wait_us: as set by lin_push()
+ */
 uint64_t lin_retry_us (const lin_t *lin, uint64_t now_us, uint64_t wait_us);
-/** lin_is_overloaded() - requests have waited without a break for too long */
+/** lin_is_overloaded() - Return: whether requests have waited without a break for too long */
 bool lin_is_overloaded (const lin_t *lin, uint64_t now_us);
-/** lin_odds_milli() - share of first tries that started in time lately, in thousandths */
+/** lin_odds_milli() - Return: share of recent first attempts that started in time, in thousandths
+ */
 uint32_t lin_odds_milli (const lin_t *lin);
+/** lin_count() - Return: waiting requests */
 uint32_t lin_count (const lin_t *lin);
-/** lin_count_in_time() - of those that can still be answered in time */
+/** lin_count_in_time() - Return: waiting requests that can still be answered in time */
 uint32_t lin_count_in_time (const lin_t *lin);
 
-/** lin_note_head() - time from a send to the head of its answer, of a request that an engine ran */
+/** lin_note_head() - adds the time from sending an executed request to its response header */
 void lin_note_head (lin_t *lin, uint64_t head_us);
-/** lin_note_run() - time from a send of @item to the end of its answer, likewise */
+/** lin_note_run() - adds the time from sending an executed request to the end of its response */
 void lin_note_run (lin_t *lin, const lin_item_t *item, uint64_t run_us);
-/** lin_run_us() - usual time that a request keeps its slot */
+/** lin_run_us() - Return: usual time for which a request occupies its slot */
 uint64_t lin_run_us (const lin_t *lin);
-/** lin_head_us() - usual time from a send to the head of its answer */
+/** lin_head_us() - Return: usual time from sending a request to its response header */
 uint64_t lin_head_us (const lin_t *lin);
 
-/** lin_share_us() - expected until this gateway's share of the slots has done @work_us of work */
+/** lin_share_us() - Return: time in which this gateway's share of the slots does @work_us of work
+ */
 uint64_t lin_share_us (const lin_room_t *room, uint64_t work_us);
 
 #endif
