--- a/src/request/policy/fairq.c
+++ b/src/request/policy/fairq.c
@@ -1,12 +1,19 @@
 #include "request/policy/fairq.h"
 
-#define FQ_PRUNE_SLACK 64 /* idle accounts kept before they are looked through */
+#define PRUNE_MIN_ACCOUNTS 64 /* accounts known before idle ones are dropped */
 
 /**
- * struct fq_account - a client account that waits, or was served lately
+ * struct account - a client account with queued requests, or one that was served lately
+ * @hash: key in fq.accounts
  * @finish: virtual time up to which it has been served
- * @passed: cost served of higher priorities while each band waited
- * @place: in fq.active while anything of it waits, else NULL
+ * @key: sort key in fq.active
+ * @cost: cost of its queued requests
+ * @band_cost: the same for each priority level
+ * @passed: cost of the requests of higher levels served while the level had queued ones
+ * @bands: its queued requests, a list for each priority level
+ * @place: its position in fq.active, NULL if it has no queued requests
+ * @count: number of its queued requests
+ * @weight: in thousandths
  */
 typedef struct
 {
@@ -20,19 +27,19 @@
   GSequenceIter *place;
   uint32_t count;
   uint32_t weight;
-} fq_account_t;
+} account_t;
 
-/* Virtual time is cost at the ordinary weight. */
+/* Virtual time is measured in cost at weight one. */
 struct fq
 {
-  GHashTable *accounts; /* hash -> fq_account_t */
-  GSequence *active;    /* of fq_account_t, by key */
-  GSequence *deadlines; /* of fq_item_t that have one */
-  uint64_t virtual_now;
-  uint64_t credit;
-  uint32_t prune_at; /* accounts known at which spent ones are dropped */
-  uint32_t count;
-  uint32_t limit;
+  GHashTable *accounts; /* hash -> account_t */
+  GSequence *active;    /* accounts with queued requests, sorted by key */
+  GSequence *deadlines; /* requests with a deadline, sorted by it */
+  uint64_t virtual_now; /* virtual start time of the request served last */
+  uint64_t credit;      /* maximum credit of an account */
+  uint32_t prune_at;    /* number of known accounts above which idle ones are dropped */
+  uint32_t count;       /* queued requests */
+  uint32_t limit;       /* maximum of @count */
 };
 
 static uint32_t
@@ -42,7 +49,7 @@
 }
 
 static uint64_t
-scaled (uint64_t cost, uint32_t weight)
+virtual_cost (uint64_t cost, uint32_t weight)
 {
   if (weight == 0)
     weight = 1;
@@ -53,8 +60,8 @@
 by_key (const void *a, const void *b, void *context)
 {
   (void)context;
-  const fq_account_t *one = a;
-  const fq_account_t *two = b;
+  const account_t *one = a;
+  const account_t *two = b;
   if (one->key != two->key)
     return one->key < two->key ? -1 : 1;
   return 0;
@@ -69,19 +76,19 @@
   return one < two ? -1 : one > two;
 }
 
-static fq_account_t *
+static account_t *
 find (const fq_t *fq, uint64_t hash)
 {
   return g_hash_table_lookup (fq->accounts, &hash);
 }
 
-static fq_account_t *
+static account_t *
 find_or_make (fq_t *fq, const fq_item_t *item)
 {
-  fq_account_t *account = find (fq, item->account_hash);
+  account_t *account = find (fq, item->account_hash);
   if (account == NULL)
     {
-      account = g_new0 (fq_account_t, 1);
+      account = g_new0 (account_t, 1);
       account->hash = item->account_hash;
       for (uint32_t band = 0; band < FQ_BANDS; band++)
         g_queue_init (&account->bands[band]);
@@ -91,10 +98,10 @@
   return account;
 }
 
-/* One that waits keeps its place in virtual time; one that was idle, or had little, starts a
- * credit before the present. */
+/* Return: virtual start time of the account's next request. An account with queued requests
+ * continues where it was served up to; another one starts at most its credit before the present. */
 static uint64_t
-start_of (const fq_t *fq, const fq_account_t *account)
+start_of (const fq_t *fq, const account_t *account)
 {
   const uint64_t earliest = fq->virtual_now > fq->credit ? fq->virtual_now - fq->credit : 0;
   if (account == NULL)
@@ -102,9 +109,10 @@
   return account->place != NULL ? account->finish : MAX (account->finish, earliest);
 }
 
-/* The first band that waits, unless one below it has been passed over for its head start. */
+/* Return: the highest priority level with queued requests, unless enough cost was served before a
+ * lower one */
 static uint32_t
-band_to_serve (const fq_account_t *account)
+next_band (const account_t *account)
 {
   uint32_t first = FQ_BANDS;
   for (uint32_t band = 0; band < FQ_BANDS; band++)
@@ -120,9 +128,9 @@
 }
 
 static fq_item_t *
-head_of (const fq_account_t *account)
+head_of (const account_t *account)
 {
-  return account->bands[band_to_serve (account)].head->data;
+  return account->bands[next_band (account)].head->data;
 }
 
 static uint32_t
@@ -137,8 +145,9 @@
   return start + (uint64_t)precedence_of (item) * FQ_HEAD_START;
 }
 
+/* Updates the account's position in fq.active after its requests or times have changed. */
 static void
-settle (fq_t *fq, fq_account_t *account)
+update_position (fq_t *fq, account_t *account)
 {
   if (account->count == 0)
     {
@@ -158,11 +167,12 @@
   g_sequence_sort_changed (account->place, by_key, NULL);
 }
 
+/* Return: whether the account is the same as a new one, so that it needn't be remembered */
 static gboolean
-is_spent (void *key, void *value, void *context)
+is_idle (void *key, void *value, void *context)
 {
   (void)key;
-  const fq_account_t *account = value;
+  const account_t *account = value;
   const fq_t *fq = context;
   return account->count == 0 && account->finish + fq->credit <= fq->virtual_now;
 }
@@ -172,20 +182,20 @@
 {
   if (g_hash_table_size (fq->accounts) <= fq->prune_at)
     return;
-  g_hash_table_foreach_remove (fq->accounts, is_spent, fq);
-  fq->prune_at = 2 * g_hash_table_size (fq->accounts) + FQ_PRUNE_SLACK;
+  g_hash_table_foreach_remove (fq->accounts, is_idle, fq);
+  fq->prune_at = 2 * g_hash_table_size (fq->accounts) + PRUNE_MIN_ACCOUNTS;
 }
 
 static void
-charge (fq_t *fq, fq_account_t *account, uint32_t cost)
+charge (fq_t *fq, account_t *account, uint32_t cost)
 {
   const uint64_t start = start_of (fq, account);
-  account->finish = start + scaled (cost, account->weight);
+  account->finish = start + virtual_cost (cost, account->weight);
   fq->virtual_now = MAX (fq->virtual_now, start);
 }
 
 static void
-take_out (fq_t *fq, fq_account_t *account, fq_item_t *item)
+take_out (fq_t *fq, account_t *account, fq_item_t *item)
 {
   const uint32_t band = band_of (item);
   g_queue_unlink (&account->bands[band], &item->link);
@@ -199,7 +209,7 @@
 }
 
 static void
-note_passed (fq_account_t *account, const fq_item_t *served)
+note_passed (account_t *account, const fq_item_t *served)
 {
   const uint32_t served_band = band_of (served);
   account->passed[served_band] = 0;
@@ -208,19 +218,19 @@
         account->bands[band].length > 0 ? account->passed[band] + served->cost + 1 : 0;
 }
 
-/* The cost that is served of @other before the key of a newcomer comes up. */
+/* Return: cost of @other's requests that is served before a new request with @key */
 static uint64_t
-cost_before_key (const fq_account_t *other, uint64_t key)
+cost_before_key (const account_t *other, uint64_t key)
 {
   if (other->key > key)
     return 0;
-  const uint64_t room = (key - other->key) * other->weight / FQ_WEIGHT_ONE;
+  const uint64_t until_key = (key - other->key) * other->weight / FQ_WEIGHT_ONE;
   const uint64_t head = head_of (other)->cost;
-  return MIN (other->cost, room + head);
+  return MIN (other->cost, until_key + head);
 }
 
 static uint32_t
-count_of_cost (const fq_account_t *account, uint64_t cost)
+count_of_cost (const account_t *account, uint64_t cost)
 {
   const uint64_t total = account->cost + 1;
   const uint64_t count = (cost * account->count + total / 2) / total;
@@ -235,7 +245,7 @@
   fq->active = g_sequence_new (NULL);
   fq->deadlines = g_sequence_new (NULL);
   fq->limit = total_limit;
-  fq->prune_at = FQ_PRUNE_SLACK;
+  fq->prune_at = PRUNE_MIN_ACCOUNTS;
   return fq;
 }
 
@@ -261,12 +271,12 @@
 {
   if (fq->count >= fq->limit)
     return FQ_FULL;
-  const fq_account_t *known = find (fq, item->account_hash);
+  const account_t *known = find (fq, item->account_hash);
   if (known != NULL && known->count >= item->queue_limit)
     return FQ_ACCOUNT_FULL;
   if (item->queue_limit == 0)
     return FQ_ACCOUNT_FULL;
-  fq_account_t *account = find_or_make (fq, item);
+  account_t *account = find_or_make (fq, item);
   const uint32_t band = band_of (item);
   item->link = (GList){ .data = item };
   g_queue_push_tail_link (&account->bands[band], &item->link);
@@ -277,7 +287,7 @@
   item->expiry = NULL;
   if (item->deadline_us != 0)
     item->expiry = g_sequence_insert_sorted (fq->deadlines, item, by_deadline, NULL);
-  settle (fq, account);
+  update_position (fq, account);
   return FQ_QUEUED;
 }
 
@@ -306,11 +316,11 @@
   fq_item_t *item = fq_peek_allowed (fq, may, context);
   if (item == NULL)
     return NULL;
-  fq_account_t *account = find (fq, item->account_hash);
+  account_t *account = find (fq, item->account_hash);
   take_out (fq, account, item);
   note_passed (account, item);
   charge (fq, account, item->cost);
-  settle (fq, account);
+  update_position (fq, account);
   prune (fq);
   return item;
 }
@@ -318,8 +328,8 @@
 bool
 fq_goes_before (const fq_t *fq, const fq_item_t *item, const fq_item_t *waiting)
 {
-  const fq_account_t *account = find (fq, item->account_hash);
-  const fq_account_t *other = find (fq, waiting->account_hash);
+  const account_t *account = find (fq, item->account_hash);
+  const account_t *other = find (fq, waiting->account_hash);
   if (account == other)
     return band_of (item) < band_of (waiting);
   return key_of (start_of (fq, account), item) < other->key;
@@ -350,10 +360,10 @@
 void
 fq_remove (fq_t *fq, fq_item_t *item)
 {
-  fq_account_t *account = find (fq, item->account_hash);
+  account_t *account = find (fq, item->account_hash);
   g_assert (account != NULL && account->count > 0);
   take_out (fq, account, item);
-  settle (fq, account);
+  update_position (fq, account);
 }
 
 bool
@@ -383,7 +393,7 @@
 fq_ahead_t
 fq_ahead (const fq_t *fq, const fq_item_t *item)
 {
-  const fq_account_t *own = find (fq, item->account_hash);
+  const account_t *own = find (fq, item->account_hash);
   const uint32_t band = band_of (item);
   fq_ahead_t ahead = { 0 };
   for (uint32_t i = 0; own != NULL && i <= band; i++)
@@ -391,12 +401,12 @@
       ahead.cost += own->band_cost[i];
       ahead.count += own->bands[i].length;
     }
-  const uint64_t own_ahead = ahead.count > 0 ? scaled (ahead.cost, item->weight) : 0;
+  const uint64_t own_ahead = ahead.count > 0 ? virtual_cost (ahead.cost, item->weight) : 0;
   const uint64_t key = key_of (start_of (fq, own) + own_ahead, item);
   GSequenceIter *at = g_sequence_get_begin_iter (fq->active);
   for (; !g_sequence_iter_is_end (at); at = g_sequence_iter_next (at))
     {
-      const fq_account_t *other = g_sequence_get (at);
+      const account_t *other = g_sequence_get (at);
       if (other == own)
         continue;
       const uint64_t cost = cost_before_key (other, key);
@@ -417,27 +427,27 @@
 void
 fq_served (fq_t *fq, const fq_item_t *item)
 {
-  fq_account_t *account = find_or_make (fq, item);
-  const uint32_t known = MIN (g_hash_table_size (fq->accounts), FQ_PRUNE_SLACK);
+  account_t *account = find_or_make (fq, item);
+  const uint32_t known = MIN (g_hash_table_size (fq->accounts), PRUNE_MIN_ACCOUNTS);
   charge (fq, account, item->cost);
-  /* While nothing waits, time passes for all as if each had its even part: else what is remembered
-   * of accounts that never queue would stand for ever. */
+  /* While no request is queued, virtual time advances as if all known accounts were served equally.
+   * Otherwise accounts that never have queued requests would be remembered for ever. */
   if (fq->count == 0)
-    fq->virtual_now += scaled (item->cost, item->weight) / (known + 1);
+    fq->virtual_now += virtual_cost (item->cost, item->weight) / (known + 1);
   if (account->count > 0)
-    settle (fq, account);
+    update_position (fq, account);
   prune (fq);
 }
 
 void
 fq_took (fq_t *fq, const fq_item_t *item, uint64_t cost)
 {
-  fq_account_t *account;
+  account_t *account;
 
   if (cost <= item->cost)
     return;
   account = find_or_make (fq, item);
-  account->finish += scaled (MIN (cost - item->cost, UINT32_MAX), account->weight);
+  account->finish += virtual_cost (MIN (cost - item->cost, UINT32_MAX), account->weight);
   if (account->count > 0)
-    settle (fq, account);
+    update_position (fq, account);
 }
--- a/tests/test_fairq.c
+++ b/tests/test_fairq.c
@@ -44,14 +44,13 @@
     }
 }
 
-/* A client account sends 300 requests at once. Then one of a quiet account arrives: its caller
- * must not wait behind the 300, as the surge is no fault of his. */
+/* Guards against a request that waits behind a burst of 300 requests of another account. */
 static void
-test_surge_waits_behind_itself (void)
+test_burst_delays_its_own_account_only (void)
 {
   g_autoptr (fq_t) fq = fq_new (512);
-  fq_item_t surge[300];
-  push_many (fq, surge, 300, make (1, 1, 2000));
+  fq_item_t burst[300];
+  push_many (fq, burst, 300, make (1, 1, 2000));
   for (uint32_t i = 0; i < 20; i++)
     fq_pop (fq);
   fq_item_t quiet = make (2, 1, 2000);
@@ -59,11 +58,11 @@
   CU_ASSERT (pops_until (fq, &quiet) <= 2);
 }
 
-/* A client account names a class of short requests for its long ones, so that each costs it a tenth
- * of what it takes. The other accounts must not get a tenth of the engine for that: what a request
- * took beyond its estimate is charged when it ends. */
+/* A client account declares its long requests as short ones, so that the estimate is a tenth of
+ * their cost. Guards against it getting ten times the share of others: the difference is charged
+ * when a request ends. */
 static void
-test_understating_gains_nothing (void)
+test_underestimated_cost_is_charged (void)
 {
   g_autoptr (fq_t) fq = fq_new (512);
   fq_item_t understated[150], honest[150];
@@ -82,7 +81,7 @@
 }
 
 static void
-test_weights_share_cost (void)
+test_weights_divide_cost (void)
 {
   g_autoptr (fq_t) fq = fq_new (512);
   fq_item_t one[150], three[150];
@@ -101,7 +100,7 @@
 }
 
 static void
-test_short_class_passes_long_ones (void)
+test_high_priority_goes_first (void)
 {
   g_autoptr (fq_t) fq = fq_new (512);
   fq_item_t long_ones[50];
@@ -117,26 +116,26 @@
   CU_ASSERT (second == &own || second == &other);
 }
 
-/* Status checks keep coming faster than they are served, from the account itself and from another
- * one. A long appeal waits: strict priorities would hold it for ever, and its caller would hear of
- * a deadline with the engine busy all along. */
+/* Short requests of high priority arrive faster than they are served, from the same account or from
+ * another one. Guards against a long request of low priority that never starts, as with strict
+ * priorities. */
 static void
-test_long_class_is_not_starved (void)
+test_low_priority_is_not_starved (void)
 {
-  for (uint64_t flooder = 1; flooder <= 2; flooder++)
+  for (uint64_t sender = 1; sender <= 2; sender++)
     {
       g_autoptr (fq_t) fq = fq_new (512);
       fq_item_t flood[MANY];
-      fq_item_t appeal = make (1, 3, 8000);
-      push_many (fq, flood, MANY - 1, make (flooder, 0, 100));
-      fq_push (fq, &appeal);
-      CU_ASSERT (pops_until (fq, &appeal) <= 3 * FQ_HEAD_START / 100 + 2);
+      fq_item_t long_item = make (1, 3, 8000);
+      push_many (fq, flood, MANY - 1, make (sender, 0, 100));
+      fq_push (fq, &long_item);
+      CU_ASSERT (pops_until (fq, &long_item) <= 3 * FQ_HEAD_START / 100 + 2);
     }
 }
 
-/* Accounts whose items may not start are skipped, and keep their turn. */
+/* Accounts whose items may not start are skipped, and keep their place. */
 static bool
-is_not_one (const fq_item_t *item, void *context)
+is_not_account_one (const fq_item_t *item, void *context)
 {
   (*(uint32_t *)context)++;
   return item->account_hash != 1;
@@ -150,8 +149,8 @@
   fq_item_t one = make (1, 0, 10), two = make (2, 1, 10);
   fq_push (fq, &one);
   fq_push (fq, &two);
-  CU_ASSERT_PTR_EQUAL (fq_pop_allowed (fq, is_not_one, &asked), &two);
-  CU_ASSERT_PTR_NULL (fq_pop_allowed (fq, is_not_one, &asked));
+  CU_ASSERT_PTR_EQUAL (fq_pop_allowed (fq, is_not_account_one, &asked), &two);
+  CU_ASSERT_PTR_NULL (fq_pop_allowed (fq, is_not_account_one, &asked));
   CU_ASSERT_EQUAL (asked, 3);
   CU_ASSERT_PTR_EQUAL (fq_pop (fq), &one);
   CU_ASSERT_EQUAL (fq_count (fq), 0);
@@ -217,9 +216,9 @@
   CU_ASSERT (pops >= 115 && pops <= 121);
 }
 
-/* An account that was served without waiting has had its share: one that was idle goes first. */
+/* Guards against an account that was served without waiting going before one that was idle. */
 static void
-test_served_is_charged (void)
+test_service_without_waiting_is_charged (void)
 {
   g_autoptr (fq_t) fq = fq_new (512);
   fq_item_t busy = make (1, 1, 50000), idle = make (2, 1, 1000), again = make (1, 1, 10);
@@ -231,7 +230,7 @@
   CU_ASSERT_PTR_EQUAL (fq_pop (fq), &again);
 }
 
-/* Accounts come and go by the thousand; what is remembered of them must not grow. */
+/* Guards against memory that grows with each of thousands of accounts that are used once. */
 static void
 test_idle_accounts_are_dropped (void)
 {
@@ -244,8 +243,8 @@
   CU_ASSERT (fq_account_count (fq) < 200);
 }
 
-/* One account has had all the service so far. It is ahead of the others, whatever it does next;
- * any other one is behind until it has used up its credit. */
+/* One account was served alone so far, so it isn't behind; another one is behind until it has used
+ * its credit. */
 static void
 test_is_behind (void)
 {
@@ -265,7 +264,7 @@
 }
 
 static void
-test_drain_follows_load_and_stall (void)
+test_completion_interval_follows_load_and_stall (void)
 {
   drn_t drn = { 0 };
   drn_started (&drn, 0, 0, 400);
@@ -281,19 +280,20 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "a surge waits behind itself", test_surge_waits_behind_itself },
-    { "weights share the cost", test_weights_share_cost },
-    { "understating gains nothing", test_understating_gains_nothing },
-    { "a short class passes long ones", test_short_class_passes_long_ones },
-    { "a long class is not starved", test_long_class_is_not_starved },
-    { "what may not start is skipped", test_pop_allowed_skips },
+    { "a burst delays its own account only", test_burst_delays_its_own_account_only },
+    { "weights divide the cost", test_weights_divide_cost },
+    { "underestimated cost is charged", test_underestimated_cost_is_charged },
+    { "high priority goes first", test_high_priority_goes_first },
+    { "low priority is not starved", test_low_priority_is_not_starved },
+    { "items that may not start are skipped", test_pop_allowed_skips },
     { "limits of account and total", test_limits },
-    { "expiry in order", test_expiry_in_order },
+    { "expiry in order of deadlines", test_expiry_in_order },
     { "the estimate ahead matches the service", test_ahead_matches_service },
-    { "service without waiting is charged", test_served_is_charged },
+    { "service without waiting is charged", test_service_without_waiting_is_charged },
     { "idle accounts are dropped", test_idle_accounts_are_dropped },
-    { "who had less is behind", test_is_behind },
-    { "drain follows load and stall", test_drain_follows_load_and_stall },
+    { "an account served less is behind", test_is_behind },
+    { "completion interval follows load and stall",
+      test_completion_interval_follows_load_and_stall },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("fairq", tests);
