--- a/src/request/policy/admit.c
+++ b/src/request/policy/admit.c
@@ -1,12 +1,12 @@
 #include "request/policy/admit_private.h"
 
-/* What a check of the waiting requests needs, taken once for all of them. */
+/* Context of may_serve(), computed once for all waiting requests. */
 typedef struct
 {
   adm_t *adm;
   uint64_t now_us;
   uint64_t bound_milli;
-} adm_check_t;
+} serve_check_t;
 
 static adm_request_t *
 request_of (fq_item_t *item)
@@ -15,7 +15,7 @@
 }
 
 static void
-note_account (adm_t *adm, uint64_t now_us, uint64_t account_hash)
+note_account_change (adm_t *adm, uint64_t now_us, uint64_t account_hash)
 {
   if (account_hash != adm->last_account)
     adm->mixed_us = now_us;
@@ -25,7 +25,7 @@
 static bool
 may_serve (const fq_item_t *item, void *context)
 {
-  const adm_check_t *check = context;
+  const serve_check_t *check = context;
   if (item->deadline_us != 0 && item->deadline_us <= check->now_us)
     return false;
   return adm_fits (check->adm, check->now_us, item, check->bound_milli);
@@ -38,13 +38,13 @@
     return false;
   if (fq_count (adm->queue) == 0)
     return true;
-  adm_check_t check = { .adm = adm, .now_us = now_us, .bound_milli = bound_milli };
+  serve_check_t check = { .adm = adm, .now_us = now_us, .bound_milli = bound_milli };
   const fq_item_t *first = fq_peek_allowed (adm->queue, may_serve, &check);
   return first == NULL || fq_goes_before (adm->queue, item, first);
 }
 
 static void
-start (adm_t *adm, uint64_t now_us, adm_request_t *request)
+start_request (adm_t *adm, uint64_t now_us, adm_request_t *request)
 {
   drn_started (&adm->drain, now_us, adm->load, adm_length_us (adm, request));
   adm->load++;
@@ -63,12 +63,12 @@
   return adm->engine_down ? VRD_REASON_NO_ENGINE : VRD_REASON_NONE;
 }
 
-/* Whether going elsewhere is better than waiting @wait here. */
+/* Return: whether another engine is better than waiting here for @wait microseconds */
 static bool
-better_elsewhere (const adm_t *adm,
-                  const adm_request_t *request,
-                  const adm_decision_t *room,
-                  uint64_t wait)
+is_better_elsewhere (const adm_t *adm,
+                     const adm_request_t *request,
+                     const adm_decision_t *room,
+                     uint64_t wait)
 {
   if (request->may_wait || adm->options.policy == ADM_POLICY_OPEN)
     return false;
@@ -77,7 +77,7 @@
   return room->referral_count > 0 && wait > adm_cold_start_us (adm, request);
 }
 
-/* Over the bound: hold it here, point to room, or say when to come back. */
+/* Above the bound: queues the request, or rejects it with referrals or a retry time. */
 static adm_decision_t
 wait_or_refuse (adm_t *adm, uint64_t now_us, adm_request_t *request, uint64_t bound_milli)
 {
@@ -87,7 +87,7 @@
   if (!request->may_wait && adm->options.policy == ADM_POLICY_FULL)
     adm_point_to_room (adm, now_us, adm_limit_milli (adm, now_us, item, bound_milli), &room);
   const bool in_time = item->deadline_us == 0 || now_us + wait < item->deadline_us;
-  if (better_elsewhere (adm, request, &room, in_time ? wait : UINT64_MAX))
+  if (is_better_elsewhere (adm, request, &room, in_time ? wait : UINT64_MAX))
     return adm_refuse_over_bound (adm, wait, &room);
   if (!in_time)
     return adm_refuse_to_wait (adm, VRD_REASON_DEADLINE, now_us + wait - item->deadline_us,
@@ -172,18 +172,19 @@
   request->item.owner = request;
   request->item.queued_us = now_us;
   request->item.cost = (uint32_t)(adm_length_us (adm, request) / CLK_US_PER_MS);
-  /* Before all else: a router counts these, to end a request that has crashed two engines. */
+  /* Checked first, also while the engine admits nothing: routers count these rejections and end a
+   * request that has crashed the maximum of engines. */
   if (adm_refuse_suspect (adm, now_us, request, bound_milli, &decision))
     return decision;
   if (closed != VRD_REASON_NONE)
     return adm_refuse_closed (adm, now_us, closed, bound_milli);
   if (adm_refer_to_warm (adm, now_us, request, bound_milli, &decision))
     return decision;
-  note_account (adm, now_us, request->item.account_hash);
+  note_account_change (adm, now_us, request->item.account_hash);
   if (!starts_now (adm, now_us, &request->item, bound_milli))
     return wait_or_refuse (adm, now_us, request, bound_milli);
   fq_served (adm->queue, &request->item);
-  start (adm, now_us, request);
+  start_request (adm, now_us, request);
   return adm_decide (adm, ADM_DISPATCH, VRD_REASON_NONE, bound_milli);
 }
 
@@ -192,11 +193,13 @@
 {
   if (fq_count (adm->queue) == 0 || closed_reason (adm) != VRD_REASON_NONE)
     return NULL;
-  adm_check_t check = { .adm = adm, .now_us = now_us, .bound_milli = adm_bound_now (adm, now_us) };
+  serve_check_t check = { .adm = adm,
+                          .now_us = now_us,
+                          .bound_milli = adm_bound_now (adm, now_us) };
   adm_request_t *request = request_of (fq_pop_allowed (adm->queue, may_serve, &check));
   if (request == NULL)
     return NULL;
-  start (adm, now_us, request);
+  start_request (adm, now_us, request);
   return request;
 }
 
@@ -212,8 +215,9 @@
       *decision = adm_refuse_closed (adm, now_us, closed, bound_milli);
       return request_of (fq_any (adm->queue));
     }
-  /* The next end is the soonest that anything can start: whoever cannot wait so long is told now.
-   * On a stalled engine this grows, and nobody is held until the deadline. */
+  /* No queued request can start before the next completions. One whose deadline is earlier is
+   * rejected now, while its client has time to retry. The expected time grows while the engine is
+   * stalled, so that no request is kept until its deadline. */
   const uint64_t limit = MIN ((uint64_t)adm->options.slots * MILLI, bound_milli);
   const uint64_t soonest_us =
       adm_ends_needed (adm->load, limit) * drn_interval_us (&adm->drain, now_us, adm->load);
@@ -231,7 +235,8 @@
   adm->load--;
   adm->cost -= request->item.cost;
   drn_finished (&adm->drain, now_us, now_us - request->dispatched_us);
-  /* The estimate rests on what the caller says: the class that it names, and so the length. */
+  /* The estimate depends on the class that the client declares, so what a request took beyond it is
+   * charged to the account. */
   fq_took (adm->queue, &request->item, (now_us - request->dispatched_us) / CLK_US_PER_MS);
   if (warm)
     adm_note_warm (adm, now_us, request);
@@ -251,9 +256,9 @@
 }
 
 /*
- * A crashed engine told no load just before it was gone, or none since. Counted as idle, it lowers
- * the bound of the others in the moment in which they take over its requests: one that crashed with
- * them would find no place and be refused, though there is room.
+ * The last sample of a crashed engine has no load, or will not be updated. Counted as idle, it
+ * would lower the mean and so the bound of the other engines while they take over its requests, and
+ * these would be rejected though slots are free.
  */
 void
 adm_lost (adm_t *adm, uint64_t engine_hash)
--- a/src/request/policy/admit.h
+++ b/src/request/policy/admit.h
@@ -1,22 +1,24 @@
 /**
  * DOC: admit
  *
- * The authority beside the engine: what a sidecar does with each request that reaches it. It
- * alone sees every request of its engine, so it alone admits, queues, refuses and counts. A pure
- * state machine without I/O.
+ * Admission control of an engine: decides what its sidecar does with each request. Only the sidecar
+ * sees all requests of its engine, so only it admits, queues, rejects and counts them. A pure state
+ * machine without I/O.
  *
- * The bound: a request is dispatched only if the load after it stays within
- * max(c x (mean - margin), mean + 1), with the mean sampled, and in the second term rounded to the
- * nearest request when that is more. An engine at or below the mean always has room, so there is
- * always room somewhere in the service. The slots of the engine bound it too, whichever is lower.
+ * Bounded load: a request is dispatched only if the load including it is at most
+ * max(c x (mean - margin), mean + 1). The mean load of the service's engines is estimated from
+ * samples; in the second term it is rounded to the nearest integer if that is more. An engine at or
+ * below the mean can always admit a request, so some engine of the service always can. The number
+ * of slots of the engine is a second limit; the lower one applies.
  *
- * Over the bound a request waits here when that is expected to take less time than a cold start
- * elsewhere, when nobody else is known to have room, or when its router has nobody left to ask;
- * otherwise it is refused with the names of engines that have room. A request that cannot start
- * before its deadline by the measured drain rate is refused at once.
+ * A request above the bound is queued if the wait is expected to be shorter than a cold start on
+ * another engine, if no other engine is known to have free capacity, or if its router has no other
+ * engine left to try. Otherwise it is rejected with referrals to engines with free capacity. A
+ * request that can't start before its deadline, by the measured completion rate, is rejected at
+ * once.
  *
- * After each event (offer, finish, cancel, a fresh sample, a timer) the owner calls adm_reject()
- * and then adm_next(), each until NULL.
+ * After each event (offer, finish, cancel, a new sample, a timer) the caller calls adm_reject() and
+ * then adm_next(), each until it returns NULL.
  */
 #ifndef REQUEST_POLICY_ADMIT_H
 #define REQUEST_POLICY_ADMIT_H
@@ -32,31 +34,46 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ADM_RESERVE_DIVISOR 8 /* one slot in so many is kept for accounts that had less */
-#define ADM_CREDIT_MS 2000 /* of the whole engine: what an account that had less may take first */
-#define ADM_ALONE_US (60 * (uint64_t)CLK_US_PER_S) /* one account alone may have all slots */
-#define ADM_COLD_WEIGHT 2                          /* a cold start, against waiting for as long */
-#define ADM_WARM_LIFETIMES 2 /* for which the directory and a new engine refer on */
+/* One slot of this number is reserved for accounts that were served less than others. */
+#define ADM_RESERVE_DIVISOR 8
+/* Maximum credit of an account that was served less than others, as a time of all slots. */
+#define ADM_CREDIT_MS 2000
+/* After this time without requests of another account, one account may use the reserved slots. */
+#define ADM_ALONE_US (60 * (uint64_t)CLK_US_PER_S)
+/* Cost of a cold start relative to a wait of the same duration: it also uses time of an engine. */
+#define ADM_COLD_WEIGHT 2
+/* Cache lifetimes for which requests are referred to an engine that may have their context. */
+#define ADM_WARM_LIFETIMES 2
+/* Time for which a request that crashed an engine is remembered. */
 #define ADM_SUSPECT_LIFETIME_US (30 * 60 * (uint64_t)CLK_US_PER_S)
-#define ADM_TOKEN_US 30000 /* between two tokens, until the length of requests is measured */
+/* Time per output token, to estimate the duration of a request. */
+#define ADM_TOKEN_US 30000
+/* Limits of the retry time, before up to half is added at random. */
 #define ADM_RETRY_MIN_MS 100
 #define ADM_RETRY_MAX_MS (60 * 1000)
 
-/** enum adm_policy - all but the first are baselines of the benchmark */
+/** enum adm_policy - admission algorithm; all but the first are baselines of the benchmarks */
 typedef enum
 {
-  ADM_POLICY_FULL,
-  ADM_POLICY_NO_REFERRAL, /* bounded load, no directory and no referral */
-  ADM_POLICY_OPEN /* admits always up to the slots: plain rendezvous, least loaded, random */
+  ADM_POLICY_FULL,        /* bounded load with directory and referrals */
+  ADM_POLICY_NO_REFERRAL, /* bounded load without directory and referrals */
+  ADM_POLICY_OPEN         /* admits up to the slots, for routing by hash, least load or random */
 } adm_policy_t;
 
 /**
- * struct adm_options - made from the settings and the version in force
- * @slots: requests that the engine runs at once
- * @bound_percent: c in hundredths
- * @engine_count: engines of the service, as listed
- * @is_live: whether an engine is in use by the members known here; NULL for all. Keeps referrals
- *   away from engines that left
+ * struct adm_options - options from the settings and the manifest in force
+ * @engine_hash: the engine
+ * @service_hash: its service
+ * @slots: requests that the engine runs concurrently
+ * @bound_percent: the factor c of the bound, in hundredths
+ * @engine_count: engines of the service in the registry
+ * @prefill_tokens_s: prompt tokens that an engine reads per second; 0 if reading takes no time
+ * @cache_lifetime_us: expected time for which an engine caches the context of a chat
+ * @seed: of the random generator
+ * @policy: admission algorithm
+ * @is_live: Return: whether an engine is in use, so that none that left is referred to; NULL if all
+ *   are
+ * @context: argument of @is_live
  */
 typedef struct
 {
@@ -74,19 +91,27 @@
 } adm_options_t;
 
 /**
- * struct adm_request - what the decision looks at
- * @home_hash: first candidate of the chat by the router's view; equal to the own engine at home
- * @former_hash: the candidate that was home before the own engine joined, 0 when none or when this
- *   is the first message of the chat, which is warm nowhere
- * @may_wait: the last sidecar asked may queue; an earlier one refuses instead, unless waiting is
- *   cheaper than a cold start elsewhere
- * @referred: sent here by another sidecar's referral: it is not referred on for warmth
- * @prompt_tokens, @output_tokens: estimated
+ * struct adm_request - a request, with what the decision depends on
+ * @item: entry in the queue; the caller sets account, weight, priority, limit and deadline, and
+ *   adm_offer() the rest
+ * @chat_hash: its chat, used if @has_chat
+ * @fingerprint: hash that identifies the request when it is sent again after a crash
+ * @home_hash: home engine of the chat, the router's first candidate
+ * @former_hash: home engine of the chat before the present one joined; 0 if none, or if this is the
+ *   first message of the chat, whose context is cached nowhere
+ * @prompt_tokens: estimated tokens to read
+ * @output_tokens: estimated tokens to generate
+ * @may_wait: the router has no other engine left to try, so the request may be queued here; without
+ *   it, it is queued only if the wait is cheaper than a cold start elsewhere
+ * @referred: another sidecar referred the request here; it isn't referred again to where its
+ *   context is cached
+ * @has_chat: the request belongs to a chat, whose context may be cached
+ * @dispatched_us: when it was dispatched; set by this module
+ * @running: it is dispatched and hasn't finished; set by this module
  */
 typedef struct
 {
-  fq_item_t
-      item; /* account, weight, priority, limit, deadline: by the caller; cost: by adm_offer() */
+  fq_item_t item;
   uint64_t chat_hash;
   uint64_t fingerprint;
   uint64_t home_hash;
@@ -96,22 +121,28 @@
   bool may_wait;
   bool referred;
   bool has_chat;
-  /* owned by the state machine */
   uint64_t dispatched_us;
   bool running;
 } adm_request_t;
 
+/** enum adm_action - what to do with a request */
 typedef enum
 {
-  ADM_DISPATCH,
-  ADM_WAIT,
-  ADM_REFUSE
+  ADM_DISPATCH, /* send it to the engine now */
+  ADM_WAIT,     /* keep it; it was queued */
+  ADM_REFUSE    /* reject it */
 } adm_action_t;
 
 /**
- * struct adm_decision - what to do, and why
- * @referrals: hashes of engines to try instead, best first
- * @retry_after_ms: for a refusal, when there should be room, from the measured drain rate
+ * struct adm_decision - what to do with a request, and why
+ * @action: what to do
+ * @reason: why the request is rejected
+ * @referrals: hashes of the engines to try instead, best first
+ * @referral_count: number of @referrals
+ * @retry_after_ms: for a rejected request, when a slot is expected to be free, by the measured
+ *   completion rate; 0 if retrying doesn't help
+ * @load: running requests before the decision
+ * @bound_milli: the bound, in thousandths of a request
  */
 typedef struct
 {
@@ -124,46 +155,58 @@
   uint64_t bound_milli;
 } adm_decision_t;
 
+/** struct adm - admission control of one engine */
 typedef struct adm adm_t;
 
+/** adm_new() - Return: the state of an engine without requests, to be freed by adm_free() */
 adm_t *adm_new (const adm_options_t *options);
 void adm_free (adm_t *adm);
-/** adm_configure() - a new version is in force; what runs goes on */
+/** adm_configure() - replaces the options; running and queued requests are kept */
 void adm_configure (adm_t *adm, const adm_options_t *options);
+/** adm_set_leaving() - while @leaving, the host shuts down and no request is admitted */
 void adm_set_leaving (adm_t *adm, bool leaving);
-/** adm_set_stale() - the daemon has just woken from a pause: nothing is admitted until it is fresh
- */
+/** adm_set_stale() - while @stale, after a pause of the daemon, no request is admitted, as its
+ * cluster state is out of date */
 void adm_set_stale (adm_t *adm, bool stale);
-/** adm_set_engine_up() - whether the engine answers */
+/** adm_set_engine_up() - while the engine doesn't answer, no request is admitted */
 void adm_set_engine_up (adm_t *adm, bool up);
-/** adm_set_joined() - when the engine joined, for referral to the former home while it is new */
+/** adm_set_joined() - sets when the engine joined; a new engine refers chats to their former home
+ */
 void adm_set_joined (adm_t *adm, uint64_t joined_us);
 
-/** adm_offer() - a request arrived; on ADM_WAIT it must stay valid until popped or cancelled */
+/** adm_offer() - decides on a new request; after ADM_WAIT it has to stay valid until it is returned
+ * by adm_next() or adm_reject(), or cancelled */
 adm_decision_t adm_offer (adm_t *adm, uint64_t now_us, adm_request_t *request);
-/** adm_next() - the next waiting request that may be dispatched now, or NULL */
+/** adm_next() - dequeues the next request to dispatch now. Return: NULL if there is none */
 adm_request_t *adm_next (adm_t *adm, uint64_t now_us);
-/** adm_reject() - a waiting request that must be refused now, or NULL; call until NULL */
+/** adm_reject() - dequeues a request to reject now, with @decision. Return: NULL if there is none
+ */
 adm_request_t *adm_reject (adm_t *adm, uint64_t now_us, adm_decision_t *decision);
-/** adm_finish() - a dispatched request ended, in whatever way; @warm when the engine now holds its
- * prefix */
+/** adm_finish() - a dispatched request ended, whatever its result; @warm: the engine has its
+ * context in the cache now */
 void adm_finish (adm_t *adm, uint64_t now_us, adm_request_t *request, bool warm);
-/** adm_cancel() - a waiting request is no longer wanted */
+/** adm_cancel() - removes a queued request */
 void adm_cancel (adm_t *adm, adm_request_t *request);
-/** adm_crashed() - the engine crashed while it ran @request */
+/** adm_crashed() - records that the engine crashed while it ran @request */
 void adm_crashed (adm_t *adm, uint64_t now_us, const adm_request_t *request);
-/** adm_lost() - a router tells that @engine_hash crashed: it no longer counts in the mean */
+/** adm_lost() - drops the sample of another engine, which crashed, from the mean load */
 void adm_lost (adm_t *adm, uint64_t engine_hash);
-/** adm_served_elsewhere() - a router tells the home where its chat was served */
+/** adm_served_elsewhere() - records on which other engine a chat of this home was served */
 void adm_served_elsewhere (adm_t *adm, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash);
 
+/** adm_sample() - Return: load sample of this engine, to be sent to other sidecars */
 mean_sample_t adm_sample (const adm_t *adm, uint64_t now_us);
+/** adm_mean() - Return: load samples of the other engines; the caller adds them */
 mean_table_t *adm_mean (adm_t *adm);
+/** adm_suspects() - Return: requests suspected of crashes */
 sus_t *adm_suspects (adm_t *adm);
+/** adm_directory() - Return: engines on which chats were served last */
 dir_t *adm_directory (adm_t *adm);
+/** adm_load() - Return: running requests */
 uint32_t adm_load (const adm_t *adm);
+/** adm_waiting() - Return: queued requests */
 uint32_t adm_waiting (const adm_t *adm);
-/** adm_bound_milli() - the bound at this moment, in thousandths of a request */
+/** adm_bound_milli() - Return: the present bound, in thousandths of a request */
 uint64_t adm_bound_milli (const adm_t *adm, uint64_t now_us);
 
 #endif
--- a/src/request/policy/admit_bound.c
+++ b/src/request/policy/admit_bound.c
@@ -8,10 +8,11 @@
 }
 
 /*
- * The mean plus one request. Without a margin: with all engines at one load none could admit, the
- * load would fall, and the service would be stuck there, refusing. And with the mean rounded to
- * the nearest request: of engines that all stand at seven some have just ended one, the mean is a
- * little below seven, none could have an eighth, and the service would never carry more.
+ * The mean plus one request, without a margin: otherwise, with all engines at the same load, none
+ * could admit a request, the load would fall and with it the bound, and the service would go on
+ * rejecting most requests. The mean is rounded to the nearest integer if that is more: when all
+ * engines run seven requests, some have just completed one, so the mean is slightly below seven,
+ * and without rounding no engine could admit an eighth and the load of the service could not rise.
  */
 static uint64_t
 one_more_milli (uint64_t mean_milli)
@@ -23,15 +24,16 @@
 static uint64_t
 bound_of (const adm_t *adm, uint64_t now_us, const mean_estimate_t *estimate)
 {
-  const uint64_t open_milli = (uint64_t)adm->options.slots * MILLI;
+  const uint64_t slots_milli = (uint64_t)adm->options.slots * MILLI;
   if (adm->options.policy == ADM_POLICY_OPEN || adm->options.engine_count <= 1)
-    return open_milli;
+    return slots_milli;
   if (estimate->count <= 1)
     {
-      /* Nobody was heard. Just after the start that is no news, so one request at a time; later the
-       * exchange is out, and the slots alone bound, as refusing everywhere would be an outage. */
-      const bool young = adm->joined_us != 0 && now_us < adm->joined_us + LIM_SAMPLE_AGE_US;
-      return young ? MILLI : open_milli;
+      /* No sample of another engine. Just after the start this is normal, so the engine admits one
+       * request at a time. Later it means that the exchange of samples is down; then only the slots
+       * limit the load, since rejecting requests on all engines would be an outage. */
+      const bool just_joined = adm->joined_us != 0 && now_us < adm->joined_us + LIM_SAMPLE_AGE_US;
+      return just_joined ? MILLI : slots_milli;
     }
   const uint64_t margin = estimate->margin_milli + dft_margin_milli (&adm->drift);
   const uint64_t low = estimate->mean_milli > margin ? estimate->mean_milli - margin : 0;
@@ -39,7 +41,7 @@
 }
 
 static uint32_t
-reserve_of (const adm_t *adm)
+reserved_slots (const adm_t *adm)
 {
   const uint32_t reserve = adm->options.slots / ADM_RESERVE_DIVISOR;
   return reserve == 0 && adm->options.slots >= 4 ? 1 : reserve;
@@ -51,15 +53,16 @@
   return now_us >= adm->mixed_us + ADM_ALONE_US;
 }
 
-/* Some slots are kept for accounts that had no more than the others. Without them a surging account
- * holds every slot, and each request of the others waits for one of its long ones to end. */
+/* Some slots are reserved for accounts that were served no more than the others. Without them a
+ * surging account uses all slots, and each request of the others waits until one of its long
+ * requests completes. */
 static uint32_t
-slots_for (const adm_t *adm, uint64_t now_us, const fq_item_t *item)
+slots_for_account (const adm_t *adm, uint64_t now_us, const fq_item_t *item)
 {
   const uint32_t slots = adm->options.slots;
   if (adm->options.policy == ADM_POLICY_OPEN || is_alone (adm, now_us))
     return slots;
-  return fq_is_behind (adm->queue, item) ? slots : slots - reserve_of (adm);
+  return fq_is_behind (adm->queue, item) ? slots : slots - reserved_slots (adm);
 }
 
 static uint64_t
@@ -77,7 +80,6 @@
   return after > limit ? (after - limit + MILLI - 1) / MILLI : 0;
 }
 
-/* The bound for a decision; the estimate is noted for the drift. */
 uint64_t
 adm_bound_now (adm_t *adm, uint64_t now_us)
 {
@@ -90,7 +92,7 @@
 uint64_t
 adm_limit_milli (const adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli)
 {
-  return MIN ((uint64_t)slots_for (adm, now_us, item) * MILLI, bound_milli);
+  return MIN ((uint64_t)slots_for_account (adm, now_us, item) * MILLI, bound_milli);
 }
 
 bool
@@ -99,8 +101,8 @@
   return ((uint64_t)adm->load + 1) * MILLI <= adm_limit_milli (adm, now_us, item, bound_milli);
 }
 
-/* What going elsewhere costs: the prefix is read again, which takes the caller's time and as much
- * of an engine's. A request without a chat has none. */
+/* On another engine the prompt prefix has to be read again, which takes time of the client and as
+ * much of an engine. A request without a chat has no cached prefix. */
 uint64_t
 adm_cold_start_us (const adm_t *adm, const adm_request_t *request)
 {
@@ -122,7 +124,7 @@
   return (ends + ahead) * drn_interval_us (&adm->drain, now_us, adm->load);
 }
 
-/* Of another engine, from its sample, taking its requests to be as long as those here. */
+/* Requests at the other engine are assumed to take as long as those here. */
 uint64_t
 adm_wait_there_us (const adm_t *adm, const mean_sample_t *there, uint64_t limit)
 {
--- a/src/request/policy/admit_refuse.c
+++ b/src/request/policy/admit_refuse.c
@@ -1,6 +1,7 @@
 #include "request/policy/admit_private.h"
 
-/* Up to half as much again at random: else all that were refused come back together. */
+/* Adds up to half of the time at random, so that clients that were rejected together don't retry
+ * together. */
 static uint32_t
 retry_after_ms (adm_t *adm, uint64_t after_us)
 {
--- a/src/request/policy/admit_warm.c
+++ b/src/request/policy/admit_warm.c
@@ -1,9 +1,9 @@
 #include "request/policy/admit_private.h"
 
-/* The lifetime is an expectation: some prefixes are kept for longer, and to ask for one in vain
- * costs only a hop. */
+/* Longer than the lifetime, which is an expected value: some contexts are cached for longer, and a
+ * referral in vain costs only one more hop. */
 static uint64_t
-warm_us (const adm_t *adm)
+referral_lifetime_us (const adm_t *adm)
 {
   return ADM_WARM_LIFETIMES * adm->options.cache_lifetime_us;
 }
@@ -11,17 +11,17 @@
 static bool
 is_new (const adm_t *adm, uint64_t now_us)
 {
-  return adm->joined_us != 0 && now_us < adm->joined_us + warm_us (adm);
+  return adm->joined_us != 0 && now_us < adm->joined_us + referral_lifetime_us (adm);
 }
 
-/* Whether a warm engine is worth a hop: not when it is gone, nor when its queue would take longer
- * than the cold start here. */
+/* Return: whether a referral to the engine saves time; not if it has left, or if the wait in its
+ * queue is longer than a cold start here */
 static bool
-is_worth (const adm_t *adm,
-          uint64_t now_us,
-          const adm_request_t *request,
-          uint64_t engine_hash,
-          uint64_t bound_milli)
+is_worth_referral (const adm_t *adm,
+                   uint64_t now_us,
+                   const adm_request_t *request,
+                   uint64_t engine_hash,
+                   uint64_t bound_milli)
 {
   if (adm->options.is_live != NULL && !adm->options.is_live (engine_hash, adm->options.context))
     return false;
@@ -36,7 +36,8 @@
   return request->home_hash == adm->options.engine_hash && !request->referred;
 }
 
-/* A new home took the chat to be warm here, as it was home here before. */
+/* Return: whether the new home engine of the chat referred the request here, as this engine was the
+ * home before and may have the context in its cache */
 static bool
 is_from_new_home (const adm_t *adm, const adm_request_t *request)
 {
@@ -53,27 +54,28 @@
   return decision;
 }
 
-/* Where the context of a returning chat is warm, when that is not here; else 0. */
+/* Return: the other engine that has the chat's context in its cache, 0 if none is known */
 static uint64_t
-warm_elsewhere (const adm_t *adm, uint64_t now_us, const adm_request_t *request)
+find_cached_elsewhere (const adm_t *adm, uint64_t now_us, const adm_request_t *request)
 {
   const uint64_t own = adm->options.engine_hash;
   dir_entry_t entry;
-  if (dir_get (adm->directory, now_us, warm_us (adm), request->chat_hash, &entry))
+  if (dir_get (adm->directory, now_us, referral_lifetime_us (adm), request->chat_hash, &entry))
     return entry.engine_hash != own ? entry.engine_hash : 0;
   if (is_at_home (adm, request) && is_new (adm, now_us) && request->former_hash != own)
     return request->former_hash;
   return 0;
 }
 
-/* A former home that knows nothing of the chat sends it back: its context went with the engine that
- * was replaced. Kept here it would fill this cache, and the one of the new engine stay empty. */
+/* Return: whether this former home engine should send the chat back, as it hasn't served it: the
+ * context was lost with the engine that was replaced. Served here, such chats would fill this cache
+ * while the one of the new home stays empty. */
 static bool
 is_cold_here (const adm_t *adm, uint64_t now_us, const adm_request_t *request)
 {
   dir_entry_t entry;
   return is_from_new_home (adm, request) &&
-         !dir_get (adm->directory, now_us, warm_us (adm), request->chat_hash, &entry);
+         !dir_get (adm->directory, now_us, referral_lifetime_us (adm), request->chat_hash, &entry);
 }
 
 bool
@@ -87,9 +89,9 @@
     return false;
   if (!is_at_home (adm, request) && !is_from_new_home (adm, request))
     return false;
-  const uint64_t engine_hash = warm_elsewhere (adm, now_us, request);
+  const uint64_t engine_hash = find_cached_elsewhere (adm, now_us, request);
   const bool elsewhere =
-      engine_hash != 0 && is_worth (adm, now_us, request, engine_hash, bound_milli);
+      engine_hash != 0 && is_worth_referral (adm, now_us, request, engine_hash, bound_milli);
   if (!elsewhere && !is_cold_here (adm, now_us, request))
     return false;
   *decision = elsewhere ? refer_to (adm, engine_hash, bound_milli)
@@ -97,7 +99,6 @@
   return true;
 }
 
-/* The chat is warm here from now on, whatever was noted of it before. */
 void
 adm_note_warm (adm_t *adm, uint64_t now_us, const adm_request_t *request)
 {
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -1,3 +1,4 @@
+/* Unit tests of the admission control of an engine. */
 #include "request/policy/admit.h"
 #include "suite.h"
 
@@ -10,9 +11,9 @@
 #define SECOND_US ((uint64_t)CLK_US_PER_S)
 #define LIFETIME_US (60 * SECOND_US)
 #define REQUESTS 64
-#define REQUEST_MS (50 + 100 * 30) /* of a slot, of what make() makes */
+#define REQUEST_MS (50 + 100 * 30) /* estimated duration of the requests of make() */
 
-/* One sidecar with its clock; requests that it holds. */
+/* The admission control of one sidecar with its clock and requests. @gone: an engine that left */
 typedef struct
 {
   adm_t *adm;
@@ -56,9 +57,9 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (rig_t, rig_free)
 
-/* The three other engines, 12, 13 and 14, are heard with this load. */
+/* Adds a load sample of each of the three other engines, 12, 13 and 14. */
 static void
-hear (rig_t *rig, uint32_t load, uint32_t waiting)
+add_samples (rig_t *rig, uint32_t load, uint32_t waiting)
 {
   for (uint64_t engine = OWN + 1; engine < OWN + ENGINES; engine++)
     {
@@ -98,13 +99,13 @@
 }
 
 static void
-fill (rig_t *rig, uint32_t load)
+dispatch_many (rig_t *rig, uint32_t load)
 {
   for (uint32_t i = 0; i < load; i++)
     CU_ASSERT_EQUAL_FATAL (offer (rig, make (rig, 1 + i % 4, 0)).action, ADM_DISPATCH);
 }
 
-/* Requests of eight accounts, whatever becomes of them. */
+/* Offers requests of eight accounts and ignores the decisions. */
 static void
 offer_many (rig_t *rig, uint32_t count)
 {
@@ -113,14 +114,14 @@
 }
 
 static void
-test_bound_holds (void)
+test_load_is_bounded (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 8, 0);
-  fill (rig, 9);
+  add_samples (rig, 8, 0);
+  dispatch_many (rig, 9);
   /* mean (8 + 8 + 8 + 9) / 4 = 8.25, bound 10.31 */
   CU_ASSERT_EQUAL (adm_bound_milli (rig->adm, rig->now_us), 10312);
-  fill (rig, 1);
+  dispatch_many (rig, 1);
   const adm_decision_t decision = offer (rig, make (rig, 1, 0));
   CU_ASSERT_EQUAL (decision.action, ADM_REFUSE);
   CU_ASSERT_EQUAL (decision.reason, VRD_REASON_OVER_BOUND);
@@ -133,40 +134,40 @@
 test_bound_of_idle_service (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 0, 0);
-  fill (rig, 1);
+  add_samples (rig, 0, 0);
+  dispatch_many (rig, 1);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_OVER_BOUND);
 }
 
-/* The mean moves, so the bound is taken with a margin. All engines have come to the same load: if
- * the margin held for the mean plus one as well, every one of them would refuse, callers would give
- * up, the load would fall, and the service would refuse nearly all from then on. */
+/* The mean load changes, so the bound has a margin. Guards against a service whose engines all have
+ * the same load and all reject: if the margin also applied to the mean plus one, the load would
+ * fall, the bound with it, and nearly all requests would be rejected from then on. */
 static void
-test_equal_loads_never_lock (void)
+test_equal_loads_admit_one_more (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
   for (uint32_t i = 0; i < 40; i++)
     {
       rig->now_us += SECOND_US;
-      hear (rig, i % 2 == 0 ? 2 : 6, 0);
+      add_samples (rig, i % 2 == 0 ? 2 : 6, 0);
       adm_request_t *request = &rig->requests[0];
       rig->count = 0;
       CU_ASSERT_EQUAL_FATAL (offer (rig, make (rig, 1, 0)).action, ADM_DISPATCH);
       adm_finish (rig->adm, rig->now_us, request, true);
     }
-  hear (rig, 0, 0);
+  add_samples (rig, 0, 0);
   rig->now_us += SECOND_US;
-  hear (rig, 8, 0);
+  add_samples (rig, 8, 0);
   rig->count = 0;
-  fill (rig, 8);
+  dispatch_many (rig, 8);
   CU_ASSERT (adm_bound_milli (rig->adm, rig->now_us) < 10000);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).action, ADM_DISPATCH);
 }
 
-/* Every engine stands at seven and more is asked for; at any time one of them has just ended one.
- * If its place held the others below eight, the service would stay at seven, refusing half. */
+/* All engines run seven requests, but one of them has just completed one. Guards against a bound
+ * below eight, with which the load could not rise and half of the requests would be rejected. */
 static void
-test_level_can_rise (void)
+test_load_can_rise (void)
 {
   rig_t *rig = rig_new (112);
   for (uint64_t engine = OWN + 1; engine < OWN + ENGINES; engine++)
@@ -177,17 +178,16 @@
                                      .taken_us = rig->now_us };
       mean_add (adm_mean (rig->adm), &sample);
     }
-  fill (rig, 8);
+  dispatch_many (rig, 8);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_OVER_BOUND);
   rig_free (rig);
 }
 
-/* Routers do not reach one engine, which all sidecars hear well: it has no load, and room for all
- * that is refused. Counted in the mean, it would hold the bound of the others below what they
- * carry; callers would be refused, the load would fall, and with it the bound, until half were
- * refused. */
+/* Routers can't reach one engine, while sidecars receive its samples, without load. Guards against
+ * counting it in the mean: the bound of the others would be below their load, requests would be
+ * rejected, and the load and the bound would fall until half were rejected. */
 static void
-test_unreached_engine_is_not_counted (void)
+test_unreachable_engine_is_not_counted (void)
 {
   g_autoptr (rig_t) rig = rig_new (110);
   for (uint32_t i = 0; i < 8; i++)
@@ -202,14 +202,15 @@
         }
       rig->now_us += SECOND_US / 2;
     }
-  fill (rig, 10);
+  dispatch_many (rig, 10);
   CU_ASSERT (adm_bound_milli (rig->adm, rig->now_us) >= 11000);
   const adm_decision_t decision = offer (rig, make (rig, 1, 0));
   CU_ASSERT_EQUAL (decision.action, ADM_DISPATCH);
 }
 
-/* The exchange is out. Refusing all that is over an unknown mean would turn a lost control path
- * into an outage; only an engine that has just started waits to hear of the others first. */
+/* No samples arrive. Guards against rejecting requests on all engines while the exchange of samples
+ * is down. Only an engine that has just joined admits one request at a time until samples arrive.
+ */
 static void
 test_unknown_mean (void)
 {
@@ -220,14 +221,15 @@
   CU_ASSERT_EQUAL (adm_bound_milli (rig->adm, rig->now_us), SLOTS * 1000);
 }
 
-/* A long chat is warm here and its engine is one over the bound. Its caller is served soonest by
- * waiting for one end; a request without a context is served soonest elsewhere. */
+/* The engine is at its bound. Guards against rejecting a request of a long chat whose context is
+ * cached here, which is served sooner by waiting for one completion; a request without cached
+ * context is served sooner elsewhere. */
 static void
 test_waits_when_cheaper_than_cold_start (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 8, 0);
-  fill (rig, 10);
+  add_samples (rig, 8, 0);
+  dispatch_many (rig, 10);
   adm_request_t *warm = make (rig, 1, 77);
   warm->prompt_tokens = 40000;
   CU_ASSERT_EQUAL (offer (rig, warm).action, ADM_WAIT);
@@ -240,28 +242,27 @@
 }
 
 static void
-test_waits_when_nobody_has_room (void)
+test_waits_when_all_are_full (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, SLOTS, 3);
-  fill (rig, SLOTS - 2);
+  add_samples (rig, SLOTS, 3);
+  dispatch_many (rig, SLOTS - 2);
   adm_request_t *other = make (rig, 9, 0);
   CU_ASSERT_EQUAL (offer (rig, other).action, ADM_DISPATCH);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 10, 0)).action, ADM_DISPATCH);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 9, 0)).action, ADM_WAIT);
 }
 
-/* Every engine is full, and the deadline of a new request comes before any could start it. The
- * caller must hear so at once, with a time to come back: held until its deadline it would only
- * learn the same later, and lengthen the queue for all. */
+/* All engines are full until after the deadline of a new request. Guards against queueing it until
+ * then: it is rejected at once with a retry time. */
 static void
-test_deadline_is_refused_at_once (void)
+test_too_late_is_rejected_at_once (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, SLOTS, 3);
+  add_samples (rig, SLOTS, 3);
   offer_many (rig, SLOTS);
   rig->now_us += 3 * SECOND_US;
-  hear (rig, SLOTS, 3);
+  add_samples (rig, SLOTS, 3);
   for (uint32_t i = 0; i < SLOTS; i++)
     adm_finish (rig->adm, rig->now_us, &rig->requests[i], true);
   for (uint32_t i = 0; i < SLOTS; i++)
@@ -275,32 +276,32 @@
   CU_ASSERT_EQUAL (adm_waiting (rig->adm), 0);
 }
 
-/* The engine stalls while a request waits for it. Its caller hears well before the deadline, as
- * soon as the measured drain says that the wait would outlast it. */
+/* The engine stalls while a request is queued. Guards against keeping the request until its
+ * deadline, when the measured completion rate already shows that it can't start before it. */
 static void
 test_stall_rejects_before_deadline (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
   adm_decision_t decision;
-  hear (rig, SLOTS, 3);
+  add_samples (rig, SLOTS, 3);
   offer_many (rig, SLOTS);
   adm_request_t *waiting = make (rig, 9, 0);
   CU_ASSERT_EQUAL_FATAL (offer (rig, waiting).action, ADM_WAIT);
   CU_ASSERT_PTR_NULL (adm_reject (rig->adm, rig->now_us, &decision));
   rig->now_us += 16 * SECOND_US;
-  hear (rig, SLOTS, 3);
+  add_samples (rig, SLOTS, 3);
   CU_ASSERT_PTR_EQUAL (adm_reject (rig->adm, rig->now_us, &decision), waiting);
   CU_ASSERT_EQUAL (decision.reason, VRD_REASON_DEADLINE);
   CU_ASSERT_PTR_NULL (adm_reject (rig->adm, rig->now_us, &decision));
 }
 
-/* One client account surges and holds all it can get. A request of a quiet account must find a
- * slot at once, not when one of the surge's long answers ends. */
+/* One client account surges and uses all slots that it may. Guards against a request of another
+ * account that has to wait until one of the long requests of that account completes. */
 static void
 test_reserve_for_quiet_accounts (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, SLOTS, 0);
+  add_samples (rig, SLOTS, 0);
   adm_finish (rig->adm, rig->now_us,
               (offer (rig, make (rig, 2, 0)), &rig->requests[rig->count - 1]), true);
   uint32_t running = 0;
@@ -312,11 +313,11 @@
 }
 
 static void
-test_account_queue_is_bounded (void)
+test_account_queue_is_limited (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, SLOTS, 3);
-  fill (rig, 4);
+  add_samples (rig, SLOTS, 3);
+  dispatch_many (rig, 4);
   for (uint32_t i = 0; i < SLOTS + 8; i++)
     offer (rig, make (rig, 1, 0));
   CU_ASSERT_EQUAL (adm_waiting (rig->adm), 8);
@@ -324,12 +325,12 @@
   CU_ASSERT_EQUAL (offer (rig, make (rig, 2, 0)).action, ADM_DISPATCH);
 }
 
-/* Nobody else has used the engine for a while: keeping slots free for others would waste them. */
+/* Guards against unused reserved slots while only one account has used the engine for a minute. */
 static void
-test_account_alone_has_all_slots (void)
+test_single_account_gets_all_slots (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, SLOTS, 0);
+  add_samples (rig, SLOTS, 0);
   for (uint32_t i = 0; i < SLOTS; i++)
     {
       adm_request_t *request = make (rig, 1, 0);
@@ -338,7 +339,7 @@
     }
   CU_ASSERT_EQUAL (adm_load (rig->adm), SLOTS - SLOTS / ADM_RESERVE_DIVISOR);
   rig->now_us += ADM_ALONE_US - 1;
-  hear (rig, SLOTS, 0);
+  add_samples (rig, SLOTS, 0);
   CU_ASSERT_PTR_NULL (adm_next (rig->adm, rig->now_us));
   rig->now_us++;
   CU_ASSERT_PTR_NOT_NULL (adm_next (rig->adm, rig->now_us));
@@ -347,10 +348,10 @@
 }
 
 static void
-test_home_refers_to_where_it_is_warm (void)
+test_home_refers_to_cached_context (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 1, 0);
+  add_samples (rig, 1, 0);
   adm_served_elsewhere (rig->adm, rig->now_us, 77, 13);
   const adm_decision_t decision = offer (rig, make (rig, 1, 77));
   CU_ASSERT_EQUAL (decision.reason, VRD_REASON_ELSEWHERE);
@@ -368,13 +369,13 @@
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).action, ADM_DISPATCH);
 }
 
-/* The engine that holds the context left, or its queue takes longer than to read the context anew.
- * A referral would cost the caller a hop, or a wait, for nothing. */
+/* The engine that has the context left, or the wait in its queue is longer than reading the context
+ * again. Guards against a referral that only costs a hop or a wait. */
 static void
 test_no_referral_to_gone_or_overloaded (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 2, 0);
+  add_samples (rig, 2, 0);
   rig->gone = 13;
   adm_served_elsewhere (rig->adm, rig->now_us, 77, 13);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 77)).action, ADM_DISPATCH);
@@ -389,13 +390,14 @@
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).action, ADM_DISPATCH);
 }
 
-/* An engine joins and becomes the home of chats that are warm on another one. It points there
- * until a chat was served here, or until nothing can be warm there any more. */
+/* An engine joins and becomes the home of chats whose context another engine has. It refers a chat
+ * there until it has served the chat itself, or until the context can't be cached there any more.
+ */
 static void
 test_new_engine_refers_to_former_home (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 1, 0);
+  add_samples (rig, 1, 0);
   adm_set_joined (rig->adm, rig->now_us);
   adm_request_t *first = make (rig, 1, 77);
   first->former_hash = 12;
@@ -414,14 +416,14 @@
   CU_ASSERT_EQUAL (offer (rig, later).action, ADM_DISPATCH);
 }
 
-/* An engine was replaced, and its chats return to the new one, which asks this former home first.
- * This one has served some of them meanwhile. Of the others the context is gone; were they kept
- * here, they would fill this cache while that of the new engine stays empty. */
+/* An engine was replaced, and the new one refers its chats to this former home, which has served
+ * only some of them. Guards against serving the others here too: their context is lost, and they
+ * would fill this cache while the one of the new engine stays empty. */
 static void
-test_former_home_sends_cold_chats_back (void)
+test_former_home_sends_uncached_chats_back (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 8, 0);
+  add_samples (rig, 8, 0);
   adm_request_t *warm = make (rig, 1, 77);
   CU_ASSERT_EQUAL_FATAL (offer (rig, warm).action, ADM_DISPATCH);
   adm_finish (rig->adm, rig->now_us, warm, true);
@@ -445,14 +447,15 @@
     }
 }
 
-/* The host starts to leave while requests wait. They have run nowhere: their callers are sent on
- * now, and nothing new is taken, whatever an old host list says. What runs goes on. */
+/* The host starts to shut down while requests are queued. They are rejected now, so that routers
+ * try other engines, and no new ones are admitted, also from routers with an old registry. Running
+ * requests continue. */
 static void
-test_leaving_takes_nothing (void)
+test_leaving_admits_nothing (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
   adm_decision_t decision;
-  hear (rig, SLOTS, 3);
+  add_samples (rig, SLOTS, 3);
   offer_many (rig, SLOTS + 2);
   CU_ASSERT_EQUAL (adm_waiting (rig->adm), 2);
   adm_set_leaving (rig->adm, true);
@@ -470,7 +473,7 @@
 test_closed_reasons (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 1, 0);
+  add_samples (rig, 1, 0);
   adm_set_stale (rig->adm, true);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_STALE);
   adm_set_stale (rig->adm, false);
@@ -482,23 +485,24 @@
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).action, ADM_DISPATCH);
 }
 
-/* A request crashed this engine and its caller sends it again. It must not crash the engine twice;
- * once a second engine was lost to it, it runs nowhere. A down engine must not hide that. */
+/* A request crashed this engine and is sent again. Guards against it crashing the engine twice, and
+ * any engine after the second; also against a rejection as "no engine" while this one is down,
+ * which would hide the reason. */
 static void
-test_poison_is_kept_away (void)
+test_crashing_request_is_rejected (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, 1, 0);
-  adm_request_t *poison = make (rig, 1, 0);
-  CU_ASSERT_EQUAL_FATAL (offer (rig, poison).action, ADM_DISPATCH);
-  adm_crashed (rig->adm, rig->now_us, poison);
+  add_samples (rig, 1, 0);
+  adm_request_t *crashing = make (rig, 1, 0);
+  CU_ASSERT_EQUAL_FATAL (offer (rig, crashing).action, ADM_DISPATCH);
+  adm_crashed (rig->adm, rig->now_us, crashing);
   adm_set_engine_up (rig->adm, false);
-  adm_finish (rig->adm, rig->now_us, poison, false);
-  CU_ASSERT_EQUAL (offer (rig, poison).reason, VRD_REASON_SUSPECT_HERE);
+  adm_finish (rig->adm, rig->now_us, crashing, false);
+  CU_ASSERT_EQUAL (offer (rig, crashing).reason, VRD_REASON_SUSPECT_HERE);
   adm_set_engine_up (rig->adm, true);
-  CU_ASSERT_EQUAL (offer (rig, poison).reason, VRD_REASON_SUSPECT_HERE);
-  sus_add (adm_suspects (rig->adm), rig->now_us, poison->fingerprint, 13);
-  const adm_decision_t decision = offer (rig, poison);
+  CU_ASSERT_EQUAL (offer (rig, crashing).reason, VRD_REASON_SUSPECT_HERE);
+  sus_add (adm_suspects (rig->adm), rig->now_us, crashing->fingerprint, 13);
+  const adm_decision_t decision = offer (rig, crashing);
   CU_ASSERT_EQUAL (decision.reason, VRD_REASON_SUSPECT);
   CU_ASSERT_EQUAL (decision.retry_after_ms, 0);
 }
@@ -507,7 +511,7 @@
 test_cancel_waiting (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  hear (rig, SLOTS, 3);
+  add_samples (rig, SLOTS, 3);
   offer_many (rig, SLOTS + 1);
   CU_ASSERT_EQUAL_FATAL (adm_waiting (rig->adm), 1);
   adm_cancel (rig->adm, &rig->requests[SLOTS]);
@@ -519,16 +523,16 @@
   CU_ASSERT_EQUAL (sample.cost, (SLOTS - 1) * REQUEST_MS);
 }
 
-/* Two engines crash; what ran there goes to the others, which carry two each. The crashed ones are
- * heard of with no load, so the mean stands at one and a third request is refused though all slots
- * but two are free. Its caller hears that it may have run, and when to come back. */
+/* Two engines crash, and their requests go to the others, which run two each. Guards against
+ * counting the last samples of the crashed ones, without load: with a mean of one, a third request
+ * would be rejected though all slots but two are free. */
 static void
-test_lost_engine_is_not_counted (void)
+test_crashed_engine_is_not_counted (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
   mean_sample_t lost = { .service_hash = SERVICE, .taken_us = rig->now_us + 1 };
 
-  hear (rig, 2, 0);
+  add_samples (rig, 2, 0);
   rig->now_us++;
   for (lost.engine_hash = OWN + 1; lost.engine_hash <= OWN + 2; lost.engine_hash++)
     mean_add (adm_mean (rig->adm), &lost);
@@ -546,27 +550,27 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "the bound holds", test_bound_holds },
-    { "a lost engine is not counted", test_lost_engine_is_not_counted },
+    { "the load is bounded", test_load_is_bounded },
+    { "a crashed engine is not counted", test_crashed_engine_is_not_counted },
     { "bound of an idle service", test_bound_of_idle_service },
-    { "equal loads never lock", test_equal_loads_never_lock },
-    { "unreached is not counted", test_unreached_engine_is_not_counted },
-    { "the level can rise", test_level_can_rise },
+    { "equal loads admit one more", test_equal_loads_admit_one_more },
+    { "unreachable is not counted", test_unreachable_engine_is_not_counted },
+    { "the load can rise", test_load_can_rise },
     { "the mean is unknown", test_unknown_mean },
-    { "waits if cheaper than cold", test_waits_when_cheaper_than_cold_start },
-    { "waits if nobody has room", test_waits_when_nobody_has_room },
-    { "too late is refused at once", test_deadline_is_refused_at_once },
+    { "waits if cheaper than a cold start", test_waits_when_cheaper_than_cold_start },
+    { "waits if all engines are full", test_waits_when_all_are_full },
+    { "too late is rejected at once", test_too_late_is_rejected_at_once },
     { "a stall rejects early", test_stall_rejects_before_deadline },
-    { "reserve for quiet accounts", test_reserve_for_quiet_accounts },
-    { "an account's queue is bounded", test_account_queue_is_bounded },
-    { "alone has all slots", test_account_alone_has_all_slots },
-    { "home refers to the warm one", test_home_refers_to_where_it_is_warm },
-    { "no referral for nothing", test_no_referral_to_gone_or_overloaded },
-    { "a new engine refers back", test_new_engine_refers_to_former_home },
-    { "cold chats go back", test_former_home_sends_cold_chats_back },
-    { "leaving takes nothing", test_leaving_takes_nothing },
+    { "reserve for accounts served less", test_reserve_for_quiet_accounts },
+    { "an account's queue is limited", test_account_queue_is_limited },
+    { "a single account gets all slots", test_single_account_gets_all_slots },
+    { "home refers to cached context", test_home_refers_to_cached_context },
+    { "no referral without gain", test_no_referral_to_gone_or_overloaded },
+    { "a new engine refers to the former home", test_new_engine_refers_to_former_home },
+    { "uncached chats go back", test_former_home_sends_uncached_chats_back },
+    { "leaving admits nothing", test_leaving_admits_nothing },
     { "stale and engine down", test_closed_reasons },
-    { "poison is kept away", test_poison_is_kept_away },
+    { "a crashing request is rejected", test_crashing_request_is_rejected },
     { "cancel of a waiting request", test_cancel_waiting },
     CU_TEST_INFO_NULL,
   };
