--- a/src/request/policy/attempt.c
+++ b/src/request/policy/attempt.c
@@ -6,33 +6,33 @@
 #define RETRY_AFTER_DEFAULT_MS 1000
 #define RETRY_MILLI 1000
 
-/* What a refusal or failure with this reason asks for. */
+/* What follows a rejection or failure. */
 typedef enum
 {
-  COURSE_NEXT,       /* another engine may serve it */
-  COURSE_FINAL,      /* no other engine may now, but coming back makes sense */
-  COURSE_NEVER_AGAIN /* coming back does not help */
-} course_t;
+  REACTION_NEXT_ENGINE, /* another engine may serve the request */
+  REACTION_RETRY_LATER, /* no engine can serve it now, but the client may retry */
+  REACTION_FINAL        /* retrying doesn't help */
+} reaction_t;
 
-static course_t
-course_of (const att_t *att, vrd_reason_t reason)
+static reaction_t
+reaction_to (const att_t *att, vrd_reason_t reason)
 {
   switch (reason)
     {
     case VRD_REASON_QUEUE_FULL:
     case VRD_REASON_DEADLINE:
     case VRD_REASON_ACCOUNT_SHARE:
-      /* Of one engine only, unless it was asked last. */
-      return att->waited ? COURSE_FINAL : COURSE_NEXT;
+      /* Applies to one engine only, unless it was the last one to try. */
+      return att->waited ? REACTION_RETRY_LATER : REACTION_NEXT_ENGINE;
     case VRD_REASON_LOG_DOWN:
-      return COURSE_FINAL;
+      return REACTION_RETRY_LATER;
     case VRD_REASON_SUSPECT:
     case VRD_REASON_CLAIMED:
     case VRD_REASON_KEY_REUSED:
     case VRD_REASON_KEY_TOO_OLD:
-      return COURSE_NEVER_AGAIN;
+      return REACTION_FINAL;
     default:
-      return COURSE_NEXT;
+      return REACTION_NEXT_ENGINE;
     }
 }
 
@@ -45,8 +45,9 @@
   return false;
 }
 
-/* insert_target() - before all other targets but a host that is to be asked again: it refused only
- * because it thought another one better, so it goes before whatever that other one names */
+/* insert_target() - inserts a target @place positions after the next one, but behind an engine that
+ * is to be tried again: that one rejected the request only in favour of a better engine, so it
+ * comes before the referrals of the latter */
 static void
 insert_target (att_t *att, uint32_t place, att_target_t target)
 {
@@ -62,7 +63,7 @@
   att->target_count++;
 }
 
-/* skip_asked() - go to the next target that may be asked. Return: whether there is one */
+/* skip_asked() - advances to the next target that may be tried. Return: whether there is one */
 static bool
 skip_asked (att_t *att)
 {
@@ -77,9 +78,9 @@
   return false;
 }
 
-/* another_target() - whether somebody could be asked after the next target */
+/* has_target_after_next() - Return: whether another engine could be tried after the next target */
 static bool
-another_target (const att_t *att)
+has_target_after_next (const att_t *att)
 {
   uint64_t next = att->targets[att->target_next].engine_hash;
 
@@ -98,11 +99,11 @@
 {
   att_step_t step = { .action = ATT_GIVE_UP, .verdict = verdict, .reason = reason };
 
-  /* An earlier attempt of an idempotent request may have run: "not run" would no longer be true
-   * of the request, whatever the last attempt says of itself. */
+  /* The verdict is about the whole request: if an earlier attempt may have been executed, it isn't
+   * "not run", whatever the last attempt's verdict. */
   if (att->may_have_run && verdict == VRD_NOT_RUN)
     step.verdict = VRD_MAY_HAVE_RUN;
-  if (course_of (att, reason) == COURSE_NEVER_AGAIN)
+  if (reaction_to (att, reason) == REACTION_FINAL)
     return step;
   if (step.verdict != VRD_NOT_RUN && !att->idempotent)
     return step;
@@ -124,8 +125,8 @@
   };
 }
 
-/* next_step() - the last hop goes back to the first host that was over its bound, now with leave to
- * queue: its sidecar then holds the request until it may start, or says when to come back */
+/* next_step() - tries the next target; the last attempt goes to the first engine that was above its
+ * bound, whose sidecar may now queue the request, or rejects it with a retry time */
 static att_step_t
 next_step (att_t *att, uint64_t now_us)
 {
@@ -138,24 +139,25 @@
 
   bool have_target = skip_asked (att);
 
-  if (att->waiting_host != 0 && (last_hop || !have_target))
+  if (att->queue_engine != 0 && (last_hop || !have_target))
     {
-      uint64_t host = att->waiting_host;
+      uint64_t engine_hash = att->queue_engine;
 
-      att->waiting_host = 0;
-      return send_to (att, host, true, true);
+      att->queue_engine = 0;
+      return send_to (att, engine_hash, true, true);
     }
   if (!have_target)
     return give_up (att, VRD_NOT_RUN, att->last_reason);
 
   att_target_t target = att->targets[att->target_next];
-  bool may_wait = att->waiting_host == 0 && (last_hop || !another_target (att));
+  bool may_wait = att->queue_engine == 0 && (last_hop || !has_target_after_next (att));
 
   att->target_next++;
   return send_to (att, target.engine_hash, may_wait, target.referred);
 }
 
-/* add_referrals() - the refusing sidecar knows best who has room or holds the chat's context */
+/* add_referrals() - tries the engines that the sidecar named next, as it knows best which ones have
+ * free capacity or the chat's context in their cache */
 static void
 add_referrals (att_t *att, const att_outcome_t *outcome)
 {
@@ -177,18 +179,18 @@
          reason == VRD_REASON_NO_ENGINE;
 }
 
-/* begin_anew() - A request that waits at a host as its last resort would be answered 503 when that
- * host is stopped or lost, though all others run: planned stops would show, and so would each
- * killed host, to all that waited there. It asks the others again instead, those over their bound a
- * moment ago included. */
+/* restart_targets() - allows to try all engines again but the last one, those that were above their
+ * bound included. A request that was queued as its last resort would otherwise fail with 503 when
+ * that host is stopped or lost, though all other engines work: clients would see each planned stop
+ * and each host failure. */
 static void
-begin_anew (att_t *att)
+restart_targets (att_t *att)
 {
   att->hop_limit = MIN (att->hops + LIM_HOPS, LIM_HOPS_MOST);
   att->asked[0] = att->last_engine;
   att->asked_count = 1;
   att->target_next = 0;
-  att->waiting_host = 0;
+  att->queue_engine = 0;
 }
 
 static att_step_t
@@ -197,18 +199,19 @@
   if (outcome->retry_after_ms != 0 &&
       (att->retry_after_ms == 0 || outcome->retry_after_ms < att->retry_after_ms))
     att->retry_after_ms = outcome->retry_after_ms;
-  if (course_of (att, outcome->reason) != COURSE_NEXT)
+  if (reaction_to (att, outcome->reason) != REACTION_NEXT_ENGINE)
     return give_up (att, VRD_NOT_RUN, outcome->reason);
   if (att->waited && is_closed (outcome->reason))
-    begin_anew (att);
-  if (outcome->reason == VRD_REASON_OVER_BOUND && att->waiting_host == 0 && !att->waited)
-    att->waiting_host = att->last_engine;
+    restart_targets (att);
+  if (outcome->reason == VRD_REASON_OVER_BOUND && att->queue_engine == 0 && !att->waited)
+    att->queue_engine = att->last_engine;
   add_referrals (att, outcome);
   return next_step (att, now_us);
 }
 
-/* note_broken() - A request may crash the sidecar's process, or the host, along with the engine;
- * then nobody marks it. Return: whether it was there when as many broke off as it may crash */
+/* note_broken() - counts a broken connection. A request may crash the sidecar or the host along
+ * with the engine; then no sidecar reports the crash. Return: whether as many connections broke as
+ * engines may crash on one request */
 static bool
 note_broken (att_t *att)
 {
@@ -217,9 +220,9 @@
   return att->broken >= LIM_SUSPECT_CRASHES;
 }
 
-/* try_again() - the last attempt may have run */
+/* retry() - retries the request if allowed, after an attempt that may have been executed */
 static att_step_t
-try_again (att_t *att, uint64_t now_us, att_budget_t *budget, vrd_t verdict)
+retry (att_t *att, uint64_t now_us, att_budget_t *budget, vrd_t verdict)
 {
   att->may_have_run = true;
   if (!att->idempotent || now_us >= att->deadline_us ||
@@ -227,11 +230,12 @@
     return give_up (att, verdict, att->last_reason);
   att->retries++;
   if (att->waited)
-    begin_anew (att);
+    restart_targets (att);
   return next_step (att, now_us);
 }
 
-/* note_crash() - Return: whether the request has crashed as many engines as it may */
+/* note_crash() - records a crash of the last engine. Return: whether the request has crashed the
+ * maximum of engines */
 static bool
 note_crash (att_t *att, vrd_reason_t reason)
 {
@@ -254,9 +258,9 @@
   return NULL;
 }
 
-/* When a host is lost, all that waited there try again at once. A surging account has the most of
- * them and would leave the others without a retry, so each account has one that only it can take.
- */
+/* When a host is lost, all requests that waited there are retried at once. Most of them may be of
+ * one surging account and use up the budget, so each account has one retry that no other one can
+ * use. */
 static bool
 take_reserve (att_budget_t *budget, uint64_t account_hash)
 {
@@ -339,27 +343,27 @@
   att->last_reason = outcome->reason;
   if (att->answer_begun)
     return give_up (att, MAX (outcome->verdict, VRD_MAY_HAVE_RUN), outcome->reason);
-  /* Two sidecars that each know of one crash have not heard of each other's yet; only the router
-   * that asked both can add them up before a third engine is lost. */
+  /* Two sidecars may each know of one crash and not yet of the other. Only the router that tried
+   * both can count two crashes before the request crashes a third engine. */
   if (note_crash (att, outcome->reason))
     return give_up (att, outcome->verdict, VRD_REASON_SUSPECT);
   if (outcome->verdict == VRD_NOT_RUN)
     return refused (att, now_us, outcome);
-  if (course_of (att, outcome->reason) != COURSE_NEXT)
+  if (reaction_to (att, outcome->reason) != REACTION_NEXT_ENGINE)
     return give_up (att, outcome->verdict, outcome->reason);
   if (outcome->lost && now_us < att->deadline_us)
     return (att_step_t){ .action = ATT_REVOKE, .engine_hash = att->last_engine };
-  return try_again (att, now_us, budget, outcome->verdict);
+  return retry (att, now_us, budget, outcome->verdict);
 }
 
 att_step_t
 att_revoked (att_t *att, uint64_t now_us, att_budget_t *budget, vrd_t verdict)
 {
   if (verdict == VRD_NOT_RUN && att->waited)
-    begin_anew (att);
+    restart_targets (att);
   if (verdict == VRD_NOT_RUN)
     return next_step (att, now_us);
   if (note_broken (att))
     return give_up (att, verdict, att->last_reason);
-  return try_again (att, now_us, budget, verdict);
+  return retry (att, now_us, budget, verdict);
 }
--- a/src/request/policy/attempt.h
+++ b/src/request/policy/attempt.h
@@ -1,12 +1,13 @@
 /**
  * DOC: attempt
  *
- * A router's course through one request: whom to ask, what each outcome means, when to give up.
- * A pure state machine: the caller does the sending and tells what came of it.
+ * Forwards one request to engines through their sidecars: decides which engine to try, what follows
+ * each outcome and when to give up. A pure state machine: the caller sends the request and reports
+ * the outcome.
  *
- * Non-idempotent requests go to another engine only after VRD_NOT_RUN. Idempotent ones may be
- * tried again until the first byte of an answer went to the caller, within the retry budget. That
- * is shared by all client accounts, but for a reserve of each, which no other account can use up.
+ * A request that isn't idempotent goes to another engine only after VRD_NOT_RUN. An idempotent one
+ * may be retried until the first byte of a response went to the client, within the retry budget of
+ * the router. All client accounts share the budget, and each has a reserve that no other one uses.
  */
 #ifndef REQUEST_POLICY_ATTEMPT_H
 #define REQUEST_POLICY_ATTEMPT_H
@@ -17,12 +18,16 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ATT_BUDGET_MAX_MILLI 10000 /* ten retries at once at most */
-#define ATT_BUDGET_GAIN_MILLI 100  /* a tenth of a retry for each success */
-#define ATT_RESERVE_MAX_MILLI 1000 /* one retry for each client account */
-#define ATT_RESERVES 256           /* client accounts that may be short of theirs at once */
+#define ATT_BUDGET_MAX_MILLI 10000 /* capacity of the budget: ten retries */
+#define ATT_BUDGET_GAIN_MILLI 100  /* a tenth of a retry for each successful request */
+#define ATT_RESERVE_MAX_MILLI 1000 /* reserve of a client account: one retry */
+#define ATT_RESERVES 256           /* client accounts whose reserve may be used at the same time */
 
-/** struct att_reserve - of a client account that has taken from it */
+/**
+ * struct att_reserve - reserve of a client account that has used it
+ * @account_hash: the client account
+ * @tokens_milli: what is left, in thousandths of a retry
+ */
 typedef struct
 {
   uint64_t account_hash;
@@ -30,9 +35,11 @@
 } att_reserve_t;
 
 /**
- * struct att_budget - retries of one router
- * @tokens_milli: token bucket of all client accounts: a fraction of recent successes
- * @reserves: for when that is empty; an account that is not among them has its whole reserve
+ * struct att_budget - retry budget of one router
+ * @tokens_milli: token bucket shared by all client accounts, in thousandths of a retry; successful
+ *   requests fill it
+ * @reserves: used when the bucket is empty; an account without an entry has its whole reserve
+ * @reserve_count: entries used in @reserves
  */
 typedef struct
 {
@@ -41,17 +48,24 @@
   uint32_t reserve_count;
 } att_budget_t;
 
+/** att_budget_init() - starts with a full budget */
 void att_budget_init (att_budget_t *budget);
-/** att_budget_success() - @account_hash 0 is none, which has no reserve either */
+/** att_budget_success() - refills the budget and the account's reserve after a successful request;
+ * @account_hash: 0 if the request has no account, which has no reserve */
 void att_budget_success (att_budget_t *budget, uint64_t account_hash);
+/** att_budget_take() - takes one retry from the budget or the account's reserve. Return: false if
+ * both are empty */
 bool att_budget_take (att_budget_t *budget, uint64_t account_hash);
 
 /**
- * struct att_options - of one request
- * @account_hash: client account, for its reserve of retries
- * @candidates: engine hashes, best first; copied
- * @crashed: %LIM_SUSPECT_CRASHES engines known to have crashed on this request before, 0 is empty;
- *   or NULL
+ * struct att_options - options of one request
+ * @idempotent: it may be executed more than once
+ * @account_hash: its client account, for the reserve of retries
+ * @deadline_us: deadline of its client
+ * @candidates: hashes of the engines to try, best first; copied
+ * @candidate_count: number of @candidates
+ * @crashed: array of %LIM_SUSPECT_CRASHES hashes of engines that crashed on this request before, 0
+ *   for an unused entry; NULL if there are none
  */
 typedef struct
 {
@@ -63,14 +77,25 @@
   const uint64_t *crashed;
 } att_options_t;
 
+/** enum att_action - what the router has to do next */
 typedef enum
 {
-  ATT_SEND,    /* to @engine_hash; @may_wait and @referred go along */
-  ATT_REVOKE,  /* ask @engine_hash to bar the last attempt id */
-  ATT_GIVE_UP, /* answer the caller now: @verdict, @reason, @retry_after_ms */
-  ATT_DONE     /* the answer was or is being relayed */
+  ATT_SEND,    /* send the request to @engine_hash, with @may_wait and @referred */
+  ATT_REVOKE,  /* ask the sidecar of @engine_hash to never execute the last attempt */
+  ATT_GIVE_UP, /* send an error response with @verdict, @reason and @retry_after_ms */
+  ATT_DONE     /* nothing: the engine's response is forwarded */
 } att_action_t;
 
+/**
+ * struct att_step - next step of the router
+ * @action: what to do; the other fields are used as described there
+ * @engine_hash: the engine
+ * @may_wait: whether the sidecar may queue the request
+ * @referred: whether a sidecar named the engine
+ * @verdict: whether the request may have been executed
+ * @reason: why it failed
+ * @retry_after_ms: when the client should retry, 0 if retrying doesn't help
+ */
 typedef struct
 {
   att_action_t action;
@@ -79,12 +104,17 @@
   bool referred;
   vrd_t verdict;
   vrd_reason_t reason;
-  uint32_t retry_after_ms; /* 0: do not come back */
+  uint32_t retry_after_ms;
 } att_step_t;
 
-#define ATT_CANDIDATES 8
+#define ATT_CANDIDATES 8 /* maximum number of candidates used */
 
-/** struct att_target - @again: may be asked though it was asked before */
+/**
+ * struct att_target - an engine to try
+ * @engine_hash: the engine
+ * @referred: a sidecar named it
+ * @again: it may be tried though it was tried before
+ */
 typedef struct
 {
   uint64_t engine_hash;
@@ -92,13 +122,38 @@
   bool again;
 } att_target_t;
 
-/** struct att - state of one request; no memory of its own */
+/**
+ * struct att - state of one request; it owns no memory
+ * @idempotent: the request may be executed more than once
+ * @answer_begun: the first byte of a response went to the client
+ * @waited: the last sidecar was allowed to queue the request, since no other engine was left
+ * @may_have_run: an earlier attempt may have been executed, so the verdict is never VRD_NOT_RUN
+ * @account_hash: client account
+ * @deadline_us: deadline of the client
+ * @targets: engines to try; those of the candidates and those referred to
+ * @target_count: number of @targets
+ * @target_next: index of the next one
+ * @asked: engines that were tried
+ * @asked_count: number of @asked
+ * @queue_engine: first engine that rejected the request as above its bound, 0 if none; as a last
+ *   resort it is tried again and may queue the request
+ * @crashed: engines that crashed on this request
+ * @crashed_count: number of @crashed
+ * @broken: sidecars whose connection broke and that didn't confirm that the request wasn't executed
+ * @last_engine: engine of the last attempt
+ * @last_referred: whether a sidecar named it
+ * @hops: attempts so far
+ * @hop_limit: maximum of @hops
+ * @retries: attempts that used the retry budget
+ * @retry_after_ms: smallest retry time of all rejections, 0 if none
+ * @last_reason: reason of the last rejection or failure
+ */
 typedef struct
 {
   bool idempotent;
   bool answer_begun;
-  bool waited;       /* the last sidecar asked had leave to queue: nobody is asked after it */
-  bool may_have_run; /* an earlier attempt may have run, so the request is never "not run" again */
+  bool waited;
+  bool may_have_run;
   uint64_t account_hash;
   uint64_t deadline_us;
   att_target_t targets[ATT_CANDIDATES + LIM_HOPS_MOST * (LIM_REFERRALS + 1)];
@@ -106,10 +161,10 @@
   uint32_t target_next;
   uint64_t asked[LIM_HOPS_MOST + 2];
   uint32_t asked_count;
-  uint64_t waiting_host; /* first that refused as over its bound: asked again, with leave to wait */
-  uint64_t crashed[LIM_SUSPECT_CRASHES]; /* engines known to have crashed on this request */
+  uint64_t queue_engine;
+  uint64_t crashed[LIM_SUSPECT_CRASHES];
   uint32_t crashed_count;
-  uint32_t broken; /* sidecars that broke off and could not say that it did not run */
+  uint32_t broken;
   uint64_t last_engine;
   bool last_referred;
   uint32_t hops;
@@ -120,9 +175,15 @@
 } att_t;
 
 /**
- * struct att_outcome - how a send ended
- * @answered: a final answer of the engine; it is relayed
- * @lost: the hop itself failed, so @verdict is the router's own guess and a revoke can better it
+ * struct att_outcome - how an attempt ended
+ * @answered: the engine sent a complete response, which is forwarded
+ * @lost: the connection to the sidecar failed; @verdict is then an assumption of the router, and a
+ *   revoke may show that the request wasn't executed
+ * @verdict: whether the request may have been executed
+ * @reason: why it was rejected or failed
+ * @retry_after_ms: retry time from the sidecar, 0 if none
+ * @referrals: hashes of the engines that the sidecar named, best first
+ * @referral_count: number of @referrals
  */
 typedef struct
 {
@@ -135,13 +196,16 @@
   uint32_t referral_count;
 } att_outcome_t;
 
+/** att_begin() - initializes the state of a request. Return: the first step */
 att_step_t att_begin (att_t *att, uint64_t now_us, const att_options_t *options);
-/** att_answer_begun() - the first byte of the answer went to the caller: no other engine is tried
- */
+/** att_answer_begun() - records that the first byte of a response went to the client, after which
+ * no other engine is tried */
 void att_answer_begun (att_t *att);
+/** att_ended() - reports the outcome of an ATT_SEND. Return: the next step */
 att_step_t
 att_ended (att_t *att, uint64_t now_us, att_budget_t *budget, const att_outcome_t *outcome);
-/** att_revoked() - the answer to a revoke; VRD_MAY_HAVE_RUN also when none came */
+/** att_revoked() - reports the response to an ATT_REVOKE; @verdict: VRD_MAY_HAVE_RUN if none came.
+ * Return: the next step */
 att_step_t att_revoked (att_t *att, uint64_t now_us, att_budget_t *budget, vrd_t verdict);
 
 #endif
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -1,3 +1,4 @@
+/* Unit tests of how a router forwards a request to engines through their sidecars. */
 #include "request/policy/attempt.h"
 #include "suite.h"
 
@@ -7,7 +8,7 @@
 
 static const uint64_t CANDIDATES[] = { 10, 11, 12, 13, 14, 15 };
 
-/** struct rig - one request, and the budget of its router */
+/** struct rig - one request, and the retry budget of its router */
 typedef struct
 {
   att_t att;
@@ -15,7 +16,7 @@
 } rig_t;
 
 static rig_t
-with_budget (void)
+rig_with_budget (void)
 {
   rig_t rig = { 0 };
 
@@ -73,7 +74,7 @@
 }
 
 static void
-answers (void)
+response_ends_the_request (void)
 {
   rig_t rig = { 0 };
   att_outcome_t answered = { .answered = true, .verdict = VRD_RAN };
@@ -87,7 +88,7 @@
 }
 
 static void
-nobody_to_ask (void)
+fails_without_candidates (void)
 {
   rig_t rig = { 0 };
   att_step_t step = begin (&rig, true, 0);
@@ -121,16 +122,16 @@
   CU_ASSERT_EQUAL (step.engine_hash, 20);
   CU_ASSERT_TRUE (step.referred);
   full.referral_count = 0;
-  /* 10 was asked already and is passed over */
+  /* Engine 10 was tried already and is skipped. */
   step = ended (&rig, 2, &full);
   CU_ASSERT_EQUAL (step.engine_hash, 21);
 }
 
-/* All engines asked are over their bound. The last of the four hops goes back to the first that
- * said so, with leave to queue there; when that refuses too, the caller hears at once, with the
- * shortest time after which any of them expects room. */
+/* All engines are above their bound. The last of the four hops goes to the first of them again,
+ * which may queue the request; if that rejects it too, the client gets an error at once, with the
+ * smallest retry time of all rejections. */
 static void
-last_hop_waits_at_the_first (void)
+last_hop_may_queue_at_the_first (void)
 {
   rig_t rig = { 0 };
   att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
@@ -154,12 +155,12 @@
   CU_ASSERT_EQUAL (rig.att.hops, LIM_HOPS);
 }
 
-/* A request waits at its home, the last of four hops, when the home is stopped as planned. All
- * others run, so its caller must not see a 503: they are asked again, though they were over their
- * bound a moment ago, and the last of them with leave to queue. Hosts that close one after the
- * other do not make it go round for ever. */
+/* A request is queued at its last hop when that host is stopped as planned. Guards against a 503
+ * while all other engines work: they are tried again, though they were above their bound, and the
+ * last one may queue the request. Also against an endless loop if hosts stop one after the other.
+ */
 static void
-begins_anew_when_a_host_closes (void)
+other_engines_are_tried_when_a_host_stops (void)
 {
   rig_t rig = { 0 };
   att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
@@ -187,7 +188,7 @@
 }
 
 static void
-few_candidates_wait_sooner (void)
+few_candidates_queue_sooner (void)
 {
   rig_t rig = { 0 };
   att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
@@ -202,12 +203,11 @@
   CU_ASSERT_EQUAL (ended (&rig, 1, &full).action, ATT_GIVE_UP);
 }
 
-/* The home sends a returning chat to the engine where it is warm, but that one is over its bound.
- * The home is then asked again and must not refer once more; only then come the hosts that the warm
- * engine named. Without the second call the chat would land on a stranger though its home is idle.
- */
+/* The home engine refers a chat to the engine that has its context, but that one is above its
+ * bound. The home is then tried again, before the referrals of the other one. Guards against a chat
+ * that is served by some third engine while its home is idle. */
 static void
-home_is_asked_again (void)
+home_is_tried_again (void)
 {
   rig_t rig = { 0 };
   uint64_t warm = 30;
@@ -230,10 +230,10 @@
   CU_ASSERT_TRUE (step.may_wait);
 }
 
-/* The first engine cannot start a request before its deadline and knows of no room elsewhere, as
- * just after its start. That says nothing of the other engines: they are asked too. */
+/* The first engine can't start a request before its deadline and has no referrals, as just after
+ * its start. Guards against giving up before the other engines were tried. */
 static void
-one_engine_without_time_is_not_all (void)
+deadline_at_one_engine_tries_others (void)
 {
   rig_t rig = { 0 };
   att_outcome_t late = refusal (VRD_REASON_DEADLINE);
@@ -246,7 +246,7 @@
 }
 
 static void
-certain_refusals_need_no_budget (void)
+rejections_use_no_budget (void)
 {
   static const vrd_reason_t REASONS[] = { VRD_REASON_LEAVING,       VRD_REASON_STALE,
                                           VRD_REASON_SUSPECT_HERE,  VRD_REASON_NO_ENGINE,
@@ -264,11 +264,11 @@
     }
 }
 
-/* hops_until_given_up() - when each host asked names another one */
+/* hops_until_given_up() - Return: number of hops if each sidecar names another engine */
 static uint32_t
 hops_until_given_up (vrd_reason_t reason)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   uint64_t next = 100;
   att_outcome_t refused = refusal (reason);
   att_step_t step = begin (&rig, true, 6);
@@ -283,7 +283,7 @@
 }
 
 static void
-hops_are_bounded (void)
+hops_are_limited (void)
 {
   CU_ASSERT_EQUAL (hops_until_given_up (VRD_REASON_OVER_BOUND), LIM_HOPS);
   CU_ASSERT_EQUAL (hops_until_given_up (VRD_REASON_COLD), LIM_HOPS);
@@ -291,10 +291,9 @@
   CU_ASSERT_EQUAL (hops_until_given_up (VRD_REASON_STALE), LIM_HOPS_MOST);
 }
 
-/* A request that crashes engines has crashed as many as it may: told so for good, without an
- * invitation to come back. The same for what a resend cannot mend. */
+/* Guards against a retry time for requests that crash engines, or that fail again if retried. */
 static void
-final_refusals_invite_nobody_back (void)
+final_rejections_have_no_retry_time (void)
 {
   static const vrd_reason_t REASONS[] = { VRD_REASON_SUSPECT, VRD_REASON_CLAIMED,
                                           VRD_REASON_KEY_REUSED, VRD_REASON_KEY_TOO_OLD };
@@ -314,7 +313,7 @@
 }
 
 static void
-log_down_asks_to_come_back (void)
+log_down_has_a_retry_time (void)
 {
   rig_t rig = { 0 };
   att_outcome_t refused = refusal (VRD_REASON_LOG_DOWN);
@@ -338,13 +337,13 @@
   CU_ASSERT_NOT_EQUAL (step.retry_after_ms, 0);
 }
 
-/* The connection to the sidecar breaks before any answer. A booking must not be sent elsewhere on
- * that: only after the sidecar says that it never passed it on, and never will, may another engine
- * have it. When it cannot say so, the caller hears that the booking may have run. */
+/* The connection to the sidecar breaks before a response. Guards against executing a request twice
+ * that isn't idempotent: another engine gets it only after the sidecar confirmed that it wasn't and
+ * won't be executed; otherwise the client is told that it may have been. */
 static void
-non_idempotent_moves_only_after_not_run (void)
+non_idempotent_is_resent_only_if_not_run (void)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   att_outcome_t cut = lost ();
 
   begin (&rig, false, 6);
@@ -361,9 +360,9 @@
 }
 
 static void
-sidecar_that_says_it_ran_needs_no_revoke (void)
+crash_reported_by_sidecar_needs_no_revoke (void)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   att_outcome_t crashed = { .verdict = VRD_MAY_HAVE_RUN, .reason = VRD_REASON_ENGINE_CRASHED };
 
   begin (&rig, false, 6);
@@ -372,12 +371,12 @@
   CU_ASSERT_EQUAL (ended (&rig, 1, &crashed).action, ATT_SEND);
 }
 
-/* Many hops are lost at once. Idempotent requests go on elsewhere only while the budget lasts, so
- * that retries cannot multiply an overload; then callers hear at once. */
+/* Many connections break at once. Guards against retries that multiply an overload: idempotent
+ * requests are retried only while the budget lasts. */
 static void
-budget_bounds_retries (void)
+budget_limits_retries (void)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   att_outcome_t cut = lost ();
   att_step_t step;
   uint32_t retried = 0;
@@ -393,13 +392,13 @@
   check_given_up (&step, VRD_MAY_HAVE_RUN);
 }
 
-/* A request takes the sidecar down with the engine, so that nobody is left to mark it. The router
- * tries it on one more engine, and after the second loss gives up: it would go through as many as
- * it may ask. A sidecar that was there and says that it did not run is no such loss. */
+/* A request crashes the sidecar along with the engine, so that no sidecar reports the crash. Guards
+ * against trying it on all candidates: the router gives up after the second broken connection. One
+ * after which the sidecar confirms that the request wasn't executed doesn't count. */
 static void
-two_lost_sidecars_are_enough (void)
+two_broken_connections_end_the_request (void)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   att_outcome_t cut = lost ();
 
   begin (&rig, true, 6);
@@ -413,17 +412,17 @@
   CU_ASSERT_NOT_EQUAL (step.retry_after_ms, 0);
 }
 
-/* All engines are over their bound, and the request waits at the first, by its last hop, when that
- * host is killed. The others end work all the time: the request asks them again and waits there,
- * instead of an error for its caller. A host that says that it did not run it comes to the same. */
+/* All engines are above their bound, and the request is queued at its last hop when that host is
+ * killed. Guards against an error while the other engines work: they are tried again, whether or
+ * not the sidecar confirmed that the request wasn't executed. */
 static void
-lost_last_resort_is_not_the_end (void)
+other_engines_are_tried_when_a_host_is_lost (void)
 {
   static const vrd_t VERDICTS[] = { VRD_MAY_HAVE_RUN, VRD_NOT_RUN };
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (VERDICTS); i++)
     {
-      rig_t rig = with_budget ();
+      rig_t rig = rig_with_budget ();
       att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
       att_outcome_t cut = lost ();
       att_step_t step = begin (&rig, true, 3);
@@ -456,11 +455,11 @@
   return att_revoked (&att, 1, budget, VRD_MAY_HAVE_RUN).action == ATT_SEND;
 }
 
-/* A surging account has many requests at a host that is killed; all try again and use up the
- * budget. The single request of a quiet account, lost with them, must still go on elsewhere, as
- * its caller did nothing to deserve an error. Its reserve fills again as its requests succeed. */
+/* A surging account has many requests at a host that is killed, and their retries use up the
+ * budget. Guards against an error for the single request of another account: it has a reserve,
+ * which is refilled as its requests succeed. */
 static void
-surge_leaves_others_their_retry (void)
+surge_leaves_other_accounts_a_retry (void)
 {
   att_budget_t budget;
   uint32_t retried = 0;
@@ -481,12 +480,12 @@
   CU_ASSERT_TRUE (retries_lost_hop (&budget, 2));
 }
 
-/* A first attempt may have run; the second is refused as not run. The request as a whole may have
- * run, and the caller must not be told otherwise. */
+/* A first attempt may have been executed, and the second is rejected. Guards against telling the
+ * client that the request wasn't executed. */
 static void
-not_run_is_said_of_the_whole_request (void)
+verdict_is_of_the_whole_request (void)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   att_outcome_t cut = lost ();
   att_outcome_t full = refusal (VRD_REASON_LOG_DOWN);
 
@@ -497,12 +496,12 @@
   check_given_up (&step, VRD_MAY_HAVE_RUN);
 }
 
-/* The answer breaks off after its first byte went to the caller: a second engine's answer must
- * not be glued to it, however idempotent the request and full the budget. */
+/* A response breaks off after its first byte went to the client. Guards against appending the
+ * response of another engine. */
 static void
-begun_answer_is_never_tried_again (void)
+no_retry_after_response_has_begun (void)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   att_outcome_t cut = lost ();
 
   begin (&rig, true, 6);
@@ -512,13 +511,12 @@
   CU_ASSERT_EQUAL (step.reason, VRD_REASON_CUT);
 }
 
-/* A request crashes every engine that runs it. Its caller sends it again before the two sidecars
- * whose engines it crashed have heard of each other, so each only says "not here": the router must
- * not lead it to a third engine, and refuses it for good. */
+/* A request has crashed two engines, but their sidecars don't know of each other's crash yet, so
+ * each rejects it only for its own engine. Guards against the router sending it to a third one. */
 static void
-two_crashes_are_added_up (void)
+crashes_of_two_engines_are_added (void)
 {
-  rig_t rig = with_budget ();
+  rig_t rig = rig_with_budget ();
   att_outcome_t here = refusal (VRD_REASON_SUSPECT_HERE);
   att_outcome_t crashed = { .verdict = VRD_MAY_HAVE_RUN, .reason = VRD_REASON_ENGINE_CRASHED };
 
@@ -542,29 +540,29 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "answers", answers },
-    { "nobody to ask", nobody_to_ask },
+    { "a response ends the request", response_ends_the_request },
+    { "fails without candidates", fails_without_candidates },
     { "only candidate may queue", only_candidate_may_queue },
     { "referrals go first", referrals_go_first },
-    { "last hop waits at the first", last_hop_waits_at_the_first },
-    { "begins anew when a host closes", begins_anew_when_a_host_closes },
-    { "few candidates wait sooner", few_candidates_wait_sooner },
-    { "home is asked again", home_is_asked_again },
-    { "one engine without time is not all", one_engine_without_time_is_not_all },
-    { "certain refusals need no budget", certain_refusals_need_no_budget },
-    { "hops are bounded", hops_are_bounded },
-    { "final refusals invite nobody back", final_refusals_invite_nobody_back },
-    { "log down asks to come back", log_down_asks_to_come_back },
+    { "last hop may queue at the first", last_hop_may_queue_at_the_first },
+    { "other engines are tried when a host stops", other_engines_are_tried_when_a_host_stops },
+    { "few candidates queue sooner", few_candidates_queue_sooner },
+    { "home is tried again", home_is_tried_again },
+    { "deadline at one engine tries others", deadline_at_one_engine_tries_others },
+    { "rejections use no budget", rejections_use_no_budget },
+    { "hops are limited", hops_are_limited },
+    { "final rejections have no retry time", final_rejections_have_no_retry_time },
+    { "log down has a retry time", log_down_has_a_retry_time },
     { "past deadline gives up at once", past_deadline_gives_up_at_once },
-    { "non-idempotent moves only after not run", non_idempotent_moves_only_after_not_run },
-    { "sidecar that says it ran needs no revoke", sidecar_that_says_it_ran_needs_no_revoke },
-    { "budget bounds retries", budget_bounds_retries },
-    { "two lost sidecars are enough", two_lost_sidecars_are_enough },
-    { "a lost last resort is not the end", lost_last_resort_is_not_the_end },
-    { "a surge leaves others their retry", surge_leaves_others_their_retry },
-    { "not run is said of the whole request", not_run_is_said_of_the_whole_request },
-    { "begun answer is never tried again", begun_answer_is_never_tried_again },
-    { "two crashes are added up", two_crashes_are_added_up },
+    { "non-idempotent is resent only if not run", non_idempotent_is_resent_only_if_not_run },
+    { "crash reported by sidecar needs no revoke", crash_reported_by_sidecar_needs_no_revoke },
+    { "budget limits retries", budget_limits_retries },
+    { "two broken connections end the request", two_broken_connections_end_the_request },
+    { "other engines are tried when a host is lost", other_engines_are_tried_when_a_host_is_lost },
+    { "a surge leaves other accounts a retry", surge_leaves_other_accounts_a_retry },
+    { "the verdict is of the whole request", verdict_is_of_the_whole_request },
+    { "no retry after a response has begun", no_retry_after_response_has_begun },
+    { "crashes of two engines are added", crashes_of_two_engines_are_added },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("attempt", tests);
