--- a/src/request/policy/admit.c
+++ b/src/request/policy/admit.c
@@ -18,7 +18,7 @@
 note_account_change (adm_t *adm, uint64_t now_us, uint64_t account_hash)
 {
   if (account_hash != adm->last_account)
-    adm->mixed_us = now_us;
+    adm->account_changed_us = now_us;
   adm->last_account = account_hash;
 }
 
@@ -32,7 +32,7 @@
 }
 
 static bool
-starts_now (adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli)
+can_start_now (adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli)
 {
   if (!adm_fits (adm, now_us, item, bound_milli))
     return false;
@@ -46,7 +46,7 @@
 static void
 start_request (adm_t *adm, uint64_t now_us, adm_request_t *request)
 {
-  drn_started (&adm->drain, now_us, adm->load, adm_length_us (adm, request));
+  drn_started (&adm->completions, now_us, adm->load, adm_length_us (adm, request));
   adm->load++;
   adm->cost += request->item.cost;
   request->running = true;
@@ -63,46 +63,47 @@
   return adm->engine_down ? VRD_REASON_NO_ENGINE : VRD_REASON_NONE;
 }
 
-/* Return: whether another engine is better than waiting here for @wait microseconds */
+/* Return: whether another engine is better than waiting here for @wait_us */
 static bool
 is_better_elsewhere (const adm_t *adm,
                      const adm_request_t *request,
-                     const adm_decision_t *room,
-                     uint64_t wait)
+                     const adm_decision_t *with_referrals,
+                     uint64_t wait_us)
 {
   if (request->may_wait || adm->options.policy == ADM_POLICY_OPEN)
     return false;
   if (adm->options.policy == ADM_POLICY_NO_REFERRAL)
     return true;
-  return room->referral_count > 0 && wait > adm_cold_start_us (adm, request);
+  return with_referrals->referral_count > 0 && wait_us > adm_cold_start_us (adm, request);
 }
 
 /* Above the bound: queues the request, or rejects it with referrals or a retry time. */
 static adm_decision_t
-wait_or_refuse (adm_t *adm, uint64_t now_us, adm_request_t *request, uint64_t bound_milli)
+queue_or_reject (adm_t *adm, uint64_t now_us, adm_request_t *request, uint64_t bound_milli)
 {
   fq_item_t *item = &request->item;
-  const uint64_t wait = adm_wait_us (adm, now_us, item, bound_milli);
-  adm_decision_t room = adm_decide (adm, ADM_REFUSE, VRD_REASON_OVER_BOUND, bound_milli);
+  const uint64_t wait_us = adm_wait_us (adm, now_us, item, bound_milli);
+  adm_decision_t with_referrals = adm_decide (adm, ADM_REFUSE, VRD_REASON_OVER_BOUND, bound_milli);
   if (!request->may_wait && adm->options.policy == ADM_POLICY_FULL)
-    adm_point_to_room (adm, now_us, adm_limit_milli (adm, now_us, item, bound_milli), &room);
-  const bool in_time = item->deadline_us == 0 || now_us + wait < item->deadline_us;
-  if (is_better_elsewhere (adm, request, &room, in_time ? wait : UINT64_MAX))
-    return adm_refuse_over_bound (adm, wait, &room);
+    adm_point_to_room (adm, now_us, adm_limit_milli (adm, now_us, item, bound_milli),
+                       &with_referrals);
+  const bool in_time = item->deadline_us == 0 || now_us + wait_us < item->deadline_us;
+  if (is_better_elsewhere (adm, request, &with_referrals, in_time ? wait_us : UINT64_MAX))
+    return adm_refuse_over_bound (adm, wait_us, &with_referrals);
   if (!in_time)
-    return adm_refuse_to_wait (adm, VRD_REASON_DEADLINE, now_us + wait - item->deadline_us,
+    return adm_refuse_to_wait (adm, VRD_REASON_DEADLINE, now_us + wait_us - item->deadline_us,
                                bound_milli);
   const fq_outcome_t outcome = fq_push (adm->queue, item);
-  if (outcome != FQ_QUEUED && room.referral_count > 0)
-    return adm_refuse_over_bound (adm, wait, &room);
+  if (outcome != FQ_QUEUED && with_referrals.referral_count > 0)
+    return adm_refuse_over_bound (adm, wait_us, &with_referrals);
   switch (outcome)
     {
     case FQ_QUEUED:
       return adm_decide (adm, ADM_WAIT, VRD_REASON_NONE, bound_milli);
     case FQ_ACCOUNT_FULL:
-      return adm_refuse_to_wait (adm, VRD_REASON_ACCOUNT_SHARE, wait, bound_milli);
+      return adm_refuse_to_wait (adm, VRD_REASON_ACCOUNT_SHARE, wait_us, bound_milli);
     default:
-      return adm_refuse_to_wait (adm, VRD_REASON_QUEUE_FULL, wait, bound_milli);
+      return adm_refuse_to_wait (adm, VRD_REASON_QUEUE_FULL, wait_us, bound_milli);
     }
 }
 
@@ -181,8 +182,8 @@
   if (adm_refer_to_warm (adm, now_us, request, bound_milli, &decision))
     return decision;
   note_account_change (adm, now_us, request->item.account_hash);
-  if (!starts_now (adm, now_us, &request->item, bound_milli))
-    return wait_or_refuse (adm, now_us, request, bound_milli);
+  if (!can_start_now (adm, now_us, &request->item, bound_milli))
+    return queue_or_reject (adm, now_us, request, bound_milli);
   fq_served (adm->queue, &request->item);
   start_request (adm, now_us, request);
   return adm_decide (adm, ADM_DISPATCH, VRD_REASON_NONE, bound_milli);
@@ -220,7 +221,7 @@
    * stalled, so that no request is kept until its deadline. */
   const uint64_t limit = MIN ((uint64_t)adm->options.slots * MILLI, bound_milli);
   const uint64_t soonest_us =
-      adm_ends_needed (adm->load, limit) * drn_interval_us (&adm->drain, now_us, adm->load);
+      adm_ends_needed (adm->load, limit) * drn_interval_us (&adm->completions, now_us, adm->load);
   adm_request_t *request = request_of (fq_expired (adm->queue, now_us + soonest_us));
   if (request != NULL)
     *decision = adm_refuse_to_wait (adm, VRD_REASON_DEADLINE, soonest_us, bound_milli);
@@ -228,17 +229,17 @@
 }
 
 void
-adm_finish (adm_t *adm, uint64_t now_us, adm_request_t *request, bool warm)
+adm_finish (adm_t *adm, uint64_t now_us, adm_request_t *request, bool is_cached)
 {
   g_assert (request->running && adm->load > 0);
   request->running = false;
   adm->load--;
   adm->cost -= request->item.cost;
-  drn_finished (&adm->drain, now_us, now_us - request->dispatched_us);
+  drn_finished (&adm->completions, now_us, now_us - request->dispatched_us);
   /* The estimate depends on the class that the client declares, so what a request took beyond it is
    * charged to the account. */
   fq_took (adm->queue, &request->item, (now_us - request->dispatched_us) / CLK_US_PER_MS);
-  if (warm)
+  if (is_cached)
     adm_note_warm (adm, now_us, request);
 }
 
--- a/src/request/policy/admit.h
+++ b/src/request/policy/admit.h
@@ -1,5 +1,5 @@
 /**
- * DOC: admit
+ * DOC: admission
  *
  * Admission control of an engine: decides what its sidecar does with each request. Only the sidecar
  * sees all requests of its engine, so only it admits, queues, rejects and counts them. A pure state
@@ -182,9 +182,9 @@
 /** adm_reject() - dequeues a request to reject now, with @decision. Return: NULL if there is none
  */
 adm_request_t *adm_reject (adm_t *adm, uint64_t now_us, adm_decision_t *decision);
-/** adm_finish() - a dispatched request ended, whatever its result; @warm: the engine has its
+/** adm_finish() - a dispatched request ended, whatever its result; @is_cached: the engine has its
  * context in the cache now */
-void adm_finish (adm_t *adm, uint64_t now_us, adm_request_t *request, bool warm);
+void adm_finish (adm_t *adm, uint64_t now_us, adm_request_t *request, bool is_cached);
 /** adm_cancel() - removes a queued request */
 void adm_cancel (adm_t *adm, adm_request_t *request);
 /** adm_crashed() - records that the engine crashed while it ran @request */
--- a/src/request/policy/admit_bound.c
+++ b/src/request/policy/admit_bound.c
@@ -22,7 +22,7 @@
 }
 
 static uint64_t
-bound_of (const adm_t *adm, uint64_t now_us, const mean_estimate_t *estimate)
+compute_bound_milli (const adm_t *adm, uint64_t now_us, const mean_estimate_t *estimate)
 {
   const uint64_t slots_milli = (uint64_t)adm->options.slots * MILLI;
   if (adm->options.policy == ADM_POLICY_OPEN || adm->options.engine_count <= 1)
@@ -48,9 +48,9 @@
 }
 
 static bool
-is_alone (const adm_t *adm, uint64_t now_us)
+is_single_account (const adm_t *adm, uint64_t now_us)
 {
-  return now_us >= adm->mixed_us + ADM_ALONE_US;
+  return now_us >= adm->account_changed_us + ADM_ALONE_US;
 }
 
 /* Some slots are reserved for accounts that were served no more than the others. Without them a
@@ -60,7 +60,7 @@
 slots_for_account (const adm_t *adm, uint64_t now_us, const fq_item_t *item)
 {
   const uint32_t slots = adm->options.slots;
-  if (adm->options.policy == ADM_POLICY_OPEN || is_alone (adm, now_us))
+  if (adm->options.policy == ADM_POLICY_OPEN || is_single_account (adm, now_us))
     return slots;
   return fq_is_behind (adm->queue, item) ? slots : slots - reserved_slots (adm);
 }
@@ -86,7 +86,7 @@
   const mean_estimate_t estimate = estimate_mean (adm, now_us);
   if (estimate.count > 1)
     dft_note (&adm->drift, now_us, estimate.mean_milli);
-  return bound_of (adm, now_us, &estimate);
+  return compute_bound_milli (adm, now_us, &estimate);
 }
 
 uint64_t
@@ -121,22 +121,22 @@
   const uint64_t ends =
       adm_ends_needed (adm->load, adm_limit_milli (adm, now_us, item, bound_milli));
   const uint64_t ahead = fq_ahead (adm->queue, item).count;
-  return (ends + ahead) * drn_interval_us (&adm->drain, now_us, adm->load);
+  return (ends + ahead) * drn_interval_us (&adm->completions, now_us, adm->load);
 }
 
 /* Requests at the other engine are assumed to take as long as those here. */
 uint64_t
-adm_wait_there_us (const adm_t *adm, const mean_sample_t *there, uint64_t limit)
+adm_wait_there_us (const adm_t *adm, const mean_sample_t *remote, uint64_t limit)
 {
-  if (there->load == 0 || there->waiting + adm_ends_needed (there->load, limit) == 0)
+  if (remote->load == 0 || remote->waiting + adm_ends_needed (remote->load, limit) == 0)
     return 0;
-  return (there->waiting + adm_ends_needed (there->load, limit)) * adm->drain.length_us /
-         there->load;
+  return (remote->waiting + adm_ends_needed (remote->load, limit)) * adm->completions.length_us /
+         remote->load;
 }
 
 uint64_t
 adm_bound_milli (const adm_t *adm, uint64_t now_us)
 {
   const mean_estimate_t estimate = estimate_mean (adm, now_us);
-  return bound_of (adm, now_us, &estimate);
+  return compute_bound_milli (adm, now_us, &estimate);
 }
--- a/src/request/policy/admit_private.h
+++ b/src/request/policy/admit_private.h
@@ -1,9 +1,9 @@
 /**
- * DOC: admit_private
+ * DOC: admission_private
  *
- * Internal interface between the files of the admission control: admit.c has the state machine,
- * admit_bound.c the bound and the estimates of waits, admit_warm.c the referrals to the engine that
- * has a chat's context in its cache, admit_refuse.c the other decisions to reject.
+ * Internal interface between the files of the admission control: admission.c has the state machine,
+ * admission_bound.c the bound and the estimates of waits, admission_cached.c the referrals to the
+ * engine that has a chat's context in its cache, admission_refuse.c the other decisions to reject.
  */
 #ifndef REQUEST_POLICY_ADMIT_PRIVATE_H
 #define REQUEST_POLICY_ADMIT_PRIVATE_H
@@ -22,11 +22,11 @@
  * @directory: engine on which each chat was served last
  * @suspects: requests suspected of crashes
  * @mean: load samples of the service's engines
- * @drain: measured completion rate of the engine
+ * @completions: measured completion rate of the engine
  * @drift: recent change of the mean load, for the margin of the bound
  * @joined_us: when the engine joined, 0 if unknown
  * @last_account: client account of the last request
- * @mixed_us: when a request last had another account than the one before it
+ * @account_changed_us: when a request last had another account than the one before it
  * @rng: state of the random generator
  * @load: running requests
  * @cost: sum of their estimated durations, in milliseconds
@@ -39,11 +39,11 @@
   dir_t *directory;
   sus_t *suspects;
   mean_table_t mean;
-  drn_t drain;
+  drn_t completions;
   dft_t drift;
   uint64_t joined_us;
   uint64_t last_account;
-  uint64_t mixed_us;
+  uint64_t account_changed_us;
   uint64_t rng;
   uint32_t load;
   uint64_t cost;
@@ -72,7 +72,7 @@
 uint64_t
 adm_wait_us (const adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli);
 /** adm_wait_there_us() - Return: expected wait at another engine, from its load sample */
-uint64_t adm_wait_there_us (const adm_t *adm, const mean_sample_t *there, uint64_t limit);
+uint64_t adm_wait_there_us (const adm_t *adm, const mean_sample_t *remote, uint64_t limit);
 
 /** adm_refer_to_warm() - checks whether the request should go where its context is cached. Return:
  * whether it is rejected, with @decision */
@@ -100,9 +100,10 @@
                          const adm_request_t *request,
                          uint64_t bound_milli,
                          adm_decision_t *decision);
-/** adm_refuse_over_bound() - Return: decision to reject with the referrals of @room, and a retry
- * time from the expected @wait in microseconds */
-adm_decision_t adm_refuse_over_bound (adm_t *adm, uint64_t wait, const adm_decision_t *room);
+/** adm_refuse_over_bound() - Return: decision to reject with the referrals of
+ * @with_referrals, and a retry time from the expected @wait_us */
+adm_decision_t
+adm_refuse_over_bound (adm_t *adm, uint64_t wait_us, const adm_decision_t *with_referrals);
 /** adm_refuse_to_wait() - Return: decision to reject without referrals, as a slot is expected to be
  * free only in @after_us */
 adm_decision_t
--- a/src/request/policy/admit_refuse.c
+++ b/src/request/policy/admit_refuse.c
@@ -56,10 +56,10 @@
 }
 
 adm_decision_t
-adm_refuse_over_bound (adm_t *adm, uint64_t wait, const adm_decision_t *room)
+adm_refuse_over_bound (adm_t *adm, uint64_t wait_us, const adm_decision_t *with_referrals)
 {
-  adm_decision_t decision = *room;
-  decision.retry_after_ms = retry_after_ms (adm, wait);
+  adm_decision_t decision = *with_referrals;
+  decision.retry_after_ms = retry_after_ms (adm, wait_us);
   return decision;
 }
 
--- a/src/request/policy/admit_warm.c
+++ b/src/request/policy/admit_warm.c
@@ -25,9 +25,10 @@
 {
   if (adm->options.is_live != NULL && !adm->options.is_live (engine_hash, adm->options.context))
     return false;
-  const mean_sample_t *there = ref_find (&adm->mean, now_us, engine_hash);
+  const mean_sample_t *remote = ref_find (&adm->mean, now_us, engine_hash);
   const uint64_t limit = adm_limit_milli (adm, now_us, &request->item, bound_milli);
-  return there == NULL || adm_wait_there_us (adm, there, limit) <= adm_cold_start_us (adm, request);
+  return remote == NULL ||
+         adm_wait_there_us (adm, remote, limit) <= adm_cold_start_us (adm, request);
 }
 
 static bool
@@ -71,7 +72,7 @@
  * context was lost with the engine that was replaced. Served here, such chats would fill this cache
  * while the one of the new home stays empty. */
 static bool
-is_cold_here (const adm_t *adm, uint64_t now_us, const adm_request_t *request)
+should_send_back (const adm_t *adm, uint64_t now_us, const adm_request_t *request)
 {
   dir_entry_t entry;
   return is_from_new_home (adm, request) &&
@@ -92,7 +93,7 @@
   const uint64_t engine_hash = find_cached_elsewhere (adm, now_us, request);
   const bool elsewhere =
       engine_hash != 0 && is_worth_referral (adm, now_us, request, engine_hash, bound_milli);
-  if (!elsewhere && !is_cold_here (adm, now_us, request))
+  if (!elsewhere && !should_send_back (adm, now_us, request))
     return false;
   *decision = elsewhere ? refer_to (adm, engine_hash, bound_milli)
                         : adm_decide (adm, ADM_REFUSE, VRD_REASON_COLD, bound_milli);
--- a/src/request/policy/attempt.c
+++ b/src/request/policy/attempt.c
@@ -37,10 +37,10 @@
 }
 
 static bool
-was_asked (const att_t *att, uint64_t engine_hash)
+was_tried (const att_t *att, uint64_t engine_hash)
 {
-  for (uint32_t i = 0; i < att->asked_count; i++)
-    if (att->asked[i] == engine_hash)
+  for (uint32_t i = 0; i < att->tried_count; i++)
+    if (att->tried[i] == engine_hash)
       return true;
   return false;
 }
@@ -63,15 +63,15 @@
   att->target_count++;
 }
 
-/* skip_asked() - advances to the next target that may be tried. Return: whether there is one */
+/* skip_tried() - advances to the next target that may be tried. Return: whether there is one */
 static bool
-skip_asked (att_t *att)
+skip_tried (att_t *att)
 {
   while (att->target_next < att->target_count)
     {
       const att_target_t *target = &att->targets[att->target_next];
 
-      if (target->again || !was_asked (att, target->engine_hash))
+      if (target->again || !was_tried (att, target->engine_hash))
         return true;
       att->target_next++;
     }
@@ -88,7 +88,7 @@
     {
       const att_target_t *target = &att->targets[i];
 
-      if (target->engine_hash != next && !was_asked (att, target->engine_hash))
+      if (target->engine_hash != next && !was_tried (att, target->engine_hash))
         return true;
     }
   return false;
@@ -116,7 +116,7 @@
 {
   g_assert (att->hops < att->hop_limit);
   att->hops++;
-  att->asked[att->asked_count++] = engine_hash;
+  att->tried[att->tried_count++] = engine_hash;
   att->last_engine = engine_hash;
   att->last_referred = referred;
   att->waited = may_wait;
@@ -137,7 +137,7 @@
   if (att->hops >= att->hop_limit)
     return give_up (att, VRD_NOT_RUN, att->last_reason);
 
-  bool have_target = skip_asked (att);
+  bool have_target = skip_tried (att);
 
   if (att->queue_engine != 0 && (last_hop || !have_target))
     {
@@ -173,7 +173,7 @@
 }
 
 static bool
-is_closed (vrd_reason_t reason)
+is_unavailable (vrd_reason_t reason)
 {
   return reason == VRD_REASON_LEAVING || reason == VRD_REASON_STALE ||
          reason == VRD_REASON_NO_ENGINE;
@@ -187,21 +187,21 @@
 restart_targets (att_t *att)
 {
   att->hop_limit = MIN (att->hops + LIM_HOPS, LIM_HOPS_MOST);
-  att->asked[0] = att->last_engine;
-  att->asked_count = 1;
+  att->tried[0] = att->last_engine;
+  att->tried_count = 1;
   att->target_next = 0;
   att->queue_engine = 0;
 }
 
 static att_step_t
-refused (att_t *att, uint64_t now_us, const att_outcome_t *outcome)
+handle_rejection (att_t *att, uint64_t now_us, const att_outcome_t *outcome)
 {
   if (outcome->retry_after_ms != 0 &&
       (att->retry_after_ms == 0 || outcome->retry_after_ms < att->retry_after_ms))
     att->retry_after_ms = outcome->retry_after_ms;
   if (reaction_to (att, outcome->reason) != REACTION_NEXT_ENGINE)
     return give_up (att, VRD_NOT_RUN, outcome->reason);
-  if (att->waited && is_closed (outcome->reason))
+  if (att->waited && is_unavailable (outcome->reason))
     restart_targets (att);
   if (outcome->reason == VRD_REASON_OVER_BOUND && att->queue_engine == 0 && !att->waited)
     att->queue_engine = att->last_engine;
@@ -348,7 +348,7 @@
   if (note_crash (att, outcome->reason))
     return give_up (att, outcome->verdict, VRD_REASON_SUSPECT);
   if (outcome->verdict == VRD_NOT_RUN)
-    return refused (att, now_us, outcome);
+    return handle_rejection (att, now_us, outcome);
   if (reaction_to (att, outcome->reason) != REACTION_NEXT_ENGINE)
     return give_up (att, outcome->verdict, outcome->reason);
   if (outcome->lost && now_us < att->deadline_us)
--- a/src/request/policy/attempt.h
+++ b/src/request/policy/attempt.h
@@ -1,5 +1,5 @@
 /**
- * DOC: attempt
+ * DOC: forwarding
  *
  * Forwards one request to engines through their sidecars: decides which engine to try, what follows
  * each outcome and when to give up. A pure state machine: the caller sends the request and reports
@@ -133,8 +133,8 @@
  * @targets: engines to try; those of the candidates and those referred to
  * @target_count: number of @targets
  * @target_next: index of the next one
- * @asked: engines that were tried
- * @asked_count: number of @asked
+ * @tried: engines that were tried
+ * @tried_count: number of @tried
  * @queue_engine: first engine that rejected the request as above its bound, 0 if none; as a last
  *   resort it is tried again and may queue the request
  * @crashed: engines that crashed on this request
@@ -159,8 +159,8 @@
   att_target_t targets[ATT_CANDIDATES + LIM_HOPS_MOST * (LIM_REFERRALS + 1)];
   uint32_t target_count;
   uint32_t target_next;
-  uint64_t asked[LIM_HOPS_MOST + 2];
-  uint32_t asked_count;
+  uint64_t tried[LIM_HOPS_MOST + 2];
+  uint32_t tried_count;
   uint64_t queue_engine;
   uint64_t crashed[LIM_SUSPECT_CRASHES];
   uint32_t crashed_count;
--- a/src/request/policy/course.c
+++ b/src/request/policy/course.c
@@ -43,7 +43,7 @@
 }
 
 static crs_step_t
-last_step (const crs_t *crs, crs_outcome_t outcome)
+final_step (const crs_t *crs, crs_outcome_t outcome)
 {
   switch (outcome)
     {
@@ -92,13 +92,13 @@
 {
   count_outcome (crs, outcome);
   if (left_us < CRS_LEAST_US || !may_repeat (crs, outcome))
-    return last_step (crs, outcome);
+    return final_step (crs, outcome);
   if (outcome == CRS_UNSENT)
     return CRS_AGAIN;
   crs->retry_due = true;
   if (may_retry (context))
     return outcome == CRS_BROKE ? CRS_RESUME : CRS_AGAIN;
-  return outcome == CRS_FULL ? CRS_WAIT : last_step (crs, outcome);
+  return outcome == CRS_FULL ? CRS_WAIT : final_step (crs, outcome);
 }
 
 bool
--- a/src/request/policy/course.h
+++ b/src/request/policy/course.h
@@ -1,5 +1,5 @@
 /**
- * DOC: course
+ * DOC: retry_plan
  *
  * Decides what follows each outcome of a request that a gateway sends to engines directly. A pure
  * state machine.
@@ -15,9 +15,9 @@
 #include <stdint.h>
 
 /* Engines that may reject a request without executing it before it fails. Each attempt uses the
- * retry budget of all requests, and after so many the gateway's state of the service is wrong.
- * Rejections by full engines don't count: those have a free slot again within the time of a
- * request. */
+ * retry budget of all requests, and after three rejections the gateway's view of the service must
+ * be out of date. Rejections by full engines don't count: those have a free slot again within the
+ * time of a request. */
 #define CRS_REFUSALS 3
 /* Rejections by full engines before the request fails. A request that is larger than the memory of
  * an engine is rejected as such by each, and would use up the retries of all other requests. */
--- a/src/request/policy/drain.h
+++ b/src/request/policy/drain.h
@@ -1,5 +1,5 @@
 /**
- * DOC: drain
+ * DOC: completion_rate
  *
  * Estimates how often an engine completes a request and so frees a slot. All wait estimates of a
  * sidecar are derived from it. By Little's law an engine with L requests of mean duration S
--- a/src/request/policy/fairq.c
+++ b/src/request/policy/fairq.c
@@ -8,9 +8,9 @@
  * @finish: virtual time up to which it has been served
  * @key: sort key in fq.active
  * @cost: cost of its queued requests
- * @band_cost: the same for each priority level
+ * @level_cost: the same for each priority level
  * @passed: cost of the requests of higher levels served while the level had queued ones
- * @bands: its queued requests, a list for each priority level
+ * @levels: its queued requests, a list for each priority level
  * @place: its position in fq.active, NULL if it has no queued requests
  * @count: number of its queued requests
  * @weight: in thousandths
@@ -21,9 +21,9 @@
   uint64_t finish;
   uint64_t key;
   uint64_t cost;
-  uint64_t band_cost[FQ_BANDS];
+  uint64_t level_cost[FQ_BANDS];
   uint64_t passed[FQ_BANDS];
-  GQueue bands[FQ_BANDS];
+  GQueue levels[FQ_BANDS];
   GSequenceIter *place;
   uint32_t count;
   uint32_t weight;
@@ -43,7 +43,7 @@
 };
 
 static uint32_t
-band_of (const fq_item_t *item)
+level_of (const fq_item_t *item)
 {
   return item->priority < FQ_BANDS ? item->priority : FQ_BANDS - 1;
 }
@@ -77,21 +77,21 @@
 }
 
 static account_t *
-find (const fq_t *fq, uint64_t hash)
+find_account (const fq_t *fq, uint64_t hash)
 {
   return g_hash_table_lookup (fq->accounts, &hash);
 }
 
 static account_t *
-find_or_make (fq_t *fq, const fq_item_t *item)
+find_or_add_account (fq_t *fq, const fq_item_t *item)
 {
-  account_t *account = find (fq, item->account_hash);
+  account_t *account = find_account (fq, item->account_hash);
   if (account == NULL)
     {
       account = g_new0 (account_t, 1);
       account->hash = item->account_hash;
-      for (uint32_t band = 0; band < FQ_BANDS; band++)
-        g_queue_init (&account->bands[band]);
+      for (uint32_t level = 0; level < FQ_BANDS; level++)
+        g_queue_init (&account->levels[level]);
       g_hash_table_insert (fq->accounts, &account->hash, account);
     }
   account->weight = item->weight;
@@ -101,7 +101,7 @@
 /* Return: virtual start time of the account's next request. An account with queued requests
  * continues where it was served up to; another one starts at most its credit before the present. */
 static uint64_t
-start_of (const fq_t *fq, const account_t *account)
+virtual_start (const fq_t *fq, const account_t *account)
 {
   const uint64_t earliest = fq->virtual_now > fq->credit ? fq->virtual_now - fq->credit : 0;
   if (account == NULL)
@@ -112,35 +112,35 @@
 /* Return: the highest priority level with queued requests, unless enough cost was served before a
  * lower one */
 static uint32_t
-next_band (const account_t *account)
+next_level (const account_t *account)
 {
   uint32_t first = FQ_BANDS;
-  for (uint32_t band = 0; band < FQ_BANDS; band++)
+  for (uint32_t level = 0; level < FQ_BANDS; level++)
     {
-      if (account->bands[band].length == 0)
+      if (account->levels[level].length == 0)
         continue;
       if (first == FQ_BANDS)
-        first = band;
-      else if (account->passed[band] > (uint64_t)(band - first) * FQ_HEAD_START)
-        return band;
+        first = level;
+      else if (account->passed[level] > (uint64_t)(level - first) * FQ_HEAD_START)
+        return level;
     }
   return first;
 }
 
 static fq_item_t *
-head_of (const account_t *account)
+next_item (const account_t *account)
 {
-  return account->bands[next_band (account)].head->data;
+  return account->levels[next_level (account)].head->data;
 }
 
 static uint32_t
 precedence_of (const fq_item_t *item)
 {
-  return item->has_precedence ? MIN (item->precedence, FQ_BANDS - 1) : band_of (item);
+  return item->has_precedence ? MIN (item->precedence, FQ_BANDS - 1) : level_of (item);
 }
 
 static uint64_t
-key_of (uint64_t start, const fq_item_t *item)
+sort_key (uint64_t start, const fq_item_t *item)
 {
   return start + (uint64_t)precedence_of (item) * FQ_HEAD_START;
 }
@@ -158,12 +158,12 @@
     }
   if (account->place == NULL)
     {
-      account->finish = start_of (fq, account);
-      account->key = key_of (account->finish, head_of (account));
+      account->finish = virtual_start (fq, account);
+      account->key = sort_key (account->finish, next_item (account));
       account->place = g_sequence_insert_sorted (fq->active, account, by_key, NULL);
       return;
     }
-  account->key = key_of (account->finish, head_of (account));
+  account->key = sort_key (account->finish, next_item (account));
   g_sequence_sort_changed (account->place, by_key, NULL);
 }
 
@@ -189,19 +189,19 @@
 static void
 charge (fq_t *fq, account_t *account, uint32_t cost)
 {
-  const uint64_t start = start_of (fq, account);
+  const uint64_t start = virtual_start (fq, account);
   account->finish = start + virtual_cost (cost, account->weight);
   fq->virtual_now = MAX (fq->virtual_now, start);
 }
 
 static void
-take_out (fq_t *fq, account_t *account, fq_item_t *item)
+remove_item (fq_t *fq, account_t *account, fq_item_t *item)
 {
-  const uint32_t band = band_of (item);
-  g_queue_unlink (&account->bands[band], &item->link);
+  const uint32_t level = level_of (item);
+  g_queue_unlink (&account->levels[level], &item->link);
   account->count--;
   account->cost -= item->cost;
-  account->band_cost[band] -= item->cost;
+  account->level_cost[level] -= item->cost;
   fq->count--;
   if (item->expiry != NULL)
     g_sequence_remove (item->expiry);
@@ -209,13 +209,13 @@
 }
 
 static void
-note_passed (account_t *account, const fq_item_t *served)
+count_passed_over (account_t *account, const fq_item_t *served)
 {
-  const uint32_t served_band = band_of (served);
-  account->passed[served_band] = 0;
-  for (uint32_t band = served_band + 1; band < FQ_BANDS; band++)
-    account->passed[band] =
-        account->bands[band].length > 0 ? account->passed[band] + served->cost + 1 : 0;
+  const uint32_t served_level = level_of (served);
+  account->passed[served_level] = 0;
+  for (uint32_t level = served_level + 1; level < FQ_BANDS; level++)
+    account->passed[level] =
+        account->levels[level].length > 0 ? account->passed[level] + served->cost + 1 : 0;
 }
 
 /* Return: cost of @other's requests that is served before a new request with @key */
@@ -225,7 +225,7 @@
   if (other->key > key)
     return 0;
   const uint64_t until_key = (key - other->key) * other->weight / FQ_WEIGHT_ONE;
-  const uint64_t head = head_of (other)->cost;
+  const uint64_t head = next_item (other)->cost;
   return MIN (other->cost, until_key + head);
 }
 
@@ -271,18 +271,18 @@
 {
   if (fq->count >= fq->limit)
     return FQ_FULL;
-  const account_t *known = find (fq, item->account_hash);
+  const account_t *known = find_account (fq, item->account_hash);
   if (known != NULL && known->count >= item->queue_limit)
     return FQ_ACCOUNT_FULL;
   if (item->queue_limit == 0)
     return FQ_ACCOUNT_FULL;
-  account_t *account = find_or_make (fq, item);
-  const uint32_t band = band_of (item);
+  account_t *account = find_or_add_account (fq, item);
+  const uint32_t level = level_of (item);
   item->link = (GList){ .data = item };
-  g_queue_push_tail_link (&account->bands[band], &item->link);
+  g_queue_push_tail_link (&account->levels[level], &item->link);
   account->count++;
   account->cost += item->cost;
-  account->band_cost[band] += item->cost;
+  account->level_cost[level] += item->cost;
   fq->count++;
   item->expiry = NULL;
   if (item->deadline_us != 0)
@@ -303,7 +303,7 @@
   GSequenceIter *at = g_sequence_get_begin_iter (fq->active);
   for (; !g_sequence_iter_is_end (at); at = g_sequence_iter_next (at))
     {
-      fq_item_t *item = head_of (g_sequence_get (at));
+      fq_item_t *item = next_item (g_sequence_get (at));
       if (may == NULL || may (item, context))
         return item;
     }
@@ -316,9 +316,9 @@
   fq_item_t *item = fq_peek_allowed (fq, may, context);
   if (item == NULL)
     return NULL;
-  account_t *account = find (fq, item->account_hash);
-  take_out (fq, account, item);
-  note_passed (account, item);
+  account_t *account = find_account (fq, item->account_hash);
+  remove_item (fq, account, item);
+  count_passed_over (account, item);
   charge (fq, account, item->cost);
   update_position (fq, account);
   prune (fq);
@@ -328,11 +328,11 @@
 bool
 fq_goes_before (const fq_t *fq, const fq_item_t *item, const fq_item_t *waiting)
 {
-  const account_t *account = find (fq, item->account_hash);
-  const account_t *other = find (fq, waiting->account_hash);
+  const account_t *account = find_account (fq, item->account_hash);
+  const account_t *other = find_account (fq, waiting->account_hash);
   if (account == other)
-    return band_of (item) < band_of (waiting);
-  return key_of (start_of (fq, account), item) < other->key;
+    return level_of (item) < level_of (waiting);
+  return sort_key (virtual_start (fq, account), item) < other->key;
 }
 
 fq_item_t *
@@ -360,22 +360,23 @@
 void
 fq_remove (fq_t *fq, fq_item_t *item)
 {
-  account_t *account = find (fq, item->account_hash);
+  account_t *account = find_account (fq, item->account_hash);
   g_assert (account != NULL && account->count > 0);
-  take_out (fq, account, item);
+  remove_item (fq, account, item);
   update_position (fq, account);
 }
 
 bool
 fq_is_behind (const fq_t *fq, const fq_item_t *item)
 {
-  return start_of (fq, find (fq, item->account_hash)) <= fq->virtual_now;
+  return virtual_start (fq, find_account (fq, item->account_hash)) <= fq->virtual_now;
 }
 
 bool
 fq_has_credit (const fq_t *fq, const fq_item_t *item)
 {
-  return start_of (fq, find (fq, item->account_hash)) + fq->credit / 2 <= fq->virtual_now;
+  return virtual_start (fq, find_account (fq, item->account_hash)) + fq->credit / 2 <=
+         fq->virtual_now;
 }
 
 uint32_t
@@ -393,16 +394,16 @@
 fq_ahead_t
 fq_ahead (const fq_t *fq, const fq_item_t *item)
 {
-  const account_t *own = find (fq, item->account_hash);
-  const uint32_t band = band_of (item);
+  const account_t *own = find_account (fq, item->account_hash);
+  const uint32_t level = level_of (item);
   fq_ahead_t ahead = { 0 };
-  for (uint32_t i = 0; own != NULL && i <= band; i++)
+  for (uint32_t i = 0; own != NULL && i <= level; i++)
     {
-      ahead.cost += own->band_cost[i];
-      ahead.count += own->bands[i].length;
+      ahead.cost += own->level_cost[i];
+      ahead.count += own->levels[i].length;
     }
   const uint64_t own_ahead = ahead.count > 0 ? virtual_cost (ahead.cost, item->weight) : 0;
-  const uint64_t key = key_of (start_of (fq, own) + own_ahead, item);
+  const uint64_t key = sort_key (virtual_start (fq, own) + own_ahead, item);
   GSequenceIter *at = g_sequence_get_begin_iter (fq->active);
   for (; !g_sequence_iter_is_end (at); at = g_sequence_iter_next (at))
     {
@@ -427,7 +428,7 @@
 void
 fq_served (fq_t *fq, const fq_item_t *item)
 {
-  account_t *account = find_or_make (fq, item);
+  account_t *account = find_or_add_account (fq, item);
   const uint32_t known = MIN (g_hash_table_size (fq->accounts), PRUNE_MIN_ACCOUNTS);
   charge (fq, account, item->cost);
   /* While no request is queued, virtual time advances as if all known accounts were served equally.
@@ -446,7 +447,7 @@
 
   if (cost <= item->cost)
     return;
-  account = find_or_make (fq, item);
+  account = find_or_add_account (fq, item);
   account->finish += virtual_cost (MIN (cost - item->cost, UINT32_MAX), account->weight);
   if (account->count > 0)
     update_position (fq, account);
--- a/src/request/policy/fairq.h
+++ b/src/request/policy/fairq.h
@@ -1,5 +1,5 @@
 /**
- * DOC: fairq
+ * DOC: fair_queue
  *
  * Queues waiting requests and serves them by start-time fair queueing between client accounts, by
  * weight and cost, so that a surging account delays mainly its own requests. An account that was
--- a/src/request/policy/line.c
+++ b/src/request/policy/line.c
@@ -379,7 +379,7 @@
 }
 
 static void *
-refuse (lin_t *lin, uint64_t now_us, fq_item_t *fair)
+remove_rejected (lin_t *lin, uint64_t now_us, fq_item_t *fair)
 {
   note_wait_ends (lin, now_us, item_of (fair));
   return fair->owner;
@@ -392,13 +392,13 @@
 
   while ((fair = fq_expired (lin->in_time, now_us)))
     if (!requeue_late (lin, now_us, item_of (fair)))
-      return refuse (lin, now_us, fair);
+      return remove_rejected (lin, now_us, fair);
   fair = fq_expired (lin->late, now_us + late_wait_us (lin, now_us, 0));
-  return fair ? refuse (lin, now_us, fair) : NULL;
+  return fair ? remove_rejected (lin, now_us, fair) : NULL;
 }
 
 static bool
-is_item (const fq_item_t *item, void *context)
+is_same_item (const fq_item_t *item, void *context)
 {
   return item == context;
 }
@@ -417,7 +417,7 @@
 {
   if (item->waiting)
     {
-      fq_item_t *first = fq_pop_allowed (queue_of (lin, item), is_item, &item->fair);
+      fq_item_t *first = fq_pop_allowed (queue_of (lin, item), is_same_item, &item->fair);
 
       g_assert (first == &item->fair);
       if (item->late)
--- a/src/request/policy/line.h
+++ b/src/request/policy/line.h
@@ -1,5 +1,5 @@
 /**
- * DOC: line
+ * DOC: wait_queue
  *
  * Queues the requests that wait at a gateway for a free slot at the engines of their service:
  * decides which one starts next, estimates its wait, and decides which ones to reject. A state
--- a/src/request/policy/pace.h
+++ b/src/request/policy/pace.h
@@ -1,5 +1,5 @@
 /**
- * DOC: pace
+ * DOC: median_latency
  *
  * Compares the latency of an engine with the median of all engines of its service. A pure state
  * machine.
--- a/src/request/policy/patience.h
+++ b/src/request/policy/patience.h
@@ -1,5 +1,5 @@
 /**
- * DOC: patience
+ * DOC: hop_timeout
  *
  * Decides when to abandon a repeatable request at an engine that sends nothing, while there is
  * still time to send it to another engine. A pure function.
--- a/src/request/policy/refer.c
+++ b/src/request/policy/refer.c
@@ -11,7 +11,7 @@
 }
 
 static bool
-has_room (const mean_sample_t *sample, const ref_query_t *query)
+has_capacity (const mean_sample_t *sample, const ref_query_t *query)
 {
   if (sample->engine_hash == query->except_hash || !is_fresh (sample, query->now_us))
     return false;
@@ -59,7 +59,7 @@
   const mean_sample_t *found[LIM_SAMPLES_KEPT];
   uint32_t count = 0;
   for (uint32_t i = 0; i < table->count; i++)
-    if (has_room (&table->samples[i], query))
+    if (has_capacity (&table->samples[i], query))
       found[count++] = &table->samples[i];
   count = drop_unreachable (table, found, count, query->now_us);
   uint32_t chosen = 0;
--- a/src/request/policy/refer.h
+++ b/src/request/policy/refer.h
@@ -1,5 +1,5 @@
 /**
- * DOC: refer
+ * DOC: referral
  *
  * Selects the engines with free capacity that a sidecar names when it rejects a request. They are
  * chosen from the load samples that other sidecars sent.
--- a/src/request/policy/retry_share.h
+++ b/src/request/policy/retry_share.h
@@ -1,5 +1,5 @@
 /**
- * DOC: retry_share
+ * DOC: retry_budget
  *
  * Limits the retries that this router sends to a service, as its share of a limit for all routers
  * together. In any time window the limit is a ratio of the requests for the service, plus a fixed
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -42,7 +42,7 @@
 }
 
 static att_outcome_t
-lost (void)
+broken_connection (void)
 {
   return (att_outcome_t){ .verdict = VRD_MAY_HAVE_RUN, .reason = VRD_REASON_CUT, .lost = true };
 }
@@ -344,7 +344,7 @@
 non_idempotent_is_resent_only_if_not_run (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = lost ();
+  att_outcome_t cut = broken_connection ();
 
   begin (&rig, false, 6);
   att_step_t step = ended (&rig, 1, &cut);
@@ -377,7 +377,7 @@
 budget_limits_retries (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = lost ();
+  att_outcome_t cut = broken_connection ();
   att_step_t step;
   uint32_t retried = 0;
 
@@ -399,7 +399,7 @@
 two_broken_connections_end_the_request (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = lost ();
+  att_outcome_t cut = broken_connection ();
 
   begin (&rig, true, 6);
   ended (&rig, 1, &cut);
@@ -424,7 +424,7 @@
     {
       rig_t rig = rig_with_budget ();
       att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
-      att_outcome_t cut = lost ();
+      att_outcome_t cut = broken_connection ();
       att_step_t step = begin (&rig, true, 3);
 
       while (step.action == ATT_SEND && !step.may_wait)
@@ -440,14 +440,14 @@
 }
 
 static bool
-retries_lost_hop (att_budget_t *budget, uint64_t account_hash)
+retry_lost_hop (att_budget_t *budget, uint64_t account_hash)
 {
   att_options_t options = { .idempotent = true,
                             .account_hash = account_hash,
                             .deadline_us = DEADLINE_US,
                             .candidates = CANDIDATES,
                             .candidate_count = 6 };
-  att_outcome_t cut = lost ();
+  att_outcome_t cut = broken_connection ();
   att_t att;
 
   att_begin (&att, 0, &options);
@@ -466,18 +466,18 @@
 
   att_budget_init (&budget);
   for (uint32_t i = 0; i < 50; i++)
-    retried += retries_lost_hop (&budget, 1);
+    retried += retry_lost_hop (&budget, 1);
   CU_ASSERT_EQUAL (retried, (ATT_BUDGET_MAX_MILLI + ATT_RESERVE_MAX_MILLI) / 1000);
-  CU_ASSERT_TRUE (retries_lost_hop (&budget, 2));
-  CU_ASSERT_FALSE (retries_lost_hop (&budget, 2));
+  CU_ASSERT_TRUE (retry_lost_hop (&budget, 2));
+  CU_ASSERT_FALSE (retry_lost_hop (&budget, 2));
   for (uint32_t i = 0; i < 2 * ATT_RESERVES; i++)
-    retries_lost_hop (&budget, 100 + i);
+    retry_lost_hop (&budget, 100 + i);
   CU_ASSERT_EQUAL (budget.reserve_count, ATT_RESERVES);
   for (uint32_t i = 0; i < 10; i++)
     att_budget_success (&budget, 2);
   CU_ASSERT_EQUAL (budget.reserve_count, ATT_RESERVES - 1);
   budget.tokens_milli = 0;
-  CU_ASSERT_TRUE (retries_lost_hop (&budget, 2));
+  CU_ASSERT_TRUE (retry_lost_hop (&budget, 2));
 }
 
 /* A first attempt may have been executed, and the second is rejected. Guards against telling the
@@ -486,7 +486,7 @@
 verdict_is_of_the_whole_request (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = lost ();
+  att_outcome_t cut = broken_connection ();
   att_outcome_t full = refusal (VRD_REASON_LOG_DOWN);
 
   begin (&rig, true, 6);
@@ -502,7 +502,7 @@
 no_retry_after_response_has_begun (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = lost ();
+  att_outcome_t cut = broken_connection ();
 
   begin (&rig, true, 6);
   att_answer_begun (&rig.att);
--- a/tests/test_course.c
+++ b/tests/test_course.c
@@ -155,7 +155,7 @@
 static const rsh_options_t options = { .ratio_milli = 200, .slack = 40, .window_us = 10 * S_US };
 
 static uint32_t
-take_all (rsh_t *rsh, uint64_t now_us, uint32_t routers)
+use_all_retries (rsh_t *rsh, uint64_t now_us, uint32_t routers)
 {
   uint32_t taken = 0;
 
@@ -170,8 +170,8 @@
   rsh_t alone = { 0 };
   rsh_t one_of_four = { 0 };
 
-  CU_ASSERT_EQUAL (take_all (&alone, 50 * S_US, 1), 30);
-  CU_ASSERT_EQUAL (take_all (&one_of_four, 50 * S_US, 4), 7);
+  CU_ASSERT_EQUAL (use_all_retries (&alone, 50 * S_US, 1), 30);
+  CU_ASSERT_EQUAL (use_all_retries (&one_of_four, 50 * S_US, 4), 7);
 }
 
 static void
@@ -182,7 +182,7 @@
   uint64_t wait_us;
 
   CU_ASSERT_EQUAL (rsh_wait_us (&rsh, &options, now_us, 1), 0);
-  take_all (&rsh, now_us, 1);
+  use_all_retries (&rsh, now_us, 1);
   wait_us = rsh_wait_us (&rsh, &options, now_us, 1);
   CU_ASSERT (wait_us > options.window_us / 2);
   CU_ASSERT_NOT_EQUAL (rsh_wait_us (&rsh, &options, now_us + wait_us - 1, 1), 0);
@@ -207,7 +207,7 @@
         for (uint32_t k = 0; k < arrivals; k++)
           rsh_request (&routers[i], &options, now_us);
         requests[tick] += arrivals;
-        sent[tick] += take_all (&routers[i], now_us, 4);
+        sent[tick] += use_all_retries (&routers[i], now_us, 4);
       }
   for (uint32_t from = 100; from < 500; from++)
     {
@@ -392,7 +392,7 @@
 #define ENGINE_B 12
 
 static uint32_t
-taken (cwt_t *cwt, uint64_t now_us)
+count_suspects (cwt_t *cwt, uint64_t now_us)
 {
   cwt_loss_t loss;
   uint32_t count = 0;
@@ -410,12 +410,12 @@
   cwt_loss_t loss;
 
   cwt_lost (&cwt, SENT_US, ENGINE_A, 7);
-  CU_ASSERT_EQUAL (taken (&cwt, SENT_US + S_US), 0);
+  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 0);
   cwt_down (&cwt, SENT_US + S_US, ENGINE_A);
   CU_ASSERT (cwt_take (&cwt, SENT_US + S_US, &loss));
   CU_ASSERT_EQUAL (loss.fingerprint, 7);
   CU_ASSERT_EQUAL (loss.engine_hash, ENGINE_A);
-  CU_ASSERT_EQUAL (taken (&cwt, SENT_US + S_US), 0);
+  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 0);
 }
 
 /* Guards against a suspicion after responses that were lost in the network, when the engine is
@@ -428,7 +428,7 @@
   cwt_lost (&cwt, SENT_US, ENGINE_A, 7);
   cwt_lost (&cwt, SENT_US + S_US, ENGINE_A, 8);
   cwt_down (&cwt, SENT_US + 30 * S_US, ENGINE_A);
-  CU_ASSERT_EQUAL (taken (&cwt, SENT_US + 31 * S_US), 0);
+  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + 31 * S_US), 0);
 }
 
 /* Guards against requests being rejected permanently after two engines failed at once, which no
@@ -440,8 +440,8 @@
 
   for (uint64_t request = 1; request <= 10; request++)
     cwt_lost (&cwt, SENT_US + request, request % 2 ? ENGINE_A : ENGINE_B, request);
-  CU_ASSERT_EQUAL (taken (&cwt, SENT_US + S_US), 0);
-  CU_ASSERT_EQUAL (taken (&cwt, SENT_US + 10 * S_US), 0);
+  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 0);
+  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + 10 * S_US), 0);
 }
 
 static void
@@ -451,8 +451,8 @@
 
   for (uint64_t request = 1; request <= 3; request++)
     cwt_lost (&cwt, SENT_US + request, ENGINE_A, request);
-  CU_ASSERT_EQUAL (taken (&cwt, SENT_US + S_US / 4), 0);
-  CU_ASSERT_EQUAL (taken (&cwt, SENT_US + S_US), 3);
+  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US / 4), 0);
+  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 3);
 }
 
 /* Guards against a request of low priority being moved from one full engine to another, which only
