--- a/src/request/policy/admit.h
+++ b/src/request/policy/admit.h
@@ -46,7 +46,7 @@
 #define ADM_WARM_LIFETIMES 2
 /* Time for which a request that crashed an engine is remembered. */
 #define ADM_SUSPECT_LIFETIME_US (30 * 60 * (uint64_t)CLK_US_PER_S)
-/* Time per output token, to estimate the duration of a request. */
+/* Time per output token, to estimate the duration of a request before it is measured. */
 #define ADM_TOKEN_US 30000
 /* Limits of the retry time, before up to half is added at random. */
 #define ADM_RETRY_MIN_MS 100
--- a/src/request/policy/drain.c
+++ b/src/request/policy/drain.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-#define SMOOTHING_REQUESTS 16 /* weight of the mean duration against one sample */
+#define SMOOTHING_REQUESTS 16 /* requests that the mean duration is taken over, about */
 
 /* With random completions, fewer than one gap in twenty is longer than three mean intervals. After
  * a longer gap the engine is assumed to have stalled, and the estimate grows with the gap.
--- a/src/request/policy/line.c
+++ b/src/request/policy/line.c
@@ -1,6 +1,9 @@
 #include "request/policy/line.h"
 
 #define MILLI 1000
+/* At most this part (a quarter) of a request's time is kept for a retry elsewhere, so that a
+ * request with little time may still wait. */
+#define RETRY_RESERVE_DIVISOR 4
 /* Mean age of the late starts counted: the half-life divided by the natural logarithm of two. */
 #define LATE_MEAN_US (LIN_LATE_HALF_US * 1443 / MILLI)
 
@@ -159,7 +162,8 @@
 
   if (item->leaves_us != 0)
     end_us = MIN (end_us, item->leaves_us);
-  reserve_us = MIN (lin->head_us + LIN_AGAIN_US, (end_us - MIN (item->arrived_us, end_us)) / 4);
+  reserve_us = MIN (lin->head_us + LIN_AGAIN_US,
+                    (end_us - MIN (item->arrived_us, end_us)) / RETRY_RESERVE_DIVISOR);
   return end_us - reserve_us;
 }
 
--- a/src/request/policy/line.h
+++ b/src/request/policy/line.h
@@ -32,7 +32,7 @@
 
 #define LIN_LIMIT 1024         /* limit of each queue, for one service at one gateway */
 #define LIN_RUN_US (50 * 1000) /* duration of a request until one has been measured */
-#define LIN_GAIN 16            /* weight of a smoothed time against one new sample */
+#define LIN_GAIN 16            /* smoothing of times: about the last 16 responses count */
 /* Credit of an account that was served less than others, as a time of this gateway's whole share of
  * the slots. A burst of such an account then starts before the requests of one that used the slots
  * until now. */
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -574,5 +574,5 @@
     { "cancel of a waiting request", test_cancel_waiting },
     CU_TEST_INFO_NULL,
   };
-  return suite_run ("admit", tests);
+  return suite_run ("admission", tests);
 }
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -565,5 +565,5 @@
     { "crashes of two engines are added", crashes_of_two_engines_are_added },
     CU_TEST_INFO_NULL,
   };
-  return suite_run ("attempt", tests);
+  return suite_run ("forwarding", tests);
 }
--- a/tests/test_course.c
+++ b/tests/test_course.c
@@ -496,5 +496,5 @@
                                        SUITE_TEST (test_timeout_is_longer_if_engines_are_full),
                                        CU_TEST_INFO_NULL };
 
-  return suite_run ("course", tests);
+  return suite_run ("retry_plan", tests);
 }
--- a/tests/test_fairq.c
+++ b/tests/test_fairq.c
@@ -296,5 +296,5 @@
       test_completion_interval_follows_load_and_stall },
     CU_TEST_INFO_NULL,
   };
-  return suite_run ("fairq", tests);
+  return suite_run ("fair_queue", tests);
 }
--- a/tests/test_line.c
+++ b/tests/test_line.c
@@ -478,5 +478,5 @@
                                        SUITE_TEST (test_delayed_retry_waits_with_late_requests),
                                        CU_TEST_INFO_NULL };
 
-  return suite_run ("line", tests);
+  return suite_run ("wait_queue", tests);
 }
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -68,5 +68,5 @@
                                        SUITE_TEST (test_slow_service_moves_the_median),
                                        SUITE_TEST (test_ratio_is_bounded), CU_TEST_INFO_NULL };
 
-  return suite_run ("pace", tests);
+  return suite_run ("median_latency", tests);
 }
