--- a/src/request/policy/course.c
+++ b/src/request/policy/course.c
@@ -6,9 +6,9 @@
   *crs = (crs_t){ .rules = *rules };
 }
 
-/* Whether it may go on after what may have run; @ran: engines that may have run it by then. */
+/* Return: whether the request may be sent again after @ran engines may have executed it */
 static bool
-may_go_on (const crs_rules_t *rules, uint32_t ran, bool begun)
+may_rerun (const crs_rules_t *rules, uint32_t ran, bool begun)
 {
   if (ran >= rules->attempts)
     return false;
@@ -18,7 +18,7 @@
 bool
 crs_may_leave (const crs_t *crs, bool begun)
 {
-  return may_go_on (&crs->rules, crs->ran + 1, begun);
+  return may_rerun (&crs->rules, crs->ran + 1, begun);
 }
 
 static bool
@@ -39,11 +39,11 @@
     case CRS_BROKE:
       break;
     }
-  return may_go_on (&crs->rules, crs->ran, outcome == CRS_BROKE);
+  return may_rerun (&crs->rules, crs->ran, outcome == CRS_BROKE);
 }
 
 static crs_step_t
-last_step (const crs_t *crs, crs_outcome_t outcome)
+final_step (const crs_t *crs, crs_outcome_t outcome)
 {
   switch (outcome)
     {
@@ -62,7 +62,7 @@
 }
 
 static void
-note (crs_t *crs, crs_outcome_t outcome)
+count_outcome (crs_t *crs, crs_outcome_t outcome)
 {
   switch (outcome)
     {
@@ -90,15 +90,15 @@
           bool (*may_retry) (void *context),
           void *context)
 {
-  note (crs, outcome);
+  count_outcome (crs, outcome);
   if (left_us < CRS_LEAST_US || !may_repeat (crs, outcome))
-    return last_step (crs, outcome);
+    return final_step (crs, outcome);
   if (outcome == CRS_UNSENT)
     return CRS_AGAIN;
   crs->retry_due = true;
   if (may_retry (context))
     return outcome == CRS_BROKE ? CRS_RESUME : CRS_AGAIN;
-  return outcome == CRS_FULL ? CRS_WAIT : last_step (crs, outcome);
+  return outcome == CRS_FULL ? CRS_WAIT : final_step (crs, outcome);
 }
 
 bool
