--- a/src/request/policy/member.c
+++ b/src/request/policy/member.c
@@ -6,74 +6,81 @@
 #include <string.h>
 
 /**
- * struct entry - a host that is listed, or was
- * @shown: what snapshots say of it
- * @has_word: @word is what it last said of itself
- * @list_leaving: the list said leaving, of the incarnation @leaving_incarnation (0: not known)
+ * struct member - a host that is in the platform's list, or was
+ * @published: the host as snapshots contain it
+ * @listed: whether the list contains it now
+ * @list_state: its state in the list
+ * @list_says_leaving: the list turned to leaving, for the incarnation @leaving_incarnation
+ * @leaving_incarnation: 0 when the incarnation was not known at that time
+ * @has_report: whether @report is set
+ * @report: the newest report of the host about itself
  * @up_since_us: when it joined, returned or restarted
- * @flaps: returns that count for the damping
- * @awaits_word: it was listed again; its new incarnation is part of that return, not another one
+ * @gone_us: when it last left the list; 0 for never
+ * @flaps: returns and early restarts that count for the damping
+ * @restart_expected: the host was listed again; the next new incarnation belongs to that return and
+ *   is not counted as another flap
+ * @list_round: the last complete list that contained it
  */
 typedef struct
 {
-  mem_host_t shown;
+  mem_host_t published;
   bool listed;
   mem_state_t list_state;
-  bool list_leaving;
+  bool list_says_leaving;
   uint64_t leaving_incarnation;
-  bool has_word;
-  mem_word_t word;
+  bool has_report;
+  mem_word_t report;
   uint64_t up_since_us;
   uint64_t gone_us;
   uint32_t flaps;
-  bool awaits_word;
+  bool restart_expected;
   uint64_t list_round;
-} entry_t;
+} member_t;
 
 struct mem
 {
-  GHashTable *entries; /* host hash -> entry_t */
+  GHashTable *entries; /* host hash -> member_t */
   mem_snapshot_t *snapshot;
   uint64_t list_revision;
-  uint64_t list_round; /* of whole lists, to tell which hosts the last one left out */
-  bool had_list;
+  uint64_t list_round; /* counts complete lists, to find the hosts that the last one omits */
+  bool has_list;
   bool changed;
-  bool urgent; /* changed in the state, place or damping of a host */
+  bool urgent; /* the state, address or damping of a host changed */
 };
 
 static void
-change (mem_t *mem)
+mark_changed (mem_t *mem)
 {
   mem->changed = true;
   mem->urgent = true;
 }
 
-static entry_t *
+static member_t *
 find (const mem_t *mem, uint64_t host_hash)
 {
   return g_hash_table_lookup (mem->entries, &host_hash);
 }
 
-/* The own word goes before the list; leaving starts at the earliest of both. */
+/* A host is leaving as soon as the list or its own report says so. */
 static mem_state_t
-state_of (const entry_t *entry)
+effective_state (const member_t *entry)
 {
   if (!entry->listed)
     return MEM_GONE;
-  mem_state_t state = entry->list_leaving ? MEM_LEAVING : MEM_LIVE;
-  if (entry->has_word)
-    state = MAX (state, entry->word.state);
+  mem_state_t state = entry->list_says_leaving ? MEM_LEAVING : MEM_LIVE;
+  if (entry->has_report)
+    state = MAX (state, entry->report.state);
   return state;
 }
 
 static bool
-show_state (mem_t *mem, entry_t *entry)
+update_state (mem_t *mem, member_t *entry)
 {
-  mem_state_t state = state_of (entry);
-  if (state == entry->shown.state)
+  mem_state_t state = effective_state (entry);
+  if (state == entry->published.state)
     return false;
-  entry->shown.state = state;
-  change (mem);
+  entry->published.state = state;
+  mark_changed (mem);
   return true;
 }
 
@@ -86,34 +93,34 @@
   return MIN (wait_us, MEM_DAMPING_MAX_US);
 }
 
-/* Long uptime takes flaps back, one for each %MEM_LONG_UPTIME_US: the damping halves. */
+/* Removes one flap for each %MEM_LONG_UPTIME_US of uptime. Return: the uptime */
 static uint64_t
-take_back_flaps (entry_t *entry, uint64_t end_us)
+reduce_flaps (member_t *entry, uint64_t end_us)
 {
-  uint64_t life_us = end_us - MIN (end_us, entry->up_since_us);
-  uint64_t forgiven = life_us / MEM_LONG_UPTIME_US;
-  entry->flaps -= (uint32_t)MIN (forgiven, entry->flaps);
-  return life_us;
+  uint64_t uptime_us = end_us - MIN (end_us, entry->up_since_us);
+  uint64_t removed = uptime_us / MEM_LONG_UPTIME_US;
+  entry->flaps -= (uint32_t)MIN (removed, entry->flaps);
+  return uptime_us;
 }
 
 static void
-count_flap (mem_t *mem, entry_t *entry, uint64_t now_us)
+count_flap (mem_t *mem, member_t *entry, uint64_t now_us)
 {
-  uint32_t most = 16; /* beyond, the damping does not grow and forgiving would take hours */
-  entry->flaps = MIN (entry->flaps + 1, most);
-  entry->shown.settled_us = now_us + damping_us (entry->flaps);
-  change (mem);
+  uint32_t flaps_max = 16; /* more don't lengthen the damping, and would take hours to remove */
+  entry->flaps = MIN (entry->flaps + 1, flaps_max);
+  entry->published.settled_us = now_us + damping_us (entry->flaps);
+  mark_changed (mem);
 }
 
-static entry_t *
+static member_t *
 add_entry (mem_t *mem, const mem_listed_t *listed, uint64_t hash)
 {
   uint64_t *key = g_new (uint64_t, 1);
   *key = hash;
-  entry_t *entry = g_new0 (entry_t, 1);
-  g_strlcpy (entry->shown.name, listed->name, sizeof entry->shown.name);
-  entry->shown.hash = hash;
-  entry->shown.state = MEM_GONE;
+  member_t *entry = g_new0 (member_t, 1);
+  g_strlcpy (entry->published.name, listed->name, sizeof entry->published.name);
+  entry->published.hash = hash;
+  entry->published.state = MEM_GONE;
   entry->list_state = MEM_GONE;
   g_hash_table_insert (mem->entries, key, entry);
   return entry;
@@ -126,133 +133,134 @@
 }
 
 static void
-take_place (mem_t *mem, entry_t *entry, const mem_listed_t *listed)
-{
-  mem_host_t *shown = &entry->shown;
-  bool same = shown->router == listed->router && same_address (&shown->http, &listed->http) &&
-              same_address (&shown->exchange, &listed->exchange) &&
-              strcmp (shown->data_center, listed->data_center) == 0 &&
-              strcmp (shown->region, listed->region) == 0;
+update_place (mem_t *mem, member_t *entry, const mem_listed_t *listed)
+{
+  mem_host_t *published = &entry->published;
+  bool same = published->router == listed->router &&
+              same_address (&published->http, &listed->http) &&
+              same_address (&published->exchange, &listed->exchange) &&
+              strcmp (published->data_center, listed->data_center) == 0 &&
+              strcmp (published->region, listed->region) == 0;
   if (same)
     return;
-  shown->router = listed->router;
-  shown->http = listed->http;
-  shown->exchange = listed->exchange;
-  g_strlcpy (shown->data_center, listed->data_center, sizeof shown->data_center);
-  g_strlcpy (shown->region, listed->region, sizeof shown->region);
-  change (mem);
+  published->router = listed->router;
+  published->http = listed->http;
+  published->exchange = listed->exchange;
+  g_strlcpy (published->data_center, listed->data_center, sizeof published->data_center);
+  g_strlcpy (published->region, listed->region, sizeof published->region);
+  mark_changed (mem);
 }
 
 static void
-join (mem_t *mem, entry_t *entry, uint64_t now_us)
+add_to_list (mem_t *mem, member_t *entry, uint64_t now_us)
 {
   bool returned = entry->gone_us != 0;
   entry->listed = true;
   entry->up_since_us = now_us;
-  /* Hosts of the first list were there before this daemon: none of them is new. */
-  entry->shown.joined_us = mem->had_list ? now_us : 0;
+  /* Hosts of the first list may be older than this daemon and don't count as new. */
+  entry->published.joined_us = mem->has_list ? now_us : 0;
   if (returned)
     {
-      entry->awaits_word = true;
+      entry->restart_expected = true;
       count_flap (mem, entry, now_us);
     }
 }
 
 static void
-leave_list (mem_t *mem, entry_t *entry, uint64_t now_us)
+remove_from_list (mem_t *mem, member_t *entry, uint64_t now_us)
 {
   if (!entry->listed)
     return;
-  take_back_flaps (entry, now_us);
+  reduce_flaps (entry, now_us);
   entry->listed = false;
   entry->list_state = MEM_GONE;
   entry->gone_us = now_us;
-  /* Without an incarnation nothing ties the list's word to the host that comes next. */
+  /* Without an incarnation the list's "leaving" can't be told from one of the next start. */
   if (entry->leaving_incarnation == 0)
-    entry->list_leaving = false;
-  show_state (mem, entry);
+    entry->list_says_leaving = false;
+  update_state (mem, entry);
 }
 
 /*
- * Only a change of the list to leaving counts, and it stays for the incarnation that it was said
- * of: a list that lags still says leaving of a host that has restarted, and one read from a stale
- * copy says live again of a host that is on its way out.
+ * Only a change of the list to leaving counts, and it holds for the incarnation that was known at
+ * that time. A list that lags still says leaving of a host that has restarted, and a stale copy of
+ * the list says live again of a host that is leaving.
  */
 static void
-take_list_state (entry_t *entry, mem_state_t state)
+update_list_state (member_t *entry, mem_state_t state)
 {
-  bool turned = state != entry->list_state;
+  bool has_changed = state != entry->list_state;
   entry->list_state = state;
-  if (!turned)
+  if (!has_changed)
     return;
   if (state == MEM_LEAVING)
     {
-      entry->list_leaving = true;
-      entry->leaving_incarnation = entry->has_word ? entry->word.incarnation : 0;
+      entry->list_says_leaving = true;
+      entry->leaving_incarnation = entry->has_report ? entry->report.incarnation : 0;
     }
   else if (entry->leaving_incarnation == 0)
     {
-      entry->list_leaving = false;
+      entry->list_says_leaving = false;
     }
 }
 
 static void
-take_listed (mem_t *mem, uint64_t now_us, const mem_listed_t *listed)
+apply_list_entry (mem_t *mem, uint64_t now_us, const mem_listed_t *listed)
 {
   uint64_t hash = plc_hash_name (listed->name);
-  entry_t *entry = find (mem, hash);
+  member_t *entry = find (mem, hash);
   if (listed->state == MEM_GONE)
     {
       if (entry != NULL)
-        leave_list (mem, entry, now_us);
+        remove_from_list (mem, entry, now_us);
       return;
     }
   if (entry == NULL)
     entry = add_entry (mem, listed, hash);
   entry->list_round = mem->list_round;
-  take_place (mem, entry, listed);
+  update_place (mem, entry, listed);
   if (!entry->listed)
-    join (mem, entry, now_us);
-  take_list_state (entry, listed->state);
-  show_state (mem, entry);
+    add_to_list (mem, entry, now_us);
+  update_list_state (entry, listed->state);
+  update_state (mem, entry);
 }
 
 static void
-forget_old (mem_t *mem, uint64_t now_us)
+remove_expired (mem_t *mem, uint64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, mem->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const entry_t *entry = value;
+      const member_t *entry = value;
       if (!entry->listed && entry->gone_us + MEM_REMEMBERED_US < now_us)
         g_hash_table_iter_remove (&iter);
     }
 }
 
-/* A new incarnation: what was said of the last one no longer counts. */
+/* A new incarnation: what the list said about the previous one no longer holds. */
 static void
-restart (mem_t *mem, entry_t *entry, uint64_t now_us)
+apply_restart (mem_t *mem, member_t *entry, uint64_t now_us)
 {
   if (entry->leaving_incarnation != 0)
-    entry->list_leaving = false;
-  entry->shown.incarnation = entry->word.incarnation;
+    entry->list_says_leaving = false;
+  entry->published.incarnation = entry->report.incarnation;
   mem->changed = true;
-  if (entry->awaits_word || !entry->listed)
+  if (entry->restart_expected || !entry->listed)
     return;
-  uint64_t life_us = take_back_flaps (entry, now_us);
+  uint64_t uptime_us = reduce_flaps (entry, now_us);
   entry->up_since_us = now_us;
-  if (life_us < MEM_LONG_UPTIME_US)
+  if (uptime_us < MEM_LONG_UPTIME_US)
     count_flap (mem, entry, now_us);
 }
 
 static bool
-is_newer (const mem_word_t *word, const mem_word_t *last)
+is_newer (const mem_word_t *report, const mem_word_t *last)
 {
-  if (word->incarnation != last->incarnation)
-    return word->incarnation > last->incarnation;
-  return word->sequence > last->sequence;
+  if (report->incarnation != last->incarnation)
+    return report->incarnation > last->incarnation;
+  return report->sequence > last->sequence;
 }
 
 static int
@@ -284,9 +292,9 @@
   g_hash_table_iter_init (&iter, mem->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const entry_t *entry = value;
-      if (entry->shown.state != MEM_GONE)
-        snapshot->hosts[snapshot->host_count++] = entry->shown;
+      const member_t *entry = value;
+      if (entry->published.state != MEM_GONE)
+        snapshot->hosts[snapshot->host_count++] = entry->published;
     }
   uint32_t count = snapshot->host_count;
   if (count > 0)
@@ -304,7 +312,7 @@
 {
   mem_t *mem = g_new0 (mem_t, 1);
   mem->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  change (mem);
+  mark_changed (mem);
   return mem;
 }
 
@@ -325,19 +333,19 @@
 {
   mem->list_round++;
   for (uint32_t i = 0; i < count; i++)
-    take_listed (mem, now_us, &listed[i]);
+    apply_list_entry (mem, now_us, &listed[i]);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, mem->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      entry_t *entry = value;
+      member_t *entry = value;
       if (entry->list_round != mem->list_round)
-        leave_list (mem, entry, now_us);
+        remove_from_list (mem, entry, now_us);
     }
-  forget_old (mem, now_us);
+  remove_expired (mem, now_us);
   mem->list_revision = revision;
-  mem->had_list = true;
+  mem->has_list = true;
 }
 
 void
@@ -345,73 +353,74 @@
     mem_t *mem, uint64_t now_us, const mem_listed_t *listed, uint32_t count, uint64_t revision)
 {
   for (uint32_t i = 0; i < count; i++)
-    take_listed (mem, now_us, &listed[i]);
-  forget_old (mem, now_us);
+    apply_list_entry (mem, now_us, &listed[i]);
+  remove_expired (mem, now_us);
   mem->list_revision = revision;
-  mem->had_list = true;
+  mem->has_list = true;
 }
 
 bool
-mem_hear (mem_t *mem, uint64_t now_us, const mem_word_t *word)
+mem_hear (mem_t *mem, uint64_t now_us, const mem_word_t *report)
 {
-  entry_t *entry = find (mem, word->host_hash);
+  member_t *entry = find (mem, report->host_hash);
   if (entry == NULL)
     return false;
-  if (entry->has_word && !is_newer (word, &entry->word))
+  if (entry->has_report && !is_newer (report, &entry->report))
     return false;
-  bool first = !entry->has_word;
-  bool restarted = !first && word->incarnation != entry->word.incarnation;
-  mem_state_t state = word->state;
-  /* A host does not come back within an incarnation, whatever it says. */
-  if (!first && !restarted)
-    state = MAX (state, entry->word.state);
-  bool told_new = first || restarted || state != entry->word.state;
-  entry->has_word = true;
-  entry->word = *word;
-  entry->word.state = state;
-  if (first)
+  bool is_first = !entry->has_report;
+  bool restarted = !is_first && report->incarnation != entry->report.incarnation;
+  mem_state_t state = report->state;
+  /* Within an incarnation a host never returns to an earlier state, whatever it reports. */
+  if (!is_first && !restarted)
+    state = MAX (state, entry->report.state);
+  bool is_news = is_first || restarted || state != entry->report.state;
+  entry->has_report = true;
+  entry->report = *report;
+  entry->report.state = state;
+  if (is_first)
     {
-      entry->shown.incarnation = word->incarnation;
+      entry->published.incarnation = report->incarnation;
       mem->changed = true;
     }
   if (restarted)
-    restart (mem, entry, now_us);
-  entry->awaits_word = false;
-  show_state (mem, entry);
-  return told_new;
+    apply_restart (mem, entry, now_us);
+  entry->restart_expected = false;
+  update_state (mem, entry);
+  return is_news;
 }
 
 bool
-mem_word (const mem_t *mem, uint64_t host_hash, mem_word_t *word)
+mem_word (const mem_t *mem, uint64_t host_hash, mem_word_t *report)
 {
-  const entry_t *entry = find (mem, host_hash);
-  if (entry == NULL || !entry->has_word)
+  const member_t *entry = find (mem, host_hash);
+  if (entry == NULL || !entry->has_report)
     return false;
-  *word = entry->word;
+  *report = entry->report;
   return true;
 }
 
 mem_leave_t
 mem_leave (const mem_t *mem, uint64_t host_hash, uint64_t incarnation)
 {
-  const entry_t *entry = find (mem, host_hash);
+  const member_t *entry = find (mem, host_hash);
   if (entry == NULL)
     return MEM_LEAVE_NONE;
-  if (entry->list_leaving && entry->leaving_incarnation == incarnation)
+  if (entry->list_says_leaving && entry->leaving_incarnation == incarnation)
     return MEM_LEAVE_INCARNATION;
-  if (entry->has_word && entry->word.incarnation == incarnation && entry->word.state != MEM_LIVE)
+  if (entry->has_report && entry->report.incarnation == incarnation &&
+      entry->report.state != MEM_LIVE)
     return MEM_LEAVE_INCARNATION;
-  bool of_any = entry->list_leaving && entry->leaving_incarnation == 0;
-  return of_any && entry->list_state == MEM_LEAVING ? MEM_LEAVE_LISTED : MEM_LEAVE_NONE;
+  bool any_incarnation = entry->list_says_leaving && entry->leaving_incarnation == 0;
+  return any_incarnation && entry->list_state == MEM_LEAVING ? MEM_LEAVE_LISTED : MEM_LEAVE_NONE;
 }
 
 bool
 mem_awaits_leave (const mem_t *mem, uint64_t host_hash)
 {
-  const entry_t *entry = find (mem, host_hash);
-  if (entry == NULL || !entry->listed || !entry->list_leaving)
+  const member_t *entry = find (mem, host_hash);
+  if (entry == NULL || !entry->listed || !entry->list_says_leaving)
     return false;
-  return !entry->has_word || entry->word.state == MEM_LIVE;
+  return !entry->has_report || entry->report.state == MEM_LIVE;
 }
 
 bool
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -12,10 +12,10 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (mem_snapshot_t, mem_snapshot_unref)
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (mem_t, mem_free)
 
-#define S CLK_US_PER_S
+#define SECOND_US CLK_US_PER_S
 
 static mem_listed_t
-listed (const char *name, mem_state_t state)
+list_entry (const char *name, mem_state_t state)
 {
   mem_listed_t host = { .state = state, .http = { "127.0.0.1", 80 } };
   g_strlcpy (host.name, name, sizeof host.name);
@@ -23,22 +23,23 @@
 }
 
 static bool
-hear (mem_t *mem, uint64_t now_us, uint64_t incarnation, uint32_t sequence, mem_state_t state)
+apply_report (
+    mem_t *mem, uint64_t now_us, uint64_t incarnation, uint32_t sequence, mem_state_t state)
 {
   mem_word_t word = { plc_hash_name ("a"), incarnation, sequence, state };
   return mem_hear (mem, now_us, &word);
 }
 
 static void
-list (mem_t *mem, uint64_t now_us, mem_state_t state)
+apply_list_state (mem_t *mem, uint64_t now_us, mem_state_t state)
 {
-  mem_listed_t host = listed ("a", state);
+  mem_listed_t host = list_entry ("a", state);
   mem_list_delta (mem, now_us, &host, 1, 1);
 }
 
-/* Host "a" as a snapshot shows it; MEM_GONE when it is not there. */
+/* Return: host "a" of a new snapshot; its state is MEM_GONE when the snapshot lacks it */
 static mem_host_t
-look (mem_t *mem)
+published_host (mem_t *mem)
 {
   mem_snapshot_t *snapshot = mem_snapshot (mem);
   const mem_host_t *host = mem_find (snapshot, "a");
@@ -53,9 +54,9 @@
 test_snapshot_finds (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  mem_listed_t hosts[3] = { listed ("c", MEM_LIVE), listed ("a", MEM_LIVE),
-                            listed ("b", MEM_LIVE) };
-  mem_list_full (mem, S, hosts, 3, 7);
+  mem_listed_t hosts[3] = { list_entry ("c", MEM_LIVE), list_entry ("a", MEM_LIVE),
+                            list_entry ("b", MEM_LIVE) };
+  mem_list_full (mem, SECOND_US, hosts, 3, 7);
   CU_ASSERT_TRUE (mem_changed (mem));
   g_autoptr (mem_snapshot_t) first = mem_snapshot (mem);
   CU_ASSERT_FALSE (mem_changed (mem));
@@ -71,93 +72,93 @@
     }
   CU_ASSERT_PTR_NULL (mem_find (first, "d"));
   CU_ASSERT_PTR_NULL (mem_find_hash (first, 12345));
-  mem_list_full (mem, 2 * S, hosts, 2, 8);
+  mem_list_full (mem, 2 * SECOND_US, hosts, 2, 8);
   g_autoptr (mem_snapshot_t) second = mem_snapshot (mem);
   CU_ASSERT_EQUAL (second->host_count, 2);
   CU_ASSERT_PTR_NULL (mem_find (second, "b"));
   CU_ASSERT_EQUAL (first->host_count, 3);
 }
 
-/* The platform's list lags: it still says live while the host itself has said that it leaves, and
- * a stale copy says live after a newer one said leaving. A caller would be sent to a host on its
- * way out. Whichever said leaving first must stand for this incarnation. */
+/* Guards against requests sent to a leaving host. The platform's list lags: it still says live
+ * after the host has reported that it leaves, and a stale copy says live after a newer one said
+ * leaving. The first "leaving" of either source holds for this incarnation. */
 static void
 test_leaving_does_not_revert (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  list (mem, S, MEM_LIVE);
-  CU_ASSERT_TRUE (hear (mem, S, 5, 1, MEM_LIVE));
-  CU_ASSERT_TRUE (hear (mem, S, 5, 2, MEM_LEAVING));
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LEAVING);
-  list (mem, 2 * S, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LEAVING);
-  CU_ASSERT_FALSE (hear (mem, 2 * S, 5, 1, MEM_LIVE));
-  CU_ASSERT_FALSE (hear (mem, 2 * S, 5, 9, MEM_LIVE));
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LEAVING);
-  list (mem, 3 * S, MEM_GONE);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_GONE);
-  list (mem, 4 * S, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LEAVING);
-  CU_ASSERT_TRUE (hear (mem, 5 * S, 6, 1, MEM_LIVE));
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LIVE);
+  apply_list_state (mem, SECOND_US, MEM_LIVE);
+  CU_ASSERT_TRUE (apply_report (mem, SECOND_US, 5, 1, MEM_LIVE));
+  CU_ASSERT_TRUE (apply_report (mem, SECOND_US, 5, 2, MEM_LEAVING));
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LEAVING);
+  apply_list_state (mem, 2 * SECOND_US, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LEAVING);
+  CU_ASSERT_FALSE (apply_report (mem, 2 * SECOND_US, 5, 1, MEM_LIVE));
+  CU_ASSERT_FALSE (apply_report (mem, 2 * SECOND_US, 5, 9, MEM_LIVE));
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LEAVING);
+  apply_list_state (mem, 3 * SECOND_US, MEM_GONE);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_GONE);
+  apply_list_state (mem, 4 * SECOND_US, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LEAVING);
+  CU_ASSERT_TRUE (apply_report (mem, 5 * SECOND_US, 6, 1, MEM_LIVE));
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LIVE);
 }
 
-/* The list says leaving, the host restarts and says so, the list still says leaving of the former
- * incarnation: the new one must be used. But when the list turns to leaving once more it counts,
+/* Guards against a restarted host that gets no requests because the list still says leaving of its
+ * former incarnation. When the list turns to leaving once more, that holds for the new incarnation,
  * and a stale copy that says live does not undo it. */
 static void
 test_list_leaving_is_of_one_incarnation (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  list (mem, S, MEM_LIVE);
-  hear (mem, S, 5, 1, MEM_LIVE);
-  list (mem, 2 * S, MEM_LEAVING);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LEAVING);
-  hear (mem, 3 * S, 5, 2, MEM_LIVE);
-  list (mem, 3 * S, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LEAVING);
-  list (mem, 3 * S, MEM_LEAVING);
-  hear (mem, 4 * S, 6, 1, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).incarnation, 6);
-  list (mem, 5 * S, MEM_LEAVING);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LIVE);
-  list (mem, 6 * S, MEM_LIVE);
-  list (mem, 7 * S, MEM_LEAVING);
-  CU_ASSERT_EQUAL (look (mem).state, MEM_LEAVING);
+  apply_list_state (mem, SECOND_US, MEM_LIVE);
+  apply_report (mem, SECOND_US, 5, 1, MEM_LIVE);
+  apply_list_state (mem, 2 * SECOND_US, MEM_LEAVING);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LEAVING);
+  apply_report (mem, 3 * SECOND_US, 5, 2, MEM_LIVE);
+  apply_list_state (mem, 3 * SECOND_US, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LEAVING);
+  apply_list_state (mem, 3 * SECOND_US, MEM_LEAVING);
+  apply_report (mem, 4 * SECOND_US, 6, 1, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).incarnation, 6);
+  apply_list_state (mem, 5 * SECOND_US, MEM_LEAVING);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LIVE);
+  apply_list_state (mem, 6 * SECOND_US, MEM_LIVE);
+  apply_list_state (mem, 7 * SECOND_US, MEM_LEAVING);
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_LEAVING);
 }
 
 static void
 test_unlisted_word_is_ignored (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  CU_ASSERT_FALSE (hear (mem, S, 5, 1, MEM_LIVE));
-  CU_ASSERT_EQUAL (look (mem).state, MEM_GONE);
+  CU_ASSERT_FALSE (apply_report (mem, SECOND_US, 5, 1, MEM_LIVE));
+  CU_ASSERT_EQUAL (published_host (mem).state, MEM_GONE);
   mem_word_t word;
   CU_ASSERT_FALSE (mem_word (mem, plc_hash_name ("a"), &word));
-  list (mem, S, MEM_LIVE);
-  hear (mem, S, 5, 3, MEM_LIVE);
+  apply_list_state (mem, SECOND_US, MEM_LIVE);
+  apply_report (mem, SECOND_US, 5, 3, MEM_LIVE);
   CU_ASSERT_TRUE (mem_word (mem, plc_hash_name ("a"), &word));
   CU_ASSERT_EQUAL (word.sequence, 3);
 }
 
-/* An engine flaps: it is listed, gone and listed again, over and over. Each return would pull its
- * chats back from the engines where they have become warm, so that they are cold every time. It
- * must count as home only after it stayed up, twice as long after each flap, and up to a cap. */
+/* An engine flaps: it is listed, gone and listed again many times. If each return moved its chats
+ * back at once, they would leave the engines that have their prefix cached and run uncached every
+ * time. The engine is settled only after a time that doubles with each flap, up to a maximum. */
 static void
 test_flap_damping_doubles (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  uint64_t now_us = S;
-  list (mem, now_us, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).settled_us, 0);
+  uint64_t now_us = SECOND_US;
+  apply_list_state (mem, now_us, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).settled_us, 0);
   uint64_t expected_us = MEM_DAMPING_MIN_US;
   for (uint32_t i = 0; i < 12; i++)
     {
-      list (mem, now_us += S, MEM_GONE);
-      list (mem, now_us += S, MEM_LIVE);
-      CU_ASSERT_EQUAL (look (mem).settled_us, now_us + expected_us);
-      CU_ASSERT_EQUAL (look (mem).joined_us, now_us);
+      apply_list_state (mem, now_us += SECOND_US, MEM_GONE);
+      apply_list_state (mem, now_us += SECOND_US, MEM_LIVE);
+      CU_ASSERT_EQUAL (published_host (mem).settled_us, now_us + expected_us);
+      CU_ASSERT_EQUAL (published_host (mem).joined_us, now_us);
       expected_us = MIN (expected_us * 2, MEM_DAMPING_MAX_US);
     }
 }
@@ -166,52 +167,52 @@
 test_long_uptime_halves_damping (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  uint64_t now_us = S;
-  list (mem, now_us, MEM_LIVE);
+  uint64_t now_us = SECOND_US;
+  apply_list_state (mem, now_us, MEM_LIVE);
   for (uint32_t i = 0; i < 4; i++)
     {
-      list (mem, now_us += S, MEM_GONE);
-      list (mem, now_us += S, MEM_LIVE);
+      apply_list_state (mem, now_us += SECOND_US, MEM_GONE);
+      apply_list_state (mem, now_us += SECOND_US, MEM_LIVE);
     }
-  CU_ASSERT_EQUAL (look (mem).settled_us, now_us + 8 * MEM_DAMPING_MIN_US);
+  CU_ASSERT_EQUAL (published_host (mem).settled_us, now_us + 8 * MEM_DAMPING_MIN_US);
   now_us += 2 * MEM_LONG_UPTIME_US;
-  list (mem, now_us, MEM_GONE);
-  list (mem, now_us += S, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).settled_us, now_us + 4 * MEM_DAMPING_MIN_US);
+  apply_list_state (mem, now_us, MEM_GONE);
+  apply_list_state (mem, now_us += SECOND_US, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).settled_us, now_us + 4 * MEM_DAMPING_MIN_US);
 }
 
 static void
 test_restart_is_a_flap_after_a_short_life (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  list (mem, S, MEM_LIVE);
-  hear (mem, S, 5, 1, MEM_LIVE);
-  uint64_t late_us = S + MEM_LONG_UPTIME_US;
-  hear (mem, late_us, 6, 1, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).settled_us, 0);
-  hear (mem, late_us + S, 7, 1, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).settled_us, late_us + S + MEM_DAMPING_MIN_US);
+  apply_list_state (mem, SECOND_US, MEM_LIVE);
+  apply_report (mem, SECOND_US, 5, 1, MEM_LIVE);
+  uint64_t late_us = SECOND_US + MEM_LONG_UPTIME_US;
+  apply_report (mem, late_us, 6, 1, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).settled_us, 0);
+  apply_report (mem, late_us + SECOND_US, 7, 1, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).settled_us, late_us + SECOND_US + MEM_DAMPING_MIN_US);
 }
 
-/* A host goes and comes back: the list says so first, then its new incarnation is heard. That is
- * one flap, not two. */
+/* A host restarts: the list has it again first, then its new incarnation is reported. That is one
+ * flap, not two. */
 static void
 test_return_is_one_flap (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
-  list (mem, S, MEM_LIVE);
-  hear (mem, S, 5, 1, MEM_LIVE);
-  list (mem, 2 * S, MEM_GONE);
-  list (mem, 3 * S, MEM_LIVE);
-  hear (mem, 4 * S, 6, 1, MEM_LIVE);
-  CU_ASSERT_EQUAL (look (mem).settled_us, 3 * S + MEM_DAMPING_MIN_US);
+  apply_list_state (mem, SECOND_US, MEM_LIVE);
+  apply_report (mem, SECOND_US, 5, 1, MEM_LIVE);
+  apply_list_state (mem, 2 * SECOND_US, MEM_GONE);
+  apply_list_state (mem, 3 * SECOND_US, MEM_LIVE);
+  apply_report (mem, 4 * SECOND_US, 6, 1, MEM_LIVE);
+  CU_ASSERT_EQUAL (published_host (mem).settled_us, 3 * SECOND_US + MEM_DAMPING_MIN_US);
 }
 
 static void
 test_health_backs_off (void)
 {
   g_autoptr (hlt_t) hlt = hlt_new ();
-  uint64_t now_us = S;
+  uint64_t now_us = SECOND_US;
   hlt_failure (hlt, now_us, 1);
   CU_ASSERT_TRUE (hlt_usable (hlt, now_us, 1));
   for (uint32_t i = 0; i < 5; i++)
@@ -232,9 +233,9 @@
   CU_ASSERT_TRUE (hlt_usable (hlt, now_us, 1));
 }
 
-/* A router whose own network fails sees every sidecar as dead. If it skipped them all it would
- * refuse everything long after the network is back; so it distrusts a view in which more than
- * half of a service is dead. */
+/* A router whose own network fails finds every sidecar unreachable. If it skipped them all, it
+ * would refuse requests long after the network has recovered. So its findings don't count while
+ * more than half of a service seems to be down. */
 static void
 test_health_distrusts_itself (void)
 {
@@ -243,27 +244,27 @@
   for (uint64_t host = 1; host <= 3; host++)
     {
       CU_ASSERT_FALSE (hlt_distrust (hlt, hosts, 4));
-      hlt_failure (hlt, S, host);
-      hlt_failure (hlt, S, host);
+      hlt_failure (hlt, SECOND_US, host);
+      hlt_failure (hlt, SECOND_US, host);
     }
   CU_ASSERT_TRUE (hlt_distrust (hlt, hosts, 4));
   hlt_forget (hlt, 2);
   CU_ASSERT_FALSE (hlt_distrust (hlt, hosts, 4));
 }
 
-/* A daemon is stopped and goes on later. A "fresh" that was sent before the stop still lies in its
- * mailbox and is read first: it must not let the daemon work on what it knew before. */
+/* A process is suspended and continues later. A message "fresh" that was sent before the suspension
+ * is still in its mailbox and is read first: it must not make the daemon use outdated state. */
 static void
 test_pause (void)
 {
   pse_t pse;
-  pse_init (&pse, S, 250);
+  pse_init (&pse, SECOND_US, 250);
   CU_ASSERT_TRUE (pse_stale (&pse));
-  CU_ASSERT_TRUE (pse_fresh (&pse, S));
-  CU_ASSERT_FALSE (pse_settling (&pse, S));
-  CU_ASSERT_FALSE (pse_check (&pse, S + PSE_GAP_MIN_US));
+  CU_ASSERT_TRUE (pse_fresh (&pse, SECOND_US));
+  CU_ASSERT_FALSE (pse_settling (&pse, SECOND_US));
+  CU_ASSERT_FALSE (pse_check (&pse, SECOND_US + PSE_GAP_MIN_US));
   CU_ASSERT_FALSE (pse_stale (&pse));
-  uint64_t woke_us = S + 2 * PSE_GAP_MIN_US + 1;
+  uint64_t woke_us = SECOND_US + 2 * PSE_GAP_MIN_US + 1;
   CU_ASSERT_TRUE (pse_check (&pse, woke_us));
   CU_ASSERT_FALSE (pse_check (&pse, woke_us));
   CU_ASSERT_FALSE (pse_fresh (&pse, woke_us - 1));
