--- a/src/request/policy/lapses.c
+++ b/src/request/policy/lapses.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-/** struct lapses - @due_us: id -> when it is gone, in microseconds */
+/** struct lapses - @due_us: engine id -> when the engine is dropped */
 struct lapses
 {
   GHashTable *due_us;
@@ -25,8 +25,8 @@
 }
 
 /*
- * Were there one time for all, each further entry that is found to have gone would keep those
- * before it: an engine that had left got a request 4.3 s after, where 4 s were allowed.
+ * Each engine has a time of its own. With one time for all, each further missing entry extended the
+ * time of the earlier ones: an engine got a request 4.3 s after it left, where 4 s were allowed.
  */
 void
 lapses_add (lapses_t *lapses, const char *id, uint64_t due_us)
--- a/src/request/policy/outage.h
+++ b/src/request/policy/outage.h
@@ -1,48 +1,53 @@
 /**
  * DOC: outage
  *
- * When the platform's store was out last: decided once for the store, by all that heard it, own
- * reads and peers alike. A pure state machine.
+ * When the last outage of the platform's store was: decided once for the whole store, from the
+ * answers that this gateway's reads got and from those that its peers got. A pure state machine.
  *
- * While the store is out engines can't renew their entries, so entries lapse whose engines live.
- * Those that are found dropped after an outage are kept until the engines had time to come back;
- * without an outage what was dropped is gone. So neither may an outage be overlooked, nor one be
- * made of a moment in which one stream of one gateway heard nothing.
+ * During an outage engines can't renew their entries in the store, so the entries of live engines
+ * lapse. An entry that is found missing after an outage is kept until its engine has had time to
+ * write it again; one that is found missing without an outage is dropped at once. So an outage must
+ * not be missed, and a moment in which one stream of one gateway got no answer must not be taken
+ * for one.
  *
- * Word of a moment at which the store was heard may come late, by a peer: one inside what looked
- * like an outage makes it shorter, or shows that there was none. What is decided doesn't depend on
- * the order in which word comes.
+ * A peer may report an answer of the store late. A moment inside what looked like an outage
+ * shortens it or shows that there was none. The result doesn't depend on the order of the reports.
  */
 #ifndef REQUEST_POLICY_OUTAGE_H
 #define REQUEST_POLICY_OUTAGE_H
 
 #include <stdint.h>
 
-/* Entries lapse after three renewals that the store did not take; the last one it took may be as
- * much as one interval before the outage. Engines renew about that often, so an eighth less counts.
+/*
+ * Entries lapse after three renewals that the store did not take, and the last one that it took may
+ * be up to one interval older than the outage: so after two intervals without an answer. Engines
+ * don't renew at exact intervals, so a span that is shorter by this part counts too.
  */
 #define OTG_LEAST_PART 8
 
 /**
- * struct otg - zeroed to begin with
- * @heard_us: the latest moment at which the store was heard
- * @from_us, @until_us: the last span in which it was not, for as long as an outage takes; 0 for
- * none
+ * struct otg - all zero at the start
+ * @last_contact_us: the latest moment at which the store answered
+ * @begin_us: begin of the last outage; 0 for none
+ * @end_us: end of the last outage; 0 for none
  */
 typedef struct
 {
-  uint64_t heard_us;
-  uint64_t from_us;
-  uint64_t until_us;
+  uint64_t last_contact_us;
+  uint64_t begin_us;
+  uint64_t end_us;
 } otg_t;
 
-/** otg_least_us() - the shortest outage in which entries lapse that are renewed every @renewal_ms
- */
+/** otg_least_us() - the shortest outage in which entries lapse that are renewed each @renewal_ms */
 uint64_t otg_least_us (uint32_t renewal_ms);
-/** otg_heard() - the store was heard at @at_us; @least_us as of otg_least_us() */
+/** otg_heard() - the store answered at @at_us; @least_us is the result of otg_least_us() */
 void otg_heard (otg_t *otg, uint64_t at_us, uint64_t least_us);
-/** otg_until_us() - the end of the last outage, now while it lasts; 0 for none. A peer's copy of
- * the registry may come before any word that the store is back */
+/**
+ * otg_until_us() - Return: the end of the last outage, @now_us during one, 0 for none
+ *
+ * An outage counts while it lasts: a peer's copy of the registry may come before any report that
+ * the store is back.
+ */
 uint64_t otg_until_us (const otg_t *otg, uint64_t now_us, uint64_t least_us);
 
 #endif
--- a/src/request/policy/read_duty.c
+++ b/src/request/policy/read_duty.c
@@ -2,34 +2,35 @@
 
 #include <glib.h>
 
-/* A peer that knows less vouches for nothing: it may have heard the store before the news. */
+/* A peer with a lower offset doesn't vouch: the store may have answered it before the new records.
+ */
 void
 rdu_heard (rdu_t *rdu, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us)
 {
   if (theirs == ours)
-    rdu->fresh_us = MAX (rdu->fresh_us, store_us);
+    rdu->current_as_of_us = MAX (rdu->current_as_of_us, store_us);
   if (theirs <= ours)
     return;
-  rdu->ahead_us = MAX (rdu->ahead_us, store_us);
-  if (rdu->behind_us == 0)
-    rdu->behind_us = now_us;
+  rdu->ahead_as_of_us = MAX (rdu->ahead_as_of_us, store_us);
+  if (rdu->behind_since_us == 0)
+    rdu->behind_since_us = now_us;
 }
 
-/* While news comes quickly, peers are always found ahead and never level: what they vouched for
- * counts once their copy has come. */
+/* While new records come quickly, peers always have a higher offset and never the same one. So what
+ * the peer vouches for counts once its copy has been applied. */
 void
 rdu_caught_up (rdu_t *rdu, bool of_peer)
 {
   if (of_peer)
-    rdu->fresh_us = MAX (rdu->fresh_us, rdu->ahead_us);
+    rdu->current_as_of_us = MAX (rdu->current_as_of_us, rdu->ahead_as_of_us);
   rdu_give_up (rdu);
 }
 
 void
 rdu_give_up (rdu_t *rdu)
 {
-  rdu->behind_us = 0;
-  rdu->ahead_us = 0;
+  rdu->behind_since_us = 0;
+  rdu->ahead_as_of_us = 0;
   rdu->large = false;
 }
 
@@ -42,63 +43,63 @@
 uint64_t
 rdu_known_us (const rdu_t *rdu, const rdu_view_t *view)
 {
-  return MAX (rdu->fresh_us, view->own_us);
+  return MAX (rdu->current_as_of_us, view->own_us);
 }
 
-/* Until when what is known counts; 0 for never. */
+/* Return: until when the copy counts as current; 0 when it never did */
 static uint64_t
-vouched_until_us (const rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view)
+current_until_us (const rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view)
 {
   uint64_t known_us = rdu_known_us (rdu, view);
-  uint64_t most_us = RDU_VOUCHED_US;
+  uint64_t max_us = RDU_VOUCHED_US;
 
   if (stream->bound_us > 0)
-    most_us = MIN (most_us, stream->bound_us * RDU_VOUCHED_MOST_PERCENT / 100);
-  most_us = MAX (most_us, stream->bound_us * RDU_VOUCHED_PERCENT / 100);
+    max_us = MIN (max_us, stream->bound_us * RDU_VOUCHED_MOST_PERCENT / 100);
+  max_us = MAX (max_us, stream->bound_us * RDU_VOUCHED_PERCENT / 100);
 
-  return known_us != 0 ? known_us + most_us : 0;
+  return known_us != 0 ? known_us + max_us : 0;
 }
 
-/* Nobody has vouched since @since_us. */
+/* Whether it is this gateway's turn to read, when nobody has vouched since @since_us. */
 static bool
 has_turn (const rdu_view_t *view, uint64_t since_us, uint64_t now_us)
 {
-  uint64_t first_us = since_us + view->before * RDU_TURN_US;
+  uint64_t first_turn_us = since_us + view->before * RDU_TURN_US;
   uint64_t round_us = MAX (view->count * RDU_TURN_US, RDU_ROUND_MIN_US);
 
   if (view->tried_us < since_us)
-    return now_us >= first_us;
+    return now_us >= first_turn_us;
   return now_us >= view->tried_us + round_us;
 }
 
 static bool
-is_behind_for (const rdu_t *rdu, uint64_t now_us, uint64_t limit_us)
+has_been_behind_for (const rdu_t *rdu, uint64_t now_us, uint64_t limit_us)
 {
-  return rdu->behind_us != 0 && now_us >= rdu->behind_us + limit_us;
+  return rdu->behind_since_us != 0 && now_us >= rdu->behind_since_us + limit_us;
 }
 
-/* It was answered in its turn, and no peer has heard the store since. */
+/* Whether the store answered this gateway in its turn, and no peer vouches yet. */
 static bool
-has_taken_over (const rdu_t *rdu, const rdu_view_t *view)
+is_acting_follower (const rdu_t *rdu, const rdu_view_t *view)
 {
-  return rdu->took_us != 0 && view->own_us >= rdu->took_us && !view->lost;
+  return rdu->reading_since_us != 0 && view->own_us >= rdu->reading_since_us && !view->lost;
 }
 
 /*
- * Those that follow may be lost for long, and the one that reads in its turn may be the only one
- * that reaches the store. Were it to rest again until nobody vouches any more, news would be known
- * later than it must be. So it follows, until a peer has heard the store later than it has itself.
+ * The followers may be lost for a long time, and a gateway that reads in its turn may be the only
+ * one that reaches the store. If it stopped until nobody vouches again, new records would exceed
+ * their bound. So it acts as a follower until a peer has a later answer of the store than its own.
  */
 rdu_read_t
 rdu_read (rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view, uint64_t now_us)
 {
-  uint64_t until_us = vouched_until_us (rdu, stream, view);
+  uint64_t until_us = current_until_us (rdu, stream, view);
 
   if (view->close || !view->listed)
     return RDU_FOLLOW;
-  if (rdu->fresh_us > MAX (view->own_us, rdu->took_us))
-    rdu->took_us = 0;
-  if (has_taken_over (rdu, view))
+  if (rdu->current_as_of_us > MAX (view->own_us, rdu->reading_since_us))
+    rdu->reading_since_us = 0;
+  if (is_acting_follower (rdu, view))
     return RDU_FOLLOW;
   if (now_us >= until_us && view->alone)
     return RDU_FOLLOW;
@@ -106,10 +107,11 @@
     return RDU_REST;
   if (now_us >= until_us)
     {
-      rdu->took_us = rdu->took_us != 0 ? rdu->took_us : now_us;
+      rdu->reading_since_us = rdu->reading_since_us != 0 ? rdu->reading_since_us : now_us;
       return RDU_READ;
     }
-  return is_behind_for (rdu, now_us, rdu->large ? 0 : stream->patience_us) ? RDU_READ : RDU_REST;
+  return has_been_behind_for (rdu, now_us, rdu->large ? 0 : stream->patience_us) ? RDU_READ
+                                                                                 : RDU_REST;
 }
 
 bool
@@ -124,7 +126,7 @@
     patience_us = stream->patience_us;
   if (view->lost)
     patience_us = MIN (patience_us, RDU_ASK_LOST_US);
-  return is_behind_for (rdu, now_us, patience_us);
+  return has_been_behind_for (rdu, now_us, patience_us);
 }
 
 bool
--- a/src/request/policy/read_duty.h
+++ b/src/request/policy/read_duty.h
@@ -1,14 +1,16 @@
 /**
  * DOC: read_duty
  *
- * Who reads a stream of the platform's store, and who takes from a peer what it lacks. A pure state
- * machine, one for each stream of each gateway.
+ * Decides for one gateway whether it reads a stream of the platform's store itself or gets the
+ * stream's records from a peer. A pure state machine, one for each stream of each gateway.
  *
- * A few gateways follow the store closely. The others rest while a peer that knows as much as they
- * do heard the store lately, itself or by another one; news reaches them as the peer's higher
- * offset. So calls to the store grow with the few and with the news, not with the gateways: on a
- * calm day of 103 gateways 7,566 calls were made when each followed by itself, 3,130 so. No gateway
- * depends on the few: what is vouched for no longer, each reads itself.
+ * A few gateways, the followers, read the store all the time. The others don't read it while their
+ * copy is known to be current: while a peer that has the same offset has had an answer of the
+ * store lately, or has heard of one. Such a peer vouches for the copy. New records reach the others
+ * as a higher offset of a peer. So the calls to the store grow with the number of followers and of
+ * new records and not with that of gateways: on a calm day of 103 gateways it took 3,130 calls, and
+ * 7,566 when every gateway read for itself. No gateway depends on the followers: one whose copy is
+ * not vouched for any longer reads the store itself.
  */
 #ifndef REQUEST_POLICY_READ_DUTY_H
 #define REQUEST_POLICY_READ_DUTY_H
@@ -17,50 +19,53 @@
 #include <stdint.h>
 
 /*
- * A gateway that nobody vouches for reads by itself after this. The few hear the store every
- * second, and their word passes on to all within a second at 30 gateways, so two is the least that
- * is not reached in calm; three lost followers make news two seconds late.
+ * How long an answer of the store counts as current. Followers get one every second, and it is
+ * known to all of 30 gateways within another second, so 2 s is the shortest time that isn't
+ * exceeded in normal operation. The loss of three followers delays new records by 2 s.
  */
 #define RDU_VOUCHED_US (UINT64_C (2000) * 1000)
-/* Where news may take longer than usual, so many percent of it count instead: word takes longer to
- * reach a hundred gateways, and all that have not heard it read at once. */
+/* For a stream whose new records may take longer it is this share of struct rdu_stream.bound_us:
+ * word takes longer to reach a hundred gateways, and all those that haven't heard it would read at
+ * once.
+ */
 #define RDU_VOUCHED_PERCENT 60
-/* And no more than so many: the rest is for the turn of the next one, its read, and its word. */
+/* At most this share of the bound: the rest is for the next reader's turn, its read, and the time
+ * until the others hear of it. */
 #define RDU_VOUCHED_MOST_PERCENT 75
-/* While the store can't be read here, a peer is asked for its news after this: it could still
- * come by a read that is just beginning again. */
+/* While this gateway can't read the store it waits this long before it asks a peer for the new
+ * records: a read that is being repeated may still bring them. */
 #define RDU_ASK_LOST_US (UINT64_C (150) * 1000)
 
+/** enum read_policy_action - what to do at the store now */
 typedef enum
 {
-  RDU_REST,   /* nothing is read */
-  RDU_FOLLOW, /* reads that wait for records, one after the other */
-  RDU_READ    /* one read, that does not wait */
+  RDU_REST,   /* read nothing */
+  RDU_FOLLOW, /* read continuously, with calls that wait for new records */
+  RDU_READ    /* read once, with a call that does not wait */
 } rdu_read_t;
 
 /*
- * Where nobody vouches any more, the few are lost or the store is out. Were all that rest to read
- * then, and go on while it is out, its calls would grow with the gateways: they read in turn, so
- * long one after the other, each once in a round, until the word of one that was answered reaches
- * the others.
+ * When nobody vouches any more, the followers are lost or the store is out. If all other gateways
+ * read at once and repeated that during the outage, the calls would grow with their number. So they
+ * read in turn, one each %RDU_TURN_US and each once in a round, until the others hear of an answer.
  */
 #define RDU_TURN_US (UINT64_C (50) * 1000)
 #define RDU_ROUND_MIN_US (UINT64_C (800) * 1000)
 
 /*
- * So long after the store's return entries may be found to have lapsed while it was out: engines
- * are back in it two seconds after, and a read that began in the outage ends within one. Taken for
- * lapsed later, an entry that was removed since is kept for 2.5 s more, here and at all peers that
- * take it over, and its engine gets requests after it has left: 3.0 to 3.3 s after, where 3 s is
- * allowed.
+ * For this long after the store's return a missing entry may have lapsed during the outage: engines
+ * write their entries again within 2 s, and a read that began in the outage ends within one more.
+ * With a longer time an entry that its engine removed would be taken for a lapsed one and kept for
+ * another 2.5 s, here and at all peers that copy it, and the engine would get requests 3.0 to 3.3 s
+ * after it left, where 3 s is allowed.
  */
 #define RDU_LAPSE_US (UINT64_C (3000) * 1000)
 
 /**
- * struct rdu_stream - what does not change of a stream
- * @patience_us: the way by which news should come is waited for so long, before the other one is
- *   tried too: peers, for those that rest, and the store for the few
- * @bound_us: within which its news must be in force
+ * struct rdu_stream - properties of a stream that don't change
+ * @patience_us: how long the usual source of new records is waited for before the other one is
+ * tried too; the usual source is the store for followers, and a peer for the others
+ * @bound_us: time within which a record of the stream must be in force at every gateway
  */
 typedef struct
 {
@@ -69,14 +74,15 @@
 } rdu_stream_t;
 
 /**
- * struct rdu_view - how a gateway stands to the stream now
- * @close: it is one of the few
- * @listed: it has read it whole, or a peer's copy
+ * struct rdu_view - the state of a gateway and a stream at the moment of a decision
+ * @close: the gateway is a follower
+ * @listed: it has a complete copy of the stream, from the store or from a peer
  * @lost: its last call to the store failed
- * @alone: no peer was heard lately, so none could vouch
- * @before, @count: gateways that read before it in a round, and in all
- * @own_us: when its own last read of the stream was answered, 0 for never
- * @tried_us: when its own last read began, 0 for never
+ * @alone: it has not heard any peer lately, so none can vouch
+ * @before: gateways whose turn to read comes earlier in a round
+ * @count: gateways that read in a round
+ * @own_us: when the store last answered a read of this gateway; 0 for never
+ * @tried_us: when this gateway's last read began; 0 for never
  */
 typedef struct
 {
@@ -91,46 +97,57 @@
 } rdu_view_t;
 
 /**
- * struct rdu - zeroed to begin with
- * @fresh_us: when the store was heard, by a peer that knew no more than this gateway
- * @behind_us: since when a peer has had more, 0 when none has
- * @ahead_us: when that peer, or whom it has it from, heard the store
- * @took_us: when it began to read as nobody vouched any more; 0 once a peer has vouched since
- * @large: the peer does not tell the news, as it is large: it is read at the store at once, and
- *   taken from a peer all the same when it has not come by the end of the patience
+ * struct rdu - state of one stream; all zero at the start
+ * @current_as_of_us: when the store answered the peer that vouches for this gateway's copy, or the
+ *   one from which that peer has it; 0 for never
+ * @behind_since_us: since when a peer has had a higher offset; 0 when none has
+ * @ahead_as_of_us: when the store answered that peer, or the one from which it has the records
+ * @reading_since_us: when the gateway began to read because nobody vouched; 0 once a peer vouches
+ * @large: the peer declined to send the new records because they are large. They are read from
+ *   the store at once, and asked of a peer again when they haven't come by the end of the patience
  */
 typedef struct
 {
-  uint64_t fresh_us;
-  uint64_t behind_us;
-  uint64_t ahead_us;
-  uint64_t took_us;
+  uint64_t current_as_of_us;
+  uint64_t behind_since_us;
+  uint64_t ahead_as_of_us;
+  uint64_t reading_since_us;
   bool large;
 } rdu_t;
 
-/** rdu_heard() - a peer knows the stream up to @theirs, this gateway up to @ours; the peer heard
- * the store at @store_us, 0 when that is not known */
+/**
+ * rdu_heard() - applies a peer's message
+ * @theirs: offset up to which the peer has the stream
+ * @ours: offset up to which this gateway has it
+ * @store_us: when the store answered the peer, or the one from which it has the records; 0 when
+ * that is not known
+ */
 void rdu_heard (rdu_t *rdu, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us);
-/** rdu_caught_up() - news came: from the store, or all that the peer had (@of_peer) */
+/** rdu_caught_up() - the new records came: from the store, or with @of_peer all that the peer had
+ */
 void rdu_caught_up (rdu_t *rdu, bool of_peer);
-/** rdu_give_up() - the peer's copy could not be had; the next message tells again */
+/** rdu_give_up() - the peer's copy could not be fetched; the peer's next message starts a new try
+ */
 void rdu_give_up (rdu_t *rdu);
-/** rdu_is_large() - the peer that was asked says that the news is to be read at the store */
+/** rdu_is_large() - the peer declined the fetch: the new records are to be read from the store */
 void rdu_is_large (rdu_t *rdu);
-/** rdu_known_us() - up to when all news of the store is known here; 0 for never */
+/** rdu_known_us() - time up to which this gateway has all new records of the store; 0 for never */
 uint64_t rdu_known_us (const rdu_t *rdu, const rdu_view_t *view);
-/** rdu_read() - what to read at the store now */
+/** rdu_read() - decides what to read from the store now */
 rdu_read_t
 rdu_read (rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view, uint64_t now_us);
-/** rdu_asks_peer() - whether to take the stream's news from the peer that has more, now */
+/** rdu_asks_peer() - whether to fetch the new records now from the peer that has a higher offset */
 bool rdu_asks_peer (const rdu_t *rdu,
                     const rdu_stream_t *stream,
                     const rdu_view_t *view,
                     uint64_t now_us);
 
-/** rdu_may_have_lapsed() - whether an entry that is found dropped now may have lapsed while the
- * store was out, until @out_until_us (0 for never); @unsure: it was dropped while the store could
- * not be read here, or the peer that tells of it is not sure */
+/**
+ * rdu_may_have_lapsed() - whether an entry that is found missing now may have lapsed in an outage
+ * @out_until_us: end of the store's last outage, see otg_until_us(); 0 for none
+ * @unsure: the entry was dropped while this gateway could not read the store, or the peer that
+ *   reports it is not sure either
+ */
 bool rdu_may_have_lapsed (uint64_t out_until_us, bool unsure, uint64_t now_us);
 
 #endif
--- a/tests/test_read_duty.c
+++ b/tests/test_read_duty.c
@@ -1,4 +1,6 @@
-/* Unit tests of who reads a stream of the store, and who takes its news from a peer. */
+/* Unit tests of which gateway reads a stream of the store and which one asks a peer for its new
+ * records.
+ */
 #include "base/clock.h"
 #include "request/policy/read_duty.h"
 #include "suite.h"
@@ -6,17 +8,17 @@
 #include <glib.h>
 
 #define START_US (UINT64_C (100) * CLK_US_PER_S)
-#define ASK_US (UINT64_C (800) * CLK_US_PER_MS)
+#define PATIENCE_US (UINT64_C (800) * CLK_US_PER_MS)
 
-static const rdu_stream_t engines = { .patience_us = ASK_US };
-static const rdu_view_t few = { .close = true, .listed = true };
-static const rdu_view_t rest = { .listed = true };
-static const rdu_view_t rest_alone = { .listed = true, .alone = true };
-static const rdu_view_t few_lost = { .close = true, .listed = true, .lost = true };
+static const rdu_stream_t engines_stream = { .patience_us = PATIENCE_US };
+static const rdu_view_t follower = { .close = true, .listed = true };
+static const rdu_view_t other = { .listed = true };
+static const rdu_view_t other_alone = { .listed = true, .alone = true };
+static const rdu_view_t follower_lost = { .close = true, .listed = true, .lost = true };
 
-/* A peer that knows as much heard the store at @store_us. */
+/* Return: the state after a peer with the same offset had an answer of the store at @store_us */
 static rdu_t
-vouched (uint64_t store_us)
+policy_vouched_for (uint64_t store_us)
 {
   rdu_t rdu = { 0 };
 
@@ -25,59 +27,63 @@
 }
 
 static void
-test_few_follow_the_rest_does_not (void)
+test_only_followers_read (void)
 {
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
 
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &few, START_US), RDU_FOLLOW);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, START_US), RDU_REST);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines, &rest, START_US));
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &follower, START_US), RDU_FOLLOW);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US), RDU_REST);
+  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US));
 }
 
 /*
- * All that follow the store are lost at once, or this gateway is cut off from its peers. Nobody
- * tells it of engines that leave: it reads itself, from the end of what was last vouched for.
+ * Guards against a gateway that doesn't learn which engines leave, because all followers are lost
+ * at once or it is cut off from its peers. It reads the store itself when its copy ceases to be
+ * current.
  */
 static void
-test_who_is_not_vouched_for_reads (void)
+test_gateway_reads_when_nobody_vouches (void)
 {
-  rdu_t rdu = vouched (START_US);
-
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, START_US + RDU_VOUCHED_US - 1), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest_alone, START_US + RDU_VOUCHED_US - 1), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, START_US + RDU_VOUCHED_US), RDU_READ);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest_alone, START_US + RDU_VOUCHED_US), RDU_FOLLOW);
-  CU_ASSERT_EQUAL (rdu_read (&(rdu_t){ 0 }, &engines, &rest, START_US), RDU_READ);
-  CU_ASSERT_EQUAL (rdu_read (&(rdu_t){ 0 }, &engines, &rest_alone, START_US), RDU_FOLLOW);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &(rdu_view_t){ 0 }, START_US), RDU_FOLLOW);
+  rdu_t rdu = policy_vouched_for (START_US);
+
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + RDU_VOUCHED_US - 1),
+                   RDU_REST);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other_alone, START_US + RDU_VOUCHED_US - 1),
+                   RDU_REST);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + RDU_VOUCHED_US), RDU_READ);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other_alone, START_US + RDU_VOUCHED_US),
+                   RDU_FOLLOW);
+  CU_ASSERT_EQUAL (rdu_read (&(rdu_t){ 0 }, &engines_stream, &other, START_US), RDU_READ);
+  CU_ASSERT_EQUAL (rdu_read (&(rdu_t){ 0 }, &engines_stream, &other_alone, START_US), RDU_FOLLOW);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &(rdu_view_t){ 0 }, START_US), RDU_FOLLOW);
 }
 
-/* Guards against an engine that leaves, or a version, that is known later than it must be where
- * those that follow are lost: the next one reads early enough for it. */
+/* Guards against an engine's leaving, or a new version, that is known later than its bound after
+ * the loss of the followers. */
 static void
-test_next_one_reads_within_the_bound (void)
+test_next_reader_meets_the_bound (void)
 {
   static const uint32_t bounds_s[] = { 2, 3, 4, 8 };
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (bounds_s); i++)
     {
-      rdu_t rdu = vouched (START_US);
+      rdu_t rdu = policy_vouched_for (START_US);
       uint64_t bound_us = (uint64_t)bounds_s[i] * CLK_US_PER_S;
-      rdu_stream_t stream = { .patience_us = ASK_US, .bound_us = bound_us };
+      rdu_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = bound_us };
       rdu_view_t next = { .listed = true, .before = 4, .count = 5 };
 
       CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &next, START_US + bound_us * 85 / 100), RDU_READ);
     }
 }
 
-/* Guards against the only gateway that reaches the store reading it once in two seconds. */
+/* Guards against the only gateway that reaches the store reading it just once in 2 s. */
 static void
-test_one_that_had_to_read_follows_until_another_vouches (void)
+test_acting_follower_reads_until_a_peer_vouches (void)
 {
-  static const rdu_stream_t stream = { .patience_us = ASK_US, .bound_us = 2 * CLK_US_PER_S };
-  rdu_t rdu = vouched (START_US);
+  static const rdu_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = 2 * CLK_US_PER_S };
+  rdu_t rdu = policy_vouched_for (START_US);
   uint64_t now_us = START_US + 2 * CLK_US_PER_S;
-  rdu_view_t view = rest;
+  rdu_view_t view = other;
 
   CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us), RDU_READ);
   view.own_us = view.tried_us = now_us;
@@ -93,142 +99,145 @@
   CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us + 7), RDU_REST);
 }
 
-/* Where news may take four seconds word of the store may be older by as much as that allows: a
- * hundred gateways that had heard nothing for two seconds read all at once, though three of them
- * follow. */
+/* Guards against a hundred gateways that read at once although three of them follow the store,
+ * because word of it took longer than 2 s to reach them all. A bound of 4 s allows for more. */
 static void
-test_vouching_lasts_longer_where_news_may_take_longer (void)
+test_copy_stays_current_longer_with_a_longer_bound (void)
 {
-  rdu_stream_t slow = { .patience_us = ASK_US, .bound_us = 4 * CLK_US_PER_S };
+  rdu_stream_t slow = { .patience_us = PATIENCE_US, .bound_us = 4 * CLK_US_PER_S };
   uint64_t end_us = START_US + slow.bound_us * RDU_VOUCHED_PERCENT / 100;
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
 
   CU_ASSERT (end_us > START_US + RDU_VOUCHED_US);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &rest, end_us - 1), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &rest, end_us), RDU_READ);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us - 1), RDU_REST);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us), RDU_READ);
   slow.bound_us = CLK_US_PER_S;
   end_us = START_US + slow.bound_us * RDU_VOUCHED_MOST_PERCENT / 100;
-  rdu = vouched (START_US);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &rest, end_us - 1), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &rest, end_us), RDU_READ);
+  rdu = policy_vouched_for (START_US);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us - 1), RDU_REST);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us), RDU_READ);
 }
 
-/* A peer heard the store just now, but knows less than this gateway: it may have heard it before
- * the news that this gateway has, and so before news that it lacks. */
+/* The store has just answered a peer that has a lower offset than this gateway. That answer may be
+ * older than the new records that this gateway has, so it may also be older than new records that
+ * it lacks. */
 static void
-test_one_that_knows_less_vouches_for_nothing (void)
+test_peer_with_lower_offset_does_not_vouch (void)
 {
   rdu_t rdu = { 0 };
 
   rdu_heard (&rdu, START_US, 6, 7, START_US);
-  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &rest), 0);
+  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &other), 0);
 }
 
-/* Guards against calls that grow with the gateways: news that each reads at the store for itself.
+/* Guards against calls to the store that grow with the gateways, when each reads the new records
+ * itself.
  */
 static void
-test_news_of_a_peer (void)
+test_new_records_are_fetched_from_a_peer (void)
 {
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines, &rest, START_US));
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, START_US), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, START_US + ASK_US - 1), RDU_REST);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines, &few, START_US));
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &few, START_US), RDU_FOLLOW);
+  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &other, START_US));
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US), RDU_REST);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + PATIENCE_US - 1), RDU_REST);
+  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &follower, START_US));
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &follower, START_US), RDU_FOLLOW);
 }
 
-/* The way that should bring the news does not: the other one is tried too. */
+/* The usual source of new records doesn't bring them: the other one is tried too. */
 static void
-test_other_way_after_a_while (void)
+test_other_source_is_tried_after_the_patience (void)
 {
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, START_US + ASK_US), RDU_READ);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines, &few, START_US + ASK_US - 1));
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines, &few, START_US + ASK_US));
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + PATIENCE_US), RDU_READ);
+  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &follower, START_US + PATIENCE_US - 1));
+  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &follower, START_US + PATIENCE_US));
 }
 
-/* One of the few has lost the store: what it lacks it takes from a peer long before its patience
- * with the store ends. */
+/* A follower can't reach the store: it fetches the new records from a peer long before the end of
+ * its patience with the store. */
 static void
-test_peer_is_asked_soon_while_the_store_is_lost (void)
+test_follower_without_store_asks_a_peer_soon (void)
 {
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines, &few_lost, START_US + RDU_ASK_LOST_US - 1));
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines, &few_lost, START_US + RDU_ASK_LOST_US));
+  CU_ASSERT (
+      !rdu_asks_peer (&rdu, &engines_stream, &follower_lost, START_US + RDU_ASK_LOST_US - 1));
+  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &follower_lost, START_US + RDU_ASK_LOST_US));
 }
 
 /*
- * Engines are replaced one after the other, so each message of a peer tells of more than is known
- * here, and none is ever level. Once the peer's copy has come, what the peer had heard counts; else
- * this gateway would follow the store all the while.
+ * Guards against a gateway that reads the store all the time while engines are replaced one after
+ * the other: each message of a peer then has a higher offset, and none the same one. Once the
+ * peer's copy has been applied, the store's answer to that peer counts here too.
  */
 static void
-test_copy_of_a_peer_vouches (void)
+test_fetched_copy_vouches (void)
 {
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
   uint64_t later_us = START_US + 2 * RDU_VOUCHED_US;
 
   rdu_heard (&rdu, later_us, 8, 7, later_us - 1);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, later_us), RDU_READ);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, later_us), RDU_READ);
   rdu_caught_up (&rdu, true);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, later_us), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &rest), later_us - 1);
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, later_us), RDU_REST);
+  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &other), later_us - 1);
 }
 
-/* The copy did not come: nothing is vouched for, and the next message tells again. */
+/* The fetch failed: the peer doesn't vouch, and its next message starts another fetch. */
 static void
-test_lost_copy_vouches_for_nothing (void)
+test_failed_fetch_does_not_vouch (void)
 {
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
 
   rdu_heard (&rdu, START_US + 1, 8, 7, START_US + 1);
   rdu_give_up (&rdu);
-  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &rest), START_US);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines, &rest, START_US + 1));
+  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &other), START_US);
+  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US + 1));
   rdu_heard (&rdu, START_US + 2, 8, 7, START_US + 2);
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines, &rest, START_US + 2));
+  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &other, START_US + 2));
 }
 
-/* Guards against a version that comes too late, as it is large and the store does not answer. */
+/* Guards against a version that comes too late because it is large and the store doesn't answer. */
 static void
-test_large_news_is_asked_for_after_a_while (void)
+test_large_records_are_asked_of_a_peer_after_the_patience (void)
 {
-  rdu_t rdu = vouched (START_US);
+  rdu_t rdu = policy_vouched_for (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
   rdu_is_large (&rdu);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines, &rest, START_US), RDU_READ);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines, &rest, START_US + ASK_US - 1));
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines, &rest, START_US + ASK_US));
+  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US), RDU_READ);
+  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US + PATIENCE_US - 1));
+  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &other, START_US + PATIENCE_US));
   rdu_caught_up (&rdu, false);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines, &rest, START_US + ASK_US));
+  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US + PATIENCE_US));
 }
 
 #define TICK_US (UINT64_C (100) * CLK_US_PER_MS)
 #define OUTAGE_US (UINT64_C (9) * CLK_US_PER_S)
 
-/* Return: reads of the gateways that rest, while the store is out and each hears its peers */
+/* Return: reads of gateways that aren't followers during an outage of the store, with all peers up
+ */
 static uint32_t
 reads_in_outage (uint32_t gateways)
 {
-  g_autofree rdu_t *duties = g_new0 (rdu_t, gateways);
+  g_autofree rdu_t *policies = g_new0 (rdu_t, gateways);
   g_autofree rdu_view_t *views = g_new0 (rdu_view_t, gateways);
   uint32_t reads = 0;
 
   for (uint32_t i = 0; i < gateways; i++)
     {
-      duties[i] = vouched (START_US);
+      policies[i] = policy_vouched_for (START_US);
       views[i] = (rdu_view_t){ .listed = true, .before = i, .count = gateways };
     }
   for (uint64_t at_us = START_US; at_us < START_US + OUTAGE_US; at_us += TICK_US)
     for (uint32_t i = 0; i < gateways; i++)
-      if (rdu_read (&duties[i], &engines, &views[i], at_us) != RDU_REST)
+      if (rdu_read (&policies[i], &engines_stream, &views[i], at_us) != RDU_REST)
         {
           views[i].tried_us = at_us;
           reads++;
@@ -236,10 +245,10 @@
   return reads;
 }
 
-/* Guards against calls to a store that is out that grow with the gateways, and against gateways
- * that wait for each other for ever. */
+/* Guards against calls that grow with the gateways while the store is out, and against gateways
+ * that wait for each other without end. */
 static void
-test_reads_of_an_outage_do_not_grow_with_the_gateways (void)
+test_reads_in_an_outage_do_not_grow_with_the_gateways (void)
 {
   uint32_t most = (uint32_t)((OUTAGE_US - RDU_VOUCHED_US) / RDU_TURN_US);
 
@@ -250,9 +259,9 @@
 }
 
 /*
- * The store was out and is back; engines whose entries lapsed write them again within two seconds.
- * After that an entry goes as its engine leaves. It must not be kept, however unsure the peer is
- * that tells of it: callers' requests would reach an engine that has left.
+ * After an outage of the store, engines whose entries lapsed write them again within 2 s. An entry
+ * that goes missing later belongs to an engine that leaves. It must not be kept, even if the peer
+ * that reports it is not sure: requests would reach an engine that has left.
  */
 static void
 test_entries_lapse_only_around_an_outage (void)
@@ -268,19 +277,19 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_few_follow_the_rest_does_not),
-    SUITE_TEST (test_who_is_not_vouched_for_reads),
-    SUITE_TEST (test_next_one_reads_within_the_bound),
-    SUITE_TEST (test_one_that_had_to_read_follows_until_another_vouches),
-    SUITE_TEST (test_vouching_lasts_longer_where_news_may_take_longer),
-    SUITE_TEST (test_one_that_knows_less_vouches_for_nothing),
-    SUITE_TEST (test_news_of_a_peer),
-    SUITE_TEST (test_other_way_after_a_while),
-    SUITE_TEST (test_peer_is_asked_soon_while_the_store_is_lost),
-    SUITE_TEST (test_copy_of_a_peer_vouches),
-    SUITE_TEST (test_lost_copy_vouches_for_nothing),
-    SUITE_TEST (test_large_news_is_asked_for_after_a_while),
-    SUITE_TEST (test_reads_of_an_outage_do_not_grow_with_the_gateways),
+    SUITE_TEST (test_only_followers_read),
+    SUITE_TEST (test_gateway_reads_when_nobody_vouches),
+    SUITE_TEST (test_next_reader_meets_the_bound),
+    SUITE_TEST (test_acting_follower_reads_until_a_peer_vouches),
+    SUITE_TEST (test_copy_stays_current_longer_with_a_longer_bound),
+    SUITE_TEST (test_peer_with_lower_offset_does_not_vouch),
+    SUITE_TEST (test_new_records_are_fetched_from_a_peer),
+    SUITE_TEST (test_other_source_is_tried_after_the_patience),
+    SUITE_TEST (test_follower_without_store_asks_a_peer_soon),
+    SUITE_TEST (test_fetched_copy_vouches),
+    SUITE_TEST (test_failed_fetch_does_not_vouch),
+    SUITE_TEST (test_large_records_are_asked_of_a_peer_after_the_patience),
+    SUITE_TEST (test_reads_in_an_outage_do_not_grow_with_the_gateways),
     SUITE_TEST (test_entries_lapse_only_around_an_outage),
     CU_TEST_INFO_NULL
   };
