--- a/src/request/policy/directory.c
+++ b/src/request/policy/directory.c
@@ -2,11 +2,11 @@
 
 #include <glib.h>
 
-#define DIR_WAYS 8 /* entries of a bucket, looked through one by one */
+#define BUCKET_ENTRIES 8 /* searched one by one */
 
-struct dir
+struct chat_directory
 {
-  dir_entry_t *entries; /* chat_hash 0 is empty */
+  dir_entry_t *entries;
   uint32_t bucket_mask;
   uint32_t count;
 };
@@ -15,35 +15,35 @@
 bucket_count_for (uint32_t entry_limit)
 {
   uint32_t buckets = 1;
-  while (buckets * DIR_WAYS < entry_limit)
+  while (buckets * BUCKET_ENTRIES < entry_limit)
     buckets *= 2;
   return buckets;
 }
 
 static dir_entry_t *
-bucket_of (const dir_t *dir, uint64_t chat_hash)
+bucket_of (const dir_t *directory, uint64_t chat_hash)
 {
-  const uint32_t bucket = (uint32_t)(chat_hash >> 32) & dir->bucket_mask;
-  return &dir->entries[(size_t)bucket * DIR_WAYS];
+  const uint32_t bucket = (uint32_t)(chat_hash >> 32) & directory->bucket_mask;
+  return &directory->entries[(size_t)bucket * BUCKET_ENTRIES];
 }
 
 static dir_entry_t *
-find (const dir_t *dir, uint64_t chat_hash)
+find (const dir_t *directory, uint64_t chat_hash)
 {
-  dir_entry_t *bucket = bucket_of (dir, chat_hash);
-  for (uint32_t i = 0; i < DIR_WAYS; i++)
+  dir_entry_t *bucket = bucket_of (directory, chat_hash);
+  for (uint32_t i = 0; i < BUCKET_ENTRIES; i++)
     if (bucket[i].chat_hash == chat_hash)
       return &bucket[i];
   return NULL;
 }
 
-/* Empty ones have served_us 0, so they are taken before any other. */
+/* Return: the entry of the chat's bucket to be replaced, an unused one if there is one */
 static dir_entry_t *
-oldest (const dir_t *dir, uint64_t chat_hash)
+oldest (const dir_t *directory, uint64_t chat_hash)
 {
-  dir_entry_t *bucket = bucket_of (dir, chat_hash);
+  dir_entry_t *bucket = bucket_of (directory, chat_hash);
   dir_entry_t *chosen = &bucket[0];
-  for (uint32_t i = 0; i < DIR_WAYS; i++)
+  for (uint32_t i = 0; i < BUCKET_ENTRIES; i++)
     {
       if (bucket[i].chat_hash == 0)
         return &bucket[i];
@@ -56,45 +56,48 @@
 dir_t *
 dir_new (uint32_t entry_limit)
 {
-  dir_t *dir = g_new0 (dir_t, 1);
+  dir_t *directory = g_new0 (dir_t, 1);
   const uint32_t buckets = bucket_count_for (entry_limit);
-  dir->entries = g_new0 (dir_entry_t, (size_t)buckets * DIR_WAYS);
-  dir->bucket_mask = buckets - 1;
-  return dir;
+  directory->entries = g_new0 (dir_entry_t, (size_t)buckets * BUCKET_ENTRIES);
+  directory->bucket_mask = buckets - 1;
+  return directory;
 }
 
 void
-dir_free (dir_t *dir)
+dir_free (dir_t *directory)
 {
-  if (dir == NULL)
+  if (directory == NULL)
     return;
-  g_free (dir->entries);
-  g_free (dir);
+  g_free (directory->entries);
+  g_free (directory);
 }
 
 void
-dir_put (dir_t *dir, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash)
+dir_put (dir_t *directory, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash)
 {
   if (chat_hash == 0)
     return;
-  dir_entry_t *entry = find (dir, chat_hash);
+  dir_entry_t *entry = find (directory, chat_hash);
   if (entry == NULL)
-    entry = oldest (dir, chat_hash);
+    entry = oldest (directory, chat_hash);
   if (entry->chat_hash == 0)
-    dir->count++;
+    directory->count++;
   *entry = (dir_entry_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .served_us = now_us };
 }
 
 bool
-dir_get (
-    const dir_t *dir, uint64_t now_us, uint64_t lifetime_us, uint64_t chat_hash, dir_entry_t *out)
+dir_get (const dir_t *directory,
+         uint64_t now_us,
+         uint64_t lifetime_us,
+         uint64_t chat_hash,
+         dir_entry_t *out)
 {
   if (chat_hash == 0)
     return false;
-  const dir_entry_t *entry = find (dir, chat_hash);
+  const dir_entry_t *entry = find (directory, chat_hash);
   if (entry == NULL)
     return false;
-  /* Not "served_us + lifetime_us": that wraps for a lifetime without end. */
+  /* The sum "served_us + lifetime_us" would overflow for an infinite lifetime. */
   if (now_us > entry->served_us && now_us - entry->served_us > lifetime_us)
     return false;
   *out = *entry;
@@ -102,28 +105,30 @@
 }
 
 void
-dir_forget (dir_t *dir, uint64_t chat_hash)
+dir_forget (dir_t *directory, uint64_t chat_hash)
 {
   if (chat_hash == 0)
     return;
-  dir_entry_t *entry = find (dir, chat_hash);
+  dir_entry_t *entry = find (directory, chat_hash);
   if (entry == NULL)
     return;
   *entry = (dir_entry_t){ 0 };
-  dir->count--;
+  directory->count--;
 }
 
 void
-dir_each (const dir_t *dir, void (*visit) (const dir_entry_t *entry, void *context), void *context)
+dir_each (const dir_t *directory,
+          void (*visit) (const dir_entry_t *entry, void *context),
+          void *context)
 {
-  const size_t limit = ((size_t)dir->bucket_mask + 1) * DIR_WAYS;
+  const size_t limit = ((size_t)directory->bucket_mask + 1) * BUCKET_ENTRIES;
   for (size_t i = 0; i < limit; i++)
-    if (dir->entries[i].chat_hash != 0)
-      visit (&dir->entries[i], context);
+    if (directory->entries[i].chat_hash != 0)
+      visit (&directory->entries[i], context);
 }
 
 uint32_t
-dir_count (const dir_t *dir)
+dir_count (const dir_t *directory)
 {
-  return dir->count;
+  return directory->count;
 }
--- a/src/request/policy/directory.h
+++ b/src/request/policy/directory.h
@@ -1,9 +1,9 @@
 /**
  * DOC: directory
  *
- * What a sidecar remembers of chats: which it served lately, and where those whose home it is were
- * last served when that was elsewhere. A bounded hash table; the oldest entry of a full bucket
- * goes.
+ * Which engine served a chat last, as one sidecar knows it: for the chats that it served lately,
+ * and for those that hash to it but were last served by another engine. A hash table of fixed size;
+ * when a bucket is full, its oldest entry is replaced.
  */
 #ifndef REQUEST_POLICY_DIRECTORY_H
 #define REQUEST_POLICY_DIRECTORY_H
@@ -11,6 +11,12 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/**
+ * struct chat_directory_entry - one chat
+ * @chat_hash: 0 for an unused entry
+ * @engine_hash: the engine that served the chat last
+ * @served_us: when it did
+ */
 typedef struct
 {
   uint64_t chat_hash;
@@ -18,18 +24,26 @@
   uint64_t served_us;
 } dir_entry_t;
 
-typedef struct dir dir_t;
+typedef struct chat_directory dir_t;
 
+/** dir_new() - Return: an empty directory for at least @entry_limit chats */
 dir_t *dir_new (uint32_t entry_limit);
-void dir_free (dir_t *dir);
-void dir_put (dir_t *dir, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash);
-/** dir_get() - whether an entry not older than @lifetime_us stands */
-bool dir_get (
-    const dir_t *dir, uint64_t now_us, uint64_t lifetime_us, uint64_t chat_hash, dir_entry_t *out);
-void dir_forget (dir_t *dir, uint64_t chat_hash);
-/** dir_each() - all entries, for the hand-over of a leaving sidecar */
-void
-dir_each (const dir_t *dir, void (*visit) (const dir_entry_t *entry, void *context), void *context);
-uint32_t dir_count (const dir_t *dir);
+void dir_free (dir_t *directory);
+/** dir_put() - @engine_hash served the chat at @now_us; a @chat_hash of 0 is ignored */
+void dir_put (dir_t *directory, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash);
+/** dir_get() - gets the entry of a chat. Return: false when there is none, or one older than
+ * @lifetime_us */
+bool dir_get (const dir_t *directory,
+              uint64_t now_us,
+              uint64_t lifetime_us,
+              uint64_t chat_hash,
+              dir_entry_t *out);
+void dir_forget (dir_t *directory, uint64_t chat_hash);
+/** dir_each() - calls @visit for each entry; a leaving sidecar so hands its entries over */
+void dir_each (const dir_t *directory,
+               void (*visit) (const dir_entry_t *entry, void *context),
+               void *context);
+/** dir_count() - Return: number of chats in the directory */
+uint32_t dir_count (const dir_t *directory);
 
 #endif
--- a/src/request/policy/start_ask.c
+++ b/src/request/policy/start_ask.c
@@ -6,8 +6,8 @@
 sak_init (sak_t *sak, uint64_t now_us, bool first_start, bool can_ask)
 {
   *sak = (sak_t){ .first_start = first_start,
-                  .reads = !can_ask,
-                  .until_us = now_us + (first_start ? SAK_FIRST_PATIENCE_US : SAK_PATIENCE_US),
+                  .read_store = !can_ask,
+                  .deadline_us = now_us + (first_start ? SAK_FIRST_PATIENCE_US : SAK_PATIENCE_US),
                   .next_us = now_us,
                   .wait_us = SAK_WAIT_MIN_US };
 }
@@ -15,7 +15,7 @@
 bool
 sak_reads (const sak_t *sak, uint64_t now_us)
 {
-  return sak->reads || now_us >= sak->until_us;
+  return sak->read_store || now_us >= sak->deadline_us;
 }
 
 bool
@@ -35,11 +35,11 @@
 sak_refused (
     sak_t *sak, uint64_t now_us, sak_refusal_t refusal, bool elsewhere, uint32_t spread_milli)
 {
-  sak->silent = refusal == SAK_SILENT ? sak->silent + 1 : 0;
+  sak->unanswered = refusal == SAK_SILENT ? sak->unanswered + 1 : 0;
   if (refusal == SAK_LARGE)
-    sak->reads = true;
-  if (!sak->first_start && (refusal == SAK_COLD || sak->silent >= SAK_SILENT_MOST))
-    sak->reads = true;
+    sak->read_store = true;
+  if (!sak->first_start && (refusal == SAK_COLD || sak->unanswered >= SAK_SILENT_MOST))
+    sak->read_store = true;
   if (elsewhere)
     sak->next_us = now_us + SAK_WAIT_MIN_US * spread_milli / 1000;
   else if (refusal != SAK_SILENT || sak->first_start || sak_reads (sak, now_us))
@@ -58,7 +58,7 @@
 sak_served (sak_server_t *server, uint64_t now_us, const set_address_t *asker)
 {
   server->served_us[server->served % SAK_SERVED_AT_ONCE] = now_us;
-  server->helpers[server->served % SAK_HELPERS] = *asker;
+  server->referrals[server->served % SAK_HELPERS] = *asker;
   server->served++;
 }
 
@@ -69,6 +69,6 @@
 
   if (count == 0)
     return false;
-  *helper = server->helpers[draw % count];
+  *helper = server->referrals[draw % count];
   return true;
 }
--- a/src/request/policy/start_ask.h
+++ b/src/request/policy/start_ask.h
@@ -1,14 +1,15 @@
 /**
  * DOC: start_ask
  *
- * How a gateway that starts gets what the platform's store holds: from a gateway that has it, so
- * that calls to the store do not grow with the starts, and from the store when none has. The other
- * side too: how many that start are served at once, and whom the rest are sent to. Pure state
- * machines.
+ * How a gateway that starts gets the content of the platform's store: from a gateway that has it,
+ * so that calls to the store don't grow with the number of starts, or from the store when no
+ * gateway has it. The serving side is here too: how many starting gateways are served at once, and
+ * where the others are referred to. Pure state machines.
  *
- * At the first start of a whole fleet no caller is there yet, and none has anything: those that are
- * named in the settings read the store, and what they have spreads from one to the next. At any
- * other start callers wait, so a peer that has nothing either is not waited for.
+ * When a whole fleet starts for the first time, no requests arrive yet and no gateway has anything:
+ * the gateways that the settings name as seeds read the store, and the others get the content from
+ * each other. At any other start requests are waiting, so a peer that has nothing either is not
+ * waited for.
  */
 #ifndef REQUEST_POLICY_START_ASK_H
 #define REQUEST_POLICY_START_ASK_H
@@ -18,67 +19,94 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A peer that has all answers within this; one that has lost power never does. */
+/* A peer that has the content answers within this time, and one that lost power never does: after
+ * it the store is read. */
 #define SAK_PATIENCE_US (UINT64_C (60) * 1000)
+/* The same at the first start of a fleet, where no request waits. */
 #define SAK_FIRST_PATIENCE_US (UINT64_C (4000) * 1000)
-#define SAK_WAIT_MIN_US (UINT64_C (50) * 1000) /* between two questions; doubles */
+/* Time between two questions to peers; it doubles with each question. */
+#define SAK_WAIT_MIN_US (UINT64_C (50) * 1000)
 #define SAK_WAIT_MAX_US (UINT64_C (400) * 1000)
-#define SAK_SILENT_MOST 3 /* peers in a row that did not answer */
+/* After this many unanswered questions in a row the store is read. */
+#define SAK_SILENT_MOST 3
 
-/* A registry of hundreds of engines takes a link of 20 Mbit/s some 80 ms. */
+/* How many starting gateways one gateway serves in %SAK_SERVE_US. A registry of hundreds of engines
+ * takes about 80 ms on a link of 20 Mbit/s. */
 #define SAK_SERVED_AT_ONCE 4
 #define SAK_SERVE_US (UINT64_C (300) * 1000)
+/* How many of the gateways served last are remembered to refer others to. */
 #define SAK_HELPERS 8
 
+/** enum bootstrap_refusal - why a peer did not send the content */
 typedef enum
 {
-  SAK_BUSY,  /* it serves others that start */
-  SAK_COLD,  /* it has nothing itself yet */
-  SAK_LARGE, /* what it has is large: the store has the bandwidth for it */
-  SAK_SILENT /* no answer, or none that counts */
+  SAK_BUSY,  /* it is serving as many as it may */
+  SAK_COLD,  /* it doesn't have the content yet */
+  SAK_LARGE, /* the content is too large: the store has the bandwidth for it */
+  SAK_SILENT /* no answer, or an invalid one */
 } sak_refusal_t;
 
-/** struct sak - one that starts */
+/**
+ * struct sak - a gateway that starts
+ * @first_start: the whole fleet starts for the first time
+ * @read_store: the store is to be read, whatever the time is
+ * @unanswered: questions in a row without an answer
+ * @deadline_us: from then on the store is read
+ * @next_us: when the next peer may be asked
+ * @wait_us: time from the next question to the one after it
+ */
 typedef struct
 {
   bool first_start;
-  bool reads;
-  uint32_t silent;
-  uint64_t until_us;
+  bool read_store;
+  uint32_t unanswered;
+  uint64_t deadline_us;
   uint64_t next_us;
   uint64_t wait_us;
 } sak_t;
 
-/** sak_init() - @first_start: of the whole fleet; @can_ask: a peer is named, and this is none of
- * those that others ask */
+/**
+ * sak_init() - begins a start
+ * @first_start: the whole fleet starts for the first time
+ * @can_ask: the settings name a peer to ask, and this gateway is not a seed itself
+ */
 void sak_init (sak_t *sak, uint64_t now_us, bool first_start, bool can_ask);
-/** sak_reads() - whether the store is to be read from now on; peers are asked no more then, unless
- * the store fails */
+/** sak_reads() - whether to read the store from now on; peers are asked then only if it fails */
 bool sak_reads (const sak_t *sak, uint64_t now_us);
-/** sak_asks() - whether a peer may be asked now, while no question is open */
+/** sak_asks() - whether a peer may be asked now; not to be called while a question is open */
 bool sak_asks (const sak_t *sak, uint64_t now_us);
-/** sak_refused() - @elsewhere: a peer was named that may have it; @spread_milli: at random, 0 to
- * 1000, so that those that started together do not ask together */
+/**
+ * sak_refused() - a peer that was asked did not send the content
+ * @elsewhere: it named another gateway that may have the content
+ * @spread_milli: random, 0 to 1000, so that gateways that start together don't ask together
+ */
 void sak_refused (
     sak_t *sak, uint64_t now_us, sak_refusal_t refusal, bool elsewhere, uint32_t spread_milli);
 
 /**
- * struct sak_server - one that is asked
- * @served_us: when those served last were, in a ring
- * @helpers: control addresses of those served, in a ring
+ * struct sak_server - a gateway that is asked
+ * @served_us: ring of the times at which it sent the content last
+ * @referrals: ring of the control addresses of the gateways it sent the content to last
+ * @served: how often it sent the content
  */
 typedef struct
 {
   uint64_t served_us[SAK_SERVED_AT_ONCE];
-  set_address_t helpers[SAK_HELPERS];
+  set_address_t referrals[SAK_HELPERS];
   uint32_t served;
 } sak_server_t;
 
-/** sak_may_serve() - whether one more may be served now */
+/** sak_may_serve() - whether one more gateway may be served now */
 bool sak_may_serve (const sak_server_t *server, uint64_t now_us);
-/** sak_served() - @asker is sent all */
+/** sak_served() - the content is sent to the gateway with the control address @asker */
 void sak_served (sak_server_t *server, uint64_t now_us, const set_address_t *asker);
-/** sak_helper() - one that was served, by @draw at random. Return: false when none was */
+/**
+ * sak_helper() - picks one of the gateways that were served last
+ * @draw: random number
+ * @helper: set to its control address
+ *
+ * Return: false when none was served yet
+ */
 bool sak_helper (const sak_server_t *server, uint32_t draw, set_address_t *helper);
 
 #endif
--- a/src/request/policy/suspect.c
+++ b/src/request/policy/suspect.c
@@ -7,67 +7,66 @@
 {
   uint64_t fingerprint;
   uint64_t engines[LIM_SUSPECT_CRASHES];
-  uint64_t crashed_us; /* of the last crash */
-  GList link;          /* in sus.newest_first */
-} sus_entry_t;
+  uint64_t crashed_us; /* time of the last crash */
+  GList link;          /* in sus.by_crash_time */
+} entry_t;
 
 struct sus
 {
-  GHashTable *entries; /* fingerprint -> sus_entry_t */
-  GQueue newest_first;
+  GHashTable *entries;  /* fingerprint -> sus_entry_t */
+  GQueue by_crash_time; /* newest first */
   uint32_t limit;
   uint64_t lifetime_us;
 };
 
 static bool
-expired (const sus_t *sus, uint64_t now_us, const sus_entry_t *entry)
+is_expired (const sus_t *sus, uint64_t now_us, const entry_t *entry)
 {
   return now_us > entry->crashed_us + sus->lifetime_us;
 }
 
 static void
-drop (sus_t *sus, sus_entry_t *entry)
+remove_entry (sus_t *sus, entry_t *entry)
 {
-  g_queue_unlink (&sus->newest_first, &entry->link);
+  g_queue_unlink (&sus->by_crash_time, &entry->link);
   g_hash_table_remove (sus->entries, &entry->fingerprint);
 }
 
 static void
-drop_expired (sus_t *sus, uint64_t now_us)
+remove_expired (sus_t *sus, uint64_t now_us)
 {
   for (;;)
     {
-      sus_entry_t *oldest = g_queue_peek_tail (&sus->newest_first);
-      if (oldest == NULL || !expired (sus, now_us, oldest))
+      entry_t *oldest = g_queue_peek_tail (&sus->by_crash_time);
+      if (oldest == NULL || !is_expired (sus, now_us, oldest))
         return;
-      drop (sus, oldest);
+      remove_entry (sus, oldest);
     }
 }
 
-static sus_entry_t *
+static entry_t *
 find (const sus_t *sus, uint64_t now_us, uint64_t fingerprint)
 {
-  sus_entry_t *entry = g_hash_table_lookup (sus->entries, &fingerprint);
-  return entry != NULL && !expired (sus, now_us, entry) ? entry : NULL;
+  entry_t *entry = g_hash_table_lookup (sus->entries, &fingerprint);
+  return entry != NULL && !is_expired (sus, now_us, entry) ? entry : NULL;
 }
 
-/* Kept in the order of the last crash: marks from peers come late, so the place is searched from
- * the newest on. */
+/* Marks of peers may come late, so the place in the order is searched for, from the newest on. */
 static void
-link_by_time (sus_t *sus, sus_entry_t *entry)
+link_by_time (sus_t *sus, entry_t *entry)
 {
-  GList *at = sus->newest_first.head;
-  while (at != NULL && ((sus_entry_t *)at->data)->crashed_us > entry->crashed_us)
+  GList *at = sus->by_crash_time.head;
+  while (at != NULL && ((entry_t *)at->data)->crashed_us > entry->crashed_us)
     at = at->next;
-  g_queue_insert_before_link (&sus->newest_first, at, &entry->link);
+  g_queue_insert_before_link (&sus->by_crash_time, at, &entry->link);
 }
 
-static sus_entry_t *
-make (sus_t *sus, uint64_t fingerprint, uint64_t crashed_us)
+static entry_t *
+add_entry (sus_t *sus, uint64_t fingerprint, uint64_t crashed_us)
 {
   while (g_hash_table_size (sus->entries) >= sus->limit)
-    drop (sus, g_queue_peek_tail (&sus->newest_first));
-  sus_entry_t *entry = g_new0 (sus_entry_t, 1);
+    remove_entry (sus, g_queue_peek_tail (&sus->by_crash_time));
+  entry_t *entry = g_new0 (entry_t, 1);
   entry->fingerprint = fingerprint;
   entry->crashed_us = crashed_us;
   entry->link.data = entry;
@@ -77,7 +76,7 @@
 }
 
 static bool
-holds (const uint64_t *engines, uint64_t engine_hash)
+has_engine (const uint64_t *engines, uint64_t engine_hash)
 {
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
     if (engines[i] == engine_hash)
@@ -86,9 +85,9 @@
 }
 
 static bool
-add_engine (sus_entry_t *entry, uint64_t engine_hash)
+add_engine (entry_t *entry, uint64_t engine_hash)
 {
-  if (engine_hash == 0 || holds (entry->engines, engine_hash))
+  if (engine_hash == 0 || has_engine (entry->engines, engine_hash))
     return false;
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
     if (entry->engines[i] == 0)
@@ -100,24 +99,24 @@
 }
 
 static bool
-note_time (sus_t *sus, sus_entry_t *entry, uint64_t crashed_us)
+update_crash_time (sus_t *sus, entry_t *entry, uint64_t crashed_us)
 {
   if (crashed_us <= entry->crashed_us)
     return false;
   entry->crashed_us = crashed_us;
-  g_queue_unlink (&sus->newest_first, &entry->link);
+  g_queue_unlink (&sus->by_crash_time, &entry->link);
   link_by_time (sus, entry);
   return true;
 }
 
 static bool
-is_final (const sus_entry_t *entry)
+is_final (const entry_t *entry)
 {
-  return !holds (entry->engines, 0);
+  return !has_engine (entry->engines, 0);
 }
 
 static sus_mark_t
-mark_of (const sus_entry_t *entry, uint64_t now_us)
+make_mark (const entry_t *entry, uint64_t now_us)
 {
   const uint64_t age_us = now_us > entry->crashed_us ? now_us - entry->crashed_us : 0;
   sus_mark_t mark = { .fingerprint = entry->fingerprint, .age_ms = (uint32_t)(age_us / 1000) };
@@ -131,7 +130,7 @@
   g_assert (limit > 0);
   sus_t *sus = g_new0 (sus_t, 1);
   sus->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  g_queue_init (&sus->newest_first);
+  g_queue_init (&sus->by_crash_time);
   sus->limit = limit;
   sus->lifetime_us = lifetime_us;
   return sus;
@@ -149,22 +148,22 @@
 sus_verdict_t
 sus_check (sus_t *sus, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash)
 {
-  const sus_entry_t *entry = find (sus, now_us, fingerprint);
+  const entry_t *entry = find (sus, now_us, fingerprint);
   if (entry == NULL)
     return SUS_CLEAR;
   if (is_final (entry))
     return SUS_FINAL;
-  return holds (entry->engines, engine_hash) ? SUS_NOT_HERE : SUS_CLEAR;
+  return has_engine (entry->engines, engine_hash) ? SUS_NOT_HERE : SUS_CLEAR;
 }
 
 bool
 sus_add (sus_t *sus, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash)
 {
-  drop_expired (sus, now_us);
-  sus_entry_t *entry = find (sus, now_us, fingerprint);
+  remove_expired (sus, now_us);
+  entry_t *entry = find (sus, now_us, fingerprint);
   if (entry == NULL)
-    entry = make (sus, fingerprint, now_us);
-  note_time (sus, entry, now_us);
+    entry = add_entry (sus, fingerprint, now_us);
+  update_crash_time (sus, entry, now_us);
   return add_engine (entry, engine_hash);
 }
 
@@ -176,27 +175,28 @@
     return false;
   if (sus_is_cleared (mark))
     return sus_clear (sus, mark->fingerprint);
-  drop_expired (sus, now_us);
+  remove_expired (sus, now_us);
   const uint64_t crashed_us = now_us > age_us ? now_us - age_us : 0;
-  sus_entry_t *entry = find (sus, now_us, mark->fingerprint);
+  entry_t *entry = find (sus, now_us, mark->fingerprint);
   if (entry == NULL)
-    entry = make (sus, mark->fingerprint, crashed_us);
-  bool told_new = false;
+    entry = add_entry (sus, mark->fingerprint, crashed_us);
+  bool changed = false;
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
-    told_new |= add_engine (entry, mark->engines[i]);
-  /* A time alone is no news: it is passed on with a rounded age, and each pass would renew it. */
-  if (told_new)
-    note_time (sus, entry, crashed_us);
-  return told_new;
+    changed |= add_engine (entry, mark->engines[i]);
+  /* A later time alone is not taken over: ages are rounded when marks are sent, so two daemons that
+   * send each other the same mark would renew it without end. */
+  if (changed)
+    update_crash_time (sus, entry, crashed_us);
+  return changed;
 }
 
 bool
 sus_get (const sus_t *sus, uint64_t now_us, uint64_t fingerprint, sus_mark_t *out)
 {
-  const sus_entry_t *entry = find (sus, now_us, fingerprint);
+  const entry_t *entry = find (sus, now_us, fingerprint);
   if (entry == NULL)
     return false;
-  *out = mark_of (entry, now_us);
+  *out = make_mark (entry, now_us);
   return true;
 }
 
@@ -204,12 +204,12 @@
 sus_recent (const sus_t *sus, uint64_t now_us, sus_mark_t *out, uint32_t want)
 {
   uint32_t found = 0;
-  for (const GList *at = sus->newest_first.head; at != NULL && found < want; at = at->next)
+  for (const GList *at = sus->by_crash_time.head; at != NULL && found < want; at = at->next)
     {
-      const sus_entry_t *entry = at->data;
-      if (expired (sus, now_us, entry))
+      const entry_t *entry = at->data;
+      if (is_expired (sus, now_us, entry))
         break;
-      out[found++] = mark_of (entry, now_us);
+      out[found++] = make_mark (entry, now_us);
     }
   return found;
 }
@@ -217,10 +217,10 @@
 bool
 sus_clear (sus_t *sus, uint64_t fingerprint)
 {
-  sus_entry_t *entry = g_hash_table_lookup (sus->entries, &fingerprint);
+  entry_t *entry = g_hash_table_lookup (sus->entries, &fingerprint);
 
   if (entry)
-    drop (sus, entry);
+    remove_entry (sus, entry);
   return entry != NULL;
 }
 
--- a/tests/test_start_ask.c
+++ b/tests/test_start_ask.c
@@ -1,4 +1,5 @@
-/* Unit tests of how a gateway that starts gets what the store holds, and of how peers serve it. */
+/* Unit tests of how a gateway that starts gets the content of the store, and of how peers serve it.
+ */
 #include "base/clock.h"
 #include "request/policy/start_ask.h"
 #include "suite.h"
@@ -7,7 +8,7 @@
 #include <string.h>
 
 #define START_US (UINT64_C (100) * CLK_US_PER_S)
-#define STEP_US (UINT64_C (10) * CLK_US_PER_MS)
+#define TICK_US (UINT64_C (10) * CLK_US_PER_MS)
 #define SEEDS 3
 
 static sak_t
@@ -20,25 +21,25 @@
 }
 
 static bool
-asks (const sak_t *sak, uint64_t now_us)
+asks_peer (const sak_t *sak, uint64_t now_us)
 {
   return sak_asks (sak, now_us) && !sak_reads (sak, now_us);
 }
 
 static void
-test_named_gateways_read_the_store (void)
+test_seeds_read_the_store (void)
 {
   sak_t sak;
 
   sak_init (&sak, START_US, true, false);
   CU_ASSERT (sak_reads (&sak, START_US));
   sak = started (true);
-  CU_ASSERT (asks (&sak, START_US));
+  CU_ASSERT (asks_peer (&sak, START_US));
 }
 
-/* Guards against callers that wait for a gateway which waits for peers that have nothing. */
+/* Guards against requests that wait for a gateway which waits for peers that have nothing. */
 static void
-test_cold_peer_is_not_waited_for_while_callers_wait (void)
+test_empty_peer_is_not_waited_for_while_requests_wait (void)
 {
   sak_t sak = started (false);
 
@@ -47,10 +48,10 @@
   sak = started (true);
   sak_refused (&sak, START_US, SAK_COLD, false, 500);
   CU_ASSERT (!sak_asks (&sak, START_US) && !sak_reads (&sak, START_US));
-  CU_ASSERT (asks (&sak, START_US + 2 * SAK_WAIT_MIN_US));
+  CU_ASSERT (asks_peer (&sak, START_US + 2 * SAK_WAIT_MIN_US));
 }
 
-/* Guards against links that are filled by gateways that start, where there is more to tell. */
+/* Guards against starting gateways that fill the links of their peers when the content is large. */
 static void
 test_large_answer_is_left_to_the_store (void)
 {
@@ -60,27 +61,26 @@
   CU_ASSERT (sak_reads (&sak, START_US));
 }
 
-/* Guards against a gateway that never starts, as those that it was told of are gone. */
+/* Guards against a gateway that never starts because the peers named to it are gone. */
 static void
-test_patience_ends (void)
+test_store_is_read_after_the_timeout (void)
 {
   sak_t sak = started (false);
 
   for (uint32_t i = 0; i < SAK_SILENT_MOST; i++)
     {
-      CU_ASSERT (asks (&sak, START_US));
+      CU_ASSERT (asks_peer (&sak, START_US));
       sak_refused (&sak, START_US, SAK_SILENT, false, 500);
     }
   CU_ASSERT (sak_reads (&sak, START_US));
   sak = started (false);
   CU_ASSERT (sak_reads (&sak, START_US + SAK_PATIENCE_US));
   sak = started (true);
-  CU_ASSERT (asks (&sak, START_US + SAK_FIRST_PATIENCE_US - 1));
+  CU_ASSERT (asks_peer (&sak, START_US + SAK_FIRST_PATIENCE_US - 1));
   CU_ASSERT (sak_reads (&sak, START_US + SAK_FIRST_PATIENCE_US));
 }
 
-/* Guards against peers that are asked without a pause while the store is out and they have nothing.
- */
+/* Guards against peers that are asked without a pause while neither they nor the store answer. */
 static void
 test_questions_are_paced_while_the_store_fails (void)
 {
@@ -88,7 +88,7 @@
   uint64_t at_us = START_US + SAK_PATIENCE_US;
   uint32_t questions = 0;
 
-  for (; at_us < START_US + 10 * CLK_US_PER_S; at_us += STEP_US)
+  for (; at_us < START_US + 10 * CLK_US_PER_S; at_us += TICK_US)
     if (sak_asks (&sak, at_us))
       {
         questions++;
@@ -98,7 +98,7 @@
 }
 
 static void
-test_few_are_served_at_once (void)
+test_number_served_at_once_is_limited (void)
 {
   sak_server_t server = { 0 };
   set_address_t asker = { "127.0.0.1", 7 };
@@ -116,74 +116,77 @@
   CU_ASSERT_EQUAL (helper.port, 7);
 }
 
-/** struct starter - a gateway of a fleet that starts together; number 0 to SEEDS - 1 read the store
+/**
+ * struct gateway - a gateway of a fleet that starts together; numbers 0 to SEEDS - 1 are the seeds
+ * @content_due_us: when the content that it was sent, or reads, arrives; 0 for none
+ * @next_peer: number of the gateway that it asks next
  */
 typedef struct
 {
   sak_t sak;
   sak_server_t server;
-  bool warm;
-  uint64_t warm_us; /* an answer that is on its way */
-  uint32_t ask;     /* whom to ask next */
-} starter_t;
+  bool has_content;
+  uint64_t content_due_us;
+  uint32_t next_peer;
+} gateway_t;
 
 static void
-step (starter_t *fleet, uint32_t index, uint64_t now_us, GRand *rand, uint32_t *reads)
+step (gateway_t *fleet, uint32_t index, uint64_t now_us, GRand *rand, uint32_t *reads)
 {
-  starter_t *own = &fleet[index];
-  starter_t *peer = &fleet[own->ask];
+  gateway_t *own = &fleet[index];
+  gateway_t *peer = &fleet[own->next_peer];
   uint32_t spread = (uint32_t)g_rand_int_range (rand, 0, 1000);
   set_address_t asker = { "", (uint16_t)index };
   set_address_t helper = { "", 0 };
 
-  if (own->warm_us != 0)
+  if (own->content_due_us != 0)
     {
-      own->warm = own->warm || now_us >= own->warm_us;
+      own->has_content = own->has_content || now_us >= own->content_due_us;
       return;
     }
   if (sak_reads (&own->sak, now_us))
     {
       (*reads)++;
-      own->warm_us = now_us + 5 * STEP_US;
+      own->content_due_us = now_us + 5 * TICK_US;
       return;
     }
   if (!sak_asks (&own->sak, now_us))
     return;
-  if (peer->warm && sak_may_serve (&peer->server, now_us))
+  if (peer->has_content && sak_may_serve (&peer->server, now_us))
     {
       sak_served (&peer->server, now_us, &asker);
-      own->warm_us = now_us + SAK_SERVE_US / 2;
+      own->content_due_us = now_us + SAK_SERVE_US / 2;
       return;
     }
-  bool elsewhere = peer->warm && sak_helper (&peer->server, g_rand_int (rand), &helper);
-  own->ask = elsewhere ? helper.port : (uint32_t)g_rand_int_range (rand, 0, SEEDS);
-  sak_refused (&own->sak, now_us, peer->warm ? SAK_BUSY : SAK_COLD, elsewhere, spread);
+  bool elsewhere = peer->has_content && sak_helper (&peer->server, g_rand_int (rand), &helper);
+  own->next_peer = elsewhere ? helper.port : (uint32_t)g_rand_int_range (rand, 0, SEEDS);
+  sak_refused (&own->sak, now_us, peer->has_content ? SAK_BUSY : SAK_COLD, elsewhere, spread);
 }
 
-/* Guards against calls to the store that grow with the gateways, at the first start of a fleet. */
+/* Guards against calls to the store that grow with the gateways at the first start of a fleet. */
 static void
-test_few_of_a_fleet_read_the_store (void)
+test_only_seeds_of_a_fleet_read_the_store (void)
 {
   static const uint32_t sizes[] = { 4, 103, 385, 880, 1760 };
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (sizes); i++)
     {
-      g_autofree starter_t *fleet = g_new0 (starter_t, sizes[i]);
+      g_autofree gateway_t *fleet = g_new0 (gateway_t, sizes[i]);
       GRand *rand = g_rand_new_with_seed (i);
       uint32_t reads = 0;
-      uint32_t warm = 0;
+      uint32_t has_content = 0;
 
       for (uint32_t j = 0; j < sizes[i]; j++)
         {
           sak_init (&fleet[j].sak, START_US, true, j >= SEEDS);
-          fleet[j].ask = (uint32_t)g_rand_int_range (rand, 0, SEEDS);
+          fleet[j].next_peer = (uint32_t)g_rand_int_range (rand, 0, SEEDS);
         }
-      for (uint64_t at_us = START_US; at_us <= START_US + SAK_FIRST_PATIENCE_US; at_us += STEP_US)
+      for (uint64_t at_us = START_US; at_us <= START_US + SAK_FIRST_PATIENCE_US; at_us += TICK_US)
         for (uint32_t j = 0; j < sizes[i]; j++)
           step (fleet, j, at_us, rand, &reads);
       for (uint32_t j = 0; j < sizes[i]; j++)
-        warm += fleet[j].warm ? 1 : 0;
-      CU_ASSERT_EQUAL (warm, sizes[i]);
+        has_content += fleet[j].has_content ? 1 : 0;
+      CU_ASSERT_EQUAL (has_content, sizes[i]);
       CU_ASSERT (reads <= SEEDS + sizes[i] / 100);
       g_rand_free (rand);
     }
@@ -193,13 +196,13 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_named_gateways_read_the_store),
-    SUITE_TEST (test_cold_peer_is_not_waited_for_while_callers_wait),
+    SUITE_TEST (test_seeds_read_the_store),
+    SUITE_TEST (test_empty_peer_is_not_waited_for_while_requests_wait),
     SUITE_TEST (test_large_answer_is_left_to_the_store),
-    SUITE_TEST (test_patience_ends),
+    SUITE_TEST (test_store_is_read_after_the_timeout),
     SUITE_TEST (test_questions_are_paced_while_the_store_fails),
-    SUITE_TEST (test_few_are_served_at_once),
-    SUITE_TEST (test_few_of_a_fleet_read_the_store),
+    SUITE_TEST (test_number_served_at_once_is_limited),
+    SUITE_TEST (test_only_seeds_of_a_fleet_read_the_store),
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_suspect.c
+++ b/tests/test_suspect.c
@@ -24,8 +24,8 @@
   CU_ASSERT_EQUAL (sus_check (sus, 3, 8, 100), SUS_CLEAR);
 }
 
-/* The first sidecar saw engine 100 crash, the second one engine 200. Each has heard the other's
- * mark: a resend through any router must find the request final at both. */
+/* One sidecar saw engine 100 crash, the other one engine 200. After an exchange of their marks both
+ * must refuse the request, whichever router it is sent through. */
 static void
 test_marks_merge (void)
 {
@@ -59,10 +59,10 @@
   CU_ASSERT_EQUAL (sus_check (sus, 10 * LIFETIME_US, 9, 1), SUS_CLEAR);
 }
 
-/* Two daemons tell each other the same mark for ever. It must still end, or a request that crashed
- * an engine once would be refused until the whole fleet was replaced. */
+/* Two daemons send each other the same mark again and again. It must still expire, or a request
+ * that crashed engines would be refused until every daemon has been restarted. */
 static void
-test_echo_does_not_renew (void)
+test_exchanged_marks_still_expire (void)
 {
   g_autoptr (sus_t) one = sus_new (8, LIFETIME_US);
   g_autoptr (sus_t) two = sus_new (8, LIFETIME_US);
@@ -80,9 +80,9 @@
   CU_ASSERT_EQUAL (sus_check (two, now_us, 7, 100), SUS_CLEAR);
 }
 
-/* Callers send one status check alike. Two engines crash for reasons of their own, and a gateway
- * that has just started refuses it to all of them, while the others serve it: it hears that it is
- * served. */
+/* Guards against a harmless request that one gateway refuses to everyone. Many clients send the
+ * same status check, and two engines crash during it for other reasons. A gateway that has just
+ * started must learn from its peers that they serve the request. */
 static void
 test_served_request_is_cleared_at_peers (void)
 {
@@ -114,19 +114,20 @@
 static void
 test_directory_keeps_and_forgets (void)
 {
-  g_autoptr (dir_t) dir = dir_new (64);
+  g_autoptr (dir_t) chats = dir_new (64);
   dir_entry_t entry;
-  dir_put (dir, 10, 7, 100);
-  dir_put (dir, 20, 7, 200);
-  CU_ASSERT_EQUAL (dir_count (dir), 1);
-  CU_ASSERT (dir_get (dir, 30, UINT64_MAX, 7, &entry)); /* a lifetime without end does not wrap */
-  CU_ASSERT_FATAL (dir_get (dir, 30, 10, 7, &entry));
+  dir_put (chats, 10, 7, 100);
+  dir_put (chats, 20, 7, 200);
+  CU_ASSERT_EQUAL (dir_count (chats), 1);
+  CU_ASSERT (
+      dir_get (chats, 30, UINT64_MAX, 7, &entry)); /* an infinite lifetime does not overflow */
+  CU_ASSERT_FATAL (dir_get (chats, 30, 10, 7, &entry));
   CU_ASSERT_EQUAL (entry.engine_hash, 200);
-  CU_ASSERT (!dir_get (dir, 31, 10, 7, &entry));
-  dir_forget (dir, 7);
-  dir_forget (dir, 7);
-  CU_ASSERT (!dir_get (dir, 20, 10, 7, &entry));
-  CU_ASSERT_EQUAL (dir_count (dir), 0);
+  CU_ASSERT (!dir_get (chats, 31, 10, 7, &entry));
+  dir_forget (chats, 7);
+  dir_forget (chats, 7);
+  CU_ASSERT (!dir_get (chats, 20, 10, 7, &entry));
+  CU_ASSERT_EQUAL (dir_count (chats), 0);
 }
 
 static void
@@ -139,16 +140,16 @@
 static void
 test_directory_is_bounded (void)
 {
-  g_autoptr (dir_t) dir = dir_new (64);
+  g_autoptr (dir_t) chats = dir_new (64);
   dir_entry_t entry;
   uint32_t visited = 0;
   for (uint64_t i = 1; i <= 1000; i++)
-    dir_put (dir, i, i * 0x9e3779b97f4a7c15ULL, 100);
-  CU_ASSERT (dir_count (dir) <= 64);
-  CU_ASSERT (dir_get (dir, 1000, 1000, 1000 * 0x9e3779b97f4a7c15ULL, &entry));
-  CU_ASSERT (!dir_get (dir, 1000, 1000, 0x9e3779b97f4a7c15ULL, &entry));
-  dir_each (dir, count_entry, &visited);
-  CU_ASSERT_EQUAL (visited, dir_count (dir));
+    dir_put (chats, i, i * 0x9e3779b97f4a7c15ULL, 100);
+  CU_ASSERT (dir_count (chats) <= 64);
+  CU_ASSERT (dir_get (chats, 1000, 1000, 1000 * 0x9e3779b97f4a7c15ULL, &entry));
+  CU_ASSERT (!dir_get (chats, 1000, 1000, 0x9e3779b97f4a7c15ULL, &entry));
+  dir_each (chats, count_entry, &visited);
+  CU_ASSERT_EQUAL (visited, dir_count (chats));
 }
 
 int
@@ -158,7 +159,7 @@
     { "two crashes are final", test_two_crashes_are_final },
     { "marks merge", test_marks_merge },
     { "marks expire", test_marks_expire },
-    { "an echo does not renew a mark", test_echo_does_not_renew },
+    { "exchanged marks still expire", test_exchanged_marks_still_expire },
     { "a served request is cleared at peers", test_served_request_is_cleared_at_peers },
     { "the limit drops the oldest", test_limit_drops_the_oldest },
     { "directory keeps and forgets", test_directory_keeps_and_forgets },
