--- a/src/request/policy/digest.c
+++ b/src/request/policy/digest.c
@@ -3,11 +3,11 @@
 #include <glib.h>
 #include <string.h>
 
-#define DIGEST_BYTES 32
+#define SHA256_BYTES 32
 
-/* add_text() - with its final NUL, so that no two lists of texts run together to the same bytes */
+/* Adds the final NUL too: without it two different lists of strings could give the same bytes. */
 static void
-add_text (GChecksum *sum, const char *text)
+add_string (GChecksum *sum, const char *text)
 {
   g_checksum_update (sum, (const guchar *)text, (gssize)strlen (text) + 1);
 }
@@ -15,7 +15,7 @@
 static void
 finish (GChecksum *sum, uint64_t out[2])
 {
-  guint8 digest[DIGEST_BYTES];
+  guint8 digest[SHA256_BYTES];
   gsize digest_bytes = sizeof digest;
 
   g_checksum_get_digest (sum, digest, &digest_bytes);
@@ -31,8 +31,8 @@
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
   uint64_t out[2];
 
-  add_text (sum, method);
-  add_text (sum, target);
+  add_string (sum, method);
+  add_string (sum, target);
   if (body_bytes > 0)
     g_checksum_update (sum, body, (gssize)body_bytes);
   finish (sum, out);
@@ -46,7 +46,7 @@
   uint64_t big_endian = GUINT64_TO_BE (body_hash);
   uint64_t out[2];
 
-  add_text (sum, account);
+  add_string (sum, account);
   g_checksum_update (sum, (const guchar *)&big_endian, sizeof big_endian);
   finish (sum, out);
   return out[0];
@@ -57,8 +57,8 @@
 {
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
 
-  add_text (sum, account);
-  add_text (sum, key);
+  add_string (sum, account);
+  add_string (sum, key);
   finish (sum, out);
-  out[1] |= 1; /* all zero means no key */
+  out[1] |= 1; /* all zero stands for no key */
 }
--- a/src/request/policy/digest.h
+++ b/src/request/policy/digest.h
@@ -1,8 +1,9 @@
 /**
  * DOC: digest
  *
- * Digests of requests that client accounts could otherwise make collide: an account must not be
- * able to craft a body or key that is taken for another's. Short forms of SHA-256.
+ * Digests of requests that no client account can make collide: an account must not be able to craft
+ * a body or an idempotency key that is taken for another account's. They are SHA-256, shortened to
+ * 64 or 128 bits.
  */
 #ifndef REQUEST_POLICY_DIGEST_H
 #define REQUEST_POLICY_DIGEST_H
@@ -10,11 +11,12 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** dgs_body() - of method, target and body; the same at router and sidecar */
+/** dgs_body() - digest of method, target and body; routers and sidecars compute the same */
 uint64_t dgs_body (const char *method, const char *target, const void *body, size_t body_bytes);
-/** dgs_fingerprint() - what marks of crashes are kept under */
+/** dgs_fingerprint() - digest of account and body, under which suspect.h keeps a request's crashes;
+ * @body_hash is the result of dgs_body() */
 uint64_t dgs_fingerprint (const char *account, uint64_t body_hash);
-/** dgs_key() - an idempotency key within its account; never zero */
+/** dgs_key() - digest of an account's idempotency key; @out is never all zero */
 void dgs_key (const char *account, const char *key, uint64_t out[2]);
 
 #endif
--- a/src/request/policy/health.c
+++ b/src/request/policy/health.c
@@ -2,18 +2,24 @@
 
 #include <glib.h>
 
-/** struct entry - a host that failed lately */
+/**
+ * struct entry - a host that has failed since its last success
+ * @failures: in a row
+ * @backoff_us: time from a failed probe to the next one
+ * @next_probe_us: when the next request may be sent, once the host is down
+ * @probing: a probe is on its way
+ */
 typedef struct
 {
   uint32_t failures;
   uint64_t backoff_us;
-  uint64_t probe_us;
+  uint64_t next_probe_us;
   bool probing;
 } entry_t;
 
 struct hlt
 {
-  GHashTable *entries; /* host hash -> entry_t; only hosts that failed since their last success */
+  GHashTable *entries; /* host hash -> entry_t */
 };
 
 static entry_t *
@@ -36,7 +42,7 @@
 }
 
 static bool
-dead (const entry_t *entry)
+is_down (const entry_t *entry)
 {
   return entry != NULL && entry->failures >= HLT_FAILURES;
 }
@@ -71,25 +77,26 @@
   entry->failures++;
   if (entry->failures < HLT_FAILURES)
     return;
-  /* Requests that were under way together fail together: only a probe doubles the back-off. */
+  /* Requests that were in flight together fail together, so only a failed probe doubles the
+   * back-off. */
   if (entry->failures > HLT_FAILURES && !entry->probing)
     return;
   entry->probing = false;
   entry->backoff_us = entry->backoff_us == 0 ? HLT_BACKOFF_MIN_US : entry->backoff_us * 2;
   entry->backoff_us = MIN (entry->backoff_us, HLT_BACKOFF_MAX_US);
-  entry->probe_us = now_us + entry->backoff_us;
+  entry->next_probe_us = now_us + entry->backoff_us;
 }
 
 bool
 hlt_usable (hlt_t *hlt, uint64_t now_us, uint64_t host_hash)
 {
   entry_t *entry = find (hlt, host_hash);
-  if (!dead (entry))
+  if (!is_down (entry))
     return true;
-  if (now_us < entry->probe_us)
+  if (now_us < entry->next_probe_us)
     return false;
-  /* This caller is the probe; the next one may go when its outcome stays out for a back-off. */
-  entry->probe_us = now_us + entry->backoff_us;
+  /* The caller's request is the probe. Another one is due if this one has no outcome by then. */
+  entry->next_probe_us = now_us + entry->backoff_us;
   entry->probing = true;
   return true;
 }
@@ -98,16 +105,16 @@
 hlt_skipped (const hlt_t *hlt, uint64_t now_us, uint64_t host_hash)
 {
   const entry_t *entry = find (hlt, host_hash);
-  return dead (entry) && now_us < entry->probe_us;
+  return is_down (entry) && now_us < entry->next_probe_us;
 }
 
 bool
 hlt_distrust (const hlt_t *hlt, const uint64_t *host_hashes, uint32_t count)
 {
-  uint32_t dead_count = 0;
+  uint32_t down_count = 0;
   for (uint32_t i = 0; i < count; i++)
-    dead_count += dead (find (hlt, host_hashes[i]));
-  return dead_count * 2 > count;
+    down_count += is_down (find (hlt, host_hashes[i]));
+  return down_count * 2 > count;
 }
 
 void
--- a/src/request/policy/leave_notice.c
+++ b/src/request/policy/leave_notice.c
@@ -2,12 +2,16 @@
 
 #include <glib.h>
 
-/** struct notice - a host to tell; @wait_us: from the next call to the one after */
+/**
+ * struct notice - a host to be told
+ * @due_us: time of the next call
+ * @retry_us: time from the next call to the one after it
+ */
 typedef struct
 {
   uint64_t host_hash;
   uint64_t due_us;
-  uint64_t wait_us;
+  uint64_t retry_us;
 } notice_t;
 
 struct lvn
@@ -16,31 +20,31 @@
 };
 
 static notice_t *
-at (const lvn_t *lvn, guint index)
+notice_at (const lvn_t *lvn, guint index)
 {
   return &g_array_index (lvn->notices, notice_t, index);
 }
 
-/* Return: index of the host, or the count of hosts when it is not there */
+/* Return: index of the host, or the number of notices when there is none for it */
 static guint
 find (const lvn_t *lvn, uint64_t host_hash)
 {
   guint i = 0;
-  while (i < lvn->notices->len && at (lvn, i)->host_hash != host_hash)
+  while (i < lvn->notices->len && notice_at (lvn, i)->host_hash != host_hash)
     i++;
   return i;
 }
 
 static notice_t *
-first_due (const lvn_t *lvn)
+find_earliest (const lvn_t *lvn)
 {
-  notice_t *first = NULL;
+  notice_t *earliest = NULL;
   for (guint i = 0; i < lvn->notices->len; i++)
     {
-      if (first == NULL || at (lvn, i)->due_us < first->due_us)
-        first = at (lvn, i);
+      if (earliest == NULL || notice_at (lvn, i)->due_us < earliest->due_us)
+        earliest = notice_at (lvn, i);
     }
-  return first;
+  return earliest;
 }
 
 lvn_t *
@@ -77,12 +81,12 @@
 bool
 lvn_next (lvn_t *lvn, uint64_t now_us, uint64_t *host_hash)
 {
-  notice_t *notice = first_due (lvn);
+  notice_t *notice = find_earliest (lvn);
   if (notice == NULL || notice->due_us > now_us)
     return false;
   *host_hash = notice->host_hash;
-  notice->due_us = now_us + notice->wait_us;
-  notice->wait_us = MIN (notice->wait_us * 2, LVN_WAIT_MAX_US);
+  notice->due_us = now_us + notice->retry_us;
+  notice->retry_us = MIN (notice->retry_us * 2, LVN_WAIT_MAX_US);
   return true;
 }
 
--- a/src/request/policy/order.c
+++ b/src/request/policy/order.c
@@ -7,10 +7,10 @@
 #include <string.h>
 
 void
-ord_seal (const ord_t *order, const char *fleet_key, char out[ORD_SEAL_BYTES])
+ord_seal (const ord_t *call, const char *fleet_key, char out[ORD_SEAL_BYTES])
 {
-  uint64_t body_hash = dgs_body (order->method, order->target, order->body, order->body_bytes);
-  g_autofree char *text = g_strdup_printf ("call\n%s\n%016" PRIx64, order->host, body_hash);
+  uint64_t body_hash = dgs_body (call->method, call->target, call->body, call->body_bytes);
+  g_autofree char *text = g_strdup_printf ("call\n%s\n%016" PRIx64, call->host, body_hash);
   g_autofree char *seal = g_compute_hmac_for_string (G_CHECKSUM_SHA256, (const guchar *)fleet_key,
                                                      strlen (fleet_key), text, -1);
 
@@ -18,15 +18,15 @@
 }
 
 bool
-ord_check (const ord_t *order, const char *fleet_key, const char *seal)
+ord_check (const ord_t *call, const char *fleet_key, const char *seal)
 {
-  char right[ORD_SEAL_BYTES];
+  char expected[ORD_SEAL_BYTES];
   unsigned char difference = 0;
 
   if (seal == NULL || strlen (seal) != ORD_SEAL_BYTES - 1)
     return false;
-  ord_seal (order, fleet_key, right);
+  ord_seal (call, fleet_key, expected);
   for (size_t i = 0; i < ORD_SEAL_BYTES - 1; i++)
-    difference |= (unsigned char)(seal[i] ^ right[i]);
+    difference |= (unsigned char)(seal[i] ^ expected[i]);
   return difference == 0;
 }
--- a/src/request/policy/order.h
+++ b/src/request/policy/order.h
@@ -1,11 +1,13 @@
 /**
  * DOC: order
  *
- * Seals of the calls that daemons make on each other besides requests: revokes, hints of where a
- * chat was served, hand-overs, the fetch of a manifest. HMAC-SHA256 under the fleet key over the
- * host that is called, method, target and body. Without a time, since hosts' clocks differ: all
- * these calls are idempotent, and one that is sent again by a listener on the network tells the
- * daemon nothing new.
+ * Seals, which authenticate the calls between daemons that are not client requests: revokes, hints
+ * of where a chat was served, hand-overs of directory entries, and fetches of a manifest. A seal is
+ * an HMAC-SHA256 under the fleet key over the called host, method, target and body.
+ *
+ * It doesn't include a time because the hosts' clocks differ, so a listener on the network can
+ * replay a call. That is harmless: all these calls are idempotent, and a replay tells the daemon
+ * nothing new.
  */
 #ifndef REQUEST_POLICY_ORDER_H
 #define REQUEST_POLICY_ORDER_H
@@ -15,11 +17,13 @@
 #include <stdint.h>
 
 #define ORD_SEAL_HEADER "X-Medlarplank-Seal"
+/* 64 hexadecimal digits and the final NUL */
 #define ORD_SEAL_BYTES 65
 
 /**
- * struct ord - what is sealed
- * @host: name of the daemon that is called
+ * struct ord - the call that a seal is for
+ * @host: name of the called daemon
+ * @method: HTTP method
  * @target: path and query
  */
 typedef struct
@@ -31,8 +35,10 @@
   size_t body_bytes;
 } ord_t;
 
-void ord_seal (const ord_t *order, const char *fleet_key, char out[ORD_SEAL_BYTES]);
-/** ord_check() - @seal may be NULL */
-bool ord_check (const ord_t *order, const char *fleet_key, const char *seal);
+/** ord_seal() - computes the seal of a call */
+void ord_seal (const ord_t *call, const char *fleet_key, char out[ORD_SEAL_BYTES]);
+/** ord_check() - whether @seal is the seal of the call; false for NULL. Takes the same time
+ * wherever a wrong seal differs */
+bool ord_check (const ord_t *call, const char *fleet_key, const char *seal);
 
 #endif
--- a/src/request/policy/under_way.c
+++ b/src/request/policy/under_way.c
@@ -10,7 +10,7 @@
 
 struct uwy
 {
-  GHashTable *entries; /* engine hash -> entry_t, only of those above 0 */
+  GHashTable *entries; /* engine hash -> entry_t; only engines with a count above 0 */
 };
 
 uwy_t *
