--- a/src/request/policy/claim_keys.c
+++ b/src/request/policy/claim_keys.c
@@ -6,67 +6,68 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-/* Clocks of hosts are trusted to be no further apart. */
-#define SKEW_MS (60 * 1000)
+/* Clocks of hosts are assumed to differ by no more than this. */
+#define CLOCK_SKEW_MAX_MS (60 * 1000)
 
 struct cky
 {
   clt_t *table;
   uint64_t wall_ms;
-  uint64_t log_ms; /* latest time of a claim in the log */
+  uint64_t log_ms; /* the latest time of a claim in the log */
 };
 
 static uint64_t
-key_name (const clm_key_t *key)
+key_fingerprint (const clm_key_t *key)
 {
-  uint64_t name = XXH3_64bits (key->key_hash, sizeof key->key_hash);
-  return name != 0 ? name : 1;
+  uint64_t fingerprint = XXH3_64bits (key->key_hash, sizeof key->key_hash);
+  return fingerprint != 0 ? fingerprint : 1;
 }
 
 static uint64_t
-dead_name (const clr_t *record)
+released_fingerprint (const clr_t *claim)
 {
-  uint64_t words[4] = { record->key.key_hash[0], record->key.key_hash[1], record->claim_id[0],
-                        record->claim_id[1] };
-  uint64_t name = XXH3_64bits (words, sizeof words);
-  return name != 0 ? name : 1;
+  uint64_t ids[4] = { claim->key.key_hash[0], claim->key.key_hash[1], claim->claim_id[0],
+                      claim->claim_id[1] };
+  uint64_t fingerprint = XXH3_64bits (ids, sizeof ids);
+  return fingerprint != 0 ? fingerprint : 1;
 }
 
 static uint32_t
-claim_print (const uint64_t claim_id[2])
+claim_fingerprint (const uint64_t claim_id[2])
 {
   return (uint32_t)XXH3_64bits (claim_id, 2 * sizeof (uint64_t));
 }
 
 static uint32_t
-body_print (const clm_key_t *key)
+body_fingerprint (const clm_key_t *key)
 {
   return (uint32_t)XXH3_64bits (&key->body_hash, sizeof key->body_hash);
 }
 
-/* Keys are forgotten by the earlier of both clocks: with the log's alone, one writer whose clock
- * is ahead would make all forget at once, and a key could run twice; so for the reader's alone. */
+/* Keys expire by the earlier of both clocks. With the log's time alone, one writer whose clock is
+ * ahead would make all readers forget keys too early, and a key could run twice; with the reader's
+ * clock alone, a reader whose clock is ahead would. */
 static uint32_t
-forget_s (const cky_t *keys)
+expiry_clock_s (const cky_t *keys)
 {
   return (uint32_t)(MIN (keys->wall_ms, keys->log_ms) / 1000);
 }
 
-/* A record that claims to be much older than those before it would be forgotten too early, one
- * from the future would be kept too long. */
+/* A claim with a time much before the earlier ones would expire too early, and one from the future
+ * would be kept too long. */
 static uint64_t
-trusted_ms (const cky_t *keys, uint64_t wall_ms)
+clamp_to_trusted_ms (const cky_t *keys, uint64_t wall_ms)
 {
-  uint64_t earliest_ms = keys->log_ms > SKEW_MS ? keys->log_ms - SKEW_MS : 0;
-  uint64_t latest_ms = MAX (earliest_ms, keys->wall_ms + SKEW_MS);
+  uint64_t earliest_ms = keys->log_ms > CLOCK_SKEW_MAX_MS ? keys->log_ms - CLOCK_SKEW_MAX_MS : 0;
+  uint64_t latest_ms = MAX (earliest_ms, keys->wall_ms + CLOCK_SKEW_MAX_MS);
   return CLAMP (wall_ms, earliest_ms, latest_ms);
 }
 
 static cky_verdict_t
-lost_to (const clt_entry_t *holder, const clm_key_t *key)
+verdict_of_loser (const clt_entry_t *holder, const clm_key_t *key)
 {
   cky_verdict_t verdict = { CLM_HELD, holder->status };
-  if (holder->body != body_print (key))
+  if (holder->holder_body != body_fingerprint (key))
     verdict.verdict = CLM_KEY_REUSED;
   else if (holder->state == CLT_DONE)
     verdict.verdict = CLM_DONE;
@@ -97,64 +98,65 @@
 }
 
 cky_verdict_t
-cky_claim (cky_t *keys, const clr_t *record)
+cky_claim (cky_t *keys, const clr_t *claim)
 {
-  uint64_t at_ms = trusted_ms (keys, record->wall_ms);
+  uint64_t at_ms = clamp_to_trusted_ms (keys, claim->wall_ms);
   keys->log_ms = MAX (keys->log_ms, at_ms);
-  uint32_t now_s = forget_s (keys);
-  if (clt_find (keys->table, now_s, dead_name (record)) != NULL)
+  uint32_t now_s = expiry_clock_s (keys);
+  if (clt_find (keys->table, now_s, released_fingerprint (claim)) != NULL)
     return (cky_verdict_t){ CLM_HELD, 0 };
-  clt_entry_t *entry = clt_find (keys->table, now_s, key_name (&record->key));
+  clt_entry_t *entry = clt_find (keys->table, now_s, key_fingerprint (&claim->key));
   if (entry != NULL)
     {
-      /* Near the horizon one reader still sees the holder where another has forgotten it and lets
-       * this claim have the key. The two would then grant two claims; holding the key from this
-       * claim on as well, each at worst says that it may have run. */
-      entry->at_s = MAX (entry->at_s, (uint32_t)(at_ms / 1000));
-      return lost_to (entry, &record->key);
+      /* Near the horizon one reader still has the holder while another one has forgotten it and
+       * grants this claim the key. When the first one forgot the holder later, the two would grant
+       * two claims. The key is therefore held for a horizon from this claim on: at worst a reader
+       * says that the request may have run. */
+      entry->claimed_s = MAX (entry->claimed_s, (uint32_t)(at_ms / 1000));
+      return verdict_of_loser (entry, &claim->key);
     }
-  entry = clt_put (keys->table, now_s, key_name (&record->key));
+  entry = clt_put (keys->table, now_s, key_fingerprint (&claim->key));
   entry->state = CLT_HELD;
-  entry->claim = claim_print (record->claim_id);
-  entry->body = body_print (&record->key);
-  entry->at_s = (uint32_t)(at_ms / 1000);
+  entry->holder_claim = claim_fingerprint (claim->claim_id);
+  entry->holder_body = body_fingerprint (&claim->key);
+  entry->claimed_s = (uint32_t)(at_ms / 1000);
   entry->status = 0;
   return (cky_verdict_t){ CLM_GRANTED, 0 };
 }
 
 void
-cky_release (cky_t *keys, const clr_t *record)
+cky_release (cky_t *keys, const clr_t *release)
 {
-  uint32_t now_s = forget_s (keys);
-  clt_entry_t *entry = clt_find (keys->table, now_s, key_name (&record->key));
-  if (entry != NULL && entry->claim == claim_print (record->claim_id))
+  uint32_t now_s = expiry_clock_s (keys);
+  clt_entry_t *entry = clt_find (keys->table, now_s, key_fingerprint (&release->key));
+  if (entry != NULL && entry->holder_claim == claim_fingerprint (release->claim_id))
     {
       if (entry->state == CLT_DONE)
         return;
       entry->state = CLT_FREE;
     }
-  entry = clt_put (keys->table, now_s, dead_name (record));
+  entry = clt_put (keys->table, now_s, released_fingerprint (release));
   entry->state = CLT_DEAD;
-  entry->at_s = (uint32_t)((keys->log_ms != 0 ? keys->log_ms : keys->wall_ms) / 1000);
+  entry->claimed_s = (uint32_t)((keys->log_ms != 0 ? keys->log_ms : keys->wall_ms) / 1000);
 }
 
 void
-cky_done (cky_t *keys, const clr_t *record)
+cky_done (cky_t *keys, const clr_t *done)
 {
-  clt_entry_t *entry = clt_find (keys->table, forget_s (keys), key_name (&record->key));
-  if (entry == NULL || entry->claim != claim_print (record->claim_id))
+  clt_entry_t *entry = clt_find (keys->table, expiry_clock_s (keys), key_fingerprint (&done->key));
+  if (entry == NULL || entry->holder_claim != claim_fingerprint (done->claim_id))
     return;
   entry->state = CLT_DONE;
-  entry->status = (uint16_t)record->status;
+  entry->status = (uint16_t)done->status;
 }
 
 cky_verdict_t
 cky_known (cky_t *keys, const clm_key_t *key)
 {
-  const clt_entry_t *entry = clt_find (keys->table, forget_s (keys), key_name (key));
+  const clt_entry_t *entry = clt_find (keys->table, expiry_clock_s (keys), key_fingerprint (key));
   if (entry == NULL || entry->state != CLT_DONE)
     return (cky_verdict_t){ CLM_PENDING, 0 };
-  return lost_to (entry, key);
+  return verdict_of_loser (entry, key);
 }
 
 uint32_t
--- a/src/request/policy/claim_pace.c
+++ b/src/request/policy/claim_pace.c
@@ -8,17 +8,18 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#define FIRST_BACKOFF_US (100 * CLK_US_PER_MS)
-/* What one append that was taken adds to the rate, in appends a second. */
-#define GAIN_PER_S 0.05
-#define TRIP_SHARE 8
+#define BACKOFF_MIN_US (100 * CLK_US_PER_MS)
+/* How much one successful append raises the rate, in appends per second. */
+#define RATE_GAIN_PER_S 0.05
+/* The last round trip has a weight of one in this many in the average. */
+#define ROUND_TRIP_SMOOTHING 8
 
-/* @wait_us times 3/4 to 5/4: those that were refused together must not come back together. */
+/* Return: @wait_us times 3/4 to 5/4, so that daemons refused together don't retry together */
 static uint64_t
-jitter (cpc_t *pace, uint64_t wait_us)
+add_jitter (cpc_t *pace, uint64_t wait_us)
 {
-  pace->seed = XXH3_64bits (&pace->seed, sizeof pace->seed);
-  return wait_us * 3 / 4 + wait_us / 2 * (pace->seed >> 48) / (1 << 16);
+  pace->jitter_seed = XXH3_64bits (&pace->jitter_seed, sizeof pace->jitter_seed);
+  return wait_us * 3 / 4 + wait_us / 2 * (pace->jitter_seed >> 48) / (1 << 16);
 }
 
 static uint64_t
@@ -26,14 +27,14 @@
 {
   g_assert (pace->failures > 0);
   const uint32_t doublings = MIN (pace->failures - 1, 16);
-  return MIN ((uint64_t)FIRST_BACKOFF_US << doublings, LIM_CLAIM_BACKOFF_US);
+  return MIN ((uint64_t)BACKOFF_MIN_US << doublings, LIM_CLAIM_BACKOFF_US);
 }
 
 static void
 back_off (cpc_t *pace, uint64_t now_us)
 {
   pace->failures++;
-  pace->due_us = now_us + jitter (pace, MAX (backoff_us (pace), pace->interval_us));
+  pace->due_us = now_us + add_jitter (pace, MAX (backoff_us (pace), pace->interval_us));
 }
 
 void
@@ -44,9 +45,9 @@
 }
 
 void
-cpc_stir (cpc_t *pace, uint64_t value)
+cpc_stir (cpc_t *pace, uint64_t entropy)
 {
-  pace->seed += value;
+  pace->jitter_seed += entropy;
 }
 
 void
@@ -58,14 +59,16 @@
 void
 cpc_taken (cpc_t *pace, uint64_t now_us)
 {
-  uint64_t trip_us = now_us - pace->started_us;
-  pace->trip_us =
-      pace->trip_us == 0 ? trip_us : (pace->trip_us * (TRIP_SHARE - 1) + trip_us) / TRIP_SHARE;
+  uint64_t round_trip_us = now_us - pace->started_us;
+  pace->round_trip_us = pace->round_trip_us == 0
+                            ? round_trip_us
+                            : (pace->round_trip_us * (ROUND_TRIP_SMOOTHING - 1) + round_trip_us) /
+                                  ROUND_TRIP_SMOOTHING;
   pace->failures = 0;
   pace->refusals = 0;
-  double rate_s = CLK_US_PER_S / (double)pace->interval_us + GAIN_PER_S;
-  pace->interval_us = MAX ((uint64_t)(CLK_US_PER_S / rate_s), LIM_CLAIM_INTERVAL_MIN_US);
-  pace->due_us = pace->started_us + jitter (pace, pace->interval_us);
+  double rate_per_s = CLK_US_PER_S / (double)pace->interval_us + RATE_GAIN_PER_S;
+  pace->interval_us = MAX ((uint64_t)(CLK_US_PER_S / rate_per_s), LIM_CLAIM_INTERVAL_MIN_US);
+  pace->due_us = pace->started_us + add_jitter (pace, pace->interval_us);
 }
 
 void
@@ -73,7 +76,7 @@
 {
   pace->refusals++;
   pace->interval_us =
-      CLAMP (pace->interval_us * 2, FIRST_BACKOFF_US, (uint64_t)LIM_CLAIM_INTERVAL_MAX_US);
+      CLAMP (pace->interval_us * 2, BACKOFF_MIN_US, (uint64_t)LIM_CLAIM_INTERVAL_MAX_US);
   back_off (pace, now_us);
 }
 
@@ -87,5 +90,5 @@
 uint64_t
 cpc_expected_us (const cpc_t *pace, uint64_t now_us, uint32_t batches)
 {
-  return MAX (pace->due_us, now_us) + batches * pace->interval_us + pace->trip_us;
+  return MAX (pace->due_us, now_us) + batches * pace->interval_us + pace->round_trip_us;
 }
--- a/src/request/policy/claim_pace.h
+++ b/src/request/policy/claim_pace.h
@@ -1,13 +1,14 @@
 /**
  * DOC: claim_pace
  *
- * When one claims stream may be appended to next. The log takes some hundred appends a second for
- * the whole fleet and refuses the rest; nobody knows how many append. Each stream of each daemon
- * keeps a shortest interval between its appends, which doubles with each refusal and falls slowly
- * while appends are taken (additive increase of the rate, multiplicative decrease): all that append
- * come to like rates, and under load the batches grow instead of the appends.
+ * Rate control of the appends to one claims stream. The log takes a few hundred appends a second
+ * from the whole fleet and refuses the rest, and no daemon knows how many others append. Each
+ * stream of each daemon keeps a minimum interval between its appends. It doubles with each refusal
+ * and falls slowly while appends succeed (additive increase of the rate, multiplicative decrease).
+ * So the rates of all daemons converge, and under load the batches grow instead of the number of
+ * appends.
  *
- * After failures in a row it backs off beyond that interval, up to %LIM_CLAIM_BACKOFF_US.
+ * After failures in a row the stream backs off for longer, up to %LIM_CLAIM_BACKOFF_US.
  */
 #ifndef REQUEST_POLICY_CLAIM_PACE_H
 #define REQUEST_POLICY_CLAIM_PACE_H
@@ -15,33 +16,41 @@
 #include <stdint.h>
 
 /**
- * struct cpc - @interval_us: between the starts of two appends
- * @due_us: the next append may start
- * @failures: in a row
- * @refusals: in a row, without one that was lost
- * @trip_us: from an append's start to its answer, smoothed
+ * struct cpc - state of one stream
+ * @interval_us: minimum time between the starts of two appends
+ * @started_us: when the last append started
+ * @due_us: when the next append may start
+ * @round_trip_us: time from an append's start to its answer, moving average; 0 for not known
+ * @jitter_seed: state of the random numbers for the jitter
+ * @failures: appends in a row that were refused or lost
+ * @refusals: appends in a row that were refused; a lost one ends the row
  */
 typedef struct
 {
   uint64_t interval_us;
   uint64_t started_us;
   uint64_t due_us;
-  uint64_t trip_us;
-  uint64_t seed;
+  uint64_t round_trip_us;
+  uint64_t jitter_seed;
   uint32_t failures;
   uint32_t refusals;
 } cpc_t;
 
+/** cpc_init() - begins with the shortest interval */
 void cpc_init (cpc_t *pace);
-/** cpc_stir() - something that differs between daemons, for the jitter */
-void cpc_stir (cpc_t *pace, uint64_t value);
+/** cpc_stir() - adds a value that differs between daemons, for the jitter */
+void cpc_stir (cpc_t *pace, uint64_t entropy);
+/** cpc_started() - an append starts */
 void cpc_started (cpc_t *pace, uint64_t now_us);
+/** cpc_taken() - the append succeeded */
 void cpc_taken (cpc_t *pace, uint64_t now_us);
-/** cpc_refused() - the log is asked too often */
+/** cpc_refused() - the log refused the append because it gets too many */
 void cpc_refused (cpc_t *pace, uint64_t now_us);
-/** cpc_lost() - the log is down or slow: this tells nothing of the rate */
+/** cpc_lost() - the append got no answer: the log is down or slow, which says nothing about the
+ * rate */
 void cpc_lost (cpc_t *pace, uint64_t now_us);
-/** cpc_expected_us() - when an append that has @batches before it can be expected to be answered */
+/** cpc_expected_us() - Return: expected time of the answer to an append that @batches others
+ * precede */
 uint64_t cpc_expected_us (const cpc_t *pace, uint64_t now_us, uint32_t batches);
 
 #endif
--- a/src/request/policy/claim_record.c
+++ b/src/request/policy/claim_record.c
@@ -6,19 +6,19 @@
 #include <jansson.h>
 #include <string.h>
 
-#define HEX_128 33 /* 32 digits and the final NUL */
-#define HEX_64 17
+#define HEX_128_BYTES 33 /* 32 digits and the final NUL */
+#define HEX_64_BYTES 17
 
 static void
 set_hex_128 (json_t *object, const char *name, const uint64_t value[2])
 {
-  char text[HEX_128];
+  char text[HEX_128_BYTES];
   g_snprintf (text, sizeof text, "%016" PRIx64 "%016" PRIx64, value[0], value[1]);
   json_object_set_new (object, name, json_string (text));
 }
 
 static json_t *
-entry_json (const clr_t *entry)
+make_entry_json (const clr_t *entry)
 {
   static const char *const names[] = { "c", "r", "d" };
   json_t *object = json_object ();
@@ -26,7 +26,7 @@
   set_hex_128 (object, "k", entry->key.key_hash);
   if (entry->kind == CLR_CLAIM)
     {
-      char body[HEX_64];
+      char body[HEX_64_BYTES];
       g_snprintf (body, sizeof body, "%016" PRIx64, entry->key.body_hash);
       json_object_set_new (object, "b", json_string (body));
       json_object_set_new (object, "t", json_integer ((json_int_t)entry->wall_ms));
@@ -37,12 +37,12 @@
 }
 
 static bool
-get_hex (const json_t *object, const char *name, uint64_t *out, uint32_t words)
+get_hex (const json_t *object, const char *name, uint64_t *out, uint32_t count)
 {
   const char *text = json_string_value (json_object_get (object, name));
-  if (text == NULL || strlen (text) != DGT_HEX_BYTES * words)
+  if (text == NULL || strlen (text) != DGT_HEX_BYTES * count)
     return false;
-  for (uint32_t i = 0; i < words; i++)
+  for (uint32_t i = 0; i < count; i++)
     if (!dgt_parse_hex (text + DGT_HEX_BYTES * i, &out[i]))
       return false;
   return true;
@@ -57,19 +57,19 @@
 }
 
 static bool
-read_entry (const json_t *object, clr_t *entry)
+parse_entry (const json_t *object, clr_t *entry)
 {
-  json_int_t number = 0;
+  json_int_t integer = 0;
   memset (entry, 0, sizeof *entry);
   if (!get_hex (object, "k", entry->key.key_hash, 2))
     return false;
   if (get_hex (object, "c", entry->claim_id, 2))
     {
       entry->kind = CLR_CLAIM;
-      bool whole = get_hex (object, "b", &entry->key.body_hash, 1) &&
-                   get_integer (object, "t", (json_int_t)1000 * UINT32_MAX, &number);
-      entry->wall_ms = (uint64_t)number;
-      return whole;
+      bool complete = get_hex (object, "b", &entry->key.body_hash, 1) &&
+                      get_integer (object, "t", (json_int_t)1000 * UINT32_MAX, &integer);
+      entry->wall_ms = (uint64_t)integer;
+      return complete;
     }
   if (get_hex (object, "r", entry->claim_id, 2))
     {
@@ -77,10 +77,10 @@
       return true;
     }
   entry->kind = CLR_DONE;
-  bool whole =
-      get_hex (object, "d", entry->claim_id, 2) && get_integer (object, "s", UINT16_MAX, &number);
-  entry->status = (uint32_t)number;
-  return whole;
+  bool complete =
+      get_hex (object, "d", entry->claim_id, 2) && get_integer (object, "s", UINT16_MAX, &integer);
+  entry->status = (uint32_t)integer;
+  return complete;
 }
 
 char *
@@ -88,7 +88,7 @@
 {
   json_t *array = json_array ();
   for (uint32_t i = 0; i < count; i++)
-    json_array_append_new (array, entry_json (&entries[i]));
+    json_array_append_new (array, make_entry_json (&entries[i]));
   char *dumped = json_dumps (array, JSON_COMPACT);
   char *text = g_strdup (dumped);
   free (dumped);
@@ -97,21 +97,21 @@
 }
 
 GArray *
-clr_read (const char *data, size_t data_bytes, uint64_t *broken)
+clr_read (const char *data, size_t data_bytes, uint64_t *malformed)
 {
   GArray *entries = g_array_new (FALSE, FALSE, sizeof (clr_t));
   json_t *array = json_loadb (data, data_bytes, JSON_REJECT_DUPLICATES, NULL);
   if (!json_is_array (array))
-    ++*broken;
+    ++*malformed;
   size_t index;
   json_t *object;
   json_array_foreach (array, index, object)
     {
       clr_t entry;
-      if (read_entry (object, &entry))
+      if (parse_entry (object, &entry))
         g_array_append_val (entries, entry);
       else
-        ++*broken;
+        ++*malformed;
     }
   json_decref (array);
   return entries;
--- a/src/request/policy/claim_record.h
+++ b/src/request/policy/claim_record.h
@@ -1,7 +1,7 @@
 /**
  * DOC: claim_record
  *
- * The records of a claims stream as text: JSON arrays of the entries that claim.h describes.
+ * Text form of the records of a claims stream: JSON arrays of the entries that claim.h describes.
  */
 #ifndef REQUEST_POLICY_CLAIM_RECORD_H
 #define REQUEST_POLICY_CLAIM_RECORD_H
@@ -11,6 +11,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
+/** enum claim_entry_kind - claim.h says what each kind of entry means */
 typedef enum
 {
   CLR_CLAIM,
@@ -18,7 +19,12 @@
   CLR_DONE
 } clr_kind_t;
 
-/** struct clr - one entry; @wall_ms only in claims, @status only in done ones */
+/**
+ * struct clr - one entry
+ * @key: without its body_hash in release and done entries
+ * @wall_ms: wall time of the append, in claims only
+ * @status: HTTP status, in done entries only
+ */
 typedef struct
 {
   uint64_t claim_id[2];
@@ -28,12 +34,15 @@
   clr_kind_t kind;
 } clr_t;
 
-/** clr_write() - one record of all @entries. Return: text to be freed by g_free() */
+/** clr_write() - Return: one record of all @entries, as text to be freed by g_free() */
 char *clr_write (const clr_t *entries, uint32_t count);
 /**
- * clr_read() - the entries of a record that can be understood, as a new array of clr_t
- * @broken: counts up for each entry that can't; a record that is no JSON array counts as one
+ * clr_read() - parses a record
+ * @malformed: incremented for each malformed entry, which is skipped; a record that is not a JSON
+ *   array counts as one
+ *
+ * Return: the well-formed entries, as a new array of clr_t
  */
-GArray *clr_read (const char *data, size_t data_bytes, uint64_t *broken);
+GArray *clr_read (const char *data, size_t data_bytes, uint64_t *malformed);
 
 #endif
--- a/src/request/policy/claim_table.c
+++ b/src/request/policy/claim_table.c
@@ -4,8 +4,8 @@
 #include <stdbool.h>
 
 #define SLOTS_MIN 64
-/* A table is rebuilt when seven eighths are used, and is then three quarters full: 27 to 32 bytes
- * a key. Doubling instead would take up to 64. */
+/* The table is rebuilt when 7/8 of its slots are used, with a size at which 3/4 are: so a key takes
+ * 27 to 32 bytes. With a size that doubles it would take up to 64. */
 #define FULL_NUMERATOR 7
 #define FULL_DENOMINATOR 8
 
@@ -20,24 +20,24 @@
 };
 
 static bool
-expired (const clt_t *clt, uint32_t now_s, const clt_entry_t *entry)
+is_expired (const clt_t *clt, uint32_t now_s, const clt_entry_t *entry)
 {
-  return (uint64_t)entry->at_s + clt->horizon_s < now_s;
+  return (uint64_t)entry->claimed_s + clt->horizon_s < now_s;
 }
 
 static clt_entry_t *
-slot_of (const clt_t *clt, uint64_t name)
+find_slot (const clt_t *clt, uint64_t fingerprint)
 {
-  uint32_t at = (uint32_t)((name >> 32) * clt->slot_count >> 32);
-  while (clt->slots[at].name != 0 && clt->slots[at].name != name)
-    at = at + 1 < clt->slot_count ? at + 1 : 0;
-  return &clt->slots[at];
+  uint32_t slot = (uint32_t)((fingerprint >> 32) * clt->slot_count >> 32);
+  while (clt->slots[slot].fingerprint != 0 && clt->slots[slot].fingerprint != fingerprint)
+    slot = slot + 1 < clt->slot_count ? slot + 1 : 0;
+  return &clt->slots[slot];
 }
 
 static bool
-worth_keeping (const clt_t *clt, uint32_t now_s, const clt_entry_t *entry)
+is_kept (const clt_t *clt, uint32_t now_s, const clt_entry_t *entry)
 {
-  return entry->name != 0 && entry->state != CLT_FREE && !expired (clt, now_s, entry);
+  return entry->fingerprint != 0 && entry->state != CLT_FREE && !is_expired (clt, now_s, entry);
 }
 
 static uint32_t
@@ -45,7 +45,7 @@
 {
   uint32_t kept = 0;
   for (uint32_t i = 0; i < clt->slot_count; i++)
-    if (worth_keeping (clt, now_s, &clt->slots[i]))
+    if (is_kept (clt, now_s, &clt->slots[i]))
       kept++;
   return kept;
 }
@@ -55,12 +55,12 @@
 {
   uint32_t kept = count_kept (clt, now_s);
   uint32_t slot_count = SLOTS_MIN + kept + kept / 3;
-  clt_t next = { g_new0 (clt_entry_t, slot_count), slot_count, kept, clt->horizon_s };
+  clt_t rebuilt = { g_new0 (clt_entry_t, slot_count), slot_count, kept, clt->horizon_s };
   for (uint32_t i = 0; i < clt->slot_count; i++)
-    if (worth_keeping (clt, now_s, &clt->slots[i]))
-      *slot_of (&next, clt->slots[i].name) = clt->slots[i];
+    if (is_kept (clt, now_s, &clt->slots[i]))
+      *find_slot (&rebuilt, clt->slots[i].fingerprint) = clt->slots[i];
   g_free (clt->slots);
-  *clt = next;
+  *clt = rebuilt;
 }
 
 clt_t *
@@ -83,27 +83,27 @@
 }
 
 clt_entry_t *
-clt_find (clt_t *clt, uint32_t now_s, uint64_t name)
+clt_find (clt_t *clt, uint32_t now_s, uint64_t fingerprint)
 {
-  clt_entry_t *entry = slot_of (clt, name);
-  if (entry->name == 0 || entry->state == CLT_FREE || expired (clt, now_s, entry))
+  clt_entry_t *entry = find_slot (clt, fingerprint);
+  if (entry->fingerprint == 0 || entry->state == CLT_FREE || is_expired (clt, now_s, entry))
     return NULL;
   return entry;
 }
 
 clt_entry_t *
-clt_put (clt_t *clt, uint32_t now_s, uint64_t name)
+clt_put (clt_t *clt, uint32_t now_s, uint64_t fingerprint)
 {
-  g_assert (name != 0);
-  clt_entry_t *entry = slot_of (clt, name);
-  if (entry->name != 0)
+  g_assert (fingerprint != 0);
+  clt_entry_t *entry = find_slot (clt, fingerprint);
+  if (entry->fingerprint != 0)
     return entry;
   if ((uint64_t)clt->used * FULL_DENOMINATOR >= (uint64_t)clt->slot_count * FULL_NUMERATOR)
     {
       rebuild (clt, now_s);
-      entry = slot_of (clt, name);
+      entry = find_slot (clt, fingerprint);
     }
-  entry->name = name;
+  entry->fingerprint = fingerprint;
   clt->used++;
   return entry;
 }
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -1,8 +1,8 @@
 /**
  * DOC: test_claim
  *
- * Claims of idempotency keys: single readers first, then several readers over one log under seeded
- * random faults.
+ * Claims of idempotency keys: first with a single reader, then with several readers of one log
+ * under seeded random faults.
  */
 #include "base/clock.h"
 #include "request/policy/claim.h"
@@ -20,424 +20,426 @@
 static const clm_key_t key_a = { { 1, 2 }, 3 };
 static const clm_key_t key_b = { { 5, 5 }, 5 };
 
-/* one_t - a reader alone with a log */
+/** struct single - a single reader and the end of its log */
 typedef struct
 {
   clm_t *clm;
   uint64_t now_us;
   uint64_t offset;
-} one_t;
+} single_t;
 
 static uint64_t
-wall_ms (const one_t *one)
+wall_ms (const single_t *single)
 {
-  return WALL_BASE_MS + one->now_us / CLK_US_PER_MS;
+  return WALL_BASE_MS + single->now_us / CLK_US_PER_MS;
 }
 
-static one_t
-one_begin (void)
+static single_t
+single_init (void)
 {
-  one_t one = { .clm = clm_new (HORIZON_US), .now_us = 1000 };
-  clm_begin (one.clm, 0);
-  return one;
+  single_t single = { .clm = clm_new (HORIZON_US), .now_us = 1000 };
+  clm_begin (single.clm, 0);
+  return single;
 }
 
 static void
-one_clear (one_t *one)
+single_clear (single_t *single)
 {
-  clm_free (one->clm);
+  clm_free (single->clm);
 }
 
-G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (one_t, one_clear)
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (single_t, single_clear)
 
 static void
-one_ask (one_t *one, uint64_t id, const clm_key_t *key)
+request_claim (single_t *single, uint64_t id, const clm_key_t *key)
 {
   uint64_t claim_id[2] = { 7, id };
-  clm_request (one->clm, one->now_us, claim_id, key, one->now_us + EXPIRY_US, NULL);
+  clm_request (single->clm, single->now_us, claim_id, key, single->now_us + EXPIRY_US, NULL);
 }
 
 static char *
-one_batch (one_t *one)
+next_batch (single_t *single)
 {
-  return clm_batch (one->clm, one->now_us, wall_ms (one));
+  return clm_batch (single->clm, single->now_us, wall_ms (single));
 }
 
 static void
-one_feed (one_t *one, const char *text)
+apply_record (single_t *single, const char *text)
 {
-  clm_feed (one->clm, one->now_us, wall_ms (one), one->offset++, text, strlen (text));
+  clm_feed (single->clm, single->now_us, wall_ms (single), single->offset++, text, strlen (text));
 }
 
-/* The append, when it is due, is answered and read back. */
+/* Waits until an append is due, lets it succeed and reads it back. */
 static void
-one_turn (one_t *one)
+append_and_read (single_t *single)
 {
-  CU_ASSERT_NOT_EQUAL_FATAL (clm_due_us (one->clm), UINT64_MAX);
-  one->now_us = MAX (one->now_us, clm_due_us (one->clm));
-  g_autofree char *text = one_batch (one);
+  CU_ASSERT_NOT_EQUAL_FATAL (clm_due_us (single->clm), UINT64_MAX);
+  single->now_us = MAX (single->now_us, clm_due_us (single->clm));
+  g_autofree char *text = next_batch (single);
   CU_ASSERT_PTR_NOT_NULL_FATAL (text);
-  clm_appended (one->clm, one->now_us, one->offset);
-  one_feed (one, text);
+  clm_appended (single->clm, single->now_us, single->offset);
+  apply_record (single, text);
 }
 
 static clm_verdict_t
-one_verdict (one_t *one)
+next_verdict (single_t *single)
 {
   clm_result_t result;
-  return clm_result (one->clm, one->now_us, &result) ? result.verdict : CLM_PENDING;
+  return clm_result (single->clm, single->now_us, &result) ? result.verdict : CLM_PENDING;
 }
 
-/* A claim of the key, and what comes of it once it was read back. */
+/* Claims the key and checks the result. */
 static void
-one_claims (one_t *one, uint64_t id, const clm_key_t *key, clm_verdict_t verdict)
+check_claim (single_t *single, uint64_t id, const clm_key_t *key, clm_verdict_t verdict)
 {
-  one_ask (one, id, key);
-  one_turn (one);
-  CU_ASSERT_EQUAL (one_verdict (one), verdict);
+  request_claim (single, id, key);
+  append_and_read (single);
+  CU_ASSERT_EQUAL (next_verdict (single), verdict);
 }
 
 static void
 test_first_wins (void)
 {
-  g_auto (one_t) one = one_begin ();
+  g_auto (single_t) single = single_init ();
   clm_key_t other_body = { { 1, 2 }, 4 };
-  one_ask (&one, 1, &key_a);
-  one_ask (&one, 2, &key_a);
-  one_ask (&one, 3, &other_body);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_PENDING);
-  one_turn (&one);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_HELD);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_KEY_REUSED);
-  CU_ASSERT_FALSE (clm_wants (one.clm));
+  request_claim (&single, 1, &key_a);
+  request_claim (&single, 2, &key_a);
+  request_claim (&single, 3, &other_body);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  append_and_read (&single);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_HELD);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_KEY_REUSED);
+  CU_ASSERT_FALSE (clm_wants (single.clm));
 }
 
 static void
 test_done_and_released (void)
 {
-  g_auto (one_t) one = one_begin ();
+  g_auto (single_t) single = single_init ();
   clm_result_t result;
   uint64_t first[2] = { 7, 1 };
   uint64_t second[2] = { 7, 2 };
-  one_claims (&one, 1, &key_a, CLM_GRANTED);
-  clm_release (one.clm, first, &key_a);
-  one_turn (&one);
-  one_claims (&one, 2, &key_a, CLM_GRANTED);
-  clm_done (one.clm, second, &key_a, 201);
-  clm_release (one.clm, second, &key_a); /* it ran: this must not free the key */
-  one_turn (&one);
-  one_ask (&one, 3, &key_a);
-  CU_ASSERT_TRUE_FATAL (clm_result (one.clm, one.now_us, &result));
+  check_claim (&single, 1, &key_a, CLM_GRANTED);
+  clm_release (single.clm, first, &key_a);
+  append_and_read (&single);
+  check_claim (&single, 2, &key_a, CLM_GRANTED);
+  clm_done (single.clm, second, &key_a, 201);
+  clm_release (single.clm, second, &key_a); /* must not free the key, as the request ran */
+  append_and_read (&single);
+  request_claim (&single, 3, &key_a);
+  CU_ASSERT_TRUE_FATAL (clm_result (single.clm, single.now_us, &result));
   CU_ASSERT_EQUAL (result.verdict, CLM_DONE);
   CU_ASSERT_EQUAL (result.status, 201);
 }
 
-/* The log takes the record but its answer is lost. The caller waits a little longer and runs: the
- * claim is found by reading, so it is not appended a second time. */
+/* The log takes the record but its answer is lost. The claim is found by reading, so it is granted
+ * and not appended a second time. */
 static void
 test_lost_answer (void)
 {
-  g_auto (one_t) one = one_begin ();
-  one_ask (&one, 1, &key_a);
-  g_autofree char *text = one_batch (&one);
-  clm_append_lost (one.clm, one.now_us);
-  one.now_us += CLK_US_PER_S / 2;
-  CU_ASSERT_PTR_NULL (one_batch (&one));
-  one_feed (&one, text);
-  clm_read_to (one.clm, one.now_us, one.offset);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  CU_ASSERT_PTR_NULL (one_batch (&one));
-  CU_ASSERT_FALSE (clm_wants (one.clm));
+  g_auto (single_t) single = single_init ();
+  request_claim (&single, 1, &key_a);
+  g_autofree char *text = next_batch (&single);
+  clm_append_lost (single.clm, single.now_us);
+  single.now_us += CLK_US_PER_S / 2;
+  CU_ASSERT_PTR_NULL (next_batch (&single));
+  apply_record (&single, text);
+  clm_read_to (single.clm, single.now_us, single.offset);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  CU_ASSERT_PTR_NULL (next_batch (&single));
+  CU_ASSERT_FALSE (clm_wants (single.clm));
 }
 
-/* The record is read back before its append's answer is given up. The log works, so the next claim
- * must not be refused. */
+/* The record is read back before its append counts as lost. That shows that the log works, so the
+ * next claim must not be refused. */
 static void
 test_read_back_before_loss (void)
 {
-  g_auto (one_t) one = one_begin ();
-  one_ask (&one, 1, &key_a);
-  g_autofree char *text = one_batch (&one);
-  one_feed (&one, text);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  clm_append_lost (one.clm, one.now_us);
-  CU_ASSERT_FALSE (clm_wants (one.clm));
-  one_claims (&one, 2, &key_b, CLM_GRANTED);
+  g_auto (single_t) single = single_init ();
+  request_claim (&single, 1, &key_a);
+  g_autofree char *text = next_batch (&single);
+  apply_record (&single, text);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  clm_append_lost (single.clm, single.now_us);
+  CU_ASSERT_FALSE (clm_wants (single.clm));
+  check_claim (&single, 2, &key_b, CLM_GRANTED);
 }
 
-/* The append never took effect. It is repeated under the same id, but only after a read that began
- * after the loss doesn't show it; the first read may have been on its way before. */
+/* The append had no effect. It is repeated with the same claim id, but only when a read that began
+ * after the loss doesn't show it; the first read may have begun earlier. */
 static void
 test_lost_append (void)
 {
-  g_auto (one_t) one = one_begin ();
-  one_ask (&one, 1, &key_a);
-  g_free (one_batch (&one));
-  clm_append_lost (one.clm, one.now_us);
-  one.now_us += CLK_US_PER_S / 2;
-  clm_read_to (one.clm, one.now_us, one.offset);
-  CU_ASSERT_PTR_NULL (one_batch (&one));
-  clm_read_to (one.clm, one.now_us, one.offset);
-  one_turn (&one);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
+  g_auto (single_t) single = single_init ();
+  request_claim (&single, 1, &key_a);
+  g_free (next_batch (&single));
+  clm_append_lost (single.clm, single.now_us);
+  single.now_us += CLK_US_PER_S / 2;
+  clm_read_to (single.clm, single.now_us, single.offset);
+  CU_ASSERT_PTR_NULL (next_batch (&single));
+  clm_read_to (single.clm, single.now_us, single.offset);
+  append_and_read (&single);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
 }
 
-/* An append looks lost, is repeated, runs nowhere and is released; then the first copy lands. If it
- * took the key, nobody would ever free that, and the caller's resend would be told that it may
- * have run. */
+/* An append seems lost and is repeated, its claim is released, and then the first copy reaches the
+ * log. If that took the key nobody would release it, and a resend would be told that the request
+ * may have run. */
 static void
-test_late_copy_is_dead (void)
+test_late_copy_of_released_claim_is_void (void)
 {
-  g_auto (one_t) one = one_begin ();
+  g_auto (single_t) single = single_init ();
   uint64_t claim_id[2] = { 7, 1 };
-  one_ask (&one, 1, &key_a);
-  g_autofree char *late = one_batch (&one);
-  clm_append_lost (one.clm, one.now_us);
-  one.now_us += CLK_US_PER_S / 2;
-  clm_read_to (one.clm, one.now_us, one.offset);
-  clm_read_to (one.clm, one.now_us, one.offset);
-  one_turn (&one);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  clm_release (one.clm, claim_id, &key_a);
-  one_turn (&one);
-  one_feed (&one, late);
-  one_claims (&one, 2, &key_a, CLM_GRANTED);
-}
-
-/* The log is out: callers hear so at once and not at their deadline, the claim that was on its way
- * is released so that a resend may run, and that release finds out when the log is back. */
+  request_claim (&single, 1, &key_a);
+  g_autofree char *late = next_batch (&single);
+  clm_append_lost (single.clm, single.now_us);
+  single.now_us += CLK_US_PER_S / 2;
+  clm_read_to (single.clm, single.now_us, single.offset);
+  clm_read_to (single.clm, single.now_us, single.offset);
+  append_and_read (&single);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  clm_release (single.clm, claim_id, &key_a);
+  append_and_read (&single);
+  apply_record (&single, late);
+  check_claim (&single, 2, &key_a, CLM_GRANTED);
+}
+
+/* The log is out. New claims are refused at once and not at their deadline. The claim that was sent
+ * is released so that a resend may run, and that release shows when the log is back. */
 static void
 test_log_down (void)
 {
-  g_auto (one_t) one = one_begin ();
-  one_ask (&one, 1, &key_a);
-  g_autofree char *late = one_batch (&one);
-  one_ask (&one, 2, &key_b); /* waits for the append in flight */
-  clm_append_lost (one.clm, one.now_us);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-  one_ask (&one, 3, &key_b);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_PENDING);
-  one.now_us += CLK_US_PER_S;
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-  one_ask (&one, 4, &key_a); /* at once, too: the release of the first will find out */
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-  clm_read_to (one.clm, one.now_us, one.offset);
-  clm_read_to (one.clm, one.now_us, one.offset);
-  one_turn (&one);
-  one_claims (&one, 5, &key_a, CLM_GRANTED);
-  one_feed (&one, late);
-  one_claims (&one, 6, &key_b, CLM_GRANTED);
-}
-
-/* The process is frozen between the append and reading it back. When it wakes the claim's time is
- * over: it must not run, and the key is freed for a resend. */
+  g_auto (single_t) single = single_init ();
+  request_claim (&single, 1, &key_a);
+  g_autofree char *late = next_batch (&single);
+  request_claim (&single, 2, &key_b); /* queued behind the append in flight */
+  clm_append_lost (single.clm, single.now_us);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  request_claim (&single, 3, &key_b);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  single.now_us += CLK_US_PER_S;
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  request_claim (&single, 4,
+                 &key_a); /* refused at once too: the release of the first claim tries the log */
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  clm_read_to (single.clm, single.now_us, single.offset);
+  clm_read_to (single.clm, single.now_us, single.offset);
+  append_and_read (&single);
+  check_claim (&single, 5, &key_a, CLM_GRANTED);
+  apply_record (&single, late);
+  check_claim (&single, 6, &key_b, CLM_GRANTED);
+}
+
+/* The process is suspended between the append and its read, until after the claim's expiry. The
+ * request must not run, and the key is released for a resend. */
 static void
 test_too_late (void)
 {
-  g_auto (one_t) one = one_begin ();
-  one_ask (&one, 1, &key_a);
-  g_autofree char *text = one_batch (&one);
-  clm_appended (one.clm, one.now_us, one.offset);
-  one.now_us += EXPIRY_US;
-  one_feed (&one, text);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_TOO_LATE);
-  one_claims (&one, 2, &key_a, CLM_GRANTED);
+  g_auto (single_t) single = single_init ();
+  request_claim (&single, 1, &key_a);
+  g_autofree char *text = next_batch (&single);
+  clm_appended (single.clm, single.now_us, single.offset);
+  single.now_us += EXPIRY_US;
+  apply_record (&single, text);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_TOO_LATE);
+  check_claim (&single, 2, &key_a, CLM_GRANTED);
 }
 
-/* The log takes no more appends for now and says so. The caller must not be told that its request
- * may have run, nor be refused while there is time: the same claim goes with the next append, under
- * the same id, and without a release of what never stood in the log. */
+/* The log refuses an append because it gets too many. The client must not be told that its request
+ * may have run, nor be refused before its deadline: the claim goes with the next append under the
+ * same id, and without a release, since it never was in the log. */
 static void
 test_refused_append (void)
 {
-  g_auto (one_t) one = one_begin ();
-  one_ask (&one, 1, &key_a);
-  g_autofree char *first = one_batch (&one);
-  clm_append_refused (one.clm, one.now_us);
-  CU_ASSERT_PTR_NULL (one_batch (&one));
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_PENDING);
-  one.now_us = clm_due_us (one.clm);
-  g_autofree char *second = one_batch (&one);
+  g_auto (single_t) single = single_init ();
+  request_claim (&single, 1, &key_a);
+  g_autofree char *first = next_batch (&single);
+  clm_append_refused (single.clm, single.now_us);
+  CU_ASSERT_PTR_NULL (next_batch (&single));
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  single.now_us = clm_due_us (single.clm);
+  g_autofree char *second = next_batch (&single);
   CU_ASSERT_PTR_NOT_NULL_FATAL (second);
-  CU_ASSERT_NSTRING_EQUAL (first, second, strcspn (first, "t")); /* but for the time */
-  clm_appended (one.clm, one.now_us, one.offset);
-  one_feed (&one, second);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  CU_ASSERT_EQUAL (clm_due_us (one.clm), UINT64_MAX);
-}
-
-/* The log is asked too often, and the next append is due later than some callers can wait. They
- * hear so at once, whether they come before or after, and not at their deadline; others wait. */
-static void
-test_refused_in_a_hurry (void)
-{
-  g_auto (one_t) one = one_begin ();
-  uint64_t hasty[2] = { 7, 1 };
-  uint64_t hastier[2] = { 7, 2 };
-  clm_request (one.clm, one.now_us, hasty, &key_a, one.now_us + 50 * CLK_US_PER_MS, NULL);
-  one_ask (&one, 3, &key_b);
-  g_free (one_batch (&one));
-  clm_append_refused (one.clm, one.now_us);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_PENDING);
-  clm_request (one.clm, one.now_us, hastier, &key_a, one.now_us + 50 * CLK_US_PER_MS, NULL);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-  one_turn (&one);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_PENDING);
-}
-
-/* The log goes on refusing. What waits is told after a few tries that it did not run, later callers
- * hear so at once, and the appends that still try grow rarer. One that is taken ends it. */
+  CU_ASSERT_NSTRING_EQUAL (first, second, strcspn (first, "t")); /* except the time */
+  clm_appended (single.clm, single.now_us, single.offset);
+  apply_record (&single, second);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  CU_ASSERT_EQUAL (clm_due_us (single.clm), UINT64_MAX);
+}
+
+/* The log refuses an append, and the next one is due after the deadline of some claims. Those are
+ * refused at once and not at their deadline, also when they come later; the others wait. */
+static void
+test_refused_append_and_short_deadlines (void)
+{
+  g_auto (single_t) single = single_init ();
+  uint64_t short_deadline[2] = { 7, 1 };
+  uint64_t late_short_deadline[2] = { 7, 2 };
+  clm_request (single.clm, single.now_us, short_deadline, &key_a,
+               single.now_us + 50 * CLK_US_PER_MS, NULL);
+  request_claim (&single, 3, &key_b);
+  g_free (next_batch (&single));
+  clm_append_refused (single.clm, single.now_us);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  clm_request (single.clm, single.now_us, late_short_deadline, &key_a,
+               single.now_us + 50 * CLK_US_PER_MS, NULL);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  append_and_read (&single);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+}
+
+/* The log goes on to refuse appends. A pending claim is refused after a few attempts and later ones
+ * at once, and the attempts become rarer. The first append that succeeds ends this. */
 static void
 test_refused_for_long (void)
 {
-  g_auto (one_t) one = one_begin ();
+  g_auto (single_t) single = single_init ();
   uint32_t tries = 0;
-  one_ask (&one, 1, &key_a);
-  while (one_verdict (&one) == CLM_PENDING)
+  request_claim (&single, 1, &key_a);
+  while (next_verdict (&single) == CLM_PENDING)
     {
-      one.now_us = clm_due_us (one.clm);
-      char *text = one_batch (&one);
+      single.now_us = clm_due_us (single.clm);
+      char *text = next_batch (&single);
       CU_ASSERT_PTR_NOT_NULL_FATAL (text);
       g_free (text);
-      clm_append_refused (one.clm, one.now_us);
+      clm_append_refused (single.clm, single.now_us);
       tries++;
     }
   CU_ASSERT_TRUE (tries <= 5);
-  CU_ASSERT_TRUE (one.now_us < 3 * CLK_US_PER_S);
+  CU_ASSERT_TRUE (single.now_us < 3 * CLK_US_PER_S);
   tries = 0;
   for (uint32_t second = 0; second < 40; second++)
     {
-      one.now_us += CLK_US_PER_S;
-      one_ask (&one, 10 + second, &key_a);
-      one_ask (&one, 100 + second, &key_a);
-      char *text = one_batch (&one);
+      single.now_us += CLK_US_PER_S;
+      request_claim (&single, 10 + second, &key_a);
+      request_claim (&single, 100 + second, &key_a);
+      char *text = next_batch (&single);
       if (text != NULL)
         {
           tries++;
-          clm_append_refused (one.clm, one.now_us);
+          clm_append_refused (single.clm, single.now_us);
         }
       g_free (text);
-      CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-      CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
+      CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+      CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
     }
   CU_ASSERT_TRUE (tries >= 5 && tries <= 15);
-  one.now_us += 5 * CLK_US_PER_S;
-  one_claims (&one, 3, &key_a, CLM_GRANTED);
-  one_claims (&one, 4, &key_a, CLM_HELD);
+  single.now_us += 5 * CLK_US_PER_S;
+  check_claim (&single, 3, &key_a, CLM_GRANTED);
+  check_claim (&single, 4, &key_a, CLM_HELD);
 }
 
-/* Reading fails: claims that are not on their way are refused at once, although appending was not
- * tried yet. */
+/* A read fails: claims that aren't sent yet are refused at once, although no append has failed. */
 static void
 test_reading_fails (void)
 {
-  g_auto (one_t) one = one_begin ();
-  one_claims (&one, 1, &key_a, CLM_GRANTED);
-  one_ask (&one, 2, &key_b); /* waits for the interval */
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_PENDING);
-  clm_log_down (one.clm, one.now_us);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_LOG_DOWN);
-  one.now_us += CLK_US_PER_S;
-  CU_ASSERT_PTR_NULL (one_batch (&one));
+  g_auto (single_t) single = single_init ();
+  check_claim (&single, 1, &key_a, CLM_GRANTED);
+  request_claim (&single, 2, &key_b); /* queued until the interval is over */
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  clm_log_down (single.clm, single.now_us);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  single.now_us += CLK_US_PER_S;
+  CU_ASSERT_PTR_NULL (next_batch (&single));
 }
 
 static bool
-batch_has (one_t *one, const char *kind)
+batch_has (single_t *single, const char *kind)
 {
-  char *text = one_batch (one);
+  char *text = next_batch (single);
   bool found = text != NULL && strstr (text, kind) != NULL;
   if (text != NULL)
     {
-      clm_appended (one->clm, one->now_us, one->offset);
-      one_feed (one, text);
+      clm_appended (single->clm, single->now_us, single->offset);
+      apply_record (single, text);
     }
   g_free (text);
   return found;
 }
 
-/* Each end of a request would cost an append of its own, as many as the claims. It waits for the
- * next claim, but not for long: until it is in the log, a resend at another sidecar hears that the
- * request may have run instead of that it ran, and so it does when this process ends meanwhile. A
- * release does not wait, as the caller is told that it may send again. */
+/* Done entries would double the number of appends, so a done entry waits for the next claim, though
+ * not for long: until it is in the log, a resend at another sidecar is told that the request may
+ * have run instead of that it ran, and for good if this process ends. A release does not wait,
+ * because the client is told that it may resend. */
 static void
-test_done_rides_along (void)
+test_done_entry_shares_an_append (void)
 {
-  g_auto (one_t) one = one_begin ();
+  g_auto (single_t) single = single_init ();
   uint64_t first[2] = { 7, 1 };
   uint64_t second[2] = { 7, 2 };
-  one_claims (&one, 1, &key_a, CLM_GRANTED);
-  one.now_us += CLK_US_PER_S / 5;
-  clm_done (one.clm, first, &key_a, 200);
-  CU_ASSERT_TRUE (clm_wants (one.clm));
-  CU_ASSERT_FALSE (clm_wants_read (one.clm));
-  CU_ASSERT_FALSE (batch_has (&one, "\"d\""));
-  one_ask (&one, 2, &key_b);
-  CU_ASSERT_TRUE (batch_has (&one, "\"d\""));
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  one.now_us += CLK_US_PER_S / 5;
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_PENDING);
-  clm_done (one.clm, second, &key_b, 200);
-  CU_ASSERT_FALSE (batch_has (&one, "\"d\""));
-  one.now_us += 2 * CLK_US_PER_S;
-  CU_ASSERT_TRUE (batch_has (&one, "\"d\""));
-  one_ask (&one, 3, &(clm_key_t){ { 6, 6 }, 6 });
-  one.now_us += CLK_US_PER_S / 5;
-  one_turn (&one);
-  CU_ASSERT_EQUAL (one_verdict (&one), CLM_GRANTED);
-  one.now_us += CLK_US_PER_S / 5;
-  clm_release (one.clm, (uint64_t[]){ 7, 3 }, &(clm_key_t){ { 6, 6 }, 6 });
-  CU_ASSERT_TRUE (batch_has (&one, "\"r\""));
+  check_claim (&single, 1, &key_a, CLM_GRANTED);
+  single.now_us += CLK_US_PER_S / 5;
+  clm_done (single.clm, first, &key_a, 200);
+  CU_ASSERT_TRUE (clm_wants (single.clm));
+  CU_ASSERT_FALSE (clm_wants_read (single.clm));
+  CU_ASSERT_FALSE (batch_has (&single, "\"d\""));
+  request_claim (&single, 2, &key_b);
+  CU_ASSERT_TRUE (batch_has (&single, "\"d\""));
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  single.now_us += CLK_US_PER_S / 5;
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  clm_done (single.clm, second, &key_b, 200);
+  CU_ASSERT_FALSE (batch_has (&single, "\"d\""));
+  single.now_us += 2 * CLK_US_PER_S;
+  CU_ASSERT_TRUE (batch_has (&single, "\"d\""));
+  request_claim (&single, 3, &(clm_key_t){ { 6, 6 }, 6 });
+  single.now_us += CLK_US_PER_S / 5;
+  append_and_read (&single);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  single.now_us += CLK_US_PER_S / 5;
+  clm_release (single.clm, (uint64_t[]){ 7, 3 }, &(clm_key_t){ { 6, 6 }, 6 });
+  CU_ASSERT_TRUE (batch_has (&single, "\"r\""));
 }
 
 static void
 test_broken_records (void)
 {
-  g_auto (one_t) one = one_begin ();
-  static const char *const broken[] = {
+  g_auto (single_t) single = single_init ();
+  static const char *const malformed[] = {
     "", "{}", "[1]", "[{\"c\":\"zz\"}]", "[[[", "[{\"c\":1,\"k\":2,\"b\":3,\"t\":-4}]", "\xff"
   };
-  for (uint32_t i = 0; i < G_N_ELEMENTS (broken); i++)
-    one_feed (&one, broken[i]);
-  CU_ASSERT_EQUAL (clm_broken_count (one.clm), G_N_ELEMENTS (broken));
-  one_claims (&one, 1, &key_a, CLM_GRANTED);
+  for (uint32_t i = 0; i < G_N_ELEMENTS (malformed); i++)
+    apply_record (&single, malformed[i]);
+  CU_ASSERT_EQUAL (clm_broken_count (single.clm), G_N_ELEMENTS (malformed));
+  check_claim (&single, 1, &key_a, CLM_GRANTED);
 }
 
-/* Keys are forgotten a horizon after their claim, and the memory is given back. */
+/* Keys are forgotten a horizon after their claim, and their memory is freed. */
 static void
 test_memory_is_bounded (void)
 {
-  g_auto (one_t) one = one_begin ();
+  g_auto (single_t) single = single_init ();
   uint64_t most_bytes = 0;
   for (uint32_t i = 0; i < 40000; i++)
     {
       clm_key_t key = { { i, 9 }, 1 };
-      one_claims (&one, i, &key, CLM_GRANTED);
-      one.now_us += HORIZON_US / 1000;
-      most_bytes = MAX (most_bytes, clm_memory_bytes (one.clm));
+      check_claim (&single, i, &key, CLM_GRANTED);
+      single.now_us += HORIZON_US / 1000;
+      most_bytes = MAX (most_bytes, clm_memory_bytes (single.clm));
     }
-  CU_ASSERT_TRUE (clm_key_count (one.clm) <= 4000);
+  CU_ASSERT_TRUE (clm_key_count (single.clm) <= 4000);
   CU_ASSERT_TRUE (most_bytes <= 1500 * 24); /* 1,000 keys within the horizon */
   clm_key_t oldest = { { 0, 9 }, 1 };
-  one_claims (&one, 1, &oldest, CLM_GRANTED);
+  check_claim (&single, 1, &oldest, CLM_GRANTED);
 }
 
 /* ---- several readers over one log ---- */
 
 #define READERS 3
 #define KEYS 7
-#define KEY_TURN_US (30 * (uint64_t)CLK_US_PER_S)
+#define KEY_PERIOD_US (30 * (uint64_t)CLK_US_PER_S)
 #define DELAYED_MAX 16
 
-/* grant_t - a claim that was granted and is yet to be used or to turn out late */
+/** struct grant - a granted claim whose request has not run yet; @run_us: when it runs */
 typedef struct
 {
   uint64_t claim_id[2];
   uint32_t key;
-  uint64_t use_us;
+  uint64_t run_us;
   uint64_t expiry_us;
 } grant_t;
 
@@ -466,7 +468,13 @@
   char *text;
 } logged_t;
 
-/* world_t - @faults: off for the check that all claims are judged */
+/**
+ * struct simulation - several readers of one log
+ * @faults: whether there are random faults
+ * @first: first offset that the log still has
+ * @delayed: records that reach the log later
+ * @repeated_runs: requests that ran although their key had run within the horizon; must stay 0
+ */
 typedef struct
 {
   GRand *rand;
@@ -478,38 +486,39 @@
   uint32_t delayed_count;
   reader_t readers[READERS];
   uint64_t next_id;
-  uint64_t last_use_us[KEYS]; /* 0: never */
-  uint32_t asked;
-  uint32_t judged;
-  uint32_t used;
-  uint32_t doubled;
-} world_t;
+  uint64_t last_run_us[KEYS]; /* 0: never */
+  uint32_t requested;
+  uint32_t decided;
+  uint32_t runs;
+  uint32_t repeated_runs;
+} simulation_t;
 
 static bool
-chance (world_t *world, uint32_t percent)
+chance (simulation_t *simulation, uint32_t percent)
 {
-  return g_rand_int_range (world->rand, 0, 100) < (gint32)percent;
+  return g_rand_int_range (simulation->rand, 0, 100) < (gint32)percent;
 }
 
 static uint64_t
-up_to (world_t *world, uint64_t us)
+random_us (simulation_t *simulation, uint64_t us)
 {
-  return (uint64_t)g_rand_double_range (world->rand, 0, (double)us);
+  return (uint64_t)g_rand_double_range (simulation->rand, 0, (double)us);
 }
 
 static uint64_t
-reader_wall_ms (const world_t *world, const reader_t *reader)
+reader_wall_ms (const simulation_t *simulation, const reader_t *reader)
 {
-  return (uint64_t)((int64_t)(WALL_BASE_MS + world->now_us / CLK_US_PER_MS) + reader->skew_ms);
+  return (uint64_t)((int64_t)(WALL_BASE_MS + simulation->now_us / CLK_US_PER_MS) + reader->skew_ms);
 }
 
 static void
-reader_start (world_t *world, reader_t *reader)
+reader_start (simulation_t *simulation, reader_t *reader)
 {
   memset (reader, 0, sizeof *reader);
   reader->clm = clm_new (HORIZON_US);
   reader->grants = g_array_new (FALSE, FALSE, sizeof (grant_t));
-  reader->skew_ms = world->faults ? (int64_t)up_to (world, 4 * CLK_US_PER_MS) - 2000 : 0;
+  reader->skew_ms =
+      simulation->faults ? (int64_t)random_us (simulation, 4 * CLK_US_PER_MS) - 2000 : 0;
 }
 
 static void
@@ -521,252 +530,261 @@
 }
 
 static void
-land (world_t *world, const char *text)
+append_to_log (simulation_t *simulation, const char *text)
 {
-  logged_t logged = { world->now_us, g_strdup (text) };
-  g_array_append_val (world->log, logged);
+  logged_t logged = { simulation->now_us, g_strdup (text) };
+  g_array_append_val (simulation->log, logged);
 }
 
 static void
-delay (world_t *world, const char *text)
+append_later (simulation_t *simulation, const char *text)
 {
-  if (world->delayed_count == DELAYED_MAX)
+  if (simulation->delayed_count == DELAYED_MAX)
     return;
-  world->delayed[world->delayed_count++] =
-      (delayed_t){ g_strdup (text), world->now_us + up_to (world, 30 * CLK_US_PER_S) };
+  simulation->delayed[simulation->delayed_count++] =
+      (delayed_t){ g_strdup (text),
+                   simulation->now_us + random_us (simulation, 30 * CLK_US_PER_S) };
 }
 
 static void
-step_log (world_t *world)
+step_log (simulation_t *simulation)
 {
-  for (uint32_t i = world->delayed_count; i-- > 0;)
-    if (world->now_us >= world->delayed[i].due_us)
+  for (uint32_t i = simulation->delayed_count; i-- > 0;)
+    if (simulation->now_us >= simulation->delayed[i].due_us)
       {
-        land (world, world->delayed[i].text);
-        g_free (world->delayed[i].text);
-        world->delayed[i] = world->delayed[--world->delayed_count];
+        append_to_log (simulation, simulation->delayed[i].text);
+        g_free (simulation->delayed[i].text);
+        simulation->delayed[i] = simulation->delayed[--simulation->delayed_count];
       }
-  while (world->first < world->log->len &&
-         g_array_index (world->log, logged_t, world->first).at_us + RETENTION_US < world->now_us)
-    world->first++;
+  while (simulation->first < simulation->log->len &&
+         g_array_index (simulation->log, logged_t, simulation->first).at_us + RETENTION_US <
+             simulation->now_us)
+    simulation->first++;
 }
 
 static void
-step_ask (world_t *world, reader_t *reader)
+step_request (simulation_t *simulation, reader_t *reader)
 {
-  /* Each key is asked for during two turns and comes again when it is about to be forgotten. */
-  uint64_t turn = world->now_us / KEY_TURN_US + (chance (world, 50) ? 1 : 0);
-  uint32_t key = (uint32_t)(turn % KEYS);
-  clm_key_t names = { { key, 77 }, 5 };
-  uint64_t claim_id[2] = { 1, world->next_id++ };
-  uint64_t expiry_us = world->now_us + EXPIRY_US;
-  clm_request (reader->clm, world->now_us, claim_id, &names, expiry_us, GUINT_TO_POINTER (key));
-  world->asked++;
+  /* Each key is claimed during two periods and again when it is about to be forgotten. */
+  uint64_t period = simulation->now_us / KEY_PERIOD_US + (chance (simulation, 50) ? 1 : 0);
+  uint32_t key = (uint32_t)(period % KEYS);
+  clm_key_t claim_key = { { key, 77 }, 5 };
+  uint64_t claim_id[2] = { 1, simulation->next_id++ };
+  uint64_t expiry_us = simulation->now_us + EXPIRY_US;
+  clm_request (reader->clm, simulation->now_us, claim_id, &claim_key, expiry_us,
+               GUINT_TO_POINTER (key));
+  simulation->requested++;
 }
 
 static void
-step_append (world_t *world, reader_t *reader)
+step_append (simulation_t *simulation, reader_t *reader)
 {
   if (reader->append == NULL)
     {
-      reader->append = clm_batch (reader->clm, world->now_us, reader_wall_ms (world, reader));
-      reader->append_due_us = world->now_us + up_to (world, CLK_US_PER_S / 10);
+      reader->append =
+          clm_batch (reader->clm, simulation->now_us, reader_wall_ms (simulation, reader));
+      reader->append_due_us = simulation->now_us + random_us (simulation, CLK_US_PER_S / 10);
       return;
     }
-  if (world->now_us < reader->append_due_us)
+  if (simulation->now_us < reader->append_due_us)
     return;
-  if (world->faults && chance (world, 20))
+  if (simulation->faults && chance (simulation, 20))
     {
-      clm_append_refused (reader->clm, world->now_us);
+      clm_append_refused (reader->clm, simulation->now_us);
       g_clear_pointer (&reader->append, g_free);
       return;
     }
-  bool lost = world->faults && chance (world, 30);
-  if (!lost || chance (world, 40))
-    land (world, reader->append);
-  else if (chance (world, 50))
-    delay (world, reader->append);
+  bool lost = simulation->faults && chance (simulation, 30);
+  if (!lost || chance (simulation, 40))
+    append_to_log (simulation, reader->append);
+  else if (chance (simulation, 50))
+    append_later (simulation, reader->append);
   if (lost)
-    clm_append_lost (reader->clm, world->now_us);
+    clm_append_lost (reader->clm, simulation->now_us);
   else
-    clm_appended (reader->clm, world->now_us, world->log->len - 1);
+    clm_appended (reader->clm, simulation->now_us, simulation->log->len - 1);
   g_clear_pointer (&reader->append, g_free);
 }
 
-/* A read takes the log's end when it is sent and brings the records when it is answered. */
+/* A read notes the log's end when it is sent, and brings the records when it is answered. */
 static void
-step_read (world_t *world, reader_t *reader)
+step_read (simulation_t *simulation, reader_t *reader)
 {
   if (!reader->read_sent)
     {
       reader->read_sent = true;
-      reader->read_first = world->first;
-      reader->read_end = world->log->len;
+      reader->read_first = simulation->first;
+      reader->read_end = simulation->log->len;
       return;
     }
   reader->read_sent = false;
-  if (world->faults && chance (world, 20))
+  if (simulation->faults && chance (simulation, 20))
     return;
   clm_begin (reader->clm, reader->read_first);
-  uint64_t wall = reader_wall_ms (world, reader);
+  uint64_t wall = reader_wall_ms (simulation, reader);
   for (uint64_t at = clm_next_offset (reader->clm); at < reader->read_end; at++)
     {
-      if (world->faults && chance (world, 5))
+      if (simulation->faults && chance (simulation, 5))
         return; /* a page that ends early */
-      const char *text = g_array_index (world->log, logged_t, at).text;
-      clm_feed (reader->clm, world->now_us, wall, at, text, strlen (text));
+      const char *text = g_array_index (simulation->log, logged_t, at).text;
+      clm_feed (reader->clm, simulation->now_us, wall, at, text, strlen (text));
     }
-  clm_read_to (reader->clm, world->now_us, reader->read_end);
+  clm_read_to (reader->clm, simulation->now_us, reader->read_end);
 }
 
 static void
-use (world_t *world, reader_t *reader, const grant_t *grant)
+run_request (simulation_t *simulation, reader_t *reader, const grant_t *grant)
 {
-  clm_key_t names = { { grant->key, 77 }, 5 };
-  if (world->now_us >= grant->expiry_us)
+  clm_key_t claim_key = { { grant->key, 77 }, 5 };
+  if (simulation->now_us >= grant->expiry_us)
     {
-      clm_release (reader->clm, grant->claim_id, &names);
+      clm_release (reader->clm, grant->claim_id, &claim_key);
       return;
     }
-  uint64_t last_us = world->last_use_us[grant->key];
-  uint64_t slack_us = EXPIRY_US + 5 * (uint64_t)CLK_US_PER_S; /* expiry, and clocks 4 s apart */
-  if (last_us != 0 && world->now_us < last_us + HORIZON_US - slack_us)
-    world->doubled++;
-  world->last_use_us[grant->key] = world->now_us;
-  world->used++;
-  if (chance (world, 70))
-    clm_done (reader->clm, grant->claim_id, &names, 200);
+  uint64_t last_us = simulation->last_run_us[grant->key];
+  uint64_t slack_us =
+      EXPIRY_US + 5 * (uint64_t)CLK_US_PER_S; /* expiry, and clocks that differ by 4 s */
+  if (last_us != 0 && simulation->now_us < last_us + HORIZON_US - slack_us)
+    simulation->repeated_runs++;
+  simulation->last_run_us[grant->key] = simulation->now_us;
+  simulation->runs++;
+  if (chance (simulation, 70))
+    clm_done (reader->clm, grant->claim_id, &claim_key, 200);
 }
 
 static void
-step_results (world_t *world, reader_t *reader)
+step_results (simulation_t *simulation, reader_t *reader)
 {
   clm_result_t result;
-  while (clm_result (reader->clm, world->now_us, &result))
+  while (clm_result (reader->clm, simulation->now_us, &result))
     {
-      world->judged++;
+      simulation->decided++;
       if (result.verdict != CLM_GRANTED)
         continue;
       grant_t grant = { { result.claim_id[0], result.claim_id[1] },
                         GPOINTER_TO_UINT (result.owner),
-                        world->now_us + up_to (world, world->faults ? 3 * CLK_US_PER_S : 1000),
-                        world->now_us + CLK_US_PER_S };
-      clm_key_t names = { { grant.key, 77 }, 5 };
-      if (world->faults && chance (world, 30))
-        clm_release (reader->clm, grant.claim_id, &names); /* refused by the engine: not run */
+                        simulation->now_us +
+                            random_us (simulation, simulation->faults ? 3 * CLK_US_PER_S : 1000),
+                        simulation->now_us + CLK_US_PER_S };
+      clm_key_t claim_key = { { grant.key, 77 }, 5 };
+      if (simulation->faults && chance (simulation, 30))
+        clm_release (reader->clm, grant.claim_id,
+                     &claim_key); /* the engine refused the request, so it did not run */
       else
         g_array_append_val (reader->grants, grant);
     }
   for (guint i = reader->grants->len; i-- > 0;)
     {
       grant_t grant = g_array_index (reader->grants, grant_t, i);
-      if (world->now_us < grant.use_us)
+      if (simulation->now_us < grant.run_us)
         continue;
-      use (world, reader, &grant);
+      run_request (simulation, reader, &grant);
       g_array_remove_index_fast (reader->grants, i);
     }
 }
 
 static void
-step_reader (world_t *world, reader_t *reader)
+step_reader (simulation_t *simulation, reader_t *reader)
 {
-  if (world->now_us < reader->paused_until_us)
+  if (simulation->now_us < reader->paused_until_us)
     return;
-  if (world->faults && chance (world, 1) && chance (world, 30))
+  if (simulation->faults && chance (simulation, 1) && chance (simulation, 30))
     {
-      bool long_pause = chance (world, 5);
+      bool long_pause = chance (simulation, 5);
       reader->paused_until_us =
-          world->now_us + up_to (world, long_pause ? 2 * RETENTION_US : 10 * CLK_US_PER_S);
+          simulation->now_us +
+          random_us (simulation, long_pause ? 2 * RETENTION_US : 10 * CLK_US_PER_S);
       return;
     }
-  if (world->faults && chance (world, 1) && chance (world, 10))
+  if (simulation->faults && chance (simulation, 1) && chance (simulation, 10))
     {
       if (reader->append != NULL)
-        delay (world, reader->append);
+        append_later (simulation, reader->append);
       reader_stop (reader);
-      reader_start (world, reader);
+      reader_start (simulation, reader);
       return;
     }
-  if (chance (world, 10))
-    step_ask (world, reader);
-  step_append (world, reader);
-  step_read (world, reader);
-  step_results (world, reader);
+  if (chance (simulation, 10))
+    step_request (simulation, reader);
+  step_append (simulation, reader);
+  step_read (simulation, reader);
+  step_results (simulation, reader);
 }
 
 static void
-world_run (world_t *world, uint32_t seed, bool faults, uint32_t steps)
+simulation_run (simulation_t *simulation, uint32_t seed, bool faults, uint32_t steps)
 {
-  memset (world, 0, sizeof *world);
-  world->rand = g_rand_new_with_seed (seed);
-  world->faults = faults;
-  world->now_us = CLK_US_PER_S;
-  world->log = g_array_new (FALSE, FALSE, sizeof (logged_t));
+  memset (simulation, 0, sizeof *simulation);
+  simulation->rand = g_rand_new_with_seed (seed);
+  simulation->faults = faults;
+  simulation->now_us = CLK_US_PER_S;
+  simulation->log = g_array_new (FALSE, FALSE, sizeof (logged_t));
   for (uint32_t i = 0; i < READERS; i++)
-    reader_start (world, &world->readers[i]);
+    reader_start (simulation, &simulation->readers[i]);
   for (uint32_t step = 0; step < steps; step++)
     {
-      world->now_us += up_to (world, faults ? CLK_US_PER_S / 10 : 2 * CLK_US_PER_MS);
-      step_log (world);
-      step_reader (world, &world->readers[g_rand_int_range (world->rand, 0, READERS)]);
+      simulation->now_us += random_us (simulation, faults ? CLK_US_PER_S / 10 : 2 * CLK_US_PER_MS);
+      step_log (simulation);
+      step_reader (simulation,
+                   &simulation->readers[g_rand_int_range (simulation->rand, 0, READERS)]);
     }
 }
 
 static void
-world_free (world_t *world)
+simulation_free (simulation_t *simulation)
 {
   for (uint32_t i = 0; i < READERS; i++)
-    reader_stop (&world->readers[i]);
-  for (guint i = 0; i < world->log->len; i++)
-    g_free (g_array_index (world->log, logged_t, i).text);
-  for (uint32_t i = 0; i < world->delayed_count; i++)
-    g_free (world->delayed[i].text);
-  g_array_free (world->log, TRUE);
-  g_rand_free (world->rand);
+    reader_stop (&simulation->readers[i]);
+  for (guint i = 0; i < simulation->log->len; i++)
+    g_free (g_array_index (simulation->log, logged_t, i).text);
+  for (uint32_t i = 0; i < simulation->delayed_count; i++)
+    g_free (simulation->delayed[i].text);
+  g_array_free (simulation->log, TRUE);
+  g_rand_free (simulation->rand);
 }
 
-/* Readers with clocks apart, appends that are refused, lost, answered late or land much later,
- * pages that end early, pauses beyond expiry and beyond retention, restarts: within the horizon no
- * key is used by two grants. */
+/* Guards against a request that runs twice. Faults: clocks that differ, appends that are refused,
+ * lost, answered late or reach the log much later, reads that end early, pauses longer than expiry
+ * and retention, restarts. */
 static void
-test_at_most_one_use (void)
+test_key_runs_at_most_once (void)
 {
-  uint64_t used = 0;
+  uint64_t runs = 0;
   for (uint32_t seed = 0; seed < 100; seed++)
     {
-      world_t world;
-      world_run (&world, seed, true, 20000);
-      used += world.used;
-      if (world.doubled != 0)
-        printf ("seed %" PRIu32 ": %" PRIu32 " doubled\n", seed, world.doubled);
-      CU_ASSERT_EQUAL (world.doubled, 0);
-      world_free (&world);
+      simulation_t simulation;
+      simulation_run (&simulation, seed, true, 20000);
+      runs += simulation.runs;
+      if (simulation.repeated_runs != 0)
+        printf ("seed %" PRIu32 ": %" PRIu32 " repeated runs\n", seed, simulation.repeated_runs);
+      CU_ASSERT_EQUAL (simulation.repeated_runs, 0);
+      simulation_free (&simulation);
     }
-  printf ("%" PRIu64 " uses\n", used);
-  CU_ASSERT_TRUE (used > 1000);
+  printf ("%" PRIu64 " runs\n", runs);
+  CU_ASSERT_TRUE (runs > 1000);
 }
 
-/* Without faults each claim is judged and each key runs. */
+/* Without faults each claim gets a result and each key runs. */
 static void
-test_all_are_judged (void)
+test_every_claim_gets_a_result (void)
 {
   for (uint32_t seed = 0; seed < 20; seed++)
     {
-      world_t world;
-      world_run (&world, seed, false, 3000);
-      for (uint32_t i = 0; i < 80 * READERS; /* longer than a done entry is held back */ i++)
+      simulation_t simulation;
+      simulation_run (&simulation, seed, false, 3000);
+      for (uint32_t i = 0; i < 80 * READERS; /* longer than a done entry is deferred */ i++)
         {
-          reader_t *reader = &world.readers[i % READERS];
-          world.now_us += CLK_US_PER_S / 100;
-          step_append (&world, reader);
-          step_read (&world, reader);
-          step_results (&world, reader);
+          reader_t *reader = &simulation.readers[i % READERS];
+          simulation.now_us += CLK_US_PER_S / 100;
+          step_append (&simulation, reader);
+          step_read (&simulation, reader);
+          step_results (&simulation, reader);
         }
-      CU_ASSERT_EQUAL (world.judged, world.asked);
-      CU_ASSERT_EQUAL (world.used, 2);
+      CU_ASSERT_EQUAL (simulation.decided, simulation.requested);
+      CU_ASSERT_EQUAL (simulation.runs, 2);
       for (uint32_t i = 0; i < READERS; i++)
-        CU_ASSERT_FALSE (clm_wants (world.readers[i].clm));
-      world_free (&world);
+        CU_ASSERT_FALSE (clm_wants (simulation.readers[i].clm));
+      simulation_free (&simulation);
     }
 }
 
@@ -779,18 +797,18 @@
     { "a lost answer is looked up", test_lost_answer },
     { "read back before its answer is lost", test_read_back_before_loss },
     { "a lost append is repeated", test_lost_append },
-    { "a late copy of a released claim is dead", test_late_copy_is_dead },
+    { "a late copy of a released claim is void", test_late_copy_of_released_claim_is_void },
     { "the log is down", test_log_down },
     { "read back too late", test_too_late },
     { "a refused append is repeated", test_refused_append },
-    { "an append refused too late for some", test_refused_in_a_hurry },
+    { "a refused append and short deadlines", test_refused_append_and_short_deadlines },
     { "appends refused for long", test_refused_for_long },
     { "reading fails", test_reading_fails },
-    { "a done entry rides along", test_done_rides_along },
-    { "broken records are skipped", test_broken_records },
+    { "a done entry shares an append", test_done_entry_shares_an_append },
+    { "malformed records are skipped", test_broken_records },
     { "memory is bounded", test_memory_is_bounded },
-    { "at most one use under faults", test_at_most_one_use },
-    { "all are judged without faults", test_all_are_judged },
+    { "a key runs at most once under faults", test_key_runs_at_most_once },
+    { "every claim gets a result without faults", test_every_claim_gets_a_result },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("claim", tests);
--- a/tests/test_claim_pace.c
+++ b/tests/test_claim_pace.c
@@ -1,7 +1,7 @@
 /**
  * DOC: test_claim_pace
  *
- * Many that append to one log with a limit, each knowing only its own answers.
+ * Many daemons that append to one log with a limit, where each knows only the answers it gets.
  */
 #include "base/clock.h"
 #include "base/limits.h"
@@ -10,88 +10,88 @@
 
 #include <glib.h>
 
-#define APPENDERS 100
-#define LIMIT_S 100.0
+#define DAEMONS 100
+#define APPENDS_PER_S 100.0
 
 typedef struct
 {
-  cpc_t paces[APPENDERS];
-  uint32_t taken[APPENDERS];
+  cpc_t paces[DAEMONS];
+  uint32_t succeeded[DAEMONS];
   uint64_t refused;
   uint64_t now_us;
-  double credit;
-} crowd_t;
+  double allowance;
+} fleet_t;
 
 static void
-crowd_init (crowd_t *crowd)
+fleet_init (fleet_t *fleet)
 {
-  memset (crowd, 0, sizeof *crowd);
-  for (uint32_t i = 0; i < APPENDERS; i++)
+  memset (fleet, 0, sizeof *fleet);
+  for (uint32_t i = 0; i < DAEMONS; i++)
     {
-      cpc_init (&crowd->paces[i]);
-      cpc_stir (&crowd->paces[i], i);
+      cpc_init (&fleet->paces[i]);
+      cpc_stir (&fleet->paces[i], i);
     }
 }
 
-/* All always have something to append. */
+/* Every daemon always has something to append. */
 static void
-crowd_run (crowd_t *crowd, uint32_t seconds)
+fleet_run (fleet_t *fleet, uint32_t seconds)
 {
-  memset (crowd->taken, 0, sizeof crowd->taken);
-  crowd->refused = 0;
-  uint64_t end_us = crowd->now_us + seconds * (uint64_t)CLK_US_PER_S;
-  for (; crowd->now_us < end_us; crowd->now_us += CLK_US_PER_MS)
+  memset (fleet->succeeded, 0, sizeof fleet->succeeded);
+  fleet->refused = 0;
+  uint64_t end_us = fleet->now_us + seconds * (uint64_t)CLK_US_PER_S;
+  for (; fleet->now_us < end_us; fleet->now_us += CLK_US_PER_MS)
     {
-      crowd->credit = MIN (crowd->credit + LIMIT_S / 1000, LIMIT_S);
-      for (uint32_t i = 0; i < APPENDERS; i++)
+      fleet->allowance = MIN (fleet->allowance + APPENDS_PER_S / 1000, APPENDS_PER_S);
+      for (uint32_t i = 0; i < DAEMONS; i++)
         {
-          cpc_t *pace = &crowd->paces[i];
-          if (crowd->now_us < pace->due_us)
+          cpc_t *pace = &fleet->paces[i];
+          if (fleet->now_us < pace->due_us)
             continue;
-          cpc_started (pace, crowd->now_us);
-          if (crowd->credit < 1)
+          cpc_started (pace, fleet->now_us);
+          if (fleet->allowance < 1)
             {
-              cpc_refused (pace, crowd->now_us);
-              crowd->refused++;
+              cpc_refused (pace, fleet->now_us);
+              fleet->refused++;
               continue;
             }
-          crowd->credit -= 1;
-          crowd->taken[i]++;
-          cpc_taken (pace, crowd->now_us);
+          fleet->allowance -= 1;
+          fleet->succeeded[i]++;
+          cpc_taken (pace, fleet->now_us);
         }
     }
 }
 
 static uint32_t
-sum_of (const crowd_t *crowd)
+total (const fleet_t *fleet)
 {
   uint32_t sum = 0;
-  for (uint32_t i = 0; i < APPENDERS; i++)
-    sum += crowd->taken[i];
+  for (uint32_t i = 0; i < DAEMONS; i++)
+    sum += fleet->succeeded[i];
   return sum;
 }
 
-/* A hundred daemons have more to append than the log takes. They must use what it takes, hardly
- * ask beyond it, and none must be starved by others that came first. */
+/* A hundred daemons have more to append than the log takes. They must use its limit, be refused
+ * little beyond it, and none of them must starve. */
 static void
-test_crowd_settles (void)
+test_rates_converge_at_the_limit (void)
 {
-  crowd_t crowd;
-  crowd_init (&crowd);
-  crowd_run (&crowd, 60);
-  crowd_run (&crowd, 60);
-  uint32_t least = UINT32_MAX;
-  for (uint32_t i = 0; i < APPENDERS; i++)
-    least = MIN (least, crowd.taken[i]);
-  CU_ASSERT_TRUE (sum_of (&crowd) > 0.9 * 60 * LIMIT_S);
-  CU_ASSERT_TRUE (crowd.refused < 0.15 * 60 * LIMIT_S);
-  CU_ASSERT_TRUE (least > 60 * LIMIT_S / APPENDERS / 3);
+  fleet_t fleet;
+  fleet_init (&fleet);
+  fleet_run (&fleet, 60);
+  fleet_run (&fleet, 60);
+  uint32_t min = UINT32_MAX;
+  for (uint32_t i = 0; i < DAEMONS; i++)
+    min = MIN (min, fleet.succeeded[i]);
+  CU_ASSERT_TRUE (total (&fleet) > 0.9 * 60 * APPENDS_PER_S);
+  CU_ASSERT_TRUE (fleet.refused < 0.15 * 60 * APPENDS_PER_S);
+  CU_ASSERT_TRUE (min > 60 * APPENDS_PER_S / DAEMONS / 3);
 }
 
-/* One alone is never slower than the shortest interval and its jitter, and comes back to that
- * after refusals: else a surge would slow claims for good. */
+/* Guards against claims that stay slow after a peak of load. A single daemon returns to the
+ * shortest interval after refusals, with no more than its jitter. */
 static void
-test_one_comes_back (void)
+test_interval_recovers_after_refusals (void)
 {
   cpc_t pace;
   cpc_init (&pace);
@@ -108,8 +108,8 @@
   CU_ASSERT_EQUAL (pace.interval_us, LIM_CLAIM_INTERVAL_MIN_US);
 }
 
-/* The log is out for a while, which tells nothing of its rate: the tries grow rarer, but the first
- * that is taken brings back the old interval. */
+/* An outage of the log says nothing about its rate. The attempts become rarer, but the first one
+ * that succeeds restores the interval from before. */
 static void
 test_outage_keeps_interval (void)
 {
@@ -128,8 +128,8 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "a crowd settles at the limit", test_crowd_settles },
-    { "one alone comes back to its pace", test_one_comes_back },
+    { "rates converge at the limit", test_rates_converge_at_the_limit },
+    { "the interval recovers after refusals", test_interval_recovers_after_refusals },
     { "an outage keeps the interval", test_outage_keeps_interval },
     CU_TEST_INFO_NULL,
   };
