--- a/src/request/policy/claim.c
+++ b/src/request/policy/claim.c
@@ -15,7 +15,7 @@
 /* While appends fail and no other entry is queued, one new claim per interval is appended to find
  * out whether the log works again. */
 #define PROBE_INTERVAL_US CLK_US_PER_S
-/* More refusals in a row are not a short peak of load: clients must not wait for its end. */
+/* This many refusals in a row are not a short peak of load: clients must not wait for its end. */
 #define REFUSALS_MAX 5
 /* The first read after the loss may have been sent before it, and so not show the append; the
  * second one was sent after it. */
@@ -65,14 +65,14 @@
   uint32_t deferred_count;    /* done entries in @queue */
   uint64_t deferred_since_us; /* since when the oldest of them is queued */
   bool append_lost;           /* the append of @batch was lost */
-  bool log_down; /* appends were lost or refused, or a read failed, and none succeeded since */
-  uint32_t reads_after_loss;
-  uint64_t down_since_us;
-  uint64_t now_us;
+  bool log_down;              /* new claims are refused at once, until an append succeeds */
+  uint32_t reads_after_loss;  /* reads to the log's end since the append was lost */
+  uint64_t down_since_us;     /* when @log_down was last set */
+  uint64_t now_us;            /* the latest time that a caller passed */
   uint64_t horizon_us;
   uint64_t next_offset;
-  uint64_t next_give_up_us;
-  uint64_t malformed_count;
+  uint64_t next_give_up_us; /* the earliest give_up_us of @pending */
+  uint64_t malformed_count; /* entries and records that were skipped */
 };
 
 static guint
--- a/src/request/policy/claim_pace.c
+++ b/src/request/policy/claim_pace.c
@@ -8,6 +8,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
+/* Wait after a failure; it doubles with each further failure in a row. */
 #define BACKOFF_MIN_US (100 * CLK_US_PER_MS)
 /* How much one successful append raises the rate, in appends per second. */
 #define RATE_GAIN_PER_S 0.05
--- a/src/request/policy/member.c
+++ b/src/request/policy/member.c
@@ -133,7 +133,7 @@
 }
 
 static void
-update_place (mem_t *mem, member_t *entry, const mem_listed_t *listed)
+update_location (mem_t *mem, member_t *entry, const mem_listed_t *listed)
 {
   mem_host_t *published = &entry->published;
   bool same = published->router == listed->router &&
@@ -218,7 +218,7 @@
   if (entry == NULL)
     entry = add_entry (mem, listed, hash);
   entry->list_round = mem->list_round;
-  update_place (mem, entry, listed);
+  update_location (mem, entry, listed);
   if (!entry->listed)
     add_to_list (mem, entry, now_us);
   update_list_state (entry, listed->state);
--- a/src/request/policy/read_duty.h
+++ b/src/request/policy/read_duty.h
@@ -25,9 +25,8 @@
  */
 #define RDU_VOUCHED_US (UINT64_C (2000) * 1000)
 /* For a stream whose new records may take longer it is this share of struct rdu_stream.bound_us:
- * word takes longer to reach a hundred gateways, and all those that haven't heard it would read at
- * once.
- */
+ * a store's answer takes longer to become known to a hundred gateways, and all those that don't
+ * know of it would read at once. */
 #define RDU_VOUCHED_PERCENT 60
 /* At most this share of the bound: the rest is for the next reader's turn, its read, and the time
  * until the others hear of it. */
--- a/src/request/policy/start_ask.c
+++ b/src/request/policy/start_ask.c
@@ -63,12 +63,12 @@
 }
 
 bool
-sak_helper (const sak_server_t *server, uint32_t draw, set_address_t *helper)
+sak_helper (const sak_server_t *server, uint32_t draw, set_address_t *referral)
 {
   uint32_t count = MIN (server->served, SAK_HELPERS);
 
   if (count == 0)
     return false;
-  *helper = server->referrals[draw % count];
+  *referral = server->referrals[draw % count];
   return true;
 }
--- a/src/request/policy/start_ask.h
+++ b/src/request/policy/start_ask.h
@@ -103,10 +103,10 @@
 /**
  * sak_helper() - picks one of the gateways that were served last
  * @draw: random number
- * @helper: set to its control address
+ * @referral: set to its control address
  *
  * Return: false when none was served yet
  */
-bool sak_helper (const sak_server_t *server, uint32_t draw, set_address_t *helper);
+bool sak_helper (const sak_server_t *server, uint32_t draw, set_address_t *referral);
 
 #endif
--- a/src/request/policy/suspect.c
+++ b/src/request/policy/suspect.c
@@ -13,7 +13,7 @@
 
 struct sus
 {
-  GHashTable *entries;  /* fingerprint -> sus_entry_t */
+  GHashTable *entries;  /* fingerprint -> entry_t */
   GQueue by_crash_time; /* newest first */
   uint32_t limit;
   uint64_t lifetime_us;
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -98,7 +98,7 @@
 }
 
 static void
-test_first_wins (void)
+test_first_claim_is_granted (void)
 {
   g_auto (single_t) single = single_init ();
   clm_key_t other_body = { { 1, 2 }, 4 };
@@ -235,7 +235,7 @@
 /* The process is suspended between the append and its read, until after the claim's expiry. The
  * request must not run, and the key is released for a resend. */
 static void
-test_too_late (void)
+test_read_back_after_expiry (void)
 {
   g_auto (single_t) single = single_init ();
   request_claim (&single, 1, &key_a);
@@ -792,14 +792,14 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "the first claim of a key wins", test_first_wins },
+    { "the first claim of a key is granted", test_first_claim_is_granted },
     { "done keys and released keys", test_done_and_released },
     { "a lost answer is looked up", test_lost_answer },
     { "read back before its answer is lost", test_read_back_before_loss },
     { "a lost append is repeated", test_lost_append },
     { "a late copy of a released claim is void", test_late_copy_of_released_claim_is_void },
     { "the log is down", test_log_down },
-    { "read back too late", test_too_late },
+    { "read back after expiry", test_read_back_after_expiry },
     { "a refused append is repeated", test_refused_append },
     { "a refused append and short deadlines", test_refused_append_and_short_deadlines },
     { "appends refused for long", test_refused_for_long },
--- a/tests/test_start_ask.c
+++ b/tests/test_start_ask.c
@@ -102,9 +102,9 @@
 {
   sak_server_t server = { 0 };
   set_address_t asker = { "127.0.0.1", 7 };
-  set_address_t helper;
+  set_address_t referral;
 
-  CU_ASSERT (!sak_helper (&server, 5, &helper));
+  CU_ASSERT (!sak_helper (&server, 5, &referral));
   for (uint32_t i = 0; i < SAK_SERVED_AT_ONCE; i++)
     {
       CU_ASSERT (sak_may_serve (&server, START_US));
@@ -112,8 +112,8 @@
     }
   CU_ASSERT (!sak_may_serve (&server, START_US + SAK_SERVE_US - 1));
   CU_ASSERT (sak_may_serve (&server, START_US + SAK_SERVE_US));
-  CU_ASSERT (sak_helper (&server, 5, &helper));
-  CU_ASSERT_EQUAL (helper.port, 7);
+  CU_ASSERT (sak_helper (&server, 5, &referral));
+  CU_ASSERT_EQUAL (referral.port, 7);
 }
 
 /**
@@ -137,7 +137,7 @@
   gateway_t *peer = &fleet[own->next_peer];
   uint32_t spread = (uint32_t)g_rand_int_range (rand, 0, 1000);
   set_address_t asker = { "", (uint16_t)index };
-  set_address_t helper = { "", 0 };
+  set_address_t referral = { "", 0 };
 
   if (own->content_due_us != 0)
     {
@@ -158,14 +158,14 @@
       own->content_due_us = now_us + SAK_SERVE_US / 2;
       return;
     }
-  bool elsewhere = peer->has_content && sak_helper (&peer->server, g_rand_int (rand), &helper);
-  own->next_peer = elsewhere ? helper.port : (uint32_t)g_rand_int_range (rand, 0, SEEDS);
+  bool elsewhere = peer->has_content && sak_helper (&peer->server, g_rand_int (rand), &referral);
+  own->next_peer = elsewhere ? referral.port : (uint32_t)g_rand_int_range (rand, 0, SEEDS);
   sak_refused (&own->sak, now_us, peer->has_content ? SAK_BUSY : SAK_COLD, elsewhere, spread);
 }
 
 /* Guards against calls to the store that grow with the gateways at the first start of a fleet. */
 static void
-test_only_seeds_of_a_fleet_read_the_store (void)
+test_few_gateways_read_the_store_at_a_first_start (void)
 {
   static const uint32_t sizes[] = { 4, 103, 385, 880, 1760 };
 
@@ -174,7 +174,7 @@
       g_autofree gateway_t *fleet = g_new0 (gateway_t, sizes[i]);
       GRand *rand = g_rand_new_with_seed (i);
       uint32_t reads = 0;
-      uint32_t has_content = 0;
+      uint32_t complete = 0;
 
       for (uint32_t j = 0; j < sizes[i]; j++)
         {
@@ -185,8 +185,8 @@
         for (uint32_t j = 0; j < sizes[i]; j++)
           step (fleet, j, at_us, rand, &reads);
       for (uint32_t j = 0; j < sizes[i]; j++)
-        has_content += fleet[j].has_content ? 1 : 0;
-      CU_ASSERT_EQUAL (has_content, sizes[i]);
+        complete += fleet[j].has_content ? 1 : 0;
+      CU_ASSERT_EQUAL (complete, sizes[i]);
       CU_ASSERT (reads <= SEEDS + sizes[i] / 100);
       g_rand_free (rand);
     }
@@ -202,7 +202,7 @@
     SUITE_TEST (test_store_is_read_after_the_timeout),
     SUITE_TEST (test_questions_are_paced_while_the_store_fails),
     SUITE_TEST (test_number_served_at_once_is_limited),
-    SUITE_TEST (test_only_seeds_of_a_fleet_read_the_store),
+    SUITE_TEST (test_few_gateways_read_the_store_at_a_first_start),
     CU_TEST_INFO_NULL,
   };
 
