--- a/src/request/policy/claim.h
+++ b/src/request/policy/claim.h
@@ -102,7 +102,7 @@
  * clm_append_lost() - the append failed or got no answer: it may be in the log or reach it later
  *
  * Unless its entries were read back already, new claims are refused at once as %CLM_LOG_DOWN until
- * an append succeeds. clm_batch() goes on to give the entries that are still to be appended.
+ * an append succeeds. clm_batch() still returns the entries that are to be appended.
  */
 void clm_append_lost (clm_t *clm, uint64_t now_us);
 
--- a/src/request/policy/health.h
+++ b/src/request/policy/health.h
@@ -4,8 +4,8 @@
  * Which sidecars a router finds unreachable, from failures of its own requests alone and never from
  * reports of others. A host that failed %HLT_FAILURES times in a row is down: it is skipped, but
  * for a single probe after a back-off that doubles with each failed probe. When more than half of
- * the hosts of a service seem to be down, the router is more likely cut off itself, and goes on to
- * try them all.
+ * the hosts of a service seem to be down, the router is more likely cut off itself, and
+ * keeps trying them all.
  */
 #ifndef REQUEST_POLICY_HEALTH_H
 #define REQUEST_POLICY_HEALTH_H
--- a/src/request/policy/member.h
+++ b/src/request/policy/member.h
@@ -125,20 +125,19 @@
  *
  * Return: whether it changed the host's state or incarnation, and so should be passed on
  */
-bool mem_hear (mem_t *mem, uint64_t now_us, const mem_word_t *word);
+bool mem_hear (mem_t *mem, uint64_t now_us, const mem_word_t *report);
 /** mem_word() - gets the last report of a host. Return: false when there was none */
-bool mem_word (const mem_t *mem, uint64_t host_hash, mem_word_t *word);
+bool mem_word (const mem_t *mem, uint64_t host_hash, mem_word_t *report);
 /** enum membership_leave - what is known about a host's leaving, to be told to that host */
 typedef enum
 {
   MEM_LEAVE_NONE,
   MEM_LEAVE_INCARNATION, /* the list or a report says that this incarnation is leaving */
-  MEM_LEAVE_LISTED       /* the list says leaving, and did so before any incarnation was reported */
+  MEM_LEAVE_LISTED       /* the list says leaving since before the first report */
 } mem_leave_t;
 /** mem_leave() - what to tell the host's incarnation @incarnation about its leaving */
 mem_leave_t mem_leave (const mem_t *mem, uint64_t host_hash, uint64_t incarnation);
-/** mem_awaits_leave() - whether the list says that the host leaves and its own report doesn't yet
- */
+/** mem_awaits_leave() - whether the list says leaving and the host's report doesn't yet */
 bool mem_awaits_leave (const mem_t *mem, uint64_t host_hash);
 /** mem_changed() - whether the next snapshot would differ from the last one taken */
 bool mem_changed (const mem_t *mem);
--- a/src/request/policy/read_duty.c
+++ b/src/request/policy/read_duty.c
@@ -2,7 +2,8 @@
 
 #include <glib.h>
 
-/* A peer with a lower offset doesn't vouch: the store may have answered it before the new records.
+/* A peer with a lower offset confirms nothing: the store may have answered it before the new
+ * records.
  */
 void
 rdu_heard (rdu_t *rdu, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us)
@@ -17,7 +18,7 @@
 }
 
 /* While new records come quickly, peers always have a higher offset and never the same one. So what
- * the peer vouches for counts once its copy has been applied. */
+ * the peer confirms counts once its copy has been applied. */
 void
 rdu_caught_up (rdu_t *rdu, bool of_peer)
 {
@@ -60,7 +61,8 @@
   return known_us != 0 ? known_us + max_us : 0;
 }
 
-/* Whether it is this gateway's turn to read, when nobody has vouched since @since_us. */
+/* Whether it is this gateway's turn to read, when no peer has confirmed its copy since @since_us.
+ */
 static bool
 has_turn (const rdu_view_t *view, uint64_t since_us, uint64_t now_us)
 {
@@ -78,7 +80,7 @@
   return rdu->behind_since_us != 0 && now_us >= rdu->behind_since_us + limit_us;
 }
 
-/* Whether the store answered this gateway in its turn, and no peer vouches yet. */
+/* Whether the store answered this gateway in its turn, and no peer confirms its copy yet. */
 static bool
 is_acting_follower (const rdu_t *rdu, const rdu_view_t *view)
 {
@@ -87,8 +89,9 @@
 
 /*
  * The followers may be lost for a long time, and a gateway that reads in its turn may be the only
- * one that reaches the store. If it stopped until nobody vouches again, new records would exceed
- * their bound. So it acts as a follower until a peer has a later answer of the store than its own.
+ * one that reaches the store. If it stopped until its copy is out of date again, new records would
+ * exceed their bound. So it acts as a follower until a peer has a later answer of the store than
+ * its own.
  */
 rdu_read_t
 rdu_read (rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view, uint64_t now_us)
--- a/src/request/policy/read_duty.h
+++ b/src/request/policy/read_duty.h
@@ -5,12 +5,12 @@
  * stream's records from a peer. A pure state machine, one for each stream of each gateway.
  *
  * A few gateways, the followers, read the store all the time. The others don't read it while their
- * copy is known to be current: while a peer that has the same offset has had an answer of the
- * store lately, or has heard of one. Such a peer vouches for the copy. New records reach the others
- * as a higher offset of a peer. So the calls to the store grow with the number of followers and of
- * new records and not with that of gateways: on a calm day of 103 gateways it took 3,130 calls, and
- * 7,566 when every gateway read for itself. No gateway depends on the followers: one whose copy is
- * not vouched for any longer reads the store itself.
+ * copy is known to be current: while a peer that has the same offset has had an answer of the store
+ * lately, or knows of another gateway's. Such a peer confirms the copy. The others learn of new
+ * records by a higher offset of a peer. So the calls to the store grow with the number of followers
+ * and of new records and not with that of gateways: on a calm day of 103 gateways it took 3,130
+ * calls, and 7,566 when every gateway read for itself. No gateway depends on the followers: one
+ * whose copy isn't confirmed any longer reads the store itself.
  */
 #ifndef REQUEST_POLICY_READ_DUTY_H
 #define REQUEST_POLICY_READ_DUTY_H
@@ -29,7 +29,7 @@
  * know of it would read at once. */
 #define RDU_VOUCHED_PERCENT 60
 /* At most this share of the bound: the rest is for the next reader's turn, its read, and the time
- * until the others hear of it. */
+ * until the others know of it. */
 #define RDU_VOUCHED_MOST_PERCENT 75
 /* While this gateway can't read the store it waits this long before it asks a peer for the new
  * records: a read that is being repeated may still bring them. */
@@ -44,9 +44,10 @@
 } rdu_read_t;
 
 /*
- * When nobody vouches any more, the followers are lost or the store is out. If all other gateways
- * read at once and repeated that during the outage, the calls would grow with their number. So they
- * read in turn, one each %RDU_TURN_US and each once in a round, until the others hear of an answer.
+ * When no peer confirms the copy any more, the followers are down or the store is unavailable. If
+ * all other gateways read at once and repeated that during the outage, the calls would grow with
+ * their number. So they read in turn, one each %RDU_TURN_US and each once in a round, until the
+ * others know of an answer.
  */
 #define RDU_TURN_US (UINT64_C (50) * 1000)
 #define RDU_ROUND_MIN_US (UINT64_C (800) * 1000)
@@ -77,7 +78,7 @@
  * @close: the gateway is a follower
  * @listed: it has a complete copy of the stream, from the store or from a peer
  * @lost: its last call to the store failed
- * @alone: it has not heard any peer lately, so none can vouch
+ * @alone: no message of a peer came lately, so none can confirm the copy
  * @before: gateways whose turn to read comes earlier in a round
  * @count: gateways that read in a round
  * @own_us: when the store last answered a read of this gateway; 0 for never
@@ -97,11 +98,12 @@
 
 /**
  * struct rdu - state of one stream; all zero at the start
- * @current_as_of_us: when the store answered the peer that vouches for this gateway's copy, or the
+ * @current_as_of_us: when the store answered the peer that confirmed this gateway's copy, or the
  *   one from which that peer has it; 0 for never
  * @behind_since_us: since when a peer has had a higher offset; 0 when none has
  * @ahead_as_of_us: when the store answered that peer, or the one from which it has the records
- * @reading_since_us: when the gateway began to read because nobody vouched; 0 once a peer vouches
+ * @reading_since_us: when the gateway began to read because no peer confirmed its copy; 0
+ *   once one does
  * @large: the peer declined to send the new records because they are large. They are read from
  *   the store at once, and asked of a peer again when they haven't come by the end of the patience
  */
@@ -122,11 +124,9 @@
  * that is not known
  */
 void rdu_heard (rdu_t *rdu, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us);
-/** rdu_caught_up() - the new records came: from the store, or with @of_peer all that the peer had
- */
+/** rdu_caught_up() - the new records came; @of_peer: from the peer, all that it had */
 void rdu_caught_up (rdu_t *rdu, bool of_peer);
-/** rdu_give_up() - the peer's copy could not be fetched; the peer's next message starts a new try
- */
+/** rdu_give_up() - the fetch from the peer failed; its next message starts another */
 void rdu_give_up (rdu_t *rdu);
 /** rdu_is_large() - the peer declined the fetch: the new records are to be read from the store */
 void rdu_is_large (rdu_t *rdu);
--- a/src/request/policy/suspect.h
+++ b/src/request/policy/suspect.h
@@ -50,16 +50,16 @@
 /** sus_merge() - applies a mark of a peer; one without engines clears the request. Return: whether
  * it changed anything */
 bool sus_merge (sus_t *sus, uint64_t now_us, const sus_mark_t *mark);
-/** sus_get() - gets the mark of a request. Return: false when the request is not suspect */
+/** sus_get() - gets the mark of a request. Return: false when it is not suspect */
 bool sus_get (const sus_t *sus, uint64_t now_us, uint64_t fingerprint, sus_mark_t *out);
 /** sus_clear() - the request was served, so it crashes no engine. Return: whether it was suspect */
 bool sus_clear (sus_t *sus, uint64_t fingerprint);
 /** sus_is_cleared() - whether @mark names no engine, which says that its request was served */
 bool sus_is_cleared (const sus_mark_t *mark);
-/** sus_count() - Return: number of fingerprints, with those that have expired since the last change
+/** sus_count() - Return: number of fingerprints, of which some may have expired
  */
 uint32_t sus_count (const sus_t *sus);
-/** sus_recent() - gets up to @want marks, the one with the latest crash first. Return: their number
+/** sus_recent() - gets up to @want marks, latest crash first. Return: their number
  */
 uint32_t sus_recent (const sus_t *sus, uint64_t now_us, sus_mark_t *out, uint32_t want);
 
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -205,8 +205,8 @@
   check_claim (&single, 2, &key_a, CLM_GRANTED);
 }
 
-/* The log is out. New claims are refused at once and not at their deadline. The claim that was sent
- * is released so that a resend may run, and that release shows when the log is back. */
+/* The log is unavailable. New claims are refused at once and not at their deadline. The claim that
+ * was sent is released so that a resend may run, and that release shows when the log is back. */
 static void
 test_log_down (void)
 {
@@ -292,7 +292,7 @@
   CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
 }
 
-/* The log goes on to refuse appends. A pending claim is refused after a few attempts and later ones
+/* The log keeps refusing appends. A pending claim is refused after a few attempts and later ones
  * at once, and the attempts become rarer. The first append that succeeds ends this. */
 static void
 test_refused_for_long (void)
--- a/tests/test_leave_notice.c
+++ b/tests/test_leave_notice.c
@@ -144,7 +144,7 @@
     fleet->is_told = true;
 }
 
-/* Guards against a leaving host that goes on to take requests for seconds, because no peer had a
+/* Guards against a leaving host that keeps taking requests for seconds, because no peer had a
  * report of it before the list changed and messages to it are lost or late. The calls to it must
  * not end before it is told, and must end after. */
 static void
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -26,8 +26,8 @@
 apply_report (
     mem_t *mem, uint64_t now_us, uint64_t incarnation, uint32_t sequence, mem_state_t state)
 {
-  mem_word_t word = { plc_hash_name ("a"), incarnation, sequence, state };
-  return mem_hear (mem, now_us, &word);
+  mem_word_t report = { plc_hash_name ("a"), incarnation, sequence, state };
+  return mem_hear (mem, now_us, &report);
 }
 
 static void
@@ -51,7 +51,7 @@
 }
 
 static void
-test_snapshot_finds (void)
+test_snapshot_lookup (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
   mem_listed_t hosts[3] = { list_entry ("c", MEM_LIVE), list_entry ("a", MEM_LIVE),
@@ -129,17 +129,17 @@
 }
 
 static void
-test_unlisted_word_is_ignored (void)
+test_report_of_unlisted_host_is_ignored (void)
 {
   g_autoptr (mem_t) mem = mem_new ();
   CU_ASSERT_FALSE (apply_report (mem, SECOND_US, 5, 1, MEM_LIVE));
   CU_ASSERT_EQUAL (published_host (mem).state, MEM_GONE);
-  mem_word_t word;
-  CU_ASSERT_FALSE (mem_word (mem, plc_hash_name ("a"), &word));
+  mem_word_t report;
+  CU_ASSERT_FALSE (mem_word (mem, plc_hash_name ("a"), &report));
   apply_list_state (mem, SECOND_US, MEM_LIVE);
   apply_report (mem, SECOND_US, 5, 3, MEM_LIVE);
-  CU_ASSERT_TRUE (mem_word (mem, plc_hash_name ("a"), &word));
-  CU_ASSERT_EQUAL (word.sequence, 3);
+  CU_ASSERT_TRUE (mem_word (mem, plc_hash_name ("a"), &report));
+  CU_ASSERT_EQUAL (report.sequence, 3);
 }
 
 /* An engine flaps: it is listed, gone and listed again many times. If each return moved its chats
@@ -237,7 +237,7 @@
  * would refuse requests long after the network has recovered. So its findings don't count while
  * more than half of a service seems to be down. */
 static void
-test_health_distrusts_itself (void)
+test_health_tells_when_most_hosts_are_down (void)
 {
   g_autoptr (hlt_t) hlt = hlt_new ();
   const uint64_t hosts[4] = { 1, 2, 3, 4 };
@@ -281,16 +281,16 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_snapshot_finds),
+    SUITE_TEST (test_snapshot_lookup),
     SUITE_TEST (test_leaving_does_not_revert),
     SUITE_TEST (test_list_leaving_is_of_one_incarnation),
-    SUITE_TEST (test_unlisted_word_is_ignored),
+    SUITE_TEST (test_report_of_unlisted_host_is_ignored),
     SUITE_TEST (test_flap_damping_doubles),
     SUITE_TEST (test_long_uptime_halves_damping),
     SUITE_TEST (test_restart_is_a_flap_after_a_short_life),
     SUITE_TEST (test_return_is_one_flap),
     SUITE_TEST (test_health_backs_off),
-    SUITE_TEST (test_health_distrusts_itself),
+    SUITE_TEST (test_health_tells_when_most_hosts_are_down),
     SUITE_TEST (test_pause),
     CU_TEST_INFO_NULL,
   };
--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -63,9 +63,9 @@
   CU_ASSERT_EQUAL (orders, 120);
 }
 
-/* The store is out for 2.2 s, so that entries lapse because their engines can't renew them. Two
- * streams and two peers report its last and first answers at different moments. In any order of the
- * reports the outage is found, and it ends with the first answer after it. */
+/* The store is unavailable for 2.2 s, so that entries lapse because their engines can't renew them.
+ * Two streams and two peers report its last and first answers at different moments. In any order of
+ * the reports the outage is found, and it ends with the first answer after it. */
 static void
 test_an_outage_is_found_in_any_order (void)
 {
--- a/tests/test_read_duty.c
+++ b/tests/test_read_duty.c
@@ -18,7 +18,7 @@
 
 /* Return: the state after a peer with the same offset had an answer of the store at @store_us */
 static rdu_t
-policy_vouched_for (uint64_t store_us)
+confirmed_at (uint64_t store_us)
 {
   rdu_t rdu = { 0 };
 
@@ -29,7 +29,7 @@
 static void
 test_only_followers_read (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &follower, START_US), RDU_FOLLOW);
   CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US), RDU_REST);
@@ -42,9 +42,9 @@
  * current.
  */
 static void
-test_gateway_reads_when_nobody_vouches (void)
+test_gateway_reads_when_no_peer_confirms_its_copy (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + RDU_VOUCHED_US - 1),
                    RDU_REST);
@@ -67,7 +67,7 @@
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (bounds_s); i++)
     {
-      rdu_t rdu = policy_vouched_for (START_US);
+      rdu_t rdu = confirmed_at (START_US);
       uint64_t bound_us = (uint64_t)bounds_s[i] * CLK_US_PER_S;
       rdu_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = bound_us };
       rdu_view_t next = { .listed = true, .before = 4, .count = 5 };
@@ -78,10 +78,10 @@
 
 /* Guards against the only gateway that reaches the store reading it just once in 2 s. */
 static void
-test_acting_follower_reads_until_a_peer_vouches (void)
+test_acting_follower_reads_until_a_peer_confirms (void)
 {
   static const rdu_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = 2 * CLK_US_PER_S };
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
   uint64_t now_us = START_US + 2 * CLK_US_PER_S;
   rdu_view_t view = other;
 
@@ -100,20 +100,20 @@
 }
 
 /* Guards against a hundred gateways that read at once although three of them follow the store,
- * because word of it took longer than 2 s to reach them all. A bound of 4 s allows for more. */
+ * because it took longer than 2 s until all knew of it. A bound of 4 s allows for more. */
 static void
 test_copy_stays_current_longer_with_a_longer_bound (void)
 {
   rdu_stream_t slow = { .patience_us = PATIENCE_US, .bound_us = 4 * CLK_US_PER_S };
   uint64_t end_us = START_US + slow.bound_us * RDU_VOUCHED_PERCENT / 100;
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   CU_ASSERT (end_us > START_US + RDU_VOUCHED_US);
   CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us - 1), RDU_REST);
   CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us), RDU_READ);
   slow.bound_us = CLK_US_PER_S;
   end_us = START_US + slow.bound_us * RDU_VOUCHED_MOST_PERCENT / 100;
-  rdu = policy_vouched_for (START_US);
+  rdu = confirmed_at (START_US);
   CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us - 1), RDU_REST);
   CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us), RDU_READ);
 }
@@ -122,7 +122,7 @@
  * older than the new records that this gateway has, so it may also be older than new records that
  * it lacks. */
 static void
-test_peer_with_lower_offset_does_not_vouch (void)
+test_peer_with_lower_offset_confirms_nothing (void)
 {
   rdu_t rdu = { 0 };
 
@@ -136,7 +136,7 @@
 static void
 test_new_records_are_fetched_from_a_peer (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
   CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &other, START_US));
@@ -150,7 +150,7 @@
 static void
 test_other_source_is_tried_after_the_patience (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
   CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + PATIENCE_US), RDU_READ);
@@ -163,7 +163,7 @@
 static void
 test_follower_without_store_asks_a_peer_soon (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
   CU_ASSERT (
@@ -177,9 +177,9 @@
  * peer's copy has been applied, the store's answer to that peer counts here too.
  */
 static void
-test_fetched_copy_vouches (void)
+test_fetched_copy_counts_as_confirmed (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
   uint64_t later_us = START_US + 2 * RDU_VOUCHED_US;
 
   rdu_heard (&rdu, later_us, 8, 7, later_us - 1);
@@ -189,11 +189,11 @@
   CU_ASSERT_EQUAL (rdu_known_us (&rdu, &other), later_us - 1);
 }
 
-/* The fetch failed: the peer doesn't vouch, and its next message starts another fetch. */
+/* The fetch failed: it confirms nothing, and the peer's next message starts another fetch. */
 static void
-test_failed_fetch_does_not_vouch (void)
+test_failed_fetch_confirms_nothing (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   rdu_heard (&rdu, START_US + 1, 8, 7, START_US + 1);
   rdu_give_up (&rdu);
@@ -207,7 +207,7 @@
 static void
 test_large_records_are_asked_of_a_peer_after_the_patience (void)
 {
-  rdu_t rdu = policy_vouched_for (START_US);
+  rdu_t rdu = confirmed_at (START_US);
 
   rdu_heard (&rdu, START_US, 8, 7, START_US);
   rdu_is_large (&rdu);
@@ -232,7 +232,7 @@
 
   for (uint32_t i = 0; i < gateways; i++)
     {
-      policies[i] = policy_vouched_for (START_US);
+      policies[i] = confirmed_at (START_US);
       views[i] = (rdu_view_t){ .listed = true, .before = i, .count = gateways };
     }
   for (uint64_t at_us = START_US; at_us < START_US + OUTAGE_US; at_us += TICK_US)
@@ -245,8 +245,8 @@
   return reads;
 }
 
-/* Guards against calls that grow with the gateways while the store is out, and against gateways
- * that wait for each other without end. */
+/* Guards against calls that grow with the gateways while the store is unavailable, and against
+ * gateways that wait for each other without end. */
 static void
 test_reads_in_an_outage_do_not_grow_with_the_gateways (void)
 {
@@ -278,16 +278,16 @@
 {
   static const CU_TestInfo tests[] = {
     SUITE_TEST (test_only_followers_read),
-    SUITE_TEST (test_gateway_reads_when_nobody_vouches),
+    SUITE_TEST (test_gateway_reads_when_no_peer_confirms_its_copy),
     SUITE_TEST (test_next_reader_meets_the_bound),
-    SUITE_TEST (test_acting_follower_reads_until_a_peer_vouches),
+    SUITE_TEST (test_acting_follower_reads_until_a_peer_confirms),
     SUITE_TEST (test_copy_stays_current_longer_with_a_longer_bound),
-    SUITE_TEST (test_peer_with_lower_offset_does_not_vouch),
+    SUITE_TEST (test_peer_with_lower_offset_confirms_nothing),
     SUITE_TEST (test_new_records_are_fetched_from_a_peer),
     SUITE_TEST (test_other_source_is_tried_after_the_patience),
     SUITE_TEST (test_follower_without_store_asks_a_peer_soon),
-    SUITE_TEST (test_fetched_copy_vouches),
-    SUITE_TEST (test_failed_fetch_does_not_vouch),
+    SUITE_TEST (test_fetched_copy_counts_as_confirmed),
+    SUITE_TEST (test_failed_fetch_confirms_nothing),
     SUITE_TEST (test_large_records_are_asked_of_a_peer_after_the_patience),
     SUITE_TEST (test_reads_in_an_outage_do_not_grow_with_the_gateways),
     SUITE_TEST (test_entries_lapse_only_around_an_outage),
