--- a/src/request/policy/claim.c
+++ b/src/request/policy/claim.c
@@ -333,7 +333,7 @@
 }
 
 static uint64_t
-expected_us (const clm_t *clm)
+expected_answer_us (const clm_t *clm)
 {
   uint32_t batches = clm->queue.length / LIM_CLAIM_ENTRIES + (clm->batch.length > 0 ? 1 : 0);
   return cpc_expected_us (&clm->pace, clm->now_us, batches);
@@ -341,7 +341,7 @@
 
 /* Ends the wait of claims that can't be appended in time. */
 static void
-give_up_late (clm_t *clm)
+limit_wait_of_late_claims (clm_t *clm)
 {
   uint64_t next_us = cpc_expected_us (&clm->pace, clm->now_us, 0);
   GHashTableIter iter;
@@ -399,7 +399,7 @@
     return false;
   if (clm->queue.length >= LIM_CLAIM_QUEUE)
     return false;
-  if (expected_us (clm) >= claim->send_by_us)
+  if (expected_answer_us (clm) >= claim->send_by_us)
     return false;
   if (!clm->log_down)
     return true;
@@ -523,7 +523,7 @@
   if (clm->pace.refusals >= REFUSALS_MAX)
     set_log_down (clm);
   else
-    give_up_late (clm);
+    limit_wait_of_late_claims (clm);
 }
 
 void
--- a/src/request/policy/directory.c
+++ b/src/request/policy/directory.c
@@ -39,7 +39,7 @@
 
 /* Return: the entry of the chat's bucket to be replaced, an unused one if there is one */
 static dir_entry_t *
-oldest (const dir_t *directory, uint64_t chat_hash)
+replaceable_entry (const dir_t *directory, uint64_t chat_hash)
 {
   dir_entry_t *bucket = bucket_of (directory, chat_hash);
   dir_entry_t *chosen = &bucket[0];
@@ -79,7 +79,7 @@
     return;
   dir_entry_t *entry = find (directory, chat_hash);
   if (entry == NULL)
-    entry = oldest (directory, chat_hash);
+    entry = replaceable_entry (directory, chat_hash);
   if (entry->chat_hash == 0)
     directory->count++;
   *entry = (dir_entry_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .served_us = now_us };
--- a/src/request/policy/start_ask.c
+++ b/src/request/policy/start_ask.c
@@ -25,7 +25,7 @@
 }
 
 static void
-wait_longer (sak_t *sak, uint64_t now_us, uint32_t spread_milli)
+schedule_next_question (sak_t *sak, uint64_t now_us, uint32_t spread_milli)
 {
   sak->next_us = now_us + sak->wait_us / 2 + sak->wait_us * spread_milli / 1000;
   sak->wait_us = MIN (sak->wait_us * 2, SAK_WAIT_MAX_US);
@@ -43,7 +43,7 @@
   if (elsewhere)
     sak->next_us = now_us + SAK_WAIT_MIN_US * spread_milli / 1000;
   else if (refusal != SAK_SILENT || sak->first_start || sak_reads (sak, now_us))
-    wait_longer (sak, now_us, spread_milli);
+    schedule_next_question (sak, now_us, spread_milli);
 }
 
 bool
