--- a/src/request/sidecar/history.c
+++ b/src/request/sidecar/history.c
@@ -4,30 +4,34 @@
 
 #include <glib.h>
 
-/** struct entry - @at_us: when it ended or was barred */
+/** struct entry - one attempt; @recorded_us: when it ended or was revoked */
 typedef struct
 {
   uint64_t attempt[2];
-  uint64_t at_us;
+  uint64_t recorded_us;
   vrd_t verdict;
 } entry_t;
 
-/** struct ring - entries in the order of @at_us, found by attempt */
+/**
+ * struct ring - a ring buffer of entries, sorted by @recorded_us
+ * @by_attempt: attempt id -> entry_t in @entries
+ * @oldest: index of the entry that was recorded first
+ */
 typedef struct
 {
   entry_t *entries;
   GHashTable *by_attempt;
   uint32_t limit;
-  uint32_t first;
+  uint32_t oldest;
   uint32_t count;
 } ring_t;
 
-struct hst
+struct history
 {
   ring_t ended;
-  ring_t barred;
-  uint64_t forgotten_us; /* the latest end of an attempt that is no longer in @ended */
-  bool has_forgotten;
+  ring_t revoked;
+  uint64_t latest_evicted_us; /* end of the attempt that was evicted from @ended last */
+  bool has_evicted;
 };
 
 static void
@@ -52,92 +56,93 @@
 }
 
 static void
-ring_drop_first (ring_t *ring)
+ring_remove_oldest (ring_t *ring)
 {
-  entry_t *entry = &ring->entries[ring->first];
+  entry_t *entry = &ring->entries[ring->oldest];
 
   g_hash_table_remove (ring->by_attempt, entry->attempt);
-  ring->first = (ring->first + 1) % ring->limit;
+  ring->oldest = (ring->oldest + 1) % ring->limit;
   ring->count--;
 }
 
 static void
 ring_add (ring_t *ring, uint64_t now_us, const uint64_t attempt[2], vrd_t verdict)
 {
-  entry_t *entry = &ring->entries[(ring->first + ring->count) % ring->limit];
+  entry_t *entry = &ring->entries[(ring->oldest + ring->count) % ring->limit];
 
   g_assert (ring->count < ring->limit);
-  *entry = (entry_t){ .attempt = { attempt[0], attempt[1] }, .at_us = now_us, .verdict = verdict };
+  *entry =
+      (entry_t){ .attempt = { attempt[0], attempt[1] }, .recorded_us = now_us, .verdict = verdict };
   ring->count++;
   g_hash_table_replace (ring->by_attempt, entry->attempt, entry);
 }
 
 static void
-expire_barred (hst_t *hst, uint64_t now_us)
+expire_revoked (hst_t *history, uint64_t now_us)
 {
-  ring_t *ring = &hst->barred;
+  ring_t *ring = &history->revoked;
 
-  while (ring->count > 0 && ring->entries[ring->first].at_us + HST_BAR_US <= now_us)
-    ring_drop_first (ring);
+  while (ring->count > 0 && ring->entries[ring->oldest].recorded_us + HST_BAR_US <= now_us)
+    ring_remove_oldest (ring);
 }
 
 hst_t *
 hst_new (uint32_t limit)
 {
-  hst_t *hst = g_new0 (hst_t, 1);
+  hst_t *history = g_new0 (hst_t, 1);
 
-  ring_init (&hst->ended, limit);
-  ring_init (&hst->barred, limit);
-  return hst;
+  ring_init (&history->ended, limit);
+  ring_init (&history->revoked, limit);
+  return history;
 }
 
 void
-hst_free (hst_t *hst)
+hst_free (hst_t *history)
 {
-  if (hst == NULL)
+  if (history == NULL)
     return;
-  ring_clear (&hst->ended);
-  ring_clear (&hst->barred);
-  g_free (hst);
+  ring_clear (&history->ended);
+  ring_clear (&history->revoked);
+  g_free (history);
 }
 
 void
-hst_ended (hst_t *hst, uint64_t now_us, const uint64_t attempt[2], vrd_t verdict)
+hst_ended (hst_t *history, uint64_t now_us, const uint64_t attempt[2], vrd_t verdict)
 {
-  ring_t *ring = &hst->ended;
+  ring_t *ring = &history->ended;
 
   if (ring_find (ring, attempt) != NULL)
     return;
   if (ring->count == ring->limit)
     {
-      hst->forgotten_us = ring->entries[ring->first].at_us;
-      hst->has_forgotten = true;
-      ring_drop_first (ring);
+      history->latest_evicted_us = ring->entries[ring->oldest].recorded_us;
+      history->has_evicted = true;
+      ring_remove_oldest (ring);
     }
   ring_add (ring, now_us, attempt, verdict);
 }
 
 hst_state_t
-hst_find (const hst_t *hst, uint64_t now_us, const uint64_t attempt[2], vrd_t *verdict)
+hst_find (const hst_t *history, uint64_t now_us, const uint64_t attempt[2], vrd_t *verdict)
 {
-  const entry_t *entry = ring_find (&hst->ended, attempt);
+  const entry_t *entry = ring_find (&history->ended, attempt);
 
   if (entry != NULL)
     {
       *verdict = entry->verdict;
       return HST_ENDED;
     }
-  entry = ring_find (&hst->barred, attempt);
-  return entry != NULL && now_us < entry->at_us + HST_BAR_US ? HST_BARRED : HST_UNKNOWN;
+  entry = ring_find (&history->revoked, attempt);
+  return entry != NULL && now_us < entry->recorded_us + HST_BAR_US ? HST_BARRED : HST_UNKNOWN;
 }
 
 vrd_t
-hst_revoke (hst_t *hst, uint64_t now_us, const uint64_t attempt[2], uint64_t age_us)
+hst_revoke (hst_t *history, uint64_t now_us, const uint64_t attempt[2], uint64_t age_us)
 {
   vrd_t verdict;
 
-  expire_barred (hst, now_us);
-  switch (hst_find (hst, now_us, attempt, &verdict))
+  expire_revoked (history, now_us);
+  switch (hst_find (history, now_us, attempt, &verdict))
     {
     case HST_ENDED:
       return verdict;
@@ -146,13 +151,13 @@
     case HST_UNKNOWN:
       break;
     }
-  /* An attempt ends after it was sent. One that ended and was forgotten would look as if it had
-   * never come, and be run twice; none that was sent after the last forgotten one ended was
-   * forgotten. */
-  if (hst->has_forgotten && hst->forgotten_us + age_us + HST_AGE_MARGIN_US >= now_us)
+  /* An attempt that ended and was evicted looks like one that never arrived; a verdict of "not run"
+   * would make the router run it a second time. An attempt sent after the last evicted one ended
+   * cannot have been evicted itself, since an attempt ends after it is sent. */
+  if (history->has_evicted && history->latest_evicted_us + age_us + HST_AGE_MARGIN_US >= now_us)
     return VRD_MAY_HAVE_RUN;
-  if (hst->barred.count == hst->barred.limit)
+  if (history->revoked.count == history->revoked.limit)
     return VRD_MAY_HAVE_RUN;
-  ring_add (&hst->barred, now_us, attempt, VRD_NOT_RUN);
+  ring_add (&history->revoked, now_us, attempt, VRD_NOT_RUN);
   return VRD_NOT_RUN;
 }
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -7,184 +7,189 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A load that moved by this much since the last report is told before the next interval. */
-#define REPORT_STEP 2
+/* A load that changed by this many requests since the last report is reported at once. */
+#define REPORT_LOAD_CHANGE 2
 
 static bool
-ready (void *context)
+is_ready (void *context)
 {
-  const sdc_t *sdc = context;
+  const sdc_t *sidecar = context;
 
-  return sdc->engine_up && sdc->service != NULL;
+  return sidecar->engine_up && sidecar->service != NULL;
 }
 
 static uint32_t
-in_flight (void *context)
+count_in_flight (void *context)
 {
-  const sdc_t *sdc = context;
+  const sdc_t *sidecar = context;
 
-  return g_hash_table_size (sdc->calls);
+  return g_hash_table_size (sidecar->calls);
 }
 
 static void
-status (json_t *out, void *context)
+add_status (json_t *out, void *context)
 {
-  const sdc_t *sdc = context;
-  uint64_t now_us = ops_now_us (sdc->ops);
-  mean_sample_t own = adm_sample (sdc->adm, now_us);
-  mean_estimate_t mean = mean_estimate (adm_mean (sdc->adm), now_us, &own, sdc->other_count + 1);
+  const sdc_t *sidecar = context;
+  uint64_t now_us = ops_now_us (sidecar->ops);
+  mean_sample_t own = adm_sample (sidecar->admission, now_us);
+  mean_estimate_t mean =
+      mean_estimate (adm_mean (sidecar->admission), now_us, &own, sidecar->other_engine_count + 1);
 
   json_object_set_new (out, "service",
-                       json_string (sdc->service != NULL ? sdc->service->name : ""));
-  json_object_set_new (out, "engine_up", json_boolean (sdc->engine_up));
-  json_object_set_new (out, "load", json_integer (adm_load (sdc->adm)));
-  json_object_set_new (out, "waiting", json_integer (adm_waiting (sdc->adm)));
+                       json_string (sidecar->service != NULL ? sidecar->service->name : ""));
+  json_object_set_new (out, "engine_up", json_boolean (sidecar->engine_up));
+  json_object_set_new (out, "load", json_integer (adm_load (sidecar->admission)));
+  json_object_set_new (out, "waiting", json_integer (adm_waiting (sidecar->admission)));
   json_object_set_new (out, "mean_milli", json_integer ((json_int_t)mean.mean_milli));
   json_object_set_new (out, "bound_milli",
-                       json_integer ((json_int_t)adm_bound_milli (sdc->adm, now_us)));
-  json_object_set_new (out, "directory", json_integer (dir_count (adm_directory (sdc->adm))));
+                       json_integer ((json_int_t)adm_bound_milli (sidecar->admission, now_us)));
+  json_object_set_new (out, "directory",
+                       json_integer (dir_count (adm_directory (sidecar->admission))));
 }
 
 static bool
 is_live (uint64_t engine_hash, void *context)
 {
-  const sdc_t *sdc = context;
-  const mem_snapshot_t *members = ops_members (sdc->ops);
+  const sdc_t *sidecar = context;
+  const mem_snapshot_t *members = ops_members (sidecar->ops);
   const mem_host_t *host = members != NULL ? mem_find_hash (members, engine_hash) : NULL;
 
   return host != NULL && !host->router && host->state == MEM_LIVE;
 }
 
 static void
-find_others (sdc_t *sdc)
+list_other_engines (sdc_t *sidecar)
 {
-  const man_t *man = ops_man (sdc->ops);
-  const mem_snapshot_t *members = ops_members (sdc->ops);
+  const man_t *manifest = ops_man (sidecar->ops);
+  const mem_snapshot_t *members = ops_members (sidecar->ops);
 
-  g_clear_pointer (&sdc->others, g_free);
-  sdc->other_count = 0;
-  if (sdc->service == NULL || members == NULL)
+  g_clear_pointer (&sidecar->other_engines, g_free);
+  sidecar->other_engine_count = 0;
+  if (sidecar->service == NULL || members == NULL)
     return;
-  sdc->others = g_new0 (plc_engine_t, members->host_count);
+  sidecar->other_engines = g_new0 (plc_engine_t, members->host_count);
   for (uint32_t i = 0; i < members->host_count; i++)
     {
       const mem_host_t *host = &members->hosts[i];
 
-      if (host->hash == sdc->own_hash || host->router || host->state != MEM_LIVE ||
-          man_service_of_engine (man, host->name) != sdc->service)
+      if (host->hash == sidecar->own_hash || host->router || host->state != MEM_LIVE ||
+          man_service_of_engine (manifest, host->name) != sidecar->service)
         continue;
-      sdc->others[sdc->other_count++] =
+      sidecar->other_engines[sidecar->other_engine_count++] =
           (plc_engine_t){ .hash = host->hash, .index = i, .weight = 1.0F };
     }
 }
 
 static adm_options_t
-admission (sdc_t *sdc)
+admission_options (sdc_t *sidecar)
 {
-  adm_options_t options = { .engine_hash = sdc->own_hash,
-                            .seed = sdc->own_hash ^ sdc->dmn->incarnation,
+  adm_options_t options = { .engine_hash = sidecar->own_hash,
+                            .seed = sidecar->own_hash ^ sidecar->daemon->incarnation,
                             .slots = 1,
                             .bound_percent = 100,
-                            .engine_count = sdc->other_count + 1,
+                            .engine_count = sidecar->other_engine_count + 1,
                             .is_live = is_live,
-                            .context = sdc };
+                            .context = sidecar };
 
-  if (sdc->service == NULL)
+  if (sidecar->service == NULL)
     return options;
-  options.service_hash = sdc->service->hash;
-  options.slots = sdc->service->slots;
-  options.bound_percent = sdc->service->bound_percent;
-  options.prefill_tokens_s = sdc->service->prefill_tokens_s;
-  options.cache_lifetime_us = (uint64_t)sdc->service->cache_lifetime_ms * CLK_US_PER_MS;
+  options.service_hash = sidecar->service->hash;
+  options.slots = sidecar->service->slots;
+  options.bound_percent = sidecar->service->bound_percent;
+  options.prefill_tokens_s = sidecar->service->prefill_tokens_s;
+  options.cache_lifetime_us = (uint64_t)sidecar->service->cache_lifetime_ms * CLK_US_PER_MS;
   return options;
 }
 
 static bool
-is_leaving (const sdc_t *sdc)
+is_leaving (const sdc_t *sidecar)
 {
-  const mem_snapshot_t *members = ops_members (sdc->ops);
-  const mem_host_t *own = members != NULL ? mem_find_hash (members, sdc->own_hash) : NULL;
+  const mem_snapshot_t *members = ops_members (sidecar->ops);
+  const mem_host_t *own = members != NULL ? mem_find_hash (members, sidecar->own_hash) : NULL;
 
-  return ops_draining (sdc->ops) || (own != NULL && own->state != MEM_LIVE);
+  return ops_draining (sidecar->ops) || (own != NULL && own->state != MEM_LIVE);
 }
 
 bool
-sdc_takes_work (const sdc_t *sdc)
+sdc_takes_work (const sdc_t *sidecar)
 {
-  return sdc->service != NULL && sdc->engine_up && !is_leaving (sdc) && !ops_stale (sdc->ops);
+  return sidecar->service != NULL && sidecar->engine_up && !is_leaving (sidecar) &&
+         !ops_stale (sidecar->ops);
 }
 
 vrd_reason_t
 sdc_closed (const sdc_call_t *call)
 {
-  const sdc_t *sdc = call->sdc;
+  const sdc_t *sidecar = call->sidecar;
 
-  if (ops_stale (sdc->ops))
+  if (ops_stale (sidecar->ops))
     return VRD_REASON_STALE;
-  if (is_leaving (sdc))
+  if (is_leaving (sidecar))
     return VRD_REASON_LEAVING;
-  if (sdc->service == NULL || strcmp (sdc->service->name, call->hop.service) != 0)
+  if (sidecar->service == NULL || strcmp (sidecar->service->name, call->hop.service) != 0)
     return VRD_REASON_WRONG_SERVICE;
   return VRD_REASON_NONE;
 }
 
 bool
-sdc_left_lately (const sdc_t *sdc)
+sdc_left_lately (const sdc_t *sidecar)
 {
-  return sdc->left_us != 0 && ops_now_us (sdc->ops) - sdc->left_us < LIM_LEAVING_GRACE_US;
+  return sidecar->leaving_since_us != 0 &&
+         ops_now_us (sidecar->ops) - sidecar->leaving_since_us < LIM_LEAVING_GRACE_US;
 }
 
 static void
-note_leaving (sdc_t *sdc)
+update_leaving_since (sdc_t *sidecar)
 {
-  if (!is_leaving (sdc))
-    sdc->left_us = 0;
-  else if (sdc->left_us == 0)
-    sdc->left_us = ops_now_us (sdc->ops);
+  if (!is_leaving (sidecar))
+    sidecar->leaving_since_us = 0;
+  else if (sidecar->leaving_since_us == 0)
+    sidecar->leaving_since_us = ops_now_us (sidecar->ops);
 }
 
 static void
-changed (void *context)
+on_configuration_changed (void *context)
 {
-  sdc_t *sdc = context;
-  const man_t *man = ops_man (sdc->ops);
+  sdc_t *sidecar = context;
+  const man_t *manifest = ops_man (sidecar->ops);
   adm_options_t options;
 
-  sdc->service = man != NULL ? man_service_of_engine (man, sdc->dmn->set.name) : NULL;
-  find_others (sdc);
-  options = admission (sdc);
-  adm_configure (sdc->adm, &options);
-  note_leaving (sdc);
-  adm_set_leaving (sdc->adm, is_leaving (sdc));
-  if (is_leaving (sdc))
-    sdc_leave (sdc);
+  sidecar->service =
+      manifest != NULL ? man_service_of_engine (manifest, sidecar->daemon->set.name) : NULL;
+  list_other_engines (sidecar);
+  options = admission_options (sidecar);
+  adm_configure (sidecar->admission, &options);
+  update_leaving_since (sidecar);
+  adm_set_leaving (sidecar->admission, is_leaving (sidecar));
+  if (is_leaving (sidecar))
+    sdc_leave (sidecar);
   else
-    sdc->handed_over = false;
-  sdc_pump (sdc);
+    sidecar->directory_handed_over = false;
+  sdc_pump (sidecar);
 }
 
 static void
-stopping (void *context)
+on_stopping (void *context)
 {
-  sdc_t *sdc = context;
+  sdc_t *sidecar = context;
 
-  log_event (LOG_LEVEL_NOTICE, "stopping", "in_flight", LOG_U64 (g_hash_table_size (sdc->calls)),
-             NULL);
-  changed (sdc);
+  log_event (LOG_LEVEL_NOTICE, "stopping", "in_flight",
+             LOG_U64 (g_hash_table_size (sidecar->calls)), NULL);
+  on_configuration_changed (sidecar);
 }
 
 static void
-report (sdc_t *sdc)
+report_load (sdc_t *sidecar)
 {
   msg_samples_t *message;
 
-  if (!sdc_takes_work (sdc))
+  if (!sdc_takes_work (sidecar))
     return;
   message = msg_new (MSG_OWN_SAMPLE);
   message->count = 1;
-  message->samples[0] = adm_sample (sdc->adm, ops_now_us (sdc->ops));
-  sdc->reported = message->samples[0];
-  mbx_send (sdc->dmn->to_control, &message->head);
+  message->samples[0] = adm_sample (sidecar->admission, ops_now_us (sidecar->ops));
+  sidecar->reported_sample = message->samples[0];
+  mbx_send (sidecar->daemon->to_control, &message->head);
 }
 
 static void
@@ -192,70 +197,74 @@
 {
   (void)fd;
   (void)what;
-  report (context);
+  report_load (context);
 }
 
 static void
 on_tick (evutil_socket_t fd, short what, void *context)
 {
-  sdc_t *sdc = context;
-  int64_t moved = (int64_t)adm_load (sdc->adm) - (int64_t)sdc->reported.load;
+  sdc_t *sidecar = context;
+  int64_t load_change =
+      (int64_t)adm_load (sidecar->admission) - (int64_t)sidecar->reported_sample.load;
 
   (void)fd;
   (void)what;
-  sdc_pump (sdc);
-  cnt_set_value (sdc->bound_milli, adm_bound_milli (sdc->adm, ops_now_us (sdc->ops)));
-  if (moved >= REPORT_STEP || moved <= -REPORT_STEP)
-    report (sdc);
+  sdc_pump (sidecar);
+  cnt_set_value (sidecar->bound_milli,
+                 adm_bound_milli (sidecar->admission, ops_now_us (sidecar->ops)));
+  if (load_change >= REPORT_LOAD_CHANGE || load_change <= -REPORT_LOAD_CHANGE)
+    report_load (sidecar);
 }
 
 static void
-take_samples (sdc_t *sdc, const msg_samples_t *message)
+merge_samples (sdc_t *sidecar, const msg_samples_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
       const mean_sample_t *sample = &message->samples[i];
 
-      if (sdc->service != NULL && sample->service_hash == sdc->service->hash &&
-          sample->engine_hash != sdc->own_hash)
-        mean_add (adm_mean (sdc->adm), sample);
+      if (sidecar->service != NULL && sample->service_hash == sidecar->service->hash &&
+          sample->engine_hash != sidecar->own_hash)
+        mean_add (adm_mean (sidecar->admission), sample);
     }
-  sdc_pump (sdc);
+  sdc_pump (sidecar);
 }
 
 static void
-take_marks (sdc_t *sdc, const msg_marks_t *message)
+merge_crash_marks (sdc_t *sidecar, const msg_marks_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
-    sus_merge (adm_suspects (sdc->adm), ops_now_us (sdc->ops), &message->marks[i]);
+    sus_merge (adm_suspects (sidecar->admission), ops_now_us (sidecar->ops), &message->marks[i]);
 }
 
 static void
-make_counters (sdc_t *sdc)
+make_counters (sdc_t *sidecar)
 {
-  cnt_set_t *set = sdc->dmn->counters;
+  cnt_set_t *set = sidecar->daemon->counters;
   char name[128];
 
-  sdc->dispatched = cnt_get (set, "medlarplank_dispatched_total", "Requests passed to the engine.");
-  sdc->waited = cnt_get (set, "medlarplank_queued_total", "Requests that had to wait here.");
-  sdc->crashes = cnt_get (set, "medlarplank_engine_crashes_total", "Crashes of the engine.");
-  sdc->notes = cnt_get (set, SDC_NOTES_COUNTER, "Chats told to be warm on another engine.");
-  sdc->load = cnt_get (set, "medlarplank_load", "Requests that the engine runs now.");
-  sdc->waiting = cnt_get (set, "medlarplank_waiting", "Requests that wait here now.");
-  sdc->bound_milli =
+  sidecar->dispatched =
+      cnt_get (set, "medlarplank_dispatched_total", "Requests passed to the engine.");
+  sidecar->waited = cnt_get (set, "medlarplank_queued_total", "Requests that were queued here.");
+  sidecar->crashes = cnt_get (set, "medlarplank_engine_crashes_total", "Crashes of the engine.");
+  sidecar->directory_notes =
+      cnt_get (set, SDC_NOTES_COUNTER, "Reports that a chat was served by another engine.");
+  sidecar->load = cnt_get (set, "medlarplank_load", "Requests that the engine runs now.");
+  sidecar->waiting = cnt_get (set, "medlarplank_waiting", "Requests that are queued here now.");
+  sidecar->bound_milli =
       cnt_get (set, "medlarplank_bound_milli", "Load bound, in thousandths of a request.");
   for (uint32_t i = 0; i < VRD_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_refusals_total{reason=\"%s\"}",
                 vrd_reason_name (i));
-      sdc->refusals[i] = cnt_get (set, name, "Requests refused or failed here, by reason.");
+      sidecar->refusals[i] = cnt_get (set, name, "Requests refused or failed here, by reason.");
     }
 }
 
 static struct event *
-start_timer (sdc_t *sdc, uint32_t interval_ms, event_callback_fn callback)
+start_timer (sdc_t *sidecar, uint32_t interval_ms, event_callback_fn callback)
 {
-  struct event *event = event_new (sdc->base, -1, EV_PERSIST, callback, sdc);
+  struct event *event = event_new (sidecar->base, -1, EV_PERSIST, callback, sidecar);
   struct timeval interval = { .tv_sec = interval_ms / 1000,
                               .tv_usec = (suseconds_t)(interval_ms % 1000) * 1000 };
 
@@ -264,92 +273,93 @@
 }
 
 sdc_t *
-sdc_new (dmn_t *dmn, struct event_base *base, GError **error)
+sdc_new (dmn_t *daemon, struct event_base *base, GError **error)
 {
-  sdc_t *sdc = g_new0 (sdc_t, 1);
-  ops_options_t options = { .dmn = dmn,
+  sdc_t *sidecar = g_new0 (sdc_t, 1);
+  ops_options_t options = { .dmn = daemon,
                             .base = base,
                             .on_call = sdc_accept,
                             .on_sealed = sdc_order,
-                            .ready = ready,
-                            .in_flight = in_flight,
-                            .status = status,
-                            .changed = changed,
-                            .stopping = stopping,
-                            .context = sdc };
+                            .ready = is_ready,
+                            .in_flight = count_in_flight,
+                            .status = add_status,
+                            .changed = on_configuration_changed,
+                            .stopping = on_stopping,
+                            .context = sidecar };
   adm_options_t first;
 
-  sdc->dmn = dmn;
-  sdc->base = base;
-  sdc->own_hash = plc_hash_name (dmn->set.name);
-  sdc->ops = ops_new (&options, error);
-  if (sdc->ops == NULL)
+  sidecar->daemon = daemon;
+  sidecar->base = base;
+  sidecar->own_hash = plc_hash_name (daemon->set.name);
+  sidecar->ops = ops_new (&options, error);
+  if (sidecar->ops == NULL)
     {
-      g_free (sdc);
+      g_free (sidecar);
       return NULL;
     }
-  first = admission (sdc);
-  sdc->adm = adm_new (&first);
-  adm_set_engine_up (sdc->adm, false);
-  adm_set_joined (sdc->adm, ops_now_us (sdc->ops));
-  sdc->hst = hst_new (LIM_REVOKED);
-  sdc->hcl = hcl_new (base, SDC_IDLE_CONNECTIONS, SDC_IDLE_TIMEOUT_MS);
-  sdc->calls = g_hash_table_new (hop_attempt_hash, hop_attempt_equal);
-  snprintf (sdc->incarnation_text, sizeof sdc->incarnation_text, "%" PRIu64, dmn->incarnation);
-  make_counters (sdc);
-  sdc->probe_timer = evtimer_new (base, sdc_probe_timer, sdc);
-  sdc->tick = start_timer (sdc, SDC_TICK_MS, on_tick);
-  sdc->report = start_timer (sdc, dmn->set.exchange_interval_ms, on_report);
-  sdc_probe_now (sdc);
-  return sdc;
+  first = admission_options (sidecar);
+  sidecar->admission = adm_new (&first);
+  adm_set_engine_up (sidecar->admission, false);
+  adm_set_joined (sidecar->admission, ops_now_us (sidecar->ops));
+  sidecar->history = hst_new (LIM_REVOKED);
+  sidecar->http_client = hcl_new (base, SDC_IDLE_CONNECTIONS, SDC_IDLE_TIMEOUT_MS);
+  sidecar->calls = g_hash_table_new (hop_attempt_hash, hop_attempt_equal);
+  snprintf (sidecar->incarnation_text, sizeof sidecar->incarnation_text, "%" PRIu64,
+            daemon->incarnation);
+  make_counters (sidecar);
+  sidecar->probe_timer = evtimer_new (base, sdc_probe_timer, sidecar);
+  sidecar->tick_timer = start_timer (sidecar, SDC_TICK_MS, on_tick);
+  sidecar->report_timer = start_timer (sidecar, daemon->set.exchange_interval_ms, on_report);
+  sdc_probe_now (sidecar);
+  return sidecar;
 }
 
 void
-sdc_free (sdc_t *sdc)
+sdc_free (sdc_t *sidecar)
 {
   GList *calls;
 
-  if (sdc == NULL)
+  if (sidecar == NULL)
     return;
-  calls = g_hash_table_get_values (sdc->calls);
+  calls = g_hash_table_get_values (sidecar->calls);
   for (GList *link = calls; link != NULL; link = link->next)
     {
       sdc_call_t *call = link->data;
 
-      if (call->in != NULL)
-        hsv_abort (call->in);
+      if (call->inbound != NULL)
+        hsv_abort (call->inbound);
       sdc_call_free (call);
     }
   g_list_free (calls);
-  event_free (sdc->probe_timer);
-  event_free (sdc->tick);
-  event_free (sdc->report);
-  ops_free (sdc->ops);
-  hcl_free (sdc->hcl);
-  adm_free (sdc->adm);
-  hst_free (sdc->hst);
-  g_hash_table_destroy (sdc->calls);
-  g_free (sdc->others);
-  g_free (sdc);
+  event_free (sidecar->probe_timer);
+  event_free (sidecar->tick_timer);
+  event_free (sidecar->report_timer);
+  ops_free (sidecar->ops);
+  hcl_free (sidecar->http_client);
+  adm_free (sidecar->admission);
+  hst_free (sidecar->history);
+  g_hash_table_destroy (sidecar->calls);
+  g_free (sidecar->other_engines);
+  g_free (sidecar);
 }
 
 void
 sdc_message (mbx_message_t *message, void *context)
 {
-  sdc_t *sdc = context;
+  sdc_t *sidecar = context;
 
-  if (ops_message (sdc->ops, message))
+  if (ops_message (sidecar->ops, message))
     return;
   switch ((msg_kind_t)message->kind)
     {
     case MSG_SAMPLES:
-      take_samples (sdc, (msg_samples_t *)message);
+      merge_samples (sidecar, (msg_samples_t *)message);
       break;
     case MSG_MARKS:
-      take_marks (sdc, (msg_marks_t *)message);
+      merge_crash_marks (sidecar, (msg_marks_t *)message);
       break;
     case MSG_CLAIM_RESULT:
-      sdc_claim_result (sdc, &((msg_claim_result_t *)message)->result);
+      sdc_claim_result (sidecar, &((msg_claim_result_t *)message)->result);
       break;
     default:
       break;
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -5,22 +5,24 @@
 
 #include <string.h>
 
-#define DEFAULT_WEIGHT 1000
+#define DEFAULT_ACCOUNT_WEIGHT 1000
 
-/* fill_request() - an account or class that the version in force here does not hold came into force
- * at the router first, or went: the ordinary values do until the versions meet */
+/* fill_request() - fills in the input of admission
+ *
+ * An account or class that is missing from the version in force here was added or removed by
+ * another version, which the router has. Default values apply until both have the same version. */
 static void
 fill_request (sdc_call_t *call)
 {
   const hop_t *hop = &call->hop;
-  const man_account_t *account = man_account_named (call->man, hop->account);
-  const man_class_t *klass = man_class_named (call->man, hop->class_name);
+  const man_account_t *account = man_account_named (call->manifest, hop->account);
+  const man_class_t *request_class = man_class_named (call->manifest, hop->class_name);
   adm_request_t *request = &call->request;
 
   request->item =
       (fq_item_t){ .account_hash = plc_hash_name (hop->account),
-                   .weight = account != NULL ? account->weight : DEFAULT_WEIGHT,
-                   .priority = klass != NULL ? klass->priority : 0,
+                   .weight = account != NULL ? account->weight : DEFAULT_ACCOUNT_WEIGHT,
+                   .priority = request_class != NULL ? request_class->priority : 0,
                    .cost = hop->prompt_tokens + hop->output_tokens,
                    .queue_limit = account != NULL ? account->queue_limit : LIM_QUEUE_PER_ACCOUNT,
                    .deadline_us = call->deadline_us };
@@ -36,37 +38,38 @@
 }
 
 static void
-take_samples (sdc_t *sdc, const hop_t *hop)
+merge_samples (sdc_t *sidecar, const hop_t *hop)
 {
-  uint64_t now_us = ops_now_us (sdc->ops);
+  uint64_t now_us = ops_now_us (sidecar->ops);
 
   for (uint32_t i = 0; i < hop->sample_count; i++)
     {
       const hop_sample_t *sample = &hop->samples[i];
       uint64_t age_us = (uint64_t)sample->age_ms * CLK_US_PER_MS;
 
-      if (sample->engine_hash == sdc->own_hash || age_us >= now_us)
+      if (sample->engine_hash == sidecar->own_hash || age_us >= now_us)
         continue;
-      mean_add (adm_mean (sdc->adm), &(mean_sample_t){ .engine_hash = sample->engine_hash,
-                                                       .service_hash = sdc->service->hash,
-                                                       .load = sample->load,
-                                                       .waiting = sample->waiting,
-                                                       .cost = sample->cost,
-                                                       .taken_us = now_us - age_us });
+      mean_add (adm_mean (sidecar->admission),
+                &(mean_sample_t){ .engine_hash = sample->engine_hash,
+                                  .service_hash = sidecar->service->hash,
+                                  .load = sample->load,
+                                  .waiting = sample->waiting,
+                                  .cost = sample->cost,
+                                  .taken_us = now_us - age_us });
     }
 }
 
 static void
 copy_request (sdc_call_t *call)
 {
-  uint32_t limit = call->sdc->dmn->set.header_limit_count;
+  uint32_t limit = call->sidecar->daemon->set.header_limit_count;
 
-  /* A non-idempotent request goes on when its router has gone, so all of it is kept. */
-  call->body = hsv_take_body (call->in, &call->body_bytes);
-  call->method = g_strdup (hsv_method (call->in));
-  call->target = g_strdup (hsv_target (call->in));
+  /* A non-idempotent request continues after its router disconnects, so everything is copied. */
+  call->body = hsv_take_body (call->inbound, &call->body_bytes);
+  call->method = g_strdup (hsv_method (call->inbound));
+  call->target = g_strdup (hsv_target (call->inbound));
   call->headers = g_new0 (hcl_header_t, limit);
-  call->header_count = hdr_collect (hsv_headers (call->in), call->headers, limit);
+  call->header_count = hdr_collect (hsv_headers (call->inbound), call->headers, limit);
   for (uint32_t i = 0; i < call->header_count; i++)
     {
       call->headers[i].name = g_strdup (call->headers[i].name);
@@ -75,106 +78,108 @@
 }
 
 static sdc_call_t *
-call_new (sdc_t *sdc, hsv_call_t *in, const hop_t *hop)
+call_new (sdc_t *sidecar, hsv_call_t *inbound, const hop_t *hop)
 {
   sdc_call_t *call = g_new0 (sdc_call_t, 1);
 
-  call->sdc = sdc;
-  call->in = in;
+  call->sidecar = sidecar;
+  call->inbound = inbound;
   call->hop = *hop;
-  call->man = man_ref (ops_man (sdc->ops));
-  call->arrived_us = ops_now_us (sdc->ops);
+  call->manifest = man_ref (ops_man (sidecar->ops));
+  call->arrived_us = ops_now_us (sidecar->ops);
   call->deadline_us = call->arrived_us + (uint64_t)hop->deadline_ms * CLK_US_PER_MS;
-  call->timer = evtimer_new (sdc->base, sdc_engine_timer, call);
+  call->timer = evtimer_new (sidecar->base, sdc_engine_timer, call);
   hop_attempt_text (hop->attempt, call->attempt_text);
-  rly_init (&call->rly, in);
+  rly_init (&call->relay, inbound);
   fill_request (call);
   copy_request (call);
-  g_hash_table_insert (sdc->calls, call->hop.attempt, call);
+  g_hash_table_insert (sidecar->calls, call->hop.attempt, call);
   return call;
 }
 
-/* answer_early() - a refusal of a request that gets no call of its own */
+/* refuse_without_call() - refuses a request before an sdc_call_t is created for it */
 static void
-answer_early (sdc_t *sdc, hsv_call_t *in, const char *attempt, const flt_t *fault)
+refuse_without_call (sdc_t *sidecar, hsv_call_t *inbound, const char *attempt, const flt_t *fault)
 {
-  sdc_identify (sdc, in, attempt);
+  sdc_identify (sidecar, inbound, attempt);
   if (fault->reason != VRD_REASON_NONE)
-    hsv_add_header (in, HOP_REASON_HEADER, vrd_reason_name (fault->reason));
-  flt_reply (in, fault);
+    hsv_add_header (inbound, HOP_REASON_HEADER, vrd_reason_name (fault->reason));
+  flt_reply (inbound, fault);
 }
 
 static bool
-read_hop (sdc_t *sdc, hsv_call_t *in, hop_t *hop)
+read_hop_headers (sdc_t *sidecar, hsv_call_t *inbound, hop_t *hop)
 {
-  hop_outcome_t outcome = hop_read (hop, sdc->dmn->set.fleet_key, hsv_headers (in));
+  hop_outcome_t outcome = hop_read (hop, sidecar->daemon->set.fleet_key, hsv_headers (inbound));
   size_t body_bytes;
-  const char *body = hsv_body (in, &body_bytes);
+  const char *body = hsv_body (inbound, &body_bytes);
 
   if (outcome == HOP_OK &&
-      hop->body_hash != dgs_body (hsv_method (in), hsv_target (in), body, body_bytes))
-    outcome = HOP_BAD_SEAL; /* a seal that was made for another request */
+      hop->body_hash != dgs_body (hsv_method (inbound), hsv_target (inbound), body, body_bytes))
+    outcome = HOP_BAD_SEAL; /* the seal belongs to another request */
   if (outcome == HOP_OK)
     return true;
   if (outcome == HOP_BAD_SEAL)
-    flt_bad_request (in, 403, "forbidden", "a sidecar takes requests from routers only");
+    flt_bad_request (inbound, 403, "forbidden", "a sidecar accepts requests from routers only");
   else
-    flt_bad_request (in, 400, "bad_hop", "the router's headers cannot be read");
+    flt_bad_request (inbound, 400, "bad_hop", "the router's request header cannot be parsed");
   return false;
 }
 
-/* is_spent() - an attempt id is good for one request. Return: whether it was refused */
+/* refuse_used_attempt() - an attempt id is valid for one request only. Return: whether the request
+ * was refused */
 static bool
-is_spent (sdc_t *sdc, hsv_call_t *in, const hop_t *hop, const char *attempt)
+refuse_used_attempt (sdc_t *sidecar, hsv_call_t *inbound, const hop_t *hop, const char *attempt)
 {
   flt_t fault = { .verdict = VRD_NOT_RUN, .reason = VRD_REASON_REVOKED };
   vrd_t ended;
-  hst_state_t state = hst_find (sdc->hst, ops_now_us (sdc->ops), hop->attempt, &ended);
+  hst_state_t state = hst_find (sidecar->history, ops_now_us (sidecar->ops), hop->attempt, &ended);
 
-  if (state == HST_UNKNOWN && !g_hash_table_contains (sdc->calls, hop->attempt))
+  if (state == HST_UNKNOWN && !g_hash_table_contains (sidecar->calls, hop->attempt))
     return false;
   if (state != HST_BARRED)
     {
       fault.verdict = VRD_MAY_HAVE_RUN;
       fault.status = 409;
     }
-  answer_early (sdc, in, attempt, &fault);
+  refuse_without_call (sidecar, inbound, attempt, &fault);
   return true;
 }
 
 static vrd_reason_t
-objection (sdc_t *sdc, const hop_t *hop)
+refusal_reason (sdc_t *sidecar, const hop_t *hop)
 {
-  if (ops_stale (sdc->ops) || ops_man (sdc->ops) == NULL)
+  if (ops_stale (sidecar->ops) || ops_man (sidecar->ops) == NULL)
     return VRD_REASON_STALE;
-  if (sdc->service == NULL || strcmp (sdc->service->name, hop->service) != 0)
+  if (sidecar->service == NULL || strcmp (sidecar->service->name, hop->service) != 0)
     return VRD_REASON_WRONG_SERVICE;
   return VRD_REASON_NONE;
 }
 
 void
-sdc_accept (hsv_call_t *in, void *context)
+sdc_accept (hsv_call_t *inbound, void *context)
 {
-  sdc_t *sdc = context;
+  sdc_t *sidecar = context;
   char attempt[33];
   vrd_reason_t reason;
   hop_t hop;
 
-  if (!read_hop (sdc, in, &hop))
+  if (!read_hop_headers (sidecar, inbound, &hop))
     return;
   hop_attempt_text (hop.attempt, attempt);
-  if (is_spent (sdc, in, &hop, attempt))
+  if (refuse_used_attempt (sidecar, inbound, &hop, attempt))
     return;
-  reason = objection (sdc, &hop);
+  reason = refusal_reason (sidecar, &hop);
   if (reason != VRD_REASON_NONE)
     {
-      hst_ended (sdc->hst, ops_now_us (sdc->ops), hop.attempt, VRD_NOT_RUN);
-      cnt_add (sdc->refusals[reason], 1);
-      answer_early (sdc, in, attempt, &(flt_t){ .verdict = VRD_NOT_RUN, .reason = reason });
+      hst_ended (sidecar->history, ops_now_us (sidecar->ops), hop.attempt, VRD_NOT_RUN);
+      cnt_add (sidecar->refusals[reason], 1);
+      refuse_without_call (sidecar, inbound, attempt,
+                           &(flt_t){ .verdict = VRD_NOT_RUN, .reason = reason });
       return;
     }
-  take_samples (sdc, &hop);
+  merge_samples (sidecar, &hop);
   if (hop.sample_count > 0)
-    sdc_pump (sdc); /* the bound may have risen for those that wait already */
-  sdc_call_offer (call_new (sdc, in, &hop));
+    sdc_pump (sidecar); /* the load bound may have risen for requests that are queued already */
+  sdc_call_offer (call_new (sidecar, inbound, &hop));
 }
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -7,35 +7,36 @@
 void
 sdc_call_note (const sdc_call_t *call, const char *action, vrd_t verdict, vrd_reason_t reason)
 {
-  const sdc_t *sdc = call->sdc;
+  const sdc_t *sidecar = call->sidecar;
   dcn_t decision = { .request = { call->hop.attempt[0], call->hop.attempt[1] },
-                     .wall_ms = clk_wall_ms (&sdc->dmn->clk),
+                     .wall_ms = clk_wall_ms (&sidecar->daemon->clk),
                      .chat_hash = call->hop.chat_hash,
                      .action = action,
                      .verdict = verdict,
                      .reason = reason,
                      .hop = (uint32_t)(call->hop.attempt[1] & 0xff),
-                     .wait_us = ops_now_us (sdc->ops) - call->arrived_us,
+                     .wait_us = ops_now_us (sidecar->ops) - call->arrived_us,
                      .at_engine = true,
-                     .load = adm_load (sdc->adm),
-                     .waiting = adm_waiting (sdc->adm),
-                     .bound_milli = adm_bound_milli (sdc->adm, ops_now_us (sdc->ops)) };
+                     .load = adm_load (sidecar->admission),
+                     .waiting = adm_waiting (sidecar->admission),
+                     .bound_milli =
+                         adm_bound_milli (sidecar->admission, ops_now_us (sidecar->ops)) };
 
   g_strlcpy (decision.account, call->hop.account, sizeof decision.account);
   g_strlcpy (decision.service, call->hop.service, sizeof decision.service);
   g_strlcpy (decision.class_name, call->hop.class_name, sizeof decision.class_name);
-  g_strlcpy (decision.chosen, sdc->dmn->set.name, sizeof decision.chosen);
-  dcn_note (ops_decisions (sdc->ops), "place", &decision);
+  g_strlcpy (decision.chosen, sidecar->daemon->set.name, sizeof decision.chosen);
+  dcn_note (ops_decisions (sidecar->ops), "place", &decision);
 }
 
 bool
-sdc_load_text (const sdc_t *sdc, char out[48])
+sdc_load_text (const sdc_t *sidecar, char out[48])
 {
-  mean_sample_t own = adm_sample (sdc->adm, ops_now_us (sdc->ops));
+  mean_sample_t own = adm_sample (sidecar->admission, ops_now_us (sidecar->ops));
 
-  /* The load of an engine that takes no work is no part of the mean: counted as idle, it would
-   * lower the bound of those that have to carry its share. */
-  if (!sdc_takes_work (sdc))
+  /* An engine that accepts no requests is left out of the mean load. Counted as idle, it would
+   * lower the load bound of the engines that have to take over its share. */
+  if (!sdc_takes_work (sidecar))
     return false;
   hop_load_write (&(hop_sample_t){ .load = own.load, .waiting = own.waiting, .cost = own.cost },
                   out);
@@ -43,24 +44,24 @@
 }
 
 void
-sdc_identify (const sdc_t *sdc, hsv_call_t *in, const char *attempt_text)
+sdc_identify (const sdc_t *sidecar, hsv_call_t *inbound, const char *attempt_text)
 {
   char load[48];
 
-  if (sdc_load_text (sdc, load))
-    hsv_add_header (in, HOP_LOAD_HEADER, load);
-  hsv_add_header (in, HOP_ATTEMPT_HEADER, attempt_text);
-  hsv_add_header (in, HOP_ENGINE_HEADER, sdc->dmn->set.name);
-  hsv_add_header (in, HOP_INCARNATION_HEADER, sdc->incarnation_text);
+  if (sdc_load_text (sidecar, load))
+    hsv_add_header (inbound, HOP_LOAD_HEADER, load);
+  hsv_add_header (inbound, HOP_ATTEMPT_HEADER, attempt_text);
+  hsv_add_header (inbound, HOP_ENGINE_HEADER, sidecar->daemon->set.name);
+  hsv_add_header (inbound, HOP_INCARNATION_HEADER, sidecar->incarnation_text);
 }
 
 void
 sdc_call_free (sdc_call_t *call)
 {
-  if (call->out != NULL)
-    hcl_cancel (call->out);
+  if (call->outbound != NULL)
+    hcl_cancel (call->outbound);
   if (call->suspect)
-    call->sdc->suspects--;
+    call->sidecar->suspect_calls--;
   event_free (call->timer);
   for (uint32_t i = 0; i < call->header_count; i++)
     {
@@ -68,26 +69,26 @@
       g_free ((char *)call->headers[i].value);
     }
   g_free (call->headers);
-  rly_clear (&call->rly);
-  g_hash_table_remove (call->sdc->calls, call->hop.attempt);
-  man_unref (call->man);
+  rly_clear (&call->relay);
+  g_hash_table_remove (call->sidecar->calls, call->hop.attempt);
+  man_unref (call->manifest);
   g_free (call->method);
   g_free (call->target);
   g_free (call->body);
   g_free (call);
 }
 
-/* end() - what became of the attempt, for a router that asks later */
+/* record_outcome() - remembers the verdict for a router that asks for it later */
 static void
-end (sdc_call_t *call, vrd_t verdict)
+record_outcome (sdc_call_t *call, vrd_t verdict)
 {
-  hst_ended (call->sdc->hst, ops_now_us (call->sdc->ops), call->hop.attempt, verdict);
+  hst_ended (call->sidecar->history, ops_now_us (call->sidecar->ops), call->hop.attempt, verdict);
 }
 
 static void
 add_referrals (sdc_call_t *call, const adm_decision_t *decision)
 {
-  const mem_snapshot_t *members = ops_members (call->sdc->ops);
+  const mem_snapshot_t *members = ops_members (call->sidecar->ops);
   GString *names = g_string_new (NULL);
 
   for (uint32_t i = 0; members != NULL && i < decision->referral_count; i++)
@@ -98,7 +99,7 @@
         g_string_append_printf (names, "%s%s", names->len > 0 ? "," : "", host->name);
     }
   if (names->len > 0)
-    hsv_add_header (call->in, HOP_TRY_HEADER, names->str);
+    hsv_add_header (call->inbound, HOP_TRY_HEADER, names->str);
   g_string_free (names, TRUE);
 }
 
@@ -107,29 +108,30 @@
 {
   char retry[16];
 
-  sdc_identify (call->sdc, call->in, call->attempt_text);
-  hsv_add_header (call->in, HOP_REASON_HEADER, vrd_reason_name (decision->reason));
+  sdc_identify (call->sidecar, call->inbound, call->attempt_text);
+  hsv_add_header (call->inbound, HOP_REASON_HEADER, vrd_reason_name (decision->reason));
   add_referrals (call, decision);
   if (decision->retry_after_ms != 0)
     {
       snprintf (retry, sizeof retry, "%" PRIu32, decision->retry_after_ms);
-      hsv_add_header (call->in, HOP_RETRY_AFTER_HEADER, retry);
+      hsv_add_header (call->inbound, HOP_RETRY_AFTER_HEADER, retry);
     }
-  flt_reply (call->in, &(flt_t){ .verdict = verdict,
-                                 .reason = decision->reason,
-                                 .retry_after_ms = decision->retry_after_ms });
-  call->in = NULL;
-  rly_gone (&call->rly);
+  flt_reply (call->inbound, &(flt_t){ .verdict = verdict,
+                                      .reason = decision->reason,
+                                      .retry_after_ms = decision->retry_after_ms });
+  call->inbound = NULL;
+  rly_gone (&call->relay);
 }
 
 static void
-refuse (sdc_call_t *call, const adm_decision_t *decision, vrd_t verdict)
+refuse_call (sdc_call_t *call, const adm_decision_t *decision, vrd_t verdict)
 {
   sdc_call_note (call, "refuse", verdict, decision->reason);
-  cnt_add (call->sdc->refusals[decision->reason], 1);
-  /* Of the attempt itself: a key that another attempt holds keeps this one from running. */
-  end (call, VRD_NOT_RUN);
-  if (call->in != NULL)
+  cnt_add (call->sidecar->refusals[decision->reason], 1);
+  /* @verdict is about the idempotency key, which another attempt may have claimed; this attempt
+   * itself did not run. */
+  record_outcome (call, VRD_NOT_RUN);
+  if (call->inbound != NULL)
     reply_refusal (call, decision, verdict);
   sdc_call_free (call);
 }
@@ -137,16 +139,16 @@
 void
 sdc_call_refuse (sdc_call_t *call, const adm_decision_t *decision)
 {
-  refuse (call, decision, VRD_NOT_RUN);
+  refuse_call (call, decision, VRD_NOT_RUN);
 }
 
 void
 sdc_call_give_back (sdc_call_t *call, vrd_reason_t reason, vrd_t verdict)
 {
-  sdc_t *sdc = call->sdc;
+  sdc_t *sidecar = call->sidecar;
 
-  adm_finish (sdc->adm, ops_now_us (sdc->ops), &call->request, false);
-  refuse (call, &(adm_decision_t){ .reason = reason }, verdict);
+  adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
+  refuse_call (call, &(adm_decision_t){ .reason = reason }, verdict);
 }
 
 void
@@ -155,20 +157,20 @@
   adm_decision_t decision = { .reason = reason };
 
   sdc_call_note (call, "fail", VRD_MAY_HAVE_RUN, reason);
-  cnt_add (call->sdc->refusals[reason], 1);
-  end (call, VRD_MAY_HAVE_RUN);
-  if (call->rly.begun)
-    rly_cut (&call->rly, &(flt_t){ .verdict = VRD_MAY_HAVE_RUN, .reason = reason });
-  else if (call->in != NULL)
+  cnt_add (call->sidecar->refusals[reason], 1);
+  record_outcome (call, VRD_MAY_HAVE_RUN);
+  if (call->relay.begun)
+    rly_cut (&call->relay, &(flt_t){ .verdict = VRD_MAY_HAVE_RUN, .reason = reason });
+  else if (call->inbound != NULL)
     reply_refusal (call, &decision, VRD_MAY_HAVE_RUN);
-  call->in = NULL;
+  call->inbound = NULL;
   sdc_call_free (call);
 }
 
 void
 sdc_call_unheard (sdc_call_t *call, vrd_reason_t reason)
 {
-  if (call->in != NULL)
+  if (call->inbound != NULL)
     reply_refusal (call, &(adm_decision_t){ .reason = reason }, VRD_MAY_HAVE_RUN);
 }
 
@@ -176,17 +178,17 @@
 sdc_call_answered (sdc_call_t *call)
 {
   sdc_call_note (call, "answer", VRD_RAN, VRD_REASON_NONE);
-  end (call, VRD_RAN);
-  rly_whole (&call->rly);
-  call->in = NULL;
+  record_outcome (call, VRD_RAN);
+  rly_whole (&call->relay);
+  call->inbound = NULL;
   sdc_call_free (call);
 }
 
 vrd_t
 sdc_call_drop (sdc_call_t *call)
 {
-  sdc_t *sdc = call->sdc;
-  uint64_t now_us = ops_now_us (sdc->ops);
+  sdc_t *sidecar = call->sidecar;
+  uint64_t now_us = ops_now_us (sidecar->ops);
   vrd_t verdict = VRD_NOT_RUN;
 
   switch (call->state)
@@ -194,51 +196,54 @@
     case SDC_ARRIVED:
       break;
     case SDC_WAITING:
-      adm_cancel (sdc->adm, &call->request);
+      adm_cancel (sidecar->admission, &call->request);
       break;
     case SDC_CLAIMING:
-      adm_finish (sdc->adm, now_us, &call->request, false);
+      adm_finish (sidecar->admission, now_us, &call->request, false);
       sdc_claim_end (call, false, 0);
       break;
     case SDC_RUNNING:
       if (!call->hop.idempotent)
-        return VRD_MAY_HAVE_RUN; /* it must not be cut off half way: let it run to its end */
-      adm_finish (sdc->adm, now_us, &call->request, false);
+        return VRD_MAY_HAVE_RUN; /* must not be interrupted half way, so it runs to its end */
+      adm_finish (sidecar->admission, now_us, &call->request, false);
       verdict = VRD_MAY_HAVE_RUN;
       break;
     case SDC_CUT:
-      return VRD_MAY_HAVE_RUN; /* the probe ends it */
+      return VRD_MAY_HAVE_RUN; /* the result of the health check ends it */
     }
   sdc_call_note (call, "drop", verdict, VRD_REASON_REVOKED);
-  end (call, verdict);
-  if (call->in != NULL && !call->rly.begun)
+  record_outcome (call, verdict);
+  if (call->inbound != NULL && !call->relay.begun)
     reply_refusal (call, &(adm_decision_t){ .reason = VRD_REASON_REVOKED }, verdict);
-  else if (call->in != NULL)
-    rly_cut (&call->rly, &(flt_t){ .verdict = verdict, .reason = VRD_REASON_REVOKED });
+  else if (call->inbound != NULL)
+    rly_cut (&call->relay, &(flt_t){ .verdict = verdict, .reason = VRD_REASON_REVOKED });
   sdc_call_free (call);
   return verdict;
 }
 
 static void
-on_gone (void *context)
+on_router_disconnect (void *context)
 {
   sdc_call_t *call = context;
-  sdc_t *sdc = call->sdc;
+  sdc_t *sidecar = call->sidecar;
 
-  call->in = NULL;
-  rly_gone (&call->rly);
+  call->inbound = NULL;
+  rly_gone (&call->relay);
   sdc_call_drop (call);
-  sdc_pump (sdc);
+  sdc_pump (sidecar);
 }
 
-/* quarantined() - A request that crashed another engine may be the innocent neighbour of the one
- * that did. Two of them never share an engine: a second crash there would refuse both for good. */
+/* must_quarantine() - whether a request that is marked for a crash must not run beside another one
+ *
+ * All requests that an engine ran when it crashed are marked, whichever caused the crash. If two of
+ * them shared the next engine, a second crash would have both refused permanently, also the one
+ * that did not cause it. */
 static bool
-quarantined (sdc_call_t *call)
+must_quarantine (sdc_call_t *call)
 {
-  sdc_t *sdc = call->sdc;
-  sus_t *suspects = adm_suspects (sdc->adm);
-  uint64_t now_us = ops_now_us (sdc->ops);
+  sdc_t *sidecar = call->sidecar;
+  sus_t *suspects = adm_suspects (sidecar->admission);
+  uint64_t now_us = ops_now_us (sidecar->ops);
   sus_mark_t mark = { .fingerprint = call->hop.fingerprint };
 
   if (call->hop.crashed[0] != 0)
@@ -247,24 +252,24 @@
       sus_merge (suspects, now_us, &mark);
       for (uint32_t i = 0; i < G_N_ELEMENTS (mark.engines); i++)
         if (mark.engines[i] != 0)
-          adm_lost (sdc->adm, mark.engines[i]);
+          adm_lost (sidecar->admission, mark.engines[i]);
     }
   if (!call->suspect && sus_get (suspects, now_us, call->hop.fingerprint, &mark))
     {
       call->suspect = true;
-      sdc->suspects++;
+      sidecar->suspect_calls++;
     }
-  return call->suspect && sdc->suspects > 1 &&
-         sus_check (suspects, now_us, call->hop.fingerprint, sdc->own_hash) == SUS_CLEAR;
+  return call->suspect && sidecar->suspect_calls > 1 &&
+         sus_check (suspects, now_us, call->hop.fingerprint, sidecar->own_hash) == SUS_CLEAR;
 }
 
 static vrd_reason_t
 suspect_reason (const sdc_call_t *call)
 {
-  const sdc_t *sdc = call->sdc;
+  const sdc_t *sidecar = call->sidecar;
 
-  switch (sus_check (adm_suspects (sdc->adm), ops_now_us (sdc->ops), call->hop.fingerprint,
-                     sdc->own_hash))
+  switch (sus_check (adm_suspects (sidecar->admission), ops_now_us (sidecar->ops),
+                     call->hop.fingerprint, sidecar->own_hash))
     {
     case SUS_FINAL:
       return VRD_REASON_SUSPECT;
@@ -276,26 +281,27 @@
   return VRD_REASON_NONE;
 }
 
-/* objection() - to what was admitted. If it has waited, the engine may serve another service by
- * now, or a copy of the request that ran meanwhile, here or elsewhere, may have crashed its engine.
- */
+/* dispatch_refusal_reason() - why an admitted request must not be dispatched, or VRD_REASON_NONE
+ *
+ * While the request was queued, its engine may have been moved to another service, or a copy of the
+ * request may have crashed an engine. */
 static vrd_reason_t
-objection (sdc_call_t *call)
+dispatch_refusal_reason (sdc_call_t *call)
 {
   vrd_reason_t reason = sdc_closed (call);
 
   if (reason == VRD_REASON_NONE)
     reason = suspect_reason (call);
-  if (reason == VRD_REASON_NONE && quarantined (call))
+  if (reason == VRD_REASON_NONE && must_quarantine (call))
     reason = VRD_REASON_QUARANTINE;
   return reason;
 }
 
-/* run() - it was admitted */
+/* dispatch() - claims the idempotency key of an admitted request, or sends it to the engine */
 static void
-run (sdc_call_t *call)
+dispatch (sdc_call_t *call)
 {
-  vrd_reason_t reason = objection (call);
+  vrd_reason_t reason = dispatch_refusal_reason (call);
 
   if (reason != VRD_REASON_NONE)
     {
@@ -309,10 +315,12 @@
     sdc_engine_start (call);
 }
 
-/* reject() - A copy of the request may have crashed the engine that it waited for: its router
- * counts the crashes by the reason, which must not be hidden behind that of the refusal. */
+/* reject_waiting() - refuses a queued request
+ *
+ * If a copy of the request crashed the engine meanwhile, that reason replaces admission's own: the
+ * router counts an engine crash only when the reason of the refusal names it. */
 static void
-reject (sdc_call_t *call, adm_decision_t *decision)
+reject_waiting (sdc_call_t *call, adm_decision_t *decision)
 {
   vrd_reason_t reason = suspect_reason (call);
 
@@ -324,21 +332,21 @@
 void
 sdc_call_offer (sdc_call_t *call)
 {
-  sdc_t *sdc = call->sdc;
+  sdc_t *sidecar = call->sidecar;
   adm_decision_t decision = { .action = ADM_REFUSE, .reason = VRD_REASON_QUARANTINE };
 
-  hsv_on_gone (call->in, on_gone, call);
-  adm_set_stale (sdc->adm, ops_stale (sdc->ops));
-  if (!quarantined (call))
-    decision = adm_offer (sdc->adm, ops_now_us (sdc->ops), &call->request);
+  hsv_on_gone (call->inbound, on_router_disconnect, call);
+  adm_set_stale (sidecar->admission, ops_stale (sidecar->ops));
+  if (!must_quarantine (call))
+    decision = adm_offer (sidecar->admission, ops_now_us (sidecar->ops), &call->request);
   switch (decision.action)
     {
     case ADM_DISPATCH:
-      run (call);
+      dispatch (call);
       break;
     case ADM_WAIT:
       call->state = SDC_WAITING;
-      cnt_add (sdc->waited, 1);
+      cnt_add (sidecar->waited, 1);
       sdc_call_note (call, "wait", VRD_NOT_RUN, decision.reason);
       break;
     case ADM_REFUSE:
@@ -348,16 +356,16 @@
 }
 
 void
-sdc_pump (sdc_t *sdc)
+sdc_pump (sdc_t *sidecar)
 {
   adm_decision_t decision;
   adm_request_t *request;
 
-  adm_set_stale (sdc->adm, ops_stale (sdc->ops));
-  while ((request = adm_reject (sdc->adm, ops_now_us (sdc->ops), &decision)) != NULL)
-    reject ((sdc_call_t *)request, &decision);
-  while ((request = adm_next (sdc->adm, ops_now_us (sdc->ops))) != NULL)
-    run ((sdc_call_t *)request);
-  cnt_set_value (sdc->load, adm_load (sdc->adm));
-  cnt_set_value (sdc->waiting, adm_waiting (sdc->adm));
+  adm_set_stale (sidecar->admission, ops_stale (sidecar->ops));
+  while ((request = adm_reject (sidecar->admission, ops_now_us (sidecar->ops), &decision)) != NULL)
+    reject_waiting ((sdc_call_t *)request, &decision);
+  while ((request = adm_next (sidecar->admission, ops_now_us (sidecar->ops))) != NULL)
+    dispatch ((sdc_call_t *)request);
+  cnt_set_value (sidecar->load, adm_load (sidecar->admission));
+  cnt_set_value (sidecar->waiting, adm_waiting (sidecar->admission));
 }
--- a/src/request/sidecar/sidecar_claim.c
+++ b/src/request/sidecar/sidecar_claim.c
@@ -6,18 +6,20 @@
 #include <stdio.h>
 
 static clm_key_t
-key_of (const hop_t *hop)
+claim_key (const hop_t *hop)
 {
   return (clm_key_t){ .key_hash = { hop->key_hash[0], hop->key_hash[1] },
                       .body_hash = hop->body_hash };
 }
 
-/* stream_of() - must come out alike at every sidecar of the service: two streams of one key would
- * grant it twice */
+/* format_claim_stream() - names the log stream that holds the claims of a key
+ *
+ * Every sidecar of the service must compute the same stream: claims of one key in two streams would
+ * both be granted. */
 static void
-stream_of (const sdc_call_t *call, char *out, size_t out_bytes)
+format_claim_stream (const sdc_call_t *call, char *out, size_t out_bytes)
 {
-  const man_service_t *service = man_service_named (call->man, call->hop.service);
+  const man_service_t *service = man_service_named (call->manifest, call->hop.service);
   uint32_t shards = service != NULL ? MAX (service->claim_shards, 1) : 1;
 
   snprintf (out, out_bytes, "claims/%s/%" PRIu64, call->hop.service,
@@ -29,15 +31,15 @@
 {
   msg_claim_t *message = msg_new (MSG_CLAIM);
 
-  stream_of (call, message->stream, sizeof message->stream);
+  format_claim_stream (call, message->stream, sizeof message->stream);
   message->claim_id[0] = call->hop.attempt[0];
   message->claim_id[1] = call->hop.attempt[1];
-  message->key = key_of (&call->hop);
+  message->key = claim_key (&call->hop);
   message->expiry_us = call->deadline_us;
   call->state = SDC_CLAIMING;
-  call->claimed = true;
+  call->claim_open = true;
   sdc_call_note (call, "claim", VRD_NOT_RUN, VRD_REASON_NONE);
-  mbx_send (call->sdc->dmn->to_control, &message->head);
+  mbx_send (call->sidecar->daemon->to_control, &message->head);
 }
 
 void
@@ -45,42 +47,42 @@
 {
   msg_claim_end_t *message;
 
-  if (!call->claimed)
+  if (!call->claim_open)
     return;
-  call->claimed = false;
+  call->claim_open = false;
   message = msg_new (MSG_CLAIM_END);
-  stream_of (call, message->stream, sizeof message->stream);
+  format_claim_stream (call, message->stream, sizeof message->stream);
   message->claim_id[0] = call->hop.attempt[0];
   message->claim_id[1] = call->hop.attempt[1];
-  message->key = key_of (&call->hop);
+  message->key = claim_key (&call->hop);
   message->ran = ran;
   message->status = status;
-  mbx_send (call->sdc->dmn->to_control, &message->head);
+  mbx_send (call->sidecar->daemon->to_control, &message->head);
 }
 
-/* may_start() - VRD_REASON_NONE, or why not
+/* start_refusal_reason() - why a request with a granted claim must not start, or VRD_REASON_NONE
  *
- * Checked once more at the last moment: the result may have lain in the mailbox while this process
- * was paused, and while a slow log judged the claim the host may have begun to leave. A host that
- * left just now starts it all the same. Given back, its claim would be released by a record that
- * the next sidecar's claim can overtake: in a planned stop the caller would hear "may have run" of
- * a booking that did not run. */
+ * Checked immediately before the request starts, because the process may have been paused with the
+ * result in its mailbox, and the host may have begun to leave while a slow log decided the claim. A
+ * host that began to leave less than LIM_LEAVING_GRACE_US ago still starts the request. Otherwise
+ * the claim would be released by a log record that can arrive after the claim of the next sidecar,
+ * and in a planned stop the caller of a request that did not run would be told "may have run". */
 static vrd_reason_t
-may_start (const sdc_call_t *call)
+start_refusal_reason (const sdc_call_t *call)
 {
   vrd_reason_t reason = sdc_closed (call);
 
-  if (reason == VRD_REASON_LEAVING && sdc_left_lately (call->sdc))
+  if (reason == VRD_REASON_LEAVING && sdc_left_lately (call->sidecar))
     reason = VRD_REASON_NONE;
-  if (reason == VRD_REASON_NONE && ops_now_us (call->sdc->ops) >= call->deadline_us)
+  if (reason == VRD_REASON_NONE && ops_now_us (call->sidecar->ops) >= call->deadline_us)
     reason = VRD_REASON_DEADLINE;
   return reason;
 }
 
 static void
-granted (sdc_call_t *call)
+on_claim_granted (sdc_call_t *call)
 {
-  vrd_reason_t reason = may_start (call);
+  vrd_reason_t reason = start_refusal_reason (call);
 
   if (reason == VRD_REASON_NONE)
     {
@@ -92,16 +94,16 @@
 }
 
 void
-sdc_claim_result (sdc_t *sdc, const clm_result_t *result)
+sdc_claim_result (sdc_t *sidecar, const clm_result_t *result)
 {
-  sdc_call_t *call = g_hash_table_lookup (sdc->calls, result->claim_id);
+  sdc_call_t *call = g_hash_table_lookup (sidecar->calls, result->claim_id);
 
   if (call == NULL || call->state != SDC_CLAIMING)
     return;
   switch (result->verdict)
     {
     case CLM_GRANTED:
-      granted (call);
+      on_claim_granted (call);
       break;
     case CLM_DONE:
       sdc_call_give_back (call, VRD_REASON_CLAIMED, VRD_RAN);
@@ -120,5 +122,5 @@
       sdc_call_give_back (call, VRD_REASON_CLAIMED, VRD_MAY_HAVE_RUN);
       break;
     }
-  sdc_pump (sdc);
+  sdc_pump (sidecar);
 }
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define OWN_HEADERS 3
+#define ADDED_HEADERS 3
 
 static void
 set_timer (sdc_call_t *call, uint64_t delay_us)
@@ -17,12 +17,12 @@
 }
 
 static void
-add_load (sdc_call_t *call)
+add_load_header (sdc_call_t *call)
 {
   char load[48];
 
-  if (sdc_load_text (call->sdc, load))
-    rly_add_header (&call->rly, HOP_LOAD_HEADER, load);
+  if (sdc_load_text (call->sidecar, load))
+    rly_add_header (&call->relay, HOP_LOAD_HEADER, load);
 }
 
 static bool
@@ -31,21 +31,22 @@
   sdc_call_t *call = context;
   const char *echoed = evhttp_find_header (headers, HOP_REQUEST_HEADER);
 
-  /* An engine that mixes up its answers would hand one caller what another asked for. */
+  /* An engine that mixes up its answers would send one caller the answer to another's request. */
   if (echoed != NULL && strcmp (echoed, call->attempt_text) != 0)
     {
-      call->crossed = true;
+      call->answer_mismatch = true;
       return false;
     }
-  call->head_came = true;
-  rly_head (&call->rly, call->out, status, headers);
-  call->rly.events = false; /* its router tells the caller why a stream breaks off, and only once */
-  rly_add_header (&call->rly, HOP_ATTEMPT_HEADER, call->attempt_text);
-  rly_add_header (&call->rly, HOP_ENGINE_HEADER, call->sdc->dmn->set.name);
-  rly_add_header (&call->rly, HOP_INCARNATION_HEADER, call->sdc->incarnation_text);
-  if (!call->rly.holding)
-    add_load (call);
-  rly_add_header (&call->rly, VRD_HEADER, vrd_name (VRD_RAN));
+  call->head_received = true;
+  rly_head (&call->relay, call->outbound, status, headers);
+  /* If the stream breaks off, the router sends the error event; the caller must not get two. */
+  call->relay.events = false;
+  rly_add_header (&call->relay, HOP_ATTEMPT_HEADER, call->attempt_text);
+  rly_add_header (&call->relay, HOP_ENGINE_HEADER, call->sidecar->daemon->set.name);
+  rly_add_header (&call->relay, HOP_INCARNATION_HEADER, call->sidecar->incarnation_text);
+  if (!call->relay.holding)
+    add_load_header (call);
+  rly_add_header (&call->relay, VRD_HEADER, vrd_name (VRD_RAN));
   set_timer (call, SDC_STALL_US);
   return true;
 }
@@ -55,120 +56,124 @@
 {
   sdc_call_t *call = context;
 
-  rly_data (&call->rly, data);
+  rly_data (&call->relay, data);
   set_timer (call, SDC_STALL_US);
 }
 
 static void
-whole (sdc_call_t *call, int status)
+on_answer_complete (sdc_call_t *call, int status)
 {
-  sdc_t *sdc = call->sdc;
-  bool warm = sdc->service != NULL && sdc->service->kind == MAN_KIND_MODEL && status == 200;
+  sdc_t *sidecar = call->sidecar;
+  bool fills_cache =
+      sidecar->service != NULL && sidecar->service->kind == MAN_KIND_MODEL && status == 200;
 
-  adm_finish (sdc->adm, ops_now_us (sdc->ops), &call->request, warm);
+  adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, fills_cache);
   sdc_claim_end (call, true, (uint32_t)status);
-  if (!call->rly.begun)
-    add_load (call); /* without this request, which is over */
+  if (!call->relay.begun)
+    add_load_header (call); /* the load without this request, which has ended */
   sdc_call_answered (call);
 }
 
-/* unreached() - not a byte left for the engine */
+/* on_engine_unreachable() - no connection to the engine, so no byte of the request was sent */
 static void
-unreached (sdc_call_t *call)
+on_engine_unreachable (sdc_call_t *call)
 {
-  sdc_t *sdc = call->sdc;
+  sdc_t *sidecar = call->sidecar;
 
   sdc_claim_end (call, false, 0);
   sdc_call_give_back (call, VRD_REASON_NO_ENGINE, VRD_NOT_RUN);
-  sdc_probe_now (sdc);
+  sdc_probe_now (sidecar);
 }
 
-/* cut() - whether the engine crashed decides what the router hears and whom a mark is put on. A
- * stream that has begun is broken off at once; only the mark waits for the probe. */
+/* on_answer_interrupted() - the engine closed the connection before the end of its answer
+ *
+ * A health check finds out whether the engine crashed; this decides the reason that the router gets
+ * and whether the request is marked as suspect. An answer that was already being relayed is broken
+ * off at once, and only the mark waits for the health check. */
 static void
-cut (sdc_call_t *call)
+on_answer_interrupted (sdc_call_t *call)
 {
-  sdc_t *sdc = call->sdc;
+  sdc_t *sidecar = call->sidecar;
 
   call->state = SDC_CUT;
-  call->cut_us = ops_now_us (sdc->ops);
-  if (call->rly.begun)
+  call->interrupted_us = ops_now_us (sidecar->ops);
+  if (call->relay.begun)
     {
       rly_cut (
-          &call->rly,
+          &call->relay,
           &(flt_t){ .verdict = VRD_RAN, .reason = VRD_REASON_CUT, .request = call->attempt_text });
-      call->in = NULL;
+      call->inbound = NULL;
     }
-  sdc_probe_now (sdc);
+  sdc_probe_now (sidecar);
 }
 
 static void
 on_end (const hcl_end_t *end, void *context)
 {
   sdc_call_t *call = context;
-  sdc_t *sdc = call->sdc;
+  sdc_t *sidecar = call->sidecar;
 
-  call->out = NULL;
-  call->rly.from = NULL;
+  call->outbound = NULL;
+  call->relay.from = NULL;
   event_del (call->timer);
   if (end->whole)
-    whole (call, end->status);
+    on_answer_complete (call, end->status);
   else if (end->verdict == VRD_NOT_RUN)
-    unreached (call);
-  else if (call->crossed)
+    on_engine_unreachable (call);
+  else if (call->answer_mismatch)
     {
-      adm_finish (sdc->adm, ops_now_us (sdc->ops), &call->request, false);
+      adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
       sdc_call_fail (call, VRD_REASON_CROSSED);
     }
   else
-    cut (call);
-  sdc_pump (sdc);
+    on_answer_interrupted (call);
+  sdc_pump (sidecar);
 }
 
 void
 sdc_engine_timer (evutil_socket_t fd, short what, void *context)
 {
   sdc_call_t *call = context;
-  sdc_t *sdc = call->sdc;
+  sdc_t *sidecar = call->sidecar;
 
   (void)fd;
   (void)what;
-  if (call->out == NULL)
+  if (call->outbound == NULL)
     return;
-  if (call->rly.begun && rly_held_up (&call->rly))
+  if (call->relay.begun && rly_held_up (&call->relay))
     {
       set_timer (call, SDC_STALL_US);
       return;
     }
-  if (!call->hop.idempotent && !call->head_came && !call->late)
+  if (!call->hop.idempotent && !call->head_received && !call->timeout_reported)
     {
-      /* Its caller hears now that it may have run. It is not taken from the engine: half done, it
-       * could neither be known nor be sent again. */
-      call->late = true;
+      /* The caller is told now that the request may have run. The engine is not interrupted: after
+       * a partial run the outcome would be unknown and the request could not be sent again. */
+      call->timeout_reported = true;
       sdc_call_note (call, "late", VRD_MAY_HAVE_RUN, VRD_REASON_TIMEOUT);
       sdc_call_unheard (call, VRD_REASON_TIMEOUT);
       set_timer (call, SDC_STALL_US);
       return;
     }
-  adm_finish (sdc->adm, ops_now_us (sdc->ops), &call->request, false);
+  adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
   sdc_call_fail (call, VRD_REASON_TIMEOUT);
-  sdc_pump (sdc);
+  sdc_pump (sidecar);
 }
 
 void
 sdc_engine_start (sdc_call_t *call)
 {
-  sdc_t *sdc = call->sdc;
-  uint64_t now_us = ops_now_us (sdc->ops);
-  uint64_t left_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
+  sdc_t *sidecar = call->sidecar;
+  uint64_t now_us = ops_now_us (sidecar->ops);
+  uint64_t remaining_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
   char priority[16];
-  g_autofree hcl_header_t *headers = g_new (hcl_header_t, call->header_count + OWN_HEADERS);
-  hcl_header_t *own = headers + call->header_count;
-  hcl_options_t options = { .address = &sdc->dmn->set.engine,
+  g_autofree hcl_header_t *headers = g_new (hcl_header_t, call->header_count + ADDED_HEADERS);
+  hcl_header_t *added = headers + call->header_count;
+  hcl_options_t options = { .address = &sidecar->daemon->set.engine,
                             .method = call->method,
                             .target = call->target,
                             .headers = headers,
-                            .header_count = call->header_count + OWN_HEADERS,
+                            .header_count = call->header_count + ADDED_HEADERS,
                             .body = call->body,
                             .body_bytes = call->body_bytes,
                             .on_head = on_head,
@@ -178,12 +183,12 @@
 
   snprintf (priority, sizeof priority, "%" PRIu32, call->request.item.priority);
   memcpy (headers, call->headers, call->header_count * sizeof headers[0]);
-  own[0] = (hcl_header_t){ .name = HOP_REQUEST_HEADER, .value = call->attempt_text };
-  own[1] = (hcl_header_t){ .name = HOP_PRIORITY_HEADER, .value = priority };
-  own[2] = (hcl_header_t){ .name = HOP_ACCOUNT_HEADER, .value = call->hop.account };
+  added[0] = (hcl_header_t){ .name = HOP_REQUEST_HEADER, .value = call->attempt_text };
+  added[1] = (hcl_header_t){ .name = HOP_PRIORITY_HEADER, .value = priority };
+  added[2] = (hcl_header_t){ .name = HOP_ACCOUNT_HEADER, .value = call->hop.account };
   call->state = SDC_RUNNING;
-  cnt_add (sdc->dispatched, 1);
+  cnt_add (sidecar->dispatched, 1);
   sdc_call_note (call, "dispatch", VRD_MAY_HAVE_RUN, VRD_REASON_NONE);
-  set_timer (call, MAX (left_us, CLK_US_PER_MS));
-  call->out = hcl_start (sdc->hcl, &options);
+  set_timer (call, MAX (remaining_us, CLK_US_PER_MS));
+  call->outbound = hcl_start (sidecar->http_client, &options);
 }
--- a/src/request/sidecar/sidecar_leave.c
+++ b/src/request/sidecar/sidecar_leave.c
@@ -7,36 +7,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HAND_OVER_TIMEOUT_US (2000 * 1000)
+#define HANDOVER_TIMEOUT_US (2000 * 1000)
 
-/** struct hand_over - batches by the index of the host in the members */
+/**
+ * struct handover - a hand-over of the directory
+ * @batch_by_host: JSON array of entries for each host, by the host's index in the members; NULL
+ *   when there are none
+ * @batch_count: batches that were complete so far; those beyond SDC_BATCHES are not sent
+ */
 typedef struct
 {
-  sdc_t *sdc;
-  json_t **by_host;
+  sdc_t *sidecar;
+  json_t **batch_by_host;
   uint32_t batch_count;
-} hand_over_t;
+} handover_t;
 
-/** struct sent - a batch on its way */
+/** struct batch_request - @body: the body of a request in flight, freed at its end */
 typedef struct
 {
   char *body;
-} sent_t;
+} batch_request_t;
 
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  sent_t *sent = context;
+  batch_request_t *request = context;
 
   (void)end;
-  g_free (sent->body);
-  g_free (sent);
+  g_free (request->body);
+  g_free (request);
 }
 
 static void
-send_batch (sdc_t *sdc, const mem_host_t *host, const json_t *entries)
+send_batch (sdc_t *sidecar, const mem_host_t *host, const json_t *entries)
 {
-  sent_t *sent = g_new0 (sent_t, 1);
+  batch_request_t *request = g_new0 (batch_request_t, 1);
   char *text = json_dumps (entries, JSON_COMPACT);
   char seal[ORD_SEAL_BYTES];
   hcl_header_t header = { .name = ORD_SEAL_HEADER, .value = seal };
@@ -45,75 +50,77 @@
                             .target = HOP_DIRECTORY_PATH,
                             .headers = &header,
                             .header_count = 1,
-                            .timeout_us = HAND_OVER_TIMEOUT_US,
+                            .timeout_us = HANDOVER_TIMEOUT_US,
                             .on_end = on_end,
-                            .context = sent };
+                            .context = request };
 
-  sent->body = g_strdup (text);
+  request->body = g_strdup (text);
   free (text);
-  options.body = sent->body;
-  options.body_bytes = strlen (sent->body);
+  options.body = request->body;
+  options.body_bytes = strlen (request->body);
   ord_seal (&(ord_t){ .host = host->name,
                       .method = "POST",
                       .target = HOP_DIRECTORY_PATH,
-                      .body = sent->body,
+                      .body = request->body,
                       .body_bytes = options.body_bytes },
-            sdc->dmn->set.fleet_key, seal);
-  ops_count_control (sdc->ops, OPS_CALL_BYTES + (uint32_t)options.body_bytes);
-  hcl_start (sdc->hcl, &options);
+            sidecar->daemon->set.fleet_key, seal);
+  ops_count_control (sidecar->ops, OPS_CALL_BYTES + (uint32_t)options.body_bytes);
+  hcl_start (sidecar->http_client, &options);
 }
 
 static void
-flush (hand_over_t *hand_over, uint32_t index)
+flush_batch (handover_t *handover, uint32_t index)
 {
-  json_t *entries = hand_over->by_host[index];
+  json_t *entries = handover->batch_by_host[index];
 
   if (entries == NULL)
     return;
-  if (hand_over->batch_count++ < SDC_BATCHES)
-    send_batch (hand_over->sdc, &ops_members (hand_over->sdc->ops)->hosts[index], entries);
+  if (handover->batch_count++ < SDC_BATCHES)
+    send_batch (handover->sidecar, &ops_members (handover->sidecar->ops)->hosts[index], entries);
   json_decref (entries);
-  hand_over->by_host[index] = NULL;
+  handover->batch_by_host[index] = NULL;
 }
 
-/* visit() - the next home of a chat is the best of the engines that stay, by the routers' own
- * ranking */
+/* add_entry() - adds a directory entry to the batch of the chat's next home
+ *
+ * That is the highest-ranked of the remaining engines, by the ranking that routers use. */
 static void
-visit (const dir_entry_t *entry, void *context)
+add_entry (const dir_entry_t *entry, void *context)
 {
-  hand_over_t *hand_over = context;
-  sdc_t *sdc = hand_over->sdc;
+  handover_t *handover = context;
+  sdc_t *sidecar = handover->sidecar;
   uint32_t index;
   char chat[17];
   char engine[17];
 
-  if (entry->engine_hash == sdc->own_hash ||
-      plc_rank (sdc->others, sdc->other_count, sdc->service->hash, entry->chat_hash, &index, 1) ==
-          0)
+  if (entry->engine_hash == sidecar->own_hash ||
+      plc_rank (sidecar->other_engines, sidecar->other_engine_count, sidecar->service->hash,
+                entry->chat_hash, &index, 1) == 0)
     return;
-  if (hand_over->by_host[index] == NULL)
-    hand_over->by_host[index] = json_array ();
+  if (handover->batch_by_host[index] == NULL)
+    handover->batch_by_host[index] = json_array ();
   g_snprintf (chat, sizeof chat, "%016" PRIx64, entry->chat_hash);
   g_snprintf (engine, sizeof engine, "%016" PRIx64, entry->engine_hash);
-  json_array_append_new (hand_over->by_host[index], json_pack ("[ss]", chat, engine));
-  if (json_array_size (hand_over->by_host[index]) == SDC_BATCH_ENTRIES)
-    flush (hand_over, index);
+  json_array_append_new (handover->batch_by_host[index], json_pack ("[ss]", chat, engine));
+  if (json_array_size (handover->batch_by_host[index]) == SDC_BATCH_ENTRIES)
+    flush_batch (handover, index);
 }
 
 void
-sdc_leave (sdc_t *sdc)
+sdc_leave (sdc_t *sidecar)
 {
-  const mem_snapshot_t *members = ops_members (sdc->ops);
-  hand_over_t hand_over = { .sdc = sdc };
+  const mem_snapshot_t *members = ops_members (sidecar->ops);
+  handover_t handover = { .sidecar = sidecar };
 
-  if (sdc->handed_over || sdc->service == NULL || members == NULL || sdc->other_count == 0)
+  if (sidecar->directory_handed_over || sidecar->service == NULL || members == NULL ||
+      sidecar->other_engine_count == 0)
     return;
-  sdc->handed_over = true;
-  hand_over.by_host = g_new0 (json_t *, members->host_count);
-  dir_each (adm_directory (sdc->adm), visit, &hand_over);
+  sidecar->directory_handed_over = true;
+  handover.batch_by_host = g_new0 (json_t *, members->host_count);
+  dir_each (adm_directory (sidecar->admission), add_entry, &handover);
   for (uint32_t i = 0; i < members->host_count; i++)
-    flush (&hand_over, i);
-  g_free (hand_over.by_host);
+    flush_batch (&handover, i);
+  g_free (handover.batch_by_host);
   log_event (LOG_LEVEL_NOTICE, "directory_handed_over", "entries",
-             LOG_U64 (dir_count (adm_directory (sdc->adm))), NULL);
+             LOG_U64 (dir_count (adm_directory (sidecar->admission))), NULL);
 }
--- a/src/request/sidecar/sidecar_orders.c
+++ b/src/request/sidecar/sidecar_orders.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static bool
-read_hash (const char *text, uint64_t *out)
+parse_hash (const char *text, uint64_t *out)
 {
   guint64 value;
 
@@ -16,22 +16,22 @@
   return true;
 }
 
-/* revoke() - Return: what became of the attempt; after VRD_NOT_RUN it never runs here */
+/* revoke_attempt() - Return: whether the attempt ran; after VRD_NOT_RUN it never runs here */
 static vrd_t
-revoke (sdc_t *sdc, const uint64_t attempt[2], uint64_t age_us)
+revoke_attempt (sdc_t *sidecar, const uint64_t attempt[2], uint64_t age_us)
 {
-  sdc_call_t *call = g_hash_table_lookup (sdc->calls, attempt);
+  sdc_call_t *call = g_hash_table_lookup (sidecar->calls, attempt);
 
   if (call == NULL)
-    return hst_revoke (sdc->hst, ops_now_us (sdc->ops), attempt, age_us);
+    return hst_revoke (sidecar->history, ops_now_us (sidecar->ops), attempt, age_us);
   return sdc_call_drop (call);
 }
 
 static void
-serve_revoke (sdc_t *sdc, hsv_call_t *in)
+serve_revoke (sdc_t *sidecar, hsv_call_t *inbound)
 {
-  const char *text = hsv_query (in, "attempt");
-  const char *age = hsv_query (in, "age_ms");
+  const char *text = hsv_query (inbound, "attempt");
+  const char *age = hsv_query (inbound, "age_ms");
   uint64_t attempt[2];
   guint64 age_ms;
   vrd_t verdict;
@@ -39,37 +39,39 @@
   if (text == NULL || !hop_attempt_parse (text, attempt) || age == NULL ||
       !g_ascii_string_to_unsigned (age, 10, 0, UINT32_MAX, &age_ms, NULL))
     {
-      flt_bad_request (in, 400, "bad_request", "attempt or age_ms is missing or not valid");
+      flt_bad_request (inbound, 400, "bad_request", "attempt or age_ms is missing or not valid");
       return;
     }
-  verdict = revoke (sdc, attempt, age_ms * CLK_US_PER_MS);
-  sdc_identify (sdc, in, text);
-  hsv_add_header (in, VRD_HEADER, vrd_name (verdict));
-  hsv_reply_text (in, 200, "text/plain", vrd_name (verdict));
-  sdc_pump (sdc);
+  verdict = revoke_attempt (sidecar, attempt, age_ms * CLK_US_PER_MS);
+  sdc_identify (sidecar, inbound, text);
+  hsv_add_header (inbound, VRD_HEADER, vrd_name (verdict));
+  hsv_reply_text (inbound, 200, "text/plain", vrd_name (verdict));
+  sdc_pump (sidecar);
 }
 
 static void
-serve_served (sdc_t *sdc, hsv_call_t *in)
+serve_served (sdc_t *sidecar, hsv_call_t *inbound)
 {
   uint64_t chat;
   uint64_t engine;
 
-  if (!read_hash (hsv_query (in, "chat"), &chat) || !read_hash (hsv_query (in, "engine"), &engine))
+  if (!parse_hash (hsv_query (inbound, "chat"), &chat) ||
+      !parse_hash (hsv_query (inbound, "engine"), &engine))
     {
-      flt_bad_request (in, 400, "bad_request", "chat or engine is missing or not valid");
+      flt_bad_request (inbound, 400, "bad_request", "chat or engine is missing or not valid");
       return;
     }
-  adm_served_elsewhere (sdc->adm, ops_now_us (sdc->ops), chat, engine);
-  cnt_add (sdc->notes, 1);
-  hsv_reply_text (in, 200, "text/plain", "noted\n");
+  adm_served_elsewhere (sidecar->admission, ops_now_us (sidecar->ops), chat, engine);
+  cnt_add (sidecar->directory_notes, 1);
+  hsv_reply_text (inbound, 200, "text/plain", "noted\n");
 }
 
-/* take_entries() - [[chat, engine], ...] as hashes in hex. Return: how many were taken */
+/* store_entries() - stores [[chat, engine], ...], both hashes in hex, in the directory. Return: how
+ * many were stored */
 static uint32_t
-take_entries (sdc_t *sdc, const json_t *entries)
+store_entries (sdc_t *sidecar, const json_t *entries)
 {
-  uint32_t taken = 0;
+  uint32_t stored = 0;
   size_t index;
   json_t *entry;
 
@@ -80,50 +82,50 @@
 
       if (index == SDC_BATCH_ENTRIES)
         break;
-      if (!read_hash (json_string_value (json_array_get (entry, 0)), &chat) ||
-          !read_hash (json_string_value (json_array_get (entry, 1)), &engine))
+      if (!parse_hash (json_string_value (json_array_get (entry, 0)), &chat) ||
+          !parse_hash (json_string_value (json_array_get (entry, 1)), &engine))
         continue;
-      adm_served_elsewhere (sdc->adm, ops_now_us (sdc->ops), chat, engine);
-      cnt_add (sdc->notes, 1);
-      taken++;
+      adm_served_elsewhere (sidecar->admission, ops_now_us (sidecar->ops), chat, engine);
+      cnt_add (sidecar->directory_notes, 1);
+      stored++;
     }
-  return taken;
+  return stored;
 }
 
 static void
-serve_directory (sdc_t *sdc, hsv_call_t *in)
+serve_directory (sdc_t *sidecar, hsv_call_t *inbound)
 {
   size_t body_bytes;
-  const char *body = hsv_body (in, &body_bytes);
+  const char *body = hsv_body (inbound, &body_bytes);
   json_t *entries = json_loadb (body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
-  uint32_t taken;
+  uint32_t stored;
 
   if (!json_is_array (entries))
     {
       json_decref (entries);
-      flt_bad_request (in, 400, "bad_body", "the body is not a JSON array");
+      flt_bad_request (inbound, 400, "bad_body", "the body is not a JSON array");
       return;
     }
-  taken = take_entries (sdc, entries);
+  stored = store_entries (sidecar, entries);
   json_decref (entries);
-  log_event (LOG_LEVEL_INFO, "directory_taken", "entries", LOG_U64 (taken), NULL);
-  hsv_reply_text (in, 200, "text/plain", "noted\n");
+  log_event (LOG_LEVEL_INFO, "directory_taken", "entries", LOG_U64 (stored), NULL);
+  hsv_reply_text (inbound, 200, "text/plain", "noted\n");
 }
 
 bool
-sdc_order (hsv_call_t *in, const char *path, void *context)
+sdc_order (hsv_call_t *inbound, const char *path, void *context)
 {
-  sdc_t *sdc = context;
+  sdc_t *sidecar = context;
 
-  if (strcmp (hsv_method (in), "POST") != 0)
+  if (strcmp (hsv_method (inbound), "POST") != 0)
     return false;
-  ops_count_control (sdc->ops, OPS_CALL_BYTES);
+  ops_count_control (sidecar->ops, OPS_CALL_BYTES);
   if (strcmp (path, HOP_REVOKE_PATH) == 0)
-    serve_revoke (sdc, in);
+    serve_revoke (sidecar, inbound);
   else if (strcmp (path, HOP_SERVED_PATH) == 0)
-    serve_served (sdc, in);
+    serve_served (sidecar, inbound);
   else if (strcmp (path, HOP_DIRECTORY_PATH) == 0)
-    serve_directory (sdc, in);
+    serve_directory (sidecar, inbound);
   else
     return false;
   return true;
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -6,68 +6,73 @@
 #define PROBE_TARGET "/health"
 
 static void
-schedule (sdc_t *sdc)
+schedule_probe (sdc_t *sidecar)
 {
   struct timeval delay = { .tv_usec = 0 };
 
-  sdc->probe_delay_ms = CLAMP (sdc->probe_delay_ms * 2, SDC_PROBE_MIN_MS, SDC_PROBE_MAX_MS);
-  delay.tv_sec = sdc->probe_delay_ms / 1000;
-  delay.tv_usec = (suseconds_t)(sdc->probe_delay_ms % 1000) * 1000;
-  event_add (sdc->probe_timer, &delay);
+  sidecar->probe_delay_ms = CLAMP (sidecar->probe_delay_ms * 2, SDC_PROBE_MIN_MS, SDC_PROBE_MAX_MS);
+  delay.tv_sec = sidecar->probe_delay_ms / 1000;
+  delay.tv_usec = (suseconds_t)(sidecar->probe_delay_ms % 1000) * 1000;
+  event_add (sidecar->probe_timer, &delay);
 }
 
 static void
-set_up (sdc_t *sdc, bool up)
+set_engine_up (sdc_t *sidecar, bool up)
 {
   if (up)
-    sdc->probe_delay_ms = 0;
-  if (sdc->engine_up == up)
+    sidecar->probe_delay_ms = 0;
+  if (sidecar->engine_up == up)
     return;
-  sdc->engine_up = up;
-  adm_set_engine_up (sdc->adm, up);
-  log_event (LOG_LEVEL_NOTICE, up ? "engine_up" : "engine_down", "engine", sdc->dmn->set.name,
-             NULL);
+  sidecar->engine_up = up;
+  adm_set_engine_up (sidecar->admission, up);
+  log_event (LOG_LEVEL_NOTICE, up ? "engine_up" : "engine_down", "engine",
+             sidecar->daemon->set.name, NULL);
 }
 
-/* tell_mark() - to the other sidecars; the control task spreads it */
+/* publish_crash_mark() - has the control task distribute the mark of a request to other sidecars */
 static void
-tell_mark (sdc_t *sdc, uint64_t fingerprint)
+publish_crash_mark (sdc_t *sidecar, uint64_t fingerprint)
 {
   msg_marks_t *message = msg_new (MSG_NEW_MARK);
 
   message->count = 1;
-  if (sus_get (adm_suspects (sdc->adm), ops_now_us (sdc->ops), fingerprint, &message->marks[0]))
-    mbx_send (sdc->dmn->to_control, &message->head);
+  if (sus_get (adm_suspects (sidecar->admission), ops_now_us (sidecar->ops), fingerprint,
+               &message->marks[0]))
+    mbx_send (sidecar->daemon->to_control, &message->head);
   else
     message->head.free (&message->head);
 }
 
-/* end_cut() - All that the engine ran when it crashed are marked: nothing tells which of them did
- * it, and were only the likeliest marked, the guilty one could go on to crash a third engine. A
- * mark costs an innocent request no more than the choice of its next engine. */
+/* end_interrupted_call() - ends a call whose answer broke off
+ *
+ * All requests that the engine ran when it crashed are marked, since nothing shows which one caused
+ * the crash. If only the most likely one were marked, the cause could be another one that goes on
+ * to crash a third engine. A mark only restricts which engine a request is sent to next. */
 static void
-end_cut (sdc_call_t *call, bool crashed)
+end_interrupted_call (sdc_call_t *call, bool crashed)
 {
-  sdc_t *sdc = call->sdc;
-  uint64_t now_us = ops_now_us (sdc->ops);
+  sdc_t *sidecar = call->sidecar;
+  uint64_t now_us = ops_now_us (sidecar->ops);
 
   if (crashed)
     {
-      adm_crashed (sdc->adm, now_us, &call->request);
-      tell_mark (sdc, call->hop.fingerprint);
+      adm_crashed (sidecar->admission, now_us, &call->request);
+      publish_crash_mark (sidecar, call->hop.fingerprint);
     }
-  adm_finish (sdc->adm, now_us, &call->request, false);
+  adm_finish (sidecar->admission, now_us, &call->request, false);
   sdc_call_fail (call, crashed ? VRD_REASON_ENGINE_CRASHED : VRD_REASON_CUT);
 }
 
-/* end_cuts() - those that were cut before the probe began: it says nothing of later ones. Return:
- * whether any are left */
+/* end_interrupted_calls() - ends the calls that were interrupted before the health check began
+ *
+ * The result of the health check says nothing about calls that were interrupted later. Return:
+ * whether there are such calls. */
 static bool
-end_cuts (sdc_t *sdc, bool crashed)
+end_interrupted_calls (sdc_t *sidecar, bool crashed)
 {
-  g_autoptr (GList) calls = g_hash_table_get_values (sdc->calls);
+  g_autoptr (GList) calls = g_hash_table_get_values (sidecar->calls);
   uint32_t ended = 0;
-  uint32_t left = 0;
+  uint32_t remaining = 0;
 
   for (GList *link = calls; link != NULL; link = link->next)
     {
@@ -75,21 +80,21 @@
 
       if (call->state != SDC_CUT)
         continue;
-      if (call->cut_us > sdc->probe_us)
+      if (call->interrupted_us > sidecar->probe_started_us)
         {
-          left++;
+          remaining++;
           continue;
         }
-      end_cut (call, crashed);
+      end_interrupted_call (call, crashed);
       ended++;
     }
   if (ended > 0 && crashed)
     {
-      cnt_add (sdc->crashes, 1);
-      log_event (LOG_LEVEL_WARNING, "engine_crashed", "engine", sdc->dmn->set.name, "in_flight",
-                 LOG_U64 (ended), NULL);
+      cnt_add (sidecar->crashes, 1);
+      log_event (LOG_LEVEL_WARNING, "engine_crashed", "engine", sidecar->daemon->set.name,
+                 "in_flight", LOG_U64 (ended), NULL);
     }
-  return left > 0;
+  return remaining > 0;
 }
 
 static bool
@@ -108,35 +113,39 @@
   evbuffer_drain (data, evbuffer_get_length (data));
 }
 
-/* on_end() - A refused connection is a crash. An engine that is frozen or slow keeps its socket and
- * runs out the time instead; its requests are not blamed. A probe that was itself cut tells
- * nothing: it may have gone out on a connection of the process that has just died. */
+/* on_end() - judges the result of a health check
+ *
+ * A refused connection means that the engine crashed. A frozen or slow engine keeps its listening
+ * socket, so the health check times out instead and no request is marked. A health check whose
+ * connection was closed is inconclusive: it may have used a connection of the process that has just
+ * died. */
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  sdc_t *sdc = context;
-  bool cut = !end->whole && (end->reason == VRD_REASON_CUT || end->reason == VRD_REASON_CROSSED);
+  sdc_t *sidecar = context;
+  bool disconnected =
+      !end->whole && (end->reason == VRD_REASON_CUT || end->reason == VRD_REASON_CROSSED);
   bool crashed = !end->whole && end->reason == VRD_REASON_CONNECT;
 
-  sdc->probe = NULL;
-  sdc->probe_cuts = cut ? sdc->probe_cuts + 1 : 0;
-  if (cut && sdc->probe_cuts < SDC_PROBE_CUTS)
+  sidecar->probe = NULL;
+  sidecar->probe_disconnects = disconnected ? sidecar->probe_disconnects + 1 : 0;
+  if (disconnected && sidecar->probe_disconnects < SDC_PROBE_CUTS)
     {
-      schedule (sdc);
+      schedule_probe (sidecar);
       return;
     }
-  set_up (sdc, end->whole);
-  if (end_cuts (sdc, crashed || cut))
-    sdc_probe_now (sdc);
+  set_engine_up (sidecar, end->whole);
+  if (end_interrupted_calls (sidecar, crashed || disconnected))
+    sdc_probe_now (sidecar);
   else if (!end->whole)
-    schedule (sdc);
-  sdc_pump (sdc);
+    schedule_probe (sidecar);
+  sdc_pump (sidecar);
 }
 
 void
-sdc_probe_now (sdc_t *sdc)
+sdc_probe_now (sdc_t *sidecar)
 {
-  hcl_options_t options = { .address = &sdc->dmn->set.engine,
+  hcl_options_t options = { .address = &sidecar->daemon->set.engine,
                             .method = "GET",
                             .target = PROBE_TARGET,
                             .timeout_us = SDC_PROBE_TIMEOUT_US,
@@ -144,13 +153,13 @@
                             .on_head = on_head,
                             .on_data = on_data,
                             .on_end = on_end,
-                            .context = sdc };
+                            .context = sidecar };
 
-  if (sdc->probe != NULL)
+  if (sidecar->probe != NULL)
     return;
-  event_del (sdc->probe_timer);
-  sdc->probe_us = ops_now_us (sdc->ops);
-  sdc->probe = hcl_start (sdc->hcl, &options);
+  event_del (sidecar->probe_timer);
+  sidecar->probe_started_us = ops_now_us (sidecar->ops);
+  sidecar->probe = hcl_start (sidecar->http_client, &options);
 }
 
 void
--- a/tests/test_path_answers.c
+++ b/tests/test_path_answers.c
@@ -52,7 +52,7 @@
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     {
       g_hash_table_iter_init (&iter, fleet->sidecars[i].sdc->calls);
-      if (g_hash_table_iter_next (&iter, NULL, &call) && ((sdc_call_t *)call)->rly.full)
+      if (g_hash_table_iter_next (&iter, NULL, &call) && ((sdc_call_t *)call)->relay.full)
         sdc_engine_timer (-1, EV_TIMEOUT, call);
     }
 }
