--- a/src/request/router/chat_body.c
+++ b/src/request/router/chat_body.c
@@ -5,9 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* too_deep() - jansson recurses for each level, so a body of brackets could use up the stack */
+/* is_nested_too_deeply() - jansson recurses once for each level, so a body of nested brackets could
+ * overflow the stack */
 static bool
-too_deep (const char *body, size_t body_bytes)
+is_nested_too_deeply (const char *body, size_t body_bytes)
 {
   uint32_t depth = 0;
   bool in_string = false;
@@ -41,10 +42,10 @@
   return given != NULL && strcmp (given, role) == 0;
 }
 
-/* take_opening() - up to and with the first user message: the part of a chat that stays the same
- * however long it grows */
+/* read_opening() - collects the messages up to and including the first user message, which stay the
+ * same in all later requests of the chat */
 static void
-take_opening (cbd_t *cbd, const json_t *messages)
+read_opening (cbd_t *chat, const json_t *messages)
 {
   GString *text = g_string_new (NULL);
   size_t index;
@@ -62,12 +63,12 @@
       if (has_role (message, "user"))
         break;
     }
-  cbd->opening_bytes = (uint32_t)text->len;
-  cbd->opening = g_string_free (text, FALSE);
+  chat->opening_bytes = (uint32_t)text->len;
+  chat->opening = g_string_free (text, FALSE);
 }
 
 static bool
-holds_answer (const json_t *messages)
+has_assistant_message (const json_t *messages)
 {
   size_t index;
   json_t *message;
@@ -81,7 +82,7 @@
 }
 
 static const char *
-take_all (cbd_t *cbd, const json_t *json)
+read_fields (cbd_t *chat, const json_t *json)
 {
   const char *model = json_string_value (json_object_get (json, "model"));
   const json_t *messages = json_object_get (json, "messages");
@@ -89,38 +90,38 @@
 
   if (!json_is_object (json))
     return "the body is not a JSON object";
-  if (model == NULL || g_strlcpy (cbd->model, model, sizeof cbd->model) >= sizeof cbd->model)
+  if (model == NULL || g_strlcpy (chat->model, model, sizeof chat->model) >= sizeof chat->model)
     return "\"model\" is missing, not a string or too long";
   if (!json_is_array (messages) || json_array_size (messages) == 0)
     return "\"messages\" is missing, not an array or empty";
   if (json_is_integer (max_tokens))
-    cbd->max_tokens = (uint32_t)CLAMP (json_integer_value (max_tokens), 0, INT32_MAX);
-  take_opening (cbd, messages);
-  cbd->returning = holds_answer (messages);
+    chat->max_tokens = (uint32_t)CLAMP (json_integer_value (max_tokens), 0, INT32_MAX);
+  read_opening (chat, messages);
+  chat->returning = has_assistant_message (messages);
   return NULL;
 }
 
 const char *
-cbd_parse (cbd_t *cbd, const char *body, size_t body_bytes)
+cbd_parse (cbd_t *chat, const char *body, size_t body_bytes)
 {
   json_error_t error;
   json_t *json;
   const char *fault;
 
-  memset (cbd, 0, sizeof *cbd);
-  if (too_deep (body, body_bytes))
+  memset (chat, 0, sizeof *chat);
+  if (is_nested_too_deeply (body, body_bytes))
     return "the body is nested too deeply";
   json = json_loadb (body, body_bytes, JSON_REJECT_DUPLICATES, &error);
   if (json == NULL)
     return "the body is not valid JSON";
-  fault = take_all (cbd, json);
+  fault = read_fields (chat, json);
   json_decref (json);
   return fault;
 }
 
 void
-cbd_clear (cbd_t *cbd)
+cbd_clear (cbd_t *chat)
 {
-  g_free (cbd->opening);
-  cbd->opening = NULL;
+  g_free (chat->opening);
+  chat->opening = NULL;
 }
--- a/src/request/router/chat_body.h
+++ b/src/request/router/chat_body.h
@@ -1,8 +1,8 @@
 /**
  * DOC: chat_body
  *
- * What the router reads of a chat completion's body: the model, the output asked for, and the first
- * messages, which name a chat whose caller sends no chat id.
+ * Parses the parts of a chat completion request that the router needs: the model, the limit of
+ * output tokens, and the first messages, which identify a chat whose caller sends no chat id.
  */
 #ifndef REQUEST_ROUTER_CHAT_BODY_H
 #define REQUEST_ROUTER_CHAT_BODY_H
@@ -14,13 +14,17 @@
 #include <stdint.h>
 
 #define CBD_PATH "/v1/chat/completions"
+/* Nesting depth of the JSON body; the parser recurses once for each level. */
 #define CBD_DEPTH 32
 
 /**
- * struct cbd - read by cbd_parse(), cleared by cbd_clear()
- * @opening: the system message and the first user message as text, or NULL
- * @max_tokens: 0 when not given
- * @returning: it holds an answer already, so its context may be warm somewhere
+ * struct cbd - fields of a chat completion request; filled by cbd_parse(), freed by cbd_clear()
+ * @opening: contents of the messages up to and including the first user message, each as JSON on a
+ *   line of its own; NULL if the body could not be parsed
+ * @opening_bytes: length of @opening without the final NUL
+ * @max_tokens: limit of output tokens, 0 when not given
+ * @returning: the messages contain an answer of the assistant, so an engine may have the chat's
+ *   context in its cache
  */
 typedef struct
 {
@@ -31,8 +35,13 @@
   bool returning;
 } cbd_t;
 
-/** cbd_parse() - Return: NULL, or what is wrong with the body */
-const char *cbd_parse (cbd_t *cbd, const char *body, size_t body_bytes);
-void cbd_clear (cbd_t *cbd);
+/**
+ * cbd_parse() - parses the body of a chat completion request
+ *
+ * Return: NULL, or an error message for the caller; cbd_clear() is to be called either way
+ */
+const char *cbd_parse (cbd_t *chat, const char *body, size_t body_bytes);
+/** cbd_clear() - frees what @chat owns; a zeroed struct is allowed */
+void cbd_clear (cbd_t *chat);
 
 #endif
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -5,39 +5,40 @@
 #include <stdio.h>
 
 static bool
-ready (void *context)
+is_ready (void *context)
 {
-  const rtr_t *rtr = context;
+  const rtr_t *router = context;
 
-  /* The platform's list may be read before it holds anything. */
-  for (uint32_t i = 0; i < rtr->pool_count; i++)
-    if (rtr->pools[i].near.count + rtr->pools[i].far.count > 0)
+  /* The first member list read from the platform may be empty. */
+  for (uint32_t i = 0; i < router->pool_count; i++)
+    if (router->pools[i].own_region.count + router->pools[i].other_regions.count > 0)
       return true;
   return false;
 }
 
 static uint32_t
-in_flight (void *context)
+count_in_flight (void *context)
 {
-  const rtr_t *rtr = context;
+  const rtr_t *router = context;
 
-  return rtr->calls.length;
+  return router->calls.length;
 }
 
 static void
-status (json_t *out, void *context)
+add_status (json_t *out, void *context)
 {
-  const rtr_t *rtr = context;
+  const rtr_t *router = context;
   json_t *services = json_object ();
-  const man_t *man = ops_man (rtr->ops);
+  const man_t *manifest = ops_man (router->ops);
 
-  for (uint32_t i = 0; i < rtr->pool_count; i++)
-    json_object_set_new (services, man->services[i].name,
-                         json_integer (rtr->pools[i].near.count + rtr->pools[i].far.count));
+  for (uint32_t i = 0; i < router->pool_count; i++)
+    json_object_set_new (
+        services, manifest->services[i].name,
+        json_integer (router->pools[i].own_region.count + router->pools[i].other_regions.count));
   json_object_set_new (out, "engines", services);
-  json_object_set_new (out, "load", json_integer (rtr->calls.length));
+  json_object_set_new (out, "load", json_integer (router->calls.length));
   json_object_set_new (out, "retry_budget_milli",
-                       json_integer ((json_int_t)rtr->budget.tokens_milli));
+                       json_integer ((json_int_t)router->budget.tokens_milli));
 }
 
 static bool
@@ -50,15 +51,15 @@
 }
 
 static void
-stopping (void *context)
+on_stopping (void *context)
 {
-  const rtr_t *rtr = context;
+  const rtr_t *router = context;
 
-  log_event (LOG_LEVEL_NOTICE, "stopping", "in_flight", LOG_U64 (rtr->calls.length), NULL);
+  log_event (LOG_LEVEL_NOTICE, "stopping", "in_flight", LOG_U64 (router->calls.length), NULL);
 }
 
 static gboolean
-is_unlisted (gpointer key, gpointer value, gpointer context)
+is_not_member (gpointer key, gpointer value, gpointer context)
 {
   const mem_snapshot_t *members = context;
 
@@ -66,185 +67,190 @@
   return mem_find_hash (members, *(uint64_t *)key) == NULL;
 }
 
-/* learn_members() - a host that restarted is judged anew */
+/* update_members() - drops what is known of hosts that are no longer members, and the health of
+ * those that restarted */
 static void
-learn_members (rtr_t *rtr)
+update_members (rtr_t *router)
 {
-  mem_snapshot_t *members = ops_members (rtr->ops);
+  mem_snapshot_t *members = ops_members (router->ops);
 
   if (members == NULL)
     return;
   for (uint32_t i = 0; i < members->host_count; i++)
-    rtr_learn_incarnation (rtr, members->hosts[i].hash, members->hosts[i].incarnation);
-  g_hash_table_foreach_remove (rtr->incarnations, is_unlisted, members);
-  g_hash_table_foreach_remove (rtr->watches, is_unlisted, members);
+    rtr_learn_incarnation (router, members->hosts[i].hash, members->hosts[i].incarnation);
+  g_hash_table_foreach_remove (router->incarnations, is_not_member, members);
+  g_hash_table_foreach_remove (router->host_probes, is_not_member, members);
 }
 
 static gboolean
-is_unserved (gpointer key, gpointer value, gpointer context)
+is_unused_service (gpointer key, gpointer value, gpointer context)
 {
-  const man_t *man = context;
+  const man_t *manifest = context;
 
   (void)value;
-  for (uint32_t i = 0; i < man->service_count; i++)
-    if (man->services[i].hash == *(uint64_t *)key)
+  for (uint32_t i = 0; i < manifest->service_count; i++)
+    if (manifest->services[i].hash == *(uint64_t *)key)
       return FALSE;
   return TRUE;
 }
 
-/* prepare_loads() - one table for each service in force, and no other */
+/* update_load_tables() - keeps one table for each service in force, and no others */
 static void
-prepare_loads (rtr_t *rtr)
+update_load_tables (rtr_t *router)
 {
-  man_t *man = ops_man (rtr->ops);
+  man_t *manifest = ops_man (router->ops);
 
-  if (man == NULL)
+  if (manifest == NULL)
     return;
-  g_hash_table_foreach_remove (rtr->loads, is_unserved, man);
-  for (uint32_t i = 0; i < man->service_count; i++)
+  g_hash_table_foreach_remove (router->loads, is_unused_service, manifest);
+  for (uint32_t i = 0; i < manifest->service_count; i++)
     {
-      uint64_t hash = man->services[i].hash;
+      uint64_t hash = manifest->services[i].hash;
       rtr_loads_t *loads;
 
-      if (g_hash_table_contains (rtr->loads, &hash))
+      if (g_hash_table_contains (router->loads, &hash))
         continue;
       loads = g_new0 (rtr_loads_t, 1);
-      mean_init (&loads->table, rtr->id_high + i);
-      g_hash_table_insert (rtr->loads, g_memdup2 (&hash, sizeof hash), loads);
+      mean_init (&loads->table, router->request_id_high + i);
+      g_hash_table_insert (router->loads, g_memdup2 (&hash, sizeof hash), loads);
     }
 }
 
 static void
-changed (void *context)
+on_configuration_changed (void *context)
 {
-  rtr_t *rtr = context;
+  rtr_t *router = context;
 
-  learn_members (rtr);
-  prepare_loads (rtr);
-  rtr_place_rebuild (rtr);
+  update_members (router);
+  update_load_tables (router);
+  rtr_place_rebuild (router);
 }
 
 static void
-make_counters (rtr_t *rtr)
+make_counters (rtr_t *router)
 {
-  cnt_set_t *set = rtr->dmn->counters;
+  cnt_set_t *set = router->daemon->counters;
   char name[128];
 
-  rtr->hops = cnt_get (set, "medlarplank_hops_total", "Requests sent to sidecars.");
-  rtr->retries =
+  router->hops = cnt_get (set, "medlarplank_hops_total", "Requests sent to sidecars.");
+  router->retries =
       cnt_get (set, "medlarplank_retries_total", "Requests sent again that may have run before.");
-  rtr->revokes = cnt_get (set, "medlarplank_revokes_total", "Attempts given up at a sidecar.");
-  rtr->probes = cnt_get (set, "medlarplank_probes_total", "Quiet hosts asked whether they run.");
-  rtr->told_count =
-      cnt_get (set, "medlarplank_served_hints_total", "Homes told where a chat was served.");
+  router->revokes = cnt_get (set, "medlarplank_revokes_total", "Attempts revoked at a sidecar.");
+  router->probes = cnt_get (set, "medlarplank_probes_total",
+                            "Health checks of hosts that did not answer for a while.");
+  router->served_hints_sent =
+      cnt_get (set, "medlarplank_served_hints_total",
+               "Hints to a chat's home about which engine served the chat.");
   for (uint32_t i = 0; i <= VRD_RAN; i++)
     {
       snprintf (name, sizeof name, "medlarplank_requests_total{verdict=\"%s\"}", vrd_name (i));
-      rtr->ends[i] = cnt_get (set, name, "Requests of callers that ended, by verdict.");
+      router->ended[i] = cnt_get (set, name, "Requests of callers that ended, by verdict.");
     }
   for (uint32_t i = 0; i < VRD_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_hop_failures_total{reason=\"%s\"}",
                 vrd_reason_name (i));
-      rtr->reasons[i] = cnt_get (set, name, "Hops that brought no answer, by reason.");
+      router->hop_failures[i] =
+          cnt_get (set, name, "Hops without an answer from the engine, by reason.");
     }
 }
 
 uint64_t
-rtr_incarnation (const rtr_t *rtr, uint64_t engine_hash)
+rtr_incarnation (const rtr_t *router, uint64_t engine_hash)
 {
-  const uint64_t *known = g_hash_table_lookup (rtr->incarnations, &engine_hash);
+  const uint64_t *known = g_hash_table_lookup (router->incarnations, &engine_hash);
 
   return known != NULL ? *known : 0;
 }
 
 void
-rtr_learn_incarnation (rtr_t *rtr, uint64_t engine_hash, uint64_t incarnation)
+rtr_learn_incarnation (rtr_t *router, uint64_t engine_hash, uint64_t incarnation)
 {
-  uint64_t known = rtr_incarnation (rtr, engine_hash);
+  uint64_t known = rtr_incarnation (router, engine_hash);
 
   if (incarnation <= known)
     return;
   if (known != 0)
-    hlt_forget (rtr->hlt, engine_hash);
-  g_hash_table_replace (rtr->incarnations, g_memdup2 (&engine_hash, sizeof engine_hash),
+    hlt_forget (router->health, engine_hash);
+  g_hash_table_replace (router->incarnations, g_memdup2 (&engine_hash, sizeof engine_hash),
                         g_memdup2 (&incarnation, sizeof incarnation));
 }
 
 rtr_t *
-rtr_new (dmn_t *dmn, struct event_base *base, GError **error)
+rtr_new (dmn_t *daemon, struct event_base *base, GError **error)
 {
-  rtr_t *rtr = g_new0 (rtr_t, 1);
-  ops_options_t options = { .dmn = dmn,
+  rtr_t *router = g_new0 (rtr_t, 1);
+  ops_options_t options = { .dmn = daemon,
                             .base = base,
                             .on_call = rtr_accept,
                             .on_sealed = on_sealed,
-                            .ready = ready,
-                            .in_flight = in_flight,
-                            .status = status,
-                            .changed = changed,
-                            .stopping = stopping,
-                            .context = rtr };
-
-  rtr->dmn = dmn;
-  rtr->base = base;
-  rtr->ops = ops_new (&options, error);
-  if (rtr->ops == NULL)
+                            .ready = is_ready,
+                            .in_flight = count_in_flight,
+                            .status = add_status,
+                            .changed = on_configuration_changed,
+                            .stopping = on_stopping,
+                            .context = router };
+
+  router->daemon = daemon;
+  router->base = base;
+  router->ops = ops_new (&options, error);
+  if (router->ops == NULL)
     {
-      g_free (rtr);
+      g_free (router);
       return NULL;
     }
-  rtr->hcl = hcl_new (base, RTR_IDLE_CONNECTIONS, RTR_IDLE_TIMEOUT_MS);
-  rtr->hlt = hlt_new ();
-  att_budget_init (&rtr->budget);
-  rtr->incarnations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  rtr->loads = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  rtr->watches =
+  router->http_client = hcl_new (base, RTR_IDLE_CONNECTIONS, RTR_IDLE_TIMEOUT_MS);
+  router->health = hlt_new ();
+  att_budget_init (&router->budget);
+  router->incarnations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  router->loads = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  router->host_probes =
       g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, (GDestroyNotify)rtr_watch_free);
-  rtr->told = g_new0 (rtr_told_t, RTR_TOLD_ENTRIES);
-  rtr->prv = prv_new (RTR_PROVEN_ENTRIES, RTR_PROVEN_US);
-  rtr->uwy = uwy_new ();
-  bdg_init (&rtr->news_budget, dmn->set.control_budget_bytes, clk_now_us (&dmn->clk));
-  rtr->suspects = sus_new (LIM_SUSPECTS, RTR_SUSPECT_US);
-  g_queue_init (&rtr->calls);
-  /* Two routers that start in the same millisecond must not share attempt ids. */
-  rtr->id_high = plc_hash_name (dmn->set.name) + dmn->incarnation;
-  make_counters (rtr);
-  return rtr;
+  router->served_hints = g_new0 (rtr_told_t, RTR_TOLD_ENTRIES);
+  router->answered_requests = prv_new (RTR_PROVEN_ENTRIES, RTR_PROVEN_US);
+  router->requests_in_flight = uwy_new ();
+  bdg_init (&router->control_budget, daemon->set.control_budget_bytes, clk_now_us (&daemon->clk));
+  router->suspects = sus_new (LIM_SUSPECTS, RTR_SUSPECT_US);
+  g_queue_init (&router->calls);
+  /* The name is included because two routers may start in the same millisecond, and must not use
+   * the same attempt ids. */
+  router->request_id_high = plc_hash_name (daemon->set.name) + daemon->incarnation;
+  make_counters (router);
+  return router;
 }
 
 void
-rtr_free (rtr_t *rtr)
+rtr_free (rtr_t *router)
 {
-  if (rtr == NULL)
+  if (router == NULL)
     return;
-  while (rtr->calls.head != NULL)
+  while (router->calls.head != NULL)
     {
-      rtr_call_t *call = rtr->calls.head->data;
+      rtr_call_t *call = router->calls.head->data;
 
-      if (call->in != NULL)
-        hsv_abort (call->in);
+      if (call->inbound != NULL)
+        hsv_abort (call->inbound);
       rtr_call_free (call);
     }
-  g_hash_table_destroy (rtr->watches);
-  ops_free (rtr->ops);
-  hcl_free (rtr->hcl);
-  hlt_free (rtr->hlt);
-  rtr_place_clear (rtr);
-  g_hash_table_destroy (rtr->incarnations);
-  g_hash_table_destroy (rtr->loads);
-  g_free (rtr->told);
-  prv_free (rtr->prv);
-  uwy_free (rtr->uwy);
-  sus_free (rtr->suspects);
-  g_free (rtr);
+  g_hash_table_destroy (router->host_probes);
+  ops_free (router->ops);
+  hcl_free (router->http_client);
+  hlt_free (router->health);
+  rtr_place_clear (router);
+  g_hash_table_destroy (router->incarnations);
+  g_hash_table_destroy (router->loads);
+  g_free (router->served_hints);
+  prv_free (router->answered_requests);
+  uwy_free (router->requests_in_flight);
+  sus_free (router->suspects);
+  g_free (router);
 }
 
 void
 rtr_message (mbx_message_t *message, void *context)
 {
-  rtr_t *rtr = context;
+  rtr_t *router = context;
 
-  if (!ops_message (rtr->ops, message) && message->kind == MSG_SAMPLES)
-    rtr_place_samples (rtr, (msg_samples_t *)message);
+  if (!ops_message (router->ops, message) && message->kind == MSG_SAMPLES)
+    rtr_place_samples (router, (msg_samples_t *)message);
 }
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/** struct skip - what chs_choose() asks about a host */
+/** struct health_query - context of is_usable(), which chs_choose() calls for each host */
 typedef struct
 {
-  const rtr_t *rtr;
+  const rtr_t *router;
   uint64_t now_us;
-} skip_t;
+} health_query_t;
 
 static bool
 is_candidate (const mem_host_t *host)
@@ -16,10 +16,10 @@
 }
 
 static void
-engines_init (rtr_engines_t *engines, uint32_t most)
+engines_init (rtr_engines_t *engines, uint32_t max_count)
 {
-  engines->engines = g_new0 (plc_engine_t, most);
-  engines->details = g_new0 (chs_engine_t, most);
+  engines->engines = g_new0 (plc_engine_t, max_count);
+  engines->details = g_new0 (chs_engine_t, max_count);
 }
 
 static void
@@ -40,128 +40,131 @@
 }
 
 static void
-init_pools (rtr_t *rtr, const man_t *man, uint32_t host_count)
+init_pools (rtr_t *router, const man_t *manifest, uint32_t host_count)
 {
-  rtr->pool_count = man->service_count;
-  rtr->pools = g_new0 (rtr_pool_t, man->service_count);
-  for (uint32_t i = 0; i < man->service_count; i++)
+  router->pool_count = manifest->service_count;
+  router->pools = g_new0 (rtr_pool_t, manifest->service_count);
+  for (uint32_t i = 0; i < manifest->service_count; i++)
     {
-      uint32_t most = MIN (man->services[i].engine_count, host_count);
+      uint32_t max_count = MIN (manifest->services[i].engine_count, host_count);
 
-      engines_init (&rtr->pools[i].near, most);
-      engines_init (&rtr->pools[i].far, most);
-      rtr->pools[i].hashes = g_new0 (uint64_t, most);
+      engines_init (&router->pools[i].own_region, max_count);
+      engines_init (&router->pools[i].other_regions, max_count);
+      router->pools[i].hashes = g_new0 (uint64_t, max_count);
     }
 }
 
 static bool
 is_usable (uint64_t engine_hash, void *context)
 {
-  const skip_t *skip = context;
+  const health_query_t *health_query = context;
 
-  return !hlt_skipped (skip->rtr->hlt, skip->now_us, engine_hash);
+  return !hlt_skipped (health_query->router->health, health_query->now_us, engine_hash);
 }
 
-/* pool_of() - the request keeps its version, but pools are those of the version in force */
+/* pool_of() - the pool of a request's service, or NULL when the service is no longer in force
+ *
+ * A request keeps the version that it arrived under, but pools belong to the version in force. */
 static const rtr_pool_t *
-pool_of (const rtr_t *rtr, const man_t *man, const man_service_t *service)
+pool_of (const rtr_t *router, const man_t *manifest, const man_service_t *service)
 {
-  const man_t *in_force = ops_man (rtr->ops);
+  const man_t *in_force = ops_man (router->ops);
 
-  if (rtr->pools == NULL)
+  if (router->pools == NULL)
     return NULL;
-  if (man != in_force)
+  if (manifest != in_force)
     service = man_service_named (in_force, service->name);
-  return service != NULL ? &rtr->pools[service - in_force->services] : NULL;
+  return service != NULL ? &router->pools[service - in_force->services] : NULL;
 }
 
-/* add_far() - engines of other regions behind those of this one */
+/* append_candidates() - adds engines of other regions after those of the own region */
 static void
-add_far (chs_t *place, const chs_t *far)
+append_candidates (chs_t *placement, const chs_t *other_regions)
 {
-  for (uint32_t i = 0; i < far->candidate_count && place->candidate_count < ATT_CANDIDATES; i++)
-    place->candidates[place->candidate_count++] = far->candidates[i];
+  for (uint32_t i = 0;
+       i < other_regions->candidate_count && placement->candidate_count < ATT_CANDIDATES; i++)
+    placement->candidates[placement->candidate_count++] = other_regions->candidates[i];
 }
 
 static chs_t
 choose (chs_query_t *query, const rtr_pool_t *pool)
 {
-  chs_t place;
-  chs_t far;
-
-  query->engines = pool->near.engines;
-  query->details = pool->near.details;
-  query->engine_count = pool->near.count;
-  place = chs_choose (query);
-  if (place.candidate_count == ATT_CANDIDATES || pool->far.count == 0)
-    return place;
-  query->engines = pool->far.engines;
-  query->details = pool->far.details;
-  query->engine_count = pool->far.count;
-  far = chs_choose (query);
-  if (place.candidate_count == 0)
-    return far;
-  add_far (&place, &far);
-  return place;
+  chs_t placement;
+  chs_t other_regions;
+
+  query->engines = pool->own_region.engines;
+  query->details = pool->own_region.details;
+  query->engine_count = pool->own_region.count;
+  placement = chs_choose (query);
+  if (placement.candidate_count == ATT_CANDIDATES || pool->other_regions.count == 0)
+    return placement;
+  query->engines = pool->other_regions.engines;
+  query->details = pool->other_regions.details;
+  query->engine_count = pool->other_regions.count;
+  other_regions = chs_choose (query);
+  if (placement.candidate_count == 0)
+    return other_regions;
+  append_candidates (&placement, &other_regions);
+  return placement;
 }
 
 void
-rtr_place_clear (rtr_t *rtr)
+rtr_place_clear (rtr_t *router)
 {
-  for (uint32_t i = 0; i < rtr->pool_count; i++)
+  for (uint32_t i = 0; i < router->pool_count; i++)
     {
-      engines_clear (&rtr->pools[i].near);
-      engines_clear (&rtr->pools[i].far);
-      g_free (rtr->pools[i].hashes);
+      engines_clear (&router->pools[i].own_region);
+      engines_clear (&router->pools[i].other_regions);
+      g_free (router->pools[i].hashes);
     }
-  g_free (rtr->pools);
-  rtr->pools = NULL;
-  rtr->pool_count = 0;
+  g_free (router->pools);
+  router->pools = NULL;
+  router->pool_count = 0;
 }
 
 void
-rtr_place_rebuild (rtr_t *rtr)
+rtr_place_rebuild (rtr_t *router)
 {
-  const man_t *man = ops_man (rtr->ops);
-  const mem_snapshot_t *members = ops_members (rtr->ops);
+  const man_t *manifest = ops_man (router->ops);
+  const mem_snapshot_t *members = ops_members (router->ops);
 
-  rtr_place_clear (rtr);
-  if (man == NULL || members == NULL)
+  rtr_place_clear (router);
+  if (manifest == NULL || members == NULL)
     return;
-  init_pools (rtr, man, members->host_count);
+  init_pools (router, manifest, members->host_count);
   for (uint32_t i = 0; i < members->host_count; i++)
     {
       const mem_host_t *host = &members->hosts[i];
-      const man_service_t *service = man_service_of_engine (man, host->name);
+      const man_service_t *service = man_service_of_engine (manifest, host->name);
       rtr_pool_t *pool;
-      bool near = strcmp (host->region, rtr->dmn->set.region) == 0;
+      bool in_own_region = strcmp (host->region, router->daemon->set.region) == 0;
 
       if (service == NULL || !is_candidate (host))
         continue;
-      pool = &rtr->pools[service - man->services];
-      pool->hashes[pool->near.count + pool->far.count] = host->hash;
-      engines_add (near ? &pool->near : &pool->far, host);
+      pool = &router->pools[service - manifest->services];
+      pool->hashes[pool->own_region.count + pool->other_regions.count] = host->hash;
+      engines_add (in_own_region ? &pool->own_region : &pool->other_regions, host);
     }
 }
 
 const mem_host_t *
-rtr_host (const rtr_t *rtr, uint64_t engine_hash)
+rtr_host (const rtr_t *router, uint64_t engine_hash)
 {
-  const mem_snapshot_t *members = ops_members (rtr->ops);
+  const mem_snapshot_t *members = ops_members (router->ops);
   const mem_host_t *host = members != NULL ? mem_find_hash (members, engine_hash) : NULL;
 
   return host != NULL && is_candidate (host) ? host : NULL;
 }
 
 void
-rtr_place_samples (rtr_t *rtr, const msg_samples_t *message)
+rtr_place_samples (rtr_t *router, const msg_samples_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
       const mean_sample_t *sample = &message->samples[i];
-      rtr_loads_t *loads = g_hash_table_lookup (rtr->loads, &sample->service_hash);
+      rtr_loads_t *loads = g_hash_table_lookup (router->loads, &sample->service_hash);
 
-      /* Of services that are not in force here, no table is made. */
+      /* Services that are not in force here have no table. */
       if (loads != NULL)
         mean_add (&loads->table, sample);
     }
@@ -170,31 +173,32 @@
 void
 rtr_place_find (rtr_call_t *call, bool first_turn)
 {
-  rtr_t *rtr = call->rtr;
+  rtr_t *router = call->router;
   const man_service_t *service = call->service;
-  const rtr_pool_t *pool = pool_of (rtr, call->man, service);
-  const rtr_loads_t *loads = g_hash_table_lookup (rtr->loads, &service->hash);
-  skip_t skip = { .rtr = rtr, .now_us = ops_now_us (rtr->ops) };
-  chs_query_t query = { .now_us = skip.now_us,
+  const rtr_pool_t *pool = pool_of (router, call->manifest, service);
+  const rtr_loads_t *loads = g_hash_table_lookup (router->loads, &service->hash);
+  health_query_t health_query = { .router = router, .now_us = ops_now_us (router->ops) };
+  chs_query_t query = { .now_us = health_query.now_us,
                         .service_hash = service->hash,
-                        .chat_hash = call->place_hash,
+                        .chat_hash = call->placement_hash,
                         .has_chat = call->hop.has_chat && call->hop.key_hash[1] == 0,
                         .first_turn = first_turn || !call->hop.has_chat,
                         .cache_lifetime_us = (uint64_t)service->cache_lifetime_ms * CLK_US_PER_MS,
-                        .tie = call->hop.key_hash[1], /* keys of a claims stream take turns */
+                        .tie = call->hop.key_hash[1], /* spreads the keys of one claims stream */
                         .samples = loads != NULL ? &loads->table : NULL,
-                        .under_way = rtr->uwy,
+                        .under_way = router->requests_in_flight,
                         .is_usable = is_usable,
-                        .context = &skip };
+                        .context = &health_query };
 
-  memset (&call->place, 0, sizeof call->place);
+  memset (&call->placement, 0, sizeof call->placement);
   if (pool == NULL)
     return;
-  if (hlt_distrust (rtr->hlt, pool->hashes, pool->near.count + pool->far.count))
+  if (hlt_distrust (router->health, pool->hashes,
+                    pool->own_region.count + pool->other_regions.count))
     query.is_usable = NULL;
-  call->place = choose (&query, pool);
-  if (call->place.candidate_count > 0 || query.is_usable == NULL)
+  call->placement = choose (&query, pool);
+  if (call->placement.candidate_count > 0 || query.is_usable == NULL)
     return;
   query.is_usable = NULL;
-  call->place = choose (&query, pool);
+  call->placement = choose (&query, pool);
 }
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -1,10 +1,11 @@
 /**
  * DOC: router_private
  *
- * Shared by the files of the router's data task: router.c (the task), router_place.c (candidates),
- * router_accept.c (a caller's request is read and judged), router_call.c (its course), router_hop.c
- * (one exchange with one sidecar), router_watch.c (whether a quiet host is frozen), router_tell.c
- * (what sidecars are told besides).
+ * Declarations shared by the files of the router's data task: router.c (set-up and configuration),
+ * router_place.c (engine pools and candidates), router_accept.c (reads and validates a caller's
+ * request), router_call.c (the steps of a request up to its end), router_hop.c (the HTTP exchange
+ * with one sidecar), router_watch.c (health checks of hosts that have not answered for a while),
+ * router_tell.c (revokes and cache hints to sidecars).
  */
 #ifndef REQUEST_ROUTER_ROUTER_PRIVATE_H
 #define REQUEST_ROUTER_ROUTER_PRIVATE_H
@@ -25,28 +26,33 @@
 
 #include <event2/event.h>
 
-#define RTR_IDLE_CONNECTIONS 64   /* kept for each sidecar */
-#define RTR_IDLE_TIMEOUT_MS 20000 /* below what a sidecar keeps an idle connection for */
+#define RTR_IDLE_CONNECTIONS 64   /* idle keep-alive connections to each sidecar */
+#define RTR_IDLE_TIMEOUT_MS 20000 /* shorter than the idle timeout of a sidecar's listener */
 #define RTR_REVOKE_TIMEOUT_US (1000 * 1000)
+/* Timeout of notifications whose answer is ignored */
 #define RTR_TELL_TIMEOUT_US (1000 * 1000)
-/* A sidecar says itself that the deadline passed, and what became of the request; the router's own
- * timer is for when it says nothing. */
+/* How long past the deadline the router waits for a sidecar. At the deadline the sidecar itself
+ * answers, and it knows whether the request ran. */
 #define RTR_DEADLINE_GRACE_US (250 * 1000)
-/* A request that has brought no answer for this long makes the router ask whether its host runs at
- * all: a frozen one keeps its sockets, and would hold each request until its deadline. */
+/* After this long without an answer the router checks whether the host runs at all. A frozen host
+ * keeps its sockets open, and would delay each request up to its deadline. */
 #define RTR_QUIET_US (500 * 1000)
 #define RTR_PROBE_TIMEOUT_US (500 * 1000)
-/* An answer that brings nothing for this long is given up. */
+/* An answer that sends no data for this long is cancelled. */
 #define RTR_STALL_US (60 * 1000 * 1000)
+/* Requests that were answered recently, and for how long that counts */
 #define RTR_PROVEN_ENTRIES 4096
 #define RTR_PROVEN_US (2 * 1000 * 1000)
+/* How long a request is remembered to have crashed an engine */
 #define RTR_SUSPECT_US (30 * 60 * (uint64_t)CLK_US_PER_S)
-/* For this long after an engine had no room, first hops carry loads too: the mean is moving. */
+/* For this long after an engine refused a request for lack of capacity, first hops carry load
+ * samples, too: the mean load is changing. */
 #define RTR_BURST_US (100 * 1000)
+/* Hints that were sent to the homes of chats, and how long one is not sent again */
 #define RTR_TOLD_ENTRIES 8192
 #define RTR_TOLD_US (60 * 1000 * 1000)
 
-/** struct rtr_engines - some engines of a service, as chs_choose() takes them */
+/** struct rtr_engines - engines of a service, in the form that chs_choose() takes */
 typedef struct
 {
   plc_engine_t *engines;
@@ -55,70 +61,106 @@
 } rtr_engines_t;
 
 /**
- * struct rtr_pool - the engines of one service; for one version and one list of members
- * @near: in the router's region
- * @far: in others, asked when the region has too few
- * @hashes: of all, for the judgement of their health as a whole
+ * struct rtr_pool - the engines of one service, for one version and one list of members
+ * @own_region: those in the router's region
+ * @other_regions: those in other regions, used when the own region has too few
+ * @hashes: name hashes of all of them, for hlt_distrust()
  */
 typedef struct
 {
-  rtr_engines_t near;
-  rtr_engines_t far;
+  rtr_engines_t own_region;
+  rtr_engines_t other_regions;
   uint64_t *hashes;
 } rtr_pool_t;
 
-/** struct rtr_loads - loads heard of in one service; @refused_us: when one had no room */
+/**
+ * struct rtr_loads - load samples of one service
+ * @capacity_refused_us: when an engine last refused a request for lack of capacity
+ */
 typedef struct
 {
   mean_table_t table;
-  uint64_t refused_us;
+  uint64_t capacity_refused_us;
 } rtr_loads_t;
 
-/** struct rtr_told - which engine a chat's home was told of last */
+/**
+ * struct rtr_told - the last hint that the home of a chat got
+ * @engine_hash: the engine that the hint named
+ * @sent_us: when it was sent; 0 when it no longer holds
+ */
 typedef struct
 {
   uint64_t chat_hash;
   uint64_t engine_hash;
-  uint64_t told_us;
+  uint64_t sent_us;
 } rtr_told_t;
 
-typedef struct rtr_watch rtr_watch_t;
+typedef struct router_host_probe rtr_watch_t;
 
-/** struct rtr - the data task of a router */
-struct rtr
+/**
+ * struct router - the data task of a router
+ * @health: failures of hosts, as seen by this router's own requests
+ * @budget: retries that are allowed now
+ * @pools: by index of the service in the version in force
+ * @loads: service hash -> rtr_loads_t
+ * @incarnations: engine hash -> uint64_t, the newest incarnation that was heard of
+ * @host_probes: host hash -> rtr_watch_t
+ * @served_hints: hash table of RTR_TOLD_ENTRIES hints, one for each slot
+ * @control_budget: bytes a second for load samples on hops and for hints
+ * @answered_requests: fingerprints of requests that were answered recently
+ * @suspects: requests that crashed engines as this router saw it, ahead of the marks that sidecars
+ *   exchange
+ * @requests_in_flight: this router's own requests at each engine
+ * @calls: list of rtr_call_t
+ * @request_id_high: upper half of all request ids
+ * @request_id_low: lower half of the latest request id
+ * @hops: counter of requests sent to sidecars
+ * @retries: counter of requests sent again that may have run before
+ * @revokes: counter of attempts revoked
+ * @probes: counter of health checks of hosts
+ * @served_hints_sent: counter of hints sent to the homes of chats
+ * @ended: counters of callers' requests that ended, by verdict
+ * @hop_failures: counters of hops without an answer of the engine, by reason
+ */
+struct router
 {
-  dmn_t *dmn;
+  dmn_t *daemon;
   struct event_base *base;
   ops_t *ops;
-  hcl_t *hcl;
-  hlt_t *hlt;
+  hcl_t *http_client;
+  hlt_t *health;
   att_budget_t budget;
-  rtr_pool_t *pools; /* by service index of the version in force */
+  rtr_pool_t *pools;
   uint32_t pool_count;
-  GHashTable *loads;        /* service hash -> rtr_loads_t */
-  GHashTable *incarnations; /* engine hash -> uint64_t, the newest heard */
-  GHashTable *watches;      /* host hash -> rtr_watch_t */
-  rtr_told_t *told;
-  bdg_t news_budget; /* of the loads that ride on hops, and of hints to homes */
-  prv_t *prv;
-  sus_t *suspects; /* as seen from here, before the sidecars told one another */
-  uwy_t *uwy;
+  GHashTable *loads;
+  GHashTable *incarnations;
+  GHashTable *host_probes;
+  rtr_told_t *served_hints;
+  bdg_t control_budget;
+  prv_t *answered_requests;
+  sus_t *suspects;
+  uwy_t *requests_in_flight;
   GQueue calls;
-  uint64_t id_high;
-  uint64_t id_low;
+  uint64_t request_id_high;
+  uint64_t request_id_low;
   cnt_t *hops;
   cnt_t *retries;
   cnt_t *revokes;
   cnt_t *probes;
-  cnt_t *told_count;
-  cnt_t *ends[VRD_RAN + 1];         /* requests, by verdict */
-  cnt_t *reasons[VRD_REASON_COUNT]; /* hops that brought no answer, by reason */
+  cnt_t *served_hints_sent;
+  cnt_t *ended[VRD_RAN + 1];
+  cnt_t *hop_failures[VRD_REASON_COUNT];
 };
 
-/** struct rtr_answer - what a sidecar's answer said in its head */
+/**
+ * struct rtr_answer - status and headers of a sidecar's answer to the current hop
+ * @received: status and headers have arrived
+ * @from_engine: the engine's answer; otherwise a refusal of the sidecar
+ * @referrals: hashes of the engines that the sidecar suggests instead
+ */
 typedef struct
 {
-  bool came;
+  bool received;
   bool from_engine;
   int status;
   vrd_t verdict;
@@ -130,25 +172,39 @@
 
 /**
  * struct rtr_call - a caller's request
- * @in: NULL once it is answered or its caller has gone
- * @out: the hop under way, or NULL
- * @aside: a revoke under way, or NULL
+ * @inbound: the caller's HTTP request; NULL once it is answered or the caller has disconnected
+ * @outbound: the HTTP exchange of the current hop, or NULL
+ * @revoke_request: the revoke in flight whose answer decides the next step, or NULL
+ * @manifest: the version in force when the request arrived, held until the call is freed
+ * @placement: candidate engines and the homes of the chat
+ * @attempts: decides the next step after each outcome
+ * @answer: of the current hop
+ * @placement_hash: what the candidates are chosen by
+ * @request_id: the lowest byte is zero, and holds the number of the hop in an attempt id
+ * @deadline_us: when an answer has to begin
+ * @sent_us: when the last hop was sent
+ * @sent_incarnation: known incarnation of the sidecar that the last hop went to, 0 when unknown
+ * @sent_address: address that the last hop went to, which the member list may have replaced since
+ * @revoke_verdict: what the sidecar answered to a revoke
+ * @timed_out: not used
+ * @caller_gone: the caller has disconnected
+ * @timer: the deadline and the check for a frozen host, and later a stalled answer
  */
 typedef struct
 {
-  rtr_t *rtr;
+  rtr_t *router;
   GList link;
-  hsv_call_t *in;
-  hcl_call_t *out;
-  hcl_call_t *aside;
-  man_t *man;
+  hsv_call_t *inbound;
+  hcl_call_t *outbound;
+  hcl_call_t *revoke_request;
+  man_t *manifest;
   const man_account_t *account;
   const man_service_t *service;
-  const man_class_t *klass;
+  const man_class_t *request_class;
   hop_t hop;
-  chs_t place;
-  att_t att;
-  rly_t rly;
+  chs_t placement;
+  att_t attempts;
+  rly_t relay;
   rtr_answer_t answer;
   char *method;
   char *target;
@@ -156,67 +212,77 @@
   size_t body_bytes;
   hcl_header_t *headers;
   uint32_t header_count;
-  uint64_t place_hash;
+  uint64_t placement_hash;
   uint64_t request_id[2];
   char attempt_text[33];
   char request_text[33];
   uint64_t arrived_us;
   uint64_t deadline_us;
   uint64_t sent_us;
-  uint64_t sent_incarnation; /* of the sidecar asked last, 0 when not known */
-  set_address_t sent_to;     /* where the last hop went, whatever the list says by now */
+  uint64_t sent_incarnation;
+  set_address_t sent_address;
   vrd_t revoke_verdict;
   bool timed_out;
-  bool gone;
+  bool caller_gone;
   struct event *timer;
 } rtr_call_t;
 
-/** rtr_place_rebuild() - version or members were replaced */
-void rtr_place_rebuild (rtr_t *rtr);
-void rtr_place_clear (rtr_t *rtr);
-/** rtr_place_find() - whom to ask, into @call->place */
+/** rtr_place_rebuild() - rebuilds the pools after a change of the version or the members */
+void rtr_place_rebuild (rtr_t *router);
+/** rtr_place_clear() - frees the pools */
+void rtr_place_clear (rtr_t *router);
+/**
+ * rtr_place_find() - fills @call->placement with the candidates of a request
+ * @first_turn: the request is the first message of its chat
+ */
 void rtr_place_find (rtr_call_t *call, bool first_turn);
-/** rtr_place_samples() - loads were heard of */
-void rtr_place_samples (rtr_t *rtr, const msg_samples_t *samples);
-/** rtr_host() - a host that may be asked, or NULL */
-const mem_host_t *rtr_host (const rtr_t *rtr, uint64_t engine_hash);
+/** rtr_place_samples() - merges load samples that the control task received */
+void rtr_place_samples (rtr_t *router, const msg_samples_t *message);
+/** rtr_host() - the live sidecar host with this hash, or NULL */
+const mem_host_t *rtr_host (const rtr_t *router, uint64_t engine_hash);
 
-/** rtr_accept() - a caller's request came: judge it, and start it or refuse it */
-void rtr_accept (hsv_call_t *in, void *context);
-/** rtr_call_start() - the request was judged fit */
+/** rtr_accept() - validates a caller's request, and starts or refuses it */
+void rtr_accept (hsv_call_t *inbound, void *context);
+/** rtr_call_start() - takes the first step of a validated request */
 void rtr_call_start (rtr_call_t *call);
 void rtr_call_free (rtr_call_t *call);
-/** rtr_call_gone() - the caller went away */
+/** rtr_call_gone() - the caller disconnected */
 void rtr_call_gone (void *context);
-/** rtr_call_step() - do what the course says next */
+/** rtr_call_step() - carries out @step and those that follow; may free the call */
 void rtr_call_step (rtr_call_t *call, att_step_t step);
-/** rtr_call_ended() - a hop ended; on to the next step */
+/** rtr_call_ended() - takes the next step after the outcome of a hop; may free the call */
 void rtr_call_ended (rtr_call_t *call, const att_outcome_t *outcome);
-/** rtr_call_note() - log and keep a decision */
+/** rtr_call_note() - records a decision in the log and for /medlarplank/explain */
 void rtr_call_note (
     rtr_call_t *call, const char *action, uint64_t engine_hash, vrd_t verdict, vrd_reason_t reason);
-/** rtr_call_fault() - the error that the caller would see */
+/** rtr_call_fault() - the error answer for the caller */
 flt_t rtr_call_fault (const rtr_call_t *call, vrd_t verdict, vrd_reason_t reason);
 
-/** rtr_hop_send() - send the request to a host */
+/** rtr_hop_send() - sends the request to the sidecar of a host */
 void rtr_hop_send (rtr_call_t *call, const mem_host_t *host);
-/** rtr_hop_timer() - the timer of a call: the deadline, and later a stalled answer */
+/** rtr_hop_timer() - libevent callback for the timer of a call */
 void rtr_hop_timer (evutil_socket_t fd, short what, void *context);
-/** rtr_hop_drop() - end the hop under way, if any, without an outcome */
+/** rtr_hop_drop() - cancels the current hop, if any, without an outcome */
 void rtr_hop_drop (rtr_call_t *call);
-/** rtr_watch_heard() - an answer came from the host: it is not frozen */
-void rtr_watch_heard (rtr_t *rtr, uint64_t host_hash);
-/** rtr_watch_quiet() - no answer has come for a while: see whether the host runs. If not, all
- * idempotent requests that wait for it go elsewhere */
+/** rtr_watch_heard() - records that the host answered, so it is not frozen */
+void rtr_watch_heard (rtr_t *router, uint64_t host_hash);
+/**
+ * rtr_watch_quiet() - checks a host that has not answered the request for a while
+ *
+ * No check is made when the host answered another request recently or a check is under way. If the
+ * check times out, all idempotent requests that wait for the host are sent to other engines.
+ */
 void rtr_watch_quiet (rtr_call_t *call);
-void rtr_watch_free (rtr_watch_t *watch);
-/** rtr_revoke() - bar the last attempt at the sidecar that had it */
+void rtr_watch_free (rtr_watch_t *host_probe);
+/** rtr_revoke() - revokes the last attempt at its sidecar; the answer decides the next step */
 void rtr_revoke (rtr_call_t *call, const mem_host_t *host);
-/** rtr_revoke_unheard() - as rtr_revoke(), but nobody waits for the answer */
+/** rtr_revoke_unheard() - revokes the last attempt and ignores the answer */
 void rtr_revoke_unheard (rtr_call_t *call);
-/** rtr_tell_served() - tell a chat's home where it was served, if that is not what it knows */
+/** rtr_tell_served() - tells a chat's home which engine served the chat, unless it knows already */
 void rtr_tell_served (rtr_call_t *call, uint64_t engine_hash);
-uint64_t rtr_incarnation (const rtr_t *rtr, uint64_t engine_hash);
-void rtr_learn_incarnation (rtr_t *rtr, uint64_t engine_hash, uint64_t incarnation);
+/** rtr_incarnation() - the newest known incarnation of a sidecar, 0 when unknown */
+uint64_t rtr_incarnation (const rtr_t *router, uint64_t engine_hash);
+/** rtr_learn_incarnation() - records an incarnation; a newer one resets the health of the host */
+void rtr_learn_incarnation (rtr_t *router, uint64_t engine_hash, uint64_t incarnation);
 
 #endif
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -8,7 +8,7 @@
 #define TARGET_BYTES 160
 
 static hcl_call_t *
-post_order (rtr_t *rtr,
+post_order (rtr_t *router,
             const mem_host_t *host,
             const set_address_t *address,
             const char *target,
@@ -19,18 +19,18 @@
   hcl_options_t options = *handlers;
 
   ord_seal (&(ord_t){ .host = host->name, .method = "POST", .target = target },
-            rtr->dmn->set.fleet_key, seal);
+            router->daemon->set.fleet_key, seal);
   options.address = address;
   options.method = "POST";
   options.target = target;
   options.headers = &header;
   options.header_count = 1;
-  ops_count_control (rtr->ops, OPS_CALL_BYTES);
-  return hcl_start (rtr->hcl, &options);
+  ops_count_control (router->ops, OPS_CALL_BYTES);
+  return hcl_start (router->http_client, &options);
 }
 
 static void
-drain (struct evbuffer *data, void *context)
+discard_data (struct evbuffer *data, void *context)
 {
   (void)context;
   evbuffer_drain (data, evbuffer_get_length (data));
@@ -52,9 +52,10 @@
   (void)context;
 }
 
-static const hcl_options_t UNHEARD = {
-  .timeout_us = RTR_TELL_TIMEOUT_US, .on_head = ignore_head, .on_data = drain, .on_end = ignore_end
-};
+static const hcl_options_t IGNORE_ANSWER = { .timeout_us = RTR_TELL_TIMEOUT_US,
+                                             .on_head = ignore_head,
+                                             .on_data = discard_data,
+                                             .on_end = ignore_end };
 
 static bool
 on_revoke_head (int status, struct evkeyvalq *headers, void *context)
@@ -63,8 +64,8 @@
   const char *incarnation = evhttp_find_header (headers, HOP_INCARNATION_HEADER);
   uint64_t answered = incarnation != NULL ? g_ascii_strtoull (incarnation, NULL, 10) : 0;
 
-  /* A sidecar that restarted knows nothing of what its predecessor passed on: its "never seen" must
-   * not be taken for "not run". */
+  /* A sidecar that restarted does not know which attempts its predecessor passed to the engine, so
+   * its "not run" must be ignored. */
   if (status == 200 && answered != 0 && answered == call->sent_incarnation)
     call->revoke_verdict = vrd_parse (evhttp_find_header (headers, VRD_HEADER));
   return true;
@@ -74,25 +75,28 @@
 on_revoke_end (const hcl_end_t *end, void *context)
 {
   rtr_call_t *call = context;
-  rtr_t *rtr = call->rtr;
+  rtr_t *router = call->router;
   vrd_t verdict = end->whole ? call->revoke_verdict : VRD_MAY_HAVE_RUN;
-  uint32_t retries = call->att.retries;
+  uint32_t retries = call->attempts.retries;
   att_step_t step;
 
-  call->aside = NULL;
-  step = att_revoked (&call->att, ops_now_us (rtr->ops), &rtr->budget, verdict);
-  cnt_add (rtr->retries, call->att.retries - retries);
+  call->revoke_request = NULL;
+  step = att_revoked (&call->attempts, ops_now_us (router->ops), &router->budget, verdict);
+  cnt_add (router->retries, call->attempts.retries - retries);
   rtr_call_step (call, step);
 }
 
-/* A revoke goes where the hop went. A host that is replaced keeps its name: the router may hear of
- * the successor before the list tells its address, send to the predecessor and ask the successor,
- * whose "never seen" would be believed, as the incarnation is the one that was known. A predecessor
- * that still listens there answers with another incarnation. */
+/* revoke_target() - formats the request target of a revoke
+ *
+ * A revoke is sent to the address that the hop was sent to. A host that is replaced keeps its name,
+ * and the router may learn the successor's incarnation before the member list has its address. The
+ * hop would then go to the predecessor and the revoke to the successor, whose "not run" would be
+ * accepted because its incarnation matches, and the request could run twice. At the old address, a
+ * predecessor that still listens answers with another incarnation, which is not accepted. */
 static void
 revoke_target (const rtr_call_t *call, char out[TARGET_BYTES])
 {
-  uint64_t age_us = ops_now_us (call->rtr->ops) - call->sent_us;
+  uint64_t age_us = ops_now_us (call->router->ops) - call->sent_us;
 
   g_snprintf (out, TARGET_BYTES, "%s?attempt=%s&age_ms=%" PRIu64, HOP_REVOKE_PATH,
               call->attempt_text, age_us / CLK_US_PER_MS + 1);
@@ -103,59 +107,60 @@
 {
   hcl_options_t handlers = { .timeout_us = RTR_REVOKE_TIMEOUT_US,
                              .on_head = on_revoke_head,
-                             .on_data = drain,
+                             .on_data = discard_data,
                              .on_end = on_revoke_end,
                              .context = call };
   char target[TARGET_BYTES];
 
   revoke_target (call, target);
   call->revoke_verdict = VRD_MAY_HAVE_RUN;
-  cnt_add (call->rtr->revokes, 1);
-  call->aside = post_order (call->rtr, host, &call->sent_to, target, &handlers);
+  cnt_add (call->router->revokes, 1);
+  call->revoke_request = post_order (call->router, host, &call->sent_address, target, &handlers);
 }
 
 void
 rtr_revoke_unheard (rtr_call_t *call)
 {
-  const mem_host_t *host = mem_find_hash (ops_members (call->rtr->ops), call->att.last_engine);
+  const mem_host_t *host =
+      mem_find_hash (ops_members (call->router->ops), call->attempts.last_engine);
   char target[TARGET_BYTES];
 
   if (host == NULL)
     return;
   revoke_target (call, target);
-  cnt_add (call->rtr->revokes, 1);
-  post_order (call->rtr, host, &call->sent_to, target, &UNHEARD);
+  cnt_add (call->router->revokes, 1);
+  post_order (call->router, host, &call->sent_address, target, &IGNORE_ANSWER);
 }
 
 void
 rtr_tell_served (rtr_call_t *call, uint64_t engine_hash)
 {
-  rtr_t *rtr = call->rtr;
+  rtr_t *router = call->router;
   uint64_t chat_hash = call->hop.chat_hash;
-  uint64_t now_us = ops_now_us (rtr->ops);
-  rtr_told_t *told = &rtr->told[chat_hash % RTR_TOLD_ENTRIES];
-  const mem_host_t *home = rtr_host (rtr, call->hop.home_hash);
-  bool known = told->chat_hash == chat_hash && told->engine_hash == engine_hash &&
-               now_us < told->told_us + RTR_TOLD_US;
+  uint64_t now_us = ops_now_us (router->ops);
+  rtr_told_t *hint = &router->served_hints[chat_hash % RTR_TOLD_ENTRIES];
+  const mem_host_t *home = rtr_host (router, call->hop.home_hash);
+  bool already_sent = hint->chat_hash == chat_hash && hint->engine_hash == engine_hash &&
+                      now_us < hint->sent_us + RTR_TOLD_US;
   char target[TARGET_BYTES];
 
   if (!call->hop.has_chat)
     return;
   if (engine_hash == call->hop.home_hash)
     {
-      /* It saw for itself; what it was told before no longer stands. */
-      if (told->chat_hash == chat_hash)
-        told->told_us = 0;
+      /* The home served the chat itself, so the earlier hint no longer holds. */
+      if (hint->chat_hash == chat_hash)
+        hint->sent_us = 0;
       return;
     }
-  /* In a surge most chats are served away from their homes. A home that was not told refers the
-   * chat nowhere, and it is cold there; that is worth less than the control traffic's limit:
-   * hints were 10,000 of the 21,000 bytes a second that a router sent. */
-  if (known || home == NULL || !bdg_take (&rtr->news_budget, now_us, OPS_CALL_BYTES))
+  /* In a surge most chats are served by engines other than their homes, and hints were 10,000 of
+   * the 21,000 bytes a second that a router sent. Without a hint the home does not refer the chat
+   * to the engine that has it cached; that costs less than exceeding the control budget. */
+  if (already_sent || home == NULL || !bdg_take (&router->control_budget, now_us, OPS_CALL_BYTES))
     return;
-  *told = (rtr_told_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .told_us = now_us };
+  *hint = (rtr_told_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .sent_us = now_us };
   g_snprintf (target, sizeof target, "%s?chat=%016" PRIx64 "&engine=%016" PRIx64, HOP_SERVED_PATH,
               chat_hash, engine_hash);
-  cnt_add (rtr->told_count, 1);
-  post_order (rtr, home, &home->http, target, &UNHEARD);
+  cnt_add (router->served_hints_sent, 1);
+  post_order (router, home, &home->http, target, &IGNORE_ANSWER);
 }
--- a/src/request/router/router_watch.c
+++ b/src/request/router/router_watch.c
@@ -4,56 +4,65 @@
 
 #define PROBE_TARGET "/livez"
 
-/** struct rtr_watch - what is known of one sidecar's host while requests there are quiet */
-struct rtr_watch
+/**
+ * struct router_host_probe - whether the host of a sidecar is frozen
+ * @last_heard_us: when the host last answered a request or a health check
+ * @probe_started_us: when the latest health check was sent
+ * @request: the health check under way, or NULL
+ */
+struct router_host_probe
 {
-  rtr_t *rtr;
+  rtr_t *router;
   uint64_t host_hash;
-  uint64_t alive_us;
-  uint64_t probe_us;
-  hcl_call_t *probe;
+  uint64_t last_heard_us;
+  uint64_t probe_started_us;
+  hcl_call_t *request;
 };
 
 static rtr_watch_t *
-find_or_add (rtr_t *rtr, uint64_t host_hash)
+find_or_add (rtr_t *router, uint64_t host_hash)
 {
-  rtr_watch_t *watch = g_hash_table_lookup (rtr->watches, &host_hash);
+  rtr_watch_t *host_probe = g_hash_table_lookup (router->host_probes, &host_hash);
 
-  if (watch != NULL)
-    return watch;
-  watch = g_new0 (rtr_watch_t, 1);
-  watch->rtr = rtr;
-  watch->host_hash = host_hash;
-  g_hash_table_insert (rtr->watches, &watch->host_hash, watch);
-  return watch;
+  if (host_probe != NULL)
+    return host_probe;
+  host_probe = g_new0 (rtr_watch_t, 1);
+  host_probe->router = router;
+  host_probe->host_hash = host_hash;
+  g_hash_table_insert (router->host_probes, &host_probe->host_hash, host_probe);
+  return host_probe;
 }
 
-/* is_stuck() - a non-idempotent request may not go elsewhere, so it waits: its host may wake before
- * the deadline, and refuses it then as not run */
+/* waits_for_host() - whether a request waits for the host and may be sent to another one
+ *
+ * A non-idempotent request keeps waiting, since it must not run twice. If its host resumes before
+ * the deadline, the sidecar refuses the request as not run. */
 static bool
-is_stuck (const rtr_watch_t *watch, const rtr_call_t *call)
+waits_for_host (const rtr_watch_t *host_probe, const rtr_call_t *call)
 {
-  return call->out != NULL && !call->answer.came && call->hop.idempotent &&
-         call->att.last_engine == watch->host_hash && call->sent_us <= watch->probe_us;
+  return call->outbound != NULL && !call->answer.received && call->hop.idempotent &&
+         call->attempts.last_engine == host_probe->host_hash &&
+         call->sent_us <= host_probe->probe_started_us;
 }
 
 static void
-lose_stuck (rtr_watch_t *watch)
+fail_waiting_calls (rtr_watch_t *host_probe)
 {
-  static const att_outcome_t FROZEN = { .verdict = VRD_MAY_HAVE_RUN, .reason = VRD_REASON_TIMEOUT };
-  GQueue stuck = G_QUEUE_INIT;
+  static const att_outcome_t HOST_FROZEN = { .verdict = VRD_MAY_HAVE_RUN,
+                                             .reason = VRD_REASON_TIMEOUT };
+  GQueue waiting_calls = G_QUEUE_INIT;
   rtr_call_t *call;
 
-  for (GList *link = watch->rtr->calls.head; link != NULL; link = link->next)
-    if (is_stuck (watch, link->data))
-      g_queue_push_tail (&stuck, link->data);
-  log_event (LOG_LEVEL_WARNING, "host_frozen", "host", LOG_HEX (watch->host_hash), "requests",
-             LOG_U64 (stuck.length), NULL);
-  while ((call = g_queue_pop_head (&stuck)) != NULL)
+  for (GList *link = host_probe->router->calls.head; link != NULL; link = link->next)
+    if (waits_for_host (host_probe, link->data))
+      g_queue_push_tail (&waiting_calls, link->data);
+  log_event (LOG_LEVEL_WARNING, "host_frozen", "host", LOG_HEX (host_probe->host_hash), "requests",
+             LOG_U64 (waiting_calls.length), NULL);
+  while ((call = g_queue_pop_head (&waiting_calls)) != NULL)
     {
       rtr_revoke_unheard (call);
       rtr_hop_drop (call);
-      rtr_call_ended (call, &FROZEN);
+      rtr_call_ended (call, &HOST_FROZEN);
     }
 }
 
@@ -69,58 +78,59 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  rtr_watch_t *watch = context;
-  rtr_t *rtr = watch->rtr;
+  rtr_watch_t *host_probe = context;
+  rtr_t *router = host_probe->router;
 
-  watch->probe = NULL;
+  host_probe->request = NULL;
   if (end->whole)
     {
-      watch->alive_us = ops_now_us (rtr->ops);
+      host_probe->last_heard_us = ops_now_us (router->ops);
       return;
     }
-  /* A host that stops gracefully no longer listens, but serves what it has; and one whose process
-   * is gone has cut its requests already. Only silence tells of a frozen one. */
+  /* Only a timeout shows that the host is frozen. A host that stops gracefully refuses connections
+   * while it finishes its requests, and a process that ended has closed its connections already. */
   if (end->reason != VRD_REASON_TIMEOUT)
     return;
-  hlt_failure (rtr->hlt, ops_now_us (rtr->ops), watch->host_hash);
-  lose_stuck (watch);
+  hlt_failure (router->health, ops_now_us (router->ops), host_probe->host_hash);
+  fail_waiting_calls (host_probe);
 }
 
 void
-rtr_watch_free (rtr_watch_t *watch)
+rtr_watch_free (rtr_watch_t *host_probe)
 {
-  if (watch->probe != NULL)
-    hcl_cancel (watch->probe);
-  g_free (watch);
+  if (host_probe->request != NULL)
+    hcl_cancel (host_probe->request);
+  g_free (host_probe);
 }
 
-/* Hosts that answer other requests all the time need not be asked: in a surge, when requests wait
- * for long at all of them, that was 8,300 bytes a second of a router. */
+/* Hosts that answer other requests need no health checks. In a surge, when requests wait for long
+ * at all hosts, the health checks took 8,300 bytes a second of a router. */
 void
-rtr_watch_heard (rtr_t *rtr, uint64_t host_hash)
+rtr_watch_heard (rtr_t *router, uint64_t host_hash)
 {
-  find_or_add (rtr, host_hash)->alive_us = ops_now_us (rtr->ops);
+  find_or_add (router, host_hash)->last_heard_us = ops_now_us (router->ops);
 }
 
 void
 rtr_watch_quiet (rtr_call_t *call)
 {
-  rtr_t *rtr = call->rtr;
-  uint64_t now_us = ops_now_us (rtr->ops);
-  rtr_watch_t *watch = find_or_add (rtr, call->att.last_engine);
-  const mem_host_t *host = mem_find_hash (ops_members (rtr->ops), call->att.last_engine);
+  rtr_t *router = call->router;
+  uint64_t now_us = ops_now_us (router->ops);
+  rtr_watch_t *host_probe = find_or_add (router, call->attempts.last_engine);
+  const mem_host_t *host = mem_find_hash (ops_members (router->ops), call->attempts.last_engine);
   hcl_options_t options = { .method = "GET",
                             .target = PROBE_TARGET,
                             .timeout_us = RTR_PROBE_TIMEOUT_US,
                             .on_head = on_head,
                             .on_end = on_end,
-                            .context = watch };
+                            .context = host_probe };
 
-  if (host == NULL || watch->probe != NULL || now_us < watch->alive_us + RTR_QUIET_US)
+  if (host == NULL || host_probe->request != NULL ||
+      now_us < host_probe->last_heard_us + RTR_QUIET_US)
     return;
   options.address = &host->http;
-  watch->probe_us = now_us;
-  cnt_add (rtr->probes, 1);
-  ops_count_control (rtr->ops, OPS_CALL_BYTES);
-  watch->probe = hcl_start (rtr->hcl, &options);
+  host_probe->probe_started_us = now_us;
+  cnt_add (router->probes, 1);
+  ops_count_control (router->ops, OPS_CALL_BYTES);
+  host_probe->request = hcl_start (router->http_client, &options);
 }
--- a/src/request/router/target.c
+++ b/src/request/router/target.c
@@ -5,37 +5,37 @@
 
 #define ESCAPE_BYTES 3 /* "%2F" */
 
-/* RFC 3986, 2.3: an escape of one of these may be undone by any reader */
+/* is_unreserved() - RFC 3986, section 2.3: any reader may decode an escape of these characters */
 static bool
-is_unreserved (int letter)
+is_unreserved (int decoded)
 {
-  return g_ascii_isalnum (letter) || (letter != '\0' && strchr ("-._~", letter) != NULL);
+  return g_ascii_isalnum (decoded) || (decoded != '\0' && strchr ("-._~", decoded) != NULL);
 }
 
 static bool
-escape_ok (const char *escape)
+is_safe_escape (const char *escape)
 {
   int high = g_ascii_xdigit_value (escape[1]);
   int low = high < 0 ? -1 : g_ascii_xdigit_value (escape[2]);
-  int letter = high * 16 + low;
+  int decoded = high * 16 + low;
 
-  if (low < 0 || letter < ' ' || letter == 0x7f)
+  if (low < 0 || decoded < ' ' || decoded == 0x7f)
     return false;
-  return !is_unreserved (letter) && strchr ("/\\;", letter) == NULL;
+  return !is_unreserved (decoded) && strchr ("/\\;", decoded) == NULL;
 }
 
 static bool
-segment_ok (const char *segment, size_t bytes)
+is_safe_segment (const char *segment, size_t bytes)
 {
   const char *end = segment + bytes;
 
   if ((bytes == 1 && segment[0] == '.') || (bytes == 2 && memcmp (segment, "..", 2) == 0))
     return false;
-  for (const char *at = segment; at < end; at++)
+  for (const char *cursor = segment; cursor < end; cursor++)
     {
-      if (*at == '\\' || *at == ';')
+      if (*cursor == '\\' || *cursor == ';')
         return false;
-      if (*at == '%' && (end - at < ESCAPE_BYTES || !escape_ok (at)))
+      if (*cursor == '%' && (end - cursor < ESCAPE_BYTES || !is_safe_escape (cursor)))
         return false;
     }
   return true;
@@ -53,8 +53,8 @@
     {
       size_t bytes = strcspn (++segment, "/?");
 
-      /* only the last one may be empty: "/v1/" */
-      if (!segment_ok (segment, bytes) || (bytes == 0 && segment < end))
+      /* Only the last segment may be empty, as in "/v1/". */
+      if (!is_safe_segment (segment, bytes) || (bytes == 0 && segment < end))
         return false;
       segment += bytes;
     }
--- a/src/request/router/target.h
+++ b/src/request/router/target.h
@@ -1,8 +1,9 @@
 /**
  * DOC: target
  *
- * Whether all readers of a request's target see the same path. A route is chosen by the bytes of
- * the path, and says whether a call may be repeated; the engine may decode and tidy the path first.
+ * Checks that a request target can be interpreted in one way only. The router chooses the route,
+ * and with it whether a request may be repeated, by the bytes of the path. An engine that decodes
+ * or normalises the path first could see another path than the router did.
  */
 #ifndef REQUEST_ROUTER_TARGET_H
 #define REQUEST_ROUTER_TARGET_H
@@ -10,10 +11,11 @@
 #include <stdbool.h>
 
 /**
- * tgt_is_plain() - the path can be read in one way only
+ * tgt_is_plain() - whether the path of a request target can be read in one way only
  *
- * Not so with empty, "." and ".." segments, path parameters, a backslash, a fragment, and escapes
- * that are broken or stand for a letter, digit, mark or separator that needs none.
+ * Refused are: empty segments except a last one, "." and ".." segments, path parameters, a
+ * backslash, a fragment, escapes that are not valid, and escapes of unreserved characters, of
+ * control characters, of a slash, a backslash or a semicolon.
  */
 bool tgt_is_plain (const char *target);
 
--- a/tests/test_path_answers.c
+++ b/tests/test_path_answers.c
@@ -38,7 +38,7 @@
   const pfl_t *fleet = context;
   const rtr_call_t *call = g_queue_peek_head (&fleet->router.rtr->calls);
 
-  return call != NULL && call->rly.full;
+  return call != NULL && call->relay.full;
 }
 
 static void
