--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -139,8 +139,8 @@
  *
  * A request with an idempotency key uses its claims stream, so that usually only two sidecars have
  * to read that stream. A chat uses the chat. Any other request uses its fingerprint, so that when
- * it is sent again it reaches the sidecars that know whether it crashed an engine. Once it has been
- * answered, each repetition is placed at random, to use all engines. */
+ * it is sent again it reaches the sidecars that know whether it crashed an engine. An idempotent
+ * request that was answered recently is placed at random, so that repetitions use all engines. */
 static uint64_t
 placement_hash (const rtr_call_t *call)
 {
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -9,8 +9,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define PORT 8080
-#define DEADLINE_US (10 * CLK_US_PER_S)
+#define HOST_PORT 8080
+#define WAIT_LIMIT_US (10 * CLK_US_PER_S)
 
 static const char MANIFEST[] =
     "{\"client_accounts\":{"
@@ -30,7 +30,7 @@
 set_address_t
 pfl_address (uint32_t last)
 {
-  set_address_t address = { .port = PORT };
+  set_address_t address = { .port = HOST_PORT };
   int pid = getpid ();
 
   g_snprintf (address.ip, sizeof address.ip, "127.%d.%d.%u", (pid >> 8 & 0x7f) + 1, pid & 0xff,
@@ -43,19 +43,19 @@
 {
   g_autofree char *first = g_compute_checksum_for_string (G_CHECKSUM_SHA256, PFL_KEY, -1);
   g_autofree char *second = g_compute_checksum_for_string (G_CHECKSUM_SHA256, "another key", -1);
-  g_autofree char *half = g_strdup_printf ("%s", MANIFEST);
-  g_auto (GStrv) parts = g_strsplit (half, "%s", 3);
+  g_autofree char *template = g_strdup_printf ("%s", MANIFEST);
+  g_auto (GStrv) parts = g_strsplit (template, "%s", 3);
   g_autofree char *text = g_strconcat (parts[0], first, parts[1], second, parts[2], NULL);
   GError *error = NULL;
-  man_t *man = man_parse (text, strlen (text), &error);
+  man_t *manifest = man_parse (text, strlen (text), &error);
 
-  if (man == NULL)
+  if (manifest == NULL)
     g_error ("%s", error->message);
-  man->version = 1;
-  return man;
+  manifest->version = 1;
+  return manifest;
 }
 
-/* Engines */
+/* Fake engines */
 
 static void
 answer_call (pfl_engine_t *engine, hsv_call_t *call)
@@ -71,12 +71,12 @@
 }
 
 static void
-on_held_gone (void *context)
+on_held_request_cancelled (void *context)
 {
   pfl_engine_t *engine = context;
 
-  engine->gone_count++;
-  g_ptr_array_set_size (engine->held, 0);
+  engine->cancelled_count++;
+  g_ptr_array_set_size (engine->held_requests, 0);
 }
 
 static void
@@ -92,47 +92,48 @@
   evbuffer_free (part);
 }
 
-/* stream_on() - parts of one letter each, until the reader has enough for now */
+/* continue_long_answer() - sends parts of one repeated letter each, until the send buffer is full
+ */
 static void
-stream_on (void *context)
+continue_long_answer (void *context)
 {
   pfl_engine_t *engine = context;
   struct evbuffer *part = evbuffer_new ();
   bool room = true;
 
-  while (room && engine->streamed_bytes < PFL_LONG_BYTES)
+  while (room && engine->long_answer_bytes < PFL_LONG_BYTES)
     {
       char letters[PFL_PART_BYTES];
 
-      memset (letters, 'a' + engine->streamed_bytes / PFL_PART_BYTES % 26, sizeof letters);
+      memset (letters, 'a' + engine->long_answer_bytes / PFL_PART_BYTES % 26, sizeof letters);
       evbuffer_add (part, letters, sizeof letters);
-      engine->streamed_bytes += sizeof letters;
-      room = hsv_part (engine->streamed, part);
+      engine->long_answer_bytes += sizeof letters;
+      room = hsv_part (engine->long_call, part);
     }
-  if (engine->streamed_bytes == PFL_LONG_BYTES)
-    hsv_end (engine->streamed);
+  if (engine->long_answer_bytes == PFL_LONG_BYTES)
+    hsv_end (engine->long_call);
   evbuffer_free (part);
 }
 
 static void
-start_long (pfl_engine_t *engine, hsv_call_t *call)
+start_long_answer (pfl_engine_t *engine, hsv_call_t *call)
 {
-  engine->streamed = call;
-  engine->streamed_bytes = 0;
-  hsv_on_room (call, stream_on, engine);
+  engine->long_call = call;
+  engine->long_answer_bytes = 0;
+  hsv_on_room (call, continue_long_answer, engine);
   hsv_begin (call, 200);
-  stream_on (engine);
+  continue_long_answer (engine);
 }
 
 void
 pfl_crash (pfl_engine_t *engine)
 {
-  g_ptr_array_set_size (engine->held, 0);
-  g_clear_pointer (&engine->hsv, hsv_free);
+  g_ptr_array_set_size (engine->held_requests, 0);
+  g_clear_pointer (&engine->server, hsv_free);
 }
 
 static void
-crash (evutil_socket_t fd, short what, void *context)
+on_crash_timer (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
@@ -140,17 +141,17 @@
 }
 
 static void
-cut (evutil_socket_t fd, short what, void *context)
+on_disconnect_timer (evutil_socket_t fd, short what, void *context)
 {
   pfl_engine_t *engine = context;
 
   (void)fd;
   (void)what;
-  hsv_abort (engine->cut);
+  hsv_abort (engine->disconnect_call);
 }
 
 static bool
-has_secret (hsv_call_t *call)
+has_secret_header (hsv_call_t *call)
 {
   return hsv_header (call, "Authorization") != NULL || hsv_header (call, "X-Api-Key") != NULL ||
          hsv_header (call, "X-Medlarplank-Seal") != NULL ||
@@ -169,34 +170,34 @@
       hsv_reply_text (call, 200, "text/plain", "ok");
       return;
     }
-  engine->saw_secret |= has_secret (call);
-  engine->run_count++;
+  engine->received_secret_header |= has_secret_header (call);
+  engine->request_count++;
   switch (engine->mode)
     {
     case PFL_ANSWER:
       answer_call (engine, call);
       break;
     case PFL_HANG:
-      g_ptr_array_add (engine->held, call);
-      hsv_on_gone (call, on_held_gone, engine);
+      g_ptr_array_add (engine->held_requests, call);
+      hsv_on_gone (call, on_held_request_cancelled, engine);
       break;
     case PFL_CUT:
       hsv_abort (call);
       break;
     case PFL_CUT_LATE:
       start_stream (call);
-      engine->cut = call;
-      event_add (engine->cutter, &SOON);
+      engine->disconnect_call = call;
+      event_add (engine->disconnect_timer, &SOON);
       break;
     case PFL_LONG:
-      start_long (engine, call);
+      start_long_answer (engine, call);
       break;
     case PFL_CROSSED:
       hsv_add_header (call, "X-Request-Id", "00000000000000000000000000000000");
       hsv_reply_text (call, 200, "text/plain", "of somebody else");
       break;
     case PFL_CRASH:
-      event_add (engine->crash, &NOW);
+      event_add (engine->crash_timer, &NOW);
       break;
     }
 }
@@ -204,8 +205,8 @@
 void
 pfl_start_engine (pfl_engine_t *engine)
 {
-  hsv_options_t options = { .base = engine->fleet->base,
-                            .counters = engine->fleet->counters,
+  hsv_options_t options = { .base = engine->testbed->base,
+                            .counters = engine->testbed->counters,
                             .listen = engine->address,
                             .body_limit_bytes = 1 << 20,
                             .header_limit_bytes = 1 << 16,
@@ -216,74 +217,74 @@
                             .context = engine };
   GError *error = NULL;
 
-  engine->hsv = hsv_new (&options, &error);
-  if (engine->hsv == NULL)
+  engine->server = hsv_new (&options, &error);
+  if (engine->server == NULL)
     g_error ("%s", error->message);
 }
 
 void
 pfl_release (pfl_engine_t *engine)
 {
-  for (guint i = 0; i < engine->held->len; i++)
-    answer_call (engine, engine->held->pdata[i]);
-  g_ptr_array_set_size (engine->held, 0);
+  for (guint i = 0; i < engine->held_requests->len; i++)
+    answer_call (engine, engine->held_requests->pdata[i]);
+  g_ptr_array_set_size (engine->held_requests, 0);
 }
 
 void
-pfl_set_all (pfl_t *fleet, pfl_mode_t mode)
+pfl_set_all (pfl_t *testbed, pfl_mode_t mode)
 {
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    fleet->engines[i].mode = mode;
+    testbed->engines[i].mode = mode;
 }
 
-/* The control tasks */
+/* Replacement of the control tasks */
 
 static void
-judge_claim (pfl_daemon_t *daemon, const msg_claim_t *claim)
+decide_claim (pfl_daemon_t *node, const msg_claim_t *claim)
 {
-  pfl_t *fleet = daemon->fleet;
+  pfl_t *testbed = node->testbed;
   msg_claim_result_t *answer = msg_new (MSG_CLAIM_RESULT);
-  gpointer state = g_hash_table_lookup (fleet->claims, &claim->key.key_hash[0]);
+  gpointer state = g_hash_table_lookup (testbed->claims, &claim->key.key_hash[0]);
 
   memcpy (answer->result.claim_id, claim->claim_id, sizeof claim->claim_id);
-  if (fleet->log_down)
+  if (testbed->log_down)
     answer->result.verdict = CLM_LOG_DOWN;
   else if (state != NULL)
     answer->result.verdict = (clm_verdict_t)GPOINTER_TO_UINT (state);
   else
     {
       answer->result.verdict = CLM_GRANTED;
-      g_hash_table_insert (fleet->claims, g_memdup2 (&claim->key.key_hash[0], sizeof (uint64_t)),
+      g_hash_table_insert (testbed->claims, g_memdup2 (&claim->key.key_hash[0], sizeof (uint64_t)),
                            GUINT_TO_POINTER (CLM_HELD));
     }
-  mbx_send (daemon->dmn.to_data, &answer->head);
+  mbx_send (node->daemon.to_data, &answer->head);
 }
 
 static void
-take_claim (pfl_daemon_t *daemon, const msg_claim_t *claim)
+handle_claim (pfl_daemon_t *node, const msg_claim_t *claim)
 {
-  pfl_t *fleet = daemon->fleet;
+  pfl_t *testbed = node->testbed;
 
-  if (!fleet->log_slow)
+  if (!testbed->hold_claims)
     {
-      judge_claim (daemon, claim);
+      decide_claim (node, claim);
       return;
     }
-  fleet->held_claim = *claim;
-  fleet->held_by = daemon;
+  testbed->held_claim = *claim;
+  testbed->held_claim_node = node;
 }
 
 void
-pfl_judge (pfl_t *fleet)
+pfl_judge (pfl_t *testbed)
 {
-  fleet->log_slow = false;
-  judge_claim (fleet->held_by, &fleet->held_claim);
+  testbed->hold_claims = false;
+  decide_claim (testbed->held_claim_node, &testbed->held_claim);
 }
 
 static void
-take_claim_end (pfl_daemon_t *daemon, const msg_claim_end_t *end)
+handle_claim_end (pfl_daemon_t *node, const msg_claim_end_t *end)
 {
-  GHashTable *claims = daemon->fleet->claims;
+  GHashTable *claims = node->testbed->claims;
 
   if (end->ran)
     g_hash_table_insert (claims, g_memdup2 (&end->key.key_hash[0], sizeof (uint64_t)),
@@ -295,21 +296,21 @@
 static void
 on_control (mbx_message_t *message, void *context)
 {
-  pfl_daemon_t *daemon = context;
+  pfl_daemon_t *node = context;
 
   switch (message->kind)
     {
     case MSG_CLAIM:
-      take_claim (daemon, (msg_claim_t *)message);
+      handle_claim (node, (msg_claim_t *)message);
       break;
     case MSG_CLAIM_END:
-      take_claim_end (daemon, (msg_claim_end_t *)message);
+      handle_claim_end (node, (msg_claim_end_t *)message);
       break;
     case MSG_NEW_MARK:
-      daemon->fleet->marks++;
+      node->testbed->crash_mark_count++;
       break;
     case MSG_DRAINED:
-      daemon->drained = true;
+      node->drained = true;
       break;
     default:
       break;
@@ -317,73 +318,73 @@
 }
 
 void
-pfl_flag (pfl_daemon_t *daemon, msg_kind_t kind, bool on)
+pfl_flag (pfl_daemon_t *node, msg_kind_t kind, bool on)
 {
   msg_flag_t *flag = msg_new (kind);
 
   flag->on = on;
-  flag->at_us = clk_now_us (&daemon->dmn.clk);
-  mbx_send (daemon->dmn.to_data, &flag->head);
+  flag->at_us = clk_now_us (&node->daemon.clk);
+  mbx_send (node->daemon.to_data, &flag->head);
 }
 
 static void
-tell_members (pfl_t *fleet, pfl_daemon_t *daemon)
+send_members (pfl_t *testbed, pfl_daemon_t *node)
 {
   msg_members_t *members = msg_new (MSG_MEMBERS);
 
-  members->members = mem_snapshot_ref (&fleet->members);
-  mbx_send (daemon->dmn.to_data, &members->head);
+  members->members = mem_snapshot_ref (&testbed->members);
+  mbx_send (node->daemon.to_data, &members->head);
 }
 
 static void
-tell_version (pfl_daemon_t *daemon)
+send_version (pfl_daemon_t *node)
 {
   msg_version_t *version = msg_new (MSG_VERSION);
 
-  version->man = man_ref (daemon->fleet->man);
-  mbx_send (daemon->dmn.to_data, &version->head);
+  version->man = man_ref (node->testbed->manifest);
+  mbx_send (node->daemon.to_data, &version->head);
 }
 
 void
-pfl_set_man (pfl_t *fleet, man_t *man)
+pfl_set_man (pfl_t *testbed, man_t *manifest)
 {
-  man_unref (fleet->man);
-  fleet->man = man;
-  tell_version (&fleet->router);
+  man_unref (testbed->manifest);
+  testbed->manifest = manifest;
+  send_version (&testbed->router);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    tell_version (&fleet->sidecars[i]);
+    send_version (&testbed->sidecars[i]);
 }
 
 static void
-tell_all (pfl_daemon_t *daemon)
+send_initial_state (pfl_daemon_t *node)
 {
-  tell_version (daemon);
-  tell_members (daemon->fleet, daemon);
-  pfl_flag (daemon, MSG_FRESHNESS, true);
+  send_version (node);
+  send_members (node->testbed, node);
+  pfl_flag (node, MSG_FRESHNESS, true);
 }
 
 void
-pfl_set_state (pfl_t *fleet, uint32_t host, mem_state_t state)
+pfl_set_state (pfl_t *testbed, uint32_t host, mem_state_t state)
 {
-  fleet->hosts[host].state = state;
-  tell_members (fleet, &fleet->router);
+  testbed->hosts[host].state = state;
+  send_members (testbed, &testbed->router);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    tell_members (fleet, &fleet->sidecars[i]);
+    send_members (testbed, &testbed->sidecars[i]);
 }
 
 static void
-start_daemon (pfl_t *fleet, pfl_daemon_t *daemon, uint32_t host, const set_address_t *engine)
+start_daemon (pfl_t *testbed, pfl_daemon_t *node, uint32_t host, const set_address_t *engine)
 {
-  set_t *set = &daemon->dmn.set;
+  set_t *set = &node->daemon.set;
   GError *error = NULL;
   bool router = engine == NULL;
 
-  daemon->fleet = fleet;
+  node->testbed = testbed;
   set->role = router ? SET_ROLE_ROUTER : SET_ROLE_SIDECAR;
-  g_strlcpy (set->name, fleet->hosts[host].name, sizeof set->name);
+  g_strlcpy (set->name, testbed->hosts[host].name, sizeof set->name);
   g_strlcpy (set->region, "r", sizeof set->region);
   g_strlcpy (set->fleet_key, PFL_FLEET_KEY, sizeof set->fleet_key);
-  set->listen = fleet->hosts[host].http;
+  set->listen = testbed->hosts[host].http;
   if (engine != NULL)
     set->engine = *engine;
   set->body_limit_bytes = 1 << 20;
@@ -393,33 +394,33 @@
   set->idle_timeout_ms = 30000;
   set->exchange_interval_ms = 250;
   set->control_budget_bytes = 2000;
-  clk_init_running (&daemon->dmn.clk);
-  daemon->dmn.counters = cnt_set_new ();
-  daemon->dmn.incarnation = fleet->hosts[host].incarnation;
-  daemon->dmn.to_control = mbx_new (fleet->base, on_control, daemon);
+  clk_init_running (&node->daemon.clk);
+  node->daemon.counters = cnt_set_new ();
+  node->daemon.incarnation = testbed->hosts[host].incarnation;
+  node->daemon.to_control = mbx_new (testbed->base, on_control, node);
   if (router)
-    daemon->rtr = rtr_new (&daemon->dmn, fleet->base, &error);
+    node->router_task = rtr_new (&node->daemon, testbed->base, &error);
   else
-    daemon->sdc = sdc_new (&daemon->dmn, fleet->base, &error);
+    node->sidecar_task = sdc_new (&node->daemon, testbed->base, &error);
   if (error != NULL)
     g_error ("%s", error->message);
-  daemon->dmn.to_data = mbx_new (fleet->base, router ? rtr_message : sdc_message,
-                                 router ? (void *)daemon->rtr : (void *)daemon->sdc);
-  tell_all (daemon);
+  node->daemon.to_data = mbx_new (testbed->base, router ? rtr_message : sdc_message,
+                                  router ? (void *)node->router_task : (void *)node->sidecar_task);
+  send_initial_state (node);
 }
 
 static void
-stop_daemon (pfl_daemon_t *daemon)
+stop_daemon (pfl_daemon_t *node)
 {
-  rtr_free (daemon->rtr);
-  sdc_free (daemon->sdc);
-  mbx_free (daemon->dmn.to_data);
-  mbx_free (daemon->dmn.to_control);
-  cnt_set_free (daemon->dmn.counters);
+  rtr_free (node->router_task);
+  sdc_free (node->sidecar_task);
+  mbx_free (node->daemon.to_data);
+  mbx_free (node->daemon.to_control);
+  cnt_set_free (node->daemon.counters);
 }
 
 static int
-by_hash (gconstpointer left, gconstpointer right, gpointer context)
+compare_hashes (gconstpointer left, gconstpointer right, gpointer context)
 {
   const mem_host_t *hosts = context;
   uint64_t a = hosts[*(const uint32_t *)left].hash;
@@ -429,13 +430,13 @@
 }
 
 static void
-make_members (pfl_t *fleet)
+make_members (pfl_t *testbed)
 {
   uint32_t *order = g_new (uint32_t, PFL_SIDECARS + 1);
 
   for (uint32_t i = 0; i <= PFL_SIDECARS; i++)
     {
-      mem_host_t *host = &fleet->hosts[i];
+      mem_host_t *host = &testbed->hosts[i];
 
       host->router = i == PFL_SIDECARS;
       g_snprintf (host->name, sizeof host->name, "%s%u", host->router ? "r" : "e", i);
@@ -445,16 +446,16 @@
       host->incarnation = 1000 + i;
       order[i] = i;
     }
-  g_qsort_with_data (order, PFL_SIDECARS + 1, sizeof order[0], by_hash, fleet->hosts);
-  fleet->members =
-      (mem_snapshot_t){ .hosts = fleet->hosts, .by_hash = order, .host_count = PFL_SIDECARS + 1 };
-  g_atomic_ref_count_init (&fleet->members.refs);
+  g_qsort_with_data (order, PFL_SIDECARS + 1, sizeof order[0], compare_hashes, testbed->hosts);
+  testbed->members =
+      (mem_snapshot_t){ .hosts = testbed->hosts, .by_hash = order, .host_count = PFL_SIDECARS + 1 };
+  g_atomic_ref_count_init (&testbed->members.refs);
 }
 
 static void
-turn (pfl_t *fleet)
+run_loop_once (pfl_t *testbed)
 {
-  event_base_loop (fleet->base, EVLOOP_ONCE);
+  event_base_loop (testbed->base, EVLOOP_ONCE);
 }
 
 static void
@@ -466,16 +467,16 @@
 }
 
 bool
-pfl_until (pfl_t *fleet, bool (*done) (void *context), void *context)
+pfl_until (pfl_t *testbed, bool (*done) (void *context), void *context)
 {
   static const struct timeval STEP = { .tv_usec = 5000 };
-  struct event *wake = event_new (fleet->base, -1, EV_PERSIST, on_wake, NULL);
-  uint64_t end_us = clk_now_us (&fleet->router.dmn.clk) + DEADLINE_US;
+  struct event *wake = event_new (testbed->base, -1, EV_PERSIST, on_wake, NULL);
+  uint64_t end_us = clk_now_us (&testbed->router.daemon.clk) + WAIT_LIMIT_US;
   bool reached;
 
   event_add (wake, &STEP);
-  while (!(reached = done (context)) && clk_now_us (&fleet->router.dmn.clk) < end_us)
-    turn (fleet);
+  while (!(reached = done (context)) && clk_now_us (&testbed->router.daemon.clk) < end_us)
+    run_loop_once (testbed);
   event_free (wake);
   return reached;
 }
@@ -495,62 +496,62 @@
 pfl_t *
 pfl_new (void)
 {
-  pfl_t *fleet = g_new0 (pfl_t, 1);
+  pfl_t *testbed = g_new0 (pfl_t, 1);
 
-  fleet->base = event_base_new ();
-  fleet->counters = cnt_set_new ();
-  fleet->man = make_manifest ();
-  fleet->hcl = hcl_new (fleet->base, 4, 10000);
-  fleet->claims = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
-  make_members (fleet);
-  start_daemon (fleet, &fleet->router, PFL_SIDECARS, NULL);
+  testbed->base = event_base_new ();
+  testbed->counters = cnt_set_new ();
+  testbed->manifest = make_manifest ();
+  testbed->http_client = hcl_new (testbed->base, 4, 10000);
+  testbed->claims = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
+  make_members (testbed);
+  start_daemon (testbed, &testbed->router, PFL_SIDECARS, NULL);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     {
-      pfl_engine_t *engine = &fleet->engines[i];
+      pfl_engine_t *engine = &testbed->engines[i];
 
-      engine->fleet = fleet;
+      engine->testbed = testbed;
       engine->address = pfl_address (100 + i);
-      engine->held = g_ptr_array_new ();
-      engine->crash = evtimer_new (fleet->base, crash, engine);
-      engine->cutter = evtimer_new (fleet->base, cut, engine);
+      engine->held_requests = g_ptr_array_new ();
+      engine->crash_timer = evtimer_new (testbed->base, on_crash_timer, engine);
+      engine->disconnect_timer = evtimer_new (testbed->base, on_disconnect_timer, engine);
       pfl_start_engine (engine);
-      start_daemon (fleet, &fleet->sidecars[i], i, &engine->address);
+      start_daemon (testbed, &testbed->sidecars[i], i, &engine->address);
     }
-  g_assert (pfl_until (fleet, is_ready, fleet));
+  g_assert (pfl_until (testbed, is_ready, testbed));
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    fleet->engines[i].run_count = 0;
-  return fleet;
+    testbed->engines[i].request_count = 0;
+  return testbed;
 }
 
 void
-pfl_free (pfl_t *fleet)
+pfl_free (pfl_t *testbed)
 {
-  hcl_free (fleet->hcl);
-  stop_daemon (&fleet->router);
+  hcl_free (testbed->http_client);
+  stop_daemon (&testbed->router);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     {
-      pfl_engine_t *engine = &fleet->engines[i];
-
-      stop_daemon (&fleet->sidecars[i]);
-      if (engine->hsv != NULL)
-        hsv_free (engine->hsv);
-      g_ptr_array_free (engine->held, TRUE);
-      event_free (engine->crash);
-      event_free (engine->cutter);
+      pfl_engine_t *engine = &testbed->engines[i];
+
+      stop_daemon (&testbed->sidecars[i]);
+      if (engine->server != NULL)
+        hsv_free (engine->server);
+      g_ptr_array_free (engine->held_requests, TRUE);
+      event_free (engine->crash_timer);
+      event_free (engine->disconnect_timer);
     }
-  cnt_set_free (fleet->counters);
-  man_unref (fleet->man);
-  g_free (fleet->members.by_hash);
-  g_hash_table_destroy (fleet->claims);
-  event_base_free (fleet->base);
-  g_free (fleet);
+  cnt_set_free (testbed->counters);
+  man_unref (testbed->manifest);
+  g_free (testbed->members.by_hash);
+  g_hash_table_destroy (testbed->claims);
+  event_base_free (testbed->base);
+  g_free (testbed);
 }
 
 evutil_socket_t
 pfl_black_hole (set_address_t *address)
 {
   evutil_socket_t fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  struct sockaddr_in name = { .sin_family = AF_INET, .sin_port = htons (PORT) };
+  struct sockaddr_in name = { .sin_family = AF_INET, .sin_port = htons (HOST_PORT) };
 
   *address = pfl_address (90);
   inet_pton (AF_INET, address->ip, &name.sin_addr);
@@ -558,7 +559,7 @@
   return fd;
 }
 
-/* The caller */
+/* The callers of the router */
 
 static void
 copy_header (struct evkeyvalq *headers, const char *name, char *out, size_t out_bytes)
@@ -576,7 +577,7 @@
   answer->status = status;
   copy_header (headers, VRD_HEADER, answer->verdict, sizeof answer->verdict);
   copy_header (headers, "X-Medlarplank-Engine", answer->engine, sizeof answer->engine);
-  copy_header (headers, "X-Medlarplank-Request", answer->request, sizeof answer->request);
+  copy_header (headers, "X-Medlarplank-Request", answer->request_id, sizeof answer->request_id);
   copy_header (headers, "Retry-After", answer->retry_after, sizeof answer->retry_after);
   return true;
 }
@@ -604,7 +605,7 @@
 }
 
 static uint32_t
-add (hcl_header_t *headers, uint32_t count, const char *name, const char *value)
+add_header (hcl_header_t *headers, uint32_t count, const char *name, const char *value)
 {
   if (value == NULL)
     return count;
@@ -613,11 +614,11 @@
 }
 
 void
-pfl_send (pfl_t *fleet, const pfl_request_t *request, pfl_answer_t *answer)
+pfl_send (pfl_t *testbed, const pfl_request_t *request, pfl_answer_t *answer)
 {
   hcl_header_t headers[8];
   uint32_t count = 0;
-  hcl_options_t options = { .address = &fleet->hosts[PFL_SIDECARS].http,
+  hcl_options_t options = { .address = &testbed->hosts[PFL_SIDECARS].http,
                             .method = request->body != NULL ? "POST" : "GET",
                             .target = request->path,
                             .headers = headers,
@@ -630,14 +631,15 @@
 
   memset (answer, 0, sizeof *answer);
   answer->body = g_string_new (NULL);
-  count = add (headers, count, "X-Api-Key", request->key != NULL ? request->key : PFL_KEY);
-  count = add (headers, count, "X-Medlarplank-Home", "forged");
-  count = add (headers, count, "X-Chat-Id", request->chat);
-  count = add (headers, count, "X-Class", request->klass);
-  count = add (headers, count, "Idempotency-Key", request->idempotency_key);
-  count = add (headers, count, "X-Deadline-Ms", request->deadline_ms);
+  count = add_header (headers, count, "X-Api-Key",
+                      request->api_key != NULL ? request->api_key : PFL_KEY);
+  count = add_header (headers, count, "X-Medlarplank-Home", "forged");
+  count = add_header (headers, count, "X-Chat-Id", request->chat);
+  count = add_header (headers, count, "X-Class", request->class_name);
+  count = add_header (headers, count, "Idempotency-Key", request->idempotency_key);
+  count = add_header (headers, count, "X-Deadline-Ms", request->deadline_ms);
   options.header_count = count;
-  answer->call = hcl_start (fleet->hcl, &options);
+  answer->call = hcl_start (testbed->http_client, &options);
 }
 
 bool
@@ -649,10 +651,10 @@
 }
 
 void
-pfl_ask (pfl_t *fleet, const pfl_request_t *request, pfl_answer_t *answer)
+pfl_ask (pfl_t *testbed, const pfl_request_t *request, pfl_answer_t *answer)
 {
-  pfl_send (fleet, request, answer);
-  pfl_until (fleet, pfl_done, answer);
+  pfl_send (testbed, request, answer);
+  pfl_until (testbed, pfl_done, answer);
 }
 
 void
@@ -665,11 +667,11 @@
 }
 
 uint32_t
-pfl_ask_engine (pfl_t *fleet, const pfl_request_t *request)
+pfl_ask_engine (pfl_t *testbed, const pfl_request_t *request)
 {
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_ask (fleet, request, &answer);
+  pfl_ask (testbed, request, &answer);
   return pfl_engine_named (&answer);
 }
 
@@ -681,11 +683,11 @@
 }
 
 uint32_t
-pfl_runs (const pfl_t *fleet)
+pfl_runs (const pfl_t *testbed)
 {
   uint32_t runs = 0;
 
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    runs += fleet->engines[i].run_count;
+    runs += testbed->engines[i].request_count;
   return runs;
 }
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -11,16 +11,16 @@
 
 static const pfl_request_t LOOK = { .path = "/look" };
 static const pfl_request_t BOOK = { .path = "/book", .body = "lot 7" };
-static const pfl_request_t TALK = { .path = "/v1/chat/completions",
+static const pfl_request_t CHAT = { .path = "/v1/chat/completions",
                                     .body = CHAT_BODY,
                                     .chat = "c1" };
 
 static void
-ask_status (pfl_t *fleet, const pfl_request_t *request, int status, const char *verdict)
+ask_status (pfl_t *testbed, const pfl_request_t *request, int status, const char *verdict)
 {
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_ask (fleet, request, &answer);
+  pfl_ask (testbed, request, &answer);
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.status, status);
   CU_ASSERT_STRING_EQUAL (answer.verdict, verdict);
@@ -29,131 +29,134 @@
 static void
 relays_the_answer (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_answer_t answer;
 
-  pfl_ask (fleet, &TALK, &answer);
+  pfl_ask (testbed, &CHAT, &answer);
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_STRING_EQUAL (answer.body->str, "ran:" CHAT_BODY);
   CU_ASSERT_STRING_EQUAL (answer.verdict, "ran");
-  CU_ASSERT_EQUAL (strlen (answer.request), 32);
+  CU_ASSERT_EQUAL (strlen (answer.request_id), 32);
   uint32_t engine = pfl_engine_named (&answer);
-  CU_ASSERT_EQUAL (fleet->engines[engine].run_count, 1);
-  CU_ASSERT_FALSE (fleet->engines[engine].saw_secret);
+  CU_ASSERT_EQUAL (testbed->engines[engine].request_count, 1);
+  CU_ASSERT_FALSE (testbed->engines[engine].received_secret_header);
   pfl_answer_clear (&answer);
   for (uint32_t i = 0; i < 5; i++)
     {
-      CU_ASSERT_EQUAL (pfl_ask_engine (fleet, &TALK), engine);
+      CU_ASSERT_EQUAL (pfl_ask_engine (testbed, &CHAT), engine);
     }
 }
 
 static void
-refuses_what_it_cannot_judge (void)
+refuses_invalid_requests (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
-  ask_status (fleet, &(pfl_request_t){ .path = "/look", .key = "nobody" }, 401, "not_run");
-  ask_status (fleet, &(pfl_request_t){ .path = "/none" }, 404, "not_run");
-  ask_status (fleet, &(pfl_request_t){ .path = "/look", .klass = "none" }, 400, "not_run");
-  ask_status (fleet, &(pfl_request_t){ .path = "/look", .deadline_ms = "0" }, 400, "not_run");
-  ask_status (fleet, &(pfl_request_t){ .path = "/v1/chat/completions", .body = "{" }, 400,
+  ask_status (testbed, &(pfl_request_t){ .path = "/look", .api_key = "nobody" }, 401, "not_run");
+  ask_status (testbed, &(pfl_request_t){ .path = "/none" }, 404, "not_run");
+  ask_status (testbed, &(pfl_request_t){ .path = "/look", .class_name = "none" }, 400, "not_run");
+  ask_status (testbed, &(pfl_request_t){ .path = "/look", .deadline_ms = "0" }, 400, "not_run");
+  ask_status (testbed, &(pfl_request_t){ .path = "/v1/chat/completions", .body = "{" }, 400,
               "not_run");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
 }
 
-/* The host of a chat's home begins to leave while routers still think it live. Its sidecar refuses
- * the request for certain, the router asks the next, and the caller sees nothing of it. */
+/* The host of a chat's home begins to leave while the router still has it as live. Its sidecar
+ * refuses the request as not run, and the router tries the next one without an error for the
+ * caller. */
 static void
-passes_by_a_leaving_host (void)
+tries_another_host_when_one_is_leaving (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
 
-  uint32_t home = pfl_ask_engine (fleet, &TALK);
-  pfl_flag (&fleet->sidecars[home], MSG_DRAIN, true);
-  pfl_ask (fleet, &TALK, &answer);
+  uint32_t home = pfl_ask_engine (testbed, &CHAT);
+  pfl_flag (&testbed->sidecars[home], MSG_DRAIN, true);
+  pfl_ask (testbed, &CHAT, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_NOT_EQUAL (pfl_engine_named (&answer), home);
-  CU_ASSERT_EQUAL (fleet->engines[home].run_count, 1);
+  CU_ASSERT_EQUAL (testbed->engines[home].request_count, 1);
 }
 
 static bool
-one_held (void *context)
+one_request_held (void *context)
 {
   return pfl_held (context) == 1;
 }
 
 static pfl_engine_t *
-holder (pfl_t *fleet)
+holding_engine (pfl_t *testbed)
 {
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    if (fleet->engines[i].held->len > 0)
-      return &fleet->engines[i];
+    if (testbed->engines[i].held_requests->len > 0)
+      return &testbed->engines[i];
   return NULL;
 }
 
-#define BURST 12
-#define OVERLOAD 90
+#define BURST_REQUESTS 12
+#define OVERLOAD_REQUESTS 90
 
 static bool
-all_held (void *context)
+burst_is_held (void *context)
 {
-  return pfl_held (context) == BURST;
+  return pfl_held (context) == BURST_REQUESTS;
 }
 
-/* Requests arrive all at once at an idle service, half of what its engines can take, and no sidecar
- * hears of the others' load by the exchange. The refusals of the first sidecars bring the others to
- * know that the mean has risen: all requests run at once, and evenly, and none is refused. */
+/* A burst of half the service's capacity arrives while the service is idle, and the sidecars get no
+ * load samples from the exchange. The hops after a refusal carry load samples, by which the other
+ * sidecars learn that the mean load has risen. All requests must run at once, evenly spread, and
+ * none may be refused. */
 static void
-a_burst_finds_room (void)
+spreads_a_burst_over_all_engines (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  pfl_answer_t answers[BURST];
-  char chats[BURST][8];
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  pfl_answer_t answers[BURST_REQUESTS];
+  char chats[BURST_REQUESTS][8];
 
-  pfl_set_all (fleet, PFL_HANG);
-  for (uint32_t i = 0; i < BURST; i++)
+  pfl_set_all (testbed, PFL_HANG);
+  for (uint32_t i = 0; i < BURST_REQUESTS; i++)
     {
       g_snprintf (chats[i], sizeof chats[i], "b%u", i);
-      pfl_send (fleet, &(pfl_request_t){ .path = TALK.path, .body = TALK.body, .chat = chats[i] },
+      pfl_send (testbed, &(pfl_request_t){ .path = CHAT.path, .body = CHAT.body, .chat = chats[i] },
                 &answers[i]);
     }
-  CU_ASSERT_TRUE (pfl_until (fleet, all_held, fleet));
+  CU_ASSERT_TRUE (pfl_until (testbed, burst_is_held, testbed));
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     {
-      CU_ASSERT_TRUE (fleet->engines[i].held->len <= 2 * BURST / PFL_SIDECARS);
-      pfl_release (&fleet->engines[i]);
+      CU_ASSERT_TRUE (testbed->engines[i].held_requests->len <= 2 * BURST_REQUESTS / PFL_SIDECARS);
+      pfl_release (&testbed->engines[i]);
     }
-  for (uint32_t i = 0; i < BURST; i++)
+  for (uint32_t i = 0; i < BURST_REQUESTS; i++)
     {
-      CU_ASSERT_TRUE (pfl_until (fleet, pfl_done, &answers[i]));
+      CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answers[i]));
       CU_ASSERT_EQUAL (answers[i].status, 200);
       pfl_answer_clear (&answers[i]);
     }
 }
 
-/* All engines are full, so that each request is refused over the bound by one sidecar after the
- * other. Each hop would carry the loads that the router heard of, and an overload multiply the
- * control traffic. They are held to the budget: a second's worth, and what was gained meanwhile. */
+/* All engines are full, so that each request is refused over the load bound by one sidecar after
+ * another. If every hop carried load samples, an overload would multiply the control traffic. They
+ * must stay within the control budget: one second's worth, plus what accrues during the test. */
 static void
-loads_on_hops_keep_the_budget (void)
+load_samples_stay_within_the_control_budget (void)
 {
   static const pfl_request_t SOON = { .path = "/look", .deadline_ms = "300" };
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  cnt_t *sent = cnt_get (fleet->router.dmn.counters, "medlarplank_control_bytes_sent_total", "");
-  uint64_t start_us = clk_now_us (&fleet->router.dmn.clk);
-  pfl_answer_t answers[OVERLOAD];
-
-  pfl_set_all (fleet, PFL_HANG);
-  for (uint32_t i = 0; i < OVERLOAD; i++)
-    pfl_send (fleet, &SOON, &answers[i]);
-  for (uint32_t i = 0; i < OVERLOAD; i++)
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  cnt_t *sent =
+      cnt_get (testbed->router.daemon.counters, "medlarplank_control_bytes_sent_total", "");
+  uint64_t start_us = clk_now_us (&testbed->router.daemon.clk);
+  pfl_answer_t answers[OVERLOAD_REQUESTS];
+
+  pfl_set_all (testbed, PFL_HANG);
+  for (uint32_t i = 0; i < OVERLOAD_REQUESTS; i++)
+    pfl_send (testbed, &SOON, &answers[i]);
+  for (uint32_t i = 0; i < OVERLOAD_REQUESTS; i++)
     {
-      CU_ASSERT_TRUE (pfl_until (fleet, pfl_done, &answers[i]));
+      CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answers[i]));
       pfl_answer_clear (&answers[i]);
     }
-  uint64_t elapsed_us = clk_now_us (&fleet->router.dmn.clk) - start_us;
+  uint64_t elapsed_us = clk_now_us (&testbed->router.daemon.clk) - start_us;
   CU_ASSERT_TRUE (cnt_value (sent) > 0);
   CU_ASSERT_TRUE (cnt_value (sent) <= 2000 + 2000 * elapsed_us / CLK_US_PER_S);
 }
@@ -161,341 +164,347 @@
 static bool
 is_drained (void *context)
 {
-  const pfl_daemon_t *daemon = context;
+  const pfl_daemon_t *node = context;
 
-  return daemon->drained;
+  return node->drained;
 }
 
-/* The router's listener closes when it has lingered: from then on only its calls hold it. */
+/* listener_is_gone() - the router closes its listener a while after the drain begins; from then on
+ * it only waits for its calls */
 static bool
 listener_is_gone (void *context)
 {
   g_auto (pfl_answer_t) answer = { 0 };
 
   pfl_ask (context, &(pfl_request_t){ .path = "/livez" }, &answer);
-  bool gone = !answer.end.whole && answer.end.reason == VRD_REASON_CONNECT;
-  return gone;
+  bool cancelled = !answer.end.whole && answer.end.reason == VRD_REASON_CONNECT;
+  return cancelled;
 }
 
-/* A host is stopped while its engine works on a request. The caller must get its whole answer, and
- * only then may the daemon say that it is done; the same at the router. */
+/* A sidecar and the router are drained while an engine runs a request. The caller must get the
+ * whole answer, and only then may the daemons report that they are drained. */
 static void
 stops_gracefully (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_set_all (fleet, PFL_HANG);
-  pfl_send (fleet, &TALK, &answer);
-  CU_ASSERT_TRUE (pfl_until (fleet, one_held, fleet));
-  pfl_engine_t *engine = holder (fleet);
-  pfl_daemon_t *sidecar = &fleet->sidecars[engine - fleet->engines];
+  pfl_set_all (testbed, PFL_HANG);
+  pfl_send (testbed, &CHAT, &answer);
+  CU_ASSERT_TRUE (pfl_until (testbed, one_request_held, testbed));
+  pfl_engine_t *engine = holding_engine (testbed);
+  pfl_daemon_t *sidecar = &testbed->sidecars[engine - testbed->engines];
   pfl_flag (sidecar, MSG_DRAIN, true);
-  pfl_flag (&fleet->router, MSG_DRAIN, true);
-  CU_ASSERT_TRUE (pfl_until (fleet, listener_is_gone, fleet));
+  pfl_flag (&testbed->router, MSG_DRAIN, true);
+  CU_ASSERT_TRUE (pfl_until (testbed, listener_is_gone, testbed));
   CU_ASSERT_FALSE (sidecar->drained);
-  CU_ASSERT_FALSE (fleet->router.drained);
+  CU_ASSERT_FALSE (testbed->router.drained);
   pfl_release (engine);
-  CU_ASSERT_TRUE (pfl_until (fleet, pfl_done, &answer));
+  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT_TRUE (pfl_until (fleet, is_drained, sidecar));
-  CU_ASSERT_TRUE (pfl_until (fleet, is_drained, &fleet->router));
+  CU_ASSERT_TRUE (pfl_until (testbed, is_drained, sidecar));
+  CU_ASSERT_TRUE (pfl_until (testbed, is_drained, &testbed->router));
 }
 
-/* The engine closes the connection instead of answering, and is up again at once. A lookup is tried
- * at another engine and answered; a booking must not be, and its caller hears that it may have run.
- */
+/* The engines close the connection instead of answering, but still pass health checks. A
+ * non-idempotent request must not be sent to another engine, and its caller is told that it may
+ * have run. An idempotent request is tried at other engines. */
 static void
-tries_only_idempotent_again (void)
+retries_only_idempotent_requests (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
-  pfl_set_all (fleet, PFL_CUT);
-  ask_status (fleet, &BOOK, 502, "may_have_run");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
-  CU_ASSERT_EQUAL (fleet->marks, 0);
-  ask_status (fleet, &LOOK, 502, "may_have_run");
-  CU_ASSERT_TRUE (pfl_runs (fleet) > 2);
+  pfl_set_all (testbed, PFL_CUT);
+  ask_status (testbed, &BOOK, 502, "may_have_run");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed->crash_mark_count, 0);
+  ask_status (testbed, &LOOK, 502, "may_have_run");
+  CU_ASSERT_TRUE (pfl_runs (testbed) > 2);
 }
 
-/* An engine answers under another request's id. What it says belongs to another caller: not a byte
- * of it may reach this one. */
+/* An engine answers with the id of another request. The answer belongs to another caller, so not a
+ * byte of it may reach this one. */
 static void
-never_relays_a_crossed_answer (void)
+never_relays_an_answer_with_another_id (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_set_all (fleet, PFL_CROSSED);
-  pfl_ask (fleet, &BOOK, &answer);
+  pfl_set_all (testbed, PFL_CROSSED);
+  pfl_ask (testbed, &BOOK, &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
   CU_ASSERT_PTR_NULL (strstr (answer.body->str, "somebody"));
   CU_ASSERT_PTR_NOT_NULL (strstr (answer.body->str, "\"crossed\""));
 }
 
-/* A stream breaks off at the engine after its first part went to the caller. The caller sees the
- * error and a broken connection, never a proper end after half an answer. */
+/* An engine's stream breaks off after its first part went to the caller. The caller must see a
+ * broken connection, never a regular end after a partial answer. */
 static void
-never_ends_a_cut_stream (void)
+never_completes_an_interrupted_stream (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_set_all (fleet, PFL_CUT_LATE);
-  pfl_ask (fleet, &TALK, &answer);
+  pfl_set_all (testbed, PFL_CUT_LATE);
+  pfl_ask (testbed, &CHAT, &answer);
   CU_ASSERT_TRUE (answer.done);
   CU_ASSERT_FALSE (answer.end.whole);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
 }
 
-/* A request crashes each engine that runs it. Two are lost; then it is refused for good, and so is
- * every resend, with no word of coming back. The third engine never sees it. */
+/* A request crashes each engine that runs it. After two engines it is refused permanently, and so
+ * is every resend, without Retry-After. The third engine never receives it. */
 static void
-loses_two_engines_at_most (void)
+a_crashing_request_costs_at_most_two_engines (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_answer_t answer;
 
-  pfl_set_all (fleet, PFL_CRASH);
+  pfl_set_all (testbed, PFL_CRASH);
   for (uint32_t i = 0; i < 3; i++)
     {
-      pfl_ask (fleet, &TALK, &answer);
+      pfl_ask (testbed, &CHAT, &answer);
       CU_ASSERT_EQUAL (answer.status, 422);
       CU_ASSERT_STRING_EQUAL (answer.retry_after, "");
       CU_ASSERT_PTR_NOT_NULL (strstr (answer.body->str, "\"suspect\""));
       pfl_answer_clear (&answer);
     }
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 2);
-  CU_ASSERT_EQUAL (fleet->marks, 2);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 2);
+  CU_ASSERT_EQUAL (testbed->crash_mark_count, 2);
 }
 
-/* The same with a booking, which is never tried again on its own: each send loses one engine. The
- * second already hears that it was the last; the third runs nowhere. */
+/* The same with a non-idempotent request, which the router does not retry: each send crashes one
+ * engine. The answer to the second one is final already; the third one runs nowhere. */
 static void
-loses_two_engines_to_resends (void)
+resends_cost_at_most_two_engines (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
-  pfl_set_all (fleet, PFL_CRASH);
-  ask_status (fleet, &BOOK, 502, "may_have_run");
-  ask_status (fleet, &BOOK, 422, "may_have_run");
-  ask_status (fleet, &BOOK, 422, "not_run");
-  ask_status (fleet, &BOOK, 422, "not_run");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 2);
+  pfl_set_all (testbed, PFL_CRASH);
+  ask_status (testbed, &BOOK, 502, "may_have_run");
+  ask_status (testbed, &BOOK, 422, "may_have_run");
+  ask_status (testbed, &BOOK, 422, "not_run");
+  ask_status (testbed, &BOOK, 422, "not_run");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 2);
 }
 
-#define FEW 6
+#define PARALLEL_REQUESTS 6
 
 static bool
-few_held (void *context)
+parallel_requests_held (void *context)
 {
-  return pfl_held (context) == FEW;
+  return pfl_held (context) == PARALLEL_REQUESTS;
 }
 
 typedef struct
 {
-  const pfl_t *fleet;
-  uint32_t before[PFL_SIDECARS];
-} moved_t;
+  const pfl_t *testbed;
+  uint32_t held_before[PFL_SIDECARS];
+} retried_t;
 
 static bool
-one_moved_to_each (void *context)
+one_retried_on_each (void *context)
 {
-  const moved_t *moved = context;
+  const retried_t *retried = context;
 
-  return moved->fleet->engines[1].held->len == moved->before[1] + 1 &&
-         moved->fleet->engines[2].held->len == moved->before[2] + 1;
+  return retried->testbed->engines[1].held_requests->len == retried->held_before[1] + 1 &&
+         retried->testbed->engines[2].held_requests->len == retried->held_before[2] + 1;
 }
 
-/* Some lookups run on an engine when it crashes; one of them did it, and nobody knows which. They
- * are tried again, but never two on one engine: a second crash there would refuse the innocent one
- * for good as well. One that finds no engine of its own hears when to come back. */
+/* Several idempotent requests run on an engine when it crashes, and nothing shows which one caused
+ * it. They are retried, but no two on one engine: after a second crash there, both would be refused
+ * permanently, also the one that did not cause it. A request that finds no engine without another
+ * suspect is told when to retry. */
 static void
-keeps_suspects_apart (void)
+runs_suspect_requests_on_separate_engines (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  moved_t moved = { .fleet = fleet };
-  pfl_answer_t answers[FEW];
-  char chats[FEW][8];
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  retried_t retried = { .testbed = testbed };
+  pfl_answer_t answers[PARALLEL_REQUESTS];
+  char chats[PARALLEL_REQUESTS][8];
 
-  pfl_set_all (fleet, PFL_HANG);
-  for (uint32_t i = 0; i < FEW; i++)
+  pfl_set_all (testbed, PFL_HANG);
+  for (uint32_t i = 0; i < PARALLEL_REQUESTS; i++)
     {
       g_snprintf (chats[i], sizeof chats[i], "q%u", i);
-      pfl_send (fleet, &(pfl_request_t){ .path = TALK.path, .body = TALK.body, .chat = chats[i] },
+      pfl_send (testbed, &(pfl_request_t){ .path = CHAT.path, .body = CHAT.body, .chat = chats[i] },
                 &answers[i]);
     }
-  CU_ASSERT_TRUE (pfl_until (fleet, few_held, fleet));
-  CU_ASSERT_TRUE (fleet->engines[0].held->len >= 2);
+  CU_ASSERT_TRUE (pfl_until (testbed, parallel_requests_held, testbed));
+  CU_ASSERT_TRUE (testbed->engines[0].held_requests->len >= 2);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    moved.before[i] = fleet->engines[i].held->len;
-  pfl_crash (&fleet->engines[0]);
-  CU_ASSERT_TRUE (pfl_until (fleet, one_moved_to_each, &moved));
-  for (uint32_t i = 0; i < FEW; i++)
+    retried.held_before[i] = testbed->engines[i].held_requests->len;
+  pfl_crash (&testbed->engines[0]);
+  CU_ASSERT_TRUE (pfl_until (testbed, one_retried_on_each, &retried));
+  for (uint32_t i = 0; i < PARALLEL_REQUESTS; i++)
     pfl_answer_clear (&answers[i]);
 }
 
-/* A lookup was answered, so it is placed at random; then it crashes each engine that runs it. Its
- * caller sends it again through the same router before the other sidecars heard of the crash. The
- * router remembers whom it crashed, so that the third engine is not lost wherever it is placed. */
+/* An idempotent request was answered, so its repetitions are placed at random; then it crashes each
+ * engine that runs it. Its caller resends it through the same router before the other sidecars have
+ * heard of the crash. The router must remember the crash, so that the third engine is not lost
+ * wherever the request is placed. */
 static void
-loses_two_engines_to_what_was_answered (void)
+an_answered_request_costs_at_most_two_engines (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
   for (uint32_t i = 0; i < 5; i++)
-    ask_status (fleet, &LOOK, 200, "ran");
-  uint32_t answered = pfl_runs (fleet);
-  pfl_set_all (fleet, PFL_CRASH);
+    ask_status (testbed, &LOOK, 200, "ran");
+  uint32_t answered = pfl_runs (testbed);
+  pfl_set_all (testbed, PFL_CRASH);
   for (uint32_t i = 0; i < 4; i++)
     {
       pfl_answer_t answer;
 
-      pfl_ask (fleet, &LOOK, &answer);
+      pfl_ask (testbed, &LOOK, &answer);
       CU_ASSERT_EQUAL (answer.status, 422);
       pfl_answer_clear (&answer);
     }
-  CU_ASSERT_EQUAL (pfl_runs (fleet) - answered, 2);
+  CU_ASSERT_EQUAL (pfl_runs (testbed) - answered, 2);
 }
 
 static bool
-one_gone (void *context)
+one_request_cancelled (void *context)
 {
-  const pfl_t *fleet = context;
-  uint32_t gone = 0;
+  const pfl_t *testbed = context;
+  uint32_t cancelled = 0;
 
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    gone += fleet->engines[i].gone_count;
-  return gone == 1;
+    cancelled += testbed->engines[i].cancelled_count;
+  return cancelled == 1;
 }
 
-/* A caller hangs up. Its lookup is taken from the engine, which has others to serve. */
+/* A caller disconnects. Its idempotent request must be cancelled at the engine, to free capacity.
+ */
 static void
-cancels_for_a_caller_that_left (void)
+cancels_an_idempotent_request_when_its_caller_disconnects (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_answer_t answer;
 
-  pfl_set_all (fleet, PFL_HANG);
-  pfl_send (fleet, &TALK, &answer);
-  CU_ASSERT_TRUE (pfl_until (fleet, one_held, fleet));
+  pfl_set_all (testbed, PFL_HANG);
+  pfl_send (testbed, &CHAT, &answer);
+  CU_ASSERT_TRUE (pfl_until (testbed, one_request_held, testbed));
   pfl_answer_clear (&answer);
-  CU_ASSERT_TRUE (pfl_until (fleet, one_gone, fleet));
+  CU_ASSERT_TRUE (pfl_until (testbed, one_request_cancelled, testbed));
 }
 
 static bool
 claim_is_done (void *context)
 {
-  const pfl_t *fleet = context;
+  const pfl_t *testbed = context;
   GHashTableIter iter;
   gpointer state;
 
-  g_hash_table_iter_init (&iter, fleet->claims);
+  g_hash_table_iter_init (&iter, testbed->claims);
   return g_hash_table_iter_next (&iter, NULL, &state) && GPOINTER_TO_UINT (state) == CLM_DONE;
 }
 
-/* A caller hangs up on a booking that runs, and sends it again with the same key. The first goes on
- * to its end; the second hears that it ran, and the engines saw it once. */
+/* A caller disconnects while its non-idempotent request runs, and sends it again with the same
+ * idempotency key. The first request must run to its end, and the engines must receive it once. The
+ * resends are told that it may have run, and after its end that it ran. */
 static void
-lets_a_booking_finish (void)
+a_non_idempotent_request_outlives_its_caller (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_answer_t answer;
   pfl_request_t keyed = BOOK;
 
   keyed.idempotency_key = "order-7";
-  pfl_set_all (fleet, PFL_HANG);
-  pfl_send (fleet, &keyed, &answer);
-  CU_ASSERT_TRUE (pfl_until (fleet, one_held, fleet));
+  pfl_set_all (testbed, PFL_HANG);
+  pfl_send (testbed, &keyed, &answer);
+  CU_ASSERT_TRUE (pfl_until (testbed, one_request_held, testbed));
   pfl_answer_clear (&answer);
-  ask_status (fleet, &keyed, 409, "may_have_run");
-  CU_ASSERT_FALSE (one_gone (fleet));
-  pfl_release (holder (fleet));
-  CU_ASSERT_TRUE (pfl_until (fleet, claim_is_done, fleet));
-  ask_status (fleet, &keyed, 409, "ran");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
+  ask_status (testbed, &keyed, 409, "may_have_run");
+  CU_ASSERT_FALSE (one_request_cancelled (testbed));
+  pfl_release (holding_engine (testbed));
+  CU_ASSERT_TRUE (pfl_until (testbed, claim_is_done, testbed));
+  ask_status (testbed, &keyed, 409, "ran");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
 }
 
-/* The platform's log is out. A keyed booking cannot be claimed and is refused as not run, at once;
- * one without a key and all lookups go on. */
+/* The platform's log is down. A request with an idempotency key cannot be claimed and is refused as
+ * not run; requests without a key are still served. */
 static void
-refuses_keys_while_the_log_is_out (void)
+refuses_idempotency_keys_while_the_log_is_down (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_answer_t answer;
   pfl_request_t keyed = BOOK;
 
-  fleet->log_down = true;
+  testbed->log_down = true;
   keyed.idempotency_key = "order-8";
-  pfl_ask (fleet, &keyed, &answer);
+  pfl_ask (testbed, &keyed, &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT_STRING_EQUAL (answer.verdict, "not_run");
   CU_ASSERT_STRING_NOT_EQUAL (answer.retry_after, "");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
   pfl_answer_clear (&answer);
-  ask_status (fleet, &BOOK, 200, "ran");
-  ask_status (fleet, &LOOK, 200, "ran");
+  ask_status (testbed, &BOOK, 200, "ran");
+  ask_status (testbed, &LOOK, 200, "ran");
 }
 
-/* An engine is frozen. The caller of a booking hears at its deadline that it may have run, and no
- * other engine was asked. */
+/* An engine does not answer. The caller of a non-idempotent request is told at the deadline that it
+ * may have run, and no other engine is tried. */
 static void
 answers_at_the_deadline (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_request_t soon = BOOK;
 
-  pfl_set_all (fleet, PFL_HANG);
+  pfl_set_all (testbed, PFL_HANG);
   soon.deadline_ms = "150";
-  ask_status (fleet, &soon, 504, "may_have_run");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
+  ask_status (testbed, &soon, 504, "may_have_run");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
 }
 
-/* A counter asks for the status of one household over and over. Placed by its fingerprint alone,
- * every one of these would go to the same two of three engines, and the third would stay idle. */
+/* A client repeats the same idempotent request, such as a status check. If requests were placed by
+ * their fingerprint alone, all repetitions would go to the same two of three engines. */
 static void
-spreads_what_was_answered (void)
+spreads_a_repeated_request_over_all_engines (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
   for (uint32_t i = 0; i < 60; i++)
-    ask_status (fleet, &LOOK, 200, "ran");
+    ask_status (testbed, &LOOK, 200, "ran");
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    CU_ASSERT_TRUE (fleet->engines[i].run_count >= 8);
+    CU_ASSERT_TRUE (testbed->engines[i].request_count >= 8);
 }
 
-/* The host of a chat's home is frozen: its kernel takes connections, but nothing answers. Without a
- * look at the host, each of its chats would hang until the deadline, eight seconds here. A lookup
- * goes elsewhere within two; a booking may not, and is answered at its deadline. */
+/* The host of a chat's home is frozen: its kernel accepts connections, but nothing answers. Without
+ * a health check of the host, each of its chats would wait until the deadline of eight seconds. An
+ * idempotent request must be answered by another engine within two seconds; a non-idempotent one
+ * must not be retried, and is answered at its deadline. */
 static void
-leaves_a_frozen_host (void)
+avoids_a_frozen_host (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_answer_t answer;
   pfl_request_t soon = BOOK;
-  set_address_t hole;
+  set_address_t black_hole;
 
-  uint32_t home = pfl_ask_engine (fleet, &TALK);
-  evutil_socket_t listener = pfl_black_hole (&hole);
+  uint32_t home = pfl_ask_engine (testbed, &CHAT);
+  evutil_socket_t listener = pfl_black_hole (&black_hole);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     if (i == home)
-      fleet->hosts[i].http = hole;
-  uint64_t start_us = clk_now_us (&fleet->router.dmn.clk);
-  pfl_ask (fleet, &TALK, &answer);
+      testbed->hosts[i].http = black_hole;
+  uint64_t start_us = clk_now_us (&testbed->router.daemon.clk);
+  pfl_ask (testbed, &CHAT, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_NOT_EQUAL (pfl_engine_named (&answer), home);
-  CU_ASSERT_TRUE (clk_now_us (&fleet->router.dmn.clk) - start_us < 2 * CLK_US_PER_S);
+  CU_ASSERT_TRUE (clk_now_us (&testbed->router.daemon.clk) - start_us < 2 * CLK_US_PER_S);
   pfl_answer_clear (&answer);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    fleet->hosts[i].http = hole;
+    testbed->hosts[i].http = black_hole;
   soon.deadline_ms = "1200";
-  ask_status (fleet, &soon, 504, "may_have_run");
+  ask_status (testbed, &soon, 504, "may_have_run");
   evutil_closesocket (listener);
 }
 
 static bool
-sidecars_stale (void *context)
+sidecars_refuse (void *context)
 {
   g_auto (pfl_answer_t) answer = { 0 };
 
@@ -504,26 +513,26 @@
   return refused;
 }
 
-/* The sidecars woke from a pause: until they have heard again whether they still may, they take no
- * work, and say so as not run. */
+/* The processes of the sidecars were paused. Until their control tasks have fresh data again, they
+ * refuse all requests as not run. */
 static void
-takes_no_work_after_a_pause (void)
+refuses_requests_after_a_pause (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_flag (&fleet->sidecars[i], MSG_FRESHNESS, false);
-  CU_ASSERT_TRUE (pfl_until (fleet, sidecars_stale, fleet));
-  uint32_t runs = pfl_runs (fleet);
-  ask_status (fleet, &BOOK, 503, "not_run");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), runs);
+    pfl_flag (&testbed->sidecars[i], MSG_FRESHNESS, false);
+  CU_ASSERT_TRUE (pfl_until (testbed, sidecars_refuse, testbed));
+  uint32_t runs = pfl_runs (testbed);
+  ask_status (testbed, &BOOK, 503, "not_run");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), runs);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_flag (&fleet->sidecars[i], MSG_FRESHNESS, true);
-  ask_status (fleet, &BOOK, 200, "ran");
+    pfl_flag (&testbed->sidecars[i], MSG_FRESHNESS, true);
+  ask_status (testbed, &BOOK, 200, "ran");
 }
 
 static bool
-see_verdict (int status, struct evkeyvalq *headers, void *context)
+on_status (int status, struct evkeyvalq *headers, void *context)
 {
   (void)headers;
   *(int *)context = status;
@@ -537,55 +546,55 @@
 }
 
 static void
-no_end (const hcl_end_t *end, void *context)
+ignore_end (const hcl_end_t *end, void *context)
 {
   (void)end;
   (void)context;
 }
 
 static int
-call_sidecar (pfl_t *fleet, const hcl_header_t *headers, uint32_t count, const char *target)
+call_sidecar (pfl_t *testbed, const hcl_header_t *headers, uint32_t count, const char *target)
 {
   int status = 0;
-  hcl_options_t options = { .address = &fleet->hosts[0].http,
+  hcl_options_t options = { .address = &testbed->hosts[0].http,
                             .method = "POST",
                             .target = target,
                             .headers = headers,
                             .header_count = count,
-                            .on_head = see_verdict,
-                            .on_end = no_end,
+                            .on_head = on_status,
+                            .on_end = ignore_end,
                             .context = &status };
 
-  hcl_start (fleet->hcl, &options);
-  CU_ASSERT_TRUE (pfl_until (fleet, has_status, &status));
+  hcl_start (testbed->http_client, &options);
+  CU_ASSERT_TRUE (pfl_until (testbed, has_status, &status));
   return status;
 }
 
-/* A stranger on the network hands a request, a revoke or an order to drain straight to a sidecar.
- */
+/* A client without the fleet key sends a request, a revoke, a drain or a manifest query directly to
+ * a sidecar. All must be refused. */
 static void
-sidecars_obey_only_the_fleet (void)
+sidecars_accept_only_sealed_requests (void)
 {
   static const hcl_header_t FORGED[] = { { "X-Medlarplank-Seal", "00" },
                                          { "X-Medlarplank-Account", "first" } };
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
-  CU_ASSERT_EQUAL (call_sidecar (fleet, FORGED, 2, "/look"), 403);
-  CU_ASSERT_EQUAL (call_sidecar (fleet, FORGED, 2, HOP_REVOKE_PATH "?attempt=1"), 403);
-  CU_ASSERT_EQUAL (call_sidecar (fleet, FORGED, 2, "/medlarplank/drain?time=1"), 403);
-  CU_ASSERT_EQUAL (call_sidecar (fleet, FORGED, 2, "/medlarplank/manifest"), 403);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
+  CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, "/look"), 403);
+  CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, HOP_REVOKE_PATH "?attempt=1"), 403);
+  CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, "/medlarplank/drain?time=1"), 403);
+  CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, "/medlarplank/manifest"), 403);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
 }
 
-/* A router gave an attempt up before it arrived, and went on elsewhere after "not run". The attempt
- * arrives all the same: it must be refused. */
+/* A router revoked an attempt before it arrived, and after "not run" tried another engine. If the
+ * attempt then arrives after all, it must be refused, or the request would run twice. */
 static void
-bars_a_revoked_attempt (void)
+refuses_a_revoked_attempt (void)
 {
   static const char TARGET[] = HOP_REVOKE_PATH "?attempt=000000000000000a000000000000000b&age_ms=5";
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   char seal[ORD_SEAL_BYTES];
-  hcl_header_t order = { .name = ORD_SEAL_HEADER, .value = seal };
+  hcl_header_t seal_header = { .name = ORD_SEAL_HEADER, .value = seal };
   hop_t hop = { .attempt = { 0xa, 0xb },
                 .service = "pool",
                 .account = "first",
@@ -599,9 +608,9 @@
   for (uint32_t i = 0; i < count; i++)
     headers[i] = (hcl_header_t){ .name = written[i].name, .value = written[i].value };
   ord_seal (&(ord_t){ .host = "e0", .method = "POST", .target = TARGET }, PFL_FLEET_KEY, seal);
-  CU_ASSERT_EQUAL (call_sidecar (fleet, &order, 1, TARGET), 200);
-  CU_ASSERT_EQUAL (call_sidecar (fleet, headers, count, "/book"), 503);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
+  CU_ASSERT_EQUAL (call_sidecar (testbed, &seal_header, 1, TARGET), 200);
+  CU_ASSERT_EQUAL (call_sidecar (testbed, headers, count, "/book"), 503);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
 }
 
 int
@@ -609,27 +618,32 @@
 {
   static const CU_TestInfo tests[] = {
     { "relays the answer", relays_the_answer },
-    { "refuses what it cannot judge", refuses_what_it_cannot_judge },
-    { "passes by a leaving host", passes_by_a_leaving_host },
-    { "a burst finds room", a_burst_finds_room },
-    { "loads on hops keep the budget", loads_on_hops_keep_the_budget },
+    { "refuses invalid requests", refuses_invalid_requests },
+    { "tries another host when one is leaving", tries_another_host_when_one_is_leaving },
+    { "spreads a burst over all engines", spreads_a_burst_over_all_engines },
+    { "load samples stay within the control budget", load_samples_stay_within_the_control_budget },
     { "stops gracefully", stops_gracefully },
-    { "tries only idempotent again", tries_only_idempotent_again },
-    { "never relays a crossed answer", never_relays_a_crossed_answer },
-    { "never ends a cut stream", never_ends_a_cut_stream },
-    { "loses two engines at most", loses_two_engines_at_most },
-    { "loses two engines to resends", loses_two_engines_to_resends },
-    { "keeps suspects apart", keeps_suspects_apart },
-    { "loses two engines to what was answered", loses_two_engines_to_what_was_answered },
-    { "cancels for a caller that left", cancels_for_a_caller_that_left },
-    { "lets a booking finish", lets_a_booking_finish },
-    { "refuses keys while the log is out", refuses_keys_while_the_log_is_out },
+    { "retries only idempotent requests", retries_only_idempotent_requests },
+    { "never relays an answer with another id", never_relays_an_answer_with_another_id },
+    { "never completes an interrupted stream", never_completes_an_interrupted_stream },
+    { "a crashing request costs at most two engines",
+      a_crashing_request_costs_at_most_two_engines },
+    { "resends cost at most two engines", resends_cost_at_most_two_engines },
+    { "runs suspect requests on separate engines", runs_suspect_requests_on_separate_engines },
+    { "an answered request costs at most two engines",
+      an_answered_request_costs_at_most_two_engines },
+    { "cancels an idempotent request when its caller disconnects",
+      cancels_an_idempotent_request_when_its_caller_disconnects },
+    { "a non idempotent request outlives its caller",
+      a_non_idempotent_request_outlives_its_caller },
+    { "refuses idempotency keys while the log is down",
+      refuses_idempotency_keys_while_the_log_is_down },
     { "answers at the deadline", answers_at_the_deadline },
-    { "spreads what was answered", spreads_what_was_answered },
-    { "leaves a frozen host", leaves_a_frozen_host },
-    { "takes no work after a pause", takes_no_work_after_a_pause },
-    { "sidecars obey only the fleet", sidecars_obey_only_the_fleet },
-    { "bars a revoked attempt", bars_a_revoked_attempt },
+    { "spreads a repeated request over all engines", spreads_a_repeated_request_over_all_engines },
+    { "avoids a frozen host", avoids_a_frozen_host },
+    { "refuses requests after a pause", refuses_requests_after_a_pause },
+    { "sidecars accept only sealed requests", sidecars_accept_only_sealed_requests },
+    { "refuses a revoked attempt", refuses_a_revoked_attempt },
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_path_answers.c
+++ b/tests/test_path_answers.c
@@ -7,24 +7,24 @@
 #include <string.h>
 
 static bool
-saw_next (void *context)
+got_next_answer (void *context)
 {
   const raw_t *raw = context;
 
   return raw->eof || strstr (raw->got->str, "ran:next") != NULL;
 }
 
-/* The answer to HEAD tells the length that a GET would bring, and has no body; what follows on the
- * connection is the next answer. A length of 0 would be a statement of the fleet's own making. */
+/* The answer to HEAD has the Content-Length that a GET would have, and no body; the next bytes on
+ * the connection are the next answer. The proxies must relay that length, not replace it by 0. */
 static void
 relays_the_length_of_a_head_answer (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
-  raw_t *raw = raw_connect (fleet->base, &fleet->hosts[PFL_SIDECARS].http);
+  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[PFL_SIDECARS].http);
   raw_send (raw, "HEAD /look HTTP/1.1\r\nX-Api-Key: " PFL_KEY "\r\n\r\n"
                  "POST /look HTTP/1.1\r\nX-Api-Key: " PFL_KEY "\r\nContent-Length: 4\r\n\r\nnext");
-  CU_ASSERT_TRUE (pfl_until (fleet, saw_next, raw));
+  CU_ASSERT_TRUE (pfl_until (testbed, got_next_answer, raw));
   CU_ASSERT_TRUE (g_str_has_prefix (raw->got->str, "HTTP/1.1 200 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "Content-Length: 4\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\nHTTP/1.1 200 "));
@@ -33,62 +33,62 @@
 }
 
 static bool
-is_held_up (void *context)
+caller_buffer_is_full (void *context)
 {
-  const pfl_t *fleet = context;
-  const rtr_call_t *call = g_queue_peek_head (&fleet->router.rtr->calls);
+  const pfl_t *testbed = context;
+  const rtr_call_t *call = g_queue_peek_head (&testbed->router.router_task->calls);
 
   return call != NULL && call->relay.full;
 }
 
 static void
-let_the_timers_run_out (pfl_t *fleet)
+fire_stall_timers (pfl_t *testbed)
 {
-  gpointer call = g_queue_peek_head (&fleet->router.rtr->calls);
+  gpointer call = g_queue_peek_head (&testbed->router.router_task->calls);
   GHashTableIter iter;
 
   if (call != NULL)
     rtr_hop_timer (-1, EV_TIMEOUT, call);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     {
-      g_hash_table_iter_init (&iter, fleet->sidecars[i].sdc->calls);
+      g_hash_table_iter_init (&iter, testbed->sidecars[i].sidecar_task->calls);
       if (g_hash_table_iter_next (&iter, NULL, &call) && ((sdc_call_t *)call)->relay.full)
         sdc_engine_timer (-1, EV_TIMEOUT, call);
     }
 }
 
-/* A caller reads a long answer so slowly that for a minute nothing more fits into its queue. The
- * engine is read no further meanwhile; that must not be taken for a stalled engine, or the caller
- * gets half an answer. */
+/* A caller reads a long answer so slowly that nothing is written to it for a minute. Meanwhile the
+ * answer is not read from the engine either. The stall timers must not take this for a stalled
+ * engine, or the caller would get a partial answer. */
 static void
 waits_for_a_slow_caller (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_set_all (fleet, PFL_LONG);
-  pfl_send (fleet, &(pfl_request_t){ .path = "/look" }, &answer);
+  pfl_set_all (testbed, PFL_LONG);
+  pfl_send (testbed, &(pfl_request_t){ .path = "/look" }, &answer);
   answer.stop_reading = true;
-  CU_ASSERT_TRUE (pfl_until (fleet, is_held_up, fleet));
-  let_the_timers_run_out (fleet);
+  CU_ASSERT_TRUE (pfl_until (testbed, caller_buffer_is_full, testbed));
+  fire_stall_timers (testbed);
   answer.stop_reading = false;
   hcl_pause (answer.call, false);
-  let_the_timers_run_out (fleet);
-  CU_ASSERT_TRUE (pfl_until (fleet, pfl_done, &answer));
+  fire_stall_timers (testbed);
+  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.body->len, PFL_LONG_BYTES);
 }
 
-/* A stream breaks off at the engine between two events. The caller is told why by an event of its
- * own, and then by the broken connection; closing that must not overtake the event. */
+/* An engine's stream breaks off between two events. The caller must get exactly one error event
+ * with the reason, and then a closed connection. The close must not discard the event. */
 static void
-says_why_a_stream_breaks_off (void)
+an_interrupted_stream_ends_with_an_error_event (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_set_all (fleet, PFL_CUT_LATE);
-  pfl_ask (fleet, &(pfl_request_t){ .path = "/look" }, &answer);
+  pfl_set_all (testbed, PFL_CUT_LATE);
+  pfl_ask (testbed, &(pfl_request_t){ .path = "/look" }, &answer);
   CU_ASSERT_TRUE (answer.done);
   CU_ASSERT_FALSE (answer.end.whole);
   CU_ASSERT_TRUE (g_str_has_prefix (answer.body->str, "data: one\n\nevent: error\ndata: {"));
@@ -103,7 +103,8 @@
   static const CU_TestInfo tests[] = {
     { "relays the length of a HEAD answer", relays_the_length_of_a_head_answer },
     { "waits for a slow caller", waits_for_a_slow_caller },
-    { "says why a stream breaks off", says_why_a_stream_breaks_off },
+    { "an interrupted stream ends with an error event",
+      an_interrupted_stream_ends_with_an_error_event },
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_path_chats.c
+++ b/tests/test_path_chats.c
@@ -9,137 +9,139 @@
 #define CHAT_BODY "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}"
 
 static pfl_request_t
-talk (const char *chat)
+chat_request (const char *chat)
 {
   return (pfl_request_t){ .path = "/v1/chat/completions", .body = CHAT_BODY, .chat = chat };
 }
 
 static uint32_t
-ask_engine (pfl_t *fleet, const char *chat)
+ask_engine (pfl_t *testbed, const char *chat)
 {
-  pfl_request_t request = talk (chat);
+  pfl_request_t request = chat_request (chat);
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_ask (fleet, &request, &answer);
+  pfl_ask (testbed, &request, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   uint32_t engine = pfl_engine_named (&answer);
   return engine;
 }
 
 static uint64_t
-notes (const pfl_t *fleet)
+count_hints (const pfl_t *testbed)
 {
   uint64_t sum = 0;
 
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     sum += cnt_value (
-        cnt_get (fleet->sidecars[i].dmn.counters, "medlarplank_directory_notes_total", ""));
+        cnt_get (testbed->sidecars[i].daemon.counters, "medlarplank_directory_notes_total", ""));
   return sum;
 }
 
 typedef struct
 {
-  const pfl_t *fleet;
-  uint64_t more_than;
-} noted_t;
+  const pfl_t *testbed;
+  uint64_t hints_before;
+} hint_wait_t;
 
 static bool
-is_noted (void *context)
+hint_received (void *context)
 {
-  const noted_t *noted = context;
+  const hint_wait_t *hint_wait = context;
 
-  return notes (noted->fleet) > noted->more_than;
+  return count_hints (hint_wait->testbed) > hint_wait->hints_before;
 }
 
-/* serve_elsewhere() - Return: the engine that served @chat while its home took no work */
+/* serve_elsewhere() - sends a request of @chat while its home refuses requests. Return: the engine
+ * that served it */
 static uint32_t
-serve_elsewhere (pfl_t *fleet, const char *chat, uint32_t home)
+serve_elsewhere (pfl_t *testbed, const char *chat, uint32_t home)
 {
-  noted_t noted = { .fleet = fleet, .more_than = notes (fleet) };
+  hint_wait_t hint_wait = { .testbed = testbed, .hints_before = count_hints (testbed) };
 
-  pfl_flag (&fleet->sidecars[home], MSG_FRESHNESS, false);
-  uint32_t other = ask_engine (fleet, chat);
+  pfl_flag (&testbed->sidecars[home], MSG_FRESHNESS, false);
+  uint32_t other = ask_engine (testbed, chat);
   CU_ASSERT_NOT_EQUAL (other, home);
-  CU_ASSERT_TRUE (pfl_until (fleet, is_noted, &noted));
-  pfl_flag (&fleet->sidecars[home], MSG_FRESHNESS, true);
+  CU_ASSERT_TRUE (pfl_until (testbed, hint_received, &hint_wait));
+  pfl_flag (&testbed->sidecars[home], MSG_FRESHNESS, true);
   return other;
 }
 
-/* A chat is served away from its home, which took no work for a moment. When it returns, and the
- * home takes work again, its context is warm on the other engine: the home refers it there. */
+/* A chat is served by another engine while its home refuses requests. After that the chat's context
+ * is in the other engine's cache, so the home must refer later requests of the chat there. */
 static void
-returns_to_where_it_was_served (void)
+a_chat_returns_to_the_engine_that_served_it (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
-  uint32_t home = ask_engine (fleet, "c1");
-  uint32_t other = serve_elsewhere (fleet, "c1", home);
+  uint32_t home = ask_engine (testbed, "c1");
+  uint32_t other = serve_elsewhere (testbed, "c1", home);
   for (uint32_t i = 0; i < 3; i++)
-    CU_ASSERT_EQUAL (ask_engine (fleet, "c1"), other);
+    CU_ASSERT_EQUAL (ask_engine (testbed, "c1"), other);
 }
 
-/* The home of that chat leaves. It hands what it knew to the next home, which is not the engine
- * that served the chat, and which refers the chat there in its turn. */
+/* As before, and then the home's host leaves. Its sidecar must send its directory entry to the
+ * chat's next home, which then refers the chat to the engine that has it cached. */
 static void
-hands_over_what_it_knew (void)
+a_leaving_sidecar_hands_over_its_directory (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   char chat[16];
 
   for (uint32_t i = 0; i < 6; i++)
     {
-      noted_t noted = { .fleet = fleet };
+      hint_wait_t hint_wait = { .testbed = testbed };
 
       g_snprintf (chat, sizeof chat, "h%u", i);
-      uint32_t home = ask_engine (fleet, chat);
-      uint32_t other = serve_elsewhere (fleet, chat, home);
-      noted.more_than = notes (fleet);
-      pfl_set_state (fleet, home, MEM_LEAVING);
-      CU_ASSERT_TRUE (pfl_until (fleet, is_noted, &noted));
-      CU_ASSERT_EQUAL (ask_engine (fleet, chat), other);
-      CU_ASSERT_EQUAL (ask_engine (fleet, chat), other);
-      pfl_set_state (fleet, home, MEM_LIVE);
+      uint32_t home = ask_engine (testbed, chat);
+      uint32_t other = serve_elsewhere (testbed, chat, home);
+      hint_wait.hints_before = count_hints (testbed);
+      pfl_set_state (testbed, home, MEM_LEAVING);
+      CU_ASSERT_TRUE (pfl_until (testbed, hint_received, &hint_wait));
+      CU_ASSERT_EQUAL (ask_engine (testbed, chat), other);
+      CU_ASSERT_EQUAL (ask_engine (testbed, chat), other);
+      pfl_set_state (testbed, home, MEM_LIVE);
     }
 }
 
 /*
- * One of three homes takes no work while sixty chats come, as in a surge: a third of them is served
- * elsewhere. All are answered, and the home is told of as many as the control budget allows, and no
- * more: without that a router sent three times the budget of all its control traffic.
+ * One of three sidecars refuses requests while sixty chats arrive, as in a surge, so a third of
+ * them is served by engines other than their homes. All must be answered, and the home gets only as
+ * many hints as the control budget allows. Without the limit, the hints made a router send three
+ * times its whole control budget.
  */
 static void
-hints_keep_to_the_budget (void)
+hints_stay_within_the_control_budget (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  dmn_t *dmn = &fleet->router.dmn;
-  cnt_t *hints = cnt_get (dmn->counters, "medlarplank_served_hints_total", "");
-  uint64_t began_us = clk_now_us (&dmn->clk);
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  dmn_t *daemon = &testbed->router.daemon;
+  cnt_t *hints = cnt_get (daemon->counters, "medlarplank_served_hints_total", "");
+  uint64_t began_us = clk_now_us (&daemon->clk);
   uint64_t allowed_bytes;
   char chat[16];
 
-  pfl_flag (&fleet->sidecars[0], MSG_FRESHNESS, false);
+  pfl_flag (&testbed->sidecars[0], MSG_FRESHNESS, false);
   for (uint32_t i = 0; i < 60; i++)
     {
       g_snprintf (chat, sizeof chat, "s%u", i);
-      ask_engine (fleet, chat);
+      ask_engine (testbed, chat);
     }
-  allowed_bytes = dmn->set.control_budget_bytes *
-                  (CLK_US_PER_S + clk_now_us (&dmn->clk) - began_us) / CLK_US_PER_S;
+  allowed_bytes = daemon->set.control_budget_bytes *
+                  (CLK_US_PER_S + clk_now_us (&daemon->clk) - began_us) / CLK_US_PER_S;
   CU_ASSERT (cnt_value (hints) > 0);
   CU_ASSERT (cnt_value (hints) * OPS_CALL_BYTES <= allowed_bytes);
 }
 
-/* A long answer is streamed through router and sidecar with what is queued bounded at each; it must
- * come out whole and in order. */
+/* A long answer passes through the bounded buffers of sidecar and router; it must arrive whole and
+ * in order. */
 static void
 streams_a_long_answer (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
-  pfl_request_t request = talk ("long");
+  pfl_request_t request = chat_request ("long");
 
-  pfl_set_all (fleet, PFL_LONG);
-  pfl_ask (fleet, &request, &answer);
+  pfl_set_all (testbed, PFL_LONG);
+  pfl_ask (testbed, &request, &answer);
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.body->len, PFL_LONG_BYTES);
   for (size_t i = 0; i < answer.body->len; i += 1000)
@@ -154,9 +156,9 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "returns to where it was served", returns_to_where_it_was_served },
-    { "hands over what it knew", hands_over_what_it_knew },
-    { "hints keep to the budget", hints_keep_to_the_budget },
+    { "a chat returns to the engine that served it", a_chat_returns_to_the_engine_that_served_it },
+    { "a leaving sidecar hands over its directory", a_leaving_sidecar_hands_over_its_directory },
+    { "hints stay within the control budget", hints_stay_within_the_control_budget },
     { "streams a long answer", streams_a_long_answer },
     CU_TEST_INFO_NULL,
   };
--- a/tests/test_path_closed.c
+++ b/tests/test_path_closed.c
@@ -9,123 +9,124 @@
 static bool
 claim_held (void *context)
 {
-  const pfl_t *fleet = context;
+  const pfl_t *testbed = context;
 
-  return fleet->held_by != NULL;
+  return testbed->held_claim_node != NULL;
 }
 
 static uint32_t
-sidecar_of (const pfl_t *fleet, const pfl_daemon_t *daemon)
+sidecar_index (const pfl_t *testbed, const pfl_daemon_t *node)
 {
-  return (uint32_t)(daemon - fleet->sidecars);
+  return (uint32_t)(node - testbed->sidecars);
 }
 
-#define GRACE_SLACK_US (100 * 1000) /* the host hears of its stop a little later */
+#define GRACE_SLACK_US (100 * 1000) /* the sidecar's grace period starts a little later */
 
-/** struct later - until when to let the daemons run */
+/** struct run_until - context of time_reached(); @until_us: how long to run the daemons */
 typedef struct
 {
-  const pfl_t *fleet;
+  const pfl_t *testbed;
   uint64_t until_us;
-} later_t;
+} run_until_t;
 
 static bool
-is_later (void *context)
+time_reached (void *context)
 {
-  const later_t *later = context;
+  const run_until_t *run_until = context;
 
-  return clk_now_us (&later->fleet->router.dmn.clk) >= later->until_us;
+  return clk_now_us (&run_until->testbed->router.daemon.clk) >= run_until->until_us;
 }
 
-/* A booking waits for the log to judge its claim when a planned stop begins. Granted at once, it
- * runs here: given back instead, the release of its claim may reach the log after the next
- * sidecar's claim, and the caller hears "may have run" though nothing failed. */
+/* A planned stop begins while a non-idempotent request waits for its claim. If the claim is granted
+ * soon after, the request must run here. If it were refused, the release of its claim could reach
+ * the log after the next sidecar's claim, and the caller would be told "may have run" although
+ * nothing failed. */
 static void
-a_grant_at_the_start_of_a_stop_runs (void)
+a_claim_granted_at_the_start_of_a_stop_runs (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
 
-  fleet->log_slow = true;
-  pfl_send (fleet, &BOOK, &answer);
-  CU_ASSERT_TRUE_FATAL (pfl_until (fleet, claim_held, fleet));
-  uint32_t leaving = sidecar_of (fleet, fleet->held_by);
-  pfl_flag (&fleet->sidecars[leaving], MSG_DRAIN, true);
-  pfl_judge (fleet);
-  CU_ASSERT_TRUE (pfl_until (fleet, pfl_done, &answer));
+  testbed->hold_claims = true;
+  pfl_send (testbed, &BOOK, &answer);
+  CU_ASSERT_TRUE_FATAL (pfl_until (testbed, claim_held, testbed));
+  uint32_t leaving = sidecar_index (testbed, testbed->held_claim_node);
+  pfl_flag (&testbed->sidecars[leaving], MSG_DRAIN, true);
+  pfl_judge (testbed);
+  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT_EQUAL (fleet->engines[leaving].run_count, 1);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
+  CU_ASSERT_EQUAL (testbed->engines[leaving].request_count, 1);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
 }
 
-/* A booking was admitted and waits for a slow log to judge its claim when its host begins to leave.
- * Granted seconds later, it must not go to the engine that leaves: it is released there as not run,
- * and another engine runs it once. */
+/* The host begins to leave while an admitted non-idempotent request waits for its claim, and a slow
+ * log grants the claim after the grace period. The request must not start on the leaving engine.
+ * The claim is released as not run, and another engine runs the request once. */
 static void
-a_late_grant_starts_nothing_on_a_leaving_host (void)
+a_claim_granted_late_does_not_run_on_a_leaving_host (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_auto (pfl_answer_t) answer = { 0 };
-  later_t later;
-
-  fleet->log_slow = true;
-  pfl_send (fleet, &BOOK, &answer);
-  CU_ASSERT_TRUE_FATAL (pfl_until (fleet, claim_held, fleet));
-  uint32_t leaving = sidecar_of (fleet, fleet->held_by);
-  pfl_flag (&fleet->sidecars[leaving], MSG_DRAIN, true);
-  later = (later_t){ fleet,
-                     clk_now_us (&fleet->router.dmn.clk) + LIM_LEAVING_GRACE_US + GRACE_SLACK_US };
-  CU_ASSERT_TRUE (pfl_until (fleet, is_later, &later));
-  pfl_judge (fleet);
-  CU_ASSERT_TRUE (pfl_until (fleet, pfl_done, &answer));
+  run_until_t run_until;
+
+  testbed->hold_claims = true;
+  pfl_send (testbed, &BOOK, &answer);
+  CU_ASSERT_TRUE_FATAL (pfl_until (testbed, claim_held, testbed));
+  uint32_t leaving = sidecar_index (testbed, testbed->held_claim_node);
+  pfl_flag (&testbed->sidecars[leaving], MSG_DRAIN, true);
+  run_until = (run_until_t){ testbed, clk_now_us (&testbed->router.daemon.clk) +
+                                          LIM_LEAVING_GRACE_US + GRACE_SLACK_US };
+  CU_ASSERT_TRUE (pfl_until (testbed, time_reached, &run_until));
+  pfl_judge (testbed);
+  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT_EQUAL (fleet->engines[leaving].run_count, 0);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
+  CU_ASSERT_EQUAL (testbed->engines[leaving].request_count, 0);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
 }
 
-#define MOVED                                                                                      \
+#define MOVED_ENGINES_PATCH                                                                        \
   "{\"services\":{\"pool\":{\"engines\":[\"e9\"]},"                                                \
   "\"desk\":{\"kind\":\"plain\",\"engines\":[\"e0\",\"e1\",\"e2\"]}}}"
 
 static man_t *
-moved_manifest (const pfl_t *fleet)
+moved_manifest (const pfl_t *testbed)
 {
-  json_t *patch = json_loads (MOVED, 0, NULL);
-  man_t *man = man_patch (fleet->man, patch, NULL);
+  json_t *patch = json_loads (MOVED_ENGINES_PATCH, 0, NULL);
+  man_t *manifest = man_patch (testbed->manifest, patch, NULL);
 
-  g_assert (man != NULL);
-  man->version = fleet->man->version + 1;
+  g_assert (manifest != NULL);
+  manifest->version = testbed->manifest->version + 1;
   json_decref (patch);
-  return man;
+  return manifest;
 }
 
 static bool
-rest_refused (void *context)
+queued_requests_refused (void *context)
 {
-  const pfl_crowd_t *crowd = context;
+  const pfl_crowd_t *burst = context;
 
-  return pfl_open (crowd) == pfl_runs (crowd->fleet);
+  return pfl_open (burst) == pfl_runs (burst->testbed);
 }
 
-/* Lookups wait at the sidecars when a new version gives their engines to another service. Whatever
- * the engines load now, it is not what these callers asked for: those that wait are refused as not
- * run, those that run go on. */
+/* Requests are queued at the sidecars when a new version moves their engines to another service.
+ * The engines may serve another model from then on, so queued requests must be refused as not run;
+ * running ones continue. */
 static void
-a_moved_engine_starts_nothing_that_waited (void)
+an_engine_moved_to_another_service_refuses_queued_requests (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  pfl_crowd_t crowd = { .fleet = fleet };
-
-  CU_ASSERT_TRUE (pfl_start_crowd (&crowd, &LOOK));
-  uint32_t runs = pfl_runs (fleet);
-  pfl_set_man (fleet, moved_manifest (fleet));
-  CU_ASSERT_TRUE (pfl_until (fleet, rest_refused, &crowd));
-  CU_ASSERT_EQUAL (pfl_runs (fleet), runs);
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  pfl_crowd_t burst = { .testbed = testbed };
+
+  CU_ASSERT_TRUE (pfl_start_crowd (&burst, &LOOK));
+  uint32_t runs = pfl_runs (testbed);
+  pfl_set_man (testbed, moved_manifest (testbed));
+  CU_ASSERT_TRUE (pfl_until (testbed, queued_requests_refused, &burst));
+  CU_ASSERT_EQUAL (pfl_runs (testbed), runs);
   for (uint32_t i = 0; i < PFL_CROWD; i++)
     {
-      if (crowd.answers[i].done)
-        CU_ASSERT_STRING_EQUAL (crowd.answers[i].verdict, "not_run");
-      pfl_answer_clear (&crowd.answers[i]);
+      if (burst.answers[i].done)
+        CU_ASSERT_STRING_EQUAL (burst.answers[i].verdict, "not_run");
+      pfl_answer_clear (&burst.answers[i]);
     }
 }
 
@@ -133,10 +134,11 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "a grant at the start of a stop runs", a_grant_at_the_start_of_a_stop_runs },
-    { "a late grant starts nothing on a leaving host",
-      a_late_grant_starts_nothing_on_a_leaving_host },
-    { "a moved engine starts nothing that waited", a_moved_engine_starts_nothing_that_waited },
+    { "a claim granted at the start of a stop runs", a_claim_granted_at_the_start_of_a_stop_runs },
+    { "a claim granted late does not run on a leaving host",
+      a_claim_granted_late_does_not_run_on_a_leaving_host },
+    { "an engine moved to another service refuses queued requests",
+      an_engine_moved_to_another_service_refuses_queued_requests },
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_path_copies.c
+++ b/tests/test_path_copies.c
@@ -14,44 +14,45 @@
 }
 
 static uint32_t
-count_answers (const pfl_crowd_t *crowd, int status, const char *verdict)
+count_answers (const pfl_crowd_t *burst, int status, const char *verdict)
 {
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < PFL_CROWD; i++)
-    count += crowd->answers[i].status == status && strcmp (crowd->answers[i].verdict, verdict) == 0;
+    count += burst->answers[i].status == status && strcmp (burst->answers[i].verdict, verdict) == 0;
   return count;
 }
 
-/* A caller sends one request many times over; some copies run, some wait. Then the sidecars hear
- * that it has crashed two engines elsewhere. The copies that wait were judged before that, but must
- * not go on to crash a third one: when there is room they are refused for good, as not run. */
+/* A caller sends many copies of one request; some run and some are queued. Then the sidecars
+ * receive a mark that the request has crashed two other engines. The queued copies were checked
+ * before that, and must not run and crash a third engine: they are checked again when it is their
+ * turn, and refused permanently as not run. */
 static void
-a_copy_that_waited_is_judged_again (void)
+a_queued_copy_is_checked_again_before_it_runs (void)
 {
   uint64_t fingerprint = dgs_fingerprint ("first", dgs_body ("GET", LOOK.path, NULL, 0));
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  pfl_crowd_t crowd = { .fleet = fleet };
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  pfl_crowd_t burst = { .testbed = testbed };
 
-  CU_ASSERT_TRUE (pfl_start_crowd (&crowd, &LOOK));
-  uint32_t runs = pfl_runs (fleet);
+  CU_ASSERT_TRUE (pfl_start_crowd (&burst, &LOOK));
+  uint32_t runs = pfl_runs (testbed);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
     {
       msg_marks_t *marks = msg_new (MSG_MARKS);
 
       marks->count = 1;
       marks->marks[0] = (sus_mark_t){ .fingerprint = fingerprint, .engines = { 71, 72 } };
-      mbx_send (fleet->sidecars[i].dmn.to_data, &marks->head);
+      mbx_send (testbed->sidecars[i].daemon.to_data, &marks->head);
     }
-  CU_ASSERT_TRUE (pfl_until (fleet, pfl_rest_waits, &crowd));
+  CU_ASSERT_TRUE (pfl_until (testbed, pfl_rest_waits, &burst));
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_release (&fleet->engines[i]);
-  CU_ASSERT_TRUE (pfl_until (fleet, all_done, &crowd));
-  CU_ASSERT_EQUAL (pfl_runs (fleet), runs);
-  CU_ASSERT_EQUAL (count_answers (&crowd, 200, "ran"), runs);
-  CU_ASSERT_TRUE (count_answers (&crowd, 422, "not_run") > 0);
+    pfl_release (&testbed->engines[i]);
+  CU_ASSERT_TRUE (pfl_until (testbed, all_done, &burst));
+  CU_ASSERT_EQUAL (pfl_runs (testbed), runs);
+  CU_ASSERT_EQUAL (count_answers (&burst, 200, "ran"), runs);
+  CU_ASSERT_TRUE (count_answers (&burst, 422, "not_run") > 0);
   for (uint32_t i = 0; i < PFL_CROWD; i++)
-    pfl_answer_clear (&crowd.answers[i]);
+    pfl_answer_clear (&burst.answers[i]);
 }
 
 static uint64_t
@@ -59,43 +60,46 @@
 {
   g_autofree char *name = g_strdup_printf ("medlarplank_refusals_total{reason=\"%s\"}", reason);
 
-  return cnt_value (cnt_get (sidecar->dmn.counters, name, ""));
+  return cnt_value (cnt_get (sidecar->daemon.counters, name, ""));
 }
 
 static bool
-none_waits (void *context)
+queue_is_empty (void *context)
 {
   return pfl_waiting (context) == 0;
 }
 
-/* Copies of one request run on an engine when it crashes, and others wait for it. Those must not go
- * on as if the engine were just away: their routers hear that it crashed on them, tell the next
- * sidecar, and count towards the two engines that one request may cost. */
+/* An engine crashes while copies of one request run on it and others are queued for it. The queued
+ * ones must be refused for the crash, not as for an engine that is merely down: only then does the
+ * router pass the crash on to the next sidecar, and count it towards the limit of two engines for
+ * one request. */
 static void
-a_copy_that_waited_carries_the_crash (void)
+a_queued_copy_reports_the_crash_of_its_engine (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  pfl_crowd_t crowd = { .fleet = fleet };
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  pfl_crowd_t burst = { .testbed = testbed };
   uint32_t crashed = 0;
 
-  CU_ASSERT_TRUE (pfl_start_crowd (&crowd, &LOOK));
-  while (pfl_waiting (&fleet->sidecars[crashed]) == 0)
+  CU_ASSERT_TRUE (pfl_start_crowd (&burst, &LOOK));
+  while (pfl_waiting (&testbed->sidecars[crashed]) == 0)
     crashed++;
-  uint64_t waited = pfl_waiting (&fleet->sidecars[crashed]);
-  pfl_crash (&fleet->engines[crashed]);
-  CU_ASSERT_TRUE (pfl_until (fleet, none_waits, &fleet->sidecars[crashed]));
-  CU_ASSERT_TRUE (refusals (&fleet->sidecars[crashed], "suspect_here") >= waited);
-  CU_ASSERT_EQUAL (refusals (&fleet->sidecars[crashed], "no_engine"), 0);
+  uint64_t waited = pfl_waiting (&testbed->sidecars[crashed]);
+  pfl_crash (&testbed->engines[crashed]);
+  CU_ASSERT_TRUE (pfl_until (testbed, queue_is_empty, &testbed->sidecars[crashed]));
+  CU_ASSERT_TRUE (refusals (&testbed->sidecars[crashed], "suspect_here") >= waited);
+  CU_ASSERT_EQUAL (refusals (&testbed->sidecars[crashed], "no_engine"), 0);
   for (uint32_t i = 0; i < PFL_CROWD; i++)
-    pfl_answer_clear (&crowd.answers[i]);
+    pfl_answer_clear (&burst.answers[i]);
 }
 
 int
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "a copy that waited is judged again", a_copy_that_waited_is_judged_again },
-    { "a copy that waited carries the crash", a_copy_that_waited_carries_the_crash },
+    { "a queued copy is checked again before it runs",
+      a_queued_copy_is_checked_again_before_it_runs },
+    { "a queued copy reports the crash of its engine",
+      a_queued_copy_reports_the_crash_of_its_engine },
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_path_hostile.c
+++ b/tests/test_path_hostile.c
@@ -13,55 +13,56 @@
   return raw->eof || strstr (raw->got->str, "\r\n\r\n") != NULL;
 }
 
-/* send_raw() - Return: the status of the answer, 0 when the connection was closed without one */
+/* send_raw() - sends bytes to the router. Return: the status of the answer, 0 when the connection
+ * was closed without one */
 static int
-send_raw (pfl_t *fleet, const char *text)
+send_raw (pfl_t *testbed, const char *text)
 {
-  raw_t *raw = raw_connect (fleet->base, &fleet->hosts[PFL_SIDECARS].http);
+  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[PFL_SIDECARS].http);
   int status = 0;
 
   raw_send (raw, text);
-  CU_ASSERT_TRUE (pfl_until (fleet, answered, raw));
+  CU_ASSERT_TRUE (pfl_until (testbed, answered, raw));
   sscanf (raw->got->str, "HTTP/1.1 %d", &status);
   raw_free (raw);
   return status;
 }
 
 static uint64_t
-hops (const pfl_t *fleet)
+count_hops (const pfl_t *testbed)
 {
-  return cnt_value (cnt_get (fleet->router.dmn.counters, "medlarplank_hops_total", ""));
+  return cnt_value (cnt_get (testbed->router.daemon.counters, "medlarplank_hops_total", ""));
 }
 
-/* A caller sends a header with a control character, which the router cannot pass on. It took that
- * for sidecars that could not be reached: after two such requests no host looked alive any more, to
- * the requests of all client accounts. The listener refuses it instead. */
+/* A caller sends a header with a control character, which the router's HTTP client cannot send. The
+ * router took this for a connection failure of the sidecars, and after two such requests skipped
+ * all hosts, for all client accounts. The listener must refuse the request instead. */
 static void
-a_control_character_blames_no_host (void)
+a_control_character_does_not_mark_hosts_as_failed (void)
 {
   static const char *const VALUES[] = { "\x01", "a\x7f", "a\x1b[0m" };
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
-  uint64_t before = hops (fleet);
+  uint64_t before = count_hops (testbed);
   for (uint32_t i = 0; i < G_N_ELEMENTS (VALUES); i++)
     {
       g_autofree char *text = g_strdup_printf (
           "GET /look HTTP/1.1\r\nHost: h\r\nX-Api-Key: " PFL_KEY "\r\nX-Note: %s\r\n\r\n",
           VALUES[i]);
 
-      CU_ASSERT_EQUAL (send_raw (fleet, text), 400);
+      CU_ASSERT_EQUAL (send_raw (testbed, text), 400);
     }
-  CU_ASSERT_EQUAL (hops (fleet), before);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
+  CU_ASSERT_EQUAL (count_hops (testbed), before);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
 }
 
-/* A caller's headers are just within the router's limits, in the tightest form. What the router
- * adds must still fit the sidecar's, or each such request would look like a sidecar that breaks
- * off. */
+/* A caller's headers are just within the router's limits, in their most compact form. With the
+ * headers that the router adds they must still fit the limits of the sidecar. Otherwise each such
+ * request would look like a sidecar that closes the connection. */
 static void
-the_largest_headers_blame_no_host (void)
+the_largest_headers_do_not_mark_hosts_as_failed (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   g_autoptr (GString) text = g_string_new ("GET /look HTTP/1.1\r\nX-Api-Key:" PFL_KEY "\r\n");
 
   for (uint32_t i = 0; i < 9; i++)
@@ -72,36 +73,38 @@
       g_string_append (text, "\r\n");
     }
   g_string_append (text, "\r\n");
-  CU_ASSERT_EQUAL (send_raw (fleet, text->str), 200);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
+  CU_ASSERT_EQUAL (send_raw (testbed, text->str), 200);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
 }
 
-/* The booking's route says that it runs once, the lookups' wildcard that it may be repeated. A path
- * that the engine would tidy up into the booking's must not be taken for a lookup. */
+/* "/book" is not idempotent, and the wildcard route "/look*" is. A path that matches the wildcard,
+ * but that an engine would normalise to "/book", must be refused, or the router could repeat it. */
 static void
-a_disguised_booking_reaches_no_engine (void)
+an_ambiguous_path_reaches_no_engine (void)
 {
   static const char *const TARGETS[] = { "/look/../book", "/look/%2e%2e/book", "/look//book",
                                          "/look;/book", "/look%2f..%2fbook" };
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (TARGETS); i++)
     {
       g_autofree char *text = g_strdup_printf (
           "GET %s HTTP/1.1\r\nHost: h\r\nX-Api-Key: " PFL_KEY "\r\n\r\n", TARGETS[i]);
 
-      CU_ASSERT_EQUAL (send_raw (fleet, text), 400);
+      CU_ASSERT_EQUAL (send_raw (testbed, text), 400);
     }
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
 }
 
 int
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "a control character blames no host", a_control_character_blames_no_host },
-    { "the largest headers blame no host", the_largest_headers_blame_no_host },
-    { "a disguised booking reaches no engine", a_disguised_booking_reaches_no_engine },
+    { "a control character does not mark hosts as failed",
+      a_control_character_does_not_mark_hosts_as_failed },
+    { "the largest headers do not mark hosts as failed",
+      the_largest_headers_do_not_mark_hosts_as_failed },
+    { "an ambiguous path reaches no engine", an_ambiguous_path_reaches_no_engine },
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -9,13 +9,20 @@
 static const pfl_request_t BOOK = { .path = "/book", .body = "lot 7" };
 static const pfl_request_t LOOK = { .path = "/look" };
 
-/** struct fake - a sidecar whose connections break, and which answers revokes as it is told
- * @moved: when a request has come, the list tells @moved_to as the address of this host */
+/**
+ * struct fake - a fake sidecar that closes the connection on each request, and answers revokes
+ * @moved_host: host whose address in the member list becomes @new_address when a request arrives,
+ * or NULL
+ * @verdict: answer to a revoke
+ * @incarnation: incarnation that the answer to a revoke carries
+ * @requests: requests received
+ * @revokes: revokes received
+ */
 typedef struct
 {
-  hsv_t *hsv;
-  mem_host_t *moved;
-  set_address_t moved_to;
+  hsv_t *server;
+  mem_host_t *moved_host;
+  set_address_t new_address;
   const char *verdict;
   const char *incarnation;
   uint32_t requests;
@@ -30,8 +37,8 @@
   if (strcmp (hsv_path (call), HOP_REVOKE_PATH) != 0)
     {
       fake->requests++;
-      if (fake->moved != NULL)
-        fake->moved->http = fake->moved_to;
+      if (fake->moved_host != NULL)
+        fake->moved_host->http = fake->new_address;
       hsv_abort (call);
       return;
     }
@@ -42,10 +49,10 @@
 }
 
 static void
-listen_as (pfl_t *fleet, fake_t *fake, uint32_t last)
+listen_as (pfl_t *testbed, fake_t *fake, uint32_t last)
 {
-  hsv_options_t options = { .base = fleet->base,
-                            .counters = fleet->counters,
+  hsv_options_t options = { .base = testbed->base,
+                            .counters = testbed->counters,
                             .listen = pfl_address (last),
                             .body_limit_bytes = 1 << 20,
                             .header_limit_bytes = 1 << 16,
@@ -55,181 +62,183 @@
                             .on_call = on_call,
                             .context = fake };
 
-  fake->hsv = hsv_new (&options, NULL);
+  fake->server = hsv_new (&options, NULL);
 }
 
-/* stand_in() - the first engine that the router would ask for a booking is behind the fake */
+/* replace_first_sidecar() - replaces the sidecar that the router tries first for BOOK by the fake.
+ * Return: its index */
 static uint32_t
-stand_in (pfl_t *fleet, fake_t *fake)
+replace_first_sidecar (pfl_t *testbed, fake_t *fake)
 {
 
-  uint32_t first = pfl_ask_engine (fleet, &BOOK);
-  listen_as (fleet, fake, 60);
-  fleet->hosts[first].http = pfl_address (60);
+  uint32_t first = pfl_ask_engine (testbed, &BOOK);
+  listen_as (testbed, fake, 60);
+  testbed->hosts[first].http = pfl_address (60);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    fleet->engines[i].run_count = 0;
+    testbed->engines[i].request_count = 0;
   return first;
 }
 
 static void
-ask (pfl_t *fleet, const pfl_request_t *request, int status, const char *verdict)
+ask_status (pfl_t *testbed, const pfl_request_t *request, int status, const char *verdict)
 {
   g_auto (pfl_answer_t) answer = { 0 };
 
-  pfl_ask (fleet, request, &answer);
+  pfl_ask (testbed, request, &answer);
   CU_ASSERT_EQUAL (answer.status, status);
   CU_ASSERT_STRING_EQUAL (answer.verdict, verdict);
 }
 
-/* The connection to a sidecar breaks under a booking. The sidecar, asked, says that it never saw
- * the attempt and has barred it: the router may go on to another engine, and the booking runs once.
- */
+/* The connection to a sidecar breaks during a non-idempotent request. The sidecar answers the
+ * revoke with "not run", so the router may try another engine, and the request runs once. */
 static void
-goes_on_after_not_run (void)
+tries_another_engine_after_not_run (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   fake_t fake = { .verdict = "not_run" };
   char incarnation[16];
 
-  uint32_t first = stand_in (fleet, &fake);
+  uint32_t first = replace_first_sidecar (testbed, &fake);
   g_snprintf (incarnation, sizeof incarnation, "%u", 1000 + first);
   fake.incarnation = incarnation;
-  ask (fleet, &BOOK, 200, "ran");
+  ask_status (testbed, &BOOK, 200, "ran");
   CU_ASSERT_EQUAL (fake.requests, 1);
   CU_ASSERT_EQUAL (fake.revokes, 1);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
-  hsv_free (fake.hsv);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  hsv_free (fake.server);
 }
 
-/* The same, but the sidecar restarted in between: it has no memory of what its predecessor passed
- * to the engine. Its "never seen" must not count, or the booking could run twice. */
+/* The same, but the sidecar restarted in between, and does not know what its predecessor passed to
+ * the engine. Its "not run" must be ignored, or the request could run twice. */
 static void
-believes_no_successor (void)
+ignores_the_verdict_of_a_restarted_sidecar (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   fake_t fake = { .verdict = "not_run", .incarnation = "999999" };
 
-  stand_in (fleet, &fake);
-  ask (fleet, &BOOK, 502, "may_have_run");
+  replace_first_sidecar (testbed, &fake);
+  ask_status (testbed, &BOOK, 502, "may_have_run");
   CU_ASSERT_EQUAL (fake.revokes, 1);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
-  hsv_free (fake.hsv);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  hsv_free (fake.server);
 }
 
-/* A host is replaced under its name. The router has heard of the successor, but its list still has
- * the predecessor's address: the booking goes there, is passed on, and the predecessor dies. Then
- * the list tells the new address, where the successor truly never saw the attempt. That must not
- * count, or the booking runs twice. */
+/* A host is replaced and keeps its name. The router knows the successor's incarnation while its
+ * member list still has the predecessor's address. A non-idempotent request goes to the
+ * predecessor, which passes it to the engine and dies. Then the member list gets the successor's
+ * address. The revoke must go to the old address: the successor would answer "not run" with the
+ * known incarnation, and the request would run twice. */
 static void
-asks_where_it_sent (void)
+revokes_at_the_address_of_the_hop (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   fake_t predecessor = { .verdict = "may_have_run", .incarnation = "7" };
   fake_t successor = { .verdict = "not_run" };
   char incarnation[16];
 
-  uint32_t first = stand_in (fleet, &predecessor);
+  uint32_t first = replace_first_sidecar (testbed, &predecessor);
   g_snprintf (incarnation, sizeof incarnation, "%u", 1000 + first);
   successor.incarnation = incarnation;
-  listen_as (fleet, &successor, 61);
-  predecessor.moved = &fleet->hosts[first];
-  predecessor.moved_to = pfl_address (61);
-  ask (fleet, &BOOK, 502, "may_have_run");
+  listen_as (testbed, &successor, 61);
+  predecessor.moved_host = &testbed->hosts[first];
+  predecessor.new_address = pfl_address (61);
+  ask_status (testbed, &BOOK, 502, "may_have_run");
   CU_ASSERT_EQUAL (predecessor.requests, 1);
   CU_ASSERT_EQUAL (predecessor.revokes, 1);
   CU_ASSERT_EQUAL (successor.revokes, 0);
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
-  hsv_free (predecessor.hsv);
-  hsv_free (successor.hsv);
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  hsv_free (predecessor.server);
+  hsv_free (successor.server);
 }
 
-/* The sidecar had passed the booking on: nobody can tell what became of it, and it is not tried
- * elsewhere. A lookup is. */
+/* The sidecar had passed the request to the engine, so its outcome is unknown. A non-idempotent
+ * request must not be tried at another engine; an idempotent one is. */
 static void
-moves_only_lookups_after_may_have_run (void)
+after_may_have_run_retries_only_idempotent_requests (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   fake_t fake = { .verdict = "may_have_run" };
   char incarnation[16];
 
-  uint32_t first = stand_in (fleet, &fake);
+  uint32_t first = replace_first_sidecar (testbed, &fake);
   g_snprintf (incarnation, sizeof incarnation, "%u", 1000 + first);
   fake.incarnation = incarnation;
-  ask (fleet, &BOOK, 502, "may_have_run");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 0);
-  ask (fleet, &LOOK, 200, "ran");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 1);
-  hsv_free (fake.hsv);
+  ask_status (testbed, &BOOK, 502, "may_have_run");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  ask_status (testbed, &LOOK, 200, "ran");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  hsv_free (fake.server);
 }
 
-/* The sidecar's host refuses connections: not a byte left, so even a booking goes on at once, and
- * after two such failures the host is no longer asked. */
+/* The sidecar's host refuses connections, so no byte of the request was sent: even a non-idempotent
+ * request is tried at another engine at once. After two such failures the host is skipped. */
 static void
-skips_a_host_that_refuses (void)
+skips_a_host_that_refuses_connections (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
+  g_autoptr (pfl_t) testbed = pfl_new ();
   fake_t fake = { 0 };
 
-  stand_in (fleet, &fake);
-  hsv_free (fake.hsv);
+  replace_first_sidecar (testbed, &fake);
+  hsv_free (fake.server);
   for (uint32_t i = 0; i < 5; i++)
-    ask (fleet, &BOOK, 200, "ran");
-  CU_ASSERT_EQUAL (pfl_runs (fleet), 5);
+    ask_status (testbed, &BOOK, 200, "ran");
+  CU_ASSERT_EQUAL (pfl_runs (testbed), 5);
 }
 
 static bool
-is_held (void *context)
+any_request_held (void *context)
 {
-  const pfl_t *fleet = context;
+  const pfl_t *testbed = context;
 
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    if (fleet->engines[i].held->len > 0)
+    if (testbed->engines[i].held_requests->len > 0)
       return true;
   return false;
 }
 
 /*
- * One request takes its time at an engine, and others at the same host are answered meanwhile, as
- * in a surge that makes many wait. The router hears the host all the time, so it need not ask
- * whether it is frozen; it asked twice a second for each host, which was more than half of its
- * control traffic.
+ * One request runs for long at an engine while the same host answers others, as in a surge when
+ * many requests wait. The router gets answers from the host all the time, so it must not send it
+ * health checks. It sent two a second to each host, which was more than half of its control
+ * traffic.
  */
 static void
-asks_no_host_that_it_hears (void)
+checks_no_host_that_answers_other_requests (void)
 {
-  g_autoptr (pfl_t) fleet = pfl_new ();
-  dmn_t *dmn = &fleet->router.dmn;
-  cnt_t *probes = cnt_get (dmn->counters, "medlarplank_probes_total", "");
+  g_autoptr (pfl_t) testbed = pfl_new ();
+  dmn_t *daemon = &testbed->router.daemon;
+  cnt_t *probes = cnt_get (daemon->counters, "medlarplank_probes_total", "");
   pfl_request_t request = {
     .path = "/v1/chat/completions",
     .body = "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}",
     .chat = "one chat"
   };
   g_auto (pfl_answer_t) slow = { 0 };
-  uint64_t until_us = clk_now_us (&dmn->clk) + 3 * RTR_QUIET_US;
-
-  pfl_set_all (fleet, PFL_HANG);
-  pfl_send (fleet, &request, &slow);
-  CU_ASSERT_TRUE (pfl_until (fleet, is_held, fleet));
-  pfl_set_all (fleet, PFL_ANSWER);
-  while (clk_now_us (&dmn->clk) < until_us)
-    ask (fleet, &request, 200, "ran");
+  uint64_t until_us = clk_now_us (&daemon->clk) + 3 * RTR_QUIET_US;
+
+  pfl_set_all (testbed, PFL_HANG);
+  pfl_send (testbed, &request, &slow);
+  CU_ASSERT_TRUE (pfl_until (testbed, any_request_held, testbed));
+  pfl_set_all (testbed, PFL_ANSWER);
+  while (clk_now_us (&daemon->clk) < until_us)
+    ask_status (testbed, &request, 200, "ran");
   CU_ASSERT_EQUAL (cnt_value (probes), 0);
   for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_release (&fleet->engines[i]);
-  CU_ASSERT_TRUE (pfl_until (fleet, pfl_done, &slow));
+    pfl_release (&testbed->engines[i]);
+  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &slow));
 }
 
 int
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "goes on after not run", goes_on_after_not_run },
-    { "believes no successor", believes_no_successor },
-    { "asks where it sent", asks_where_it_sent },
-    { "moves only lookups after may have run", moves_only_lookups_after_may_have_run },
-    { "skips a host that refuses", skips_a_host_that_refuses },
-    { "asks no host that it hears", asks_no_host_that_it_hears },
+    { "tries another engine after not run", tries_another_engine_after_not_run },
+    { "ignores the verdict of a restarted sidecar", ignores_the_verdict_of_a_restarted_sidecar },
+    { "revokes at the address of the hop", revokes_at_the_address_of_the_hop },
+    { "after may have run retries only idempotent requests",
+      after_may_have_run_retries_only_idempotent_requests },
+    { "skips a host that refuses connections", skips_a_host_that_refuses_connections },
+    { "checks no host that answers other requests", checks_no_host_that_answers_other_requests },
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_target.c
+++ b/tests/test_target.c
@@ -4,9 +4,9 @@
 #include <glib.h>
 
 static void
-takes_plain_paths (void)
+accepts_unambiguous_paths (void)
 {
-  static const char *const PLAIN[] = {
+  static const char *const UNAMBIGUOUS[] = {
     "/",
     "/v1/chat/completions",
     "/v1/",
@@ -19,30 +19,30 @@
     "/a..b/...",
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS (PLAIN); i++)
-    CU_ASSERT_TRUE (tgt_is_plain (PLAIN[i]));
+  for (guint i = 0; i < G_N_ELEMENTS (UNAMBIGUOUS); i++)
+    CU_ASSERT_TRUE (tgt_is_plain (UNAMBIGUOUS[i]));
 }
 
 static void
-refuses_what_an_engine_may_read_otherwise (void)
+refuses_ambiguous_paths (void)
 {
-  static const char *const OTHER[] = {
+  static const char *const AMBIGUOUS[] = {
     "*",          "//book",      "/look//book",    "/look/../book", "/look/..",      "/./book",
     "/look/.",    "/look%2fbk",  "/look/%2e%2e/b", "/look/%2E/b",   "/%62ook",       "/book;a=b",
     "/look/%3bx", "/look\\book", "/look%5cbook",   "/book#look",    "/book%00.look", "/book%0a",
     "/book%7f",   "/book%",      "/book%4",        "/book%zz",      "/book?x#y",
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS (OTHER); i++)
-    CU_ASSERT_FALSE (tgt_is_plain (OTHER[i]));
+  for (guint i = 0; i < G_N_ELEMENTS (AMBIGUOUS); i++)
+    CU_ASSERT_FALSE (tgt_is_plain (AMBIGUOUS[i]));
 }
 
 int
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "takes plain paths", takes_plain_paths },
-    { "refuses what an engine may read otherwise", refuses_what_an_engine_may_read_otherwise },
+    { "accepts unambiguous paths", accepts_unambiguous_paths },
+    { "refuses ambiguous paths", refuses_ambiguous_paths },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("target", tests);
