--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -38,7 +38,7 @@
   json_object_set_new (out, "engines", services);
   json_object_set_new (out, "load", json_integer (router->calls.length));
   json_object_set_new (out, "retry_budget_milli",
-                       json_integer ((json_int_t)router->budget.tokens_milli));
+                       json_integer ((json_int_t)router->retry_budget.tokens_milli));
 }
 
 static bool
@@ -201,7 +201,7 @@
     }
   router->http_client = hcl_new (base, RTR_IDLE_CONNECTIONS, RTR_IDLE_TIMEOUT_MS);
   router->health = hlt_new ();
-  att_budget_init (&router->budget);
+  att_budget_init (&router->retry_budget);
   router->incarnations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   router->loads = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   router->host_probes =
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -128,7 +128,7 @@
 {
   static const att_outcome_t UNKNOWN_HOST = { .verdict = VRD_NOT_RUN,
                                               .reason = VRD_REASON_CONNECT };
-  att_budget_t *budget = &call->router->budget;
+  att_budget_t *budget = &call->router->retry_budget;
 
   for (;;)
     {
@@ -161,7 +161,7 @@
     }
 }
 
-/* record_crash() - remembers that the request crashed an engine
+/* record_crash() - remembers that the request's engine crashed
  *
  * The caller may send the request again at once, and it may be placed on another engine whose
  * sidecar has not heard of the crash yet. The router passes on what it has recorded here. */
@@ -186,7 +186,7 @@
     cnt_add (router->hop_failures[outcome->reason], 1);
   if (outcome->reason == VRD_REASON_ENGINE_CRASHED || outcome->reason == VRD_REASON_SUSPECT_HERE)
     record_crash (call);
-  step = att_ended (&call->attempts, ops_now_us (router->ops), &router->budget, outcome);
+  step = att_ended (&call->attempts, ops_now_us (router->ops), &router->retry_budget, outcome);
   cnt_add (router->retries, call->attempts.retries - retries);
   rtr_call_step (call, step);
 }
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -6,6 +6,9 @@
  * request), router_call.c (the steps of a request up to its end), router_hop.c (the HTTP exchange
  * with one sidecar), router_watch.c (health checks of hosts that have not answered for a while),
  * router_tell.c (revokes and cache hints to sidecars).
+ *
+ * A hop is one exchange with one sidecar. Each hop of a request is an attempt with an id of its
+ * own, by which the router can revoke it.
  */
 #ifndef REQUEST_ROUTER_ROUTER_PRIVATE_H
 #define REQUEST_ROUTER_ROUTER_PRIVATE_H
@@ -52,7 +55,10 @@
 #define RTR_TOLD_ENTRIES 8192
 #define RTR_TOLD_US (60 * 1000 * 1000)
 
-/** struct rtr_engines - engines of a service, in the form that chs_choose() takes */
+/**
+ * struct rtr_engines - engines of a service, in the form that chs_choose() takes
+ * @details: more about the engine at the same index of @engines
+ */
 typedef struct
 {
   plc_engine_t *engines;
@@ -100,7 +106,7 @@
 /**
  * struct router - the data task of a router
  * @health: failures of hosts, as seen by this router's own requests
- * @budget: retries that are allowed now
+ * @retry_budget: retries that are allowed now
  * @pools: by index of the service in the version in force
  * @loads: service hash -> rtr_loads_t
  * @incarnations: engine hash -> uint64_t, the newest incarnation that was heard of
@@ -129,7 +135,7 @@
   ops_t *ops;
   hcl_t *http_client;
   hlt_t *health;
-  att_budget_t budget;
+  att_budget_t retry_budget;
   rtr_pool_t *pools;
   uint32_t pool_count;
   GHashTable *loads;
@@ -278,7 +284,14 @@
 void rtr_revoke (rtr_call_t *call, const mem_host_t *host);
 /** rtr_revoke_unheard() - revokes the last attempt and ignores the answer */
 void rtr_revoke_unheard (rtr_call_t *call);
-/** rtr_tell_served() - tells a chat's home which engine served the chat, unless it knows already */
+/**
+ * rtr_tell_served() - sends a hint that an engine other than the chat's home served the chat
+ *
+ * The home is the engine that ranks first for the chat; with the hint, its sidecar refers the next
+ * request of the chat to the engine that has the context in its cache. Nothing is sent when the
+ * home served the chat itself, when it got the same hint recently, or when the control budget is
+ * used up.
+ */
 void rtr_tell_served (rtr_call_t *call, uint64_t engine_hash);
 /** rtr_incarnation() - the newest known incarnation of a sidecar, 0 when unknown */
 uint64_t rtr_incarnation (const rtr_t *router, uint64_t engine_hash);
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -81,7 +81,7 @@
   att_step_t step;
 
   call->revoke_request = NULL;
-  step = att_revoked (&call->attempts, ops_now_us (router->ops), &router->budget, verdict);
+  step = att_revoked (&call->attempts, ops_now_us (router->ops), &router->retry_budget, verdict);
   cnt_add (router->retries, call->attempts.retries - retries);
   rtr_call_step (call, step);
 }
--- a/src/request/router/target.h
+++ b/src/request/router/target.h
@@ -1,5 +1,5 @@
 /**
- * DOC: target
+ * DOC: request_target
  *
  * Checks that a request target can be interpreted in one way only. The router chooses the route,
  * and with it whether a request may be repeated, by the bytes of the path. An engine that decodes
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -146,6 +146,7 @@
   return true;
 }
 
+/* refusal_reason() - why a request is refused before admission, or VRD_REASON_NONE */
 static vrd_reason_t
 refusal_reason (sdc_t *sidecar, const hop_t *hop)
 {
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -263,6 +263,8 @@
          sus_check (suspects, now_us, call->hop.fingerprint, sidecar->own_hash) == SUS_CLEAR;
 }
 
+/* suspect_reason() - why this engine must not run a request that crashed engines, or
+ * VRD_REASON_NONE */
 static vrd_reason_t
 suspect_reason (const sdc_call_t *call)
 {
@@ -315,12 +317,12 @@
     sdc_engine_start (call);
 }
 
-/* reject_waiting() - refuses a queued request
+/* reject_queued() - refuses a queued request
  *
  * If a copy of the request crashed the engine meanwhile, that reason replaces admission's own: the
  * router counts an engine crash only when the reason of the refusal names it. */
 static void
-reject_waiting (sdc_call_t *call, adm_decision_t *decision)
+reject_queued (sdc_call_t *call, adm_decision_t *decision)
 {
   vrd_reason_t reason = suspect_reason (call);
 
@@ -363,7 +365,7 @@
 
   adm_set_stale (sidecar->admission, ops_stale (sidecar->ops));
   while ((request = adm_reject (sidecar->admission, ops_now_us (sidecar->ops), &decision)) != NULL)
-    reject_waiting ((sdc_call_t *)request, &decision);
+    reject_queued ((sdc_call_t *)request, &decision);
   while ((request = adm_next (sidecar->admission, ops_now_us (sidecar->ops))) != NULL)
     dispatch ((sdc_call_t *)request);
   cnt_set_value (sidecar->load, adm_load (sidecar->admission));
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -7,6 +7,9 @@
  * sidecar_probe.c (engine health checks and crash detection), sidecar_claim.c (claims of
  * idempotency keys), sidecar_orders.c (sealed requests of other daemons), sidecar_leave.c
  * (hand-over of the directory when the host leaves).
+ *
+ * The home of a chat is the engine that ranks first for it. The directory of a sidecar records
+ * which chats its engine served recently, and which engine served a chat whose home is this one.
  */
 #ifndef REQUEST_SIDECAR_SIDECAR_PRIVATE_H
 #define REQUEST_SIDECAR_SIDECAR_PRIVATE_H
@@ -254,7 +257,8 @@
 /**
  * sdc_leave() - sends the directory to the sidecars that are the next homes of its chats
  *
- * Does nothing when that was done since the host began to leave, or no other engine is live.
+ * Entries that name the own engine are left out. Does nothing when
+ * that was done since the host began to leave, or no other engine is live.
  */
 void sdc_leave (sdc_t *sidecar);
 
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -169,16 +169,16 @@
   return node->drained;
 }
 
-/* listener_is_gone() - the router closes its listener a while after the drain begins; from then on
- * it only waits for its calls */
+/* listener_is_closed() - the router closes its listener a while after the drain begins; from then
+ * on it only waits for its calls */
 static bool
-listener_is_gone (void *context)
+listener_is_closed (void *context)
 {
   g_auto (pfl_answer_t) answer = { 0 };
 
   pfl_ask (context, &(pfl_request_t){ .path = "/livez" }, &answer);
-  bool cancelled = !answer.end.whole && answer.end.reason == VRD_REASON_CONNECT;
-  return cancelled;
+  bool closed = !answer.end.whole && answer.end.reason == VRD_REASON_CONNECT;
+  return closed;
 }
 
 /* A sidecar and the router are drained while an engine runs a request. The caller must get the
@@ -196,7 +196,7 @@
   pfl_daemon_t *sidecar = &testbed->sidecars[engine - testbed->engines];
   pfl_flag (sidecar, MSG_DRAIN, true);
   pfl_flag (&testbed->router, MSG_DRAIN, true);
-  CU_ASSERT_TRUE (pfl_until (testbed, listener_is_gone, testbed));
+  CU_ASSERT_TRUE (pfl_until (testbed, listener_is_closed, testbed));
   CU_ASSERT_FALSE (sidecar->drained);
   CU_ASSERT_FALSE (testbed->router.drained);
   pfl_release (engine);
