--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -135,12 +135,10 @@
   router->hops = cnt_get (set, "medlarplank_hops_total", "Requests sent to sidecars.");
   router->retries =
       cnt_get (set, "medlarplank_retries_total", "Requests sent again that may have run before.");
-  router->revokes = cnt_get (set, "medlarplank_revokes_total", "Attempts revoked at a sidecar.");
-  router->probes = cnt_get (set, "medlarplank_probes_total",
-                            "Health checks of hosts that did not answer for a while.");
+  router->revokes = cnt_get (set, "medlarplank_revokes_total", "Attempts given up at a sidecar.");
+  router->probes = cnt_get (set, "medlarplank_probes_total", "Quiet hosts asked whether they run.");
   router->served_hints_sent =
-      cnt_get (set, "medlarplank_served_hints_total",
-               "Hints to a chat's home about which engine served the chat.");
+      cnt_get (set, "medlarplank_served_hints_total", "Homes told where a chat was served.");
   for (uint32_t i = 0; i <= VRD_RAN; i++)
     {
       snprintf (name, sizeof name, "medlarplank_requests_total{verdict=\"%s\"}", vrd_name (i));
@@ -150,8 +148,7 @@
     {
       snprintf (name, sizeof name, "medlarplank_hop_failures_total{reason=\"%s\"}",
                 vrd_reason_name (i));
-      router->hop_failures[i] =
-          cnt_get (set, name, "Hops without an answer from the engine, by reason.");
+      router->hop_failures[i] = cnt_get (set, name, "Hops that brought no answer, by reason.");
     }
 }
 
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -64,7 +64,7 @@
       man_route_for (call->manifest, call->method, hsv_path (call->inbound), model);
 
   if (route == NULL)
-    return reject (rejection, 404, "no_route", "no route matches this path and model");
+    return reject (rejection, 404, "no_route", "no service is set up for this path and model");
   call->service = &call->manifest->services[route->service_index];
   call->request_class = &call->manifest->classes[route->class_index];
   call->hop.idempotent = route->idempotent;
@@ -72,7 +72,7 @@
     return true;
   call->request_class = man_class_named (call->manifest, class_name);
   return call->request_class != NULL ||
-         reject (rejection, 400, "unknown_class", CLASS_HEADER " names an unknown class");
+         reject (rejection, 400, "unknown_class", CLASS_HEADER " names no class");
 }
 
 static bool
@@ -85,8 +85,7 @@
   if (text != NULL)
     {
       if (!g_ascii_string_to_unsigned (text, 10, 1, UINT32_MAX, &given_ms, NULL))
-        return reject (rejection, 400, "bad_deadline",
-                       DEADLINE_HEADER " is not a positive integer");
+        return reject (rejection, 400, "bad_deadline", DEADLINE_HEADER " is not a number above 0");
       deadline_ms = MIN (deadline_ms, given_ms);
     }
   call->deadline_us = call->arrived_us + deadline_ms * CLK_US_PER_MS;
@@ -203,7 +202,7 @@
 
   call->account = ops_account (call->router->ops, call->inbound);
   if (call->account == NULL)
-    return reject (rejection, 401, "unauthorized", "the API key of a client account is required");
+    return reject (rejection, 401, "unauthorized", "the key of a client account is needed");
   valid = check_target (call, rejection) && read_body (call, &chat, rejection) &&
           find_route (call, &chat, rejection) && read_deadline (call, rejection) &&
           read_chat (call, &chat, rejection) && read_key (call, rejection);
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -245,12 +245,12 @@
 
   sidecar->dispatched =
       cnt_get (set, "medlarplank_dispatched_total", "Requests passed to the engine.");
-  sidecar->waited = cnt_get (set, "medlarplank_queued_total", "Requests that were queued here.");
+  sidecar->waited = cnt_get (set, "medlarplank_queued_total", "Requests that had to wait here.");
   sidecar->crashes = cnt_get (set, "medlarplank_engine_crashes_total", "Crashes of the engine.");
   sidecar->directory_notes =
-      cnt_get (set, SDC_NOTES_COUNTER, "Reports that a chat was served by another engine.");
+      cnt_get (set, SDC_NOTES_COUNTER, "Chats told to be warm on another engine.");
   sidecar->load = cnt_get (set, "medlarplank_load", "Requests that the engine runs now.");
-  sidecar->waiting = cnt_get (set, "medlarplank_waiting", "Requests that are queued here now.");
+  sidecar->waiting = cnt_get (set, "medlarplank_waiting", "Requests that wait here now.");
   sidecar->bound_milli =
       cnt_get (set, "medlarplank_bound_milli", "Load bound, in thousandths of a request.");
   for (uint32_t i = 0; i < VRD_REASON_COUNT; i++)
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -120,9 +120,9 @@
   if (outcome == HOP_OK)
     return true;
   if (outcome == HOP_BAD_SEAL)
-    flt_bad_request (inbound, 403, "forbidden", "a sidecar accepts requests from routers only");
+    flt_bad_request (inbound, 403, "forbidden", "a sidecar takes requests from routers only");
   else
-    flt_bad_request (inbound, 400, "bad_hop", "the router's request header cannot be parsed");
+    flt_bad_request (inbound, 400, "bad_hop", "the router's headers cannot be read");
   return false;
 }
 
