--- a/src/process/control.c
+++ b/src/process/control.c
@@ -1,16 +1,16 @@
 /**
  * DOC: control
  *
- * The control task: the platform's list and log, the exchange with other daemons, claims, pauses
- * and stopping. It decides nothing about requests; it keeps the data task told of what is so.
+ * The control task: the platform's host list and log, the exchange with other daemons, claims,
+ * pauses and shutdown. It makes no decision about requests; it keeps the data task informed.
  */
 #include "process/control_private.h"
 
 #include "base/log.h"
 #include "request/policy/place.h"
 
-#define IDLE_CONNECTIONS 1
-#define IDLE_TIMEOUT_MS 10000
+#define HTTP_IDLE_CONNECTIONS 1
+#define HTTP_IDLE_TIMEOUT_MS 10000
 
 static const struct timeval tick_interval = { 0, PSE_TICK_MS * 1000 };
 
@@ -56,7 +56,7 @@
   ctrl->mem = mem_new ();
   ctrl->list.own_state = MEM_GONE;
   ctrl->list.leaving = lvn_new ();
-  ctrl->hcl = hcl_new (base, IDLE_CONNECTIONS, IDLE_TIMEOUT_MS);
+  ctrl->hcl = hcl_new (base, HTTP_IDLE_CONNECTIONS, HTTP_IDLE_TIMEOUT_MS);
   ctrl_members_init (ctrl);
   ctrl_manifest_init (ctrl);
   ctrl_talk_init (ctrl);
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -1,23 +1,31 @@
 /**
  * DOC: control
  *
- * The control task of a daemon with sidecars: the platform's log and list, the exchange, claims,
- * the version in force, pauses, stopping. Sends to the data task's mailbox.
+ * The control task of sidecar and router daemons: it polls the platform's host list and
+ * log, exchanges state with other daemons, appends idempotency claims, and keeps the data task
+ * informed through the data task's mailbox. It also detects pauses of the process and runs the
+ * shutdown.
  *
- * A stop: main sends MSG_DRAIN to it, once. It passes that on to the data task, waits for
- * MSG_DRAINED, sends what it still has to, and then ends its own loop with
- * event_base_loopexit (base, NULL). Only then does main end the data task's loop and the process.
+ * Shutdown: main sends MSG_DRAIN to the control task, once. The control task forwards it to the
+ * data task, waits for MSG_DRAINED, appends the claims that are still pending, and then ends its
+ * own loop with event_base_loopexit (base, NULL). Only then does main end the data task's loop and
+ * the process.
  */
 #ifndef PROCESS_CONTROL_H
 #define PROCESS_CONTROL_H
 
 #include "base/daemon.h"
 
-typedef struct ctrl ctrl_t;
+typedef struct control ctrl_t;
 
+/**
+ * ctrl_new() - start the control task on @base, with the platform of the settings
+ *
+ * Return: NULL with @error set when the socket of the exchange can't be opened
+ */
 ctrl_t *ctrl_new (dmn_t *dmn, struct event_base *base, GError **error);
 void ctrl_free (ctrl_t *ctrl);
-/** ctrl_message() - handler of the control task's mailbox */
+/** ctrl_message() - handler of the control task's mailbox; @context is the ctrl_t */
 void ctrl_message (mbx_message_t *message, void *context);
 
 #endif
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -4,22 +4,27 @@
 
 #include <string.h>
 
-#define STREAMS_MAX 64
-#define READ_RECORDS 500
-#define READ_WAIT_MS 200 /* for the own append to show */
+#define MAX_OPEN_STREAMS 64
+#define READ_MAX_RECORDS 500
+#define READ_WAIT_MS 200 /* until an append of this daemon is readable */
 #define RETRY_MIN_US (100 * CLK_US_PER_MS)
 #define RETRY_MAX_US (2 * CLK_US_PER_S)
 #define PROBE_MIN_US (500 * CLK_US_PER_MS)
 #define PROBE_MAX_US (4 * CLK_US_PER_S)
-#define PROBE_WANTED_US (10 * CLK_US_PER_S) /* after the last claim */
-#define IDLE_US (UINT64_C (600) * CLK_US_PER_S)
+#define PROBE_AFTER_CLAIM_US (10 * CLK_US_PER_S) /* no probes longer after a request */
+#define STREAM_IDLE_US (UINT64_C (600) * CLK_US_PER_S)
 
 /**
  * struct ctrl_stream - one claims stream
+ * @clm: replays the stream's records and holds its claims
+ * @read_op, @append_op: the read and the append in flight, or NULL
+ * @timer: fires when the next append is due, as the tick alone would delay claims beyond their
+ *         append interval
  * @batch: text of the append in flight
- * @begun: its first retained offset is known
- * @timer: the next append is due; the tick alone would let claims wait longer than their interval
- * @used_us: when a claim last came
+ * @read_due_us: no read before this, after one failed
+ * @backoff_us: current retry delay of reads, 0 while they succeed
+ * @used_us: when a claim was last requested or ended
+ * @begun: the stream's first retained offset is known
  */
 struct ctrl_stream
 {
@@ -36,17 +41,17 @@
   bool begun;
 };
 
-static void pump (ctrl_stream_t *stream);
+static void advance_stream (ctrl_stream_t *stream);
 
 static void
 stream_free (gpointer data)
 {
   ctrl_stream_t *stream = data;
-  /* The answers still to come must not touch it any more. */
+  /* The results of calls in flight arrive after this and must not access the stream. */
   if (stream->read_op != NULL)
-    stream->read_op->orphan = true;
+    stream->read_op->abandoned = true;
   if (stream->append_op != NULL)
-    stream->append_op->orphan = true;
+    stream->append_op->abandoned = true;
   event_free (stream->timer);
   clm_free (stream->clm);
   g_free (stream->batch);
@@ -78,7 +83,7 @@
 }
 
 static void
-answer (ctrl_t *ctrl, const char *stream, const clm_result_t *result)
+send_result (ctrl_t *ctrl, const char *stream, const clm_result_t *result)
 {
   const char *verdict = verdict_name (result->verdict);
   char name[64];
@@ -92,15 +97,15 @@
 }
 
 static void
-answer_all (ctrl_stream_t *stream)
+send_results (ctrl_stream_t *stream)
 {
   clm_result_t result;
   while (clm_result (stream->clm, ctrl_now_us (stream->ctrl), &result))
-    answer (stream->ctrl, stream->name, &result);
+    send_result (stream->ctrl, stream->name, &result);
 }
 
 static void
-take_records (ctrl_stream_t *stream, const plt_read_t *read)
+apply_records (ctrl_stream_t *stream, const plt_read_t *read)
 {
   uint64_t now_us = ctrl_now_us (stream->ctrl);
   uint64_t wall_ms = clk_wall_ms (&stream->ctrl->dmn->clk);
@@ -118,7 +123,7 @@
 }
 
 static void
-tell_streams (ctrl_t *ctrl)
+mark_streams_down (ctrl_t *ctrl)
 {
   GHashTableIter iter;
   gpointer value;
@@ -128,7 +133,7 @@
 }
 
 static void
-note_log (ctrl_t *ctrl, bool works)
+set_log_available (ctrl_t *ctrl, bool works)
 {
   ctrl_claims_t *claims = &ctrl->claims;
   if (claims->down == !works)
@@ -137,7 +142,7 @@
   claims->probe_wait_us = PROBE_MIN_US;
   claims->probe_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, PROBE_MIN_US);
   if (!works)
-    tell_streams (ctrl);
+    mark_streams_down (ctrl);
   log_event (works ? LOG_LEVEL_NOTICE : LOG_LEVEL_WARNING, works ? "platform_back" : "platform_out",
              "source", "claims", NULL);
 }
@@ -151,19 +156,19 @@
   if (!ctrl_op_end (op))
     return;
   stream->read_op = NULL;
-  note_log (ctrl, read->outcome == PLT_OK);
+  set_log_available (ctrl, read->outcome == PLT_OK);
   if (read->outcome == PLT_OK)
     {
       stream->backoff_us = 0;
-      take_records (stream, read);
+      apply_records (stream, read);
     }
   else
     {
       stream->backoff_us = CLAMP (stream->backoff_us * 2, RETRY_MIN_US, RETRY_MAX_US);
       stream->read_due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, stream->backoff_us);
     }
-  answer_all (stream);
-  pump (stream);
+  send_results (stream);
+  advance_stream (stream);
 }
 
 static void
@@ -196,17 +201,17 @@
       clm_append_refused (stream->clm, ctrl_now_us (ctrl));
       break;
     case PLT_UNKNOWN:
-    case PLT_EXPIRED: /* of reads only */
+    case PLT_EXPIRED: /* occurs for reads only */
       clm_append_lost (stream->clm, ctrl_now_us (ctrl));
       break;
     }
   count_append (ctrl, outcome);
-  answer_all (stream);
-  pump (stream);
+  send_results (stream);
+  advance_stream (stream);
 }
 
 static void
-append_on (ctrl_stream_t *stream)
+start_append (ctrl_stream_t *stream)
 {
   ctrl_t *ctrl = stream->ctrl;
   uint64_t now_us = ctrl_now_us (ctrl);
@@ -222,7 +227,7 @@
 }
 
 static void
-read_on (ctrl_stream_t *stream)
+start_read (ctrl_stream_t *stream)
 {
   ctrl_t *ctrl = stream->ctrl;
   if (stream->read_op != NULL || ctrl_now_us (ctrl) < stream->read_due_us)
@@ -231,13 +236,13 @@
     return;
   stream->read_op = ctrl_op_new (ctrl);
   stream->read_op->stream = stream;
-  /* The read that opens the stream does not wait: nothing is granted before it. */
-  ctrl->plt->read (ctrl->plt, stream->name, clm_next_offset (stream->clm), READ_RECORDS,
+  /* The first read of a stream returns at once, as no claim can be granted before it. */
+  ctrl->plt->read (ctrl->plt, stream->name, clm_next_offset (stream->clm), READ_MAX_RECORDS,
                    stream->begun ? READ_WAIT_MS : 0, on_read, stream->read_op);
 }
 
 static void
-set_timer (ctrl_stream_t *stream)
+update_timer (ctrl_stream_t *stream)
 {
   uint64_t now_us = ctrl_now_us (stream->ctrl);
   uint64_t due_us = clm_due_us (stream->clm);
@@ -251,14 +256,14 @@
   event_add (stream->timer, &wait);
 }
 
-/* At most one append and one read of a stream are under way; claims that come meanwhile go with
- * the next append. */
+/* A stream has at most one append and one read in flight; claims that arrive meanwhile go with the
+ * next append. */
 static void
-pump (ctrl_stream_t *stream)
+advance_stream (ctrl_stream_t *stream)
 {
-  append_on (stream);
-  read_on (stream);
-  set_timer (stream);
+  start_append (stream);
+  start_read (stream);
+  update_timer (stream);
 }
 
 static void
@@ -268,8 +273,8 @@
   (void)socket;
   (void)what;
   ctrl_fresh_check (stream->ctrl);
-  answer_all (stream);
-  pump (stream);
+  send_results (stream);
+  advance_stream (stream);
 }
 
 static bool
@@ -281,19 +286,19 @@
 }
 
 static gboolean
-is_long_idle (gpointer key, gpointer value, gpointer data)
+close_if_idle (gpointer key, gpointer value, gpointer data)
 {
   const ctrl_stream_t *stream = value;
   (void)key;
   (void)data;
-  if (!is_idle (stream, IDLE_US))
+  if (!is_idle (stream, STREAM_IDLE_US))
     return FALSE;
   log_event (LOG_LEVEL_INFO, "claims_closed", "stream", stream->name, NULL);
   return TRUE;
 }
 
 static ctrl_stream_t *
-longest_idle (const ctrl_t *ctrl)
+find_longest_idle (const ctrl_t *ctrl)
 {
   ctrl_stream_t *oldest = NULL;
   GHashTableIter iter;
@@ -309,23 +314,23 @@
 }
 
 static bool
-make_room (ctrl_t *ctrl)
+evict_idle_stream (ctrl_t *ctrl)
 {
-  if (g_hash_table_size (ctrl->claims.streams) < STREAMS_MAX)
+  if (g_hash_table_size (ctrl->claims.streams) < MAX_OPEN_STREAMS)
     return true;
-  ctrl_stream_t *oldest = longest_idle (ctrl);
+  ctrl_stream_t *oldest = find_longest_idle (ctrl);
   if (oldest == NULL)
     return false;
   g_hash_table_remove (ctrl->claims.streams, oldest->name);
   return true;
 }
 
-/* Return: NULL when too many streams are open and busy. */
+/* Return: NULL when the limit of open streams is reached and all are busy. */
 static ctrl_stream_t *
 open_stream (ctrl_t *ctrl, const char *name)
 {
   ctrl_stream_t *stream = g_hash_table_lookup (ctrl->claims.streams, name);
-  if (stream == NULL && make_room (ctrl))
+  if (stream == NULL && evict_idle_stream (ctrl))
     {
       stream = g_new0 (ctrl_stream_t, 1);
       stream->ctrl = ctrl;
@@ -348,19 +353,20 @@
   if (!ctrl_op_end (op))
     return;
   ctrl->claims.probe_op = NULL;
-  note_log (ctrl, read->outcome == PLT_OK);
+  set_log_available (ctrl, read->outcome == PLT_OK);
 }
 
-/* While the log is out claims are refused at once, so none of them would find that it is back. Only
- * a daemon that is asked for claims tries, ever less often: the log comes back to many of them. */
+/* While the log is down claims are refused without a call, so none of them would notice its
+ * recovery. Only daemons with recent claim requests probe the log, at a growing interval, so that a
+ * recovering log isn't flooded with probes. */
 static void
-probe (ctrl_t *ctrl)
+probe_log (ctrl_t *ctrl)
 {
   ctrl_claims_t *claims = &ctrl->claims;
   uint64_t now_us = ctrl_now_us (ctrl);
   if (!claims->down || claims->probe_op != NULL || now_us < claims->probe_us)
     return;
-  if (claims->asked_us == 0 || now_us - claims->asked_us > PROBE_WANTED_US)
+  if (claims->requested_us == 0 || now_us - claims->requested_us > PROBE_AFTER_CLAIM_US)
     return;
   claims->probe_wait_us = MIN (claims->probe_wait_us * 2, PROBE_MAX_US);
   claims->probe_us = now_us + ctrl_jitter (ctrl, claims->probe_wait_us);
@@ -371,18 +377,18 @@
 }
 
 static void
-refuse (ctrl_t *ctrl, const msg_claim_t *message)
+refuse_claim (ctrl_t *ctrl, const msg_claim_t *message)
 {
   clm_result_t result = {
     .claim_id = { message->claim_id[0], message->claim_id[1] },
     .verdict = CLM_LOG_DOWN,
     .owner = message->owner,
   };
-  answer (ctrl, message->stream, &result);
+  send_result (ctrl, message->stream, &result);
 }
 
 static void
-count_keys (ctrl_t *ctrl)
+update_gauges (ctrl_t *ctrl)
 {
   uint64_t keys = 0;
   GHashTableIter iter;
@@ -415,34 +421,34 @@
   g_hash_table_iter_init (&iter, ctrl->claims.streams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      answer_all (value);
-      pump (value);
+      send_results (value);
+      advance_stream (value);
     }
-  g_hash_table_foreach_remove (ctrl->claims.streams, is_long_idle, NULL);
-  probe (ctrl);
-  count_keys (ctrl);
+  g_hash_table_foreach_remove (ctrl->claims.streams, close_if_idle, NULL);
+  probe_log (ctrl);
+  update_gauges (ctrl);
 }
 
 void
 ctrl_claims_note_log (ctrl_t *ctrl, bool works)
 {
-  note_log (ctrl, works);
+  set_log_available (ctrl, works);
 }
 
 void
 ctrl_claims_ask (ctrl_t *ctrl, const msg_claim_t *message)
 {
-  ctrl->claims.asked_us = ctrl_now_us (ctrl);
+  ctrl->claims.requested_us = ctrl_now_us (ctrl);
   ctrl_stream_t *stream = ctrl->claims.down ? NULL : open_stream (ctrl, message->stream);
   if (stream == NULL)
     {
-      refuse (ctrl, message);
+      refuse_claim (ctrl, message);
       return;
     }
   clm_request (stream->clm, ctrl_now_us (ctrl), message->claim_id, &message->key,
                message->expiry_us, message->owner);
-  answer_all (stream);
-  pump (stream);
+  send_results (stream);
+  advance_stream (stream);
 }
 
 void
@@ -450,12 +456,12 @@
 {
   ctrl_stream_t *stream = open_stream (ctrl, message->stream);
   if (stream == NULL)
-    return; /* the key stays held: its resends hear that it may have run */
+    return; /* the key stays claimed; repeated requests are told that it may have run */
   if (message->ran)
     clm_done (stream->clm, message->claim_id, &message->key, message->status);
   else
     clm_release (stream->clm, message->claim_id, &message->key);
-  pump (stream);
+  advance_stream (stream);
 }
 
 bool
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -3,110 +3,110 @@
 #include "base/log.h"
 #include "request/policy/place.h"
 
-/* News is told to so many peers at once: it then reaches most of a fleet within some round trips
- * instead of exchange intervals. */
-#define TELLS_OF_NEWS 2
-#define CONFLICT_LOG_US (10 * CLK_US_PER_S)
+/* A message with news triggers calls to this many peers at once. The news then reaches most of the
+ * fleet within a few round trips instead of a few exchange intervals. */
+#define NEWS_FANOUT 2
+#define CONFLICT_LOG_INTERVAL_US (10 * CLK_US_PER_S)
 
-/* Return: false for a state that is none. */
+/* Return: false when the state is not a valid one. */
 static bool
-from_wire (const xch_word *word, mem_word_t *out)
+decode_report (const xch_word *report, mem_word_t *out)
 {
-  if (word->state > MEM_GONE)
+  if (report->state > MEM_GONE)
     return false;
-  out->host_hash = word->host_hash;
-  out->incarnation = word->incarnation;
-  out->sequence = word->sequence;
-  out->state = word->state;
+  out->host_hash = report->host_hash;
+  out->incarnation = report->incarnation;
+  out->sequence = report->sequence;
+  out->state = report->state;
   return true;
 }
 
-/*
- * Two processes bear this host's name, or the clock went back between two starts of it: the later
- * start has the lower incarnation, and peers would not hear it. Only an operator can mend it.
- */
+/* Either two processes run under this host's name, or the clock went back between two starts of it:
+ * then the later process has the lower incarnation, and peers ignore its messages. Only an operator
+ * can resolve this. */
 static void
-tell_conflict (ctrl_t *ctrl, uint64_t heard_incarnation)
+report_name_conflict (ctrl_t *ctrl, uint64_t other_incarnation)
 {
   uint64_t now_us = ctrl_now_us (ctrl);
   ctrl_count (ctrl, "medlarplank_incarnation_conflicts_total",
-              "Times a later incarnation of this host's own name was heard");
-  if (ctrl->conflict_logged_us != 0 && now_us - ctrl->conflict_logged_us < CONFLICT_LOG_US)
+              "Times a higher incarnation of this host's own name was received");
+  if (ctrl->conflict_logged_us != 0 && now_us - ctrl->conflict_logged_us < CONFLICT_LOG_INTERVAL_US)
     return;
   ctrl->conflict_logged_us = now_us;
   log_event (LOG_LEVEL_ERROR, "higher_incarnation_of_own_name", "own",
-             LOG_U64 (ctrl->dmn->incarnation), "heard", LOG_U64 (heard_incarnation), NULL);
+             LOG_U64 (ctrl->dmn->incarnation), "heard", LOG_U64 (other_incarnation), NULL);
 }
 
 static void
-hear_own_word (ctrl_t *ctrl, const mem_word_t *word, uint64_t list_revision)
+apply_report_on_self (ctrl_t *ctrl, const mem_word_t *report, uint64_t list_revision)
 {
-  if (word->incarnation == CTRL_ANY_INCARNATION)
+  if (report->incarnation == CTRL_ANY_INCARNATION)
     {
-      if (word->state == MEM_LEAVING)
+      if (report->state == MEM_LEAVING)
         ctrl_list_heard_leaving (ctrl, list_revision);
     }
-  else if (word->incarnation > ctrl->dmn->incarnation)
-    tell_conflict (ctrl, word->incarnation);
-  else if (word->incarnation == ctrl->dmn->incarnation && word->state != MEM_LIVE)
+  else if (report->incarnation > ctrl->dmn->incarnation)
+    report_name_conflict (ctrl, report->incarnation);
+  else if (report->incarnation == ctrl->dmn->incarnation && report->state != MEM_LIVE)
     ctrl_stop_leave (ctrl, "peer");
 }
 
-/* Return: whether it is news to others. That a host is live is none to others when only this daemon
- * had not heard of it, as it started lately: it would pass on what every host says for minutes. */
+/* Return: whether the report is to be passed on. A live host that only this daemon had not heard
+ * of, because it has just started, is no news to others; passing that on would repeat the reports
+ * of all hosts for minutes. */
 static bool
-take_word (ctrl_t *ctrl, const mem_word_t *word)
+apply_report (ctrl_t *ctrl, const mem_word_t *report)
 {
   mem_word_t last;
-  bool known = mem_word (ctrl->mem, word->host_hash, &last);
-  bool changed = mem_hear (ctrl->mem, ctrl_now_us (ctrl), word);
-  bool news = changed && (known || word->state != MEM_LIVE);
+  bool known = mem_word (ctrl->mem, report->host_hash, &last);
+  bool changed = mem_hear (ctrl->mem, ctrl_now_us (ctrl), report);
+  bool news = changed && (known || report->state != MEM_LIVE);
   if (news)
-    rmr_add_word (&ctrl->talk.rumours, word);
+    rmr_add_word (&ctrl->talk.rumours, report);
   return news;
 }
 
 static bool
-hear_word (ctrl_t *ctrl, const xch_word *heard, uint64_t list_revision)
+receive_report (ctrl_t *ctrl, const xch_word *received, uint64_t list_revision)
 {
-  mem_word_t word;
-  if (!from_wire (heard, &word))
+  mem_word_t report;
+  if (!decode_report (received, &report))
     return false;
-  if (word.host_hash != ctrl->own_hash)
-    return take_word (ctrl, &word);
-  hear_own_word (ctrl, &word, list_revision);
+  if (report.host_hash != ctrl->own_hash)
+    return apply_report (ctrl, &report);
+  apply_report_on_self (ctrl, &report, list_revision);
   return false;
 }
 
-/* Return: false for a sample that does not count here. */
+/* Return: false when the sample is too old, of an unknown service or host, or of the own engine. */
 static bool
-take_sample (ctrl_t *ctrl, uint64_t now_us, const xch_sample *heard, mean_sample_t *out)
+accept_sample (ctrl_t *ctrl, uint64_t now_us, const xch_sample *received, mean_sample_t *out)
 {
-  uint64_t age_us = (uint64_t)heard->age_ms * CLK_US_PER_MS;
-  mean_table_t *table = ctrl_talk_table (ctrl, heard->service_hash);
+  uint64_t age_us = (uint64_t)received->age_ms * CLK_US_PER_MS;
+  mean_table_t *table = ctrl_talk_table (ctrl, received->service_hash);
   if (age_us > LIM_SAMPLE_AGE_US || age_us > now_us || table == NULL ||
-      heard->engine_hash == ctrl->own_hash ||
-      mem_find_hash (ctrl->peers.members, heard->engine_hash) == NULL)
+      received->engine_hash == ctrl->own_hash ||
+      mem_find_hash (ctrl->peers.members, received->engine_hash) == NULL)
     return false;
-  out->engine_hash = heard->engine_hash;
-  out->service_hash = heard->service_hash;
-  out->load = heard->load;
-  out->waiting = heard->waiting;
-  out->cost = heard->cost;
+  out->engine_hash = received->engine_hash;
+  out->service_hash = received->service_hash;
+  out->load = received->load;
+  out->waiting = received->waiting;
+  out->cost = received->cost;
   out->taken_us = now_us - age_us;
   mean_add (table, out);
   return true;
 }
 
 static void
-hear_samples (ctrl_t *ctrl, const xch_message *message)
+receive_samples (ctrl_t *ctrl, const xch_message *message)
 {
   uint64_t now_us = ctrl_now_us (ctrl);
   msg_samples_t *samples = msg_new (MSG_SAMPLES);
   for (uint32_t i = 0; i < message->samples.samples_len; i++)
     {
-      if (take_sample (ctrl, now_us, &message->samples.samples_val[i],
-                       &samples->samples[samples->count]))
+      if (accept_sample (ctrl, now_us, &message->samples.samples_val[i],
+                         &samples->samples[samples->count]))
         samples->count++;
     }
   if (samples->count > 0)
@@ -116,16 +116,16 @@
 }
 
 static bool
-hear_marks (ctrl_t *ctrl, const xch_message *message)
+receive_marks (ctrl_t *ctrl, const xch_message *message)
 {
   msg_marks_t *marks = msg_new (MSG_MARKS);
   for (uint32_t i = 0; i < message->marks.marks_len; i++)
     {
-      const xch_mark *heard = &message->marks.marks_val[i];
+      const xch_mark *received = &message->marks.marks_val[i];
       sus_mark_t mark = {
-        .fingerprint = heard->fingerprint,
-        .engines = { heard->engines[0], heard->engines[1] },
-        .age_ms = heard->age_ms,
+        .fingerprint = received->fingerprint,
+        .engines = { received->engines[0], received->engines[1] },
+        .age_ms = received->age_ms,
       };
       if (rmr_add_mark (&ctrl->talk.rumours, ctrl_now_us (ctrl), &mark))
         marks->marks[marks->count++] = mark;
@@ -138,17 +138,17 @@
   return news;
 }
 
-/* Within the budget: in a flood of news the usual messages carry it. */
+/* Only within the byte budget; when there is much news, the periodic messages carry it. */
 static void
-hurry (ctrl_t *ctrl)
+spread_news (ctrl_t *ctrl)
 {
   if (exc_has_spare (ctrl->exc))
-    ctrl_talk_tell (ctrl, TELLS_OF_NEWS);
+    ctrl_talk_tell (ctrl, NEWS_FANOUT);
 }
 
-/* Whether the sender is a listed host and this message was sent after all that was heard of it. */
+/* Whether the sender is a listed host and this is the newest message received from it. */
 static bool
-is_news (ctrl_t *ctrl, const mem_word_t *sender)
+is_newer_message (ctrl_t *ctrl, const mem_word_t *sender)
 {
   if (ctrl->peers.members == NULL || sender->host_hash == ctrl->own_hash ||
       mem_find_hash (ctrl->peers.members, sender->host_hash) == NULL)
@@ -167,22 +167,23 @@
 }
 
 static void
-take_message (ctrl_t *ctrl, const mem_word_t *sender, const xch_message *message)
+apply_message (ctrl_t *ctrl, const mem_word_t *sender, const xch_message *message)
 {
-  ctrl->talk.heard_us = ctrl_now_us (ctrl);
-  bool news = take_word (ctrl, sender);
+  ctrl->talk.last_received_us = ctrl_now_us (ctrl);
+  bool news = apply_report (ctrl, sender);
   for (uint32_t i = 0; i < message->words.words_len; i++)
-    news = hear_word (ctrl, &message->words.words_val[i], message->list_revision) || news;
+    news = receive_report (ctrl, &message->words.words_val[i], message->list_revision) || news;
   ctrl_members_flush (ctrl);
-  hear_samples (ctrl, message);
-  news = hear_marks (ctrl, message) || news;
+  receive_samples (ctrl, message);
+  news = receive_marks (ctrl, message) || news;
   ctrl_manifest_heard (ctrl, message->manifest_version, sender->host_hash);
   ctrl_list_heard (ctrl, message->list_revision);
   if (news)
-    hurry (ctrl);
+    spread_news (ctrl);
 }
 
-/* An older incarnation of a host is still answered: it hears so that it is not the last one. */
+/* A message of an older incarnation is still answered: the reply tells that process that it was
+ * replaced. */
 static bool
 is_older_incarnation (const ctrl_t *ctrl, const mem_word_t *sender)
 {
@@ -191,7 +192,7 @@
 }
 
 static uint64_t *
-hash_key (uint64_t hash)
+new_hash_key (uint64_t hash)
 {
   uint64_t *key = g_new (uint64_t, 1);
   *key = hash;
@@ -199,7 +200,7 @@
 }
 
 static gboolean
-is_out_of_force (gpointer key, gpointer value, gpointer data)
+is_unknown_service (gpointer key, gpointer value, gpointer data)
 {
   const man_t *man = data;
   (void)value;
@@ -216,17 +217,18 @@
 {
   ctrl_talk_t *talk = &ctrl->talk;
   rmr_init (&talk->rumours);
-  talk->means = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  talk->old_messages = cnt_get (ctrl->dmn->counters, "medlarplank_control_old_total",
-                                "Messages dropped as a later one of their sender was heard before");
+  talk->samples = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  talk->old_messages =
+      cnt_get (ctrl->dmn->counters, "medlarplank_control_old_total",
+               "Messages dropped because a later one of their sender was received before");
   talk->unlisted = cnt_get (ctrl->dmn->counters, "medlarplank_control_unlisted_total",
-                            "Messages dropped as their sender is not a listed host");
+                            "Messages dropped because their sender is not a listed host");
 }
 
 void
 ctrl_talk_clear (ctrl_t *ctrl)
 {
-  g_hash_table_destroy (ctrl->talk.means);
+  g_hash_table_destroy (ctrl->talk.samples);
 }
 
 bool
@@ -236,12 +238,12 @@
   mem_word_t sender;
   uint64_t woke_us = ctrl->fresh.pse.woke_us;
   ctrl_fresh_check (ctrl);
-  /* It waited in the socket during the pause: nothing tells how old it is. */
-  if (ctrl->fresh.pse.woke_us != woke_us || !from_wire (&message->sender, &sender))
+  /* It was in the socket buffer during the pause, so its age is unknown. */
+  if (ctrl->fresh.pse.woke_us != woke_us || !decode_report (&message->sender, &sender))
     return false;
-  if (!is_news (ctrl, &sender))
+  if (!is_newer_message (ctrl, &sender))
     return is_older_incarnation (ctrl, &sender);
-  take_message (ctrl, &sender, message);
+  apply_message (ctrl, &sender, message);
   if (is_reply)
     ctrl_fresh_heard_reply (ctrl, message->manifest_version);
   return true;
@@ -274,7 +276,7 @@
   count = MIN (count, peers->len);
   for (uint32_t i = 0; i < count; i++)
     {
-      /* Not the same one twice: in a small fleet that would leave others untold. */
+      /* No peer twice: in a small fleet others would not be called. */
       guint at = (guint)g_rand_int_range (ctrl->rand, 0, (gint32)peers->len);
       uint32_t index = g_array_index (peers, uint32_t, at);
       g_array_remove_index_fast (peers, at);
@@ -285,8 +287,8 @@
 void
 ctrl_talk_own_word (ctrl_t *ctrl)
 {
-  mem_word_t word = ctrl_talk_word (ctrl);
-  mem_hear (ctrl->mem, ctrl_now_us (ctrl), &word);
+  mem_word_t report = ctrl_talk_word (ctrl);
+  mem_hear (ctrl->mem, ctrl_now_us (ctrl), &report);
   ctrl_members_flush (ctrl);
 }
 
@@ -294,8 +296,8 @@
 ctrl_talk_version (ctrl_t *ctrl)
 {
   man_t *man = rep_manifest (ctrl->manifest.rep);
-  GHashTable *means = ctrl->talk.means;
-  g_hash_table_foreach_remove (means, is_out_of_force, man);
+  GHashTable *tables = ctrl->talk.samples;
+  g_hash_table_foreach_remove (tables, is_unknown_service, man);
   for (uint32_t i = 0; i < man->service_count; i++)
     {
       uint64_t hash = man->services[i].hash;
@@ -303,7 +305,7 @@
         continue;
       mean_table_t *table = g_new (mean_table_t, 1);
       mean_init (table, hash ^ ctrl->own_hash);
-      g_hash_table_insert (means, hash_key (hash), table);
+      g_hash_table_insert (tables, new_hash_key (hash), table);
     }
 }
 
@@ -323,5 +325,5 @@
   for (uint32_t i = 0; i < message->count; i++)
     news = rmr_add_mark (&ctrl->talk.rumours, ctrl_now_us (ctrl), &message->marks[i]) || news;
   if (news)
-    hurry (ctrl);
+    spread_news (ctrl);
 }
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -7,17 +7,17 @@
 #include <event2/keyvalq_struct.h>
 #include <event2/http.h>
 
-#define BETWEEN_US (1 * CLK_US_PER_S)
-#define TIMEOUT_US (5 * CLK_US_PER_S)
-#define STATUS_OK 200
-#define ENVELOPE_BYTES 1024 /* of the answer, around the manifest */
+#define FETCH_INTERVAL_US (1 * CLK_US_PER_S)
+#define FETCH_TIMEOUT_US (5 * CLK_US_PER_S)
+#define HTTP_STATUS_OK 200
+#define ENVELOPE_BYTES 1024 /* of the answer, besides the manifest */
 
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
   ctrl_t *ctrl = context;
   const char *seal = evhttp_find_header (headers, ASL_SEAL_HEADER);
-  if (status != STATUS_OK || seal == NULL)
+  if (status != HTTP_STATUS_OK || seal == NULL)
     return false;
   g_strlcpy (ctrl->fetch.seal, seal, sizeof ctrl->fetch.seal);
   return true;
@@ -31,14 +31,14 @@
 }
 
 static void
-log_fetch (const ctrl_t *ctrl, const char *outcome, uint64_t version, const char *reason)
+log_fetch_outcome (const ctrl_t *ctrl, const char *outcome, uint64_t version, const char *reason)
 {
   log_event (LOG_LEVEL_NOTICE, "manifest_from_peer", "host", ctrl->fetch.host, "outcome", outcome,
              "version", LOG_U64 (version), "reason", reason, NULL);
 }
 
 static void
-adopt (ctrl_t *ctrl)
+adopt_manifest (ctrl_t *ctrl)
 {
   ctrl_fetch_t *fetch = &ctrl->fetch;
   GError *error = NULL;
@@ -49,12 +49,12 @@
                          &next_offset, &error);
   if (man == NULL)
     {
-      log_fetch (ctrl, "refused", 0, error->message);
+      log_fetch_outcome (ctrl, "refused", 0, error->message);
       g_error_free (error);
       return;
     }
   bool adopted = rep_adopt (ctrl->manifest.rep, man, next_offset);
-  log_fetch (ctrl, adopted ? "adopted" : "no_news", man->version, NULL);
+  log_fetch_outcome (ctrl, adopted ? "adopted" : "no_news", man->version, NULL);
   man_unref (man);
   if (!adopted)
     return;
@@ -71,9 +71,9 @@
   ctrl->fetch.call = NULL;
   ctrl_fresh_check (ctrl);
   if (end->whole)
-    adopt (ctrl);
+    adopt_manifest (ctrl);
   else
-    log_fetch (ctrl, "failed", 0, vrd_reason_name (end->reason));
+    log_fetch_outcome (ctrl, "failed", 0, vrd_reason_name (end->reason));
   evbuffer_free (ctrl->fetch.body);
   ctrl->fetch.body = NULL;
 }
@@ -85,7 +85,7 @@
   uint64_t now_us = ctrl_now_us (ctrl);
   if (fetch->call != NULL || now_us < fetch->next_us)
     return;
-  fetch->next_us = now_us + ctrl_jitter (ctrl, BETWEEN_US);
+  fetch->next_us = now_us + ctrl_jitter (ctrl, FETCH_INTERVAL_US);
   fetch->body = evbuffer_new ();
   fetch->seal[0] = '\0';
   g_strlcpy (fetch->host, host->name, sizeof fetch->host);
@@ -100,7 +100,7 @@
     .target = MSY_PATH,
     .headers = headers,
     .header_count = G_N_ELEMENTS (headers),
-    .timeout_us = TIMEOUT_US,
+    .timeout_us = FETCH_TIMEOUT_US,
     .answer_limit_bytes = LIM_MANIFEST_BYTES + ENVELOPE_BYTES,
     .on_head = on_head,
     .on_data = on_data,
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -2,16 +2,16 @@
 
 #include "base/log.h"
 
-#define PEERS_ASKED 4 /* at once after a pause */
-#define PEERS_NEEDED 2
-#define SAME_WAKING_US (1 * CLK_US_PER_S)
+#define PEERS_CALLED 4 /* called at once after a pause */
+#define MAX_REPLIES_NEEDED 2
+#define SAME_PAUSE_US (1 * CLK_US_PER_S)
 
-/* Forgets all that was heard before, and hears it again. */
+/* Discards all confirmations and requests new ones. */
 static void
-start_over (ctrl_t *ctrl)
+restart_confirmation (ctrl_t *ctrl)
 {
   ctrl_fresh_t *fresh = &ctrl->fresh;
-  fresh->asked_us = ctrl_now_us (ctrl);
+  fresh->since_us = ctrl_now_us (ctrl);
   fresh->list_ok = false;
   fresh->list_failed = false;
   fresh->log_ok = false;
@@ -21,11 +21,11 @@
   exc_flush (ctrl->exc);
   ctrl_source_restart (ctrl, &ctrl->list.source);
   ctrl_source_restart (ctrl, &ctrl->manifest.source);
-  ctrl_talk_tell (ctrl, PEERS_ASKED);
+  ctrl_talk_tell (ctrl, PEERS_CALLED);
 }
 
 static void
-tell_data (ctrl_t *ctrl, bool on)
+send_freshness (ctrl_t *ctrl, bool on)
 {
   msg_flag_t *flag = msg_new (MSG_FRESHNESS);
   flag->on = on;
@@ -35,31 +35,30 @@
 }
 
 static void
-woke (ctrl_t *ctrl, const char *task)
+handle_pause (ctrl_t *ctrl, const char *task)
 {
   cnt_add (ctrl->fresh.pauses, 1);
   log_event (LOG_LEVEL_WARNING, "woke_from_pause", "task", task, NULL);
-  tell_data (ctrl, false);
-  start_over (ctrl);
+  send_freshness (ctrl, false);
+  restart_confirmation (ctrl);
 }
 
-/* With nobody to ask only the platform can tell. */
+/* Without peers only the platform can confirm the state. */
 static uint32_t
 replies_needed (const ctrl_t *ctrl)
 {
   uint32_t peers = ctrl->peers.all->len;
-  return CLAMP (peers, 1, PEERS_NEEDED);
+  return CLAMP (peers, 1, MAX_REPLIES_NEEDED);
 }
 
-/*
- * While the platform's list is out it tells nobody anything new, and peers pass on what it said
- * last: whoever heard that this host leaves says so in its replies.
- */
+/* While the platform's list is unreachable no host can learn anything new from it. Any peer that
+ * has read that this host leaves says so in its replies, so replies without it confirm that it
+ * stays. */
 static bool
 own_state_known (const ctrl_t *ctrl)
 {
   const ctrl_fresh_t *fresh = &ctrl->fresh;
-  if (ctrl->list.own_held)
+  if (ctrl->list.own_unclear)
     return false;
   return fresh->list_ok || (fresh->list_failed && fresh->replies >= replies_needed (ctrl));
 }
@@ -77,11 +76,11 @@
 ctrl_fresh_init (ctrl_t *ctrl)
 {
   cnt_set_t *counters = ctrl->dmn->counters;
-  ctrl->fresh.pauses = cnt_get (counters, "medlarplank_pauses_total",
-                                "Times the daemon found that it had not run for a while");
+  ctrl->fresh.pauses =
+      cnt_get (counters, "medlarplank_pauses_total", "Pauses of the process detected");
   ctrl->fresh.stale = cnt_get (counters, "medlarplank_stale",
-                               "Whether the daemon has not heard all it needs since it started "
-                               "or last woke");
+                               "Whether the daemon has not confirmed its state since it started or "
+                               "last paused");
   cnt_set_value (ctrl->fresh.stale, 1);
   pse_init (&ctrl->fresh.pse, ctrl_now_us (ctrl), ctrl->dmn->set.exchange_interval_ms);
 }
@@ -90,16 +89,16 @@
 ctrl_fresh_check (ctrl_t *ctrl)
 {
   if (pse_check (&ctrl->fresh.pse, ctrl_now_us (ctrl)))
-    woke (ctrl, "control");
+    handle_pause (ctrl, "control");
 }
 
-/* The control task noticed the same pause a moment ago and has asked for all since: it is not asked
- * for twice, which would use up the byte budget and hold the daemon back for longer. */
+/* Whether the control task detected the same pause a moment ago and has requested everything since.
+ * Requesting it again would use up the byte budget and keep the daemon stale for longer. */
 static bool
-is_same_waking (const ctrl_t *ctrl)
+is_same_pause (const ctrl_t *ctrl)
 {
-  uint64_t asked_us = ctrl->fresh.asked_us;
-  return asked_us != 0 && ctrl_now_us (ctrl) - asked_us < SAME_WAKING_US;
+  uint64_t since_us = ctrl->fresh.since_us;
+  return since_us != 0 && ctrl_now_us (ctrl) - since_us < SAME_PAUSE_US;
 }
 
 void
@@ -107,16 +106,16 @@
 {
   if (!pse_wake (&ctrl->fresh.pse, woke_us))
     return;
-  if (is_same_waking (ctrl))
+  if (is_same_pause (ctrl))
     ctrl_fresh_flush (ctrl);
   else
-    woke (ctrl, "data");
+    handle_pause (ctrl, "data");
 }
 
 void
 ctrl_fresh_heard_list (ctrl_t *ctrl, uint64_t started_us, bool worked)
 {
-  if (started_us < ctrl->fresh.asked_us)
+  if (started_us < ctrl->fresh.since_us)
     return;
   ctrl->fresh.list_ok = ctrl->fresh.list_ok || worked;
   ctrl->fresh.list_failed = ctrl->fresh.list_failed || !worked;
@@ -126,7 +125,7 @@
 void
 ctrl_fresh_heard_log (ctrl_t *ctrl, uint64_t started_us, bool worked)
 {
-  if (started_us < ctrl->fresh.asked_us)
+  if (started_us < ctrl->fresh.since_us)
     return;
   ctrl->fresh.log_ok = ctrl->fresh.log_ok || worked;
   ctrl->fresh.log_failed = ctrl->fresh.log_failed || !worked;
@@ -156,5 +155,5 @@
   log_event (LOG_LEVEL_NOTICE, "fresh", "list", ctrl->fresh.list_ok ? "platform" : "peers",
              "version", LOG_U64 (ctrl_manifest_version (ctrl)), "version_by",
              ctrl->fresh.log_ok ? "platform" : "peers", NULL);
-  tell_data (ctrl, true);
+  send_freshness (ctrl, true);
 }
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -6,31 +6,30 @@
 #include <string.h>
 
 #define SOURCE "list"
-/* Daemons that do not follow the list read it when a peer has a higher revision, and this often. */
+/* Daemons that aren't followers read the list when a peer has a higher revision, and at this
+ * interval. */
 #define RECHECK_US (30 * CLK_US_PER_S)
-/* One that hears no peer for this long reads the list itself. */
-#define SILENT_US (5 * CLK_US_PER_S)
-#define TELLS_LEAVING 4 /* calls of one turn to hosts that leave */
+/* A daemon that receives no message of a peer for this long reads the list itself. */
+#define PEERS_SILENT_US (5 * CLK_US_PER_S)
+#define LEAVING_CALLS_PER_TICK 4 /* calls per tick to hosts that are listed as leaving */
 
-/*
- * A list that said leaving before this process had heard anything else may mean its predecessor
- * on the host, as the list lags. The daemon then takes no work until the list says live; but when
- * the list turns to leaving later, it is this process that has to leave.
- */
+/* As the list lags, a first list that has this host as leaving may refer to the previous process on
+ * it. The daemon then stays stale, and so takes no work, until the list has it as live. When the
+ * list turns to leaving later, this process is meant and has to leave. */
 static void
-take_own_state (ctrl_t *ctrl, mem_state_t state)
+apply_own_state (ctrl_t *ctrl, mem_state_t state)
 {
   ctrl_list_t *list = &ctrl->list;
   bool turned = state != list->own_state;
   list->own_state = state;
   if (state != MEM_LEAVING)
     {
-      list->own_held = false;
+      list->own_unclear = false;
       return;
     }
   if (!list->read_once)
     {
-      list->own_held = true;
+      list->own_unclear = true;
       log_event (LOG_LEVEL_WARNING, "listed_as_leaving_at_start", NULL);
     }
   else if (turned)
@@ -40,7 +39,7 @@
 }
 
 static const mem_listed_t *
-find_own (const ctrl_t *ctrl, const plt_hosts_t *hosts)
+find_own_entry (const ctrl_t *ctrl, const plt_hosts_t *hosts)
 {
   for (uint32_t i = 0; i < hosts->host_count; i++)
     {
@@ -51,15 +50,16 @@
 }
 
 /*
- * A host that the list says leaves reads that itself once a peer has the higher revision, which
- * takes seconds in a large fleet, or never where it reads an old copy. Those of its data centre
- * that follow the list tell it; whoever else it calls tells it in the reply.
+ * A host that is listed as leaving reads so itself only once a peer announces the higher revision,
+ * which takes seconds in a large fleet, or never if it reads an outdated copy. So the followers of
+ * its data centre call it; other daemons report it in their replies and in the calls they happen to
+ * make.
  */
 static void
-find_leaving (ctrl_t *ctrl, const plt_hosts_t *hosts)
+note_leaving_hosts (ctrl_t *ctrl, const plt_hosts_t *hosts)
 {
   const char *data_center = ctrl->dmn->set.data_center;
-  if (!ctrl->peers.tails)
+  if (!ctrl->peers.is_follower)
     return;
   for (uint32_t i = 0; i < hosts->host_count; i++)
     {
@@ -72,7 +72,7 @@
 }
 
 static void
-take_hosts (ctrl_t *ctrl, const plt_hosts_t *hosts)
+apply_hosts (ctrl_t *ctrl, const plt_hosts_t *hosts)
 {
   ctrl_list_t *list = &ctrl->list;
   uint64_t now_us = ctrl_now_us (ctrl);
@@ -80,22 +80,22 @@
     mem_list_full (ctrl->mem, now_us, hosts->hosts, hosts->host_count, hosts->revision);
   else
     mem_list_delta (ctrl->mem, now_us, hosts->hosts, hosts->host_count, hosts->revision);
-  const mem_listed_t *own = find_own (ctrl, hosts);
+  const mem_listed_t *own = find_own_entry (ctrl, hosts);
   if (own != NULL)
-    take_own_state (ctrl, own->state);
+    apply_own_state (ctrl, own->state);
   else if (hosts->full)
-    take_own_state (ctrl, MEM_GONE);
+    apply_own_state (ctrl, MEM_GONE);
   list->revision = hosts->revision;
   if (list->own_state == MEM_LIVE)
     list->own_live_revision = hosts->revision;
   list->read_once = true;
-  find_leaving (ctrl, hosts);
+  note_leaving_hosts (ctrl, hosts);
   ctrl_talk_own_word (ctrl);
   ctrl_list_tell (ctrl);
 }
 
-/* A list store that was emptied or has just come up tells of no host. Believing it would stop the
- * whole fleet at once, or let a daemon that starts call itself fresh while it knows nobody. */
+/* A list store that was emptied or has just started returns no hosts. Applying that would stop the
+ * whole fleet at once, or let a starting daemon become fresh without knowing any host. */
 static bool
 is_credible (const plt_hosts_t *hosts)
 {
@@ -103,27 +103,29 @@
 }
 
 static uint64_t
-interval_us (const ctrl_t *ctrl)
+poll_interval_us (const ctrl_t *ctrl)
 {
   return (uint64_t)ctrl->dmn->set.list_interval_ms * CLK_US_PER_MS;
 }
 
-/* When to read again. Whoever does not follow the list relies on peers that do, so it must hear
- * some; with one that already has a higher revision it does not wait. */
+/* The delay until the next read. A daemon that isn't a follower relies on peers to announce new
+ * revisions, so it polls like a follower while it receives none of their messages, and while one
+ * has announced a higher revision. */
 static uint64_t
-wait_after (const ctrl_t *ctrl)
+next_read_wait_us (const ctrl_t *ctrl)
 {
-  bool silent = ctrl_now_us (ctrl) - ctrl->talk.heard_us >= SILENT_US;
-  bool behind = ctrl->list.heard_revision > ctrl->list.revision;
-  if (ctrl->peers.tails || silent || behind)
-    return interval_us (ctrl);
-  return MAX (interval_us (ctrl), RECHECK_US);
+  bool silent = ctrl_now_us (ctrl) - ctrl->talk.last_received_us >= PEERS_SILENT_US;
+  bool behind = ctrl->list.peer_revision > ctrl->list.revision;
+  if (ctrl->peers.is_follower || silent || behind)
+    return poll_interval_us (ctrl);
+  return MAX (poll_interval_us (ctrl), RECHECK_US);
 }
 
 static void
-take_answer (ctrl_t *ctrl, const plt_hosts_t *hosts, uint64_t started_us)
+accept_answer (ctrl_t *ctrl, const plt_hosts_t *hosts, uint64_t started_us)
 {
-  ctrl_source_worked (ctrl, &ctrl->list.source, SOURCE, ctrl_jitter (ctrl, interval_us (ctrl)));
+  ctrl_source_worked (ctrl, &ctrl->list.source, SOURCE,
+                      ctrl_jitter (ctrl, poll_interval_us (ctrl)));
   if (!is_credible (hosts))
     {
       if (!ctrl->list.empty)
@@ -132,9 +134,9 @@
       return;
     }
   ctrl->list.empty = false;
-  take_hosts (ctrl, hosts);
-  ctrl->list.source.due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, wait_after (ctrl));
-  ctrl->list.heard_revision = 0;
+  apply_hosts (ctrl, hosts);
+  ctrl->list.source.due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, next_read_wait_us (ctrl));
+  ctrl->list.peer_revision = 0;
   ctrl_fresh_heard_list (ctrl, started_us, true);
 }
 
@@ -147,14 +149,14 @@
   if (!ctrl_op_end (op))
     return;
   bool worked = hosts->outcome == PLT_OK;
-  ctrl_gauge (ctrl, "medlarplank_list_up", "Whether the last reading of the platform's list worked",
-              worked);
+  ctrl_gauge (ctrl, "medlarplank_list_up",
+              "Whether the last read of the platform's host list succeeded", worked);
   if (worked)
     {
-      take_answer (ctrl, hosts, started_us);
+      accept_answer (ctrl, hosts, started_us);
       return;
     }
-  ctrl_source_failed (ctrl, &ctrl->list.source, SOURCE, interval_us (ctrl));
+  ctrl_source_failed (ctrl, &ctrl->list.source, SOURCE, poll_interval_us (ctrl));
   ctrl_fresh_heard_list (ctrl, started_us, false);
 }
 
@@ -163,31 +165,33 @@
 {
   ctrl_source_t *source = &ctrl->list.source;
   uint64_t now_us = ctrl_now_us (ctrl);
-  bool silent = now_us - ctrl->talk.heard_us >= SILENT_US && !source->down &&
-                now_us - ctrl->list.asked_us >= interval_us (ctrl);
+  bool silent = now_us - ctrl->talk.last_received_us >= PEERS_SILENT_US && !source->down &&
+                now_us - ctrl->list.last_read_us >= poll_interval_us (ctrl);
   if (source->op != NULL || (now_us < source->due_us && !silent))
     return;
   source->op = ctrl_op_new (ctrl);
-  ctrl->list.asked_us = now_us;
+  ctrl->list.last_read_us = now_us;
   exc_charge (ctrl->exc, CTRL_LIST_BYTES);
   ctrl->plt->hosts (ctrl->plt, ctrl->list.revision, on_hosts, source->op);
 }
 
-/* Never more often than its interval: while a data centre drops, the list changes all the time. */
+/* Not more often than the polling interval: while a data centre drops out, the list changes all the
+ * time. */
 void
 ctrl_list_heard (ctrl_t *ctrl, uint64_t revision)
 {
   ctrl_list_t *list = &ctrl->list;
   if (revision <= list->revision)
     return;
-  list->heard_revision = MAX (list->heard_revision, revision);
-  uint64_t soonest_us = list->asked_us + interval_us (ctrl);
+  list->peer_revision = MAX (list->peer_revision, revision);
+  uint64_t soonest_us = list->last_read_us + poll_interval_us (ctrl);
   if (!list->source.down)
     list->source.due_us = MIN (list->source.due_us, soonest_us);
 }
 
-/* The list showed this process as live, and as leaving in a later revision: as if it had read that
- * itself. Without a reading that showed it as live its predecessor may be meant. */
+/* A list that had this process as live was read here, and a later revision has it as leaving: that
+ * counts as if it had been read here. Without a list that had this process as live, the previous
+ * process on the host may be meant. */
 void
 ctrl_list_heard_leaving (ctrl_t *ctrl, uint64_t revision)
 {
@@ -201,7 +205,7 @@
 {
   uint64_t hash;
   for (uint32_t i = 0;
-       i < TELLS_LEAVING && lvn_next (ctrl->list.leaving, ctrl_now_us (ctrl), &hash); i++)
+       i < LEAVING_CALLS_PER_TICK && lvn_next (ctrl->list.leaving, ctrl_now_us (ctrl), &hash); i++)
     {
       const mem_host_t *host =
           ctrl->peers.members != NULL ? mem_find_hash (ctrl->peers.members, hash) : NULL;
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -5,22 +5,25 @@
 #include <string.h>
 
 #define SOURCE "manifest"
-#define READ_RECORDS 200
-#define TAIL_WAIT_MS 3000
-/* Daemons that do not follow the log read it when a peer has a higher version, and this often. */
+#define READ_MAX_RECORDS 200
+#define LONG_POLL_MS 3000
+/* Daemons that aren't followers read the log when a peer has a higher version, and at this
+ * interval. */
 #define RECHECK_US (30 * CLK_US_PER_S)
 #define RETRY_US (250 * CLK_US_PER_MS)
-#define STUCK_US (1 * CLK_US_PER_S)
-/* Behind a peer for this long: take the version from the peer. A log that is only slow gets longer,
- * as it brings a patch of some hundred bytes where a peer brings the whole manifest. */
-#define BEHIND_OUT_US (500 * CLK_US_PER_MS)
-#define BEHIND_SLOW_US (1500 * CLK_US_PER_MS)
-/* By those that follow the log. If all told others at once, thousands would read it at once. In a
- * small fleet most follow it, and would only use up each other's budget. */
-#define TELLS_OF_VERSION 4
-#define PEERS_PER_TELL 64
+#define NO_PROGRESS_WAIT_US (1 * CLK_US_PER_S)
+/* A daemon that has been behind a peer for this long fetches the manifest from the peer: the
+ * shorter delay applies while the log is down, the longer one while it is only slow, as the log
+ * brings a patch of some hundred bytes instead of the whole manifest. */
+#define FETCH_AFTER_LOG_DOWN_US (500 * CLK_US_PER_MS)
+#define FETCH_AFTER_LOG_SLOW_US (1500 * CLK_US_PER_MS)
+/* Calls that a follower makes when it reads a new version: one for each 64 peers, up to 4. With
+ * more, thousands of daemons would read the log at once. In a small fleet most daemons are
+ * followers, and calls would only use up the byte budgets. */
+#define VERSION_CALLS_MAX 4
+#define PEERS_PER_VERSION_CALL 64
 #define CHECKPOINT_RECORDS 64
-#define CHECKPOINT_WAIT_S 10
+#define CHECKPOINT_MAX_WAIT_S 10
 #define CHECKPOINTS_PER_RETENTION 4
 
 static const char *
@@ -47,7 +50,7 @@
 }
 
 static void
-log_judgement (const rep_judgement_t *judgement, uint64_t offset)
+log_verdict (const rep_judgement_t *judgement, uint64_t offset)
 {
   bool quiet = judgement->verdict == REP_SKIPPED || judgement->verdict == REP_CHECKPOINT_SEEN;
   log_event (quiet ? LOG_LEVEL_DEBUG : LOG_LEVEL_INFO, "manifest_record", "verdict",
@@ -57,33 +60,33 @@
 }
 
 static void
-feed (ctrl_t *ctrl, const plt_record_t *record)
+apply_record (ctrl_t *ctrl, const plt_record_t *record)
 {
   ctrl_manifest_t *manifest = &ctrl->manifest;
   rep_judgement_t judgement =
       rep_feed (manifest->rep, record->offset, record->data, record->data_bytes);
-  log_judgement (&judgement, record->offset);
+  log_verdict (&judgement, record->offset);
   if (judgement.verdict == REP_CHECKPOINT_SEEN || judgement.verdict == REP_CHECKPOINT_USED)
-    manifest->checkpoint_us = ctrl_now_us (ctrl);
+    manifest->checkpoint_seen_us = ctrl_now_us (ctrl);
   if (judgement.verdict == REP_STALE_BASE || judgement.verdict == REP_INVALID)
     ctrl_count (ctrl, "medlarplank_manifest_refused_total",
                 "Records of the manifest stream that were refused");
 }
 
-/* Return: when to read again. */
+/* Return: the delay until the next read. */
 static uint64_t
-wait_after (ctrl_t *ctrl, const plt_read_t *read, uint64_t next_before)
+next_read_wait_us (ctrl_t *ctrl, const plt_read_t *read, uint64_t next_before)
 {
   uint64_t next_offset = rep_next_offset (ctrl->manifest.rep);
   if (next_offset < read->end_offset)
-    return next_offset != next_before ? 0 : STUCK_US;
-  if (ctrl->peers.tails)
+    return next_offset != next_before ? 0 : NO_PROGRESS_WAIT_US;
+  if (ctrl->peers.is_follower)
     return 0;
   return ctrl_jitter (ctrl, RECHECK_US);
 }
 
 static void
-take_records (ctrl_t *ctrl, const plt_read_t *read, uint64_t started_us)
+apply_records (ctrl_t *ctrl, const plt_read_t *read, uint64_t started_us)
 {
   rep_t *rep = ctrl->manifest.rep;
   uint64_t next_before = rep_next_offset (rep);
@@ -93,8 +96,8 @@
   rep_begin (rep, read->first_offset);
   rep_note_end (rep, read->end_offset);
   for (uint32_t i = 0; i < read->record_count; i++)
-    feed (ctrl, &read->records[i]);
-  uint64_t wait_us = wait_after (ctrl, read, next_before);
+    apply_record (ctrl, &read->records[i]);
+  uint64_t wait_us = next_read_wait_us (ctrl, read, next_before);
   ctrl_source_worked (ctrl, &ctrl->manifest.source, SOURCE, wait_us);
   ctrl_manifest_flush (ctrl);
   if (rep_next_offset (rep) >= read->end_offset)
@@ -113,53 +116,55 @@
   ctrl_claims_note_log (ctrl, worked);
   if (worked)
     {
-      take_records (ctrl, read, started_us);
+      apply_records (ctrl, read, started_us);
     }
   else
     {
       ctrl_source_failed (ctrl, &ctrl->manifest.source, SOURCE, RETRY_US);
       ctrl_fresh_heard_log (ctrl, started_us, false);
     }
-  ctrl_gauge (ctrl, "medlarplank_log_up", "Whether the last reading of the log worked", worked);
+  ctrl_gauge (ctrl, "medlarplank_log_up", "Whether the last read of the log succeeded", worked);
 }
 
-/* The first read after a start or a pause does not wait, as the daemon is stale until it ends. */
+/* The first read after a start or a pause returns at once, as the daemon is stale until then. */
 static void
-read_on (ctrl_t *ctrl)
+start_read (ctrl_t *ctrl)
 {
   ctrl_source_t *source = &ctrl->manifest.source;
   if (source->op != NULL || ctrl_now_us (ctrl) < source->due_us)
     return;
-  bool may_wait = ctrl->peers.tails && ctrl->fresh.log_ok && !source->down;
+  bool may_wait = ctrl->peers.is_follower && ctrl->fresh.log_ok && !source->down;
   source->op = ctrl_op_new (ctrl);
   exc_charge (ctrl->exc, CTRL_READ_BYTES);
-  ctrl->plt->read (ctrl->plt, REP_STREAM, rep_next_offset (ctrl->manifest.rep), READ_RECORDS,
-                   may_wait ? TAIL_WAIT_MS : 0, on_read, source->op);
+  ctrl->plt->read (ctrl->plt, REP_STREAM, rep_next_offset (ctrl->manifest.rep), READ_MAX_RECORDS,
+                   may_wait ? LONG_POLL_MS : 0, on_read, source->op);
 }
 
 static const mem_host_t *
-find_teller (ctrl_t *ctrl)
+find_fetch_peer (ctrl_t *ctrl)
 {
   if (ctrl->peers.members == NULL)
     return NULL;
-  const mem_host_t *host = mem_find_hash (ctrl->peers.members, ctrl->manifest.heard_from);
+  const mem_host_t *host = mem_find_hash (ctrl->peers.members, ctrl->manifest.peer_hash);
   return host != NULL ? host : ctrl_peer_any (ctrl);
 }
 
-/* A daemon that lost track of the log, as it was behind for longer than records are retained, or
- * that has found no checkpoint it may trust, takes the state of a peer too. */
+/* A daemon also fetches from a peer when it can't follow the log: it was behind for longer than
+ * records are retained, or has found no checkpoint that it may trust. */
 static void
 catch_up_from_peer (ctrl_t *ctrl)
 {
   ctrl_manifest_t *manifest = &ctrl->manifest;
   uint64_t now_us = ctrl_now_us (ctrl);
-  uint64_t patience_us = manifest->source.down ? BEHIND_OUT_US : BEHIND_SLOW_US;
-  bool behind = manifest->behind_since_us != 0 && now_us - manifest->behind_since_us >= patience_us;
+  uint64_t fetch_after_us =
+      manifest->source.down ? FETCH_AFTER_LOG_DOWN_US : FETCH_AFTER_LOG_SLOW_US;
+  bool behind =
+      manifest->behind_since_us != 0 && now_us - manifest->behind_since_us >= fetch_after_us;
   bool lost = !rep_ready (manifest->rep) && (manifest->source.down || ctrl->fresh.log_ok);
-  bool unknown = lost && (manifest->heard_version != 0 || ctrl_manifest_version (ctrl) != 0);
+  bool unknown = lost && (manifest->peer_version != 0 || ctrl_manifest_version (ctrl) != 0);
   if (!behind && !unknown)
     return;
-  const mem_host_t *host = find_teller (ctrl);
+  const mem_host_t *host = find_fetch_peer (ctrl);
   if (host != NULL)
     ctrl_fetch_start (ctrl, host);
 }
@@ -182,40 +187,42 @@
 }
 
 static bool
-checkpoint_wanted (ctrl_t *ctrl)
+is_checkpoint_due (ctrl_t *ctrl)
 {
   const ctrl_manifest_t *manifest = &ctrl->manifest;
-  if (!ctrl->peers.tails || manifest->source.down || !rep_ready (manifest->rep))
+  if (!ctrl->peers.is_follower || manifest->source.down || !rep_ready (manifest->rep))
     return false;
   if (rep_checkpoint_due (manifest->rep, CHECKPOINT_RECORDS))
     return true;
   uint64_t retention_us = (uint64_t)ctrl->dmn->set.log_retention_s * CLK_US_PER_S;
-  uint64_t age_us = ctrl_now_us (ctrl) - manifest->checkpoint_us;
+  uint64_t age_us = ctrl_now_us (ctrl) - manifest->checkpoint_seen_us;
   return age_us > retention_us / CHECKPOINTS_PER_RETENTION;
 }
 
-/* After a random wait, so that of all daemons that find one due mostly one appends it. */
+/* Waits a random time, so that usually only one of the daemons that find a checkpoint due appends
+ * it. */
 static void
-checkpoint_turn (ctrl_t *ctrl)
+append_checkpoint_if_due (ctrl_t *ctrl)
 {
   ctrl_manifest_t *manifest = &ctrl->manifest;
   uint64_t now_us = ctrl_now_us (ctrl);
   if (manifest->checkpoint_op != NULL)
     return;
-  if (!checkpoint_wanted (ctrl))
+  if (!is_checkpoint_due (ctrl))
     {
       manifest->checkpoint_due_us = 0;
       return;
     }
   if (manifest->checkpoint_due_us == 0)
     {
-      double wait_s = g_rand_double_range (ctrl->rand, 0.1, CHECKPOINT_WAIT_S);
+      double wait_s = g_rand_double_range (ctrl->rand, 0.1, CHECKPOINT_MAX_WAIT_S);
       manifest->checkpoint_due_us = now_us + (uint64_t)(wait_s * CLK_US_PER_S);
     }
   if (now_us < manifest->checkpoint_due_us)
     return;
-  /* Again no sooner than this, whether it worked or is still to be read. */
-  manifest->checkpoint_due_us = now_us + 2 * CHECKPOINT_WAIT_S * CLK_US_PER_S;
+  /* No other checkpoint before this, even if the append fails or the checkpoint is not read back
+   * yet. */
+  manifest->checkpoint_due_us = now_us + 2 * CHECKPOINT_MAX_WAIT_S * CLK_US_PER_S;
   manifest->checkpoint = rep_checkpoint_record (manifest->rep);
   if (manifest->checkpoint == NULL)
     return;
@@ -230,7 +237,7 @@
 ctrl_manifest_init (ctrl_t *ctrl)
 {
   ctrl->manifest.rep = rep_new ();
-  ctrl->manifest.checkpoint_us = ctrl_now_us (ctrl);
+  ctrl->manifest.checkpoint_seen_us = ctrl_now_us (ctrl);
 }
 
 void
@@ -252,7 +259,7 @@
 {
   ctrl_manifest_t *manifest = &ctrl->manifest;
   uint64_t version = ctrl_manifest_version (ctrl);
-  if (version >= manifest->heard_version)
+  if (version >= manifest->peer_version)
     manifest->behind_since_us = 0;
   if (!rep_ready (manifest->rep) || version <= manifest->sent_version)
     return;
@@ -263,8 +270,8 @@
               version);
   manifest->sent_version = version;
   ctrl_peers_rebuild (ctrl);
-  if (ctrl->peers.tails)
-    ctrl_talk_tell (ctrl, MIN (TELLS_OF_VERSION, ctrl->peers.all->len / PEERS_PER_TELL));
+  if (ctrl->peers.is_follower)
+    ctrl_talk_tell (ctrl, MIN (VERSION_CALLS_MAX, ctrl->peers.all->len / PEERS_PER_VERSION_CALL));
   ctrl_talk_version (ctrl);
   msg_version_t *message = msg_new (MSG_VERSION);
   message->man = man_ref (man);
@@ -276,12 +283,12 @@
 ctrl_manifest_heard (ctrl_t *ctrl, uint64_t version, uint64_t host_hash)
 {
   ctrl_manifest_t *manifest = &ctrl->manifest;
-  if (version <= ctrl_manifest_version (ctrl) || version < manifest->heard_version)
+  if (version <= ctrl_manifest_version (ctrl) || version < manifest->peer_version)
     return;
-  manifest->heard_version = version;
-  manifest->heard_from = host_hash;
-  /* A log that was out is tried once before its back-off ends: after an outage that many had, it
-   * brings a patch where a peer would bring each of them the whole manifest. */
+  manifest->peer_version = version;
+  manifest->peer_hash = host_hash;
+  /* A log that was down is read once before its back-off ends: after an outage for many daemons it
+   * brings each a patch, where peers would send each the whole manifest. */
   bool first = manifest->behind_since_us == 0;
   if (first)
     manifest->behind_since_us = ctrl_now_us (ctrl);
@@ -292,7 +299,7 @@
 void
 ctrl_manifest_turn (ctrl_t *ctrl)
 {
-  read_on (ctrl);
+  start_read (ctrl);
   catch_up_from_peer (ctrl);
-  checkpoint_turn (ctrl);
+  append_checkpoint_if_due (ctrl);
 }
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -2,15 +2,18 @@
 
 #include "base/log.h"
 
-/* Telling the members anew costs a microsecond or so for each host known. So long after the last
- * time, for each host, it takes a hundredth of a core at most, whatever is heard; less than half a
- * second for 4,580 hosts. Changes that are not urgent wait for longer. */
-#define URGENT_US_PER_HOST 100
-#define FLUSH_US_PER_HOST 1000
-#define FLUSH_MIN_US (1 * CLK_US_PER_S)
-#define LOGGED_CHANGES 16  /* beyond, only their number is logged */
-#define TAILS_PER_CENTER 3 /* daemons of a data centre that follow the log closely */
-#define TAIL_SEED UINT64_C (0x9e3779b97f4a7c15)
+/*
+ * Taking and sending a snapshot costs about a microsecond per known host. Waiting at least this
+ * long per host after the last snapshot limits the cost to a hundredth of a core whatever is
+ * received, and the delay to less than half a second for 4,580 hosts. Changes that are not urgent
+ * wait longer.
+ */
+#define URGENT_WAIT_US_PER_HOST 100
+#define WAIT_US_PER_HOST 1000
+#define WAIT_MIN_US (1 * CLK_US_PER_S)
+#define MAX_LOGGED_CHANGES 16       /* of further changes only the number is logged */
+#define FOLLOWERS_PER_DATA_CENTER 3 /* they poll the log and the host list */
+#define FOLLOWER_SEED UINT64_C (0x9e3779b97f4a7c15)
 
 static const char *
 state_name (mem_state_t state)
@@ -37,23 +40,23 @@
 }
 
 static bool
-same_for_log (const mem_host_t *a, const mem_host_t *b)
+is_same_for_log (const mem_host_t *a, const mem_host_t *b)
 {
   return a->state == b->state && a->incarnation == b->incarnation && a->settled_us == b->settled_us;
 }
 
-/* Return: how many hosts differ; logs the first of them. */
+/* Return: the number of hosts that differ; the first of them are logged. */
 static uint32_t
-compare (const mem_snapshot_t *before, const mem_snapshot_t *after, uint64_t now_us)
+log_differences (const mem_snapshot_t *before, const mem_snapshot_t *after, uint64_t now_us)
 {
   uint32_t changes = 0;
   for (uint32_t i = 0; i < after->host_count; i++)
     {
       const mem_host_t *host = &after->hosts[i];
       const mem_host_t *old = mem_find_hash (before, host->hash);
-      if (old != NULL && same_for_log (old, host))
+      if (old != NULL && is_same_for_log (old, host))
         continue;
-      if (changes++ < LOGGED_CHANGES)
+      if (changes++ < MAX_LOGGED_CHANGES)
         log_change (host, host->state, now_us);
     }
   for (uint32_t i = 0; i < before->host_count; i++)
@@ -61,7 +64,7 @@
       const mem_host_t *old = &before->hosts[i];
       if (mem_find_hash (after, old->hash) != NULL)
         continue;
-      if (changes++ < LOGGED_CHANGES)
+      if (changes++ < MAX_LOGGED_CHANGES)
         log_change (old, MEM_GONE, now_us);
     }
   return changes;
@@ -70,7 +73,7 @@
 static void
 log_members (const mem_snapshot_t *before, const mem_snapshot_t *after, uint64_t now_us)
 {
-  uint32_t changes = before != NULL ? compare (before, after, now_us) : after->host_count;
+  uint32_t changes = before != NULL ? log_differences (before, after, now_us) : after->host_count;
   if (changes == 0)
     return;
   log_event (LOG_LEVEL_INFO, "members", "hosts", LOG_U64 (after->host_count), "changes",
@@ -78,7 +81,7 @@
 }
 
 static void
-count_members (ctrl_t *ctrl, const mem_snapshot_t *members)
+update_gauges (ctrl_t *ctrl, const mem_snapshot_t *members)
 {
   uint64_t leaving = 0;
   for (uint32_t i = 0; i < members->host_count; i++)
@@ -88,40 +91,41 @@
 }
 
 static uint64_t
-tail_score (uint64_t host_hash)
+follower_score (uint64_t host_hash)
 {
-  uint64_t mixed = (host_hash ^ TAIL_SEED) * UINT64_C (0xff51afd7ed558ccd);
+  uint64_t mixed = (host_hash ^ FOLLOWER_SEED) * UINT64_C (0xff51afd7ed558ccd);
   return mixed ^ (mixed >> 33);
 }
 
-/* The same on every daemon that sees the same list. One that is not listed yet follows the log
- * itself, as nobody may know of it. */
+/* Whether this daemon is a follower: one of the hosts of its data centre with the highest scores.
+ * All daemons with the same list agree on them. A daemon that isn't listed yet is a follower too,
+ * as no peer may know it and send it news. */
 static bool
-is_tail (const ctrl_t *ctrl, const mem_snapshot_t *members)
+is_follower (const ctrl_t *ctrl, const mem_snapshot_t *members)
 {
   const mem_host_t *own = mem_find_hash (members, ctrl->own_hash);
   if (own == NULL)
     return true;
-  uint32_t ahead = 0;
+  uint32_t higher_scores = 0;
   for (uint32_t i = 0; i < members->host_count; i++)
     {
       const mem_host_t *host = &members->hosts[i];
       if (host->state != MEM_LIVE || g_strcmp0 (host->data_center, own->data_center) != 0)
         continue;
-      ahead += tail_score (host->hash) > tail_score (own->hash);
+      higher_scores += follower_score (host->hash) > follower_score (own->hash);
     }
-  return ahead < TAILS_PER_CENTER;
+  return higher_scores < FOLLOWERS_PER_DATA_CENTER;
 }
 
 static const man_service_t *
-service_of (const ctrl_t *ctrl, const char *name)
+find_service (const ctrl_t *ctrl, const char *name)
 {
   const man_t *man = rep_manifest (ctrl->manifest.rep);
   return man != NULL ? man_service_of_engine (man, name) : NULL;
 }
 
 static const mem_host_t *
-random_of (ctrl_t *ctrl, const GArray *indices)
+pick_random (ctrl_t *ctrl, const GArray *indices)
 {
   if (indices->len == 0)
     return NULL;
@@ -135,8 +139,8 @@
   ctrl_peers_t *peers = &ctrl->peers;
   peers->all = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   peers->sidecars = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-  peers->same = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-  peers->tails = true;
+  peers->same_service = g_array_new (FALSE, FALSE, sizeof (uint32_t));
+  peers->is_follower = true;
 }
 
 void
@@ -147,7 +151,7 @@
     mem_snapshot_unref (peers->members);
   g_array_free (peers->all, TRUE);
   g_array_free (peers->sidecars, TRUE);
-  g_array_free (peers->same, TRUE);
+  g_array_free (peers->same_service, TRUE);
 }
 
 void
@@ -158,9 +162,9 @@
     return;
   g_array_set_size (peers->all, 0);
   g_array_set_size (peers->sidecars, 0);
-  g_array_set_size (peers->same, 0);
+  g_array_set_size (peers->same_service, 0);
   const set_t *set = &ctrl->dmn->set;
-  const man_service_t *own = service_of (ctrl, set->name);
+  const man_service_t *own = find_service (ctrl, set->name);
   for (uint32_t i = 0; i < peers->members->host_count; i++)
     {
       const mem_host_t *host = &peers->members->hosts[i];
@@ -171,15 +175,15 @@
         continue;
       g_array_append_val (peers->sidecars, i);
       if (own != NULL && g_strcmp0 (host->region, set->region) == 0 &&
-          service_of (ctrl, host->name) == own)
-        g_array_append_val (peers->same, i);
+          find_service (ctrl, host->name) == own)
+        g_array_append_val (peers->same_service, i);
     }
-  peers->tails = is_tail (ctrl, peers->members);
+  peers->is_follower = is_follower (ctrl, peers->members);
 }
 
-/* A snapshot costs milliseconds when there are thousands of hosts. When a data centre drops or
- * comes back, hundreds of changes are heard one by one; a daemon that starts hears from each host
- * for the first time, and their incarnations alone can wait. */
+/* A snapshot costs milliseconds with thousands of hosts. When a data centre drops out or returns,
+ * hundreds of changes arrive one by one. A daemon that starts receives each host's first message;
+ * their incarnations alone are not urgent. */
 static bool
 is_due (const ctrl_t *ctrl)
 {
@@ -188,26 +192,26 @@
     return false;
   if (members == NULL)
     return true;
-  uint64_t waited_us = ctrl_now_us (ctrl) - ctrl->peers.flushed_us;
-  uint64_t urgent_us = (uint64_t)members->host_count * URGENT_US_PER_HOST;
-  /* What waits is looked at on the tick; in a small fleet nothing urgent waits. */
+  uint64_t waited_us = ctrl_now_us (ctrl) - ctrl->peers.sent_us;
+  uint64_t urgent_us = (uint64_t)members->host_count * URGENT_WAIT_US_PER_HOST;
+  /* Delayed changes are checked on the tick, so a shorter delay has no use: in a small fleet urgent
+   * changes are sent at once. */
   if (mem_urgent (ctrl->mem))
     return urgent_us < PSE_TICK_MS * CLK_US_PER_MS || waited_us >= urgent_us;
-  return waited_us >= MAX (FLUSH_MIN_US, (uint64_t)members->host_count * FLUSH_US_PER_HOST);
+  return waited_us >= MAX (WAIT_MIN_US, (uint64_t)members->host_count * WAIT_US_PER_HOST);
 }
 
 static void
-flush (ctrl_t *ctrl)
+send_members (ctrl_t *ctrl)
 {
-  ctrl->peers.flushed_us = ctrl_now_us (ctrl);
+  ctrl->peers.sent_us = ctrl_now_us (ctrl);
   mem_snapshot_t *after = mem_snapshot (ctrl->mem);
   log_members (ctrl->peers.members, after, ctrl_now_us (ctrl));
   if (ctrl->peers.members != NULL)
     mem_snapshot_unref (ctrl->peers.members);
   ctrl->peers.members = after;
-  count_members (ctrl, after);
-  ctrl_count (ctrl, "medlarplank_members_told_total",
-              "Times that the members were told to the data task");
+  update_gauges (ctrl, after);
+  ctrl_count (ctrl, "medlarplank_members_told_total", "Member snapshots sent to the data task");
   ctrl_peers_rebuild (ctrl);
   msg_members_t *message = msg_new (MSG_MEMBERS);
   message->members = mem_snapshot_ref (after);
@@ -218,31 +222,31 @@
 ctrl_members_flush (ctrl_t *ctrl)
 {
   if (is_due (ctrl))
-    flush (ctrl);
+    send_members (ctrl);
 }
 
 void
 ctrl_members_flush_now (ctrl_t *ctrl)
 {
   if (ctrl->list.read_once && mem_changed (ctrl->mem))
-    flush (ctrl);
+    send_members (ctrl);
 }
 
 const mem_host_t *
 ctrl_peer_any (ctrl_t *ctrl)
 {
-  return random_of (ctrl, ctrl->peers.all);
+  return pick_random (ctrl, ctrl->peers.all);
 }
 
-/* Routers talk to sidecars, which know loads. Sidecars talk to those of their own service for its
- * mean, and as often to anyone, so that versions and words get everywhere. */
+/* Routers call sidecars, which know loads. Sidecars call those of their own service to estimate its
+ * mean load, and as often any peer, so that versions and state reports reach all hosts. */
 const mem_host_t *
 ctrl_peer_near (ctrl_t *ctrl)
 {
   const mem_host_t *host = NULL;
   if (ctrl->dmn->set.role == SET_ROLE_ROUTER)
-    host = random_of (ctrl, ctrl->peers.sidecars);
+    host = pick_random (ctrl, ctrl->peers.sidecars);
   else if (g_rand_boolean (ctrl->rand))
-    host = random_of (ctrl, ctrl->peers.same);
+    host = pick_random (ctrl, ctrl->peers.same_service);
   return host != NULL ? host : ctrl_peer_any (ctrl);
 }
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -1,9 +1,9 @@
 /**
  * DOC: control_private
  *
- * The state of the control task, shared by the files control*.c. Everything here runs on one
- * thread. What waits for a time is looked at on one tick, by the daemon's clock, so that tests can
- * pause and advance it.
+ * The state of the control task, shared by the files control*.c. The control task runs on one
+ * thread. Timeouts are checked on a periodic tick against the daemon's clock, which tests can pause
+ * and advance.
  */
 #ifndef PROCESS_CONTROL_PRIVATE_H
 #define PROCESS_CONTROL_PRIVATE_H
@@ -21,28 +21,34 @@
 #include "version/replay.h"
 
 #define CTRL_BACKOFF_MAX_US (UINT64_C (10) * CLK_US_PER_S)
-/* Estimates for the byte budget, with the headers of TCP and IP: see docs/measurements/control.md.
- */
-#define CTRL_LIST_BYTES 220    /* reading the list, on a connection that is kept */
-#define CTRL_READ_BYTES 330    /* reading the log, while it waits for a record */
-#define CTRL_REQUEST_BYTES 300 /* another request */
+/* Estimated traffic of a platform call, charged to the control byte budget; with the headers of TCP
+ * and IP. See docs/measurements/control.md. */
+#define CTRL_LIST_BYTES 220    /* reading the host list, on a connection that is kept open */
+#define CTRL_READ_BYTES 330    /* a long-polling read of the log */
+#define CTRL_REQUEST_BYTES 300 /* any other request */
 
 /**
- * struct ctrl_op - a call to the platform that is not answered yet
- * @orphan: nobody waits for the answer any more
- * @started_us: an answer tells nothing of what came before this
- * @stream: claims stream that it belongs to, or NULL
+ * struct ctrl_op - a call to the platform that has not completed
+ * @abandoned: the result is to be ignored
+ * @started_us: when the call was made; its result says nothing about changes before that
+ * @stream: the claims stream that the call belongs to, or NULL
  */
 typedef struct ctrl_stream ctrl_stream_t;
 typedef struct
 {
   ctrl_t *ctrl;
-  bool orphan;
+  bool abandoned;
   uint64_t started_us;
   ctrl_stream_t *stream;
 } ctrl_op_t;
 
-/** struct ctrl_source - how reading from the platform goes: when next, and whether it is out */
+/**
+ * struct ctrl_source - polling state of the host list or of the manifest stream
+ * @op: the read in flight, or NULL
+ * @due_us: when to read next
+ * @backoff_us: current retry delay, 0 while reads succeed
+ * @down: the last read failed
+ */
 typedef struct
 {
   ctrl_op_t *op;
@@ -53,68 +59,84 @@
 
 /**
  * struct ctrl_list - the platform's list of hosts
- * @asked_us: when it was read last
- * @heard_revision: the highest that a peer has told since the last answer
- * @read_once: a list has come
- * @empty: the last answer told of no host at all, and was not believed
- * @own_state: of this host, in the list; MEM_GONE when it isn't there
- * @own_held: the list said leaving since before this process started: of its predecessor, perhaps
- * @own_live_revision: of the last reading that showed this host as live, 0 when none has
- * @leaving: hosts of this data centre to tell that they leave
+ * @revision: of the last list that was applied
+ * @last_read_us: when the last read was started
+ * @peer_revision: the highest that a peer has announced since the last successful read
+ * @read_once: a list has been applied
+ * @empty: the last read returned a list without any host, which was ignored
+ * @own_state: of this host according to the list; MEM_GONE when it isn't listed
+ * @own_unclear: the list has said "leaving" since before this process started, which may refer to
+ *               the previous process on this host
+ * @own_live_revision: of the last list read that had this host as live, 0 when none had
+ * @leaving: hosts of this data centre that have to be notified that the list has them as leaving
  */
 typedef struct
 {
   ctrl_source_t source;
   uint64_t revision;
-  uint64_t asked_us;
-  uint64_t heard_revision;
+  uint64_t last_read_us;
+  uint64_t peer_revision;
   bool read_once;
   bool empty;
   mem_state_t own_state;
-  bool own_held;
+  bool own_unclear;
   uint64_t own_live_revision;
   lvn_t *leaving;
 } ctrl_list_t;
 
 /**
- * struct ctrl_peers - whom to exchange with, as indices into @members
- * @same: sidecars of the own service in the own region
- * @flushed_us: when @members was taken
- * @tails: this daemon is one of the few of its data centre that follow the log and the list closely
+ * struct ctrl_peers - the members, and the hosts to exchange with as indices into @members
+ * @members: the snapshot that was last sent to the data task, NULL before the first
+ * @all: live hosts that have an exchange address
+ * @sidecars: those of @all that are sidecars
+ * @same_service: sidecars of this daemon's service in its region
+ * @sent_us: when @members was sent to the data task
+ * @is_follower: this daemon is one of the few of its data centre that poll the log and the host
+ *               list all the time; the others rely on peers to announce changes
  */
 typedef struct
 {
   mem_snapshot_t *members;
   GArray *all;
   GArray *sidecars;
-  GArray *same;
-  uint64_t flushed_us;
-  bool tails;
+  GArray *same_service;
+  uint64_t sent_us;
+  bool is_follower;
 } ctrl_peers_t;
 
 /**
  * struct ctrl_manifest - the manifest stream
- * @sent_version: told to the data task
- * @heard_version: the highest that a peer has told, by the host @heard_from
+ * @rep: replays the stream and holds the version in force
+ * @sent_version: the last version sent to the data task
+ * @peer_version: the highest that a peer has announced, last by the host @peer_hash
  * @behind_since_us: since when a peer has had a higher version, 0 when none has
+ * @checkpoint_op: the append of @checkpoint in flight, or NULL
  * @checkpoint_due_us: when to append a checkpoint, 0 when none is due
- * @checkpoint_us: when the last checkpoint was seen
+ * @checkpoint_seen_us: when the last checkpoint was read from the stream
  */
 typedef struct
 {
   rep_t *rep;
   ctrl_source_t source;
   uint64_t sent_version;
-  uint64_t heard_version;
-  uint64_t heard_from;
+  uint64_t peer_version;
+  uint64_t peer_hash;
   uint64_t behind_since_us;
   ctrl_op_t *checkpoint_op;
   char *checkpoint;
   uint64_t checkpoint_due_us;
-  uint64_t checkpoint_us;
+  uint64_t checkpoint_seen_us;
 } ctrl_manifest_t;
 
-/** struct ctrl_fetch - taking the version in force from a peer; one at a time */
+/**
+ * struct ctrl_fetch - fetches the manifest in force from a peer over HTTP; one fetch at a time
+ * @call: the call in flight, or NULL
+ * @body: what has been received of the answer
+ * @nonce: sent with the call; the peer's seal covers it
+ * @seal: the seal header of the answer
+ * @host: name of the peer
+ * @next_us: no other fetch starts before
+ */
 typedef struct
 {
   hcl_call_t *call;
@@ -126,33 +148,46 @@
 } ctrl_fetch_t;
 
 /**
- * struct ctrl_talk - what is said and heard in the exchange
- * @heard_us: when a listed peer was heard last
+ * struct ctrl_talk - state of the exchange with other daemons
+ * @last_received_us: when a message of a listed peer was last accepted
  * @callee_hash: the host that the next call goes to
+ * @sequence: of the last message sent
+ * @rumours: state reports and marks that are still being passed on
+ * @own_sample: load of this daemon's engine, valid if @has_own_sample
+ * @samples: service hash -> mean_table_t, for the services of the manifest in force
+ * @old_messages: counts messages with a sequence or incarnation that was superseded
+ * @unlisted: counts messages of senders that are not in the host list
  */
 typedef struct
 {
-  uint64_t heard_us;
+  uint64_t last_received_us;
   uint64_t callee_hash;
   uint32_t sequence;
   rmr_t rumours;
   bool has_own_sample;
   mean_sample_t own_sample;
-  GHashTable *means; /* service hash -> mean_table_t, of the services in force */
+  GHashTable *samples;
   cnt_t *old_messages;
   cnt_t *unlisted;
 } ctrl_talk_t;
 
 /**
- * struct ctrl_fresh - what has been heard since the daemon started or last woke
- * @asked_us: answers to what was asked before this do not count
- * @replies: of peers to calls sent since
- * @current_replies: those that told no higher version than ours
+ * struct ctrl_fresh - what has been confirmed since the daemon started or last woke from a pause
+ *
+ * After a pause the host may be leaving and the manifest may have been replaced. The daemon is
+ * stale, and the data task accepts no work, until both have been confirmed by the platform or, when
+ * the platform is unreachable, by peers.
+ *
+ * @since_us: results of platform calls that were made before do not count
+ * @list_ok, @list_failed: a read of the host list has succeeded, has failed
+ * @log_ok, @log_failed: the log was read to its end, a read of it has failed
+ * @replies: of peers to calls made since
+ * @current_replies: those that announced no higher version than ours
  */
 typedef struct
 {
   pse_t pse;
-  uint64_t asked_us;
+  uint64_t since_us;
   bool list_ok;
   bool list_failed;
   bool log_ok;
@@ -164,24 +199,31 @@
 } ctrl_fresh_t;
 
 /**
- * struct ctrl_claims - the claims streams that are open
- * @down: the last read of the log failed: claims are refused at once
- * @asked_us: when the last claim came
- * @probe_us: while it is down, when to try it next
+ * struct ctrl_claims - the open claims streams
+ * @streams: name -> ctrl_stream_t
+ * @down: the last read of the log failed; claims are refused at once
+ * @requested_us: when the data task last requested a claim
+ * @probe_us: when to probe the log next while it is down
+ * @probe_wait_us: current delay between probes
+ * @probe_op: the probe in flight, or NULL
  */
 typedef struct
 {
-  GHashTable *streams; /* name -> ctrl_stream_t */
+  GHashTable *streams;
   bool down;
-  uint64_t asked_us;
+  uint64_t requested_us;
   uint64_t probe_us;
   uint64_t probe_wait_us;
   ctrl_op_t *probe_op;
 } ctrl_claims_t;
 
 /**
- * struct ctrl_stop - the way out
- * @by_signal: the process ends once all is drained
+ * struct ctrl_stop - progress of leaving and of the shutdown
+ * @leaving: this daemon accepts no new work and announces that it leaves
+ * @by_signal: the process ends once the data task is drained
+ * @drained: the data task has finished its requests, at @drained_us
+ * @done: the event loop was told to exit
+ * @calls_left: further peers to call with the announcement, one each tick
  */
 typedef struct
 {
@@ -190,14 +232,22 @@
   bool drained;
   bool done;
   uint64_t drained_us;
-  uint32_t tells_left;
+  uint32_t calls_left;
 } ctrl_stop_t;
 
-/* Instead of an incarnation, in a word to a host itself: whichever it has, the list says that it
- * leaves. Whether that is meant for it the host decides by the revision of the sender's list. */
+/* In a state report that is sent to the host it is about: the host list says that the host leaves,
+ * whichever incarnation runs there. The host compares the revision of the sender's list with its
+ * own to decide whether its current process is meant. */
 #define CTRL_ANY_INCARNATION 0
 
-struct ctrl
+/**
+ * struct control - the control task
+ * @own_hash: hash of this host's name
+ * @ops: all platform calls in flight, also the abandoned ones
+ * @closing: the task is being freed; results of platform calls are ignored
+ * @conflict_logged_us: when a higher incarnation of the own name was last logged, 0 for never
+ */
+struct control
 {
   dmn_t *dmn;
   struct event_base *base;
@@ -222,121 +272,150 @@
 };
 
 /* control.c */
-/** ctrl_new_on() - with a platform of the caller's, which is freed with the task */
+/** ctrl_new_on() - as ctrl_new(), with another platform, which is freed with the task */
 ctrl_t *ctrl_new_on (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error);
-/** ctrl_turn() - what the tick does */
+/** ctrl_turn() - the periodic work, called every %PSE_TICK_MS */
 void ctrl_turn (ctrl_t *ctrl);
 uint64_t ctrl_now_us (const ctrl_t *ctrl);
+/** ctrl_send() - send a message to the data task, which frees it */
 void ctrl_send (ctrl_t *ctrl, void *message);
+/** ctrl_count() - add 1 to the counter @name, registered with @help at the first call */
 void ctrl_count (ctrl_t *ctrl, const char *name, const char *help);
+/** ctrl_gauge() - set the gauge @name, registered with @help at the first call */
 void ctrl_gauge (ctrl_t *ctrl, const char *name, const char *help, uint64_t value);
-/** ctrl_jitter() - @wait_us times 3/4 to 5/4 */
+/** ctrl_jitter() - @wait_us times a random factor from 3/4 to 5/4 */
 uint64_t ctrl_jitter (ctrl_t *ctrl, uint64_t wait_us);
 
 /* control_source.c */
+/** ctrl_op_new() - register a platform call that is about to be made; ended by ctrl_op_end() */
 ctrl_op_t *ctrl_op_new (ctrl_t *ctrl);
-/** ctrl_op_end() - the answer came. Return: whether somebody waits for it */
+/** ctrl_op_end() - free a completed call. Return: whether its result is to be used */
 bool ctrl_op_end (ctrl_op_t *op);
-/** ctrl_source_worked() - the read was answered; the next is due after @wait_us */
+/** ctrl_source_worked() - a read succeeded; the next is due after @wait_us */
 void ctrl_source_worked (ctrl_t *ctrl, ctrl_source_t *source, const char *name, uint64_t wait_us);
-/** ctrl_source_failed() - the next is due after a back-off that doubles, with jitter */
+/** ctrl_source_failed() - a read failed; retry with exponential back-off from @first_us and jitter
+ */
 void ctrl_source_failed (ctrl_t *ctrl, ctrl_source_t *source, const char *name, uint64_t first_us);
-/** ctrl_source_restart() - read at once, and wait no longer for what was asked before */
+/** ctrl_source_restart() - abandon the read in flight and make a new one due at once */
 void ctrl_source_restart (ctrl_t *ctrl, ctrl_source_t *source);
 
 /* control_list.c */
+/** ctrl_list_turn() - read the host list if it is due */
 void ctrl_list_turn (ctrl_t *ctrl);
-/** ctrl_list_heard() - a peer has read the list up to @revision */
+/** ctrl_list_heard() - a peer announced that it has read the list up to @revision */
 void ctrl_list_heard (ctrl_t *ctrl, uint64_t revision);
-/** ctrl_list_heard_leaving() - by a peer, the list says as of @revision that this host leaves */
+/** ctrl_list_heard_leaving() - a peer reported that the list at @revision has this host as leaving
+ */
 void ctrl_list_heard_leaving (ctrl_t *ctrl, uint64_t revision);
-/** ctrl_list_tell() - call those that are to be told that they leave */
+/** ctrl_list_tell() - call the hosts that are due to be notified that they are listed as leaving */
 void ctrl_list_tell (ctrl_t *ctrl);
 
 /* control_members.c */
 void ctrl_members_init (ctrl_t *ctrl);
 void ctrl_members_clear (ctrl_t *ctrl);
-/** ctrl_members_flush() - tell the data task when the members have changed: at once, but what comes
- * soon after the last time waits a moment for more, the longer the more hosts there are */
+/**
+ * ctrl_members_flush() - send the members to the data task if they have changed
+ *
+ * The first change is sent at once. Those soon after the last snapshot are collected for a time
+ * that grows with the number of hosts, as a snapshot costs time for each host.
+ */
 void ctrl_members_flush (ctrl_t *ctrl);
-/** ctrl_members_flush_now() - without waiting for more: before the data task is told that it is
- * fresh, all that was heard must have reached it */
+/** ctrl_members_flush_now() - send changed members without collecting more, so that they reach the
+ *  data task before MSG_FRESHNESS does */
 void ctrl_members_flush_now (ctrl_t *ctrl);
-/** ctrl_peers_rebuild() - when the members or the version have changed */
+/** ctrl_peers_rebuild() - recompute the peers after a change of the members or of the manifest */
 void ctrl_peers_rebuild (ctrl_t *ctrl);
 /** ctrl_peer_any() - a random peer, or NULL */
 const mem_host_t *ctrl_peer_any (ctrl_t *ctrl);
-/** ctrl_peer_near() - a random one of those that it is most useful to talk to, or NULL */
+/** ctrl_peer_near() - a random peer, preferring those with samples that this daemon needs, or NULL
+ */
 const mem_host_t *ctrl_peer_near (ctrl_t *ctrl);
 
 /* control_manifest.c */
 void ctrl_manifest_init (ctrl_t *ctrl);
 void ctrl_manifest_clear (ctrl_t *ctrl);
+/** ctrl_manifest_turn() - read the log, fetch from a peer and append a checkpoint, as each is due
+ */
 void ctrl_manifest_turn (ctrl_t *ctrl);
-/** ctrl_manifest_flush() - tell the data task when another version is in force */
+/** ctrl_manifest_flush() - send the version in force to the data task if it has changed */
 void ctrl_manifest_flush (ctrl_t *ctrl);
-/** ctrl_manifest_heard() - a peer has @version in force */
+/** ctrl_manifest_heard() - the peer @host_hash announced that @version is in force there */
 void ctrl_manifest_heard (ctrl_t *ctrl, uint64_t version, uint64_t host_hash);
-/** ctrl_manifest_version() - in force here, 0 when none is */
+/** ctrl_manifest_version() - the version in force, 0 when there is none */
 uint64_t ctrl_manifest_version (const ctrl_t *ctrl);
 
 /* control_fetch.c */
-/** ctrl_fetch_start() - take the version in force from @host, unless one is just being taken */
+/** ctrl_fetch_start() - fetch the manifest in force from @host, unless a fetch is running or the
+ *  last one was started less than about a second ago */
 void ctrl_fetch_start (ctrl_t *ctrl, const mem_host_t *host);
 void ctrl_fetch_clear (ctrl_t *ctrl);
 
 /* control_fill.c */
+/** ctrl_talk_fill() - compose a message; @to is the sender that is replied to, NULL for a call to
+ *  the host @callee_hash */
 void ctrl_talk_fill (xch_message *message, const xch_word *to, void *context);
-/** ctrl_talk_word() - what this daemon says of itself, each time with a higher sequence */
+/** ctrl_talk_word() - a state report of this daemon, with the next sequence number */
 mem_word_t ctrl_talk_word (ctrl_t *ctrl);
-/** ctrl_talk_table() - samples of a service, NULL when it is not in force */
+/** ctrl_talk_table() - the load samples of a service, NULL when it is not in the manifest */
 mean_table_t *ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash);
 
 /* control_exchange.c */
 void ctrl_talk_init (ctrl_t *ctrl);
 void ctrl_talk_clear (ctrl_t *ctrl);
+/** ctrl_talk_heard() - process a received message. Return: whether to reply to it */
 bool ctrl_talk_heard (const xch_message *message, bool is_reply, void *context);
+/** ctrl_talk_pick() - choose the peer for the next periodic call. Return: false when there is none
+ */
 bool ctrl_talk_pick (set_address_t *peer, void *context);
-/** ctrl_talk_call() - call a host now, within the budget */
+/** ctrl_talk_call() - call a host now, if the byte budget allows it */
 void ctrl_talk_call (ctrl_t *ctrl, const mem_host_t *host);
-/** ctrl_talk_tell() - call up to @count peers at once */
+/** ctrl_talk_tell() - call up to @count different random peers now */
 void ctrl_talk_tell (ctrl_t *ctrl, uint32_t count);
-/** ctrl_talk_own_word() - count what this daemon says of itself among the words heard */
+/** ctrl_talk_own_word() - apply a state report of this daemon to its own members */
 void ctrl_talk_own_word (ctrl_t *ctrl);
-/** ctrl_talk_version() - forget samples of services that are no longer in force */
+/** ctrl_talk_version() - keep sample tables for exactly the services of the manifest in force */
 void ctrl_talk_version (ctrl_t *ctrl);
+/** ctrl_talk_own_sample() - the data task measured the load of this daemon's engine */
 void ctrl_talk_own_sample (ctrl_t *ctrl, const msg_samples_t *message);
+/** ctrl_talk_own_marks() - pass on marks of suspect requests that the data task made */
 void ctrl_talk_own_marks (ctrl_t *ctrl, const msg_marks_t *message);
 
 /* control_fresh.c */
 void ctrl_fresh_init (ctrl_t *ctrl);
-/** ctrl_fresh_check() - first in every event: notice a pause */
+/** ctrl_fresh_check() - detect a pause of the process; called first in every event handler */
 void ctrl_fresh_check (ctrl_t *ctrl);
-/** ctrl_fresh_woke() - the data task noticed one */
+/** ctrl_fresh_woke() - the data task detected a pause that ended at @woke_us */
 void ctrl_fresh_woke (ctrl_t *ctrl, uint64_t woke_us);
-/** ctrl_fresh_heard_list() and ..._log() - how a read ended that was started at @started_us */
+/** ctrl_fresh_heard_list() - a read of the host list, started at @started_us, has ended */
 void ctrl_fresh_heard_list (ctrl_t *ctrl, uint64_t started_us, bool worked);
+/** ctrl_fresh_heard_log() - a read of the log, started at @started_us, has ended */
 void ctrl_fresh_heard_log (ctrl_t *ctrl, uint64_t started_us, bool worked);
-/** ctrl_fresh_heard_reply() - a peer has @version in force and did not say that we leave */
+/** ctrl_fresh_heard_reply() - a peer with @version in force replied; its reports have been applied
+ */
 void ctrl_fresh_heard_reply (ctrl_t *ctrl, uint64_t version);
-/** ctrl_fresh_flush() - tell the data task once all has been heard */
+/** ctrl_fresh_flush() - tell the data task that it is fresh, once everything is confirmed */
 void ctrl_fresh_flush (ctrl_t *ctrl);
 
 /* control_claims.c */
 void ctrl_claims_init (ctrl_t *ctrl);
 void ctrl_claims_clear (ctrl_t *ctrl);
+/** ctrl_claims_turn() - advance all streams, close idle ones and probe a log that is down */
 void ctrl_claims_turn (ctrl_t *ctrl);
+/** ctrl_claims_ask() - claim an idempotency key; answered by MSG_CLAIM_RESULT */
 void ctrl_claims_ask (ctrl_t *ctrl, const msg_claim_t *message);
+/** ctrl_claims_end() - record that a claimed request has ended, or did not run */
 void ctrl_claims_end (ctrl_t *ctrl, const msg_claim_end_t *message);
-/** ctrl_claims_note_log() - another reading of the log worked or failed */
+/** ctrl_claims_note_log() - a read of the manifest stream, in the same log, succeeded or failed */
 void ctrl_claims_note_log (ctrl_t *ctrl, bool works);
 /** ctrl_claims_idle() - whether nothing is left to append */
 bool ctrl_claims_idle (const ctrl_t *ctrl);
 
 /* control_stop.c */
-/** ctrl_stop_leave() - start to leave; @why goes to the log */
+/** ctrl_stop_leave() - start leaving: drain the data task and tell peers; @why is logged */
 void ctrl_stop_leave (ctrl_t *ctrl, const char *why);
+/** ctrl_stop_signal() - leave, and end the process once drained */
 void ctrl_stop_signal (ctrl_t *ctrl);
+/** ctrl_stop_drained() - the data task has no requests left */
 void ctrl_stop_drained (ctrl_t *ctrl);
 void ctrl_stop_turn (ctrl_t *ctrl);
 
--- a/src/process/control_source.c
+++ b/src/process/control_source.c
@@ -18,7 +18,7 @@
   ctrl_t *ctrl = op->ctrl;
   if (!ctrl->closing)
     ctrl_fresh_check (ctrl);
-  bool wanted = !op->orphan && !ctrl->closing;
+  bool wanted = !op->abandoned && !ctrl->closing;
   g_ptr_array_remove_fast (ctrl->ops, op);
   return wanted;
 }
@@ -50,7 +50,7 @@
 ctrl_source_restart (ctrl_t *ctrl, ctrl_source_t *source)
 {
   if (source->op != NULL)
-    source->op->orphan = true;
+    source->op->abandoned = true;
   source->op = NULL;
   source->backoff_us = 0;
   source->due_us = ctrl_now_us (ctrl);
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -9,52 +9,52 @@
 #define TICK_US (PSE_TICK_MS * CLK_US_PER_MS)
 
 static void
-take_members (told_t *told, const mem_snapshot_t *members)
+record_members (rig_received_t *received, const mem_snapshot_t *members)
 {
-  told->members++;
-  told->hosts = members->host_count;
+  received->snapshot_count++;
+  received->host_count = members->host_count;
   const mem_host_t *peer = mem_find (members, "peer");
-  told->peer_state = peer != NULL ? peer->state : MEM_GONE;
+  received->peer_state = peer != NULL ? peer->state : MEM_GONE;
 }
 
 static void
-take_flag (told_t *told, const msg_flag_t *flag)
+record_freshness (rig_received_t *received, const msg_flag_t *flag)
 {
-  told->fresh = flag->on;
-  told->fresh_at_us = flag->at_us;
-  told->fresh_notices += flag->on;
-  told->stale_notices += !flag->on;
+  received->fresh = flag->on;
+  received->fresh_at_us = flag->at_us;
+  received->fresh_count += flag->on;
+  received->stale_count += !flag->on;
 }
 
 static void
-on_told (mbx_message_t *message, void *context)
+on_message (mbx_message_t *message, void *context)
 {
-  told_t *told = &((rig_t *)context)->told;
+  rig_received_t *received = &((rig_t *)context)->received;
   switch (message->kind)
     {
     case MSG_VERSION:
-      told->version = ((msg_version_t *)message)->man->version;
-      told->versions++;
+      received->version = ((msg_version_t *)message)->man->version;
+      received->version_count++;
       break;
     case MSG_MEMBERS:
-      take_members (told, ((msg_members_t *)message)->members);
+      record_members (received, ((msg_members_t *)message)->members);
       break;
     case MSG_FRESHNESS:
-      take_flag (told, (msg_flag_t *)message);
+      record_freshness (received, (msg_flag_t *)message);
       break;
     case MSG_DRAIN:
-      told->drains++;
+      received->drain_count++;
       break;
     case MSG_SAMPLES:
-      told->samples += ((msg_samples_t *)message)->count;
-      told->sample = ((msg_samples_t *)message)->samples[0];
+      received->sample_count += ((msg_samples_t *)message)->count;
+      received->sample = ((msg_samples_t *)message)->samples[0];
       break;
     case MSG_MARKS:
-      told->marks += ((msg_marks_t *)message)->count;
+      received->mark_count += ((msg_marks_t *)message)->count;
       break;
     case MSG_CLAIM_RESULT:
-      told->results++;
-      told->result = ((msg_claim_result_t *)message)->result;
+      received->claim_result_count++;
+      received->claim_result = ((msg_claim_result_t *)message)->result;
       break;
     default:
       CU_FAIL ("a message that is not for the data task");
@@ -81,7 +81,7 @@
 }
 
 void
-rig_put_version (fkp_t *platform, uint64_t base)
+rig_publish_version (fkp_t *platform, uint64_t base)
 {
   char id[16];
   g_snprintf (id, sizeof id, "id-%u", (unsigned)base);
@@ -91,7 +91,7 @@
 }
 
 const char *
-rig_ip (void)
+rig_loopback_ip (void)
 {
   static char ip[46];
   unsigned pid = (unsigned)getpid ();
@@ -111,7 +111,7 @@
   g_strlcpy (set->data_center, "hall", sizeof set->data_center);
   g_strlcpy (set->region, "town", sizeof set->region);
   g_strlcpy (set->fleet_key, RIG_KEY, sizeof set->fleet_key);
-  g_strlcpy (set->exchange.ip, rig_ip (), sizeof set->exchange.ip);
+  g_strlcpy (set->exchange.ip, rig_loopback_ip (), sizeof set->exchange.ip);
   set->exchange.port = port;
   set->exchange_interval_ms = 10000;
   set->list_interval_ms = 1000;
@@ -121,7 +121,7 @@
   clk_init_paused (&rig->dmn.clk, 100 * (uint64_t)CLK_US_PER_S);
   rig->dmn.incarnation = 50;
   rig->dmn.counters = cnt_set_new ();
-  rig->dmn.to_data = mbx_new (rig->base, on_told, rig);
+  rig->dmn.to_data = mbx_new (rig->base, on_message, rig);
   rig->dmn.to_control = mbx_new (rig->base, ignore, NULL);
 }
 
@@ -144,7 +144,7 @@
 }
 
 void
-rig_settle (rig_t *rig)
+rig_run_pending (rig_t *rig)
 {
   for (uint32_t i = 0; i < 20; i++)
     {
@@ -156,41 +156,41 @@
 }
 
 void
-rig_turn (rig_t *rig)
+rig_tick (rig_t *rig)
 {
   clk_advance (&rig->dmn.clk, TICK_US);
   rig->platform.now_ms += PSE_TICK_MS;
   ctrl_turn (rig->ctrl);
-  rig_settle (rig);
+  rig_run_pending (rig);
 }
 
 void
-rig_turns (rig_t *rig, uint32_t count)
+rig_ticks (rig_t *rig, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    rig_turn (rig);
+    rig_tick (rig);
 }
 
 void
-rig_list_hosts (fkp_t *platform)
+rig_add_hosts (fkp_t *platform)
 {
-  fkp_host (platform, "own", false, rig_ip (), RIG_PORT, MEM_LIVE);
-  fkp_host (platform, "peer", false, rig_ip (), RIG_PORT + 1, MEM_LIVE);
-  fkp_host (platform, "third", false, rig_ip (), RIG_PORT + 2, MEM_LIVE);
+  fkp_host (platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LIVE);
+  fkp_host (platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEM_LIVE);
+  fkp_host (platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEM_LIVE);
 }
 
 void
 rig_start_fresh (rig_t *rig, struct event_base *base)
 {
   rig_set_up (rig, base, "own", RIG_PORT);
-  rig_list_hosts (&rig->platform);
-  rig_put_version (&rig->platform, 0);
+  rig_add_hosts (&rig->platform);
+  rig_publish_version (&rig->platform, 0);
   rig_start (rig);
-  TURN_UNTIL (rig, rig->told.fresh);
+  TICK_UNTIL (rig, rig->received.fresh);
 }
 
 void
-rig_begin (rig_t *rig)
+rig_init (rig_t *rig)
 {
   rig_start_fresh (rig, event_base_new ());
   rig->owns_base = true;
@@ -212,7 +212,7 @@
   mbx_message_t *head = message;
   ctrl_message (head, rig->ctrl);
   head->free (head);
-  rig_settle (rig);
+  rig_run_pending (rig);
 }
 
 void
@@ -224,14 +224,14 @@
 }
 
 xch_message *
-rig_say (said_t *said, const char *name, uint32_t sequence)
-{
-  memset (said, 0, sizeof *said);
-  said->message.sender.host_hash = plc_hash_name (name);
-  said->message.sender.incarnation = 7;
-  said->message.sender.sequence = sequence;
-  said->message.samples.samples_val = said->samples;
-  said->message.words.words_val = said->words;
-  said->message.marks.marks_val = said->marks;
-  return &said->message;
+rig_compose (rig_message_t *incoming, const char *name, uint32_t sequence)
+{
+  memset (incoming, 0, sizeof *incoming);
+  incoming->message.sender.host_hash = plc_hash_name (name);
+  incoming->message.sender.incarnation = 7;
+  incoming->message.sender.sequence = sequence;
+  incoming->message.samples.samples_val = incoming->samples;
+  incoming->message.words.words_val = incoming->words;
+  incoming->message.marks.marks_val = incoming->marks;
+  return &incoming->message;
 }
--- a/tests/test_control_claims.c
+++ b/tests/test_control_claims.c
@@ -4,7 +4,7 @@
 #define STREAM "claims/pool/0"
 
 static msg_claim_t *
-claim (const rig_t *rig, uint64_t id, uint64_t key)
+new_claim (const rig_t *rig, uint64_t id, uint64_t key)
 {
   msg_claim_t *message = msg_new (MSG_CLAIM);
   g_strlcpy (message->stream, STREAM, sizeof message->stream);
@@ -16,23 +16,23 @@
   return message;
 }
 
-/* A claim is handed in; its result is the one with number @results, and @verdict. */
+/* Requests a claim and checks its verdict, which must be the result number @results. */
 static void
-judged (rig_t *rig, uint64_t id, uint64_t key, uint32_t results, clm_verdict_t verdict)
+expect_verdict (rig_t *rig, uint64_t id, uint64_t key, uint32_t results, clm_verdict_t verdict)
 {
-  rig_deliver (rig, claim (rig, id, key));
-  TURN_UNTIL (rig, rig->told.results == results);
-  CU_ASSERT_EQUAL (rig->told.result.verdict, verdict);
+  rig_deliver (rig, new_claim (rig, id, key));
+  TICK_UNTIL (rig, rig->received.claim_result_count == results);
+  CU_ASSERT_EQUAL (rig->received.claim_result.verdict, verdict);
 }
 
 static void
 test_claim_is_granted_and_ended (void)
 {
   g_auto (rig_t) rig = { 0 };
-  rig_begin (&rig);
-  judged (&rig, 1, 100, 1, CLM_GRANTED);
+  rig_init (&rig);
+  expect_verdict (&rig, 1, 100, 1, CLM_GRANTED);
   CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
-  judged (&rig, 2, 100, 2, CLM_HELD);
+  expect_verdict (&rig, 2, 100, 2, CLM_HELD);
   msg_claim_end_t *end = msg_new (MSG_CLAIM_END);
   g_strlcpy (end->stream, STREAM, sizeof end->stream);
   end->claim_id[0] = 1;
@@ -42,136 +42,136 @@
   end->ran = true;
   end->status = 201;
   rig_deliver (&rig, end);
-  TURN_UNTIL (&rig, ctrl_claims_idle (rig.ctrl));
-  judged (&rig, 3, 100, 3, CLM_DONE);
-  CU_ASSERT_EQUAL (rig.told.result.status, 201);
+  TICK_UNTIL (&rig, ctrl_claims_idle (rig.ctrl));
+  expect_verdict (&rig, 3, 100, 3, CLM_DONE);
+  CU_ASSERT_EQUAL (rig.received.claim_result.status, 201);
 }
 
-/* A claim of the key already stands in a stream that this daemon has not opened yet: granting
- * before it has read that far would run the request twice. */
+/* Another daemon has claimed the key in a stream that this daemon has not opened yet. Granting the
+ * claim before reading that record would run the request twice. */
 static void
-test_claim_of_another_daemon_is_first (void)
+test_claim_of_other_daemon_wins (void)
 {
   struct event_base *base = event_base_new ();
   rig_t other;
   rig_t rig;
   rig_start_fresh (&other, base);
-  rig_deliver (&other, claim (&other, 1, 100));
-  TURN_UNTIL (&other, other.told.results == 1);
+  rig_deliver (&other, new_claim (&other, 1, 100));
+  TICK_UNTIL (&other, other.received.claim_result_count == 1);
   rig_set_up (&rig, base, "peer", RIG_PORT + 1);
-  rig_list_hosts (&rig.platform);
-  rig_put_version (&rig.platform, 0);
+  rig_add_hosts (&rig.platform);
+  rig_publish_version (&rig.platform, 0);
   fkp_put (&rig.platform, STREAM, fkp_record (&other.platform, STREAM, 0));
   rig_start (&rig);
-  judged (&rig, 2, 100, 1, CLM_HELD);
+  expect_verdict (&rig, 2, 100, 1, CLM_HELD);
   rig_tear_down (&rig);
   rig_tear_down (&other);
   event_base_free (base);
 }
 
-/* The log goes out. A keyed request must be refused at once as not run, not held until its
- * deadline. The first one finds it out; those after it do not wait at all, and none of them is
- * needed to find that the log is back. */
+/* While the log is down a request with an idempotency key must be refused at once as not run,
+ * instead of waiting until its deadline. The first claim detects the outage, later ones are refused
+ * without delay, and the recovery is detected without any claim. */
 static void
-test_claims_while_log_is_out (void)
+test_claims_while_log_is_down (void)
 {
   g_auto (rig_t) rig = { 0 };
-  rig_begin (&rig);
+  rig_init (&rig);
   rig.platform.read_down = true;
   rig.platform.append_down = true;
-  judged (&rig, 1, 100, 1, CLM_LOG_DOWN);
+  expect_verdict (&rig, 1, 100, 1, CLM_LOG_DOWN);
   for (uint32_t id = 2; id < 20; id++)
     {
-      rig_deliver (&rig, claim (&rig, id, 100 + id));
-      CU_ASSERT_EQUAL (rig.told.results, id);
-      CU_ASSERT_EQUAL (rig.told.result.verdict, CLM_LOG_DOWN);
+      rig_deliver (&rig, new_claim (&rig, id, 100 + id));
+      CU_ASSERT_EQUAL (rig.received.claim_result_count, id);
+      CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLM_LOG_DOWN);
     }
   rig.platform.read_down = false;
   rig.platform.append_down = false;
-  rig_turns (&rig, 15);
-  judged (&rig, 50, 500, 20, CLM_GRANTED);
+  rig_ticks (&rig, 15);
+  expect_verdict (&rig, 50, 500, 20, CLM_GRANTED);
 }
 
-/* Idle daemons hear of the outage by the manifest stream: then not even the first claim waits. It
- * is refused without an append, and sets off the look-out for the log's return. */
+/* An idle daemon detects the outage by its read of the manifest stream. Then the first claim must
+ * be refused without an append, and must start the probes that detect the recovery. */
 static void
 test_first_claim_while_log_is_known_down (void)
 {
   g_auto (rig_t) rig = { 0 };
-  rig_begin (&rig);
+  rig_init (&rig);
   rig.platform.read_down = true;
-  rig_turns (&rig, 2);
-  rig_deliver (&rig, claim (&rig, 1, 100));
-  CU_ASSERT_EQUAL (rig.told.results, 1);
-  CU_ASSERT_EQUAL (rig.told.result.verdict, CLM_LOG_DOWN);
+  rig_ticks (&rig, 2);
+  rig_deliver (&rig, new_claim (&rig, 1, 100));
+  CU_ASSERT_EQUAL (rig.received.claim_result_count, 1);
+  CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLM_LOG_DOWN);
   CU_ASSERT_EQUAL (rig.platform.appends, 0);
-  rig.ctrl->manifest.source.due_us = UINT64_MAX; /* which would find out too */
+  rig.ctrl->manifest.source.due_us = UINT64_MAX; /* this read would detect the recovery, too */
   rig.platform.read_down = false;
-  rig_turns (&rig, 15);
-  judged (&rig, 2, 100, 2, CLM_GRANTED);
+  rig_ticks (&rig, 15);
+  expect_verdict (&rig, 2, 100, 2, CLM_GRANTED);
 }
 
-/* The answer to an append is lost, but it took effect. The claim is found in the log by its id and
- * granted; it is not appended again. */
+/* The answer to an append is lost, but the append took effect. The claim must be found in the log
+ * by its id and granted, and must not be appended again. */
 static void
 test_claim_whose_append_was_lost (void)
 {
   g_auto (rig_t) rig = { 0 };
-  rig_begin (&rig);
+  rig_init (&rig);
   rig.platform.append_lost = true;
-  judged (&rig, 1, 100, 1, CLM_GRANTED);
-  rig_turns (&rig, 10);
+  expect_verdict (&rig, 1, 100, 1, CLM_GRANTED);
+  rig_ticks (&rig, 10);
   CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
 }
 
-/* The platform refuses appends above its rate, for certain. The callers' claims must not be given
- * up for that, as they would be for a lost one: they go with a later append, and only once. */
+/* The platform refuses appends above its rate limit, which certainly had no effect. Their claims
+ * must not be given up like those of a lost append, but go with a later append, and only once. */
 static void
 test_claim_whose_append_was_refused (void)
 {
   g_auto (rig_t) rig = { 0 };
-  rig_begin (&rig);
+  rig_init (&rig);
   rig.platform.append_refused = true;
-  rig_deliver (&rig, claim (&rig, 1, 100));
-  rig_turns (&rig, 4);
+  rig_deliver (&rig, new_claim (&rig, 1, 100));
+  rig_ticks (&rig, 4);
   CU_ASSERT_TRUE (rig.platform.appends >= 2);
-  rig_deliver (&rig, claim (&rig, 2, 200));
-  CU_ASSERT_EQUAL (rig.told.results, 0);
+  rig_deliver (&rig, new_claim (&rig, 2, 200));
+  CU_ASSERT_EQUAL (rig.received.claim_result_count, 0);
   rig.platform.append_refused = false;
-  TURN_UNTIL (&rig, rig.told.results == 2);
-  CU_ASSERT_EQUAL (rig.told.result.verdict, CLM_GRANTED);
-  rig_turns (&rig, 10);
+  TICK_UNTIL (&rig, rig.received.claim_result_count == 2);
+  CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLM_GRANTED);
+  rig_ticks (&rig, 10);
   CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
 }
 
-/* A stream that nobody asks of for long is closed to free its keys. A claim that comes later opens
- * it again and must find what was claimed before: else the request would run twice. */
+/* An idle stream is closed to free its keys. A later claim opens it again and must find the earlier
+ * claims, as the request would run twice otherwise. */
 static void
 test_closed_stream_is_read_again (void)
 {
   g_auto (rig_t) rig = { 0 };
-  rig_begin (&rig);
-  rig_deliver (&rig, claim (&rig, 1, 100));
-  TURN_UNTIL (&rig, rig.told.results == 1);
+  rig_init (&rig);
+  rig_deliver (&rig, new_claim (&rig, 1, 100));
+  TICK_UNTIL (&rig, rig.received.claim_result_count == 1);
   CU_ASSERT_EQUAL (g_hash_table_size (rig.ctrl->claims.streams), 1);
   for (uint32_t i = 0; i < 100; i++)
     {
       clk_advance (&rig.dmn.clk, 10 * CLK_US_PER_S);
-      rig_turn (&rig);
+      rig_tick (&rig);
     }
   CU_ASSERT_EQUAL (g_hash_table_size (rig.ctrl->claims.streams), 0);
-  judged (&rig, 2, 100, 2, CLM_HELD);
+  expect_verdict (&rig, 2, 100, 2, CLM_HELD);
 }
 
-/* A signal comes while a claim's end is still to be appended. If the process ended now the key
- * would be held for nobody, so it waits for the append, but not for ever. */
+/* A signal arrives while the end of a claim is still to be appended. If the process ended now the
+ * key would stay claimed without an owner, so it must wait for the append, within a limit. */
 static void
 test_stop_waits_for_claims (void)
 {
   g_auto (rig_t) rig = { 0 };
-  rig_begin (&rig);
-  rig_deliver (&rig, claim (&rig, 1, 100));
-  TURN_UNTIL (&rig, rig.told.results == 1);
+  rig_init (&rig);
+  rig_deliver (&rig, new_claim (&rig, 1, 100));
+  TICK_UNTIL (&rig, rig.received.claim_result_count == 1);
   msg_claim_end_t *end = msg_new (MSG_CLAIM_END);
   g_strlcpy (end->stream, STREAM, sizeof end->stream);
   end->claim_id[0] = 1;
@@ -181,10 +181,10 @@
   rig_deliver (&rig, end);
   rig_send_flag (&rig, MSG_DRAIN);
   rig_send_flag (&rig, MSG_DRAINED);
-  rig_turns (&rig, 10);
+  rig_ticks (&rig, 10);
   CU_ASSERT_FALSE (rig.ctrl->stop.done);
   rig.platform.append_down = false;
-  rig_turns (&rig, 15);
+  rig_ticks (&rig, 15);
   CU_ASSERT_TRUE (rig.ctrl->stop.done);
   CU_ASSERT_TRUE (ctrl_claims_idle (rig.ctrl));
 }
@@ -194,8 +194,8 @@
 {
   static const CU_TestInfo tests[] = {
     SUITE_TEST (test_claim_is_granted_and_ended),
-    SUITE_TEST (test_claim_of_another_daemon_is_first),
-    SUITE_TEST (test_claims_while_log_is_out),
+    SUITE_TEST (test_claim_of_other_daemon_wins),
+    SUITE_TEST (test_claims_while_log_is_down),
     SUITE_TEST (test_first_claim_while_log_is_known_down),
     SUITE_TEST (test_claim_whose_append_was_lost),
     SUITE_TEST (test_claim_whose_append_was_refused),
