--- a/src/process/control.c
+++ b/src/process/control.c
@@ -52,7 +52,7 @@
   ctrl->plt = plt;
   ctrl->own_hash = plc_hash_name (dmn->set.name);
   ctrl->rand = g_rand_new_with_seed ((guint32)(ctrl->own_hash ^ dmn->incarnation));
-  ctrl->ops = g_ptr_array_new_with_free_func (g_free);
+  ctrl->calls = g_ptr_array_new_with_free_func (g_free);
   ctrl->mem = mem_new ();
   ctrl->list.own_state = MEM_GONE;
   ctrl->list.leaving = lvn_new ();
@@ -92,7 +92,7 @@
   ctrl_fetch_clear (ctrl);
   ctrl_claims_clear (ctrl);
   ctrl->plt->free (ctrl->plt);
-  g_ptr_array_free (ctrl->ops, TRUE);
+  g_ptr_array_free (ctrl->calls, TRUE);
   exc_free (ctrl->exc);
   hcl_free (ctrl->hcl);
   ctrl_talk_clear (ctrl);
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -17,7 +17,7 @@
 /**
  * struct ctrl_stream - one claims stream
  * @clm: replays the stream's records and holds its claims
- * @read_op, @append_op: the read and the append in flight, or NULL
+ * @read_call, @append_call: the read and the append in flight, or NULL
  * @timer: fires when the next append is due, as the tick alone would delay claims beyond their
  *         append interval
  * @batch: text of the append in flight
@@ -31,8 +31,8 @@
   ctrl_t *ctrl;
   char *name;
   clm_t *clm;
-  ctrl_op_t *read_op;
-  ctrl_op_t *append_op;
+  ctrl_op_t *read_call;
+  ctrl_op_t *append_call;
   struct event *timer;
   char *batch;
   uint64_t read_due_us;
@@ -48,10 +48,10 @@
 {
   ctrl_stream_t *stream = data;
   /* The results of calls in flight arrive after this and must not access the stream. */
-  if (stream->read_op != NULL)
-    stream->read_op->abandoned = true;
-  if (stream->append_op != NULL)
-    stream->append_op->abandoned = true;
+  if (stream->read_call != NULL)
+    stream->read_call->abandoned = true;
+  if (stream->append_call != NULL)
+    stream->append_call->abandoned = true;
   event_free (stream->timer);
   clm_free (stream->clm);
   g_free (stream->batch);
@@ -150,12 +150,12 @@
 static void
 on_read (const plt_read_t *read, void *context)
 {
-  ctrl_op_t *op = context;
-  ctrl_t *ctrl = op->ctrl;
-  ctrl_stream_t *stream = op->stream;
-  if (!ctrl_op_end (op))
+  ctrl_op_t *call = context;
+  ctrl_t *ctrl = call->ctrl;
+  ctrl_stream_t *stream = call->stream;
+  if (!ctrl_op_end (call))
     return;
-  stream->read_op = NULL;
+  stream->read_call = NULL;
   set_log_available (ctrl, read->outcome == PLT_OK);
   if (read->outcome == PLT_OK)
     {
@@ -185,12 +185,12 @@
 static void
 on_append (plt_outcome_t outcome, uint64_t offset, void *context)
 {
-  ctrl_op_t *op = context;
-  ctrl_t *ctrl = op->ctrl;
-  ctrl_stream_t *stream = op->stream;
-  if (!ctrl_op_end (op))
+  ctrl_op_t *call = context;
+  ctrl_t *ctrl = call->ctrl;
+  ctrl_stream_t *stream = call->stream;
+  if (!ctrl_op_end (call))
     return;
-  stream->append_op = NULL;
+  stream->append_call = NULL;
   g_clear_pointer (&stream->batch, g_free);
   switch (outcome)
     {
@@ -215,30 +215,30 @@
 {
   ctrl_t *ctrl = stream->ctrl;
   uint64_t now_us = ctrl_now_us (ctrl);
-  if (stream->append_op != NULL)
+  if (stream->append_call != NULL)
     return;
   stream->batch = clm_batch (stream->clm, now_us, clk_wall_ms (&ctrl->dmn->clk));
   if (stream->batch == NULL)
     return;
-  stream->append_op = ctrl_op_new (ctrl);
-  stream->append_op->stream = stream;
+  stream->append_call = ctrl_op_new (ctrl);
+  stream->append_call->stream = stream;
   ctrl->plt->append (ctrl->plt, stream->name, stream->batch, strlen (stream->batch), on_append,
-                     stream->append_op);
+                     stream->append_call);
 }
 
 static void
 start_read (ctrl_stream_t *stream)
 {
   ctrl_t *ctrl = stream->ctrl;
-  if (stream->read_op != NULL || ctrl_now_us (ctrl) < stream->read_due_us)
+  if (stream->read_call != NULL || ctrl_now_us (ctrl) < stream->read_due_us)
     return;
   if (!clm_wants_read (stream->clm))
     return;
-  stream->read_op = ctrl_op_new (ctrl);
-  stream->read_op->stream = stream;
+  stream->read_call = ctrl_op_new (ctrl);
+  stream->read_call->stream = stream;
   /* The first read of a stream returns at once, as no claim can be granted before it. */
   ctrl->plt->read (ctrl->plt, stream->name, clm_next_offset (stream->clm), READ_MAX_RECORDS,
-                   stream->begun ? READ_WAIT_MS : 0, on_read, stream->read_op);
+                   stream->begun ? READ_WAIT_MS : 0, on_read, stream->read_call);
 }
 
 static void
@@ -281,7 +281,7 @@
 is_idle (const ctrl_stream_t *stream, uint64_t idle_us)
 {
   uint64_t now_us = ctrl_now_us (stream->ctrl);
-  return stream->read_op == NULL && stream->append_op == NULL && !clm_wants (stream->clm) &&
+  return stream->read_call == NULL && stream->append_call == NULL && !clm_wants (stream->clm) &&
          now_us - stream->used_us >= idle_us;
 }
 
@@ -348,11 +348,11 @@
 static void
 on_probe (const plt_read_t *read, void *context)
 {
-  ctrl_op_t *op = context;
-  ctrl_t *ctrl = op->ctrl;
-  if (!ctrl_op_end (op))
+  ctrl_op_t *call = context;
+  ctrl_t *ctrl = call->ctrl;
+  if (!ctrl_op_end (call))
     return;
-  ctrl->claims.probe_op = NULL;
+  ctrl->claims.probe_call = NULL;
   set_log_available (ctrl, read->outcome == PLT_OK);
 }
 
@@ -364,16 +364,16 @@
 {
   ctrl_claims_t *claims = &ctrl->claims;
   uint64_t now_us = ctrl_now_us (ctrl);
-  if (!claims->down || claims->probe_op != NULL || now_us < claims->probe_us)
+  if (!claims->down || claims->probe_call != NULL || now_us < claims->probe_us)
     return;
   if (claims->requested_us == 0 || now_us - claims->requested_us > PROBE_AFTER_CLAIM_US)
     return;
   claims->probe_wait_us = MIN (claims->probe_wait_us * 2, PROBE_MAX_US);
   claims->probe_us = now_us + ctrl_jitter (ctrl, claims->probe_wait_us);
-  claims->probe_op = ctrl_op_new (ctrl);
+  claims->probe_call = ctrl_op_new (ctrl);
   exc_charge (ctrl->exc, CTRL_REQUEST_BYTES);
   uint64_t from_offset = rep_next_offset (ctrl->manifest.rep);
-  ctrl->plt->read (ctrl->plt, REP_STREAM, from_offset, 1, 0, on_probe, claims->probe_op);
+  ctrl->plt->read (ctrl->plt, REP_STREAM, from_offset, 1, 0, on_probe, claims->probe_call);
 }
 
 static void
@@ -473,7 +473,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const ctrl_stream_t *stream = value;
-      if (stream->append_op != NULL || clm_wants (stream->clm))
+      if (stream->append_call != NULL || clm_wants (stream->clm))
         return false;
     }
   return true;
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -215,14 +215,14 @@
 void
 ctrl_talk_init (ctrl_t *ctrl)
 {
-  ctrl_talk_t *talk = &ctrl->talk;
-  rmr_init (&talk->rumours);
-  talk->samples = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  talk->old_messages =
+  ctrl_talk_t *exchange = &ctrl->talk;
+  rmr_init (&exchange->rumours);
+  exchange->samples = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  exchange->old_messages =
       cnt_get (ctrl->dmn->counters, "medlarplank_control_old_total",
                "Messages dropped because a later one of their sender was received before");
-  talk->unlisted = cnt_get (ctrl->dmn->counters, "medlarplank_control_unlisted_total",
-                            "Messages dropped because their sender is not a listed host");
+  exchange->unlisted = cnt_get (ctrl->dmn->counters, "medlarplank_control_unlisted_total",
+                                "Messages dropped because their sender is not a listed host");
 }
 
 void
--- a/src/process/control_fill.c
+++ b/src/process/control_fill.c
@@ -80,8 +80,8 @@
 static bool
 has_fresh_own_sample (const ctrl_t *ctrl, uint64_t now_us)
 {
-  const ctrl_talk_t *talk = &ctrl->talk;
-  return talk->has_own_sample && talk->own_sample.taken_us + LIM_SAMPLE_AGE_US >= now_us;
+  const ctrl_talk_t *exchange = &ctrl->talk;
+  return exchange->has_own_sample && exchange->own_sample.taken_us + LIM_SAMPLE_AGE_US >= now_us;
 }
 
 /* The service of a host that is a sidecar, NULL for others. */
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -19,8 +19,8 @@
   fresh->replies = 0;
   fresh->current_replies = 0;
   exc_flush (ctrl->exc);
-  ctrl_source_restart (ctrl, &ctrl->list.source);
-  ctrl_source_restart (ctrl, &ctrl->manifest.source);
+  ctrl_source_restart (ctrl, &ctrl->list.poll);
+  ctrl_source_restart (ctrl, &ctrl->manifest.poll);
   ctrl_talk_tell (ctrl, PEERS_CALLED);
 }
 
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -124,8 +124,7 @@
 static void
 accept_answer (ctrl_t *ctrl, const plt_hosts_t *hosts, uint64_t started_us)
 {
-  ctrl_source_worked (ctrl, &ctrl->list.source, SOURCE,
-                      ctrl_jitter (ctrl, poll_interval_us (ctrl)));
+  ctrl_source_worked (ctrl, &ctrl->list.poll, SOURCE, ctrl_jitter (ctrl, poll_interval_us (ctrl)));
   if (!is_credible (hosts))
     {
       if (!ctrl->list.empty)
@@ -135,7 +134,7 @@
     }
   ctrl->list.empty = false;
   apply_hosts (ctrl, hosts);
-  ctrl->list.source.due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, next_read_wait_us (ctrl));
+  ctrl->list.poll.due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, next_read_wait_us (ctrl));
   ctrl->list.peer_revision = 0;
   ctrl_fresh_heard_list (ctrl, started_us, true);
 }
@@ -143,10 +142,10 @@
 static void
 on_hosts (const plt_hosts_t *hosts, void *context)
 {
-  ctrl_op_t *op = context;
-  ctrl_t *ctrl = op->ctrl;
-  uint64_t started_us = op->started_us;
-  if (!ctrl_op_end (op))
+  ctrl_op_t *call = context;
+  ctrl_t *ctrl = call->ctrl;
+  uint64_t started_us = call->started_us;
+  if (!ctrl_op_end (call))
     return;
   bool worked = hosts->outcome == PLT_OK;
   ctrl_gauge (ctrl, "medlarplank_list_up",
@@ -156,23 +155,23 @@
       accept_answer (ctrl, hosts, started_us);
       return;
     }
-  ctrl_source_failed (ctrl, &ctrl->list.source, SOURCE, poll_interval_us (ctrl));
+  ctrl_source_failed (ctrl, &ctrl->list.poll, SOURCE, poll_interval_us (ctrl));
   ctrl_fresh_heard_list (ctrl, started_us, false);
 }
 
 void
 ctrl_list_turn (ctrl_t *ctrl)
 {
-  ctrl_source_t *source = &ctrl->list.source;
+  ctrl_source_t *poll = &ctrl->list.poll;
   uint64_t now_us = ctrl_now_us (ctrl);
-  bool silent = now_us - ctrl->talk.last_received_us >= PEERS_SILENT_US && !source->down &&
+  bool silent = now_us - ctrl->talk.last_received_us >= PEERS_SILENT_US && !poll->down &&
                 now_us - ctrl->list.last_read_us >= poll_interval_us (ctrl);
-  if (source->op != NULL || (now_us < source->due_us && !silent))
+  if (poll->call != NULL || (now_us < poll->due_us && !silent))
     return;
-  source->op = ctrl_op_new (ctrl);
+  poll->call = ctrl_op_new (ctrl);
   ctrl->list.last_read_us = now_us;
   exc_charge (ctrl->exc, CTRL_LIST_BYTES);
-  ctrl->plt->hosts (ctrl->plt, ctrl->list.revision, on_hosts, source->op);
+  ctrl->plt->hosts (ctrl->plt, ctrl->list.revision, on_hosts, poll->call);
 }
 
 /* Not more often than the polling interval: while a data centre drops out, the list changes all the
@@ -185,8 +184,8 @@
     return;
   list->peer_revision = MAX (list->peer_revision, revision);
   uint64_t soonest_us = list->last_read_us + poll_interval_us (ctrl);
-  if (!list->source.down)
-    list->source.due_us = MIN (list->source.due_us, soonest_us);
+  if (!list->poll.down)
+    list->poll.due_us = MIN (list->poll.due_us, soonest_us);
 }
 
 /* A list that had this process as live was read here, and a later revision has it as leaving: that
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -98,7 +98,7 @@
   for (uint32_t i = 0; i < read->record_count; i++)
     apply_record (ctrl, &read->records[i]);
   uint64_t wait_us = next_read_wait_us (ctrl, read, next_before);
-  ctrl_source_worked (ctrl, &ctrl->manifest.source, SOURCE, wait_us);
+  ctrl_source_worked (ctrl, &ctrl->manifest.poll, SOURCE, wait_us);
   ctrl_manifest_flush (ctrl);
   if (rep_next_offset (rep) >= read->end_offset)
     ctrl_fresh_heard_log (ctrl, started_us, true);
@@ -107,10 +107,10 @@
 static void
 on_read (const plt_read_t *read, void *context)
 {
-  ctrl_op_t *op = context;
-  ctrl_t *ctrl = op->ctrl;
-  uint64_t started_us = op->started_us;
-  if (!ctrl_op_end (op))
+  ctrl_op_t *call = context;
+  ctrl_t *ctrl = call->ctrl;
+  uint64_t started_us = call->started_us;
+  if (!ctrl_op_end (call))
     return;
   bool worked = read->outcome == PLT_OK;
   ctrl_claims_note_log (ctrl, worked);
@@ -120,7 +120,7 @@
     }
   else
     {
-      ctrl_source_failed (ctrl, &ctrl->manifest.source, SOURCE, RETRY_US);
+      ctrl_source_failed (ctrl, &ctrl->manifest.poll, SOURCE, RETRY_US);
       ctrl_fresh_heard_log (ctrl, started_us, false);
     }
   ctrl_gauge (ctrl, "medlarplank_log_up", "Whether the last read of the log succeeded", worked);
@@ -130,14 +130,14 @@
 static void
 start_read (ctrl_t *ctrl)
 {
-  ctrl_source_t *source = &ctrl->manifest.source;
-  if (source->op != NULL || ctrl_now_us (ctrl) < source->due_us)
+  ctrl_source_t *poll = &ctrl->manifest.poll;
+  if (poll->call != NULL || ctrl_now_us (ctrl) < poll->due_us)
     return;
-  bool may_wait = ctrl->peers.is_follower && ctrl->fresh.log_ok && !source->down;
-  source->op = ctrl_op_new (ctrl);
+  bool may_wait = ctrl->peers.is_follower && ctrl->fresh.log_ok && !poll->down;
+  poll->call = ctrl_op_new (ctrl);
   exc_charge (ctrl->exc, CTRL_READ_BYTES);
   ctrl->plt->read (ctrl->plt, REP_STREAM, rep_next_offset (ctrl->manifest.rep), READ_MAX_RECORDS,
-                   may_wait ? LONG_POLL_MS : 0, on_read, source->op);
+                   may_wait ? LONG_POLL_MS : 0, on_read, poll->call);
 }
 
 static const mem_host_t *
@@ -156,13 +156,13 @@
 {
   ctrl_manifest_t *manifest = &ctrl->manifest;
   uint64_t now_us = ctrl_now_us (ctrl);
-  uint64_t fetch_after_us =
-      manifest->source.down ? FETCH_AFTER_LOG_DOWN_US : FETCH_AFTER_LOG_SLOW_US;
+  uint64_t fetch_after_us = manifest->poll.down ? FETCH_AFTER_LOG_DOWN_US : FETCH_AFTER_LOG_SLOW_US;
   bool behind =
       manifest->behind_since_us != 0 && now_us - manifest->behind_since_us >= fetch_after_us;
-  bool lost = !rep_ready (manifest->rep) && (manifest->source.down || ctrl->fresh.log_ok);
-  bool unknown = lost && (manifest->peer_version != 0 || ctrl_manifest_version (ctrl) != 0);
-  if (!behind && !unknown)
+  bool out_of_sync = !rep_ready (manifest->rep) && (manifest->poll.down || ctrl->fresh.log_ok);
+  bool needs_state =
+      out_of_sync && (manifest->peer_version != 0 || ctrl_manifest_version (ctrl) != 0);
+  if (!behind && !needs_state)
     return;
   const mem_host_t *host = find_fetch_peer (ctrl);
   if (host != NULL)
@@ -172,13 +172,13 @@
 static void
 on_checkpoint (plt_outcome_t outcome, uint64_t offset, void *context)
 {
-  ctrl_op_t *op = context;
-  ctrl_t *ctrl = op->ctrl;
-  bool wanted = ctrl_op_end (op);
+  ctrl_op_t *call = context;
+  ctrl_t *ctrl = call->ctrl;
+  bool wanted = ctrl_op_end (call);
   if (!wanted)
     return;
   ctrl_manifest_t *manifest = &ctrl->manifest;
-  manifest->checkpoint_op = NULL;
+  manifest->checkpoint_call = NULL;
   g_clear_pointer (&manifest->checkpoint, g_free);
   log_event (LOG_LEVEL_INFO, "checkpoint", "outcome", outcome == PLT_OK ? "appended" : "failed",
              "offset", LOG_U64 (offset), "version", LOG_U64 (ctrl_manifest_version (ctrl)), NULL);
@@ -190,7 +190,7 @@
 is_checkpoint_due (ctrl_t *ctrl)
 {
   const ctrl_manifest_t *manifest = &ctrl->manifest;
-  if (!ctrl->peers.is_follower || manifest->source.down || !rep_ready (manifest->rep))
+  if (!ctrl->peers.is_follower || manifest->poll.down || !rep_ready (manifest->rep))
     return false;
   if (rep_checkpoint_due (manifest->rep, CHECKPOINT_RECORDS))
     return true;
@@ -206,7 +206,7 @@
 {
   ctrl_manifest_t *manifest = &ctrl->manifest;
   uint64_t now_us = ctrl_now_us (ctrl);
-  if (manifest->checkpoint_op != NULL)
+  if (manifest->checkpoint_call != NULL)
     return;
   if (!is_checkpoint_due (ctrl))
     {
@@ -227,10 +227,10 @@
   if (manifest->checkpoint == NULL)
     return;
   size_t bytes = strlen (manifest->checkpoint);
-  manifest->checkpoint_op = ctrl_op_new (ctrl);
+  manifest->checkpoint_call = ctrl_op_new (ctrl);
   exc_charge (ctrl->exc, (uint32_t)bytes + CTRL_REQUEST_BYTES);
   ctrl->plt->append (ctrl->plt, REP_STREAM, manifest->checkpoint, bytes, on_checkpoint,
-                     manifest->checkpoint_op);
+                     manifest->checkpoint_call);
 }
 
 void
@@ -292,8 +292,8 @@
   bool first = manifest->behind_since_us == 0;
   if (first)
     manifest->behind_since_us = ctrl_now_us (ctrl);
-  if (first || !manifest->source.down)
-    manifest->source.due_us = 0;
+  if (first || !manifest->poll.down)
+    manifest->poll.due_us = 0;
 }
 
 void
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -44,14 +44,14 @@
 
 /**
  * struct ctrl_source - polling state of the host list or of the manifest stream
- * @op: the read in flight, or NULL
+ * @call: the read in flight, or NULL
  * @due_us: when to read next
  * @backoff_us: current retry delay, 0 while reads succeed
  * @down: the last read failed
  */
 typedef struct
 {
-  ctrl_op_t *op;
+  ctrl_op_t *call;
   uint64_t due_us;
   uint64_t backoff_us;
   bool down;
@@ -72,7 +72,7 @@
  */
 typedef struct
 {
-  ctrl_source_t source;
+  ctrl_source_t poll;
   uint64_t revision;
   uint64_t last_read_us;
   uint64_t peer_revision;
@@ -110,19 +110,19 @@
  * @sent_version: the last version sent to the data task
  * @peer_version: the highest that a peer has announced, last by the host @peer_hash
  * @behind_since_us: since when a peer has had a higher version, 0 when none has
- * @checkpoint_op: the append of @checkpoint in flight, or NULL
+ * @checkpoint_call: the append of @checkpoint in flight, or NULL
  * @checkpoint_due_us: when to append a checkpoint, 0 when none is due
  * @checkpoint_seen_us: when the last checkpoint was read from the stream
  */
 typedef struct
 {
   rep_t *rep;
-  ctrl_source_t source;
+  ctrl_source_t poll;
   uint64_t sent_version;
   uint64_t peer_version;
   uint64_t peer_hash;
   uint64_t behind_since_us;
-  ctrl_op_t *checkpoint_op;
+  ctrl_op_t *checkpoint_call;
   char *checkpoint;
   uint64_t checkpoint_due_us;
   uint64_t checkpoint_seen_us;
@@ -205,7 +205,7 @@
  * @requested_us: when the data task last requested a claim
  * @probe_us: when to probe the log next while it is down
  * @probe_wait_us: current delay between probes
- * @probe_op: the probe in flight, or NULL
+ * @probe_call: the probe in flight, or NULL
  */
 typedef struct
 {
@@ -214,7 +214,7 @@
   uint64_t requested_us;
   uint64_t probe_us;
   uint64_t probe_wait_us;
-  ctrl_op_t *probe_op;
+  ctrl_op_t *probe_call;
 } ctrl_claims_t;
 
 /**
@@ -243,7 +243,7 @@
 /**
  * struct control - the control task
  * @own_hash: hash of this host's name
- * @ops: all platform calls in flight, also the abandoned ones
+ * @calls: all platform calls in flight, also the abandoned ones
  * @closing: the task is being freed; results of platform calls are ignored
  * @conflict_logged_us: when a higher incarnation of the own name was last logged, 0 for never
  */
@@ -258,7 +258,7 @@
   exc_t *exc;
   mem_t *mem;
   uint64_t own_hash;
-  GPtrArray *ops;
+  GPtrArray *calls;
   bool closing;
   ctrl_list_t list;
   ctrl_peers_t peers;
@@ -271,8 +271,8 @@
   uint64_t conflict_logged_us;
 };
 
-/* control.c */
-/** ctrl_new_on() - as ctrl_new(), with another platform, which is freed with the task */
+/* General */
+/** ctrl_new_on() - as ctrl_new(), with @plt, which is freed with the task */
 ctrl_t *ctrl_new_on (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error);
 /** ctrl_turn() - the periodic work, called every %PSE_TICK_MS */
 void ctrl_turn (ctrl_t *ctrl);
@@ -286,31 +286,31 @@
 /** ctrl_jitter() - @wait_us times a random factor from 3/4 to 5/4 */
 uint64_t ctrl_jitter (ctrl_t *ctrl, uint64_t wait_us);
 
-/* control_source.c */
-/** ctrl_op_new() - register a platform call that is about to be made; ended by ctrl_op_end() */
+/* Platform calls and polling */
+/** ctrl_op_new() - register a platform call that is about to be made */
 ctrl_op_t *ctrl_op_new (ctrl_t *ctrl);
 /** ctrl_op_end() - free a completed call. Return: whether its result is to be used */
-bool ctrl_op_end (ctrl_op_t *op);
+bool ctrl_op_end (ctrl_op_t *call);
 /** ctrl_source_worked() - a read succeeded; the next is due after @wait_us */
-void ctrl_source_worked (ctrl_t *ctrl, ctrl_source_t *source, const char *name, uint64_t wait_us);
-/** ctrl_source_failed() - a read failed; retry with exponential back-off from @first_us and jitter
+void ctrl_source_worked (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t wait_us);
+/** ctrl_source_failed() - a read failed; retries after @first_us, doubling, with jitter
  */
-void ctrl_source_failed (ctrl_t *ctrl, ctrl_source_t *source, const char *name, uint64_t first_us);
+void ctrl_source_failed (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t first_us);
 /** ctrl_source_restart() - abandon the read in flight and make a new one due at once */
-void ctrl_source_restart (ctrl_t *ctrl, ctrl_source_t *source);
+void ctrl_source_restart (ctrl_t *ctrl, ctrl_source_t *poll);
 
-/* control_list.c */
+/* Host list */
 /** ctrl_list_turn() - read the host list if it is due */
 void ctrl_list_turn (ctrl_t *ctrl);
 /** ctrl_list_heard() - a peer announced that it has read the list up to @revision */
 void ctrl_list_heard (ctrl_t *ctrl, uint64_t revision);
-/** ctrl_list_heard_leaving() - a peer reported that the list at @revision has this host as leaving
+/** ctrl_list_heard_leaving() - by a peer's list at @revision this host leaves
  */
 void ctrl_list_heard_leaving (ctrl_t *ctrl, uint64_t revision);
-/** ctrl_list_tell() - call the hosts that are due to be notified that they are listed as leaving */
+/** ctrl_list_tell() - call hosts that are listed as leaving and due for a call */
 void ctrl_list_tell (ctrl_t *ctrl);
 
-/* control_members.c */
+/* Members and peers */
 void ctrl_members_init (ctrl_t *ctrl);
 void ctrl_members_clear (ctrl_t *ctrl);
 /**
@@ -320,51 +320,59 @@
  * that grows with the number of hosts, as a snapshot costs time for each host.
  */
 void ctrl_members_flush (ctrl_t *ctrl);
-/** ctrl_members_flush_now() - send changed members without collecting more, so that they reach the
- *  data task before MSG_FRESHNESS does */
+/**
+ * ctrl_members_flush_now() - send changed members without collecting more
+ *
+ * They have to reach the data task before MSG_FRESHNESS does.
+ */
 void ctrl_members_flush_now (ctrl_t *ctrl);
-/** ctrl_peers_rebuild() - recompute the peers after a change of the members or of the manifest */
+/** ctrl_peers_rebuild() - recompute the peers after the members or manifest changed */
 void ctrl_peers_rebuild (ctrl_t *ctrl);
 /** ctrl_peer_any() - a random peer, or NULL */
 const mem_host_t *ctrl_peer_any (ctrl_t *ctrl);
-/** ctrl_peer_near() - a random peer, preferring those with samples that this daemon needs, or NULL
+/** ctrl_peer_near() - a random peer, preferably one with samples of use here, or NULL
  */
 const mem_host_t *ctrl_peer_near (ctrl_t *ctrl);
 
-/* control_manifest.c */
+/* Manifest stream */
 void ctrl_manifest_init (ctrl_t *ctrl);
 void ctrl_manifest_clear (ctrl_t *ctrl);
-/** ctrl_manifest_turn() - read the log, fetch from a peer and append a checkpoint, as each is due
+/** ctrl_manifest_turn() - read the log, fetch, or append a checkpoint, as each is due
  */
 void ctrl_manifest_turn (ctrl_t *ctrl);
-/** ctrl_manifest_flush() - send the version in force to the data task if it has changed */
+/** ctrl_manifest_flush() - send a new version in force to the data task */
 void ctrl_manifest_flush (ctrl_t *ctrl);
-/** ctrl_manifest_heard() - the peer @host_hash announced that @version is in force there */
+/** ctrl_manifest_heard() - the peer @host_hash has @version in force */
 void ctrl_manifest_heard (ctrl_t *ctrl, uint64_t version, uint64_t host_hash);
 /** ctrl_manifest_version() - the version in force, 0 when there is none */
 uint64_t ctrl_manifest_version (const ctrl_t *ctrl);
 
-/* control_fetch.c */
-/** ctrl_fetch_start() - fetch the manifest in force from @host, unless a fetch is running or the
- *  last one was started less than about a second ago */
+/* Fetch of the manifest from a peer */
+/**
+ * ctrl_fetch_start() - fetch the manifest in force from @host
+ *
+ * Does nothing while a fetch runs, and until about a second after the last one was started.
+ */
 void ctrl_fetch_start (ctrl_t *ctrl, const mem_host_t *host);
 void ctrl_fetch_clear (ctrl_t *ctrl);
 
-/* control_fill.c */
-/** ctrl_talk_fill() - compose a message; @to is the sender that is replied to, NULL for a call to
- *  the host @callee_hash */
+/* Outgoing messages of the exchange */
+/**
+ * ctrl_talk_fill() - compose a message
+ * @to: the sender that is replied to, or NULL for a call to the host @callee_hash
+ */
 void ctrl_talk_fill (xch_message *message, const xch_word *to, void *context);
-/** ctrl_talk_word() - a state report of this daemon, with the next sequence number */
+/** ctrl_talk_word() - a report of this daemon's state, with a new sequence */
 mem_word_t ctrl_talk_word (ctrl_t *ctrl);
-/** ctrl_talk_table() - the load samples of a service, NULL when it is not in the manifest */
+/** ctrl_talk_table() - load samples of a service, NULL for one out of force */
 mean_table_t *ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash);
 
-/* control_exchange.c */
+/* Exchange with peers */
 void ctrl_talk_init (ctrl_t *ctrl);
 void ctrl_talk_clear (ctrl_t *ctrl);
 /** ctrl_talk_heard() - process a received message. Return: whether to reply to it */
 bool ctrl_talk_heard (const xch_message *message, bool is_reply, void *context);
-/** ctrl_talk_pick() - choose the peer for the next periodic call. Return: false when there is none
+/** ctrl_talk_pick() - the peer of the next periodic call. Return: false for none
  */
 bool ctrl_talk_pick (set_address_t *peer, void *context);
 /** ctrl_talk_call() - call a host now, if the byte budget allows it */
@@ -373,30 +381,30 @@
 void ctrl_talk_tell (ctrl_t *ctrl, uint32_t count);
 /** ctrl_talk_own_word() - apply a state report of this daemon to its own members */
 void ctrl_talk_own_word (ctrl_t *ctrl);
-/** ctrl_talk_version() - keep sample tables for exactly the services of the manifest in force */
+/** ctrl_talk_version() - keep samples of just the services in force */
 void ctrl_talk_version (ctrl_t *ctrl);
 /** ctrl_talk_own_sample() - the data task measured the load of this daemon's engine */
 void ctrl_talk_own_sample (ctrl_t *ctrl, const msg_samples_t *message);
 /** ctrl_talk_own_marks() - pass on marks of suspect requests that the data task made */
 void ctrl_talk_own_marks (ctrl_t *ctrl, const msg_marks_t *message);
 
-/* control_fresh.c */
+/* Freshness after a start or a pause */
 void ctrl_fresh_init (ctrl_t *ctrl);
-/** ctrl_fresh_check() - detect a pause of the process; called first in every event handler */
+/** ctrl_fresh_check() - detect a pause; called first in each event handler */
 void ctrl_fresh_check (ctrl_t *ctrl);
 /** ctrl_fresh_woke() - the data task detected a pause that ended at @woke_us */
 void ctrl_fresh_woke (ctrl_t *ctrl, uint64_t woke_us);
-/** ctrl_fresh_heard_list() - a read of the host list, started at @started_us, has ended */
+/** ctrl_fresh_heard_list() - a read of the list, begun at @started_us, has ended */
 void ctrl_fresh_heard_list (ctrl_t *ctrl, uint64_t started_us, bool worked);
-/** ctrl_fresh_heard_log() - a read of the log, started at @started_us, has ended */
+/** ctrl_fresh_heard_log() - a read of the log, begun at @started_us, has ended */
 void ctrl_fresh_heard_log (ctrl_t *ctrl, uint64_t started_us, bool worked);
-/** ctrl_fresh_heard_reply() - a peer with @version in force replied; its reports have been applied
+/** ctrl_fresh_heard_reply() - a reply of a peer with @version in force was applied
  */
 void ctrl_fresh_heard_reply (ctrl_t *ctrl, uint64_t version);
-/** ctrl_fresh_flush() - tell the data task that it is fresh, once everything is confirmed */
+/** ctrl_fresh_flush() - tell the data task once all is confirmed */
 void ctrl_fresh_flush (ctrl_t *ctrl);
 
-/* control_claims.c */
+/* Claims of idempotency keys */
 void ctrl_claims_init (ctrl_t *ctrl);
 void ctrl_claims_clear (ctrl_t *ctrl);
 /** ctrl_claims_turn() - advance all streams, close idle ones and probe a log that is down */
@@ -410,7 +418,7 @@
 /** ctrl_claims_idle() - whether nothing is left to append */
 bool ctrl_claims_idle (const ctrl_t *ctrl);
 
-/* control_stop.c */
+/* Leaving and shutdown */
 /** ctrl_stop_leave() - start leaving: drain the data task and tell peers; @why is logged */
 void ctrl_stop_leave (ctrl_t *ctrl, const char *why);
 /** ctrl_stop_signal() - leave, and end the process once drained */
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -405,7 +405,7 @@
   add_local_hosts (&rig);
   before = cnt_value (sent);
   rig_publish_version (&rig.platform, 3);
-  rig.ctrl->manifest.source.due_us = 0;
+  rig.ctrl->manifest.poll.due_us = 0;
   TICK_UNTIL (&rig, rig.received.version == 4);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
 }
--- a/tests/test_control_claims.c
+++ b/tests/test_control_claims.c
@@ -105,7 +105,7 @@
   CU_ASSERT_EQUAL (rig.received.claim_result_count, 1);
   CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLM_LOG_DOWN);
   CU_ASSERT_EQUAL (rig.platform.appends, 0);
-  rig.ctrl->manifest.source.due_us = UINT64_MAX; /* this read would detect the recovery, too */
+  rig.ctrl->manifest.poll.due_us = UINT64_MAX; /* this read would detect the recovery, too */
   rig.platform.read_down = false;
   rig_ticks (&rig, 15);
   expect_verdict (&rig, 2, 100, 2, CLM_GRANTED);
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -483,7 +483,7 @@
   rig.platform.read_down = true;
   rig_ticks (&rig, 300);
   uint32_t reads = rig.platform.reads;
-  rig.ctrl->manifest.source.due_us = clk_now_us (&rig.dmn.clk) + CTRL_BACKOFF_MAX_US;
+  rig.ctrl->manifest.poll.due_us = clk_now_us (&rig.dmn.clk) + CTRL_BACKOFF_MAX_US;
   for (uint32_t i = 1; i <= 4; i++)
     {
       rig_compose (&incoming, "peer", i)->manifest_version = 2;
