--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -293,8 +293,7 @@
 bool ctrl_op_end (ctrl_op_t *call);
 /** ctrl_source_worked() - a read succeeded; the next is due after @wait_us */
 void ctrl_source_worked (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t wait_us);
-/** ctrl_source_failed() - a read failed; retries after @first_us, doubling, with jitter
- */
+/** ctrl_source_failed() - a read failed; retries after @first_us, doubling, with jitter */
 void ctrl_source_failed (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t first_us);
 /** ctrl_source_restart() - abandon the read in flight and make a new one due at once */
 void ctrl_source_restart (ctrl_t *ctrl, ctrl_source_t *poll);
@@ -304,8 +303,7 @@
 void ctrl_list_turn (ctrl_t *ctrl);
 /** ctrl_list_heard() - a peer announced that it has read the list up to @revision */
 void ctrl_list_heard (ctrl_t *ctrl, uint64_t revision);
-/** ctrl_list_heard_leaving() - by a peer's list at @revision this host leaves
- */
+/** ctrl_list_heard_leaving() - by a peer's list at @revision this host leaves */
 void ctrl_list_heard_leaving (ctrl_t *ctrl, uint64_t revision);
 /** ctrl_list_tell() - call hosts that are listed as leaving and due for a call */
 void ctrl_list_tell (ctrl_t *ctrl);
@@ -330,15 +328,13 @@
 void ctrl_peers_rebuild (ctrl_t *ctrl);
 /** ctrl_peer_any() - a random peer, or NULL */
 const mem_host_t *ctrl_peer_any (ctrl_t *ctrl);
-/** ctrl_peer_near() - a random peer, preferably one with samples of use here, or NULL
- */
+/** ctrl_peer_near() - a random peer, preferably one with samples of use here, or NULL */
 const mem_host_t *ctrl_peer_near (ctrl_t *ctrl);
 
 /* Manifest stream */
 void ctrl_manifest_init (ctrl_t *ctrl);
 void ctrl_manifest_clear (ctrl_t *ctrl);
-/** ctrl_manifest_turn() - read the log, fetch, or append a checkpoint, as each is due
- */
+/** ctrl_manifest_turn() - read the log, fetch, or append a checkpoint, as each is due */
 void ctrl_manifest_turn (ctrl_t *ctrl);
 /** ctrl_manifest_flush() - send a new version in force to the data task */
 void ctrl_manifest_flush (ctrl_t *ctrl);
@@ -372,8 +368,7 @@
 void ctrl_talk_clear (ctrl_t *ctrl);
 /** ctrl_talk_heard() - process a received message. Return: whether to reply to it */
 bool ctrl_talk_heard (const xch_message *message, bool is_reply, void *context);
-/** ctrl_talk_pick() - the peer of the next periodic call. Return: false for none
- */
+/** ctrl_talk_pick() - the peer of the next periodic call. Return: false for none */
 bool ctrl_talk_pick (set_address_t *peer, void *context);
 /** ctrl_talk_call() - call a host now, if the byte budget allows it */
 void ctrl_talk_call (ctrl_t *ctrl, const mem_host_t *host);
@@ -398,8 +393,7 @@
 void ctrl_fresh_heard_list (ctrl_t *ctrl, uint64_t started_us, bool worked);
 /** ctrl_fresh_heard_log() - a read of the log, begun at @started_us, has ended */
 void ctrl_fresh_heard_log (ctrl_t *ctrl, uint64_t started_us, bool worked);
-/** ctrl_fresh_heard_reply() - a reply of a peer with @version in force was applied
- */
+/** ctrl_fresh_heard_reply() - a reply of a peer with @version in force was applied */
 void ctrl_fresh_heard_reply (ctrl_t *ctrl, uint64_t version);
 /** ctrl_fresh_flush() - tell the data task once all is confirmed */
 void ctrl_fresh_flush (ctrl_t *ctrl);
@@ -413,13 +407,13 @@
 void ctrl_claims_ask (ctrl_t *ctrl, const msg_claim_t *message);
 /** ctrl_claims_end() - record that a claimed request has ended, or did not run */
 void ctrl_claims_end (ctrl_t *ctrl, const msg_claim_end_t *message);
-/** ctrl_claims_note_log() - a read of the manifest stream, in the same log, succeeded or failed */
+/** ctrl_claims_note_log() - a read of the same log succeeded or failed */
 void ctrl_claims_note_log (ctrl_t *ctrl, bool works);
 /** ctrl_claims_idle() - whether nothing is left to append */
 bool ctrl_claims_idle (const ctrl_t *ctrl);
 
 /* Leaving and shutdown */
-/** ctrl_stop_leave() - start leaving: drain the data task and tell peers; @why is logged */
+/** ctrl_stop_leave() - drain the data task and notify peers; @why is logged */
 void ctrl_stop_leave (ctrl_t *ctrl, const char *why);
 /** ctrl_stop_signal() - leave, and end the process once drained */
 void ctrl_stop_signal (ctrl_t *ctrl);
