--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -29,7 +29,7 @@
 {
   uint64_t now_us = ctrl_now_us (ctrl);
   ctrl_count (ctrl, "medlarplank_incarnation_conflicts_total",
-              "Times a higher incarnation of this host's own name was received");
+              "Times a later incarnation of this host's own name was heard");
   if (ctrl->conflict_logged_us != 0 && now_us - ctrl->conflict_logged_us < CONFLICT_LOG_INTERVAL_US)
     return;
   ctrl->conflict_logged_us = now_us;
@@ -220,9 +220,9 @@
   exchange->samples = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   exchange->old_messages =
       cnt_get (ctrl->dmn->counters, "medlarplank_control_old_total",
-               "Messages dropped because a later one of their sender was received before");
+               "Messages dropped as a later one of their sender was heard before");
   exchange->unlisted = cnt_get (ctrl->dmn->counters, "medlarplank_control_unlisted_total",
-                                "Messages dropped because their sender is not a listed host");
+                                "Messages dropped as their sender is not a listed host");
 }
 
 void
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -76,11 +76,11 @@
 ctrl_fresh_init (ctrl_t *ctrl)
 {
   cnt_set_t *counters = ctrl->dmn->counters;
-  ctrl->fresh.pauses =
-      cnt_get (counters, "medlarplank_pauses_total", "Pauses of the process detected");
+  ctrl->fresh.pauses = cnt_get (counters, "medlarplank_pauses_total",
+                                "Times the daemon found that it had not run for a while");
   ctrl->fresh.stale = cnt_get (counters, "medlarplank_stale",
-                               "Whether the daemon has not confirmed its state since it started or "
-                               "last paused");
+                               "Whether the daemon has not heard all it needs since it started "
+                               "or last woke");
   cnt_set_value (ctrl->fresh.stale, 1);
   pse_init (&ctrl->fresh.pse, ctrl_now_us (ctrl), ctrl->dmn->set.exchange_interval_ms);
 }
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -148,8 +148,8 @@
   if (!ctrl_op_end (call))
     return;
   bool worked = hosts->outcome == PLT_OK;
-  ctrl_gauge (ctrl, "medlarplank_list_up",
-              "Whether the last read of the platform's host list succeeded", worked);
+  ctrl_gauge (ctrl, "medlarplank_list_up", "Whether the last reading of the platform's list worked",
+              worked);
   if (worked)
     {
       accept_answer (ctrl, hosts, started_us);
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -123,7 +123,7 @@
       ctrl_source_failed (ctrl, &ctrl->manifest.poll, SOURCE, RETRY_US);
       ctrl_fresh_heard_log (ctrl, started_us, false);
     }
-  ctrl_gauge (ctrl, "medlarplank_log_up", "Whether the last read of the log succeeded", worked);
+  ctrl_gauge (ctrl, "medlarplank_log_up", "Whether the last reading of the log worked", worked);
 }
 
 /* The first read after a start or a pause returns at once, as the daemon is stale until then. */
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -211,7 +211,8 @@
     mem_snapshot_unref (ctrl->peers.members);
   ctrl->peers.members = after;
   update_gauges (ctrl, after);
-  ctrl_count (ctrl, "medlarplank_members_told_total", "Member snapshots sent to the data task");
+  ctrl_count (ctrl, "medlarplank_members_told_total",
+              "Times that the members were told to the data task");
   ctrl_peers_rebuild (ctrl);
   msg_members_t *message = msg_new (MSG_MEMBERS);
   message->members = mem_snapshot_ref (after);
