--- a/examples/demo_gateway.sh
+++ b/examples/demo_gateway.sh
@@ -33,9 +33,12 @@
     -H "X-Key: demo-appeals-team" -H "X-Deadline-Ms: 4000" -H "Content-Length: 0" "http://${gateways[$2]}:8080$4")
 }
 
-is_served () { # PATH
-  ask probe 0 GET "$1"
-  [ "$status" = 200 ]
+is_served () { # PATH: by each gateway
+  local n
+  for n in "${!gateways[@]}"; do
+    ask probe "$n" GET "$1"
+    [ "$status" = 200 ] || return 1
+  done
 }
 
 echo "== start: the store, five engines, two gateways (logs in $dir)"
