--- a/src/version/manifest.c
+++ b/src/version/manifest.c
@@ -8,12 +8,13 @@
 GQuark
 man_error_quark (void)
 {
-  return g_quark_from_static_string ("man-error-quark");
+  return g_quark_from_static_string ("manifest-error-quark");
 }
 
-/* As json_dumps() in the canonical form, but no longer than a manifest may be. */
+/* Serializes @json in canonical form: compact, keys sorted. Fails when the text exceeds the size
+ * limit of a manifest. */
 static char *
-canonical (const json_t *json, size_t *text_bytes, GError **error)
+dump_canonical (const json_t *json, size_t *text_bytes, GError **error)
 {
   size_t flags = JSON_SORT_KEYS | JSON_COMPACT;
   char *text;
@@ -30,22 +31,23 @@
 }
 
 static bool
-digest (man_t *man, GError **error)
+set_digest (man_t *manifest, GError **error)
 {
   size_t text_bytes;
-  g_autofree char *text = canonical (man->json, &text_bytes, error);
+  g_autofree char *text = dump_canonical (manifest->json, &text_bytes, error);
   g_autofree char *hex = NULL;
 
   if (text == NULL)
     return false;
   hex = g_compute_checksum_for_data (G_CHECKSUM_SHA256, (const guchar *)text, text_bytes);
-  g_strlcpy (man->digest, hex, sizeof man->digest);
+  g_strlcpy (manifest->digest, hex, sizeof manifest->digest);
   return true;
 }
 
-/* RFC 7386: null takes a member away, objects are merged, all else replaces. New reference. */
+/* Applies a JSON merge patch (RFC 7386): null removes a member, objects are merged, any other value
+ * replaces the old one. Return: a new reference. */
 static json_t *
-merge (const json_t *target, const json_t *patch)
+merge_patch (const json_t *target, const json_t *patch)
 {
   const char *key;
   json_t *value;
@@ -59,13 +61,14 @@
       if (json_is_null (value))
         json_object_del (merged, key);
       else
-        json_object_set_new (merged, key, merge (json_object_get (target, key), value));
+        json_object_set_new (merged, key, merge_patch (json_object_get (target, key), value));
     }
   return merged;
 }
 
+/* Binary search in @table, which is sorted by name; each item begins with its name. */
 static const void *
-find_named (const char *name, const void *table, uint32_t count, size_t item_bytes)
+find_by_name (const char *name, const void *table, uint32_t count, size_t item_bytes)
 {
   const char *items = table;
   uint32_t low = 0;
@@ -88,7 +91,7 @@
 }
 
 static bool
-matches (const man_route_t *route, const char *method, const char *path, const char *model)
+route_matches (const man_route_t *route, const char *method, const char *path, const char *model)
 {
   size_t length = strlen (route->path);
 
@@ -102,67 +105,67 @@
 }
 
 static void
-free_tables (man_t *man)
+free_tables (man_t *manifest)
 {
-  for (uint32_t at = 0; at < man->service_count; at++)
-    g_free (man->services[at].engines);
-  g_free (man->accounts);
-  g_free (man->services);
-  g_free (man->classes);
-  g_free (man->routes);
-  g_clear_pointer (&man->account_by_digest, g_hash_table_unref);
-  g_clear_pointer (&man->service_by_engine, g_hash_table_unref);
+  for (uint32_t i = 0; i < manifest->service_count; i++)
+    g_free (manifest->services[i].engines);
+  g_free (manifest->accounts);
+  g_free (manifest->services);
+  g_free (manifest->classes);
+  g_free (manifest->routes);
+  g_clear_pointer (&manifest->account_by_digest, g_hash_table_unref);
+  g_clear_pointer (&manifest->service_by_engine, g_hash_table_unref);
 }
 
 man_t *
 man_from_json (json_t *json, GError **error)
 {
-  man_t *man;
+  man_t *manifest;
 
   if (!mck_depth (json, LIM_MANIFEST_DEPTH))
     {
       mck_fail (error, MAN_ERROR_SYNTAX, "", NULL, "is nested deeper than %d", LIM_MANIFEST_DEPTH);
       return NULL;
     }
-  man = g_new0 (man_t, 1);
-  g_atomic_ref_count_init (&man->refs);
-  man->json = json_incref (json);
-  man->account_by_digest = g_hash_table_new (g_str_hash, g_str_equal);
-  man->service_by_engine = g_hash_table_new (g_str_hash, g_str_equal);
-  if (!mrd_read (man, error) || !digest (man, error))
-    g_clear_pointer (&man, man_unref);
-  return man;
+  manifest = g_new0 (man_t, 1);
+  g_atomic_ref_count_init (&manifest->refs);
+  manifest->json = json_incref (json);
+  manifest->account_by_digest = g_hash_table_new (g_str_hash, g_str_equal);
+  manifest->service_by_engine = g_hash_table_new (g_str_hash, g_str_equal);
+  if (!mrd_read (manifest, error) || !set_digest (manifest, error))
+    g_clear_pointer (&manifest, man_unref);
+  return manifest;
 }
 
 man_t *
 man_parse (const char *text, size_t text_bytes, GError **error)
 {
-  json_error_t fault;
+  json_error_t json_error;
   json_t *json;
-  man_t *man;
+  man_t *manifest;
 
   if (text_bytes > LIM_MANIFEST_BYTES)
     {
       mck_fail (error, MAN_ERROR_SYNTAX, "", NULL, "is larger than %d bytes", LIM_MANIFEST_BYTES);
       return NULL;
     }
-  json = json_loadb (text, text_bytes, JSON_REJECT_DUPLICATES, &fault);
+  json = json_loadb (text, text_bytes, JSON_REJECT_DUPLICATES, &json_error);
   if (json == NULL)
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_SYNTAX, "line %d, column %d: %s", fault.line,
-                   fault.column, fault.text);
+      g_set_error (error, MAN_ERROR, MAN_ERROR_SYNTAX, "line %d, column %d: %s", json_error.line,
+                   json_error.column, json_error.text);
       return NULL;
     }
-  man = man_from_json (json, error);
+  manifest = man_from_json (json, error);
   json_decref (json);
-  return man;
+  return manifest;
 }
 
 man_t *
 man_patch (const man_t *base, const json_t *patch, GError **error)
 {
   json_t *json;
-  man_t *man;
+  man_t *manifest;
 
   if (!json_is_object (patch) || !mck_depth (patch, LIM_MANIFEST_DEPTH))
     {
@@ -170,24 +173,24 @@
                 "is not an object that is nested at most %d deep", LIM_MANIFEST_DEPTH);
       return NULL;
     }
-  json = merge (base->json, patch);
-  man = man_from_json (json, error);
+  json = merge_patch (base->json, patch);
+  manifest = man_from_json (json, error);
   json_decref (json);
-  return man;
+  return manifest;
 }
 
 bool
-man_may_follow (const man_t *man, const man_t *next, GError **error)
+man_may_follow (const man_t *manifest, const man_t *next, GError **error)
 {
   for (uint32_t i = 0; i < next->service_count; i++)
     {
       const man_service_t *after = &next->services[i];
-      const man_service_t *before = man_service_named (man, after->name);
+      const man_service_t *before = man_service_named (manifest, after->name);
       if (before == NULL || before->claim_shards == after->claim_shards)
         continue;
       g_set_error (error, MAN_ERROR, MAN_ERROR_RANGE,
-                   "services.%s.claim_shards: is %u and cannot become %u: keys that are remembered "
-                   "would be forgotten",
+                   "services.%s.claim_shards: is %u and cannot become %u: existing claims of "
+                   "idempotency keys would no longer be found",
                    after->name, before->claim_shards, after->claim_shards);
       return false;
     }
@@ -195,62 +198,64 @@
 }
 
 man_t *
-man_ref (man_t *man)
+man_ref (man_t *manifest)
 {
-  g_atomic_ref_count_inc (&man->refs);
-  return man;
+  g_atomic_ref_count_inc (&manifest->refs);
+  return manifest;
 }
 
 void
-man_unref (man_t *man)
+man_unref (man_t *manifest)
 {
-  if (!g_atomic_ref_count_dec (&man->refs))
+  if (!g_atomic_ref_count_dec (&manifest->refs))
     return;
-  free_tables (man);
-  json_decref (man->json);
-  g_free (man);
+  free_tables (manifest);
+  json_decref (manifest->json);
+  g_free (manifest);
 }
 
 const man_account_t *
-man_account_for_key (const man_t *man, const char *key)
+man_account_for_key (const man_t *manifest, const char *key)
 {
   g_autofree char *hex = g_compute_checksum_for_string (G_CHECKSUM_SHA256, key, -1);
 
-  return g_hash_table_lookup (man->account_by_digest, hex);
+  return g_hash_table_lookup (manifest->account_by_digest, hex);
 }
 
 const man_account_t *
-man_account_named (const man_t *man, const char *name)
+man_account_named (const man_t *manifest, const char *name)
 {
   G_STATIC_ASSERT (offsetof (man_account_t, name) == 0);
-  return find_named (name, man->accounts, man->account_count, sizeof *man->accounts);
+  return find_by_name (name, manifest->accounts, manifest->account_count,
+                       sizeof *manifest->accounts);
 }
 
 const man_service_t *
-man_service_named (const man_t *man, const char *name)
+man_service_named (const man_t *manifest, const char *name)
 {
   G_STATIC_ASSERT (offsetof (man_service_t, name) == 0);
-  return find_named (name, man->services, man->service_count, sizeof *man->services);
+  return find_by_name (name, manifest->services, manifest->service_count,
+                       sizeof *manifest->services);
 }
 
 const man_service_t *
-man_service_of_engine (const man_t *man, const char *engine)
+man_service_of_engine (const man_t *manifest, const char *engine)
 {
-  return g_hash_table_lookup (man->service_by_engine, engine);
+  return g_hash_table_lookup (manifest->service_by_engine, engine);
 }
 
 const man_class_t *
-man_class_named (const man_t *man, const char *name)
+man_class_named (const man_t *manifest, const char *name)
 {
   G_STATIC_ASSERT (offsetof (man_class_t, name) == 0);
-  return find_named (name, man->classes, man->class_count, sizeof *man->classes);
+  return find_by_name (name, manifest->classes, manifest->class_count, sizeof *manifest->classes);
 }
 
 const man_route_t *
-man_route_for (const man_t *man, const char *method, const char *path, const char *model)
+man_route_for (const man_t *manifest, const char *method, const char *path, const char *model)
 {
-  for (uint32_t at = 0; at < man->route_count; at++)
-    if (matches (&man->routes[at], method, path, model))
-      return &man->routes[at];
+  for (uint32_t i = 0; i < manifest->route_count; i++)
+    if (route_matches (&manifest->routes[i], method, path, model))
+      return &manifest->routes[i];
   return NULL;
 }
--- a/src/version/manifest.h
+++ b/src/version/manifest.h
@@ -1,8 +1,10 @@
 /**
  * DOC: manifest
  *
- * One version of the operators' statement of intent: parsed, checked whole, immutable, counted.
- * A request keeps the version that it started under; the last reference frees it.
+ * One version of the configuration that operators publish: client accounts, request classes,
+ * services with their engines, and routes. A manifest is parsed and validated as a whole, is
+ * immutable afterwards and is reference counted, so that each request keeps the version that it
+ * started with.
  */
 #ifndef VERSION_MANIFEST_H
 #define VERSION_MANIFEST_H
@@ -16,15 +18,16 @@
 
 typedef enum
 {
-  MAN_KIND_MODEL, /* model engines: chats, prefix caches, load reports */
-  MAN_KIND_PLAIN  /* plain services: paths, some of whose calls may not be repeated */
+  MAN_KIND_MODEL, /* inference engines with chats, prefix caches and load reports */
+  MAN_KIND_PLAIN  /* ordinary HTTP services, some of whose calls are not idempotent */
 } man_kind_t;
 
 /**
  * struct man_class - a class of requests
- * @priority: 0 is served first; passed to the engine
- * @deadline_ms: from arrival at the router to the first byte
- * @expected_tokens: output expected, for the cost before the answer is known
+ * @priority: 0 is the highest priority, 9 the lowest; passed on to the engine
+ * @deadline_ms: longest time from arrival at the router to the first byte of the response
+ * @expected_tokens: expected length of the output; the cost estimate uses it until the response
+ *   is known
  */
 typedef struct
 {
@@ -36,9 +39,10 @@
 
 /**
  * struct man_account - a client account
- * @key_digest: SHA-256 of its key, lower-case hex
- * @weight: share under contention, in thousandths (1000 is the ordinary account)
- * @queue_limit: requests of it that may wait at one sidecar
+ * @key_digest: SHA-256 of the account's API key, in lower-case hex
+ * @weight: relative share under contention, in thousandths; 1000 is the default
+ * @queue_limit: maximum number of its requests that may wait at one sidecar
+ * @hash: hash of @name
  */
 typedef struct
 {
@@ -51,11 +55,16 @@
 
 /**
  * struct man_service - a service
- * @bound_percent: c of the load bound, in hundredths (125 is 1.25 times the mean)
- * @slots: requests that one engine runs at once
- * @cache_lifetime_ms: how long a prefix is expected to stay cached
- * @prefill_tokens_s: prompt tokens that an engine reads in a second, for the cost of a cold start
- * @claim_shards: log streams over which the claims of this service are spread
+ * @engines: names of its engines, in the order of the document
+ * @bound_percent: factor c of bounded-load hashing, in percent: no engine takes more than c times
+ *   the mean load (125 is 1.25 times the mean)
+ * @slots: requests that one engine processes concurrently
+ * @cache_lifetime_ms: expected time that a prompt prefix stays in an engine's cache
+ * @prefill_tokens_s: prompt tokens that an engine processes per second; gives the cost of a
+ *   request whose prefix is not cached
+ * @claim_shards: number of log streams over which the idempotency-key claims of this service are
+ *   partitioned
+ * @hash: hash of @name
  */
 typedef struct
 {
@@ -72,12 +81,13 @@
 } man_service_t;
 
 /**
- * struct man_route - which service a request goes to; the first that matches counts
- * @method: NULL for any
- * @path: exact, or a prefix when it ends in '*'
- * @model: for chat completions: the body's "model"; NULL for any
- * @idempotent: false for calls that may not be repeated
- * @class_index: default class; a caller may name another by header
+ * struct man_route - maps requests to a service; the first matching route wins
+ * @method: HTTP method; "" matches any
+ * @path: exact path, or a prefix when it ends in '*'
+ * @model: value of "model" in the body of a chat completion; "" matches any
+ * @service_index: index into the services of the manifest
+ * @class_index: index of the default class; a client may name another one in a header
+ * @idempotent: false when a request must not be executed more than once
  */
 typedef struct
 {
@@ -89,13 +99,13 @@
   bool idempotent;
 } man_route_t;
 
-typedef struct man man_t;
-struct man
+typedef struct manifest man_t;
+struct manifest
 {
   gatomicrefcount refs;
-  uint64_t version; /* 0 until it is in force */
-  char digest[65];  /* SHA-256 of the canonical JSON */
-  json_t *json;     /* the canonical document */
+  uint64_t version; /* 0 until the manifest is in force */
+  char digest[65];  /* SHA-256 of the document in canonical form: compact, keys sorted */
+  json_t *json;     /* the document that the tables below were read from */
   man_account_t *accounts;
   uint32_t account_count;
   man_service_t *services;
@@ -112,45 +122,52 @@
 GQuark man_error_quark (void);
 typedef enum
 {
-  MAN_ERROR_SYNTAX,   /* not JSON, a doubled key, too deep, too large */
-  MAN_ERROR_UNKNOWN,  /* a key that is not known */
-  MAN_ERROR_MISSING,  /* a key that must be there */
+  MAN_ERROR_SYNTAX,   /* not JSON, a duplicate key, nested too deeply or too large */
+  MAN_ERROR_UNKNOWN,  /* an unknown key */
+  MAN_ERROR_MISSING,  /* a required key is missing */
   MAN_ERROR_TYPE,     /* a value of the wrong type */
-  MAN_ERROR_RANGE,    /* a value out of its range */
-  MAN_ERROR_REFERENCE /* a name that nothing defines, or that is defined twice */
+  MAN_ERROR_RANGE,    /* a value out of range */
+  MAN_ERROR_REFERENCE /* a reference to an undefined name, or a name that is defined twice */
 } man_error_t;
 
 /**
- * man_parse() - read and check a manifest
+ * man_parse() - parse and validate a manifest
  *
- * Return: a new reference, or NULL with an error whose message starts with the path of the fault,
- * e.g. "services.medlar-pool.bound_percent: 90 is not in 100..1000".
+ * Return: a new reference, or NULL with @error set. The message starts with the path of the
+ * invalid member, e.g. "services.medlar-pool.bound_percent: 90 is not in 100..1000".
  */
 man_t *man_parse (const char *text, size_t text_bytes, GError **error);
-/** man_from_json() - as man_parse(), from a document; keeps its own reference to it */
+/** man_from_json() - like man_parse(), from a parsed document, of which it takes a reference */
 man_t *man_from_json (json_t *json, GError **error);
-/** man_patch() - the manifest that a JSON merge patch (RFC 7386) makes of @base */
+/** man_patch() - apply a JSON merge patch (RFC 7386) to @base. Return: a new manifest, or NULL
+ * with @error set; @base is unchanged */
 man_t *man_patch (const man_t *base, const json_t *patch, GError **error);
 
 /**
- * man_may_follow() - whether @next may come into force after @man
+ * man_may_follow() - whether @next may replace @manifest as the version in force
  *
- * A service keeps its number of claim shards: with another number a key that is resent would be
- * claimed in another stream, where nobody knows of its first claim, and would run twice.
+ * The number of claim shards of a service can't change. With another number, an idempotency key
+ * maps to another stream, which has no record of the first claim, and a retried request would be
+ * executed twice.
  */
-bool man_may_follow (const man_t *man, const man_t *next, GError **error);
+bool man_may_follow (const man_t *manifest, const man_t *next, GError **error);
 
-man_t *man_ref (man_t *man);
-void man_unref (man_t *man);
+man_t *man_ref (man_t *manifest);
+void man_unref (man_t *manifest);
 
-/** man_account_for_key() - the client account whose key this is, or NULL */
-const man_account_t *man_account_for_key (const man_t *man, const char *key);
-const man_account_t *man_account_named (const man_t *man, const char *name);
-const man_service_t *man_service_named (const man_t *man, const char *name);
-const man_service_t *man_service_of_engine (const man_t *man, const char *engine);
-const man_class_t *man_class_named (const man_t *man, const char *name);
-/** man_route_for() - the route of a request, or NULL; @model may be NULL */
+/** man_account_for_key() - the client account that owns the API key @key, or NULL */
+const man_account_t *man_account_for_key (const man_t *manifest, const char *key);
+/** man_account_named() - the client account called @name, or NULL */
+const man_account_t *man_account_named (const man_t *manifest, const char *name);
+/** man_service_named() - the service called @name, or NULL */
+const man_service_t *man_service_named (const man_t *manifest, const char *name);
+/** man_service_of_engine() - the service that lists the engine called @engine, or NULL */
+const man_service_t *man_service_of_engine (const man_t *manifest, const char *engine);
+/** man_class_named() - the request class called @name, or NULL */
+const man_class_t *man_class_named (const man_t *manifest, const char *name);
+/** man_route_for() - the first route that matches a request, or NULL; @model is NULL when the
+ * request names no model */
 const man_route_t *
-man_route_for (const man_t *man, const char *method, const char *path, const char *model);
+man_route_for (const man_t *manifest, const char *method, const char *path, const char *model);
 
 #endif
--- a/src/version/manifest_check.c
+++ b/src/version/manifest_check.c
@@ -2,52 +2,54 @@
 
 #include <string.h>
 
-#define SHOWN_BYTES 80 /* of a key or value from the document, in a message */
+#define QUOTED_CHARS_MAX 80 /* of text from the document in an error message */
 
+/* Truncates and escapes text from the document for an error message. */
 static char *
-shown (const char *text)
+quote (const char *text)
 {
-  g_autofree char *part = g_utf8_substring (text, 0, MIN (g_utf8_strlen (text, -1), SHOWN_BYTES));
+  g_autofree char *part =
+      g_utf8_substring (text, 0, MIN (g_utf8_strlen (text, -1), QUOTED_CHARS_MAX));
 
   return g_strescape (part, NULL);
 }
 
 static char *
-join (const char *path, const char *key)
+join_path (const char *path, const char *key)
 {
-  g_autofree char *safe = key != NULL ? shown (key) : NULL;
+  g_autofree char *quoted = key != NULL ? quote (key) : NULL;
 
-  if (safe == NULL)
+  if (quoted == NULL)
     return g_strdup (path[0] != '\0' ? path : "document");
-  return path[0] != '\0' ? g_strdup_printf ("%s.%s", path, safe) : g_steal_pointer (&safe);
+  return path[0] != '\0' ? g_strdup_printf ("%s.%s", path, quoted) : g_steal_pointer (&quoted);
 }
 
 bool
 mck_fail (
     GError **error, man_error_t code, const char *path, const char *key, const char *format, ...)
 {
-  g_autofree char *where = join (path, key);
-  g_autofree char *what = NULL;
+  g_autofree char *location = join_path (path, key);
+  g_autofree char *message = NULL;
   va_list args;
 
   va_start (args, format);
-  what = g_strdup_vprintf (format, args);
+  message = g_strdup_vprintf (format, args);
   va_end (args);
-  g_set_error (error, MAN_ERROR, code, "%s: %s", where, what);
+  g_set_error (error, MAN_ERROR, code, "%s: %s", location, message);
   return false;
 }
 
 static bool
-is_known (const char *key, const char *const *known)
+is_allowed (const char *key, const char *const *allowed)
 {
-  for (; *known != NULL; known++)
-    if (strcmp (key, *known) == 0)
+  for (; *allowed != NULL; allowed++)
+    if (strcmp (key, *allowed) == 0)
       return true;
   return false;
 }
 
 static bool
-check_object (const mck_t *mck, const char *const *known, GError **error)
+check_object (const mck_t *mck, const char *const *allowed, GError **error)
 {
   const char *key;
   json_t *value;
@@ -56,7 +58,7 @@
     return mck_fail (error, MAN_ERROR_TYPE, mck->path, NULL, "is not an object");
   json_object_foreach ((json_t *)mck->json, key, value)
     {
-      if (!is_known (key, known))
+      if (!is_allowed (key, allowed))
         return mck_fail (error, MAN_ERROR_UNKNOWN, mck->path, key, "is not a known key");
     }
   return true;
@@ -67,12 +69,12 @@
            const json_t *json,
            const char *parent,
            const char *key,
-           const char *const *known,
+           const char *const *allowed,
            GError **error)
 {
   mck->json = json;
-  mck->path = key != NULL ? join (parent, key) : g_strdup (parent);
-  return check_object (mck, known, error);
+  mck->path = key != NULL ? join_path (parent, key) : g_strdup (parent);
+  return check_object (mck, allowed, error);
 }
 
 bool
@@ -80,12 +82,12 @@
                 const json_t *json,
                 const char *key,
                 size_t index,
-                const char *const *known,
+                const char *const *allowed,
                 GError **error)
 {
   mck->json = json;
   mck->path = g_strdup_printf ("%s[%zu]", key, index);
-  return check_object (mck, known, error);
+  return check_object (mck, allowed, error);
 }
 
 void
@@ -100,7 +102,7 @@
   const json_t *json = json_object_get (mck->json, key);
   json_int_t number;
 
-  *value = range.normal;
+  *value = range.default_value;
   if (json == NULL)
     return true;
   if (!json_is_integer (json))
@@ -191,9 +193,9 @@
   if (length == 0 || length >= LIM_NAME_BYTES)
     return mck_fail (error, MAN_ERROR_RANGE, path, key, "a name is 1..%d bytes long",
                      LIM_NAME_BYTES - 1);
-  for (size_t at = 0; at < length; at++)
+  for (size_t i = 0; i < length; i++)
     {
-      if (g_ascii_isalnum (name[at]) || (at > 0 && strchr ("._-", name[at]) != NULL))
+      if (g_ascii_isalnum (name[i]) || (i > 0 && strchr ("._-", name[i]) != NULL))
         continue;
       return mck_fail (error, MAN_ERROR_RANGE, path, key,
                        "a name has letters, digits, '.', '_' and '-' and starts with "
--- a/src/version/manifest_check.h
+++ b/src/version/manifest_check.h
@@ -1,8 +1,8 @@
 /**
  * DOC: manifest_check
  *
- * Typed reading of the members of a JSON object. Every failure sets an error that starts with the
- * path of the fault; text from the document is shown escaped and shortened.
+ * Typed access to the members of a JSON object. Every failure sets an error whose message starts
+ * with the path of the invalid member; text quoted from the document is escaped and truncated.
  */
 #ifndef VERSION_MANIFEST_CHECK_H
 #define VERSION_MANIFEST_CHECK_H
@@ -15,9 +15,9 @@
 #include <stdint.h>
 
 /**
- * struct mck - an object that is being read
+ * struct mck - a JSON object that is being read
  * @json: the object, borrowed
- * @path: where it stands in the document, "" for the document itself
+ * @path: path of the object in the document; "" for the document itself
  */
 typedef struct
 {
@@ -25,52 +25,64 @@
   char *path;
 } mck_t;
 
-/** struct mck_range - what a number may be, and what it is when it is not there */
+/** struct mck_range - valid range of a number, and the value that it takes when it is absent */
 typedef struct
 {
   uint32_t min;
   uint32_t max;
-  uint32_t normal;
+  uint32_t default_value;
 } mck_range_t;
 
-/** mck_fail() - set an error at @path, or at @key below it. Return: false */
+/** mck_fail() - set an error for the member @key of the object at @path, or for the object itself
+ * when @key is NULL. Return: false */
 bool mck_fail (
     GError **error, man_error_t code, const char *path, const char *key, const char *format, ...)
     __attribute__ ((format (printf, 5, 6)));
 
-/** mck_enter() - start to read @json; @known ends with NULL. Free by mck_leave() in any case */
+/**
+ * mck_enter() - begin to read @json, the member @key of the object at @parent
+ * @key: NULL when @parent is the path of @json itself
+ * @allowed: the allowed keys, terminated by NULL
+ *
+ * mck_leave() must be called even after a failure.
+ *
+ * Return: false when @json is not an object or has an unknown key
+ */
 bool mck_enter (mck_t *mck,
                 const json_t *json,
                 const char *parent,
                 const char *key,
-                const char *const *known,
+                const char *const *allowed,
                 GError **error);
-/** mck_enter_item() - as mck_enter(), for an item of the array @key */
+/** mck_enter_item() - like mck_enter(), for an item of the top-level array @key */
 bool mck_enter_item (mck_t *mck,
                      const json_t *json,
                      const char *key,
                      size_t index,
-                     const char *const *known,
+                     const char *const *allowed,
                      GError **error);
+/** mck_leave() - release the path */
 void mck_leave (mck_t *mck);
 
-/** mck_u32() - a whole number within @range; its normal value when it is not there */
+/** mck_u32() - read an optional integer in @range; an absent key yields the default value */
 bool
 mck_u32 (const mck_t *mck, const char *key, mck_range_t range, uint32_t *value, GError **error);
-/** mck_bool() - leaves @value as it is when the key is not there */
+/** mck_bool() - read an optional boolean; an absent key leaves @value unchanged */
 bool mck_bool (const mck_t *mck, const char *key, bool *value, GError **error);
-/** mck_text() - a required string, borrowed */
+/** mck_text() - read a required string, borrowed from the document */
 bool mck_text (const mck_t *mck, const char *key, const char **value, GError **error);
-/** mck_copy() - a string that fits; "" when it is not there and not @required */
+/** mck_copy() - copy a string of 1 to @out_bytes - 1 bytes; an absent key yields "" unless it is
+ * @required */
 bool mck_copy (
     const mck_t *mck, const char *key, bool required, char *out, size_t out_bytes, GError **error);
-/** mck_members() - a required object with at least one member */
+/** mck_members() - read a required object with at least one member, borrowed */
 bool mck_members (const mck_t *mck, const char *key, json_t **value, GError **error);
-/** mck_items() - a required array with at least one item */
+/** mck_items() - read a required array with at least one item, borrowed */
 bool mck_items (const mck_t *mck, const char *key, json_t **value, GError **error);
-/** mck_name() - whether @name can name a service, account, class or engine, standing at @path */
+/** mck_name() - whether @name is a valid name of a service, account, class or engine; @path and
+ * @key locate it in the error */
 bool mck_name (const char *name, const char *path, const char *key, GError **error);
-/** mck_depth() - whether @json is nested no deeper than @limit */
+/** mck_depth() - whether @json is nested at most @limit levels deep */
 bool mck_depth (const json_t *json, uint32_t limit);
 
 #endif
--- a/src/version/manifest_read.c
+++ b/src/version/manifest_read.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What a daemon's own name may hold; an engine named otherwise would never be there. */
+/* The characters allowed in the name of a daemon. An engine with any other name could never
+ * register. */
 #define HOST_NAME_CHARS "abcdefghijklmnopqrstuvwxyz0123456789.-"
 
 static const mck_range_t WEIGHT = { 1, 1000000, 1000 };
@@ -31,12 +32,13 @@
                                           "class",  "idempotent", NULL };
 
 static int
-by_name (const void *one, const void *other)
+compare_names (const void *one, const void *other)
 {
   return strcmp (*(const char *const *)one, *(const char *const *)other);
 }
 
-/* The keys of an object in order, ended by NULL; the strings belong to the object. */
+/* Return: the keys of @object in ascending order, terminated by NULL; the strings belong to
+ * @object. */
 static const char **
 sorted_keys (json_t *object)
 {
@@ -49,18 +51,18 @@
     {
       keys[count++] = key;
     }
-  qsort (keys, count, sizeof *keys, by_name);
+  qsort (keys, count, sizeof *keys, compare_names);
   return keys;
 }
 
 static bool
-is_digest (const char *text)
+is_sha256_hex (const char *text)
 {
   return strlen (text) == 64 && strspn (text, "0123456789abcdef") == 64;
 }
 
 static bool
-read_account (man_t *man, man_account_t *account, const mck_t *mck, GError **error)
+read_account (man_t *manifest, man_account_t *account, const mck_t *mck, GError **error)
 {
   const char *digest = NULL;
   const man_account_t *other;
@@ -69,36 +71,36 @@
       !mck_u32 (mck, "weight", WEIGHT, &account->weight, error) ||
       !mck_u32 (mck, "queue_limit", QUEUE_LIMIT, &account->queue_limit, error))
     return false;
-  if (!is_digest (digest))
+  if (!is_sha256_hex (digest))
     return mck_fail (error, MAN_ERROR_RANGE, mck->path, "key_sha256",
                      "is not a SHA-256 in 64 lower-case hex digits");
   g_strlcpy (account->key_digest, digest, sizeof account->key_digest);
-  other = g_hash_table_lookup (man->account_by_digest, digest);
+  other = g_hash_table_lookup (manifest->account_by_digest, digest);
   if (other != NULL)
     return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, "key_sha256",
                      "client account \"%s\" has the same key", other->name);
-  g_hash_table_insert (man->account_by_digest, account->key_digest, account);
+  g_hash_table_insert (manifest->account_by_digest, account->key_digest, account);
   return true;
 }
 
 static bool
-read_accounts (man_t *man, json_t *object, GError **error)
+read_accounts (man_t *manifest, json_t *object, GError **error)
 {
   g_autofree const char **keys = sorted_keys (object);
 
-  man->accounts = g_new0 (man_account_t, json_object_size (object));
+  manifest->accounts = g_new0 (man_account_t, json_object_size (object));
   for (const char **key = keys; *key != NULL; key++)
     {
-      man_account_t *account = &man->accounts[man->account_count++];
+      man_account_t *account = &manifest->accounts[manifest->account_count++];
       mck_t mck = { 0 };
-      bool good;
+      bool ok;
 
-      good = mck_name (*key, "client_accounts", *key, error) &&
-             mck_enter (&mck, json_object_get (object, *key), "client_accounts", *key, ACCOUNT_KEYS,
-                        error) &&
-             read_account (man, account, &mck, error);
+      ok = mck_name (*key, "client_accounts", *key, error) &&
+           mck_enter (&mck, json_object_get (object, *key), "client_accounts", *key, ACCOUNT_KEYS,
+                      error) &&
+           read_account (manifest, account, &mck, error);
       mck_leave (&mck);
-      if (!good)
+      if (!ok)
         return false;
       g_strlcpy (account->name, *key, sizeof account->name);
       account->hash = plc_hash_name (*key);
@@ -115,22 +117,22 @@
 }
 
 static bool
-read_classes (man_t *man, json_t *object, GError **error)
+read_classes (man_t *manifest, json_t *object, GError **error)
 {
   g_autofree const char **keys = sorted_keys (object);
 
-  man->classes = g_new0 (man_class_t, json_object_size (object));
+  manifest->classes = g_new0 (man_class_t, json_object_size (object));
   for (const char **key = keys; *key != NULL; key++)
     {
-      man_class_t *class = &man->classes[man->class_count++];
+      man_class_t *class = &manifest->classes[manifest->class_count++];
       mck_t mck = { 0 };
-      bool good;
+      bool ok;
 
-      good = mck_name (*key, "classes", *key, error) &&
-             mck_enter (&mck, json_object_get (object, *key), "classes", *key, CLASS_KEYS, error) &&
-             read_class (class, &mck, error);
+      ok = mck_name (*key, "classes", *key, error) &&
+           mck_enter (&mck, json_object_get (object, *key), "classes", *key, CLASS_KEYS, error) &&
+           read_class (class, &mck, error);
       mck_leave (&mck);
-      if (!good)
+      if (!ok)
         return false;
       g_strlcpy (class->name, *key, sizeof class->name);
     }
@@ -156,32 +158,32 @@
 
 static bool
 read_engine (
-    man_t *man, man_service_t *service, const mck_t *mck, const json_t *json, GError **error)
+    man_t *manifest, man_service_t *service, const mck_t *mck, const json_t *json, GError **error)
 {
   const man_service_t *other;
-  g_autofree char *place = g_strdup_printf ("engines[%u]", service->engine_count);
+  g_autofree char *item_key = g_strdup_printf ("engines[%u]", service->engine_count);
   const char *name = json_string_value (json);
-  char *kept = service->engines[service->engine_count];
+  char *stored = service->engines[service->engine_count];
 
   if (name == NULL)
-    return mck_fail (error, MAN_ERROR_TYPE, mck->path, place, "is not a string");
-  if (!mck_name (name, mck->path, place, error))
+    return mck_fail (error, MAN_ERROR_TYPE, mck->path, item_key, "is not a string");
+  if (!mck_name (name, mck->path, item_key, error))
     return false;
   if (name[strspn (name, HOST_NAME_CHARS)] != '\0')
-    return mck_fail (error, MAN_ERROR_RANGE, mck->path, place,
+    return mck_fail (error, MAN_ERROR_RANGE, mck->path, item_key,
                      "no host can be named \"%s\": hosts have a-z, 0-9, '.' and '-'", name);
-  other = g_hash_table_lookup (man->service_by_engine, name);
+  other = g_hash_table_lookup (manifest->service_by_engine, name);
   if (other != NULL)
-    return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, place,
+    return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, item_key,
                      "engine \"%s\" is already listed in service \"%s\"", name, other->name);
-  g_strlcpy (kept, name, LIM_NAME_BYTES);
-  g_hash_table_insert (man->service_by_engine, kept, service);
+  g_strlcpy (stored, name, LIM_NAME_BYTES);
+  g_hash_table_insert (manifest->service_by_engine, stored, service);
   service->engine_count++;
   return true;
 }
 
 static bool
-read_engines (man_t *man, man_service_t *service, const mck_t *mck, GError **error)
+read_engines (man_t *manifest, man_service_t *service, const mck_t *mck, GError **error)
 {
   json_t *list;
   json_t *item;
@@ -192,16 +194,16 @@
   service->engines = g_malloc0_n (json_array_size (list), LIM_NAME_BYTES);
   json_array_foreach (list, index, item)
     {
-      if (!read_engine (man, service, mck, item, error))
+      if (!read_engine (manifest, service, mck, item, error))
         return false;
     }
   return true;
 }
 
 static bool
-read_service (man_t *man, man_service_t *service, const mck_t *mck, GError **error)
+read_service (man_t *manifest, man_service_t *service, const mck_t *mck, GError **error)
 {
-  return read_kind (service, mck, error) && read_engines (man, service, mck, error) &&
+  return read_kind (service, mck, error) && read_engines (manifest, service, mck, error) &&
          mck_u32 (mck, "bound_percent", BOUND_PERCENT, &service->bound_percent, error) &&
          mck_u32 (mck, "slots", SLOTS, &service->slots, error) &&
          mck_u32 (mck, "cache_lifetime_ms", CACHE_LIFETIME_MS, &service->cache_lifetime_ms,
@@ -211,25 +213,25 @@
 }
 
 static bool
-read_services (man_t *man, json_t *object, GError **error)
+read_services (man_t *manifest, json_t *object, GError **error)
 {
   g_autofree const char **keys = sorted_keys (object);
 
-  man->services = g_new0 (man_service_t, json_object_size (object));
+  manifest->services = g_new0 (man_service_t, json_object_size (object));
   for (const char **key = keys; *key != NULL; key++)
     {
-      man_service_t *service = &man->services[man->service_count++];
+      man_service_t *service = &manifest->services[manifest->service_count++];
       mck_t mck = { 0 };
-      bool good;
+      bool ok;
 
       g_strlcpy (service->name, *key, sizeof service->name);
       service->hash = plc_hash_name (*key);
-      good =
+      ok =
           mck_name (*key, "services", *key, error) &&
           mck_enter (&mck, json_object_get (object, *key), "services", *key, SERVICE_KEYS, error) &&
-          read_service (man, service, &mck, error);
+          read_service (manifest, service, &mck, error);
       mck_leave (&mck);
-      if (!good)
+      if (!ok)
         return false;
     }
   return true;
@@ -238,8 +240,8 @@
 static bool
 check_method (const man_route_t *route, const mck_t *mck, GError **error)
 {
-  for (const char *at = route->method; *at != '\0'; at++)
-    if (!g_ascii_isupper (*at))
+  for (const char *c = route->method; *c != '\0'; c++)
+    if (!g_ascii_isupper (*c))
       return mck_fail (error, MAN_ERROR_RANGE, mck->path, "method", "is not in upper-case letters");
   return true;
 }
@@ -253,10 +255,10 @@
     return mck_fail (error, MAN_ERROR_RANGE, mck->path, "path", "does not start with '/'");
   if (star != NULL && star[1] != '\0')
     return mck_fail (error, MAN_ERROR_RANGE, mck->path, "path", "has a '*' before its end");
-  for (const char *at = route->path; *at != '\0'; at++)
-    if (!g_ascii_isgraph (*at) || *at == '?' || *at == '#')
+  for (const char *c = route->path; *c != '\0'; c++)
+    if (!g_ascii_isgraph (*c) || *c == '?' || *c == '#')
       return mck_fail (error, MAN_ERROR_RANGE, mck->path, "path",
-                       "has a character that no path has");
+                       "has a character that is not allowed in a path");
   return true;
 }
 
@@ -270,7 +272,7 @@
   return strcmp (pattern, path) == 0;
 }
 
-/* Whether every request that @late matches is matched by @early as well. */
+/* Whether @early matches every request that @late matches. */
 static bool
 covers_route (const man_route_t *early, const man_route_t *late)
 {
@@ -280,17 +282,18 @@
 }
 
 static bool
-check_reachable (const man_t *man, const man_route_t *route, const mck_t *mck, GError **error)
+check_reachable (const man_t *manifest, const man_route_t *route, const mck_t *mck, GError **error)
 {
-  for (const man_route_t *early = man->routes; early < route; early++)
+  for (const man_route_t *early = manifest->routes; early < route; early++)
     if (covers_route (early, route))
       return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, NULL,
-                       "never matches, for routes[%d] goes first", (int)(early - man->routes));
+                       "never matches: routes[%d] matches the same requests first",
+                       (int)(early - manifest->routes));
   return true;
 }
 
 static bool
-read_references (const man_t *man, man_route_t *route, const mck_t *mck, GError **error)
+read_references (const man_t *manifest, man_route_t *route, const mck_t *mck, GError **error)
 {
   char name[LIM_NAME_BYTES];
   const man_service_t *service;
@@ -298,23 +301,23 @@
 
   if (!mck_copy (mck, "service", true, name, sizeof name, error))
     return false;
-  service = man_service_named (man, name);
+  service = man_service_named (manifest, name);
   if (service == NULL)
     return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, "service", "no service is named \"%s\"",
                      name);
   if (!mck_copy (mck, "class", true, name, sizeof name, error))
     return false;
-  class = man_class_named (man, name);
+  class = man_class_named (manifest, name);
   if (class == NULL)
     return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, "class", "no class is named \"%s\"",
                      name);
-  route->service_index = (uint32_t)(service - man->services);
-  route->class_index = (uint32_t)(class - man->classes);
+  route->service_index = (uint32_t)(service - manifest->services);
+  route->class_index = (uint32_t)(class - manifest->classes);
   return true;
 }
 
 static bool
-read_route (const man_t *man, man_route_t *route, const mck_t *mck, GError **error)
+read_route (const man_t *manifest, man_route_t *route, const mck_t *mck, GError **error)
 {
   return mck_copy (mck, "method", false, route->method, sizeof route->method, error) &&
          check_method (route, mck, error) &&
@@ -322,11 +325,12 @@
          check_path (route, mck, error) &&
          mck_copy (mck, "model", false, route->model, sizeof route->model, error) &&
          mck_bool (mck, "idempotent", &route->idempotent, error) &&
-         read_references (man, route, mck, error) && check_reachable (man, route, mck, error);
+         read_references (manifest, route, mck, error) &&
+         check_reachable (manifest, route, mck, error);
 }
 
 static bool
-read_routes (man_t *man, json_t *list, GError **error)
+read_routes (man_t *manifest, json_t *list, GError **error)
 {
   json_t *item;
   size_t index;
@@ -334,38 +338,38 @@
   if (json_array_size (list) > LIM_MANIFEST_ROUTES)
     return mck_fail (error, MAN_ERROR_RANGE, "routes", NULL, "has more than %d items",
                      LIM_MANIFEST_ROUTES);
-  man->routes = g_new0 (man_route_t, json_array_size (list));
+  manifest->routes = g_new0 (man_route_t, json_array_size (list));
   json_array_foreach (list, index, item)
     {
-      man_route_t *route = &man->routes[man->route_count++];
+      man_route_t *route = &manifest->routes[manifest->route_count++];
       mck_t mck = { 0 };
-      bool good = mck_enter_item (&mck, item, "routes", index, ROUTE_KEYS, error) &&
-                  read_route (man, route, &mck, error);
+      bool ok = mck_enter_item (&mck, item, "routes", index, ROUTE_KEYS, error) &&
+                read_route (manifest, route, &mck, error);
 
       mck_leave (&mck);
-      if (!good)
+      if (!ok)
         return false;
     }
   return true;
 }
 
 bool
-mrd_read (man_t *man, GError **error)
+mrd_read (man_t *manifest, GError **error)
 {
   mck_t mck = { 0 };
   json_t *accounts;
   json_t *classes;
   json_t *services;
   json_t *routes;
-  bool good;
-
-  good = mck_enter (&mck, man->json, "", NULL, DOCUMENT_KEYS, error) &&
-         mck_members (&mck, "client_accounts", &accounts, error) &&
-         mck_members (&mck, "classes", &classes, error) &&
-         mck_members (&mck, "services", &services, error) &&
-         mck_items (&mck, "routes", &routes, error) && read_accounts (man, accounts, error) &&
-         read_classes (man, classes, error) && read_services (man, services, error) &&
-         read_routes (man, routes, error);
+  bool ok;
+
+  ok = mck_enter (&mck, manifest->json, "", NULL, DOCUMENT_KEYS, error) &&
+       mck_members (&mck, "client_accounts", &accounts, error) &&
+       mck_members (&mck, "classes", &classes, error) &&
+       mck_members (&mck, "services", &services, error) &&
+       mck_items (&mck, "routes", &routes, error) && read_accounts (manifest, accounts, error) &&
+       read_classes (manifest, classes, error) && read_services (manifest, services, error) &&
+       read_routes (manifest, routes, error);
   mck_leave (&mck);
-  return good;
+  return ok;
 }
--- a/tests/test_examples.c
+++ b/tests/test_examples.c
@@ -10,37 +10,38 @@
 static man_t *
 load (const char *name)
 {
-  const char *top = getenv ("MEDLARPLANK_SOURCE");
-  g_autofree char *path = g_strdup_printf ("%s/examples/%s.json", top != NULL ? top : ".", name);
+  const char *source_dir = getenv ("MEDLARPLANK_SOURCE");
+  g_autofree char *path =
+      g_strdup_printf ("%s/examples/%s.json", source_dir != NULL ? source_dir : ".", name);
   g_autofree char *text = NULL;
   gsize text_bytes;
   GError *error = NULL;
-  man_t *man = NULL;
+  man_t *manifest = NULL;
 
   if (g_file_get_contents (path, &text, &text_bytes, &error))
-    man = man_parse (text, text_bytes, &error);
-  if (man == NULL)
+    manifest = man_parse (text, text_bytes, &error);
+  if (manifest == NULL)
     printf ("%s: %s\n", path, error->message);
-  CU_ASSERT_PTR_NOT_NULL_FATAL (man);
-  return man;
+  CU_ASSERT_PTR_NOT_NULL_FATAL (manifest);
+  return manifest;
 }
 
 static void
-expect_demo_keys (const man_t *man)
+expect_demo_keys (const man_t *manifest)
 {
-  CU_ASSERT_EQUAL (man->account_count, 10);
-  for (uint32_t at = 0; at < man->account_count; at++)
+  CU_ASSERT_EQUAL (manifest->account_count, 10);
+  for (uint32_t i = 0; i < manifest->account_count; i++)
     {
-      g_autofree char *key = g_strconcat ("demo-", man->accounts[at].name, NULL);
+      g_autofree char *key = g_strconcat ("demo-", manifest->accounts[i].name, NULL);
 
-      CU_ASSERT_PTR_EQUAL (man_account_for_key (man, key), &man->accounts[at]);
+      CU_ASSERT_PTR_EQUAL (man_account_for_key (manifest, key), &manifest->accounts[i]);
     }
 }
 
 static void
-expect_service (const man_t *man, const char *name, man_kind_t kind, uint32_t engines)
+expect_service (const man_t *manifest, const char *name, man_kind_t kind, uint32_t engines)
 {
-  const man_service_t *service = man_service_named (man, name);
+  const man_service_t *service = man_service_named (manifest, name);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (service);
   CU_ASSERT_EQUAL (service->kind, kind);
@@ -48,50 +49,50 @@
 }
 
 static void
-expect_class (const man_t *man,
+expect_class (const man_t *manifest,
               const char *method,
               const char *path,
               const char *model,
               const char *class,
               bool idempotent)
 {
-  const man_route_t *route = man_route_for (man, method, path, model);
+  const man_route_t *route = man_route_for (manifest, method, path, model);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (route);
-  CU_ASSERT_STRING_EQUAL (man->classes[route->class_index].name, class);
+  CU_ASSERT_STRING_EQUAL (manifest->classes[route->class_index].name, class);
   CU_ASSERT_EQUAL (route->idempotent, idempotent);
 }
 
 static void
 test_tuul (void)
 {
-  g_autoptr (man_t) man = load ("tuul");
+  g_autoptr (man_t) manifest = load ("tuul");
   const char *chat = "/v1/chat/completions";
 
-  expect_demo_keys (man);
-  expect_service (man, "medlar-pool", MAN_KIND_MODEL, 12);
-  expect_service (man, "claims-portal", MAN_KIND_PLAIN, 3);
-  expect_class (man, "POST", chat, "claims-7b", "draft-reply", true);
-  expect_class (man, "POST", chat, "claims-7b-appeals", "appeal-summary", true);
-  expect_class (man, "POST", chat, "claims-7b-tags", "eligibility-tag", false);
-  expect_class (man, "GET", "/portal/status/7", NULL, "status-check", true);
-  expect_class (man, "GET", "/portal/documents/7", NULL, "document-lookup", true);
+  expect_demo_keys (manifest);
+  expect_service (manifest, "medlar-pool", MAN_KIND_MODEL, 12);
+  expect_service (manifest, "claims-portal", MAN_KIND_PLAIN, 3);
+  expect_class (manifest, "POST", chat, "claims-7b", "draft-reply", true);
+  expect_class (manifest, "POST", chat, "claims-7b-appeals", "appeal-summary", true);
+  expect_class (manifest, "POST", chat, "claims-7b-tags", "eligibility-tag", false);
+  expect_class (manifest, "GET", "/portal/status/7", NULL, "status-check", true);
+  expect_class (manifest, "GET", "/portal/documents/7", NULL, "document-lookup", true);
 }
 
 static void
 test_jogak (void)
 {
-  g_autoptr (man_t) man = load ("jogak");
+  g_autoptr (man_t) manifest = load ("jogak");
   const char *chat = "/v1/chat/completions";
 
-  expect_demo_keys (man);
-  expect_service (man, "medlar-desk", MAN_KIND_MODEL, 12);
-  expect_service (man, "bale-ledger", MAN_KIND_PLAIN, 3);
-  expect_class (man, "POST", chat, "desk-13b", "pattern-question", true);
-  expect_class (man, "POST", chat, "desk-13b-lots", "lot-history", true);
-  expect_class (man, "POST", chat, "desk-13b-tags", "colour-tag", true);
-  expect_class (man, "POST", "/ledger/bookings", NULL, "booking", false);
-  expect_class (man, "GET", "/ledger/bookings", NULL, "ledger-read", true);
+  expect_demo_keys (manifest);
+  expect_service (manifest, "medlar-desk", MAN_KIND_MODEL, 12);
+  expect_service (manifest, "bale-ledger", MAN_KIND_PLAIN, 3);
+  expect_class (manifest, "POST", chat, "desk-13b", "pattern-question", true);
+  expect_class (manifest, "POST", chat, "desk-13b-lots", "lot-history", true);
+  expect_class (manifest, "POST", chat, "desk-13b-tags", "colour-tag", true);
+  expect_class (manifest, "POST", "/ledger/bookings", NULL, "booking", false);
+  expect_class (manifest, "GET", "/ledger/bookings", NULL, "ledger-read", true);
 }
 
 int
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -11,7 +11,7 @@
 #define KEY_A "08a6bd4bf2a6c5b8e6b2a0a8f7a4a7b7fb0ee6d29a4a7fcc1c6e0b7b1a2f3c4d"
 #define KEY_B "18a6bd4bf2a6c5b8e6b2a0a8f7a4a7b7fb0ee6d29a4a7fcc1c6e0b7b1a2f3c4d"
 
-static const char GOOD[] =
+static const char VALID_MANIFEST[] =
     "{\"client_accounts\":{\"east\":{\"key_sha256\":\"" KEY_A "\",\"weight\":4000},"
     "\"west\":{\"key_sha256\":\"" KEY_B "\"}},"
     "\"classes\":{\"short\":{\"priority\":0,\"deadline_ms\":2000},\"long\":{}},"
@@ -22,62 +22,62 @@
     "{\"path\":\"/desk/*\",\"service\":\"desk\",\"class\":\"short\"}]}";
 
 static man_t *
-good (void)
+parse_valid_manifest (void)
 {
   GError *error = NULL;
-  man_t *man = man_parse (GOOD, strlen (GOOD), &error);
+  man_t *manifest = man_parse (VALID_MANIFEST, strlen (VALID_MANIFEST), &error);
 
-  if (man == NULL)
+  if (manifest == NULL)
     g_error ("%s", error->message);
-  return man;
+  return manifest;
 }
 
 static void
-expect_fault (man_t *man, GError *error, man_error_t code, const char *message)
+expect_error (man_t *manifest, GError *error, man_error_t code, const char *message)
 {
-  CU_ASSERT_PTR_NULL (man);
+  CU_ASSERT_PTR_NULL (manifest);
   CU_ASSERT_PTR_NOT_NULL_FATAL (error);
   CU_ASSERT_TRUE (g_error_matches (error, MAN_ERROR, code));
   if (strcmp (error->message, message) != 0)
     printf ("\n  got:  %s\n  want: %s\n", error->message, message);
   CU_ASSERT_STRING_EQUAL (error->message, message);
   g_clear_error (&error);
-  g_clear_pointer (&man, man_unref);
+  g_clear_pointer (&manifest, man_unref);
 }
 
-/* Checks what the good manifest turns into when @patch is laid over it. */
+/* Expects an error when @patch_text is applied to the valid manifest. */
 static void
-expect_patched (const char *patch_text, man_error_t code, const char *message)
+expect_patch_error (const char *patch_text, man_error_t code, const char *message)
 {
   GError *error = NULL;
-  g_autoptr (man_t) base = good ();
+  g_autoptr (man_t) base = parse_valid_manifest ();
   json_auto_t *patch = json_loads (patch_text, 0, NULL);
-  man_t *man = man_patch (base, patch, &error);
+  man_t *manifest = man_patch (base, patch, &error);
 
-  expect_fault (man, error, code, message);
+  expect_error (manifest, error, code, message);
 }
 
 static void
-expect_parsed (const char *text, man_error_t code, const char *message)
+expect_parse_error (const char *text, man_error_t code, const char *message)
 {
   GError *error = NULL;
-  man_t *man = man_parse (text, strlen (text), &error);
+  man_t *manifest = man_parse (text, strlen (text), &error);
 
-  expect_fault (man, error, code, message);
+  expect_error (manifest, error, code, message);
 }
 
 static void
-test_reads_all (void)
+test_tables_are_read (void)
 {
-  g_autoptr (man_t) man = good ();
-  const man_account_t *east = man_account_named (man, "east");
-  const man_service_t *pool = man_service_named (man, "pool");
-  const man_service_t *desk = man_service_of_engine (man, "p1");
+  g_autoptr (man_t) manifest = parse_valid_manifest ();
+  const man_account_t *east = man_account_named (manifest, "east");
+  const man_service_t *pool = man_service_named (manifest, "pool");
+  const man_service_t *desk = man_service_of_engine (manifest, "p1");
 
-  CU_ASSERT_EQUAL (man->version, 0);
+  CU_ASSERT_EQUAL (manifest->version, 0);
   CU_ASSERT_EQUAL (east->weight, 4000);
   CU_ASSERT_EQUAL (east->queue_limit, LIM_QUEUE_PER_ACCOUNT);
-  CU_ASSERT_EQUAL (man_account_named (man, "west")->weight, 1000);
+  CU_ASSERT_EQUAL (man_account_named (manifest, "west")->weight, 1000);
   CU_ASSERT_EQUAL (pool->kind, MAN_KIND_MODEL);
   CU_ASSERT_EQUAL (pool->engine_count, 2);
   CU_ASSERT_STRING_EQUAL (pool->engines[1], "e2");
@@ -86,127 +86,134 @@
   CU_ASSERT_EQUAL (pool->cache_lifetime_ms, 600000);
   CU_ASSERT_EQUAL (pool->prefill_tokens_s, 8000);
   CU_ASSERT_EQUAL (pool->claim_shards, 4);
-  CU_ASSERT_EQUAL (man_class_named (man, "long")->priority, 5);
-  CU_ASSERT_EQUAL (man_class_named (man, "long")->deadline_ms, 30000);
-  CU_ASSERT_EQUAL (man_class_named (man, "long")->expected_tokens, 256);
+  CU_ASSERT_EQUAL (man_class_named (manifest, "long")->priority, 5);
+  CU_ASSERT_EQUAL (man_class_named (manifest, "long")->deadline_ms, 30000);
+  CU_ASSERT_EQUAL (man_class_named (manifest, "long")->expected_tokens, 256);
   CU_ASSERT_STRING_EQUAL (desk->name, "desk");
   CU_ASSERT_EQUAL (desk->kind, MAN_KIND_PLAIN);
   CU_ASSERT_EQUAL (desk->bound_percent, 150);
-  CU_ASSERT_EQUAL (man_class_named (man, "short")->priority, 0);
-  CU_ASSERT_PTR_NULL (man_class_named (man, "shorter"));
-  CU_ASSERT_PTR_NULL (man_service_named (man, ""));
-  CU_ASSERT_PTR_NULL (man_service_of_engine (man, "e3"));
+  CU_ASSERT_EQUAL (man_class_named (manifest, "short")->priority, 0);
+  CU_ASSERT_PTR_NULL (man_class_named (manifest, "shorter"));
+  CU_ASSERT_PTR_NULL (man_service_named (manifest, ""));
+  CU_ASSERT_PTR_NULL (man_service_of_engine (manifest, "e3"));
 }
 
 static void
 test_account_by_key (void)
 {
-  g_autoptr (man_t) base = good ();
+  g_autoptr (man_t) base = parse_valid_manifest ();
   g_autofree char *hex = g_compute_checksum_for_string (G_CHECKSUM_SHA256, "secret", -1);
   json_auto_t *patch = json_pack ("{s{s{ss}}}", "client_accounts", "north", "key_sha256", hex);
-  g_autoptr (man_t) man = man_patch (base, patch, NULL);
+  g_autoptr (man_t) manifest = man_patch (base, patch, NULL);
 
-  CU_ASSERT_STRING_EQUAL (man_account_for_key (man, "secret")->name, "north");
-  CU_ASSERT_PTR_NULL (man_account_for_key (man, "secret "));
-  CU_ASSERT_PTR_NULL (man_account_for_key (man, ""));
-  CU_ASSERT_PTR_NULL (man_account_for_key (man, hex));
+  CU_ASSERT_STRING_EQUAL (man_account_for_key (manifest, "secret")->name, "north");
+  CU_ASSERT_PTR_NULL (man_account_for_key (manifest, "secret "));
+  CU_ASSERT_PTR_NULL (man_account_for_key (manifest, ""));
+  CU_ASSERT_PTR_NULL (man_account_for_key (manifest, hex));
   CU_ASSERT_PTR_NULL (man_account_for_key (base, "secret"));
 }
 
 static void
-test_first_route_counts (void)
+test_first_matching_route_wins (void)
 {
-  g_autoptr (man_t) man = good ();
-  const man_route_t *chat = man_route_for (man, "POST", "/v1/chat/completions", "m");
-  const man_route_t *desk = man_route_for (man, "GET", "/desk/lots/7", NULL);
+  g_autoptr (man_t) manifest = parse_valid_manifest ();
+  const man_route_t *chat = man_route_for (manifest, "POST", "/v1/chat/completions", "m");
+  const man_route_t *desk = man_route_for (manifest, "GET", "/desk/lots/7", NULL);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (chat);
   CU_ASSERT_TRUE (chat->idempotent);
-  CU_ASSERT_STRING_EQUAL (man->classes[chat->class_index].name, "long");
+  CU_ASSERT_STRING_EQUAL (manifest->classes[chat->class_index].name, "long");
   CU_ASSERT_PTR_NOT_NULL_FATAL (desk);
   CU_ASSERT_FALSE (desk->idempotent);
-  CU_ASSERT_STRING_EQUAL (man->services[desk->service_index].name, "desk");
-  CU_ASSERT_PTR_NULL (man_route_for (man, "GET", "/v1/chat/completions", "m"));
-  CU_ASSERT_PTR_NULL (man_route_for (man, "POST", "/v1/chat/completions", "other"));
-  CU_ASSERT_PTR_NULL (man_route_for (man, "POST", "/v1/chat/completions", NULL));
-  CU_ASSERT_PTR_NULL (man_route_for (man, "GET", "/desk", NULL));
+  CU_ASSERT_STRING_EQUAL (manifest->services[desk->service_index].name, "desk");
+  CU_ASSERT_PTR_NULL (man_route_for (manifest, "GET", "/v1/chat/completions", "m"));
+  CU_ASSERT_PTR_NULL (man_route_for (manifest, "POST", "/v1/chat/completions", "other"));
+  CU_ASSERT_PTR_NULL (man_route_for (manifest, "POST", "/v1/chat/completions", NULL));
+  CU_ASSERT_PTR_NULL (man_route_for (manifest, "GET", "/desk", NULL));
 }
 
 static void
-test_faults_have_paths (void)
+test_errors_have_paths (void)
 {
-  expect_patched ("{\"services\":{\"pool\":{\"bound_percent\":90}}}", MAN_ERROR_RANGE,
-                  "services.pool.bound_percent: 90 is not in 100..1000");
-  expect_patched ("{\"services\":{\"pool\":{\"slots\":2.5}}}", MAN_ERROR_TYPE,
-                  "services.pool.slots: is not a whole number");
-  expect_patched ("{\"services\":{\"pool\":{\"slot\":2}}}", MAN_ERROR_UNKNOWN,
-                  "services.pool.slot: is not a known key");
-  expect_patched ("{\"services\":{\"pool\":{\"kind\":null}}}", MAN_ERROR_MISSING,
-                  "services.pool.kind: is missing");
-  expect_patched ("{\"services\":{\"pool\":{\"kind\":\"odd\"}}}", MAN_ERROR_RANGE,
-                  "services.pool.kind: is neither \"model\" nor \"plain\"");
-  expect_patched ("{\"services\":{\"pool\":[]}}", MAN_ERROR_TYPE,
-                  "services.pool: is not an object");
-  expect_patched ("{\"services\":{\"pool\":{\"engines\":[]}}}", MAN_ERROR_RANGE,
-                  "services.pool.engines: is empty");
-  expect_patched ("{\"services\":{\"pool\":{\"engines\":[\"E_1\"]}}}", MAN_ERROR_RANGE,
-                  "services.pool.engines[0]: no host can be named \"E_1\": hosts have a-z, 0-9, "
-                  "'.' and '-'");
-  expect_patched ("{\"services\":{\"pool\":{\"engines\":[\"e1\",3]}}}", MAN_ERROR_TYPE,
-                  "services.pool.engines[1]: is not a string");
-  expect_patched ("{\"classes\":{\"short\":{\"priority\":10}}}", MAN_ERROR_RANGE,
-                  "classes.short.priority: 10 is not in 0..9");
-  expect_patched ("{\"client_accounts\":{\"east\":{\"weight\":-9223372036854775808}}}",
-                  MAN_ERROR_RANGE,
-                  "client_accounts.east.weight: -9223372036854775808 is not in 1..1000000");
-  expect_patched ("{\"client_accounts\":{\"east\":{\"key_sha256\":\"AB\"}}}", MAN_ERROR_RANGE,
-                  "client_accounts.east.key_sha256: is not a SHA-256 in 64 lower-case hex digits");
-  expect_patched ("{\"client_accounts\":{\"a b\":{}}}", MAN_ERROR_RANGE,
-                  "client_accounts.a b: a name has letters, digits, '.', '_' and '-' and starts "
-                  "with a letter or digit");
-  expect_patched ("{\"x\\ny\":1}", MAN_ERROR_UNKNOWN, "x\\ny: is not a known key");
-  expect_patched ("{\"routes\":null}", MAN_ERROR_MISSING, "routes: is missing");
-  expect_patched ("{\"classes\":null}", MAN_ERROR_MISSING, "classes: is missing");
-  expect_patched ("{\"routes\":[]}", MAN_ERROR_RANGE, "routes: is empty");
-  expect_patched ("[]", MAN_ERROR_SYNTAX, "patch: is not an object that is nested at most 16 deep");
-  expect_parsed ("[3]", MAN_ERROR_TYPE, "document: is not an object");
+  expect_patch_error ("{\"services\":{\"pool\":{\"bound_percent\":90}}}", MAN_ERROR_RANGE,
+                      "services.pool.bound_percent: 90 is not in 100..1000");
+  expect_patch_error ("{\"services\":{\"pool\":{\"slots\":2.5}}}", MAN_ERROR_TYPE,
+                      "services.pool.slots: is not a whole number");
+  expect_patch_error ("{\"services\":{\"pool\":{\"slot\":2}}}", MAN_ERROR_UNKNOWN,
+                      "services.pool.slot: is not a known key");
+  expect_patch_error ("{\"services\":{\"pool\":{\"kind\":null}}}", MAN_ERROR_MISSING,
+                      "services.pool.kind: is missing");
+  expect_patch_error ("{\"services\":{\"pool\":{\"kind\":\"odd\"}}}", MAN_ERROR_RANGE,
+                      "services.pool.kind: is neither \"model\" nor \"plain\"");
+  expect_patch_error ("{\"services\":{\"pool\":[]}}", MAN_ERROR_TYPE,
+                      "services.pool: is not an object");
+  expect_patch_error ("{\"services\":{\"pool\":{\"engines\":[]}}}", MAN_ERROR_RANGE,
+                      "services.pool.engines: is empty");
+  expect_patch_error (
+      "{\"services\":{\"pool\":{\"engines\":[\"E_1\"]}}}", MAN_ERROR_RANGE,
+      "services.pool.engines[0]: no host can be named \"E_1\": hosts have a-z, 0-9, "
+      "'.' and '-'");
+  expect_patch_error ("{\"services\":{\"pool\":{\"engines\":[\"e1\",3]}}}", MAN_ERROR_TYPE,
+                      "services.pool.engines[1]: is not a string");
+  expect_patch_error ("{\"classes\":{\"short\":{\"priority\":10}}}", MAN_ERROR_RANGE,
+                      "classes.short.priority: 10 is not in 0..9");
+  expect_patch_error ("{\"client_accounts\":{\"east\":{\"weight\":-9223372036854775808}}}",
+                      MAN_ERROR_RANGE,
+                      "client_accounts.east.weight: -9223372036854775808 is not in 1..1000000");
+  expect_patch_error (
+      "{\"client_accounts\":{\"east\":{\"key_sha256\":\"AB\"}}}", MAN_ERROR_RANGE,
+      "client_accounts.east.key_sha256: is not a SHA-256 in 64 lower-case hex digits");
+  expect_patch_error (
+      "{\"client_accounts\":{\"a b\":{}}}", MAN_ERROR_RANGE,
+      "client_accounts.a b: a name has letters, digits, '.', '_' and '-' and starts "
+      "with a letter or digit");
+  expect_patch_error ("{\"x\\ny\":1}", MAN_ERROR_UNKNOWN, "x\\ny: is not a known key");
+  expect_patch_error ("{\"routes\":null}", MAN_ERROR_MISSING, "routes: is missing");
+  expect_patch_error ("{\"classes\":null}", MAN_ERROR_MISSING, "classes: is missing");
+  expect_patch_error ("{\"routes\":[]}", MAN_ERROR_RANGE, "routes: is empty");
+  expect_patch_error ("[]", MAN_ERROR_SYNTAX,
+                      "patch: is not an object that is nested at most 16 deep");
+  expect_parse_error ("[3]", MAN_ERROR_TYPE, "document: is not an object");
 }
 
 static void
-test_faults_of_routes (void)
+test_route_errors (void)
 {
-  expect_patched ("{\"routes\":[{\"path\":\"/\",\"service\":\"x\",\"class\":\"short\"}]}",
-                  MAN_ERROR_REFERENCE, "routes[0].service: no service is named \"x\"");
-  expect_patched ("{\"routes\":[{\"path\":\"/\",\"service\":\"desk\",\"class\":\"x\"}]}",
-                  MAN_ERROR_REFERENCE, "routes[0].class: no class is named \"x\"");
-  expect_patched ("{\"routes\":[{\"path\":\"v1\",\"service\":\"desk\",\"class\":\"long\"}]}",
-                  MAN_ERROR_RANGE, "routes[0].path: does not start with '/'");
-  expect_patched ("{\"routes\":[{\"path\":\"/*/a\",\"service\":\"desk\",\"class\":\"long\"}]}",
-                  MAN_ERROR_RANGE, "routes[0].path: has a '*' before its end");
-  expect_patched ("{\"routes\":[{\"path\":\"/a\",\"method\":\"get\"}]}", MAN_ERROR_RANGE,
-                  "routes[0].method: is not in upper-case letters");
-  expect_patched ("{\"routes\":[{\"path\":\"/a\",\"idempotent\":1}]}", MAN_ERROR_TYPE,
-                  "routes[0].idempotent: is not true or false");
-  expect_patched ("{\"routes\":[{\"path\":\"/a*\",\"service\":\"desk\",\"class\":\"long\"},"
-                  "{\"path\":\"/ab\",\"model\":\"m\",\"service\":\"pool\",\"class\":\"long\"}]}",
-                  MAN_ERROR_REFERENCE, "routes[1]: never matches, for routes[0] goes first");
+  expect_patch_error ("{\"routes\":[{\"path\":\"/\",\"service\":\"x\",\"class\":\"short\"}]}",
+                      MAN_ERROR_REFERENCE, "routes[0].service: no service is named \"x\"");
+  expect_patch_error ("{\"routes\":[{\"path\":\"/\",\"service\":\"desk\",\"class\":\"x\"}]}",
+                      MAN_ERROR_REFERENCE, "routes[0].class: no class is named \"x\"");
+  expect_patch_error ("{\"routes\":[{\"path\":\"v1\",\"service\":\"desk\",\"class\":\"long\"}]}",
+                      MAN_ERROR_RANGE, "routes[0].path: does not start with '/'");
+  expect_patch_error ("{\"routes\":[{\"path\":\"/*/a\",\"service\":\"desk\",\"class\":\"long\"}]}",
+                      MAN_ERROR_RANGE, "routes[0].path: has a '*' before its end");
+  expect_patch_error ("{\"routes\":[{\"path\":\"/a\",\"method\":\"get\"}]}", MAN_ERROR_RANGE,
+                      "routes[0].method: is not in upper-case letters");
+  expect_patch_error ("{\"routes\":[{\"path\":\"/a\",\"idempotent\":1}]}", MAN_ERROR_TYPE,
+                      "routes[0].idempotent: is not true or false");
+  expect_patch_error (
+      "{\"routes\":[{\"path\":\"/a*\",\"service\":\"desk\",\"class\":\"long\"},"
+      "{\"path\":\"/ab\",\"model\":\"m\",\"service\":\"pool\",\"class\":\"long\"}]}",
+      MAN_ERROR_REFERENCE, "routes[1]: never matches: routes[0] matches the same requests first");
 }
 
 /*
- * What the operator sees: a publish that is refused. An engine in two services would be bounded by
- * two means at once, and two accounts with one key would share one queue and see each other's
- * chats; so both are refused before they can be in force.
+ * An engine in two services would be subject to two load bounds i once, and two accounts with the
+ * same key would share a queue and see each other's chats. Both manifests must be rejected before
+ * they can come into force.
  */
 static void
-test_nothing_is_listed_twice (void)
+test_duplicates_are_rejected (void)
 {
-  expect_patched ("{\"services\":{\"desk\":{\"engines\":[\"p1\",\"p1\"]}}}", MAN_ERROR_REFERENCE,
-                  "services.desk.engines[1]: engine \"p1\" is already listed in service \"desk\"");
-  expect_patched ("{\"services\":{\"pool\":{\"engines\":[\"e1\",\"p1\"]}}}", MAN_ERROR_REFERENCE,
-                  "services.pool.engines[1]: engine \"p1\" is already listed in service \"desk\"");
-  expect_patched ("{\"client_accounts\":{\"west\":{\"key_sha256\":\"" KEY_A "\"}}}",
-                  MAN_ERROR_REFERENCE,
-                  "client_accounts.west.key_sha256: client account \"east\" has the same key");
+  expect_patch_error (
+      "{\"services\":{\"desk\":{\"engines\":[\"p1\",\"p1\"]}}}", MAN_ERROR_REFERENCE,
+      "services.desk.engines[1]: engine \"p1\" is already listed in service \"desk\"");
+  expect_patch_error (
+      "{\"services\":{\"pool\":{\"engines\":[\"e1\",\"p1\"]}}}", MAN_ERROR_REFERENCE,
+      "services.pool.engines[1]: engine \"p1\" is already listed in service \"desk\"");
+  expect_patch_error ("{\"client_accounts\":{\"west\":{\"key_sha256\":\"" KEY_A "\"}}}",
+                      MAN_ERROR_REFERENCE,
+                      "client_accounts.west.key_sha256: client account \"east\" has the same key");
 }
 
 static void
@@ -214,19 +221,19 @@
 {
   g_autofree char *deep = g_strnfill (1000, '[');
   GError *error = NULL;
-  man_t *man = man_parse ("{\"routes\":1,\"routes\":2}", 23, &error);
+  man_t *manifest = man_parse ("{\"routes\":1,\"routes\":2}", 23, &error);
 
-  CU_ASSERT_PTR_NULL (man);
+  CU_ASSERT_PTR_NULL (manifest);
   CU_ASSERT_TRUE (g_error_matches (error, MAN_ERROR, MAN_ERROR_SYNTAX));
   CU_ASSERT_PTR_NOT_NULL (strstr (error->message, "duplicate"));
   CU_ASSERT_PTR_NOT_NULL (strstr (error->message, "routes"));
   g_clear_error (&error);
-  man = man_parse (deep, 1000, &error);
-  CU_ASSERT_PTR_NULL (man);
+  manifest = man_parse (deep, 1000, &error);
+  CU_ASSERT_PTR_NULL (manifest);
   CU_ASSERT_TRUE (g_error_matches (error, MAN_ERROR, MAN_ERROR_SYNTAX));
   g_clear_error (&error);
-  expect_parsed ("[[[[[[[[[[[[[[[[[1]]]]]]]]]]]]]]]]]", MAN_ERROR_SYNTAX,
-                 "document: is nested deeper than 16");
+  expect_parse_error ("[[[[[[[[[[[[[[[[[1]]]]]]]]]]]]]]]]]", MAN_ERROR_SYNTAX,
+                      "document: is nested deeper than 16");
 }
 
 static void
@@ -235,36 +242,36 @@
   size_t text_bytes = LIM_MANIFEST_BYTES + 1;
   g_autofree char *text = g_strnfill (text_bytes, ' ');
   GError *error = NULL;
-  man_t *man = man_parse (text, text_bytes, &error);
+  man_t *manifest = man_parse (text, text_bytes, &error);
 
-  expect_fault (man, error, MAN_ERROR_SYNTAX, "document: is larger than 8388608 bytes");
+  expect_error (manifest, error, MAN_ERROR_SYNTAX, "document: is larger than 8388608 bytes");
 }
 
 static void
-test_digest_is_of_the_meaning (void)
+test_digest_ignores_formatting (void)
 {
-  g_autoptr (man_t) man = good ();
-  g_autofree char *spaced = json_dumps (man->json, JSON_INDENT (2) | JSON_SORT_KEYS);
+  g_autoptr (man_t) manifest = parse_valid_manifest ();
+  g_autofree char *spaced = json_dumps (manifest->json, JSON_INDENT (2) | JSON_SORT_KEYS);
   g_autoptr (man_t) same = man_parse (spaced, strlen (spaced), NULL);
   json_auto_t *patch = json_loads ("{\"classes\":{\"long\":{\"priority\":7}}}", 0, NULL);
-  g_autoptr (man_t) other = man_patch (man, patch, NULL);
+  g_autoptr (man_t) other = man_patch (manifest, patch, NULL);
 
-  CU_ASSERT_STRING_EQUAL (man->digest, same->digest);
-  CU_ASSERT_STRING_NOT_EQUAL (man->digest, other->digest);
+  CU_ASSERT_STRING_EQUAL (manifest->digest, same->digest);
+  CU_ASSERT_STRING_NOT_EQUAL (manifest->digest, other->digest);
 }
 
-/* The examples of RFC 7386 need documents of any shape; here each rule is laid over a manifest. */
+/* Applies each rule of RFC 7386 to a manifest; the examples of the RFC need arbitrary documents. */
 static void
 test_patch (void)
 {
-  g_autoptr (man_t) base = good ();
+  g_autoptr (man_t) base = parse_valid_manifest ();
   json_auto_t *patch = json_loads ("{\"client_accounts\":{\"west\":null,\"none\":null},"
                                    "\"services\":{\"pool\":{\"engines\":[\"e9\"],\"slots\":3}}}",
                                    0, NULL);
-  g_autoptr (man_t) man = man_patch (base, patch, NULL);
-  const man_service_t *pool = man_service_named (man, "pool");
+  g_autoptr (man_t) manifest = man_patch (base, patch, NULL);
+  const man_service_t *pool = man_service_named (manifest, "pool");
 
-  CU_ASSERT_EQUAL (man->account_count, 1);
+  CU_ASSERT_EQUAL (manifest->account_count, 1);
   CU_ASSERT_EQUAL (pool->engine_count, 1);
   CU_ASSERT_STRING_EQUAL (pool->engines[0], "e9");
   CU_ASSERT_EQUAL (pool->slots, 3);
@@ -274,22 +281,23 @@
 }
 
 static bool
-takes (const char *section, const char *member, const char *key, int64_t value)
+is_accepted (const char *section, const char *member, const char *key, int64_t value)
 {
-  man_t *base = good ();
+  man_t *base = parse_valid_manifest ();
   json_t *patch = json_pack ("{s{s{sI}}}", section, member, key, (json_int_t)value);
-  man_t *man = man_patch (base, patch, NULL);
-  bool taken = man != NULL;
+  man_t *manifest = man_patch (base, patch, NULL);
+  bool accepted = manifest != NULL;
 
-  g_clear_pointer (&man, man_unref);
+  g_clear_pointer (&manifest, man_unref);
   json_decref (patch);
   man_unref (base);
-  return taken;
+  return accepted;
 }
 
-/* Checks a row such as "| `services.NAME.slots` | 1 to 4096 | 8 | ..." against what is taken. */
+/* Checks that the limits in a table row such as "| `services.NAME.slots` | 1 to 4096 | 8 | ..." are
+ * accepted and the values just beyond them rejected. */
 static bool
-check_row (const char *row)
+check_range_row (const char *row)
 {
   static const char *const MEMBERS[][2] = { { "client_accounts", "east" },
                                             { "classes", "long" },
@@ -302,14 +310,14 @@
   if (sscanf (row, "| `%31[a-z_].NAME.%31[a-z_]` | %" SCNd64 " to %" SCNd64 " |", section, key,
               &min, &max) != 4)
     return false;
-  for (size_t at = 0; at < G_N_ELEMENTS (MEMBERS); at++)
+  for (size_t i = 0; i < G_N_ELEMENTS (MEMBERS); i++)
     {
-      if (strcmp (section, MEMBERS[at][0]) != 0)
+      if (strcmp (section, MEMBERS[i][0]) != 0)
         continue;
-      CU_ASSERT_TRUE (takes (section, MEMBERS[at][1], key, min));
-      CU_ASSERT_TRUE (takes (section, MEMBERS[at][1], key, max));
-      CU_ASSERT_FALSE (takes (section, MEMBERS[at][1], key, min - 1));
-      CU_ASSERT_FALSE (takes (section, MEMBERS[at][1], key, max + 1));
+      CU_ASSERT_TRUE (is_accepted (section, MEMBERS[i][1], key, min));
+      CU_ASSERT_TRUE (is_accepted (section, MEMBERS[i][1], key, max));
+      CU_ASSERT_FALSE (is_accepted (section, MEMBERS[i][1], key, min - 1));
+      CU_ASSERT_FALSE (is_accepted (section, MEMBERS[i][1], key, max + 1));
     }
   return true;
 }
@@ -317,8 +325,9 @@
 static void
 test_documented_ranges (void)
 {
-  const char *top = g_getenv ("MEDLARPLANK_SOURCE");
-  g_autofree char *path = g_build_filename (top != NULL ? top : ".", "docs", "manifest.md", NULL);
+  const char *source_dir = g_getenv ("MEDLARPLANK_SOURCE");
+  g_autofree char *path =
+      g_build_filename (source_dir != NULL ? source_dir : ".", "docs", "manifest.md", NULL);
   g_autofree char *text = NULL;
   g_auto (GStrv) rows = NULL;
   uint32_t checked = 0;
@@ -326,37 +335,37 @@
   CU_ASSERT_TRUE_FATAL (g_file_get_contents (path, &text, NULL, NULL));
   rows = g_strsplit (text, "\n", -1);
   for (char **row = rows; *row != NULL; row++)
-    checked += check_row (*row);
+    checked += check_range_row (*row);
   CU_ASSERT_EQUAL (checked, 10);
 }
 
 static void
-test_references (void)
+test_reference_counting (void)
 {
-  man_t *man = good ();
+  man_t *manifest = parse_valid_manifest ();
 
-  CU_ASSERT_PTR_EQUAL (man_ref (man), man);
-  man_unref (man);
-  CU_ASSERT_EQUAL (man->account_count, 2);
-  man_unref (man);
+  CU_ASSERT_PTR_EQUAL (man_ref (manifest), manifest);
+  man_unref (manifest);
+  CU_ASSERT_EQUAL (manifest->account_count, 2);
+  man_unref (manifest);
 }
 
 int
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_reads_all),
+    SUITE_TEST (test_tables_are_read),
     SUITE_TEST (test_account_by_key),
-    SUITE_TEST (test_first_route_counts),
-    SUITE_TEST (test_faults_have_paths),
-    SUITE_TEST (test_faults_of_routes),
-    SUITE_TEST (test_nothing_is_listed_twice),
+    SUITE_TEST (test_first_matching_route_wins),
+    SUITE_TEST (test_errors_have_paths),
+    SUITE_TEST (test_route_errors),
+    SUITE_TEST (test_duplicates_are_rejected),
     SUITE_TEST (test_syntax),
     SUITE_TEST (test_too_large),
-    SUITE_TEST (test_digest_is_of_the_meaning),
+    SUITE_TEST (test_digest_ignores_formatting),
     SUITE_TEST (test_patch),
     SUITE_TEST (test_documented_ranges),
-    SUITE_TEST (test_references),
+    SUITE_TEST (test_reference_counting),
     CU_TEST_INFO_NULL,
   };
   return suite_run ("manifest", tests);
