--- a/src/version/judged.c
+++ b/src/version/judged.c
@@ -3,8 +3,9 @@
 #include <glib.h>
 
 /*
- * @entries: a ring; the next one goes to @next
- * @by_id: entry->id -> entry
+ * @entries: ring buffer of @limit entries
+ * @next: index of the entry that is written next
+ * @by_id: entry->id -> entry, into @entries
  */
 struct jdg
 {
--- a/src/version/judged.h
+++ b/src/version/judged.h
@@ -1,9 +1,10 @@
 /**
  * DOC: judged
  *
- * The publish ids judged last, with what became of them. Bounded: the oldest is forgotten first.
- * It only explains repeats to their operators and never decides, for readers that started at
- * different places remember different ids.
+ * The outcome of the most recent publishes, by publish id. The history is bounded: the oldest entry
+ * is overwritten first. It only serves to explain the rejection of a repeated publish and must
+ * never influence whether a publish is accepted, because readers that started at different offsets
+ * hold different histories.
  */
 #ifndef VERSION_JUDGED_H
 #define VERSION_JUDGED_H
@@ -15,7 +16,11 @@
 
 typedef struct jdg jdg_t;
 
-/** struct jdg_entry - @version: for an accepted publish, the version that it made */
+/**
+ * struct jdg_entry - the outcome of one publish
+ * @id: publish id
+ * @version: version in force after it; of an accepted publish, the one that it created
+ */
 typedef struct
 {
   char id[LIM_NAME_BYTES];
@@ -23,11 +28,12 @@
   uint64_t version;
 } jdg_entry_t;
 
+/** jdg_new() - an empty history of at most @limit entries */
 jdg_t *jdg_new (uint32_t limit);
 void jdg_free (jdg_t *jdg);
-/** jdg_add() - remember @id; the first judgement of an id stands */
+/** jdg_add() - record the outcome of @id; has no effect when the history already holds @id */
 void jdg_add (jdg_t *jdg, const char *id, bool accepted, uint64_t version);
-/** jdg_find() - the judgement of @id, or NULL; valid until the next jdg_add() */
+/** jdg_find() - the entry of @id, or NULL; valid until the next jdg_add() */
 const jdg_entry_t *jdg_find (const jdg_t *jdg, const char *id);
 
 #endif
--- a/src/version/record.h
+++ b/src/version/record.h
@@ -1,7 +1,8 @@
 /**
  * DOC: record
  *
- * The records of the manifest stream as JSON text: strict reading, and writing.
+ * Parses and formats the JSON records of the manifest stream. Parsing is strict: duplicate or
+ * unknown keys make a record invalid.
  */
 #ifndef VERSION_RECORD_H
 #define VERSION_RECORD_H
@@ -16,42 +17,48 @@
 
 typedef enum
 {
-  REC_BROKEN,
+  REC_BROKEN, /* could not be parsed */
   REC_PUBLISH,
   REC_CHECKPOINT
 } rec_kind_t;
 
 /**
- * struct rec - one record
- * @id: of a publish
- * @by: who published it, or who published the version of a checkpoint; may be ""
- * @number: base of a publish, version of a checkpoint
- * @as_of: of a checkpoint: the offset of the last record that it takes in
+ * struct rec - one parsed record
+ * @id: id of a publish
+ * @publisher: who published this version; "" when unknown
+ * @version: of a publish, its base: the version that it was made from; of a checkpoint, its version
+ * @as_of: offset of the last record that a checkpoint includes
+ * @json: the whole record
  * @manifest: borrowed from @json; NULL when a publish has a patch
  * @patch: borrowed from @json; NULL when there is a manifest
- * @fault: of a broken record
+ * @error: why a record is invalid
  */
 typedef struct
 {
   rec_kind_t kind;
   char id[LIM_NAME_BYTES];
-  char by[LIM_NAME_BYTES];
-  uint64_t number;
+  char publisher[LIM_NAME_BYTES];
+  uint64_t version;
   uint64_t as_of;
   json_t *json;
   json_t *manifest;
   json_t *patch;
-  char fault[160];
+  char error[160];
 } rec_t;
 
-/** rec_read() - must be followed by rec_clear(), whatever the kind */
+/** rec_read() - parse a record; rec_clear() must follow, even when the record is invalid */
 void rec_read (rec_t *rec, const char *data, size_t data_bytes);
 void rec_clear (rec_t *rec);
 
-/** rec_publish() - text of a publish; one of @manifest and @patch is NULL. Free by g_free() */
-char *rec_publish (
-    const char *id, uint64_t base, const char *by, const json_t *manifest, const json_t *patch);
-/** rec_checkpoint() - text of a checkpoint. Free by g_free() */
-char *rec_checkpoint (uint64_t version, uint64_t as_of, const char *by, const json_t *manifest);
+/** rec_publish() - format a publish; exactly one of @manifest and @patch is NULL. Free the text
+ * with g_free() */
+char *rec_publish (const char *id,
+                   uint64_t base,
+                   const char *publisher,
+                   const json_t *manifest,
+                   const json_t *patch);
+/** rec_checkpoint() - format a checkpoint. Free the text with g_free() */
+char *
+rec_checkpoint (uint64_t version, uint64_t as_of, const char *publisher, const json_t *manifest);
 
 #endif
--- a/src/version/replay.c
+++ b/src/version/replay.c
@@ -5,217 +5,224 @@
 #include <string.h>
 
 /*
- * @man: in force after all records before @next_offset when @known; else what was in force before
- *   the gap, or NULL
- * @by: who published it, "" when that is not known
- * @known: whether records can be judged: what was in force at @next_offset is known
- * @current: whether all records were judged that were there when the reader began; latched until
+ * @manifest: when @has_state, the version in force after all records before @next_offset; otherwise
+ *   the version in force before the gap, or NULL
+ * @publisher: who published @manifest; "" when unknown
+ * @next_offset: offset of the next record to process
+ * @has_state: the version in force at @next_offset is known, so that publishes can be decided
+ * @caught_up: all records that existed when the reader started have been processed; stays set until
  *   the next gap
- * @catch_up_offset: @current is set when @next_offset reaches it
- * @first_offset: first retained, as told last
- * @covered_offset: as_of + 1 of the newest checkpoint: where a reader that trusts it goes on
- * @uncovered: publishes read since that checkpoint
+ * @catch_up_offset: @caught_up is set when @next_offset reaches this offset
+ * @first_offset: first offset that the log retained at the last read
+ * @checkpoint_end: as_of + 1 of the newest checkpoint: where a reader that uses it continues
+ * @publishes_since_checkpoint: publishes read after the newest checkpoint
+ * @history: outcome of recent publishes
  */
 struct rep
 {
-  man_t *man;
-  char by[LIM_NAME_BYTES];
+  man_t *manifest;
+  char publisher[LIM_NAME_BYTES];
   uint64_t next_offset;
-  bool known;
-  bool current;
+  bool has_state;
+  bool caught_up;
   uint64_t catch_up_offset;
   uint64_t first_offset;
-  uint64_t covered_offset;
-  uint64_t uncovered;
-  jdg_t *judged;
+  uint64_t checkpoint_end;
+  uint64_t publishes_since_checkpoint;
+  jdg_t *history;
 };
 
 static uint64_t
-in_force (const rep_t *rep)
+current_version (const rep_t *rep)
 {
-  return rep->man != NULL ? rep->man->version : 0;
+  return rep->manifest != NULL ? rep->manifest->version : 0;
 }
 
-/* The only place where the version in force changes. */
+/* Replaces the version in force; nothing else may set it. */
 static void
-put_in_force (rep_t *rep, man_t *man, const char *by)
+set_manifest (rep_t *rep, man_t *manifest, const char *publisher)
 {
-  g_assert (man->version >= in_force (rep));
-  g_clear_pointer (&rep->man, man_unref);
-  rep->man = man;
-  g_strlcpy (rep->by, by, sizeof rep->by);
+  g_assert (manifest->version >= current_version (rep));
+  g_clear_pointer (&rep->manifest, man_unref);
+  rep->manifest = manifest;
+  g_strlcpy (rep->publisher, publisher, sizeof rep->publisher);
 }
 
 static void
-see_if_current (rep_t *rep)
+update_caught_up (rep_t *rep)
 {
-  if (rep->known && rep->next_offset >= rep->catch_up_offset)
-    rep->current = true;
+  if (rep->has_state && rep->next_offset >= rep->catch_up_offset)
+    rep->caught_up = true;
 }
 
 static void
-lose_track (rep_t *rep)
+enter_gap (rep_t *rep)
 {
-  rep->known = false;
-  rep->current = false;
+  rep->has_state = false;
+  rep->caught_up = false;
 }
 
-/* Go on from a state that someone else told: records from @next_offset on are judged (again). */
+/* Continues from the state of a checkpoint or a peer. Records from @next_offset on are processed,
+ * some of them for a second time. */
 static void
-restart (rep_t *rep, man_t *man, const char *by, uint64_t next_offset)
+resume_from (rep_t *rep, man_t *manifest, const char *publisher, uint64_t next_offset)
 {
-  put_in_force (rep, man, by);
+  set_manifest (rep, manifest, publisher);
   rep->catch_up_offset = MAX (rep->catch_up_offset, rep->next_offset);
   rep->next_offset = next_offset;
-  rep->known = true;
-  rep->current = false;
-  see_if_current (rep);
+  rep->has_state = true;
+  rep->caught_up = false;
+  update_caught_up (rep);
 }
 
 static void
-give_reason (rep_judgement_t *judgement, rep_verdict_t verdict, const char *reason)
+set_verdict (rep_judgement_t *result, rep_verdict_t verdict, const char *reason)
 {
-  judgement->verdict = verdict;
-  g_strlcpy (judgement->reason, reason, sizeof judgement->reason);
+  result->verdict = verdict;
+  g_strlcpy (result->reason, reason, sizeof result->reason);
 }
 
 static void
-lost_race (const rep_t *rep, rep_judgement_t *judgement)
+reject_stale_base (const rep_t *rep, rep_judgement_t *result)
 {
-  judgement->verdict = REP_STALE_BASE;
-  if (rep->by[0] != '\0')
-    g_snprintf (judgement->reason, sizeof judgement->reason,
-                "version %" G_GUINT64_FORMAT " by %s is in force; rebase", in_force (rep), rep->by);
+  result->verdict = REP_STALE_BASE;
+  if (rep->publisher[0] != '\0')
+    g_snprintf (result->reason, sizeof result->reason,
+                "version %" G_GUINT64_FORMAT " by %s is in force; rebase", current_version (rep),
+                rep->publisher);
   else
-    g_snprintf (judgement->reason, sizeof judgement->reason,
-                "version %" G_GUINT64_FORMAT " is in force; rebase", in_force (rep));
+    g_snprintf (result->reason, sizeof result->reason,
+                "version %" G_GUINT64_FORMAT " is in force; rebase", current_version (rep));
 }
 
 static void
-explain_repeat (const jdg_entry_t *earlier, rep_judgement_t *judgement)
+reject_repeated (const jdg_entry_t *earlier, rep_judgement_t *result)
 {
-  judgement->verdict = REP_REPEATED;
+  result->verdict = REP_REPEATED;
   if (earlier->accepted)
-    g_snprintf (judgement->reason, sizeof judgement->reason,
+    g_snprintf (result->reason, sizeof result->reason,
                 "it was accepted before as version %" G_GUINT64_FORMAT, earlier->version);
   else
-    g_snprintf (judgement->reason, sizeof judgement->reason, "it was refused before");
+    g_snprintf (result->reason, sizeof result->reason, "it was refused before");
 }
 
 static man_t *
-published (const rep_t *rep, const rec_t *rec, GError **error)
+build_manifest (const rep_t *rep, const rec_t *rec, GError **error)
 {
   if (rec->manifest != NULL)
     return man_from_json (rec->manifest, error);
-  if (rep->man != NULL)
-    return man_patch (rep->man, rec->patch, error);
+  if (rep->manifest != NULL)
+    return man_patch (rep->manifest, rec->patch, error);
   g_set_error (error, MAN_ERROR, MAN_ERROR_REFERENCE, "patch: there is no manifest to patch");
   return NULL;
 }
 
 static void
-judge_contents (rep_t *rep, const rec_t *rec, rep_judgement_t *judgement)
+apply_publish (rep_t *rep, const rec_t *rec, rep_judgement_t *result)
 {
   g_autoptr (GError) error = NULL;
-  man_t *man = published (rep, rec, &error);
+  man_t *manifest = build_manifest (rep, rec, &error);
 
-  if (man != NULL && rep->man != NULL && !man_may_follow (rep->man, man, &error))
-    g_clear_pointer (&man, man_unref);
-  if (man == NULL)
+  if (manifest != NULL && rep->manifest != NULL &&
+      !man_may_follow (rep->manifest, manifest, &error))
+    g_clear_pointer (&manifest, man_unref);
+  if (manifest == NULL)
     {
-      give_reason (judgement, REP_INVALID, error->message);
+      set_verdict (result, REP_INVALID, error->message);
       return;
     }
-  man->version = rec->number + 1;
-  put_in_force (rep, man, rec->by);
-  judgement->verdict = REP_ACCEPTED;
+  manifest->version = rec->version + 1;
+  set_manifest (rep, manifest, rec->publisher);
+  result->verdict = REP_ACCEPTED;
 }
 
 /*
- * The base alone decides whether a publish counts. A repeat has the base of the first, which is
- * not in force any more if the first was accepted, so it cannot count twice; the memory of ids
- * only words the refusal. If that memory decided, a reader that started at a checkpoint and
- * remembers fewer ids could come to another verdict.
+ * Only the base and the contents decide whether a publish is accepted. A repeated publish has the
+ * same base as the first one, which is no longer in force if the first was accepted, so it can't be
+ * accepted twice. The history of ids only changes the wording of the rejection. If it took part in
+ * the decision, a reader that started at a checkpoint, and so has a shorter history, could reach
+ * another verdict.
  */
 static void
-judge_publish (rep_t *rep, const rec_t *rec, rep_judgement_t *judgement)
+process_publish (rep_t *rep, const rec_t *rec, rep_judgement_t *result)
 {
-  const jdg_entry_t *earlier = jdg_find (rep->judged, rec->id);
+  const jdg_entry_t *earlier = jdg_find (rep->history, rec->id);
 
-  g_strlcpy (judgement->id, rec->id, sizeof judgement->id);
-  rep->uncovered++;
-  if (!rep->known)
+  g_strlcpy (result->id, rec->id, sizeof result->id);
+  rep->publishes_since_checkpoint++;
+  if (!rep->has_state)
     {
-      give_reason (judgement, REP_SKIPPED, "what was in force before it is not known");
+      set_verdict (result, REP_SKIPPED, "the version in force before it is unknown");
       return;
     }
-  if (rec->number == in_force (rep))
-    judge_contents (rep, rec, judgement);
+  if (rec->version == current_version (rep))
+    apply_publish (rep, rec, result);
   else
-    lost_race (rep, judgement);
-  if (judgement->verdict != REP_ACCEPTED && earlier != NULL)
-    explain_repeat (earlier, judgement);
-  jdg_add (rep->judged, rec->id, judgement->verdict == REP_ACCEPTED, in_force (rep));
+    reject_stale_base (rep, result);
+  if (result->verdict != REP_ACCEPTED && earlier != NULL)
+    reject_repeated (earlier, result);
+  jdg_add (rep->history, rec->id, result->verdict == REP_ACCEPTED, current_version (rep));
 }
 
 /*
- * A checkpoint of a process that was paused for long tells an old version. It is true as of its
- * own offset only, so it is used only by a reader that can judge every publish after that offset:
- * those bring it to the version in force, whatever the checkpoint's age.
+ * A process that was paused may append a checkpoint of an old version. A checkpoint is valid only
+ * as of its own offset, so it is used only if every record after that offset can still be read:
+ * replaying them yields the version in force, however old the checkpoint is.
  */
 static void
-use_checkpoint (rep_t *rep, const rec_t *rec, rep_judgement_t *judgement)
+use_checkpoint (rep_t *rep, const rec_t *rec, rep_judgement_t *result)
 {
   g_autoptr (GError) error = NULL;
-  man_t *man;
+  man_t *manifest;
 
   if (rec->as_of + 1 < rep->first_offset)
     {
-      give_reason (judgement, REP_CHECKPOINT_SEEN, "records after it are no longer retained");
+      set_verdict (result, REP_CHECKPOINT_SEEN, "records after it are no longer retained");
       return;
     }
-  man = man_from_json (rec->manifest, &error);
-  if (man == NULL)
+  manifest = man_from_json (rec->manifest, &error);
+  if (manifest == NULL)
     {
-      give_reason (judgement, REP_INVALID, error->message);
+      set_verdict (result, REP_INVALID, error->message);
       return;
     }
-  man->version = rec->number;
-  restart (rep, man, rec->by, rec->as_of + 1);
-  judgement->verdict = REP_CHECKPOINT_USED;
+  manifest->version = rec->version;
+  resume_from (rep, manifest, rec->publisher, rec->as_of + 1);
+  result->verdict = REP_CHECKPOINT_USED;
 }
 
 /*
- * Whether what a checkpoint tells can be true of this log: it tells of the past only, and versions
- * do not go back. A reader that lost track knows too little of a checkpoint from before its gap.
+ * Whether a checkpoint is consistent with this log: it must describe an earlier offset, and
+ * versions never decrease. After a gap, a checkpoint whose following records are lost can't be
+ * checked against the own version.
  */
 static bool
-is_possible (const rep_t *rep, const rec_t *rec, uint64_t offset)
+is_consistent (const rep_t *rep, const rec_t *rec, uint64_t offset)
 {
-  if (rec->number == 0 || rec->as_of >= offset)
+  if (rec->version == 0 || rec->as_of >= offset)
     return false;
-  if (rep->known)
-    return rec->number <= in_force (rep);
-  return rec->as_of + 1 < rep->first_offset || rec->number >= in_force (rep);
+  if (rep->has_state)
+    return rec->version <= current_version (rep);
+  return rec->as_of + 1 < rep->first_offset || rec->version >= current_version (rep);
 }
 
 static void
-judge_checkpoint (rep_t *rep, const rec_t *rec, uint64_t offset, rep_judgement_t *judgement)
+process_checkpoint (rep_t *rep, const rec_t *rec, uint64_t offset, rep_judgement_t *result)
 {
-  if (!is_possible (rep, rec, offset))
+  if (!is_consistent (rep, rec, offset))
     {
-      give_reason (judgement, REP_INVALID, "the checkpoint contradicts the log");
+      set_verdict (result, REP_INVALID, "the checkpoint contradicts the log");
       return;
     }
-  if (rec->as_of + 1 > rep->covered_offset)
+  if (rec->as_of + 1 > rep->checkpoint_end)
     {
-      rep->covered_offset = rec->as_of + 1;
-      rep->uncovered = 0;
+      rep->checkpoint_end = rec->as_of + 1;
+      rep->publishes_since_checkpoint = 0;
     }
-  if (rep->known)
-    judgement->verdict = REP_CHECKPOINT_SEEN;
+  if (rep->has_state)
+    result->verdict = REP_CHECKPOINT_SEEN;
   else
-    use_checkpoint (rep, rec, judgement);
+    use_checkpoint (rep, rec, result);
 }
 
 rep_t *
@@ -223,7 +230,7 @@
 {
   rep_t *rep = g_new0 (rep_t, 1);
 
-  rep->judged = jdg_new (LIM_PUBLISH_IDS);
+  rep->history = jdg_new (LIM_PUBLISH_IDS);
   return rep;
 }
 
@@ -232,8 +239,8 @@
 {
   if (rep == NULL)
     return;
-  g_clear_pointer (&rep->man, man_unref);
-  jdg_free (rep->judged);
+  g_clear_pointer (&rep->manifest, man_unref);
+  jdg_free (rep->history);
   g_free (rep);
 }
 
@@ -243,14 +250,14 @@
   rep->first_offset = first_offset;
   if (first_offset > rep->next_offset)
     {
-      lose_track (rep);
+      enter_gap (rep);
       rep->next_offset = first_offset;
     }
   else if (first_offset == 0 && rep->next_offset == 0)
     {
-      rep->known = true;
+      rep->has_state = true;
     }
-  see_if_current (rep);
+  update_caught_up (rep);
 }
 
 void
@@ -258,58 +265,60 @@
 {
   if (rep_ready (rep))
     return;
-  rep->current = false;
+  rep->caught_up = false;
   rep->catch_up_offset = MAX (rep->catch_up_offset, end_offset);
-  see_if_current (rep);
+  update_caught_up (rep);
 }
 
 rep_judgement_t
 rep_feed (rep_t *rep, uint64_t offset, const char *data, size_t data_bytes)
 {
-  rep_judgement_t judgement = { .verdict = REP_SKIPPED };
+  rep_judgement_t result = { .verdict = REP_SKIPPED };
   rec_t rec;
 
-  judgement.version = in_force (rep);
+  result.version = current_version (rep);
   if (offset != rep->next_offset)
     {
-      give_reason (&judgement, REP_SKIPPED, "it is not the next record");
-      return judgement;
+      set_verdict (&result, REP_SKIPPED, "it is not the next record in the log");
+      return result;
     }
   rep->next_offset = offset + 1;
   rec_read (&rec, data, data_bytes);
   if (rec.kind == REC_PUBLISH)
-    judge_publish (rep, &rec, &judgement);
+    process_publish (rep, &rec, &result);
   else if (rec.kind == REC_CHECKPOINT)
-    judge_checkpoint (rep, &rec, offset, &judgement);
+    process_checkpoint (rep, &rec, offset, &result);
   else
-    give_reason (&judgement, REP_INVALID, rec.fault);
+    set_verdict (&result, REP_INVALID, rec.error);
   rec_clear (&rec);
-  see_if_current (rep);
-  judgement.version = in_force (rep);
-  return judgement;
+  update_caught_up (rep);
+  result.version = current_version (rep);
+  return result;
 }
 
 bool
-rep_adopt (rep_t *rep, man_t *man, uint64_t next_offset)
+rep_adopt (rep_t *rep, man_t *manifest, uint64_t next_offset)
 {
-  bool brings_news = rep->known ? next_offset > rep->next_offset : next_offset >= rep->first_offset;
+  bool is_newer =
+      rep->has_state ? next_offset > rep->next_offset : next_offset >= rep->first_offset;
 
-  if (!brings_news || next_offset == 0 || man->version == 0 || man->version < in_force (rep))
+  if (!is_newer || next_offset == 0 || manifest->version == 0 ||
+      manifest->version < current_version (rep))
     return false;
-  restart (rep, man_ref (man), "", next_offset);
+  resume_from (rep, man_ref (manifest), "", next_offset);
   return true;
 }
 
 bool
 rep_ready (const rep_t *rep)
 {
-  return rep->current && rep->man != NULL;
+  return rep->caught_up && rep->manifest != NULL;
 }
 
 man_t *
 rep_manifest (const rep_t *rep)
 {
-  return rep->man;
+  return rep->manifest;
 }
 
 uint64_t
@@ -321,21 +330,22 @@
 bool
 rep_unpublished (const rep_t *rep)
 {
-  return rep->known && rep->current && rep->man == NULL;
+  return rep->has_state && rep->caught_up && rep->manifest == NULL;
 }
 
 const char *
 rep_by (const rep_t *rep)
 {
-  return rep->by;
+  return rep->publisher;
 }
 
 bool
-rep_checkpoint_due (const rep_t *rep, uint64_t records_between)
+rep_checkpoint_due (const rep_t *rep, uint64_t publishes_between)
 {
   if (!rep_ready (rep))
     return false;
-  return rep->uncovered >= records_between || rep->covered_offset < rep->first_offset;
+  return rep->publishes_since_checkpoint >= publishes_between ||
+         rep->checkpoint_end < rep->first_offset;
 }
 
 char *
@@ -344,12 +354,16 @@
   if (!rep_ready (rep))
     return NULL;
   g_assert (rep->next_offset > 0);
-  return rec_checkpoint (rep->man->version, rep->next_offset - 1, rep->by, rep->man->json);
+  return rec_checkpoint (rep->manifest->version, rep->next_offset - 1, rep->publisher,
+                         rep->manifest->json);
 }
 
 char *
-rep_publish_record (
-    const char *id, uint64_t base, const char *by, const json_t *manifest, const json_t *patch)
+rep_publish_record (const char *id,
+                    uint64_t base,
+                    const char *publisher,
+                    const json_t *manifest,
+                    const json_t *patch)
 {
-  return rec_publish (id, base, by, manifest, patch);
+  return rec_publish (id, base, publisher, manifest, patch);
 }
--- a/src/version/replay.h
+++ b/src/version/replay.h
@@ -1,16 +1,16 @@
 /**
  * DOC: replay
  *
- * Turns the records of the manifest stream, in log order, into the version in force. A pure state
- * machine: every reader of the same records comes to the same verdict on each of them, so no
- * daemon has to agree with another. A version in force never goes back.
+ * Replays the records of the manifest stream, in log order, to derive the version in force. This is
+ * a deterministic state machine without I/O: all readers of the same records reach the same verdict
+ * on each of them, so daemons need no further agreement. The version in force never decreases.
  *
  * Records are JSON:
  *   {"kind":"publish","id":ID,"base":N,"by":WHO,"manifest":{...}}   or "patch":{...}
  *   {"kind":"checkpoint","version":N,"as_of":K,"manifest":{...}}
- * A publish is accepted iff its base is the version in force when it is read and its manifest is
- * valid. A checkpoint tells what was in force after the record at offset K; a reader that starts
- * fresh trusts it only if it can also read K+1 and all that follows.
+ * A publish is accepted iff its base is the version in force at its position in the log and its
+ * manifest is valid. A checkpoint states the version in force after the record at offset K; a new
+ * reader uses it only if it can also read the record at K+1 and all later ones.
  */
 #ifndef VERSION_REPLAY_H
 #define VERSION_REPLAY_H
@@ -21,26 +21,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define REP_STREAM "manifest"
+#define REP_STREAM "manifest" /* name of the stream on the platform */
 
 typedef struct rep rep_t;
 
 typedef enum
 {
-  REP_ACCEPTED,   /* a publish that came into force */
-  REP_STALE_BASE, /* a publish that lost a race */
-  REP_INVALID,    /* a publish whose manifest does not check, or a broken record */
-  REP_REPEATED,   /* a publish id that was judged before */
-  REP_CHECKPOINT_USED,
-  REP_CHECKPOINT_SEEN, /* a checkpoint that told nothing new */
-  REP_SKIPPED          /* not the next record, or a publish that can't be judged yet */
+  REP_ACCEPTED,        /* a publish that is now in force */
+  REP_STALE_BASE,      /* a publish whose base is not the version in force: it lost to another */
+  REP_INVALID,         /* a publish with an invalid manifest, or an invalid record */
+  REP_REPEATED,        /* a rejected publish whose id was processed before */
+  REP_CHECKPOINT_USED, /* replay continues from this checkpoint */
+  REP_CHECKPOINT_SEEN, /* a checkpoint that was not needed or can't be used */
+  REP_SKIPPED          /* not the next record, or a publish read before the state is known */
 } rep_verdict_t;
 
 /**
- * struct rep_judgement - what became of one record
- * @id: publish id, or ""
- * @version: the version in force after it
- * @reason: for a refused publish, what to tell its operator
+ * struct rep_judgement - the outcome of one record
+ * @id: publish id; "" when the record is no publish
+ * @version: the version in force after the record; 0 when there is none
+ * @reason: why the record was not accepted, for the operator who published it
  */
 typedef struct
 {
@@ -54,64 +54,73 @@
 void rep_free (rep_t *rep);
 
 /**
- * rep_begin() - the log's first retained offset, told before the first record and on a gap
+ * rep_begin() - set the first offset that the log still retains
  *
- * A fresh reader whose @first_offset is 0 has seen everything; otherwise it is not ready until a
- * checkpoint that it may trust. A reader that falls behind retention (@first_offset beyond
- * rep_next_offset()) keeps its version but is no longer current until such a checkpoint.
+ * Must be called before the first record, and before the records of each further read.
+ *
+ * A new reader whose @first_offset is 0 can read the whole log; any other becomes ready only after
+ * a usable checkpoint. When records before @first_offset were lost unread (@first_offset is greater
+ * than rep_next_offset()), the reader keeps its version but is not ready until such a checkpoint.
  */
 void rep_begin (rep_t *rep, uint64_t first_offset);
 
 /**
- * rep_note_end() - the end of the log as a read saw it, told before its records are fed
+ * rep_note_end() - set the end of the log that a read returned, before its records are replayed
  *
- * A reader that is not ready does not become so before it has judged all records up to there: a
- * daemon that just started must not serve under a version that was replaced long ago. Later ends
- * do not make a ready reader unready.
+ * A reader that is not ready becomes ready only after it has processed all records before
+ * @end_offset: a daemon that just started must not serve with a version that was replaced long
+ * ago. A reader that is ready stays ready when the log grows.
  */
 void rep_note_end (rep_t *rep, uint64_t end_offset);
 
 /**
- * rep_feed() - one record, in log order
+ * rep_feed() - process one record, in log order
  *
- * Offsets go up by one. A record other than the one at rep_next_offset() is skipped. Using a
- * checkpoint may move rep_next_offset() back to the first record that it does not take in, so each
- * read starts from rep_next_offset().
+ * Offsets increase by one. A record other than the one at rep_next_offset() is skipped. A
+ * checkpoint may move rep_next_offset() back to the first record that it does not include, so each
+ * read has to start at rep_next_offset().
  */
 rep_judgement_t rep_feed (rep_t *rep, uint64_t offset, const char *data, size_t data_bytes);
 
 /**
- * rep_adopt() - a state told by a peer: @man was in force after all records before @next_offset
+ * rep_adopt() - take over the state of a peer
+ * @manifest: in force after all records before @next_offset
  *
- * Return: whether it was of use; then rep_next_offset() is @next_offset, and @man has one more
- * reference. A state that is older than what is known, or that records after it can no longer be
- * read for, is not.
+ * Return: true when the state was taken over; then rep_next_offset() is @next_offset, and the
+ * replay holds a reference to @manifest. A state is rejected when it is older than the own one, or
+ * when the log no longer retains the records that follow it.
  */
-bool rep_adopt (rep_t *rep, man_t *man, uint64_t next_offset);
+bool rep_adopt (rep_t *rep, man_t *manifest, uint64_t next_offset);
 
-/** rep_ready() - whether a version in force is known and current; until then it must not be used by
- * a daemon that has none yet */
+/** rep_ready() - whether the version in force is known and up to date; a daemon that has no version
+ * yet must not use rep_manifest() before */
 bool rep_ready (const rep_t *rep);
 /** rep_manifest() - the version in force, borrowed, or NULL */
 man_t *rep_manifest (const rep_t *rep);
+/** rep_next_offset() - offset of the next record to process */
 uint64_t rep_next_offset (const rep_t *rep);
-/** rep_unpublished() - whether all records were seen and none brought a version into force */
+/** rep_unpublished() - whether the whole log was read and no version was ever in force */
 bool rep_unpublished (const rep_t *rep);
-/** rep_by() - who published the version in force, "" when that is not known */
+/** rep_by() - who published the version in force; "" when unknown */
 const char *rep_by (const rep_t *rep);
 
 /**
- * rep_checkpoint_due() - whether the newest checkpoint is so old that one should be appended
- * @records_between: checkpoint after this many publishes
+ * rep_checkpoint_due() - whether a new checkpoint should be appended to the log
+ * @publishes_between: number of publishes after which a checkpoint is due
  *
- * It is due as well when records after the newest one are no longer retained, for then no fresh
- * reader can trust it.
+ * A checkpoint is also due when the log no longer retains all records after the newest one, because
+ * a new reader can't use it then.
  */
-bool rep_checkpoint_due (const rep_t *rep, uint64_t records_between);
-/** rep_checkpoint_record() - the record to append, to be freed by g_free(); NULL when not ready */
+bool rep_checkpoint_due (const rep_t *rep, uint64_t publishes_between);
+/** rep_checkpoint_record() - format a checkpoint of the current state; free with g_free(). Return:
+ * NULL when the replay is not ready */
 char *rep_checkpoint_record (const rep_t *rep);
-/** rep_publish_record() - a publish record; one of @manifest and @patch is NULL */
-char *rep_publish_record (
-    const char *id, uint64_t base, const char *by, const json_t *manifest, const json_t *patch);
+/** rep_publish_record() - format a publish; exactly one of @manifest and @patch is NULL. Free the
+ * text with g_free() */
+char *rep_publish_record (const char *id,
+                          uint64_t base,
+                          const char *publisher,
+                          const json_t *manifest,
+                          const json_t *patch);
 
 #endif
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -198,7 +198,7 @@
 }
 
 /*
- * An engine in two services would be subject to two load bounds i once, and two accounts with the
+ * An engine in two services would be subject to two load bounds at once, and two accounts with the
  * same key would share a queue and see each other's chats. Both manifests must be rejected before
  * they can come into force.
  */
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -10,9 +10,9 @@
 
 #define KEY "08a6bd4bf2a6c5b8e6b2a0a8f7a4a7b7fb0ee6d29a4a7fcc1c6e0b7b1a2f3c4d"
 
-/* A manifest that differs in one number. */
+/* Manifests of different @slots are otherwise equal. */
 static json_t *
-manifest (uint32_t slots)
+make_manifest (uint32_t slots)
 {
   return json_pack ("{s{s{ss}} s{s{}} s{s{ss s[s] si}} s[{ss ss ss}]}", "client_accounts", "east",
                     "key_sha256", KEY, "classes", "short", "services", "pool", "kind", "model",
@@ -21,15 +21,15 @@
 }
 
 static json_t *
-patch (uint32_t slots)
+make_patch (uint32_t slots)
 {
   return json_pack ("{s{s{si}}}", "services", "pool", "slots", (int)slots);
 }
 
 static char *
-publish (const char *id, uint64_t base, uint32_t slots)
+format_publish (const char *id, uint64_t base, uint32_t slots)
 {
-  json_t *json = base == 0 ? manifest (slots) : patch (slots);
+  json_t *json = base == 0 ? make_manifest (slots) : make_patch (slots);
   char *text =
       rep_publish_record (id, base, "ann", base == 0 ? json : NULL, base == 0 ? NULL : json);
 
@@ -46,7 +46,7 @@
 static rep_judgement_t
 feed_publish (rep_t *rep, const char *id, uint64_t base, uint32_t slots)
 {
-  g_autofree char *text = publish (id, base, slots);
+  g_autofree char *text = format_publish (id, base, slots);
 
   return feed (rep, text);
 }
@@ -75,73 +75,73 @@
 }
 
 /*
- * Two operators publish on the same base. Both appends succeed; the log's order makes the second
- * one the loser, and its operator hears which version stands in the way. Without the comparison
- * the first one's change would be gone without a word.
+ * Two operators publish concurrently on the same base. Both appends succeed; the later record in
+ * the log is rejected, and its operator is told which version is in force. Without this check the
+ * first change would be overwritten silently.
  */
 static void
-test_loser_of_a_race (void)
+test_stale_base_is_rejected (void)
 {
   g_autoptr (rep_t) rep = rep_new ();
-  rep_judgement_t judgement;
+  rep_judgement_t result;
 
   rep_begin (rep, 0);
   feed_publish (rep, "a", 0, 4);
   feed_publish (rep, "b", 1, 5);
-  judgement = feed_publish (rep, "c", 1, 6);
-  CU_ASSERT_EQUAL (judgement.verdict, REP_STALE_BASE);
-  CU_ASSERT_STRING_EQUAL (judgement.id, "c");
-  CU_ASSERT_STRING_EQUAL (judgement.reason, "version 2 by ann is in force; rebase");
+  result = feed_publish (rep, "c", 1, 6);
+  CU_ASSERT_EQUAL (result.verdict, REP_STALE_BASE);
+  CU_ASSERT_STRING_EQUAL (result.id, "c");
+  CU_ASSERT_STRING_EQUAL (result.reason, "version 2 by ann is in force; rebase");
   CU_ASSERT_EQUAL (rep_manifest (rep)->services[0].slots, 5);
 }
 
 /*
- * The answer to an append is lost and the platform's client sends it twice, so the log holds the
- * publish twice. It counts once, and the second one is told what became of the first.
+ * The response to an append is lost and the platform's client retries, so the log holds the publish
+ * twice. Only the first record may be accepted; the second one reports the outcome of the first.
  */
 static void
-test_repeated_publish (void)
+test_repeated_publish_is_rejected (void)
 {
   g_autoptr (rep_t) rep = rep_new ();
-  rep_judgement_t judgement;
+  rep_judgement_t result;
 
   rep_begin (rep, 0);
   feed_publish (rep, "a", 0, 4);
-  judgement = feed_publish (rep, "a", 0, 4);
-  CU_ASSERT_EQUAL (judgement.verdict, REP_REPEATED);
-  CU_ASSERT_STRING_EQUAL (judgement.reason, "it was accepted before as version 1");
-  CU_ASSERT_EQUAL (judgement.version, 1);
+  result = feed_publish (rep, "a", 0, 4);
+  CU_ASSERT_EQUAL (result.verdict, REP_REPEATED);
+  CU_ASSERT_STRING_EQUAL (result.reason, "it was accepted before as version 1");
+  CU_ASSERT_EQUAL (result.version, 1);
   feed_publish (rep, "b", 0, 4);
-  judgement = feed_publish (rep, "b", 0, 4);
-  CU_ASSERT_EQUAL (judgement.verdict, REP_REPEATED);
-  CU_ASSERT_STRING_EQUAL (judgement.reason, "it was refused before");
+  result = feed_publish (rep, "b", 0, 4);
+  CU_ASSERT_EQUAL (result.verdict, REP_REPEATED);
+  CU_ASSERT_STRING_EQUAL (result.reason, "it was refused before");
 }
 
 /*
- * A publish whose base was not in force yet is refused, and stands in the log a second time after
- * that base came into force. A daemon that started at a checkpoint between the two does not know
- * the first one. Both must come to one verdict, so what a reader remembers of ids decides nothing.
+ * A publish is rejected because its base is not in force yet, and is appended again when that base
+ * is in force. A daemon that started between the two records does not know the first one. Both
+ * daemons must reach the same verdict, so the history of ids must not influence it.
  */
 static void
-test_ids_do_not_decide (void)
+test_history_does_not_affect_verdict (void)
 {
-  g_autoptr (rep_t) old = rep_new ();
-  g_autoptr (rep_t) young = rep_new ();
-
-  rep_begin (old, 0);
-  feed_publish (old, "a", 0, 4);
-  CU_ASSERT_EQUAL (feed_publish (old, "x", 2, 7).verdict, REP_STALE_BASE);
-  feed_publish (old, "b", 1, 5);
-  CU_ASSERT_TRUE (rep_adopt (young, rep_manifest (old), rep_next_offset (old)));
-  CU_ASSERT_EQUAL (feed_publish (old, "x", 2, 7).verdict, REP_ACCEPTED);
-  CU_ASSERT_EQUAL (feed_publish (young, "x", 2, 7).verdict, REP_ACCEPTED);
-  CU_ASSERT_STRING_EQUAL (rep_manifest (old)->digest, rep_manifest (young)->digest);
+  g_autoptr (rep_t) early = rep_new ();
+  g_autoptr (rep_t) adopter = rep_new ();
+
+  rep_begin (early, 0);
+  feed_publish (early, "a", 0, 4);
+  CU_ASSERT_EQUAL (feed_publish (early, "x", 2, 7).verdict, REP_STALE_BASE);
+  feed_publish (early, "b", 1, 5);
+  CU_ASSERT_TRUE (rep_adopt (adopter, rep_manifest (early), rep_next_offset (early)));
+  CU_ASSERT_EQUAL (feed_publish (early, "x", 2, 7).verdict, REP_ACCEPTED);
+  CU_ASSERT_EQUAL (feed_publish (adopter, "x", 2, 7).verdict, REP_ACCEPTED);
+  CU_ASSERT_STRING_EQUAL (rep_manifest (early)->digest, rep_manifest (adopter)->digest);
 }
 
 static void
 test_invalid_records_change_nothing (void)
 {
-  static const char *const BROKEN[] = {
+  static const char *const INVALID[] = {
     "",
     "{",
     "[]",
@@ -163,30 +163,31 @@
 
   rep_begin (rep, 0);
   feed_publish (rep, "a", 0, 4);
-  for (size_t at = 0; at < G_N_ELEMENTS (BROKEN); at++)
+  for (size_t i = 0; i < G_N_ELEMENTS (INVALID); i++)
     {
-      rep_judgement_t judgement = feed (rep, BROKEN[at]);
+      rep_judgement_t result = feed (rep, INVALID[i]);
 
-      CU_ASSERT_EQUAL (judgement.verdict, REP_INVALID);
-      CU_ASSERT_TRUE (judgement.reason[0] != '\0');
+      CU_ASSERT_EQUAL (result.verdict, REP_INVALID);
+      CU_ASSERT_TRUE (result.reason[0] != '\0');
     }
   CU_ASSERT_EQUAL (version_of (rep), 1);
   CU_ASSERT_TRUE (rep_ready (rep));
 }
 
 /*
- * A process takes down a checkpoint of version 1, is paused while version 2 comes into force, and
- * appends its old record on waking. A fresh reader for which all after the checkpoint's offset is
- * still retained comes to version 2; one for which it is not waits. Nobody goes back to version 1.
+ * A process formats a checkpoint of version 1, is paused while later versions come into force, and
+ * then appends the stale checkpoint. A new reader that can still read all records after the
+ * checkpoint's offset arrives at the newest version; one that can't is not ready until a newer
+ * checkpoint. No reader may return to version 1.
  */
 static void
 test_stale_checkpoint (void)
 {
   g_autoptr (rep_t) writer = rep_new ();
-  g_autoptr (rep_t) fresh = rep_new ();
-  g_autoptr (rep_t) late = rep_new ();
-  g_autofree char *second = publish ("b", 1, 5);
-  g_autofree char *third = publish ("c", 2, 6);
+  g_autoptr (rep_t) complete_reader = rep_new ();
+  g_autoptr (rep_t) incomplete_reader = rep_new ();
+  g_autofree char *second = format_publish ("b", 1, 5);
+  g_autofree char *third = format_publish ("c", 2, 6);
   g_autofree char *stale = NULL;
   g_autofree char *newer = NULL;
 
@@ -199,38 +200,39 @@
   CU_ASSERT_EQUAL (feed (writer, stale).verdict, REP_CHECKPOINT_SEEN); /* at 3 */
   CU_ASSERT_EQUAL (version_of (writer), 3);
 
-  rep_begin (fresh, 1);
-  rep_note_end (fresh, 4);
-  CU_ASSERT_EQUAL (feed (fresh, second).verdict, REP_SKIPPED);
-  CU_ASSERT_EQUAL (feed (fresh, third).verdict, REP_SKIPPED);
-  CU_ASSERT_EQUAL (feed (fresh, stale).verdict, REP_CHECKPOINT_USED);
-  CU_ASSERT_FALSE (rep_ready (fresh));
-  CU_ASSERT_EQUAL (rep_next_offset (fresh), 1);
-  CU_ASSERT_EQUAL (feed (fresh, second).verdict, REP_ACCEPTED);
-  CU_ASSERT_EQUAL (feed (fresh, third).verdict, REP_ACCEPTED);
-  CU_ASSERT_FALSE (rep_ready (fresh));
-  CU_ASSERT_EQUAL (feed (fresh, stale).verdict, REP_CHECKPOINT_SEEN);
-  CU_ASSERT_TRUE (rep_ready (fresh));
-  CU_ASSERT_EQUAL (version_of (fresh), 3);
-
-  rep_begin (late, 2);
-  rep_note_end (late, 5);
-  CU_ASSERT_EQUAL (feed (late, third).verdict, REP_SKIPPED);
-  CU_ASSERT_EQUAL (feed (late, stale).verdict, REP_CHECKPOINT_SEEN);
-  CU_ASSERT_FALSE (rep_ready (late));
-  CU_ASSERT_PTR_NULL (rep_manifest (late));
-  CU_ASSERT_EQUAL (feed (late, newer).verdict, REP_CHECKPOINT_USED); /* at 4 */
-  CU_ASSERT_EQUAL (rep_next_offset (late), 2);
-  CU_ASSERT_EQUAL (feed (late, third).verdict, REP_ACCEPTED);
-  feed (late, stale);
-  feed (late, newer);
-  CU_ASSERT_TRUE (rep_ready (late));
-  CU_ASSERT_EQUAL (version_of (late), 3);
+  rep_begin (complete_reader, 1);
+  rep_note_end (complete_reader, 4);
+  CU_ASSERT_EQUAL (feed (complete_reader, second).verdict, REP_SKIPPED);
+  CU_ASSERT_EQUAL (feed (complete_reader, third).verdict, REP_SKIPPED);
+  CU_ASSERT_EQUAL (feed (complete_reader, stale).verdict, REP_CHECKPOINT_USED);
+  CU_ASSERT_FALSE (rep_ready (complete_reader));
+  CU_ASSERT_EQUAL (rep_next_offset (complete_reader), 1);
+  CU_ASSERT_EQUAL (feed (complete_reader, second).verdict, REP_ACCEPTED);
+  CU_ASSERT_EQUAL (feed (complete_reader, third).verdict, REP_ACCEPTED);
+  CU_ASSERT_FALSE (rep_ready (complete_reader));
+  CU_ASSERT_EQUAL (feed (complete_reader, stale).verdict, REP_CHECKPOINT_SEEN);
+  CU_ASSERT_TRUE (rep_ready (complete_reader));
+  CU_ASSERT_EQUAL (version_of (complete_reader), 3);
+
+  rep_begin (incomplete_reader, 2);
+  rep_note_end (incomplete_reader, 5);
+  CU_ASSERT_EQUAL (feed (incomplete_reader, third).verdict, REP_SKIPPED);
+  CU_ASSERT_EQUAL (feed (incomplete_reader, stale).verdict, REP_CHECKPOINT_SEEN);
+  CU_ASSERT_FALSE (rep_ready (incomplete_reader));
+  CU_ASSERT_PTR_NULL (rep_manifest (incomplete_reader));
+  CU_ASSERT_EQUAL (feed (incomplete_reader, newer).verdict, REP_CHECKPOINT_USED); /* at 4 */
+  CU_ASSERT_EQUAL (rep_next_offset (incomplete_reader), 2);
+  CU_ASSERT_EQUAL (feed (incomplete_reader, third).verdict, REP_ACCEPTED);
+  feed (incomplete_reader, stale);
+  feed (incomplete_reader, newer);
+  CU_ASSERT_TRUE (rep_ready (incomplete_reader));
+  CU_ASSERT_EQUAL (version_of (incomplete_reader), 3);
 }
 
 /*
- * A reader sleeps until the records that it needs are gone. It keeps serving under its version but
- * says that it is not current, and does not judge publishes on a base that it cannot know.
+ * A reader is suspended until the log has dropped records that it has not read. It keeps its
+ * version but is not ready, and must not accept publishes, because it does not know the version in
+ * force.
  */
 static void
 test_gap (void)
@@ -308,7 +310,7 @@
 }
 
 static void
-test_judged_ids_are_bounded (void)
+test_history_is_bounded (void)
 {
   jdg_t *jdg = jdg_new (2);
 
@@ -324,23 +326,24 @@
 }
 
 /*
- * An operator spreads the claims of a service over more streams. A key that was claimed in one
- * stream before would be looked for in another after, and a resent booking would run twice.
+ * An operator increases the number of claim shards of a service. An idempotency key that was
+ * claimed in one stream would then be looked up in another, and a retried booking would be executed
+ * twice.
  */
 static void
-test_claim_shards_stay (void)
+test_claim_shards_cannot_change (void)
 {
   g_autoptr (rep_t) rep = rep_new ();
   json_auto_t *shards = json_pack ("{s{s{si}}}", "services", "pool", "claim_shards", 32);
   g_autofree char *text = rep_publish_record ("b", 1, "ann", NULL, shards);
-  rep_judgement_t judgement;
+  rep_judgement_t result;
 
   rep_begin (rep, 0);
   feed_publish (rep, "a", 0, 4);
-  judgement = feed (rep, text);
-  CU_ASSERT_EQUAL (judgement.verdict, REP_INVALID);
-  CU_ASSERT_PTR_NOT_NULL (strstr (judgement.reason, "services.pool.claim_shards"));
-  CU_ASSERT_EQUAL (judgement.version, 1);
+  result = feed (rep, text);
+  CU_ASSERT_EQUAL (result.verdict, REP_INVALID);
+  CU_ASSERT_PTR_NOT_NULL (strstr (result.reason, "services.pool.claim_shards"));
+  CU_ASSERT_EQUAL (result.version, 1);
 }
 
 int
@@ -348,16 +351,16 @@
 {
   static const CU_TestInfo tests[] = {
     SUITE_TEST (test_publish_and_patch),
-    SUITE_TEST (test_loser_of_a_race),
-    SUITE_TEST (test_repeated_publish),
-    SUITE_TEST (test_ids_do_not_decide),
+    SUITE_TEST (test_stale_base_is_rejected),
+    SUITE_TEST (test_repeated_publish_is_rejected),
+    SUITE_TEST (test_history_does_not_affect_verdict),
     SUITE_TEST (test_invalid_records_change_nothing),
     SUITE_TEST (test_stale_checkpoint),
     SUITE_TEST (test_gap),
     SUITE_TEST (test_adopt),
     SUITE_TEST (test_checkpoint_due),
-    SUITE_TEST (test_judged_ids_are_bounded),
-    SUITE_TEST (test_claim_shards_stay),
+    SUITE_TEST (test_history_is_bounded),
+    SUITE_TEST (test_claim_shards_cannot_change),
     CU_TEST_INFO_NULL,
   };
   return suite_run ("replay", tests);
--- a/tests/test_replay_property.c
+++ b/tests/test_replay_property.c
@@ -9,27 +9,29 @@
 #define READERS 4
 #define PUBLISHERS 3
 #define PAUSED 3
-#define STEPS 1200
+#define STEPS_MAX 1200
 #define RUNS 40
 
-/* struct publisher - a pending publish: made on what its operator saw, appended later */
+/* struct publisher - @text: pending publish, based on the version that its operator saw; NULL if
+ * none */
 typedef struct
 {
   char *text;
 } publisher_t;
 
-/* struct reader - @begun_version: in force at the end of the log when it last began to read */
+/* struct reader - @start_version: version in force at the end of the log when a read last began
+ * while the reader was not ready */
 typedef struct
 {
   rep_t *rep;
-  uint64_t begun_version;
+  uint64_t start_version;
   uint64_t last_version;
 } reader_t;
 
 /*
- * @truth: reads each record at once and never misses one
- * @versions, @digests: what was in force after each record
- * @paused: checkpoint records that were taken down and not appended yet
+ * @reference: a replay that processes each record when it is appended
+ * @versions, @digests: version in force after each record, and its digest
+ * @paused: checkpoints that were formatted but not appended yet
  */
 typedef struct
 {
@@ -40,14 +42,14 @@
   uint64_t first_offset;
   uint64_t end_offset;
   uint32_t ids;
-  rep_t *truth;
+  rep_t *reference;
   reader_t readers[READERS];
   publisher_t publishers[PUBLISHERS];
   char *paused[PAUSED];
   uint32_t accepted;
   uint32_t stale;
   uint32_t repeated;
-  uint32_t restarted;
+  uint32_t checkpoints_used;
   uint32_t gaps;
   uint32_t adopted;
 } run_t;
@@ -71,25 +73,25 @@
 static void
 append (run_t *run, const char *text)
 {
-  rep_judgement_t judgement;
+  rep_judgement_t result;
   uint64_t offset = run->end_offset;
-  const man_t *man;
+  const man_t *manifest;
 
   if (offset == RECORDS_MAX)
     return;
   run->records[offset] = g_strdup (text);
   run->end_offset++;
-  judgement = rep_feed (run->truth, offset, text, strlen (text));
-  man = rep_manifest (run->truth);
-  run->versions[offset] = man != NULL ? man->version : 0;
-  run->digests[offset] = g_strdup (man != NULL ? man->digest : "");
-  run->accepted += judgement.verdict == REP_ACCEPTED;
-  run->stale += judgement.verdict == REP_STALE_BASE;
-  run->repeated += judgement.verdict == REP_REPEATED;
+  result = rep_feed (run->reference, offset, text, strlen (text));
+  manifest = rep_manifest (run->reference);
+  run->versions[offset] = manifest != NULL ? manifest->version : 0;
+  run->digests[offset] = g_strdup (manifest != NULL ? manifest->digest : "");
+  run->accepted += result.verdict == REP_ACCEPTED;
+  run->stale += result.verdict == REP_STALE_BASE;
+  run->repeated += result.verdict == REP_REPEATED;
 }
 
 static void
-compose (run_t *run, publisher_t *publisher, uint64_t base)
+format_publish (run_t *run, publisher_t *publisher, uint64_t base)
 {
   g_autofree char *id = g_strdup_printf ("p%u", run->ids++);
   json_t *json =
@@ -101,21 +103,23 @@
   json_decref (json);
 }
 
-/* Takes up the version that some reader holds, then appends once or, its answer lost, twice. */
+/* Formats a publish based on the version of some reader; a later step appends it, sometimes more
+ * than once, as after a lost response. */
 static void
 step_publisher (run_t *run)
 {
   publisher_t *publisher = &run->publishers[choose (run, PUBLISHERS)];
-  const rep_t *seen = choose (run, 2) != 0 ? run->truth : run->readers[choose (run, READERS)].rep;
+  const rep_t *seen =
+      choose (run, 2) != 0 ? run->reference : run->readers[choose (run, READERS)].rep;
 
   if (publisher->text == NULL)
     {
       if (run->end_offset == 0)
-        compose (run, publisher, 0);
+        format_publish (run, publisher, 0);
       else if (rep_ready (seen))
-        compose (run, publisher, rep_manifest (seen)->version);
+        format_publish (run, publisher, rep_manifest (seen)->version);
       else
-        compose (run, publisher, choose (run, 8));
+        format_publish (run, publisher, choose (run, 8));
       return;
     }
   append (run, publisher->text);
@@ -123,7 +127,7 @@
     g_clear_pointer (&publisher->text, g_free);
 }
 
-/* A process takes down a checkpoint; on a later turn, after any pause, it appends it. */
+/* Formats a checkpoint; a later step appends it, sometimes more than once. */
 static void
 step_checkpoint (run_t *run)
 {
@@ -143,28 +147,28 @@
 static void
 step_truncate (run_t *run)
 {
-  uint64_t held = run->end_offset - run->first_offset;
+  uint64_t retained = run->end_offset - run->first_offset;
 
-  run->first_offset += choose (run, (uint32_t)MIN (held, 8) + 1);
+  run->first_offset += choose (run, (uint32_t)MIN (retained, 8) + 1);
 }
 
 static void
-check (run_t *run, reader_t *reader)
+check_reader (run_t *run, reader_t *reader)
 {
-  const man_t *man = rep_manifest (reader->rep);
-  uint64_t version = man != NULL ? man->version : 0;
+  const man_t *manifest = rep_manifest (reader->rep);
+  uint64_t version = manifest != NULL ? manifest->version : 0;
   uint64_t next_offset = rep_next_offset (reader->rep);
 
   CU_ASSERT_TRUE_FATAL (version >= reader->last_version);
   reader->last_version = version;
   if (!rep_ready (reader->rep))
     return;
-  CU_ASSERT_TRUE_FATAL (version >= reader->begun_version);
+  CU_ASSERT_TRUE_FATAL (version >= reader->start_version);
   CU_ASSERT_EQUAL_FATAL (version, run->versions[next_offset - 1]);
-  CU_ASSERT_STRING_EQUAL_FATAL (man->digest, run->digests[next_offset - 1]);
+  CU_ASSERT_STRING_EQUAL_FATAL (manifest->digest, run->digests[next_offset - 1]);
 }
 
-/* One read of at most @count records, as a daemon does it. */
+/* Reads at most @count records like a daemon. */
 static void
 read_some (run_t *run, reader_t *reader, uint64_t count)
 {
@@ -173,23 +177,23 @@
   if (run->first_offset > rep_next_offset (reader->rep))
     run->gaps++;
   if (!rep_ready (reader->rep) && run->end_offset > 0)
-    reader->begun_version = run->versions[run->end_offset - 1];
+    reader->start_version = run->versions[run->end_offset - 1];
   rep_begin (reader->rep, run->first_offset);
   rep_note_end (reader->rep, run->end_offset);
   offset = rep_next_offset (reader->rep);
   for (; count > 0 && offset < run->end_offset; count--, offset++)
     {
-      rep_judgement_t judgement =
+      rep_judgement_t result =
           rep_feed (reader->rep, offset, run->records[offset], strlen (run->records[offset]));
 
-      run->restarted += judgement.verdict == REP_CHECKPOINT_USED;
-      check (run, reader);
+      run->checkpoints_used += result.verdict == REP_CHECKPOINT_USED;
+      check_reader (run, reader);
     }
-  check (run, reader);
+  check_reader (run, reader);
 }
 
 static void
-step_replace (run_t *run)
+step_restart_reader (run_t *run)
 {
   reader_t *reader = &run->readers[choose (run, READERS)];
 
@@ -205,64 +209,64 @@
 
   if (rep_ready (peer))
     run->adopted += rep_adopt (reader->rep, rep_manifest (peer), rep_next_offset (peer));
-  check (run, reader);
+  check_reader (run, reader);
 }
 
 static void
 step (run_t *run)
 {
-  uint32_t kind = choose (run, 100);
+  uint32_t action = choose (run, 100);
 
-  if (kind < 20)
+  if (action < 20)
     step_publisher (run);
-  else if (kind < 30)
+  else if (action < 30)
     step_checkpoint (run);
-  else if (kind < 33)
+  else if (action < 33)
     step_truncate (run);
-  else if (kind < 36)
-    step_replace (run);
-  else if (kind < 40)
+  else if (action < 36)
+    step_restart_reader (run);
+  else if (action < 40)
     step_adopt (run);
   else
     read_some (run, &run->readers[choose (run, READERS)], 1 + choose (run, 6));
 }
 
-/* A last checkpoint of someone who saw everything lets all readers catch up and agree. */
+/* Appends a checkpoint of the complete state, after which all readers must catch up and agree. */
 static void
-settle (run_t *run)
+check_convergence (run_t *run)
 {
-  g_autofree char *checkpoint = rep_checkpoint_record (run->truth);
+  g_autofree char *checkpoint = rep_checkpoint_record (run->reference);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (checkpoint);
   append (run, checkpoint);
-  for (uint32_t at = 0; at < READERS; at++)
+  for (uint32_t i = 0; i < READERS; i++)
     {
-      reader_t *reader = &run->readers[at];
+      reader_t *reader = &run->readers[i];
 
       read_some (run, reader, RECORDS_MAX);
       read_some (run, reader, RECORDS_MAX);
       CU_ASSERT_TRUE (rep_ready (reader->rep));
       CU_ASSERT_EQUAL (rep_next_offset (reader->rep), run->end_offset);
       CU_ASSERT_STRING_EQUAL (rep_manifest (reader->rep)->digest,
-                              rep_manifest (run->truth)->digest);
+                              rep_manifest (run->reference)->digest);
     }
 }
 
 static void
 free_run (run_t *run)
 {
-  for (uint64_t at = 0; at < RECORDS_MAX; at++)
+  for (uint64_t i = 0; i < RECORDS_MAX; i++)
     {
-      g_free (run->records[at]);
-      g_free (run->digests[at]);
+      g_free (run->records[i]);
+      g_free (run->digests[i]);
     }
-  for (uint32_t at = 0; at < READERS; at++)
-    rep_free (run->readers[at].rep);
-  for (uint32_t at = 0; at < PUBLISHERS; at++)
-    g_free (run->publishers[at].text);
-  for (uint32_t at = 0; at < PAUSED; at++)
-    g_free (run->paused[at]);
-  rep_free (run->truth);
+  for (uint32_t i = 0; i < READERS; i++)
+    rep_free (run->readers[i].rep);
+  for (uint32_t i = 0; i < PUBLISHERS; i++)
+    g_free (run->publishers[i].text);
+  for (uint32_t i = 0; i < PAUSED; i++)
+    g_free (run->paused[i]);
+  rep_free (run->reference);
   g_rand_free (run->rand);
   g_free (run);
 }
@@ -273,19 +277,19 @@
   run_t *run = g_new0 (run_t, 1);
 
   run->rand = g_rand_new_with_seed (seed);
-  run->truth = rep_new ();
-  rep_begin (run->truth, 0);
-  for (uint32_t at = 0; at < READERS; at++)
-    run->readers[at].rep = rep_new ();
+  run->reference = rep_new ();
+  rep_begin (run->reference, 0);
+  for (uint32_t i = 0; i < READERS; i++)
+    run->readers[i].rep = rep_new ();
   return run;
 }
 
 /*
- * Operators race, appends are doubled, daemons are paused with a checkpoint in hand and append it
- * long after, the log drops its oldest records, daemons are replaced and told by peers. Callers
- * must never be served under a version after a later one was: whoever says that it is ready holds
- * what the records up to its offset make, no reader goes back, and one that just began is not
- * ready under a version that was replaced before it began.
+ * Random runs with concurrent publishes, duplicate appends, checkpoints that are appended late, a
+ * log that drops its oldest records, and daemons that are replaced or adopt the state of a peer.
+ * Guards against serving with an outdated version: a reader that is ready must hold exactly the
+ * version that the records before its offset produce, its version must never decrease, and a
+ * reader must not become ready with a version that was replaced before it began to read.
  */
 static void
 test_readers_agree (void)
@@ -296,23 +300,23 @@
     {
       run_t *run = new_run (seed);
 
-      for (uint32_t at = 0; at < STEPS && run->end_offset < RECORDS_MAX - 1; at++)
+      for (uint32_t i = 0; i < STEPS_MAX && run->end_offset < RECORDS_MAX - 1; i++)
         step (run);
-      settle (run);
+      check_convergence (run);
       total.accepted += run->accepted;
       total.stale += run->stale;
       total.repeated += run->repeated;
-      total.restarted += run->restarted;
+      total.checkpoints_used += run->checkpoints_used;
       total.gaps += run->gaps;
       total.adopted += run->adopted;
       free_run (run);
     }
-  printf ("seeds 1..%d: %u accepted, %u lost, %u repeated, %u checkpoints used, %u gaps, %u "
+  printf ("seeds 1..%d: %u accepted, %u stale, %u repeated, %u checkpoints used, %u gaps, %u "
           "adopted ",
-          RUNS, total.accepted, total.stale, total.repeated, total.restarted, total.gaps,
+          RUNS, total.accepted, total.stale, total.repeated, total.checkpoints_used, total.gaps,
           total.adopted);
   CU_ASSERT_TRUE (total.accepted > 0 && total.stale > 0 && total.repeated > 0);
-  CU_ASSERT_TRUE (total.restarted > 0 && total.gaps > 0 && total.adopted > 0);
+  CU_ASSERT_TRUE (total.checkpoints_used > 0 && total.gaps > 0 && total.adopted > 0);
 }
 
 int
--- a/tests/test_version_fuzz.c
+++ b/tests/test_version_fuzz.c
@@ -11,7 +11,7 @@
 #define MANIFEST_ROUNDS 3000
 #define RECORD_ROUNDS 6000
 #define MUTATIONS_MAX 6
-#define STREAM_RECORDS 40 /* records fed to one reader before the next one starts */
+#define STREAM_RECORDS 40 /* records that one reader processes before a new one takes over */
 
 static const char *const MANIFESTS[] = { "examples/tuul.json", "examples/jogak.json",
                                          "tests/corpus/manifest.json" };
@@ -39,8 +39,8 @@
 static GString *
 load (const char *name)
 {
-  const char *top = getenv ("MEDLARPLANK_SOURCE");
-  g_autofree char *path = g_build_filename (top != NULL ? top : ".", name, NULL);
+  const char *source_dir = getenv ("MEDLARPLANK_SOURCE");
+  g_autofree char *path = g_build_filename (source_dir != NULL ? source_dir : ".", name, NULL);
   char *text = NULL;
   gsize text_bytes = 0;
   GString *string;
@@ -56,16 +56,16 @@
 {
   fuzz_t fuzz = { .rand = g_rand_new_with_seed (SEED) };
 
-  for (uint32_t at = 0; at < G_N_ELEMENTS (fuzz.texts); at++)
-    fuzz.texts[at] = load (names[at]);
+  for (uint32_t i = 0; i < G_N_ELEMENTS (fuzz.texts); i++)
+    fuzz.texts[i] = load (names[i]);
   return fuzz;
 }
 
 static void
-end_fuzz (fuzz_t *fuzz)
+free_fuzz (fuzz_t *fuzz)
 {
-  for (uint32_t at = 0; at < G_N_ELEMENTS (fuzz->texts); at++)
-    g_string_free (fuzz->texts[at], TRUE);
+  for (uint32_t i = 0; i < G_N_ELEMENTS (fuzz->texts); i++)
+    g_string_free (fuzz->texts[i], TRUE);
   g_rand_free (fuzz->rand);
 }
 
@@ -73,33 +73,33 @@
 mutate_once (const fuzz_t *fuzz, GString *text)
 {
   const GString *other = fuzz->texts[choose (fuzz, G_N_ELEMENTS (fuzz->texts))];
-  gssize at = choose (fuzz, text->len + 1);
-  gssize length = choose (fuzz, MIN (text->len - (gsize)at, 200) + 1);
+  gssize pos = choose (fuzz, text->len + 1);
+  gssize length = choose (fuzz, MIN (text->len - (gsize)pos, 200) + 1);
   uint32_t from = choose (fuzz, other->len);
 
   switch (choose (fuzz, 5))
     {
     case 0:
-      if ((gsize)at < text->len)
-        text->str[at] = (char)choose (fuzz, 256);
+      if ((gsize)pos < text->len)
+        text->str[pos] = (char)choose (fuzz, 256);
       break;
     case 1:
-      g_string_erase (text, at, length);
+      g_string_erase (text, pos, length);
       break;
     case 2:
-      g_string_insert (text, at, TOKENS[choose (fuzz, G_N_ELEMENTS (TOKENS))]);
+      g_string_insert (text, pos, TOKENS[choose (fuzz, G_N_ELEMENTS (TOKENS))]);
       break;
     case 3:
-      g_string_insert_len (text, at, other->str + from, (gssize)MIN (other->len - from, 60));
+      g_string_insert_len (text, pos, other->str + from, (gssize)MIN (other->len - from, 60));
       break;
     default:
-      if ((gsize)at < text->len && g_ascii_isdigit (text->str[at]))
-        text->str[at] = (char)('0' + choose (fuzz, 10));
+      if ((gsize)pos < text->len && g_ascii_isdigit (text->str[pos]))
+        text->str[pos] = (char)('0' + choose (fuzz, 10));
       break;
     }
 }
 
-/* The result lies in a block of its own size, so that a read beyond its end is seen. */
+/* Return: a block of exactly @text_bytes, so that a sanitizer detects reads beyond the end. */
 static char *
 mutate (const fuzz_t *fuzz, size_t *text_bytes)
 {
@@ -107,7 +107,7 @@
   GString *text = g_string_new_len (origin->str, (gssize)origin->len);
   char *block;
 
-  for (uint32_t left = choose (fuzz, MUTATIONS_MAX + 1); left > 0; left--)
+  for (uint32_t remaining = choose (fuzz, MUTATIONS_MAX + 1); remaining > 0; remaining--)
     mutate_once (fuzz, text);
   *text_bytes = text->len;
   block = g_memdup2 (text->str, text->len);
@@ -115,41 +115,41 @@
   return block;
 }
 
-/* A manifest that was taken is taken again in its canonical form, with the same digest. */
+/* Parsing the canonical form of an accepted manifest must yield the same digest. */
 static void
-expect_stable (const man_t *man)
+expect_same_digest (const man_t *manifest)
 {
-  g_autofree char *text = json_dumps (man->json, JSON_SORT_KEYS | JSON_COMPACT);
+  g_autofree char *text = json_dumps (manifest->json, JSON_SORT_KEYS | JSON_COMPACT);
   g_autoptr (man_t) again = man_parse (text, strlen (text), NULL);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (again);
-  CU_ASSERT_STRING_EQUAL (again->digest, man->digest);
+  CU_ASSERT_STRING_EQUAL (again->digest, manifest->digest);
 }
 
 static void
 test_manifests (void)
 {
   fuzz_t fuzz = new_fuzz (MANIFESTS);
-  uint32_t taken = 0;
+  uint32_t accepted = 0;
 
   for (uint32_t round = 0; round < MANIFEST_ROUNDS; round++)
     {
       size_t text_bytes;
       g_autofree char *text = mutate (&fuzz, &text_bytes);
       g_autoptr (GError) error = NULL;
-      g_autoptr (man_t) man = man_parse (text, text_bytes, &error);
+      g_autoptr (man_t) manifest = man_parse (text, text_bytes, &error);
 
-      CU_ASSERT_TRUE ((man == NULL) == (error != NULL));
+      CU_ASSERT_TRUE ((manifest == NULL) == (error != NULL));
       if (error != NULL)
         CU_ASSERT_PTR_NOT_NULL (strstr (error->message, ": "));
-      if (man == NULL)
+      if (manifest == NULL)
         continue;
-      taken++;
-      expect_stable (man);
+      accepted++;
+      expect_same_digest (manifest);
     }
-  printf ("seed %d: %u of %d taken ", SEED, taken, MANIFEST_ROUNDS);
-  CU_ASSERT_TRUE (taken > 0 && taken < MANIFEST_ROUNDS);
-  end_fuzz (&fuzz);
+  printf ("seed %d: %u of %d accepted ", SEED, accepted, MANIFEST_ROUNDS);
+  CU_ASSERT_TRUE (accepted > 0 && accepted < MANIFEST_ROUNDS);
+  free_fuzz (&fuzz);
 }
 
 static rep_t *
@@ -168,17 +168,17 @@
   fuzz_t fuzz = new_fuzz (RECORDS);
   rep_t *rep = new_reader (&fuzz);
   uint64_t version = 0;
-  uint32_t seen[REP_SKIPPED + 1] = { 0 };
+  uint32_t verdicts[REP_SKIPPED + 1] = { 0 };
 
   for (uint32_t round = 0; round < RECORD_ROUNDS; round++)
     {
       size_t text_bytes;
       g_autofree char *text = mutate (&fuzz, &text_bytes);
-      rep_judgement_t judgement = rep_feed (rep, rep_next_offset (rep), text, text_bytes);
+      rep_judgement_t result = rep_feed (rep, rep_next_offset (rep), text, text_bytes);
 
-      seen[judgement.verdict]++;
-      CU_ASSERT_TRUE_FATAL (judgement.version >= version);
-      version = judgement.version;
+      verdicts[result.verdict]++;
+      CU_ASSERT_TRUE_FATAL (result.version >= version);
+      version = result.version;
       if (round % STREAM_RECORDS == STREAM_RECORDS - 1)
         {
           rep_free (rep);
@@ -189,12 +189,12 @@
   printf ("seed %d:", SEED);
   for (uint32_t verdict = 0; verdict <= REP_SKIPPED; verdict++)
     {
-      printf (" %u", seen[verdict]);
-      CU_ASSERT_TRUE (seen[verdict] > 0);
+      printf (" %u", verdicts[verdict]);
+      CU_ASSERT_TRUE (verdicts[verdict] > 0);
     }
   printf (" ");
   rep_free (rep);
-  end_fuzz (&fuzz);
+  free_fuzz (&fuzz);
 }
 
 int
