--- a/src/version/answer_seal.c
+++ b/src/version/answer_seal.c
@@ -11,8 +11,9 @@
 asl_nonce (char out[ASL_NONCE_BYTES])
 {
   uint8_t random[NONCE_RANDOM_BYTES];
-  ssize_t got = getrandom (random, sizeof random, 0);
-  g_assert (got == sizeof random); /* of so few bytes it never gives only a part */
+  ssize_t random_bytes = getrandom (random, sizeof random, 0);
+  /* getrandom() never returns fewer bytes than requested for up to 256 bytes. */
+  g_assert (random_bytes == sizeof random);
   for (uint32_t i = 0; i < sizeof random; i++)
     g_snprintf (out + 2 * (size_t)i, 3, "%02x", random[i]);
 }
@@ -26,7 +27,7 @@
           char out[ASL_SEAL_BYTES])
 {
   GHmac *hmac = g_hmac_new (G_CHECKSUM_SHA256, (const guchar *)fleet_key, strlen (fleet_key));
-  /* With their final NULs, which part the fields; a nonce holds none. */
+  /* The terminating NULs are included to separate the fields, which can't contain one. */
   g_hmac_update (hmac, (const guchar *)kind, (gssize)strlen (kind) + 1);
   g_hmac_update (hmac, (const guchar *)nonce, (gssize)strlen (nonce) + 1);
   g_hmac_update (hmac, (const guchar *)body, (gssize)body_bytes);
@@ -35,12 +36,12 @@
 }
 
 bool
-asl_same (const char *given, const char right[ASL_SEAL_BYTES])
+asl_same (const char *received, const char expected[ASL_SEAL_BYTES])
 {
-  if (strlen (given) != ASL_SEAL_BYTES - 1)
+  if (strlen (received) != ASL_SEAL_BYTES - 1)
     return false;
   uint8_t difference = 0;
   for (uint32_t i = 0; i < ASL_SEAL_BYTES - 1; i++)
-    difference |= (uint8_t)given[i] ^ (uint8_t)right[i];
+    difference |= (uint8_t)received[i] ^ (uint8_t)expected[i];
   return difference == 0;
 }
--- a/src/version/answer_seal.h
+++ b/src/version/answer_seal.h
@@ -1,9 +1,9 @@
 /**
  * DOC: answer_seal
  *
- * Seals answers between daemons under the fleet key: HMAC-SHA256 over what kind of answer it is, a
- * nonce that the asker sent, and the body. Neither a stranger nor somebody who recorded an old
- * answer can make the asker take it.
+ * Authenticates responses between daemons with an HMAC-SHA256 under the fleet key. The HMAC, called
+ * seal, covers the kind of response, a nonce from the request, and the body. The nonce prevents
+ * replay of a recorded response, and the kind prevents use of one response as another.
  */
 #ifndef VERSION_ANSWER_SEAL_H
 #define VERSION_ANSWER_SEAL_H
@@ -13,19 +13,24 @@
 
 #define ASL_NONCE_HEADER "X-Medlarplank-Nonce"
 #define ASL_SEAL_HEADER "X-Medlarplank-Answer-Seal"
-#define ASL_NONCE_BYTES 33 /* with the final NUL */
-#define ASL_SEAL_BYTES 65  /* with the final NUL */
+#define ASL_NONCE_BYTES 33 /* hex digits and the terminating NUL */
+#define ASL_SEAL_BYTES 65  /* hex digits and the terminating NUL */
 
-/** asl_nonce() - a fresh nonce for a request */
+/** asl_nonce() - generate a random nonce for a request */
 void asl_nonce (char out[ASL_NONCE_BYTES]);
-/** asl_make() - the seal, in lower-case hex; @kind of answer, a constant */
+/**
+ * asl_make() - compute the seal of a response, in lower-case hex
+ * @kind: constant that identifies the kind of response
+ * @nonce: from the request
+ */
 void asl_make (const char *fleet_key,
                const char *kind,
                const char *nonce,
                const char *body,
                size_t body_bytes,
                char out[ASL_SEAL_BYTES]);
-/** asl_same() - whether two seals are equal; takes as long for one that is almost right */
-bool asl_same (const char *given, const char right[ASL_SEAL_BYTES]);
+/** asl_same() - compare two seals in constant time, so that timing does not reveal how many
+ * characters of a guessed seal are correct */
+bool asl_same (const char *received, const char expected[ASL_SEAL_BYTES]);
 
 #endif
--- a/src/version/keyed_view.c
+++ b/src/version/keyed_view.c
@@ -5,23 +5,24 @@
 
 /**
  * struct entry - the newest record of a key
- * @value: NULL when the key was dropped; kept, so that an older record can't bring it back
- * @list: number of the list that it was seen in last
+ * @value: NULL when the key was deleted; the entry stays as a tombstone, so that an older record
+ *   that arrives late does not restore the key
+ * @list_number: number of the listing during which the key was last seen
  */
 typedef struct
 {
   uint64_t offset;
   char *value;
   size_t value_bytes;
-  uint64_t list;
+  uint64_t list_number;
 } entry_t;
 
 struct kvw
 {
   kvw_changed_t changed;
   void *context;
-  GHashTable *entries;
-  uint64_t list;
+  GHashTable *entries; /* key -> entry_t */
+  uint64_t list_number;
   uint64_t listed_offset;
   uint64_t revision;
 };
@@ -64,7 +65,7 @@
 }
 
 static void
-put (entry_t *entry, uint64_t offset, const char *value, size_t value_bytes)
+entry_set (entry_t *entry, uint64_t offset, const char *value, size_t value_bytes)
 {
   g_free (entry->value);
   entry->offset = offset;
@@ -76,17 +77,17 @@
 kvw_apply (kvw_t *kvw, uint64_t offset, const char *key, const char *value, size_t value_bytes)
 {
   entry_t *entry = g_hash_table_lookup (kvw->entries, key);
-  bool known = entry != NULL;
+  bool exists = entry != NULL;
 
-  if (!known)
+  if (!exists)
     {
       entry = g_new0 (entry_t, 1);
       g_hash_table_insert (kvw->entries, g_strdup (key), entry);
     }
-  entry->list = kvw->list;
-  if (known && entry->offset >= offset)
+  entry->list_number = kvw->list_number;
+  if (exists && entry->offset >= offset)
     return false;
-  put (entry, offset, value, value_bytes);
+  entry_set (entry, offset, value, value_bytes);
   kvw->revision++;
   kvw->changed (key, entry->value, entry->value_bytes, offset, kvw->context);
   return true;
@@ -95,10 +96,11 @@
 void
 kvw_list_begin (kvw_t *kvw)
 {
-  kvw->list++;
+  kvw->list_number++;
 }
 
-/* Dropped entries go for good here: nothing older than the list is read any more. */
+/* Also discards the tombstones from before the listing: readers continue from its end, so that no
+ * older record follows. */
 void
 kvw_list_end (kvw_t *kvw, uint64_t end_offset)
 {
@@ -113,7 +115,7 @@
     {
       entry_t *entry = value;
 
-      if (entry->list == kvw->list || entry->offset >= end_offset)
+      if (entry->list_number == kvw->list_number || entry->offset >= end_offset)
         continue;
       if (entry->value)
         kvw->changed (key, NULL, 0, end_offset, kvw->context);
--- a/src/version/manifest_sync.c
+++ b/src/version/manifest_sync.c
@@ -3,45 +3,46 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONTEXT "medlarplank manifest answer"
+#define SEAL_KIND "medlarplank manifest answer"
 
 static man_t *
 read_fields (json_t *json, uint64_t *next_offset, GError **error)
 {
   json_int_t version = 0;
   json_int_t next = 0;
-  json_t *manifest = NULL;
-  int read = json_unpack (json, "{s:I,s:I,s:o}", "version", &version, "next_offset", &next,
-                          "manifest", &manifest);
-  if (read != 0 || version <= 0 || next <= 0)
+  json_t *document = NULL;
+  int unpacked = json_unpack (json, "{s:I,s:I,s:o}", "version", &version, "next_offset", &next,
+                              "manifest", &document);
+  if (unpacked != 0 || version <= 0 || next <= 0)
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_MISSING, "version, next_offset or manifest");
+      g_set_error (error, MAN_ERROR, MAN_ERROR_MISSING,
+                   "version, next_offset or manifest is missing or invalid");
       return NULL;
     }
-  man_t *man = man_from_json (manifest, error);
-  if (man == NULL)
+  man_t *manifest = man_from_json (document, error);
+  if (manifest == NULL)
     return NULL;
-  man->version = (uint64_t)version;
+  manifest->version = (uint64_t)version;
   *next_offset = (uint64_t)next;
-  return man;
+  return manifest;
 }
 
 char *
 msy_write (const char *fleet_key,
            const char *nonce,
-           const man_t *man,
+           const man_t *manifest,
            uint64_t next_offset,
            char seal[ASL_SEAL_BYTES])
 {
-  json_t *json = json_pack ("{s:I,s:I,s:O}", "version", (json_int_t)man->version, "next_offset",
-                            (json_int_t)next_offset, "manifest", man->json);
+  json_t *json = json_pack ("{s:I,s:I,s:O}", "version", (json_int_t)manifest->version,
+                            "next_offset", (json_int_t)next_offset, "manifest", manifest->json);
   char *text = json_dumps (json, JSON_COMPACT);
   char *body = g_strdup (text);
   free (text);
   json_decref (json);
   seal[0] = '\0';
   if (nonce != NULL)
-    asl_make (fleet_key, CONTEXT, nonce, body, strlen (body), seal);
+    asl_make (fleet_key, SEAL_KIND, nonce, body, strlen (body), seal);
   return body;
 }
 
@@ -54,20 +55,20 @@
           uint64_t *next_offset,
           GError **error)
 {
-  char right[ASL_SEAL_BYTES];
-  asl_make (fleet_key, CONTEXT, nonce, body, body_bytes, right);
-  if (seal == NULL || !asl_same (seal, right))
+  char expected[ASL_SEAL_BYTES];
+  asl_make (fleet_key, SEAL_KIND, nonce, body, body_bytes, expected);
+  if (seal == NULL || !asl_same (seal, expected))
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_REFERENCE, "the seal does not fit the answer");
+      g_set_error (error, MAN_ERROR, MAN_ERROR_REFERENCE, "the seal does not match the response");
       return NULL;
     }
   json_t *json = json_loadb (body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
   if (json == NULL)
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_SYNTAX, "the answer is not JSON");
+      g_set_error (error, MAN_ERROR, MAN_ERROR_SYNTAX, "the response is not JSON");
       return NULL;
     }
-  man_t *man = read_fields (json, next_offset, error);
+  man_t *manifest = read_fields (json, next_offset, error);
   json_decref (json);
-  return man;
+  return manifest;
 }
--- a/src/version/manifest_sync.h
+++ b/src/version/manifest_sync.h
@@ -1,10 +1,9 @@
 /**
  * DOC: manifest_sync
  *
- * How a daemon that is behind takes the version in force from another one: the answer to
- * GET %MSY_PATH, sealed with an HMAC-SHA256 under the fleet key. The seal covers a nonce that the
- * asker sent, so that neither a stranger nor somebody who recorded an old answer can make it take
- * a version that was never in force, or an old one for the newest.
+ * Lets a daemon whose manifest is out of date fetch the version in force from a peer: formats and
+ * parses the response to GET %MSY_PATH. An answer seal authenticates the response, so that an
+ * attacker can neither forge a version nor replay the response with an old one.
  */
 #ifndef VERSION_MANIFEST_SYNC_H
 #define VERSION_MANIFEST_SYNC_H
@@ -18,18 +17,27 @@
 #include <stdint.h>
 
 #define MSY_PATH "/medlarplank/manifest"
+
 /**
- * msy_write() - the body of the answer, to be freed by g_free()
- * @nonce: of the request's ASL_NONCE_HEADER; NULL when it had none, then there is no seal
- * @seal: for ASL_SEAL_HEADER; "" without a nonce
+ * msy_write() - format the body of the response; free it with g_free()
+ * @nonce: value of ASL_NONCE_HEADER in the request; NULL when absent, then there is no seal
+ * @manifest: the version in force after all records before @next_offset of the manifest stream
+ * @seal: receives the value for ASL_SEAL_HEADER; "" without a nonce
  */
 char *msy_write (const char *fleet_key,
                  const char *nonce,
-                 const man_t *man,
+                 const man_t *manifest,
                  uint64_t next_offset,
                  char seal[ASL_SEAL_BYTES]);
 
-/** msy_read() - the manifest in a sealed answer, with its version; NULL with an error otherwise */
+/**
+ * msy_read() - verify and parse a response
+ * @nonce: the one sent with the request
+ * @seal: value of ASL_SEAL_HEADER in the response; NULL when absent
+ * @next_offset: receives the offset of the first record after the manifest
+ *
+ * Return: the manifest with its version, or NULL with @error set
+ */
 man_t *msy_read (const char *fleet_key,
                  const char *nonce,
                  const char *seal,
--- a/src/version/replay.h
+++ b/src/version/replay.h
@@ -28,7 +28,7 @@
 typedef enum
 {
   REP_ACCEPTED,        /* a publish that is now in force */
-  REP_STALE_BASE,      /* a publish whose base is not the version in force: it lost to another */
+  REP_STALE_BASE,      /* a publish whose base is not the version in force */
   REP_INVALID,         /* a publish with an invalid manifest, or an invalid record */
   REP_REPEATED,        /* a rejected publish whose id was processed before */
   REP_CHECKPOINT_USED, /* replay continues from this checkpoint */
--- a/src/version/routing.c
+++ b/src/version/routing.c
@@ -3,16 +3,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define HOST_BYTES 256
-#define PATH_BYTES 2048
+#define HOST_BYTES_MAX 256  /* with the terminating NUL */
+#define PATH_BYTES_MAX 2048 /* with the terminating NUL */
 
 /**
- * struct rte - a table
- * @routes: "host/prefix/" -> rte_route_t
- * @sources: source_hash -> rte_route_t of @routes
- * @accounts: rte_account_t by name
- * @keys: key -> rte_account_t of @accounts
+ * struct rte - a routing table
+ * @routes: lookup key ("host/prefix/") -> rte_route_t, with a reference
+ * @sources: source_hash -> rte_route_t in @routes
+ * @accounts: name -> rte_account_t
+ * @keys: API key -> rte_account_t in @accounts
  * @services: interned name -> rte_service_t
+ * @keys_required: routes that are not public need an API key
  */
 struct rte
 {
@@ -30,7 +31,7 @@
 GQuark
 rte_error_quark (void)
 {
-  return g_quark_from_static_string ("rte-error-quark");
+  return g_quark_from_static_string ("routing-error-quark");
 }
 
 static void
@@ -93,7 +94,7 @@
   route->host = g_ascii_strdown (host, -1);
   route->path_prefix = g_strdup (path_prefix);
   route->targets = g_array_new (FALSE, TRUE, sizeof (rte_target_t));
-  route->place = g_strconcat (route->host, path_prefix, NULL);
+  route->lookup_key = g_strconcat (route->host, path_prefix, NULL);
   route->refs = 1;
   return route;
 }
@@ -111,7 +112,7 @@
 {
   if (!g_atomic_int_dec_and_test (&route->refs))
     return;
-  g_free (route->place);
+  g_free (route->lookup_key);
   g_free (route->name);
   g_free (route->host);
   g_free (route->path_prefix);
@@ -131,26 +132,26 @@
 }
 
 static const char *
-fault_of (const rte_route_t *route)
+route_error (const rte_route_t *route)
 {
   const char *prefix = route->path_prefix;
 
-  if (route->host[0] == '\0' || strchr (route->host, '/') || strlen (route->host) >= HOST_BYTES)
-    return "has no sound host";
-  if (prefix[0] != '/' || !g_str_has_suffix (prefix, "/") || strlen (prefix) >= PATH_BYTES)
+  if (route->host[0] == '\0' || strchr (route->host, '/') || strlen (route->host) >= HOST_BYTES_MAX)
+    return "has an invalid host";
+  if (prefix[0] != '/' || !g_str_has_suffix (prefix, "/") || strlen (prefix) >= PATH_BYTES_MAX)
     return "has a path prefix that does not begin and end with a slash";
   if (weight_sum (route) == 0)
-    return "leads to no service";
+    return "has no service with a weight above zero";
   if (route->timeout_ms == 0 || route->attempts == 0)
     return "has no timeout or no attempts";
   return NULL;
 }
 
-/* takes one reference of @route */
+/* Takes over one reference to @route. */
 static void
-put_route (rte_t *rte, rte_route_t *route)
+insert_route (rte_t *rte, rte_route_t *route)
 {
-  g_hash_table_insert (rte->routes, route->place, route);
+  g_hash_table_insert (rte->routes, route->lookup_key, route);
   if (route->source_hash != 0)
     g_hash_table_insert (rte->sources, &route->source_hash, route);
 }
@@ -158,16 +159,16 @@
 bool
 rte_add_route (rte_t *rte, rte_route_t *route, GError **error)
 {
-  const char *fault = fault_of (route);
+  const char *reason = route_error (route);
 
-  if (!fault && g_hash_table_contains (rte->routes, route->place))
-    fault = "has the host and prefix of another";
-  if (!fault)
+  if (!reason && g_hash_table_contains (rte->routes, route->lookup_key))
+    reason = "has the host and prefix of another";
+  if (!reason)
     {
-      put_route (rte, route);
+      insert_route (rte, route);
       return true;
     }
-  g_set_error (error, RTE_ERROR, RTE_ERROR_ROUTE, "route \"%s\" %s", route->name, fault);
+  g_set_error (error, RTE_ERROR, RTE_ERROR_ROUTE, "route \"%s\" %s", route->name, reason);
   rte_route_unref (route);
   return false;
 }
@@ -177,10 +178,10 @@
 {
   rte_route_t *route = g_hash_table_lookup (before->sources, &source_hash);
 
-  if (!route || g_hash_table_contains (rte->routes, route->place))
+  if (!route || g_hash_table_contains (rte->routes, route->lookup_key))
     return false;
   g_atomic_int_inc (&route->refs);
-  put_route (rte, route);
+  insert_route (rte, route);
   return true;
 }
 
@@ -195,7 +196,7 @@
 
   if (g_hash_table_contains (rte->accounts, account->name))
     {
-      g_set_error (error, RTE_ERROR, RTE_ERROR_ACCOUNT, "client account \"%s\" stands twice",
+      g_set_error (error, RTE_ERROR, RTE_ERROR_ACCOUNT, "client account \"%s\" is defined twice",
                    account->name);
       return false;
     }
@@ -208,7 +209,7 @@
     if (!g_hash_table_insert (rte->keys, g_strdup (keys[i]), copy))
       {
         g_set_error (error, RTE_ERROR, RTE_ERROR_ACCOUNT,
-                     "a key of client account \"%s\" is held twice", account->name);
+                     "an API key of client account \"%s\" is already in use", account->name);
         return false;
       }
   return true;
@@ -263,39 +264,41 @@
   return rte->keys_required && !route->is_public;
 }
 
-/* Return: bytes of the host written to @out in lower case, 0 when it does not fit */
+/* Writes the host without its port to @out, in lower case. Return: its length; 0 when it is invalid
+ * or too long. */
 static size_t
-write_host (const char *host, char *out)
+normalize_host (const char *host, char *out)
 {
   size_t bytes = host[0] == '[' ? strcspn (host, "]") + 1 : strcspn (host, ":");
 
-  if (bytes == 0 || bytes >= HOST_BYTES || bytes > strlen (host))
+  if (bytes == 0 || bytes >= HOST_BYTES_MAX || bytes > strlen (host))
     return 0;
   for (size_t i = 0; i < bytes; i++)
     out[i] = g_ascii_tolower (host[i]);
   return bytes;
 }
 
-/* A prefix ends with a slash, so only the path's slashes are tried, the last one first. */
+/* Every prefix ends with a slash, so only the prefixes of the path that end with one are looked up,
+ * the longest first. */
 const rte_route_t *
 rte_find (const rte_t *rte, const char *host, const char *target)
 {
-  char place[HOST_BYTES + PATH_BYTES];
-  size_t host_bytes = host ? write_host (host, place) : 0;
+  char lookup_key[HOST_BYTES_MAX + PATH_BYTES_MAX];
+  size_t host_bytes = host ? normalize_host (host, lookup_key) : 0;
   size_t path_bytes = strcspn (target, "?#");
 
   if (host_bytes == 0)
     return NULL;
-  path_bytes = MIN (path_bytes, PATH_BYTES - 1);
-  memcpy (place + host_bytes, target, path_bytes);
-  for (size_t at = path_bytes; at > 0; at--)
+  path_bytes = MIN (path_bytes, PATH_BYTES_MAX - 1);
+  memcpy (lookup_key + host_bytes, target, path_bytes);
+  for (size_t length = path_bytes; length > 0; length--)
     {
       const rte_route_t *route;
 
-      if (target[at - 1] != '/')
+      if (target[length - 1] != '/')
         continue;
-      place[host_bytes + at] = '\0';
-      route = g_hash_table_lookup (rte->routes, place);
+      lookup_key[host_bytes + length] = '\0';
+      route = g_hash_table_lookup (rte->routes, lookup_key);
       if (route)
         return route;
     }
@@ -309,20 +312,20 @@
 }
 
 const char *
-rte_target (const rte_route_t *route, uint64_t dice)
+rte_target (const rte_route_t *route, uint64_t selector)
 {
   uint64_t sum = weight_sum (route);
-  uint64_t left;
+  uint64_t remainder;
 
   g_assert (sum > 0);
-  left = dice % sum;
+  remainder = selector % sum;
   for (guint i = 0; i < route->targets->len; i++)
     {
       const rte_target_t *target = &g_array_index (route->targets, rte_target_t, i);
 
-      if (left < target->weight)
+      if (remainder < target->weight)
         return target->service;
-      left -= target->weight;
+      remainder -= target->weight;
     }
   g_assert_not_reached ();
 }
--- a/src/version/routing.h
+++ b/src/version/routing.h
@@ -1,9 +1,9 @@
 /**
  * DOC: routing
  *
- * One version of the operators' routing rules: routes by host and longest path prefix, the services
- * behind them, client accounts with their keys, and limits towards callers. Immutable once built
- * and counted by references, so that a request keeps the version that it started under.
+ * One version of the routing configuration: routes by host and longest path prefix, their services,
+ * client accounts with their API keys, and limits on client requests. A table is immutable once it
+ * is built, and reference counted, so that each request keeps the version that it started with.
  */
 #ifndef VERSION_ROUTING_H
 #define VERSION_ROUTING_H
@@ -16,12 +16,13 @@
 
 typedef enum
 {
-  RTE_IDEMPOTENT,     /* may run more than once */
-  RTE_NON_IDEMPOTENT, /* runs at most once */
-  RTE_STREAM          /* a series of events; may be repeated only where it can be resumed */
+  RTE_IDEMPOTENT,     /* may be executed more than once */
+  RTE_NON_IDEMPOTENT, /* must be executed at most once */
+  RTE_STREAM          /* an event stream; a retry must be able to resume it */
 } rte_kind_t;
 
-/** struct rte_target - one service of a route, chosen by @weight against the others' sum */
+/** struct rte_target - one service of a route; its share of the requests is @weight divided by the
+ * sum of the weights of all targets */
 typedef struct
 {
   const char *service; /* interned */
@@ -30,18 +31,21 @@
 
 /**
  * struct rte_route - a route
+ * @host: in lower case
  * @path_prefix: begins and ends with a slash
- * @timeout_ms: longest time that a caller is kept waiting
- * @aim_ms: time within which an answer is worth most
- * @attempts: engines that may run one request
- * @priority: 0 is first
- * @gap_ms: of a stream: longest pause between events that is still on time; 0 is unknown
- * @silence_ms: a stream's callers leave when nothing has come for so long; 0 is unknown
- * @is_public: needs no key
- * @sticky: requests share parts of their prompts
- * @resumable: a stream may go on at another engine
- * @regions: whose engines may get its requests; NULL is all
- * @source_hash: of the text that it was read from, for rte_reuse_route(); 0 when there is none
+ * @timeout_ms: longest time that a client waits for a response
+ * @aim_ms: target response time; a later response is worth less to the client
+ * @attempts: maximum number of engines that may be tried for one request
+ * @priority: 0 is the highest priority
+ * @gap_ms: target for the longest pause between two events of a stream; 0 when unknown
+ * @silence_ms: clients of a stream disconnect after this time without data; 0 when unknown
+ * @is_public: requests need no API key
+ * @sticky: requests with common prompt parts should go to the same engine
+ * @resumable: a stream can be continued by another engine
+ * @regions: regions whose engines may serve the route, terminated by NULL; NULL allows all
+ * @source_hash: hash of the JSON text of the route, for rte_reuse_route(); 0 when there is none
+ * @refs: reference count; each table that contains the route holds one reference
+ * @lookup_key: @host followed by @path_prefix
  */
 typedef struct
 {
@@ -61,14 +65,15 @@
   GArray *targets; /* rte_target_t, at least one */
   char **regions;
   uint64_t source_hash;
-  gint refs;   /* tables that hold it */
-  char *place; /* host and prefix */
+  gint refs;
+  char *lookup_key;
 } rte_route_t;
 
 /**
  * struct rte_account - a client account
- * @priority: goes before the route's when @has_priority
- * @regions: whose engines may get its requests; NULL is all
+ * @hash: hash of @name, set by rte_add_account()
+ * @priority: overrides the priority of the route when @has_priority is set
+ * @regions: regions whose engines may serve the account, terminated by NULL; NULL allows all
  */
 typedef struct
 {
@@ -80,9 +85,9 @@
 } rte_account_t;
 
 /**
- * struct rte_service - what operators say of a service
- * @cold_per_s: requests a second that an engine bears while it is cold; 0 is unknown
- * @cold_start_us: how long an engine is cold after its start; 0 is not at all
+ * struct rte_service - configuration of a service
+ * @cold_per_s: requests per second that a cold engine can handle; 0 when unknown
+ * @cold_start_us: time that an engine stays cold after its start; 0 when it is never cold
  */
 typedef struct
 {
@@ -92,7 +97,11 @@
 } rte_service_t;
 
 /**
- * struct rte_limits - what a caller may send, and how long it may take; 0 keeps the setting
+ * struct rte_limits - limits on client requests; 0 keeps the value of the daemon's own setting
+ * @header_bytes: maximum size of all headers of a request
+ * @body_bytes: maximum size of a request body
+ * @header_timeout_ms: longest time until all headers have arrived
+ * @idle_timeout_ms: time after which a connection without a request is closed
  */
 typedef struct
 {
@@ -104,59 +113,67 @@
 
 typedef struct rte rte_t;
 
-/** rte_new() - an empty table of @version, with one reference; filled by the rte_add_*() functions
- * before anybody else holds it */
+/** rte_new() - an empty table of @version, with one reference. It must be filled by the rte_add_*()
+ * functions before it is shared */
 rte_t *rte_new (uint64_t version);
 rte_t *rte_ref (rte_t *rte);
 void rte_unref (rte_t *rte);
 
-/** rte_route_new() - for rte_add_route(), with a private copy of the three texts */
+/** rte_route_new() - a route without targets, with copies of the three strings; @host becomes lower
+ * case */
 rte_route_t *rte_route_new (const char *name, const char *host, const char *path_prefix);
+/** rte_route_target() - add a service to the targets of @route */
 void rte_route_target (rte_route_t *route, const char *service, uint32_t weight);
+/** rte_route_unref() - release a reference to a route */
 void rte_route_unref (rte_route_t *route);
-/** rte_add_route() - takes @route over. Return: false, with @route freed, when it is not sound: a
- * prefix without its slashes, no target, or the host and prefix of another route */
+/** rte_add_route() - add @route and take over its reference. Return: false with @error set, and the
+ * reference released, when the route is invalid (such as a prefix without its slashes, or no
+ * target) or has the same host and prefix as another one */
 bool rte_add_route (rte_t *rte, rte_route_t *route, GError **error);
-/** rte_reuse_route() - add the route of @before that was read from the same text. Return: false
- * when there is none, or its place is taken */
+/** rte_reuse_route() - add the route of the table @before that was read from the same text, without
+ * parsing it again. Return: false when there is none, or the table already has its host and prefix
+ */
 bool rte_reuse_route (rte_t *rte, const rte_t *before, uint64_t source_hash);
-/** rte_add_account() - with private copies. Return: false when a key is held by another account
- * already */
+/** rte_add_account() - add a copy of @account with its API keys. Return: false with @error set when
+ * the account exists, or one of the keys is already in use */
 bool rte_add_account (rte_t *rte,
                       const rte_account_t *account,
                       const char *const *keys,
                       uint32_t key_count,
                       GError **error);
+/** rte_add_service() - add a copy of @service, or replace the one of the same name */
 void rte_add_service (rte_t *rte, const rte_service_t *service);
-/** rte_service() - by its interned name; NULL when operators say nothing of it */
+/** rte_service() - the service with the interned string @name; NULL when it is not configured */
 const rte_service_t *rte_service (const rte_t *rte, const char *name);
-/** rte_set_limits() - what callers may send */
+/** rte_set_limits() - set the limits on client requests */
 void rte_set_limits (rte_t *rte, const rte_limits_t *limits);
-/** rte_require_keys() - callers must show a key, on routes that are not public */
+/** rte_require_keys() - require an API key on all routes that are not public */
 void rte_require_keys (rte_t *rte);
 
 uint64_t rte_version (const rte_t *rte);
 uint32_t rte_route_count (const rte_t *rte);
 const rte_limits_t *rte_limits (const rte_t *rte);
+/** rte_needs_key() - whether requests on @route must have a valid API key */
 bool rte_needs_key (const rte_t *rte, const rte_route_t *route);
 /**
- * rte_find() - the route of the longest prefix that begins @target's path
- * @host: as in the header Host: a port is left out, letter case does not count
+ * rte_find() - the route with the longest path prefix that matches a request, or NULL
+ * @host: value of the Host header, or NULL; port and letter case are ignored
  * @target: path and query
  */
 const rte_route_t *rte_find (const rte_t *rte, const char *host, const char *target);
-/** rte_account() - the account that holds @key, or NULL */
+/** rte_account() - the account that owns the API key @key, or NULL */
 const rte_account_t *rte_account (const rte_t *rte, const char *key);
-/** rte_target() - the service that @dice chooses by weight; equal dice choose alike */
-const char *rte_target (const rte_route_t *route, uint64_t dice);
+/** rte_target() - choose a service by weight; deterministic in @selector, which is a hash or a
+ * random number */
+const char *rte_target (const rte_route_t *route, uint64_t selector);
 
 #define RTE_ERROR (rte_error_quark ())
 GQuark rte_error_quark (void);
 typedef enum
 {
-  RTE_ERROR_ROUTE,
-  RTE_ERROR_ACCOUNT,
-  RTE_ERROR_FORM
+  RTE_ERROR_ROUTE,   /* an invalid or duplicate route */
+  RTE_ERROR_ACCOUNT, /* an invalid or duplicate account, or a key in use */
+  RTE_ERROR_FORM     /* text that is not a routing configuration */
 } rte_error_t;
 
 #endif
--- a/src/version/view_share.c
+++ b/src/version/view_share.c
@@ -21,29 +21,29 @@
   json_t *records = context;
   json_t *text = value ? json_stringn (value, value_bytes) : NULL;
 
-  /* A value that is no UTF-8 can't be told, and can't be read by anybody: it is told as dropped.
-   * Were it left out, an asker would go on by the sound value before it. */
+  /* A value that is not UTF-8 can't be represented in JSON, and no reader can parse it: it is sent
+   * as deleted. If it were omitted, the requester would keep using the previous valid value. */
   json_array_append_new (
       records, json_pack ("[s, I, o]", key, (json_int_t)offset, text ? text : json_null ()));
 }
 
 /*
- * Keys that were dropped before the last list are no longer known here. An asker that is further
- * behind gets the whole list, so that it drops them too.
+ * The view has no record of keys deleted before its last listing. A requester whose data is older
+ * than that listing gets all records as a new listing, so that it deletes those keys too.
  */
 static json_t *
-stream_json (const vsh_stream_t *stream, uint64_t from)
+format_stream (const vsh_stream_t *stream, uint64_t from)
 {
-  bool whole = from < kvw_listed_offset (stream->view);
+  bool full_listing = from < kvw_listed_offset (stream->view);
   json_t *records;
 
   if (stream->most_bytes != 0 &&
-      kvw_bytes_since (stream->view, whole ? 0 : from) > stream->most_bytes)
+      kvw_bytes_since (stream->view, full_listing ? 0 : from) > stream->most_bytes)
     return json_pack ("{s:b}", "large", 1);
   records = json_array ();
-  kvw_since (stream->view, whole ? 0 : from, add_record, records);
-  return json_pack ("{s:b, s:I, s:o}", "whole", whole, "next", (json_int_t)stream->next, "records",
-                    records);
+  kvw_since (stream->view, full_listing ? 0 : from, add_record, records);
+  return json_pack ("{s:b, s:I, s:o}", "whole", full_listing, "next", (json_int_t)stream->next,
+                    "records", records);
 }
 
 char *
@@ -55,7 +55,7 @@
 
   for (uint32_t i = 0; i < count; i++)
     if (streams[i].next > from[i])
-      json_object_set_new (json, streams[i].name, stream_json (&streams[i], from[i]));
+      json_object_set_new (json, streams[i].name, format_stream (&streams[i], from[i]));
   text = json_dumps (json, JSON_COMPACT);
   body = g_strdup (text);
   free (text);
@@ -92,19 +92,19 @@
 uint64_t
 vsh_apply (const vsh_answer_t *answer, const vsh_stream_t *stream)
 {
-  json_t *part = json_object_get (answer->json, stream->name);
-  json_int_t next = json_integer_value (json_object_get (part, "next"));
-  json_t *records = json_object_get (part, "records");
-  bool whole = json_is_true (json_object_get (part, "whole"));
+  json_t *stream_json = json_object_get (answer->json, stream->name);
+  json_int_t next = json_integer_value (json_object_get (stream_json, "next"));
+  json_t *records = json_object_get (stream_json, "records");
+  bool full_listing = json_is_true (json_object_get (stream_json, "whole"));
 
   if (!json_is_array (records) || next <= 0)
     return 0;
-  if (whole)
+  if (full_listing)
     kvw_list_begin (stream->view);
   for (size_t i = 0; i < json_array_size (records); i++)
     if (!apply_record (stream->view, json_array_get (records, i)))
       return 0;
-  if (whole)
+  if (full_listing)
     kvw_list_end (stream->view, (uint64_t)next);
   return (uint64_t)next;
 }
--- a/src/version/view_share.h
+++ b/src/version/view_share.h
@@ -1,8 +1,9 @@
 /**
  * DOC: view_share
  *
- * How a gateway that cannot read the platform's store takes from another one what that one has
- * read: the newest records of the streams that both follow. Encoding and decoding only.
+ * Lets a gateway that can't read the platform's store obtain the newest records of keyed streams
+ * from another gateway that follows the same streams. This module only formats and parses the
+ * request target and the response body.
  */
 #ifndef VERSION_VIEW_SHARE_H
 #define VERSION_VIEW_SHARE_H
@@ -14,14 +15,14 @@
 #include <jansson.h>
 
 #define VSH_PATH "/medlarplank/view"
-#define VSH_BYTES_LIMIT (16 * 1024 * 1024)
+#define VSH_BYTES_LIMIT (16 * 1024 * 1024) /* maximum size of a response body */
 
 /**
- * struct vsh_stream - a stream, as one gateway knows it
- * @name: static; also the name of the query parameter that tells from where on records are asked
- * for
- * @next: offset up to which all is known
- * @most_bytes: of values to tell; more are to be read at the store; 0 for no limit
+ * struct vsh_stream - a stream and one gateway's view of it
+ * @name: static string; also the query parameter with the offset from which records are requested
+ * @next: all records before this offset are included in @view
+ * @most_bytes: maximum total size of the values in a response; the requester reads the store
+ *   instead when they are larger; 0 for no limit
  */
 typedef struct
 {
@@ -31,29 +32,33 @@
   size_t most_bytes;
 } vsh_stream_t;
 
-/** vsh_target() - path and query that ask for what is newer than @streams, freed by g_free() */
+/** vsh_target() - format the path and query of a request for all records that @streams lack; free
+ * with g_free() */
 char *vsh_target (const vsh_stream_t *streams, uint32_t count);
 /**
- * vsh_write() - the answer's body, freed by g_free()
- * @from: of each stream, what the asker knows already
- * @settled: whether keys that were dropped lately are gone for sure
+ * vsh_write() - format the body of a response; free it with g_free()
+ * @from: per stream, the offset before which the requester has all records
+ * @settled: whether recent deletions are confirmed, so that the requester may rely on them
  */
 char *vsh_write (const vsh_stream_t *streams, const uint64_t *from, uint32_t count, bool settled);
 
-/** struct vsh_answer - a body that was read; to be cleared */
+/** struct vsh_answer - a parsed response; release it with vsh_clear() */
 typedef struct
 {
   json_t *json;
   bool settled;
 } vsh_answer_t;
 
-/** vsh_read() - Return: false for a body that is none of vsh_write() */
+/** vsh_read() - parse a response; vsh_clear() must follow in any case. Return: false when @body was
+ * not formatted by vsh_write() */
 bool vsh_read (vsh_answer_t *answer, const char *body, size_t body_bytes);
-/** vsh_apply() - put the records of the stream into its view. Return: offset up to which all is
- * known by it; 0 when the answer has nothing of it */
+/** vsh_apply() - apply the records of @stream in a response to its view. Return: the offset before
+ * which the view is now complete; 0 when the response has no valid records of the stream */
 uint64_t vsh_apply (const vsh_answer_t *answer, const vsh_stream_t *stream);
-/** vsh_is_large() - whether the answer says that news of the stream is to be read at the store */
+/** vsh_is_large() - whether the response lacks the records of @stream because they exceed the size
+ * limit of the peer; the requester has to read them from the store */
 bool vsh_is_large (const vsh_answer_t *answer, const char *stream);
+/** vsh_clear() - release a parsed response */
 void vsh_clear (vsh_answer_t *answer);
 
 #endif
--- a/tests/test_keyed_view.c
+++ b/tests/test_keyed_view.c
@@ -1,4 +1,4 @@
-/* Unit tests of the view of a keyed stream, and of its way from one gateway to another. */
+/* Unit tests of the view of a keyed stream, and of its transfer from one gateway to another. */
 #include "suite.h"
 #include "version/keyed_view.h"
 #include "version/view_share.h"
@@ -7,34 +7,35 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (kvw_t, kvw_free)
 
-/** struct told - what the view told last, and how often */
+/** struct changes - number of calls of the view's callback, and the arguments of the last one */
 typedef struct
 {
   uint32_t count;
   char key[32];
   char value[32];
-} told_t;
+} changes_t;
 
 static void
-changed (const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
+record_change (
+    const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  told_t *told = context;
+  changes_t *changes = context;
 
   (void)value_bytes;
   (void)offset;
-  told->count++;
-  g_strlcpy (told->key, key, sizeof told->key);
-  g_strlcpy (told->value, value ? value : "(dropped)", sizeof told->value);
+  changes->count++;
+  g_strlcpy (changes->key, key, sizeof changes->key);
+  g_strlcpy (changes->value, value ? value : "(deleted)", sizeof changes->value);
 }
 
 static void
-put (kvw_t *kvw, uint64_t offset, const char *key, const char *value)
+apply (kvw_t *kvw, uint64_t offset, const char *key, const char *value)
 {
   kvw_apply (kvw, offset, key, value, value ? strlen (value) : 0);
 }
 
 static const char *
-value_of (const kvw_t *kvw, const char *key)
+get_value (const kvw_t *kvw, const char *key)
 {
   size_t bytes;
   uint64_t offset;
@@ -43,50 +44,50 @@
   return value ? value : "none";
 }
 
-/* A store that is slow, and peers, tell records late and more than once: an old one must not bring
- * back an engine that is gone, or a version that was replaced. */
+/* A slow store and peers deliver records late and more than once. An old record must not restore an
+ * engine that was deleted, or a version that was replaced. */
 static void
 test_older_records_change_nothing (void)
 {
-  told_t told = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (changed, &told);
+  changes_t changes = { 0 };
+  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
 
-  put (kvw, 5, "a", "new");
-  put (kvw, 3, "a", "old");
-  put (kvw, 5, "a", "again");
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "a"), "new");
-  CU_ASSERT_EQUAL (told.count, 1);
-  put (kvw, 6, "a", NULL);
-  CU_ASSERT_STRING_EQUAL (told.value, "(dropped)");
-  put (kvw, 5, "a", "new");
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "a"), "none");
-  CU_ASSERT_EQUAL (told.count, 2);
+  apply (kvw, 5, "a", "new");
+  apply (kvw, 3, "a", "old");
+  apply (kvw, 5, "a", "again");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "a"), "new");
+  CU_ASSERT_EQUAL (changes.count, 1);
+  apply (kvw, 6, "a", NULL);
+  CU_ASSERT_STRING_EQUAL (changes.value, "(deleted)");
+  apply (kvw, 5, "a", "new");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "a"), "none");
+  CU_ASSERT_EQUAL (changes.count, 2);
 }
 
-/* The stream's history is gone: an engine whose dropping was in it is missing in the list. One that
- * registered after the list was made must stay. */
+/* The stream no longer retains the record that deleted an engine, so the engine is only missing
+ * from the listing; it must be deleted. An engine that registered after the listing must stay. */
 static void
-test_list_drops_what_it_lacks (void)
+test_listing_deletes_missing_keys (void)
 {
-  told_t told = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (changed, &told);
+  changes_t changes = { 0 };
+  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
 
-  put (kvw, 1, "gone", "x");
-  put (kvw, 2, "stays", "x");
-  put (kvw, 12, "later", "x");
+  apply (kvw, 1, "gone", "x");
+  apply (kvw, 2, "stays", "x");
+  apply (kvw, 12, "later", "x");
   kvw_list_begin (kvw);
-  put (kvw, 2, "stays", "x");
+  apply (kvw, 2, "stays", "x");
   kvw_list_end (kvw, 10);
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "gone"), "none");
-  CU_ASSERT_STRING_EQUAL (told.key, "gone");
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "stays"), "x");
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "later"), "x");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "gone"), "none");
+  CU_ASSERT_STRING_EQUAL (changes.key, "gone");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "stays"), "x");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "later"), "x");
 }
 
-/** struct pair - two gateways' views of one stream */
+/** struct pair - the views that two gateways have of one stream: [0] responds, [1] requests */
 typedef struct
 {
-  told_t told[2];
+  changes_t changes[2];
   kvw_t *view[2];
 } pair_t;
 
@@ -95,7 +96,7 @@
 {
   memset (pair, 0, sizeof *pair);
   for (uint32_t i = 0; i < 2; i++)
-    pair->view[i] = kvw_new (changed, &pair->told[i]);
+    pair->view[i] = kvw_new (record_change, &pair->changes[i]);
 }
 
 static void
@@ -105,89 +106,91 @@
   kvw_free (pair->view[1]);
 }
 
-/* Return: what the second knows after the first, which knows all before @next, has answered it */
+/* Transfers records from the first view, complete before @next, to the second, complete before
+ * @from. Return: the offset before which the second is complete afterwards, 0 when nothing was
+ * sent. */
 static uint64_t
-share (pair_t *pair, uint64_t next, uint64_t from)
+transfer (pair_t *pair, uint64_t next, uint64_t from)
 {
-  vsh_stream_t theirs = { .name = "engines", .view = pair->view[0], .next = next };
-  vsh_stream_t ours = { .name = "engines", .view = pair->view[1], .next = from };
-  g_autofree char *body = vsh_write (&theirs, &from, 1, true);
+  vsh_stream_t sender = { .name = "engines", .view = pair->view[0], .next = next };
+  vsh_stream_t receiver = { .name = "engines", .view = pair->view[1], .next = from };
+  g_autofree char *body = vsh_write (&sender, &from, 1, true);
   vsh_answer_t answer;
-  uint64_t known = 0;
+  uint64_t next_offset = 0;
 
   CU_ASSERT (vsh_read (&answer, body, strlen (body)));
   CU_ASSERT (answer.settled);
-  known = vsh_apply (&answer, &ours);
+  next_offset = vsh_apply (&answer, &receiver);
   vsh_clear (&answer);
-  return known;
+  return next_offset;
 }
 
 static void
-test_peer_tells_what_is_newer (void)
+test_peer_sends_newer_records (void)
 {
   pair_t pair;
 
   pair_init (&pair);
-  put (pair.view[0], 1, "a", "x");
-  put (pair.view[0], 2, "b", "y");
-  put (pair.view[1], 1, "a", "x");
-  put (pair.view[0], 3, "a", NULL);
-  CU_ASSERT_EQUAL (share (&pair, 4, 2), 4);
-  CU_ASSERT_STRING_EQUAL (value_of (pair.view[1], "a"), "none");
-  CU_ASSERT_STRING_EQUAL (value_of (pair.view[1], "b"), "y");
-  CU_ASSERT_EQUAL (share (&pair, 4, 4), 0);
+  apply (pair.view[0], 1, "a", "x");
+  apply (pair.view[0], 2, "b", "y");
+  apply (pair.view[1], 1, "a", "x");
+  apply (pair.view[0], 3, "a", NULL);
+  CU_ASSERT_EQUAL (transfer (&pair, 4, 2), 4);
+  CU_ASSERT_STRING_EQUAL (get_value (pair.view[1], "a"), "none");
+  CU_ASSERT_STRING_EQUAL (get_value (pair.view[1], "b"), "y");
+  CU_ASSERT_EQUAL (transfer (&pair, 4, 4), 0);
   pair_clear (&pair);
 }
 
-/* The peer has listed anew and forgotten which keys were dropped before; an asker that is further
- * behind must drop them all the same. */
+/* The responding peer made a new listing and has no record of earlier deletions. A requester with
+ * older data must still delete those keys. */
 static void
-test_peer_that_listed_tells_all (void)
+test_peer_sends_all_after_listing (void)
 {
   pair_t pair;
 
   pair_init (&pair);
-  put (pair.view[0], 1, "a", "x");
-  put (pair.view[1], 1, "a", "x");
-  put (pair.view[0], 2, "b", "y");
-  put (pair.view[0], 3, "a", NULL);
+  apply (pair.view[0], 1, "a", "x");
+  apply (pair.view[1], 1, "a", "x");
+  apply (pair.view[0], 2, "b", "y");
+  apply (pair.view[0], 3, "a", NULL);
   kvw_list_begin (pair.view[0]);
-  put (pair.view[0], 2, "b", "y");
+  apply (pair.view[0], 2, "b", "y");
   kvw_list_end (pair.view[0], 4);
-  CU_ASSERT_EQUAL (share (&pair, 4, 2), 4);
-  CU_ASSERT_STRING_EQUAL (value_of (pair.view[1], "a"), "none");
-  CU_ASSERT_STRING_EQUAL (value_of (pair.view[1], "b"), "y");
+  CU_ASSERT_EQUAL (transfer (&pair, 4, 2), 4);
+  CU_ASSERT_STRING_EQUAL (get_value (pair.view[1], "a"), "none");
+  CU_ASSERT_STRING_EQUAL (get_value (pair.view[1], "b"), "y");
   pair_clear (&pair);
 }
 
-/* Another writer left bytes that can't be told. An asker that kept the sound value before them
- * would go on using an engine that the others have dropped. */
+/* A value that is not UTF-8 can't be sent as JSON. A requester that kept the previous valid value
+ * would continue to use an engine that the other gateways no longer use. */
 static void
-test_unreadable_value_is_told_as_dropped (void)
+test_invalid_utf8_is_sent_as_deleted (void)
 {
   pair_t pair;
 
   pair_init (&pair);
-  put (pair.view[0], 1, "a", "x");
-  put (pair.view[1], 1, "a", "x");
-  put (pair.view[0], 2, "a", "\xff\xfe");
-  CU_ASSERT_EQUAL (share (&pair, 3, 2), 3);
-  CU_ASSERT_STRING_EQUAL (value_of (pair.view[1], "a"), "none");
+  apply (pair.view[0], 1, "a", "x");
+  apply (pair.view[1], 1, "a", "x");
+  apply (pair.view[0], 2, "a", "\xff\xfe");
+  CU_ASSERT_EQUAL (transfer (&pair, 3, 2), 3);
+  CU_ASSERT_STRING_EQUAL (get_value (pair.view[1], "a"), "none");
   pair_clear (&pair);
 }
 
 static void
-test_other_bodies_are_refused (void)
+test_invalid_bodies_are_rejected (void)
 {
   static const char *const bodies[] = { "", "[]", "{}", "{\"settled\":1}" };
-  static const char *const parts[] = {
+  static const char *const invalid_streams[] = {
     "{\"settled\":true,\"engines\":{\"whole\":true,\"next\":4,\"records\":[[\"a\",-1,\"x\"]]}}",
     "{\"settled\":true,\"engines\":{\"whole\":false,\"next\":4,\"records\":[[\"a\",1]]}}",
     "{\"settled\":true,\"engines\":{\"whole\":false,\"next\":4,\"records\":[[\"a\",1,7]]}}",
     "{\"settled\":true,\"engines\":{\"whole\":false,\"records\":[]}}",
   };
-  told_t told = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (changed, &told);
+  changes_t changes = { 0 };
+  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
   vsh_stream_t stream = { .name = "engines", .view = kvw };
   vsh_answer_t answer;
 
@@ -196,9 +199,9 @@
       CU_ASSERT (!vsh_read (&answer, bodies[i], strlen (bodies[i])));
       vsh_clear (&answer);
     }
-  for (uint32_t i = 0; i < G_N_ELEMENTS (parts); i++)
+  for (uint32_t i = 0; i < G_N_ELEMENTS (invalid_streams); i++)
     {
-      CU_ASSERT (vsh_read (&answer, parts[i], strlen (parts[i])));
+      CU_ASSERT (vsh_read (&answer, invalid_streams[i], strlen (invalid_streams[i])));
       CU_ASSERT_EQUAL (vsh_apply (&answer, &stream), 0);
       vsh_clear (&answer);
     }
@@ -221,25 +224,25 @@
   CU_ASSERT (!asl_same ("", seal));
 }
 
-/* Guards against an engine that is gone being brought back by a peer's whole copy that is older
- * than the own list, and by those that then take it from here. */
+/* Guards against a deleted engine being restored by a listing from a peer that is older than the
+ * own one, and then spreading to the gateways that request records from here. */
 static void
 test_older_list_brings_nothing_back (void)
 {
-  told_t told = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (changed, &told);
+  changes_t changes = { 0 };
+  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
 
-  put (kvw, 4, "left", "ready");
+  apply (kvw, 4, "left", "ready");
   kvw_list_begin (kvw);
-  put (kvw, 8, "stays", "ready");
+  apply (kvw, 8, "stays", "ready");
   kvw_list_end (kvw, 10);
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "left"), "none");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "left"), "none");
   kvw_list_begin (kvw);
-  put (kvw, 4, "left", "ready");
-  put (kvw, 8, "stays", "ready");
+  apply (kvw, 4, "left", "ready");
+  apply (kvw, 8, "stays", "ready");
   kvw_list_end (kvw, 9);
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "left"), "none");
-  CU_ASSERT_STRING_EQUAL (value_of (kvw, "stays"), "ready");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "left"), "none");
+  CU_ASSERT_STRING_EQUAL (get_value (kvw, "stays"), "ready");
   CU_ASSERT_EQUAL (kvw_listed_offset (kvw), 10);
 }
 
@@ -247,11 +250,11 @@
 main (void)
 {
   static const CU_TestInfo tests[] = { SUITE_TEST (test_older_records_change_nothing),
-                                       SUITE_TEST (test_list_drops_what_it_lacks),
-                                       SUITE_TEST (test_peer_tells_what_is_newer),
-                                       SUITE_TEST (test_peer_that_listed_tells_all),
-                                       SUITE_TEST (test_unreadable_value_is_told_as_dropped),
-                                       SUITE_TEST (test_other_bodies_are_refused),
+                                       SUITE_TEST (test_listing_deletes_missing_keys),
+                                       SUITE_TEST (test_peer_sends_newer_records),
+                                       SUITE_TEST (test_peer_sends_all_after_listing),
+                                       SUITE_TEST (test_invalid_utf8_is_sent_as_deleted),
+                                       SUITE_TEST (test_invalid_bodies_are_rejected),
                                        SUITE_TEST (test_seal_covers_nonce_kind_and_body),
                                        SUITE_TEST (test_older_list_brings_nothing_back),
                                        CU_TEST_INFO_NULL };
--- a/tests/test_manifest_sync.c
+++ b/tests/test_manifest_sync.c
@@ -14,32 +14,32 @@
     "\"routes\":[{\"path\":\"/a\",\"service\":\"pool\",\"class\":\"short\"}]}";
 
 static char *
-write_answer (const char *nonce, char seal[ASL_SEAL_BYTES])
+format_response (const char *nonce, char seal[ASL_SEAL_BYTES])
 {
-  man_t *man = man_parse (MANIFEST, strlen (MANIFEST), NULL);
-  CU_ASSERT_PTR_NOT_NULL_FATAL (man);
-  man->version = 12;
-  char *body = msy_write (KEY, nonce, man, 34, seal);
-  man_unref (man);
+  man_t *manifest = man_parse (MANIFEST, strlen (MANIFEST), NULL);
+  CU_ASSERT_PTR_NOT_NULL_FATAL (manifest);
+  manifest->version = 12;
+  char *body = msy_write (KEY, nonce, manifest, 34, seal);
+  man_unref (manifest);
   return body;
 }
 
-/* Return: the version read, 0 when the answer was not taken. */
+/* Return: the version in the response, 0 when it was rejected. */
 static uint64_t
-read_answer (const char *key, const char *nonce, const char *seal, const char *body)
+parse_response (const char *key, const char *nonce, const char *seal, const char *body)
 {
   uint64_t next_offset = 0;
   GError *error = NULL;
-  man_t *man = msy_read (key, nonce, seal, body, strlen (body), &next_offset, &error);
-  if (man == NULL)
+  man_t *manifest = msy_read (key, nonce, seal, body, strlen (body), &next_offset, &error);
+  if (manifest == NULL)
     {
       CU_ASSERT_PTR_NOT_NULL (error);
       g_clear_error (&error);
       return 0;
     }
   CU_ASSERT_EQUAL (next_offset, 34);
-  uint64_t version = man->version;
-  man_unref (man);
+  uint64_t version = manifest->version;
+  man_unref (manifest);
   return version;
 }
 
@@ -53,33 +53,32 @@
   asl_nonce (other);
   CU_ASSERT_EQUAL (strlen (nonce), ASL_NONCE_BYTES - 1);
   CU_ASSERT_STRING_NOT_EQUAL (nonce, other);
-  g_autofree char *body = write_answer (nonce, seal);
-  CU_ASSERT_EQUAL (read_answer (KEY, nonce, seal, body), 12);
+  g_autofree char *body = format_response (nonce, seal);
+  CU_ASSERT_EQUAL (parse_response (KEY, nonce, seal, body), 12);
 }
 
-/* Somebody answers in place of a daemon: with a recorded answer of long ago, a changed one, or one
- * under a key of his own. Taking it would bring a version that was never in force, or is not any
- * more. */
+/* An attacker sends a replayed response, a modified one, or one under another key. Accepting it
+ * would bring a version into force that was never published or that was replaced. */
 static void
-test_foreign_answers_are_refused (void)
+test_forged_responses_are_rejected (void)
 {
   char nonce[ASL_NONCE_BYTES];
   char other[ASL_NONCE_BYTES];
   char seal[ASL_SEAL_BYTES];
   asl_nonce (nonce);
   asl_nonce (other);
-  char *body = write_answer (nonce, seal);
-  CU_ASSERT_EQUAL (read_answer (KEY, other, seal, body), 0);
-  CU_ASSERT_EQUAL (read_answer ("another key of enough bytes", nonce, seal, body), 0);
-  CU_ASSERT_EQUAL (read_answer (KEY, nonce, NULL, body), 0);
-  CU_ASSERT_EQUAL (read_answer (KEY, nonce, "", body), 0);
+  char *body = format_response (nonce, seal);
+  CU_ASSERT_EQUAL (parse_response (KEY, other, seal, body), 0);
+  CU_ASSERT_EQUAL (parse_response ("another key of enough bytes", nonce, seal, body), 0);
+  CU_ASSERT_EQUAL (parse_response (KEY, nonce, NULL, body), 0);
+  CU_ASSERT_EQUAL (parse_response (KEY, nonce, "", body), 0);
   char *version = strstr (body, "12");
   version[0] = '9';
-  CU_ASSERT_EQUAL (read_answer (KEY, nonce, seal, body), 0);
+  CU_ASSERT_EQUAL (parse_response (KEY, nonce, seal, body), 0);
   g_free (body);
-  body = write_answer (NULL, seal);
+  body = format_response (NULL, seal);
   CU_ASSERT_STRING_EQUAL (seal, "");
-  CU_ASSERT_EQUAL (read_answer (KEY, nonce, seal, body), 0);
+  CU_ASSERT_EQUAL (parse_response (KEY, nonce, seal, body), 0);
   g_free (body);
 }
 
@@ -88,7 +87,7 @@
 {
   static const CU_TestInfo tests[] = {
     SUITE_TEST (test_round_trip),
-    SUITE_TEST (test_foreign_answers_are_refused),
+    SUITE_TEST (test_forged_responses_are_rejected),
     CU_TEST_INFO_NULL,
   };
   return suite_run ("manifest_sync", tests);
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -1,5 +1,4 @@
-/* Unit tests of the routing rules: the table itself, and its reading from the platform's records.
- */
+/* Unit tests of the routing table, and of its parsing from the platform's configuration. */
 #include "platform/json_split.h"
 #include "platform/records.h"
 #include "suite.h"
@@ -21,7 +20,7 @@
 }
 
 static const char *
-found (const rte_t *rte, const char *host, const char *target)
+find_prefix (const rte_t *rte, const char *host, const char *target)
 {
   const rte_route_t *route = rte_find (rte, host, target);
 
@@ -35,19 +34,19 @@
 
   CU_ASSERT (rte_add_route (rte, make_route ("/a/", "one"), NULL));
   CU_ASSERT (rte_add_route (rte, make_route ("/a/b/", "two"), NULL));
-  CU_ASSERT_STRING_EQUAL (found (rte, "shop.example", "/a/x"), "/a/");
-  CU_ASSERT_STRING_EQUAL (found (rte, "shop.example", "/a/b/x?y=/z/"), "/a/b/");
-  CU_ASSERT_STRING_EQUAL (found (rte, "shop.example", "/a/b"), "/a/");
-  CU_ASSERT_STRING_EQUAL (found (rte, "shop.example", "/a"), "none");
-  CU_ASSERT_STRING_EQUAL (found (rte, "SHOP.example:8080", "/a/"), "/a/");
-  CU_ASSERT_STRING_EQUAL (found (rte, "other.example", "/a/"), "none");
-  CU_ASSERT_STRING_EQUAL (found (rte, "", "/a/"), "none");
-  CU_ASSERT_STRING_EQUAL (found (rte, NULL, "/a/"), "none");
-  CU_ASSERT_STRING_EQUAL (found (rte, "shop.example", "/b?x=/a/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a/x"), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a/b/x?y=/z/"), "/a/b/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a/b"), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "SHOP.example:8080", "/a/"), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "other.example", "/a/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "", "/a/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, NULL, "/a/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/b?x=/a/"), "none");
 }
 
-/* What a cold engine bears is read from the configuration; what is no number there is unknown, and
- * a rate is rounded down, as more would be too much, but never to none, which would be no limit. */
+/* Values that are not valid numbers count as unknown. A rate is rounded down, because a higher one
+ * would overload cold engines, but never to zero, which would mean no limit. */
 static void
 test_services_are_read (void)
 {
@@ -68,7 +67,7 @@
 }
 
 static void
-test_long_paths_are_cut_not_overrun (void)
+test_long_paths_do_not_overflow (void)
 {
   g_autoptr (rte_t) rte = rte_new (1);
   g_autofree char *tail = g_strnfill (100000, 'x');
@@ -76,12 +75,12 @@
   g_autofree char *host = g_strnfill (5000, 'h');
 
   CU_ASSERT (rte_add_route (rte, make_route ("/a/", "one"), NULL));
-  CU_ASSERT_STRING_EQUAL (found (rte, "shop.example", target), "/a/");
-  CU_ASSERT_STRING_EQUAL (found (rte, host, target), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", target), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (rte, host, target), "none");
 }
 
 static void
-refuse (rte_t *rte, rte_route_t *route, const char *word)
+expect_rejected (rte_t *rte, rte_route_t *route, const char *word)
 {
   g_autoptr (GError) error = NULL;
 
@@ -91,31 +90,31 @@
 }
 
 static void
-test_unsound_routes_are_refused (void)
+test_invalid_routes_are_rejected (void)
 {
   g_autoptr (rte_t) rte = rte_new (1);
   rte_route_t *route = make_route ("/b/", "one");
 
   CU_ASSERT (rte_add_route (rte, make_route ("/a/", "one"), NULL));
-  refuse (rte, make_route ("/a/", "two"), "of another");
-  refuse (rte, make_route ("/a", "two"), "slash");
+  expect_rejected (rte, make_route ("/a/", "two"), "of another");
+  expect_rejected (rte, make_route ("/a", "two"), "slash");
   route->attempts = 0;
-  refuse (rte, route, "attempts");
-  refuse (rte, rte_route_new ("r", "h", "/c/"), "no service");
+  expect_rejected (rte, route, "attempts");
+  expect_rejected (rte, rte_route_new ("r", "h", "/c/"), "no service");
   CU_ASSERT_EQUAL (rte_route_count (rte), 1);
 }
 
 static void
-test_weights_share_out (void)
+test_targets_are_chosen_by_weight (void)
 {
   rte_route_t *route = rte_route_new ("r", "h", "/r/");
-  uint32_t first = 0;
+  uint32_t big_count = 0;
 
   rte_route_target (route, "big", 90);
   rte_route_target (route, "small", 10);
-  for (uint64_t dice = 0; dice < 1000; dice++)
-    first += strcmp (rte_target (route, dice), "big") == 0 ? 1 : 0;
-  CU_ASSERT_EQUAL (first, 900);
+  for (uint64_t selector = 0; selector < 1000; selector++)
+    big_count += strcmp (rte_target (route, selector), "big") == 0 ? 1 : 0;
+  CU_ASSERT_EQUAL (big_count, 900);
   rte_route_unref (route);
 }
 
@@ -142,7 +141,7 @@
 #define ROUTE_B                                                                                    \
   "{\"host\":\"h.example\",\"path_prefix\":\"/b/\",\"kind\":\"non_idempotent\",\"service\":\"s\"," \
   "\"public\":true,\"new\":{\"a\":[1,\"]\"]}}"
-#define REST                                                                                       \
+#define LIMITS_AND_TENANTS                                                                         \
   "\"limits\":{\"max_body_bytes\":4096},\"tenants\":[{\"name\":\"one\",\"api_keys\":[\"key\"],"    \
   "\"priority\":1}],\"later\":[{}]"
 
@@ -155,8 +154,8 @@
 static void
 test_configuration_is_read (void)
 {
-  g_autoptr (rte_t) rte =
-      read_config ("{\"version\":7,\"routes\":[" ROUTE_A ", " ROUTE_B "]," REST "}", NULL);
+  g_autoptr (rte_t) rte = read_config (
+      "{\"version\":7,\"routes\":[" ROUTE_A ", " ROUTE_B "]," LIMITS_AND_TENANTS "}", NULL);
   const rte_route_t *route;
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (rte);
@@ -174,13 +173,13 @@
   CU_ASSERT_EQUAL (rte_limits (rte)->body_bytes, 4096);
 }
 
-/* A series of versions changes a few of a thousand routes: the others must be the same objects, or
- * a slow host stands still for each version; one that has changed must not be. */
+/* Unchanged routes must be shared between versions: parsing a thousand routes again for each
+ * version would stall a slow host. A changed route must not be shared. */
 static void
 test_unchanged_routes_are_shared (void)
 {
-  g_autoptr (rte_t) old =
-      read_config ("{\"version\":7,\"routes\":[" ROUTE_A "," ROUTE_B "]," REST "}", NULL);
+  g_autoptr (rte_t) old = read_config (
+      "{\"version\":7,\"routes\":[" ROUTE_A "," ROUTE_B "]," LIMITS_AND_TENANTS "}", NULL);
   g_autoptr (rte_t) new =
       read_config ("{\"routes\":[{\"host\":\"h.example\",\"path_prefix\":\"/b/\","
                    "\"kind\":\"idempotent\",\"service\":\"s\"}," ROUTE_A "],\"version\":9}",
@@ -193,7 +192,7 @@
 }
 
 static void
-test_broken_configurations_are_refused (void)
+test_invalid_configurations_are_rejected (void)
 {
   static const char *const texts[] = {
     "",
@@ -222,14 +221,16 @@
 }
 
 static void
-test_cut_texts_end_the_split (void)
+test_truncated_configurations_are_rejected (void)
 {
-  static const char text[] = "{\"version\":7,\"routes\":[" ROUTE_A "," ROUTE_B "]," REST "}";
+  static const char text[] =
+      "{\"version\":7,\"routes\":[" ROUTE_A "," ROUTE_B "]," LIMITS_AND_TENANTS "}";
 
   for (size_t bytes = 0; bytes < sizeof text - 1; bytes++)
     {
-      g_autofree char *part = g_memdup2 (text, bytes + 1); /* so that a sanitizer sees an overrun */
-      rte_t *rte = prc_read_routing (part, bytes, NULL, NULL);
+      /* a block of minimal size, so that a sanitizer detects overruns */
+      g_autofree char *truncated = g_memdup2 (text, bytes + 1);
+      rte_t *rte = prc_read_routing (truncated, bytes, NULL, NULL);
 
       CU_ASSERT_PTR_NULL (rte);
     }
@@ -240,14 +241,14 @@
 {
   static const CU_TestInfo tests[] = { SUITE_TEST (test_longest_prefix_wins),
                                        SUITE_TEST (test_services_are_read),
-                                       SUITE_TEST (test_long_paths_are_cut_not_overrun),
-                                       SUITE_TEST (test_unsound_routes_are_refused),
-                                       SUITE_TEST (test_weights_share_out),
+                                       SUITE_TEST (test_long_paths_do_not_overflow),
+                                       SUITE_TEST (test_invalid_routes_are_rejected),
+                                       SUITE_TEST (test_targets_are_chosen_by_weight),
                                        SUITE_TEST (test_keys_belong_to_one_account),
                                        SUITE_TEST (test_configuration_is_read),
                                        SUITE_TEST (test_unchanged_routes_are_shared),
-                                       SUITE_TEST (test_broken_configurations_are_refused),
-                                       SUITE_TEST (test_cut_texts_end_the_split),
+                                       SUITE_TEST (test_invalid_configurations_are_rejected),
+                                       SUITE_TEST (test_truncated_configurations_are_rejected),
                                        CU_TEST_INFO_NULL };
 
   return suite_run ("routing", tests);
