--- a/src/version/judged.h
+++ b/src/version/judged.h
@@ -19,6 +19,7 @@
 /**
  * struct jdg_entry - the outcome of one publish
  * @id: publish id
+ * @accepted: whether the publish came into force
  * @version: version in force after it; of an accepted publish, the one that it created
  */
 typedef struct
--- a/src/version/record.h
+++ b/src/version/record.h
@@ -23,7 +23,7 @@
 } rec_kind_t;
 
 /**
- * struct rec - one parsed record
+ * struct rec - one parsed record; each kind uses only some of the fields
  * @id: id of a publish
  * @publisher: who published this version; "" when unknown
  * @version: of a publish, its base: the version that it was made from; of a checkpoint, its version
--- a/src/version/routing.h
+++ b/src/version/routing.h
@@ -86,8 +86,9 @@
 
 /**
  * struct rte_service - configuration of a service
+ * @name: interned string
  * @cold_per_s: requests per second that a cold engine can handle; 0 when unknown
- * @cold_start_us: time that an engine stays cold after its start; 0 when it is never cold
+ * @cold_start_us: time after its start during which an engine counts as cold; 0 when it never does
  */
 typedef struct
 {
@@ -113,8 +114,8 @@
 
 typedef struct rte rte_t;
 
-/** rte_new() - an empty table of @version, with one reference. It must be filled by the rte_add_*()
- * functions before it is shared */
+/** rte_new() - an empty table of @version, with one reference. Routes, accounts and services must
+ * be added before it is shared */
 rte_t *rte_new (uint64_t version);
 rte_t *rte_ref (rte_t *rte);
 void rte_unref (rte_t *rte);
--- a/src/version/view_share.h
+++ b/src/version/view_share.h
@@ -42,7 +42,11 @@
  */
 char *vsh_write (const vsh_stream_t *streams, const uint64_t *from, uint32_t count, bool settled);
 
-/** struct vsh_answer - a parsed response; release it with vsh_clear() */
+/**
+ * struct vsh_answer - a parsed response; release it with vsh_clear()
+ * @json: the body
+ * @settled: whether the sender has confirmed its recent deletions
+ */
 typedef struct
 {
   json_t *json;
