--- a/src/version/judged.h
+++ b/src/version/judged.h
@@ -1,5 +1,5 @@
 /**
- * DOC: judged
+ * DOC: publish_history
  *
  * The outcome of the most recent publishes, by publish id. The history is bounded: the oldest entry
  * is overwritten first. It only serves to explain the rejection of a repeated publish and must
--- a/src/version/manifest_check.h
+++ b/src/version/manifest_check.h
@@ -1,5 +1,5 @@
 /**
- * DOC: manifest_check
+ * DOC: json_reader
  *
  * Typed access to the members of a JSON object. Every failure sets an error whose message starts
  * with the path of the invalid member; text quoted from the document is escaped and truncated.
--- a/src/version/record.h
+++ b/src/version/record.h
@@ -1,5 +1,5 @@
 /**
- * DOC: record
+ * DOC: manifest_record
  *
  * Parses and formats the JSON records of the manifest stream. Parsing is strict: duplicate or
  * unknown keys make a record invalid.
