--- a/src/process/gateway_fetch.h
+++ b/src/process/gateway_fetch.h
@@ -1,8 +1,9 @@
 /**
  * DOC: gateway_fetch
  *
- * Asks another gateway for what it has read of the platform's store, one question at a time, and
- * answers such questions. An answer is sealed with the fleet key and the asker's nonce.
+ * Fetches from another gateway the records of the platform's store that it has read, one request at
+ * a time, and answers such requests. An answer is authenticated with the fleet key and the
+ * requester's nonce.
  */
 #ifndef PROCESS_GATEWAY_FETCH_H
 #define PROCESS_GATEWAY_FETCH_H
@@ -16,15 +17,18 @@
 #include <event2/event.h>
 
 #define GFT_STREAMS_MAX 4
-#define GFT_TIMEOUT_MS 1000 /* a link of 10 Mbit/s brings a version of 350 KB in 0.3 s */
+#define GFT_TIMEOUT_MS 1000 /* a link of 10 Mbit/s transfers a version of 350 KB in 0.3 s */
 
 /**
- * struct gft_end - how a question ended
- * @body: NULL unless the answer is whole and its seal right
- * @store_age_ms: how long ago the store was heard when @body was sent; only of gft_ask_all()
- * @reason: of an answer that is not used
- * @refusal: of gft_ask_all(), when there is no @body
- * @elsewhere: who may have it; the port is 0 when nobody is named
+ * struct gft_end - result of a fetch
+ * @peer: control address of the gateway that was asked
+ * @body: the answer, valid during the callback; NULL unless it is complete and authentic
+ * @store_age_ms: time between the peer's last contact with the store and its answer; only for
+ *   gft_ask_all(), else UINT32_MAX
+ * @reason: why there is no @body; NULL when there is one
+ * @refusal: for gft_ask_all() without a @body, how the peer refused
+ * @referral: control address of a gateway that the refusing peer names instead; its port is 0 for
+ *   none
  */
 typedef struct
 {
@@ -34,59 +38,68 @@
   uint32_t store_age_ms;
   const char *reason;
   sak_refusal_t refusal;
-  set_address_t elsewhere;
+  set_address_t referral;
 } gft_end_t;
 
 /**
- * struct gft_state - the answerer's
- * @settled: whether keys that were dropped lately are gone for sure
+ * struct gft_state - state of the gateway that answers a request
+ * @settled: whether no key that was removed lately may still be restored
  * @complete: whether all streams have been read here
- * @large: whether all that it has is more than it may send to one that starts
- * @store_age_ms: how long ago the store was heard
- * @peer: a gateway that may have all as well; the port is 0 for none
+ * @too_large: whether all records together exceed what may be sent to a starting gateway
+ * @store_age_ms: time since the last contact with the store
+ * @referral: a gateway that may have all records as well; its port is 0 for none
  */
 typedef struct
 {
   bool settled;
   bool complete;
-  bool large;
+  bool too_large;
   uint32_t store_age_ms;
-  set_address_t peer;
+  set_address_t referral;
 } gft_state_t;
 
-/** struct gft_options - options of gft_new(); @ended may ask again */
+/**
+ * struct gft_options - options of gft_new()
+ * @control_address: where this gateway answers such requests itself
+ * @on_finished: a fetch ended; the callback may start the next one
+ */
 typedef struct
 {
   struct event_base *base;
   const clk_t *clk;
   const char *fleet_key;
-  const set_address_t *control; /* where this gateway answers */
-  void (*ended) (const gft_end_t *end, void *context);
+  const set_address_t *control_address;
+  void (*on_finished) (const gft_end_t *result, void *context);
   void *context;
 } gft_options_t;
 
 typedef struct gft gft_t;
 
 gft_t *gft_new (const gft_options_t *options);
-/** gft_free() - drops the question under way */
-void gft_free (gft_t *gft);
-bool gft_is_busy (const gft_t *gft);
-/** gft_ask() - for what the gateway at @peer has beyond the next offset of each stream; only when
- * not busy. @any_size: also what is large, as the store can't be read */
-void gft_ask (gft_t *gft,
+/** gft_free() - cancels a fetch in progress, without a callback */
+void gft_free (gft_t *fetch);
+/** gft_is_busy() - whether a fetch is in progress */
+bool gft_is_busy (const gft_t *fetch);
+/**
+ * gft_ask() - fetches the records that the gateway at @peer has beyond the next offset of each
+ * stream; only when not busy
+ * @any_size: also updates that are too large to be sent normally, since the store cannot be read
+ */
+void gft_ask (gft_t *fetch,
               const set_address_t *peer,
               const vsh_stream_t *streams,
               uint32_t count,
               bool any_size);
-/** gft_ask_all() - for all that the gateway at @peer has, by one that starts; only when not busy */
+/** gft_ask_all() - fetches all records of the gateway at @peer, for a starting gateway; only when
+ * not busy. A peer refuses it while it serves several others */
 void
-gft_ask_all (gft_t *gft, const set_address_t *peer, const vsh_stream_t *streams, uint32_t count);
+gft_ask_all (gft_t *fetch, const set_address_t *peer, const vsh_stream_t *streams, uint32_t count);
 /**
- * gft_answer() - answer a request on the control listener
+ * gft_answer() - answers a request on the control listener
  *
- * Return: false when it is none of gft_ask() and gft_ask_all()
+ * Return: false, without an answer, when the path is not that of gft_ask() and gft_ask_all()
  */
-bool gft_answer (gft_t *gft,
+bool gft_answer (gft_t *fetch,
                  hsv_call_t *call,
                  const vsh_stream_t *streams,
                  uint32_t count,
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -8,16 +8,21 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define NO_INCARNATION "0" /* lower than any */
-/* An incarnation that is lower than the one before, as the clock was set back between, counts when
- * nothing was heard of the other for so long: by then its last messages have come. */
-#define REBORN_US GPR_HEARD_US
+#define NO_INCARNATION "0" /* lower than any real one */
+/* A peer whose clock was set back restarts with a lower incarnation, which would look like that of
+ * delayed messages. It is accepted once the peer has been silent for this long, when no message of
+ * the previous incarnation can still arrive. */
+#define LOWER_INCARNATION_AFTER_US GPR_HEARD_US
+
+#define RANK_SEED GPR_TAILS /* any value that is the same in all gateways */
 
 /**
  * struct peer - another gateway
- * @known_us: when its entry came
- * @heard_us: when it was heard last, 0 for never
- * @called_us: when it was called last without having been heard since, 0 when it was
+ * @hash: of the name
+ * @sequence: number of its last message in this @incarnation
+ * @known_us: when its registry entry was read
+ * @heard_us: when its last message came, 0 for never
+ * @unanswered_us: when the first message was sent to it that it has not replied to, 0 for none
  */
 typedef struct
 {
@@ -29,20 +34,28 @@
   set_address_t control;
   uint64_t known_us;
   uint64_t heard_us;
-  uint64_t called_us;
+  uint64_t unanswered_us;
 } peer_t;
 
+/**
+ * struct gpr - the peers of this gateway
+ * @news_timer: timer that sends news to some peers in the next turn of the event loop
+ * @sequence: number of the last message sent
+ * @heard_us: when the last message of any peer came
+ * @gossip: marks of suspect requests, to be passed on
+ * @loads: high loads of engines, to be passed on
+ */
 struct gpr
 {
   gpr_options_t options;
-  exc_t *exc;
-  struct event *news;
-  GPtrArray *peers; /* peer_t */
+  exc_t *exchange;
+  struct event *news_timer;
+  GPtrArray *list; /* peer_t */
   GRand *rand;
   uint64_t own_hash;
   uint32_t sequence;
-  uint64_t heard_us; /* when any peer was heard last */
-  rmr_t rumours;
+  uint64_t heard_us;
+  rmr_t gossip;
   lnw_t loads;
 };
 
@@ -53,17 +66,17 @@
 }
 
 static uint64_t
-now_us (const gpr_t *gpr)
+now_us (const gpr_t *peers)
 {
-  return clk_now_us (gpr->options.clk);
+  return clk_now_us (peers->options.clk);
 }
 
 static peer_t *
-find (const gpr_t *gpr, uint64_t hash)
+find_by_hash (const gpr_t *peers, uint64_t hash)
 {
-  for (guint i = 0; i < gpr->peers->len; i++)
+  for (guint i = 0; i < peers->list->len; i++)
     {
-      peer_t *peer = g_ptr_array_index (gpr->peers, i);
+      peer_t *peer = g_ptr_array_index (peers->list, i);
 
       if (peer->hash == hash)
         return peer;
@@ -71,34 +84,35 @@
   return NULL;
 }
 
-/* The more peers there are, the more rarely each is heard. Were one that was not heard for five
- * seconds taken for gone, each of 31 gateways would miss half of the others, and twelve of them
- * would follow the store in place of three. */
+/* The more peers there are, the more rarely each one is heard. With a fixed limit of five seconds,
+ * each of 31 gateways would take half of the others for dead, and twelve of them would follow the
+ * store instead of three. */
 static uint64_t
-heard_within_us (const gpr_t *gpr)
+alive_timeout_us (const gpr_t *peers)
 {
-  uint64_t interval_us = (uint64_t)gpr->options.set->exchange_interval_ms * CLK_US_PER_MS;
+  uint64_t interval_us = (uint64_t)peers->options.set->exchange_interval_ms * CLK_US_PER_MS;
 
-  return MAX (GPR_HEARD_US, interval_us * gpr->peers->len * GPR_HEARD_TURNS);
+  return MAX (GPR_HEARD_US, interval_us * peers->list->len * GPR_HEARD_TURNS);
 }
 
-/* One that did not answer is taken for gone at once: until it is heard again, others do its part.
- * One that is known by its entry alone counts until it should have been heard. */
+/* A peer that did not reply counts as dead until it is heard again, so that another gateway takes
+ * over its role. A peer that was never heard counts as alive from its registry entry on, for as
+ * long as it may take to be heard. */
 static bool
-is_alive (const gpr_t *gpr, const peer_t *peer)
+is_alive (const gpr_t *peers, const peer_t *peer)
 {
-  uint64_t at_us = now_us (gpr);
+  uint64_t at_us = now_us (peers);
 
-  if (peer->called_us != 0 && at_us - peer->called_us >= GPR_ANSWER_US)
+  if (peer->unanswered_us != 0 && at_us - peer->unanswered_us >= GPR_ANSWER_US)
     return false;
-  return at_us - MAX (peer->heard_us, peer->known_us) < heard_within_us (gpr);
+  return at_us - MAX (peer->heard_us, peer->known_us) < alive_timeout_us (peers);
 }
 
 static void
-fill_marks (gpr_t *gpr, xch_message *message)
+fill_marks (gpr_t *peers, xch_message *message)
 {
   sus_mark_t marks[XCH_MARKS];
-  uint32_t count = rmr_take_marks (&gpr->rumours, now_us (gpr), marks, XCH_MARKS);
+  uint32_t count = rmr_take_marks (&peers->gossip, now_us (peers), marks, XCH_MARKS);
 
   G_STATIC_ASSERT (sizeof message->marks.marks_val->engines == sizeof marks->engines);
   for (uint32_t i = 0; i < count; i++)
@@ -113,24 +127,24 @@
 }
 
 static void
-hear_marks (gpr_t *gpr, const xch_message *message)
+read_marks (gpr_t *peers, const xch_message *message)
 {
   for (uint32_t i = 0; i < message->marks.marks_len; i++)
     {
-      const xch_mark *heard = &message->marks.marks_val[i];
-      sus_mark_t mark = { .fingerprint = heard->fingerprint, .age_ms = heard->age_ms };
+      const xch_mark *received = &message->marks.marks_val[i];
+      sus_mark_t mark = { .fingerprint = received->fingerprint, .age_ms = received->age_ms };
 
-      memcpy (mark.engines, heard->engines, sizeof mark.engines);
-      if (rmr_add_mark (&gpr->rumours, now_us (gpr), &mark))
-        gpr->options.suspect (&mark, gpr->options.context);
+      memcpy (mark.engines, received->engines, sizeof mark.engines);
+      if (rmr_add_mark (&peers->gossip, now_us (peers), &mark))
+        peers->options.on_suspect (&mark, peers->options.context);
     }
 }
 
 static void
-fill_loads (gpr_t *gpr, xch_message *message)
+fill_loads (gpr_t *peers, xch_message *message)
 {
   lnw_item_t items[XCH_SAMPLES];
-  uint32_t count = lnw_take (&gpr->loads, now_us (gpr), items, XCH_SAMPLES);
+  uint32_t count = lnw_take (&peers->loads, now_us (peers), items, XCH_SAMPLES);
 
   for (uint32_t i = 0; i < count; i++)
     {
@@ -138,108 +152,109 @@
 
       out->engine_hash = items[i].engine_hash;
       out->load = items[i].load;
-      out->age_ms = (uint32_t)((now_us (gpr) - items[i].told_us) / CLK_US_PER_MS);
+      out->age_ms = (uint32_t)((now_us (peers) - items[i].told_us) / CLK_US_PER_MS);
     }
   message->samples.samples_len = count;
 }
 
 static void
-hear_loads (gpr_t *gpr, const xch_message *message)
+read_loads (gpr_t *peers, const xch_message *message)
 {
   for (uint32_t i = 0; i < message->samples.samples_len; i++)
     {
-      const xch_sample *heard = &message->samples.samples_val[i];
-      uint64_t age_us = (uint64_t)heard->age_ms * CLK_US_PER_MS;
-      lnw_item_t item = { .engine_hash = heard->engine_hash,
-                          .load = heard->load,
-                          .told_us = now_us (gpr) - MIN (age_us, now_us (gpr)) };
-
-      if (lnw_add (&gpr->loads, now_us (gpr), &item))
-        gpr->options.load (&item, gpr->options.context);
+      const xch_sample *received = &message->samples.samples_val[i];
+      uint64_t age_us = (uint64_t)received->age_ms * CLK_US_PER_MS;
+      lnw_item_t item = { .engine_hash = received->engine_hash,
+                          .load = received->load,
+                          .told_us = now_us (peers) - MIN (age_us, now_us (peers)) };
+
+      if (lnw_add (&peers->loads, now_us (peers), &item))
+        peers->options.on_load (&item, peers->options.context);
     }
 }
 
 static void
-fill (xch_message *message, const xch_word *to, void *context)
+fill_message (xch_message *message, const xch_word *to, void *context)
 {
-  gpr_t *gpr = context;
-  gpr_known_t known = gpr->options.know (gpr->options.context);
+  gpr_t *peers = context;
+  gpr_known_t known = peers->options.get_progress (peers->options.context);
 
   (void)to;
-  message->sender.host_hash = gpr->own_hash;
-  message->sender.incarnation = gpr->options.incarnation;
-  message->sender.sequence = ++gpr->sequence;
+  message->sender.host_hash = peers->own_hash;
+  message->sender.incarnation = peers->options.incarnation;
+  message->sender.sequence = ++peers->sequence;
   message->manifest_offset = known.routing_next;
   message->list_revision = known.engines_next;
   message->routers_offset = known.routers_next;
   message->store_age_ms = known.store_age_ms;
-  fill_marks (gpr, message);
-  fill_loads (gpr, message);
+  fill_marks (peers, message);
+  fill_loads (peers, message);
 }
 
-/* Return: false for a message that is older than one heard before */
+/* Return: false for a message older than one received before */
 static bool
-note_heard (gpr_t *gpr, peer_t *peer, const xch_word *sender)
+record_message (gpr_t *peers, peer_t *peer, const xch_word *sender)
 {
-  if (sender->incarnation < peer->incarnation && now_us (gpr) - peer->heard_us < REBORN_US)
+  if (sender->incarnation < peer->incarnation &&
+      now_us (peers) - peer->heard_us < LOWER_INCARNATION_AFTER_US)
     return false;
   if (sender->incarnation == peer->incarnation && sender->sequence <= peer->sequence)
     return false;
   peer->incarnation = sender->incarnation;
   peer->sequence = sender->sequence;
-  if (peer->heard_us == 0 || !is_alive (gpr, peer))
+  if (peer->heard_us == 0 || !is_alive (peers, peer))
     log_event (LOG_LEVEL_NOTICE, "peer_heard", "peer", peer->name, "incarnation",
                LOG_U64 (peer->incarnation), NULL);
-  peer->heard_us = now_us (gpr);
-  gpr->heard_us = peer->heard_us;
-  peer->called_us = 0;
+  peer->heard_us = now_us (peers);
+  peers->heard_us = peer->heard_us;
+  peer->unanswered_us = 0;
   return true;
 }
 
 static bool
-heard (const xch_message *message, bool is_reply, void *context)
+on_message (const xch_message *message, bool is_reply, void *context)
 {
-  gpr_t *gpr = context;
-  peer_t *peer = find (gpr, message->sender.host_hash);
+  gpr_t *peers = context;
+  peer_t *peer = find_by_hash (peers, message->sender.host_hash);
   gpr_known_t theirs = { .routing_next = message->manifest_offset,
                          .engines_next = message->list_revision,
                          .routers_next = message->routers_offset,
                          .store_age_ms = message->store_age_ms };
 
   (void)is_reply;
-  /* One that has just started is in the list sooner than here. It is answered, or it would take
-   * this gateway for gone, and itself for one of the few that follow the store. */
+  /* A gateway that has just started may not be known here yet. It gets a reply all the same;
+   * without one it would take this gateway for dead and follow the store itself. */
   if (!peer)
     return true;
-  if (!note_heard (gpr, peer, &message->sender))
+  if (!record_message (peers, peer, &message->sender))
     return false;
-  hear_marks (gpr, message);
-  hear_loads (gpr, message);
-  gpr->options.heard (&theirs, &peer->control, gpr->options.context);
+  read_marks (peers, message);
+  read_loads (peers, message);
+  peers->options.on_progress (&theirs, &peer->control, peers->options.context);
   return true;
 }
 
-/* A number that is the same wherever it is worked out, and unlike for each gateway. */
+/* Rank for rendezvous hashing: every gateway computes the same value for a given @hash. */
 static uint64_t
 rank_of (uint64_t hash)
 {
-  return XXH64 (&hash, sizeof hash, GPR_TAILS);
+  return XXH64 (&hash, sizeof hash, RANK_SEED);
 }
 
 static bool
-is_before (const gpr_t *gpr, const peer_t *peer)
+ranks_before (const gpr_t *peers, const peer_t *peer)
 {
-  return is_alive (gpr, peer) && rank_of (peer->hash) > rank_of (gpr->own_hash);
+  return is_alive (peers, peer) && rank_of (peer->hash) > rank_of (peers->own_hash);
 }
 
 static uint32_t
-alive_before (const gpr_t *gpr)
+count_ranked_before (const gpr_t *peers)
 {
-  uint32_t before = 0;
+  uint32_t count = 0;
 
-  for (guint i = 0; i < gpr->peers->len; i++)
-    before += is_before (gpr, g_ptr_array_index (gpr->peers, i)) ? 1 : 0;
-  return before;
+  for (guint i = 0; i < peers->list->len; i++)
+    count += ranks_before (peers, g_ptr_array_index (peers->list, i)) ? 1 : 0;
+  return count;
 }
 
 static gint
@@ -252,18 +267,19 @@
 }
 
 /*
- * In rank, each eight of those that rest have one that is nearer to the few that follow the store.
- * By peers at random alone, word of them was over two seconds old at one in five of 103 gateways,
- * which then read the store themselves.
+ * Peer that is one level nearer to the followers in a tree by rank, in which each node has
+ * %GPR_FANOUT children; NULL for a follower itself. With random peers alone, the last contact with
+ * the store was more than two seconds old at one in five of 103 gateways, which then read the store
+ * themselves.
  */
 static peer_t *
-nearer_peer (const gpr_t *gpr)
+nearer_peer (const gpr_t *peers)
 {
   g_autoptr (GPtrArray) before = g_ptr_array_new ();
 
-  for (guint i = 0; i < gpr->peers->len; i++)
-    if (is_before (gpr, g_ptr_array_index (gpr->peers, i)))
-      g_ptr_array_add (before, g_ptr_array_index (gpr->peers, i));
+  for (guint i = 0; i < peers->list->len; i++)
+    if (ranks_before (peers, g_ptr_array_index (peers->list, i)))
+      g_ptr_array_add (before, g_ptr_array_index (peers->list, i));
   if (before->len < GPR_TAILS)
     return NULL;
   g_ptr_array_sort (before, compare_ranks);
@@ -271,49 +287,48 @@
 }
 
 static peer_t *
-random_peer (gpr_t *gpr, bool alive_only)
+random_peer (gpr_t *peers, bool alive_only)
 {
-  guint count = gpr->peers->len;
+  guint count = peers->list->len;
   guint start;
 
   if (count == 0)
     return NULL;
-  start = (guint)g_rand_int_range (gpr->rand, 0, (gint32)count);
+  start = (guint)g_rand_int_range (peers->rand, 0, (gint32)count);
   for (guint i = 0; i < count; i++)
     {
-      peer_t *peer = g_ptr_array_index (gpr->peers, (start + i) % count);
+      peer_t *peer = g_ptr_array_index (peers->list, (start + i) % count);
 
-      if (!alive_only || is_alive (gpr, peer))
+      if (!alive_only || is_alive (peers, peer))
         return peer;
     }
   return NULL;
 }
 
 static void
-note_call (gpr_t *gpr, peer_t *peer)
+record_call (gpr_t *peers, peer_t *peer)
 {
-  if (peer->called_us == 0)
-    peer->called_us = now_us (gpr);
+  if (peer->unanswered_us == 0)
+    peer->unanswered_us = now_us (peers);
 }
 
-/* Half of the time one that is nearer to the store; else mostly one that is heard; now and then
- * any, or one that was cut off would never be heard again.
- */
+/* Half of the messages go to the peer nearer to the store, most others to a live peer. The rest go
+ * to any peer: otherwise one that was disconnected would never be contacted again. */
 static bool
-pick (set_address_t *address, void *context)
+pick_destination (set_address_t *address, void *context)
 {
-  gpr_t *gpr = context;
+  gpr_t *peers = context;
   peer_t *peer = NULL;
 
-  if (g_rand_boolean (gpr->rand))
-    peer = nearer_peer (gpr);
-  if (!peer && g_rand_int_range (gpr->rand, 0, 4) != 0)
-    peer = random_peer (gpr, true);
+  if (g_rand_boolean (peers->rand))
+    peer = nearer_peer (peers);
+  if (!peer && g_rand_int_range (peers->rand, 0, 4) != 0)
+    peer = random_peer (peers, true);
   if (!peer)
-    peer = random_peer (gpr, false);
+    peer = random_peer (peers, false);
   if (!peer)
     return false;
-  note_call (gpr, peer);
+  record_call (peers, peer);
   *address = peer->exchange;
   return true;
 }
@@ -321,75 +336,75 @@
 static void
 on_news (evutil_socket_t fd, short what, void *context)
 {
-  gpr_t *gpr = context;
+  gpr_t *peers = context;
 
   (void)fd;
   (void)what;
   for (uint32_t i = 0; i < GPR_NEWS_TELLS; i++)
     {
-      const peer_t *peer = random_peer (gpr, true);
+      const peer_t *peer = random_peer (peers, true);
 
       if (peer)
-        exc_now (gpr->exc, &peer->exchange);
+        exc_now (peers->exchange, &peer->exchange);
     }
 }
 
 gpr_t *
 gpr_new (const gpr_options_t *options, GError **error)
 {
-  gpr_t *gpr = g_new0 (gpr_t, 1);
+  gpr_t *peers = g_new0 (gpr_t, 1);
   const set_t *set = options->set;
 
-  gpr->options = *options;
-  gpr->peers = g_ptr_array_new_with_free_func (g_free);
-  gpr->own_hash = hash_of (set->name);
-  rmr_init (&gpr->rumours);
-  gpr->news = evtimer_new (options->base, on_news, gpr);
-  gpr->rand = g_rand_new_with_seed ((guint32)(gpr->own_hash ^ options->incarnation));
-  gpr->exc = exc_new (&(exc_options_t){ .base = options->base,
-                                        .clk = options->clk,
-                                        .counters = options->counters,
-                                        .listen = set->exchange,
-                                        .fleet_key = set->fleet_key,
-                                        .interval_ms = set->exchange_interval_ms,
-                                        .budget_bytes = set->control_budget_bytes,
-                                        .seed = gpr->own_hash ^ options->incarnation,
-                                        .fill = fill,
-                                        .heard = heard,
-                                        .pick = pick,
-                                        .context = gpr },
-                      error);
-  if (gpr->exc)
-    return gpr;
-  gpr_free (gpr);
+  peers->options = *options;
+  peers->list = g_ptr_array_new_with_free_func (g_free);
+  peers->own_hash = hash_of (set->name);
+  rmr_init (&peers->gossip);
+  peers->news_timer = evtimer_new (options->base, on_news, peers);
+  peers->rand = g_rand_new_with_seed ((guint32)(peers->own_hash ^ options->incarnation));
+  peers->exchange = exc_new (&(exc_options_t){ .base = options->base,
+                                               .clk = options->clk,
+                                               .counters = options->counters,
+                                               .listen = set->exchange,
+                                               .fleet_key = set->fleet_key,
+                                               .interval_ms = set->exchange_interval_ms,
+                                               .budget_bytes = set->control_budget_bytes,
+                                               .seed = peers->own_hash ^ options->incarnation,
+                                               .fill = fill_message,
+                                               .heard = on_message,
+                                               .pick = pick_destination,
+                                               .context = peers },
+                             error);
+  if (peers->exchange)
+    return peers;
+  gpr_free (peers);
   return NULL;
 }
 
 void
-gpr_free (gpr_t *gpr)
+gpr_free (gpr_t *peers)
 {
-  if (gpr->exc)
-    exc_free (gpr->exc);
-  event_free (gpr->news);
-  g_rand_free (gpr->rand);
-  g_ptr_array_free (gpr->peers, TRUE);
-  g_free (gpr);
+  if (peers->exchange)
+    exc_free (peers->exchange);
+  event_free (peers->news_timer);
+  g_rand_free (peers->rand);
+  g_ptr_array_free (peers->list, TRUE);
+  g_free (peers);
 }
 
-/* The entry is the same at each start, so that one that comes back has nothing to write and is no
- * news to the others: they learn its incarnation by its messages. */
+/* The entry does not contain the incarnation, which peers learn from messages. So it is the same at
+ * each start, and a gateway that restarts causes no write and no new record for the others. */
 char *
-gpr_entry (const gpr_t *gpr)
+gpr_entry (const gpr_t *peers)
 {
-  g_autofree char *exchange = set_address_text (&gpr->options.set->exchange);
-  g_autofree char *control = set_address_text (&gpr->options.set->control_listen);
+  g_autofree char *exchange = set_address_text (&peers->options.set->exchange);
+  g_autofree char *control = set_address_text (&peers->options.set->control_listen);
 
   return g_strdup_printf (NO_INCARNATION " %s %s", exchange, control);
 }
 
-/* "INCARNATION EXCHANGE CONTROL" */
+/* Format: "INCARNATION EXCHANGE-ADDRESS CONTROL-ADDRESS" */
 static bool
-read_entry (const char *entry, peer_t *peer)
+parse_entry (const char *entry, peer_t *peer)
 {
   g_auto (GStrv) fields = g_strsplit (entry, " ", 4);
 
@@ -401,89 +416,89 @@
 }
 
 void
-gpr_put (gpr_t *gpr, const char *name, const char *entry)
+gpr_put (gpr_t *peers, const char *name, const char *entry)
 {
-  peer_t *before = find (gpr, hash_of (name));
-  peer_t peer = { .hash = hash_of (name), .known_us = now_us (gpr) };
+  peer_t *known = find_by_hash (peers, hash_of (name));
+  peer_t peer = { .hash = hash_of (name), .known_us = now_us (peers) };
 
-  if (peer.hash == gpr->own_hash)
+  if (peer.hash == peers->own_hash)
     return;
-  if (entry && (strlen (name) >= sizeof peer.name || !read_entry (entry, &peer)))
+  if (entry && (strlen (name) >= sizeof peer.name || !parse_entry (entry, &peer)))
     {
       log_event (LOG_LEVEL_WARNING, "peer_unreadable", "peer", name, NULL);
       return;
     }
-  if (before)
-    g_ptr_array_remove (gpr->peers, before);
+  if (known)
+    g_ptr_array_remove (peers->list, known);
   if (!entry)
     return;
   g_strlcpy (peer.name, name, sizeof peer.name);
-  g_ptr_array_add (gpr->peers, g_memdup2 (&peer, sizeof peer));
+  g_ptr_array_add (peers->list, g_memdup2 (&peer, sizeof peer));
 }
 
 void
-gpr_add_suspect (gpr_t *gpr, const sus_mark_t *mark)
+gpr_add_suspect (gpr_t *peers, const sus_mark_t *mark)
 {
-  rmr_add_mark (&gpr->rumours, now_us (gpr), mark);
-  gpr_tell_news (gpr);
+  rmr_add_mark (&peers->gossip, now_us (peers), mark);
+  gpr_tell_news (peers);
 }
 
 void
-gpr_add_load (gpr_t *gpr, const lnw_item_t *item)
+gpr_add_load (gpr_t *peers, const lnw_item_t *item)
 {
-  lnw_add (&gpr->loads, now_us (gpr), item);
+  lnw_add (&peers->loads, now_us (peers), item);
 }
 
-/* A read brings the entries of many engines at once: a message for each used up the budget, and
- * what came next was not told for seconds. */
+/* One read can bring the entries of many engines. A message for each entry would use up the message
+ * budget, so that later news was not sent for seconds; the timer combines them into one. */
 void
-gpr_tell_news (gpr_t *gpr)
+gpr_tell_news (gpr_t *peers)
 {
-  if (!event_pending (gpr->news, EV_TIMEOUT, NULL))
-    event_add (gpr->news, &(struct timeval){ 0, 0 });
+  if (!event_pending (peers->news_timer, EV_TIMEOUT, NULL))
+    event_add (peers->news_timer, &(struct timeval){ 0, 0 });
 }
 
 static uint32_t
-alive_count (const gpr_t *gpr)
+count_alive (const gpr_t *peers)
 {
   uint32_t count = 0;
 
-  for (guint i = 0; i < gpr->peers->len; i++)
-    count += is_alive (gpr, g_ptr_array_index (gpr->peers, i)) ? 1 : 0;
+  for (guint i = 0; i < peers->list->len; i++)
+    count += is_alive (peers, g_ptr_array_index (peers->list, i)) ? 1 : 0;
   return count;
 }
 
 uint32_t
-gpr_count (const gpr_t *gpr)
+gpr_count (const gpr_t *peers)
 {
-  return 1 + MAX (alive_count (gpr), (gpr->peers->len + 1) / 2);
+  return 1 + MAX (count_alive (peers), (peers->list->len + 1) / 2);
 }
 
 uint32_t
-gpr_sharers (const gpr_t *gpr, bool listed)
+gpr_sharers (const gpr_t *peers, bool listed)
 {
-  return rsh_sharers (listed, gpr->peers->len, alive_count (gpr));
+  return rsh_sharers (listed, peers->list->len, count_alive (peers));
 }
 
 uint32_t
-gpr_before (const gpr_t *gpr)
+gpr_before (const gpr_t *peers)
 {
-  return alive_before (gpr);
+  return count_ranked_before (peers);
 }
 
 bool
-gpr_is_alone (const gpr_t *gpr)
+gpr_is_alone (const gpr_t *peers)
 {
-  return now_us (gpr) - gpr->heard_us >= GPR_ALONE_US;
+  return now_us (peers) - peers->heard_us >= GPR_ALONE_US;
 }
 
 bool
-gpr_some (gpr_t *gpr, set_address_t *control)
+gpr_some (gpr_t *peers, set_address_t *control)
 {
-  const peer_t *peer = random_peer (gpr, true);
+  const peer_t *peer = random_peer (peers, true);
 
   if (!peer)
-    peer = random_peer (gpr, false);
+    peer = random_peer (peers, false);
   if (!peer)
     return false;
   *control = peer->control;
--- a/src/process/gateway_peers.h
+++ b/src/process/gateway_peers.h
@@ -1,12 +1,14 @@
 /**
  * DOC: gateway_peers
  *
- * The other gateways: who they are by the stream of routers, who was heard lately by the exchange,
- * how far they have read the store, and which of them follow it closely.
+ * The other gateways: their addresses from the gateway registry (the stream of routers), which of
+ * them were heard lately on the exchange, how far they have read the store, and which of them
+ * follow it.
  *
- * A few gateways follow closely, chosen by rendezvous hashing over those that are heard, so that no
- * one is set aside for it and the store's calls do not grow with the fleet. The others hear from
- * peers when there is news that they lack.
+ * A few gateways, the followers, read the store continuously; the others learn from peers that
+ * there are records which they lack. So the number of store calls does not grow with the fleet.
+ * Followers are chosen by rendezvous hashing among the gateways heard lately, so no host is
+ * dedicated to this and a lost follower is replaced without any configuration.
  */
 #ifndef PROCESS_GATEWAY_PEERS_H
 #define PROCESS_GATEWAY_PEERS_H
@@ -22,26 +24,30 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define GPR_TAILS 3  /* gateways that follow the store closely: two may be lost at once */
-#define GPR_FANOUT 8 /* peers that ask the same one how it stands: 2 KB a second of answers */
-#define GPR_HEARD_US (UINT64_C (5000) * 1000) /* a peer heard within is alive */
-/* Each message is answered, and one is sent each interval: so long without any is a cut. */
+#define GPR_TAILS 3 /* followers of the store: two may be lost at once */
+/* Gateways that contact the same gateway nearer to the store: 2 KB a second of replies. */
+#define GPR_FANOUT 8
+/* Minimum time after its last message for which a peer counts as alive. */
+#define GPR_HEARD_US (UINT64_C (5000) * 1000)
+/* Every message gets a reply, and one is sent in each interval of the exchange: a gateway that
+ * hears no peer for this long is disconnected from them. */
 #define GPR_ALONE_US (UINT64_C (2000) * 1000)
-/* Of the exchange's interval, times the peers: a peer is heard four times in twice as long, by its
- * calls and by ours, so by calculation one in fifty is missed. */
+/* A peer also counts as alive for this many exchange intervals per known peer. In that time it is
+ * heard four times on average, by its messages and by its replies to ours, so by calculation one
+ * peer in fifty is missed. */
 #define GPR_HEARD_TURNS 2
-/* An answer takes a few milliseconds; a host that is short of processor time takes longer. */
+/* Reply timeout. A reply takes a few milliseconds, longer on a host short of processor time. */
 #define GPR_ANSWER_US (UINT64_C (1000) * 1000)
-/* Peers that are told at once when the store has news; each tells as many in turn. By
- * calculation two of 31 gateways are left that hear of it by their next regular message. */
+/* Number of peers that get a message at once when the store has news; each of them does the same.
+ * By calculation two of 31 gateways are left, which learn of it from their next regular message. */
 #define GPR_NEWS_TELLS 3
 
 /**
- * struct gpr_known - what a gateway knows of the store
- * @routing_next: offset up to which what operators wrote is known
- * @engines_next: likewise the registry
- * @routers_next: likewise the list of gateways
- * @store_age_ms: how long ago the store, or a peer that had heard it, was heard
+ * struct gpr_known - how far a gateway has read the store
+ * @routing_next: next offset to read of the stream of routing rules
+ * @engines_next: next offset to read of the engine registry
+ * @routers_next: next offset to read of the gateway registry
+ * @store_age_ms: time since the last contact with the store, direct or through peers
  */
 typedef struct
 {
@@ -53,10 +59,11 @@
 
 /**
  * struct gpr_options - options of gpr_new()
- * @know: what this gateway knows now
- * @heard: a peer knows @theirs; its control address is @control
- * @suspect: a mark of a request that crashes its engines was heard, for the first time
- * @load: a load that an engine told another gateway was heard, later than any of it before
+ * @incarnation: start time of this process, in milliseconds since 1970
+ * @get_progress: returns how far this gateway has read the store
+ * @on_progress: a peer reported its progress @theirs; @control is its control address
+ * @on_suspect: a peer reported something new about a request that crashes its engines
+ * @on_load: a peer reported a load of an engine that is more recent than any report before
  */
 typedef struct
 {
@@ -65,39 +72,44 @@
   cnt_set_t *counters;
   const set_t *set;
   uint64_t incarnation;
-  gpr_known_t (*know) (void *context);
-  void (*heard) (const gpr_known_t *theirs, const set_address_t *control, void *context);
-  void (*suspect) (const sus_mark_t *mark, void *context);
-  void (*load) (const lnw_item_t *item, void *context);
+  gpr_known_t (*get_progress) (void *context);
+  void (*on_progress) (const gpr_known_t *theirs, const set_address_t *control, void *context);
+  void (*on_suspect) (const sus_mark_t *mark, void *context);
+  void (*on_load) (const lnw_item_t *item, void *context);
   void *context;
 } gpr_options_t;
 
 typedef struct gpr gpr_t;
 
+/** gpr_new() - opens the exchange. Return: NULL with @error when its address cannot be used */
 gpr_t *gpr_new (const gpr_options_t *options, GError **error);
-void gpr_free (gpr_t *gpr);
-/** gpr_entry() - what a gateway writes of itself into the stream of routers, freed by g_free() */
-char *gpr_entry (const gpr_t *gpr);
-/** gpr_put() - an entry of the stream of routers; @entry NULL when it was dropped */
-void gpr_put (gpr_t *gpr, const char *name, const char *entry);
-/** gpr_add_suspect() - tell peers of a request that crashes its engines, some of them at once */
-void gpr_add_suspect (gpr_t *gpr, const sus_mark_t *mark);
-/** gpr_add_load() - an engine told this gateway a high load: pass it on */
-void gpr_add_load (gpr_t *gpr, const lnw_item_t *item);
-/** gpr_tell_news() - tell some peers what is known here, once all that has just come is taken in */
-void gpr_tell_news (gpr_t *gpr);
-/** gpr_count() - gateways that may be at work, this one too: those heard lately, and at least half
- * of those known, since a cut must not make a gateway take the share of the others */
-uint32_t gpr_count (const gpr_t *gpr);
-/** gpr_sharers() - gateways that the stream of routers names, at work or not, this one too; 0
- * before it was @listed */
-uint32_t gpr_sharers (const gpr_t *gpr, bool listed);
-/** gpr_before() - gateways alive that come before this one where a few of all are chosen */
-uint32_t gpr_before (const gpr_t *gpr);
+void gpr_free (gpr_t *peers);
+/** gpr_entry() - this gateway's entry for the gateway registry, to be freed by g_free() */
+char *gpr_entry (const gpr_t *peers);
+/** gpr_put() - applies an entry of the gateway registry; @entry is NULL when it was removed */
+void gpr_put (gpr_t *peers, const char *name, const char *entry);
+/** gpr_add_suspect() - reports a request that crashes its engines to peers, to some of them at
+ * once */
+void gpr_add_suspect (gpr_t *peers, const sus_mark_t *mark);
+/** gpr_add_load() - adds a high load that an engine reported here to the next messages to peers */
+void gpr_add_load (gpr_t *peers, const lnw_item_t *item);
+/** gpr_tell_news() - sends %GPR_NEWS_TELLS peers a message in the next turn of the event loop,
+ * after all records of the current read have been applied */
+void gpr_tell_news (gpr_t *peers);
+/** gpr_count() - number of gateways that may be running, including this one: those that count as
+ * alive, but at least half of the known ones, so that a disconnected gateway does not take over the
+ * share of all the others */
+uint32_t gpr_count (const gpr_t *peers);
+/** gpr_sharers() - number of gateways in the gateway registry, running or not, including this one;
+ * 0 unless the registry has been @listed */
+uint32_t gpr_sharers (const gpr_t *peers, bool listed);
+/** gpr_before() - number of live gateways that rank before this one; the first %GPR_TAILS follow
+ * the store */
+uint32_t gpr_before (const gpr_t *peers);
 /** gpr_is_alone() - whether no peer was heard within %GPR_ALONE_US */
-bool gpr_is_alone (const gpr_t *gpr);
-/** gpr_some() - control address of a peer at random, those heard lately first. Return: false when
- * none is known */
-bool gpr_some (gpr_t *gpr, set_address_t *control);
+bool gpr_is_alone (const gpr_t *peers);
+/** gpr_some() - gets the control address of a random peer, preferably a live one. Return: false
+ * when no peer is known */
+bool gpr_some (gpr_t *peers, set_address_t *control);
 
 #endif
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -13,31 +13,38 @@
 #define ADMIN_HEADER_LIMIT_COUNT 32
 #define ADMIN_CONNECTION_LIMIT 64
 #define ADMIN_IDLE_TIMEOUT_MS 15000
-#define STALL_MS 150 /* a tick so late is told: events of streams have stood as long */
+#define STALL_MS 150 /* a tick that is later is logged: streamed events were delayed as long */
 
 /**
  * struct gwp - a gateway
- * @lapsed: engines whose entry went while the store could not be read, perhaps since it was out
- * @held_until_us: callers are taken no later, though it is not ready; 0 when they are taken
- * @stop_us: when a stop signal came, 0 before
+ * @ready_listener: listener of readiness checks
+ * @control_listener: listener of peers and of metrics requests
+ * @table: routing rules in force, NULL for none
+ * @lapsed: engines whose entries were removed while the store could not be read, and may have
+ *   expired only because of an outage
+ * @accept_by_us: latest time at which client connections are accepted, even if the gateway is not
+ *   ready; 0 once they are
+ * @stop_us: when the stop signal came, 0 before
+ * @was_ready: readiness that was logged last
+ * @ticked_us: time of the last tick, 0 for none
  */
 struct gwp
 {
   gwp_options_t options;
   egs_t *engines;
-  gwy_t *gwy;
+  gwy_t *gateway;
   gst_t *store;
-  hsv_t *ready;
-  hsv_t *control;
+  hsv_t *ready_listener;
+  hsv_t *control_listener;
   rte_t *table;
   lapses_t *lapsed;
   struct event *tick;
-  uint64_t held_until_us;
+  uint64_t accept_by_us;
   uint64_t stop_us;
   bool was_ready;
   uint64_t ticked_us;
-  cnt_t *stalls;
-  cnt_t *version;
+  cnt_t *stall_count;
+  cnt_t *version_gauge;
   cnt_t *engine_count;
   cnt_t *lapsed_count;
   cnt_t *drained_count;
@@ -45,70 +52,71 @@
 };
 
 static uint64_t
-now_us (const gwp_t *gwp)
+now_us (const gwp_t *process)
 {
-  return clk_now_us (gwp->options.clk);
+  return clk_now_us (process->options.clk);
 }
 
 bool
-gwp_is_ready (const gwp_t *gwp)
+gwp_is_ready (const gwp_t *process)
 {
-  return gwp->table && gwp->store && gst_has_routing (gwp->store) && gst_has_engines (gwp->store) &&
-         gwp->stop_us == 0;
+  return process->table && process->store && gst_has_routing (process->store) &&
+         gst_has_engines (process->store) && process->stop_us == 0;
 }
 
 static void
-turn_hold (gwp_t *gwp)
+accept_when_ready (gwp_t *process)
 {
-  if (gwp->held_until_us == 0 || (!gwp_is_ready (gwp) && now_us (gwp) < gwp->held_until_us))
+  if (process->accept_by_us == 0 ||
+      (!gwp_is_ready (process) && now_us (process) < process->accept_by_us))
     return;
-  gwp->held_until_us = 0;
-  gwy_release (gwp->gwy);
+  process->accept_by_us = 0;
+  gwy_release (process->gateway);
 }
 
 static void
-note_ready (gwp_t *gwp)
+log_readiness (gwp_t *process)
 {
-  bool ready = gwp_is_ready (gwp);
+  bool ready = gwp_is_ready (process);
 
-  turn_hold (gwp);
+  accept_when_ready (process);
 
-  if (ready == gwp->was_ready)
+  if (ready == process->was_ready)
     return;
-  gwp->was_ready = ready;
+  process->was_ready = ready;
   log_event (LOG_LEVEL_NOTICE, ready ? "ready" : "not_ready", "version",
-             LOG_U64 (gwp->table ? rte_version (gwp->table) : 0), "engines",
-             LOG_U64 (egs_count (gwp->engines)), NULL);
+             LOG_U64 (process->table ? rte_version (process->table) : 0), "engines",
+             LOG_U64 (egs_count (process->engines)), NULL);
 }
 
-/* A version only rises: an older one that the store tells late is not put in force again. */
+/* An older version that is read late must not replace a newer one. */
 static void
 on_routing (const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gwp_t *gwp = context;
-  uint64_t held = gwp->table ? rte_version (gwp->table) : 0;
+  gwp_t *process = context;
+  uint64_t version_in_force = process->table ? rte_version (process->table) : 0;
   GError *error = NULL;
   rte_t *table;
 
-  table = gwp->options.readers.routing (value, value_bytes, gwp->table, &error);
+  table = process->options.readers.routing (value, value_bytes, process->table, &error);
   if (!table)
     {
       log_event (LOG_LEVEL_ERROR, "version_unreadable", "offset", LOG_U64 (offset), "in_force",
-                 LOG_U64 (held), "error", error->message, NULL);
+                 LOG_U64 (version_in_force), "error", error->message, NULL);
       g_error_free (error);
       return;
     }
-  if (rte_version (table) > held)
+  if (rte_version (table) > version_in_force)
     {
       log_event (LOG_LEVEL_NOTICE, "version", "version", LOG_U64 (rte_version (table)), "before",
-                 LOG_U64 (held), "routes", LOG_U64 (rte_route_count (table)), "offset",
+                 LOG_U64 (version_in_force), "routes", LOG_U64 (rte_route_count (table)), "offset",
                  LOG_U64 (offset), NULL);
-      if (gwp->table)
-        rte_unref (gwp->table);
-      gwp->table = rte_ref (table);
-      gwy_set_table (gwp->gwy, table);
-      cnt_set_value (gwp->version, rte_version (table));
-      gst_tell_news (gwp->store);
+      if (process->table)
+        rte_unref (process->table);
+      process->table = rte_ref (table);
+      gwy_set_table (process->gateway, table);
+      cnt_set_value (process->version_gauge, rte_version (table));
+      gst_tell_news (process->store);
     }
   rte_unref (table);
 }
@@ -116,107 +124,109 @@
 static void
 on_drain (const char *data_center, bool drained, uint64_t offset, void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
 
-  if (!egs_set_drained (gwp->engines, now_us (gwp), data_center, drained))
+  if (!egs_set_drained (process->engines, now_us (process), data_center, drained))
     return;
   log_event (LOG_LEVEL_NOTICE, "data_center", "data_center", data_center, "state",
              drained ? "drained" : "taken_back", "offset", LOG_U64 (offset), "engines",
-             LOG_U64 (egs_count_in (gwp->engines, data_center)), NULL);
-  cnt_set_value (gwp->drained_count, egs_drained_count (gwp->engines));
-  gst_tell_news (gwp->store);
-  gwy_engines_changed (gwp->gwy);
+             LOG_U64 (egs_count_in (process->engines, data_center)), NULL);
+  cnt_set_value (process->drained_count, egs_drained_count (process->engines));
+  gst_tell_news (process->store);
+  gwy_engines_changed (process->gateway);
 }
 
 static void
-log_engine (const gwp_t *gwp, const char *id, const char *state, uint64_t offset)
+log_engine (const gwp_t *process, const char *id, const char *state, uint64_t offset)
 {
   log_event (LOG_LEVEL_NOTICE, "engine", "engine", id, "state", state, "offset", LOG_U64 (offset),
-             "engines", LOG_U64 (egs_count (gwp->engines)), NULL);
+             "engines", LOG_U64 (egs_count (process->engines)), NULL);
 }
 
 static void
-count_engines (gwp_t *gwp)
+update_engine_counts (gwp_t *process)
 {
-  cnt_set_value (gwp->engine_count, egs_count (gwp->engines));
-  cnt_set_value (gwp->lapsed_count, lapses_count (gwp->lapsed));
+  cnt_set_value (process->engine_count, egs_count (process->engines));
+  cnt_set_value (process->lapsed_count, lapses_count (process->lapsed));
 }
 
 static void
-remove_engine (gwp_t *gwp, const char *id, uint64_t offset)
+remove_engine (gwp_t *process, const char *id, uint64_t offset)
 {
-  if (!egs_find (gwp->engines, id))
+  if (!egs_find (process->engines, id))
     return;
-  egs_gone (gwp->engines, id);
-  count_engines (gwp);
-  log_engine (gwp, id, "gone", offset);
-  gst_tell_news (gwp->store);
-  gwy_engines_changed (gwp->gwy);
+  egs_gone (process->engines, id);
+  update_engine_counts (process);
+  log_engine (process, id, "gone", offset);
+  gst_tell_news (process->store);
+  gwy_engines_changed (process->gateway);
 }
 
-/* Another writer may have left it; whatever the engine was before, the store no longer says so. */
+/* The entry may come from another writer. The engine is removed, since the store no longer confirms
+ * its previous entry. */
 static void
-refuse_entry (gwp_t *gwp, const char *id, uint64_t offset, GError *error)
+reject_entry (gwp_t *process, const char *id, uint64_t offset, GError *error)
 {
   log_event (LOG_LEVEL_ERROR, "engine_unreadable", "engine", id, "offset", LOG_U64 (offset),
              "error", error->message, NULL);
   g_error_free (error);
-  lapses_remove (gwp->lapsed, id);
-  remove_engine (gwp, id, offset);
+  lapses_remove (process->lapsed, id);
+  remove_engine (process, id, offset);
 }
 
-/** struct former - what was known under an id before an entry came; @state EGN_GONE when nothing
- * was */
+/** struct previous_entry - what was known of an engine id before a new entry; @state is EGN_GONE
+ * when nothing was */
 typedef struct
 {
   egn_state_t state;
   uint64_t hash;
   set_address_t address;
-} former_t;
+} previous_entry_t;
 
-static former_t
-former_of (const gwp_t *gwp, const char *id)
+static previous_entry_t
+get_previous_entry (const gwp_t *process, const char *id)
 {
-  const egn_t *egn = egs_find (gwp->engines, id);
+  const egn_t *engine = egs_find (process->engines, id);
 
-  if (!egn)
-    return (former_t){ .state = EGN_GONE };
-  return (former_t){ egn->entry.state, egn->hash, egn->entry.address };
+  if (!engine)
+    return (previous_entry_t){ .state = EGN_GONE };
+  return (previous_entry_t){ engine->entry.state, engine->hash, engine->entry.address };
 }
 
 static void
-put_engine (gwp_t *gwp, const char *id, const char *value, size_t value_bytes, uint64_t offset)
+put_engine (gwp_t *process, const char *id, const char *value, size_t value_bytes, uint64_t offset)
 {
-  former_t former = former_of (gwp, id);
+  previous_entry_t previous = get_previous_entry (process, id);
   egn_entry_t entry;
   const egn_t *engine;
   GError *error = NULL;
 
-  if (!gwp->options.readers.engine (&entry, id, value, value_bytes, &error))
+  if (!process->options.readers.engine (&entry, id, value, value_bytes, &error))
     {
-      refuse_entry (gwp, id, offset, error);
+      reject_entry (process, id, offset, error);
       return;
     }
-  lapses_remove (gwp->lapsed, id);
-  entry.region = g_intern_string (rgn_of (&gwp->options.set->regions, entry.data_center));
-  engine = egs_put (gwp->engines, now_us (gwp), &entry);
-  if (former.state != EGN_GONE && engine->hash != former.hash)
+  lapses_remove (process->lapsed, id);
+  entry.region = g_intern_string (rgn_of (&process->options.set->regions, entry.data_center));
+  engine = egs_put (process->engines, now_us (process), &entry);
+  if (previous.state != EGN_GONE && engine->hash != previous.hash)
     {
-      log_engine (gwp, id, "restarted", offset);
-      gwy_engine_restarted (gwp->gwy, former.hash, &former.address);
-      former.state = EGN_GONE;
+      log_engine (process, id, "restarted", offset);
+      gwy_engine_restarted (process->gateway, previous.hash, &previous.address);
+      previous.state = EGN_GONE;
     }
-  if (engine->entry.state == former.state)
+  if (engine->entry.state == previous.state)
     return;
-  log_engine (gwp, id, engine->entry.state == EGN_READY ? "ready" : "leaving", offset);
-  gst_tell_news (gwp->store);
-  gwy_engines_changed (gwp->gwy);
+  log_engine (process, id, engine->entry.state == EGN_READY ? "ready" : "leaving", offset);
+  gst_tell_news (process->store);
+  gwy_engines_changed (process->gateway);
 }
 
 /*
- * While the store is out, entries lapse of engines that live. Taken for gone, they would leave a
- * service without engines for the two seconds until they are back. An entry that goes while the
- * store is read is gone at once: its engine may take nothing more.
+ * During an outage of the store, entries of live engines expire, as they cannot be renewed. If
+ * these engines were removed, their services would have no engines for the two seconds until the
+ * entries are back; so they are kept for that time. An entry that is removed while the store can be
+ * read takes effect at once: its engine must get no more requests.
  */
 static void
 on_engine (const char *id,
@@ -226,145 +236,147 @@
            bool may_have_lapsed,
            void *context)
 {
-  gwp_t *gwp = context;
-  uint64_t due_us = now_us (gwp) + (uint64_t)GWP_LAPSE_MS * CLK_US_PER_MS;
+  gwp_t *process = context;
+  uint64_t due_us = now_us (process) + (uint64_t)GWP_LAPSE_MS * CLK_US_PER_MS;
 
   if (text)
-    put_engine (gwp, id, text, text_bytes, offset);
-  else if (may_have_lapsed && egs_find (gwp->engines, id))
+    put_engine (process, id, text, text_bytes, offset);
+  else if (may_have_lapsed && egs_find (process->engines, id))
     {
-      log_engine (gwp, id, "perhaps_lapsed", offset);
-      lapses_add (gwp->lapsed, id, due_us);
-      egs_lapsed (gwp->engines, id);
+      log_engine (process, id, "perhaps_lapsed", offset);
+      lapses_add (process->lapsed, id, due_us);
+      egs_lapsed (process->engines, id);
     }
   else
-    remove_engine (gwp, id, offset);
-  count_engines (gwp);
+    remove_engine (process, id, offset);
+  update_engine_counts (process);
 }
 
 static void
-on_told (void *context)
+on_store_status (void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
 
-  if (gwp->store && gst_has_engines (gwp->store))
-    egs_set_complete (gwp->engines);
-  if (gwp->gwy)
-    gwy_set_certain (gwp->gwy, gst_is_certain (gwp->store));
-  note_ready (gwp);
+  if (process->store && gst_has_engines (process->store))
+    egs_set_complete (process->engines);
+  if (process->gateway)
+    gwy_set_certain (process->gateway, gst_is_certain (process->store));
+  log_readiness (process);
 }
 
 static void
-on_peers_suspect (const sus_mark_t *mark, void *context)
+on_peer_suspect (const sus_mark_t *mark, void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
 
-  if (gwp->gwy)
-    gwy_heard_suspect (gwp->gwy, mark);
+  if (process->gateway)
+    gwy_heard_suspect (process->gateway, mark);
 }
 
 static void
-on_peers_load (const lnw_item_t *item, void *context)
+on_peer_load (const lnw_item_t *item, void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
 
-  if (gwp->gwy)
-    gwy_heard_load (gwp->gwy, item);
+  if (process->gateway)
+    gwy_heard_load (process->gateway, item);
 }
 
 static void
 on_own_load (const lnw_item_t *item, void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
 
-  gst_add_load (gwp->store, item);
+  gst_add_load (process->store, item);
 }
 
 static void
 on_own_suspect (const sus_mark_t *mark, void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
 
-  gst_add_suspect (gwp->store, mark);
+  gst_add_suspect (process->store, mark);
 }
 
 static uint64_t
-version (void *context)
+get_version (void *context)
 {
-  const gwp_t *gwp = context;
+  const gwp_t *process = context;
 
-  return gwp->table ? rte_version (gwp->table) : 0;
+  return process->table ? rte_version (process->table) : 0;
 }
 
 static void
-end_lapsed (gwp_t *gwp)
+remove_expired (gwp_t *process)
 {
   char *id;
 
-  while ((id = lapses_take_due (gwp->lapsed, now_us (gwp))))
+  while ((id = lapses_take_due (process->lapsed, now_us (process))))
     {
-      remove_engine (gwp, id, 0);
+      remove_engine (process, id, 0);
       g_free (id);
     }
 }
 
 static void
-turn_stop (gwp_t *gwp)
+stop_when_due (gwp_t *process)
 {
   uint64_t since_ms;
 
-  if (gwp->stop_us == 0)
+  if (process->stop_us == 0)
     return;
-  since_ms = (now_us (gwp) - gwp->stop_us) / CLK_US_PER_MS;
+  since_ms = (now_us (process) - process->stop_us) / CLK_US_PER_MS;
   if (since_ms < GWP_LISTEN_ON_MS)
     return;
-  gwy_stop (gwp->gwy);
-  if (gwy_busy (gwp->gwy) > 0 && since_ms + GWP_EXIT_MARGIN_MS < gwp->options.set->grace_ms)
+  gwy_stop (process->gateway);
+  if (gwy_busy (process->gateway) > 0 &&
+      since_ms + GWP_EXIT_MARGIN_MS < process->options.set->grace_ms)
     return;
-  event_base_loopexit (gwp->options.base, NULL);
+  event_base_loopexit (process->options.base, NULL);
 }
 
-/* A host that is slow, frozen or out of processor time shows here first, before requests are late.
- */
+/* A late tick is the first sign of a host that is slow, frozen or short of processor time; requests
+ * time out only later. */
 static void
-note_stall (gwp_t *gwp)
+check_stall (gwp_t *process)
 {
-  uint64_t at_us = now_us (gwp);
-  uint64_t late_ms = gwp->ticked_us ? (at_us - gwp->ticked_us) / CLK_US_PER_MS : 0;
+  uint64_t at_us = now_us (process);
+  uint64_t late_ms = process->ticked_us ? (at_us - process->ticked_us) / CLK_US_PER_MS : 0;
 
-  gwp->ticked_us = at_us;
+  process->ticked_us = at_us;
   if (late_ms < GWP_TICK_MS + STALL_MS)
     return;
-  cnt_add (gwp->stalls, 1);
+  cnt_add (process->stall_count, 1);
   log_event (LOG_LEVEL_WARNING, "stalled", "ms", LOG_U64 (late_ms - GWP_TICK_MS), NULL);
 }
 
 static void
 on_tick (evutil_socket_t fd, short what, void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
 
   (void)fd;
   (void)what;
-  note_stall (gwp);
-  end_lapsed (gwp);
-  turn_hold (gwp);
-  gst_turn (gwp->store);
-  gwy_set_certain (gwp->gwy, gst_is_certain (gwp->store));
-  cnt_set_value (gwp->gateway_count, gst_known_routers (gwp->store));
-  gwy_set_routers (gwp->gwy, gst_routers (gwp->store), gst_known_routers (gwp->store));
-  turn_stop (gwp);
+  check_stall (process);
+  remove_expired (process);
+  accept_when_ready (process);
+  gst_turn (process->store);
+  gwy_set_certain (process->gateway, gst_is_certain (process->store));
+  cnt_set_value (process->gateway_count, gst_known_routers (process->store));
+  gwy_set_routers (process->gateway, gst_routers (process->store),
+                   gst_known_routers (process->store));
+  stop_when_due (process);
   log_flush ();
 }
 
 static void
 on_ready_call (hsv_call_t *call, void *context)
 {
-  const gwp_t *gwp = context;
+  const gwp_t *process = context;
 
   if (strcmp (hsv_path (call), "/readyz") == 0)
-    hsv_reply_text (call, gwp_is_ready (gwp) ? 200 : 503, "text/plain",
-                    gwp_is_ready (gwp) ? "ready\n" : "not ready\n");
+    hsv_reply_text (call, gwp_is_ready (process) ? 200 : 503, "text/plain",
+                    gwp_is_ready (process) ? "ready\n" : "not ready\n");
   else
     hsv_reply_text (call, 404, "text/plain", "no such path\n");
 }
@@ -372,10 +384,10 @@
 static void
 on_control_call (hsv_call_t *call, void *context)
 {
-  gwp_t *gwp = context;
+  gwp_t *process = context;
   GString *text;
 
-  if (gst_answer (gwp->store, call, lapses_count (gwp->lapsed) == 0))
+  if (gst_answer (process->store, call, lapses_count (process->lapsed) == 0))
     return;
   if (strcmp (hsv_path (call), "/metrics") != 0)
     {
@@ -383,19 +395,19 @@
       return;
     }
   text = g_string_new (NULL);
-  cnt_write (gwp->options.counters, text);
+  cnt_write (process->options.counters, text);
   hsv_reply_text (call, 200, "text/plain; version=0.0.4", text->str);
   g_string_free (text, TRUE);
 }
 
 static hsv_t *
-listen_admin (gwp_t *gwp,
+listen_admin (gwp_t *process,
               const set_address_t *address,
               void (*on_call) (hsv_call_t *, void *),
               GError **error)
 {
-  return hsv_new (&(hsv_options_t){ .base = gwp->options.base,
-                                    .counters = gwp->options.counters,
+  return hsv_new (&(hsv_options_t){ .base = process->options.base,
+                                    .counters = process->options.counters,
                                     .listen = *address,
                                     .body_limit_bytes = ADMIN_BODY_LIMIT_BYTES,
                                     .header_limit_bytes = ADMIN_HEADER_LIMIT_BYTES,
@@ -403,121 +415,123 @@
                                     .connection_limit = ADMIN_CONNECTION_LIMIT,
                                     .idle_timeout_ms = ADMIN_IDLE_TIMEOUT_MS,
                                     .on_call = on_call,
-                                    .context = gwp },
+                                    .context = process },
                   error);
 }
 
 static bool
-listen_all (gwp_t *gwp, GError **error)
-{
-  const set_t *set = gwp->options.set;
-
-  gwp->gwy = gwy_new (&(gwy_options_t){ .base = gwp->options.base,
-                                        .clk = gwp->options.clk,
-                                        .counters = gwp->options.counters,
-                                        .set = set,
-                                        .engines = gwp->engines,
-                                        .format = gwp->options.format,
-                                        .suspected = on_own_suspect,
-                                        .high_load = on_own_load,
-                                        .context = gwp,
-                                        .retries = { .ratio_milli = set->retry_ratio_milli,
-                                                     .slack = set->retry_slack_milli / 1000,
-                                                     .window_us = (uint64_t)set->retry_window_ms *
-                                                                  CLK_US_PER_MS } },
-                      error);
-  if (gwp->gwy)
+listen_all (gwp_t *process, GError **error)
+{
+  const set_t *set = process->options.set;
+
+  process->gateway =
+      gwy_new (&(gwy_options_t){ .base = process->options.base,
+                                 .clk = process->options.clk,
+                                 .counters = process->options.counters,
+                                 .set = set,
+                                 .engines = process->engines,
+                                 .format = process->options.format,
+                                 .suspected = on_own_suspect,
+                                 .high_load = on_own_load,
+                                 .context = process,
+                                 .retries = { .ratio_milli = set->retry_ratio_milli,
+                                              .slack = set->retry_slack_milli / 1000,
+                                              .window_us = (uint64_t)set->retry_window_ms *
+                                                           CLK_US_PER_MS } },
+               error);
+  if (process->gateway)
     {
-      gwy_hold (gwp->gwy);
-      gwp->held_until_us = now_us (gwp) + (uint64_t)GWP_HOLD_MS * CLK_US_PER_MS;
+      gwy_hold (process->gateway);
+      process->accept_by_us = now_us (process) + (uint64_t)GWP_HOLD_MS * CLK_US_PER_MS;
     }
-  if (gwp->gwy)
-    gwp->ready = listen_admin (gwp, &set->ready_listen, on_ready_call, error);
-  if (gwp->ready)
-    gwp->control = listen_admin (gwp, &set->control_listen, on_control_call, error);
-  return gwp->control != NULL;
+  if (process->gateway)
+    process->ready_listener = listen_admin (process, &set->ready_listen, on_ready_call, error);
+  if (process->ready_listener)
+    process->control_listener =
+        listen_admin (process, &set->control_listen, on_control_call, error);
+  return process->control_listener != NULL;
 }
 
 static bool
-open_store (gwp_t *gwp, GError **error)
-{
-  gwp->store = gst_new (&(gst_options_t){ .base = gwp->options.base,
-                                          .clk = gwp->options.clk,
-                                          .counters = gwp->options.counters,
-                                          .set = gwp->options.set,
-                                          .plt = gwp->options.plt,
-                                          .incarnation = gwp->options.incarnation,
-                                          .version = version,
-                                          .routing = on_routing,
-                                          .drain = on_drain,
-                                          .engine = on_engine,
-                                          .told = on_told,
-                                          .suspect = on_peers_suspect,
-                                          .load = on_peers_load,
-                                          .context = gwp },
-                        error);
-  return gwp->store != NULL;
+open_store (gwp_t *process, GError **error)
+{
+  process->store = gst_new (&(gst_options_t){ .base = process->options.base,
+                                              .clk = process->options.clk,
+                                              .counters = process->options.counters,
+                                              .set = process->options.set,
+                                              .plt = process->options.plt,
+                                              .incarnation = process->options.incarnation,
+                                              .get_version = get_version,
+                                              .on_routing = on_routing,
+                                              .on_drain = on_drain,
+                                              .on_engine = on_engine,
+                                              .on_status = on_store_status,
+                                              .on_suspect = on_peer_suspect,
+                                              .on_load = on_peer_load,
+                                              .context = process },
+                            error);
+  return process->store != NULL;
 }
 
 gwp_t *
 gwp_new (const gwp_options_t *options, GError **error)
 {
-  gwp_t *gwp = g_new0 (gwp_t, 1);
+  gwp_t *process = g_new0 (gwp_t, 1);
   struct timeval tick = { 0, GWP_TICK_MS * 1000 };
 
-  gwp->options = *options;
-  gwp->engines = egs_new ();
-  gwp->lapsed = lapses_new ();
-  gwp->stalls = cnt_get (options->counters, "medlarplank_stalls_total",
-                         "Times that the process stood still for long");
-  gwp->version = cnt_get (options->counters, "medlarplank_version", "Version in force");
-  gwp->engine_count = cnt_get (options->counters, "medlarplank_engines", "Engines registered");
-  gwp->lapsed_count = cnt_get (options->counters, "medlarplank_lapsed_engines",
-                               "Engines whose entries have gone, perhaps in an outage alone");
-  gwp->drained_count = cnt_get (options->counters, "medlarplank_drained_data_centers",
-                                "Data centres that operators drain");
-  gwp->gateway_count =
+  process->options = *options;
+  process->engines = egs_new ();
+  process->lapsed = lapses_new ();
+  process->stall_count = cnt_get (options->counters, "medlarplank_stalls_total",
+                                  "Times that the process stood still for long");
+  process->version_gauge = cnt_get (options->counters, "medlarplank_version", "Version in force");
+  process->engine_count = cnt_get (options->counters, "medlarplank_engines", "Engines registered");
+  process->lapsed_count = cnt_get (options->counters, "medlarplank_lapsed_engines",
+                                   "Engines whose entries have gone, perhaps in an outage alone");
+  process->drained_count = cnt_get (options->counters, "medlarplank_drained_data_centers",
+                                    "Data centres that operators drain");
+  process->gateway_count =
       cnt_get (options->counters, "medlarplank_gateways",
                "Gateways that are written into the platform's store, this one too");
-  gwp->tick = event_new (options->base, -1, EV_PERSIST, on_tick, gwp);
-  event_add (gwp->tick, &tick);
-  if (open_store (gwp, error) && listen_all (gwp, error))
-    return gwp;
-  gwp_free (gwp);
+  process->tick = event_new (options->base, -1, EV_PERSIST, on_tick, process);
+  event_add (process->tick, &tick);
+  if (open_store (process, error) && listen_all (process, error))
+    return process;
+  gwp_free (process);
   return NULL;
 }
 
 void
-gwp_free (gwp_t *gwp)
-{
-  if (gwp->store)
-    gst_free (gwp->store);
-  if (gwp->gwy)
-    gwy_free (gwp->gwy);
-  if (gwp->ready)
-    hsv_free (gwp->ready);
-  if (gwp->control)
-    hsv_free (gwp->control);
-  if (gwp->table)
-    rte_unref (gwp->table);
-  egs_free (gwp->engines);
-  lapses_free (gwp->lapsed);
-  event_free (gwp->tick);
-  g_free (gwp);
+gwp_free (gwp_t *process)
+{
+  if (process->store)
+    gst_free (process->store);
+  if (process->gateway)
+    gwy_free (process->gateway);
+  if (process->ready_listener)
+    hsv_free (process->ready_listener);
+  if (process->control_listener)
+    hsv_free (process->control_listener);
+  if (process->table)
+    rte_unref (process->table);
+  egs_free (process->engines);
+  lapses_free (process->lapsed);
+  event_free (process->tick);
+  g_free (process);
 }
 
 void
-gwp_stop (gwp_t *gwp)
+gwp_stop (gwp_t *process)
 {
-  if (gwp->stop_us != 0)
+  if (process->stop_us != 0)
     return;
-  gwp->stop_us = now_us (gwp);
-  gwy_say_close (gwp->gwy);
-  note_ready (gwp);
+  process->stop_us = now_us (process);
+  gwy_say_close (process->gateway);
+  log_readiness (process);
 }
 
 uint16_t
-gwp_port (const gwp_t *gwp)
+gwp_port (const gwp_t *process)
 {
-  return gwy_port (gwp->gwy);
+  return gwy_port (process->gateway);
 }
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -1,9 +1,9 @@
 /**
  * DOC: gateway_process
  *
- * A gateway from start to stop: follows the routing rules and the registry of engines in the
- * platform's store, tells the data task of both, answers the balancer's question whether it is
- * ready, and ends gracefully. One thread; the caller runs the event base.
+ * A gateway from start to stop: applies the routing rules and the engine registry of the platform's
+ * store to the task that handles client requests, answers the load balancer's readiness checks and
+ * stops gracefully. Runs on one thread; the caller runs the event loop.
  */
 #ifndef PROCESS_GATEWAY_PROCESS_H
 #define PROCESS_GATEWAY_PROCESS_H
@@ -17,26 +17,30 @@
 
 #include <event2/event.h>
 
-/* Callers that come back at once after a kill of all gateways would be refused by each that has not
- * read the rules yet, which takes it a tenth of a second; those with a second left wait a third of
- * it before they leave. */
+/*
+ * After its start a gateway accepts no client connections until it is ready, for at most this time.
+ * When all gateways were killed, clients that reconnect at once would otherwise be refused by each
+ * gateway that has not loaded the routing rules yet, which takes 0.1 s. Of clients that have one
+ * second left, the wait uses up less than a third of it.
+ */
 #define GWP_HOLD_MS 300
-#define GWP_TICK_MS 100 /* between two looks at what is due */
-/* An engine whose entry lapsed while the store was out is back this soon after, if it lives. */
+#define GWP_TICK_MS 100 /* interval of periodic work */
+/* How long an engine is kept whose registry entry may have expired during an outage of the store: a
+ * live engine has renewed its entry by then. */
 #define GWP_LAPSE_MS 2500
 /*
- * From a stop signal on connections still come until the balancer has asked twice, once a second.
- * What is taken later than 3 s may not be ended when the process is killed, so idle connections are
- * closed before.
+ * How long a gateway accepts connections after a stop signal: the load balancer checks readiness
+ * once a second and removes it after two failed checks. Idle connections are closed then, since a
+ * request that arrives later than 3 s may not be finished when the process is killed.
  */
 #define GWP_LISTEN_ON_MS 2500
-#define GWP_EXIT_MARGIN_MS 250 /* before the process would be killed */
+#define GWP_EXIT_MARGIN_MS 250 /* the process exits this long before it would be killed */
 
 /**
- * struct gwp_readers - how records of the store are read
- * @routing: what has not changed may be shared with @before, which may be NULL. Return: a table, or
- *   NULL with @error
- * @engine: Return: false with @error
+ * struct gwp_readers - parsers of the store's records
+ * @routing: parses routing rules; unchanged parts may be shared with @before, the table in force,
+ *   which may be NULL. Returns a table, or NULL with @error
+ * @engine: parses an engine entry into @out. Returns false with @error when it is invalid
  */
 typedef struct
 {
@@ -47,7 +51,8 @@
 
 /**
  * struct gwp_options - options of gwp_new()
- * @plt: freed with the process
+ * @plt: client of the platform's store; owned by the new object
+ * @incarnation: start time of this process, in milliseconds since 1970
  */
 typedef struct
 {
@@ -63,12 +68,15 @@
 
 typedef struct gwp gwp_t;
 
+/** gwp_new() - opens all listeners. Return: NULL with @error when one cannot be opened */
 gwp_t *gwp_new (const gwp_options_t *options, GError **error);
-void gwp_free (gwp_t *gwp);
-/** gwp_stop() - a stop signal came; the event base's loop ends when all is answered */
-void gwp_stop (gwp_t *gwp);
-bool gwp_is_ready (const gwp_t *gwp);
-/** gwp_port() - where it takes callers' requests, for a port that the system chose */
-uint16_t gwp_port (const gwp_t *gwp);
+void gwp_free (gwp_t *process);
+/** gwp_stop() - begins a graceful stop; the event loop exits once all requests are answered, or
+ * %GWP_EXIT_MARGIN_MS before the end of the grace time */
+void gwp_stop (gwp_t *process);
+/** gwp_is_ready() - whether the gateway has loaded routing rules and engines and is not stopping */
+bool gwp_is_ready (const gwp_t *process);
+/** gwp_port() - port of the listener for client requests, also one that the system chose */
+uint16_t gwp_port (const gwp_t *process);
 
 #endif
--- a/src/process/gateway_start.c
+++ b/src/process/gateway_start.c
@@ -5,54 +5,56 @@
 #include <string.h>
 
 /**
- * struct gsa - a start
- * @started: all has come; @reading: the store is read
- * @elsewhere: named by the peer that was asked last; the port is 0 for nobody
+ * struct gsa - the start of a gateway
+ * @started: all streams have been loaded
+ * @reading: reading of the store has begun
+ * @referral: gateway that the last refusal named, which is asked next; its port is 0 for none
+ * @next_seed: index of the next seed to ask, modulo their number
  */
 struct gsa
 {
   gsa_options_t options;
-  sak_t sak;
+  sak_t policy;
   bool started;
   bool reading;
-  set_address_t elsewhere;
+  set_address_t referral;
   uint32_t next_seed;
   GRand *rand;
 };
 
 static uint64_t
-now_us (const gsa_t *gsa)
+now_us (const gsa_t *start)
 {
-  return clk_now_us (gsa->options.clk);
+  return clk_now_us (start->options.clk);
 }
 
 static bool
-is_own (const set_t *set, const set_address_t *address)
+is_own_address (const set_t *set, const set_address_t *address)
 {
   return strcmp (address->ip, set->control_listen.ip) == 0 &&
          address->port == set->control_listen.port;
 }
 
 static bool
-is_seed (const set_t *set)
+is_own_address_a_seed (const set_t *set)
 {
   for (uint32_t i = 0; i < set->seed_count; i++)
-    if (is_own (set, &set->seeds[i]))
+    if (is_own_address (set, &set->seeds[i]))
       return true;
   return false;
 }
 
-/* The settings name a few gateways, which may be down or gone: each is asked in turn. */
+/* The gateways that the seeds setting names may be down or removed, so they are asked in turn. */
 static bool
-next_seed (gsa_t *gsa, set_address_t *control)
+pick_seed (gsa_t *start, set_address_t *control)
 {
-  const set_t *set = gsa->options.set;
+  const set_t *set = start->options.set;
 
   for (uint32_t i = 0; i < set->seed_count; i++)
     {
-      const set_address_t *seed = &set->seeds[gsa->next_seed++ % set->seed_count];
+      const set_address_t *seed = &set->seeds[start->next_seed++ % set->seed_count];
 
-      if (is_own (set, seed))
+      if (is_own_address (set, seed))
         continue;
       *control = *seed;
       return true;
@@ -61,84 +63,85 @@
 }
 
 static void
-ask (gsa_t *gsa)
+ask_next_peer (gsa_t *start)
 {
-  set_address_t peer = gsa->elsewhere;
+  set_address_t peer = start->referral;
 
-  gsa->elsewhere.port = 0;
-  if (peer.port == 0 && !gsa->options.some_peer (&peer, gsa->options.context) &&
-      !next_seed (gsa, &peer))
+  start->referral.port = 0;
+  if (peer.port == 0 && !start->options.pick_peer (&peer, start->options.context) &&
+      !pick_seed (start, &peer))
     return;
-  gsa->options.ask (&peer, gsa->options.context);
+  start->options.fetch_all (&peer, start->options.context);
 }
 
 static void
-end (gsa_t *gsa, const char *source)
+finish (gsa_t *start, const char *source)
 {
-  gsa->started = true;
+  start->started = true;
   log_event (LOG_LEVEL_NOTICE, "started_from", "source", source, NULL);
 }
 
 gsa_t *
 gsa_new (const gsa_options_t *options)
 {
-  gsa_t *gsa = g_new0 (gsa_t, 1);
+  gsa_t *start = g_new0 (gsa_t, 1);
   const set_t *set = options->set;
 
-  gsa->options = *options;
-  gsa->rand = g_rand_new_with_seed ((guint32)options->seed);
-  gsa->next_seed = g_rand_int (gsa->rand);
-  sak_init (&gsa->sak, now_us (gsa), set->first_start, set->seed_count > 0 && !is_seed (set));
-  return gsa;
+  start->options = *options;
+  start->rand = g_rand_new_with_seed ((guint32)options->seed);
+  start->next_seed = g_rand_int (start->rand);
+  sak_init (&start->policy, now_us (start), set->first_start,
+            set->seed_count > 0 && !is_own_address_a_seed (set));
+  return start;
 }
 
 void
-gsa_free (gsa_t *gsa)
+gsa_free (gsa_t *start)
 {
-  g_rand_free (gsa->rand);
-  g_free (gsa);
+  g_rand_free (start->rand);
+  g_free (start);
 }
 
 void
-gsa_turn (gsa_t *gsa)
+gsa_turn (gsa_t *start)
 {
-  const gsa_options_t *options = &gsa->options;
+  const gsa_options_t *options = &start->options;
 
-  if (gsa->started)
+  if (start->started)
     return;
-  if (options->has_all (options->context))
+  if (options->has_all_streams (options->context))
     {
-      end (gsa, "store");
+      finish (start, "store");
       return;
     }
-  if (!gsa->reading && sak_reads (&gsa->sak, now_us (gsa)))
+  if (!start->reading && sak_reads (&start->policy, now_us (start)))
     {
-      gsa->reading = true;
-      options->read (options->context);
+      start->reading = true;
+      options->read_store (options->context);
     }
-  if (gsa->reading && !options->is_lost (options->context))
+  if (start->reading && !options->is_store_down (options->context))
     return;
-  if (sak_asks (&gsa->sak, now_us (gsa)) && !options->is_asking (options->context))
-    ask (gsa);
+  if (sak_asks (&start->policy, now_us (start)) && !options->is_fetching (options->context))
+    ask_next_peer (start);
 }
 
 void
-gsa_answered (gsa_t *gsa)
+gsa_answered (gsa_t *start)
 {
-  if (!gsa->started)
-    end (gsa, "peer");
+  if (!start->started)
+    finish (start, "peer");
 }
 
 void
-gsa_refused (gsa_t *gsa, sak_refusal_t refusal, const set_address_t *elsewhere)
+gsa_refused (gsa_t *start, sak_refusal_t refusal, const set_address_t *referral)
 {
-  gsa->elsewhere = *elsewhere;
-  sak_refused (&gsa->sak, now_us (gsa), refusal, elsewhere->port != 0,
-               (uint32_t)g_rand_int_range (gsa->rand, 0, 1000));
+  start->referral = *referral;
+  sak_refused (&start->policy, now_us (start), refusal, referral->port != 0,
+               (uint32_t)g_rand_int_range (start->rand, 0, 1000));
 }
 
 bool
-gsa_is_starting (const gsa_t *gsa)
+gsa_is_starting (const gsa_t *start)
 {
-  return !gsa->started;
+  return !start->started;
 }
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -10,163 +10,170 @@
 
 #include <string.h>
 
-#define PUT_PACE_US (UINT64_C (1000) * 1000)
+#define OWN_ENTRY_RETRY_US (UINT64_C (1000) * 1000)
 
 enum
 {
-  ROUTING,
-  ENGINES,
-  ROUTERS,
-  STREAMS
+  STREAM_ROUTING,
+  STREAM_ENGINES,
+  STREAM_ROUTERS,
+  STREAM_COUNT
 };
 
-static const char *const stream_names[STREAMS] = { PLT_STREAM_ROUTING, PLT_STREAM_ENGINES,
-                                                   PLT_STREAM_ROUTERS };
+static const char *const stream_names[STREAM_COUNT] = { PLT_STREAM_ROUTING, PLT_STREAM_ENGINES,
+                                                        PLT_STREAM_ROUTERS };
 
 /**
- * struct gst - the store as it is known here
- * @duties: of each stream: whether it is read here, or taken from peers
- * @asked: streams that the peer was asked for that is being asked
- * @asking_all: the question under way is that of the start
- * @ahead: control address of the peer that was heard last to have more
- * @next_ask_us: when a peer may be asked next
- * @outage: of the store, by all that heard it
- * @adopting: the records that are being applied came of a peer
- * @unsettled: which is not sure of the keys that were dropped
- * @entry_written, @entry_due_us: own entry in the stream of routers
+ * struct gst - a gateway's copy of the store
+ * @policies: for each stream, whether to read it from the store or fetch it from peers
+ * @start: decides how the copy is loaded at the start
+ * @fetching_all: the fetch in progress is the full copy at the start
+ * @fetching: streams that the fetch in progress asks for
+ * @ahead_control: control address of the peer that last reported newer records than ours
+ * @next_fetch_us: earliest time of the next fetch
+ * @outage: last outage of the store, as observed here and by peers
+ * @store_lost: the last read of the engine registry failed, or a read of the routing rules failed
+ *   gateways_before the registry was read for the first time
+ * @applying_copy: the records being applied come from a peer's copy
+ * @copy_unsettled: that peer reported that removed keys may still be restored
+ * @entry_written: the gateway registry has this gateway's entry
+ * @entry_retry_us: earliest time of the next attempt to write that entry
  */
 struct gst
 {
   gst_options_t options;
   gpr_t *peers;
-  kvw_t *views[STREAMS];
-  sfl_t *follows[STREAMS];
+  kvw_t *views[STREAM_COUNT];
+  sfl_t *followers[STREAM_COUNT];
   gft_t *fetch;
-  rdu_t duties[STREAMS];
+  rdu_t policies[STREAM_COUNT];
   gsa_t *start;
-  bool asking_all;
-  bool asked[STREAMS];
-  set_address_t ahead;
-  uint64_t next_ask_us;
+  bool fetching_all;
+  bool fetching[STREAM_COUNT];
+  set_address_t ahead_control;
+  uint64_t next_fetch_us;
   otg_t outage;
-  bool lost;
-  bool adopting;
-  bool unsettled;
+  bool store_lost;
+  bool applying_copy;
+  bool copy_unsettled;
   bool entry_written;
-  uint64_t entry_due_us;
-  cnt_t *fetched;
-  cnt_t *writes;
+  uint64_t entry_retry_us;
+  cnt_t *fetch_count;
+  cnt_t *write_count;
 };
 
 static uint64_t
-now_us (const gst_t *gst)
+now_us (const gst_t *store)
 {
-  return clk_now_us (gst->options.clk);
+  return clk_now_us (store->options.clk);
 }
 
-/* A record came of the store; what comes of a peer is noted once all of it has. */
+/* Records of a peer's copy are accounted for once the whole copy has been applied. */
 static void
-note_record (gst_t *gst, uint32_t stream)
+mark_caught_up (gst_t *store, uint32_t stream)
 {
-  if (!gst->adopting)
-    rdu_caught_up (&gst->duties[stream], false);
+  if (!store->applying_copy)
+    rdu_caught_up (&store->policies[stream], false);
 }
 
 static void
 on_routing (const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  note_record (gst, ROUTING);
+  mark_caught_up (store, STREAM_ROUTING);
   if (g_str_has_prefix (key, PLT_KEY_DRAIN_PREFIX))
-    gst->options.drain (key + strlen (PLT_KEY_DRAIN_PREFIX), value != NULL, offset,
-                        gst->options.context);
+    store->options.on_drain (key + strlen (PLT_KEY_DRAIN_PREFIX), value != NULL, offset,
+                             store->options.context);
   else if (value)
-    gst->options.routing (value, value_bytes, offset, gst->options.context);
+    store->options.on_routing (value, value_bytes, offset, store->options.context);
 }
 
 static uint64_t
-least_outage_us (const gst_t *gst)
+min_outage_us (const gst_t *store)
 {
-  return otg_least_us (gst->options.set->renewal_ms);
+  return otg_least_us (store->options.set->renewal_ms);
 }
 
-/* Each stream has a connection of its own, and any of them shows that the store is there. */
+/* Each stream has its own connection; a successful read on any of them shows that the store is up.
+ */
 static void
-note_reads (gst_t *gst)
+record_store_contact (gst_t *store)
 {
-  for (uint32_t i = 0; i < STREAMS; i++)
-    otg_heard (&gst->outage, sfl_heard_us (gst->follows[i]), least_outage_us (gst));
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
+    otg_heard (&store->outage, sfl_heard_us (store->followers[i]), min_outage_us (store));
 }
 
 /*
- * Entries that went while the store could not be read here may have lapsed only if it was out, not
- * if this gateway alone was cut off from it: then their engines are gone, and bound by that.
+ * Entries that were removed while this gateway could not read the store may have expired by mistake
+ * only if the store had an outage. If this gateway alone was disconnected, engines could renew
+ * their entries, so a removed entry means that its engine has left and must get no more requests.
  */
 static bool
-may_have_lapsed (const gst_t *gst)
+may_have_lapsed (const gst_t *store)
 {
-  bool unsure = gst->adopting ? gst->unsettled : sfl_is_catching_up (gst->follows[ENGINES]);
+  bool unsure = store->applying_copy ? store->copy_unsettled
+                                     : sfl_is_catching_up (store->followers[STREAM_ENGINES]);
 
-  uint64_t until_us = otg_until_us (&gst->outage, now_us (gst), least_outage_us (gst));
+  uint64_t outage_end_us = otg_until_us (&store->outage, now_us (store), min_outage_us (store));
 
-  return rdu_may_have_lapsed (until_us, unsure, now_us (gst));
+  return rdu_may_have_lapsed (outage_end_us, unsure, now_us (store));
 }
 
 static void
 on_engine (const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  note_reads (gst);
-  note_record (gst, ENGINES);
-  gst->options.engine (key, value, value_bytes, offset, may_have_lapsed (gst),
-                       gst->options.context);
+  record_store_contact (store);
+  mark_caught_up (store, STREAM_ENGINES);
+  store->options.on_engine (key, value, value_bytes, offset, may_have_lapsed (store),
+                            store->options.context);
 }
 
 static void
 on_router (const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
   (void)value_bytes;
   (void)offset;
-  note_record (gst, ROUTERS);
-  gpr_put (gst->peers, key, value);
+  mark_caught_up (store, STREAM_ROUTERS);
+  gpr_put (store->peers, key, value);
 }
 
-/* Before the own entry is seen, others may have written theirs: a fleet that starts together would
- * all follow closely for as long. */
+/* Until this gateway sees its own entry, entries of other gateways may be missing as well. Without
+ * this check, all gateways of a fleet that starts at once would follower the store until then. */
 static bool
-knows_fleet (const gst_t *gst)
+has_own_entry (const gst_t *store)
 {
   size_t bytes;
   uint64_t offset;
 
-  return kvw_get (gst->views[ROUTERS], gst->options.set->name, &bytes, &offset) != NULL;
+  return kvw_get (store->views[STREAM_ROUTERS], store->options.set->name, &bytes, &offset) != NULL;
 }
 
 static rdu_view_t
-view_of (const gst_t *gst, uint32_t stream)
+policy_view (const gst_t *store, uint32_t stream)
 {
-  const sfl_t *follow = gst->follows[stream];
-  uint32_t before = gpr_before (gst->peers);
+  const sfl_t *follower = store->followers[stream];
+  uint32_t gateways_before = gpr_before (store->peers);
 
-  return (rdu_view_t){ .close = before < GPR_TAILS && knows_fleet (gst),
-                       .listed = sfl_has_listed (follow),
-                       .lost = gst->lost || sfl_is_failing (follow),
-                       .alone = gpr_is_alone (gst->peers),
-                       .before = before,
-                       .count = gpr_count (gst->peers),
-                       .own_us = sfl_heard_us (follow),
-                       .tried_us = sfl_tried_us (follow) };
+  return (rdu_view_t){ .close = gateways_before < GPR_TAILS && has_own_entry (store),
+                       .listed = sfl_has_listed (follower),
+                       .lost = store->store_lost || sfl_is_failing (follower),
+                       .alone = gpr_is_alone (store->peers),
+                       .before = gateways_before,
+                       .count = gpr_count (store->peers),
+                       .own_us = sfl_heard_us (follower),
+                       .tried_us = sfl_tried_us (follower) };
 }
 
 static rdu_stream_t
-stream_of (const gst_t *gst, uint32_t stream)
+policy_stream (const gst_t *store, uint32_t stream)
 {
-  const set_t *set = gst->options.set;
-  bool routing = stream == ROUTING;
+  const set_t *set = store->options.set;
+  bool routing = stream == STREAM_ROUTING;
   uint32_t percent = routing ? GST_ROUTING_BEHIND_PERCENT : GST_ENGINES_BEHIND_PERCENT;
   uint64_t bound_us = (uint64_t)(routing ? set->version_ms : set->drain_ms) * CLK_US_PER_MS;
 
@@ -174,580 +181,586 @@
 }
 
 static void
-turn_read (gst_t *gst, uint32_t stream)
+update_reading (gst_t *store, uint32_t stream)
 {
-  rdu_stream_t what = stream_of (gst, stream);
-  rdu_view_t view = view_of (gst, stream);
-  rdu_read_t duty = rdu_read (&gst->duties[stream], &what, &view, now_us (gst));
+  rdu_stream_t limits = policy_stream (store, stream);
+  rdu_view_t view = policy_view (store, stream);
+  rdu_read_t action = rdu_read (&store->policies[stream], &limits, &view, now_us (store));
 
-  sfl_set_resting (gst->follows[stream], duty != RDU_FOLLOW);
-  if (duty == RDU_READ)
-    sfl_read_soon (gst->follows[stream]);
+  sfl_set_resting (store->followers[stream], action != RDU_FOLLOW);
+  if (action == RDU_READ)
+    sfl_read_soon (store->followers[stream]);
 }
 
-/* A store that is out costs one call a try and not three: at a start the other streams wait, once
- * they have failed, until the rules can be read. */
+/* Once another stream has failed at the start, it waits until the routing rules can be read, so
+ * that each attempt costs an unreachable store one call instead of three. */
 static void
-hold_until_rules (gst_t *gst, uint32_t stream, sfl_state_t state)
+hold_until_routing_listed (gst_t *store, uint32_t stream, sfl_state_t state)
 {
-  if (state == SFL_LOST && !sfl_has_listed (gst->follows[stream]) &&
-      !sfl_has_listed (gst->follows[ROUTING]))
-    sfl_hold (gst->follows[stream]);
+  if (state == SFL_LOST && !sfl_has_listed (store->followers[stream]) &&
+      !sfl_has_listed (store->followers[STREAM_ROUTING]))
+    sfl_hold (store->followers[stream]);
 }
 
 static void
-begin_all (gst_t *gst)
+begin_reading_all (gst_t *store)
 {
-  for (uint32_t i = 0; i < STREAMS; i++)
-    sfl_begin (gst->follows[i]);
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
+    sfl_begin (store->followers[i]);
 }
 
 static void
-on_routing_told (sfl_state_t state, void *context)
+on_routing_state (sfl_state_t state, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  if (state == SFL_LOST && !sfl_has_listed (gst->follows[ENGINES]))
-    gst->lost = true;
+  if (state == SFL_LOST && !sfl_has_listed (store->followers[STREAM_ENGINES]))
+    store->store_lost = true;
   else
-    begin_all (gst);
+    begin_reading_all (store);
   if (state != SFL_LISTED)
     return;
-  turn_read (gst, ROUTING);
-  gst->options.told (gst->options.context);
+  update_reading (store, STREAM_ROUTING);
+  store->options.on_status (store->options.context);
 }
 
 static void
-on_engines_told (sfl_state_t state, void *context)
+on_engines_state (sfl_state_t state, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  gst->lost = state == SFL_LOST;
-  hold_until_rules (gst, ENGINES, state);
+  store->store_lost = state == SFL_LOST;
+  hold_until_routing_listed (store, STREAM_ENGINES, state);
   if (state == SFL_LISTED)
-    turn_read (gst, ENGINES);
-  gst->options.told (gst->options.context);
+    update_reading (store, STREAM_ENGINES);
+  store->options.on_status (store->options.context);
 }
 
 static void
-on_routers_told (sfl_state_t state, void *context)
+on_routers_state (sfl_state_t state, void *context)
 {
-  hold_until_rules (context, ROUTERS, state);
+  hold_until_routing_listed (context, STREAM_ROUTERS, state);
 }
 
 static uint64_t
-known_us (const gst_t *gst, uint32_t stream)
+stream_current_us (const gst_t *store, uint32_t stream)
 {
-  rdu_view_t view = view_of (gst, stream);
+  rdu_view_t view = policy_view (store, stream);
 
-  return rdu_known_us (&gst->duties[stream], &view);
+  return rdu_known_us (&store->policies[stream], &view);
 }
 
-/* Up to when all rules and engines of the store are known here. */
+/* Time up to which routing rules and engines are current; 0 for never. */
 static uint64_t
-heard_us (const gst_t *gst)
+current_as_of_us (const gst_t *store)
 {
-  return MIN (known_us (gst, ROUTING), known_us (gst, ENGINES));
+  return MIN (stream_current_us (store, STREAM_ROUTING), stream_current_us (store, STREAM_ENGINES));
 }
 
 static uint32_t
-store_age_ms (const gst_t *gst)
+store_age_ms (const gst_t *store)
 {
-  uint64_t at_us = heard_us (gst);
-  uint64_t age_ms = at_us ? (now_us (gst) - at_us) / CLK_US_PER_MS : UINT32_MAX;
+  uint64_t at_us = current_as_of_us (store);
+  uint64_t age_ms = at_us ? (now_us (store) - at_us) / CLK_US_PER_MS : UINT32_MAX;
 
   return (uint32_t)MIN (age_ms, UINT32_MAX);
 }
 
 static gpr_known_t
-know (void *context)
+get_progress (void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  return (gpr_known_t){ .routing_next = sfl_next (gst->follows[ROUTING]),
-                        .engines_next = sfl_next (gst->follows[ENGINES]),
-                        .routers_next = sfl_next (gst->follows[ROUTERS]),
-                        .store_age_ms = store_age_ms (gst) };
+  return (gpr_known_t){ .routing_next = sfl_next (store->followers[STREAM_ROUTING]),
+                        .engines_next = sfl_next (store->followers[STREAM_ENGINES]),
+                        .routers_next = sfl_next (store->followers[STREAM_ROUTERS]),
+                        .store_age_ms = store_age_ms (store) };
 }
 
 static void
-suspect (const sus_mark_t *mark, void *context)
+on_peer_suspect (const sus_mark_t *mark, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  gst->options.suspect (mark, gst->options.context);
+  store->options.on_suspect (mark, store->options.context);
 }
 
 static void
-hear_load (const lnw_item_t *item, void *context)
+on_peer_load (const lnw_item_t *item, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  gst->options.load (item, gst->options.context);
+  store->options.on_load (item, store->options.context);
 }
 
 static void
-streams_of (const gst_t *gst, vsh_stream_t out[STREAMS])
+fill_streams (const gst_t *store, vsh_stream_t out[STREAM_COUNT])
 {
-  for (uint32_t i = 0; i < STREAMS; i++)
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
     out[i] = (vsh_stream_t){ .name = stream_names[i],
-                             .view = gst->views[i],
-                             .next = sfl_next (gst->follows[i]),
-                             .most_bytes = i == ROUTING ? GST_TOLD_BYTES : 0 };
+                             .view = store->views[i],
+                             .next = sfl_next (store->followers[i]),
+                             .most_bytes = i == STREAM_ROUTING ? GST_TOLD_BYTES : 0 };
 }
 
 static void
-note_large (gst_t *gst, const vsh_answer_t *answer)
+mark_too_large (gst_t *store, const vsh_answer_t *answer)
 {
-  for (uint32_t i = 0; i < STREAMS; i++)
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
     if (vsh_is_large (answer, stream_names[i]))
       {
-        rdu_is_large (&gst->duties[i]);
-        gst->asked[i] = false;
+        rdu_is_large (&store->policies[i]);
+        store->fetching[i] = false;
       }
 }
 
 static void
-apply (gst_t *gst, const vsh_answer_t *answer)
+apply_answer (gst_t *store, const vsh_answer_t *answer)
 {
-  vsh_stream_t streams[STREAMS];
+  vsh_stream_t streams[STREAM_COUNT];
 
-  streams_of (gst, streams);
-  gst->adopting = true;
-  gst->unsettled = !answer->settled;
-  for (uint32_t i = 0; i < STREAMS; i++)
-    sfl_advance (gst->follows[i], vsh_apply (answer, &streams[i]));
-  gst->adopting = false;
-  note_large (gst, answer);
-  cnt_add (gst->fetched, 1);
-  gst->options.told (gst->options.context);
+  fill_streams (store, streams);
+  store->applying_copy = true;
+  store->copy_unsettled = !answer->settled;
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
+    sfl_advance (store->followers[i], vsh_apply (answer, &streams[i]));
+  store->applying_copy = false;
+  mark_too_large (store, answer);
+  cnt_add (store->fetch_count, 1);
+  store->options.on_status (store->options.context);
 }
 
-/* Return: why the answer was not taken, NULL when it was */
+/* Return: why the answer was not applied, NULL when it was */
 static const char *
-adopt (gst_t *gst, const gft_end_t *end)
+apply_result (gst_t *store, const gft_end_t *result)
 {
-  const char *reason = end->reason;
+  const char *reason = result->reason;
   vsh_answer_t answer;
 
-  if (!end->body)
+  if (!result->body)
     return reason;
-  if (vsh_read (&answer, end->body, end->body_bytes))
-    apply (gst, &answer);
+  if (vsh_read (&answer, result->body, result->body_bytes))
+    apply_answer (store, &answer);
   else
     reason = "unreadable";
   vsh_clear (&answer);
   return reason;
 }
 
-/* Of the streams that were not asked for nothing has come: who is behind with them still is. */
+/* Streams that were not fetched are as far behind as gateways_before. */
 static void
-note_asked (gst_t *gst, bool taken)
+record_fetch_outcome (gst_t *store, bool applied)
 {
-  for (uint32_t i = 0; i < STREAMS; i++)
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
     {
-      if (!gst->asked[i])
+      if (!store->fetching[i])
         continue;
-      if (taken)
-        rdu_caught_up (&gst->duties[i], true);
+      if (applied)
+        rdu_caught_up (&store->policies[i], true);
       else
-        rdu_give_up (&gst->duties[i]);
+        rdu_give_up (&store->policies[i]);
     }
 }
 
 static void
-log_fetched (const gst_t *gst, const gft_end_t *end, const char *reason)
+log_fetch (const gst_t *store, const gft_end_t *result, const char *reason)
 {
-  g_autofree char *peer = set_address_text (end->peer);
+  g_autofree char *peer = set_address_text (result->peer);
 
   log_event (LOG_LEVEL_NOTICE, "view_from_peer", "peer", peer, "outcome",
              reason ? "not_taken" : "taken", "reason", reason, "version",
-             LOG_U64 (gst->options.version (gst->options.context)), "engines_next",
-             LOG_U64 (sfl_next (gst->follows[ENGINES])), NULL);
+             LOG_U64 (store->options.get_version (store->options.context)), "engines_next",
+             LOG_U64 (sfl_next (store->followers[STREAM_ENGINES])), NULL);
 }
 
 static bool
-has_listed_all (const gst_t *gst)
+has_listed_all (const gst_t *store)
 {
-  for (uint32_t i = 0; i < STREAMS; i++)
-    if (!sfl_has_listed (gst->follows[i]))
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
+    if (!sfl_has_listed (store->followers[i]))
       return false;
   return true;
 }
 
-/* Seen from here the store was heard when the peer had heard it, and all that is known here is what
- * the peer knew then. */
+/* After a full copy this gateway is exactly as current as the peer was: its last contact with the
+ * store is that of the peer. */
 static void
-note_all (gst_t *gst, uint32_t store_age_ms)
+record_full_copy (gst_t *store, uint32_t store_age_ms)
 {
-  uint64_t at_us = now_us (gst);
+  uint64_t at_us = now_us (store);
   uint64_t age_us = (uint64_t)store_age_ms * CLK_US_PER_MS;
 
-  for (uint32_t i = 0; i < STREAMS && age_us < at_us; i++)
+  for (uint32_t i = 0; i < STREAM_COUNT && age_us < at_us; i++)
     {
-      uint64_t next = sfl_next (gst->follows[i]);
+      uint64_t next = sfl_next (store->followers[i]);
 
-      rdu_heard (&gst->duties[i], at_us, next, next, at_us - age_us);
+      rdu_heard (&store->policies[i], at_us, next, next, at_us - age_us);
     }
 }
 
 static void
-note_start (gst_t *gst, const gft_end_t *end, bool taken)
+finish_start_fetch (gst_t *store, const gft_end_t *result, bool applied)
 {
-  if (!gsa_is_starting (gst->start))
+  if (!gsa_is_starting (store->start))
     return;
-  if (taken && has_listed_all (gst))
+  if (applied && has_listed_all (store))
     {
-      note_all (gst, end->store_age_ms);
-      gsa_answered (gst->start);
+      record_full_copy (store, result->store_age_ms);
+      gsa_answered (store->start);
     }
   else
-    gsa_refused (gst->start, end->refusal, &end->elsewhere);
-  gsa_turn (gst->start);
+    gsa_refused (store->start, result->refusal, &result->referral);
+  gsa_turn (store->start);
 }
 
 static void
-on_fetched (const gft_end_t *end, void *context)
+on_fetched (const gft_end_t *result, void *context)
 {
-  gst_t *gst = context;
-  const char *reason = adopt (gst, end);
+  gst_t *store = context;
+  const char *reason = apply_result (store, result);
 
-  log_fetched (gst, end, reason);
-  if (gst->asking_all)
+  log_fetch (store, result, reason);
+  if (store->fetching_all)
     {
-      gst->asking_all = false;
-      note_start (gst, end, reason == NULL);
+      store->fetching_all = false;
+      finish_start_fetch (store, result, reason == NULL);
     }
   else
-    note_asked (gst, reason == NULL);
+    record_fetch_outcome (store, reason == NULL);
 }
 
 static bool
-start_has_all (void *context)
+start_has_all_streams (void *context)
 {
   return has_listed_all (context);
 }
 
 static bool
-start_is_lost (void *context)
+start_is_store_down (void *context)
 {
-  return ((const gst_t *)context)->lost;
+  return ((const gst_t *)context)->store_lost;
 }
 
 static bool
-start_is_asking (void *context)
+start_is_fetching (void *context)
 {
   return gft_is_busy (((const gst_t *)context)->fetch);
 }
 
 static void
-start_read (void *context)
+start_read_store (void *context)
 {
-  begin_all (context);
+  begin_reading_all (context);
 }
 
 static bool
-start_some_peer (set_address_t *control, void *context)
+start_pick_peer (set_address_t *control, void *context)
 {
   return gpr_some (((gst_t *)context)->peers, control);
 }
 
 static void
-start_ask (const set_address_t *control, void *context)
+start_fetch_all (const set_address_t *control, void *context)
 {
-  gst_t *gst = context;
-  vsh_stream_t streams[STREAMS];
+  gst_t *store = context;
+  vsh_stream_t streams[STREAM_COUNT];
 
-  streams_of (gst, streams);
-  gst->asking_all = true;
-  gft_ask_all (gst->fetch, control, streams, STREAMS);
+  fill_streams (store, streams);
+  store->fetching_all = true;
+  gft_ask_all (store->fetch, control, streams, STREAM_COUNT);
 }
 
 static bool
-lacks_all (const gst_t *gst)
+lacks_routing_or_engines (const gst_t *store)
 {
-  return gst->options.version (gst->options.context) == 0 || !gst_has_engines (gst);
+  return store->options.get_version (store->options.context) == 0 || !gst_has_engines (store);
 }
 
 static bool
-asks_peer (const gst_t *gst, uint32_t stream)
+should_fetch (const gst_t *store, uint32_t stream)
 {
-  rdu_stream_t what = stream_of (gst, stream);
-  rdu_view_t view = view_of (gst, stream);
+  rdu_stream_t limits = policy_stream (store, stream);
+  rdu_view_t view = policy_view (store, stream);
 
-  return rdu_asks_peer (&gst->duties[stream], &what, &view, now_us (gst));
+  return rdu_asks_peer (&store->policies[stream], &limits, &view, now_us (store));
 }
 
-/* The list of gateways is short, and comes with whatever else is asked for. */
+/* The gateway registry is short, so every fetch includes it. */
 static bool
-choose_asked (gst_t *gst)
+choose_fetched_streams (gst_t *store)
 {
-  gst->asked[ROUTING] = asks_peer (gst, ROUTING);
-  gst->asked[ENGINES] = asks_peer (gst, ENGINES);
-  gst->asked[ROUTERS] = true;
-  return gst->asked[ROUTING] || gst->asked[ENGINES] || asks_peer (gst, ROUTERS);
+  store->fetching[STREAM_ROUTING] = should_fetch (store, STREAM_ROUTING);
+  store->fetching[STREAM_ENGINES] = should_fetch (store, STREAM_ENGINES);
+  store->fetching[STREAM_ROUTERS] = true;
+  return store->fetching[STREAM_ROUTING] || store->fetching[STREAM_ENGINES] ||
+         should_fetch (store, STREAM_ROUTERS);
 }
 
 static void
-turn_fetch (gst_t *gst)
+fetch_if_due (gst_t *store)
 {
-  vsh_stream_t streams[STREAMS];
+  vsh_stream_t streams[STREAM_COUNT];
 
-  if (gsa_is_starting (gst->start) || gft_is_busy (gst->fetch) || now_us (gst) < gst->next_ask_us ||
-      !choose_asked (gst))
+  if (gsa_is_starting (store->start) || gft_is_busy (store->fetch) ||
+      now_us (store) < store->next_fetch_us || !choose_fetched_streams (store))
     return;
-  streams_of (gst, streams);
-  for (uint32_t i = 0; i < STREAMS; i++)
-    if (!gst->asked[i])
-      streams[i].next = UINT64_MAX; /* nothing is newer */
-  gst->next_ask_us = now_us (gst) + (uint64_t)GST_FETCH_PACE_MS * CLK_US_PER_MS;
-  gft_ask (gst->fetch, &gst->ahead, streams, STREAMS,
-           gst->duties[ROUTING].large || view_of (gst, ROUTING).lost);
+  fill_streams (store, streams);
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
+    if (!store->fetching[i])
+      streams[i].next = UINT64_MAX; /* no record is newer, so none is sent */
+  store->next_fetch_us = now_us (store) + (uint64_t)GST_FETCH_PACE_MS * CLK_US_PER_MS;
+  gft_ask (store->fetch, &store->ahead_control, streams, STREAM_COUNT,
+           store->policies[STREAM_ROUTING].large || policy_view (store, STREAM_ROUTING).lost);
 }
 
 static void
 on_put (plt_outcome_t outcome, uint64_t offset, void *context)
 {
-  gst_t *gst = context;
+  gst_t *store = context;
 
-  gst->entry_written = outcome == PLT_OK;
+  store->entry_written = outcome == PLT_OK;
   log_event (LOG_LEVEL_NOTICE, "own_entry", "outcome", outcome == PLT_OK ? "written" : "not_known",
              "offset", LOG_U64 (offset), NULL);
 }
 
-/* The newest record of the own key counts, so writing it once more after a lost answer is harmless;
- * what is in the view already is not written again. */
+/* Only the newest record of a key counts, so writing the entry again after a lost answer is
+ * harmless. An entry that the registry already has is not written again. */
 static void
-turn_entry (gst_t *gst)
+write_own_entry (gst_t *store)
 {
   g_autofree char *entry = NULL;
-  const char *held;
-  size_t held_bytes;
+  const char *listed;
+  size_t listed_bytes;
   uint64_t offset;
 
-  if (gst->entry_written || now_us (gst) < gst->entry_due_us ||
-      !sfl_has_listed (gst->follows[ROUTERS]))
+  if (store->entry_written || now_us (store) < store->entry_retry_us ||
+      !sfl_has_listed (store->followers[STREAM_ROUTERS]))
     return;
-  gst->entry_due_us = now_us (gst) + PUT_PACE_US;
-  entry = gpr_entry (gst->peers);
-  held = kvw_get (gst->views[ROUTERS], gst->options.set->name, &held_bytes, &offset);
-  if (held && strcmp (held, entry) == 0)
-    gst->entry_written = true;
+  store->entry_retry_us = now_us (store) + OWN_ENTRY_RETRY_US;
+  entry = gpr_entry (store->peers);
+  listed = kvw_get (store->views[STREAM_ROUTERS], store->options.set->name, &listed_bytes, &offset);
+  if (listed && strcmp (listed, entry) == 0)
+    store->entry_written = true;
   else
     {
-      cnt_add (gst->writes, 1);
-      gst->options.plt->put (gst->options.plt, PLT_STREAM_ROUTERS, gst->options.set->name, entry,
-                             strlen (entry), on_put, gst);
+      cnt_add (store->write_count, 1);
+      store->options.plt->put (store->options.plt, PLT_STREAM_ROUTERS, store->options.set->name,
+                               entry, strlen (entry), on_put, store);
     }
 }
 
 static void
-turn_news (gst_t *gst)
+update_streams (gst_t *store)
 {
-  for (uint32_t i = 0; i < STREAMS; i++)
-    turn_read (gst, i);
-  turn_fetch (gst);
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
+    update_reading (store, i);
+  fetch_if_due (store);
 }
 
 static void
-heard (const gpr_known_t *theirs, const set_address_t *control, void *context)
+on_peer_progress (const gpr_known_t *theirs, const set_address_t *control, void *context)
 {
-  gst_t *gst = context;
-  gpr_known_t ours = know (gst);
-  uint64_t at_us = now_us (gst);
+  gst_t *store = context;
+  gpr_known_t ours = get_progress (store);
+  uint64_t at_us = now_us (store);
   uint64_t age_us = (uint64_t)theirs->store_age_ms * CLK_US_PER_MS;
   uint64_t store_us = age_us < at_us ? at_us - age_us : 0;
 
-  otg_heard (&gst->outage, store_us, least_outage_us (gst));
-  rdu_heard (&gst->duties[ROUTING], at_us, theirs->routing_next, ours.routing_next, store_us);
-  rdu_heard (&gst->duties[ENGINES], at_us, theirs->engines_next, ours.engines_next, store_us);
-  rdu_heard (&gst->duties[ROUTERS], at_us, theirs->routers_next, ours.routers_next, store_us);
+  otg_heard (&store->outage, store_us, min_outage_us (store));
+  rdu_heard (&store->policies[STREAM_ROUTING], at_us, theirs->routing_next, ours.routing_next,
+             store_us);
+  rdu_heard (&store->policies[STREAM_ENGINES], at_us, theirs->engines_next, ours.engines_next,
+             store_us);
+  rdu_heard (&store->policies[STREAM_ROUTERS], at_us, theirs->routers_next, ours.routers_next,
+             store_us);
   if (theirs->routing_next > ours.routing_next || theirs->engines_next > ours.engines_next ||
       theirs->routers_next > ours.routers_next)
-    gst->ahead = *control;
-  turn_news (gst);
+    store->ahead_control = *control;
+  update_streams (store);
 }
 
 void
-gst_turn (gst_t *gst)
+gst_turn (gst_t *store)
 {
-  note_reads (gst);
-  gsa_turn (gst->start);
-  turn_news (gst);
-  turn_entry (gst);
+  record_store_contact (store);
+  gsa_turn (store->start);
+  update_streams (store);
+  write_own_entry (store);
 }
 
 static uint32_t
-pace_ms (const gst_t *gst, uint32_t stream)
+read_interval_ms (const gst_t *store, uint32_t stream)
 {
-  const set_t *set = gst->options.set;
+  const set_t *set = store->options.set;
 
-  if (stream == ROUTING)
+  if (stream == STREAM_ROUTING)
     return set->version_ms * GST_ROUTING_PACE_PERCENT / 100;
-  if (stream == ENGINES)
+  if (stream == STREAM_ENGINES)
     return set->drain_ms * GST_ENGINES_PACE_PERCENT / 100;
   return GST_ROUTERS_PACE_MS;
 }
 
 static void
-follow (gst_t *gst,
-        uint32_t stream,
-        uint32_t wait_ms,
-        kvw_changed_t changed,
-        void (*told) (sfl_state_t state, void *context))
-{
-  gst->views[stream] = kvw_new (changed, gst);
-  gst->follows[stream] = sfl_new (&(sfl_options_t){ .base = gst->options.base,
-                                                    .clk = gst->options.clk,
-                                                    .counters = gst->options.counters,
-                                                    .plt = gst->options.plt,
-                                                    .stream = stream_names[stream],
-                                                    .view = gst->views[stream],
-                                                    .wait_ms = wait_ms,
-                                                    .pace_ms = pace_ms (gst, stream),
-                                                    .latest_only = stream == ROUTING,
-                                                    .held = true,
-                                                    .seed = gst->options.incarnation + stream,
-                                                    .told = told,
-                                                    .context = gst });
-}
-
-/* Where entries are renewed often, an outage is short, and the store is to be heard more often. */
+follow_stream (gst_t *store,
+               uint32_t stream,
+               uint32_t wait_ms,
+               kvw_changed_t changed,
+               void (*on_state) (sfl_state_t state, void *context))
+{
+  store->views[stream] = kvw_new (changed, store);
+  store->followers[stream] = sfl_new (&(sfl_options_t){ .base = store->options.base,
+                                                        .clk = store->options.clk,
+                                                        .counters = store->options.counters,
+                                                        .plt = store->options.plt,
+                                                        .stream = stream_names[stream],
+                                                        .view = store->views[stream],
+                                                        .wait_ms = wait_ms,
+                                                        .pace_ms = read_interval_ms (store, stream),
+                                                        .latest_only = stream == STREAM_ROUTING,
+                                                        .held = true,
+                                                        .seed = store->options.incarnation + stream,
+                                                        .told = on_state,
+                                                        .context = store });
+}
+
+/* With a short renewal interval, entries expire in a short outage already; reads must wait less
+ * than that, or such an outage would go unnoticed. */
 static uint32_t
-close_wait_ms (const gst_t *gst)
+poll_wait_ms (const gst_t *store)
 {
-  return (uint32_t)MIN (GST_CLOSE_WAIT_MS, least_outage_us (gst) / 2 / CLK_US_PER_MS);
+  return (uint32_t)MIN (GST_CLOSE_WAIT_MS, min_outage_us (store) / 2 / CLK_US_PER_MS);
 }
 
 gst_t *
 gst_new (const gst_options_t *options, GError **error)
 {
-  gst_t *gst = g_new0 (gst_t, 1);
-
-  gst->options = *options;
-  gst->fetched = cnt_get (options->counters, "medlarplank_views_from_peers_total",
-                          "Times that records of the store were taken from a peer");
-  gst->writes = cnt_get_labelled (options->counters, "medlarplank_store_writes_total", "stream",
-                                  PLT_STREAM_ROUTERS, "Records written into the store");
-  gst->fetch = gft_new (&(gft_options_t){ .base = options->base,
-                                          .clk = options->clk,
-                                          .fleet_key = options->set->fleet_key,
-                                          .control = &options->set->control_listen,
-                                          .ended = on_fetched,
-                                          .context = gst });
-  gst->start = gsa_new (&(gsa_options_t){ .clk = options->clk,
-                                          .set = options->set,
-                                          .seed = options->incarnation,
-                                          .has_all = start_has_all,
-                                          .is_lost = start_is_lost,
-                                          .is_asking = start_is_asking,
-                                          .read = start_read,
-                                          .some_peer = start_some_peer,
-                                          .ask = start_ask,
-                                          .context = gst });
-  follow (gst, ROUTING, close_wait_ms (gst), on_routing, on_routing_told);
-  follow (gst, ENGINES, close_wait_ms (gst), on_engine, on_engines_told);
-  follow (gst, ROUTERS, GST_ROUTERS_WAIT_MS, on_router, on_routers_told);
-  gst->peers = gpr_new (&(gpr_options_t){ .base = options->base,
-                                          .clk = options->clk,
-                                          .counters = options->counters,
-                                          .set = options->set,
-                                          .incarnation = options->incarnation,
-                                          .know = know,
-                                          .heard = heard,
-                                          .suspect = suspect,
-                                          .load = hear_load,
-                                          .context = gst },
-                        error);
-  if (!gst->peers)
+  gst_t *store = g_new0 (gst_t, 1);
+
+  store->options = *options;
+  store->fetch_count = cnt_get (options->counters, "medlarplank_views_from_peers_total",
+                                "Times that records of the store were taken from a peer");
+  store->write_count =
+      cnt_get_labelled (options->counters, "medlarplank_store_writes_total", "stream",
+                        PLT_STREAM_ROUTERS, "Records written into the store");
+  store->fetch = gft_new (&(gft_options_t){ .base = options->base,
+                                            .clk = options->clk,
+                                            .fleet_key = options->set->fleet_key,
+                                            .control_address = &options->set->control_listen,
+                                            .on_finished = on_fetched,
+                                            .context = store });
+  store->start = gsa_new (&(gsa_options_t){ .clk = options->clk,
+                                            .set = options->set,
+                                            .seed = options->incarnation,
+                                            .has_all_streams = start_has_all_streams,
+                                            .is_store_down = start_is_store_down,
+                                            .is_fetching = start_is_fetching,
+                                            .read_store = start_read_store,
+                                            .pick_peer = start_pick_peer,
+                                            .fetch_all = start_fetch_all,
+                                            .context = store });
+  follow_stream (store, STREAM_ROUTING, poll_wait_ms (store), on_routing, on_routing_state);
+  follow_stream (store, STREAM_ENGINES, poll_wait_ms (store), on_engine, on_engines_state);
+  follow_stream (store, STREAM_ROUTERS, GST_ROUTERS_WAIT_MS, on_router, on_routers_state);
+  store->peers = gpr_new (&(gpr_options_t){ .base = options->base,
+                                            .clk = options->clk,
+                                            .counters = options->counters,
+                                            .set = options->set,
+                                            .incarnation = options->incarnation,
+                                            .get_progress = get_progress,
+                                            .on_progress = on_peer_progress,
+                                            .on_suspect = on_peer_suspect,
+                                            .on_load = on_peer_load,
+                                            .context = store },
+                          error);
+  if (!store->peers)
     {
-      gst_free (gst);
+      gst_free (store);
       return NULL;
     }
-  gsa_turn (gst->start);
-  return gst;
+  gsa_turn (store->start);
+  return store;
 }
 
 void
-gst_free (gst_t *gst)
+gst_free (gst_t *store)
 {
-  gst->options.plt->free (gst->options.plt);
-  gft_free (gst->fetch);
-  if (gst->peers)
-    gpr_free (gst->peers);
-  for (uint32_t i = 0; i < STREAMS; i++)
+  store->options.plt->free (store->options.plt);
+  gft_free (store->fetch);
+  if (store->peers)
+    gpr_free (store->peers);
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
     {
-      sfl_free (gst->follows[i]);
-      kvw_free (gst->views[i]);
+      sfl_free (store->followers[i]);
+      kvw_free (store->views[i]);
     }
-  gsa_free (gst->start);
-  g_free (gst);
+  gsa_free (store->start);
+  g_free (store);
 }
 
 bool
-gst_has_routing (const gst_t *gst)
+gst_has_routing (const gst_t *store)
 {
-  return sfl_has_listed (gst->follows[ROUTING]);
+  return sfl_has_listed (store->followers[STREAM_ROUTING]);
 }
 
 uint32_t
-gst_known_routers (const gst_t *gst)
+gst_known_routers (const gst_t *store)
 {
-  return gpr_sharers (gst->peers, sfl_has_listed (gst->follows[ROUTERS]));
+  return gpr_sharers (store->peers, sfl_has_listed (store->followers[STREAM_ROUTERS]));
 }
 
 bool
-gst_has_engines (const gst_t *gst)
+gst_has_engines (const gst_t *store)
 {
-  return sfl_has_listed (gst->follows[ENGINES]);
+  return sfl_has_listed (store->followers[STREAM_ENGINES]);
 }
 
 bool
-gst_is_certain (const gst_t *gst)
+gst_is_certain (const gst_t *store)
 {
-  uint64_t at_us = heard_us (gst);
+  uint64_t at_us = current_as_of_us (store);
 
-  return at_us != 0 && now_us (gst) - at_us < (uint64_t)GST_CERTAIN_MS * CLK_US_PER_MS;
+  return at_us != 0 && now_us (store) - at_us < (uint64_t)GST_CERTAIN_MS * CLK_US_PER_MS;
 }
 
 uint32_t
-gst_routers (const gst_t *gst)
+gst_routers (const gst_t *store)
 {
-  return gpr_count (gst->peers);
+  return gpr_count (store->peers);
 }
 
 void
-gst_tell_news (gst_t *gst)
+gst_tell_news (gst_t *store)
 {
-  gpr_tell_news (gst->peers);
+  gpr_tell_news (store->peers);
 }
 
 void
-gst_add_suspect (gst_t *gst, const sus_mark_t *mark)
+gst_add_suspect (gst_t *store, const sus_mark_t *mark)
 {
-  gpr_add_suspect (gst->peers, mark);
+  gpr_add_suspect (store->peers, mark);
 }
 
 void
-gst_add_load (gst_t *gst, const lnw_item_t *item)
+gst_add_load (gst_t *store, const lnw_item_t *item)
 {
-  gpr_add_load (gst->peers, item);
+  gpr_add_load (store->peers, item);
 }
 
 bool
-gst_answer (gst_t *gst, hsv_call_t *call, bool settled)
+gst_answer (gst_t *store, hsv_call_t *call, bool settled)
 {
-  vsh_stream_t streams[STREAMS];
+  vsh_stream_t streams[STREAM_COUNT];
   size_t bytes = 0;
   gft_state_t state = { .settled = settled,
-                        .complete = has_listed_all (gst) && !lacks_all (gst) &&
-                                    sfl_next (gst->follows[ROUTERS]) > 0,
-                        .store_age_ms = store_age_ms (gst) };
+                        .complete = has_listed_all (store) && !lacks_routing_or_engines (store) &&
+                                    sfl_next (store->followers[STREAM_ROUTERS]) > 0,
+                        .store_age_ms = store_age_ms (store) };
 
-  gpr_some (gst->peers, &state.peer);
-  streams_of (gst, streams);
-  for (uint32_t i = 0; i < STREAMS; i++)
+  gpr_some (store->peers, &state.referral);
+  fill_streams (store, streams);
+  for (uint32_t i = 0; i < STREAM_COUNT; i++)
     bytes += kvw_bytes_since (streams[i].view, 0);
-  state.large = bytes > GST_TOLD_ALL_BYTES;
-  return gft_answer (gst->fetch, call, streams, STREAMS, &state);
+  state.too_large = bytes > GST_TOLD_ALL_BYTES;
+  return gft_answer (store->fetch, call, streams, STREAM_COUNT, &state);
 }
--- a/src/process/gateway_store.h
+++ b/src/process/gateway_store.h
@@ -1,8 +1,9 @@
 /**
  * DOC: gateway_store
  *
- * What a gateway knows of the platform's store: routing rules, engines and gateways. It reads the
- * store itself, and takes from a peer what it lacks when it can't, or when a peer has read more.
+ * A gateway's copy of the platform's store: routing rules, the engine registry and the gateway
+ * registry (the stream of routers). It is read from the store directly, or fetched from a peer when
+ * the store cannot be read or a peer has newer records.
  */
 #ifndef PROCESS_GATEWAY_STORE_H
 #define PROCESS_GATEWAY_STORE_H
@@ -18,48 +19,54 @@
 #include <glib.h>
 
 /*
- * How long a read waits for a record. The few that follow closely notice within this time when
- * their connection has gone silent, and vouch for the others that there is no news. Whether the
- * list of gateways can be read tells nothing, so that read waits for nearly as long as the store
- * lets it.
+ * How long a read of the routing rules or of the engine registry waits for a record. The few
+ * gateways that follow the store notice a dead connection within this time, and their reports let
+ * the other gateways conclude that there is nothing new. Reads of the gateway registry are no such
+ * sign, so they wait almost as long as the store allows.
  */
 #define GST_CLOSE_WAIT_MS 1000
 #define GST_ROUTERS_WAIT_MS 25000
-/* All gateways that start write into that list, and none is in a hurry to know them. */
+/* Minimum interval between two reads of the gateway registry that bring records. Every gateway that
+ * starts writes into it, and no gateway needs these records urgently. */
 #define GST_ROUTERS_PACE_MS 1000
 /*
- * Between two reads that bring a new version, or entries of engines: a part of the time in which
- * they must be in force. What comes meanwhile is read at once. A version of 1,100 routes takes a
- * host of a tenth of a core 0.1 s and a link of 10 Mbit/s 0.3 s; the rest is left for a store that
- * is slow.
+ * Minimum interval between two reads that bring records, as a share of the time within which a
+ * version (version-ms) or an engine entry (drain-ms) must take effect. Records that arrive in
+ * between are read together. A version of 1,100 routes takes 0.1 s on a tenth of a core and 0.3 s
+ * on a link of 10 Mbit/s; the rest of the time is left for a slow store.
  */
 #define GST_ROUTING_PACE_PERCENT 30
 #define GST_ENGINES_PACE_PERCENT 30
-/* What is known is taken for the newest while the store, or a peer that heard it, was heard within
- * this time: longer than the wait of those that follow closely and two messages between peers. */
+/* The copy counts as current while the store, or a peer that had contact with it, was heard within
+ * this time: longer than a follower's read wait plus two messages between peers. */
 #define GST_CERTAIN_MS 2500
-/* Those that rest take news from peers, the few read it at the store; what has not come by then is
- * asked for the other way too. */
+/* Followers read news from the store, the other gateways get it from peers. When news has not come
+ * the usual way within this share of its time limit, the other way is tried too. */
 #define GST_ROUTING_BEHIND_PERCENT 30 /* of the time in which a version must be in force */
-#define GST_ENGINES_BEHIND_PERCENT 40 /* of the time of draining */
-/* News of more bytes is read at the store, which has the bandwidth: to tell three peers of as much
- * takes a link of 20 Mbit/s 0.15 s. A registry of hundreds of engines is more, and is sent to those
- * that start, a few at a time. */
+#define GST_ENGINES_BEHIND_PERCENT 40 /* of the drain time */
+/* Larger routing updates are sent only to peers that cannot read the store. The others read them
+ * there: the store has the bandwidth, while sending this much to three peers takes a link of
+ * 20 Mbit/s 0.15 s. */
 #define GST_TOLD_BYTES (128 * 1024)
+/* Limit of a full copy for a starting gateway. It is higher, since a registry of hundreds of
+ * engines exceeds the limit above and only a few starting gateways are served at a time. */
 #define GST_TOLD_ALL_BYTES (384 * 1024)
-#define GST_FETCH_PACE_MS 300 /* between two questions to peers */
+#define GST_FETCH_PACE_MS 300 /* minimum interval between two fetches from peers */
 
 /**
  * struct gst_options - options of gst_new()
- * @plt: freed with it
- * @version: of the routing rules in force
- * @routing: a record of the routing rules
- * @drain: operators drain a data centre, or take it back
- * @engine: an entry of the registry; @text NULL when it was dropped. @may_have_lapsed: it was
- * dropped while the store could not be read here, perhaps since it was out
- * @told: the registry was listed, lost or regained
- * @suspect: a peer tells of a request that crashes its engines
- * @load: a peer tells of a high load of an engine
+ * @plt: client of the store; owned by the new object
+ * @incarnation: start time of this process, in milliseconds since 1970
+ * @get_version: returns the version of the routing rules in force, 0 for none
+ * @on_routing: a record of routing rules was read
+ * @on_drain: operators drain a data centre, or cancel the drain
+ * @on_engine: an entry of the engine registry was read; @text is NULL when the entry was removed.
+ *   @may_have_lapsed: the entry was removed while this gateway could not read the store, so it may
+ *   have expired only because the engine could not renew it during an outage
+ * @on_status: the store became reachable or unreachable, or a stream was read completely or updated
+ *   from a peer's copy
+ * @on_suspect: a peer reported a request that crashes its engines
+ * @on_load: a peer reported a high load of an engine
  */
 typedef struct
 {
@@ -69,46 +76,50 @@
   const set_t *set;
   plt_t *plt;
   uint64_t incarnation;
-  uint64_t (*version) (void *context);
-  void (*routing) (const char *text, size_t text_bytes, uint64_t offset, void *context);
-  void (*drain) (const char *data_center, bool drained, uint64_t offset, void *context);
-  void (*engine) (const char *id,
-                  const char *text,
-                  size_t text_bytes,
-                  uint64_t offset,
-                  bool may_have_lapsed,
-                  void *context);
-  void (*told) (void *context);
-  void (*suspect) (const sus_mark_t *mark, void *context);
-  void (*load) (const lnw_item_t *item, void *context);
+  uint64_t (*get_version) (void *context);
+  void (*on_routing) (const char *text, size_t text_bytes, uint64_t offset, void *context);
+  void (*on_drain) (const char *data_center, bool drained, uint64_t offset, void *context);
+  void (*on_engine) (const char *id,
+                     const char *text,
+                     size_t text_bytes,
+                     uint64_t offset,
+                     bool may_have_lapsed,
+                     void *context);
+  void (*on_status) (void *context);
+  void (*on_suspect) (const sus_mark_t *mark, void *context);
+  void (*on_load) (const lnw_item_t *item, void *context);
   void *context;
 } gst_options_t;
 
 typedef struct gst gst_t;
 
+/** gst_new() - opens the exchange with peers and starts loading. Return: NULL with @error when the
+ * exchange cannot be opened; @plt is freed then too */
 gst_t *gst_new (const gst_options_t *options, GError **error);
-void gst_free (gst_t *gst);
-/** gst_turn() - to be called every 100 ms or so */
-void gst_turn (gst_t *gst);
-/** gst_has_routing() - whether all that operators wrote has been read, here or by a peer */
-bool gst_has_routing (const gst_t *gst);
-/** gst_has_engines() - whether the registry has been read whole, here or by a peer */
-bool gst_has_engines (const gst_t *gst);
-/** gst_is_certain() - whether what is known is surely the newest */
-bool gst_is_certain (const gst_t *gst);
-/** gst_routers() - gateways that may be at work, this one too */
-uint32_t gst_routers (const gst_t *gst);
-/** gst_known_routers() - gateways that have written themselves into the store, at work or not, this
- * one too; 0 while the list of them has not been read */
-uint32_t gst_known_routers (const gst_t *gst);
-/** gst_tell_news() - something new was read: tell some peers at once */
-void gst_tell_news (gst_t *gst);
-/** gst_add_suspect() - tell peers of a request that crashes its engines */
-void gst_add_suspect (gst_t *gst, const sus_mark_t *mark);
-/** gst_add_load() - tell peers of a high load of an engine */
-void gst_add_load (gst_t *gst, const lnw_item_t *item);
-/** gst_answer() - a peer asks for what it lacks. Return: false when the call asks for another path
- */
-bool gst_answer (gst_t *gst, hsv_call_t *call, bool settled);
+void gst_free (gst_t *store);
+/** gst_turn() - periodic work; to be called about every 100 ms */
+void gst_turn (gst_t *store);
+/** gst_has_routing() - whether the stream of routing rules has been loaded completely, from the
+ * store or from a peer */
+bool gst_has_routing (const gst_t *store);
+/** gst_has_engines() - whether the engine registry has been loaded completely, from the store or
+ * from a peer */
+bool gst_has_engines (const gst_t *store);
+/** gst_is_certain() - whether routing rules and engines are current to within %GST_CERTAIN_MS */
+bool gst_is_certain (const gst_t *store);
+/** gst_routers() - number of gateways that may be running, including this one */
+uint32_t gst_routers (const gst_t *store);
+/** gst_known_routers() - number of gateways in the gateway registry, running or not, including this
+ * one; 0 until the registry has been read */
+uint32_t gst_known_routers (const gst_t *store);
+/** gst_tell_news() - sends some peers a message at once, since new records were read */
+void gst_tell_news (gst_t *store);
+/** gst_add_suspect() - reports a request that crashes its engines to peers */
+void gst_add_suspect (gst_t *store, const sus_mark_t *mark);
+/** gst_add_load() - reports a high load of an engine to peers */
+void gst_add_load (gst_t *store, const lnw_item_t *item);
+/** gst_answer() - answers a peer that fetches records. @settled: whether no removed engine entry
+ * may still be restored. Return: false, without an answer, when the request has another path */
+bool gst_answer (gst_t *store, hsv_call_t *call, bool settled);
 
 #endif
