--- a/src/process/rumour.c
+++ b/src/process/rumour.c
@@ -6,37 +6,37 @@
 #include <string.h>
 
 static rmr_word_t *
-word_slot (rmr_t *rmr, uint64_t host_hash)
+find_report_slot (rmr_t *gossip, uint64_t host_hash)
 {
-  rmr_word_t *spent = &rmr->words[0];
+  rmr_word_t *most_sent = &gossip->reports[0];
   for (uint32_t i = 0; i < RMR_SLOTS; i++)
     {
-      rmr_word_t *slot = &rmr->words[i];
-      if (slot->word.host_hash == host_hash)
+      rmr_word_t *slot = &gossip->reports[i];
+      if (slot->report.host_hash == host_hash)
         return slot;
-      if (slot->sends_left < spent->sends_left)
-        spent = slot;
+      if (slot->sends_left < most_sent->sends_left)
+        most_sent = slot;
     }
-  return spent;
+  return most_sent;
 }
 
 static rmr_mark_t *
-mark_slot (rmr_t *rmr, uint64_t fingerprint)
+find_mark_slot (rmr_t *gossip, uint64_t fingerprint)
 {
-  rmr_mark_t *spent = &rmr->marks[0];
+  rmr_mark_t *most_sent = &gossip->marks[0];
   for (uint32_t i = 0; i < RMR_SLOTS; i++)
     {
-      rmr_mark_t *slot = &rmr->marks[i];
+      rmr_mark_t *slot = &gossip->marks[i];
       if (slot->mark.fingerprint == fingerprint)
         return slot;
-      if (slot->sends_left < spent->sends_left)
-        spent = slot;
+      if (slot->sends_left < most_sent->sends_left)
+        most_sent = slot;
     }
-  return spent;
+  return most_sent;
 }
 
 static bool
-names_engine (const sus_mark_t *mark, uint64_t engine_hash)
+mark_has_engine (const sus_mark_t *mark, uint64_t engine_hash)
 {
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
     {
@@ -46,20 +46,20 @@
   return false;
 }
 
-/* Adds the engines of @more to @mark. Return: whether one was new. */
+/* Adds the engines of @other to @mark. Return: whether one was new */
 static bool
-merge_engines (sus_mark_t *mark, const sus_mark_t *more)
+merge_engines (sus_mark_t *mark, const sus_mark_t *other)
 {
   bool added = false;
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
     {
-      if (more->engines[i] == 0 || names_engine (mark, more->engines[i]))
+      if (other->engines[i] == 0 || mark_has_engine (mark, other->engines[i]))
         continue;
       for (uint32_t j = 0; j < LIM_SUSPECT_CRASHES; j++)
         {
           if (mark->engines[j] != 0)
             continue;
-          mark->engines[j] = more->engines[i];
+          mark->engines[j] = other->engines[i];
           added = true;
           break;
         }
@@ -68,12 +68,12 @@
 }
 
 static rmr_word_t *
-least_sent_word (rmr_t *rmr, const bool *taken)
+least_sent_report (rmr_t *gossip, const bool *taken)
 {
   rmr_word_t *best = NULL;
   for (uint32_t i = 0; i < RMR_SLOTS; i++)
     {
-      rmr_word_t *slot = &rmr->words[i];
+      rmr_word_t *slot = &gossip->reports[i];
       if (taken[i] || slot->sends_left == 0)
         continue;
       if (best == NULL || slot->sends_left > best->sends_left)
@@ -83,13 +83,13 @@
 }
 
 static rmr_mark_t *
-least_sent_mark (rmr_t *rmr, uint64_t now_us, const bool *taken)
+least_sent_mark (rmr_t *gossip, uint64_t now_us, const bool *taken)
 {
   rmr_mark_t *best = NULL;
   for (uint32_t i = 0; i < RMR_SLOTS; i++)
     {
-      rmr_mark_t *slot = &rmr->marks[i];
-      if (taken[i] || slot->sends_left == 0 || now_us - slot->made_us > RMR_MARK_AGE_US)
+      rmr_mark_t *slot = &gossip->marks[i];
+      if (taken[i] || slot->sends_left == 0 || now_us - slot->created_us > RMR_MARK_AGE_US)
         continue;
       if (best == NULL || slot->sends_left > best->sends_left)
         best = slot;
@@ -98,22 +98,23 @@
 }
 
 void
-rmr_init (rmr_t *rmr)
+rmr_init (rmr_t *gossip)
 {
-  memset (rmr, 0, sizeof *rmr);
+  memset (gossip, 0, sizeof *gossip);
 }
 
 void
-rmr_add_word (rmr_t *rmr, const mem_word_t *word)
+rmr_add_word (rmr_t *gossip, const mem_word_t *report)
 {
-  rmr_word_t *slot = word_slot (rmr, word->host_hash);
-  slot->word = *word;
+  rmr_word_t *slot = find_report_slot (gossip, report->host_hash);
+  slot->report = *report;
   slot->sends_left = RMR_SENDS;
 }
 
-/* Return: whether it is news, which a mark is not that the slot holds as cleared since */
+/* Return: whether @mark is new. It is not when the slot has a later mark that clears the request.
+ */
 static bool
-note_mark (rmr_mark_t *slot, const sus_mark_t *mark, uint64_t made_us)
+update_mark (rmr_mark_t *slot, const sus_mark_t *mark, uint64_t created_us)
 {
   bool known = slot->mark.fingerprint == mark->fingerprint;
   bool cleared = known && sus_is_cleared (&slot->mark);
@@ -125,7 +126,7 @@
       slot->mark = *mark;
       return true;
     }
-  if (cleared && made_us <= slot->made_us)
+  if (cleared && created_us <= slot->created_us)
     return false;
   if (!known)
     memset (slot, 0, sizeof *slot);
@@ -134,51 +135,51 @@
 }
 
 bool
-rmr_add_mark (rmr_t *rmr, uint64_t now_us, const sus_mark_t *mark)
+rmr_add_mark (rmr_t *gossip, uint64_t now_us, const sus_mark_t *mark)
 {
   uint64_t age_us = (uint64_t)mark->age_ms * CLK_US_PER_MS;
   if (age_us > RMR_MARK_AGE_US)
     return false;
-  rmr_mark_t *slot = mark_slot (rmr, mark->fingerprint);
-  uint64_t made_us = now_us - MIN (age_us, now_us);
-  if (!note_mark (slot, mark, made_us))
+  rmr_mark_t *slot = find_mark_slot (gossip, mark->fingerprint);
+  uint64_t created_us = now_us - MIN (age_us, now_us);
+  if (!update_mark (slot, mark, created_us))
     return false;
-  slot->made_us = made_us;
+  slot->created_us = created_us;
   slot->sends_left = RMR_SENDS;
   return true;
 }
 
 uint32_t
-rmr_take_words (rmr_t *rmr, mem_word_t *out, uint32_t want)
+rmr_take_words (rmr_t *gossip, mem_word_t *out, uint32_t want)
 {
   bool taken[RMR_SLOTS] = { false };
   uint32_t count = 0;
   while (count < want)
     {
-      rmr_word_t *slot = least_sent_word (rmr, taken);
+      rmr_word_t *slot = least_sent_report (gossip, taken);
       if (slot == NULL)
         break;
-      taken[slot - rmr->words] = true;
+      taken[slot - gossip->reports] = true;
       slot->sends_left--;
-      out[count++] = slot->word;
+      out[count++] = slot->report;
     }
   return count;
 }
 
 uint32_t
-rmr_take_marks (rmr_t *rmr, uint64_t now_us, sus_mark_t *out, uint32_t want)
+rmr_take_marks (rmr_t *gossip, uint64_t now_us, sus_mark_t *out, uint32_t want)
 {
   bool taken[RMR_SLOTS] = { false };
   uint32_t count = 0;
   while (count < want)
     {
-      rmr_mark_t *slot = least_sent_mark (rmr, now_us, taken);
+      rmr_mark_t *slot = least_sent_mark (gossip, now_us, taken);
       if (slot == NULL)
         break;
-      taken[slot - rmr->marks] = true;
+      taken[slot - gossip->marks] = true;
       slot->sends_left--;
       out[count] = slot->mark;
-      out[count++].age_ms = (uint32_t)((now_us - slot->made_us) / CLK_US_PER_MS);
+      out[count++].age_ms = (uint32_t)((now_us - slot->created_us) / CLK_US_PER_MS);
     }
   return count;
 }
