--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -33,13 +33,13 @@
 }
 
 static GPtrArray *
-stream_of (const fkp_t *fkp, const char *name)
+get_stream (const fkp_t *platform, const char *name)
 {
-  GPtrArray *records = g_hash_table_lookup (fkp->streams, name);
+  GPtrArray *records = g_hash_table_lookup (platform->streams, name);
   if (records == NULL)
     {
       records = g_ptr_array_new_with_free_func (g_free);
-      g_hash_table_insert (fkp->streams, g_strdup (name), records);
+      g_hash_table_insert (platform->streams, g_strdup (name), records);
     }
   return records;
 }
@@ -52,15 +52,15 @@
              plt_appended_t done,
              void *context)
 {
-  fkp_t *fkp = (fkp_t *)plt;
+  fkp_t *platform = (fkp_t *)plt;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_APPEND;
   call->stream = g_strdup (stream);
   call->data = g_strndup (data, data_bytes);
   call->appended = done;
   call->context = context;
-  g_queue_push_tail (&fkp->calls, call);
-  fkp->appends++;
+  g_queue_push_tail (&platform->calls, call);
+  platform->appends++;
 }
 
 static void
@@ -72,71 +72,71 @@
            plt_read_done_t done,
            void *context)
 {
-  fkp_t *fkp = (fkp_t *)plt;
+  fkp_t *platform = (fkp_t *)plt;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_READ;
   call->stream = g_strdup (stream);
   call->from_offset = from_offset;
   call->max_records = max_records;
-  call->until_ms = fkp->now_ms + wait_ms;
+  call->until_ms = platform->now_ms + wait_ms;
   call->read = done;
   call->context = context;
-  g_queue_push_tail (&fkp->calls, call);
-  fkp->reads++;
+  g_queue_push_tail (&platform->calls, call);
+  platform->reads++;
 }
 
 static void
 fake_hosts (plt_t *plt, uint64_t revision, plt_hosts_done_t done, void *context)
 {
-  fkp_t *fkp = (fkp_t *)plt;
+  fkp_t *platform = (fkp_t *)plt;
   (void)revision;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_HOSTS;
   call->hosts = done;
   call->context = context;
-  g_queue_push_tail (&fkp->calls, call);
-  fkp->lists++;
+  g_queue_push_tail (&platform->calls, call);
+  platform->lists++;
 }
 
 static void
 fake_free (plt_t *plt)
 {
-  fkp_t *fkp = (fkp_t *)plt;
-  g_queue_clear_full (&fkp->calls, call_free);
-  fkp->freed = true;
+  fkp_t *platform = (fkp_t *)plt;
+  g_queue_clear_full (&platform->calls, call_free);
+  platform->freed = true;
 }
 
 static void
-answer_append (fkp_t *fkp, const call_t *call)
+answer_append (fkp_t *platform, const call_t *call)
 {
-  if (fkp->append_down)
+  if (platform->append_down)
     {
       call->appended (PLT_UNKNOWN, 0, call->context);
       return;
     }
-  if (fkp->append_refused)
+  if (platform->append_refused)
     {
       call->appended (PLT_REFUSED, 0, call->context);
       return;
     }
-  GPtrArray *records = stream_of (fkp, call->stream);
+  GPtrArray *records = get_stream (platform, call->stream);
   uint64_t offset = records->len;
   g_ptr_array_add (records, g_strdup (call->data));
-  call->appended (fkp->append_lost ? PLT_UNKNOWN : PLT_OK, offset, call->context);
+  call->appended (platform->append_lost ? PLT_UNKNOWN : PLT_OK, offset, call->context);
 }
 
 static void
-answer_read (const fkp_t *fkp, const call_t *call)
+answer_read (const fkp_t *platform, const call_t *call)
 {
   plt_read_t read = { .outcome = PLT_UNKNOWN };
-  if (fkp->read_down)
+  if (platform->read_down)
     {
       call->read (&read, call->context);
       return;
     }
-  const GPtrArray *stream = stream_of (fkp, call->stream);
+  const GPtrArray *stream = get_stream (platform, call->stream);
   read.outcome = PLT_OK;
-  read.first_offset = MIN (fkp->first_offset, stream->len);
+  read.first_offset = MIN (platform->first_offset, stream->len);
   read.end_offset = stream->len;
   uint64_t from = MAX (call->from_offset, read.first_offset);
   uint64_t count = from < stream->len ? MIN (stream->len - from, call->max_records) : 0;
@@ -155,95 +155,99 @@
 }
 
 static void
-answer_hosts (const fkp_t *fkp, const call_t *call)
+answer_hosts (const fkp_t *platform, const call_t *call)
 {
   plt_hosts_t hosts = { .outcome = PLT_UNKNOWN };
-  if (!fkp->list_down)
+  if (!platform->list_down)
     {
       hosts.outcome = PLT_OK;
       hosts.full = true;
-      hosts.revision = fkp->revision;
-      hosts.hosts = fkp->hosts;
-      hosts.host_count = fkp->host_count;
+      hosts.revision = platform->revision;
+      hosts.hosts = platform->hosts;
+      hosts.host_count = platform->host_count;
     }
   call->hosts (&hosts, call->context);
 }
 
 static void
-answer (fkp_t *fkp, const call_t *call)
+answer_call (fkp_t *platform, const call_t *call)
 {
   switch (call->kind)
     {
     case CALL_APPEND:
-      answer_append (fkp, call);
+      answer_append (platform, call);
       break;
     case CALL_READ:
-      answer_read (fkp, call);
+      answer_read (platform, call);
       break;
     case CALL_HOSTS:
-      answer_hosts (fkp, call);
+      answer_hosts (platform, call);
       break;
     }
 }
 
 static bool
-still_waits (const fkp_t *fkp, const call_t *call)
+must_wait (const fkp_t *platform, const call_t *call)
 {
-  if (call->kind == CALL_READ && fkp->read_stuck)
+  if (call->kind == CALL_READ && platform->read_stuck)
     return true;
-  if (call->kind != CALL_READ || call->until_ms <= fkp->now_ms || fkp->read_down)
+  if (call->kind != CALL_READ || call->until_ms <= platform->now_ms || platform->read_down)
     return false;
-  return call->from_offset >= stream_of (fkp, call->stream)->len;
+  return call->from_offset >= get_stream (platform, call->stream)->len;
 }
 
 void
-fkp_init (fkp_t *fkp)
+fkp_init (fkp_t *platform)
 {
-  memset (fkp, 0, sizeof *fkp);
-  fkp->plt.append = fake_append;
-  fkp->plt.read = fake_read;
-  fkp->plt.hosts = fake_hosts;
-  fkp->plt.free = fake_free;
-  fkp->streams =
+  memset (platform, 0, sizeof *platform);
+  platform->plt.append = fake_append;
+  platform->plt.read = fake_read;
+  platform->plt.hosts = fake_hosts;
+  platform->plt.free = fake_free;
+  platform->streams =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-  g_queue_init (&fkp->calls);
+  g_queue_init (&platform->calls);
 }
 
 void
-fkp_clear (fkp_t *fkp)
+fkp_clear (fkp_t *platform)
 {
-  g_queue_clear_full (&fkp->calls, call_free);
-  g_hash_table_destroy (fkp->streams);
+  g_queue_clear_full (&platform->calls, call_free);
+  g_hash_table_destroy (platform->streams);
 }
 
 void
-fkp_put (fkp_t *fkp, const char *stream, const char *record)
+fkp_put (fkp_t *platform, const char *stream, const char *record)
 {
-  g_ptr_array_add (stream_of (fkp, stream), g_strdup (record));
+  g_ptr_array_add (get_stream (platform, stream), g_strdup (record));
 }
 
 uint32_t
-fkp_length (const fkp_t *fkp, const char *stream)
+fkp_length (const fkp_t *platform, const char *stream)
 {
-  return stream_of (fkp, stream)->len;
+  return get_stream (platform, stream)->len;
 }
 
 const char *
-fkp_record (const fkp_t *fkp, const char *stream, uint32_t offset)
+fkp_record (const fkp_t *platform, const char *stream, uint32_t offset)
 {
-  return g_ptr_array_index (stream_of (fkp, stream), offset);
+  return g_ptr_array_index (get_stream (platform, stream), offset);
 }
 
 void
-fkp_host (
-    fkp_t *fkp, const char *name, bool router, const char *ip, uint16_t port, mem_state_t state)
+fkp_host (fkp_t *platform,
+          const char *name,
+          bool router,
+          const char *ip,
+          uint16_t port,
+          mem_state_t state)
 {
   uint32_t i = 0;
-  while (i < fkp->host_count && strcmp (fkp->hosts[i].name, name) != 0)
+  while (i < platform->host_count && strcmp (platform->hosts[i].name, name) != 0)
     i++;
-  g_assert (i < G_N_ELEMENTS (fkp->hosts));
-  fkp->host_count = MAX (fkp->host_count, i + 1);
-  mem_listed_t *host = &fkp->hosts[i];
+  g_assert (i < G_N_ELEMENTS (platform->hosts));
+  platform->host_count = MAX (platform->host_count, i + 1);
+  mem_listed_t *host = &platform->hosts[i];
   g_strlcpy (host->name, name, sizeof host->name);
   g_strlcpy (host->data_center, "hall", sizeof host->data_center);
   g_strlcpy (host->region, "town", sizeof host->region);
@@ -252,22 +256,22 @@
   host->http = host->exchange;
   host->router = router;
   host->state = state;
-  fkp->revision++;
+  platform->revision++;
 }
 
 uint32_t
-fkp_answer (fkp_t *fkp)
+fkp_answer (fkp_t *platform)
 {
   uint32_t count = 0;
-  for (guint left = fkp->calls.length; left > 0; left--)
+  for (guint left = platform->calls.length; left > 0; left--)
     {
-      call_t *call = g_queue_pop_head (&fkp->calls);
-      if (still_waits (fkp, call))
+      call_t *call = g_queue_pop_head (&platform->calls);
+      if (must_wait (platform, call))
         {
-          g_queue_push_tail (&fkp->calls, call);
+          g_queue_push_tail (&platform->calls, call);
           continue;
         }
-      answer (fkp, call);
+      answer_call (platform, call);
       call_free (call);
       count++;
     }
--- a/tests/fake_platform.h
+++ b/tests/fake_platform.h
@@ -1,8 +1,8 @@
 /**
  * DOC: fake_platform
  *
- * A platform in memory behind the callbacks of connection/platform.h, for tests of what uses it.
- * Answers wait until the test lets them go, and can be made to fail or to be lost.
+ * An in-memory platform that implements the callbacks of connection/platform.h, for tests of its
+ * clients. Calls are answered only by fkp_answer(), and can be made to fail or to lose the answer.
  */
 #ifndef TESTS_FAKE_PLATFORM_H
 #define TESTS_FAKE_PLATFORM_H
@@ -12,15 +12,24 @@
 #define FKP_HOSTS 2048
 
 /**
- * struct fkp - the fake; @plt goes first
- * @read_down: reads of the log fail
- * @read_stuck: reads of the log are not answered
- * @append_down: appends take no effect and fail
- * @append_refused: appends certainly take no effect
- * @append_lost: appends take effect, but their answer is lost
- * @list_down: the list fails
- * @now_ms: the test moves it on; reads that wait end by it
- * @hosts: what the list answers, always whole
+ * struct fkp - the fake platform
+ * @plt: the callbacks; must be the first field
+ * @read_down: reads of streams fail
+ * @read_stuck: reads of streams get no answer
+ * @append_down: appends have no effect, and the caller learns only that the outcome is unknown
+ * @append_refused: appends have no effect, and the caller learns that
+ * @append_lost: appends take effect, but the caller learns only that the outcome is unknown
+ * @list_down: calls for the list of hosts fail
+ * @now_ms: current time, set by the test; ends the wait of reads without records
+ * @streams: records of each stream by its name
+ * @first_offset: offset of the first record that is still kept, in all streams
+ * @calls: calls without an answer yet
+ * @hosts: the list of hosts, which is always answered in full
+ * @revision: of the list of hosts; grows with each change
+ * @reads: number of reads of streams so far
+ * @lists: number of calls for the list of hosts so far
+ * @appends: number of appends so far
+ * @freed: plt_t.free() was called
  */
 typedef struct
 {
@@ -32,7 +41,7 @@
   bool append_lost;
   bool list_down;
   uint64_t now_ms;
-  GHashTable *streams; /* name -> GPtrArray of records */
+  GHashTable *streams; /* stream name -> GPtrArray of char *, indexed by offset */
   uint64_t first_offset;
   GQueue calls;
   mem_listed_t hosts[FKP_HOSTS];
@@ -44,17 +53,24 @@
   bool freed;
 } fkp_t;
 
-void fkp_init (fkp_t *fkp);
-void fkp_clear (fkp_t *fkp);
-/** fkp_put() - a record that somebody else appended */
-void fkp_put (fkp_t *fkp, const char *stream, const char *record);
-uint32_t fkp_length (const fkp_t *fkp, const char *stream);
-const char *fkp_record (const fkp_t *fkp, const char *stream, uint32_t offset);
-/** fkp_host() - list a host, or change its state; its addresses are @ip:port */
-void fkp_host (
-    fkp_t *fkp, const char *name, bool router, const char *ip, uint16_t port, mem_state_t state);
-/** fkp_answer() - answer what was asked so far, but not reads that wait for a record. Return: how
- * many were answered */
-uint32_t fkp_answer (fkp_t *fkp);
+void fkp_init (fkp_t *platform);
+void fkp_clear (fkp_t *platform);
+/** fkp_put() - appends a record, as if another client had done so */
+void fkp_put (fkp_t *platform, const char *stream, const char *record);
+/** fkp_length() - number of records of the stream */
+uint32_t fkp_length (const fkp_t *platform, const char *stream);
+/** fkp_record() - the record at @offset, which must exist */
+const char *fkp_record (const fkp_t *platform, const char *stream, uint32_t offset);
+/** fkp_host() - adds a host to the list, or replaces its state and its addresses, which are all
+ * @ip and @port */
+void fkp_host (fkp_t *platform,
+               const char *name,
+               bool router,
+               const char *ip,
+               uint16_t port,
+               mem_state_t state);
+/** fkp_answer() - answers the calls so far, except reads that still wait for a record. Return: how
+ * many calls were answered */
+uint32_t fkp_answer (fkp_t *platform);
 
 #endif
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -11,8 +11,8 @@
 struct fks
 {
   struct event_base *base;
-  GHashTable *streams; /* name -> GPtrArray of record_t; the index is the offset */
-  GPtrArray *fronts;
+  GHashTable *streams; /* stream name -> GPtrArray of record_t, indexed by offset */
+  GPtrArray *clients;
 };
 
 typedef enum
@@ -20,12 +20,12 @@
   CALL_READ,
   CALL_NEWEST,
   CALL_PUT
-} kind_t;
+} call_kind_t;
 
 typedef struct
 {
-  fks_front_t *front;
-  kind_t kind;
+  fks_front_t *client;
+  call_kind_t kind;
   char *stream;
   char *key;
   char *value;
@@ -49,7 +49,7 @@
 }
 
 static GPtrArray *
-stream_of (const fks_t *store, const char *name)
+get_stream (const fks_t *store, const char *name)
 {
   GPtrArray *stream = g_hash_table_lookup (store->streams, name);
 
@@ -64,7 +64,7 @@
 static void
 call_free (call_t *call)
 {
-  g_queue_remove (&call->front->pending, call);
+  g_queue_remove (&call->client->pending, call);
   event_free (call->event);
   g_free (call->stream);
   g_free (call->key);
@@ -84,21 +84,21 @@
 static void
 answer_read (call_t *call)
 {
-  const GPtrArray *stream = stream_of (call->front->store, call->stream);
+  const GPtrArray *stream = get_stream (call->client->store, call->stream);
   g_autoptr (GArray) records = g_array_new (FALSE, TRUE, sizeof (plt_record_t));
   plt_read_t read = { .outcome = PLT_OK, .end_offset = stream->len };
 
-  for (uint64_t at = call->from; at < stream->len && records->len < call->max; at++)
+  for (uint64_t offset = call->from; offset < stream->len && records->len < call->max; offset++)
     {
-      plt_record_t record = to_record (g_ptr_array_index (stream, at), at);
+      plt_record_t record = to_record (g_ptr_array_index (stream, offset), offset);
 
       g_array_append_val (records, record);
     }
-  if (call->front->down)
+  if (call->client->down)
     read.outcome = PLT_UNKNOWN;
-  else if (call->front->expired)
+  else if (call->client->expired)
     read.outcome = PLT_EXPIRED;
-  call->front->expired = false;
+  call->client->expired = false;
   read.records = (const plt_record_t *)(const void *)records->data;
   read.record_count = read.outcome == PLT_OK ? records->len : 0;
   read.next_offset = call->from + read.record_count;
@@ -108,19 +108,19 @@
 static void
 answer_newest (call_t *call)
 {
-  const GPtrArray *stream = stream_of (call->front->store, call->stream);
-  g_autoptr (GHashTable) newest = g_hash_table_new (g_str_hash, g_str_equal);
+  const GPtrArray *stream = get_stream (call->client->store, call->stream);
+  g_autoptr (GHashTable) seen_keys = g_hash_table_new (g_str_hash, g_str_equal);
   g_autoptr (GArray) records = g_array_new (FALSE, TRUE, sizeof (plt_record_t));
-  plt_newest_t answer = { .outcome = call->front->down ? PLT_UNKNOWN : PLT_OK,
+  plt_newest_t answer = { .outcome = call->client->down ? PLT_UNKNOWN : PLT_OK,
                           .end_offset = stream->len };
 
-  for (guint at = stream->len; at > 0; at--)
+  for (guint offset = stream->len; offset > 0; offset--)
     {
-      const record_t *record = g_ptr_array_index (stream, at - 1);
+      const record_t *record = g_ptr_array_index (stream, offset - 1);
 
-      if (g_hash_table_add (newest, record->key) && record->value)
+      if (g_hash_table_add (seen_keys, record->key) && record->value)
         {
-          plt_record_t out = to_record (record, at - 1);
+          plt_record_t out = to_record (record, offset - 1);
 
           g_array_append_val (records, out);
         }
@@ -133,19 +133,19 @@
 static void
 answer_put (call_t *call)
 {
-  fks_front_t *front = call->front;
+  fks_front_t *client = call->client;
 
-  if (front->down)
+  if (client->down)
     {
       call->put (PLT_UNKNOWN, 0, call->context);
       return;
     }
-  fks_put (front->store, call->stream, call->key, call->value);
-  call->put (PLT_OK, stream_of (front->store, call->stream)->len - 1, call->context);
+  fks_put (client->store, call->stream, call->key, call->value);
+  call->put (PLT_OK, get_stream (client->store, call->stream)->len - 1, call->context);
 }
 
 static void
-on_due (evutil_socket_t fd, short what, void *context)
+on_answer_due (evutil_socket_t fd, short what, void *context)
 {
   call_t *call = context;
 
@@ -161,36 +161,36 @@
 }
 
 static call_t *
-call_new (plt_t *plt, kind_t kind, const char *stream, uint32_t wait_ms, void *context)
+call_new (plt_t *plt, call_kind_t kind, const char *stream, uint32_t wait_ms, void *context)
 {
-  fks_front_t *front = (fks_front_t *)plt;
+  fks_front_t *client = (fks_front_t *)plt;
   struct timeval wait = { wait_ms / 1000, wait_ms % 1000 * 1000 };
   call_t *call = g_new0 (call_t, 1);
 
-  call->front = front;
+  call->client = client;
   call->kind = kind;
   call->stream = g_strdup (stream);
   call->context = context;
-  call->event = evtimer_new (front->store->base, on_due, call);
+  call->event = evtimer_new (client->store->base, on_answer_due, call);
   event_add (call->event, &wait);
-  g_queue_push_tail (&front->pending, call);
-  front->calls++;
+  g_queue_push_tail (&client->pending, call);
+  client->calls++;
   return call;
 }
 
 static void
-front_read (plt_t *plt,
-            const char *stream,
-            uint64_t from_offset,
-            uint32_t max_records,
-            uint32_t wait_ms,
-            plt_read_done_t done,
-            void *context)
+client_read (plt_t *plt,
+             const char *stream,
+             uint64_t from_offset,
+             uint32_t max_records,
+             uint32_t wait_ms,
+             plt_read_done_t done,
+             void *context)
 {
-  fks_front_t *front = (fks_front_t *)plt;
-  bool at_once =
-      front->down || front->expired || stream_of (front->store, stream)->len > from_offset;
-  call_t *call = call_new (plt, CALL_READ, stream, at_once ? 0 : wait_ms, context);
+  fks_front_t *client = (fks_front_t *)plt;
+  bool has_answer =
+      client->down || client->expired || get_stream (client->store, stream)->len > from_offset;
+  call_t *call = call_new (plt, CALL_READ, stream, has_answer ? 0 : wait_ms, context);
 
   call->from = from_offset;
   call->max = max_records;
@@ -198,21 +198,21 @@
 }
 
 static void
-front_newest (
+client_newest (
     plt_t *plt, const char *stream, const char *after_key, plt_newest_done_t done, void *context)
 {
-  g_assert (!after_key); /* one page holds all */
+  g_assert (!after_key); /* the first page always has all keys */
   call_new (plt, CALL_NEWEST, stream, 0, context)->newest = done;
 }
 
 static void
-front_put (plt_t *plt,
-           const char *stream,
-           const char *key,
-           const char *data,
-           size_t data_bytes,
-           plt_appended_t done,
-           void *context)
+client_put (plt_t *plt,
+            const char *stream,
+            const char *key,
+            const char *data,
+            size_t data_bytes,
+            plt_appended_t done,
+            void *context)
 {
   call_t *call = call_new (plt, CALL_PUT, stream, 0, context);
 
@@ -222,14 +222,14 @@
 }
 
 static void
-front_free (plt_t *plt)
+client_free (plt_t *plt)
 {
-  fks_front_t *front = (fks_front_t *)plt;
+  fks_front_t *client = (fks_front_t *)plt;
 
-  while (!g_queue_is_empty (&front->pending))
-    call_free (g_queue_peek_head (&front->pending));
-  g_ptr_array_remove (front->store->fronts, front);
-  g_free (front);
+  while (!g_queue_is_empty (&client->pending))
+    call_free (g_queue_peek_head (&client->pending));
+  g_ptr_array_remove (client->store->clients, client);
+  g_free (client);
 }
 
 fks_t *
@@ -240,15 +240,15 @@
   store->base = base;
   store->streams =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-  store->fronts = g_ptr_array_new ();
+  store->clients = g_ptr_array_new ();
   return store;
 }
 
 void
 fks_free (fks_t *store)
 {
-  g_assert (store->fronts->len == 0);
-  g_ptr_array_free (store->fronts, TRUE);
+  g_assert (store->clients->len == 0);
+  g_ptr_array_free (store->clients, TRUE);
   g_hash_table_destroy (store->streams);
   g_free (store);
 }
@@ -256,20 +256,21 @@
 fks_front_t *
 fks_front (fks_t *store)
 {
-  fks_front_t *front = g_new0 (fks_front_t, 1);
-
-  front->store = store;
-  front->plt =
-      (plt_t){ .read = front_read, .newest = front_newest, .put = front_put, .free = front_free };
-  g_queue_init (&front->pending);
-  g_ptr_array_add (store->fronts, front);
-  return front;
+  fks_front_t *client = g_new0 (fks_front_t, 1);
+
+  client->store = store;
+  client->plt = (plt_t){
+    .read = client_read, .newest = client_newest, .put = client_put, .free = client_free
+  };
+  g_queue_init (&client->pending);
+  g_ptr_array_add (store->clients, client);
+  return client;
 }
 
 static void
-wake (const fks_front_t *front, const char *stream)
+answer_waiting_reads (const fks_front_t *client, const char *stream)
 {
-  for (GList *link = front->pending.head; link; link = link->next)
+  for (GList *link = client->pending.head; link; link = link->next)
     {
       call_t *call = link->data;
 
@@ -285,19 +286,19 @@
 
   record->key = g_strdup (key);
   record->value = g_strdup (value);
-  g_ptr_array_add (stream_of (store, stream), record);
-  for (guint i = 0; i < store->fronts->len; i++)
-    wake (g_ptr_array_index (store->fronts, i), stream);
+  g_ptr_array_add (get_stream (store, stream), record);
+  for (guint i = 0; i < store->clients->len; i++)
+    answer_waiting_reads (g_ptr_array_index (store->clients, i), stream);
 }
 
 const char *
 fks_value (const fks_t *store, const char *stream, const char *key)
 {
-  const GPtrArray *records = stream_of (store, stream);
+  const GPtrArray *records = get_stream (store, stream);
 
-  for (guint at = records->len; at > 0; at--)
+  for (guint offset = records->len; offset > 0; offset--)
     {
-      const record_t *record = g_ptr_array_index (records, at - 1);
+      const record_t *record = g_ptr_array_index (records, offset - 1);
 
       if (strcmp (record->key, key) == 0)
         return record->value;
