--- a/src/process/main.c
+++ b/src/process/main.c
@@ -1,9 +1,11 @@
 /**
  * DOC: main
  *
- * The daemon medlarplankd: settings, then two tasks that share nothing but the counters and their
- * mailboxes. The control task runs on the main thread, which also gets the signals; the data task
- * runs on a thread of its own.
+ * Entry point of the daemon medlarplankd, which runs as a router, a sidecar or a gateway.
+ *
+ * A router or sidecar has two tasks that share only the counters and their mailboxes: the control
+ * task on the main thread, which also receives the signals, and the data task on its own thread. A
+ * gateway runs on the main thread alone.
  */
 #include "base/log_flusher.h"
 #include "platform/records.h"
@@ -25,31 +27,32 @@
 #include <unistd.h>
 
 #define PROGRAM "medlarplankd"
-#define EXIT_SETTINGS 2
-#define FILES_PER_CONNECTION 2 /* one towards the caller, one towards the upstream */
-#define FILES_BESIDES 64
+#define EXIT_BAD_SETTINGS 2
+#define FILES_PER_CONNECTION 2 /* one towards the client, one towards the upstream */
+#define OTHER_FILES 64         /* besides those of client connections */
 
 /**
- * struct prc - all that the process holds
- * @rtr: data task of a router, else NULL
- * @sdc: data task of a sidecar, else NULL
- * @draining: a stop was asked for
- * @data_failed: the data task's loop ended untold; read after its thread was joined
+ * struct member_process - state of a router or sidecar process
+ * @router: data task of a router, else NULL
+ * @sidecar: data task of a sidecar, else NULL
+ * @draining: the stop signal came
+ * @data_failed: the data task's event loop ended without being told to; valid once its thread was
+ *   joined
  */
 typedef struct
 {
-  dmn_t dmn;
+  dmn_t daemon;
   struct event_base *control_base;
   lfl_t *flusher;
   struct event_base *data_base;
-  ctrl_t *ctrl;
-  rtr_t *rtr;
-  sdc_t *sdc;
+  ctrl_t *control_task;
+  rtr_t *router;
+  sdc_t *sidecar;
   struct event *on_sigterm;
   struct event *on_sigint;
   bool draining;
   bool data_failed;
-} prc_t;
+} member_process_t;
 
 static void
 log_libevent (int severity, const char *text)
@@ -61,50 +64,50 @@
 }
 
 static void
-pass_to_control (mbx_message_t *message, void *context)
+deliver_to_control (mbx_message_t *message, void *context)
 {
-  prc_t *prc = context;
+  member_process_t *process = context;
 
-  ctrl_message (message, prc->ctrl);
+  ctrl_message (message, process->control_task);
 }
 
 static void
-pass_to_data (mbx_message_t *message, void *context)
+deliver_to_data (mbx_message_t *message, void *context)
 {
-  prc_t *prc = context;
+  member_process_t *process = context;
 
-  if (prc->rtr != NULL)
-    rtr_message (message, prc->rtr);
+  if (process->router != NULL)
+    rtr_message (message, process->router);
   else
-    sdc_message (message, prc->sdc);
+    sdc_message (message, process->sidecar);
 }
 
 /*
- * A supervisor that grows impatient, or an operator who presses Ctrl-C twice, sends a second
- * signal. Falling back to the default action then would cut off every request in flight, so the
- * handlers stay and the second signal changes nothing.
+ * A supervisor or an operator may send a second signal before the stop is complete. With its
+ * default action it would end the process and break every request in flight, so the handlers stay
+ * installed and ignore it.
  */
 static void
 on_stop_signal (evutil_socket_t number, short events, void *context)
 {
-  prc_t *prc = context;
+  member_process_t *process = context;
   msg_flag_t *drain;
 
   (void)events;
   log_event (LOG_LEVEL_NOTICE, "stop_signal", "signal", LOG_U64 ((uint64_t)number), "first",
-             prc->draining ? "no" : "yes", NULL);
-  if (prc->draining)
+             process->draining ? "no" : "yes", NULL);
+  if (process->draining)
     return;
-  prc->draining = true;
+  process->draining = true;
   drain = msg_new (MSG_DRAIN);
   drain->on = true;
-  mbx_send (prc->dmn.to_control, &drain->head);
+  mbx_send (process->daemon.to_control, &drain->head);
 }
 
 static struct event *
-watch_signal (prc_t *prc, int number)
+watch_signal (member_process_t *process, int number)
 {
-  struct event *event = evsignal_new (prc->control_base, number, on_stop_signal, prc);
+  struct event *event = evsignal_new (process->control_base, number, on_stop_signal, process);
 
   g_assert (event != NULL);
   event_add (event, NULL);
@@ -112,9 +115,9 @@
 }
 
 static void
-warn_of_file_limit (const set_t *set)
+check_file_limit (const set_t *set)
 {
-  uint64_t wanted = (uint64_t)set->connection_limit * FILES_PER_CONNECTION + FILES_BESIDES;
+  uint64_t wanted = (uint64_t)set->connection_limit * FILES_PER_CONNECTION + OTHER_FILES;
   struct rlimit limit;
 
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= wanted)
@@ -124,12 +127,13 @@
 }
 
 /*
- * Precise timers: the coarse clock is 4 ms off at 250 ticks a second, which is longer than a hop.
- * Change list: a kept-alive connection turns from reading to writing and back for each request,
- * which costs a system call each time unless the changes of one round are put together.
+ * Precise timers: the coarse clock is up to 4 ms off at 250 ticks a second, longer than a request's
+ * hop between two daemons takes. Change list: a keep-alive connection switches between reading and
+ * writing for each request; each switch costs a system call unless the changes of one turn of the
+ * event loop are combined.
  */
 static struct event_base *
-base_new (void)
+new_event_base (void)
 {
   struct event_config *config = event_config_new ();
   struct event_base *base;
@@ -143,80 +147,82 @@
 }
 
 static void
-open_process (prc_t *prc)
+open_process (member_process_t *process)
 {
-  dmn_t *dmn = &prc->dmn;
+  dmn_t *daemon = &process->daemon;
 
-  clk_init_running (&dmn->clk);
-  dmn->incarnation = clk_wall_ms (&dmn->clk);
-  dmn->counters = cnt_set_new ();
-  cnt_set_value (cnt_get (dmn->counters, "medlarplank_incarnation",
+  clk_init_running (&daemon->clk);
+  daemon->incarnation = clk_wall_ms (&daemon->clk);
+  daemon->counters = cnt_set_new ();
+  cnt_set_value (cnt_get (daemon->counters, "medlarplank_incarnation",
                           "Milliseconds since 1970 at the start of the process."),
-                 dmn->incarnation);
-  prc->control_base = base_new ();
-  prc->flusher = lfl_new (prc->control_base);
-  prc->data_base = base_new ();
-  dmn->to_control = mbx_new (prc->control_base, pass_to_control, prc);
-  dmn->to_data = mbx_new (prc->data_base, pass_to_data, prc);
+                 daemon->incarnation);
+  process->control_base = new_event_base ();
+  process->flusher = lfl_new (process->control_base);
+  process->data_base = new_event_base ();
+  daemon->to_control = mbx_new (process->control_base, deliver_to_control, process);
+  daemon->to_data = mbx_new (process->data_base, deliver_to_data, process);
 }
 
-/* The signals go first: once a listener is open, a stop must already be a graceful one. */
+/* Signal handlers are installed first, since a stop must be graceful as soon as a listener is open.
+ */
 static bool
-start_tasks (prc_t *prc, GError **error)
+start_tasks (member_process_t *process, GError **error)
 {
-  dmn_t *dmn = &prc->dmn;
+  dmn_t *daemon = &process->daemon;
 
-  prc->on_sigterm = watch_signal (prc, SIGTERM);
-  prc->on_sigint = watch_signal (prc, SIGINT);
-  prc->ctrl = ctrl_new (dmn, prc->control_base, error);
-  if (prc->ctrl == NULL)
+  process->on_sigterm = watch_signal (process, SIGTERM);
+  process->on_sigint = watch_signal (process, SIGINT);
+  process->control_task = ctrl_new (daemon, process->control_base, error);
+  if (process->control_task == NULL)
     return false;
-  if (dmn->set.role == SET_ROLE_ROUTER)
-    prc->rtr = rtr_new (dmn, prc->data_base, error);
+  if (daemon->set.role == SET_ROLE_ROUTER)
+    process->router = rtr_new (daemon, process->data_base, error);
   else
-    prc->sdc = sdc_new (dmn, prc->data_base, error);
-  return prc->rtr != NULL || prc->sdc != NULL;
+    process->sidecar = sdc_new (daemon, process->data_base, error);
+  return process->router != NULL || process->sidecar != NULL;
 }
 
-/* The tasks go before the mailboxes, as they may still send while they are freed. */
+/* The tasks are freed before the mailboxes, to which they may still send while they are freed. */
 static void
-close_process (prc_t *prc)
+close_process (member_process_t *process)
 {
-  if (prc->rtr != NULL)
-    rtr_free (prc->rtr);
-  if (prc->sdc != NULL)
-    sdc_free (prc->sdc);
-  if (prc->ctrl != NULL)
-    ctrl_free (prc->ctrl);
-  mbx_free (prc->dmn.to_data);
-  mbx_free (prc->dmn.to_control);
-  event_free (prc->on_sigterm);
-  event_free (prc->on_sigint);
-  event_base_free (prc->data_base);
-  lfl_free (prc->flusher);
-  event_base_free (prc->control_base);
-  cnt_set_free (prc->dmn.counters);
+  if (process->router != NULL)
+    rtr_free (process->router);
+  if (process->sidecar != NULL)
+    sdc_free (process->sidecar);
+  if (process->control_task != NULL)
+    ctrl_free (process->control_task);
+  mbx_free (process->daemon.to_data);
+  mbx_free (process->daemon.to_control);
+  event_free (process->on_sigterm);
+  event_free (process->on_sigint);
+  event_base_free (process->data_base);
+  lfl_free (process->flusher);
+  event_base_free (process->control_base);
+  cnt_set_free (process->daemon.counters);
   libevent_global_shutdown ();
 }
 
-/* A daemon whose data task is gone would stay listed and answer nobody: end it instead. */
+/* Ends the process if the data task fails: otherwise the daemon would stay listed without answering
+ * any request. */
 static gpointer
 run_data (gpointer data)
 {
-  prc_t *prc = data;
+  member_process_t *process = data;
 
-  event_base_dispatch (prc->data_base);
-  if (!event_base_got_exit (prc->data_base))
+  event_base_dispatch (process->data_base);
+  if (!event_base_got_exit (process->data_base))
     {
-      prc->data_failed = true;
-      event_base_loopbreak (prc->control_base);
+      process->data_failed = true;
+      event_base_loopbreak (process->control_base);
     }
   return NULL;
 }
 
 /* The data thread blocks all signals, so that they reach the main thread only. */
 static GThread *
-start_data_thread (prc_t *prc)
+start_data_thread (member_process_t *process)
 {
   sigset_t all;
   sigset_t before;
@@ -224,69 +230,69 @@
 
   sigfillset (&all);
   pthread_sigmask (SIG_SETMASK, &all, &before);
-  thread = g_thread_new ("data", run_data, prc);
+  thread = g_thread_new ("data", run_data, process);
   pthread_sigmask (SIG_SETMASK, &before, NULL);
   return thread;
 }
 
-/* Return: whether both tasks ended as they should. */
+/* Return: whether both tasks ended as told. */
 static bool
-run_tasks (prc_t *prc)
+run_tasks (member_process_t *process)
 {
-  GThread *data_thread = start_data_thread (prc);
+  GThread *data_thread = start_data_thread (process);
   bool control_done;
 
-  event_base_dispatch (prc->control_base);
-  control_done = event_base_got_exit (prc->control_base);
-  event_base_loopexit (prc->data_base, NULL);
+  event_base_dispatch (process->control_base);
+  control_done = event_base_got_exit (process->control_base);
+  event_base_loopexit (process->data_base, NULL);
   g_thread_join (data_thread);
-  if (prc->data_failed)
+  if (process->data_failed)
     log_event (LOG_LEVEL_ERROR, "task_failed", "task", "data", NULL);
   else if (!control_done)
     log_event (LOG_LEVEL_ERROR, "task_failed", "task", "control", NULL);
-  return control_done && !prc->data_failed;
+  return control_done && !process->data_failed;
 }
 
 static void
-log_started (const dmn_t *dmn)
+log_started (const dmn_t *daemon)
 {
   log_event (LOG_LEVEL_NOTICE, "started", "version", SET_PROGRAM_VERSION, "role",
-             dmn->set.role == SET_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
-             LOG_U64 (dmn->incarnation), NULL);
+             daemon->set.role == SET_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
+             LOG_U64 (daemon->incarnation), NULL);
 }
 
 static int
-run_process (prc_t *prc)
+run_process (member_process_t *process)
 {
   GError *error = NULL;
-  bool ended_well;
+  bool ended_as_told;
 
-  open_process (prc);
-  if (!start_tasks (prc, &error))
+  open_process (process);
+  if (!start_tasks (process, &error))
     {
       fprintf (stderr, "%s: cannot start: %s\n", PROGRAM, error->message);
       g_error_free (error);
-      close_process (prc);
+      close_process (process);
       return EXIT_FAILURE;
     }
-  log_started (&prc->dmn);
-  ended_well = run_tasks (prc);
-  close_process (prc);
-  log_event (LOG_LEVEL_NOTICE, "stopped", "graceful", ended_well ? "yes" : "no", NULL);
+  log_started (&process->daemon);
+  ended_as_told = run_tasks (process);
+  close_process (process);
+  log_event (LOG_LEVEL_NOTICE, "stopped", "graceful", ended_as_told ? "yes" : "no", NULL);
   log_flush ();
-  return ended_well ? EXIT_SUCCESS : EXIT_FAILURE;
+  return ended_as_told ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 #define GATEWAY_SIGNALS 3
 
-/** struct gateway - a gateway's process */
+/** struct gateway - state of a gateway process */
 typedef struct
 {
   clk_t clk;
   cnt_set_t *counters;
   struct event_base *base;
   lfl_t *flusher;
-  gwp_t *gwp;
+  gwp_t *process;
   uint64_t incarnation;
   struct event *signals[GATEWAY_SIGNALS];
 } gateway_t;
@@ -298,10 +304,11 @@
 
   (void)events;
   log_event (LOG_LEVEL_NOTICE, "stop_signal", "signal", LOG_U64 ((uint64_t)number), NULL);
-  gwp_stop (gateway->gwp);
+  gwp_stop (gateway->process);
 }
 
-/* The settings of a gateway are flags, so there is nothing to read again; no request is touched. */
+/* A gateway gets its settings as command-line flags, so there is nothing to reload; without this
+ * handler SIGHUP would end the process. */
 static void
 on_gateway_reload (evutil_socket_t number, short events, void *context)
 {
@@ -312,7 +319,7 @@
 }
 
 static struct event *
-watch_gateway (gateway_t *gateway, int number, event_callback_fn handler)
+watch_gateway_signal (gateway_t *gateway, int number, event_callback_fn handler)
 {
   struct event *event = evsignal_new (gateway->base, number, handler, gateway);
 
@@ -321,18 +328,18 @@
   return event;
 }
 
-/* The signals go first: once a listener is open, a stop must already be a graceful one. What comes
- * before the loop runs is told when it does. */
+/* Signal handlers are installed first, since a stop must be graceful as soon as a listener is open.
+ * A signal that comes before the event loop runs is handled once it does. */
 static void
 watch_gateway_signals (gateway_t *gateway)
 {
-  gateway->signals[0] = watch_gateway (gateway, SIGTERM, on_gateway_stop);
-  gateway->signals[1] = watch_gateway (gateway, SIGINT, on_gateway_stop);
-  gateway->signals[2] = watch_gateway (gateway, SIGHUP, on_gateway_reload);
+  gateway->signals[0] = watch_gateway_signal (gateway, SIGTERM, on_gateway_stop);
+  gateway->signals[1] = watch_gateway_signal (gateway, SIGINT, on_gateway_stop);
+  gateway->signals[2] = watch_gateway_signal (gateway, SIGHUP, on_gateway_reload);
 }
 
 static void
-gateway_clear (gateway_t *gateway)
+close_gateway (gateway_t *gateway)
 {
   for (size_t i = 0; i < GATEWAY_SIGNALS; i++)
     event_free (gateway->signals[i]);
@@ -357,15 +364,15 @@
 {
   gateway_t gateway = { 0 };
   GError *error = NULL;
-  bool ended_well;
+  bool ended_as_told;
 
   clk_init_running (&gateway.clk);
   gateway.incarnation = clk_wall_ms (&gateway.clk);
   gateway.counters = cnt_set_new ();
-  gateway.base = base_new ();
+  gateway.base = new_event_base ();
   watch_gateway_signals (&gateway);
   gateway.flusher = lfl_new (gateway.base);
-  gateway.gwp = gwp_new (
+  gateway.process = gwp_new (
       &(gwp_options_t){ .base = gateway.base,
                         .clk = &gateway.clk,
                         .counters = gateway.counters,
@@ -375,22 +382,22 @@
                         .readers = { .routing = prc_read_routing, .engine = prc_read_engine },
                         .incarnation = gateway.incarnation },
       &error);
-  if (!gateway.gwp)
+  if (!gateway.process)
     {
       fprintf (stderr, "%s: cannot start: %s\n", PROGRAM, error->message);
       g_error_free (error);
-      gateway_clear (&gateway);
+      close_gateway (&gateway);
       return EXIT_FAILURE;
     }
   run_gateway_loop (&gateway);
-  ended_well = event_base_got_exit (gateway.base);
-  gwp_free (gateway.gwp);
-  gateway_clear (&gateway);
-  return ended_well ? EXIT_SUCCESS : EXIT_FAILURE;
+  ended_as_told = event_base_got_exit (gateway.base);
+  gwp_free (gateway.process);
+  close_gateway (&gateway);
+  return ended_as_told ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 static const char *
-environ_get (const char *name)
+get_environment (const char *name)
 {
   return getenv (name);
 }
@@ -398,9 +405,9 @@
 int
 main (int argc, char **argv)
 {
-  prc_t prc = { 0 };
+  member_process_t process = { 0 };
   GError *error = NULL;
-  set_outcome_t outcome = set_load (&prc.dmn.set, argc, argv, environ_get, &error);
+  set_outcome_t outcome = set_load (&process.daemon.set, argc, argv, get_environment, &error);
 
   if (outcome == SET_EXIT_0)
     return EXIT_SUCCESS;
@@ -408,17 +415,17 @@
     {
       fprintf (stderr, "%s: %s\n", PROGRAM, error->message);
       g_error_free (error);
-      return EXIT_SETTINGS;
+      return EXIT_BAD_SETTINGS;
     }
-  log_init (PROGRAM, prc.dmn.set.name, prc.dmn.set.log_level);
+  log_init (PROGRAM, process.daemon.set.name, process.daemon.set.log_level);
   log_open (STDOUT_FILENO);
   signal (SIGPIPE, SIG_IGN);
-  if (prc.dmn.set.role != SET_ROLE_GATEWAY)
+  if (process.daemon.set.role != SET_ROLE_GATEWAY)
     signal (SIGHUP, SIG_IGN);
   evthread_use_pthreads ();
   event_set_log_callback (log_libevent);
-  warn_of_file_limit (&prc.dmn.set);
-  if (prc.dmn.set.role == SET_ROLE_GATEWAY)
-    return run_gateway (&prc.dmn.set);
-  return run_process (&prc);
+  check_file_limit (&process.daemon.set);
+  if (process.daemon.set.role == SET_ROLE_GATEWAY)
+    return run_gateway (&process.daemon.set);
+  return run_process (&process);
 }
