--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -22,7 +22,7 @@
 #define AGE_BYTES 12 /* a uint32_t in decimal with its terminator */
 
 /**
- * struct answer_cache - the last encoded answer, kept as many requesters lack the same
+ * struct answer_cache - the last encoded answer; many requesters lack the same records
  * @from: for each stream, the requester's next offset
  * @next: for each stream, the next offset here; 0 where the requester lacked nothing
  * @revision: likewise, the revision of the view
@@ -45,6 +45,7 @@
  * @age: age header of the answer, empty without one
  * @fetching_all: it is one of gft_ask_all()
  * @server: limits how many starting gateways are served at once
+ * @cached: the last answer to another gateway
  */
 struct gft
 {
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -39,10 +39,10 @@
 
 /**
  * struct gpr - the peers of this gateway
- * @news_timer: timer that sends news to some peers in the next turn of the event loop
+ * @news_timer: sends messages to some peers in the next turn of the event loop
  * @sequence: number of the last message sent
  * @heard_us: when the last message of any peer came
- * @gossip: marks of suspect requests, to be passed on
+ * @gossip: marks of requests that crash engines, to be passed on
  * @loads: high loads of engines, to be passed on
  */
 struct gpr
@@ -177,16 +177,16 @@
 fill_message (xch_message *message, const xch_word *to, void *context)
 {
   gpr_t *peers = context;
-  gpr_known_t known = peers->options.get_progress (peers->options.context);
+  gpr_known_t progress = peers->options.get_progress (peers->options.context);
 
   (void)to;
   message->sender.host_hash = peers->own_hash;
   message->sender.incarnation = peers->options.incarnation;
   message->sender.sequence = ++peers->sequence;
-  message->manifest_offset = known.routing_next;
-  message->list_revision = known.engines_next;
-  message->routers_offset = known.routers_next;
-  message->store_age_ms = known.store_age_ms;
+  message->manifest_offset = progress.routing_next;
+  message->list_revision = progress.engines_next;
+  message->routers_offset = progress.routers_next;
+  message->store_age_ms = progress.store_age_ms;
   fill_marks (peers, message);
   fill_loads (peers, message);
 }
@@ -234,7 +234,7 @@
   return true;
 }
 
-/* Rank for rendezvous hashing: every gateway computes the same value for a given @hash. */
+/* Rank for rendezvous hashing: every gateway computes the same value for a given peer. */
 static uint64_t
 rank_of (uint64_t hash)
 {
@@ -334,7 +334,7 @@
 }
 
 static void
-on_news (evutil_socket_t fd, short what, void *context)
+on_news_timer (evutil_socket_t fd, short what, void *context)
 {
   gpr_t *peers = context;
 
@@ -359,7 +359,7 @@
   peers->list = g_ptr_array_new_with_free_func (g_free);
   peers->own_hash = hash_of (set->name);
   rmr_init (&peers->gossip);
-  peers->news_timer = evtimer_new (options->base, on_news, peers);
+  peers->news_timer = evtimer_new (options->base, on_news_timer, peers);
   peers->rand = g_rand_new_with_seed ((guint32)(peers->own_hash ^ options->incarnation));
   peers->exchange = exc_new (&(exc_options_t){ .base = options->base,
                                                .clk = options->clk,
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -335,8 +335,8 @@
   event_base_loopexit (process->options.base, NULL);
 }
 
-/* A late tick is the first sign of a host that is slow, frozen or short of processor time; requests
- * time out only later. */
+/* A late tick is the first sign of a host that is slow, frozen or short of processor time; it shows
+ * before requests are late. */
 static void
 check_stall (gwp_t *process)
 {
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -33,7 +33,7 @@
  * @next_fetch_us: earliest time of the next fetch
  * @outage: last outage of the store, as observed here and by peers
  * @store_lost: the last read of the engine registry failed, or a read of the routing rules failed
- *   gateways_before the registry was read for the first time
+ *   before the registry was read for the first time
  * @applying_copy: the records being applied come from a peer's copy
  * @copy_unsettled: that peer reported that removed keys may still be restored
  * @entry_written: the gateway registry has this gateway's entry
@@ -95,8 +95,7 @@
   return otg_least_us (store->options.set->renewal_ms);
 }
 
-/* Each stream has its own connection; a successful read on any of them shows that the store is up.
- */
+/* Each stream has its own connection; a good answer on any of them shows that the store is up. */
 static void
 record_store_contact (gst_t *store)
 {
@@ -143,7 +142,7 @@
 }
 
 /* Until this gateway sees its own entry, entries of other gateways may be missing as well. Without
- * this check, all gateways of a fleet that starts at once would follower the store until then. */
+ * this check, all gateways of a fleet that starts at once would follow the store until then. */
 static bool
 has_own_entry (const gst_t *store)
 {
@@ -347,7 +346,7 @@
   return reason;
 }
 
-/* Streams that were not fetched are as far behind as gateways_before. */
+/* Streams that were not fetched are as far behind as before. */
 static void
 record_fetch_outcome (gst_t *store, bool applied)
 {
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -164,8 +164,7 @@
   daemon->to_data = mbx_new (process->data_base, deliver_to_data, process);
 }
 
-/* Signal handlers are installed first, since a stop must be graceful as soon as a listener is open.
- */
+/* Signal handlers come first: a stop must be graceful as soon as a listener is open. */
 static bool
 start_tasks (member_process_t *process, GError **error)
 {
--- a/src/process/rumour.c
+++ b/src/process/rumour.c
@@ -111,8 +111,7 @@
   slot->sends_left = RMR_SENDS;
 }
 
-/* Return: whether @mark is new. It is not when the slot has a later mark that clears the request.
- */
+/* Return: whether @mark is new; it is not when the request was cleared later than it */
 static bool
 update_mark (rmr_mark_t *slot, const sus_mark_t *mark, uint64_t created_us)
 {
