--- a/src/request/decision.c
+++ b/src/request/decision.c
@@ -7,7 +7,7 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-#define HOP_MASK UINT64_C (0xff)
+#define ATTEMPT_HOP_MASK UINT64_C (0xff) /* the bits of an attempt id that count the hops */
 
 struct dcn_ring
 {
@@ -20,12 +20,12 @@
 static bool
 same_request (const uint64_t left[2], const uint64_t right[2])
 {
-  return left[0] == right[0] && ((left[1] ^ right[1]) & ~HOP_MASK) == 0;
+  return left[0] == right[0] && ((left[1] ^ right[1]) & ~ATTEMPT_HOP_MASK) == 0;
 }
 
-/* add_engine() - what a sidecar saw of its engine */
+/* Adds what a sidecar recorded about the load of its engine. */
 static void
-add_engine (json_t *json, const dcn_t *decision)
+add_engine_load (json_t *json, const dcn_t *decision)
 {
   json_object_set_new (json, "load", json_integer (decision->load));
   json_object_set_new (json, "waiting", json_integer (decision->waiting));
@@ -48,7 +48,7 @@
                     vrd_reason_name (decision->reason), "verdict", vrd_name (decision->verdict),
                     "hop", (int)decision->hop, "wait_us", (json_int_t)decision->wait_us);
   if (decision->at_engine)
-    add_engine (json, decision);
+    add_engine_load (json, decision);
   else
     json_object_set_new (json, "candidates", json_string (decision->candidates));
   return json;
--- a/src/request/decision.h
+++ b/src/request/decision.h
@@ -1,8 +1,9 @@
 /**
  * DOC: decision
  *
- * The record of routing and placement decisions: a log line for each, and a ring of the latest for
- * the question "why did this request go there". Holds no key and no body.
+ * A record of the latest routing and placement decisions: one log line for each, and a ring buffer
+ * that /medlarplank/explain reads to tell why a request went where it did. It holds neither keys
+ * nor request bodies.
  */
 #ifndef REQUEST_DECISION_H
 #define REQUEST_DECISION_H
@@ -17,12 +18,17 @@
 #define DCN_CANDIDATES_BYTES 256
 
 /**
- * struct dcn - one decision
- * @request: attempt id whose lowest byte is left out when asked for: it counts the hops
+ * struct dcn - one routing or placement decision
+ * @request: attempt id of the request; its lowest byte counts the hops and is ignored in searches
+ * @wall_ms: wall clock time of the decision, in ms since the epoch
  * @action: "send", "wait", "refuse", "answer" and so on
- * @candidates: of a router: names, comma-separated, best first; cut when too long
- * @at_engine: of a sidecar, with @load, @waiting and @bound_milli of its engine at that time
- * @wait_us: since the request arrived here
+ * @candidates: names that a router considered, comma-separated, best first; cut when too long
+ * @hop: number of the send to a host that this decision belongs to
+ * @wait_us: time since the request arrived at this daemon
+ * @at_engine: the decision is a sidecar's, and @load, @waiting and @bound_milli are valid
+ * @load: requests that the engine ran at that time
+ * @waiting: requests that waited for the engine at that time
+ * @bound_milli: load limit of the engine at that time, in thousandths of a request
  */
 typedef struct
 {
@@ -34,7 +40,7 @@
   char class_name[LIM_NAME_BYTES];
   char chosen[LIM_NAME_BYTES];
   char candidates[DCN_CANDIDATES_BYTES];
-  const char *action; /* static */
+  const char *action; /* a static string; not freed */
   vrd_t verdict;
   vrd_reason_t reason;
   uint32_t hop;
@@ -47,11 +53,12 @@
 
 typedef struct dcn_ring dcn_ring_t;
 
+/** dcn_ring_new() - an empty ring that keeps the latest @limit decisions */
 dcn_ring_t *dcn_ring_new (uint32_t limit);
 void dcn_ring_free (dcn_ring_t *ring);
-/** dcn_note() - log a decision as @event and keep it */
+/** dcn_note() - logs a decision as the event @event and adds it to the ring */
 void dcn_note (dcn_ring_t *ring, const char *event, const dcn_t *decision);
-/** dcn_explain() - the decisions of a request, oldest first, as a new JSON array */
+/** dcn_explain() - the recorded decisions on a request, oldest first, as a new JSON array */
 json_t *dcn_explain (const dcn_ring_t *ring, const uint64_t request[2]);
 
 #endif
--- a/src/request/fault.h
+++ b/src/request/fault.h
@@ -1,8 +1,8 @@
 /**
- * DOC: fault
+ * DOC: error_reply
  *
- * The errors that callers see: one JSON body, with the verdict in it and in a header, and
- * Retry-After where coming back makes sense.
+ * Error responses to clients. All have the same JSON body; the verdict (whether the request may
+ * have run) is in the body and in a header, and Retry-After is set where a retry makes sense.
  */
 #ifndef REQUEST_FAULT_H
 #define REQUEST_FAULT_H
@@ -10,15 +10,18 @@
 #include "connection/http_server.h"
 #include "request/policy/verdict.h"
 
-#define FLT_REQUEST_HEADER "X-Medlarplank-Request"
+#define FLT_REQUEST_HEADER "X-Medlarplank-Request" /* the attempt id */
 
 /**
- * struct flt - an error
- * @status: HTTP status; 0 is that of @reason
- * @code: a word for programs; NULL is that of @reason
- * @message: one sentence for people; NULL is that of @reason
- * @retry_after_ms: 0 is do not come back
- * @exact_retry: @retry_after_ms is told in thousandths; else in whole seconds, rounded up
+ * struct flt - one error response
+ * @status: HTTP status; 0 takes that of @reason
+ * @code: identifier for programs; NULL takes the name of @reason
+ * @message: one sentence for people; NULL takes that of @reason
+ * @verdict: whether the request may have run
+ * @reason: why the request failed or was refused
+ * @retry_after_ms: value of Retry-After; 0 leaves the header out
+ * @exact_retry: write Retry-After in seconds with three decimals; without it, as HTTP has it, in
+ * whole seconds, rounded up
  * @request: the attempt id as text, or NULL
  */
 typedef struct
@@ -33,13 +36,14 @@
   const char *request;
 } flt_t;
 
-/** flt_reply() - answers and ends the call */
+/** flt_reply() - sends the error response, which ends the call */
 void flt_reply (hsv_call_t *call, const flt_t *fault);
-/** flt_bad_request() - the caller's own fault, found before anything was sent on */
+/** flt_bad_request() - rejects a request that is itself wrong, before anything was forwarded; ends
+ * the call */
 void flt_bad_request (hsv_call_t *call, int status, const char *code, const char *message);
-/** flt_body() - the JSON body, to be freed by g_free() */
+/** flt_body() - the JSON body of the error; the caller frees it with g_free() */
 char *flt_body (const flt_t *fault);
-/** flt_status() - the HTTP status of a reason */
+/** flt_status() - the HTTP status for a reason and a verdict */
 int flt_status (vrd_reason_t reason, vrd_t verdict);
 
 #endif
--- a/src/request/headers.c
+++ b/src/request/headers.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-/* Headers of one connection (RFC 9110, 7.6.1), and those that the next one sets itself. */
+/* Hop-by-hop headers (RFC 9110, 7.6.1), and headers that each connection writes itself. */
 static const char *const CONNECTION_HEADERS[] = {
   "Connection",
   "Keep-Alive",
@@ -19,24 +19,25 @@
   "Expect",
 };
 
-/* A caller's key must not reach engines; the rest is for the fleet alone to tell an engine. */
-static const char *const CALLER_HEADERS[] = {
+/* The client's key must not reach an engine; the others are set by the fleet alone. */
+static const char *const RESERVED_REQUEST_HEADERS[] = {
   "Authorization", "X-Api-Key", "X-Request-Id", "X-Priority", "X-Account",
 };
 
-/* Some engines obey these, and would run another call than the one that was routed and judged. */
+/* Some engines obey these headers, and would run another method or path than the one that was
+ * routed and authorized. */
 static const char *const OVERRIDE_HEADERS[] = {
   "X-HTTP-Method-Override", "X-HTTP-Method", "X-Method-Override", "X-Original-URL", "X-Rewrite-URL",
 };
 
-static const char *const ENGINE_HEADERS[] = {
+static const char *const DROPPED_RESPONSE_HEADERS[] = {
   "X-Request-Id",
   "Date",
   "Server",
 };
 
 static bool
-listed (const char *const *names, uint32_t count, const char *name)
+is_listed (const char *const *names, uint32_t count, const char *name)
 {
   for (uint32_t i = 0; i < count; i++)
     if (g_ascii_strcasecmp (names[i], name) == 0)
@@ -45,30 +46,32 @@
 }
 
 static bool
-stays (const char *name)
+is_connection_or_fleet_header (const char *name)
 {
   return g_ascii_strncasecmp (name, HDR_FLEET_PREFIX, strlen (HDR_FLEET_PREFIX)) == 0 ||
-         listed (CONNECTION_HEADERS, G_N_ELEMENTS (CONNECTION_HEADERS), name);
+         is_listed (CONNECTION_HEADERS, G_N_ELEMENTS (CONNECTION_HEADERS), name);
 }
 
 bool
 hdr_is_of_connection (const char *name)
 {
   return g_ascii_strcasecmp (name, "Host") != 0 &&
-         listed (CONNECTION_HEADERS, G_N_ELEMENTS (CONNECTION_HEADERS), name);
+         is_listed (CONNECTION_HEADERS, G_N_ELEMENTS (CONNECTION_HEADERS), name);
 }
 
 bool
 hdr_passes_on (const char *name)
 {
-  return !stays (name) && !listed (CALLER_HEADERS, G_N_ELEMENTS (CALLER_HEADERS), name) &&
-         !listed (OVERRIDE_HEADERS, G_N_ELEMENTS (OVERRIDE_HEADERS), name);
+  return !is_connection_or_fleet_header (name) &&
+         !is_listed (RESERVED_REQUEST_HEADERS, G_N_ELEMENTS (RESERVED_REQUEST_HEADERS), name) &&
+         !is_listed (OVERRIDE_HEADERS, G_N_ELEMENTS (OVERRIDE_HEADERS), name);
 }
 
 bool
 hdr_passes_back (const char *name)
 {
-  return !stays (name) && !listed (ENGINE_HEADERS, G_N_ELEMENTS (ENGINE_HEADERS), name);
+  return !is_connection_or_fleet_header (name) &&
+         !is_listed (DROPPED_RESPONSE_HEADERS, G_N_ELEMENTS (DROPPED_RESPONSE_HEADERS), name);
 }
 
 uint32_t
--- a/src/request/headers.h
+++ b/src/request/headers.h
@@ -1,8 +1,9 @@
 /**
- * DOC: headers
+ * DOC: header_filter
  *
- * Which HTTP headers go on from one connection to the next. Those that belong to a connection stay
- * there, and those that the fleet itself speaks in are never taken over from a caller or an engine.
+ * Decides which HTTP headers are forwarded from one connection to the next. Hop-by-hop headers are
+ * not, and neither are those with which the daemons of a fleet talk to each other: they are never
+ * accepted from a client or an engine.
  */
 #ifndef REQUEST_HEADERS_H
 #define REQUEST_HEADERS_H
@@ -13,16 +14,17 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define HDR_FLEET_PREFIX "X-Medlarplank-"
+#define HDR_FLEET_PREFIX "X-Medlarplank-" /* of the headers between daemons */
 
-/** hdr_is_of_connection() - whether a header concerns only the connection that it came on, and is
- * set anew on the next one */
+/** hdr_is_of_connection() - whether a header applies to its connection alone (hop-by-hop), and is
+ * written anew on the next one */
 bool hdr_is_of_connection (const char *name);
-/** hdr_passes_on() - whether a request header goes on towards the engine */
+/** hdr_passes_on() - whether a request header is forwarded to the engine */
 bool hdr_passes_on (const char *name);
-/** hdr_passes_back() - whether an answer header goes back towards the caller */
+/** hdr_passes_back() - whether a response header is forwarded to the client */
 bool hdr_passes_back (const char *name);
-/** hdr_collect() - those of @headers that pass on, borrowed. Return: how many were put in @out */
+/** hdr_collect() - puts those of the request's headers that are forwarded into @out, which borrows
+ * their text; at most @limit. Return: the number of headers in @out */
 uint32_t hdr_collect (struct evkeyvalq *headers, hcl_header_t *out, uint32_t limit);
 
 #endif
--- a/src/request/hop.c
+++ b/src/request/hop.c
@@ -13,7 +13,7 @@
 #define SEAL_BYTES 65
 #define SEPARATOR ';'
 
-/* The fields of the sealed header, in their order. */
+/* The fields of HOP_HEADER, in the order in which they are written. */
 enum
 {
   FIELD_ATTEMPT,
@@ -36,23 +36,25 @@
   FIELD_COUNT
 };
 
-#define SAMPLE_BYTES (16 + 4 * 10 + 5) /* a hash, four numbers and five marks between them */
+#define SAMPLE_BYTES (16 + 4 * 10 + 5) /* a hash, four numbers, five separators */
 
-/* Three pairs, six hashes and samples, names and numbers, each with a separator. */
+/* A value holds three pairs, the hashes, the names, the samples and the numbers, each with its
+ * separator. */
 G_STATIC_ASSERT (3 * 33 + 5 * 17 + 3 * LIM_NAME_BYTES + HOP_SAMPLES * SAMPLE_BYTES +
                      5 * (DGT_U64_BYTES + 1) <
                  HOP_VALUE_BYTES);
 G_STATIC_ASSERT (HOP_HEADERS *(sizeof (hop_header_t) + 4) <= HOP_HEADERS_BYTES);
-G_STATIC_ASSERT (LIM_SUSPECT_CRASHES == 2); /* written as a pair, as an attempt id is */
+G_STATIC_ASSERT (LIM_SUSPECT_CRASHES == 2); /* they are written as a pair */
 
 #define FLAG_HAS_CHAT (1U << 0)
 #define FLAG_MAY_WAIT (1U << 1)
 #define FLAG_REFERRED (1U << 2)
 #define FLAG_IDEMPOTENT (1U << 3)
 
-/* seal_of() - covers the header's name too, so that nothing else sealed passes for it */
+/* The HMAC covers the name of the header too, so that no other sealed text is valid in its place.
+ */
 static void
-seal_of (const char *fleet_key, const char *value, char out[SEAL_BYTES])
+compute_seal (const char *fleet_key, const char *value, char out[SEAL_BYTES])
 {
   GHmac *hmac;
 
@@ -63,11 +65,9 @@
   g_hmac_unref (hmac);
 }
 
-/* same_seal() - takes as long for a seal that is almost right, so that it cannot be guessed
- * bytewise
- */
+/* Compares in constant time, so that a seal can't be guessed byte by byte. */
 static bool
-same_seal (const char *given, const char *right)
+seal_matches (const char *given, const char *right)
 {
   unsigned char difference = 0;
 
@@ -92,9 +92,9 @@
 }
 
 static bool
-parse_decimal (const char *text, uint64_t most, uint64_t *out)
+parse_decimal (const char *text, uint64_t max, uint64_t *out)
 {
-  return g_ascii_string_to_unsigned (text, 10, 0, most, out, NULL);
+  return g_ascii_string_to_unsigned (text, 10, 0, max, out, NULL);
 }
 
 static bool
@@ -114,30 +114,30 @@
   return text[0] != '\0' && g_strlcpy (out, text, LIM_NAME_BYTES) < LIM_NAME_BYTES;
 }
 
-/* split() - in place. Return: the number of parts, at most @most; more are counted as one more */
+/* Splits @text in place. Return: the number of parts, or @max + 1 when there are more than @max */
 static uint32_t
-split (char *text, char separator, char **parts, uint32_t most)
+split_fields (char *text, char separator, char **parts, uint32_t max)
 {
   uint32_t count = 0;
   char *next = text;
 
-  while (next != NULL && count < most)
+  while (next != NULL && count < max)
     {
       parts[count++] = next;
       next = strchr (next, separator);
       if (next != NULL)
         *next++ = '\0';
     }
-  return next == NULL ? count : most + 1;
+  return next == NULL ? count : max + 1;
 }
 
-/* parse_sample() - ENGINE/LOAD/WAITING/COST/AGE_MS */
+/* Parses ENGINE/LOAD/WAITING/COST/AGE_MS. */
 static bool
 parse_sample (char *text, hop_sample_t *sample)
 {
   char *parts[5];
 
-  return split (text, '/', parts, 5) == 5 && parse_hash (parts[0], &sample->engine_hash) &&
+  return split_fields (text, '/', parts, 5) == 5 && parse_hash (parts[0], &sample->engine_hash) &&
          parse_u32 (parts[1], &sample->load) && parse_u32 (parts[2], &sample->waiting) &&
          parse_u32 (parts[3], &sample->cost) && parse_u32 (parts[4], &sample->age_ms);
 }
@@ -146,7 +146,7 @@
 parse_samples (char *text, hop_t *hop)
 {
   char *parts[HOP_SAMPLES];
-  uint32_t count = text[0] != '\0' ? split (text, ',', parts, HOP_SAMPLES) : 0;
+  uint32_t count = text[0] != '\0' ? split_fields (text, ',', parts, HOP_SAMPLES) : 0;
 
   if (count > HOP_SAMPLES)
     return false;
@@ -194,14 +194,15 @@
 }
 
 static uint32_t
-flags_of (const hop_t *hop)
+pack_flags (const hop_t *hop)
 {
   return (hop->has_chat ? FLAG_HAS_CHAT : 0) | (hop->may_wait ? FLAG_MAY_WAIT : 0) |
          (hop->referred ? FLAG_REFERRED : 0) | (hop->idempotent ? FLAG_IDEMPOTENT : 0);
 }
 
-/* write_hash() - Return, as of all writers below: the end of what was written. 0 is left empty:
- * most requests have neither a key nor a crash, and every byte is sealed twice. */
+/* Return: the end of the written text, as from all writers below. 0 is written as an empty field:
+ * most requests have neither a key nor a crash, and the HMAC of every byte is computed at both
+ * ends. */
 static char *
 write_hash (char *out, uint64_t value)
 {
@@ -283,7 +284,7 @@
     case FIELD_OUTPUT:
       return dgt_u64 (out, hop->output_tokens);
     default:
-      return dgt_u64 (out, flags_of (hop));
+      return dgt_u64 (out, pack_flags (hop));
     }
 }
 
@@ -301,7 +302,7 @@
   *end = '\0';
   g_strlcpy (out[0].name, HOP_HEADER, sizeof out[0].name);
   g_strlcpy (out[1].name, HOP_SEAL_HEADER, sizeof out[1].name);
-  seal_of (fleet_key, out[0].value, out[1].value);
+  compute_seal (fleet_key, out[0].value, out[1].value);
   return HOP_HEADERS;
 }
 
@@ -316,12 +317,12 @@
 
   if (given == NULL || value == NULL)
     return HOP_BAD_SEAL;
-  seal_of (fleet_key, value, right);
-  if (!same_seal (given, right))
+  compute_seal (fleet_key, value, right);
+  if (!seal_matches (given, right))
     return HOP_BAD_SEAL;
   memset (hop, 0, sizeof *hop);
   if (g_strlcpy (text, value, sizeof text) >= sizeof text ||
-      split (text, SEPARATOR, fields, FIELD_COUNT) != FIELD_COUNT)
+      split_fields (text, SEPARATOR, fields, FIELD_COUNT) != FIELD_COUNT)
     return HOP_BROKEN;
   return parse_all (hop, fields) ? HOP_OK : HOP_BROKEN;
 }
--- a/src/request/hop.h
+++ b/src/request/hop.h
@@ -1,13 +1,14 @@
 /**
  * DOC: hop
  *
- * What a router tells a sidecar along with a request, in one HTTP header, and what comes back. The
- * header is sealed with an HMAC under the fleet key, so that nobody else on the network can hand
- * work to an engine past the limits of the client accounts. It is one header and not one for each
- * field, as reading and searching many costs more than all that a sidecar decides.
+ * The header with which a router passes a request to a sidecar, and the headers of the sidecar's
+ * response. The request header is sealed with an HMAC under the fleet key, so that no other client
+ * on the network can bypass the limits of client accounts. All fields share one header, because
+ * reading and searching many headers costs more than everything that a sidecar decides.
  *
- * A refusal is 503 (or 409 for claims, 422 for final ones) with VRD_HEADER, HOP_REASON_HEADER,
- * HOP_TRY_HEADER (host names, comma-separated) and Retry-After; its body is the caller's error.
+ * A refusal is 503 (409 for claims, 422 for final ones) with VRD_HEADER, HOP_REASON_HEADER,
+ * HOP_TRY_HEADER (host names, comma-separated) and Retry-After; its body is the error response for
+ * the client.
  */
 #ifndef REQUEST_HOP_H
 #define REQUEST_HOP_H
@@ -18,27 +19,40 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define HOP_ATTEMPT_HEADER "X-Medlarplank-Attempt" /* echoed by the sidecar on every answer */
-#define HOP_HEADER "X-Medlarplank-Hop"             /* all of hop_t, fields between semicolons */
-#define HOP_SEAL_HEADER "X-Medlarplank-Seal"       /* of HOP_HEADER */
+#define HOP_ATTEMPT_HEADER                                                                         \
+  "X-Medlarplank-Attempt"                    /* on every response of a sidecar: attempt id         \
+                                              */
+#define HOP_HEADER "X-Medlarplank-Hop"       /* all of hop_t, separated by semicolons */
+#define HOP_SEAL_HEADER "X-Medlarplank-Seal" /* HMAC of HOP_HEADER */
 #define HOP_REASON_HEADER "X-Medlarplank-Reason"
 #define HOP_TRY_HEADER "X-Medlarplank-Try"
-#define HOP_ENGINE_HEADER "X-Medlarplank-Engine"           /* which engine answered */
-#define HOP_INCARNATION_HEADER "X-Medlarplank-Incarnation" /* of the sidecar */
+#define HOP_ENGINE_HEADER "X-Medlarplank-Engine"           /* the engine that responded */
+#define HOP_INCARNATION_HEADER "X-Medlarplank-Incarnation" /* of the sidecar process */
 #define HOP_RETRY_AFTER_HEADER "X-Medlarplank-Retry-After-Ms"
-#define HOP_LOAD_HEADER "X-Medlarplank-Load" /* of the engine that answers: LOAD/WAITING/COST */
-#define HOP_CACHED_HEADER "X-Cached-Tokens"  /* from the engine: prompt tokens found cached */
-#define HOP_PRIORITY_HEADER "X-Priority"     /* to the engine */
-#define HOP_ACCOUNT_HEADER "X-Account"       /* to the engine: name of the client account */
-#define HOP_REQUEST_HEADER "X-Request-Id"    /* to the engine, echoed by it: the attempt id */
+#define HOP_LOAD_HEADER "X-Medlarplank-Load" /* of the engine that responded: LOAD/WAITING/COST */
+#define HOP_CACHED_HEADER                                                                          \
+  "X-Cached-Tokens"                       /* from the engine: prompt tokens found in its cache     \
+                                           */
+#define HOP_PRIORITY_HEADER "X-Priority"  /* to the engine */
+#define HOP_ACCOUNT_HEADER "X-Account"    /* to the engine: name of the client account */
+#define HOP_REQUEST_HEADER "X-Request-Id" /* to the engine, which echoes it: the attempt id */
 
-#define HOP_REVOKE_PATH "/medlarplank/revoke" /* POST ?attempt=ID -> VRD_HEADER */
-#define HOP_SERVED_PATH "/medlarplank/served" /* POST ?chat=HEX&engine=HEX: told to the home */
+#define HOP_REVOKE_PATH "/medlarplank/revoke" /* POST ?attempt=ID; responds with VRD_HEADER */
+#define HOP_SERVED_PATH                                                                            \
+  "/medlarplank/served" /* POST ?chat=HEX&engine=HEX: tells the chat's home who served it */
 #define HOP_DIRECTORY_PATH "/medlarplank/directory" /* POST: hand-over of a leaving sidecar */
 
 #define HOP_SAMPLES 6
-#define HOP_SAMPLE_BYTES 36 /* of one in the header, as a rule */
-/** struct hop_sample - load of one engine, as the router heard it */
+#define HOP_SAMPLE_BYTES                                                                           \
+  36 /* of one sample in the header, typically; used for traffic estimates                         \
+      */
+/**
+ * struct hop_sample - load of one engine, as the router last heard it
+ * @load: requests that the engine runs
+ * @waiting: requests that wait for it
+ * @cost: milliseconds of a slot that its requests are expected to take
+ * @age_ms: time since the engine had this load
+ */
 typedef struct
 {
   uint64_t engine_hash;
@@ -50,14 +64,23 @@
 
 /**
  * struct hop - one request on its way to a sidecar
- * @deadline_ms: that remain, to the first byte; relative, as hosts' clocks differ
- * @key_hash: of the idempotency key with the account; zero without a key
- * @body_hash: of method, target and body, so that a seal fits no other request
- * @crashed: engines that the router knows to have crashed on this request; 0 is empty. Told to the
- *   next sidecar, which then need not wait for the mark to reach it by the exchange.
- * @samples: loads that the router heard of lately, of the same service. By the exchange alone a
- *   sidecar learns of a sudden rise of the mean only after seconds, and refuses meanwhile what its
- *   engine could take; those that were just refused elsewhere bring the news with them.
+ * @home_hash: first candidate for the chat by the router's view
+ * @former_hash: first candidate for the chat before the present one joined; 0 for none
+ * @fingerprint: digest by which requests that crash engines are known
+ * @key_hash: of the idempotency key and the account; zero without a key
+ * @body_hash: of method, target and body, so that a seal is valid for this request only
+ * @crashed: engines that the router knows to have crashed on this request; 0 is empty. They go to
+ *   the next sidecar with the request, which need not wait until the exchange brings the mark.
+ * @version: manifest version by which the router decided
+ * @samples: recent loads of engines of the same service. By the exchange alone a sidecar learns of
+ *   a sudden rise of the mean load only after seconds, and meanwhile refuses requests that its
+ *   engine could run; requests that were just refused elsewhere bring the newer loads with them.
+ * @deadline_ms: time left until the first byte of the response; relative, as the clocks of hosts
+ *   differ
+ * @has_chat: @chat_hash is valid
+ * @may_wait: the sidecar may queue the request rather than refuse it
+ * @referred: another sidecar named this one as an alternative
+ * @idempotent: the request may run more than once
  */
 typedef struct
 {
@@ -84,8 +107,8 @@
   bool idempotent;
 } hop_t;
 
-#define HOP_HEADERS 2
-#define HOP_HEADERS_BYTES 4096 /* of both, names, values and framing */
+#define HOP_HEADERS 2          /* HOP_HEADER and HOP_SEAL_HEADER */
+#define HOP_HEADERS_BYTES 4096 /* limit for both, with names, values and framing */
 #define HOP_VALUE_BYTES 1024
 typedef struct
 {
@@ -93,22 +116,28 @@
   char value[HOP_VALUE_BYTES];
 } hop_header_t;
 
-/** hop_write() - the headers of @hop, seal included. Return: how many of @out were filled */
+/** hop_write() - writes the headers of @hop, with the seal. Return: the number of headers in @out
+ */
 uint32_t hop_write (const hop_t *hop, const char *fleet_key, hop_header_t out[HOP_HEADERS]);
 typedef enum
 {
   HOP_OK,
-  HOP_BROKEN,
-  HOP_BAD_SEAL
+  HOP_BROKEN,  /* sealed by this fleet, but not readable by this version */
+  HOP_BAD_SEAL /* header or seal missing, or sealed with another key */
 } hop_outcome_t;
+/** hop_read() - checks the seal and parses the headers into @hop, which is valid after HOP_OK */
 hop_outcome_t hop_read (hop_t *hop, const char *fleet_key, struct evkeyvalq *headers);
-/** hop_load_write() - the value of HOP_LOAD_HEADER */
+/** hop_load_write() - writes the value of HOP_LOAD_HEADER */
 void hop_load_write (const hop_sample_t *sample, char out[48]);
-/** hop_load_read() - all but the engine and the age. Return: false for a broken or missing value */
+/** hop_load_read() - parses HOP_LOAD_HEADER into all fields but the engine and the age. Return:
+ * false for a malformed or missing value */
 bool hop_load_read (const char *text, hop_sample_t *sample);
+/** hop_attempt_text() - writes an attempt id as 32 hexadecimal digits */
 void hop_attempt_text (const uint64_t attempt[2], char out[33]);
+/** hop_attempt_parse() - reads an attempt id. Return: false if @text is not 32 hexadecimal digits
+ */
 bool hop_attempt_parse (const char *text, uint64_t attempt[2]);
-/** hop_attempt_hash() - with hop_attempt_equal(), for a GHashTable keyed by uint64_t[2] */
+/** hop_attempt_hash() - with hop_attempt_equal(), for a GHashTable whose keys are attempt ids */
 unsigned int hop_attempt_hash (const void *attempt);
 int hop_attempt_equal (const void *left, const void *right);
 
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -1,8 +1,8 @@
 /**
  * DOC: messages
  *
- * What the control task and the data task of a daemon tell each other. Each struct starts with its
- * mbx_message_t; msg_new() makes one, and its free callback drops the references it holds.
+ * The messages between the control task and the data task of a daemon. Each struct starts with an
+ * mbx_message_t. msg_new() allocates one; its free callback drops the references that it holds.
  */
 #ifndef REQUEST_MESSAGES_H
 #define REQUEST_MESSAGES_H
@@ -17,25 +17,28 @@
 typedef enum
 {
   /* control task to data task */
-  MSG_VERSION,      /* msg_version_t: in force from now on */
-  MSG_MEMBERS,      /* msg_members_t */
-  MSG_SAMPLES,      /* msg_samples_t: heard from a peer */
-  MSG_MARKS,        /* msg_marks_t: heard from a peer */
-  MSG_CLAIM_RESULT, /* msg_claim_result_t */
-  MSG_FRESHNESS,    /* msg_flag_t: false after a pause until the daemon is current again; true
-                       counts only by pse_fresh (pse, at_us), see base/pause.h */
+  MSG_VERSION,      /* msg_version_t: a manifest that is in force from now on */
+  MSG_MEMBERS,      /* msg_members_t: a new list of hosts */
+  MSG_SAMPLES,      /* msg_samples_t: loads of engines, received from a peer */
+  MSG_MARKS,        /* msg_marks_t: crash marks received from a peer */
+  MSG_CLAIM_RESULT, /* msg_claim_result_t: the answer to a MSG_CLAIM */
+  MSG_FRESHNESS,    /* msg_flag_t: off after a pause, on when the daemon's knowledge is current
+                       again; pse_fresh() decides from @at_us whether that holds (base/pause.h) */
   MSG_DRAIN,        /* msg_flag_t: stop gracefully */
   /* data task to control task */
-  MSG_CLAIM,      /* msg_claim_t */
-  MSG_CLAIM_END,  /* msg_claim_end_t */
-  MSG_OWN_SAMPLE, /* msg_samples_t with one sample: the sidecar's own load */
-  MSG_NEW_MARK,   /* msg_marks_t: a crash seen here */
-  MSG_LEAVE,      /* msg_flag_t: an order of the tool */
-  MSG_DRAINED,    /* msg_flag_t: nothing is in flight any more */
-  MSG_WOKE        /* msg_flag_t: the data task noticed a pause at @at_us */
+  MSG_CLAIM,      /* msg_claim_t: claim an idempotency key */
+  MSG_CLAIM_END,  /* msg_claim_end_t: the request of a claim has ended */
+  MSG_OWN_SAMPLE, /* msg_samples_t with one sample: the load of the sidecar's engine */
+  MSG_NEW_MARK,   /* msg_marks_t: a request that crashed the engine of this sidecar */
+  MSG_LEAVE,      /* msg_flag_t: an operator ordered this daemon to leave */
+  MSG_DRAINED,    /* msg_flag_t: the graceful stop is done, no request is in flight */
+  MSG_WOKE        /* msg_flag_t: the data task detected a pause of the process at @at_us */
 } msg_kind_t;
 
-/** struct msg_version - @next_offset: of the manifest stream, after which @man was in force */
+/**
+ * struct msg_version - a manifest in force
+ * @next_offset: offset in the manifest stream after the record of @man
+ */
 typedef struct
 {
   mbx_message_t head;
@@ -49,8 +52,8 @@
   mem_snapshot_t *members;
 } msg_members_t;
 
-/** struct msg_samples - ages are turned into @taken_us of this process's clock by the control task
- */
+/** struct msg_samples - loads of engines; the control task has converted the ages that peers send
+ * to @taken_us on the clock of this process */
 typedef struct
 {
   mbx_message_t head;
@@ -66,7 +69,12 @@
   sus_mark_t marks[MSG_MARKS_MAX];
 } msg_marks_t;
 
-/** struct msg_claim - @owner comes back in the result */
+/**
+ * struct msg_claim - claim of an idempotency key
+ * @stream: claims stream of the platform's log
+ * @expiry_us: time after which the request may not start any more
+ * @owner: returned in the result
+ */
 typedef struct
 {
   mbx_message_t head;
@@ -83,7 +91,10 @@
   clm_result_t result;
 } msg_claim_result_t;
 
-/** struct msg_claim_end - @ran: done with @status, else released */
+/**
+ * struct msg_claim_end - end of the request of a claim
+ * @ran: the request ran and ended with HTTP status @status; otherwise the claim is released
+ */
 typedef struct
 {
   mbx_message_t head;
@@ -94,7 +105,10 @@
   uint32_t status;
 } msg_claim_end_t;
 
-/** struct msg_flag - @at_us: for MSG_FRESHNESS since when all was heard, for MSG_WOKE when it woke
+/**
+ * struct msg_flag - a state that goes on or off
+ * @at_us: for MSG_FRESHNESS the time since which everything was received again, for MSG_WOKE the
+ * time at which the task woke
  */
 typedef struct
 {
@@ -103,7 +117,7 @@
   uint64_t at_us;
 } msg_flag_t;
 
-/** msg_new() - a zeroed message of @kind and the size of its struct */
+/** msg_new() - allocates a zeroed message with the struct that belongs to @kind */
 void *msg_new (msg_kind_t kind);
 
 #endif
--- a/src/request/ops.c
+++ b/src/request/ops.c
@@ -7,8 +7,8 @@
 
 #define DRAIN_POLL_MS 20
 
-static const struct timeval TICK = { .tv_usec = PSE_TICK_MS * 1000 };
-static const struct timeval POLL = { .tv_usec = DRAIN_POLL_MS * 1000 };
+static const struct timeval TICK_INTERVAL = { .tv_usec = PSE_TICK_MS * 1000 };
+static const struct timeval DRAIN_POLL_INTERVAL = { .tv_usec = DRAIN_POLL_MS * 1000 };
 
 static void
 on_tick (evutil_socket_t fd, short what, void *context)
@@ -19,83 +19,84 @@
 }
 
 static void
-send_flag (ops_t *ops, msg_kind_t kind, uint64_t at_us)
+send_flag (ops_t *data_task, msg_kind_t kind, uint64_t at_us)
 {
   msg_flag_t *flag = msg_new (kind);
 
   flag->on = true;
   flag->at_us = at_us;
-  mbx_send (ops->options.dmn->to_control, &flag->head);
+  mbx_send (data_task->options.dmn->to_control, &flag->head);
 }
 
 static void
 on_drain_poll (evutil_socket_t fd, short what, void *context)
 {
-  ops_t *ops = context;
+  ops_t *data_task = context;
 
   (void)fd;
   (void)what;
-  if (ops_now_us (ops) < ops->linger_until_us)
+  if (ops_now_us (data_task) < data_task->linger_until_us)
     return;
-  if (ops->listening)
+  if (data_task->listening)
     {
-      hsv_stop (ops->hsv);
-      ops->listening = false;
+      hsv_stop (data_task->hsv);
+      data_task->listening = false;
     }
-  if (ops->drained || hsv_busy (ops->hsv) > 0 || ops->options.in_flight (ops->options.context) > 0)
+  if (data_task->drained || hsv_busy (data_task->hsv) > 0 ||
+      data_task->options.in_flight (data_task->options.context) > 0)
     return;
-  ops->drained = true;
-  event_del (ops->drain_poll);
-  send_flag (ops, MSG_DRAINED, ops_now_us (ops));
+  data_task->drained = true;
+  event_del (data_task->drain_poll);
+  send_flag (data_task, MSG_DRAINED, ops_now_us (data_task));
 }
 
 static void
-start_drain (ops_t *ops)
+start_drain (ops_t *data_task)
 {
-  if (ops->draining)
+  if (data_task->draining)
     return;
-  ops->draining = true;
-  ops->linger_until_us = ops_now_us (ops) + OPS_LINGER_MS * CLK_US_PER_MS;
-  ops->options.stopping (ops->options.context);
-  event_add (ops->drain_poll, &POLL);
+  data_task->draining = true;
+  data_task->linger_until_us = ops_now_us (data_task) + OPS_LINGER_MS * CLK_US_PER_MS;
+  data_task->options.stopping (data_task->options.context);
+  event_add (data_task->drain_poll, &DRAIN_POLL_INTERVAL);
 }
 
 static void
-take_version (ops_t *ops, msg_version_t *message)
+set_version (ops_t *data_task, msg_version_t *message)
 {
-  if (ops->man != NULL)
-    man_unref (ops->man);
-  ops->man = man_ref (message->man);
-  ops->man_next_offset = message->next_offset;
+  if (data_task->man != NULL)
+    man_unref (data_task->man);
+  data_task->man = man_ref (message->man);
+  data_task->man_next_offset = message->next_offset;
 }
 
 static void
-take_members (ops_t *ops, msg_members_t *message)
+set_members (ops_t *data_task, msg_members_t *message)
 {
-  if (ops->members != NULL)
-    mem_snapshot_unref (ops->members);
-  ops->members = mem_snapshot_ref (message->members);
+  if (data_task->members != NULL)
+    mem_snapshot_unref (data_task->members);
+  data_task->members = mem_snapshot_ref (message->members);
 }
 
 static void
-take_freshness (ops_t *ops, const msg_flag_t *flag)
+set_freshness (ops_t *data_task, const msg_flag_t *flag)
 {
   if (flag->on)
-    pse_fresh (&ops->pse, flag->at_us);
+    pse_fresh (&data_task->pse, flag->at_us);
   else
-    pse_wake (&ops->pse, flag->at_us);
+    pse_wake (&data_task->pse, flag->at_us);
 }
 
-/* listener() - a sidecar's has room for the headers that a router adds to a caller's that are just
- * within the router's own limits */
+/* The limits of a sidecar leave room for the headers that a router adds: a request that is just
+ * within the limits of the router must not be rejected by the sidecar. */
 static hsv_options_t
-listener (ops_t *ops)
+listener_options (ops_t *data_task)
 {
-  const set_t *set = &ops->options.dmn->set;
+  const set_t *set = &data_task->options.dmn->set;
   bool sidecar = set->role == SET_ROLE_SIDECAR;
 
-  return (hsv_options_t){ .base = ops->options.base,
-                          .counters = ops->options.dmn->counters,
+  return (hsv_options_t){ .base = data_task->options.base,
+                          .counters = data_task->options.dmn->counters,
                           .listen = set->listen,
                           .body_limit_bytes = set->body_limit_bytes,
                           .header_limit_bytes =
@@ -105,125 +106,126 @@
                           .connection_limit = set->connection_limit,
                           .idle_timeout_ms = set->idle_timeout_ms,
                           .on_call = ops_serve,
-                          .context = ops };
+                          .context = data_task };
 }
 
 ops_t *
 ops_new (const ops_options_t *options, GError **error)
 {
-  ops_t *ops = g_new0 (ops_t, 1);
+  ops_t *data_task = g_new0 (ops_t, 1);
   hsv_options_t listen;
 
-  ops->options = *options;
-  ops->decisions = dcn_ring_new (DCN_KEPT);
-  pse_init (&ops->pse, ops_now_us (ops), options->dmn->set.exchange_interval_ms);
-  listen = listener (ops);
-  ops->hsv = hsv_new (&listen, error);
-  if (ops->hsv == NULL)
+  data_task->options = *options;
+  data_task->decisions = dcn_ring_new (DCN_KEPT);
+  pse_init (&data_task->pse, ops_now_us (data_task), options->dmn->set.exchange_interval_ms);
+  listen = listener_options (data_task);
+  data_task->hsv = hsv_new (&listen, error);
+  if (data_task->hsv == NULL)
     {
-      dcn_ring_free (ops->decisions);
-      g_free (ops);
+      dcn_ring_free (data_task->decisions);
+      g_free (data_task);
       return NULL;
     }
-  ops->listening = true;
-  ops->control_bytes = cnt_get (options->dmn->counters, "medlarplank_control_bytes_sent_total",
-                                "Bytes of control traffic sent, with headers");
-  ops->tick = event_new (options->base, -1, EV_PERSIST, on_tick, ops);
-  ops->drain_poll = event_new (options->base, -1, EV_PERSIST, on_drain_poll, ops);
-  event_add (ops->tick, &TICK);
-  return ops;
+  data_task->listening = true;
+  data_task->control_bytes =
+      cnt_get (options->dmn->counters, "medlarplank_control_bytes_sent_total",
+               "Bytes of control traffic sent, with headers");
+  data_task->tick = event_new (options->base, -1, EV_PERSIST, on_tick, data_task);
+  data_task->drain_poll = event_new (options->base, -1, EV_PERSIST, on_drain_poll, data_task);
+  event_add (data_task->tick, &TICK_INTERVAL);
+  return data_task;
 }
 
 void
-ops_free (ops_t *ops)
+ops_free (ops_t *data_task)
 {
-  if (ops == NULL)
+  if (data_task == NULL)
     return;
-  event_free (ops->tick);
-  event_free (ops->drain_poll);
-  hsv_free (ops->hsv);
-  if (ops->man != NULL)
-    man_unref (ops->man);
-  if (ops->members != NULL)
-    mem_snapshot_unref (ops->members);
-  dcn_ring_free (ops->decisions);
-  g_free (ops);
+  event_free (data_task->tick);
+  event_free (data_task->drain_poll);
+  hsv_free (data_task->hsv);
+  if (data_task->man != NULL)
+    man_unref (data_task->man);
+  if (data_task->members != NULL)
+    mem_snapshot_unref (data_task->members);
+  dcn_ring_free (data_task->decisions);
+  g_free (data_task);
 }
 
 bool
-ops_message (ops_t *ops, mbx_message_t *message)
+ops_message (ops_t *data_task, mbx_message_t *message)
 {
   switch ((msg_kind_t)message->kind)
     {
     case MSG_VERSION:
-      take_version (ops, (msg_version_t *)message);
+      set_version (data_task, (msg_version_t *)message);
       break;
     case MSG_MEMBERS:
-      take_members (ops, (msg_members_t *)message);
+      set_members (data_task, (msg_members_t *)message);
       break;
     case MSG_FRESHNESS:
-      take_freshness (ops, (msg_flag_t *)message);
+      set_freshness (data_task, (msg_flag_t *)message);
       break;
     case MSG_DRAIN:
-      start_drain (ops);
+      start_drain (data_task);
       return true;
     default:
       return false;
     }
-  ops->options.changed (ops->options.context);
+  data_task->options.changed (data_task->options.context);
   return true;
 }
 
 man_t *
-ops_man (const ops_t *ops)
+ops_man (const ops_t *data_task)
 {
-  return ops->man;
+  return data_task->man;
 }
 
 mem_snapshot_t *
-ops_members (const ops_t *ops)
+ops_members (const ops_t *data_task)
 {
-  return ops->members;
+  return data_task->members;
 }
 
 dcn_ring_t *
-ops_decisions (ops_t *ops)
+ops_decisions (ops_t *data_task)
 {
-  return ops->decisions;
+  return data_task->decisions;
 }
 
 uint64_t
-ops_now_us (const ops_t *ops)
+ops_now_us (const ops_t *data_task)
 {
-  return clk_now_us (&ops->options.dmn->clk);
+  return clk_now_us (&data_task->options.dmn->clk);
 }
 
 bool
-ops_stale (ops_t *ops)
+ops_stale (ops_t *data_task)
 {
-  if (pse_check (&ops->pse, ops_now_us (ops)))
+  if (pse_check (&data_task->pse, ops_now_us (data_task)))
     {
       log_event (LOG_LEVEL_WARNING, "woke", "task", "data", NULL);
-      send_flag (ops, MSG_WOKE, ops->pse.woke_us);
-      ops->options.changed (ops->options.context);
+      send_flag (data_task, MSG_WOKE, data_task->pse.woke_us);
+      data_task->options.changed (data_task->options.context);
     }
-  return pse_stale (&ops->pse) || pse_settling (&ops->pse, ops_now_us (ops));
+  return pse_stale (&data_task->pse) || pse_settling (&data_task->pse, ops_now_us (data_task));
 }
 
 bool
-ops_draining (const ops_t *ops)
+ops_draining (const ops_t *data_task)
 {
-  return ops->draining;
+  return data_task->draining;
 }
 
 void
-ops_count_control (ops_t *ops, uint32_t bytes)
+ops_count_control (ops_t *data_task, uint32_t bytes)
 {
-  cnt_add (ops->control_bytes, bytes);
+  cnt_add (data_task->control_bytes, bytes);
 }
 
 const man_account_t *
-ops_account (const ops_t *ops, hsv_call_t *call)
+ops_account (const ops_t *data_task, hsv_call_t *call)
 {
   static const char BEARER[] = "Bearer ";
   const char *authorization = hsv_header (call, "Authorization");
@@ -231,7 +233,7 @@
 
   if (authorization != NULL && g_ascii_strncasecmp (authorization, BEARER, strlen (BEARER)) == 0)
     key = authorization + strlen (BEARER);
-  if (key == NULL || ops->man == NULL)
+  if (key == NULL || data_task->man == NULL)
     return NULL;
-  return man_account_for_key (ops->man, key);
+  return man_account_for_key (data_task->man, key);
 }
--- a/src/request/ops.h
+++ b/src/request/ops.h
@@ -1,18 +1,18 @@
 /**
- * DOC: ops
+ * DOC: data_task
  *
- * What the data tasks of both roles share: the listener, the operators' paths on it, the version
- * and members in force, noticing a pause, and the graceful stop. The rest of the traffic goes to
- * the role by callback.
+ * The common part of the data tasks of routers and sidecars: the listener, the paths for operators,
+ * the manifest and list of hosts in force, the detection of pauses, and the graceful stop. All
+ * other calls go to the role's callbacks.
  *
  *   GET  /livez                     200 while the event loop turns
  *   GET  /readyz                    200 when requests may be sent here
  *   GET  /metrics                   counters
- *   GET  /medlarplank/status        what this daemon knows and does, as JSON
- *   GET  /medlarplank/manifest      the version in force, for daemons that are behind (sealed)
- *   GET  /medlarplank/explain?request=ID  recent decisions on a request (sealed, or the key of the
- *                                   client account whose request it was)
- *   POST /medlarplank/drain         leave (sealed)
+ *   GET  /medlarplank/status        state of this daemon as JSON
+ *   GET  /medlarplank/manifest      manifest in force, for daemons with an older one (sealed)
+ *   GET  /medlarplank/explain?request=ID  recent decisions on a request (sealed, or with the key of
+ *                                   the client account that sent the request)
+ *   POST /medlarplank/drain         stop gracefully and leave the fleet (sealed)
  */
 #ifndef REQUEST_OPS_H
 #define REQUEST_OPS_H
@@ -25,22 +25,24 @@
 #include <jansson.h>
 
 #define OPS_PREFIX "/medlarplank/"
-/* A host that stops goes on listening for this long, so that those who have not heard of it yet
- * get an answer in place of a refused connection. */
+/* A host that stops keeps its listener open for this long, so that daemons that don't know of the
+ * stop yet get a response and not a refused connection. */
 #define OPS_LINGER_MS 1000
-/* Estimate of a sealed call without its body, or of the answer to one. */
+/* Estimated size of a sealed call without its body, or of its response. */
 #define OPS_CALL_BYTES 300
 
 /**
- * struct ops_options - of ops_new()
- * @on_call: a request that is not for an operators' path
- * @on_sealed: a sealed call below OPS_PREFIX that is not known here. Return: whether it was
- * answered
- * @ready: whether the role itself is ready; version, members, pause and stop are judged here
- * @in_flight: requests that a stop must wait for besides the listener's
- * @status: add to the status document
- * @changed: version or members were replaced, or the daemon became stale or fresh
- * @stopping: a graceful stop began; once
+ * struct ops_options - options of ops_new()
+ * @dmn: settings, clock, counters and mailboxes of the daemon; borrowed
+ * @on_call: handles a request whose path is not one for operators
+ * @on_sealed: handles a call below OPS_PREFIX whose path is not handled here, after its seal was
+ * checked. Return: whether it responded
+ * @ready: whether the role is ready; version, members, pause and stop are checked here
+ * @in_flight: number of requests, besides the listener's calls, that a graceful stop waits for
+ * @status: adds the role's fields to the status document
+ * @changed: called when the version or the members were replaced, or staleness changed
+ * @stopping: called once, when a graceful stop begins
+ * @context: passed to all callbacks
  */
 typedef struct
 {
@@ -56,27 +58,29 @@
   void *context;
 } ops_options_t;
 
-typedef struct ops ops_t;
+typedef struct data_task ops_t;
 
 ops_t *ops_new (const ops_options_t *options, GError **error);
-void ops_free (ops_t *ops);
-/** ops_message() - Return: whether the message was one of those handled here */
-bool ops_message (ops_t *ops, mbx_message_t *message);
+void ops_free (ops_t *data_task);
+/** ops_message() - handles a message of the control task. Return: false if it is for the role */
+bool ops_message (ops_t *data_task, mbx_message_t *message);
 
-/** ops_man() - the version in force, borrowed, or NULL */
-man_t *ops_man (const ops_t *ops);
-/** ops_members() - borrowed, or NULL */
-mem_snapshot_t *ops_members (const ops_t *ops);
-dcn_ring_t *ops_decisions (ops_t *ops);
-uint64_t ops_now_us (const ops_t *ops);
-/** ops_stale() - whether the task woke from a pause and has not heard all again: no new work may
- * start. Ask in the same event in which it would start. */
-bool ops_stale (ops_t *ops);
-bool ops_draining (const ops_t *ops);
-/** ops_count_control() - bytes that the data task sent for control, by estimate: hints, revokes,
- * probes, loads. Counted with those of the control task, but not held back by its budget */
-void ops_count_control (ops_t *ops, uint32_t bytes);
-/** ops_account() - the client account whose key came with the call, or NULL */
-const man_account_t *ops_account (const ops_t *ops, hsv_call_t *call);
+/** ops_man() - the manifest in force, borrowed; NULL before the first one */
+man_t *ops_man (const ops_t *data_task);
+/** ops_members() - the list of hosts in force, borrowed; NULL before the first one */
+mem_snapshot_t *ops_members (const ops_t *data_task);
+dcn_ring_t *ops_decisions (ops_t *data_task);
+uint64_t ops_now_us (const ops_t *data_task);
+/** ops_stale() - whether the process was paused and has not yet received everything that it missed;
+ * no new work may start then. The result holds for the current event only. */
+bool ops_stale (ops_t *data_task);
+/** ops_draining() - whether a graceful stop began */
+bool ops_draining (const ops_t *data_task);
+/** ops_count_control() - adds an estimate of control traffic that the data task sent (hints,
+ * revokes, probes, loads) to the counter of the control task. Its budget doesn't limit this traffic
+ */
+void ops_count_control (ops_t *data_task, uint32_t bytes);
+/** ops_account() - the client account whose key the call carries, or NULL */
+const man_account_t *ops_account (const ops_t *data_task, hsv_call_t *call);
 
 #endif
--- a/src/request/ops_private.h
+++ b/src/request/ops_private.h
@@ -1,7 +1,7 @@
 /**
- * DOC: ops_private
+ * DOC: data_task_private
  *
- * The state of ops, shared by ops.c (the task's life) and ops_serve.c (the operators' paths).
+ * State shared by ops.c (start, stop and messages) and ops_serve.c (the HTTP paths of operators).
  */
 #ifndef REQUEST_OPS_PRIVATE_H
 #define REQUEST_OPS_PRIVATE_H
@@ -12,10 +12,19 @@
 #include <event2/event.h>
 
 /**
- * struct ops - what the data tasks of both roles share
- * @linger_until_us: when a stop closes the listener
+ * struct data_task - state of one data task
+ * @hsv: the listener
+ * @man: manifest in force, or NULL before the first one
+ * @man_next_offset: offset in the manifest stream after the record of @man
+ * @members: list of hosts in force, or NULL before the first one
+ * @pse: whether the task woke from a pause and its knowledge may be out of date
+ * @draining: a graceful stop began
+ * @listening: the listener accepts connections
+ * @drained: the control task was told that nothing is in flight any more
+ * @linger_until_us: time at which a graceful stop closes the listener
+ * @tick: checks for pauses; @drain_poll checks whether a graceful stop has finished
  */
-struct ops
+struct data_task
 {
   ops_options_t options;
   hsv_t *hsv;
@@ -33,7 +42,7 @@
   cnt_t *control_bytes;
 };
 
-/** ops_serve() - a call came to the listener */
+/** ops_serve() - handles one call to the listener */
 void ops_serve (hsv_call_t *call, void *context);
 
 #endif
--- a/src/request/ops_serve.c
+++ b/src/request/ops_serve.c
@@ -11,10 +11,10 @@
 #include <string.h>
 
 static bool
-is_ready (ops_t *ops)
+is_ready (ops_t *data_task)
 {
-  return ops->man != NULL && ops->members != NULL && !ops->draining && !ops_stale (ops) &&
-         ops->options.ready (ops->options.context);
+  return data_task->man != NULL && data_task->members != NULL && !data_task->draining &&
+         !ops_stale (data_task) && data_task->options.ready (data_task->options.context);
 }
 
 static void
@@ -28,52 +28,52 @@
 }
 
 static void
-serve_metrics (ops_t *ops, hsv_call_t *call)
+serve_metrics (ops_t *data_task, hsv_call_t *call)
 {
   GString *out = g_string_new (NULL);
 
-  cnt_write (ops->options.dmn->counters, out);
+  cnt_write (data_task->options.dmn->counters, out);
   hsv_reply_text (call, 200, "text/plain; version=0.0.4", out->str);
   g_string_free (out, TRUE);
 }
 
 static void
-serve_status (ops_t *ops, hsv_call_t *call)
+serve_status (ops_t *data_task, hsv_call_t *call)
 {
-  const dmn_t *dmn = ops->options.dmn;
-  uint64_t version = ops->man != NULL ? ops->man->version : 0;
-  uint32_t hosts = ops->members != NULL ? ops->members->host_count : 0;
+  const dmn_t *dmn = data_task->options.dmn;
+  uint64_t version = data_task->man != NULL ? data_task->man->version : 0;
+  uint32_t hosts = data_task->members != NULL ? data_task->members->host_count : 0;
   json_t *json = json_pack ("{s:s,s:s,s:I,s:I,s:i,s:b,s:b,s:b}", "name", dmn->set.name, "role",
                             dmn->set.role == SET_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
                             (json_int_t)dmn->incarnation, "version", (json_int_t)version, "hosts",
-                            (int)hosts, "ready", (int)is_ready (ops), "draining",
-                            (int)ops->draining, "stale", (int)ops_stale (ops));
+                            (int)hosts, "ready", (int)is_ready (data_task), "draining",
+                            (int)data_task->draining, "stale", (int)ops_stale (data_task));
 
-  ops->options.status (json, ops->options.context);
+  data_task->options.status (json, data_task->options.context);
   reply_json (call, json);
 }
 
 static void
-serve_manifest (ops_t *ops, hsv_call_t *call)
+serve_manifest (ops_t *data_task, hsv_call_t *call)
 {
-  if (ops->man == NULL)
+  if (data_task->man == NULL)
     {
       flt_bad_request (call, 503, "no_version", "no version of the manifest is known here");
       return;
     }
   char seal[ASL_SEAL_BYTES];
   g_autofree char *body =
-      msy_write (ops->options.dmn->set.fleet_key, hsv_header (call, ASL_NONCE_HEADER), ops->man,
-                 ops->man_next_offset, seal);
+      msy_write (data_task->options.dmn->set.fleet_key, hsv_header (call, ASL_NONCE_HEADER),
+                 data_task->man, data_task->man_next_offset, seal);
 
   if (seal[0] != '\0')
     hsv_add_header (call, ASL_SEAL_HEADER, seal);
   hsv_reply_text (call, 200, "application/json", body);
 }
 
-/* keep_own() - an account may ask only for its own requests */
+/* A client account may see only its own requests. */
 static json_t *
-keep_own (json_t *decisions, const man_account_t *account)
+filter_by_account (json_t *decisions, const man_account_t *account)
 {
   for (size_t i = json_array_size (decisions); i-- > 0;)
     {
@@ -86,10 +86,10 @@
 }
 
 static void
-serve_explain (ops_t *ops, hsv_call_t *call, bool sealed)
+serve_explain (ops_t *data_task, hsv_call_t *call, bool sealed)
 {
   const char *text = hsv_query (call, "request");
-  const man_account_t *account = ops_account (ops, call);
+  const man_account_t *account = ops_account (data_task, call);
   uint64_t request[2];
   json_t *decisions;
 
@@ -103,9 +103,9 @@
       flt_bad_request (call, 400, "bad_request", "request=ID is missing or not an id");
       return;
     }
-  decisions = dcn_explain (ops->decisions, request);
+  decisions = dcn_explain (data_task->decisions, request);
   if (!sealed)
-    decisions = keep_own (decisions, account);
+    decisions = filter_by_account (decisions, account);
   if (json_array_size (decisions) == 0)
     {
       json_decref (decisions);
@@ -116,38 +116,38 @@
 }
 
 static void
-serve_drain (ops_t *ops, hsv_call_t *call)
+serve_drain (ops_t *data_task, hsv_call_t *call)
 {
   msg_flag_t *leave = msg_new (MSG_LEAVE);
 
   leave->on = true;
-  mbx_send (ops->options.dmn->to_control, &leave->head);
-  log_event (LOG_LEVEL_NOTICE, "drain_ordered", "name", ops->options.dmn->set.name, NULL);
+  mbx_send (data_task->options.dmn->to_control, &leave->head);
+  log_event (LOG_LEVEL_NOTICE, "drain_ordered", "name", data_task->options.dmn->set.name, NULL);
   hsv_reply_text (call, 202, "text/plain", "leaving\n");
 }
 
 static bool
-serve_open (ops_t *ops, hsv_call_t *call, const char *path)
+serve_unsealed (ops_t *data_task, hsv_call_t *call, const char *path)
 {
   if (strcmp (path, "/livez") == 0)
     hsv_reply_text (call, 200, "text/plain", "ok\n");
   else if (strcmp (path, "/readyz") == 0)
-    hsv_reply_text (call, is_ready (ops) ? 200 : 503, "text/plain",
-                    is_ready (ops) ? "ready\n" : "not ready\n");
+    hsv_reply_text (call, is_ready (data_task) ? 200 : 503, "text/plain",
+                    is_ready (data_task) ? "ready\n" : "not ready\n");
   else if (strcmp (path, "/metrics") == 0)
-    serve_metrics (ops, call);
+    serve_metrics (data_task, call);
   else if (strcmp (path, OPS_PREFIX "status") == 0)
-    serve_status (ops, call);
+    serve_status (data_task, call);
   else
     return false;
   return true;
 }
 
-/* is_sealed() - by another daemon, or by the tool */
+/* Whether the call was sealed with the fleet key, by another daemon or by the command-line tool. */
 static bool
-is_sealed (ops_t *ops, hsv_call_t *call)
+has_valid_seal (ops_t *data_task, hsv_call_t *call)
 {
-  const set_t *set = &ops->options.dmn->set;
+  const set_t *set = &data_task->options.dmn->set;
   ord_t order = { .host = set->name, .method = hsv_method (call), .target = hsv_target (call) };
 
   order.body = hsv_body (call, &order.body_bytes);
@@ -155,9 +155,9 @@
 }
 
 static bool
-is_drain_order (ops_t *ops, hsv_call_t *call)
+has_valid_drain_seal (ops_t *data_task, hsv_call_t *call)
 {
-  const dmn_t *dmn = ops->options.dmn;
+  const dmn_t *dmn = data_task->options.dmn;
   const char *text = hsv_query (call, "time");
   guint64 time_s;
 
@@ -168,33 +168,33 @@
 }
 
 static void
-serve_sealed (ops_t *ops, hsv_call_t *call, const char *path)
+serve_sealed (ops_t *data_task, hsv_call_t *call, const char *path)
 {
   bool drain = strcmp (path, OPS_PREFIX "drain") == 0 && strcmp (hsv_method (call), "POST") == 0;
-  bool sealed = drain ? is_drain_order (ops, call) : is_sealed (ops, call);
+  bool sealed = drain ? has_valid_drain_seal (data_task, call) : has_valid_seal (data_task, call);
 
   if (strcmp (path, OPS_PREFIX "explain") == 0)
-    serve_explain (ops, call, sealed);
+    serve_explain (data_task, call, sealed);
   else if (!sealed)
     flt_bad_request (call, 403, "forbidden", "this path is for the fleet's own daemons and tool");
   else if (strcmp (path, OPS_PREFIX "manifest") == 0)
-    serve_manifest (ops, call);
+    serve_manifest (data_task, call);
   else if (drain)
-    serve_drain (ops, call);
-  else if (!ops->options.on_sealed (call, path, ops->options.context))
+    serve_drain (data_task, call);
+  else if (!data_task->options.on_sealed (call, path, data_task->options.context))
     flt_bad_request (call, 404, "not_found", "no such path");
 }
 
 void
 ops_serve (hsv_call_t *call, void *context)
 {
-  ops_t *ops = context;
+  ops_t *data_task = context;
   const char *path = hsv_path (call);
 
-  if (serve_open (ops, call, path))
+  if (serve_unsealed (data_task, call, path))
     return;
   if (g_str_has_prefix (path, OPS_PREFIX))
-    serve_sealed (ops, call, path);
+    serve_sealed (data_task, call, path);
   else
-    ops->options.on_call (call, ops->options.context);
+    data_task->options.on_call (call, data_task->options.context);
 }
--- a/src/request/relay.c
+++ b/src/request/relay.c
@@ -9,29 +9,29 @@
 
 #define EVENT_STREAM "text/event-stream"
 
-/* without_body() - answers that have none, however they are framed */
+/* These responses have no body, whatever their headers say. */
 static bool
-without_body (int status)
+has_no_body (int status)
 {
   return status == 204 || status == 304;
 }
 
 static bool
-is_short (int status, struct evkeyvalq *headers)
+is_buffered (int status, struct evkeyvalq *headers)
 {
   const char *length = evhttp_find_header (headers, "Content-Length");
   guint64 value;
 
-  if (without_body (status))
+  if (has_no_body (status))
     return true;
   return length != NULL &&
          g_ascii_string_to_unsigned (length, 10, 0, RLY_HELD_LIMIT_BYTES, &value, NULL);
 }
 
-/* keep_length() - of an answer to HEAD the length is all that there is of the body; else the
- * listener declares it */
+/* The response to HEAD has no body, so its Content-Length is copied; for all others the listener
+ * writes its own. */
 static void
-keep_length (rly_t *rly, struct evkeyvalq *headers)
+copy_head_length (rly_t *rly, struct evkeyvalq *headers)
 {
   const char *length = evhttp_find_header (headers, "Content-Length");
 
@@ -40,7 +40,7 @@
 }
 
 static void
-room (void *context)
+on_room (void *context)
 {
   rly_t *rly = context;
 
@@ -59,39 +59,40 @@
 }
 
 static void
-begin (rly_t *rly)
+begin_streaming (rly_t *rly)
 {
   rly->begun = true;
   send_headers (rly);
-  hsv_on_room (rly->to, room, rly);
+  hsv_on_room (rly->to, on_room, rly);
   hsv_begin (rly->to, rly->status);
 }
 
-/* ends_event() - an event that was cut off must not be ended by what the fleet adds, or its half
- * would count as whole */
+/* Whether the data ends with the empty line that ends an event. An error event may be added only
+ * there: after a partial event its text would complete that event, and the client would take it for
+ * a whole one. */
 static bool
 ends_event (struct evbuffer *data)
 {
-  static const char END[] = "\n\n";
-  static const char LONG_END[] = "\r\n\r\n";
-  size_t bytes = MIN (evbuffer_get_length (data), strlen (LONG_END));
+  static const char LF_END[] = "\n\n";
+  static const char CRLF_END[] = "\r\n\r\n";
+  size_t bytes = MIN (evbuffer_get_length (data), strlen (CRLF_END));
   size_t skipped = evbuffer_get_length (data) - bytes;
-  char last[sizeof LONG_END] = "";
+  char last[sizeof CRLF_END] = "";
   struct evbuffer_ptr from;
 
   evbuffer_ptr_set (data, &from, skipped, EVBUFFER_PTR_SET);
   evbuffer_copyout_from (data, &from, last, bytes);
-  return g_str_has_suffix (last, END) || strcmp (last, LONG_END) == 0;
+  return g_str_has_suffix (last, LF_END) || strcmp (last, CRLF_END) == 0;
 }
 
 static void
-pass_part (rly_t *rly, struct evbuffer *data)
+stream_part (rly_t *rly, struct evbuffer *data)
 {
   rly->between = rly->events && ends_event (data);
   if (!rly->begun)
-    begin (rly);
+    begin_streaming (rly);
   rly->full = !hsv_part (rly->to, data);
-  rly->was_full |= rly->full;
+  rly->was_blocked |= rly->full;
   if (rly->full && rly->from != NULL)
     hcl_pause (rly->from, true);
 }
@@ -124,13 +125,13 @@
   evhttp_clear_headers (&rly->headers);
   rly->from = from;
   rly->status = status;
-  rly->holding = is_short (status, headers);
+  rly->holding = is_buffered (status, headers);
   rly->events =
       type != NULL && g_ascii_strncasecmp (type, EVENT_STREAM, strlen (EVENT_STREAM)) == 0;
   for (header = headers->tqh_first; header != NULL; header = header->next.tqe_next)
     if (rly->passes_back (header->key))
       evhttp_add_header (&rly->headers, header->key, header->value);
-  keep_length (rly, headers);
+  copy_head_length (rly, headers);
 }
 
 void
@@ -147,7 +148,7 @@
   else if (rly->holding)
     evbuffer_add_buffer (rly->held, data);
   else
-    pass_part (rly, data);
+    stream_part (rly, data);
 }
 
 void
@@ -160,7 +161,7 @@
   if (to == NULL)
     return;
   if (!rly->begun && !rly->holding)
-    begin (rly);
+    begin_streaming (rly);
   if (!rly->begun)
     send_headers (rly);
   rly->to = NULL;
@@ -196,9 +197,9 @@
 bool
 rly_held_up (rly_t *rly)
 {
-  bool held_up = rly->full || rly->was_full;
+  bool held_up = rly->full || rly->was_blocked;
 
-  rly->was_full = rly->full;
+  rly->was_blocked = rly->full;
   return held_up;
 }
 
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -1,9 +1,10 @@
 /**
  * DOC: relay
  *
- * An answer on its way from a call of the HTTP client to a call of the listener. A short answer of
- * declared length is held back until it is whole, so that one that breaks off can still become an
- * error or another attempt; a longer one is streamed, and never ended properly when it was cut.
+ * Forwards a response from a call of the HTTP client to a call of the listener. A short response of
+ * declared length is buffered until it is complete, so that if it breaks off the client can still
+ * get an error or the response of another attempt. A longer one is streamed; if it breaks off, the
+ * connection is cut, so that the client can't take the response for a complete one.
  */
 #ifndef REQUEST_RELAY_H
 #define REQUEST_RELAY_H
@@ -17,20 +18,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RLY_HELD_LIMIT_BYTES (64 * 1024)
+#define RLY_HELD_LIMIT_BYTES (64 * 1024) /* longest response that is buffered */
 
 /**
- * struct rly - embedded in the call that owns it
- * @to: NULL when nobody listens any more: the answer is then read and dropped
- * @from: the call that is read; NULL when it ended
- * @held: body of an answer that is held back
- * @passes_back: which headers go on; hdr_passes_back() unless the owner sets another
- * @holding: the answer waits until it is whole; an owner may set it after rly_head()
- * @begun: the first byte went to @to
- * @events: it is an event stream
- * @between: an event has just ended there
- * @full: @to has to take more before @from is read on
- * @was_full: so it was since rly_held_up() was asked last
+ * struct rly - state of one response; embedded in the call that owns it
+ * @to: call of the listener; NULL when the client has gone: the response is then read and dropped
+ * @from: call of the HTTP client; NULL when it has ended
+ * @held: body of a response that is buffered
+ * @passes_back: which headers are forwarded; hdr_passes_back() unless the owner sets another
+ * @holding: the response is buffered until it is complete; the owner may set it after rly_head()
+ * @begun: the first byte was sent to @to
+ * @full: the send buffer of @to is full, and @from is paused
+ * @was_blocked: @full was set since the last call of rly_held_up()
+ * @events: the response is a stream of server-sent events
+ * @between: the last byte that was forwarded ended an event
  */
 typedef struct
 {
@@ -43,28 +44,29 @@
   bool holding;
   bool begun;
   bool full;
-  bool was_full;
+  bool was_blocked;
   bool events;
   bool between;
 } rly_t;
 
 void rly_init (rly_t *rly, hsv_call_t *to);
 void rly_clear (rly_t *rly);
-/** rly_head() - the head of an answer came from @from; what a former attempt held is dropped */
+/** rly_head() - starts a response, whose head came from @from; drops what an earlier attempt left
+ * in the buffer */
 void rly_head (rly_t *rly, hcl_call_t *from, int status, struct evkeyvalq *headers);
-/** rly_add_header() - a header of the fleet's own, after rly_head() */
+/** rly_add_header() - adds a header of the fleet itself to the response; after rly_head() */
 void rly_add_header (rly_t *rly, const char *name, const char *value);
-/** rly_data() - drains @data */
+/** rly_data() - forwards, buffers or drops a part of the body; drains @data */
 void rly_data (rly_t *rly, struct evbuffer *data);
-/** rly_whole() - the answer is whole; ends the listener's call */
+/** rly_whole() - ends the listener's call with a complete response */
 void rly_whole (rly_t *rly);
-/** rly_cut() - a begun answer broke off: the connection is cut, in an event stream after an error
- * event; ends the listener's call */
+/** rly_cut() - ends the listener's call after a response that broke off when a part of it had been
+ * sent: cuts the connection, in an event stream after an error event */
 void rly_cut (rly_t *rly, const flt_t *fault);
-/** rly_held_up() - whether the listener held the answer up since this was last asked: that nothing
- * came of it meanwhile is no fault of the sender's */
+/** rly_held_up() - whether a slow client blocked the response since the last call of this function:
+ * a gap in the response is then not the sender's fault */
 bool rly_held_up (rly_t *rly);
-/** rly_gone() - the listener's call ended by itself */
+/** rly_gone() - the listener's call ended because the client has gone */
 void rly_gone (rly_t *rly);
 
 #endif
--- a/tests/test_hop.c
+++ b/tests/test_hop.c
@@ -7,10 +7,10 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#define KEY "a fleet key of the tests"
+#define FLEET_KEY "a fleet key of the tests"
 
 static hop_t
-sample (void)
+sample_hop (void)
 {
   hop_t hop = { .attempt = { 0x1122334455667788, 9 },
                 .service = "medlar-pool",
@@ -35,11 +35,11 @@
 }
 
 static struct evkeyvalq *
-written (const hop_t *hop)
+write_headers (const hop_t *hop)
 {
   struct evkeyvalq *headers = calloc (1, sizeof *headers);
   hop_header_t out[HOP_HEADERS];
-  uint32_t count = hop_write (hop, KEY, out);
+  uint32_t count = hop_write (hop, FLEET_KEY, out);
 
   TAILQ_INIT (headers);
   for (uint32_t i = 0; i < count; i++)
@@ -48,20 +48,20 @@
 }
 
 static void
-drop (struct evkeyvalq *headers)
+free_headers (struct evkeyvalq *headers)
 {
   evhttp_clear_headers (headers);
   free (headers);
 }
 
 static void
-reads_what_was_written (void)
+reads_back_every_field (void)
 {
-  hop_t hop = sample ();
+  hop_t hop = sample_hop ();
   hop_t back;
-  struct evkeyvalq *headers = written (&hop);
+  struct evkeyvalq *headers = write_headers (&hop);
 
-  CU_ASSERT_EQUAL (hop_read (&back, KEY, headers), HOP_OK);
+  CU_ASSERT_EQUAL (hop_read (&back, FLEET_KEY, headers), HOP_OK);
   CU_ASSERT_EQUAL (back.attempt[0], hop.attempt[0]);
   CU_ASSERT_EQUAL (back.attempt[1], hop.attempt[1]);
   CU_ASSERT_STRING_EQUAL (back.service, hop.service);
@@ -86,25 +86,25 @@
   CU_ASSERT_TRUE (back.referred);
   CU_ASSERT_FALSE (back.may_wait);
   CU_ASSERT_FALSE (back.idempotent);
-  drop (headers);
+  free_headers (headers);
 }
 
-/* A stranger on the network hands work straight to a sidecar, or changes one byte of what a router
- * told it, to be served under another account. All of it is under the seal, so the sidecar refuses
- * it whichever byte was changed, left out or added. */
+/* Guards against requests that bypass the routers: a client on the network forges the header, or
+ * changes one byte of it, to be served under another account. A sidecar must reject a header with
+ * any byte changed, left out or added. */
 static void
 refuses_a_changed_header (void)
 {
-  hop_t hop = sample ();
+  hop_t hop = sample_hop ();
   hop_t back;
   hop_header_t out[HOP_HEADERS];
-  uint32_t count = hop_write (&hop, KEY, out);
+  uint32_t count = hop_write (&hop, FLEET_KEY, out);
 
   CU_ASSERT_EQUAL (count, HOP_HEADERS);
   for (uint32_t changed = 0; changed < count; changed++)
     {
       size_t bytes = strlen (out[changed].value);
-      struct evkeyvalq *headers = written (&hop);
+      struct evkeyvalq *headers = write_headers (&hop);
 
       for (size_t i = 0; i <= bytes; i++)
         {
@@ -116,17 +116,17 @@
               value[bytes] = '\0';
             }
           evhttp_remove_header (headers, out[changed].name);
-          CU_ASSERT_EQUAL (hop_read (&back, KEY, headers), HOP_BAD_SEAL);
+          CU_ASSERT_EQUAL (hop_read (&back, FLEET_KEY, headers), HOP_BAD_SEAL);
           evhttp_add_header (headers, out[changed].name, value);
-          CU_ASSERT_EQUAL (hop_read (&back, KEY, headers), HOP_BAD_SEAL);
+          CU_ASSERT_EQUAL (hop_read (&back, FLEET_KEY, headers), HOP_BAD_SEAL);
         }
-      drop (headers);
+      free_headers (headers);
     }
 }
 
-/* The largest values that a router can tell still fit, and come back as they were. */
+/* A header with the largest value in every field must fit, and be read back unchanged. */
 static void
-carries_the_longest (void)
+fits_the_largest_values (void)
 {
   hop_t hop;
   hop_t back;
@@ -141,38 +141,39 @@
   hop.class_name[sizeof hop.class_name - 1] = '\0';
   hop.sample_count = HOP_SAMPLES;
   hop.has_chat = hop.may_wait = hop.referred = hop.idempotent = true;
-  headers = written (&hop);
-  CU_ASSERT_EQUAL (hop_read (&back, KEY, headers), HOP_OK);
+  headers = write_headers (&hop);
+  CU_ASSERT_EQUAL (hop_read (&back, FLEET_KEY, headers), HOP_OK);
   CU_ASSERT_STRING_EQUAL (back.class_name, hop.class_name);
   CU_ASSERT_EQUAL (memcmp (back.samples, hop.samples, sizeof hop.samples), 0);
   CU_ASSERT_EQUAL (back.version, UINT64_MAX);
   CU_ASSERT_EQUAL (back.output_tokens, UINT32_MAX);
-  drop (headers);
+  free_headers (headers);
 }
 
 static void
 refuses_another_key (void)
 {
-  hop_t hop = sample ();
+  hop_t hop = sample_hop ();
   hop_t back;
-  struct evkeyvalq *headers = written (&hop);
+  struct evkeyvalq *headers = write_headers (&hop);
 
   CU_ASSERT_EQUAL (hop_read (&back, "another key of the tests", headers), HOP_BAD_SEAL);
-  drop (headers);
+  free_headers (headers);
 }
 
-/* A daemon of another version writes a header that this one cannot read: sealed, but broken. */
+/* A daemon of another version may write a header that this one can't parse. Its seal is valid, so
+ * it must not be reported as a forged one. */
 static void
-tells_broken_from_forged (void)
+distinguishes_malformed_from_forged (void)
 {
-  hop_t hop = sample ();
+  hop_t hop = sample_hop ();
   hop_t back;
   struct evkeyvalq *headers;
 
   hop.service[0] = '\0';
-  headers = written (&hop);
-  CU_ASSERT_EQUAL (hop_read (&back, KEY, headers), HOP_BROKEN);
-  drop (headers);
+  headers = write_headers (&hop);
+  CU_ASSERT_EQUAL (hop_read (&back, FLEET_KEY, headers), HOP_BROKEN);
+  free_headers (headers);
 }
 
 static void
@@ -195,11 +196,11 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "reads what was written", reads_what_was_written },
+    { "reads back every field", reads_back_every_field },
     { "refuses a changed header", refuses_a_changed_header },
-    { "carries the longest", carries_the_longest },
+    { "fits the largest values", fits_the_largest_values },
     { "refuses another key", refuses_another_key },
-    { "tells broken from forged", tells_broken_from_forged },
+    { "distinguishes malformed from forged", distinguishes_malformed_from_forged },
     { "reads attempt ids", reads_attempt_ids },
     CU_TEST_INFO_NULL,
   };
--- a/tests/test_request_parts.c
+++ b/tests/test_request_parts.c
@@ -41,24 +41,24 @@
 }
 
 static void
-refuses_broken_chats (void)
+rejects_malformed_chats (void)
 {
-  static const char *const BROKEN[] = { "",
-                                        "[]",
-                                        "{\"model\":\"m\"}",
-                                        "{\"model\":1,\"messages\":[{}]}",
-                                        "{\"model\":\"m\",\"messages\":[]}",
-                                        "{\"model\":\"m\",\"model\":\"n\",\"messages\":[{}]}" };
+  static const char *const MALFORMED[] = { "",
+                                           "[]",
+                                           "{\"model\":\"m\"}",
+                                           "{\"model\":1,\"messages\":[{}]}",
+                                           "{\"model\":\"m\",\"messages\":[]}",
+                                           "{\"model\":\"m\",\"model\":\"n\",\"messages\":[{}]}" };
   cbd_t cbd;
 
-  for (uint32_t i = 0; i < G_N_ELEMENTS (BROKEN); i++)
-    CU_ASSERT_PTR_NOT_NULL (parse (&cbd, BROKEN[i]));
+  for (uint32_t i = 0; i < G_N_ELEMENTS (MALFORMED); i++)
+    CU_ASSERT_PTR_NOT_NULL (parse (&cbd, MALFORMED[i]));
 }
 
-/* A caller sends a body of nothing but brackets. The parser recurses for each, so it is refused
- * before it is parsed; brackets within strings do not count. */
+/* The JSON parser recurses for each bracket, so a body of brackets alone could exhaust the stack.
+ * It must be rejected before it is parsed; brackets within strings don't count. */
 static void
-refuses_deep_chats (void)
+rejects_deeply_nested_chats (void)
 {
   g_autofree char *deep = g_strnfill (100000, '[');
   g_autofree char *text = g_strnfill (1000, '[');
@@ -71,10 +71,10 @@
   cbd_clear (&cbd);
 }
 
-/* Two accounts use the same idempotency key, or one tries to run its texts together so that they
- * look like another's: neither may share a claim or a mark. */
+/* Guards against client accounts that share a claim or a crash mark: two accounts use the same
+ * idempotency key, or one picks a name and key whose concatenation equals another account's. */
 static void
-digests_keep_accounts_apart (void)
+digests_differ_between_accounts (void)
 {
   uint64_t a[2];
   uint64_t b[2];
@@ -89,17 +89,17 @@
 }
 
 static void
-keeps_what_belongs_to_a_connection (void)
+drops_connection_and_fleet_headers (void)
 {
-  static const char *const STAY[] = {
+  static const char *const DROPPED[] = {
     "X-HTTP-Method-Override", "x-original-url", "connection",
     "Transfer-Encoding",      "Host",           "upgrade",
     "Authorization",          "X-Api-Key",      "X-Medlarplank-Home",
     "x-request-id",           "X-Priority"
   };
 
-  for (uint32_t i = 0; i < G_N_ELEMENTS (STAY); i++)
-    CU_ASSERT_FALSE (hdr_passes_on (STAY[i]));
+  for (uint32_t i = 0; i < G_N_ELEMENTS (DROPPED); i++)
+    CU_ASSERT_FALSE (hdr_passes_on (DROPPED[i]));
   CU_ASSERT_TRUE (hdr_passes_on ("Content-Type"));
   CU_ASSERT_TRUE (hdr_passes_back ("X-Cached-Tokens"));
   CU_ASSERT_FALSE (hdr_passes_back ("X-Medlarplank-Verdict"));
@@ -138,7 +138,7 @@
 }
 
 static void
-explains_a_request (void)
+finds_decisions_on_a_request (void)
 {
   dcn_ring_t *ring = dcn_ring_new (3);
   dcn_t decision = { .request = { 1, 0x100 }, .action = "send", .chosen = "e1" };
@@ -153,7 +153,7 @@
   found = dcn_explain (ring, wanted);
   CU_ASSERT_EQUAL (json_array_size (found), 2);
   json_decref (found);
-  dcn_note (ring, "route", &decision); /* pushes the first out */
+  dcn_note (ring, "route", &decision); /* overwrites the oldest decision */
   found = dcn_explain (ring, wanted);
   CU_ASSERT_EQUAL (json_array_size (found), 1);
   json_decref (found);
@@ -165,13 +165,13 @@
 {
   static const CU_TestInfo tests[] = {
     { "reads a chat", reads_a_chat },
-    { "refuses broken chats", refuses_broken_chats },
-    { "refuses deep chats", refuses_deep_chats },
-    { "digests keep accounts apart", digests_keep_accounts_apart },
-    { "keeps what belongs to a connection", keeps_what_belongs_to_a_connection },
+    { "rejects malformed chats", rejects_malformed_chats },
+    { "rejects deeply nested chats", rejects_deeply_nested_chats },
+    { "digests differ between accounts", digests_differ_between_accounts },
+    { "drops connection and fleet headers", drops_connection_and_fleet_headers },
     { "errors carry the verdict", errors_carry_the_verdict },
     { "seals orders", seals_orders },
-    { "explains a request", explains_a_request },
+    { "finds decisions on a request", finds_decisions_on_a_request },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("request parts", tests);
