--- a/src/request/gateway/event_split.c
+++ b/src/request/gateway/event_split.c
@@ -17,9 +17,9 @@
   evbuffer_free (evs->partial);
 }
 
-/* Return: bytes of the first event with the empty line that ends it, 0 when it has not ended */
+/* Return: length of the first event, with the empty line that ends it; 0 when it is not whole */
 static size_t
-event_bytes (const char *text, size_t bytes)
+first_event_bytes (const char *text, size_t bytes)
 {
   const char *at = text;
   const char *end = text + bytes;
@@ -37,9 +37,9 @@
   return 0;
 }
 
-/* Return: whether the event has an id, a decimal number */
+/* Return: whether the event has an id, which must be a decimal number */
 static bool
-read_id (const char *text, size_t bytes, uint64_t *id)
+parse_event_id (const char *text, size_t bytes, uint64_t *id)
 {
   const char *line = text;
   const char *end = text + bytes;
@@ -63,13 +63,13 @@
   return false;
 }
 
-/* Return: whether the event is to be passed on */
+/* Records the event. Return: false if it was forwarded before, from the stream that broke off. */
 static bool
-note_event (evs_t *evs, const char *text, size_t bytes)
+accept_event (evs_t *evs, const char *text, size_t bytes)
 {
   uint64_t id;
 
-  if (read_id (text, bytes, &id))
+  if (parse_event_id (text, bytes, &id))
     {
       if (evs->resumed && evs->has_id && id <= evs->last_id)
         return false;
@@ -88,14 +88,14 @@
     {
       size_t have = evbuffer_get_length (evs->partial);
       const char *text = have > 0 ? (const char *)evbuffer_pullup (evs->partial, -1) : "";
-      size_t bytes = event_bytes (text, have);
+      size_t bytes = first_event_bytes (text, have);
 
       if (bytes == 0)
         {
           evs->broken = have > EVS_EVENT_LIMIT_BYTES;
           return;
         }
-      if (note_event (evs, text, bytes))
+      if (accept_event (evs, text, bytes))
         evbuffer_remove_buffer (evs->partial, out, bytes);
       else
         evbuffer_drain (evs->partial, bytes);
--- a/src/request/gateway/event_split.h
+++ b/src/request/gateway/event_split.h
@@ -1,8 +1,8 @@
 /**
- * DOC: event_split
+ * DOC: event_splitter
  *
- * Splits a stream of server-sent events into whole events and notes the id of the last one. What is
- * passed on is never half an event, so a stream that breaks off can go on elsewhere.
+ * Splits a stream of server-sent events into whole events and remembers the id of the last one.
+ * Only whole events are forwarded, so a stream that breaks off can be resumed at another engine.
  */
 #ifndef REQUEST_GATEWAY_EVENT_SPLIT_H
 #define REQUEST_GATEWAY_EVENT_SPLIT_H
@@ -11,14 +11,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define EVS_EVENT_LIMIT_BYTES (1024 * 1024) /* a longer one counts as broken */
+#define EVS_EVENT_LIMIT_BYTES (1024 * 1024) /* a longer event makes the stream invalid */
 
 /**
- * struct evs - a stream
- * @partial: of an event that has not ended
- * @last_id: of the last whole event, when @has_id
- * @count: whole events passed on
- * @broken: an event was over the limit
+ * struct evs - state of one stream of events
+ * @partial: what has come of an event that has not ended yet
+ * @last_id: id of the last event that had one; valid when @has_id is set
+ * @count: number of whole events that were forwarded
+ * @resumed: the stream was resumed: events up to @last_id are dropped
+ * @broken: an event exceeded %EVS_EVENT_LIMIT_BYTES; nothing more is forwarded
  */
 typedef struct
 {
@@ -32,15 +33,15 @@
 
 void evs_init (evs_t *evs);
 void evs_clear (evs_t *evs);
-/** evs_feed() - moves the whole events of @in, with what was left before, to @out; drains @in */
+/** evs_feed() - appends @in, which it drains, to the stream, and moves the events that are whole by
+ * now to @out */
 void evs_feed (evs_t *evs, struct evbuffer *in, struct evbuffer *out);
-/** evs_is_between() - no event has begun that has not ended */
+/** evs_is_between() - whether the stream stands between two events, with no partial one */
 bool evs_is_between (const evs_t *evs);
-/** evs_restart() - the stream begins anew at another engine: half an event of the one before is
- * dropped */
+/** evs_restart() - prepares for a new stream from another engine: drops the partial event */
 void evs_restart (evs_t *evs);
-/** evs_resume() - the stream goes on after @last_id: half an event is dropped, and events that came
- * already are left out */
+/** evs_resume() - prepares for a stream that continues after @last_id: drops the partial event, and
+ * events of the new stream that were forwarded already */
 void evs_resume (evs_t *evs);
 
 #endif
--- a/src/request/gateway/format.h
+++ b/src/request/gateway/format.h
@@ -1,8 +1,8 @@
 /**
  * DOC: format
  *
- * How callers and engines write what a router must know of a request: an interface that an adapter
- * fills in. The rest of the program sees these types only, never a header's name.
+ * The interface between the gateway and the HTTP headers of clients and engines. An adapter for one
+ * platform implements it; the rest of the program uses these types and knows no header names.
  */
 #ifndef REQUEST_GATEWAY_FORMAT_H
 #define REQUEST_GATEWAY_FORMAT_H
@@ -14,11 +14,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define FMT_PARTS 16 /* parts of a prompt that are looked at */
+#define FMT_PARTS 16 /* of a longer prompt the first parts and the last one are kept */
 #define FMT_ID_BYTES 128
-#define FMT_REST_MOST_MS (24 * 3600 * 1000) /* a longer rest is a slip */
+#define FMT_REST_MOST_MS (24 * 3600 * 1000) /* a longer backoff is taken for a mistake */
 
-/** struct fmt_part - a part of a prompt; equal hashes are the same tokens */
+/** struct fmt_part - a part of a prompt; parts with the same hash have the same tokens */
 typedef struct
 {
   uint64_t hash;
@@ -26,13 +26,14 @@
 } fmt_part_t;
 
 /**
- * struct fmt_request - what a caller says of its request; texts are borrowed from the headers
- * @id: of this try of the caller's, NULL when it gives none
- * @key: secret of its client account, NULL when it gives none
- * @deadline_ms: how long the caller waits; 0 is not said
- * @prompt_tokens, @output_tokens: of a model request; the output is the most it may have
- * @parts: of the prompt in order; the last one is the request's or its chat's own
- * @resumes: the caller goes on with a stream after event @last_event
+ * struct fmt_request - the headers of a client's request; texts are borrowed from the headers
+ * @id: id of this attempt of the client, or NULL
+ * @key: API key of the client account, or NULL
+ * @deadline_ms: how long the client waits; 0 when it doesn't say
+ * @prompt_tokens: length of the prompt of a model request
+ * @output_tokens: maximum length of the output of a model request
+ * @parts: parts of the prompt in order; the last one belongs to this request or its chat alone
+ * @resumes: the client resumes a stream after the event with the id @last_event
  */
 typedef struct
 {
@@ -48,13 +49,13 @@
 } fmt_request_t;
 
 /**
- * struct fmt_hop - what the router tells an engine
- * @engine_id: another engine at the same address must refuse the request
- * @account: NULL on a route that needs no key
- * @left_ms: of the caller's time
- * @priority: 0 is first
- * @cache_source: engine from whose cache it should copy what it lacks of the prompt, or NULL
- * @resumes: go on with the stream after event @last_event
+ * struct fmt_hop - what the gateway tells an engine with a request
+ * @engine_id: the engine that is meant; another one at the same address must refuse the request
+ * @account: name of the client account; NULL on a route that needs no key
+ * @cache_source: engine to copy missing parts of the prompt from, out of its cache; NULL for none
+ * @left_ms: time left until the client's deadline
+ * @priority: 0 is the most urgent
+ * @resumes: resume the stream after the event with the id @last_event
  */
 typedef struct
 {
@@ -68,14 +69,16 @@
 } fmt_hop_t;
 
 /**
- * struct fmt_answer - what an engine's answer says of itself
- * @crossed: it answers another request
+ * struct fmt_answer - what the headers of an engine's response say
+ * @crossed: the response belongs to another request
  * @not_run: the engine states that it did not run the request
- * @is_other: it is another engine than the one expected
- * @genuine: it bears the engine's signature
- * @idle_ms: how long the engine keeps an idle connection; 0 is not said
- * @leaving: the engine that was expected says that it leaves
- * @rest_ms: it refused the request and wants no more for so long; 0 is not said
+ * @is_other: the response is from another engine than the one that the request named
+ * @genuine: the response carries the engine's signature
+ * @has_load: @load is valid
+ * @idle_ms: how long the engine keeps an idle connection open; 0 when it doesn't say
+ * @leaving: the engine that the request named says that it leaves and takes no new requests
+ * @rest_ms: the engine refused the request and asks for no further ones for this time; 0 when it
+ *   doesn't say
  */
 typedef struct
 {
@@ -90,7 +93,7 @@
   uint32_t rest_ms;
 } fmt_answer_t;
 
-/** struct fmt_text - room for values that fmt_t.write() makes */
+/** struct fmt_text - buffers for the header values that fmt_t.write() formats */
 typedef struct
 {
   char left_ms[16];
@@ -100,12 +103,12 @@
 } fmt_text_t;
 
 /**
- * struct fmt - a format
- * @read: Return: NULL, or what is wrong with the request, for its caller
- * @write: adds the headers of the request to an engine to @out, of hcl_header_t: the router's, and
- * those of the caller that pass on
- * @answer: @id is that of the request
- * @passes_back: whether an answer's header goes to the caller
+ * struct fmt - the operations of an adapter
+ * @read: parses a client's request headers. Return: NULL, or an error message for the client
+ * @write: appends the request headers for an engine to @out, an array of hcl_header_t: those of the
+ *   gateway, and the client's headers that are forwarded. @out borrows from @text and @headers
+ * @answer: parses an engine's response headers; @id is the id of the request, or NULL
+ * @passes_back: whether a response header is forwarded to the client
  */
 typedef struct
 {
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -16,15 +16,16 @@
 {
   gwy_service_t *service = data;
 
-  lin_free (service->line);
-  lat_free (service->waits);
-  lat_free (service->heads);
-  lat_free (service->answers);
-  lat_free (service->failures);
+  lin_free (service->queue);
+  lat_free (service->wait_histogram);
+  lat_free (service->head_histogram);
+  lat_free (service->answer_histogram);
+  lat_free (service->failure_histogram);
   g_free (service);
 }
 
-/* A name may come to stand in the counters' text: what would end its value there is left out. */
+/* The name becomes a label value in the text of the metrics, so characters that would end it there
+ * are replaced. */
 static void
 make_histograms (gwy_t *gwy, gwy_service_t *service)
 {
@@ -34,14 +35,16 @@
   g_autofree char *labels =
       g_strdup_printf ("service=\"%s\"", g_strdelimit (name, "\"\\\n{},", '_'));
 
-  service->waits = lat_new (set, "medlarplank_gateway_wait_ms", labels,
-                            "From a request's arrival until it was first sent");
-  service->heads = lat_new (set, "medlarplank_gateway_head_ms", labels,
-                            "From a send until the head of its answer");
-  service->answers = lat_new (set, "medlarplank_gateway_answer_ms", labels,
-                              "From a request's arrival until its answer was whole");
-  service->failures = lat_new (set, "medlarplank_gateway_failure_ms", labels,
-                               "From a request's arrival until it was refused or had failed");
+  service->wait_histogram = lat_new (set, "medlarplank_gateway_wait_ms", labels,
+                                     "Time from the arrival of a request until it was first sent");
+  service->head_histogram = lat_new (set, "medlarplank_gateway_head_ms", labels,
+                                     "Time from a send until the head of its response");
+  service->answer_histogram =
+      lat_new (set, "medlarplank_gateway_answer_ms", labels,
+               "Time from the arrival of a request until its response was complete");
+  service->failure_histogram =
+      lat_new (set, "medlarplank_gateway_failure_ms", labels,
+               "Time from the arrival of a request until it was refused or failed");
 }
 
 gwy_service_t *
@@ -54,7 +57,7 @@
   service = g_new0 (gwy_service_t, 1);
   service->gwy = gwy;
   service->name = name;
-  service->line = lin_new ();
+  service->queue = lin_new ();
   rsh_init (&service->retries, gwy->started_us);
   make_histograms (gwy, service);
   g_hash_table_insert (gwy->services, (gpointer)name, service);
@@ -65,7 +68,7 @@
 gwy_usual (gwy_t *gwy, const rte_route_t *route)
 {
   uint64_t hash = XXH64 (route->name, strlen (route->name), 0);
-  gwy_usual_t *usual = &gwy->usual[hash % GWY_ROUTES];
+  gwy_usual_t *usual = &gwy->route_stats[hash % GWY_ROUTES];
 
   if (usual->route_hash != hash)
     *usual = (gwy_usual_t){ .route_hash = hash };
@@ -73,7 +76,7 @@
 }
 
 static void
-pump_all (gwy_t *gwy)
+dispatch_all (gwy_t *gwy)
 {
   GHashTableIter iter;
   gpointer value;
@@ -87,7 +90,7 @@
 }
 
 static void
-watch_calls (gwy_t *gwy)
+check_silent_hops (gwy_t *gwy)
 {
   g_autoptr (GList) calls = g_hash_table_get_keys (gwy->calls);
 
@@ -97,7 +100,7 @@
 }
 
 static void
-take_suspects (gwy_t *gwy)
+mark_suspects (gwy_t *gwy)
 {
   uint64_t now_us = gwy_now_us (gwy);
   cwt_loss_t loss;
@@ -105,7 +108,7 @@
 
   while (cwt_take (&gwy->crashes, now_us, &loss))
     {
-      if (prv_has (gwy->proven, now_us, loss.fingerprint) ||
+      if (prv_has (gwy->served, now_us, loss.fingerprint) ||
           !sus_add (gwy->suspects, now_us, loss.fingerprint, loss.engine_hash) ||
           !sus_get (gwy->suspects, now_us, loss.fingerprint, &mark))
         continue;
@@ -123,15 +126,15 @@
 
   (void)fd;
   (void)what;
-  pump_all (gwy);
+  dispatch_all (gwy);
   if (++gwy->ticks % GWY_WATCH_TICKS != 0)
     return;
-  watch_calls (gwy);
-  take_suspects (gwy);
+  check_silent_hops (gwy);
+  mark_suspects (gwy);
 }
 
 static void
-tell_cleared (gwy_t *gwy, uint64_t fingerprint)
+announce_cleared (gwy_t *gwy, uint64_t fingerprint)
 {
   sus_mark_t cleared = { .fingerprint = fingerprint };
 
@@ -153,36 +156,38 @@
 {
   uint64_t now_us = gwy_now_us (gwy);
 
-  if (sus_is_cleared (mark) || !prv_has (gwy->proven, now_us, mark->fingerprint))
+  if (sus_is_cleared (mark) || !prv_has (gwy->served, now_us, mark->fingerprint))
     sus_merge (gwy->suspects, now_us, mark);
   else
-    tell_cleared (gwy, mark->fingerprint);
+    announce_cleared (gwy, mark->fingerprint);
 }
 
-/* Who marked it has perhaps not served it, and would refuse it until the mark expires. */
+/* The gateway that marked the request has perhaps not served it, and would refuse it until its mark
+ * expires; so the others are told that it is cleared. */
 void
 gwy_served (gwy_t *gwy, uint64_t fingerprint)
 {
-  prv_answered (gwy->proven, gwy_now_us (gwy), fingerprint);
+  prv_answered (gwy->served, gwy_now_us (gwy), fingerprint);
   if (sus_clear (gwy->suspects, fingerprint))
-    tell_cleared (gwy, fingerprint);
+    announce_cleared (gwy, fingerprint);
 }
 
 static void
-get_counters (gwy_t *gwy)
+register_counters (gwy_t *gwy)
 {
   cnt_set_t *set = gwy->options.counters;
 
   gwy->answered = cnt_get (set, "medlarplank_gateway_answered_total", "Requests answered");
   gwy->refused = cnt_get (set, "medlarplank_gateway_refused_total", "Requests refused, not run");
-  gwy->failed =
-      cnt_get (set, "medlarplank_gateway_failed_total", "Requests that failed or were cut");
-  gwy->retried = cnt_get (set, "medlarplank_gateway_retried_total", "Sends to another engine");
+  gwy->failed = cnt_get (set, "medlarplank_gateway_failed_total",
+                         "Requests that failed or whose response was cut off");
+  gwy->retried =
+      cnt_get (set, "medlarplank_gateway_retried_total", "Requests sent again to another engine");
   gwy->resumed =
-      cnt_get (set, "medlarplank_gateway_resumed_total", "Streams that went on elsewhere");
-  gwy->gone = cnt_get (set, "medlarplank_gateway_gone_total", "Requests whose caller left");
+      cnt_get (set, "medlarplank_gateway_resumed_total", "Streams resumed at another engine");
+  gwy->gone = cnt_get (set, "medlarplank_gateway_gone_total", "Requests whose client disconnected");
   gwy->waited =
-      cnt_get (set, "medlarplank_gateway_waited_total", "Times that requests waited for room");
+      cnt_get (set, "medlarplank_gateway_waited_total", "Times that a request was queued");
 }
 
 gwy_t *
@@ -197,34 +202,34 @@
   gwy->started_us = gwy_now_us (gwy);
   gwy->routers = 1;
   gwy->suspects = sus_new (GWY_SUSPECTS, GWY_SUSPECT_US);
-  gwy->proven = prv_new (GWY_PROVEN, GWY_PROVEN_US);
-  gwy->warm = prv_new (GWY_WARM, GWY_WARM_US);
+  gwy->served = prv_new (GWY_PROVEN, GWY_PROVEN_US);
+  gwy->cache_warm = prv_new (GWY_WARM, GWY_WARM_US);
   gwy->services = g_hash_table_new_full (NULL, NULL, NULL, service_free);
   gwy->calls = g_hash_table_new (NULL, NULL);
-  get_counters (gwy);
+  register_counters (gwy);
   gwy->upstreams = hcl_new (options->base, GWY_IDLE_CONNECTIONS, GWY_IDLE_TIMEOUT_MS);
   hcl_set_connect_limit (gwy->upstreams, GWY_CONNECT_MS);
-  gwy->tick = event_new (options->base, -1, EV_PERSIST, on_tick, gwy);
-  event_add (gwy->tick, &tick);
-  gwy->front = hsv_new (&(hsv_options_t){ .base = options->base,
-                                          .counters = options->counters,
-                                          .listen = set->listen,
-                                          .body_limit_bytes = set->body_limit_bytes,
-                                          .header_limit_bytes = set->header_limit_bytes,
-                                          .header_limit_count = set->header_limit_count,
-                                          .connection_limit = set->connection_limit,
-                                          .idle_timeout_ms = set->idle_timeout_ms,
-                                          .on_call = gwy_accept,
-                                          .context = gwy },
-                        error);
-  if (gwy->front)
+  gwy->tick_timer = event_new (options->base, -1, EV_PERSIST, on_tick, gwy);
+  event_add (gwy->tick_timer, &tick);
+  gwy->listener = hsv_new (&(hsv_options_t){ .base = options->base,
+                                             .counters = options->counters,
+                                             .listen = set->listen,
+                                             .body_limit_bytes = set->body_limit_bytes,
+                                             .header_limit_bytes = set->header_limit_bytes,
+                                             .header_limit_count = set->header_limit_count,
+                                             .connection_limit = set->connection_limit,
+                                             .idle_timeout_ms = set->idle_timeout_ms,
+                                             .on_call = gwy_accept,
+                                             .context = gwy },
+                           error);
+  if (gwy->listener)
     return gwy;
   gwy_free (gwy);
   return NULL;
 }
 
 static void
-drop_calls (gwy_t *gwy)
+cancel_calls (gwy_t *gwy)
 {
   GList *calls = g_hash_table_get_keys (gwy->calls);
 
@@ -242,13 +247,13 @@
 void
 gwy_free (gwy_t *gwy)
 {
-  if (gwy->front)
-    hsv_free (gwy->front);
-  drop_calls (gwy);
+  if (gwy->listener)
+    hsv_free (gwy->listener);
+  cancel_calls (gwy);
   hcl_free (gwy->upstreams);
-  event_free (gwy->tick);
-  prv_free (gwy->proven);
-  prv_free (gwy->warm);
+  event_free (gwy->tick_timer);
+  prv_free (gwy->served);
+  prv_free (gwy->cache_warm);
   sus_free (gwy->suspects);
   g_hash_table_destroy (gwy->services);
   g_hash_table_destroy (gwy->calls);
@@ -265,14 +270,14 @@
   if (gwy->table)
     rte_unref (gwy->table);
   gwy->table = rte_ref (table);
-  hsv_configure (gwy->front, limits->body_bytes, limits->header_bytes, limits->header_timeout_ms,
+  hsv_configure (gwy->listener, limits->body_bytes, limits->header_bytes, limits->header_timeout_ms,
                  limits->idle_timeout_ms);
 }
 
 void
 gwy_set_certain (gwy_t *gwy, bool certain)
 {
-  gwy->certain = certain;
+  gwy->config_current = certain;
 }
 
 void
@@ -283,8 +288,9 @@
 }
 
 /*
- * Behind a cut an engine crashes and starts again under its id: its connections show nothing, and
- * callers would wait for what ran there until their deadlines.
+ * When the network to an engine is cut while it crashes and restarts under the same id, its
+ * connections show no error, and clients would wait until their deadlines for requests that are
+ * lost. The registry shows the restart, so the requests are given up here.
  */
 void
 gwy_engine_restarted (gwy_t *gwy, uint64_t hash, const set_address_t *address)
@@ -301,42 +307,42 @@
 void
 gwy_engines_changed (gwy_t *gwy)
 {
-  pump_all (gwy);
+  dispatch_all (gwy);
 }
 
 void
 gwy_hold (gwy_t *gwy)
 {
-  hsv_hold (gwy->front);
+  hsv_hold (gwy->listener);
 }
 
 void
 gwy_release (gwy_t *gwy)
 {
-  hsv_release (gwy->front);
+  hsv_release (gwy->listener);
 }
 
 void
 gwy_say_close (gwy_t *gwy)
 {
-  hsv_say_close (gwy->front);
+  hsv_say_close (gwy->listener);
 }
 
 void
 gwy_stop (gwy_t *gwy)
 {
   gwy->stopping = true;
-  hsv_stop (gwy->front);
+  hsv_stop (gwy->listener);
 }
 
 uint32_t
 gwy_busy (const gwy_t *gwy)
 {
-  return hsv_busy (gwy->front) + g_hash_table_size (gwy->calls);
+  return hsv_busy (gwy->listener) + g_hash_table_size (gwy->calls);
 }
 
 uint16_t
 gwy_port (const gwy_t *gwy)
 {
-  return hsv_port (gwy->front);
+  return hsv_port (gwy->listener);
 }
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -1,4 +1,4 @@
-/* The course of one request: where it goes next, and what its caller hears in the end. */
+/* The steps of one request: where it is sent next, and with which response it ends. */
 #include "request/gateway/gateway_private.h"
 
 #include "base/log.h"
@@ -7,11 +7,12 @@
 #include <xxhash.h>
 
 /*
- * The part that is worth most in a cache, of those that requests share: the longest but the last
- * one. A prompt of one part has no other.
+ * The prompt part by which an engine is chosen: the longest of those that requests share, which
+ * saves most work when it is cached. The last part belongs to the request alone, so it counts only
+ * when there is no other.
  */
 static const fmt_part_t *
-affinity_of (const fmt_request_t *request)
+find_affinity_part (const fmt_request_t *request)
 {
   uint32_t shared = request->part_count > 1 ? request->part_count - 1 : request->part_count;
   const fmt_part_t *best = NULL;
@@ -25,16 +26,16 @@
 static void
 set_affinity (gwy_call_t *call)
 {
-  const fmt_part_t *part = call->route->sticky ? affinity_of (&call->request) : NULL;
+  const fmt_part_t *part = call->route->sticky ? find_affinity_part (&call->request) : NULL;
 
   call->affinity = part ? part->hash : 0;
   call->affinity_tokens = part ? part->tokens : 0;
 }
 
-/* Of all parts that requests share, in their order: an engine's cache holds them one after another.
- */
+/* The hash covers all shared parts in their order, since a cached part can be used only after the
+ * same parts before it. */
 static uint64_t
-shared_parts_of (const fmt_request_t *request)
+hash_shared_parts (const fmt_request_t *request)
 {
   uint64_t hash = 0;
 
@@ -44,7 +45,7 @@
 }
 
 static uint64_t
-deadline_of (const rte_route_t *route, const fmt_request_t *request, uint64_t now_us)
+compute_deadline_us (const rte_route_t *route, const fmt_request_t *request, uint64_t now_us)
 {
   uint32_t limit_ms = route->timeout_ms;
 
@@ -56,14 +57,14 @@
 static bool
 is_repeatable (const gwy_call_t *call)
 {
-  return call->route->kind == RTE_IDEMPOTENT || call->crs.rules.resumable;
+  return call->route->kind == RTE_IDEMPOTENT || call->course.rules.resumable;
 }
 
 static void
-note_failure (const gwy_call_t *call)
+count_failure (const gwy_call_t *call)
 {
   cnt_add (call->gwy->failed, 1);
-  lat_add (call->service->failures, gwy_now_us (call->gwy) - call->arrived_us);
+  lat_add (call->service->failure_histogram, gwy_now_us (call->gwy) - call->arrived_us);
 }
 
 static void
@@ -71,17 +72,17 @@
 {
   bool in_time = reason != VRD_REASON_TIMEOUT && reason != VRD_REASON_DEADLINE;
 
-  note_failure (call);
+  count_failure (call);
   gwy_call_log_failure (call, "end", "failed", reason);
-  flt_reply (call->in, &(flt_t){ .reason = in_time ? VRD_REASON_CUT : VRD_REASON_TIMEOUT,
-                                 .verdict = VRD_MAY_HAVE_RUN });
+  flt_reply (call->client, &(flt_t){ .reason = in_time ? VRD_REASON_CUT : VRD_REASON_TIMEOUT,
+                                     .verdict = VRD_MAY_HAVE_RUN });
   gwy_call_free (call);
 }
 
 static void
 end_cut (gwy_call_t *call, vrd_reason_t reason)
 {
-  note_failure (call);
+  count_failure (call);
   gwy_call_log_failure (call, "end", "cut", reason);
   rly_cut (&call->rly, &(flt_t){ .reason = VRD_REASON_CUT });
   gwy_call_free (call);
@@ -94,21 +95,21 @@
 
   (void)fd;
   (void)what;
-  if (call->line.waiting)
+  if (call->queue_item.waiting)
     {
       gwy_wait_remove (call);
       gwy_call_give_up (call, VRD_REASON_DEADLINE, GWY_RETRY_MIN_MS);
       return;
     }
   gwy_hop_drop (call);
-  if (call->in && call->failure_held)
+  if (call->client && call->failure_buffered)
     {
       gwy_call_whole (call);
       return;
     }
   gwy_call_log_failure (call, "end", "timeout", VRD_REASON_TIMEOUT);
-  note_failure (call);
-  if (!call->in)
+  count_failure (call);
+  if (!call->client)
     gwy_call_free (call);
   else if (call->rly.begun)
     {
@@ -117,23 +118,24 @@
     }
   else
     {
-      flt_reply (call->in, &(flt_t){ .reason = VRD_REASON_TIMEOUT, .verdict = VRD_MAY_HAVE_RUN });
+      flt_reply (call->client,
+                 &(flt_t){ .reason = VRD_REASON_TIMEOUT, .verdict = VRD_MAY_HAVE_RUN });
       gwy_call_free (call);
     }
 }
 
-/* What may be repeated is cancelled, as nobody waits for it; the rest goes on, as an engine that
- * has begun on it must not be left half-way. */
+/* A non-idempotent request that was sent continues to its end, as its engine must not be
+ * interrupted in the middle of it. Any other is cancelled, as nobody waits for its response. */
 static void
-on_gone (void *context)
+on_client_gone (void *context)
 {
   gwy_call_t *call = context;
 
   cnt_add (call->gwy->gone, 1);
-  call->in = NULL;
+  call->client = NULL;
   rly_gone (&call->rly);
-  gwy_call_log (call, "gone", call->line.waiting ? "waiting" : "sent", VRD_REASON_NONE);
-  if (call->out && call->route->kind == RTE_NON_IDEMPOTENT)
+  gwy_call_log (call, "gone", call->queue_item.waiting ? "waiting" : "sent", VRD_REASON_NONE);
+  if (call->upstream && call->route->kind == RTE_NON_IDEMPOTENT)
     return;
   gwy_wait_remove (call);
   gwy_hop_drop (call);
@@ -141,7 +143,7 @@
 }
 
 static void
-arm (gwy_call_t *call)
+start_deadline_timer (gwy_call_t *call)
 {
   uint64_t left_us = call->deadline_us - call->arrived_us;
   struct timeval wait = { (time_t)(left_us / CLK_US_PER_S), (suseconds_t)(left_us % CLK_US_PER_S) };
@@ -151,10 +153,10 @@
 }
 
 static lin_item_t
-line_item_of (gwy_call_t *call)
+make_queue_item (gwy_call_t *call)
 {
-  gwy_usual_t *usual = gwy_usual (call->gwy, call->route);
-  uint64_t age_us = fas_age_us (&usual->first_ask, call->arrived_us, call->request.deadline_ms);
+  gwy_usual_t *stats = gwy_usual (call->gwy, call->route);
+  uint64_t age_us = fas_age_us (&stats->first_ask, call->arrived_us, call->request.deadline_ms);
   uint64_t aim_us = (uint64_t)call->route->aim_ms * CLK_US_PER_MS;
   uint64_t silence_us = (uint64_t)call->route->silence_ms * CLK_US_PER_MS;
 
@@ -163,7 +165,7 @@
                        .deadline_us = call->deadline_us,
                        .leaves_us = silence_us ? call->arrived_us + silence_us : 0,
                        .in_time_us = call->arrived_us + aim_us - MIN (age_us, aim_us),
-                       .run_us = usual->run_us,
+                       .run_us = stats->run_us,
                        .returns = age_us > 0,
                        .fair = { .account_hash = call->account ? call->account->hash : 0,
                                  .has_precedence = call->account && call->account->has_priority,
@@ -173,35 +175,35 @@
 
 gwy_call_t *
 gwy_call_new (gwy_t *gwy,
-              hsv_call_t *in,
+              hsv_call_t *client,
               const rte_route_t *route,
               const rte_account_t *account,
               const fmt_request_t *request)
 {
   gwy_call_t *call = g_new0 (gwy_call_t, 1);
   bool is_stream = route->kind == RTE_STREAM;
-  uint64_t dice;
+  uint64_t target_hash;
 
   call->gwy = gwy;
-  call->in = in;
+  call->client = client;
   call->table = rte_ref (gwy->table);
   call->route = route;
   call->account = account;
   call->request = *request;
   g_strlcpy (call->id, request->id ? request->id : "", sizeof call->id);
   call->arrived_us = gwy_now_us (gwy);
-  call->deadline_us = deadline_of (route, request, call->arrived_us);
-  call->line = line_item_of (call);
+  call->deadline_us = compute_deadline_us (route, request, call->arrived_us);
+  call->queue_item = make_queue_item (call);
   set_affinity (call);
-  call->shared_parts = shared_parts_of (request);
-  dice = XXH64 (call->id, strlen (call->id), gwy->next_number++);
-  call->service = gwy_service (gwy, rte_target (route, dice));
-  call->body = hsv_take_body (in, &call->body_bytes);
-  crs_init (&call->crs, &(crs_rules_t){ .idempotent = route->kind == RTE_IDEMPOTENT,
-                                        .resumable = is_stream && route->resumable,
-                                        .attempts = route->attempts });
+  call->shared_parts = hash_shared_parts (request);
+  target_hash = XXH64 (call->id, strlen (call->id), gwy->next_call_number++);
+  call->service = gwy_service (gwy, rte_target (route, target_hash));
+  call->body = hsv_take_body (client, &call->body_bytes);
+  crs_init (&call->course, &(crs_rules_t){ .idempotent = route->kind == RTE_IDEMPOTENT,
+                                           .resumable = is_stream && route->resumable,
+                                           .attempts = route->attempts });
   evs_init (&call->evs);
-  rly_init (&call->rly, in);
+  rly_init (&call->rly, client);
   call->rly.passes_back = gwy->options.format->passes_back;
   if (request->resumes)
     {
@@ -210,15 +212,15 @@
     }
   g_hash_table_add (gwy->calls, call);
   rsh_request (&call->service->retries, &gwy->options.retries, call->arrived_us);
-  hsv_on_gone (in, on_gone, call);
-  arm (call);
+  hsv_on_gone (client, on_client_gone, call);
+  start_deadline_timer (call);
   return call;
 }
 
 void
 gwy_call_free (gwy_call_t *call)
 {
-  g_assert (!call->out && !call->line.waiting);
+  g_assert (!call->upstream && !call->queue_item.waiting);
   g_hash_table_remove (call->gwy->calls, call);
   event_free (call->timer);
   evs_clear (&call->evs);
@@ -241,9 +243,9 @@
       level, event, "id", call->id, "route", call->route->name, "version",
       LOG_U64 (rte_version (call->table)), "engine", call->engine ? call->engine->entry.id : NULL,
       "outcome", outcome, "reason", reason == VRD_REASON_NONE ? NULL : vrd_reason_name (reason),
-      "hops", LOG_U64 (call->hops), "full", LOG_U64 (call->crs.full), "unsent",
-      LOG_U64 (call->crs.unsent), "status", LOG_U64 ((uint64_t)call->status), "head_ms",
-      call->headed ? LOG_U64 ((call->headed_us - call->sent_us) / CLK_US_PER_MS) : NULL, "ms",
+      "hops", LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
+      LOG_U64 (call->course.unsent), "status", LOG_U64 ((uint64_t)call->status), "head_ms",
+      call->has_head ? LOG_U64 ((call->head_us - call->sent_us) / CLK_US_PER_MS) : NULL, "ms",
       LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "left_ms",
       LOG_U64 (call->deadline_us > now_us ? (call->deadline_us - now_us) / CLK_US_PER_MS : 0),
       NULL);
@@ -255,7 +257,8 @@
   log_call (call, LOG_LEVEL_INFO, event, outcome, reason);
 }
 
-/* The line leaves the process before the answer does, so it is there also when a kill follows. */
+/* The log is flushed before the response is sent, so that the line exists even if the process is
+ * killed right after. */
 void
 gwy_call_log_failure (const gwy_call_t *call,
                       const char *event,
@@ -267,7 +270,7 @@
 }
 
 static home_regions_t
-homes_of (const gwy_call_t *call)
+bound_regions (const gwy_call_t *call)
 {
   char **by_account = call->account ? call->account->regions : NULL;
 
@@ -280,7 +283,7 @@
 {
   const gwy_t *gwy = call->gwy;
   const gwy_service_t *service = call->service;
-  const rte_service_t *said = rte_service (gwy->table, service->name);
+  const rte_service_t *rules = rte_service (gwy->table, service->name);
   uint64_t now_us = gwy_now_us (gwy);
 
   return spr_choose (
@@ -288,18 +291,18 @@
       &(spr_request_t){ .affinity = call->affinity,
                         .affinity_tokens = call->affinity_tokens,
                         .data_center = gwy->options.set->data_center,
-                        .repeatable = crs_may_leave (&call->crs, call->rly.begun),
+                        .repeatable = crs_may_leave (&call->course, call->rly.begun),
                         .gateways = gwy->routers,
                         .gateway_hash = gwy->name_hash,
-                        .run_us = lin_run_us (service->line),
-                        .head_us = lin_head_us (service->line),
-                        .told_milli = gau_told_milli (&service->load, now_us),
-                        .surge = gau_is_surge (&service->load, now_us, service->under_way),
-                        .late = call->line.waiting && call->line.late,
-                        .cold_per_s = said ? said->cold_per_s : 0,
-                        .cold_start_us = said ? said->cold_start_us : 0,
+                        .run_us = lin_run_us (service->queue),
+                        .head_us = lin_head_us (service->queue),
+                        .told_milli = gau_told_milli (&service->load_gauge, now_us),
+                        .surge = gau_is_surge (&service->load_gauge, now_us, service->in_flight),
+                        .late = call->queue_item.waiting && call->queue_item.late,
+                        .cold_per_s = rules ? rules->cold_per_s : 0,
+                        .cold_start_us = rules ? rules->cold_start_us : 0,
                         .known_gateways = gwy->known_routers,
-                        .homes = homes_of (call),
+                        .homes = bound_regions (call),
                         .drain_us = (uint64_t)gwy->options.set->center_drain_ms * CLK_US_PER_MS,
                         .tried = call->tried,
                         .tried_count = call->tried_count });
@@ -317,8 +320,8 @@
 {
   spr_choice_t choice;
 
-  /* Who comes later must not overtake those that wait. */
-  if (lin_count_in_time (call->service->line) > 0 && call->hops == 0)
+  /* A new request must not overtake those in the queue. */
+  if (lin_count_in_time (call->service->queue) > 0 && call->hops == 0)
     {
       gwy_wait_push (call);
       return;
@@ -349,7 +352,7 @@
   return gwy_call_retry_wait_us (context) == 0;
 }
 
-/* With what this gateway knows of its share of the retries. */
+/* The log line tells the state of this gateway's share of the retry budget. */
 static void
 log_retry (const gwy_call_t *call, const char *outcome, vrd_reason_t reason)
 {
@@ -380,7 +383,7 @@
 }
 
 static void
-go_on (gwy_call_t *call, bool resume, vrd_reason_t reason)
+retry (gwy_call_t *call, bool resume, vrd_reason_t reason)
 {
   prepare_retry (call, resume, reason);
   gwy_call_place (call);
@@ -392,19 +395,19 @@
   uint64_t now_us = gwy_now_us (call->gwy);
   uint64_t left_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
 
-  if (!call->in)
+  if (!call->client)
     {
       gwy_call_free (call);
       return;
     }
-  call->failure_held = call->failure_held || outcome == CRS_FAILED;
-  switch (crs_next (&call->crs, outcome, left_us, may_retry, call))
+  call->failure_buffered = call->failure_buffered || outcome == CRS_FAILED;
+  switch (crs_next (&call->course, outcome, left_us, may_retry, call))
     {
     case CRS_AGAIN:
-      go_on (call, call->rly.begun, reason);
+      retry (call, call->rly.begun, reason);
       return;
     case CRS_RESUME:
-      go_on (call, true, reason);
+      retry (call, true, reason);
       return;
     case CRS_WAIT:
       prepare_retry (call, call->rly.begun, reason);
@@ -426,54 +429,56 @@
 }
 
 static uint64_t
-add_text (uint64_t hash, const char *text)
+hash_text (uint64_t hash, const char *text)
 {
   return XXH64 (text, strlen (text) + 1, hash);
 }
 
-/* It is worked out for each answer, so it has to be cheap. The seed is a secret that all gateways
- * have, so that nobody outside can aim at the hash of another request. */
+/* Computed for each response, so the hash has to be cheap. Its seed is the fleet key, a secret that
+ * all gateways share, so that no client can craft a request with the hash of another one. */
 uint64_t
 gwy_call_fingerprint (const gwy_call_t *call)
 {
-  uint64_t hash = add_text (0, call->gwy->options.set->fleet_key);
+  uint64_t hash = hash_text (0, call->gwy->options.set->fleet_key);
 
-  hash = add_text (hash, call->account ? call->account->name : "");
-  hash = add_text (hash, hsv_method (call->in));
-  hash = add_text (hash, hsv_target (call->in));
+  hash = hash_text (hash, call->account ? call->account->name : "");
+  hash = hash_text (hash, hsv_method (call->client));
+  hash = hash_text (hash, hsv_target (call->client));
   return XXH64 (call->body, call->body_bytes, hash);
 }
 
 void
 gwy_call_whole (gwy_call_t *call)
 {
-  if (call->in)
+  if (call->client)
     gwy_served (call->gwy, gwy_call_fingerprint (call));
   cnt_add (call->gwy->answered, 1);
-  lat_add (call->service->answers, gwy_now_us (call->gwy) - call->arrived_us);
+  lat_add (call->service->answer_histogram, gwy_now_us (call->gwy) - call->arrived_us);
   gwy_call_log (call, "end", "answered", VRD_REASON_NONE);
   rly_whole (&call->rly);
   gwy_call_free (call);
 }
 
-/* What the decision was made by: the line and the retry budget as they stand. */
+/* The log line tells on what the refusal was based: the state of the queue and of the retry budget.
+ */
 static void
 log_refusal (const gwy_call_t *call, vrd_reason_t reason, uint32_t retry_after_ms)
 {
-  const lin_t *line = call->service->line;
+  const lin_t *queue = call->service->queue;
   uint64_t now_us = gwy_now_us (call->gwy);
   uint64_t retry_wait_us = gwy_call_retry_wait_us (call);
 
-  log_event (LOG_LEVEL_NOTICE, "refuse", "id", call->id, "route", call->route->name, "version",
-             LOG_U64 (rte_version (call->table)), "outcome",
-             is_repeatable (call) ? "repeatable" : "not_run", "reason", vrd_reason_name (reason),
-             "hops", LOG_U64 (call->hops), "full", LOG_U64 (call->crs.full), "unsent",
-             LOG_U64 (call->crs.unsent), "retry_wait_ms", LOG_U64 (retry_wait_us / CLK_US_PER_MS),
-             "ms", LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "retry_after_ms",
-             LOG_U64 (retry_after_ms), "overloaded",
-             lin_is_overloaded (line, now_us) ? "yes" : "no", "waiting", LOG_U64 (lin_count (line)),
-             "waiting_in_time", LOG_U64 (lin_count_in_time (line)), "odds_milli",
-             LOG_U64 (lin_odds_milli (line)), "returns", call->line.returns ? "yes" : "no", NULL);
+  log_event (
+      LOG_LEVEL_NOTICE, "refuse", "id", call->id, "route", call->route->name, "version",
+      LOG_U64 (rte_version (call->table)), "outcome",
+      is_repeatable (call) ? "repeatable" : "not_run", "reason", vrd_reason_name (reason), "hops",
+      LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
+      LOG_U64 (call->course.unsent), "retry_wait_ms", LOG_U64 (retry_wait_us / CLK_US_PER_MS), "ms",
+      LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "retry_after_ms",
+      LOG_U64 (retry_after_ms), "overloaded", lin_is_overloaded (queue, now_us) ? "yes" : "no",
+      "waiting", LOG_U64 (lin_count (queue)), "waiting_in_time",
+      LOG_U64 (lin_count_in_time (queue)), "odds_milli", LOG_U64 (lin_odds_milli (queue)),
+      "returns", call->queue_item.returns ? "yes" : "no", NULL);
   log_flush ();
 }
 
@@ -483,26 +488,27 @@
   uint32_t wait_ms = CLAMP (retry_after_ms, GWY_RETRY_MIN_MS, GWY_RETRY_MAX_MS);
 
   cnt_add (call->gwy->refused, 1);
-  lat_add (call->service->failures, gwy_now_us (call->gwy) - call->arrived_us);
+  lat_add (call->service->failure_histogram, gwy_now_us (call->gwy) - call->arrived_us);
   log_refusal (call, reason, wait_ms);
-  flt_reply (call->in, &(flt_t){ .status = 503,
-                                 .reason = reason,
-                                 .verdict = VRD_NOT_RUN,
-                                 .retry_after_ms = wait_ms,
-                                 .exact_retry = true });
+  flt_reply (call->client, &(flt_t){ .status = 503,
+                                     .reason = reason,
+                                     .verdict = VRD_NOT_RUN,
+                                     .retry_after_ms = wait_ms,
+                                     .exact_retry = true });
   gwy_call_free (call);
 }
 
-/* 503 promises that it has not run and never will, so a second send that finds no place must not
- * end by it: the first one may have run. What an engine said of it is worth more than 502. */
+/* 503 states that the request has not run and never will, so it must not be sent when an earlier
+ * hop may have run. The error response of an engine, if there is one, tells the client more than
+ * 502. */
 void
 gwy_call_give_up (gwy_call_t *call, vrd_reason_t reason, uint32_t retry_after_ms)
 {
   if (call->rly.begun)
     end_cut (call, reason);
-  else if (call->failure_held)
+  else if (call->failure_buffered)
     gwy_call_whole (call);
-  else if (call->crs.ran > 0)
+  else if (call->course.ran > 0)
     end_failed (call, reason);
   else
     refuse (call, reason, retry_after_ms);
