--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -3,7 +3,7 @@
  *
  * Types and functions shared by the files of the gateway's data task: gateway.c (the task),
  * gateway_accept.c (checks of a client's request), gateway_call.c (its steps and its end),
- * gateway_hop.c (one send to an engine), gateway_wait.c (requests queued while engines are full).
+ * gateway_hop.c (one send to an engine), gateway_queue.c (requests queued while engines are full).
  */
 #ifndef REQUEST_GATEWAY_GATEWAY_PRIVATE_H
 #define REQUEST_GATEWAY_GATEWAY_PRIVATE_H
@@ -52,7 +52,7 @@
 #define GWY_PROVEN_US (UINT64_C (10) * CLK_US_PER_S)
 #define GWY_WARM 4096       /* pairs of prompt and engine whose cache has the shared parts */
 #define GWY_FULL_MILLI 900  /* share of slots in use, in thousandths, from which requests queue */
-#define GWY_WATCH_TICKS 4   /* ticks between two searches for hops that bring nothing */
+#define GWY_WATCH_TICKS 4   /* ticks between two searches for hops whose engine is silent */
 #define GWY_WAIT_TICK_MS 25 /* queued requests are checked this often, and after all events */
 /* Levels of priority of an account, and of a route. Engines distinguish ten in all, so the pairs of
  * both must be no more than that. */
--- a/src/request/ops_private.h
+++ b/src/request/ops_private.h
@@ -1,7 +1,8 @@
 /**
  * DOC: data_task_private
  *
- * State shared by ops.c (start, stop and messages) and ops_serve.c (the HTTP paths of operators).
+ * State shared by data_task.c (start, stop and messages) and data_task_serve.c (the HTTP paths of
+ * operators).
  */
 #ifndef REQUEST_OPS_PRIVATE_H
 #define REQUEST_OPS_PRIVATE_H
--- a/src/request/relay.c
+++ b/src/request/relay.c
@@ -88,7 +88,7 @@
 static void
 stream_part (rly_t *rly, struct evbuffer *data)
 {
-  rly->between = rly->events && ends_event (data);
+  rly->at_event_end = rly->events && ends_event (data);
   if (!rly->begun)
     begin_streaming (rly);
   rly->full = !hsv_part (rly->to, data);
@@ -181,7 +181,7 @@
   rly->to = NULL;
   if (to == NULL)
     return;
-  if (rly->events && rly->between)
+  if (rly->events && rly->at_event_end)
     {
       struct evbuffer *part = evbuffer_new ();
       char *body = flt_body (fault);
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -31,7 +31,7 @@
  * @full: the send buffer of @to is full, and @from is paused
  * @was_blocked: @full was set since the last call of rly_held_up()
  * @events: the response is a stream of server-sent events
- * @between: the last byte that was forwarded ended an event
+ * @at_event_end: the last byte that was forwarded ended an event
  */
 typedef struct
 {
@@ -46,7 +46,7 @@
   bool full;
   bool was_blocked;
   bool events;
-  bool between;
+  bool at_event_end;
 } rly_t;
 
 void rly_init (rly_t *rly, hsv_call_t *to);
