--- a/src/request/fault.c
+++ b/src/request/fault.c
@@ -16,30 +16,30 @@
   switch (reason)
     {
     case VRD_REASON_OVER_BOUND:
-      return "all engines that were tried are at their load limit";
+      return "all engines asked carry their share of the load";
     case VRD_REASON_LEAVING:
-      return "the hosts that were tried are leaving";
+      return "the hosts asked are leaving";
     case VRD_REASON_STALE:
-      return "the daemon was paused and accepts no new requests yet";
+      return "the daemon has just woken from a pause and takes no new work yet";
     case VRD_REASON_NO_ENGINE:
-      return "no engine of the service is available";
+      return "no engine of the service answers";
     case VRD_REASON_QUEUE_FULL:
-      return "too many requests of this client account are queued already";
+      return "too many requests of this client account wait already";
     case VRD_REASON_DEADLINE:
       return "the request could not start before its deadline";
     case VRD_REASON_ACCOUNT_SHARE:
-      return "the client account exceeds its share";
+      return "the client account is over its share";
     case VRD_REASON_SUSPECT:
     case VRD_REASON_SUSPECT_HERE:
       return "engines crashed while they ran this request";
     case VRD_REASON_CLAIMED:
-      return "another request with this idempotency key came first";
+      return "another request with this idempotency key was first";
     case VRD_REASON_KEY_REUSED:
       return "this idempotency key came with another request before";
     case VRD_REASON_KEY_TOO_OLD:
-      return "this idempotency key is older than the time for which keys are kept";
+      return "this idempotency key is older than keys are remembered";
     case VRD_REASON_LOG_DOWN:
-      return "the idempotency key cannot be claimed at the moment";
+      return "the idempotency key cannot be claimed at present";
     case VRD_REASON_CUT:
       return "the answer was cut off";
     case VRD_REASON_CROSSED:
@@ -47,7 +47,7 @@
     case VRD_REASON_TIMEOUT:
       return "no answer came in time";
     case VRD_REASON_CONNECT:
-      return "the hosts that were tried cannot be reached";
+      return "the hosts asked cannot be reached";
     case VRD_REASON_ENGINE_CRASHED:
       return "the engine crashed while it ran this request";
     default:
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -36,15 +36,14 @@
       g_strdup_printf ("service=\"%s\"", g_strdelimit (name, "\"\\\n{},", '_'));
 
   service->wait_histogram = lat_new (set, "medlarplank_gateway_wait_ms", labels,
-                                     "Time from the arrival of a request until it was first sent");
+                                     "From a request's arrival until it was first sent");
   service->head_histogram = lat_new (set, "medlarplank_gateway_head_ms", labels,
-                                     "Time from a send until the head of its response");
-  service->answer_histogram =
-      lat_new (set, "medlarplank_gateway_answer_ms", labels,
-               "Time from the arrival of a request until its response was complete");
+                                     "From a send until the head of its answer");
+  service->answer_histogram = lat_new (set, "medlarplank_gateway_answer_ms", labels,
+                                       "From a request's arrival until its answer was whole");
   service->failure_histogram =
       lat_new (set, "medlarplank_gateway_failure_ms", labels,
-               "Time from the arrival of a request until it was refused or failed");
+               "From a request's arrival until it was refused or had failed");
 }
 
 gwy_service_t *
@@ -179,15 +178,14 @@
 
   gwy->answered = cnt_get (set, "medlarplank_gateway_answered_total", "Requests answered");
   gwy->refused = cnt_get (set, "medlarplank_gateway_refused_total", "Requests refused, not run");
-  gwy->failed = cnt_get (set, "medlarplank_gateway_failed_total",
-                         "Requests that failed or whose response was cut off");
-  gwy->retried =
-      cnt_get (set, "medlarplank_gateway_retried_total", "Requests sent again to another engine");
+  gwy->failed =
+      cnt_get (set, "medlarplank_gateway_failed_total", "Requests that failed or were cut");
+  gwy->retried = cnt_get (set, "medlarplank_gateway_retried_total", "Sends to another engine");
   gwy->resumed =
-      cnt_get (set, "medlarplank_gateway_resumed_total", "Streams resumed at another engine");
-  gwy->gone = cnt_get (set, "medlarplank_gateway_gone_total", "Requests whose client disconnected");
+      cnt_get (set, "medlarplank_gateway_resumed_total", "Streams that went on elsewhere");
+  gwy->gone = cnt_get (set, "medlarplank_gateway_gone_total", "Requests whose caller left");
   gwy->waited =
-      cnt_get (set, "medlarplank_gateway_waited_total", "Times that a request was queued");
+      cnt_get (set, "medlarplank_gateway_waited_total", "Times that requests waited for room");
 }
 
 gwy_t *
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -30,7 +30,7 @@
                     .code = is_current ? code : "configuration_uncertain",
                     .message = is_current
                                    ? "no such route, or no such key"
-                                   : "this router does not have the newest configuration yet",
+                                   : "this router does not know the newest configuration yet",
                     .verdict = VRD_NOT_RUN,
                     .retry_after_ms = is_current ? 0 : GWY_RETRY_MIN_MS,
                     .exact_retry = true });
@@ -67,7 +67,7 @@
   reject (gwy, client, request,
           &(flt_t){ .status = 503,
                     .code = "stopping",
-                    .message = "this router is stopping",
+                    .message = "this router stops",
                     .verdict = VRD_NOT_RUN,
                     .retry_after_ms = GWY_RETRY_MIN_MS,
                     .exact_retry = true });
