--- a/src/request/fault.c
+++ b/src/request/fault.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define TYPE_CALLER "invalid_request_error"
-#define TYPE_BUSY "overloaded_error"
+#define TYPE_INVALID_REQUEST "invalid_request_error"
+#define TYPE_OVERLOADED "overloaded_error"
 #define TYPE_UPSTREAM "upstream_error"
 
 static const char *
@@ -59,8 +59,8 @@
 type_of (int status)
 {
   if (status == 429 || status == 503)
-    return TYPE_BUSY;
-  return status < 500 ? TYPE_CALLER : TYPE_UPSTREAM;
+    return TYPE_OVERLOADED;
+  return status < 500 ? TYPE_INVALID_REQUEST : TYPE_UPSTREAM;
 }
 
 int
