--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,8 +1,8 @@
 /**
  * DOC: clock
  *
- * The one clock of a process. Decisions never read it: they take @now_us as an argument.
- * Tests hold a paused clock and advance it.
+ * The time source of a process, which can be paused for tests. Only the event-driven code reads it;
+ * decision code takes the time as an argument (@now_us), so that tests can set it.
  */
 #ifndef BASE_CLOCK_H
 #define BASE_CLOCK_H
@@ -14,9 +14,9 @@
 #define CLK_US_PER_S (1000 * 1000)
 
 /**
- * struct clk - a clock
- * @paused: when set, time stands at @now_us until clk_advance()
- * @now_us: the time of a paused clock, in microseconds
+ * struct clk_source - a running or paused clock
+ * @paused: when set, the time stays at @now_us until clk_advance()
+ * @now_us: the time of a paused clock, in microseconds; unused while the clock runs
  */
 typedef struct
 {
@@ -25,22 +25,24 @@
 } clk_t;
 
 /**
- * clk_init_running() - a clock that follows CLOCK_BOOTTIME
+ * clk_init_running() - initialize a clock that follows CLOCK_BOOTTIME
  *
- * CLOCK_MONOTONIC stands still while a host is suspended: a daemon that woke would take what it
- * knows for fresh and its deadlines for not yet passed. CLOCK_BOOTTIME counts that time.
+ * CLOCK_MONOTONIC does not advance while a host is suspended. With it, a daemon would treat stale
+ * state as current after a resume, and its deadlines as not yet passed. CLOCK_BOOTTIME includes the
+ * suspended time.
  */
 void clk_init_running (clk_t *clk);
-/** clk_init_paused() - a clock that stands at @now_us */
+/** clk_init_paused() - initialize a clock that stays at @now_us until clk_advance() */
 void clk_init_paused (clk_t *clk, uint64_t now_us);
-/** clk_advance() - move a paused clock by @delta_us */
+/** clk_advance() - advance a paused clock by @delta_us; a running clock aborts the process */
 void clk_advance (clk_t *clk, uint64_t delta_us);
-/** clk_now_us() - microseconds since an arbitrary start, never going back */
+/** clk_now_us() - monotonic time in microseconds since an arbitrary start */
 uint64_t clk_now_us (const clk_t *clk);
 /**
- * clk_wall_ms() - milliseconds since 1970; differs between hosts, so only for records and logs
+ * clk_wall_ms() - wall-clock time in milliseconds since 1970
  *
- * A paused clock gives its own time.
+ * Hosts' wall clocks differ and may be set back, so this time is for records and logs only. A
+ * paused clock returns its own time.
  */
 uint64_t clk_wall_ms (const clk_t *clk);
 
--- a/src/base/counters.c
+++ b/src/base/counters.c
@@ -9,8 +9,10 @@
 #define OVERFLOW_HELP "Counts that had no counter of their own as the process had too many."
 
 /**
- * struct family - counters of one base name, which differ by their labels
- * @is_counter: by the name, else a gauge
+ * struct family - counters or gauges that share a base name and differ only by their labels
+ * @base: name without labels
+ * @help: unescaped text of the HELP line
+ * @is_counter: exported as a counter, else as a gauge; follows from the suffix of @base
  */
 typedef struct
 {
@@ -19,7 +21,7 @@
   bool is_counter;
 } family_t;
 
-/** struct cnt - one counter; @labels with the braces, or "" */
+/** struct cnt - one counter or gauge; @labels include the braces, or are "" */
 struct cnt
 {
   const family_t *family;
@@ -28,11 +30,11 @@
 };
 
 /**
- * struct cnt_set - the counters of a process
- * @lock: guards the tables, not the values
- * @by_name: sanitised name with labels -> cnt_t
+ * struct cnt_set - all counters and gauges of a process
+ * @lock: protects the hash tables; the values are atomic
+ * @by_name: sanitized name with labels -> cnt_t
  * @families: base name -> family_t
- * @overflow: takes all that comes after LIM_COUNTERS
+ * @overflow: returned for new names once LIM_COUNTERS are registered
  */
 struct cnt_set
 {
@@ -67,9 +69,9 @@
   return g_ascii_isalpha (c) || c == '_' || (!first && g_ascii_isdigit (c));
 }
 
-/* Any text as a Prometheus name: what may not stand in one becomes '_'. */
+/* Converts any text to a Prometheus name: characters that are not allowed become '_'. */
 static char *
-sanitise_name (const char *text, size_t bytes)
+sanitize_name (const char *text, size_t bytes)
 {
   GString *name = g_string_sized_new (bytes + 1);
 
@@ -80,7 +82,7 @@
   return g_string_free (name, FALSE);
 }
 
-/* Past a label name, or NULL. */
+/* Return: the end of the label name that begins at @at, or NULL if there is none */
 static const char *
 skip_label_name (const char *at)
 {
@@ -91,7 +93,8 @@
   return at;
 }
 
-/* Past a quoted value whose quotes, backslashes and newlines are escaped, or NULL. */
+/* Return: the end of the quoted label value that begins at @at, or NULL unless all its quotes,
+ * backslashes and newlines are escaped */
 static const char *
 skip_label_value (const char *at)
 {
@@ -108,9 +111,9 @@
   return at + 1;
 }
 
-/* Whether @text is {name="value",...} and nothing more. */
+/* Return: whether the whole of @text has the form {name="value",...} */
 static bool
-labels_are_whole (const char *text)
+labels_are_valid (const char *text)
 {
   const char *at = text;
 
@@ -142,9 +145,9 @@
 }
 
 static family_t *
-get_family (cnt_set_t *set, const char *base, const char *help)
+get_family (cnt_set_t *registry, const char *base, const char *help)
 {
-  family_t *family = g_hash_table_lookup (set->families, base);
+  family_t *family = g_hash_table_lookup (registry->families, base);
 
   if (family != NULL)
     return family;
@@ -153,27 +156,27 @@
   family->help = g_strdup (help != NULL ? help : "");
   family->is_counter = g_str_has_suffix (base, "_total") || g_str_has_suffix (base, "_bucket") ||
                        g_str_has_suffix (base, "_sum_us") || g_str_has_suffix (base, "_count");
-  g_hash_table_insert (set->families, family->base, family);
+  g_hash_table_insert (registry->families, family->base, family);
   return family;
 }
 
 static cnt_t *
-get_locked (cnt_set_t *set, const char *base, const char *labels, const char *help)
+get_with_lock_held (cnt_set_t *registry, const char *base, const char *labels, const char *help)
 {
   char *name = g_strconcat (base, labels, NULL);
-  cnt_t *cnt = g_hash_table_lookup (set->by_name, name);
+  cnt_t *cnt = g_hash_table_lookup (registry->by_name, name);
 
-  if (cnt == NULL && g_hash_table_size (set->by_name) >= LIM_COUNTERS)
-    cnt = set->overflow;
+  if (cnt == NULL && g_hash_table_size (registry->by_name) >= LIM_COUNTERS)
+    cnt = registry->overflow;
   if (cnt != NULL)
     {
       g_free (name);
       return cnt;
     }
   cnt = g_new0 (cnt_t, 1);
-  cnt->family = get_family (set, base, help);
+  cnt->family = get_family (registry, base, help);
   cnt->labels = g_strdup (labels);
-  g_hash_table_insert (set->by_name, name, cnt);
+  g_hash_table_insert (registry->by_name, name, cnt);
   return cnt;
 }
 
@@ -188,13 +191,13 @@
 }
 
 static GPtrArray *
-sorted_counters (cnt_set_t *set)
+sorted_counters (cnt_set_t *registry)
 {
   GPtrArray *counters = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer cnt;
 
-  g_hash_table_iter_init (&iter, set->by_name);
+  g_hash_table_iter_init (&iter, registry->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &cnt))
     g_ptr_array_add (counters, cnt);
   g_ptr_array_sort (counters, compare_counters);
@@ -213,59 +216,59 @@
 cnt_set_t *
 cnt_set_new (void)
 {
-  cnt_set_t *set = g_new0 (cnt_set_t, 1);
+  cnt_set_t *registry = g_new0 (cnt_set_t, 1);
 
-  g_mutex_init (&set->lock);
-  set->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, counter_free);
-  set->families = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, family_free);
-  set->overflow = get_locked (set, OVERFLOW_NAME, "", OVERFLOW_HELP);
-  return set;
+  g_mutex_init (&registry->lock);
+  registry->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, counter_free);
+  registry->families = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, family_free);
+  registry->overflow = get_with_lock_held (registry, OVERFLOW_NAME, "", OVERFLOW_HELP);
+  return registry;
 }
 
 void
-cnt_set_free (cnt_set_t *set)
+cnt_set_free (cnt_set_t *registry)
 {
-  if (set == NULL)
+  if (registry == NULL)
     return;
-  g_hash_table_destroy (set->by_name);
-  g_hash_table_destroy (set->families);
-  g_mutex_clear (&set->lock);
-  g_free (set);
+  g_hash_table_destroy (registry->by_name);
+  g_hash_table_destroy (registry->families);
+  g_mutex_clear (&registry->lock);
+  g_free (registry);
 }
 
 cnt_t *
-cnt_get (cnt_set_t *set, const char *name, const char *help)
+cnt_get (cnt_set_t *registry, const char *name, const char *help)
 {
   const char *labels = strchr (name, '{');
   size_t base_bytes = strlen (name);
   char *base;
   cnt_t *cnt;
 
-  if (labels != NULL && labels_are_whole (labels))
+  if (labels != NULL && labels_are_valid (labels))
     base_bytes = (size_t)(labels - name);
   else
     labels = "";
-  base = sanitise_name (name, base_bytes);
+  base = sanitize_name (name, base_bytes);
 
-  g_mutex_lock (&set->lock);
-  cnt = get_locked (set, base, labels, help);
-  g_mutex_unlock (&set->lock);
+  g_mutex_lock (&registry->lock);
+  cnt = get_with_lock_held (registry, base, labels, help);
+  g_mutex_unlock (&registry->lock);
   g_free (base);
   return cnt;
 }
 
 cnt_t *
 cnt_get_labelled (
-    cnt_set_t *set, const char *base, const char *label, const char *value, const char *help)
+    cnt_set_t *registry, const char *base, const char *label, const char *value, const char *help)
 {
-  char *label_name = sanitise_name (label, strlen (label));
+  char *label_name = sanitize_name (label, strlen (label));
   GString *name = g_string_new (base);
   cnt_t *cnt;
 
   g_string_append_printf (name, "{%s=\"", label_name);
   append_escaped (name, value, true);
   g_string_append (name, "\"}");
-  cnt = cnt_get (set, name->str, help);
+  cnt = cnt_get (registry, name->str, help);
   g_string_free (name, TRUE);
   g_free (label_name);
   return cnt;
@@ -290,16 +293,16 @@
 }
 
 void
-cnt_write (cnt_set_t *set, GString *out)
+cnt_write (cnt_set_t *registry, GString *out)
 {
   const family_t *family = NULL;
   GPtrArray *counters;
 
-  g_mutex_lock (&set->lock);
-  counters = sorted_counters (set);
-  g_mutex_unlock (&set->lock);
+  g_mutex_lock (&registry->lock);
+  counters = sorted_counters (registry);
+  g_mutex_unlock (&registry->lock);
 
-  /* Counters are never taken out of a set, so they may be read without the lock. */
+  /* Counters are never removed from a registry, so they can be read without the lock. */
   for (guint i = 0; i < counters->len; i++)
     {
       const cnt_t *cnt = g_ptr_array_index (counters, i);
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -1,8 +1,9 @@
 /**
  * DOC: counters
  *
- * Named 64-bit counters and gauges of one process, written out in the Prometheus text form.
- * Names are registered once; adding is atomic and lock-free, so any task may count.
+ * Named 64-bit counters and gauges of one process, exported in the Prometheus text format. A name
+ * is registered by its first lookup, which takes a lock. Updates are atomic and lock-free, so any
+ * thread may make them.
  */
 #ifndef BASE_COUNTERS_H
 #define BASE_COUNTERS_H
@@ -14,29 +15,38 @@
 typedef struct cnt cnt_t;
 
 cnt_set_t *cnt_set_new (void);
-void cnt_set_free (cnt_set_t *set);
+/** cnt_set_free() - free the registry with all its counters; NULL is allowed */
+void cnt_set_free (cnt_set_t *registry);
 
 /**
- * cnt_get() - the counter of that name, made when new
- * @set: the set
- * @name: Prometheus name, e.g. "medlarplank_requests_total"; may carry labels, e.g.
- * "x_total{reason=\"cold\"}"
- * @help: one line, kept from the first call of the base name
+ * cnt_get() - look up a counter or gauge by name, and register it if it is new
+ * @registry: the registry
+ * @name: Prometheus name, e.g. "medlarplank_requests_total"; may include labels, e.g.
+ *   "x_total{reason=\"cold\"}"
+ * @help: one line of description; only the first call for a name without its labels sets it
  *
- * Return: a pointer valid as long as @set. A name that ends in _total (before labels) is a
- * counter, every other a gauge.
- * What may not stand in a name becomes '_'; labels that are not well formed are taken as part of
- * the name. After %LIM_COUNTERS a new name gets a shared counter that tells of it.
+ * Characters that Prometheus doesn't allow in a name are replaced by '_'. Labels that are not well
+ * formed are treated as part of the name. Once %LIM_COUNTERS are registered, every new name returns
+ * the shared counter medlarplank_counters_refused_total, so that labels taken from requests can't
+ * exhaust the memory.
+ *
+ * Return: a pointer that is valid as long as @registry. A name whose part before the labels ends in
+ * _total, _bucket, _sum_us or _count is exported as a counter, any other name as a gauge.
  */
-cnt_t *cnt_get (cnt_set_t *set, const char *name, const char *help);
-/** cnt_get_labelled() - the counter of @base with one label, whose @value may be any text */
+cnt_t *cnt_get (cnt_set_t *registry, const char *name, const char *help);
+/** cnt_get_labelled() - as cnt_get(), for the name @base with one label; @value may be any text and
+ * is escaped */
 cnt_t *cnt_get_labelled (
-    cnt_set_t *set, const char *base, const char *label, const char *value, const char *help);
+    cnt_set_t *registry, const char *base, const char *label, const char *value, const char *help);
+/** cnt_add() - add @delta; safe from any thread */
 void cnt_add (cnt_t *cnt, uint64_t delta);
+/** cnt_set_value() - replace the value of a gauge; safe from any thread */
 void cnt_set_value (cnt_t *cnt, uint64_t value);
+/** cnt_value() - the current value; safe from any thread */
 uint64_t cnt_value (const cnt_t *cnt);
 
-/** cnt_write() - append the whole set to @out in the Prometheus text form, sorted by name */
-void cnt_write (cnt_set_t *set, GString *out);
+/** cnt_write() - append all counters and gauges to @out in the Prometheus text format, sorted by
+ * name and then by labels */
+void cnt_write (cnt_set_t *registry, GString *out);
 
 #endif
--- a/src/base/daemon.h
+++ b/src/base/daemon.h
@@ -1,8 +1,9 @@
 /**
  * DOC: daemon
  *
- * What lives as long as the process: the settings, the clock, the counters and the mailboxes of
- * its two tasks. Passed first to both tasks; read-only but for the counters and mailboxes.
+ * Context of a router or sidecar process that both of its tasks (threads) share: settings, clock,
+ * counters and the tasks' mailboxes. It is the first argument of both tasks' constructors, and
+ * lives as long as the process. Only the counters and mailboxes change once the tasks run.
  */
 #ifndef BASE_DAEMON_H
 #define BASE_DAEMON_H
@@ -15,10 +16,13 @@
 #include <event2/event.h>
 
 /**
- * struct dmn - a daemon
- * @incarnation: wall-clock milliseconds of the start, so a restart has a higher one
- * @to_control: mailbox of the control task
- * @to_data: mailbox of the data task
+ * struct dmn - context of a daemon process
+ * @set: settings, checked at start
+ * @clk: time source of both tasks
+ * @counters: exported metrics of both tasks
+ * @incarnation: wall-clock time of the start in milliseconds; a restarted daemon has a higher one
+ * @to_control: mailbox that the control task reads
+ * @to_data: mailbox that the data task reads
  */
 typedef struct
 {
--- a/src/base/latency.c
+++ b/src/base/latency.c
@@ -2,8 +2,9 @@
 
 #include "base/clock.h"
 
-/* A first token is due within 0.8 s and events 0.3 s apart, plain answers within 0.1 s: fine there,
- * coarse up to the longest timeouts. */
+/* Upper bounds of the buckets; 0 stands for no bound. They are close together around the latency
+ * targets (a plain response within 0.1 s, events of a stream at most 0.3 s apart, a first token
+ * within 0.8 s) and farther apart up to the longest timeouts. */
 static const uint32_t bounds_ms[LAT_BUCKETS] = { 5,   10,   25,   50,   100,   200, 400,
                                                  800, 1500, 3000, 6000, 15000, 0 };
 
@@ -15,16 +16,17 @@
 };
 
 static cnt_t *
-part (cnt_set_t *set, const char *base, const char *suffix, const char *labels, const char *help)
+get_counter (
+    cnt_set_t *registry, const char *base, const char *suffix, const char *labels, const char *help)
 {
   g_autofree char *name = labels[0] != '\0' ? g_strdup_printf ("%s%s{%s}", base, suffix, labels)
                                             : g_strconcat (base, suffix, NULL);
 
-  return cnt_get (set, name, help);
+  return cnt_get (registry, name, help);
 }
 
 lat_t *
-lat_new (cnt_set_t *set, const char *base, const char *labels, const char *help)
+lat_new (cnt_set_t *registry, const char *base, const char *labels, const char *help)
 {
   lat_t *lat = g_new0 (lat_t, 1);
 
@@ -32,13 +34,13 @@
     {
       g_autofree char *bound =
           bounds_ms[i] > 0 ? g_strdup_printf ("%u", bounds_ms[i]) : g_strdup ("+Inf");
-      g_autofree char *all =
+      g_autofree char *all_labels =
           g_strdup_printf ("%s%sle=\"%s\"", labels, labels[0] != '\0' ? "," : "", bound);
 
-      lat->buckets[i] = part (set, base, "_bucket", all, help);
+      lat->buckets[i] = get_counter (registry, base, "_bucket", all_labels, help);
     }
-  lat->sum_us = part (set, base, "_sum_us", labels, help);
-  lat->count = part (set, base, "_count", labels, help);
+  lat->sum_us = get_counter (registry, base, "_sum_us", labels, help);
+  lat->count = get_counter (registry, base, "_count", labels, help);
   return lat;
 }
 
--- a/src/base/limits.h
+++ b/src/base/limits.h
@@ -1,54 +1,73 @@
 /**
  * DOC: limits
  *
- * Every limit and tunable that is not a setting, in one place. A name ends in its unit.
+ * Limits and tunables that are not settings. The last word of a name is its unit; a name without a
+ * unit is a count.
  */
 #ifndef BASE_LIMITS_H
 #define BASE_LIMITS_H
 
-#define LIM_NAME_BYTES 64         /* host, service, account and class names, with the final NUL */
-#define LIM_CHAT_ID_BYTES 256     /* a chat id in a header */
-#define LIM_KEY_BYTES 256         /* an idempotency key */
-#define LIM_HOPS 4                /* sidecars asked for one request */
-#define LIM_HOPS_MOST 8           /* as LIM_HOPS, when one that held it closed meanwhile */
-#define LIM_REFERRALS 3           /* hosts named by one refusal */
-#define LIM_SAMPLES_PER_MESSAGE 8 /* load samples in one exchange message */
-#define LIM_SAMPLES_KEPT 64       /* load samples kept for one service */
-#define LIM_SAMPLE_AGE_US (3 * 1000 * 1000)
-#define LIM_DATAGRAM_BYTES 1200
+/* names and ids, so that they fit into fixed buffers */
+#define LIM_NAME_BYTES 64     /* host, service, account and class names, with the final NUL */
+#define LIM_CHAT_ID_BYTES 256 /* a chat id in a request header */
+#define LIM_KEY_BYTES 256     /* an idempotency key in a request header */
+
+/* forwarding of one request */
+#define LIM_HOPS 4      /* sidecars that one request is forwarded to */
+#define LIM_HOPS_MOST 8 /* likewise if a sidecar stopped while the request was queued there */
+#define LIM_REFERRALS 3 /* other hosts that one refusal may suggest */
+
+/* load reports and exchange messages */
+#define LIM_SAMPLES_PER_MESSAGE 8           /* load samples in one exchange message */
+#define LIM_SAMPLES_KEPT 64                 /* load samples kept for one service */
+#define LIM_SAMPLE_AGE_US (3 * 1000 * 1000) /* older load samples are not used */
+#define LIM_DATAGRAM_BYTES 1200             /* an exchange message; fits the smallest IPv6 MTU */
+
+/* the manifest (the published configuration) */
 #define LIM_MANIFEST_BYTES (8 * 1024 * 1024)
-#define LIM_MANIFEST_DEPTH 16
+#define LIM_MANIFEST_DEPTH 16 /* nesting of its JSON */
 #define LIM_MANIFEST_ROUTES 1024
-#define LIM_PUBLISH_IDS 1024     /* judged publish ids that a reader remembers */
-#define LIM_QUEUE_PER_ACCOUNT 64 /* requests that wait at one sidecar for one client account */
-#define LIM_QUEUE_TOTAL 512      /* requests that wait at one sidecar */
-#define LIM_CLAIMS_WAITING 1024  /* claims of one stream that wait for the log */
-#define LIM_CLAIM_ENTRIES 256    /* entries in one record of a claims stream */
-#define LIM_CLAIM_QUEUE 4096     /* entries of one stream that are yet to be appended */
+#define LIM_PUBLISH_IDS 1024 /* publish ids that a reader remembers with their verdict */
+
+/* queues of a sidecar */
+#define LIM_QUEUE_PER_ACCOUNT 64 /* requests of one client account queued at one sidecar */
+#define LIM_QUEUE_TOTAL 512      /* requests of all client accounts queued at one sidecar */
+
+/* claims: idempotency keys that a sidecar reserves by records in the platform's log */
+#define LIM_CLAIMS_WAITING 1024 /* claims of one stream that await their result from the log */
+#define LIM_CLAIM_ENTRIES 256   /* entries in one record of a claims stream */
+#define LIM_CLAIM_QUEUE 4096    /* entries of one stream that are not yet appended */
 #define LIM_CLAIM_INTERVAL_MIN_US (20 * 1000)       /* between two appends to one stream */
-#define LIM_CLAIM_INTERVAL_MAX_US (2 * 1000 * 1000) /* however often the log refuses */
-#define LIM_CLAIM_BACKOFF_US (4 * 1000 * 1000)      /* after failures in a row */
-#define LIM_CLAIM_WAIT_US (3 * 1000 * 1000) /* a claim that can't be sent by then is refused */
-#define LIM_CLAIM_HOLD_US (1000 * 1000)     /* a done entry waits so long for a claim to go with */
-/* What was admitted and claimed before a host began to leave may start for so long after. */
+#define LIM_CLAIM_INTERVAL_MAX_US (2 * 1000 * 1000) /* likewise after any number of refusals */
+#define LIM_CLAIM_BACKOFF_US (4 * 1000 * 1000)      /* longest delay after consecutive failures */
+#define LIM_CLAIM_WAIT_US (3 * 1000 * 1000) /* a claim is refused if it takes longer to append */
+#define LIM_CLAIM_HOLD_US (1000 * 1000) /* a "done" entry is delayed to share a claim's record */
+/* After its host began to leave, a sidecar may start requests that were admitted and claimed
+ * before. */
 #define LIM_LEAVING_GRACE_US (1000 * 1000)
-#define LIM_DIRECTORY_ENTRIES 16384
-#define LIM_SUSPECTS 1024
-#define LIM_SUSPECT_CRASHES 2
-#define LIM_REVOKED 4096        /* attempt ids barred at one sidecar */
-#define LIM_LOG_LINE_BYTES 2048 /* below PIPE_BUF, so that one write is never split */
-#define LIM_LOG_VALUE_BYTES 512 /* one escaped value of a log line */
-#define LIM_COUNTERS 8192       /* counters of a process, each with its labels */
+
+/* tables of a daemon */
+#define LIM_DIRECTORY_ENTRIES 16384 /* chats whose host is remembered */
+#define LIM_SUSPECTS 1024           /* requests remembered since an engine crashed on them */
+#define LIM_SUSPECT_CRASHES 2       /* engines that one request may crash before it is refused */
+#define LIM_REVOKED 4096            /* revoked attempt ids remembered by one sidecar */
+
+/* log and metrics */
+#define LIM_LOG_LINE_BYTES 2048 /* at most PIPE_BUF, so that write() never splits a line */
+#define LIM_LOG_VALUE_BYTES 512 /* one escaped value in a log line */
+#define LIM_COUNTERS 8192       /* counters and gauges of a process; each set of labels counts */
+
+/* HTTP */
 #define LIM_LISTEN_BACKLOG 1024
-#define LIM_HTTP_OVER_LIMIT 32 /* connections over the limit that still get their 503 */
-#define LIM_HTTP_DRAINS 64     /* refused callers whose bytes are read out before the close */
-#define LIM_HTTP_DRAIN_BYTES (4 * 1024 * 1024)
-#define LIM_HTTP_DRAIN_MS 2000
-#define LIM_HTTP_STOP_LINGER_MS 200     /* a request may still come on an idle connection */
+#define LIM_HTTP_OVER_LIMIT 32 /* connections over the limit that still receive a 503 response */
+#define LIM_HTTP_DRAINS 64 /* refused connections whose input is read and dropped before close */
+#define LIM_HTTP_DRAIN_BYTES (4 * 1024 * 1024) /* input dropped for one of them */
+#define LIM_HTTP_DRAIN_MS 2000                 /* time spent on one of them */
+#define LIM_HTTP_STOP_LINGER_MS 200     /* idle connections stay open: a request may be under way */
 #define LIM_HTTP_REQUEST_MS (30 * 1000) /* from the first byte of a request to its last */
-#define LIM_HTTP_COMING_BYTES (256 * 1024 * 1024) /* of requests that are not whole yet */
-#define LIM_HTTP_DEAD_PEER_S 5                    /* a peer that acknowledges nothing is given up */
-#define LIM_HTTP_ANSWER_HEADER_BYTES (64 * 1024)
-#define LIM_HTTP_CONNECT_MS 1000
+#define LIM_HTTP_COMING_BYTES (256 * 1024 * 1024) /* all partly received requests together */
+#define LIM_HTTP_DEAD_PEER_S 5 /* a connection whose peer acknowledges nothing is closed */
+#define LIM_HTTP_ANSWER_HEADER_BYTES (64 * 1024) /* headers of a response from an upstream */
+#define LIM_HTTP_CONNECT_MS 1000                 /* until a connection attempt is given up */
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -14,22 +14,29 @@
 #include <time.h>
 #include <unistd.h>
 
-#define FACILITY_DAEMON 3
-#define CUT_FIELD " cut=true"
-#define CUT_VALUE "..."
-#define EVENT_BYTES 129
+#define FACILITY_DAEMON 3           /* of syslog */
+#define TRUNCATED_FIELD " cut=true" /* ends a line that lacks some of its fields */
+#define TRUNCATED_VALUE "..."       /* ends a value that was shortened */
+#define EVENT_BYTES 129             /* longest event name, with the final NUL */
 
 G_STATIC_ASSERT (LIM_LOG_LINE_BYTES <= PIPE_BUF);
 
 /**
- * struct log_state - the one log of the process; standard error is one too
- * @lock: held while a line is made and written
- * @date: of @second; most lines are written in the second of the one before
- * @dropped: lines lost since the last one that was written
- * @buffer: NULL when each line is written by itself
- * @held_us: when the oldest line in the buffer came, 0 when it is empty
- * @held: told when a first line is held, or NULL
- * @begins_hold: the line in the making is such a one
+ * struct log_state - the log of the process
+ * @lock: held while a line is formatted and written
+ * @level: less severe lines are not logged
+ * @second: wall-clock second that @date was formatted for
+ * @date: cached text of @second, as most lines share their second with the line before
+ * @head: host, program and process id of a line's head
+ * @dropped_lines: lines dropped since the last one that was written
+ * @fd: file descriptor that lines are written to
+ * @buffer: LOG_BUFFER_BYTES, or NULL while each line is written by itself
+ * @start: offset of the first unwritten byte in @buffer
+ * @end: offset after the last unwritten byte in @buffer
+ * @oldest_us: monotonic time at which the oldest line in the buffer was logged, 0 if it is empty
+ * @hold_callback: called after a line was added to an empty buffer, or NULL
+ * @hold_context: argument of @hold_callback
+ * @starts_buffering: the line being logged was added to an empty buffer and not flushed
  */
 typedef struct
 {
@@ -37,32 +44,38 @@
   log_level_t level;
   time_t second;
   char date[32];
-  char tail[LIM_NAME_BYTES * 2 + 32]; /* host, program and process of a line's head */
-  uint64_t dropped;
+  char head[LIM_NAME_BYTES * 2 + 32];
+  uint64_t dropped_lines;
   int fd;
   char *buffer;
   size_t start;
   size_t end;
-  int64_t held_us;
-  void (*held) (void *context);
-  void *held_context;
-  bool begins_hold;
+  int64_t oldest_us;
+  void (*hold_callback) (void *context);
+  void *hold_context;
+  bool starts_buffering;
 } log_state_t;
 
 static log_state_t state = {
-  .tail = "Z - medlarplank[0]: ", .level = LOG_LEVEL_INFO, .fd = STDERR_FILENO
+  .head = "Z - medlarplank[0]: ", .level = LOG_LEVEL_INFO, .fd = STDERR_FILENO
 };
 
-/** struct line - a line in the making; room for CUT_FIELD and the newline is kept back. A field is
- * written first and taken back when it does not fit, hence the room for one more */
+/**
+ * struct line - a line that is being formatted
+ * @text: the text so far; a field is appended before its length is known and removed again if the
+ *   line becomes too long, so there is space for one value more than a line may have
+ * @bytes: length of @text
+ * @truncated: a field did not fit and was left out
+ */
 typedef struct
 {
   char text[LIM_LOG_LINE_BYTES + LIM_LOG_VALUE_BYTES];
   size_t bytes;
-  bool cut;
+  bool truncated;
 } line_t;
 
-#define LINE_ROOM (LIM_LOG_LINE_BYTES - sizeof (CUT_FIELD))
+/* Longest line before its end, which needs space for TRUNCATED_FIELD and the newline. */
+#define LINE_LIMIT_BYTES (LIM_LOG_LINE_BYTES - sizeof (TRUNCATED_FIELD))
 
 static bool
 is_plain (unsigned char c)
@@ -81,7 +94,7 @@
   return false;
 }
 
-/* Return: bytes written to @out, without a final NUL. */
+/* Writes one byte of a quoted value. Return: the number of bytes in @out, without a final NUL */
 static size_t
 escape_byte (unsigned char c, char out[4])
 {
@@ -102,17 +115,18 @@
   return 4;
 }
 
-/* Writes the value as it stands in a line, less than LIM_LOG_VALUE_BYTES. Return: its end. */
+/* Writes @value, quoted if necessary, in less than LIM_LOG_VALUE_BYTES. Return: the end of the text
+ */
 static char *
 format_value (const char *value, char *out)
 {
-  const size_t room = LIM_LOG_VALUE_BYTES - sizeof (CUT_VALUE "\"");
+  const size_t limit_bytes = LIM_LOG_VALUE_BYTES - sizeof (TRUNCATED_VALUE "\"");
   const size_t value_bytes = strlen (value);
   const char *start = out;
 
-  if (value_bytes <= room && !needs_quotes (value))
+  if (value_bytes <= limit_bytes && !needs_quotes (value))
     {
-      memcpy (out, value, value_bytes); /* NOLINT: the line goes on, it ends in no NUL */
+      memcpy (out, value, value_bytes); /* NOLINT: no final NUL, as more text follows in the line */
       return out + value_bytes;
     }
   *out++ = '"';
@@ -120,13 +134,13 @@
     {
       char piece[4];
       size_t piece_bytes = escape_byte ((unsigned char)*value, piece);
-      if ((size_t)(out - start) + piece_bytes > room)
+      if ((size_t)(out - start) + piece_bytes > limit_bytes)
         break;
       memcpy (out, piece, piece_bytes);
       out += piece_bytes;
     }
   if (*value != '\0')
-    out = g_stpcpy (out, CUT_VALUE);
+    out = g_stpcpy (out, TRUNCATED_VALUE);
   *out++ = '"';
   return out;
 }
@@ -136,32 +150,33 @@
 {
   size_t bytes = strlen (text);
 
-  g_assert (line->bytes + bytes <= LINE_ROOM);
+  g_assert (line->bytes + bytes <= LINE_LIMIT_BYTES);
   memcpy (line->text + line->bytes, text, bytes);
   line->bytes += bytes;
 }
 
-/* A field that does not fit whole is left out, with all after it, and the line says so. */
+/* Appends a field. One that does not fit is left out with all after it, and the line ends in
+ * TRUNCATED_FIELD. */
 static void
 line_add_field (line_t *line, const char *field, const char *value)
 {
   const size_t start = line->bytes;
 
-  line->cut = line->cut || start + strlen (field) + 2 > LINE_ROOM;
-  if (line->cut)
+  line->truncated = line->truncated || start + strlen (field) + 2 > LINE_LIMIT_BYTES;
+  if (line->truncated)
     return;
   line_append (line, " ");
   line_append (line, field);
   line_append (line, "=");
   line->bytes = (size_t)(format_value (value, line->text + line->bytes) - line->text);
-  if (line->bytes <= LINE_ROOM)
+  if (line->bytes <= LINE_LIMIT_BYTES)
     return;
-  line->cut = true;
+  line->truncated = true;
   line->bytes = start;
 }
 
 static void
-note_second (time_t second)
+update_date (time_t second)
 {
   struct tm utc;
 
@@ -178,19 +193,19 @@
   struct timespec now;
   char *out;
 
-  line->cut = false;
+  line->truncated = false;
   out = line->text;
   clock_gettime (CLOCK_REALTIME, &now);
-  note_second (now.tv_sec);
+  update_date (now.tv_sec);
   *out++ = '<';
   out = dgt_u64 (out, FACILITY_DAEMON * 8 + (uint64_t)level);
   *out++ = '>';
   out = g_stpcpy (out, state.date);
-  /* Three digits with leading zeros, behind a one that the full stop then overwrites. */
+  /* Adding 1000 keeps the leading zeros of the milliseconds; the point overwrites the digit 1. */
   dgt_u64 (out, 1000 + (uint64_t)now.tv_nsec / (1000 * 1000));
   *out = '.';
   out += strlen (".000");
-  out = g_stpcpy (out, state.tail);
+  out = g_stpcpy (out, state.head);
   g_strlcpy (out, event, EVENT_BYTES);
   out += strlen (out);
   line->bytes = (size_t)(out - line->text);
@@ -199,33 +214,34 @@
 static void
 line_end (line_t *line)
 {
-  if (line->cut)
+  if (line->truncated)
     {
-      memcpy (line->text + line->bytes, CUT_FIELD, strlen (CUT_FIELD));
-      line->bytes += strlen (CUT_FIELD);
+      memcpy (line->text + line->bytes, TRUNCATED_FIELD, strlen (TRUNCATED_FIELD));
+      line->bytes += strlen (TRUNCATED_FIELD);
     }
   line->text[line->bytes++] = '\n';
 }
 
 /*
- * A full pipe would block the task that logs, and with it all its callers, for as long as the
- * reader of the log stalls. A pipe that polls writable takes PIPE_BUF bytes, and a line is shorter.
+ * A write to a full pipe would block the thread that logs, and all requests that it serves, for as
+ * long as the reader of the log stalls. A pipe that polls as writable accepts PIPE_BUF bytes
+ * without blocking, and no write is longer than that.
  */
 static bool
-has_room (void)
+is_writable (void)
 {
   struct pollfd poll_fd = { .fd = state.fd, .events = POLLOUT };
 
   return poll (&poll_fd, 1, 0) == 1 && (poll_fd.revents & POLLOUT) != 0;
 }
 
-/* Return: bytes written, 0 when none are taken now */
+/* Return: the number of bytes written, 0 if the file descriptor accepts none now */
 static size_t
-write_some (const char *bytes, size_t count)
+write_available (const char *bytes, size_t count)
 {
   ssize_t written;
 
-  if (!has_room ())
+  if (!is_writable ())
     return 0;
   do
     written = write (state.fd, bytes, MIN (count, LOG_WRITE_BYTES));
@@ -239,18 +255,18 @@
   size_t written;
 
   while (state.start < state.end &&
-         (written = write_some (state.buffer + state.start, state.end - state.start)) > 0)
+         (written = write_available (state.buffer + state.start, state.end - state.start)) > 0)
     state.start += written;
   if (state.start < state.end)
     return;
   state.start = 0;
   state.end = 0;
-  state.held_us = 0;
+  state.oldest_us = 0;
 }
 
-/* Return: whether there is room for @bytes in the first @limit of the buffer */
+/* Return: whether @bytes fit into the first @limit bytes of the buffer, after a flush if need be */
 static bool
-make_room (size_t bytes, size_t limit)
+reserve_space (size_t bytes, size_t limit)
 {
   if (state.end + bytes <= limit)
     return true;
@@ -262,23 +278,23 @@
 }
 
 static bool
-line_hold (const line_t *line, log_level_t level)
+line_buffer (const line_t *line, log_level_t level)
 {
   bool urgent = level <= LOG_LEVEL_WARNING;
   bool was_empty = state.end == state.start;
   size_t limit = urgent ? LOG_BUFFER_BYTES : LOG_BUFFER_BYTES / 4 * 3;
   int64_t now_us = g_get_monotonic_time ();
 
-  if (!make_room (line->bytes, limit))
+  if (!reserve_space (line->bytes, limit))
     return false;
   memcpy (state.buffer + state.end, line->text, line->bytes);
   state.end += line->bytes;
-  if (state.held_us == 0)
-    state.held_us = now_us;
+  if (state.oldest_us == 0)
+    state.oldest_us = now_us;
   if (urgent || state.end - state.start >= LOG_WRITE_BYTES ||
-      now_us - state.held_us >= LOG_HOLD_MS * 1000)
+      now_us - state.oldest_us >= LOG_HOLD_MS * 1000)
     flush ();
-  state.begins_hold = state.begins_hold || (was_empty && state.end > state.start);
+  state.starts_buffering = state.starts_buffering || (was_empty && state.end > state.start);
   return true;
 }
 
@@ -286,30 +302,31 @@
 line_write (const line_t *line, log_level_t level)
 {
   if (state.buffer)
-    return line_hold (line, level);
-  return write_some (line->text, line->bytes) == line->bytes;
+    return line_buffer (line, level);
+  return write_available (line->text, line->bytes) == line->bytes;
 }
 
-/* Held to the limit of the line that it goes before: else it would fill what is kept for failures.
- */
+/* Logs how many lines were dropped, before the next line is logged. It counts as one of that line's
+ * @level, although it is a warning: otherwise, while the reader stalls, such reports would fill the
+ * space that is reserved for warnings and errors. */
 static void
 report_dropped (log_level_t level)
 {
   line_t line;
 
-  if (state.dropped == 0)
+  if (state.dropped_lines == 0)
     return;
   line_begin (&line, LOG_LEVEL_WARNING, "log_lines_dropped");
-  line_add_field (&line, "count", LOG_U64 (state.dropped));
+  line_add_field (&line, "count", LOG_U64 (state.dropped_lines));
   line_end (&line);
   if (line_write (&line, level))
-    state.dropped = 0;
+    state.dropped_lines = 0;
 }
 
 void
 log_init (const char *program, const char *host, log_level_t level)
 {
-  g_snprintf (state.tail, sizeof state.tail, "Z %.*s %.*s[%d]: ", LIM_NAME_BYTES - 1, host,
+  g_snprintf (state.head, sizeof state.head, "Z %.*s %.*s[%d]: ", LIM_NAME_BYTES - 1, host,
               LIM_NAME_BYTES - 1, program, (int)getpid ());
   state.level = level;
 }
@@ -325,11 +342,11 @@
 }
 
 void
-log_on_held (void (*held) (void *context), void *context)
+log_on_held (void (*callback) (void *context), void *context)
 {
   g_mutex_lock (&state.lock);
-  state.held = held;
-  state.held_context = context;
+  state.hold_callback = callback;
+  state.hold_context = context;
   g_mutex_unlock (&state.lock);
 }
 
@@ -345,8 +362,8 @@
 void
 log_event (log_level_t level, const char *event, ...)
 {
-  void (*held) (void *context);
-  void *held_context;
+  void (*hold_callback) (void *context);
+  void *hold_context;
   line_t line;
   const char *field;
   va_list pairs;
@@ -354,7 +371,7 @@
   if (level > state.level)
     return;
   g_mutex_lock (&state.lock);
-  state.begins_hold = false;
+  state.starts_buffering = false;
   line_begin (&line, level, event);
   va_start (pairs, event);
   while ((field = va_arg (pairs, const char *)) != NULL)
@@ -366,14 +383,15 @@
   va_end (pairs);
   line_end (&line);
   report_dropped (level);
-  if (state.dropped != 0 || !line_write (&line, level))
-    state.dropped++;
-  held = state.begins_hold ? state.held : NULL;
-  held_context = state.held_context;
+  if (state.dropped_lines != 0 || !line_write (&line, level))
+    state.dropped_lines++;
+  hold_callback = state.starts_buffering ? state.hold_callback : NULL;
+  hold_context = state.hold_context;
   g_mutex_unlock (&state.lock);
-  /* Without the lock: the callback takes others, of libraries that log under them. */
-  if (held)
-    held (held_context);
+  /* The callback runs without the lock. It takes locks of libevent, which may log while it holds
+   * them: taking these locks in both orders could deadlock. */
+  if (hold_callback)
+    hold_callback (hold_context);
 }
 
 const char *
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,19 +1,22 @@
 /**
  * DOC: log
  *
- * Structured lines: "<PRI>TIMESTAMP HOST medlarplankd[PID]: EVENT key=value ...". A value with a
- * blank, quote, '=' or control character is quoted and escaped, so that no caller can forge a field
- * or a line. A line is bounded. Safe from any thread, and never waits: lines are dropped and
- * counted while the reader stalls.
+ * Structured log lines: "<PRI>TIMESTAMP HOST PROGRAM[PID]: EVENT key=value ...". A value with a
+ * blank, quote, backslash, '=' or a character outside of printable ASCII is quoted and escaped, so
+ * that text from a request can't forge a field or a line. The length of a line is bounded.
  *
- * Programs log to standard error, a line a write. A daemon calls log_open(): its lines go to
- * standard output through a buffer, so that a busy one makes one write for many lines.
+ * Logging is safe from any thread and never blocks: while the reader of the log stalls, lines are
+ * dropped and counted, and the first line written afterwards reports their number.
+ *
+ * By default each line is written to standard error by itself. A daemon calls log_open() to buffer
+ * its lines, so that a busy daemon writes many lines with one system call.
  */
 #ifndef BASE_LOG_H
 #define BASE_LOG_H
 
 #include <stdint.h>
 
+/** enum log_level - severity with the numbers of syslog, of which lower is more severe */
 typedef enum
 {
   LOG_LEVEL_ERROR = 3,
@@ -23,49 +26,56 @@
   LOG_LEVEL_DEBUG = 7
 } log_level_t;
 
-/** log_init() - name the program and host that stand in each line; lines above @level are dropped
- */
+/** log_init() - set the program and host name of each line; lines less severe than @level are not
+ * logged */
 void log_init (const char *program, const char *host, log_level_t level);
 
 /**
- * log_open() - from now on lines go to @fd through a buffer
+ * log_open() - write lines to @fd through a buffer from now on
  *
- * Lines of warnings and errors leave at once; others when %LOG_WRITE_BYTES have come together, or
- * with the first line or log_flush() after %LOG_HOLD_MS. While @fd takes nothing, the last quarter
- * of the buffer is kept for warnings and errors.
+ * A warning or error flushes the buffer at once. Other lines are flushed when %LOG_WRITE_BYTES are
+ * buffered, by the first line logged %LOG_HOLD_MS or more after the oldest buffered one, or by
+ * log_flush(). While @fd accepts no data, the last quarter of the buffer is reserved for warnings
+ * and errors.
  */
 void log_open (int fd);
-/** log_on_held() - @held is called, in whatever thread logs, when a first line is held: log_flush()
- * is due %LOG_HOLD_MS later. It may not log. NULL for none */
-void log_on_held (void (*held) (void *context), void *context);
-/** log_flush() - write what is buffered, as far as @fd takes it */
+/** log_on_held() - set a callback for when the buffer becomes non-empty; log_flush() should then be
+ * called %LOG_HOLD_MS later. @callback runs in the thread that logs and must not log itself; NULL
+ * removes it */
+void log_on_held (void (*callback) (void *context), void *context);
+/** log_flush() - write the buffered lines, as far as the file descriptor accepts them */
 void log_flush (void);
 
 #define LOG_BUFFER_BYTES (64 * 1024)
-#define LOG_WRITE_BYTES 4096 /* what a pipe takes in one piece */
-#define LOG_HOLD_MS 10
+#define LOG_WRITE_BYTES                                                                            \
+  4096                 /* PIPE_BUF on Linux: a writable pipe accepts this much without blocking */
+#define LOG_HOLD_MS 10 /* longest time that a line stays in the buffer */
 
 /**
- * log_event() - write one line
- * @level: severity, the syslog number
- * @event: what happened, one word with underscores
- * @...: pairs of field name and value, both const char *, ended by NULL; a NULL value is left out
+ * log_event() - log one line
+ * @level: severity
+ * @event: event name, in lower case with underscores
+ * @...: pairs of field name and value, both const char *, ended by a NULL name; a field whose value
+ *   is NULL is left out
  *
- * Numbers are formatted by LOG_U64 into a buffer of the calling statement.
+ * LOG_U64() and LOG_HEX() format a number as a value.
  */
 void log_event (log_level_t level, const char *event, ...) __attribute__ ((sentinel));
 
-/** struct log_num - room for a formatted number */
+/** struct log_num - buffer for a formatted number */
 typedef struct
 {
   char text[24];
 } log_num_t;
 
+/** log_u64() - format @value in decimal. Return: the text in @num */
 const char *log_u64 (log_num_t *num, uint64_t value);
+/** log_hex() - format @value as sixteen hexadecimal digits. Return: the text in @num */
 const char *log_hex (log_num_t *num, uint64_t value);
 
-/** LOG_U64() - @value as text that lives until the end of the enclosing block */
+/** LOG_U64() - @value in decimal; the text is valid until the end of the enclosing block */
 #define LOG_U64(value) log_u64 (&(log_num_t){ { 0 } }, (value))
+/** LOG_HEX() - @value as sixteen hexadecimal digits, valid for as long */
 #define LOG_HEX(value) log_hex (&(log_num_t){ { 0 } }, (value))
 
 #endif
--- a/src/base/log_flusher.c
+++ b/src/base/log_flusher.c
@@ -19,7 +19,7 @@
 }
 
 static void
-on_held (void *context)
+on_line_buffered (void *context)
 {
   lfl_t *lfl = context;
 
@@ -32,7 +32,7 @@
   lfl_t *lfl = g_new0 (lfl_t, 1);
 
   lfl->timer = evtimer_new (base, on_timer, lfl);
-  log_on_held (on_held, lfl);
+  log_on_held (on_line_buffered, lfl);
   return lfl;
 }
 
--- a/src/base/log_flusher.h
+++ b/src/base/log_flusher.h
@@ -1,8 +1,9 @@
 /**
  * DOC: log_flusher
  *
- * Writes held log lines in time. A line that nothing follows would else wait for the next one: the
- * last lines before a process is killed, which say what it did, would be lost with it.
+ * Flushes buffered log lines by a timer. Without it, a line would stay in the buffer until another
+ * one is logged, and the last lines before a process is killed, which tell what it did, would be
+ * lost.
  */
 #ifndef BASE_LOG_FLUSHER_H
 #define BASE_LOG_FLUSHER_H
@@ -11,9 +12,10 @@
 
 typedef struct lfl lfl_t;
 
-/** lfl_new() - from now on a line of any thread is held for %LOG_HOLD_MS at most while @base runs;
- * one of a process */
+/** lfl_new() - flush lines of any thread at most %LOG_HOLD_MS after they are logged, while @base
+ * runs; at most one flusher exists in a process */
 lfl_t *lfl_new (struct event_base *base);
+/** lfl_free() - stop flushing; lines that are still buffered stay there */
 void lfl_free (lfl_t *lfl);
 
 #endif
--- a/src/base/mailbox.c
+++ b/src/base/mailbox.c
@@ -7,10 +7,13 @@
 #include <unistd.h>
 
 /**
- * struct mbx - a mailbox
- * @lock: guards @unread
- * @unread: messages in the order sent
- * @wake_fd: readable from the first message of a batch on until the reader takes the batch
+ * struct mbx - a message queue with an eventfd that wakes its receiver
+ * @lock: protects @unread
+ * @unread: messages in the order in which they were sent
+ * @wake_fd: eventfd; readable from the first message of a batch until the receiver takes the batch
+ * @wake: event of @wake_fd on the receiver's event base
+ * @handler: called for each message
+ * @context: argument of @handler
  */
 struct mbx
 {
@@ -23,7 +26,7 @@
 };
 
 static GQueue
-take_all (mbx_t *mbx)
+take_batch (mbx_t *mbx)
 {
   GQueue batch;
 
@@ -35,9 +38,9 @@
 }
 
 /*
- * The wake-up is cleared before the batch is taken. The other way round, a message sent in between
- * would lie unread until the next one: its writer has found the queue empty and woken the reader,
- * and that wake-up would be cleared here.
+ * The eventfd is cleared before the batch is taken. In the opposite order, a message sent in
+ * between would stay unread until the next one: its sender would find the queue empty and signal
+ * the eventfd, and that signal would be cleared here.
  */
 static void
 on_wake (evutil_socket_t fd, short events, void *context)
@@ -49,7 +52,7 @@
 
   (void)events;
   eventfd_read (fd, &ignored);
-  batch = take_all (mbx);
+  batch = take_batch (mbx);
   while ((message = g_queue_pop_head (&batch)) != NULL)
     {
       mbx->handler (message, mbx->context);
@@ -58,7 +61,7 @@
 }
 
 static void
-wake_reader (mbx_t *mbx)
+wake_receiver (mbx_t *mbx)
 {
   int result;
 
@@ -111,5 +114,5 @@
   g_queue_push_tail (&mbx->unread, message);
   g_mutex_unlock (&mbx->lock);
   if (was_empty)
-    wake_reader (mbx);
+    wake_receiver (mbx);
 }
--- a/src/base/mailbox.h
+++ b/src/base/mailbox.h
@@ -1,8 +1,9 @@
 /**
  * DOC: mailbox
  *
- * How tasks talk: a queue of typed messages that one task reads on its event base and any task
- * writes. A message is owned by the mailbox from mbx_send() on and by the reader afterwards.
+ * Message queue between the tasks (threads) of a process. One task receives the messages on its
+ * event base, and any thread may send. mbx_send() passes the ownership of a message to the mailbox,
+ * which frees it after the handler has returned.
  */
 #ifndef BASE_MAILBOX_H
 #define BASE_MAILBOX_H
@@ -13,9 +14,9 @@
 typedef struct mbx mbx_t;
 
 /**
- * struct mbx_message - head of every message; the first member of the message's own struct
+ * struct mbx_message - header of every message; the first member of the message's own struct
  * @kind: a msg_kind_t
- * @free: frees the whole message with what it holds
+ * @free: frees the whole message with the references that it holds
  */
 typedef struct mbx_message mbx_message_t;
 struct mbx_message
@@ -24,14 +25,16 @@
   void (*free) (mbx_message_t *message);
 };
 
-/** mbx_handler_t - called on the reader's thread; the message is freed after it returns */
+/** mbx_handler_t - called on the receiving thread; the mailbox frees the message after it returns
+ */
 typedef void (*mbx_handler_t) (mbx_message_t *message, void *context);
 
-/** mbx_new() - a mailbox read on @base by @handler */
+/** mbx_new() - create a mailbox whose messages @handler receives on @base */
 mbx_t *mbx_new (struct event_base *base, mbx_handler_t handler, void *context);
-/** mbx_free() - frees the messages not read; no task may send any more */
+/** mbx_free() - free the mailbox with its unread messages; no thread may send to it any more */
 void mbx_free (mbx_t *mbx);
-/** mbx_send() - from any thread; never blocks */
+/** mbx_send() - queue @message, which the mailbox then owns; safe from any thread, never waits for
+ * the receiver */
 void mbx_send (mbx_t *mbx, mbx_message_t *message);
 
 #endif
--- a/src/base/pause.h
+++ b/src/base/pause.h
@@ -1,20 +1,20 @@
 /**
  * DOC: pause
  *
- * Tells a task that it did not run for a while (SIGSTOP, a frozen virtual machine, a starved
- * host): CLOCK_MONOTONIC goes on meanwhile. What the task knew may be out of date then: its host
- * may be leaving, the version in force replaced.
+ * Detects that a task (thread) did not run for a while: the process was stopped by SIGSTOP, its
+ * virtual machine was suspended, or its host was overloaded. The task's state may be out of date
+ * afterwards: its host may have started to leave, or a newer version may be in force.
  *
- * Each task keeps one pse_t and calls pse_check() first in every event, and on a timer of
- * %PSE_TICK_MS so that an idle task is not taken for a paused one. A task that woke is stale until
- * a MSG_FRESHNESS came that was checked after it woke: one sent before the pause may still lie in
- * the mailbox and must not count. The data task tells the control task by MSG_WOKE, which may not
- * have noticed.
+ * Each task has one pse_t. It calls pse_check() first in every event handler, and on a timer of
+ * %PSE_TICK_MS so that an idle task is not taken for a paused one. A task that was paused is stale
+ * until it receives a MSG_FRESHNESS whose check took place after the task resumed. One from before
+ * the pause may still be in the mailbox, and does not count. The data task reports its pause to the
+ * control task by MSG_WOKE, since the control task may not have been paused itself.
  *
- * What lay in its sockets when it woke is as old as the pause and doesn't say so: a request that
- * came in before has an age that nobody knows, and its caller was told long ago that it may have
- * run. The task reads all of that within %PSE_SETTLE_US and takes no work until then, however fast
- * it hears that it is fresh.
+ * Requests that were in the task's sockets when it resumed may have arrived at any time during the
+ * pause. Their callers may long since have been told that the request may have run, so that running
+ * it now could run it twice. The task reads all of them within %PSE_SETTLE_US, and accepts no
+ * request until then, even if it is no longer stale.
  */
 #ifndef BASE_PAUSE_H
 #define BASE_PAUSE_H
@@ -22,16 +22,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PSE_TICK_MS 100
-#define PSE_INTERVALS 3
-#define PSE_GAP_MIN_US (1500 * 1000)
-#define PSE_SETTLE_US (250 * 1000)
+#define PSE_TICK_MS 100              /* interval of the timer that calls pse_check() */
+#define PSE_INTERVALS 3              /* exchange intervals without running that count as a pause */
+#define PSE_GAP_MIN_US (1500 * 1000) /* a shorter time without running is never a pause */
+#define PSE_SETTLE_US (250 * 1000)   /* time to read the requests that arrived during a pause */
 
 /**
- * struct pse - of one task
+ * struct pse_detector - pause detection of one task
+ * @last_us: time of the last pse_check()
  * @gap_us: a task that did not run for longer than this was paused
- * @woke_us: when it last woke; what was checked before that does not count
- * @settled_us: when it has read all that came in while it was paused itself
+ * @woke_us: time at which the task last resumed; freshness checked before it does not count
+ * @settled_us: time by which the task has read all requests that arrived during its own pause
+ * @stale: the task's state may be out of date
  */
 typedef struct
 {
@@ -42,16 +44,20 @@
   bool stale;
 } pse_t;
 
-/** pse_init() - stale at first: nothing was heard yet */
+/** pse_init() - initialize as stale, since nothing was received yet */
 void pse_init (pse_t *pse, uint64_t now_us, uint32_t exchange_interval_ms);
-/** pse_check() - call first in every event. Return: whether the task has just woken */
+/** pse_check() - call first in every event handler. Return: whether the task has just resumed after
+ * a pause; it is stale then */
 bool pse_check (pse_t *pse, uint64_t now_us);
-/** pse_wake() - another task noticed the pause at @woke_us. Return: whether that is news */
+/** pse_wake() - record that another task resumed after a pause at @woke_us. Return: false if this
+ * or a later pause is known already */
 bool pse_wake (pse_t *pse, uint64_t woke_us);
-/** pse_fresh() - all was heard again after @checked_us. Return: whether the task is fresh now */
+/** pse_fresh() - record that all state was found up to date at @checked_us. Return: whether the
+ * task is no longer stale; it remains stale if it resumed after @checked_us */
 bool pse_fresh (pse_t *pse, uint64_t checked_us);
+/** pse_stale() - whether the task's state may be out of date */
 bool pse_stale (const pse_t *pse);
-/** pse_settling() - whether what lay in the sockets during a pause may still be read */
+/** pse_settling() - whether requests that are read now may have arrived during a pause */
 bool pse_settling (const pse_t *pse, uint64_t now_us);
 
 #endif
--- a/src/base/region_map.c
+++ b/src/base/region_map.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static bool
-take_name (char out[LIM_NAME_BYTES], const char *text)
+copy_name (char out[LIM_NAME_BYTES], const char *text)
 {
   return text[0] != '\0' && g_strlcpy (out, text, LIM_NAME_BYTES) < LIM_NAME_BYTES;
 }
@@ -17,7 +17,7 @@
 
   if (map->count == RGN_DATA_CENTERS || g_strv_length (names) != 2 || rgn_of (map, names[0]))
     return false;
-  if (!take_name (row->data_center, names[0]) || !take_name (row->region, names[1]))
+  if (!copy_name (row->data_center, names[0]) || !copy_name (row->region, names[1]))
     return false;
   map->count++;
   return true;
--- a/src/base/region_map.h
+++ b/src/base/region_map.h
@@ -1,8 +1,8 @@
 /**
  * DOC: region_map
  *
- * In which region each data centre is, as the settings say: "DATA-CENTRE=REGION" with commas
- * between.
+ * Map from data centres to their regions, as given by the setting "regions": a comma-separated list
+ * of DATA-CENTRE=REGION.
  */
 #ifndef BASE_REGION_MAP_H
 #define BASE_REGION_MAP_H
@@ -12,28 +12,32 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RGN_DATA_CENTERS 64 /* five times those of the largest fleet that is designed for */
+#define RGN_DATA_CENTERS                                                                           \
+  64 /* five times the data centres of the largest fleet that is supported                         \
+      */
 
-/** struct rgn_row - a data centre */
+/** struct rgn_row - a data centre and its region */
 typedef struct
 {
   char data_center[LIM_NAME_BYTES];
   char region[LIM_NAME_BYTES];
 } rgn_row_t;
 
-/** struct rgn_map - zeroed, it is empty */
+/** struct rgn_map - the map; one filled with zeros is empty */
 typedef struct
 {
   rgn_row_t rows[RGN_DATA_CENTERS];
   uint32_t count;
 } rgn_map_t;
 
-/** rgn_parse() - Return: false, with @map untouched, when a name is missing, too long or stands
- * twice, or there are too many */
+/** rgn_parse() - replace @map by the entries of @text. Return: false, with @map unchanged, if a
+ * name is missing or too long, a data centre is listed twice, or there are more than
+ * %RGN_DATA_CENTERS */
 bool rgn_parse (rgn_map_t *map, const char *text);
-/** rgn_text() - the inverse, freed by g_free() */
+/** rgn_text() - format @map as rgn_parse() reads it. Return: the text, to be freed with g_free() */
 char *rgn_text (const rgn_map_t *map);
-/** rgn_of() - region of @data_center, or NULL when it is not known */
+/** rgn_of() - look up a data centre. Return: its region, owned by @map, or NULL if it is not listed
+ */
 const char *rgn_of (const rgn_map_t *map, const char *data_center);
 
 #endif
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -6,10 +6,11 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ROWS_MAX 48
+#define ROWS_MAX 48 /* capacity for settings; fill_options() checks it */
 #define DEFAULT_ORIGIN "default"
 
-/* What getopt_long() returns for a flag: the number of a row, or one of these. */
+/* Results of getopt_long() for flags that are not settings; for a setting it returns its row
+ * number. */
 enum
 {
   FLAG_HELP = 1000,
@@ -18,9 +19,9 @@
 };
 
 /**
- * struct given - the value that a setting was given
- * @text: borrowed, or NULL when it was not given and has no default
- * @origin: the flag or variable, or DEFAULT_ORIGIN
+ * struct given - value of a setting before it is parsed
+ * @text: the value, not owned; NULL if it was not given and has no default
+ * @origin: the flag or environment variable that gave it, or DEFAULT_ORIGIN; owned
  */
 typedef struct
 {
@@ -28,38 +29,45 @@
   char *origin;
 } given_t;
 
-/** struct load - settings while they are read; @given in the order of @rows */
+/**
+ * struct loader - state of set_load()
+ * @settings: filled in
+ * @rows: declarations of all settings
+ * @row_count: number of @rows and @given
+ * @given: values in the order of @rows
+ * @check_only: --check-settings was given
+ */
 typedef struct
 {
-  set_t *set;
+  set_t *settings;
   const set_row_t *rows;
   uint32_t row_count;
   given_t given[ROWS_MAX];
   bool check_only;
-} load_t;
+} loader_t;
 
 static void
-give (load_t *load, uint32_t index, const char *text, char *origin)
+set_given (loader_t *loader, uint32_t index, const char *text, char *origin)
 {
-  g_free (load->given[index].origin);
-  load->given[index].text = text;
-  load->given[index].origin = origin;
+  g_free (loader->given[index].origin);
+  loader->given[index].text = text;
+  loader->given[index].origin = origin;
 }
 
 static const given_t *
-given_named (const load_t *load, const char *name)
+find_given (const loader_t *loader, const char *name)
 {
-  return &load->given[set_row_find (name) - load->rows];
+  return &loader->given[set_row_find (name) - loader->rows];
 }
 
 static void
-fill_options (const load_t *load, struct option options[ROWS_MAX])
+fill_options (const loader_t *loader, struct option options[ROWS_MAX])
 {
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < load->row_count; i++)
-    if (set_row_is_flag (&load->rows[i]))
-      options[count++] = (struct option){ load->rows[i].name, required_argument, NULL, (int)i };
+  for (uint32_t i = 0; i < loader->row_count; i++)
+    if (set_row_is_flag (&loader->rows[i]))
+      options[count++] = (struct option){ loader->rows[i].name, required_argument, NULL, (int)i };
   options[count++] = (struct option){ "help", no_argument, NULL, FLAG_HELP };
   options[count++] = (struct option){ "version", no_argument, NULL, FLAG_VERSION };
   options[count++] = (struct option){ "check-settings", no_argument, NULL, FLAG_CHECK_SETTINGS };
@@ -68,8 +76,8 @@
 }
 
 /*
- * getopt_long() takes any beginning of a flag that fits only one. A script that leans on it breaks
- * on the day another setting begins the same way, so only whole names are taken.
+ * getopt_long() accepts any unambiguous prefix of a flag. A script that uses one would break when a
+ * setting with the same prefix is added, so only whole names are accepted.
  */
 static bool
 is_whole_name (const char *argument, const char *name)
@@ -84,33 +92,33 @@
 static set_outcome_t
 refuse_flag (const char *argument, bool lacks_value, GError **error)
 {
-  /* Command lines can be seen by every user of the host; the value must not go to a log either. */
+  /* Every user of the host can read command lines. The message omits the value, as it may be
+   * logged. */
   if (is_whole_name (argument, "fleet-key"))
     g_set_error (error, SET_ERROR, SET_ERROR_FLAG,
                  "--fleet-key is not a flag: give MEDLARPLANK_FLEET_KEY or --fleet-key-file");
   else if (lacks_value)
-    g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "flag %s needs a value", argument);
+    g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "flag %s requires a value", argument);
   else
-    g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "flag \"%s\" is not known; see --help",
-                 argument);
+    g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "unknown flag \"%s\"; see --help", argument);
   return SET_EXIT_2;
 }
 
 static void
-print_help (const load_t *load)
+print_help (const loader_t *loader)
 {
   printf ("Usage: medlarplankd --SETTING VALUE ...\n\n"
           "Each setting is a flag or an environment variable (MEDLARPLANK_SETTING, upper case,\n"
           "'_' for '-'); a flag goes before the variable.\n\n");
-  for (uint32_t i = 0; i < load->row_count; i++)
+  for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      const set_row_t *row = &load->rows[i];
+      const set_row_t *row = &loader->rows[i];
       char *allowed = set_row_allowed (row);
       char *env = set_row_env (row);
       printf ("  %s%s\n      %s.\n      Allowed: %s. %s%s\n", set_row_is_flag (row) ? "--" : "",
               set_row_is_flag (row) ? row->name : env, row->help, allowed,
-              row->fallback != NULL ? "Default: " : "Needed by: ",
-              row->fallback != NULL ? row->fallback : set_row_needed (row));
+              row->default_text != NULL ? "Default: " : "Needed by: ",
+              row->default_text != NULL ? row->default_text : set_row_needed (row));
       g_free (allowed);
       g_free (env);
     }
@@ -118,17 +126,17 @@
           "  --help, --version\n");
 }
 
-/* Return: SET_RUN when the flags are read and none of them ends the program. */
+/* Return: SET_RUN if all flags are valid and none of them ends the program */
 static set_outcome_t
-read_flags (load_t *load, int argc, char **argv, GError **error)
+read_flags (loader_t *loader, int argc, char **argv, GError **error)
 {
   struct option options[ROWS_MAX];
   const char *argument;
   int found;
 
-  fill_options (load, options);
+  fill_options (loader, options);
   opterr = 0;
-  optind = 0; /* starts getopt anew */
+  optind = 0; /* resets getopt_long() for another command line */
   while (true)
     {
       int index = -1;
@@ -139,79 +147,79 @@
       if (found == '?' || found == ':' || !is_whole_name (argument, options[index].name))
         return refuse_flag (argument, found == ':', error);
       if (found == FLAG_HELP)
-        print_help (load);
+        print_help (loader);
       if (found == FLAG_VERSION)
         printf ("medlarplankd %s\n", SET_PROGRAM_VERSION);
       if (found == FLAG_HELP || found == FLAG_VERSION)
         return SET_EXIT_0;
       if (found == FLAG_CHECK_SETTINGS)
-        load->check_only = true;
+        loader->check_only = true;
       else
-        give (load, (uint32_t)found, optarg, g_strconcat ("--", options[index].name, NULL));
+        set_given (loader, (uint32_t)found, optarg, g_strconcat ("--", options[index].name, NULL));
     }
   if (optind >= argc)
     return SET_RUN;
-  g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "argument \"%s\" belongs to no flag; see --help",
+  g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "unexpected argument \"%s\"; see --help",
                argv[optind]);
   return SET_EXIT_2;
 }
 
-/* An empty variable is one that is not given: a unit file cannot always leave one out. */
+/* An empty variable counts as not given, since a unit file can't always omit a variable. */
 static void
-read_environment (load_t *load, const char *(*environ_get) (const char *name))
+read_environment (loader_t *loader, const char *(*environ_get) (const char *name))
 {
-  for (uint32_t i = 0; i < load->row_count; i++)
+  for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      char *name = set_row_env (&load->rows[i]);
+      char *name = set_row_env (&loader->rows[i]);
       const char *text = environ_get (name);
-      if (load->given[i].text == NULL && text != NULL && *text != '\0')
-        give (load, i, text, name);
+      if (loader->given[i].text == NULL && text != NULL && *text != '\0')
+        set_given (loader, i, text, name);
       else
         g_free (name);
     }
 }
 
 static void
-read_defaults (load_t *load)
+read_defaults (loader_t *loader)
 {
-  for (uint32_t i = 0; i < load->row_count; i++)
-    if (load->given[i].text == NULL && load->rows[i].fallback != NULL)
-      give (load, i, load->rows[i].fallback, g_strdup (DEFAULT_ORIGIN));
+  for (uint32_t i = 0; i < loader->row_count; i++)
+    if (loader->given[i].text == NULL && loader->rows[i].default_text != NULL)
+      set_given (loader, i, loader->rows[i].default_text, g_strdup (DEFAULT_ORIGIN));
 }
 
 static bool
-apply_all (load_t *load, GError **error)
+apply_all (loader_t *loader, GError **error)
 {
-  for (uint32_t i = 0; i < load->row_count; i++)
+  for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      const given_t *given = &load->given[i];
+      const given_t *given = &loader->given[i];
       if (given->text == NULL)
         continue;
-      if (!set_row_apply (&load->rows[i], given->text, given->origin, load->set, error))
+      if (!set_row_apply (&loader->rows[i], given->text, given->origin, loader->settings, error))
         return false;
     }
   return true;
 }
 
 static bool
-is_needed (const load_t *load, const set_row_t *row)
+is_required (const loader_t *loader, const set_row_t *row)
 {
   if (row->need == SET_NEED_SIDECAR)
-    return load->set->role == SET_ROLE_SIDECAR;
+    return loader->settings->role == SET_ROLE_SIDECAR;
   if (row->need == SET_NEED_GATEWAY)
-    return load->set->role == SET_ROLE_GATEWAY;
+    return loader->settings->role == SET_ROLE_GATEWAY;
   return row->need == SET_NEED_ALL;
 }
 
 static bool
-check_needed (const load_t *load, GError **error)
+check_required (const loader_t *loader, GError **error)
 {
-  for (uint32_t i = 0; i < load->row_count; i++)
+  for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      const set_row_t *row = &load->rows[i];
+      const set_row_t *row = &loader->rows[i];
       char *env;
       char *allowed;
-      if (load->given[i].text != NULL || !is_needed (load, row))
+      if (loader->given[i].text != NULL || !is_required (loader, row))
         continue;
       env = set_row_env (row);
       allowed = set_row_allowed (row);
@@ -225,43 +233,45 @@
 }
 
 static const char *
-role_name (const load_t *load)
+role_name (const loader_t *loader)
 {
-  return given_named (load, "role")->text;
+  return find_given (loader, "role")->text;
 }
 
-/* What only one role uses would be ignored at another, and its giver would not know. */
+/* Refuses a setting that this role doesn't use. If it were ignored, an operator would not notice
+ * the mistake. */
 static bool
-check_role (const load_t *load, const char *name, set_role_t role, const char *why, GError **error)
+check_role (
+    const loader_t *loader, const char *name, set_role_t role, const char *why, GError **error)
 {
-  const given_t *given = given_named (load, name);
+  const given_t *given = find_given (loader, name);
 
-  if (load->set->role == role || given->text == NULL)
+  if (loader->settings->role == role || given->text == NULL)
     return true;
   g_set_error (error, SET_ERROR, SET_ERROR_CONFLICT, "%s: \"%s\" (%s): %s, and role is %s", name,
-               given->text, given->origin, why, role_name (load));
+               given->text, given->origin, why, role_name (loader));
   return false;
 }
 
 static bool
-check_roles (const load_t *load, GError **error)
+check_roles (const loader_t *loader, GError **error)
 {
-  return check_role (load, "engine", SET_ROLE_SIDECAR, "only a sidecar has an engine", error) &&
-         check_role (load, "ready-listen", SET_ROLE_GATEWAY, "only a gateway listens there",
+  return check_role (loader, "engine", SET_ROLE_SIDECAR, "only a sidecar has an engine", error) &&
+         check_role (loader, "ready-listen", SET_ROLE_GATEWAY, "only a gateway listens there",
                      error) &&
-         check_role (load, "control-listen", SET_ROLE_GATEWAY, "only a gateway listens there",
+         check_role (loader, "control-listen", SET_ROLE_GATEWAY, "only a gateway listens there",
                      error);
 }
 
 /*
- * With two keys it would hang on their order which one counts, and a daemon with the wrong one
- * hears nobody: its peers drop all that it says.
+ * Exactly one source of the key is allowed. With two, the key in use would depend on their order,
+ * and a daemon with the wrong key is isolated: it and its peers drop each other's messages.
  */
 static bool
-check_fleet_key (const load_t *load, GError **error)
+check_fleet_key (const loader_t *loader, GError **error)
 {
-  const given_t *key = given_named (load, "fleet-key");
-  const given_t *file = given_named (load, "fleet-key-file");
+  const given_t *key = find_given (loader, "fleet-key");
+  const given_t *file = find_given (loader, "fleet-key-file");
 
   if ((key->text != NULL) != (file->text != NULL))
     return true;
@@ -276,78 +286,78 @@
 }
 
 /*
- * A claim that the log no longer keeps cannot be read back. Were its key still within the horizon,
- * a resend would be granted and the request would run twice.
+ * A claim that the log no longer keeps can't be read back. If its idempotency key were still within
+ * the horizon, a repeated request would be granted and would run twice.
  */
 static bool
-check_horizon (const load_t *load, GError **error)
+check_horizon (const loader_t *loader, GError **error)
 {
-  if (load->set->claim_horizon_s < load->set->log_retention_s)
+  if (loader->settings->claim_horizon_s < loader->settings->log_retention_s)
     return true;
   g_set_error (error, SET_ERROR, SET_ERROR_CONFLICT,
                "claim-horizon-s: %u (%s): must be less than log-retention-s, which is %u (%s)",
-               load->set->claim_horizon_s, given_named (load, "claim-horizon-s")->origin,
-               load->set->log_retention_s, given_named (load, "log-retention-s")->origin);
+               loader->settings->claim_horizon_s, find_given (loader, "claim-horizon-s")->origin,
+               loader->settings->log_retention_s, find_given (loader, "log-retention-s")->origin);
   return false;
 }
 
 static bool
-check_all (const load_t *load, GError **error)
+check_all (const loader_t *loader, GError **error)
 {
-  return check_needed (load, error) && check_roles (load, error) && check_fleet_key (load, error) &&
-         check_horizon (load, error);
+  return check_required (loader, error) && check_roles (loader, error) &&
+         check_fleet_key (loader, error) && check_horizon (loader, error);
 }
 
 static void
-print_settings (const load_t *load)
+print_settings (const loader_t *loader)
 {
-  for (uint32_t i = 0; i < load->row_count; i++)
+  for (uint32_t i = 0; i < loader->row_count; i++)
     {
       char *value;
-      if (load->given[i].text == NULL)
+      if (loader->given[i].text == NULL)
         continue;
-      value = set_row_value (&load->rows[i], load->set);
-      printf ("%s=%s # %s\n", load->rows[i].name, value, load->given[i].origin);
+      value = set_row_value (&loader->rows[i], loader->settings);
+      printf ("%s=%s # %s\n", loader->rows[i].name, value, loader->given[i].origin);
       g_free (value);
     }
 }
 
 static set_outcome_t
-load_all (load_t *load,
+load_all (loader_t *loader,
           int argc,
           char **argv,
           const char *(*environ_get) (const char *name),
           GError **error)
 {
-  set_outcome_t outcome = read_flags (load, argc, argv, error);
+  set_outcome_t outcome = read_flags (loader, argc, argv, error);
 
   if (outcome != SET_RUN)
     return outcome;
-  read_environment (load, environ_get);
-  read_defaults (load);
-  if (!apply_all (load, error) || !check_all (load, error))
+  read_environment (loader, environ_get);
+  read_defaults (loader);
+  if (!apply_all (loader, error) || !check_all (loader, error))
     return SET_EXIT_2;
-  if (!load->check_only)
+  if (!loader->check_only)
     return SET_RUN;
-  print_settings (load);
+  print_settings (loader);
   return SET_EXIT_0;
 }
 
 set_outcome_t
-set_load (set_t *set,
+set_load (set_t *settings,
           int argc,
           char **argv,
           const char *(*environ_get) (const char *name),
           GError **error)
 {
-  load_t load = { .set = set };
+  loader_t loader = { .settings = settings };
   set_outcome_t outcome;
 
-  memset (set, 0, sizeof *set);
-  load.rows = set_rows (&load.row_count);
-  g_assert (load.row_count <= ROWS_MAX);
-  outcome = load_all (&load, argc, argv, environ_get, error);
-  for (uint32_t i = 0; i < load.row_count; i++)
-    g_free (load.given[i].origin);
+  memset (settings, 0, sizeof *settings);
+  loader.rows = set_rows (&loader.row_count);
+  g_assert (loader.row_count <= ROWS_MAX);
+  outcome = load_all (&loader, argc, argv, environ_get, error);
+  for (uint32_t i = 0; i < loader.row_count; i++)
+    g_free (loader.given[i].origin);
   return outcome;
 }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,9 +1,9 @@
 /**
  * DOC: settings
  *
- * The settings of a daemon: one option table read from flags (--name VALUE) and environment
- * variables (MEDLARPLANK_NAME); a flag goes before the environment. All are checked at start.
- * docs/settings.md is checked against the table by a test.
+ * Settings of a daemon, read from command-line flags (--name VALUE) and environment variables
+ * (MEDLARPLANK_NAME). A flag takes precedence over the environment. All settings are checked at
+ * start. They are declared in settings_table.c; a test compares docs/settings.md with that table.
  */
 #ifndef BASE_SETTINGS_H
 #define BASE_SETTINGS_H
@@ -17,7 +17,7 @@
 #include <stdint.h>
 
 #define SET_PROGRAM_VERSION "0.1.0"
-#define SET_SEEDS 8
+#define SET_SEEDS 8 /* most addresses in the setting "seeds" */
 
 typedef enum
 {
@@ -26,7 +26,11 @@
   SET_ROLE_GATEWAY /* a router that calls engines itself, without sidecars */
 } set_role_t;
 
-/** struct set_address - an IP number and a port; host names are not looked up */
+/**
+ * struct set_address - an IP address and a port; host names are not supported
+ * @ip: in the form of inet_ntop(), so that equal addresses compare equal
+ * @port: 0 if the address is not set
+ */
 typedef struct
 {
   char ip[46];
@@ -34,30 +38,44 @@
 } set_address_t;
 
 /**
- * struct set - the settings of a daemon
- * @name: host name in the platform's list; a sidecar carries the name of its engine
- * @regions: gateway only: of all data centres
- * @listen: HTTP, towards callers (router) or routers (sidecar)
- * @exchange: UDP, towards the other daemons
- * @platform: the platform's log and host list
- * @engine: sidecar only: the engine beside it
- * @ready_listen: gateway only: HTTP, where the balancer asks whether it is ready
- * @control_listen: gateway only: HTTP, counters, and what peers ask
- * @seeds: gateway only: control addresses of gateways that may be up
- * @first_start: gateway only: the whole fleet starts for the first time
- * @retry_ratio_milli: gateway only: retries for each thousand requests of a service, all gateways
- * @retry_slack_milli: gateway only: thousandths of retries in a window beyond that, all gateways
- * @retry_window_ms: gateway only: span that both are counted over
- * @version_ms: gateway only: time in which a new version must be in force
- * @renewal_ms: gateway only: how often engines renew their entries
- * @drain_ms: gateway only: time in which an engine that leaves must get nothing more
- * @center_drain_ms: gateway only: likewise the engines of a data centre that is drained
- * @grace_ms: gateway only: from a stop signal until the process is killed
- * @fleet_key: shared secret of the daemons, at least 16 bytes
- * @idle_timeout_ms: a connection without a request is closed after this
- * @exchange_interval_ms: between two messages that a daemon starts
- * @list_interval_ms: between two readings of the platform's list
- * @control_budget_bytes: bytes a second for control traffic, all that a daemon sends
+ * struct settings - settings of a daemon
+ * @role: what kind of daemon this process is
+ * @name: host name in the platform's host list; a sidecar uses the name of its engine
+ * @data_center: data centre of the host
+ * @region: region of the data centre
+ * @regions: gateway only: the regions of all data centres
+ * @listen: HTTP listener for callers (router, gateway) or for routers (sidecar)
+ * @exchange: UDP address for messages between daemons
+ * @platform: address of the platform's log and host list
+ * @engine: sidecar only: the engine on the same host
+ * @ready_listen: gateway only: HTTP listener for readiness checks by the load balancer
+ * @control_listen: gateway only: HTTP listener for metrics and for requests of other gateways
+ * @seeds: gateway only: control addresses of other gateways, some of which may be down
+ * @seed_count: number of @seeds
+ * @first_start: gateway only: the whole fleet is being started for the first time, so that this
+ *   gateway waits for peers before it reads the platform
+ * @retry_ratio_milli: gateway only: retries allowed per thousand requests of a service, by all
+ *   gateways together
+ * @retry_slack_milli: gateway only: thousandths of retries allowed per window in addition, by all
+ *   gateways together
+ * @retry_window_ms: gateway only: length of the window in which retries are counted
+ * @version_ms: gateway only: time within which a new configuration version must be in force
+ * @renewal_ms: gateway only: interval at which engines renew their registry entries
+ * @drain_ms: gateway only: time within which a leaving engine must receive no more requests
+ * @center_drain_ms: gateway only: likewise for the engines of a data centre that is drained
+ * @grace_ms: gateway only: time from a stop signal until the process is killed
+ * @fleet_key: shared secret of all daemons, at least 16 bytes
+ * @log_level: less severe lines are not logged
+ * @body_limit_bytes: largest body of a request
+ * @header_limit_bytes: largest request line and headers of a request
+ * @header_limit_count: most headers of a request
+ * @connection_limit: most open connections to the HTTP listener
+ * @idle_timeout_ms: a connection without a request is closed after this time
+ * @exchange_interval_ms: between two messages that a daemon initiates
+ * @list_interval_ms: between two reads of the platform's host list
+ * @control_budget_bytes: bytes per second that a daemon may send as control traffic
+ * @claim_horizon_s: how long an idempotency key is remembered
+ * @log_retention_s: how long the platform's log keeps a record
  */
 typedef struct
 {
@@ -99,25 +117,30 @@
 
 typedef enum
 {
-  SET_RUN,    /* go on and run */
-  SET_EXIT_0, /* --help, --version or --check-settings did its work */
-  SET_EXIT_2  /* a setting is wrong; @error says which, its value and what is allowed */
+  SET_RUN,    /* the settings are valid: run the daemon */
+  SET_EXIT_0, /* --help, --version or --check-settings is done: exit with status 0 */
+  SET_EXIT_2  /* a setting is invalid: print @error and exit with status 2 */
 } set_outcome_t;
 
 /**
- * set_load() - read flags and environment, and check all
- * @set: filled in
- * @environ_get: looks up an environment variable; getenv in the daemon
+ * set_load() - read the settings from flags and environment, and check them
+ * @settings: filled in
+ * @argc: number of arguments, including the program name
+ * @argv: arguments; getopt_long() keeps pointers into it
+ * @environ_get: looks up an environment variable; getenv() in the daemon
+ * @error: set for SET_EXIT_2, to the setting, its value and the allowed values
  */
-set_outcome_t set_load (set_t *set,
+set_outcome_t set_load (set_t *settings,
                         int argc,
                         char **argv,
                         const char *(*environ_get) (const char *name),
                         GError **error);
 
-/** set_parse_address() - "IP:PORT" or "[IPv6]:PORT" */
+/** set_parse_address() - parse "IP:PORT" or "[IPv6]:PORT". Return: false with @error if it is
+ * neither */
 bool set_parse_address (const char *text, set_address_t *address, GError **error);
-/** set_address_text() - the inverse, freed by g_free() */
+/** set_address_text() - format as set_parse_address() reads it, or "" if not set. Return: the text,
+ * to be freed with g_free() */
 char *set_address_text (const set_address_t *address);
 
 #endif
--- a/src/base/settings_table.c
+++ b/src/base/settings_table.c
@@ -8,10 +8,10 @@
 #define PORT_MAX 65535
 #define PORT_DIGITS 5
 
-#define ROW(name, kind, need, minimum, maximum, field, fallback, help)                             \
+#define ROW(name, kind, need, minimum, maximum, field, default_text, help)                         \
   {                                                                                                \
-    name, SET_KIND_##kind, SET_NEED_##need, minimum, maximum, offsetof (set_t, field), fallback,   \
-        help                                                                                       \
+    name, SET_KIND_##kind, SET_NEED_##need, minimum, maximum, offsetof (set_t, field),             \
+        default_text, help                                                                         \
   }
 
 /* clang-format off */
@@ -35,7 +35,7 @@
        "HTTP, counters and what other gateways ask"),
   ROW ("seeds", SEEDS, NONE, 0, 0, seeds, NULL,
        "Gateway: control addresses of gateways to ask at a start, and while the platform is out"),
-  ROW ("first-start", FLAG, NONE, 0, 0, first_start, "false",
+  ROW ("first-start", BOOLEAN, NONE, 0, 0, first_start, "false",
        "Gateway: whether the whole fleet starts for the first time, so that peers are waited for "
        "before the platform is read"),
   ROW ("retry-ratio", MILLI, NONE, 0, 1000, retry_ratio_milli, "0.1",
@@ -94,10 +94,10 @@
                                            [LOG_LEVEL_INFO] = "info",
                                            [LOG_LEVEL_DEBUG] = "debug" };
 
-static const char *const flag_names[] = { "false", "true" };
+static const char *const boolean_names[] = { "false", "true" };
 
 static bool
-parse_word (const char *const *words, uint32_t count, const char *text, uint32_t *index)
+find_word (const char *const *words, uint32_t count, const char *text, uint32_t *index)
 {
   for (uint32_t i = 0; i < count; i++)
     if (words[i] != NULL && strcmp (words[i], text) == 0)
@@ -113,7 +113,7 @@
 {
   uint32_t index;
 
-  if (!parse_word (role_names, G_N_ELEMENTS (role_names), text, &index))
+  if (!find_word (role_names, G_N_ELEMENTS (role_names), text, &index))
     return false;
   *role = (set_role_t)index;
   return true;
@@ -124,20 +124,20 @@
 {
   uint32_t index;
 
-  if (!parse_word (level_names, G_N_ELEMENTS (level_names), text, &index))
+  if (!find_word (level_names, G_N_ELEMENTS (level_names), text, &index))
     return false;
   *level = (log_level_t)index;
   return true;
 }
 
 static bool
-parse_flag (const char *text, bool *flag)
+parse_boolean (const char *text, bool *value)
 {
   uint32_t index;
 
-  if (!parse_word (flag_names, G_N_ELEMENTS (flag_names), text, &index))
+  if (!find_word (boolean_names, G_N_ELEMENTS (boolean_names), text, &index))
     return false;
-  *flag = index != 0;
+  *value = index != 0;
   return true;
 }
 
@@ -163,7 +163,7 @@
   return true;
 }
 
-/* a decimal number without sign or exponent; digits beyond the third decimal place do not count */
+/* Parses a decimal number without sign or exponent into thousandths, rounded to the nearest. */
 static bool
 parse_milli (const set_row_t *row, const char *text, uint32_t *number)
 {
@@ -194,7 +194,8 @@
   return true;
 }
 
-/* Reads no more than the largest secret and a newline, whatever the path leads to. */
+/* Reads the secret from a file. At most the longest secret and a newline are read, so that a path
+ * such as /dev/zero can't exhaust the memory. */
 static bool
 read_secret (const char *path, char *out)
 {
@@ -228,7 +229,7 @@
   return true;
 }
 
-/* The number goes back to text in its one usual form, so that equal addresses compare equal. */
+/* Converts the address to the form of inet_ntop(), so that equal addresses compare equal. */
 static bool
 parse_ip (const char *text, size_t bytes, bool bracketed, char out[46])
 {
@@ -266,7 +267,7 @@
 }
 
 static bool
-parse_seeds (const char *text, set_t *set)
+parse_seeds (const char *text, set_t *settings)
 {
   g_auto (GStrv) parts = g_strsplit (text, ",", SET_SEEDS + 1);
   uint32_t count = text[0] != '\0' ? g_strv_length (parts) : 0;
@@ -274,20 +275,20 @@
   if (count > SET_SEEDS)
     return false;
   for (uint32_t i = 0; i < count; i++)
-    if (!parse_address (parts[i], &set->seeds[i]))
+    if (!parse_address (parts[i], &settings->seeds[i]))
       return false;
-  set->seed_count = count;
+  settings->seed_count = count;
   return true;
 }
 
 static char *
-seeds_text (const set_t *set)
+seeds_text (const set_t *settings)
 {
   GString *text = g_string_new (NULL);
 
-  for (uint32_t i = 0; i < set->seed_count; i++)
+  for (uint32_t i = 0; i < settings->seed_count; i++)
     {
-      g_autofree char *address = set_address_text (&set->seeds[i]);
+      g_autofree char *address = set_address_text (&settings->seeds[i]);
 
       g_string_append_printf (text, "%s%s", i > 0 ? "," : "", address);
     }
@@ -295,9 +296,9 @@
 }
 
 static bool
-parse_value (const set_row_t *row, const char *text, set_t *set)
+parse_value (const set_row_t *row, const char *text, set_t *settings)
 {
-  void *field = (char *)set + row->offset;
+  void *field = (char *)settings + row->offset;
 
   switch (row->kind)
     {
@@ -308,13 +309,13 @@
     case SET_KIND_ADDRESS:
       return parse_address (text, field);
     case SET_KIND_SEEDS:
-      return parse_seeds (text, set);
+      return parse_seeds (text, settings);
     case SET_KIND_REGIONS:
       return text[0] == '\0' || rgn_parse (field, text);
     case SET_KIND_NUMBER:
       return parse_number (row, text, field);
-    case SET_KIND_FLAG:
-      return parse_flag (text, field);
+    case SET_KIND_BOOLEAN:
+      return parse_boolean (text, field);
     case SET_KIND_MILLI:
       return parse_milli (row, text, field);
     case SET_KIND_LEVEL:
@@ -330,7 +331,7 @@
 GQuark
 set_error_quark (void)
 {
-  return g_quark_from_static_string ("set-error-quark");
+  return g_quark_from_static_string ("settings-error-quark");
 }
 
 const set_row_t *
@@ -388,7 +389,7 @@
     case SET_KIND_MILLI:
       return g_strdup_printf ("a decimal number, %u.%03u to %u.%03u", row->minimum / 1000,
                               row->minimum % 1000, row->maximum / 1000, row->maximum % 1000);
-    case SET_KIND_FLAG:
+    case SET_KIND_BOOLEAN:
       return g_strdup ("true or false");
     case SET_KIND_LEVEL:
       return g_strdup ("error, warning, notice, info or debug");
@@ -420,14 +421,15 @@
 
 bool
 set_row_apply (
-    const set_row_t *row, const char *text, const char *origin, set_t *set, GError **error)
+    const set_row_t *row, const char *text, const char *origin, set_t *settings, GError **error)
 {
   char *allowed;
 
-  if (parse_value (row, text, set))
+  if (parse_value (row, text, settings))
     return true;
   allowed = set_row_allowed (row);
-  /* A secret that is wrong by one byte must not end up in a log. */
+  /* The value of a secret must not be logged, as an invalid one may differ from the key by one
+   * byte. */
   if (row->kind == SET_KIND_SECRET)
     g_set_error (error, SET_ERROR, SET_ERROR_VALUE, "%s: a value of %zu bytes (%s): must be %s",
                  row->name, strlen (text), origin, allowed);
@@ -440,9 +442,9 @@
 }
 
 char *
-set_row_value (const set_row_t *row, const set_t *set)
+set_row_value (const set_row_t *row, const set_t *settings)
 {
-  const void *field = (const char *)set + row->offset;
+  const void *field = (const char *)settings + row->offset;
 
   switch (row->kind)
     {
@@ -453,7 +455,7 @@
     case SET_KIND_ADDRESS:
       return set_address_text (field);
     case SET_KIND_SEEDS:
-      return seeds_text (set);
+      return seeds_text (settings);
     case SET_KIND_REGIONS:
       return rgn_text (field);
     case SET_KIND_NUMBER:
@@ -461,8 +463,8 @@
     case SET_KIND_MILLI:
       return g_strdup_printf ("%u.%03u", *(const uint32_t *)field / 1000,
                               *(const uint32_t *)field % 1000);
-    case SET_KIND_FLAG:
-      return g_strdup (flag_names[*(const bool *)field]);
+    case SET_KIND_BOOLEAN:
+      return g_strdup (boolean_names[*(const bool *)field]);
     case SET_KIND_LEVEL:
       return g_strdup (level_names[*(const log_level_t *)field]);
     case SET_KIND_SECRET:
--- a/src/base/settings_table.h
+++ b/src/base/settings_table.h
@@ -1,8 +1,9 @@
 /**
  * DOC: settings_table
  *
- * The one table of settings: name, kind, range, default, which role needs it and what it is for.
- * Flags, environment, --help, --check-settings and docs/settings.md all follow from it.
+ * Declarations of all settings: name, type, range, default, the roles that require it, and help
+ * text. Flags, environment variables, --help and --check-settings are derived from this table; a
+ * test compares docs/settings.md with it.
  */
 #ifndef BASE_SETTINGS_TABLE_H
 #define BASE_SETTINGS_TABLE_H
@@ -15,10 +16,10 @@
 GQuark set_error_quark (void);
 typedef enum
 {
-  SET_ERROR_VALUE,   /* a value that is not allowed */
-  SET_ERROR_MISSING, /* a setting that must be there */
-  SET_ERROR_FLAG,    /* an unknown flag, a flag without its value, a stray argument */
-  SET_ERROR_CONFLICT /* settings that do not go together */
+  SET_ERROR_VALUE,   /* invalid value */
+  SET_ERROR_MISSING, /* a required setting is not given */
+  SET_ERROR_FLAG,    /* unknown flag, flag without its value, or unexpected argument */
+  SET_ERROR_CONFLICT /* settings that can't be combined */
 } set_error_t;
 
 typedef enum
@@ -26,30 +27,34 @@
   SET_KIND_ROLE,
   SET_KIND_NAME,
   SET_KIND_ADDRESS,
-  SET_KIND_SEEDS,   /* addresses with commas between, perhaps none */
-  SET_KIND_REGIONS, /* data centres with their regions, perhaps none */
+  SET_KIND_SEEDS,   /* comma-separated addresses; may be empty */
+  SET_KIND_REGIONS, /* comma-separated DATA-CENTRE=REGION; may be empty */
   SET_KIND_NUMBER,
-  SET_KIND_FLAG,
-  SET_KIND_MILLI, /* a decimal number, kept in thousandths */
-  SET_KIND_LEVEL,
-  SET_KIND_SECRET,     /* never a flag, never shown */
-  SET_KIND_SECRET_FILE /* path of a file that holds the secret */
+  SET_KIND_BOOLEAN,
+  SET_KIND_MILLI,      /* decimal number, stored in thousandths */
+  SET_KIND_LEVEL,      /* log level */
+  SET_KIND_SECRET,     /* environment only: other users of the host can see flags; never printed */
+  SET_KIND_SECRET_FILE /* path of a file that contains the secret */
 } set_kind_t;
 
 typedef enum
 {
-  SET_NEED_ALL,     /* every daemon must be given it */
-  SET_NEED_SIDECAR, /* a sidecar must be given it, the others must not */
-  SET_NEED_GATEWAY, /* a gateway must be given it, the others must not */
-  SET_NEED_NONE     /* has a default, or another setting stands in for it */
+  SET_NEED_ALL,     /* required in every role */
+  SET_NEED_SIDECAR, /* required for a sidecar, refused in other roles */
+  SET_NEED_GATEWAY, /* required for a gateway, refused in other roles */
+  SET_NEED_NONE     /* optional: has a default, or another setting replaces it */
 } set_need_t;
 
 /**
- * struct set_row - one setting
- * @name: the flag without its dashes
- * @minimum: of a number, and of the bytes of a secret
- * @offset: of its field in set_t
- * @fallback: default value, or NULL
+ * struct set_row - declaration of one setting
+ * @name: name of the flag without its dashes
+ * @kind: type of the value
+ * @need: which roles require it
+ * @minimum: smallest number, or shortest secret in bytes
+ * @maximum: largest number, or longest secret in bytes
+ * @offset: offset of its field in set_t
+ * @default_text: default value, or NULL
+ * @help: description for --help and docs/settings.md
  */
 typedef struct
 {
@@ -59,29 +64,37 @@
   uint32_t minimum;
   uint32_t maximum;
   size_t offset;
-  const char *fallback;
+  const char *default_text;
   const char *help;
 } set_row_t;
 
+/** set_rows() - all settings. Return: a static array of @count elements */
 const set_row_t *set_rows (uint32_t *count);
-/** set_row_find() - by name, or NULL */
+/** set_row_find() - look up a setting. Return: NULL if there is none of that name */
 const set_row_t *set_row_find (const char *name);
-/** set_row_env() - name of its environment variable, freed by g_free() */
+/** set_row_env() - name of its environment variable, to be freed with g_free() */
 char *set_row_env (const set_row_t *row);
-/** set_row_is_flag() - whether there is a flag for it */
+/** set_row_is_flag() - whether it can be given as a flag; a secret can't */
 bool set_row_is_flag (const set_row_t *row);
-/** set_row_allowed() - what its value may be, freed by g_free() */
+/** set_row_allowed() - description of its allowed values, to be freed with g_free() */
 char *set_row_allowed (const set_row_t *row);
-/** set_row_needed() - which role must be given it */
+/** set_row_needed() - description of the roles that require it; a static text */
 const char *set_row_needed (const set_row_t *row);
 
 /**
- * set_row_apply() - check @text and put it into its field of @set
- * @origin: the flag or variable that it came from, for the error
+ * set_row_apply() - parse a value and store it in its field of @settings
+ * @row: the setting
+ * @text: the value
+ * @origin: the flag or environment variable that @text was given by, for the error message
+ * @settings: filled in
+ * @error: set if the value is invalid
+ *
+ * Return: false with @error if the value is invalid
  */
 bool set_row_apply (
-    const set_row_t *row, const char *text, const char *origin, set_t *set, GError **error);
-/** set_row_value() - its value in @set as it could be given, freed by g_free() */
-char *set_row_value (const set_row_t *row, const set_t *set);
+    const set_row_t *row, const char *text, const char *origin, set_t *settings, GError **error);
+/** set_row_value() - format its value in @settings, except for a secret, as set_row_apply() reads
+ * it. Return: the text, to be freed with g_free() */
+char *set_row_value (const set_row_t *row, const set_t *settings);
 
 #endif
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* Unit tests of the settings and of their page in docs/. */
+/* Unit tests of the settings, and a comparison of docs/settings.md with their table. */
 #include "base/settings.h"
 #include "base/settings_table.h"
 #include "suite.h"
@@ -13,7 +13,7 @@
   "--role=router", "--name=hall-1", "--data-center=hall-khan-uul", "--region", "ulaanbaatar",      \
       "--listen=127.0.0.1:8080", "--exchange", "[::1]:7000", "--platform=10.0.0.9:9000"
 
-/* The environment of one test: name, value, ..., NULL. */
+/* Environment variables of the current test: name, value, ..., NULL. */
 static const char *const *environment;
 
 static const char *
@@ -27,9 +27,9 @@
 
 static const char *const key_only[] = { "MEDLARPLANK_FLEET_KEY", KEY, NULL };
 
-/* Loads with the flags of a router and then @flags, and expects it to run. */
+/* Loads the settings from ROUTER_FLAGS and @flags, and expects them to be valid. */
 static void
-load_router (const char *const *env, const char *const *flags, set_t *set)
+load_router (const char *const *env, const char *const *flags, set_t *settings)
 {
   const char *argv[40] = { "medlarplankd", ROUTER_FLAGS };
   GError *error = NULL;
@@ -40,18 +40,18 @@
   while (*flags != NULL)
     argv[argc++] = *flags++;
   environment = env;
-  CU_ASSERT_EQUAL (set_load (set, argc, (char **)argv, environment_get, &error), SET_RUN);
+  CU_ASSERT_EQUAL (set_load (settings, argc, (char **)argv, environment_get, &error), SET_RUN);
   CU_ASSERT_PTR_NULL (error);
   g_clear_error (&error);
 }
 
-/* As load_router(), but expects exactly this error. */
+/* As load_router(), but expects the error @message. */
 static void
 refuse_router (const char *const *env, const char *const *flags, const char *message)
 {
   const char *argv[40] = { "medlarplankd", ROUTER_FLAGS };
   GError *error = NULL;
-  set_t set;
+  set_t settings;
   int argc = 0;
 
   while (argv[argc] != NULL)
@@ -59,7 +59,7 @@
   while (*flags != NULL)
     argv[argc++] = *flags++;
   environment = env;
-  CU_ASSERT_EQUAL (set_load (&set, argc, (char **)argv, environment_get, &error), SET_EXIT_2);
+  CU_ASSERT_EQUAL (set_load (&settings, argc, (char **)argv, environment_get, &error), SET_EXIT_2);
   CU_ASSERT_PTR_NOT_NULL_FATAL (error);
   if (strcmp (error->message, message) != 0)
     printf ("\n  got:      %s\n  expected: %s\n", error->message, message);
@@ -77,35 +77,35 @@
 static void
 test_defaults (void)
 {
-  set_t set;
-
-  load_router (key_only, NO_FLAGS, &set);
-  CU_ASSERT_EQUAL (set.role, SET_ROLE_ROUTER);
-  CU_ASSERT_STRING_EQUAL (set.name, "hall-1");
-  CU_ASSERT_STRING_EQUAL (set.data_center, "hall-khan-uul");
-  CU_ASSERT_STRING_EQUAL (set.region, "ulaanbaatar");
-  CU_ASSERT_STRING_EQUAL (set.listen.ip, "127.0.0.1");
-  CU_ASSERT_EQUAL (set.listen.port, 8080);
-  CU_ASSERT_STRING_EQUAL (set.exchange.ip, "::1");
-  CU_ASSERT_EQUAL (set.exchange.port, 7000);
-  CU_ASSERT_EQUAL (set.platform.port, 9000);
-  CU_ASSERT_EQUAL (set.engine.port, 0);
-  CU_ASSERT_STRING_EQUAL (set.fleet_key, KEY);
-  CU_ASSERT_EQUAL (set.log_level, LOG_LEVEL_INFO);
-  CU_ASSERT_EQUAL (set.body_limit_bytes, 4 * 1024 * 1024);
-  CU_ASSERT_EQUAL (set.header_limit_bytes, 32 * 1024);
-  CU_ASSERT_EQUAL (set.header_limit_count, 100);
-  CU_ASSERT_EQUAL (set.connection_limit, 10000);
-  CU_ASSERT_EQUAL (set.idle_timeout_ms, 60000);
-  CU_ASSERT_EQUAL (set.exchange_interval_ms, 500);
-  CU_ASSERT_EQUAL (set.list_interval_ms, 1000);
-  CU_ASSERT_EQUAL (set.control_budget_bytes, 2000);
-  CU_ASSERT_EQUAL (set.claim_horizon_s, 86400);
-  CU_ASSERT_EQUAL (set.log_retention_s, 7 * 86400);
+  set_t settings;
+
+  load_router (key_only, NO_FLAGS, &settings);
+  CU_ASSERT_EQUAL (settings.role, SET_ROLE_ROUTER);
+  CU_ASSERT_STRING_EQUAL (settings.name, "hall-1");
+  CU_ASSERT_STRING_EQUAL (settings.data_center, "hall-khan-uul");
+  CU_ASSERT_STRING_EQUAL (settings.region, "ulaanbaatar");
+  CU_ASSERT_STRING_EQUAL (settings.listen.ip, "127.0.0.1");
+  CU_ASSERT_EQUAL (settings.listen.port, 8080);
+  CU_ASSERT_STRING_EQUAL (settings.exchange.ip, "::1");
+  CU_ASSERT_EQUAL (settings.exchange.port, 7000);
+  CU_ASSERT_EQUAL (settings.platform.port, 9000);
+  CU_ASSERT_EQUAL (settings.engine.port, 0);
+  CU_ASSERT_STRING_EQUAL (settings.fleet_key, KEY);
+  CU_ASSERT_EQUAL (settings.log_level, LOG_LEVEL_INFO);
+  CU_ASSERT_EQUAL (settings.body_limit_bytes, 4 * 1024 * 1024);
+  CU_ASSERT_EQUAL (settings.header_limit_bytes, 32 * 1024);
+  CU_ASSERT_EQUAL (settings.header_limit_count, 100);
+  CU_ASSERT_EQUAL (settings.connection_limit, 10000);
+  CU_ASSERT_EQUAL (settings.idle_timeout_ms, 60000);
+  CU_ASSERT_EQUAL (settings.exchange_interval_ms, 500);
+  CU_ASSERT_EQUAL (settings.list_interval_ms, 1000);
+  CU_ASSERT_EQUAL (settings.control_budget_bytes, 2000);
+  CU_ASSERT_EQUAL (settings.claim_horizon_s, 86400);
+  CU_ASSERT_EQUAL (settings.log_retention_s, 7 * 86400);
 }
 
 static void
-test_flag_before_environment (void)
+test_flag_overrides_environment (void)
 {
   static const char *const env[] = { "MEDLARPLANK_FLEET_KEY",
                                      KEY,
@@ -118,12 +118,12 @@
                                      "MEDLARPLANK_ENGINE",
                                      "",
                                      NULL };
-  set_t set;
+  set_t settings;
 
-  load_router (env, FLAGS ("--connection-limit=5", "--connection-limit=6"), &set);
-  CU_ASSERT_EQUAL (set.log_level, LOG_LEVEL_ERROR);
-  CU_ASSERT_EQUAL (set.idle_timeout_ms, 700);
-  CU_ASSERT_EQUAL (set.connection_limit, 6);
+  load_router (env, FLAGS ("--connection-limit=5", "--connection-limit=6"), &settings);
+  CU_ASSERT_EQUAL (settings.log_level, LOG_LEVEL_ERROR);
+  CU_ASSERT_EQUAL (settings.idle_timeout_ms, 700);
+  CU_ASSERT_EQUAL (settings.connection_limit, 6);
 }
 
 static void
@@ -154,14 +154,13 @@
 static void
 test_wrong_flags (void)
 {
-  refuse_router (key_only, FLAGS ("--colour=red"),
-                 "flag \"--colour=red\" is not known; see --help");
-  refuse_router (key_only, FLAGS ("-v"), "flag \"-v\" is not known; see --help");
+  refuse_router (key_only, FLAGS ("--colour=red"), "unknown flag \"--colour=red\"; see --help");
+  refuse_router (key_only, FLAGS ("-v"), "unknown flag \"-v\"; see --help");
   refuse_router (key_only, FLAGS ("--plat=1.2.3.4:5"),
-                 "flag \"--plat=1.2.3.4:5\" is not known; see --help");
-  refuse_router (key_only, FLAGS ("--log-level"), "flag --log-level needs a value");
+                 "unknown flag \"--plat=1.2.3.4:5\"; see --help");
+  refuse_router (key_only, FLAGS ("--log-level"), "flag --log-level requires a value");
   refuse_router (key_only, FLAGS ("stray", "--role=router"),
-                 "argument \"stray\" belongs to no flag; see --help");
+                 "unexpected argument \"stray\"; see --help");
   refuse_router (key_only, FLAGS ("--fleet-key=" KEY),
                  "--fleet-key is not a flag: give MEDLARPLANK_FLEET_KEY or --fleet-key-file");
 }
@@ -169,7 +168,7 @@
 static void
 test_engine_by_role (void)
 {
-  set_t set;
+  set_t settings;
 
   refuse_router (key_only, FLAGS ("--role=sidecar"),
                  "engine: missing; give --engine or MEDLARPLANK_ENGINE: IP number and port 1 to "
@@ -177,9 +176,9 @@
   refuse_router (key_only, FLAGS ("--engine=127.0.0.1:80"),
                  "engine: \"127.0.0.1:80\" (--engine): only a sidecar has an engine, and role is "
                  "router");
-  load_router (key_only, FLAGS ("--role=sidecar", "--engine=127.0.0.1:80"), &set);
-  CU_ASSERT_EQUAL (set.role, SET_ROLE_SIDECAR);
-  CU_ASSERT_EQUAL (set.engine.port, 80);
+  load_router (key_only, FLAGS ("--role=sidecar", "--engine=127.0.0.1:80"), &settings);
+  CU_ASSERT_EQUAL (settings.role, SET_ROLE_SIDECAR);
+  CU_ASSERT_EQUAL (settings.engine.port, 80);
 }
 
 static void
@@ -187,10 +186,10 @@
 {
   const char *argv[] = { "medlarplankd", NULL };
   GError *error = NULL;
-  set_t set;
+  set_t settings;
 
   environment = key_only;
-  CU_ASSERT_EQUAL (set_load (&set, 1, (char **)argv, environment_get, &error), SET_EXIT_2);
+  CU_ASSERT_EQUAL (set_load (&settings, 1, (char **)argv, environment_get, &error), SET_EXIT_2);
   CU_ASSERT_PTR_NOT_NULL_FATAL (error);
   CU_ASSERT_STRING_EQUAL (
       error->message, "role: missing; give --role or MEDLARPLANK_ROLE: router, sidecar or gateway");
@@ -198,20 +197,21 @@
 }
 
 /*
- * The log forgets records after its retention. With a longer horizon a daemon would read its
- * shard, miss the claim of a key that it still vouches for, and grant a resend: a booking made
- * twice. So the two are compared before the daemon starts.
+ * Guards against a repeated request that runs twice. The log drops records after its retention
+ * time. With a longer horizon, a daemon would no longer find the claim of a key that is still
+ * within the horizon, and would grant the repeated request. So the two are compared before the
+ * daemon starts.
  */
 static void
 test_horizon_within_retention (void)
 {
-  set_t set;
+  set_t settings;
 
   refuse_router (key_only, FLAGS ("--claim-horizon-s=604800"),
                  "claim-horizon-s: 604800 (--claim-horizon-s): must be less than log-retention-s, "
                  "which is 604800 (default)");
-  load_router (key_only, FLAGS ("--claim-horizon-s=604799"), &set);
-  CU_ASSERT_EQUAL (set.claim_horizon_s, 604799);
+  load_router (key_only, FLAGS ("--claim-horizon-s=604799"), &settings);
+  CU_ASSERT_EQUAL (settings.claim_horizon_s, 604799);
 }
 
 static void
@@ -240,14 +240,14 @@
   static const char *const none[] = { NULL };
   g_autofree char *path = NULL;
   int fd = g_file_open_tmp ("medlarplank-key-XXXXXX", &path, NULL);
-  set_t set;
+  set_t settings;
 
   CU_ASSERT_FATAL (fd >= 0);
   CU_ASSERT_EQUAL (write (fd, KEY "\n", sizeof KEY), sizeof KEY);
   close (fd);
   g_autofree char *flag = g_strconcat ("--fleet-key-file=", path, NULL);
-  load_router (none, FLAGS (flag), &set);
-  CU_ASSERT_STRING_EQUAL (set.fleet_key, KEY);
+  load_router (none, FLAGS (flag), &settings);
+  CU_ASSERT_STRING_EQUAL (settings.fleet_key, KEY);
   g_autofree char *message =
       g_strdup_printf ("fleet-key (MEDLARPLANK_FLEET_KEY) and fleet-key-file \"%s\" "
                        "(--fleet-key-file): give only one of them",
@@ -279,16 +279,16 @@
   CU_ASSERT_STRING_EQUAL (text, "[fd00::1]:65535");
 }
 
-/* The line of a setting as it must stand in docs/settings.md. */
+/* The table row for a setting that docs/settings.md must contain. */
 static char *
-page_line (const set_row_t *row)
+docs_row (const set_row_t *row)
 {
   char *env = set_row_env (row);
   char *allowed = set_row_allowed (row);
   char *flag = set_row_is_flag (row) ? g_strdup_printf ("`--%s`", row->name) : g_strdup ("-");
   char *line = g_strdup_printf ("| %s | `%s` | %s | %s | %s | %s |\n", flag, env, allowed,
-                                row->fallback != NULL ? row->fallback : "-", set_row_needed (row),
-                                row->help);
+                                row->default_text != NULL ? row->default_text : "-",
+                                set_row_needed (row), row->help);
 
   g_free (flag);
   g_free (allowed);
@@ -297,7 +297,7 @@
 }
 
 static void
-test_page (void)
+test_docs (void)
 {
   const char *source = getenv ("MEDLARPLANK_SOURCE");
   g_autofree char *path =
@@ -310,7 +310,7 @@
   CU_ASSERT_FATAL (g_file_get_contents (path, &page, NULL, NULL));
   for (uint32_t i = 0; i < count; i++)
     {
-      g_autofree char *line = page_line (&rows[i]);
+      g_autofree char *line = docs_row (&rows[i]);
       bool found = strstr (page, line) != NULL;
       if (!found)
         printf ("\n  not in the page: %s", line);
@@ -321,15 +321,15 @@
   CU_ASSERT_EQUAL (lines, count);
 }
 
-/* Guards against a daemon that does not start, as the budget that a deployment gives all gateways
- * together is no whole number. */
+/* Guards against a daemon that refuses to start because the retry budget of all gateways together,
+ * as a deployment computes it, is not a whole number. */
 static void
 test_budget_may_be_a_fraction (void)
 {
-  set_t set;
+  set_t settings;
 
-  load_router (key_only, FLAGS ("--retry-slack=36.1764705882353"), &set);
-  CU_ASSERT_EQUAL (set.retry_slack_milli, 36176);
+  load_router (key_only, FLAGS ("--retry-slack=36.1764705882353"), &settings);
+  CU_ASSERT_EQUAL (settings.retry_slack_milli, 36176);
 }
 
 int
@@ -338,7 +338,7 @@
   static const CU_TestInfo tests[] = {
     { "defaults", test_defaults },
     { "a budget may be a fraction", test_budget_may_be_a_fraction },
-    { "a flag goes before the environment", test_flag_before_environment },
+    { "a flag takes precedence over the environment", test_flag_overrides_environment },
     { "wrong values", test_wrong_values },
     { "wrong flags", test_wrong_flags },
     { "engine by role", test_engine_by_role },
@@ -347,7 +347,7 @@
     { "fleet key", test_fleet_key },
     { "fleet key file", test_fleet_key_file },
     { "addresses", test_addresses },
-    { "docs/settings.md", test_page },
+    { "docs/settings.md", test_docs },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("settings", tests);
