--- a/tests/test_engine_entries.c
+++ b/tests/test_engine_entries.c
@@ -1,5 +1,4 @@
-/* Unit tests of engines' entries in the platform's registry, also those that another writer left.
- */
+/* Unit tests of parsing engines' entries in the platform's registry, including invalid ones. */
 #include "platform/records.h"
 #include "suite.h"
 
@@ -16,22 +15,22 @@
 #define READY ",\"state\":\"ready\""
 
 static bool
-reads (const char *text, egn_entry_t *entry)
+parse_entry (const char *text, egn_entry_t *entry)
 {
   GError *error = NULL;
-  bool sound = prc_read_engine (entry, "i-1", text, strlen (text), &error);
+  bool valid = prc_read_engine (entry, "i-1", text, strlen (text), &error);
 
-  CU_ASSERT (sound == (error == NULL));
+  CU_ASSERT (valid == (error == NULL));
   g_clear_error (&error);
-  return sound;
+  return valid;
 }
 
 static void
-test_sound_entry_is_read (void)
+test_valid_entry_is_parsed (void)
 {
   egn_entry_t entry;
 
-  CU_ASSERT (reads (
+  CU_ASSERT (parse_entry (
       ENTRY (ZONE, SLOTS, READY, ",\"cold_left_ms\":20,\"seq\":4,\"born\":1791152480123"), &entry));
   CU_ASSERT_STRING_EQUAL (entry.id, "i-1");
   CU_ASSERT_PTR_EQUAL (entry.service, g_intern_string ("s"));
@@ -43,21 +42,21 @@
   CU_ASSERT_EQUAL (entry.born_ms, UINT64_C (1791152480123));
 }
 
-/* An engine that says nothing of its start or its cold time has none to say. */
+/* The start time and the remaining cold time are optional, and 0 if missing. */
 static void
 test_optional_fields (void)
 {
   egn_entry_t entry;
 
-  CU_ASSERT (reads (ENTRY (ZONE, SLOTS, ",\"state\":\"draining\"", ""), &entry));
+  CU_ASSERT (parse_entry (ENTRY (ZONE, SLOTS, ",\"state\":\"draining\"", ""), &entry));
   CU_ASSERT_EQUAL (entry.state, EGN_LEAVING);
   CU_ASSERT_EQUAL (entry.cold_ms, 0);
   CU_ASSERT_EQUAL (entry.born_ms, 0);
 }
 
-/* Another writer's entry names no engine to use, whichever of its fields is unsound. */
+/* Guards against use of an engine whose entry has a missing or invalid field, whichever it is. */
 static void
-test_unsound_entries_name_no_engine (void)
+test_invalid_entries_are_refused (void)
 {
   static const char *const texts[] = {
     "",
@@ -94,36 +93,37 @@
   egn_entry_t entry;
 
   for (size_t i = 0; i < G_N_ELEMENTS (texts); i++)
-    CU_ASSERT (!reads (texts[i], &entry));
+    CU_ASSERT (!parse_entry (texts[i], &entry));
 }
 
-/* The id goes into a header of each request: one with a line break in it would add a header. */
+/* Guards against an engine id with a line break: the id is sent in a header of each request, and
+ * would add another header. */
 static void
-test_ids_that_are_no_words_are_refused (void)
+test_invalid_ids_are_refused (void)
 {
-  static const char sound[] = ENTRY (ZONE, SLOTS, READY, "");
+  static const char valid_entry[] = ENTRY (ZONE, SLOTS, READY, "");
   static const char *const ids[] = { "", "i 1", "i\r\nX-Tenant: other", "i\xff" };
   egn_entry_t entry;
 
   for (size_t i = 0; i < G_N_ELEMENTS (ids); i++)
-    CU_ASSERT (!prc_read_engine (&entry, ids[i], sound, sizeof sound - 1, NULL));
+    CU_ASSERT (!prc_read_engine (&entry, ids[i], valid_entry, sizeof valid_entry - 1, NULL));
 }
 
 static void
 test_long_names_are_refused (void)
 {
-  static const char sound[] = ENTRY (ZONE, SLOTS, READY, "");
+  static const char valid_entry[] = ENTRY (ZONE, SLOTS, READY, "");
   g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'n');
   g_autofree char *text = g_strdup_printf (
       "{\"service\":\"s\",\"addr\":\"10.0.0.9:8080\",\"zone\":\"%s\"" SLOTS READY "}", name);
   egn_entry_t entry;
 
-  CU_ASSERT (!reads (text, &entry));
-  CU_ASSERT (!prc_read_engine (&entry, name, sound, sizeof sound - 1, NULL));
+  CU_ASSERT (!parse_entry (text, &entry));
+  CU_ASSERT (!prc_read_engine (&entry, name, valid_entry, sizeof valid_entry - 1, NULL));
 }
 
 static void
-change (GRand *rand, GString *text)
+mutate (GRand *rand, GString *text)
 {
   static const char *const tokens[] = { "null", "-1", "1e999", "\"", "{",
                                         "}",    "[]", "\xff",  ",",  ":" };
@@ -138,44 +138,45 @@
                     MIN ((gssize)(text->len - at), g_rand_int_range (rand, 1, 12)));
 }
 
-/* Whatever the bytes are, an entry that is taken names an engine that can be used. */
+/* Guards against an accepted entry without a usable engine, with random changes to a valid entry.
+ */
 static void
-test_changed_bytes_name_a_usable_engine_or_none (void)
+test_random_changes_never_yield_unusable_engine (void)
 {
   const char *top = getenv ("MEDLARPLANK_SOURCE");
   g_autofree char *path = g_build_filename (top ? top : ".", "tests/corpus/engine.json", NULL);
-  g_autofree char *sound = NULL;
+  g_autofree char *valid_entry = NULL;
   g_autoptr (GRand) rand = g_rand_new_with_seed (FUZZ_SEED);
-  uint32_t taken = 0;
+  uint32_t accepted = 0;
 
-  CU_ASSERT_TRUE_FATAL (g_file_get_contents (path, &sound, NULL, NULL));
+  CU_ASSERT_TRUE_FATAL (g_file_get_contents (path, &valid_entry, NULL, NULL));
   for (uint32_t round = 0; round < FUZZ_ROUNDS; round++)
     {
-      GString *text = g_string_new (sound);
+      GString *text = g_string_new (valid_entry);
       egn_entry_t entry;
 
       for (int32_t i = g_rand_int_range (rand, 0, FUZZ_CHANGES); i > 0 && text->len > 0; i--)
-        change (rand, text);
+        mutate (rand, text);
       if (prc_read_engine (&entry, "i-1", text->str, text->len, NULL))
         {
-          taken++;
+          accepted++;
           CU_ASSERT (entry.service && entry.address.port != 0 && entry.slots >= 1);
           CU_ASSERT (entry.state == EGN_READY || entry.state == EGN_LEAVING);
         }
       g_string_free (text, TRUE);
     }
-  CU_ASSERT (taken > FUZZ_ROUNDS / 10 && taken < FUZZ_ROUNDS);
+  CU_ASSERT (accepted > FUZZ_ROUNDS / 10 && accepted < FUZZ_ROUNDS);
 }
 
 int
 main (void)
 {
-  static const CU_TestInfo tests[] = { SUITE_TEST (test_sound_entry_is_read),
+  static const CU_TestInfo tests[] = { SUITE_TEST (test_valid_entry_is_parsed),
                                        SUITE_TEST (test_optional_fields),
-                                       SUITE_TEST (test_unsound_entries_name_no_engine),
-                                       SUITE_TEST (test_ids_that_are_no_words_are_refused),
+                                       SUITE_TEST (test_invalid_entries_are_refused),
+                                       SUITE_TEST (test_invalid_ids_are_refused),
                                        SUITE_TEST (test_long_names_are_refused),
-                                       SUITE_TEST (test_changed_bytes_name_a_usable_engine_or_none),
+                                       SUITE_TEST (test_random_changes_never_yield_unusable_engine),
                                        CU_TEST_INFO_NULL };
 
   return suite_run ("engine_entries", tests);
--- a/tests/test_load_header.c
+++ b/tests/test_load_header.c
@@ -1,4 +1,4 @@
-/* Unit tests of the load that engines tell in the headers of their answers. */
+/* Unit tests of parsing the load that engines report in a header of their responses. */
 #include "platform/request_format.h"
 #include "suite.h"
 
@@ -7,41 +7,41 @@
 #include <glib.h>
 #include <sys/queue.h>
 
-#define LOAD "X-Engine-Load"
-#define FUZZED 20000
-#define LONGEST 40
+#define LOAD_HEADER "X-Engine-Load"
+#define FUZZ_ROUNDS 20000
+#define FUZZ_HEADER_BYTES 40
 
 static fmt_answer_t
-answer_with (const char *load)
+parse_load (const char *load)
 {
   struct evkeyvalq headers;
   fmt_answer_t out = { 0 };
 
   TAILQ_INIT (&headers);
   if (load)
-    evhttp_add_header (&headers, LOAD, load);
+    evhttp_add_header (&headers, LOAD_HEADER, load);
   prf_format ()->answer (&out, 200, &headers, "r1");
   evhttp_clear_headers (&headers);
   return out;
 }
 
 static void
-test_effort_is_read (void)
+test_effort_is_parsed (void)
 {
-  fmt_answer_t out = answer_with ("3,1,8,250");
+  fmt_answer_t out = parse_load ("3,1,8,250");
 
   CU_ASSERT (out.has_load);
   CU_ASSERT_EQUAL (out.load.running, 3);
   CU_ASSERT_EQUAL (out.load.waiting, 1);
   CU_ASSERT_EQUAL (out.load.slots, 8);
   CU_ASSERT_EQUAL (out.load.effort_percent, 250);
-  CU_ASSERT_EQUAL (answer_with ("3,1,8,100,7").load.effort_percent, 100);
+  CU_ASSERT_EQUAL (parse_load ("3,1,8,100,7").load.effort_percent, 100);
 }
 
-/* Guards against a load that is lost, or a choice that is led astray, by a fourth figure that is
- * missing or senseless. */
+/* Guards against a load report that is ignored because its effort is missing or invalid, and
+ * against an invalid effort that affects the choice of engines. */
 static void
-test_unsound_effort_changes_nothing (void)
+test_invalid_effort_is_ignored (void)
 {
   static const char *const texts[] = { "3,1,8",      "3,1,8,",      "3,1,8,x",    "3,1,8,-5",
                                        "3,1,8,0",    "3,1,8,10001", "3,1,8,1e3",  "3,1,8,250x",
@@ -49,7 +49,7 @@
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (texts); i++)
     {
-      fmt_answer_t out = answer_with (texts[i]);
+      fmt_answer_t out = parse_load (texts[i]);
 
       CU_ASSERT (out.has_load);
       CU_ASSERT_EQUAL (out.load.running, 3);
@@ -58,22 +58,22 @@
     }
 }
 
-/* Guards against a crash, or a figure beyond its range, by whatever bytes an engine sends. */
+/* Guards against a crash or an effort out of range, with random headers. */
 static void
-test_any_header_is_survived (void)
+test_random_headers (void)
 {
-  static const char signs[] = "0123456789,,,,,.-+ex ";
+  static const char characters[] = "0123456789,,,,,.-+ex ";
   GRand *rand = g_rand_new_with_seed (5);
 
-  CU_ASSERT (!answer_with (NULL).has_load);
-  for (uint32_t i = 0; i < FUZZED; i++)
+  CU_ASSERT (!parse_load (NULL).has_load);
+  for (uint32_t i = 0; i < FUZZ_ROUNDS; i++)
     {
-      char text[LONGEST + 1] = "";
-      uint32_t length = (uint32_t)g_rand_int_range (rand, 0, LONGEST);
+      char text[FUZZ_HEADER_BYTES + 1] = "";
+      uint32_t length = (uint32_t)g_rand_int_range (rand, 0, FUZZ_HEADER_BYTES);
 
       for (uint32_t j = 0; j < length; j++)
-        text[j] = signs[g_rand_int_range (rand, 0, sizeof signs - 1)];
-      CU_ASSERT_FATAL (answer_with (text).load.effort_percent <= EGN_EFFORT_MOST);
+        text[j] = characters[g_rand_int_range (rand, 0, sizeof characters - 1)];
+      CU_ASSERT_FATAL (parse_load (text).load.effort_percent <= EGN_EFFORT_MOST);
     }
   g_rand_free (rand);
 }
@@ -82,9 +82,9 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    SUITE_TEST (test_effort_is_read),
-    SUITE_TEST (test_unsound_effort_changes_nothing),
-    SUITE_TEST (test_any_header_is_survived),
+    SUITE_TEST (test_effort_is_parsed),
+    SUITE_TEST (test_invalid_effort_is_ignored),
+    SUITE_TEST (test_random_headers),
     CU_TEST_INFO_NULL,
   };
 
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -1,4 +1,5 @@
-/* Unit tests of src/process: clock, log, counters, mailbox and messages. */
+/* Unit tests of the modules that tasks share: clock, log, counters, latency, mailbox and messages.
+ */
 #include "base/clock.h"
 #include "base/counters.h"
 #include "base/limits.h"
@@ -45,7 +46,12 @@
   CU_ASSERT (clk_wall_ms (&clk) > 1600000000000);
 }
 
-/** struct capture - standard error led into a pipe */
+/**
+ * struct capture - standard error redirected into a pipe
+ * @saved_fd: the original standard error
+ * @read_fd: read end of the pipe; doesn't block
+ * @text: what the last capture_read() read
+ */
 typedef struct
 {
   int saved_fd;
@@ -83,7 +89,7 @@
 }
 
 static const char *
-log_tail (const capture_t *capture)
+log_event_text (const capture_t *capture)
 {
   const char *colon = strstr (capture->text, "]: ");
 
@@ -91,27 +97,27 @@
 }
 
 static void
-test_log_form (void)
+test_log_format (void)
 {
-  static const char form[] =
+  static const char pattern[] =
       "^<29>\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z hall-1 "
       "medlarplankd\\[\\d+\\]: placed engine=e-1 load=12 chat=[0-9a-f]{15}f\n$";
   capture_t capture;
 
   log_init ("medlarplankd", "hall-1", LOG_LEVEL_NOTICE);
   capture_begin (&capture);
-  log_event (LOG_LEVEL_INFO, "too_fine", NULL);
+  log_event (LOG_LEVEL_INFO, "too_detailed", NULL);
   log_event (LOG_LEVEL_NOTICE, "placed", "engine", "e-1", "left_out", NULL, "load", LOG_U64 (12),
              "chat", LOG_HEX (15), NULL);
   capture_read (&capture);
   capture_end (&capture);
-  CU_ASSERT (g_regex_match_simple (form, capture.text, 0, 0));
+  CU_ASSERT (g_regex_match_simple (pattern, capture.text, 0, 0));
 }
 
 /*
- * A caller sends a chat id that holds a newline and the head of a log line, or a blank and
- * "verdict=ran". Written as it came, it would put a line or a field into the log that the daemon
- * never wrote, and an operator would act on it. Every such value is quoted and escaped.
+ * Guards against forged log lines. A caller may send a chat id that contains a newline and the
+ * start of a log line, or a blank and "verdict=ran". If it were logged unchanged, the log would
+ * show a line or a field that the daemon did not write. Such values must be quoted and escaped.
  */
 static void
 test_log_not_forged (void)
@@ -148,10 +154,10 @@
 }
 
 /*
- * Whatever reads the daemon's standard error stalls, and the pipe fills. A blocking write would
- * stop the task that logs, and all its callers would wait for the log. Instead lines are dropped;
- * once the reader goes on, the first line says how many. With a blocking write this test would
- * hang, so an alarm ends it.
+ * Guards against a task that blocks in the log. When the reader of standard error stalls, the pipe
+ * fills up, and a blocking write would stop the task with all requests that it serves. Lines must
+ * be dropped instead, and the first one written afterwards must report their number. A blocking
+ * write would hang this test, so an alarm ends it.
  */
 static void
 test_log_reader_stalls (void)
@@ -174,12 +180,12 @@
   capture_end (&capture);
   alarm (0);
   CU_ASSERT (drained_bytes > 0);
-  CU_ASSERT (g_str_has_prefix (log_tail (&capture), "log_lines_dropped count="));
+  CU_ASSERT (g_str_has_prefix (log_event_text (&capture), "log_lines_dropped count="));
   CU_ASSERT_PTR_NOT_NULL (strstr (capture.text, "]: after\n"));
 }
 
 static int
-open_outlet (int *read_fd)
+open_log_pipe (int *read_fd)
 {
   int ends[2];
 
@@ -192,7 +198,7 @@
 }
 
 static char *
-read_outlet (int fd)
+read_log_pipe (int fd)
 {
   GString *text = g_string_new (NULL);
   char part[8192];
@@ -203,32 +209,32 @@
   return g_string_free (text, FALSE);
 }
 
-/* Return: whether anything came */
+/* Return: whether anything was read */
 static bool
-append_outlet (GString *text, int fd)
+append_log_pipe (GString *text, int fd)
 {
-  g_autofree char *part = read_outlet (fd);
+  g_autofree char *part = read_log_pipe (fd);
 
   g_string_append (text, part);
   return part[0] != '\0';
 }
 
-/* A busy daemon writes many lines in one piece; a warning takes all before it along at once. */
+/* A buffered line is not written by itself; a warning flushes it with all buffered lines. */
 static void
 test_log_buffered (void)
 {
   int read_fd;
-  int write_fd = open_outlet (&read_fd);
+  int write_fd = open_log_pipe (&read_fd);
   g_autofree char *before = NULL;
   g_autofree char *after = NULL;
 
   log_flush ();
   log_event (LOG_LEVEL_INFO, "one", NULL);
   log_event (LOG_LEVEL_INFO, "two", NULL);
-  before = read_outlet (read_fd);
+  before = read_log_pipe (read_fd);
   CU_ASSERT_PTR_NULL (strstr (before, "two"));
   log_event (LOG_LEVEL_WARNING, "three", NULL);
-  after = read_outlet (read_fd);
+  after = read_log_pipe (read_fd);
   CU_ASSERT_PTR_NOT_NULL (strstr (after, ": two\n"));
   CU_ASSERT (g_str_has_suffix (after, ": three\n"));
   close (read_fd);
@@ -236,32 +242,34 @@
 }
 
 static void
-count_held (void *context)
+count_callbacks (void *context)
 {
   (*(uint32_t *)context)++;
 }
 
-/* Guards against lines that wait for another one, and are lost when the process is killed. */
+/* Guards against lines that stay in the buffer until another one is logged, and are lost if the
+ * process is killed: the callback that starts the flush timer must run whenever the buffer becomes
+ * non-empty. */
 static void
-test_log_lines_leave_in_time (void)
+test_log_flush_callback (void)
 {
-  uint32_t held = 0;
+  uint32_t callbacks = 0;
   int read_fd;
-  int write_fd = open_outlet (&read_fd);
+  int write_fd = open_log_pipe (&read_fd);
   g_autofree char *flushed = NULL;
 
   log_flush ();
-  log_on_held (count_held, &held);
+  log_on_held (count_callbacks, &callbacks);
   log_event (LOG_LEVEL_WARNING, "three", NULL);
-  CU_ASSERT_EQUAL (held, 0);
+  CU_ASSERT_EQUAL (callbacks, 0);
   log_event (LOG_LEVEL_INFO, "one", NULL);
   log_event (LOG_LEVEL_INFO, "two", NULL);
-  CU_ASSERT_EQUAL (held, 1);
+  CU_ASSERT_EQUAL (callbacks, 1);
   log_flush ();
-  flushed = read_outlet (read_fd);
+  flushed = read_log_pipe (read_fd);
   CU_ASSERT (g_str_has_suffix (flushed, ": two\n"));
   log_event (LOG_LEVEL_INFO, "three", NULL);
-  CU_ASSERT_EQUAL (held, 2);
+  CU_ASSERT_EQUAL (callbacks, 2);
   log_on_held (NULL, NULL);
   log_flush ();
   close (read_fd);
@@ -269,15 +277,16 @@
 }
 
 /*
- * The reader of a daemon's log stalls while requests go on and then fail. No task may wait for it;
- * the lines of single requests are dropped first, those of failures are kept, and the first line
- * after the gap says how many are missing.
+ * Guards against the loss of warnings while the reader of a daemon's log stalls and requests
+ * continue. The lines of single requests must be dropped first, those of failures must be kept, and
+ * the first line after the gap must report how many were dropped. An alarm ends the test if logging
+ * blocks.
  */
 static void
 test_log_keeps_failures (void)
 {
   int read_fd;
-  int write_fd = open_outlet (&read_fd);
+  int write_fd = open_log_pipe (&read_fd);
   GString *text;
 
   alarm (STALL_DEADLINE_S);
@@ -286,9 +295,9 @@
   for (uint32_t i = 0; i < 50; i++)
     log_event (LOG_LEVEL_WARNING, "failure", "i", LOG_U64 (i), NULL);
   text = g_string_new (NULL);
-  append_outlet (text, read_fd);
+  append_log_pipe (text, read_fd);
   log_event (LOG_LEVEL_WARNING, "end", NULL);
-  while (append_outlet (text, read_fd))
+  while (append_log_pipe (text, read_fd))
     log_flush ();
   alarm (0);
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "fill i=0\n"));
@@ -303,14 +312,14 @@
 static void
 test_latency_buckets (void)
 {
-  cnt_set_t *set = cnt_set_new ();
-  lat_t *lat = lat_new (set, "x_ms", "service=\"s\"", "A time.");
+  cnt_set_t *registry = cnt_set_new ();
+  lat_t *lat = lat_new (registry, "x_ms", "service=\"s\"", "A time.");
   GString *text = g_string_new (NULL);
 
   lat_add (lat, 5000);
   lat_add (lat, 5001);
   lat_add (lat, 60 * UINT64_C (1000000));
-  cnt_write (set, text);
+  cnt_write (registry, text);
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_bucket{service=\"s\",le=\"5\"} 1\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_bucket{service=\"s\",le=\"10\"} 2\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_bucket{service=\"s\",le=\"15000\"} 2\n"));
@@ -319,16 +328,16 @@
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_sum_us{service=\"s\"} 60010001\n"));
   g_string_free (text, TRUE);
   lat_free (lat);
-  cnt_set_free (set);
+  cnt_set_free (registry);
 }
 
 static char *
-write_counters (cnt_set_t *set)
+write_counters (cnt_set_t *registry)
 {
   GString *out = g_string_new (NULL);
   char *own;
 
-  cnt_write (set, out);
+  cnt_write (registry, out);
   own = strstr (out->str, "# HELP x_");
   own = g_strdup (own != NULL ? own : "");
   g_string_free (out, TRUE);
@@ -336,16 +345,16 @@
 }
 
 static void
-test_counters_text (void)
+test_counters_format (void)
 {
-  g_autoptr (cnt_set_t) set = cnt_set_new ();
+  g_autoptr (cnt_set_t) registry = cnt_set_new ();
 
-  cnt_add (cnt_get (set, "x_total{reason=\"cold\"}", "All of\nx."), 2);
-  cnt_add (cnt_get (set, "x_total{reason=\"any\"}", "ignored"), 1);
-  cnt_set_value (cnt_get (set, "x_total_bytes", "Bytes."), 7);
-  cnt_add (cnt_get (set, "x_total", "ignored"), 3);
-  cnt_add (cnt_get (set, "x_total", "ignored"), 1);
-  g_autofree char *text = write_counters (set);
+  cnt_add (cnt_get (registry, "x_total{reason=\"cold\"}", "All of\nx."), 2);
+  cnt_add (cnt_get (registry, "x_total{reason=\"any\"}", "ignored"), 1);
+  cnt_set_value (cnt_get (registry, "x_total_bytes", "Bytes."), 7);
+  cnt_add (cnt_get (registry, "x_total", "ignored"), 3);
+  cnt_add (cnt_get (registry, "x_total", "ignored"), 1);
+  g_autofree char *text = write_counters (registry);
   CU_ASSERT_STRING_EQUAL (text, "# HELP x_total All of\\nx.\n"
                                 "# TYPE x_total counter\n"
                                 "x_total 4\n"
@@ -354,22 +363,22 @@
                                 "# HELP x_total_bytes Bytes.\n"
                                 "# TYPE x_total_bytes gauge\n"
                                 "x_total_bytes 7\n");
-  CU_ASSERT_EQUAL (cnt_value (cnt_get (set, "x_total", NULL)), 4);
+  CU_ASSERT_EQUAL (cnt_value (cnt_get (registry, "x_total", NULL)), 4);
 }
 
 /*
- * A name or label that holds a quote or a newline would break the whole page of counters: the
- * scraper refuses it, and operators see no figures of this daemon at all.
+ * Guards against a metric name or label value with a quote or newline. Unescaped, it would make the
+ * whole metrics page invalid, so that the scraper would refuse all metrics of the daemon.
  */
 static void
-test_counters_clean (void)
+test_counters_escaped (void)
 {
-  g_autoptr (cnt_set_t) set = cnt_set_new ();
+  g_autoptr (cnt_set_t) registry = cnt_set_new ();
 
-  cnt_add (cnt_get_labelled (set, "x_total", "a-b", "q\"b\\n\n", "X."), 1);
-  cnt_add (cnt_get (set, "x_y z{l=\"broken", "Y."), 2);
-  cnt_add (cnt_get (set, "x_z{l=\"v\"} 9\nforged 1", "Z."), 3);
-  g_autofree char *text = write_counters (set);
+  cnt_add (cnt_get_labelled (registry, "x_total", "a-b", "q\"b\\n\n", "X."), 1);
+  cnt_add (cnt_get (registry, "x_y z{l=\"broken", "Y."), 2);
+  cnt_add (cnt_get (registry, "x_z{l=\"v\"} 9\nforged 1", "Z."), 3);
+  g_autofree char *text = write_counters (registry);
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_total{a_b=\"q\\\"b\\\\n\\n\"} 1\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_y_z_l__broken 2\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_z_l__v___9_forged_1 3\n"));
@@ -378,13 +387,13 @@
 static void
 test_counters_bounded (void)
 {
-  g_autoptr (cnt_set_t) set = cnt_set_new ();
-  cnt_t *refused = cnt_get (set, "medlarplank_counters_refused_total", NULL);
+  g_autoptr (cnt_set_t) registry = cnt_set_new ();
+  cnt_t *refused = cnt_get (registry, "medlarplank_counters_refused_total", NULL);
 
   for (uint32_t i = 0; i < LIM_COUNTERS + 10; i++)
-    cnt_add (cnt_get_labelled (set, "x_total", "n", LOG_U64 (i), "X."), 1);
+    cnt_add (cnt_get_labelled (registry, "x_total", "n", LOG_U64 (i), "X."), 1);
   CU_ASSERT_EQUAL (cnt_value (refused), 11);
-  CU_ASSERT_EQUAL (cnt_value (cnt_get (set, "x_total{n=\"0\"}", NULL)), 1);
+  CU_ASSERT_EQUAL (cnt_value (cnt_get (registry, "x_total{n=\"0\"}", NULL)), 1);
 }
 
 #define ADDS_PER_THREAD 100000
@@ -400,8 +409,8 @@
 static void
 test_counters_threads (void)
 {
-  g_autoptr (cnt_set_t) set = cnt_set_new ();
-  cnt_t *cnt = cnt_get (set, "x_total", "X.");
+  g_autoptr (cnt_set_t) registry = cnt_set_new ();
+  cnt_t *cnt = cnt_get (registry, "x_total", "X.");
   GThread *other = g_thread_new ("adder", add_many, cnt);
 
   add_many (cnt);
@@ -409,19 +418,27 @@
   CU_ASSERT_EQUAL (cnt_value (cnt), 2 * ADDS_PER_THREAD);
 }
 
-#define MAIL_COUNT 150000
-#define MAIL_BURST 3
-#define MAIL_DEADLINE_S 30
+#define MAILBOX_MESSAGES 150000
+#define MAILBOX_BURST 3
+#define MAILBOX_DEADLINE_S 30
 
-/** struct letter - a message with its number and a count of letters that were freed */
+/** struct test_message - a message with its number and a counter of freed messages */
 typedef struct
 {
   mbx_message_t head;
   uint32_t number;
   uint32_t *freed;
-} letter_t;
-
-/** struct mail - both ends of a mailbox test; @read and @closed are read by the sender too */
+} test_message_t;
+
+/**
+ * struct mailbox_test - state of a mailbox test
+ * @base: event base of the receiver
+ * @mbx: the mailbox under test
+ * @read: messages received; atomic, since the sender reads it
+ * @closed: the receiver has ended; atomic, since the sender reads it
+ * @disordered: messages received out of order
+ * @freed: messages freed
+ */
 typedef struct
 {
   struct event_base *base;
@@ -430,111 +447,113 @@
   gint closed;
   uint32_t disordered;
   uint32_t freed;
-} mail_t;
+} mailbox_test_t;
 
 static void
-letter_free (mbx_message_t *message)
+test_message_free (mbx_message_t *message)
 {
-  g_autofree letter_t *letter = (letter_t *)message;
+  g_autofree test_message_t *test_message = (test_message_t *)message;
 
-  (*letter->freed)++;
+  (*test_message->freed)++;
 }
 
 static void
-mail_send (mail_t *mail, uint32_t number)
+mailbox_test_send (mailbox_test_t *test, uint32_t number)
 {
-  letter_t *letter = g_new0 (letter_t, 1);
+  test_message_t *test_message = g_new0 (test_message_t, 1);
 
-  letter->head.free = letter_free;
-  letter->number = number;
-  letter->freed = &mail->freed;
-  mbx_send (mail->mbx, &letter->head);
+  test_message->head.free = test_message_free;
+  test_message->number = number;
+  test_message->freed = &test->freed;
+  mbx_send (test->mbx, &test_message->head);
 }
 
 static void
-mail_read (mbx_message_t *message, void *context)
+mailbox_test_read (mbx_message_t *message, void *context)
 {
-  mail_t *mail = context;
-  const letter_t *letter = (const letter_t *)message;
+  mailbox_test_t *test = context;
+  const test_message_t *test_message = (const test_message_t *)message;
 
-  mail->disordered += letter->number != (uint32_t)mail->read;
-  g_atomic_int_inc (&mail->read);
-  if (mail->read == MAIL_COUNT)
-    event_base_loopexit (mail->base, NULL);
+  test->disordered += test_message->number != (uint32_t)test->read;
+  g_atomic_int_inc (&test->read);
+  if (test->read == MAILBOX_MESSAGES)
+    event_base_loopexit (test->base, NULL);
 }
 
 static void
-mail_begin (mail_t *mail)
+mailbox_test_begin (mailbox_test_t *test)
 {
-  memset (mail, 0, sizeof *mail);
-  mail->base = event_base_new ();
-  mail->mbx = mbx_new (mail->base, mail_read, mail);
+  memset (test, 0, sizeof *test);
+  test->base = event_base_new ();
+  test->mbx = mbx_new (test->base, mailbox_test_read, test);
 }
 
 static void
-mail_end (mail_t *mail)
+mailbox_test_end (mailbox_test_t *test)
 {
-  mbx_free (mail->mbx);
-  event_base_free (mail->base);
+  mbx_free (test->mbx);
+  event_base_free (test->base);
 }
 
 static gpointer
 send_all (gpointer data)
 {
-  mail_t *mail = data;
+  mailbox_test_t *test = data;
 
-  for (gint sent = 0; sent < MAIL_COUNT && !g_atomic_int_get (&mail->closed); sent += MAIL_BURST)
+  for (gint sent = 0; sent < MAILBOX_MESSAGES && !g_atomic_int_get (&test->closed);
+       sent += MAILBOX_BURST)
     {
-      for (gint i = 0; i < MAIL_BURST; i++)
-        mail_send (mail, (uint32_t)(sent + i));
-      while (g_atomic_int_get (&mail->read) < sent + MAIL_BURST &&
-             !g_atomic_int_get (&mail->closed))
+      for (gint i = 0; i < MAILBOX_BURST; i++)
+        mailbox_test_send (test, (uint32_t)(sent + i));
+      while (g_atomic_int_get (&test->read) < sent + MAILBOX_BURST &&
+             !g_atomic_int_get (&test->closed))
         g_thread_yield ();
     }
   return NULL;
 }
 
 /*
- * One thread sends while another reads. A wake-up that is lost between taking the batch and the
- * next wait would leave a message unread: the data task would not hear of a new version or of the
- * drain. The sender waits for the end of each small burst, so that no later message could wake the
- * reader instead, and the loop would run into its deadline.
+ * Guards against a lost wake-up of the receiver between taking a batch and the next wait, which
+ * would leave a message unread: the data task would miss a new version or a drain. One thread sends
+ * while another receives. The sender waits until each small burst is received, so that no later
+ * message can wake the receiver instead; after a lost wake-up the test runs into its deadline.
  */
 static void
 test_mailbox_threads (void)
 {
-  struct timeval deadline = { .tv_sec = MAIL_DEADLINE_S };
-  mail_t mail;
+  struct timeval deadline = { .tv_sec = MAILBOX_DEADLINE_S };
+  mailbox_test_t test;
   GThread *sender;
 
-  mail_begin (&mail);
-  event_base_loopexit (mail.base, &deadline);
-  sender = g_thread_new ("sender", send_all, &mail);
-  event_base_dispatch (mail.base);
-  g_atomic_int_set (&mail.closed, 1);
+  mailbox_test_begin (&test);
+  event_base_loopexit (test.base, &deadline);
+  sender = g_thread_new ("sender", send_all, &test);
+  event_base_dispatch (test.base);
+  g_atomic_int_set (&test.closed, 1);
   g_thread_join (sender);
-  CU_ASSERT_EQUAL (mail.read, MAIL_COUNT);
-  CU_ASSERT_EQUAL (mail.disordered, 0);
-  CU_ASSERT_EQUAL (mail.freed, MAIL_COUNT);
-  mail_end (&mail);
+  CU_ASSERT_EQUAL (test.read, MAILBOX_MESSAGES);
+  CU_ASSERT_EQUAL (test.disordered, 0);
+  CU_ASSERT_EQUAL (test.freed, MAILBOX_MESSAGES);
+  mailbox_test_end (&test);
 }
 
 static void
 test_mailbox_frees_unread (void)
 {
-  mail_t mail;
+  mailbox_test_t test;
 
-  mail_begin (&mail);
+  mailbox_test_begin (&test);
   for (uint32_t i = 0; i < 3; i++)
-    mail_send (&mail, i);
-  mail_end (&mail);
-  CU_ASSERT_EQUAL (mail.read, 0);
-  CU_ASSERT_EQUAL (mail.freed, 3);
+    mailbox_test_send (&test, i);
+  mailbox_test_end (&test);
+  CU_ASSERT_EQUAL (test.read, 0);
+  CU_ASSERT_EQUAL (test.freed, 3);
 }
 
 /*
- * A version and a view of the hosts are shared by reference. A message that is freed unread, as at
- * a stop, must drop its reference, or the version would never be freed.
+ * Guards against a leaked reference. Versions and membership snapshots are reference-counted. A
+ * message that is freed unread, as when a daemon stops, must drop its reference, or the version is
+ * never freed.
  */
 static void
 test_messages_drop_references (void)
@@ -572,21 +591,22 @@
   static const CU_TestInfo tests[] = {
     { "clock: paused", test_clock_paused },
     { "clock: running", test_clock_running },
-    { "log: form of a line", test_log_form },
+    { "log: format of a line", test_log_format },
     { "log: no forged field or line", test_log_not_forged },
     { "log: bounded line", test_log_bounded },
     { "log: a stalled reader", test_log_reader_stalls },
     { "latency: buckets", test_latency_buckets },
-    { "counters: text form", test_counters_text },
-    { "counters: names and labels are clean", test_counters_clean },
+    { "counters: text format", test_counters_format },
+    { "counters: names and labels are escaped", test_counters_escaped },
     { "counters: bounded", test_counters_bounded },
     { "counters: two threads", test_counters_threads },
     { "mailbox: two threads, in order", test_mailbox_threads },
     { "mailbox: unread messages are freed", test_mailbox_frees_unread },
     { "messages: references are dropped", test_messages_drop_references },
     { "messages: every kind", test_messages_of_every_kind },
-    { "log: buffered", test_log_buffered }, /* the log stays buffered: these three are last */
-    { "log: lines leave in time", test_log_lines_leave_in_time },
+    /* log_open() can't be undone, so the tests that call it are last. */
+    { "log: buffered", test_log_buffered },
+    { "log: callback for the flush timer", test_log_flush_callback },
     { "log: failures are kept", test_log_keeps_failures },
     CU_TEST_INFO_NULL,
   };
