--- a/src/base/digits.h
+++ b/src/base/digits.h
@@ -13,7 +13,7 @@
 #define DGT_U64_BYTES 20 /* most decimal digits of a uint64_t, without a final NUL */
 #define DGT_HEX_BYTES 16 /* hexadecimal digits of a uint64_t, without a final NUL */
 
-/** dgt_u64() - write @value in decimal, without a final NUL. Return: the end of the text */
+/** dgt_u64() - write @value in decimal, without a final NUL. Return: its end */
 char *dgt_u64 (char *out, uint64_t value);
 /** dgt_hex() - write @value as sixteen lower-case hexadecimal digits, without a final NUL. Return:
  * the end of the text */
--- a/src/base/limits.h
+++ b/src/base/limits.h
@@ -14,14 +14,14 @@
 
 /* forwarding of one request */
 #define LIM_HOPS 4      /* sidecars that one request is forwarded to */
-#define LIM_HOPS_MOST 8 /* likewise if a sidecar stopped while the request was queued there */
+#define LIM_HOPS_MOST 8 /* likewise after a sidecar stopped that had queued it */
 #define LIM_REFERRALS 3 /* other hosts that one refusal may suggest */
 
 /* load reports and exchange messages */
 #define LIM_SAMPLES_PER_MESSAGE 8           /* load samples in one exchange message */
 #define LIM_SAMPLES_KEPT 64                 /* load samples kept for one service */
 #define LIM_SAMPLE_AGE_US (3 * 1000 * 1000) /* older load samples are not used */
-#define LIM_DATAGRAM_BYTES 1200             /* an exchange message; fits the smallest IPv6 MTU */
+#define LIM_DATAGRAM_BYTES 1200             /* an exchange message; below the IPv6 minimum MTU */
 
 /* the manifest (the published configuration) */
 #define LIM_MANIFEST_BYTES (8 * 1024 * 1024)
@@ -29,9 +29,9 @@
 #define LIM_MANIFEST_ROUTES 1024
 #define LIM_PUBLISH_IDS 1024 /* publish ids that a reader remembers with their verdict */
 
-/* queues of a sidecar */
-#define LIM_QUEUE_PER_ACCOUNT 64 /* requests of one client account queued at one sidecar */
-#define LIM_QUEUE_TOTAL 512      /* requests of all client accounts queued at one sidecar */
+/* requests that are queued */
+#define LIM_QUEUE_PER_ACCOUNT 64 /* of one client account, at one sidecar */
+#define LIM_QUEUE_TOTAL 512      /* of all client accounts, at one sidecar */
 
 /* claims: idempotency keys that a sidecar reserves by records in the platform's log */
 #define LIM_CLAIMS_WAITING 1024 /* claims of one stream that await their result from the log */
@@ -40,8 +40,8 @@
 #define LIM_CLAIM_INTERVAL_MIN_US (20 * 1000)       /* between two appends to one stream */
 #define LIM_CLAIM_INTERVAL_MAX_US (2 * 1000 * 1000) /* likewise after any number of refusals */
 #define LIM_CLAIM_BACKOFF_US (4 * 1000 * 1000)      /* longest delay after consecutive failures */
-#define LIM_CLAIM_WAIT_US (3 * 1000 * 1000) /* a claim is refused if it takes longer to append */
-#define LIM_CLAIM_HOLD_US (1000 * 1000) /* a "done" entry is delayed to share a claim's record */
+#define LIM_CLAIM_WAIT_US (3 * 1000 * 1000)         /* until a claim not yet appended is refused */
+#define LIM_CLAIM_HOLD_US (1000 * 1000) /* a "done" entry waits to share a claim's record */
 /* After its host began to leave, a sidecar may start requests that were admitted and claimed
  * before. */
 #define LIM_LEAVING_GRACE_US (1000 * 1000)
@@ -59,14 +59,14 @@
 
 /* HTTP */
 #define LIM_LISTEN_BACKLOG 1024
-#define LIM_HTTP_OVER_LIMIT 32 /* connections over the limit that still receive a 503 response */
-#define LIM_HTTP_DRAINS 64 /* refused connections whose input is read and dropped before close */
+#define LIM_HTTP_OVER_LIMIT 32 /* over the connection limit, still answered by 503 */
+#define LIM_HTTP_DRAINS 64     /* refused connections whose input is dropped before close */
 #define LIM_HTTP_DRAIN_BYTES (4 * 1024 * 1024) /* input dropped for one of them */
 #define LIM_HTTP_DRAIN_MS 2000                 /* time spent on one of them */
-#define LIM_HTTP_STOP_LINGER_MS 200     /* idle connections stay open: a request may be under way */
+#define LIM_HTTP_STOP_LINGER_MS 200     /* idle connections stay open: a request may follow */
 #define LIM_HTTP_REQUEST_MS (30 * 1000) /* from the first byte of a request to its last */
-#define LIM_HTTP_COMING_BYTES (256 * 1024 * 1024) /* all partly received requests together */
-#define LIM_HTTP_DEAD_PEER_S 5 /* a connection whose peer acknowledges nothing is closed */
+#define LIM_HTTP_COMING_BYTES (256 * 1024 * 1024) /* all incomplete requests together */
+#define LIM_HTTP_DEAD_PEER_S 5 /* until a peer that acknowledges nothing is given up */
 #define LIM_HTTP_ANSWER_HEADER_BYTES (64 * 1024) /* headers of a response from an upstream */
 #define LIM_HTTP_CONNECT_MS 1000                 /* until a connection attempt is given up */
 
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -34,8 +34,8 @@
  * @start: offset of the first unwritten byte in @buffer
  * @end: offset after the last unwritten byte in @buffer
  * @oldest_us: monotonic time at which the oldest line in the buffer was logged, 0 if it is empty
- * @hold_callback: called after a line was added to an empty buffer, or NULL
- * @hold_context: argument of @hold_callback
+ * @buffering_callback: called after a line was added to an empty buffer, or NULL
+ * @buffering_context: argument of @buffering_callback
  * @starts_buffering: the line being logged was added to an empty buffer and not flushed
  */
 typedef struct
@@ -51,8 +51,8 @@
   size_t start;
   size_t end;
   int64_t oldest_us;
-  void (*hold_callback) (void *context);
-  void *hold_context;
+  void (*buffering_callback) (void *context);
+  void *buffering_context;
   bool starts_buffering;
 } log_state_t;
 
@@ -345,8 +345,8 @@
 log_on_held (void (*callback) (void *context), void *context)
 {
   g_mutex_lock (&state.lock);
-  state.hold_callback = callback;
-  state.hold_context = context;
+  state.buffering_callback = callback;
+  state.buffering_context = context;
   g_mutex_unlock (&state.lock);
 }
 
@@ -362,8 +362,8 @@
 void
 log_event (log_level_t level, const char *event, ...)
 {
-  void (*hold_callback) (void *context);
-  void *hold_context;
+  void (*buffering_callback) (void *context);
+  void *buffering_context;
   line_t line;
   const char *field;
   va_list pairs;
@@ -385,13 +385,13 @@
   report_dropped (level);
   if (state.dropped_lines != 0 || !line_write (&line, level))
     state.dropped_lines++;
-  hold_callback = state.starts_buffering ? state.hold_callback : NULL;
-  hold_context = state.hold_context;
+  buffering_callback = state.starts_buffering ? state.buffering_callback : NULL;
+  buffering_context = state.buffering_context;
   g_mutex_unlock (&state.lock);
   /* The callback runs without the lock. It takes locks of libevent, which may log while it holds
    * them: taking these locks in both orders could deadlock. */
-  if (hold_callback)
-    hold_callback (hold_context);
+  if (buffering_callback)
+    buffering_callback (buffering_context);
 }
 
 const char *
--- a/src/base/mailbox.h
+++ b/src/base/mailbox.h
@@ -25,8 +25,7 @@
   void (*free) (mbx_message_t *message);
 };
 
-/** mbx_handler_t - called on the receiving thread; the mailbox frees the message after it returns
- */
+/** mbx_handler_t - called on the receiving thread; the message is freed after it returns */
 typedef void (*mbx_handler_t) (mbx_message_t *message, void *context);
 
 /** mbx_new() - create a mailbox whose messages @handler receives on @base */
--- a/src/base/pause.h
+++ b/src/base/pause.h
@@ -2,8 +2,9 @@
  * DOC: pause
  *
  * Detects that a task (thread) did not run for a while: the process was stopped by SIGSTOP, its
- * virtual machine was suspended, or its host was overloaded. The task's state may be out of date
- * afterwards: its host may have started to leave, or a newer version may be in force.
+ * virtual machine was suspended, or its host was overloaded. The clock advances meanwhile. The
+ * task's state may be out of date afterwards: its host may have started to leave, or a newer
+ * version may be in force.
  *
  * Each task has one pse_t. It calls pse_check() first in every event handler, and on a timer of
  * %PSE_TICK_MS so that an idle task is not taken for a paused one. A task that was paused is stale
--- a/src/base/region_map.h
+++ b/src/base/region_map.h
@@ -12,9 +12,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RGN_DATA_CENTERS                                                                           \
-  64 /* five times the data centres of the largest fleet that is supported                         \
-      */
+/* Five times the data centres of the largest supported fleet. */
+#define RGN_DATA_CENTERS 64
 
 /** struct rgn_row - a data centre and its region */
 typedef struct
@@ -36,8 +35,7 @@
 bool rgn_parse (rgn_map_t *map, const char *text);
 /** rgn_text() - format @map as rgn_parse() reads it. Return: the text, to be freed with g_free() */
 char *rgn_text (const rgn_map_t *map);
-/** rgn_of() - look up a data centre. Return: its region, owned by @map, or NULL if it is not listed
- */
+/** rgn_of() - look up a data centre. Return: its region, or NULL */
 const char *rgn_of (const rgn_map_t *map, const char *data_center);
 
 #endif
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -112,13 +112,13 @@
           "'_' for '-'); a flag goes before the variable.\n\n");
   for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      const set_row_t *row = &loader->rows[i];
-      char *allowed = set_row_allowed (row);
-      char *env = set_row_env (row);
-      printf ("  %s%s\n      %s.\n      Allowed: %s. %s%s\n", set_row_is_flag (row) ? "--" : "",
-              set_row_is_flag (row) ? row->name : env, row->help, allowed,
-              row->default_text != NULL ? "Default: " : "Needed by: ",
-              row->default_text != NULL ? row->default_text : set_row_needed (row));
+      const set_row_t *setting = &loader->rows[i];
+      char *allowed = set_row_allowed (setting);
+      char *env = set_row_env (setting);
+      printf ("  %s%s\n      %s.\n      Allowed: %s. %s%s\n", set_row_is_flag (setting) ? "--" : "",
+              set_row_is_flag (setting) ? setting->name : env, setting->help, allowed,
+              setting->default_text != NULL ? "Default: " : "Needed by: ",
+              setting->default_text != NULL ? setting->default_text : set_row_needed (setting));
       g_free (allowed);
       g_free (env);
     }
@@ -202,13 +202,13 @@
 }
 
 static bool
-is_required (const loader_t *loader, const set_row_t *row)
+is_required (const loader_t *loader, const set_row_t *setting)
 {
-  if (row->need == SET_NEED_SIDECAR)
+  if (setting->need == SET_NEED_SIDECAR)
     return loader->settings->role == SET_ROLE_SIDECAR;
-  if (row->need == SET_NEED_GATEWAY)
+  if (setting->need == SET_NEED_GATEWAY)
     return loader->settings->role == SET_ROLE_GATEWAY;
-  return row->need == SET_NEED_ALL;
+  return setting->need == SET_NEED_ALL;
 }
 
 static bool
@@ -216,15 +216,15 @@
 {
   for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      const set_row_t *row = &loader->rows[i];
+      const set_row_t *setting = &loader->rows[i];
       char *env;
       char *allowed;
-      if (loader->given[i].text != NULL || !is_required (loader, row))
+      if (loader->given[i].text != NULL || !is_required (loader, setting))
         continue;
-      env = set_row_env (row);
-      allowed = set_row_allowed (row);
+      env = set_row_env (setting);
+      allowed = set_row_allowed (setting);
       g_set_error (error, SET_ERROR, SET_ERROR_MISSING, "%s: missing; give --%s or %s: %s",
-                   row->name, row->name, env, allowed);
+                   setting->name, setting->name, env, allowed);
       g_free (env);
       g_free (allowed);
       return false;
--- a/src/base/settings_table.c
+++ b/src/base/settings_table.c
@@ -153,11 +153,11 @@
 }
 
 static bool
-parse_number (const set_row_t *row, const char *text, uint32_t *number)
+parse_number (const set_row_t *setting, const char *text, uint32_t *number)
 {
   guint64 value;
 
-  if (!g_ascii_string_to_unsigned (text, 10, row->minimum, row->maximum, &value, NULL))
+  if (!g_ascii_string_to_unsigned (text, 10, setting->minimum, setting->maximum, &value, NULL))
     return false;
   *number = (uint32_t)value;
   return true;
@@ -165,7 +165,7 @@
 
 /* Parses a decimal number without sign or exponent into thousandths, rounded to the nearest. */
 static bool
-parse_milli (const set_row_t *row, const char *text, uint32_t *number)
+parse_milli (const set_row_t *setting, const char *text, uint32_t *number)
 {
   size_t whole = strspn (text, "0123456789");
   size_t places = text[whole] == '.' ? strspn (text + whole + 1, "0123456789") : 0;
@@ -174,18 +174,18 @@
   if (whole == 0 || text[whole + (text[whole] == '.') + places] != '\0')
     return false;
   value = g_ascii_strtod (text, NULL) * 1000;
-  if (value < row->minimum || value > row->maximum)
+  if (value < setting->minimum || value > setting->maximum)
     return false;
   *number = (uint32_t)(value + 0.5);
   return true;
 }
 
 static bool
-parse_secret (const set_row_t *row, const char *text, char *out)
+parse_secret (const set_row_t *setting, const char *text, char *out)
 {
   size_t bytes = strlen (text);
 
-  if (bytes < row->minimum || bytes > row->maximum)
+  if (bytes < setting->minimum || bytes > setting->maximum)
     return false;
   for (size_t i = 0; i < bytes; i++)
     if (g_ascii_iscntrl (text[i]))
@@ -296,11 +296,11 @@
 }
 
 static bool
-parse_value (const set_row_t *row, const char *text, set_t *settings)
+parse_value (const set_row_t *setting, const char *text, set_t *settings)
 {
-  void *field = (char *)settings + row->offset;
+  void *field = (char *)settings + setting->offset;
 
-  switch (row->kind)
+  switch (setting->kind)
     {
     case SET_KIND_ROLE:
       return parse_role (text, field);
@@ -313,15 +313,15 @@
     case SET_KIND_REGIONS:
       return text[0] == '\0' || rgn_parse (field, text);
     case SET_KIND_NUMBER:
-      return parse_number (row, text, field);
+      return parse_number (setting, text, field);
     case SET_KIND_BOOLEAN:
       return parse_boolean (text, field);
     case SET_KIND_MILLI:
-      return parse_milli (row, text, field);
+      return parse_milli (setting, text, field);
     case SET_KIND_LEVEL:
       return parse_level (text, field);
     case SET_KIND_SECRET:
-      return parse_secret (row, text, field);
+      return parse_secret (setting, text, field);
     case SET_KIND_SECRET_FILE:
       return read_secret (text, field);
     }
@@ -351,9 +351,9 @@
 }
 
 char *
-set_row_env (const set_row_t *row)
+set_row_env (const set_row_t *setting)
 {
-  char *upper = g_ascii_strup (row->name, -1);
+  char *upper = g_ascii_strup (setting->name, -1);
   char *name = g_strconcat ("MEDLARPLANK_", g_strdelimit (upper, "-", '_'), NULL);
 
   g_free (upper);
@@ -361,15 +361,15 @@
 }
 
 bool
-set_row_is_flag (const set_row_t *row)
+set_row_is_flag (const set_row_t *setting)
 {
-  return row->kind != SET_KIND_SECRET;
+  return setting->kind != SET_KIND_SECRET;
 }
 
 char *
-set_row_allowed (const set_row_t *row)
+set_row_allowed (const set_row_t *setting)
 {
-  switch (row->kind)
+  switch (setting->kind)
     {
     case SET_KIND_ROLE:
       return g_strdup ("router, sidecar or gateway");
@@ -385,17 +385,18 @@
           "once, names of 1 to %d bytes",
           RGN_DATA_CENTERS, LIM_NAME_BYTES - 1);
     case SET_KIND_NUMBER:
-      return g_strdup_printf ("%u to %u", row->minimum, row->maximum);
+      return g_strdup_printf ("%u to %u", setting->minimum, setting->maximum);
     case SET_KIND_MILLI:
-      return g_strdup_printf ("a decimal number, %u.%03u to %u.%03u", row->minimum / 1000,
-                              row->minimum % 1000, row->maximum / 1000, row->maximum % 1000);
+      return g_strdup_printf ("a decimal number, %u.%03u to %u.%03u", setting->minimum / 1000,
+                              setting->minimum % 1000, setting->maximum / 1000,
+                              setting->maximum % 1000);
     case SET_KIND_BOOLEAN:
       return g_strdup ("true or false");
     case SET_KIND_LEVEL:
       return g_strdup ("error, warning, notice, info or debug");
     case SET_KIND_SECRET:
-      return g_strdup_printf ("%u to %u bytes, none of them a control character", row->minimum,
-                              row->maximum);
+      return g_strdup_printf ("%u to %u bytes, none of them a control character", setting->minimum,
+                              setting->maximum);
     case SET_KIND_SECRET_FILE:
       return g_strdup ("path of a file that can be read and holds one line, the fleet key");
     }
@@ -403,9 +404,9 @@
 }
 
 const char *
-set_row_needed (const set_row_t *row)
+set_row_needed (const set_row_t *setting)
 {
-  switch (row->need)
+  switch (setting->need)
     {
     case SET_NEED_ALL:
       return "all";
@@ -421,32 +422,32 @@
 
 bool
 set_row_apply (
-    const set_row_t *row, const char *text, const char *origin, set_t *settings, GError **error)
+    const set_row_t *setting, const char *text, const char *origin, set_t *settings, GError **error)
 {
   char *allowed;
 
-  if (parse_value (row, text, settings))
+  if (parse_value (setting, text, settings))
     return true;
-  allowed = set_row_allowed (row);
+  allowed = set_row_allowed (setting);
   /* The value of a secret must not be logged, as an invalid one may differ from the key by one
    * byte. */
-  if (row->kind == SET_KIND_SECRET)
+  if (setting->kind == SET_KIND_SECRET)
     g_set_error (error, SET_ERROR, SET_ERROR_VALUE, "%s: a value of %zu bytes (%s): must be %s",
-                 row->name, strlen (text), origin, allowed);
+                 setting->name, strlen (text), origin, allowed);
   else
-    g_set_error (error, SET_ERROR, SET_ERROR_VALUE, "%s: \"%s\" (%s): must be %s%s", row->name,
+    g_set_error (error, SET_ERROR, SET_ERROR_VALUE, "%s: \"%s\" (%s): must be %s%s", setting->name,
                  text, origin, allowed,
-                 row->kind == SET_KIND_ADDRESS ? "; host names are not looked up" : "");
+                 setting->kind == SET_KIND_ADDRESS ? "; host names are not looked up" : "");
   g_free (allowed);
   return false;
 }
 
 char *
-set_row_value (const set_row_t *row, const set_t *settings)
+set_row_value (const set_row_t *setting, const set_t *settings)
 {
-  const void *field = (const char *)settings + row->offset;
+  const void *field = (const char *)settings + setting->offset;
 
-  switch (row->kind)
+  switch (setting->kind)
     {
     case SET_KIND_ROLE:
       return g_strdup (role_names[*(const set_role_t *)field]);
--- a/src/base/settings_table.h
+++ b/src/base/settings_table.h
@@ -73,17 +73,17 @@
 /** set_row_find() - look up a setting. Return: NULL if there is none of that name */
 const set_row_t *set_row_find (const char *name);
 /** set_row_env() - name of its environment variable, to be freed with g_free() */
-char *set_row_env (const set_row_t *row);
+char *set_row_env (const set_row_t *setting);
 /** set_row_is_flag() - whether it can be given as a flag; a secret can't */
-bool set_row_is_flag (const set_row_t *row);
+bool set_row_is_flag (const set_row_t *setting);
 /** set_row_allowed() - description of its allowed values, to be freed with g_free() */
-char *set_row_allowed (const set_row_t *row);
+char *set_row_allowed (const set_row_t *setting);
 /** set_row_needed() - description of the roles that require it; a static text */
-const char *set_row_needed (const set_row_t *row);
+const char *set_row_needed (const set_row_t *setting);
 
 /**
  * set_row_apply() - parse a value and store it in its field of @settings
- * @row: the setting
+ * @setting: the setting
  * @text: the value
  * @origin: the flag or environment variable that @text was given by, for the error message
  * @settings: filled in
@@ -91,10 +91,13 @@
  *
  * Return: false with @error if the value is invalid
  */
-bool set_row_apply (
-    const set_row_t *row, const char *text, const char *origin, set_t *settings, GError **error);
+bool set_row_apply (const set_row_t *setting,
+                    const char *text,
+                    const char *origin,
+                    set_t *settings,
+                    GError **error);
 /** set_row_value() - format its value in @settings, except for a secret, as set_row_apply() reads
  * it. Return: the text, to be freed with g_free() */
-char *set_row_value (const set_row_t *row, const set_t *settings);
+char *set_row_value (const set_row_t *setting, const set_t *settings);
 
 #endif
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -281,14 +281,15 @@
 
 /* The table row for a setting that docs/settings.md must contain. */
 static char *
-docs_row (const set_row_t *row)
+docs_row (const set_row_t *setting)
 {
-  char *env = set_row_env (row);
-  char *allowed = set_row_allowed (row);
-  char *flag = set_row_is_flag (row) ? g_strdup_printf ("`--%s`", row->name) : g_strdup ("-");
+  char *env = set_row_env (setting);
+  char *allowed = set_row_allowed (setting);
+  char *flag =
+      set_row_is_flag (setting) ? g_strdup_printf ("`--%s`", setting->name) : g_strdup ("-");
   char *line = g_strdup_printf ("| %s | `%s` | %s | %s | %s | %s |\n", flag, env, allowed,
-                                row->default_text != NULL ? row->default_text : "-",
-                                set_row_needed (row), row->help);
+                                setting->default_text != NULL ? setting->default_text : "-",
+                                set_row_needed (setting), setting->help);
 
   g_free (flag);
   g_free (allowed);
