--- a/src/base/log.c
+++ b/src/base/log.c
@@ -33,7 +33,7 @@
  * @buffer: LOG_BUFFER_BYTES, or NULL while each line is written by itself
  * @start: offset of the first unwritten byte in @buffer
  * @end: offset after the last unwritten byte in @buffer
- * @oldest_us: monotonic time at which the oldest line in the buffer was logged, 0 if it is empty
+ * @buffered_since_us: monotonic time at which the empty buffer received a line, 0 while it is empty
  * @buffering_callback: called after a line was added to an empty buffer, or NULL
  * @buffering_context: argument of @buffering_callback
  * @starts_buffering: the line being logged was added to an empty buffer and not flushed
@@ -50,7 +50,7 @@
   char *buffer;
   size_t start;
   size_t end;
-  int64_t oldest_us;
+  int64_t buffered_since_us;
   void (*buffering_callback) (void *context);
   void *buffering_context;
   bool starts_buffering;
@@ -115,8 +115,7 @@
   return 4;
 }
 
-/* Writes @value, quoted if necessary, in less than LIM_LOG_VALUE_BYTES. Return: the end of the text
- */
+/* Writes @value, quoted if necessary, in less than LIM_LOG_VALUE_BYTES. Return: its end */
 static char *
 format_value (const char *value, char *out)
 {
@@ -261,7 +260,7 @@
     return;
   state.start = 0;
   state.end = 0;
-  state.oldest_us = 0;
+  state.buffered_since_us = 0;
 }
 
 /* Return: whether @bytes fit into the first @limit bytes of the buffer, after a flush if need be */
@@ -289,10 +288,10 @@
     return false;
   memcpy (state.buffer + state.end, line->text, line->bytes);
   state.end += line->bytes;
-  if (state.oldest_us == 0)
-    state.oldest_us = now_us;
+  if (state.buffered_since_us == 0)
+    state.buffered_since_us = now_us;
   if (urgent || state.end - state.start >= LOG_WRITE_BYTES ||
-      now_us - state.oldest_us >= LOG_HOLD_MS * 1000)
+      now_us - state.buffered_since_us >= LOG_HOLD_MS * 1000)
     flush ();
   state.starts_buffering = state.starts_buffering || (was_empty && state.end > state.start);
   return true;
--- a/tests/test_engine_entries.c
+++ b/tests/test_engine_entries.c
@@ -138,7 +138,7 @@
                     MIN ((gssize)(text->len - at), g_rand_int_range (rand, 1, 12)));
 }
 
-/* Guards against an accepted entry without a usable engine, with random changes to a valid entry.
+/* Guards against accepting an entry without a usable engine: makes random changes to a valid one.
  */
 static void
 test_random_changes_never_yield_unusable_engine (void)
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -1,5 +1,4 @@
-/* Unit tests of the modules that tasks share: clock, log, counters, latency, mailbox and messages.
- */
+/* Unit tests of clock, log, counters, latency, mailbox and messages. */
 #include "base/clock.h"
 #include "base/counters.h"
 #include "base/limits.h"
