--- a/ctl/ask.c
+++ b/ctl/ask.c
@@ -7,48 +7,48 @@
 #include <string.h>
 
 /*
- * struct fan - calls that are under way together
- * @next: the first that was not started yet
- * @left: how many did not end yet
+ * struct batch - calls that run in parallel
+ * @next_index: index of the first call that has not been started
+ * @unfinished_count: number of calls that have not ended
  */
 typedef struct
 {
   ctl_t *ctl;
-  struct flight *flights;
+  struct pending_call *pending_calls;
   uint32_t count;
-  uint32_t next;
-  uint32_t left;
+  uint32_t next_index;
+  uint32_t unfinished_count;
   bool done;
-} fan_t;
+} batch_t;
 
-typedef struct flight
+typedef struct pending_call
 {
-  fan_t *fan;
+  batch_t *batch;
   ask_call_t *call;
   char *target;
   char *seal;
   hcl_header_t header;
-} flight_t;
+} pending_call_t;
 
-static void start_next (fan_t *fan);
+static void start_next (batch_t *batch);
 
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  flight_t *flight = context;
+  pending_call_t *pending = context;
 
   (void)headers;
-  flight->call->status = status;
+  pending->call->status = status;
   return true;
 }
 
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  flight_t *flight = context;
+  pending_call_t *pending = context;
   size_t length = evbuffer_get_length (data);
 
-  g_string_append_len (flight->call->body, (const char *)evbuffer_pullup (data, -1),
+  g_string_append_len (pending->call->body, (const char *)evbuffer_pullup (data, -1),
                        (gssize)length);
   evbuffer_drain (data, length);
 }
@@ -56,20 +56,20 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  flight_t *flight = context;
-  fan_t *fan = flight->fan;
+  pending_call_t *pending = context;
+  batch_t *batch = pending->batch;
 
-  flight->call->status = end->whole ? end->status : 0;
+  pending->call->status = end->whole ? end->status : 0;
   if (!end->whole)
-    g_string_truncate (flight->call->body, 0);
-  fan->left--;
-  fan->done = fan->left == 0;
-  if (!fan->done)
-    start_next (fan);
+    g_string_truncate (pending->call->body, 0);
+  batch->unfinished_count--;
+  batch->done = batch->unfinished_count == 0;
+  if (!batch->done)
+    start_next (batch);
 }
 
 static char *
-target_of (const ask_call_t *call, uint64_t time_s)
+format_target (const ask_call_t *call, uint64_t time_s)
 {
   if (call->seal == ASK_DRAIN)
     return g_strdup_printf ("%s?time=%" PRIu64, call->path, time_s);
@@ -79,7 +79,7 @@
 }
 
 static char *
-seal_as_call (const ask_call_t *call, const char *target, const char *fleet_key)
+format_call_seal (const ask_call_t *call, const char *target, const char *fleet_key)
 {
   ord_t order = { .host = call->name, .method = call->method, .target = target };
   char seal[ORD_SEAL_BYTES];
@@ -89,24 +89,24 @@
 }
 
 static void
-seal (flight_t *flight, uint64_t time_s)
+add_seal (pending_call_t *pending, uint64_t time_s)
 {
-  const char *fleet_key = flight->fan->ctl->opt.fleet_key;
+  const char *fleet_key = pending->batch->ctl->options.fleet_key;
 
-  if (flight->call->seal == ASK_OPEN || fleet_key == NULL)
+  if (pending->call->seal == ASK_OPEN || fleet_key == NULL)
     return;
-  if (flight->call->seal == ASK_DRAIN)
-    flight->seal = seal_make (fleet_key, SEAL_DRAIN, flight->call->name, time_s);
+  if (pending->call->seal == ASK_DRAIN)
+    pending->seal = seal_make (fleet_key, SEAL_DRAIN, pending->call->name, time_s);
   else
-    flight->seal = seal_as_call (flight->call, flight->target, fleet_key);
-  flight->header = (hcl_header_t){ .name = SEAL_HEADER, .value = flight->seal };
+    pending->seal = format_call_seal (pending->call, pending->target, fleet_key);
+  pending->header = (hcl_header_t){ .name = SEAL_HEADER, .value = pending->seal };
 }
 
 static void
-start (flight_t *flight)
+start_call (pending_call_t *pending)
 {
-  ctl_t *ctl = flight->fan->ctl;
-  ask_call_t *call = flight->call;
+  ctl_t *ctl = pending->batch->ctl;
+  ask_call_t *call = pending->call;
   uint64_t time_s = clk_wall_ms (&ctl->clk) / 1000;
   hcl_options_t options = { .address = &call->address,
                             .method = call->method,
@@ -115,51 +115,53 @@
                             .on_head = on_head,
                             .on_data = on_data,
                             .on_end = on_end,
-                            .context = flight };
+                            .context = pending };
 
   call->body = g_string_new (NULL);
-  flight->target = target_of (call, time_s);
-  seal (flight, time_s);
-  options.target = flight->target;
-  options.headers = &flight->header;
-  options.header_count = flight->seal != NULL ? 1 : 0;
+  pending->target = format_target (call, time_s);
+  add_seal (pending, time_s);
+  options.target = pending->target;
+  options.headers = &pending->header;
+  options.header_count = pending->seal != NULL ? 1 : 0;
   hcl_start (ctl->hcl, &options);
 }
 
 static void
-start_next (fan_t *fan)
+start_next (batch_t *batch)
 {
-  if (fan->next < fan->count)
-    start (&fan->flights[fan->next++]);
+  if (batch->next_index < batch->count)
+    start_call (&batch->pending_calls[batch->next_index++]);
 }
 
 void
 ask_all (ctl_t *ctl, ask_call_t *calls, uint32_t count)
 {
-  g_autofree flight_t *flights = g_new0 (flight_t, count);
-  fan_t fan = { .ctl = ctl, .flights = flights, .count = count, .left = count };
+  g_autofree pending_call_t *pending_calls = g_new0 (pending_call_t, count);
+  batch_t batch = {
+    .ctl = ctl, .pending_calls = pending_calls, .count = count, .unfinished_count = count
+  };
 
-  for (uint32_t at = 0; at < count; at++)
-    flights[at] = (flight_t){ .fan = &fan, .call = &calls[at] };
-  for (uint32_t at = 0; at < ASK_AT_ONCE; at++)
-    start_next (&fan);
+  for (uint32_t i = 0; i < count; i++)
+    pending_calls[i] = (pending_call_t){ .batch = &batch, .call = &calls[i] };
+  for (uint32_t i = 0; i < ASK_AT_ONCE; i++)
+    start_next (&batch);
   if (count > 0)
-    ctl_run_until (ctl, &fan.done);
-  for (uint32_t at = 0; at < count; at++)
+    ctl_run_until (ctl, &batch.done);
+  for (uint32_t i = 0; i < count; i++)
     {
-      g_free (flights[at].target);
-      g_free (flights[at].seal);
+      g_free (pending_calls[i].target);
+      g_free (pending_calls[i].seal);
     }
 }
 
 void
 ask_clear (ask_call_t *calls, uint32_t count)
 {
-  for (uint32_t at = 0; at < count; at++)
+  for (uint32_t i = 0; i < count; i++)
     {
-      if (calls[at].body != NULL)
-        g_string_free (calls[at].body, TRUE);
-      calls[at].body = NULL;
+      if (calls[i].body != NULL)
+        g_string_free (calls[i].body, TRUE);
+      calls[i].body = NULL;
     }
 }
 
@@ -201,36 +203,36 @@
   GArray *hosts;
   plt_outcome_t outcome;
   bool done;
-} list_t;
+} hosts_wait_t;
 
 static void
 on_hosts (const plt_hosts_t *hosts, void *context)
 {
-  list_t *list = context;
+  hosts_wait_t *wait = context;
 
-  list->outcome = hosts->outcome;
+  wait->outcome = hosts->outcome;
   if (hosts->outcome == PLT_OK)
-    g_array_append_vals (list->hosts, hosts->hosts, hosts->host_count);
-  list->done = true;
+    g_array_append_vals (wait->hosts, hosts->hosts, hosts->host_count);
+  wait->done = true;
 }
 
 GArray *
 ask_hosts (ctl_t *ctl, plt_outcome_t *outcome)
 {
-  list_t list = { .hosts = g_array_new (FALSE, TRUE, sizeof (mem_listed_t)) };
+  hosts_wait_t wait = { .hosts = g_array_new (FALSE, TRUE, sizeof (mem_listed_t)) };
 
-  ctl->plt->hosts (ctl->plt, 0, on_hosts, &list);
-  ctl_run_until (ctl, &list.done);
-  *outcome = list.outcome;
-  return list.hosts;
+  ctl->plt->hosts (ctl->plt, 0, on_hosts, &wait);
+  ctl_run_until (ctl, &wait.done);
+  *outcome = wait.outcome;
+  return wait.hosts;
 }
 
 const mem_listed_t *
 ask_host_named (const GArray *hosts, const char *name)
 {
-  for (guint at = 0; at < hosts->len; at++)
+  for (guint i = 0; i < hosts->len; i++)
     {
-      const mem_listed_t *host = &g_array_index (hosts, mem_listed_t, at);
+      const mem_listed_t *host = &g_array_index (hosts, mem_listed_t, i);
 
       if (strcmp (host->name, name) == 0)
         return host;
--- a/ctl/cmd_manifest.c
+++ b/ctl/cmd_manifest.c
@@ -14,41 +14,41 @@
   g_autoptr (GError) error = NULL;
   g_autofree char *text = NULL;
   gsize text_bytes;
-  man_t *man;
+  man_t *manifest;
 
   if (!g_file_get_contents (file, &text, &text_bytes, &error))
     return ctl_complain (CTL_USAGE, "%s", error->message);
-  man = man_parse (text, text_bytes, &error);
-  if (man == NULL)
+  manifest = man_parse (text, text_bytes, &error);
+  if (manifest == NULL)
     return ctl_complain (CTL_USAGE, "%s: %s", file, error->message);
-  if ((ctl->opt.given & OPT_JSON) != 0)
-    printf ("{\"digest\":\"%s\"}\n", man->digest);
+  if ((ctl->options.given & OPT_JSON) != 0)
+    printf ("{\"digest\":\"%s\"}\n", manifest->digest);
   else
     printf ("%s: %u client accounts, %u services, %u classes, %u routes, digest %s\n", file,
-            man->account_count, man->service_count, man->class_count, man->route_count,
-            man->digest);
-  man_unref (man);
+            manifest->account_count, manifest->service_count, manifest->class_count,
+            manifest->route_count, manifest->digest);
+  man_unref (manifest);
   return CTL_OK;
 }
 
 static void
-print_version (const rep_t *rep)
+print_version (const rep_t *replay)
 {
-  const man_t *man = rep_manifest (rep);
+  const man_t *manifest = rep_manifest (replay);
 
-  printf ("version %" PRIu64 " digest %s%s%s\n", man->version, man->digest,
-          rep_by (rep)[0] != '\0' ? " by " : "", rep_by (rep));
+  printf ("version %" PRIu64 " digest %s%s%s\n", manifest->version, manifest->digest,
+          rep_by (replay)[0] != '\0' ? " by " : "", rep_by (replay));
 }
 
 static json_t *
-described (const rep_t *rep, bool whole)
+manifest_to_json (const rep_t *replay, bool with_manifest)
 {
-  const man_t *man = rep_manifest (rep);
-  json_t *json = json_pack ("{sI ss ss}", "version", (json_int_t)man->version, "digest",
-                            man->digest, "by", rep_by (rep));
+  const man_t *manifest = rep_manifest (replay);
+  json_t *json = json_pack ("{sI ss ss}", "version", (json_int_t)manifest->version, "digest",
+                            manifest->digest, "by", rep_by (replay));
 
-  if (whole)
-    json_object_set (json, "manifest", man->json);
+  if (with_manifest)
+    json_object_set (json, "manifest", manifest->json);
   return json;
 }
 
@@ -62,44 +62,44 @@
 }
 
 static void
-show (const ctl_t *ctl, const rep_t *rep)
+print_manifest (const ctl_t *ctl, const rep_t *replay)
 {
-  bool only_version = (ctl->opt.given & OPT_VERSION) != 0;
+  bool only_version = (ctl->options.given & OPT_VERSION) != 0;
 
-  if ((ctl->opt.given & OPT_JSON) != 0)
+  if ((ctl->options.given & OPT_JSON) != 0)
     {
-      json_t *json = described (rep, !only_version);
+      json_t *json = manifest_to_json (replay, !only_version);
 
       print_json (json, JSON_COMPACT);
       json_decref (json);
     }
   else if (only_version)
-    print_version (rep);
+    print_version (replay);
   else
-    print_json (rep_manifest (rep)->json, JSON_INDENT (2));
+    print_json (rep_manifest (replay)->json, JSON_INDENT (2));
 }
 
 ctl_exit_t
 cmd_manifest_show (ctl_t *ctl, const char *unused)
 {
-  fol_t fol;
+  fol_t reader;
   ctl_exit_t code;
 
   (void)unused;
-  fol_start (&fol, ctl);
-  code = fol_catch_up (&fol);
-  if (code == CTL_OK && rep_unpublished (fol.rep))
+  fol_start (&reader, ctl);
+  code = fol_catch_up (&reader);
+  if (code == CTL_OK && rep_unpublished (reader.replay))
     code = ctl_complain (CTL_FAILED, "no manifest was published yet");
   else if (code == CTL_OK)
-    show (ctl, fol.rep);
-  fol_end (&fol);
+    print_manifest (ctl, reader.replay);
+  fol_end (&reader);
   return code;
 }
 
 static const char *
-verdict_word (rep_verdict_t verdict)
+verdict_text (rep_verdict_t verdict)
 {
-  static const char *const WORDS[] = {
+  static const char *const VERDICT_TEXTS[] = {
     [REP_ACCEPTED] = "accepted",
     [REP_STALE_BASE] = "lost",
     [REP_INVALID] = "invalid",
@@ -109,51 +109,51 @@
     [REP_SKIPPED] = "skipped",
   };
 
-  return WORDS[verdict];
+  return VERDICT_TEXTS[verdict];
 }
 
-/* The id and the reason can hold text of whoever appended: it is escaped. */
+/* The reason can quote text from the record, which any writer may have appended, so it is escaped.
+ */
 static void
-print_judgement (const rep_judgement_t *judgement, uint64_t offset, void *context)
+print_result (const rep_judgement_t *result, uint64_t offset, void *context)
 {
   const ctl_t *ctl = context;
-  g_autofree char *reason = g_strescape (judgement->reason, NULL);
+  g_autofree char *reason = g_strescape (result->reason, NULL);
 
-  if ((ctl->opt.given & OPT_JSON) != 0)
+  if ((ctl->options.given & OPT_JSON) != 0)
     {
       json_t *json = json_pack ("{sI ss ss sI ss}", "offset", (json_int_t)offset, "verdict",
-                                verdict_word (judgement->verdict), "id", judgement->id, "version",
-                                (json_int_t)judgement->version, "reason", reason);
+                                verdict_text (result->verdict), "id", result->id, "version",
+                                (json_int_t)result->version, "reason", reason);
 
       print_json (json, JSON_COMPACT);
       json_decref (json);
     }
   else
     printf ("offset %" PRIu64 " %s version %" PRIu64 "%s%s%s%s\n", offset,
-            verdict_word (judgement->verdict), judgement->version,
-            judgement->id[0] != '\0' ? " id " : "", judgement->id, reason[0] != '\0' ? ": " : "",
-            reason);
+            verdict_text (result->verdict), result->version, result->id[0] != '\0' ? " id " : "",
+            result->id, reason[0] != '\0' ? ": " : "", reason);
   fflush (stdout);
 }
 
 static void
-watch (fol_t *fol)
+watch_records (fol_t *reader)
 {
-  ctl_t *ctl = fol->ctl;
+  ctl_t *ctl = reader->ctl;
   bool answered = true;
 
-  if (!rep_unpublished (fol->rep))
-    print_version (fol->rep);
+  if (!rep_unpublished (reader->replay))
+    print_version (reader->replay);
   fflush (stdout);
-  fol->judged = print_judgement;
-  fol->context = ctl;
+  reader->on_result = print_result;
+  reader->context = ctl;
   while (ctl_left_ms (ctl) > 0)
     {
-      bool before = answered;
+      bool was_answered = answered;
 
-      answered = fol_read (fol, MIN (WATCH_WAIT_MS, ctl_left_ms (ctl))) == PLT_OK;
-      if (before && !answered)
-        ctl_complain (CTL_OK, "the platform does not answer; what is in force stays in force");
+      answered = fol_read (reader, MIN (WATCH_WAIT_MS, ctl_left_ms (ctl))) == PLT_OK;
+      if (was_answered && !answered)
+        ctl_complain (CTL_OK, "the platform does not answer; the manifest in force stays in force");
       if (!answered)
         ctl_pause (ctl, WATCH_RETRY_MS);
     }
@@ -162,16 +162,16 @@
 ctl_exit_t
 cmd_manifest_watch (ctl_t *ctl, const char *unused)
 {
-  fol_t fol;
+  fol_t reader;
   ctl_exit_t code;
 
   (void)unused;
-  fol_start (&fol, ctl);
-  code = fol_catch_up (&fol);
-  if ((ctl->opt.given & OPT_TIMEOUT) == 0)
+  fol_start (&reader, ctl);
+  code = fol_catch_up (&reader);
+  if ((ctl->options.given & OPT_TIMEOUT) == 0)
     ctl->deadline_us = UINT64_MAX;
   if (code == CTL_OK)
-    watch (&fol);
-  fol_end (&fol);
+    watch_records (&reader);
+  fol_end (&reader);
   return code;
 }
--- a/ctl/cmd_order.c
+++ b/ctl/cmd_order.c
@@ -5,20 +5,20 @@
 #include <stdio.h>
 
 static ctl_exit_t
-find_host (ctl_t *ctl, const char *name, set_address_t *address)
+find_address (ctl_t *ctl, const char *name, set_address_t *address)
 {
   plt_outcome_t outcome;
   GArray *hosts;
   const mem_listed_t *host;
   ctl_exit_t code = CTL_OK;
 
-  if ((ctl->opt.given & OPT_DAEMON) != 0)
+  if ((ctl->options.given & OPT_DAEMON) != 0)
     {
-      *address = ctl->opt.daemon;
+      *address = ctl->options.daemon;
       return CTL_OK;
     }
   if (ctl->plt == NULL)
-    return ctl_complain (CTL_USAGE, "--platform or --daemon is needed");
+    return ctl_complain (CTL_USAGE, "drain needs --platform or --daemon");
   hosts = ask_hosts (ctl, &outcome);
   host = ask_host_named (hosts, name);
   if (outcome != PLT_OK)
@@ -31,9 +31,9 @@
   return code;
 }
 
-/* The seal holds the host's name, so an order that reaches another host does nothing there. */
+/* The seal covers the host's name, so another host that the order reaches by mistake refuses it. */
 static ctl_exit_t
-order_drain (ctl_t *ctl, const char *host, const set_address_t *address)
+send_drain_order (ctl_t *ctl, const char *host, const set_address_t *address)
 {
   ask_call_t call = {
     .address = *address, .method = "POST", .path = "/medlarplank/drain", .seal = ASK_DRAIN
@@ -58,27 +58,27 @@
   set_address_t address;
   ctl_exit_t code;
 
-  if (ctl->opt.fleet_key == NULL)
+  if (ctl->options.fleet_key == NULL)
     return ctl_complain (CTL_USAGE, "drain needs MEDLARPLANK_FLEET_KEY");
-  code = find_host (ctl, host, &address);
-  return code == CTL_OK ? order_drain (ctl, host, &address) : code;
+  code = find_address (ctl, host, &address);
+  return code == CTL_OK ? send_drain_order (ctl, host, &address) : code;
 }
 
 ctl_exit_t
 cmd_explain (ctl_t *ctl, const char *request)
 {
-  g_autofree char *safe = g_uri_escape_string (request, NULL, FALSE);
-  g_autofree char *query = g_strconcat ("request=", safe, NULL);
-  ask_call_t call = { .address = ctl->opt.daemon,
+  g_autofree char *escaped = g_uri_escape_string (request, NULL, FALSE);
+  g_autofree char *query = g_strconcat ("request=", escaped, NULL);
+  ask_call_t call = { .address = ctl->options.daemon,
                       .method = "GET",
                       .path = "/medlarplank/explain",
                       .query = query,
                       .seal = ASK_CALL };
   ctl_exit_t code = CTL_OK;
 
-  if ((ctl->opt.given & OPT_LOGS) != 0)
-    return xpl_explain (ctl, request, ctl->opt.logs);
-  if ((ctl->opt.given & OPT_DAEMON) == 0)
+  if ((ctl->options.given & OPT_LOGS) != 0)
+    return xpl_explain (ctl, request, ctl->options.logs);
+  if ((ctl->options.given & OPT_DAEMON) == 0)
     return ctl_complain (CTL_USAGE, "explain needs the router as --daemon, or --logs");
   if (!ask_name (ctl, &call))
     return ctl_complain (CTL_FAILED, "the daemon does not answer");
--- a/ctl/cmd_status.c
+++ b/ctl/cmd_status.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 
 static ask_call_t
-status_call (const set_address_t *address, const char *name)
+make_status_call (const set_address_t *address, const char *name)
 {
   ask_call_t call = { .address = *address, .method = "GET", .path = ASK_STATUS_PATH };
 
@@ -22,14 +22,14 @@
 }
 
 static GArray *
-calls_of_list (const GArray *hosts)
+make_calls_for_hosts (const GArray *hosts)
 {
   GArray *calls = new_calls ();
 
-  for (guint at = 0; at < hosts->len; at++)
+  for (guint i = 0; i < hosts->len; i++)
     {
-      const mem_listed_t *host = &g_array_index (hosts, mem_listed_t, at);
-      ask_call_t call = status_call (&host->http, host->name);
+      const mem_listed_t *host = &g_array_index (hosts, mem_listed_t, i);
+      ask_call_t call = make_status_call (&host->http, host->name);
 
       if (host->state != MEM_GONE)
         g_array_append_val (calls, call);
@@ -37,9 +37,9 @@
   return calls;
 }
 
-/* What one daemon answered; of one that did not, its name and an error. */
+/* Return: the daemon's status; its name and an error when it did not answer */
 static json_t *
-answer_of (const ask_call_t *call)
+parse_reply (const ask_call_t *call)
 {
   json_t *json = call->status == 200 ? json_loads (call->body->str, 0, NULL) : NULL;
 
@@ -50,7 +50,7 @@
 }
 
 static const char *
-text_of (const json_t *answer, const char *key)
+string_field (const json_t *answer, const char *key)
 {
   const char *text = json_string_value (json_object_get (answer, key));
 
@@ -58,13 +58,13 @@
 }
 
 static json_int_t
-number_of (const json_t *answer, const char *key)
+integer_field (const json_t *answer, const char *key)
 {
   return json_integer_value (json_object_get (answer, key));
 }
 
 static const char *
-state_of (const json_t *answer)
+state_text (const json_t *answer)
 {
   return json_is_true (json_object_get (answer, "draining")) ? "leaving" : "live";
 }
@@ -74,15 +74,16 @@
   char text[24];
 } cell_t;
 
-/* A number of thousandths or of ones; "-" for what this role does not tell. */
+/* Formats a number, given in thousandths if @is_milli; "-" when the daemon's role does not report
+ * it. */
 static cell_t
-cell (const json_t *answer, const char *key, bool milli)
+format_cell (const json_t *answer, const char *key, bool is_milli)
 {
   const json_t *number = json_object_get (answer, key);
   json_int_t value = json_integer_value (number);
   cell_t out = { "-" };
 
-  if (number != NULL && milli)
+  if (number != NULL && is_milli)
     g_snprintf (out.text, sizeof out.text, "%.2f", (double)value / 1000);
   else if (number != NULL)
     g_snprintf (out.text, sizeof out.text, "%" JSON_INTEGER_FORMAT, value);
@@ -94,18 +95,19 @@
 {
   if (json_object_get (answer, "error") != NULL)
     {
-      printf ("%-24s %s\n", text_of (answer, "name"), text_of (answer, "error"));
+      printf ("%-24s %s\n", string_field (answer, "name"), string_field (answer, "error"));
       return;
     }
-  printf ("%-24s %-8s %-8s %-5s %8s %6s %8s %8s %8s %6s\n", text_of (answer, "name"),
-          text_of (answer, "role"), state_of (answer),
-          json_is_true (json_object_get (answer, "ready")) ? "yes" : "no",
-          cell (answer, "version", false).text, cell (answer, "load", false).text,
-          cell (answer, "waiting", false).text, cell (answer, "mean_milli", true).text,
-          cell (answer, "bound_milli", true).text, cell (answer, "hosts", false).text);
+  printf (
+      "%-24s %-8s %-8s %-5s %8s %6s %8s %8s %8s %6s\n", string_field (answer, "name"),
+      string_field (answer, "role"), state_text (answer),
+      json_is_true (json_object_get (answer, "ready")) ? "yes" : "no",
+      format_cell (answer, "version", false).text, format_cell (answer, "load", false).text,
+      format_cell (answer, "waiting", false).text, format_cell (answer, "mean_milli", true).text,
+      format_cell (answer, "bound_milli", true).text, format_cell (answer, "hosts", false).text);
 }
 
-/* Whether a publish is in force everywhere, in one line. */
+/* Shows in one line whether the newest version is in force on all daemons. */
 static void
 print_newest_version (const json_t *answers)
 {
@@ -116,11 +118,11 @@
 
   json_array_foreach (answers, index, answer)
     {
-      newest = MAX (newest, number_of (answer, "version"));
+      newest = MAX (newest, integer_field (answer, "version"));
     }
   json_array_foreach (answers, index, answer)
     {
-      holders += newest > 0 && number_of (answer, "version") == newest;
+      holders += newest > 0 && integer_field (answer, "version") == newest;
     }
   printf ("version %" JSON_INTEGER_FORMAT " is in force on %zu of %zu daemons\n", newest, holders,
           json_array_size (answers));
@@ -142,15 +144,15 @@
 }
 
 static ctl_exit_t
-ask_and_print (ctl_t *ctl, GArray *calls)
+query_and_print (ctl_t *ctl, GArray *calls)
 {
-  ask_call_t *items = (ask_call_t *)(void *)calls->data;
+  ask_call_t *call_array = (ask_call_t *)(void *)calls->data;
   json_t *answers = json_array ();
 
-  ask_all (ctl, items, calls->len);
-  for (guint at = 0; at < calls->len; at++)
-    json_array_append_new (answers, answer_of (&items[at]));
-  if ((ctl->opt.given & OPT_JSON) != 0)
+  ask_all (ctl, call_array, calls->len);
+  for (guint i = 0; i < calls->len; i++)
+    json_array_append_new (answers, parse_reply (&call_array[i]));
+  if ((ctl->options.given & OPT_JSON) != 0)
     {
       char *text = json_dumps (answers, JSON_INDENT (2));
 
@@ -160,19 +162,19 @@
   else
     print_table (answers);
   json_decref (answers);
-  ask_clear (items, calls->len);
+  ask_clear (call_array, calls->len);
   return CTL_OK;
 }
 
 static ctl_exit_t
-calls_to_make (ctl_t *ctl, GArray **calls)
+make_calls (ctl_t *ctl, GArray **calls)
 {
   plt_outcome_t outcome;
   GArray *hosts;
 
-  if ((ctl->opt.given & OPT_DAEMON) != 0)
+  if ((ctl->options.given & OPT_DAEMON) != 0)
     {
-      ask_call_t call = status_call (&ctl->opt.daemon, ctl->opt.daemon.ip);
+      ask_call_t call = make_status_call (&ctl->options.daemon, ctl->options.daemon.ip);
 
       *calls = new_calls ();
       g_array_append_val (*calls, call);
@@ -182,7 +184,7 @@
     return ctl_complain (CTL_USAGE, "status needs --platform or --daemon");
   hosts = ask_hosts (ctl, &outcome);
   if (outcome == PLT_OK)
-    *calls = calls_of_list (hosts);
+    *calls = make_calls_for_hosts (hosts);
   g_array_free (hosts, TRUE);
   if (outcome != PLT_OK)
     return ctl_complain (CTL_UNREACHABLE,
@@ -194,12 +196,12 @@
 cmd_status (ctl_t *ctl, const char *unused)
 {
   GArray *calls = NULL;
-  ctl_exit_t code = calls_to_make (ctl, &calls);
+  ctl_exit_t code = make_calls (ctl, &calls);
 
   (void)unused;
   if (code != CTL_OK)
     return code;
-  code = ask_and_print (ctl, calls);
+  code = query_and_print (ctl, calls);
   g_array_free (calls, TRUE);
   return code;
 }
--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -34,7 +34,7 @@
 }
 
 static void
-on_pause_over (evutil_socket_t fd, short what, void *context)
+on_pause_timeout (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
@@ -48,6 +48,6 @@
   struct timeval wait = { .tv_sec = wait_ms / 1000, .tv_usec = (wait_ms % 1000) * 1000 };
   bool over = false;
 
-  event_base_once (ctl->base, -1, EV_TIMEOUT, on_pause_over, &over, &wait);
+  event_base_once (ctl->base, -1, EV_TIMEOUT, on_pause_timeout, &over, &wait);
   ctl_run_until (ctl, &over);
 }
--- a/ctl/explain_logs.c
+++ b/ctl/explain_logs.c
@@ -8,12 +8,12 @@
 #include <string.h>
 
 /* "<PRI>TIMESTAMP HOST PROGRAM[PID]: EVENT FIELDS" */
-#define FORM                                                                                       \
+#define LOG_LINE_PATTERN                                                                           \
   "<\\d+>(\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z) (\\S+) \\S+\\[(\\d+)\\]: "          \
   "(\\S+)(.*)$"
 
-/* What changes a daemon's belief and can be the cause of what became of a request. */
-static const char *const belief_events[] = {
+/* Events that change a daemon's view of the fleet and so can explain the outcome of a request. */
+static const char *const state_events[] = {
   "version",
   "engine",
   "dependency_lost",
@@ -30,7 +30,7 @@
   "engine_crashed",
 };
 
-/** struct entry - one line of a log */
+/** struct log_line - one parsed log line; @of_request: it carries the id of the request */
 typedef struct
 {
   int64_t time_ms;
@@ -38,34 +38,39 @@
   char *process;
   char *event;
   char *fields;
-  bool own;
-} entry_t;
+  bool of_request;
+} log_line_t;
 
-/** struct story - lines read so far; those of other events are kept only when they tell a belief */
+/**
+ * struct log_search - search for one request
+ * @lines: the request's lines and all state events, log_line_t
+ * @match_count: number of lines that carry the request's id
+ * @unparsed_count: number of lines that are not in the daemons' log format
+ */
 typedef struct
 {
   const char *request;
-  GRegex *form;
-  GPtrArray *entries;
-  uint64_t own_count;
-  uint64_t strange; /* lines that are none of a daemon's */
-} story_t;
+  GRegex *line_pattern;
+  GPtrArray *lines;
+  uint64_t match_count;
+  uint64_t unparsed_count;
+} log_search_t;
 
 static void
-entry_free (gpointer data)
+log_line_free (gpointer data)
 {
-  entry_t *entry = data;
+  log_line_t *line = data;
 
-  g_free (entry->host);
-  g_free (entry->process);
-  g_free (entry->event);
-  g_free (entry->fields);
-  g_free (entry);
+  g_free (line->host);
+  g_free (line->process);
+  g_free (line->event);
+  g_free (line->fields);
+  g_free (line);
 }
 
-/* A whole value of a field "id" or "request"; attempt ids of a request begin with its own. */
+/* The whole value must match, since the ids of a request's attempts begin with the request's id. */
 static bool
-bears_id (const char *fields, const char *request)
+has_request_id (const char *fields, const char *request)
 {
   static const char *const names[] = { " id=", " request=" };
 
@@ -84,16 +89,16 @@
 }
 
 static bool
-tells_belief (const char *event)
+is_state_event (const char *event)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (belief_events); i++)
-    if (strcmp (belief_events[i], event) == 0)
+  for (size_t i = 0; i < G_N_ELEMENTS (state_events); i++)
+    if (strcmp (state_events[i], event) == 0)
       return true;
   return false;
 }
 
 static int64_t
-time_of (const char *text)
+parse_time_ms (const char *text)
 {
   g_autoptr (GDateTime) time = g_date_time_new_from_iso8601 (text, NULL);
 
@@ -103,117 +108,117 @@
 }
 
 static void
-take_line (story_t *story, const char *line)
+parse_line (log_search_t *search, const char *text)
 {
   g_autoptr (GMatchInfo) match = NULL;
   g_autofree char *time = NULL;
   g_autofree char *event = NULL;
   g_autofree char *fields = NULL;
-  bool own;
-  entry_t *entry;
+  bool of_request;
+  log_line_t *line;
 
-  /* Collectors may put a prefix of their own before the line. */
-  if (!g_regex_match (story->form, line, 0, &match))
+  /* Log collectors may prepend text to the line, so the pattern is not anchored at its start. */
+  if (!g_regex_match (search->line_pattern, text, 0, &match))
     {
-      story->strange++;
+      search->unparsed_count++;
       return;
     }
   event = g_match_info_fetch (match, 4);
   fields = g_match_info_fetch (match, 5);
-  own = bears_id (fields, story->request);
-  if (!own && !tells_belief (event))
+  of_request = has_request_id (fields, search->request);
+  if (!of_request && !is_state_event (event))
     return;
   time = g_match_info_fetch (match, 1);
-  entry = g_new0 (entry_t, 1);
-  entry->time_ms = time_of (time);
-  entry->host = g_match_info_fetch (match, 2);
-  entry->process = g_match_info_fetch (match, 3);
-  entry->event = g_steal_pointer (&event);
-  entry->fields = g_steal_pointer (&fields);
-  entry->own = own;
-  story->own_count += own ? 1 : 0;
-  g_ptr_array_add (story->entries, entry);
+  line = g_new0 (log_line_t, 1);
+  line->time_ms = parse_time_ms (time);
+  line->host = g_match_info_fetch (match, 2);
+  line->process = g_match_info_fetch (match, 3);
+  line->event = g_steal_pointer (&event);
+  line->fields = g_steal_pointer (&fields);
+  line->of_request = of_request;
+  search->match_count += of_request ? 1 : 0;
+  g_ptr_array_add (search->lines, line);
 }
 
 /* Return: false when the file can't be read */
 static bool
-read_file (story_t *story, const char *path)
+read_file (log_search_t *search, const char *path)
 {
   FILE *file = fopen (path, "re");
-  g_autofree char *line = g_malloc (XPL_LINE_BYTES);
-  bool sound;
+  g_autofree char *text = g_malloc (XPL_LINE_BYTES);
+  bool ok;
 
   if (!file)
     return false;
-  while (fgets (line, XPL_LINE_BYTES, file))
+  while (fgets (text, XPL_LINE_BYTES, file))
     {
-      g_strchomp (line);
-      if (line[0] != '\0')
-        take_line (story, line);
+      g_strchomp (text);
+      if (text[0] != '\0')
+        parse_line (search, text);
     }
-  sound = ferror (file) == 0;
+  ok = ferror (file) == 0;
   fclose (file);
-  return sound;
+  return ok;
 }
 
 static bool
-read_folder (story_t *story, const char *path)
+read_directory (log_search_t *search, const char *path)
 {
-  g_autoptr (GDir) folder = g_dir_open (path, 0, NULL);
+  g_autoptr (GDir) directory = g_dir_open (path, 0, NULL);
   const char *name;
 
-  if (!folder)
+  if (!directory)
     return false;
-  while ((name = g_dir_read_name (folder)))
+  while ((name = g_dir_read_name (directory)))
     {
       g_autofree char *file = g_build_filename (path, name, NULL);
 
-      if (g_file_test (file, G_FILE_TEST_IS_REGULAR) && !read_file (story, file))
+      if (g_file_test (file, G_FILE_TEST_IS_REGULAR) && !read_file (search, file))
         return false;
     }
   return true;
 }
 
 static int
-by_time (gconstpointer a, gconstpointer b)
+compare_times (gconstpointer a, gconstpointer b)
 {
-  const entry_t *left = *(const entry_t *const *)a;
-  const entry_t *right = *(const entry_t *const *)b;
+  const log_line_t *left = *(const log_line_t *const *)a;
+  const log_line_t *right = *(const log_line_t *const *)b;
 
   return left->time_ms < right->time_ms ? -1 : left->time_ms > right->time_ms;
 }
 
-/* Clocks of hosts differ, so a belief counts only for requests of its own process. */
+/* Clocks of hosts differ, so times are compared only between lines of one process. */
 static bool
-is_context (const story_t *story, const entry_t *belief)
+is_related_state (const log_search_t *search, const log_line_t *state)
 {
-  for (guint i = 0; i < story->entries->len; i++)
+  for (guint i = 0; i < search->lines->len; i++)
     {
-      const entry_t *own = g_ptr_array_index (story->entries, i);
+      const log_line_t *own_line = g_ptr_array_index (search->lines, i);
 
-      if (own->own && strcmp (own->host, belief->host) == 0 &&
-          strcmp (own->process, belief->process) == 0 && belief->time_ms <= own->time_ms &&
-          own->time_ms - belief->time_ms <= XPL_BEFORE_MS)
+      if (own_line->of_request && strcmp (own_line->host, state->host) == 0 &&
+          strcmp (own_line->process, state->process) == 0 && state->time_ms <= own_line->time_ms &&
+          own_line->time_ms - state->time_ms <= XPL_BEFORE_MS)
         return true;
     }
   return false;
 }
 
 static void
-print_entry (const ctl_t *ctl, const entry_t *entry)
+print_line (const ctl_t *ctl, const log_line_t *line)
 {
-  g_autoptr (GDateTime) at = g_date_time_new_from_unix_utc (entry->time_ms / 1000);
+  g_autoptr (GDateTime) at = g_date_time_new_from_unix_utc (line->time_ms / 1000);
   g_autofree char *time = g_date_time_format (at, "%H:%M:%S");
 
-  if ((ctl->opt.given & OPT_JSON) == 0)
+  if ((ctl->options.given & OPT_JSON) == 0)
     {
-      printf ("%s.%03d %s %s %s%s\n", time, (int)(entry->time_ms % 1000), entry->own ? "*" : " ",
-              entry->host, entry->event, entry->fields);
+      printf ("%s.%03d %s %s %s%s\n", time, (int)(line->time_ms % 1000),
+              line->of_request ? "*" : " ", line->host, line->event, line->fields);
       return;
     }
-  json_t *json = json_pack ("{s:I,s:s,s:s,s:s,s:b}", "time_ms", (json_int_t)entry->time_ms, "host",
-                            entry->host, "event", entry->event, "fields", entry->fields + 1,
-                            "of_request", entry->own);
+  json_t *json =
+      json_pack ("{s:I,s:s,s:s,s:s,s:b}", "time_ms", (json_int_t)line->time_ms, "host", line->host,
+                 "event", line->event, "fields", line->fields + 1, "of_request", line->of_request);
   char *text = json_dumps (json, JSON_COMPACT);
 
   puts (text);
@@ -224,28 +229,29 @@
 ctl_exit_t
 xpl_explain (ctl_t *ctl, const char *request, const char *path)
 {
-  bool folder = g_file_test (path, G_FILE_TEST_IS_DIR);
-  story_t story = { .request = request,
-                    .form = g_regex_new (FORM, G_REGEX_OPTIMIZE | G_REGEX_RAW, 0, NULL),
-                    .entries = g_ptr_array_new_with_free_func (entry_free) };
+  bool directory = g_file_test (path, G_FILE_TEST_IS_DIR);
+  log_search_t search = { .request = request,
+                          .line_pattern = g_regex_new (LOG_LINE_PATTERN,
+                                                       G_REGEX_OPTIMIZE | G_REGEX_RAW, 0, NULL),
+                          .lines = g_ptr_array_new_with_free_func (log_line_free) };
   ctl_exit_t code = CTL_OK;
 
-  if (!(folder ? read_folder (&story, path) : read_file (&story, path)))
+  if (!(directory ? read_directory (&search, path) : read_file (&search, path)))
     code = ctl_complain (CTL_USAGE, "--logs: \"%s\" can't be read: %s", path, g_strerror (errno));
-  else if (story.own_count == 0)
+  else if (search.match_count == 0)
     code = ctl_complain (CTL_FAILED,
                          "no line of the logs bears the request id \"%s\" (%" PRIu64
-                         " lines are none of a daemon's)",
-                         request, story.strange);
-  g_ptr_array_sort (story.entries, by_time);
-  for (guint i = 0; code == CTL_OK && i < story.entries->len; i++)
+                         " lines are not daemon log lines)",
+                         request, search.unparsed_count);
+  g_ptr_array_sort (search.lines, compare_times);
+  for (guint i = 0; code == CTL_OK && i < search.lines->len; i++)
     {
-      const entry_t *entry = g_ptr_array_index (story.entries, i);
+      const log_line_t *line = g_ptr_array_index (search.lines, i);
 
-      if (entry->own || is_context (&story, entry))
-        print_entry (ctl, entry);
+      if (line->of_request || is_related_state (&search, line))
+        print_line (ctl, line);
     }
-  g_ptr_array_free (story.entries, TRUE);
-  g_regex_unref (story.form);
+  g_ptr_array_free (search.lines, TRUE);
+  g_regex_unref (search.line_pattern);
   return code;
 }
--- a/ctl/follow.c
+++ b/ctl/follow.c
@@ -6,124 +6,125 @@
 
 typedef struct
 {
-  fol_t *fol;
+  fol_t *reader;
   bool done;
-} pending_t;
+} read_wait_t;
 
 static void
-feed (fol_t *fol, const plt_read_t *read)
+apply_records (fol_t *reader, const plt_read_t *read)
 {
-  rep_begin (fol->rep, read->first_offset);
-  rep_note_end (fol->rep, read->end_offset);
-  for (uint32_t at = 0; at < read->record_count; at++)
+  rep_begin (reader->replay, read->first_offset);
+  rep_note_end (reader->replay, read->end_offset);
+  for (uint32_t i = 0; i < read->record_count; i++)
     {
-      const plt_record_t *record = &read->records[at];
-      rep_judgement_t judgement =
-          rep_feed (fol->rep, record->offset, record->data, record->data_bytes);
+      const plt_record_t *record = &read->records[i];
+      rep_judgement_t result =
+          rep_feed (reader->replay, record->offset, record->data, record->data_bytes);
 
-      if (fol->judged != NULL)
-        fol->judged (&judgement, record->offset, fol->context);
+      if (reader->on_result != NULL)
+        reader->on_result (&result, record->offset, reader->context);
     }
-  fol->at_end = rep_next_offset (fol->rep) >= read->end_offset;
+  reader->at_end = rep_next_offset (reader->replay) >= read->end_offset;
 }
 
 static void
 on_read (const plt_read_t *read, void *context)
 {
-  pending_t *pending = context;
+  read_wait_t *wait = context;
 
-  pending->fol->outcome = read->outcome;
+  wait->reader->outcome = read->outcome;
   if (read->outcome == PLT_OK)
-    feed (pending->fol, read);
-  pending->done = true;
+    apply_records (wait->reader, read);
+  wait->done = true;
 }
 
 void
-fol_start (fol_t *fol, ctl_t *ctl)
+fol_start (fol_t *reader, ctl_t *ctl)
 {
-  *fol = (fol_t){ .ctl = ctl, .rep = rep_new () };
+  *reader = (fol_t){ .ctl = ctl, .replay = rep_new () };
 }
 
 void
-fol_end (fol_t *fol)
+fol_end (fol_t *reader)
 {
-  g_clear_pointer (&fol->rep, rep_free);
+  g_clear_pointer (&reader->replay, rep_free);
 }
 
 plt_outcome_t
-fol_read (fol_t *fol, uint32_t wait_ms)
+fol_read (fol_t *reader, uint32_t wait_ms)
 {
-  pending_t pending = { .fol = fol };
-  plt_t *plt = fol->ctl->plt;
-
-  fol->at_end = false;
-  plt->read (plt, REP_STREAM, rep_next_offset (fol->rep), READ_RECORDS, wait_ms, on_read, &pending);
-  ctl_run_until (fol->ctl, &pending.done);
-  return fol->outcome;
+  read_wait_t wait = { .reader = reader };
+  plt_t *plt = reader->ctl->plt;
+
+  reader->at_end = false;
+  plt->read (plt, REP_STREAM, rep_next_offset (reader->replay), READ_RECORDS, wait_ms, on_read,
+             &wait);
+  ctl_run_until (reader->ctl, &wait.done);
+  return reader->outcome;
 }
 
 static bool
-adopt (fol_t *fol, const json_t *answer)
+adopt_reply (fol_t *reader, const json_t *answer)
 {
   const json_t *offset = json_object_get (answer, "next_offset");
   const json_t *version = json_object_get (answer, "version");
-  man_t *man = man_from_json (json_object_get (answer, "manifest"), NULL);
+  man_t *manifest = man_from_json (json_object_get (answer, "manifest"), NULL);
   bool adopted;
 
-  if (man == NULL)
+  if (manifest == NULL)
     return false;
-  man->version = (uint64_t)json_integer_value (version);
-  adopted = rep_adopt (fol->rep, man, (uint64_t)json_integer_value (offset));
-  man_unref (man);
+  manifest->version = (uint64_t)json_integer_value (version);
+  adopted = rep_adopt (reader->replay, manifest, (uint64_t)json_integer_value (offset));
+  man_unref (manifest);
   return adopted;
 }
 
-/* For when the log's oldest records are gone and no checkpoint stands in for them yet. */
+/* Used when the oldest records were dropped from the stream and it holds no checkpoint yet. */
 static bool
-ask_daemon (fol_t *fol)
+adopt_from_daemon (fol_t *reader)
 {
   g_autofree char *body = NULL;
   json_t *answer;
   bool adopted;
 
-  if ((fol->ctl->opt.given & OPT_DAEMON) == 0)
+  if ((reader->ctl->options.given & OPT_DAEMON) == 0)
     return false;
-  body = ask_manifest (fol->ctl, &fol->ctl->opt.daemon);
+  body = ask_manifest (reader->ctl, &reader->ctl->options.daemon);
   answer = body != NULL ? json_loads (body, JSON_REJECT_DUPLICATES, NULL) : NULL;
-  adopted = answer != NULL && adopt (fol, answer);
+  adopted = answer != NULL && adopt_reply (reader, answer);
   json_decref (answer);
   return adopted;
 }
 
 static ctl_exit_t
-read_to_end (fol_t *fol)
+read_to_end (fol_t *reader)
 {
   do
     {
-      if (fol_read (fol, 0) == PLT_REFUSED)
+      if (fol_read (reader, 0) == PLT_REFUSED)
         return ctl_complain (CTL_FAILED, "the platform refused to read the manifest stream");
-      if (fol->outcome == PLT_UNKNOWN)
-        ctl_pause (fol->ctl, RETRY_MS);
-      if (fol->at_end)
+      if (reader->outcome == PLT_UNKNOWN)
+        ctl_pause (reader->ctl, RETRY_MS);
+      if (reader->at_end)
         return CTL_OK;
     }
-  while (ctl_left_ms (fol->ctl) > 0);
-  if (fol->outcome == PLT_UNKNOWN)
+  while (ctl_left_ms (reader->ctl) > 0);
+  if (reader->outcome == PLT_UNKNOWN)
     return ctl_complain (CTL_UNREACHABLE, "the platform does not answer");
-  return ctl_complain (CTL_FAILED, "the log was not read to its end in time");
+  return ctl_complain (CTL_FAILED, "the manifest stream was not read to its end in time");
 }
 
 ctl_exit_t
-fol_catch_up (fol_t *fol)
+fol_catch_up (fol_t *reader)
 {
-  ctl_exit_t code = read_to_end (fol);
+  ctl_exit_t code = read_to_end (reader);
 
-  if (code != CTL_OK || rep_ready (fol->rep) || rep_unpublished (fol->rep))
+  if (code != CTL_OK || rep_ready (reader->replay) || rep_unpublished (reader->replay))
     return code;
-  if (ask_daemon (fol))
+  if (adopt_from_daemon (reader))
     {
-      code = read_to_end (fol);
-      if (code != CTL_OK || rep_ready (fol->rep))
+      code = read_to_end (reader);
+      if (code != CTL_OK || rep_ready (reader->replay))
         return code;
     }
   return ctl_complain (CTL_FAILED,
--- a/ctl/follow.h
+++ b/ctl/follow.h
@@ -1,8 +1,8 @@
 /**
  * DOC: follow
  *
- * Reads the manifest stream into a replay, as a daemon does it, so that the tool comes to the same
- * verdicts.
+ * Reads the manifest stream and applies it to a replay, the same code as in the daemons, so that
+ * the tool accepts and rejects the same records as they do.
  */
 #ifndef CTL_FOLLOW_H
 #define CTL_FOLLOW_H
@@ -11,31 +11,39 @@
 #include "version/replay.h"
 
 /**
- * struct fol - a reading of the manifest stream
- * @judged: called for each record, or NULL
- * @at_end: whether the last read came to the end of the log
- * @outcome: of the last read
+ * struct fol - reader of the manifest stream
+ * @ctl: the run that the reader belongs to
+ * @replay: state after the records read so far
+ * @on_result: called with the result of each record, or NULL
+ * @context: passed to @on_result
+ * @at_end: whether the last read reached the end of the stream
+ * @outcome: outcome of the last read
  */
 typedef struct
 {
   ctl_t *ctl;
-  rep_t *rep;
-  void (*judged) (const rep_judgement_t *judgement, uint64_t offset, void *context);
+  rep_t *replay;
+  void (*on_result) (const rep_judgement_t *result, uint64_t offset, void *context);
   void *context;
   bool at_end;
   plt_outcome_t outcome;
 } fol_t;
 
-void fol_start (fol_t *fol, ctl_t *ctl);
-void fol_end (fol_t *fol);
-/** fol_read() - one read, which waits up to @wait_ms for news. Return: its outcome */
-plt_outcome_t fol_read (fol_t *fol, uint32_t wait_ms);
+/** fol_start() - initialize a reader at the start of the stream */
+void fol_start (fol_t *reader, ctl_t *ctl);
+/** fol_end() - free what the reader holds */
+void fol_end (fol_t *reader);
+/** fol_read() - read once, waiting up to @wait_ms for new records. Return: its outcome */
+plt_outcome_t fol_read (fol_t *reader, uint32_t wait_ms);
 /**
- * fol_catch_up() - read to the end of the log, trying again until the deadline
+ * fol_catch_up() - read to the end of the stream, with retries until the deadline
  *
- * Return: CTL_OK when it is known what is in force or that nothing was ever published; else the
- * tool has complained. When the log alone does not tell, the daemon of --daemon is asked.
+ * If the stream no longer holds enough records to tell what is in force, asks the daemon that
+ * --daemon names.
+ *
+ * Return: CTL_OK when the manifest in force is known, or it is known that none was published;
+ * otherwise an error, which has been printed
  */
-ctl_exit_t fol_catch_up (fol_t *fol);
+ctl_exit_t fol_catch_up (fol_t *reader);
 
 #endif
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -9,10 +9,12 @@
 
 /*
  * struct command - one command
- * @second: NULL when the command is one word
- * @argument: NULL when it takes none
- * @options: those that it takes
- * @platform: whether it can't do without
+ * @first: first word of the command
+ * @second: second word, NULL when the command is one word
+ * @argument: placeholder of the argument in the help, NULL when there is none
+ * @summary: description in the help
+ * @accepted_options: bits of the options that the command accepts
+ * @needs_platform: whether the command fails without a platform address
  */
 typedef struct
 {
@@ -20,8 +22,8 @@
   const char *second;
   const char *argument;
   const char *summary;
-  uint32_t options;
-  bool platform;
+  uint32_t accepted_options;
+  bool needs_platform;
   ctl_exit_t (*run) (ctl_t *ctl, const char *argument);
 } command_t;
 
@@ -48,9 +50,9 @@
 print_help (void)
 {
   puts ("usage: medlarplankctl COMMAND [OPTION]...\n");
-  for (size_t at = 0; at < G_N_ELEMENTS (COMMANDS); at++)
+  for (size_t i = 0; i < G_N_ELEMENTS (COMMANDS); i++)
     {
-      const command_t *command = &COMMANDS[at];
+      const command_t *command = &COMMANDS[i];
       g_autofree char *words = g_strjoin (
           " ", command->first, command->second != NULL ? command->second : command->argument,
           command->second != NULL ? command->argument : NULL, NULL);
@@ -77,60 +79,60 @@
 }
 
 static const command_t *
-find_command (const opt_t *opt)
+find_command (const opt_t *options)
 {
-  for (size_t at = 0; at < G_N_ELEMENTS (COMMANDS); at++)
+  for (size_t i = 0; i < G_N_ELEMENTS (COMMANDS); i++)
     {
-      const command_t *command = &COMMANDS[at];
+      const command_t *command = &COMMANDS[i];
       uint32_t words = command->second != NULL ? 2 : 1;
 
-      if (opt->word_count < words || strcmp (opt->words[0], command->first) != 0)
+      if (options->word_count < words || strcmp (options->words[0], command->first) != 0)
         continue;
-      if (command->second == NULL || strcmp (opt->words[1], command->second) == 0)
+      if (command->second == NULL || strcmp (options->words[1], command->second) == 0)
         return command;
     }
   return NULL;
 }
 
 static const char *
-argument_of (const command_t *command, const opt_t *opt)
+argument_of (const command_t *command, const opt_t *options)
 {
   uint32_t words = command->second != NULL ? 2 : 1;
 
-  return command->argument != NULL ? opt->words[words] : "";
+  return command->argument != NULL ? options->words[words] : "";
 }
 
 static ctl_exit_t
-check_usage (const command_t *command, const opt_t *opt)
+check_usage (const command_t *command, const opt_t *options)
 {
   uint32_t words = (command->second != NULL ? 2 : 1) + (command->argument != NULL ? 1 : 0);
-  uint32_t excess = opt->given & ~command->options;
+  uint32_t unsupported = options->given & ~command->accepted_options;
 
-  if (opt->word_count < words)
+  if (options->word_count < words)
     return ctl_complain (CTL_USAGE, "%s is missing; see --help", command->argument);
-  if (opt->word_count > words)
-    return ctl_complain (CTL_USAGE, "\"%s\" is not expected; see --help", opt->words[words]);
-  if (excess != 0)
+  if (options->word_count > words)
+    return ctl_complain (CTL_USAGE, "\"%s\" is not expected; see --help", options->words[words]);
+  if (unsupported != 0)
     return ctl_complain (CTL_USAGE, "--%s is not for this command; see --help",
-                         opt_name (excess & -excess));
-  if (command->platform && (opt->given & OPT_PLATFORM) == 0)
-    return ctl_complain (CTL_USAGE, "--platform or MEDLARPLANK_PLATFORM is needed");
+                         opt_name (unsupported & -unsupported));
+  if (command->needs_platform && (options->given & OPT_PLATFORM) == 0)
+    return ctl_complain (CTL_USAGE, "--platform or MEDLARPLANK_PLATFORM is required");
   return CTL_OK;
 }
 
 static ctl_exit_t
-run_command (const command_t *command, const opt_t *opt)
+run_command (const command_t *command, const opt_t *options)
 {
-  ctl_t ctl = { .opt = *opt };
+  ctl_t ctl = { .options = *options };
   ctl_exit_t code;
 
   clk_init_running (&ctl.clk);
-  ctl.deadline_us = clk_now_us (&ctl.clk) + (uint64_t)opt->timeout_ms * CLK_US_PER_MS;
+  ctl.deadline_us = clk_now_us (&ctl.clk) + (uint64_t)options->timeout_ms * CLK_US_PER_MS;
   ctl.base = event_base_new ();
   ctl.hcl = hcl_new (ctl.base, 1, 1000);
-  if ((opt->given & OPT_PLATFORM) != 0)
-    ctl.plt = plt_http_new (ctl.base, &opt->platform, NULL);
-  code = command->run (&ctl, argument_of (command, opt));
+  if ((options->given & OPT_PLATFORM) != 0)
+    ctl.plt = plt_http_new (ctl.base, &options->platform, NULL);
+  code = command->run (&ctl, argument_of (command, options));
   if (ctl.plt != NULL)
     ctl.plt->free (ctl.plt);
   hcl_free (ctl.hcl);
@@ -148,25 +150,25 @@
 main (int argc, char **argv)
 {
   g_autoptr (GError) error = NULL;
-  opt_t opt;
+  opt_t options;
   const command_t *command;
   ctl_exit_t code;
 
-  if (!opt_read (&opt, argc, argv, get_environment, &error))
+  if (!opt_read (&options, argc, argv, get_environment, &error))
     return ctl_complain (CTL_USAGE, "%s", error->message);
-  if ((opt.given & OPT_HELP) != 0)
+  if ((options.given & OPT_HELP) != 0)
     {
       print_help ();
       return CTL_OK;
     }
-  if ((opt.given & OPT_VERSION) != 0 && opt.word_count == 0)
+  if ((options.given & OPT_VERSION) != 0 && options.word_count == 0)
     {
       puts ("medlarplankctl " SET_PROGRAM_VERSION);
       return CTL_OK;
     }
-  command = find_command (&opt);
+  command = find_command (&options);
   if (command == NULL)
     return ctl_complain (CTL_USAGE, "that is not a command; see --help");
-  code = check_usage (command, &opt);
-  return code == CTL_OK ? run_command (command, &opt) : code;
+  code = check_usage (command, &options);
+  return code == CTL_OK ? run_command (command, &options) : code;
 }
--- a/ctl/options.h
+++ b/ctl/options.h
@@ -1,8 +1,8 @@
 /**
  * DOC: options
  *
- * The command line and environment of the tool. Options may stand before, between and after the
- * words of a command.
+ * Parses the command line and environment of the tool. Options may stand before, between and after
+ * the words of a command.
  */
 #ifndef CTL_OPTIONS_H
 #define CTL_OPTIONS_H
@@ -13,7 +13,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Bits of the options that were given, and of those that a command takes. */
+/** One bit per option, for the set of options given and the set that a command accepts. */
 enum
 {
   OPT_PLATFORM = 1 << 0,
@@ -35,12 +35,18 @@
 #define OPT_TIMEOUT_MAX_MS (3600 * 1000)
 
 /**
- * struct opt - what was asked
- * @given: the options on the command line; OPT_PLATFORM also when the environment names it
- * @fleet_key: NULL when the environment has none
- * @logs: file or folder of collected logs
- * @by: who publishes; the user's name when it is not given
+ * struct opt - the parsed command line and environment
+ * @given: options on the command line; OPT_PLATFORM is also set when the environment names one
+ * @platform: address of the platform, valid when OPT_PLATFORM is set
+ * @daemon: address of a daemon, valid when OPT_DAEMON is set
+ * @fleet_key: key of the fleet from the environment, or NULL
+ * @timeout_ms: time limit of the whole command
+ * @hosts_check: whether publish checks that the platform lists all engines
+ * @base: version that a published change is based on, valid when OPT_BASE is set
+ * @logs: path of a file or directory of collected logs
+ * @by: name of the publisher, by default the user's login name
  * @words: the command and its arguments
+ * @word_count: number of entries in @words
  */
 typedef struct
 {
@@ -59,13 +65,20 @@
 
 #define OPT_ERROR (g_quark_from_static_string ("opt-error"))
 
-/** opt_read() - strings are borrowed from @argv and the environment */
-bool opt_read (opt_t *opt,
+/**
+ * opt_read() - parse the command line and the environment
+ * @get_env: returns the value of an environment variable, or NULL
+ *
+ * The strings in @options point into @argv and the environment.
+ *
+ * Return: false with @error set when an option or a value is invalid
+ */
+bool opt_read (opt_t *options,
                int argc,
                char **argv,
-               const char *(*environ_get) (const char *name),
+               const char *(*get_env) (const char *name),
                GError **error);
-/** opt_name() - the spelling of one option bit */
+/** opt_name() - get the name of an option, without dashes. @bit: one of the option bits */
 const char *opt_name (uint32_t bit);
 
 #endif
