--- a/soak/soak_client.c
+++ b/soak/soak_client.c
@@ -1,14 +1,14 @@
-/* Callers: they go on through all faults, over connections that they keep as long as they can. */
+/* The clients: they send requests during all faults, over connections that are kept open. */
 #include "soak.h"
 
 #include <event2/buffer.h>
 #include <event2/http.h>
 #include <string.h>
 
-#define GATEWAY_HOST 10
-#define PORT 8080
+#define GATEWAY_IP_OCTET 10
+#define GATEWAY_PORT 8080
 #define DEADLINE_MS "2400"
-#define TIMEOUT_US (UINT64_C (4000) * 1000)
+#define CLIENT_TIMEOUT_US (UINT64_C (4000) * 1000)
 
 static const char *const paths[SOK_KINDS] = { "/look/", "/book/", "/talk/", "/tell/" };
 
@@ -48,56 +48,56 @@
 {
   sok_call_t *call = context;
 
-  call->whole = end->whole;
+  call->complete = end->whole;
   call->ended_us = sok_now_us ();
-  call->call = NULL;
+  call->http_call = NULL;
 }
 
 void
-sok_ask (sok_t *sok, uint32_t gateway, uint32_t kind, uint32_t version, bool known_key)
+sok_ask (sok_t *soak, uint32_t gateway, uint32_t kind, uint32_t version, bool valid_key)
 {
   sok_call_t *call = g_new0 (sok_call_t, 1);
-  set_address_t address = sok_address (sok, GATEWAY_HOST + gateway, PORT);
+  set_address_t address = sok_address (soak, GATEWAY_IP_OCTET + gateway, GATEWAY_PORT);
   g_autofree char *path = version > 1 ? g_strdup_printf ("/v%u/", version) : g_strdup (paths[kind]);
   bool is_get = version > 1 || kind == SOK_LOOK;
   hcl_header_t headers[] = { { "Host", "h.example" },
                              { "X-Request-Id", NULL },
-                             { "X-Key", known_key ? "key-1" : "key-of-nobody" },
+                             { "X-Key", valid_key ? "key-1" : "key-of-nobody" },
                              { "X-Deadline-Ms", DEADLINE_MS } };
 
-  call->sok = sok;
-  call->id = g_strdup_printf ("s%" G_GUINT64_FORMAT "-%u", sok->seed, ++sok->next_id);
+  call->soak = soak;
+  call->id = g_strdup_printf ("s%" G_GUINT64_FORMAT "-%u", soak->seed, ++soak->next_id);
   call->gateway = gateway;
-  call->incarnation = sok->starts[gateway];
+  call->incarnation = soak->start_counts[gateway];
   call->kind = version > 1 ? SOK_LOOK : kind;
   call->version = version;
-  call->known_key = known_key;
+  call->valid_key = valid_key;
   call->sent_us = sok_now_us ();
   call->body = g_string_new (NULL);
   headers[1].value = call->id;
-  g_ptr_array_add (sok->calls, call);
-  call->call = hcl_start (sok->hcl, &(hcl_options_t){ .address = &address,
-                                                      .method = is_get ? "GET" : "POST",
-                                                      .target = path,
-                                                      .headers = headers,
-                                                      .header_count = G_N_ELEMENTS (headers),
-                                                      .timeout_us = TIMEOUT_US,
-                                                      .on_head = on_head,
-                                                      .on_data = on_data,
-                                                      .on_end = on_end,
-                                                      .context = call });
+  g_ptr_array_add (soak->calls, call);
+  call->http_call = hcl_start (soak->hcl, &(hcl_options_t){ .address = &address,
+                                                            .method = is_get ? "GET" : "POST",
+                                                            .target = path,
+                                                            .headers = headers,
+                                                            .header_count = G_N_ELEMENTS (headers),
+                                                            .timeout_us = CLIENT_TIMEOUT_US,
+                                                            .on_head = on_head,
+                                                            .on_data = on_data,
+                                                            .on_end = on_end,
+                                                            .context = call });
 }
 
 void
-sok_ask_some (sok_t *sok)
+sok_ask_some (sok_t *soak)
 {
-  uint32_t gateway = sok_random (sok, SOK_GATEWAYS);
-  uint32_t dice = sok_random (sok, 20);
+  uint32_t gateway = sok_random (soak, SOK_GATEWAYS);
+  uint32_t draw = sok_random (soak, 20);
 
-  if (dice == 0)
-    sok_ask (sok, gateway, sok_random (sok, SOK_KINDS), 0, false);
-  else if (dice < 4 && sok->version > 1)
-    sok_ask (sok, gateway, SOK_LOOK, 2 + sok_random (sok, sok->version - 1), true);
+  if (draw == 0)
+    sok_ask (soak, gateway, sok_random (soak, SOK_KINDS), 0, false);
+  else if (draw < 4 && soak->version > 1)
+    sok_ask (soak, gateway, SOK_LOOK, 2 + sok_random (soak, soak->version - 1), true);
   else
-    sok_ask (sok, gateway, sok_random (sok, SOK_KINDS), 0, true);
+    sok_ask (soak, gateway, sok_random (soak, SOK_KINDS), 0, true);
 }
--- a/soak/soak_fleet.c
+++ b/soak/soak_fleet.c
@@ -1,4 +1,4 @@
-/* The processes of the soak: how they are started, looked after and ended. */
+/* The processes of the test: starts, supervises and ends them, and publishes configurations. */
 #include "soak.h"
 
 #include "connection/platform_call.h"
@@ -12,43 +12,47 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define PORT 8080
+#define HTTP_PORT 8080
 #define READY_PORT 8081
 #define CONTROL_PORT 8082
 #define EXCHANGE_PORT 8083
-#define STORE_HOST 1 /* last number of the address */
-#define GATEWAY_HOST 10
-#define UPSTREAM_HOST 30
-#define STORE_PROXY_HOST 50
-#define UPSTREAM_PROXY_HOST 70
-#define START_LIMIT_US (UINT64_C (15) * 1000 * 1000)
+/* Last number of the IP addresses; those with an index add it. */
+#define STORE_IP_OCTET 1
+#define GATEWAY_IP_OCTET 10
+#define UPSTREAM_IP_OCTET 30
+#define STORE_PROXY_IP_OCTET 50
+#define UPSTREAM_PROXY_IP_OCTET 70
+#define RESTART_DELAY_MIN_MS 50
+#define RESTART_DELAY_SPREAD_MS 1000 /* added at random to the minimum */
+#define STOP_SLACK_MS 500            /* on top of the grace period, for the check of the exit */
+#define START_TIMEOUT_US (UINT64_C (15) * 1000 * 1000)
 
 set_address_t
-sok_address (const sok_t *sok, uint32_t last, uint16_t port)
+sok_address (const sok_t *soak, uint32_t last, uint16_t port)
 {
   set_address_t address = { .port = port };
 
-  g_snprintf (address.ip, sizeof address.ip, "%s.%u", sok->net, last);
+  g_snprintf (address.ip, sizeof address.ip, "%s.%u", soak->ip_prefix, last);
   return address;
 }
 
 static sok_process_t *
-process_new (sok_t *sok, const char *program, const char *name)
+process_new (sok_t *soak, const char *program, const char *name)
 {
   sok_process_t *process = g_new0 (sok_process_t, 1);
 
-  process->sok = sok;
+  process->soak = soak;
   process->name = g_strdup (name);
-  process->log_path = g_strdup_printf ("%s/%s.log", sok->dir, name);
+  process->log_path = g_strdup_printf ("%s/%s.log", soak->dir, name);
   process->argv = g_ptr_array_new_with_free_func (g_free);
-  g_ptr_array_add (process->argv, g_build_filename (sok->build, program, NULL));
+  g_ptr_array_add (process->argv, g_build_filename (soak->build, program, NULL));
   return process;
 }
 
-static void flag (sok_process_t *process, const char *format, ...) G_GNUC_PRINTF (2, 3);
+static void add_argument (sok_process_t *process, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
 static void
-flag (sok_process_t *process, const char *format, ...)
+add_argument (sok_process_t *process, const char *format, ...)
 {
   va_list args;
 
@@ -58,16 +62,16 @@
 }
 
 static void
-start (sok_process_t *process)
+start_process (sok_process_t *process)
 {
   int log_fd = open (process->log_path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 
   g_assert (log_fd >= 0);
   g_ptr_array_add (process->argv, NULL);
-  process->start_us = 0;
+  process->start_at_us = 0;
   process->stopping = false;
   process->killed = false;
-  process->disturbed = false;
+  process->was_paused = false;
   process->pid = fork ();
   g_assert (process->pid >= 0);
   if (process->pid == 0)
@@ -81,8 +85,8 @@
   close (log_fd);
   g_ptr_array_set_size (process->argv, (gint)process->argv->len - 1);
   for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
-    if (process->sok->gateways[i] == process)
-      process->sok->starts[i]++;
+    if (process->soak->gateways[i] == process)
+      process->soak->start_counts[i]++;
 }
 
 static void
@@ -108,176 +112,179 @@
   if (number == SIGTERM && !process->stopping)
     {
       process->stopping = true;
-      process->stop_us = sok_now_us ();
+      process->stop_sent_us = sok_now_us ();
     }
   process->killed = process->killed || number == SIGKILL;
-  process->disturbed = process->disturbed || number == SIGSTOP;
+  process->was_paused = process->was_paused || number == SIGSTOP;
 }
 
 static bool
 has_logged (const sok_process_t *process, pid_t pid)
 {
-  g_autofree char *mark = g_strdup_printf ("[%d]: ", (int)pid);
+  g_autofree char *prefix = g_strdup_printf ("[%d]: ", (int)pid);
   g_autofree char *log = NULL;
 
-  return g_file_get_contents (process->log_path, &log, NULL, NULL) && strstr (log, mark) != NULL;
+  return g_file_get_contents (process->log_path, &log, NULL, NULL) && strstr (log, prefix) != NULL;
 }
 
 /*
- * Between exec and main nothing can handle a signal, and SIGTERM ends the process as it would any.
- * It has no socket open then, so nothing is lost. A gateway logs that it has started before it
- * listens; the stand-ins log nothing, and their end is no promise.
+ * Between exec and main no signal handler is installed, so SIGTERM terminates the process. It has
+ * no open socket then, so no request is lost. Recognized by the missing log line: a gateway logs
+ * its start before it listens. The stand-ins log nothing, so this excuses every SIGTERM of theirs,
+ * which is acceptable as no guarantee covers how they end.
  */
 static bool
-was_told_before_it_ran (const sok_process_t *process, pid_t pid, int status)
+was_terminated_before_main (const sok_process_t *process, pid_t pid, int status)
 {
   return WIFSIGNALED (status) && WTERMSIG (status) == SIGTERM && !has_logged (process, pid);
 }
 
-/* A process that was neither killed nor told to stop must not end; one that was told must end well,
- * and in its time. */
+/* A process must not exit unless it got SIGTERM or SIGKILL; after SIGTERM it must exit with status
+ * 0 and in time. */
 static void
-judge_end (sok_process_t *process, pid_t pid, int status)
+check_exit (sok_process_t *process, pid_t pid, int status)
 {
-  uint64_t took_ms = (sok_now_us () - process->stop_us) / 1000;
+  uint64_t stop_duration_ms = (sok_now_us () - process->stop_sent_us) / 1000;
 
   if (process->killed)
     return;
   if (!process->stopping)
-    sok_fail (process->sok, "%s ended by itself: status %x", process->name, (unsigned)status);
-  else if (was_told_before_it_ran (process, pid, status))
+    sok_fail (process->soak, "%s ended by itself: status %x", process->name, (unsigned)status);
+  else if (was_terminated_before_main (process, pid, status))
     return;
   else if (!WIFEXITED (status) || WEXITSTATUS (status) != 0)
-    sok_fail (process->sok, "%s was told to stop and ended with status %x", process->name,
+    sok_fail (process->soak, "%s was told to stop and ended with status %x", process->name,
               (unsigned)status);
-  else if (!process->disturbed && took_ms > SOK_GRACE_MS + 500)
-    sok_fail (process->sok, "%s took %u ms to stop", process->name, (unsigned)took_ms);
+  else if (!process->was_paused && stop_duration_ms > SOK_GRACE_MS + STOP_SLACK_MS)
+    sok_fail (process->soak, "%s took %u ms to stop", process->name, (unsigned)stop_duration_ms);
 }
 
 static void
-look (sok_process_t *process)
+poll_process (sok_process_t *process)
 {
   uint64_t now_us = sok_now_us ();
   int status;
 
-  if (process->paused_until_us != 0 && now_us >= process->paused_until_us)
+  if (process->resume_at_us != 0 && now_us >= process->resume_at_us)
     {
-      process->paused_until_us = 0;
+      process->resume_at_us = 0;
       sok_process_signal (process, SIGCONT);
     }
   if (process->pid > 0 && waitpid (process->pid, &status, WNOHANG) == process->pid)
     {
-      judge_end (process, process->pid, status);
+      check_exit (process, process->pid, status);
       process->pid = 0;
-      process->paused_until_us = 0;
-      process->start_us = now_us + 50 * 1000 + sok_random (process->sok, 1000) * 1000;
+      process->resume_at_us = 0;
+      process->start_at_us = now_us + RESTART_DELAY_MIN_MS * 1000 +
+                             sok_random (process->soak, RESTART_DELAY_SPREAD_MS) * 1000;
     }
-  if (process->pid == 0 && process->start_us != 0 && now_us >= process->start_us)
-    start (process);
+  if (process->pid == 0 && process->start_at_us != 0 && now_us >= process->start_at_us)
+    start_process (process);
 }
 
 void
-sok_each (sok_t *sok, void (*visit) (sok_process_t *process))
+sok_each (sok_t *soak, void (*visit) (sok_process_t *process))
 {
   for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
-    if (sok->gateways[i])
-      visit (sok->gateways[i]);
+    if (soak->gateways[i])
+      visit (soak->gateways[i]);
   for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
-    if (sok->upstreams[i])
-      visit (sok->upstreams[i]);
+    if (soak->upstreams[i])
+      visit (soak->upstreams[i]);
 }
 
 void
-sok_processes_look (sok_t *sok)
+sok_processes_look (sok_t *soak)
 {
-  sok_each (sok, look);
+  sok_each (soak, poll_process);
 }
 
 static void
-start_store (sok_t *sok)
+start_store (sok_t *soak)
 {
-  set_address_t address = sok_address (sok, STORE_HOST, PORT);
+  set_address_t address = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
 
-  sok->store = process_new (sok, "standin-platform", "store");
-  flag (sok->store, "--listen=%s:%u", address.ip, address.port);
-  start (sok->store);
+  soak->store = process_new (soak, "standin-platform", "store");
+  add_argument (soak->store, "--listen=%s:%u", address.ip, address.port);
+  start_process (soak->store);
 }
 
 static void
-start_upstream (sok_t *sok, uint32_t index)
+start_upstream (sok_t *soak, uint32_t index)
 {
-  set_address_t own = sok_address (sok, UPSTREAM_HOST + index, PORT);
-  set_address_t proxy = sok_address (sok, UPSTREAM_PROXY_HOST + index, PORT);
-  set_address_t store = sok_address (sok, STORE_HOST, PORT);
+  set_address_t own = sok_address (soak, UPSTREAM_IP_OCTET + index, HTTP_PORT);
+  set_address_t proxy = sok_address (soak, UPSTREAM_PROXY_IP_OCTET + index, HTTP_PORT);
+  set_address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
   g_autofree char *name = g_strdup_printf ("upstream-%u", index);
-  sok_process_t *process = process_new (sok, "standin-upstream", name);
+  sok_process_t *process = process_new (soak, "standin-upstream", name);
   bool streams = index < SOK_STREAMS;
 
-  flag (process, "--listen=%s:%u", own.ip, own.port);
-  flag (process, "--advertise=%s:%u", proxy.ip, proxy.port);
-  flag (process, "--store=%s:%u", store.ip, store.port);
-  flag (process, "--service=%s", streams ? "pool" : "ledger");
-  flag (process, "--events=%u", streams ? SOK_EVENTS : 0);
-  flag (process, "--work-ms=%u", streams ? 12 : 6);
-  flag (process, "--drain-ms=%u", SOK_DRAIN_MS + 300);
-  flag (process, "--record=%s/%s.record", sok->dir, name);
-  flag (process, "--fail-percent=%u", streams ? 0 : 3);
-  flag (process, "--lose-percent=%u", streams ? 0 : 2);
-  sok->upstream_proxies[index] = sok_proxy_new (sok->base, &proxy, &own);
-  sok->upstreams[index] = process;
-  start (process);
+  add_argument (process, "--listen=%s:%u", own.ip, own.port);
+  add_argument (process, "--advertise=%s:%u", proxy.ip, proxy.port);
+  add_argument (process, "--store=%s:%u", store.ip, store.port);
+  add_argument (process, "--service=%s", streams ? "pool" : "ledger");
+  add_argument (process, "--events=%u", streams ? SOK_EVENTS : 0);
+  add_argument (process, "--work-ms=%u", streams ? 12 : 6);
+  add_argument (process, "--drain-ms=%u", SOK_DRAIN_MS + 300);
+  add_argument (process, "--record=%s/%s.record", soak->dir, name);
+  add_argument (process, "--fail-percent=%u", streams ? 0 : 3);
+  add_argument (process, "--lose-percent=%u", streams ? 0 : 2);
+  soak->upstream_proxies[index] = sok_proxy_new (soak->base, &proxy, &own);
+  soak->upstreams[index] = process;
+  start_process (process);
 }
 
 static void
-start_gateway (sok_t *sok, uint32_t index)
+start_gateway (sok_t *soak, uint32_t index)
 {
-  set_address_t own = sok_address (sok, GATEWAY_HOST + index, PORT);
-  set_address_t proxy = sok_address (sok, STORE_PROXY_HOST + index, PORT);
-  set_address_t store = sok_address (sok, STORE_HOST, PORT);
+  set_address_t own = sok_address (soak, GATEWAY_IP_OCTET + index, HTTP_PORT);
+  set_address_t proxy = sok_address (soak, STORE_PROXY_IP_OCTET + index, HTTP_PORT);
+  set_address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
   g_autofree char *name = g_strdup_printf ("gateway-%u", index);
-  sok_process_t *process = process_new (sok, "medlarplankd", name);
-
-  sok->store_proxies[index] = sok_proxy_new (sok->base, &proxy, &store);
-  flag (process, "--role=gateway");
-  flag (process, "--renewal-ms=%u", KST_LAPSE_MS / 3);
-  flag (process, "--name=%s", name);
-  flag (process, "--data-center=hall-%u", index % 2);
-  flag (process, "--region=soak");
-  flag (process, "--listen=%s:%u", own.ip, PORT);
-  flag (process, "--ready-listen=%s:%u", own.ip, READY_PORT);
-  flag (process, "--control-listen=%s:%u", own.ip, CONTROL_PORT);
-  flag (process, "--exchange=%s:%u", own.ip, EXCHANGE_PORT);
-  flag (process, "--platform=%s:%u", proxy.ip, proxy.port);
-  flag (process, "--seeds=%s.%u:%u", sok->net, GATEWAY_HOST, CONTROL_PORT);
-  flag (process, "--exchange-interval-ms=200");
-  flag (process, "--control-budget-bytes=7000");
-  flag (process, "--retry-ratio=0.2");
-  flag (process, "--retry-slack=60");
-  flag (process, "--version-ms=%u", SOK_DRAIN_MS);
-  flag (process, "--drain-ms=%u", SOK_DRAIN_MS);
-  flag (process, "--grace=%u", SOK_GRACE_MS / 1000);
-  sok->gateways[index] = process;
-  start (process);
+  sok_process_t *process = process_new (soak, "medlarplankd", name);
+
+  soak->store_proxies[index] = sok_proxy_new (soak->base, &proxy, &store);
+  add_argument (process, "--role=gateway");
+  add_argument (process, "--renewal-ms=%u", KST_LAPSE_MS / 3);
+  add_argument (process, "--name=%s", name);
+  add_argument (process, "--data-center=hall-%u", index % 2);
+  add_argument (process, "--region=soak");
+  add_argument (process, "--listen=%s:%u", own.ip, HTTP_PORT);
+  add_argument (process, "--ready-listen=%s:%u", own.ip, READY_PORT);
+  add_argument (process, "--control-listen=%s:%u", own.ip, CONTROL_PORT);
+  add_argument (process, "--exchange=%s:%u", own.ip, EXCHANGE_PORT);
+  add_argument (process, "--platform=%s:%u", proxy.ip, proxy.port);
+  add_argument (process, "--seeds=%s.%u:%u", soak->ip_prefix, GATEWAY_IP_OCTET, CONTROL_PORT);
+  add_argument (process, "--exchange-interval-ms=200");
+  add_argument (process, "--control-budget-bytes=7000");
+  add_argument (process, "--retry-ratio=0.2");
+  add_argument (process, "--retry-slack=60");
+  add_argument (process, "--version-ms=%u", SOK_DRAIN_MS);
+  add_argument (process, "--drain-ms=%u", SOK_DRAIN_MS);
+  add_argument (process, "--grace=%u", SOK_GRACE_MS / 1000);
+  soak->gateways[index] = process;
+  start_process (process);
 }
 
 static void
-on_admin_done (const pcl_answer_t *answer, void *context)
+on_store_reply (const pcl_answer_t *answer, void *context)
 {
   *(int *)context = answer->status ? answer->status : -1;
 }
 
 static void
-ignore (void *context)
+on_dropped (void *context)
 {
   (void)context;
 }
 
-/* Return: the status; waits for it, as the stand-in's own interface is never out */
+/* Waits for the response, since faults do not affect the administrative interface of the stand-in.
+ * Return: the HTTP status, -1 when there was no response */
 static int
-call_store (sok_t *sok, const char *target, const char *body, size_t body_bytes)
+call_store (sok_t *soak, const char *target, const char *body, size_t body_bytes)
 {
-  set_address_t store = sok_address (sok, STORE_HOST, PORT);
-  pcl_t *pcl = pcl_new (sok->base, &store, NULL);
+  set_address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  pcl_t *pcl = pcl_new (soak->base, &store, NULL);
   int status = 0;
 
   pcl_start (pcl, &(pcl_request_t){ .method = "POST",
@@ -286,27 +293,27 @@
                                     .body_bytes = body_bytes,
                                     .timeout_ms = 1000,
                                     .answer_limit_bytes = 65536,
-                                    .done = on_admin_done,
-                                    .dropped = ignore,
+                                    .done = on_store_reply,
+                                    .dropped = on_dropped,
                                     .context = &status });
   while (status == 0)
-    event_base_loop (sok->base, EVLOOP_ONCE);
+    event_base_loop (soak->base, EVLOOP_ONCE);
   pcl_free (pcl);
   return status;
 }
 
 void
-sok_store_admin (sok_t *sok, const char *target, const char *body)
+sok_store_admin (sok_t *soak, const char *target, const char *body)
 {
-  call_store (sok, target, body, strlen (body));
+  call_store (soak, target, body, strlen (body));
 }
 
-#define ROUTE(name, kind, service, more)                                                           \
+#define ROUTE(name, kind, service, extra_members)                                                  \
   "{\"name\":\"" name "\",\"host\":\"h.example\",\"path_prefix\":\"/" name "/\",\"kind\":\"" kind  \
-  "\",\"timeout_ms\":2500,\"aim_ms\":300,\"service\":\"" service "\"" more "},"
+  "\",\"timeout_ms\":2500,\"aim_ms\":300,\"service\":\"" service "\"" extra_members "},"
 
 static char *
-config_of (uint32_t version)
+format_config (uint32_t version)
 {
   GString *text = g_string_new (NULL);
 
@@ -327,9 +334,9 @@
 }
 
 void
-sok_publish (sok_t *sok)
+sok_publish (sok_t *soak)
 {
-  g_autofree char *config = config_of (sok->version + 1);
+  g_autofree char *config = format_config (soak->version + 1);
   size_t length = 1 + strlen ("config") + strlen (config);
   GString *body = g_string_new (NULL);
 
@@ -338,61 +345,62 @@
   g_string_append_c (body, (char)strlen ("config"));
   g_string_append (body, "config");
   g_string_append (body, config);
-  if (call_store (sok, "/log-append?topic=keyed.op&part=0", body->str, body->len) == 200)
-    sok->acked_version = ++sok->version;
-  sok_log (sok, "version %u published", sok->version);
+  if (call_store (soak, "/log-append?topic=keyed.op&part=0", body->str, body->len) == 200)
+    soak->acked_version = ++soak->version;
+  sok_log (soak, "version %u published", soak->version);
   g_string_free (body, TRUE);
 }
 
 static bool
-all_answer (sok_t *sok)
+all_gateways_serve (sok_t *soak)
 {
-  uint32_t first = sok->calls->len;
+  uint32_t first = soak->calls->len;
 
   for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
     for (uint32_t kind = 0; kind < SOK_KINDS; kind++)
-      sok_ask (sok, i, kind, 0, true);
-  sok_turn (sok, 400);
-  for (uint32_t i = first; i < sok->calls->len; i++)
+      sok_ask (soak, i, kind, 0, true);
+  sok_turn (soak, 400);
+  for (uint32_t i = first; i < soak->calls->len; i++)
     {
-      const sok_call_t *call = g_ptr_array_index (sok->calls, i);
+      const sok_call_t *call = g_ptr_array_index (soak->calls, i);
 
-      if (call->kind != SOK_LOOK && call->kind != SOK_BOOK && (!call->whole || call->status != 200))
+      if (call->kind != SOK_LOOK && call->kind != SOK_BOOK &&
+          (!call->complete || call->status != 200))
         return false;
     }
   return true;
 }
 
 void
-sok_fleet_start (sok_t *sok)
+sok_fleet_start (sok_t *soak)
 {
-  uint64_t limit_us = sok_now_us () + START_LIMIT_US;
+  uint64_t deadline_us = sok_now_us () + START_TIMEOUT_US;
 
-  start_store (sok);
-  while (sok->acked_version == 0 && sok_now_us () < limit_us)
+  start_store (soak);
+  while (soak->acked_version == 0 && sok_now_us () < deadline_us)
     {
-      sok_turn (sok, 100);
-      sok_publish (sok);
+      sok_turn (soak, 100);
+      sok_publish (soak);
     }
   for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
-    start_upstream (sok, i);
+    start_upstream (soak, i);
   for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
-    start_gateway (sok, i);
-  while (!all_answer (sok))
-    if (sok_now_us () > limit_us)
+    start_gateway (soak, i);
+  while (!all_gateways_serve (soak))
+    if (sok_now_us () > deadline_us)
       {
-        sok_fail (sok, "the fleet does not serve at its start");
+        sok_fail (soak, "the fleet does not serve at its start");
         return;
       }
 }
 
 void
-sok_fleet_stop (sok_t *sok)
+sok_fleet_stop (sok_t *soak)
 {
-  sok_each (sok, process_free);
-  process_free (sok->store);
+  sok_each (soak, process_free);
+  process_free (soak->store);
   for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
-    sok_proxy_free (sok->store_proxies[i]);
+    sok_proxy_free (soak->store_proxies[i]);
   for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
-    sok_proxy_free (sok->upstream_proxies[i]);
+    sok_proxy_free (soak->upstream_proxies[i]);
 }
--- a/soak/soak_proxy.c
+++ b/soak/soak_proxy.c
@@ -1,4 +1,4 @@
-/* A TCP proxy on loopback whose connections can be delayed, reset, cut one way or silenced. */
+/* A TCP proxy on loopback that can delay, reset, half-block or block its connections. */
 #include "soak.h"
 
 #include <arpa/inet.h>
@@ -13,33 +13,33 @@
 struct sok_proxy
 {
   struct event_base *base;
-  set_address_t to;
+  set_address_t target;
   struct evconnlistener *listener;
   sok_mode_t mode;
-  GHashTable *pairs; /* pair_t */
+  GHashTable *conns; /* set of proxied_conn_t */
 };
 
-/** struct pair - a connection through the proxy */
+/** struct proxied_conn - a connection through the proxy */
 typedef struct
 {
   sok_proxy_t *proxy;
-  struct bufferevent *ends[2]; /* towards the caller, towards the other side */
-  struct event *later;
-} pair_t;
+  struct bufferevent *ends[2]; /* towards the client, towards the target */
+  struct event *delay_timer;
+} proxied_conn_t;
 
 static void
-pair_free (gpointer data)
+conn_free (gpointer data)
 {
-  pair_t *pair = data;
+  proxied_conn_t *conn = data;
 
-  bufferevent_free (pair->ends[0]);
-  bufferevent_free (pair->ends[1]);
-  event_free (pair->later);
-  g_free (pair);
+  bufferevent_free (conn->ends[0]);
+  bufferevent_free (conn->ends[1]);
+  event_free (conn->delay_timer);
+  g_free (conn);
 }
 
 static void
-reset_end (struct bufferevent *end)
+set_reset_on_close (struct bufferevent *end)
 {
   struct linger linger = { 1, 0 };
 
@@ -47,46 +47,46 @@
 }
 
 static void
-drop (pair_t *pair, bool reset)
+close_conn (proxied_conn_t *conn, bool reset)
 {
   if (reset)
     {
-      reset_end (pair->ends[0]);
-      reset_end (pair->ends[1]);
+      set_reset_on_close (conn->ends[0]);
+      set_reset_on_close (conn->ends[1]);
     }
-  g_hash_table_remove (pair->proxy->pairs, pair);
+  g_hash_table_remove (conn->proxy->conns, conn);
 }
 
 static void
-move (pair_t *pair, int from)
+forward (proxied_conn_t *conn, int from)
 {
-  evbuffer_add_buffer (bufferevent_get_output (pair->ends[1 - from]),
-                       bufferevent_get_input (pair->ends[from]));
+  evbuffer_add_buffer (bufferevent_get_output (conn->ends[1 - from]),
+                       bufferevent_get_input (conn->ends[from]));
 }
 
 static void
-on_later (evutil_socket_t fd, short what, void *context)
+on_delay_over (evutil_socket_t fd, short what, void *context)
 {
-  pair_t *pair = context;
+  proxied_conn_t *conn = context;
 
   (void)fd;
   (void)what;
-  move (pair, 0);
-  move (pair, 1);
+  forward (conn, 0);
+  forward (conn, 1);
 }
 
 static void
 on_read (struct bufferevent *end, void *context)
 {
-  pair_t *pair = context;
-  int from = end == pair->ends[1];
+  proxied_conn_t *conn = context;
+  int from = end == conn->ends[1];
   struct timeval delay = { 0, DELAY_MS * 1000 };
 
-  switch (pair->proxy->mode)
+  switch (conn->proxy->mode)
     {
     case SOK_DELAY:
-      if (!evtimer_pending (pair->later, NULL))
-        event_add (pair->later, &delay);
+      if (!evtimer_pending (conn->delay_timer, NULL))
+        event_add (conn->delay_timer, &delay);
       return;
     case SOK_SILENT:
       return;
@@ -97,35 +97,35 @@
     default:
       break;
     }
-  move (pair, from);
+  forward (conn, from);
 }
 
 static void
 on_event (struct bufferevent *end, short what, void *context)
 {
-  pair_t *pair = context;
+  proxied_conn_t *conn = context;
 
   (void)end;
-  if ((what & BEV_EVENT_CONNECTED) != 0 || pair->proxy->mode == SOK_SILENT)
+  if ((what & BEV_EVENT_CONNECTED) != 0 || conn->proxy->mode == SOK_SILENT)
     return;
   if ((what & BEV_EVENT_ERROR) != 0)
-    drop (pair, true);
+    close_conn (conn, true);
   else
     {
-      /* an end of file ends the other side once what came before has left */
-      move (pair, end == pair->ends[1]);
-      bufferevent_flush (pair->ends[end != pair->ends[1]], EV_WRITE, BEV_FINISHED);
-      drop (pair, false);
+      /* At end of file, the other side is closed after the data received so far was written. */
+      forward (conn, end == conn->ends[1]);
+      bufferevent_flush (conn->ends[end != conn->ends[1]], EV_WRITE, BEV_FINISHED);
+      close_conn (conn, false);
     }
 }
 
 static struct sockaddr_in
 sockaddr_of (const set_address_t *address)
 {
-  struct sockaddr_in name = { .sin_family = AF_INET, .sin_port = htons (address->port) };
+  struct sockaddr_in sockaddr = { .sin_family = AF_INET, .sin_port = htons (address->port) };
 
-  inet_pton (AF_INET, address->ip, &name.sin_addr);
-  return name;
+  inet_pton (AF_INET, address->ip, &sockaddr.sin_addr);
+  return sockaddr;
 }
 
 static void
@@ -136,43 +136,44 @@
            void *context)
 {
   sok_proxy_t *proxy = context;
-  struct sockaddr_in to = sockaddr_of (&proxy->to);
-  pair_t *pair = g_new0 (pair_t, 1);
+  struct sockaddr_in target = sockaddr_of (&proxy->target);
+  proxied_conn_t *conn = g_new0 (proxied_conn_t, 1);
 
   (void)listener;
   (void)from;
   (void)bytes;
-  pair->proxy = proxy;
-  pair->ends[0] = bufferevent_socket_new (proxy->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  pair->ends[1] = bufferevent_socket_new (proxy->base, -1, BEV_OPT_CLOSE_ON_FREE);
-  pair->later = evtimer_new (proxy->base, on_later, pair);
-  g_hash_table_add (proxy->pairs, pair);
+  conn->proxy = proxy;
+  conn->ends[0] = bufferevent_socket_new (proxy->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  conn->ends[1] = bufferevent_socket_new (proxy->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  conn->delay_timer = evtimer_new (proxy->base, on_delay_over, conn);
+  g_hash_table_add (proxy->conns, conn);
   if (proxy->mode == SOK_RESET)
     {
-      drop (pair, true);
+      close_conn (conn, true);
       return;
     }
   for (int i = 0; i < 2; i++)
     {
-      bufferevent_setcb (pair->ends[i], on_read, NULL, on_event, pair);
-      bufferevent_enable (pair->ends[i], EV_READ | EV_WRITE);
+      bufferevent_setcb (conn->ends[i], on_read, NULL, on_event, conn);
+      bufferevent_enable (conn->ends[i], EV_READ | EV_WRITE);
     }
-  if (bufferevent_socket_connect (pair->ends[1], (struct sockaddr *)&to, sizeof to) != 0)
-    drop (pair, true);
+  if (bufferevent_socket_connect (conn->ends[1], (struct sockaddr *)&target, sizeof target) != 0)
+    close_conn (conn, true);
 }
 
 sok_proxy_t *
-sok_proxy_new (struct event_base *base, const set_address_t *listen, const set_address_t *to)
+sok_proxy_new (struct event_base *base, const set_address_t *listen, const set_address_t *target)
 {
   sok_proxy_t *proxy = g_new0 (sok_proxy_t, 1);
-  struct sockaddr_in name = sockaddr_of (listen);
+  struct sockaddr_in listen_sockaddr = sockaddr_of (listen);
   unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
 
   proxy->base = base;
-  proxy->to = *to;
-  proxy->pairs = g_hash_table_new_full (NULL, NULL, pair_free, NULL);
-  proxy->listener = evconnlistener_new_bind (base, on_accept, proxy, flags, 128,
-                                             (struct sockaddr *)&name, sizeof name);
+  proxy->target = *target;
+  proxy->conns = g_hash_table_new_full (NULL, NULL, conn_free, NULL);
+  proxy->listener =
+      evconnlistener_new_bind (base, on_accept, proxy, flags, 128,
+                               (struct sockaddr *)&listen_sockaddr, sizeof listen_sockaddr);
   g_assert (proxy->listener);
   return proxy;
 }
@@ -181,29 +182,30 @@
 sok_proxy_free (sok_proxy_t *proxy)
 {
   evconnlistener_free (proxy->listener);
-  g_hash_table_destroy (proxy->pairs);
+  g_hash_table_destroy (proxy->conns);
   g_free (proxy);
 }
 
-/* Connections that were silenced stay so, as they do on the users' platform; the others go on. */
+/* Connections that were blocked stay blocked when the fault ends, as on the users' platform;
+ * connections made after it work. */
 void
 sok_proxy_set (sok_proxy_t *proxy, sok_mode_t mode)
 {
-  GList *pairs = g_hash_table_get_keys (proxy->pairs);
+  GList *conns = g_hash_table_get_keys (proxy->conns);
   bool was_silent = proxy->mode == SOK_SILENT || proxy->mode == SOK_ONE_WAY;
 
   proxy->mode = mode;
-  for (GList *link = pairs; link; link = link->next)
+  for (GList *link = conns; link; link = link->next)
     {
-      pair_t *pair = link->data;
+      proxied_conn_t *conn = link->data;
 
       if (mode == SOK_RESET)
-        drop (pair, true);
+        close_conn (conn, true);
       else if (was_silent)
         {
-          bufferevent_disable (pair->ends[0], EV_READ);
-          bufferevent_disable (pair->ends[1], EV_READ);
+          bufferevent_disable (conn->ends[0], EV_READ);
+          bufferevent_disable (conn->ends[1], EV_READ);
         }
     }
-  g_list_free (pairs);
+  g_list_free (conns);
 }
