--- a/standin/batch.c
+++ b/standin/batch.c
@@ -2,19 +2,19 @@
 
 #include <glib.h>
 
-#define PREFILL_UNIT 1000
+#define MILLITOKENS_PER_TOKEN 1000
 
-struct bat
+struct batch
 {
   bat_options_t options;
-  GSequence *waiting; /* by priority, then arrival */
-  GPtrArray *running; /* in the order of their start */
+  GSequence *waiting; /* sorted by priority, then arrival */
+  GPtrArray *running; /* in order of start */
   uint64_t next_arrival;
-  uint64_t prefill_credit; /* in thousandths of a token */
+  uint64_t prefill_credit_millitokens;
 };
 
 static int
-by_turn (gconstpointer left, gconstpointer right, gpointer unused)
+compare_by_priority (gconstpointer left, gconstpointer right, gpointer unused)
 {
   const bat_job_t *a = left;
   const bat_job_t *b = right;
@@ -27,121 +27,124 @@
 }
 
 static void
-start_waiting (bat_t *bat)
+start_waiting (bat_t *batch)
 {
-  while (bat->running->len < bat->options.slots && !g_sequence_is_empty (bat->waiting))
+  while (batch->running->len < batch->options.slots && !g_sequence_is_empty (batch->waiting))
     {
-      GSequenceIter *first = g_sequence_get_begin_iter (bat->waiting);
+      GSequenceIter *first = g_sequence_get_begin_iter (batch->waiting);
       bat_job_t *job = g_sequence_get (first);
       g_sequence_remove (first);
       job->running = true;
-      g_ptr_array_add (bat->running, job);
-      bat->options.on_start (job, bat->options.context);
+      g_ptr_array_add (batch->running, job);
+      batch->options.on_start (job, batch->options.context);
     }
 }
 
 static void
-read_prompt (bat_t *bat, bat_job_t *job)
+prefill_job (bat_t *batch, bat_job_t *job)
 {
-  if (bat->options.prefill_per_step == 0)
+  if (batch->options.prefill_millitokens_per_step == 0)
     {
       job->prefill_tokens = 0;
       return;
     }
-  uint64_t read_tokens = MIN (job->prefill_tokens, bat->prefill_credit / PREFILL_UNIT);
-  job->prefill_tokens -= (uint32_t)read_tokens;
-  bat->prefill_credit -= read_tokens * PREFILL_UNIT;
+  uint64_t prefilled_tokens =
+      MIN (job->prefill_tokens, batch->prefill_credit_millitokens / MILLITOKENS_PER_TOKEN);
+  job->prefill_tokens -= (uint32_t)prefilled_tokens;
+  batch->prefill_credit_millitokens -= prefilled_tokens * MILLITOKENS_PER_TOKEN;
 }
 
 static void
-end_job (bat_t *bat, guint index, bool whole)
+end_job (bat_t *batch, guint index, bool completed)
 {
-  bat_job_t *job = g_ptr_array_index (bat->running, index);
-  g_ptr_array_remove_index (bat->running, index);
+  bat_job_t *job = g_ptr_array_index (batch->running, index);
+  g_ptr_array_remove_index (batch->running, index);
   job->running = false;
-  bat->options.on_end (job, whole, bat->options.context);
+  batch->options.on_end (job, completed, batch->options.context);
 }
 
 bat_t *
 bat_new (const bat_options_t *options)
 {
   g_assert (options->slots > 0);
-  bat_t *bat = g_new0 (bat_t, 1);
-  bat->options = *options;
-  bat->waiting = g_sequence_new (NULL);
-  bat->running = g_ptr_array_new ();
-  return bat;
+  bat_t *batch = g_new0 (bat_t, 1);
+  batch->options = *options;
+  batch->waiting = g_sequence_new (NULL);
+  batch->running = g_ptr_array_new ();
+  return batch;
 }
 
 void
-bat_free (bat_t *bat)
+bat_free (bat_t *batch)
 {
-  if (bat == NULL)
+  if (batch == NULL)
     return;
-  g_sequence_free (bat->waiting);
-  g_ptr_array_free (bat->running, TRUE);
-  g_free (bat);
+  g_sequence_free (batch->waiting);
+  g_ptr_array_free (batch->running, TRUE);
+  g_free (batch);
 }
 
 void
-bat_add (bat_t *bat, bat_job_t *job)
+bat_add (bat_t *batch, bat_job_t *job)
 {
-  job->arrival = bat->next_arrival++;
+  job->arrival = batch->next_arrival++;
   job->running = false;
-  g_sequence_insert_sorted (bat->waiting, job, by_turn, NULL);
+  g_sequence_insert_sorted (batch->waiting, job, compare_by_priority, NULL);
 }
 
 void
-bat_remove (bat_t *bat, bat_job_t *job)
+bat_remove (bat_t *batch, bat_job_t *job)
 {
   if (job->running)
     {
-      g_ptr_array_remove (bat->running, job);
+      g_ptr_array_remove (batch->running, job);
       job->running = false;
       return;
     }
-  GSequenceIter *iter = g_sequence_lookup (bat->waiting, job, by_turn, NULL);
+  GSequenceIter *iter = g_sequence_lookup (batch->waiting, job, compare_by_priority, NULL);
   if (iter != NULL)
     g_sequence_remove (iter);
 }
 
 void
-bat_step (bat_t *bat)
+bat_step (bat_t *batch)
 {
-  start_waiting (bat);
-  bat->prefill_credit += bat->options.prefill_per_step;
+  start_waiting (batch);
+  batch->prefill_credit_millitokens += batch->options.prefill_millitokens_per_step;
   guint index = 0;
-  while (index < bat->running->len)
+  while (index < batch->running->len)
     {
-      bat_job_t *job = g_ptr_array_index (bat->running, index);
-      read_prompt (bat, job);
+      bat_job_t *job = g_ptr_array_index (batch->running, index);
+      prefill_job (batch, job);
       if (job->prefill_tokens > 0)
         {
           index++;
           continue;
         }
-      job->made_tokens++;
-      bool go_on = bat->options.on_token (job, bat->options.context);
-      if (!go_on)
-        end_job (bat, index, false);
-      else if (job->made_tokens >= job->wanted_tokens)
-        end_job (bat, index, true);
+      job->generated_tokens++;
+      bool keep_running = batch->options.on_token (job, batch->options.context);
+      if (!keep_running)
+        end_job (batch, index, false);
+      else if (job->generated_tokens >= job->target_tokens)
+        end_job (batch, index, true);
       else
         index++;
     }
-  /* what nobody used is lost, but for the fraction of a token that a slow prefill saves up */
-  bat->prefill_credit = MIN (bat->prefill_credit, PREFILL_UNIT - 1);
-  start_waiting (bat);
+  /* Unused budget expires, except the fraction of a token: a prefill rate below one token per step
+   * would otherwise never advance. */
+  batch->prefill_credit_millitokens =
+      MIN (batch->prefill_credit_millitokens, MILLITOKENS_PER_TOKEN - 1);
+  start_waiting (batch);
 }
 
 uint32_t
-bat_running (const bat_t *bat)
+bat_running (const bat_t *batch)
 {
-  return bat->running->len;
+  return batch->running->len;
 }
 
 uint32_t
-bat_waiting (const bat_t *bat)
+bat_waiting (const bat_t *batch)
 {
-  return (uint32_t)g_sequence_get_length (bat->waiting);
+  return (uint32_t)g_sequence_get_length (batch->waiting);
 }
--- a/standin/cache_events.c
+++ b/standin/cache_events.c
@@ -5,23 +5,23 @@
 
 typedef struct
 {
-  uint64_t happened_us;
+  uint64_t occurred_us;
   uint64_t block;
   bool stored;
   bool lost;
-} cev_event_t;
+} cache_event_t;
 
-struct cev
+struct cache_events
 {
-  uint64_t late_us;
-  uint32_t gap_percent;
+  uint64_t publish_delay_us;
+  uint32_t loss_percent;
   GRand *rand;
-  cev_event_t events[CEV_LIMIT_EVENTS]; /* a ring by offset */
+  cache_event_t events[CEV_LIMIT_EVENTS]; /* ring buffer, indexed by offset */
   uint64_t next_offset;
 };
 
 static json_t *
-event_json (const cev_event_t *event, uint64_t offset)
+event_json (const cache_event_t *event, uint64_t offset)
 {
   char block[17];
   g_snprintf (block, sizeof block, "%016" PRIx64, event->block);
@@ -30,44 +30,45 @@
 }
 
 cev_t *
-cev_new (uint64_t late_us, uint32_t gap_percent, uint32_t seed)
+cev_new (uint64_t publish_delay_us, uint32_t loss_percent, uint32_t seed)
 {
-  cev_t *cev = g_new0 (cev_t, 1);
-  cev->late_us = late_us;
-  cev->gap_percent = gap_percent;
-  cev->rand = g_rand_new_with_seed (seed);
-  return cev;
+  cev_t *cache_events = g_new0 (cev_t, 1);
+  cache_events->publish_delay_us = publish_delay_us;
+  cache_events->loss_percent = loss_percent;
+  cache_events->rand = g_rand_new_with_seed (seed);
+  return cache_events;
 }
 
 void
-cev_free (cev_t *cev)
+cev_free (cev_t *cache_events)
 {
-  if (cev == NULL)
+  if (cache_events == NULL)
     return;
-  g_rand_free (cev->rand);
-  g_free (cev);
+  g_rand_free (cache_events->rand);
+  g_free (cache_events);
 }
 
 void
-cev_add (cev_t *cev, uint64_t now_us, uint64_t block, bool stored)
+cev_add (cev_t *cache_events, uint64_t now_us, uint64_t block, bool stored)
 {
-  cev_event_t *event = &cev->events[cev->next_offset++ % CEV_LIMIT_EVENTS];
-  event->happened_us = now_us;
+  cache_event_t *event = &cache_events->events[cache_events->next_offset++ % CEV_LIMIT_EVENTS];
+  event->occurred_us = now_us;
   event->block = block;
   event->stored = stored;
-  event->lost = (uint32_t)g_rand_int_range (cev->rand, 0, 100) < cev->gap_percent;
+  event->lost =
+      (uint32_t)g_rand_int_range (cache_events->rand, 0, 100) < cache_events->loss_percent;
 }
 
 json_t *
-cev_list (const cev_t *cev, uint64_t now_us, uint64_t from)
+cev_list (const cev_t *cache_events, uint64_t now_us, uint64_t from)
 {
   json_t *events = json_array ();
-  uint64_t held = MIN (cev->next_offset, CEV_LIMIT_EVENTS);
-  uint64_t offset = MAX (from, cev->next_offset - held);
-  for (; offset < cev->next_offset; offset++)
+  uint64_t retained_count = MIN (cache_events->next_offset, CEV_LIMIT_EVENTS);
+  uint64_t offset = MAX (from, cache_events->next_offset - retained_count);
+  for (; offset < cache_events->next_offset; offset++)
     {
-      const cev_event_t *event = &cev->events[offset % CEV_LIMIT_EVENTS];
-      if (event->happened_us + cev->late_us > now_us)
+      const cache_event_t *event = &cache_events->events[offset % CEV_LIMIT_EVENTS];
+      if (event->occurred_us + cache_events->publish_delay_us > now_us)
         break;
       if (!event->lost)
         json_array_append_new (events, event_json (event, offset));
--- a/standin/cache_events.h
+++ b/standin/cache_events.h
@@ -1,8 +1,8 @@
 /**
  * DOC: cache_events
  *
- * Cache events of the stand-in engine as engines publish them: late, and with gaps. An offset is
- * given to each event, those that are lost included, so a reader can see the gap.
+ * Prefix cache events of the stand-in engine, published after a delay and with random losses, as
+ * real engines do. Lost events have offsets too, so a reader can detect the gap.
  */
 #ifndef STANDIN_CACHE_EVENTS_H
 #define STANDIN_CACHE_EVENTS_H
@@ -11,15 +11,25 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CEV_LIMIT_EVENTS 4096
+#define CEV_LIMIT_EVENTS 4096 /* older events are overwritten */
 
-typedef struct cev cev_t;
+typedef struct cache_events cev_t;
 
-/** cev_new() - events are published @late_us after they happen; @gap_percent of them are lost */
-cev_t *cev_new (uint64_t late_us, uint32_t gap_percent, uint32_t seed);
-void cev_free (cev_t *cev);
-void cev_add (cev_t *cev, uint64_t now_us, uint64_t block, bool stored);
-/** cev_list() - {"next":N,"events":[{"offset","block","kind"}]} from offset @from on */
-json_t *cev_list (const cev_t *cev, uint64_t now_us, uint64_t from);
+/**
+ * cev_new() - an empty sequence of events
+ * @publish_delay_us: events become readable this long after they occur
+ * @loss_percent: share of the events that are never published, chosen at random from @seed
+ */
+cev_t *cev_new (uint64_t publish_delay_us, uint32_t loss_percent, uint32_t seed);
+/** cev_free() - accepts NULL */
+void cev_free (cev_t *cache_events);
+/** cev_add() - records that the cache stored @block, or removed it if @stored is false */
+void cev_add (cev_t *cache_events, uint64_t now_us, uint64_t block, bool stored);
+/**
+ * cev_list() - the published events from offset @from on
+ *
+ * Return: {"next":N,"events":[{"offset","block","kind"}]}; the caller owns it
+ */
+json_t *cev_list (const cev_t *cache_events, uint64_t now_us, uint64_t from);
 
 #endif
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -1,8 +1,8 @@
 /**
  * DOC: engine
  *
- * The state of the stand-in engine, shared by its files: engine_run.c takes requests through the
- * batch, engine_answer.c writes their answers, engine_admin.c answers all the rest.
+ * Shared state of the stand-in engine: engine_run.c runs requests in the batch, engine_answer.c
+ * writes their answers, and engine_admin.c answers all other calls.
  */
 #ifndef STANDIN_ENGINE_H
 #define STANDIN_ENGINE_H
@@ -18,18 +18,28 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SEN_LIMIT_WAITING 4096
-#define SEN_LIMIT_REMEMBERED 1024 /* ended streams that can be resumed */
+#define SEN_LIMIT_WAITING 4096    /* further requests are refused with status 503 */
+#define SEN_LIMIT_REMEMBERED 1024 /* ended streams that can still be resumed */
 #define SEN_LIMIT_OUTPUT_TOKENS 65536
-#define SEN_DEFAULT_OUTPUT_TOKENS 16
+#define SEN_DEFAULT_OUTPUT_TOKENS 16 /* for a chat without max_tokens */
 
 /**
- * struct sen_options - the flags
- * @plain: a plain service in place of a model engine
- * @token_us: between two output tokens
- * @service_us: what a plain call takes
- * @crash_on: a body that contains it ends the process; NULL for none
- * @check_fence: refuse an order with an old fencing number
+ * struct sen_options - command-line options
+ * @listen: address to listen on, IP:PORT
+ * @name: name in the answers and in the header X-Engine
+ * @plain: act as a plain service, not as a model engine
+ * @slots: maximum number of requests that run at the same time
+ * @prefill_tokens_s: prompt tokens prefilled per second; 0 is unlimited
+ * @token_us: time between two output tokens
+ * @service_us: duration of a call to a plain service
+ * @cache_tokens: capacity of the prefix cache
+ * @report_lag_us: interval at which the reported load is refreshed, and delay of cache events; with
+ *   0 both are current
+ * @event_loss_percent: share of the cache events that are never published
+ * @crash_on: the process exits on a request body that contains this text; NULL for none
+ * @check_fence: refuse orders whose fencing number is lower than the highest one seen
+ * @record_fd: file for the record of runs, or -1
+ * @seed: seed for the choice of lost cache events
  */
 typedef struct
 {
@@ -42,7 +52,7 @@
   uint64_t service_us;
   uint32_t cache_tokens;
   uint64_t report_lag_us;
-  uint32_t event_gap_percent;
+  uint32_t event_loss_percent;
   const char *crash_on;
   bool check_fence;
   int record_fd;
@@ -50,30 +60,53 @@
 } sen_options_t;
 
 /**
- * struct sen_fault - faults of the next @count requests, as POST /fault sets them
- * @cut_after_tokens: cut the answer there; 0 is never
- * @cross_ids: answer with the id and the text of the request before
- * @no_length: answer with neither length nor chunks
- * @late_us: start that much later
+ * struct sen_fault - faults that POST /fault injects
+ * @count: number of requests that the fault still applies to
+ * @freeze_us: block the whole process for this long before the request runs
+ * @cut_after_tokens: abort the answer after this many tokens; 0 disables it
+ * @repeat_previous: answer with the id and body hash of the previous request
+ * @omit_length: answer with neither Content-Length nor chunked encoding
+ * @start_delay_us: queue the request only after this delay
  */
 typedef struct
 {
   uint32_t count;
   uint64_t freeze_us;
   uint32_t cut_after_tokens;
-  bool cross_ids;
-  bool no_length;
-  uint64_t late_us;
+  bool repeat_previous;
+  bool omit_length;
+  uint64_t start_delay_us;
 } sen_fault_t;
 
+/**
+ * struct sen_load - a sample of the load
+ * @running: requests in the batch
+ * @waiting: requests that wait for a slot
+ * @cached_tokens: tokens in the prefix cache
+ * @sampled_us: when the sample was taken, on the monotonic clock
+ */
 typedef struct
 {
   uint32_t running;
   uint32_t waiting;
   uint32_t cached_tokens;
-  uint64_t taken_us;
+  uint64_t sampled_us;
 } sen_load_t;
 
+/**
+ * struct sen - the engine
+ * @step_us: duration of one step of the batch
+ * @next_step_us: when the next step is due, on the monotonic clock
+ * @step_scheduled: whether @step_timer is pending; it isn't while the batch is empty
+ * @active_runs: request id -> sen_run_t, not owned
+ * @ended_streams: sen_ended_t, newest first
+ * @fault: fault for the next requests
+ * @reported_load: the answer to GET /load, unless report_lag_us is 0
+ * @previous_id: id of the request that ended last, or NULL
+ * @previous_body_hash: its body hash
+ * @highest_fence: highest fencing number of an order so far
+ * @served_count: requests that have ended
+ */
 typedef struct
 {
   sen_options_t options;
@@ -82,27 +115,40 @@
   uint64_t step_us;
   uint64_t next_step_us;
   struct event *step_timer;
-  bool stepping;
+  bool step_scheduled;
   pfx_t *cache;
   cev_t *events;
   erc_t *record;
-  GHashTable *active; /* id -> sen_run_t */
-  GQueue remembered;  /* sen_ended_t, newest first */
+  GHashTable *active_runs;
+  GQueue ended_streams;
   sen_fault_t fault;
-  sen_load_t reported; /* what GET /load tells: taken at the last report */
+  sen_load_t reported_load;
   struct event *report_timer;
-  char *last_id;
-  uint64_t last_body_hash;
+  char *previous_id;
+  uint64_t previous_body_hash;
   uint64_t highest_fence;
-  uint64_t served;
+  uint64_t served_count;
 } sen_t;
 
-/** struct sen_run - one request; @job goes first, so that a job can be cast to its run */
+/**
+ * struct sen_run - one request
+ * @job: the first field, so that a job can be cast to its run
+ * @call: NULL once the caller of a plain service has disconnected
+ * @prompt: all messages of the chat, later followed by the answer
+ * @first_token: number of the first token to send; above 0 for a resumed stream
+ * @stream: whether the caller asked for a streamed answer
+ * @headers_sent: whether the headers of the stream have been sent
+ * @in_batch: whether the batch holds @job
+ * @serial: serial number in the record of runs
+ * @fault: the injected fault that applies to this request
+ * @start_timer: delays the start as @fault demands, or NULL
+ * @text: the answer so far
+ */
 typedef struct
 {
   bat_job_t job;
   sen_t *engine;
-  sht_call_t *call; /* NULL once the caller of a plain call has gone */
+  sht_call_t *call;
   char *id;
   char *method;
   char *path;
@@ -110,51 +156,55 @@
   uint64_t body_hash;
   uint32_t prompt_tokens;
   uint32_t cached_tokens;
-  uint32_t first_token; /* of a resumed stream */
+  uint32_t first_token;
   bool stream;
-  bool streaming; /* the head has been sent */
+  bool headers_sent;
   bool in_batch;
   uint64_t serial;
   sen_fault_t fault;
-  struct event *late;
-  GString *text; /* the answer so far */
+  struct event *start_timer;
+  GString *text;
 } sen_run_t;
 
-/** struct sen_ended - what is kept of an ended stream for POST /resume */
+/** struct sen_ended - the data of an ended stream that POST /resume needs */
 typedef struct
 {
   char *id;
   uint64_t body_hash;
-  uint32_t wanted_tokens;
+  uint32_t target_tokens;
 } sen_ended_t;
 
-/** sen_run_chat() - POST /v1/chat/completions */
+/** sen_run_chat() - handles POST /v1/chat/completions */
 void sen_run_chat (sen_t *engine, sht_call_t *call);
-/** sen_run_plain() - any call of a plain service */
+/** sen_run_plain() - handles any request to a plain service */
 void sen_run_plain (sen_t *engine, sht_call_t *call);
-/** sen_run_resume() - POST /resume?id=ID&from=N: go on with an ended stream at token N */
+/** sen_run_resume() - handles POST /resume?id=ID&from=N: continues an ended stream at token N */
 void sen_run_resume (sen_t *engine, sht_call_t *call);
-/** sen_run_cancel() - end the run of that id. Return: false when there is none */
+/** sen_run_cancel() - cancels the run with this id. Return: false if there is none */
 bool sen_run_cancel (sen_t *engine, const char *id);
-/** sen_batch_new() - the batch that drives all runs */
+/** sen_batch_new() - creates the batch that executes all runs */
 bat_t *sen_batch_new (sen_t *engine);
-/** sen_step() - the step timer's callback */
+/** sen_step() - callback of the step timer */
 void sen_step (evutil_socket_t fd, short what, void *engine);
 
-/** sen_answer_token() - the token just made, into the answer */
+/** sen_answer_token() - adds the token generated last to the answer, and sends it if streamed */
 void sen_answer_token (sen_run_t *run);
-/** sen_answer_whole() - the end of the answer; ends the call */
+/** sen_answer_whole() - completes the answer; ends the call */
 void sen_answer_whole (sen_run_t *run);
-/** sen_answer_cut() - end the call with part of the answer */
+/** sen_answer_cut() - sends an incomplete answer; ends the call */
 void sen_answer_cut (sen_run_t *run);
-/** sen_answer_error() - a refusal before anything ran; ends the call */
+/** sen_answer_error() - refuses a request that has not run; ends the call */
 void sen_answer_error (sen_t *engine, sht_call_t *call, int status, const char *message);
-/** sen_answer_json() - any other answer; ends the call */
+/** sen_answer_json() - sends any other answer; takes over @json; ends the call */
 void sen_answer_json (sen_t *engine, sht_call_t *call, int status, json_t *json);
 
-/** sen_admin() - load, cache events, record, orders, faults. Return: false when it is none */
+/**
+ * sen_admin() - handles load, health, cache events, the record, orders, cancellations and faults
+ *
+ * Return: false, with the call untouched, for any other path
+ */
 bool sen_admin (sen_t *engine, sht_call_t *call);
-/** sen_report() - the report timer's callback: from now on GET /load tells this moment's load */
+/** sen_report() - callback of the report timer: samples the load that GET /load reports */
 void sen_report (evutil_socket_t fd, short what, void *engine);
 
 #endif
--- a/standin/engine_admin.c
+++ b/standin/engine_admin.c
@@ -3,20 +3,21 @@
 #include <string.h>
 
 static sen_load_t
-load_now (const sen_t *engine)
+sample_load (const sen_t *engine)
 {
   sen_load_t load = { .running = bat_running (engine->batch),
                       .waiting = bat_waiting (engine->batch),
                       .cached_tokens = pfx_cached_tokens (engine->cache),
-                      .taken_us = (uint64_t)g_get_monotonic_time () };
+                      .sampled_us = (uint64_t)g_get_monotonic_time () };
   return load;
 }
 
 static void
-answer_load (sen_t *engine, sht_call_t *call)
+handle_load (sen_t *engine, sht_call_t *call)
 {
-  sen_load_t load = engine->options.report_lag_us == 0 ? load_now (engine) : engine->reported;
-  uint64_t age_us = (uint64_t)g_get_monotonic_time () - load.taken_us;
+  sen_load_t load =
+      engine->options.report_lag_us == 0 ? sample_load (engine) : engine->reported_load;
+  uint64_t age_us = (uint64_t)g_get_monotonic_time () - load.sampled_us;
   json_t *json = json_pack ("{s:I, s:I, s:I, s:I}", "running", (json_int_t)load.running, "waiting",
                             (json_int_t)load.waiting, "cached_tokens",
                             (json_int_t)load.cached_tokens, "age_ms", (json_int_t)(age_us / 1000));
@@ -24,7 +25,7 @@
 }
 
 static void
-answer_cache_events (sen_t *engine, sht_call_t *call)
+handle_cache_events (sen_t *engine, sht_call_t *call)
 {
   uint64_t from = sht_query_u64 (call, "from", 0);
   json_t *json = cev_list (engine->events, (uint64_t)g_get_monotonic_time (), from);
@@ -32,15 +33,15 @@
 }
 
 static void
-answer_health (sen_t *engine, sht_call_t *call)
+handle_health (sen_t *engine, sht_call_t *call)
 {
   json_t *json = json_pack ("{s:s, s:s, s:I}", "status", "ok", "name", engine->options.name,
-                            "served", (json_int_t)engine->served);
+                            "served", (json_int_t)engine->served_count);
   sen_answer_json (engine, call, 200, json);
 }
 
 static void
-answer_cancel (sen_t *engine, sht_call_t *call)
+handle_cancel (sen_t *engine, sht_call_t *call)
 {
   const char *id = sht_query (call, "id");
   bool cancelled = id != NULL && sen_run_cancel (engine, id);
@@ -49,7 +50,7 @@
 }
 
 static void
-answer_order (sen_t *engine, sht_call_t *call)
+handle_order (sen_t *engine, sht_call_t *call)
 {
   json_t *order = sht_json (call);
   const char *kind = json_string_value (json_object_get (order, "kind"));
@@ -69,16 +70,16 @@
 }
 
 static uint64_t
-json_u64 (json_t *object, const char *name, uint64_t otherwise)
+get_json_u64 (json_t *object, const char *name, uint64_t default_value)
 {
   json_t *value = json_object_get (object, name);
   if (!json_is_integer (value) || json_integer_value (value) < 0)
-    return otherwise;
+    return default_value;
   return (uint64_t)json_integer_value (value);
 }
 
 static void
-answer_fault (sen_t *engine, sht_call_t *call)
+handle_fault (sen_t *engine, sht_call_t *call)
 {
   json_t *json = sht_json (call);
   if (!json_is_object (json))
@@ -87,12 +88,12 @@
       sen_answer_error (engine, call, 400, "a fault is an object");
       return;
     }
-  sen_fault_t fault = { .count = (uint32_t)json_u64 (json, "count", 1),
-                        .freeze_us = json_u64 (json, "freeze_ms", 0) * 1000,
-                        .cut_after_tokens = (uint32_t)json_u64 (json, "cut_after_tokens", 0),
-                        .cross_ids = json_is_true (json_object_get (json, "cross_ids")),
-                        .no_length = json_is_true (json_object_get (json, "no_length")),
-                        .late_us = json_u64 (json, "late_ms", 0) * 1000 };
+  sen_fault_t fault = { .count = (uint32_t)get_json_u64 (json, "count", 1),
+                        .freeze_us = get_json_u64 (json, "freeze_ms", 0) * 1000,
+                        .cut_after_tokens = (uint32_t)get_json_u64 (json, "cut_after_tokens", 0),
+                        .repeat_previous = json_is_true (json_object_get (json, "cross_ids")),
+                        .omit_length = json_is_true (json_object_get (json, "no_length")),
+                        .start_delay_us = get_json_u64 (json, "late_ms", 0) * 1000 };
   json_decref (json);
   engine->fault = fault;
   sen_answer_json (engine, call, 200, json_pack ("{s:I}", "count", (json_int_t)fault.count));
@@ -102,19 +103,19 @@
 sen_admin (sen_t *engine, sht_call_t *call)
 {
   if (sht_is (call, "GET", "/load"))
-    answer_load (engine, call);
+    handle_load (engine, call);
   else if (sht_is (call, "GET", "/health"))
-    answer_health (engine, call);
+    handle_health (engine, call);
   else if (sht_is (call, "GET", "/cache-events"))
-    answer_cache_events (engine, call);
+    handle_cache_events (engine, call);
   else if (sht_is (call, "GET", "/record"))
     sen_answer_json (engine, call, 200, erc_list (engine->record));
   else if (sht_is (call, "POST", "/cancel"))
-    answer_cancel (engine, call);
+    handle_cancel (engine, call);
   else if (sht_is (call, "POST", "/order"))
-    answer_order (engine, call);
+    handle_order (engine, call);
   else if (sht_is (call, "POST", "/fault"))
-    answer_fault (engine, call);
+    handle_fault (engine, call);
   else
     return false;
   return true;
@@ -126,5 +127,5 @@
   sen_t *engine = arg;
   (void)fd;
   (void)what;
-  engine->reported = load_now (engine);
+  engine->reported_load = sample_load (engine);
 }
--- a/standin/engine_answer.c
+++ b/standin/engine_answer.c
@@ -3,22 +3,22 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Token 0 names the request and the engine, so that even an answer of one token can be checked. */
+/* Token 0 identifies the request and the engine, so that an answer of one token can be verified. */
 static char *
 token_text (const sen_run_t *run, uint32_t index)
 {
   if (index > 0)
     return g_strdup_printf (" w%" PRIu32, index);
-  uint64_t hash = run->fault.cross_ids ? run->engine->last_body_hash : run->body_hash;
+  uint64_t hash = run->fault.repeat_previous ? run->engine->previous_body_hash : run->body_hash;
   return g_strdup_printf ("answer to %016" PRIx64 " by %s", hash, run->engine->options.name);
 }
 
 static const char *
-answered_id (const sen_run_t *run)
+response_id (const sen_run_t *run)
 {
-  if (!run->fault.cross_ids)
+  if (!run->fault.repeat_previous)
     return run->id;
-  return run->engine->last_id == NULL ? "crossed" : run->engine->last_id;
+  return run->engine->previous_id == NULL ? "crossed" : run->engine->previous_id;
 }
 
 static void
@@ -26,37 +26,38 @@
 {
   char cached[16];
   g_snprintf (cached, sizeof cached, "%" PRIu32, run->cached_tokens);
-  if (answered_id (run) != NULL)
-    sht_add_header (run->call, "X-Request-Id", answered_id (run));
+  if (response_id (run) != NULL)
+    sht_add_header (run->call, "X-Request-Id", response_id (run));
   sht_add_header (run->call, "X-Engine", run->engine->options.name);
   if (!run->engine->options.plain)
     sht_add_header (run->call, "X-Cached-Tokens", cached);
 }
 
 static json_t *
-usage (const sen_run_t *run)
+usage_json (const sen_run_t *run)
 {
   return json_pack ("{s:I, s:I, s:I}", "prompt_tokens", (json_int_t)run->prompt_tokens,
-                    "completion_tokens", (json_int_t)run->job.made_tokens, "cached_tokens",
+                    "completion_tokens", (json_int_t)run->job.generated_tokens, "cached_tokens",
                     (json_int_t)run->cached_tokens);
 }
 
 static json_t *
-chat_answer (const sen_run_t *run)
+chat_answer_json (const sen_run_t *run)
 {
-  const char *id = answered_id (run);
+  const char *id = response_id (run);
   return json_pack ("{s:s, s:s, s:s, s:[{s:i, s:{s:s, s:s}, s:s}], s:o}", "id",
                     id == NULL ? "" : id, "object", "chat.completion", "model",
                     run->engine->options.name, "choices", "index", 0, "message", "role",
                     "assistant", "content", run->text->str, "finish_reason", "stop", "usage",
-                    usage (run));
+                    usage_json (run));
 }
 
 static json_t *
-plain_answer (const sen_run_t *run)
+plain_answer_json (const sen_run_t *run)
 {
   char hash[17];
-  uint64_t body_hash = run->fault.cross_ids ? run->engine->last_body_hash : run->body_hash;
+  uint64_t body_hash =
+      run->fault.repeat_previous ? run->engine->previous_body_hash : run->body_hash;
   g_snprintf (hash, sizeof hash, "%016" PRIx64, body_hash);
   return json_pack ("{s:s, s:s, s:s, s:s, s:I}", "path", run->path, "method", run->method,
                     "body_hash", hash, "by", run->engine->options.name, "serial",
@@ -76,13 +77,13 @@
 static void
 stream_token (sen_run_t *run, const char *token)
 {
-  if (!run->streaming)
+  if (!run->headers_sent)
     {
       add_headers (run);
       sht_begin_stream (run->call);
-      run->streaming = true;
+      run->headers_sent = true;
     }
-  const char *id = answered_id (run);
+  const char *id = response_id (run);
   send_event (run, json_pack ("{s:s, s:s, s:[{s:i, s:{s:s}}]}", "id", id == NULL ? "" : id,
                               "object", "chat.completion.chunk", "choices", "index", 0, "delta",
                               "content", token));
@@ -91,16 +92,16 @@
 static json_t *
 answer_json (const sen_run_t *run)
 {
-  return run->engine->options.plain ? plain_answer (run) : chat_answer (run);
+  return run->engine->options.plain ? plain_answer_json (run) : chat_answer_json (run);
 }
 
 static void
-answer_broken (const sen_run_t *run, bool declared)
+send_broken_answer (const sen_run_t *run, bool with_length)
 {
   json_t *answer = answer_json (run);
   char *text = json_dumps (answer, JSON_COMPACT);
-  const char *id = answered_id (run);
-  sht_reply_broken (run->call, id == NULL ? "" : id, text, declared);
+  const char *id = response_id (run);
+  sht_reply_broken (run->call, id == NULL ? "" : id, text, with_length);
   free (text);
   json_decref (answer);
 }
@@ -110,9 +111,9 @@
 {
   if (run->engine->options.plain)
     return;
-  g_autofree char *token = token_text (run, run->job.made_tokens - 1);
+  g_autofree char *token = token_text (run, run->job.generated_tokens - 1);
   g_string_append (run->text, token);
-  if (run->stream && !run->fault.no_length)
+  if (run->stream && !run->fault.omit_length)
     stream_token (run, token);
 }
 
@@ -120,16 +121,16 @@
 sen_answer_whole (sen_run_t *run)
 {
   sht_call_t *call = run->call;
-  if (run->streaming)
+  if (run->headers_sent)
     {
-      send_event (run, json_pack ("{s:[], s:o}", "choices", "usage", usage (run)));
+      send_event (run, json_pack ("{s:[], s:o}", "choices", "usage", usage_json (run)));
       sht_stream (call, "data: [DONE]\n\n");
       sht_end_stream (call);
       return;
     }
-  if (run->fault.no_length)
+  if (run->fault.omit_length)
     {
-      answer_broken (run, false);
+      send_broken_answer (run, false);
       return;
     }
   add_headers (run);
@@ -139,10 +140,10 @@
 void
 sen_answer_cut (sen_run_t *run)
 {
-  if (run->streaming)
+  if (run->headers_sent)
     sht_cut (run->call);
   else
-    answer_broken (run, true);
+    send_broken_answer (run, true);
 }
 
 void
--- a/standin/engine_record.c
+++ b/standin/engine_record.c
@@ -4,7 +4,7 @@
 #include <inttypes.h>
 #include <unistd.h>
 
-#define FIELD_LIMIT_BYTES 128
+#define MAX_FIELD_BYTES 128
 
 typedef struct
 {
@@ -13,25 +13,25 @@
   char *key;
   uint64_t body_hash;
   erc_state_t state;
-} erc_entry_t;
+} entry_t;
 
-struct erc
+struct run_record
 {
   int file_fd;
-  erc_entry_t *entries; /* a ring: run N is at N % ERC_LIMIT_RUNS */
+  entry_t *entries; /* ring buffer; run N is at N % ERC_LIMIT_RUNS */
   uint64_t next_serial;
 };
 
 static const char *const state_names[] = { "begun", "done", "cancelled" };
 
 static char *
-field_copy (const char *text)
+copy_field (const char *text)
 {
-  return text == NULL ? NULL : g_strndup (text, FIELD_LIMIT_BYTES);
+  return text == NULL ? NULL : g_strndup (text, MAX_FIELD_BYTES);
 }
 
 static void
-entry_clear (erc_entry_t *entry)
+clear_entry (entry_t *entry)
 {
   g_free (entry->id);
   g_free (entry->account);
@@ -46,7 +46,7 @@
 }
 
 static json_t *
-entry_json (const erc_entry_t *entry)
+entry_json (const entry_t *entry)
 {
   char body_hash[17];
   g_snprintf (body_hash, sizeof body_hash, "%016" PRIx64, entry->body_hash);
@@ -55,17 +55,17 @@
                     body_hash, "state", state_names[entry->state]);
 }
 
-/* One write for the line, so that a crash right after it cannot leave half of it. */
+/* Writes the line with a single write(), so that a crash cannot leave a partial line. */
 static void
-append_line (const erc_t *erc, const erc_entry_t *entry)
+write_line (const erc_t *run_record, const entry_t *entry)
 {
-  if (erc->file_fd < 0)
+  if (run_record->file_fd < 0)
     return;
   json_t *json = entry_json (entry);
   char *text = json_dumps (json, JSON_COMPACT);
   g_autofree char *line = g_strconcat (text, "\n", NULL);
-  if (write (erc->file_fd, line, strlen (line)) < 0)
-    g_printerr ("record file: %s\n", g_strerror (errno));
+  if (write (run_record->file_fd, line, strlen (line)) < 0)
+    g_printerr ("cannot write to the record file: %s\n", g_strerror (errno));
   free (text);
   json_decref (json);
 }
@@ -73,54 +73,55 @@
 erc_t *
 erc_new (int file_fd)
 {
-  erc_t *erc = g_new0 (erc_t, 1);
-  erc->file_fd = file_fd;
-  erc->entries = g_new0 (erc_entry_t, ERC_LIMIT_RUNS);
-  return erc;
+  erc_t *run_record = g_new0 (erc_t, 1);
+  run_record->file_fd = file_fd;
+  run_record->entries = g_new0 (entry_t, ERC_LIMIT_RUNS);
+  return run_record;
 }
 
 void
-erc_free (erc_t *erc)
+erc_free (erc_t *run_record)
 {
-  if (erc == NULL)
+  if (run_record == NULL)
     return;
   for (size_t i = 0; i < ERC_LIMIT_RUNS; i++)
-    entry_clear (&erc->entries[i]);
-  g_free (erc->entries);
-  g_free (erc);
+    clear_entry (&run_record->entries[i]);
+  g_free (run_record->entries);
+  g_free (run_record);
 }
 
 uint64_t
-erc_begin (erc_t *erc, const erc_run_t *run)
+erc_begin (erc_t *run_record, const erc_run_t *run)
 {
-  uint64_t serial = erc->next_serial++;
-  erc_entry_t *entry = &erc->entries[serial % ERC_LIMIT_RUNS];
-  entry_clear (entry);
-  entry->id = field_copy (run->id);
-  entry->account = field_copy (run->account);
-  entry->key = field_copy (run->key);
+  uint64_t serial = run_record->next_serial++;
+  entry_t *entry = &run_record->entries[serial % ERC_LIMIT_RUNS];
+  clear_entry (entry);
+  entry->id = copy_field (run->id);
+  entry->account = copy_field (run->account);
+  entry->key = copy_field (run->key);
   entry->body_hash = run->body_hash;
   entry->state = ERC_BEGUN;
-  append_line (erc, entry);
+  write_line (run_record, entry);
   return serial;
 }
 
 void
-erc_end (erc_t *erc, uint64_t serial, erc_state_t state)
+erc_end (erc_t *run_record, uint64_t serial, erc_state_t state)
 {
-  if (erc->next_serial - serial > ERC_LIMIT_RUNS)
+  if (run_record->next_serial - serial > ERC_LIMIT_RUNS)
     return;
-  erc_entry_t *entry = &erc->entries[serial % ERC_LIMIT_RUNS];
+  entry_t *entry = &run_record->entries[serial % ERC_LIMIT_RUNS];
   entry->state = state;
-  append_line (erc, entry);
+  write_line (run_record, entry);
 }
 
 json_t *
-erc_list (const erc_t *erc)
+erc_list (const erc_t *run_record)
 {
   json_t *list = json_array ();
-  uint64_t held = MIN (erc->next_serial, ERC_LIMIT_RUNS);
-  for (uint64_t serial = erc->next_serial - held; serial < erc->next_serial; serial++)
-    json_array_append_new (list, entry_json (&erc->entries[serial % ERC_LIMIT_RUNS]));
+  uint64_t retained_count = MIN (run_record->next_serial, ERC_LIMIT_RUNS);
+  for (uint64_t serial = run_record->next_serial - retained_count; serial < run_record->next_serial;
+       serial++)
+    json_array_append_new (list, entry_json (&run_record->entries[serial % ERC_LIMIT_RUNS]));
   return list;
 }
--- a/standin/engine_run.c
+++ b/standin/engine_run.c
@@ -6,10 +6,10 @@
 #include <unistd.h>
 #include <xxhash.h>
 
-#define CATCH_UP_STEPS 256 /* steps made at once after the process was held up */
+#define MAX_CATCH_UP_STEPS 256 /* steps run in a row after a delay of the process */
 
 static void
-ended_free (gpointer data)
+free_ended_stream (gpointer data)
 {
   sen_ended_t *ended = data;
   g_free (ended->id);
@@ -17,27 +17,27 @@
 }
 
 static void
-remember (const sen_run_t *run)
+remember_ended_stream (const sen_run_t *run)
 {
-  GQueue *remembered = &run->engine->remembered;
+  GQueue *ended_streams = &run->engine->ended_streams;
   if (!run->stream || run->id == NULL)
     return;
   sen_ended_t *ended = g_new0 (sen_ended_t, 1);
   ended->id = g_strdup (run->id);
   ended->body_hash = run->body_hash;
-  ended->wanted_tokens = run->job.wanted_tokens;
-  g_queue_push_head (remembered, ended);
-  while (g_queue_get_length (remembered) > SEN_LIMIT_REMEMBERED)
-    ended_free (g_queue_pop_tail (remembered));
+  ended->target_tokens = run->job.target_tokens;
+  g_queue_push_head (ended_streams, ended);
+  while (g_queue_get_length (ended_streams) > SEN_LIMIT_REMEMBERED)
+    free_ended_stream (g_queue_pop_tail (ended_streams));
 }
 
 static void
 run_free (sen_run_t *run)
 {
-  if (run->id != NULL && g_hash_table_lookup (run->engine->active, run->id) == run)
-    g_hash_table_remove (run->engine->active, run->id);
-  if (run->late != NULL)
-    event_free (run->late);
+  if (run->id != NULL && g_hash_table_lookup (run->engine->active_runs, run->id) == run)
+    g_hash_table_remove (run->engine->active_runs, run->id);
+  if (run->start_timer != NULL)
+    event_free (run->start_timer);
   g_free (run->id);
   g_free (run->method);
   g_free (run->path);
@@ -46,30 +46,30 @@
   g_free (run);
 }
 
-/* The run is over and its call has been answered, cut, or has gone. */
+/* Ends a run whose call has been answered or aborted, or whose caller has disconnected. */
 static void
-run_over (sen_run_t *run, erc_state_t state)
+finish_run (sen_run_t *run, erc_state_t state)
 {
   sen_t *engine = run->engine;
   erc_end (engine->record, run->serial, state);
-  remember (run);
-  g_free (engine->last_id);
-  engine->last_id = g_strdup (run->id);
-  engine->last_body_hash = run->body_hash;
-  engine->served++;
+  remember_ended_stream (run);
+  g_free (engine->previous_id);
+  engine->previous_id = g_strdup (run->id);
+  engine->previous_body_hash = run->body_hash;
+  engine->served_count++;
   run_free (run);
 }
 
 static void
-caller_gone (void *context)
+on_caller_disconnect (void *context)
 {
   sen_run_t *run = context;
   run->call = NULL;
   if (run->engine->options.plain)
-    return; /* a plain service doesn't notice, and goes on */
+    return; /* a plain service does not detect it and completes the run */
   if (run->in_batch)
     bat_remove (run->engine->batch, &run->job);
-  run_over (run, ERC_CANCELLED);
+  finish_run (run, ERC_CANCELLED);
 }
 
 static void
@@ -83,28 +83,28 @@
 }
 
 static void
-run_submit (sen_run_t *run)
+submit_run (sen_run_t *run)
 {
   sen_t *engine = run->engine;
   run->in_batch = true;
   bat_add (engine->batch, &run->job);
-  if (engine->stepping)
+  if (engine->step_scheduled)
     return;
-  engine->stepping = true;
+  engine->step_scheduled = true;
   engine->next_step_us = (uint64_t)g_get_monotonic_time () + engine->step_us;
   schedule_step (engine);
 }
 
 static void
-run_submit_late (evutil_socket_t fd, short what, void *arg)
+on_start_timer (evutil_socket_t fd, short what, void *arg)
 {
   (void)fd;
   (void)what;
-  run_submit (arg);
+  submit_run (arg);
 }
 
 static sen_fault_t
-take_fault (sen_t *engine)
+consume_fault (sen_t *engine)
 {
   sen_fault_t none = { 0 };
   if (engine->fault.count == 0)
@@ -114,7 +114,7 @@
 }
 
 static uint32_t
-priority_of (const sht_call_t *call)
+parse_priority (const sht_call_t *call)
 {
   const char *text = sht_header (call, "X-Priority");
   guint64 priority;
@@ -137,13 +137,14 @@
   run->body_hash = XXH64 (body, body_bytes, 0);
   run->prompt = g_string_new (NULL);
   run->text = g_string_new (NULL);
-  run->job.priority = priority_of (call);
+  run->job.priority = parse_priority (call);
   return run;
 }
 
-/* What names a call that may not be repeated: the fleet's hash, or else the caller's own key. */
+/* Identifies a request that must not run twice: by the fleet's hash of its key, or else by the key
+ * of the caller. */
 static const char *
-key_of (const sht_call_t *call)
+get_idempotency_key (const sht_call_t *call)
 {
   const char *hash = sht_header (call, "X-Idempotency-Hash");
   return hash != NULL ? hash : sht_header (call, "Idempotency-Key");
@@ -154,13 +155,13 @@
 {
   erc_run_t begun = { .id = run->id,
                       .account = sht_header (run->call, "X-Account"),
-                      .key = key_of (run->call),
+                      .key = get_idempotency_key (run->call),
                       .body_hash = run->body_hash };
   run->serial = erc_begin (run->engine->record, &begun);
 }
 
 static void
-crash_if_asked (const sen_run_t *run)
+crash_on_match (const sen_run_t *run)
 {
   const char *text = run->engine->options.crash_on;
   size_t body_bytes;
@@ -170,30 +171,30 @@
 }
 
 static void
-run_begin (sen_run_t *run)
+start_run (sen_run_t *run)
 {
   sen_t *engine = run->engine;
-  run->fault = take_fault (engine);
+  run->fault = consume_fault (engine);
   record_begin (run);
-  crash_if_asked (run);
-  sht_on_gone (run->call, caller_gone, run);
+  crash_on_match (run);
+  sht_on_gone (run->call, on_caller_disconnect, run);
   if (run->id != NULL)
-    g_hash_table_replace (engine->active, run->id, run);
+    g_hash_table_replace (engine->active_runs, run->id, run);
   if (run->fault.freeze_us > 0)
-    g_usleep (run->fault.freeze_us); /* the one thread: nothing of this process moves */
-  if (run->fault.late_us == 0)
+    g_usleep (run->fault.freeze_us); /* blocks the only thread of the process */
+  if (run->fault.start_delay_us == 0)
     {
-      run_submit (run);
+      submit_run (run);
       return;
     }
-  struct timeval late = { (time_t)(run->fault.late_us / G_USEC_PER_SEC),
-                          (suseconds_t)(run->fault.late_us % G_USEC_PER_SEC) };
-  run->late = evtimer_new (engine->base, run_submit_late, run);
-  event_add (run->late, &late);
+  struct timeval start_timer = { (time_t)(run->fault.start_delay_us / G_USEC_PER_SEC),
+                                 (suseconds_t)(run->fault.start_delay_us % G_USEC_PER_SEC) };
+  run->start_timer = evtimer_new (engine->base, on_start_timer, run);
+  event_add (run->start_timer, &start_timer);
 }
 
 static bool
-full (sen_t *engine, sht_call_t *call)
+refuse_when_full (sen_t *engine, sht_call_t *call)
 {
   if (bat_waiting (engine->batch) < SEN_LIMIT_WAITING)
     return false;
@@ -201,9 +202,9 @@
   return true;
 }
 
-/* The prompt: all messages in order, as the model would see them. */
+/* Builds the prompt from all messages in order, as a model would receive it. */
 static bool
-read_messages (json_t *body, GString *prompt)
+parse_messages (json_t *body, GString *prompt)
 {
   json_t *messages = json_object_get (body, "messages");
   size_t i;
@@ -224,7 +225,7 @@
 }
 
 static bool
-read_output_tokens (json_t *body, uint32_t *tokens)
+parse_max_tokens (json_t *body, uint32_t *tokens)
 {
   json_t *max_tokens = json_object_get (body, "max_tokens");
   *tokens = SEN_DEFAULT_OUTPUT_TOKENS;
@@ -238,19 +239,19 @@
 }
 
 static bool
-read_chat (sen_run_t *run)
+parse_chat (sen_run_t *run)
 {
   json_t *body = sht_json (run->call);
-  bool good = body != NULL && read_messages (body, run->prompt) &&
-              read_output_tokens (body, &run->job.wanted_tokens);
+  bool valid = body != NULL && parse_messages (body, run->prompt) &&
+               parse_max_tokens (body, &run->job.target_tokens);
   run->stream = json_is_true (json_object_get (body, "stream"));
   run->prompt_tokens = pfx_tokens_in (run->prompt->len);
   json_decref (body);
-  return good;
+  return valid;
 }
 
 static void
-job_start (bat_job_t *job, void *context)
+on_job_start (bat_job_t *job, void *context)
 {
   sen_run_t *run = (sen_run_t *)job;
   sen_t *engine = context;
@@ -261,19 +262,19 @@
 }
 
 static bool
-job_token (bat_job_t *job, void *context)
+on_job_token (bat_job_t *job, void *context)
 {
   sen_run_t *run = (sen_run_t *)job;
   sen_t *engine = context;
-  if (job->made_tokens == run->first_token + 1)
+  if (job->generated_tokens == run->first_token + 1)
     pfx_store (engine->cache, run->prompt->str, run->prompt->len);
   if (run->call != NULL)
     sen_answer_token (run);
-  return run->fault.cut_after_tokens == 0 || job->made_tokens < run->fault.cut_after_tokens;
+  return run->fault.cut_after_tokens == 0 || job->generated_tokens < run->fault.cut_after_tokens;
 }
 
 static void
-cache_answer (sen_run_t *run)
+store_answer_in_cache (sen_run_t *run)
 {
   if (run->engine->options.plain || run->first_token > 0)
     return;
@@ -282,29 +283,29 @@
 }
 
 static void
-job_end (bat_job_t *job, bool whole, void *context)
+on_job_end (bat_job_t *job, bool completed, void *context)
 {
   sen_run_t *run = (sen_run_t *)job;
   (void)context;
   run->in_batch = false;
-  if (whole)
-    cache_answer (run);
-  if (run->call != NULL && whole)
+  if (completed)
+    store_answer_in_cache (run);
+  if (run->call != NULL && completed)
     sen_answer_whole (run);
   else if (run->call != NULL)
     sen_answer_cut (run);
-  run_over (run, whole ? ERC_DONE : ERC_CANCELLED);
+  finish_run (run, completed ? ERC_DONE : ERC_CANCELLED);
 }
 
 bat_t *
 sen_batch_new (sen_t *engine)
 {
   bat_options_t options = { .slots = engine->options.slots,
-                            .prefill_per_step =
+                            .prefill_millitokens_per_step =
                                 engine->options.prefill_tokens_s * engine->step_us / 1000,
-                            .on_start = job_start,
-                            .on_token = job_token,
-                            .on_end = job_end,
+                            .on_start = on_job_start,
+                            .on_token = on_job_token,
+                            .on_end = on_job_end,
                             .context = engine };
   return bat_new (&options);
 }
@@ -317,27 +318,27 @@
   uint32_t steps = 0;
   (void)fd;
   (void)what;
-  while (engine->next_step_us <= now_us && steps++ < CATCH_UP_STEPS)
+  while (engine->next_step_us <= now_us && steps++ < MAX_CATCH_UP_STEPS)
     {
       bat_step (engine->batch);
       engine->next_step_us += engine->step_us;
     }
   if (engine->next_step_us <= now_us)
     engine->next_step_us = now_us + engine->step_us;
-  engine->stepping = bat_running (engine->batch) > 0 || bat_waiting (engine->batch) > 0;
-  if (engine->stepping)
+  engine->step_scheduled = bat_running (engine->batch) > 0 || bat_waiting (engine->batch) > 0;
+  if (engine->step_scheduled)
     schedule_step (engine);
 }
 
 void
 sen_run_chat (sen_t *engine, sht_call_t *call)
 {
-  if (full (engine, call))
+  if (refuse_when_full (engine, call))
     return;
   sen_run_t *run = run_new (engine, call);
-  if (read_chat (run))
+  if (parse_chat (run))
     {
-      run_begin (run);
+      start_run (run);
       return;
     }
   run_free (run);
@@ -347,17 +348,17 @@
 void
 sen_run_plain (sen_t *engine, sht_call_t *call)
 {
-  if (full (engine, call))
+  if (refuse_when_full (engine, call))
     return;
   sen_run_t *run = run_new (engine, call);
-  run->job.wanted_tokens = (uint32_t)MAX (1, engine->options.service_us / engine->step_us);
-  run_begin (run);
+  run->job.target_tokens = (uint32_t)MAX (1, engine->options.service_us / engine->step_us);
+  start_run (run);
 }
 
 static const sen_ended_t *
-find_ended (const sen_t *engine, const char *id)
+find_ended_stream (const sen_t *engine, const char *id)
 {
-  for (GList *item = engine->remembered.head; item != NULL; item = item->next)
+  for (GList *item = engine->ended_streams.head; item != NULL; item = item->next)
     {
       const sen_ended_t *ended = item->data;
       if (strcmp (ended->id, id) == 0)
@@ -371,13 +372,13 @@
 {
   const char *id = sht_query (call, "id");
   uint64_t from = sht_query_u64 (call, "from", 0);
-  const sen_ended_t *ended = id == NULL ? NULL : find_ended (engine, id);
-  if (ended == NULL || from >= ended->wanted_tokens)
+  const sen_ended_t *ended = id == NULL ? NULL : find_ended_stream (engine, id);
+  if (ended == NULL || from >= ended->target_tokens)
     {
       sen_answer_error (engine, call, 404, "no such stream, or nothing left of it");
       return;
     }
-  if (full (engine, call))
+  if (refuse_when_full (engine, call))
     return;
   sen_run_t *run = run_new (engine, call);
   g_free (run->id);
@@ -385,21 +386,21 @@
   run->body_hash = ended->body_hash;
   run->stream = true;
   run->first_token = (uint32_t)from;
-  run->job.made_tokens = (uint32_t)from;
-  run->job.wanted_tokens = ended->wanted_tokens;
-  run_begin (run);
+  run->job.generated_tokens = (uint32_t)from;
+  run->job.target_tokens = ended->target_tokens;
+  start_run (run);
 }
 
 bool
 sen_run_cancel (sen_t *engine, const char *id)
 {
-  sen_run_t *run = g_hash_table_lookup (engine->active, id);
+  sen_run_t *run = g_hash_table_lookup (engine->active_runs, id);
   if (run == NULL)
     return false;
   if (run->in_batch)
     bat_remove (engine->batch, &run->job);
   if (run->call != NULL)
     sht_cut (run->call);
-  run_over (run, ERC_CANCELLED);
+  finish_run (run, ERC_CANCELLED);
   return true;
 }
--- a/standin/http.c
+++ b/standin/http.c
@@ -17,10 +17,11 @@
 {
   struct evhttp_request *request;
   struct evkeyvalq query;
-  struct event *closed; /* EV_CLOSED: evhttp does not read while a request is being answered */
-  void (*gone) (void *context);
-  void *gone_context;
-  struct event *cut; /* pending: the connection is about to be closed */
+  struct event
+      *close_event; /* evhttp does not read during an answer: EV_CLOSED reports the disconnect */
+  void (*on_disconnect) (void *context);
+  void *disconnect_context;
+  struct event *abort_timer; /* set once the call was aborted */
 };
 
 typedef struct
@@ -28,7 +29,7 @@
   struct event_base *base;
   void (*on_call) (sht_call_t *call, void *context);
   void *context;
-} sht_listener_t;
+} listener_t;
 
 static void
 call_free (sht_call_t *call)
@@ -36,22 +37,22 @@
   struct evhttp_connection *connection = evhttp_request_get_connection (call->request);
   if (connection != NULL)
     evhttp_connection_set_closecb (connection, NULL, NULL);
-  event_free (call->closed);
-  if (call->cut != NULL)
-    event_free (call->cut);
+  event_free (call->close_event);
+  if (call->abort_timer != NULL)
+    event_free (call->abort_timer);
   evhttp_clear_headers (&call->query);
   g_free (call);
 }
 
 static void
-tell_gone (sht_call_t *call)
+notify_disconnect (sht_call_t *call)
 {
-  if (call->gone != NULL)
-    call->gone (call->gone_context);
+  if (call->on_disconnect != NULL)
+    call->on_disconnect (call->disconnect_context);
 }
 
 static void
-cut_now (sht_call_t *call)
+close_connection (sht_call_t *call)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (call->request);
   call_free (call);
@@ -59,67 +60,68 @@
 }
 
 static void
-cut_came (evutil_socket_t fd, short what, void *arg)
+on_abort_timer (evutil_socket_t fd, short what, void *arg)
 {
   (void)fd;
   (void)what;
-  cut_now (arg);
+  close_connection (arg);
 }
 
 static void
-peer_closed (evutil_socket_t fd, short what, void *arg)
+on_peer_closed (evutil_socket_t fd, short what, void *arg)
 {
   sht_call_t *call = arg;
   (void)fd;
   (void)what;
-  tell_gone (call);
-  cut_now (call);
+  notify_disconnect (call);
+  close_connection (call);
 }
 
-/* evhttp found a write error: it has taken the request off the connection and left it to us. */
+/* evhttp calls this on a write error. It has detached the request from the connection, so the
+ * request must be freed here. */
 static void
-connection_closed (struct evhttp_connection *connection, void *arg)
+on_connection_closed (struct evhttp_connection *connection, void *arg)
 {
   sht_call_t *call = arg;
   struct evhttp_request *request = call->request;
   (void)connection;
-  tell_gone (call);
+  notify_disconnect (call);
   call_free (call);
   if (evhttp_request_get_connection (request) == NULL)
     evhttp_request_free (request);
 }
 
-/* Without it the last part of a stream waits for the delayed acknowledgement of the one before, 40
- * ms that no engine took. */
+/* With Nagle's algorithm the last part of a stream waits for the delayed acknowledgement of the
+ * part before it, which adds 40 ms to the latency of the engine. */
 static void
-send_at_once (struct bufferevent *bev)
+disable_nagle (struct bufferevent *bev)
 {
   int on = 1;
   setsockopt (bufferevent_getfd (bev), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
 static void
-request_came (struct evhttp_request *request, void *arg)
+on_request (struct evhttp_request *request, void *arg)
 {
-  sht_listener_t *listener = arg;
+  listener_t *listener = arg;
   sht_call_t *call = g_new0 (sht_call_t, 1);
   struct evhttp_connection *connection = evhttp_request_get_connection (request);
   struct bufferevent *bev = evhttp_connection_get_bufferevent (connection);
   const char *query = evhttp_uri_get_query (evhttp_request_get_evhttp_uri (request));
-  send_at_once (bev);
+  disable_nagle (bev);
   call->request = request;
   TAILQ_INIT (&call->query);
   if (query != NULL)
     evhttp_parse_query_str (query, &call->query);
-  call->closed = event_new (listener->base, bufferevent_getfd (bev), EV_CLOSED | EV_PERSIST,
-                            peer_closed, call);
-  event_add (call->closed, NULL);
-  evhttp_connection_set_closecb (connection, connection_closed, call);
+  call->close_event = event_new (listener->base, bufferevent_getfd (bev), EV_CLOSED | EV_PERSIST,
+                                 on_peer_closed, call);
+  event_add (call->close_event, NULL);
+  evhttp_connection_set_closecb (connection, on_connection_closed, call);
   listener->on_call (call, listener->context);
 }
 
-/* By default the library takes the kernel's coarse clock, which is 4 ms off at 250 ticks a second:
- * an engine that makes a token in 2 ms would take 4. */
+/* libevent uses the kernel's coarse clock by default. At 250 ticks per second it is up to 4 ms off,
+ * so an engine that generates a token every 2 ms would need 4 ms. */
 struct event_base *
 sht_base_new (void)
 {
@@ -142,11 +144,11 @@
   if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&sin, &sin_bytes) != 0 ||
       sin.sin_family != AF_INET)
     {
-      g_printerr ("%s is not IP:PORT\n", address);
+      g_printerr ("listen address %s is not IP:PORT\n", address);
       return NULL;
     }
   inet_ntop (AF_INET, &sin.sin_addr, ip, sizeof ip);
-  sht_listener_t *listener = g_new0 (sht_listener_t, 1); /* lives as long as the process */
+  listener_t *listener = g_new0 (listener_t, 1); /* never freed */
   listener->base = base;
   listener->on_call = on_call;
   listener->context = context;
@@ -155,7 +157,7 @@
   evhttp_set_max_headers_size (http, SHT_HEADER_LIMIT_BYTES);
   evhttp_set_allowed_methods (http, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
                                         EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_PATCH);
-  evhttp_set_gencb (http, request_came, listener);
+  evhttp_set_gencb (http, on_request, listener);
   if (evhttp_bind_socket (http, ip, ntohs (sin.sin_port)) != 0)
     {
       g_printerr ("cannot listen on %s: %s\n", address, g_strerror (errno));
@@ -202,12 +204,12 @@
 }
 
 uint64_t
-sht_query_u64 (const sht_call_t *call, const char *name, uint64_t otherwise)
+sht_query_u64 (const sht_call_t *call, const char *name, uint64_t default_value)
 {
   const char *text = sht_query (call, name);
   uint64_t value;
   if (text == NULL || !g_ascii_string_to_unsigned (text, 10, 0, G_MAXINT64, &value, NULL))
-    return otherwise;
+    return default_value;
   return value;
 }
 
@@ -240,10 +242,10 @@
 }
 
 void
-sht_on_gone (sht_call_t *call, void (*gone) (void *context), void *context)
+sht_on_gone (sht_call_t *call, void (*on_disconnect) (void *context), void *context)
 {
-  call->gone = gone;
-  call->gone_context = context;
+  call->on_disconnect = on_disconnect;
+  call->disconnect_context = context;
 }
 
 void
@@ -305,32 +307,32 @@
   evhttp_send_reply_end (request);
 }
 
-/* Not at once: evhttp still uses the connection after on_call returns. */
+/* Deferred, because evhttp still uses the connection after on_call returns. */
 void
 sht_cut (sht_call_t *call)
 {
   static const struct timeval soon = { 0, 0 };
-  g_assert (call->cut == NULL);
-  call->gone = NULL;
-  call->cut = evtimer_new (event_get_base (call->closed), cut_came, call);
-  event_add (call->cut, &soon);
+  g_assert (call->abort_timer == NULL);
+  call->on_disconnect = NULL;
+  call->abort_timer = evtimer_new (event_get_base (call->close_event), on_abort_timer, call);
+  event_add (call->abort_timer, &soon);
 }
 
 void
-sht_reply_broken (sht_call_t *call, const char *id, const char *text, bool declared)
+sht_reply_broken (sht_call_t *call, const char *id, const char *text, bool with_length)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (call->request);
   int fd = bufferevent_getfd (evhttp_connection_get_bufferevent (connection));
   size_t text_bytes = strlen (text);
   GString *answer = g_string_new ("HTTP/1.1 200 OK\r\n");
   g_string_append_printf (answer, "X-Request-Id: %s\r\n", id);
-  if (declared)
+  if (with_length)
     g_string_append_printf (answer, "Content-Length: %zu\r\n\r\n", text_bytes);
   else
     g_string_append (answer, "Connection: close\r\n\r\n");
-  g_string_append_len (answer, text, (gssize)(declared ? text_bytes / 2 : text_bytes));
+  g_string_append_len (answer, text, (gssize)(with_length ? text_bytes / 2 : text_bytes));
   if (send (fd, answer->str, answer->len, MSG_NOSIGNAL) < 0)
-    g_printerr ("broken answer: %s\n", g_strerror (errno));
+    g_printerr ("cannot send the incomplete answer: %s\n", g_strerror (errno));
   g_string_free (answer, TRUE);
   sht_cut (call);
 }
--- a/standin/prefix_cache.c
+++ b/standin/prefix_cache.c
@@ -6,104 +6,104 @@
 typedef struct
 {
   uint64_t hash;
-  GList link; /* in pfx.by_use; data points back here */
-} pfx_block_t;
+  GList link; /* in pfx_t.lru; data points to this struct */
+} block_t;
 
-struct pfx
+struct prefix_cache
 {
-  uint32_t limit_blocks;
-  pfx_changed_t changed;
+  uint32_t max_blocks;
+  pfx_changed_t on_change;
   void *context;
-  GHashTable *by_hash; /* &block->hash -> block, owned */
-  GQueue by_use;       /* newest first */
+  GHashTable *blocks_by_hash; /* &block->hash -> block; owns the blocks */
+  GQueue lru;                 /* most recently used first */
 };
 
 static uint64_t
-block_hash (uint64_t parent, const char *text)
+hash_block (uint64_t parent, const char *text)
 {
   return XXH64 (text, PFX_BLOCK_BYTES, parent);
 }
 
 static uint64_t *
-chain_of (const char *text, size_t text_bytes, size_t *count)
+compute_block_hashes (const char *text, size_t text_bytes, size_t *count)
 {
   *count = text_bytes / PFX_BLOCK_BYTES;
-  uint64_t *chain = g_new (uint64_t, *count + 1);
+  uint64_t *hashes = g_new (uint64_t, *count + 1);
   uint64_t parent = 0;
   for (size_t i = 0; i < *count; i++)
     {
-      parent = block_hash (parent, text + i * PFX_BLOCK_BYTES);
-      chain[i] = parent;
+      parent = hash_block (parent, text + i * PFX_BLOCK_BYTES);
+      hashes[i] = parent;
     }
-  return chain;
+  return hashes;
 }
 
 static void
-make_newest (pfx_t *pfx, pfx_block_t *block)
+move_to_front (pfx_t *cache, block_t *block)
 {
-  g_queue_unlink (&pfx->by_use, &block->link);
-  g_queue_push_head_link (&pfx->by_use, &block->link);
+  g_queue_unlink (&cache->lru, &block->link);
+  g_queue_push_head_link (&cache->lru, &block->link);
 }
 
-/* From the tail to the root, so that a parent is always newer than its children: a chain loses its
- * end first and what is left of it can still be found. */
+/* Touches the last block first, so that a block is always more recently used than those that follow
+ * it. A text then loses its last blocks first, and the remaining prefix can still be found. */
 static void
-touch_chain (pfx_t *pfx, const uint64_t *chain, size_t count)
+touch_blocks (pfx_t *cache, const uint64_t *hashes, size_t count)
 {
   for (size_t i = count; i > 0; i--)
     {
-      pfx_block_t *block = g_hash_table_lookup (pfx->by_hash, &chain[i - 1]);
+      block_t *block = g_hash_table_lookup (cache->blocks_by_hash, &hashes[i - 1]);
       if (block != NULL)
-        make_newest (pfx, block);
+        move_to_front (cache, block);
     }
 }
 
 static void
-evict_oldest (pfx_t *pfx)
+evict_oldest (pfx_t *cache)
 {
-  pfx_block_t *block = g_queue_peek_tail (&pfx->by_use);
+  block_t *block = g_queue_peek_tail (&cache->lru);
   uint64_t hash = block->hash;
-  g_queue_unlink (&pfx->by_use, &block->link);
-  g_hash_table_remove (pfx->by_hash, &hash);
-  if (pfx->changed != NULL)
-    pfx->changed (hash, false, pfx->context);
+  g_queue_unlink (&cache->lru, &block->link);
+  g_hash_table_remove (cache->blocks_by_hash, &hash);
+  if (cache->on_change != NULL)
+    cache->on_change (hash, false, cache->context);
 }
 
 static void
-store_block (pfx_t *pfx, uint64_t hash)
+store_block (pfx_t *cache, uint64_t hash)
 {
-  if (g_hash_table_contains (pfx->by_hash, &hash))
+  if (g_hash_table_contains (cache->blocks_by_hash, &hash))
     return;
-  while (g_queue_get_length (&pfx->by_use) >= pfx->limit_blocks)
-    evict_oldest (pfx);
-  pfx_block_t *block = g_new0 (pfx_block_t, 1);
+  while (g_queue_get_length (&cache->lru) >= cache->max_blocks)
+    evict_oldest (cache);
+  block_t *block = g_new0 (block_t, 1);
   block->hash = hash;
   block->link.data = block;
-  g_queue_push_head_link (&pfx->by_use, &block->link);
-  g_hash_table_insert (pfx->by_hash, &block->hash, block);
-  if (pfx->changed != NULL)
-    pfx->changed (hash, true, pfx->context);
+  g_queue_push_head_link (&cache->lru, &block->link);
+  g_hash_table_insert (cache->blocks_by_hash, &block->hash, block);
+  if (cache->on_change != NULL)
+    cache->on_change (hash, true, cache->context);
 }
 
 pfx_t *
-pfx_new (uint32_t limit_tokens, pfx_changed_t changed, void *context)
+pfx_new (uint32_t limit_tokens, pfx_changed_t on_change, void *context)
 {
-  pfx_t *pfx = g_new0 (pfx_t, 1);
-  pfx->limit_blocks = limit_tokens / PFX_BLOCK_TOKENS;
-  pfx->changed = changed;
-  pfx->context = context;
-  pfx->by_hash = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  g_queue_init (&pfx->by_use);
-  return pfx;
+  pfx_t *cache = g_new0 (pfx_t, 1);
+  cache->max_blocks = limit_tokens / PFX_BLOCK_TOKENS;
+  cache->on_change = on_change;
+  cache->context = context;
+  cache->blocks_by_hash = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  g_queue_init (&cache->lru);
+  return cache;
 }
 
 void
-pfx_free (pfx_t *pfx)
+pfx_free (pfx_t *cache)
 {
-  if (pfx == NULL)
+  if (cache == NULL)
     return;
-  g_hash_table_destroy (pfx->by_hash);
-  g_free (pfx);
+  g_hash_table_destroy (cache->blocks_by_hash);
+  g_free (cache);
 }
 
 uint32_t
@@ -113,31 +113,31 @@
 }
 
 uint32_t
-pfx_lookup (pfx_t *pfx, const char *text, size_t text_bytes)
+pfx_lookup (pfx_t *cache, const char *text, size_t text_bytes)
 {
   size_t count;
-  g_autofree uint64_t *chain = chain_of (text, text_bytes, &count);
+  g_autofree uint64_t *hashes = compute_block_hashes (text, text_bytes, &count);
   size_t found = 0;
-  while (found < count && g_hash_table_contains (pfx->by_hash, &chain[found]))
+  while (found < count && g_hash_table_contains (cache->blocks_by_hash, &hashes[found]))
     found++;
-  touch_chain (pfx, chain, found);
+  touch_blocks (cache, hashes, found);
   return (uint32_t)found * PFX_BLOCK_TOKENS;
 }
 
 void
-pfx_store (pfx_t *pfx, const char *text, size_t text_bytes)
+pfx_store (pfx_t *cache, const char *text, size_t text_bytes)
 {
   size_t count;
-  g_autofree uint64_t *chain = chain_of (text, text_bytes, &count);
-  count = MIN (count, pfx->limit_blocks);
-  touch_chain (pfx, chain, count);
+  g_autofree uint64_t *hashes = compute_block_hashes (text, text_bytes, &count);
+  count = MIN (count, cache->max_blocks);
+  touch_blocks (cache, hashes, count);
   for (size_t i = 0; i < count; i++)
-    store_block (pfx, chain[i]);
-  touch_chain (pfx, chain, count);
+    store_block (cache, hashes[i]);
+  touch_blocks (cache, hashes, count);
 }
 
 uint32_t
-pfx_cached_tokens (const pfx_t *pfx)
+pfx_cached_tokens (const pfx_t *cache)
 {
-  return pfx->by_use.length * PFX_BLOCK_TOKENS;
+  return cache->lru.length * PFX_BLOCK_TOKENS;
 }
--- a/standin/standin_engine.c
+++ b/standin/standin_engine.c
@@ -1,8 +1,8 @@
 /**
  * DOC: standin_engine
  *
- * A small stand-in for one engine, for tests, the demo and benches: a model engine with continuous
- * batching and a prefix cache, or a plain service. No model: the answer names the request.
+ * Simulates one engine for tests, the demo and benchmarks: a model engine with continuous batching
+ * and a prefix cache, or a plain service. It runs no model; the answer identifies the request.
  */
 #include "engine.h"
 
@@ -11,7 +11,7 @@
 #include <signal.h>
 #include <string.h>
 
-#define PLAIN_STEP_LIMIT_US 1000
+#define PLAIN_SERVICE_MAX_STEP_US 1000
 
 static const char usage_text[] =
     "standin-engine --listen IP:PORT [--name NAME] [--kind model|plain] [--slots N]\n"
@@ -58,7 +58,7 @@
 };
 
 static uint64_t
-number (const char *text)
+parse_number (const char *text)
 {
   guint64 value;
   GError *error = NULL;
@@ -69,7 +69,7 @@
 }
 
 static int
-open_record (const char *path)
+open_record_file (const char *path)
 {
   int fd = open (path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   if (fd >= 0)
@@ -79,7 +79,7 @@
 }
 
 static void
-take_flag (sen_options_t *options, int flag, const char *value)
+apply_flag (sen_options_t *options, int flag, const char *value)
 {
   switch (flag)
     {
@@ -93,25 +93,25 @@
       options->plain = strcmp (value, "plain") == 0;
       break;
     case FLAG_SLOTS:
-      options->slots = (uint32_t)MAX (1, number (value));
+      options->slots = (uint32_t)MAX (1, parse_number (value));
       break;
     case FLAG_PREFILL:
-      options->prefill_tokens_s = number (value);
+      options->prefill_tokens_s = parse_number (value);
       break;
     case FLAG_TOKEN_US:
-      options->token_us = MAX (1, number (value));
+      options->token_us = MAX (1, parse_number (value));
       break;
     case FLAG_SERVICE_US:
-      options->service_us = MAX (1, number (value));
+      options->service_us = MAX (1, parse_number (value));
       break;
     case FLAG_CACHE_TOKENS:
-      options->cache_tokens = (uint32_t)number (value);
+      options->cache_tokens = (uint32_t)parse_number (value);
       break;
     case FLAG_REPORT_LAG:
-      options->report_lag_us = number (value) * 1000;
+      options->report_lag_us = parse_number (value) * 1000;
       break;
     case FLAG_EVENT_GAP:
-      options->event_gap_percent = (uint32_t)number (value);
+      options->event_loss_percent = (uint32_t)parse_number (value);
       break;
     case FLAG_CRASH_ON:
       options->crash_on = value;
@@ -120,13 +120,13 @@
       options->check_fence = strcmp (value, "yes") == 0;
       break;
     case FLAG_RECORD:
-      options->record_fd = open_record (value);
+      options->record_fd = open_record_file (value);
       break;
     case FLAG_RECORD_FD:
-      options->record_fd = (int)number (value);
+      options->record_fd = (int)parse_number (value);
       break;
     case FLAG_SEED:
-      options->seed = (uint32_t)number (value);
+      options->seed = (uint32_t)parse_number (value);
       break;
     default:
       g_printerr ("%s", usage_text);
@@ -135,7 +135,7 @@
 }
 
 static sen_options_t
-read_flags (int argc, char **argv)
+parse_flags (int argc, char **argv)
 {
   sen_options_t options = { .name = "engine",
                             .slots = 16,
@@ -144,27 +144,27 @@
                             .service_us = 1000,
                             .cache_tokens = 256 * 1024,
                             .report_lag_us = 200 * 1000,
-                            .event_gap_percent = 5,
+                            .event_loss_percent = 5,
                             .check_fence = true,
                             .record_fd = -1,
                             .seed = 1 };
   int flag;
   while ((flag = getopt_long (argc, argv, "", flags, NULL)) != -1)
-    take_flag (&options, flag, optarg);
+    apply_flag (&options, flag, optarg);
   if (options.listen == NULL || optind != argc)
-    take_flag (&options, '?', NULL);
+    apply_flag (&options, '?', NULL);
   return options;
 }
 
 static void
-block_changed (uint64_t block, bool stored, void *context)
+on_block_change (uint64_t block, bool stored, void *context)
 {
   sen_t *engine = context;
   cev_add (engine->events, (uint64_t)g_get_monotonic_time (), block, stored);
 }
 
 static void
-call_came (sht_call_t *call, void *context)
+on_call (sht_call_t *call, void *context)
 {
   sen_t *engine = context;
   if (sen_admin (engine, call))
@@ -180,7 +180,7 @@
 }
 
 static void
-start_report (sen_t *engine)
+start_load_reports (sen_t *engine)
 {
   struct timeval lag = { (time_t)(engine->options.report_lag_us / G_USEC_PER_SEC),
                          (suseconds_t)(engine->options.report_lag_us % G_USEC_PER_SEC) };
@@ -196,19 +196,19 @@
   engine->options = *options;
   engine->base = sht_base_new ();
   engine->step_us =
-      options->plain ? MIN (options->service_us, PLAIN_STEP_LIMIT_US) : options->token_us;
+      options->plain ? MIN (options->service_us, PLAIN_SERVICE_MAX_STEP_US) : options->token_us;
   engine->batch = sen_batch_new (engine);
   engine->step_timer = evtimer_new (engine->base, sen_step, engine);
-  engine->cache = pfx_new (options->cache_tokens, block_changed, engine);
-  engine->events = cev_new (options->report_lag_us, options->event_gap_percent, options->seed);
+  engine->cache = pfx_new (options->cache_tokens, on_block_change, engine);
+  engine->events = cev_new (options->report_lag_us, options->event_loss_percent, options->seed);
   engine->record = erc_new (options->record_fd);
-  engine->active = g_hash_table_new (g_str_hash, g_str_equal);
-  g_queue_init (&engine->remembered);
-  start_report (engine);
+  engine->active_runs = g_hash_table_new (g_str_hash, g_str_equal);
+  g_queue_init (&engine->ended_streams);
+  start_load_reports (engine);
 }
 
 static void
-stop (evutil_socket_t fd, short what, void *arg)
+on_stop_signal (evutil_socket_t fd, short what, void *arg)
 {
   (void)fd;
   (void)what;
@@ -218,15 +218,15 @@
 int
 main (int argc, char **argv)
 {
-  sen_options_t options = read_flags (argc, argv);
-  static sen_t state; /* reachable to the end, so that a leak checker reports none of it */
+  sen_options_t options = parse_flags (argc, argv);
+  static sen_t state; /* static, so that leak checkers treat its memory as reachable */
   sen_t *engine = &state;
   signal (SIGPIPE, SIG_IGN);
   engine_init (engine, &options);
-  if (sht_listen (engine->base, options.listen, call_came, engine) == NULL)
+  if (sht_listen (engine->base, options.listen, on_call, engine) == NULL)
     return 1;
-  event_add (evsignal_new (engine->base, SIGTERM, stop, engine->base), NULL);
-  event_add (evsignal_new (engine->base, SIGINT, stop, engine->base), NULL);
+  event_add (evsignal_new (engine->base, SIGTERM, on_stop_signal, engine->base), NULL);
+  event_add (evsignal_new (engine->base, SIGINT, on_stop_signal, engine->base), NULL);
   g_print ("%s listens on %s\n", options.name, options.listen);
   event_base_dispatch (engine->base);
   return 0;
--- a/tests/test_standin.c
+++ b/tests/test_standin.c
@@ -1,8 +1,8 @@
 /**
  * DOC: test_standin
  *
- * The parts of the stand-ins that tests and measurements rest on: prefix cache, batch and records
- * of the engine; log and host list of the platform.
+ * The parts of the stand-ins that other tests and benchmarks depend on: prefix cache, batch and
+ * record of the engine; log and host list of the platform.
  */
 #include "../standin/batch.h"
 #include "../standin/cache_events.h"
@@ -44,7 +44,7 @@
 }
 
 static void
-test_cache_evicts_oldest_and_tails_first (void)
+test_cache_evicts_least_recent_and_last_blocks_first (void)
 {
   uint32_t evicted = 0;
   g_autoptr (pfx_t) cache = pfx_new (4 * PFX_BLOCK_TOKENS, count_evicted, &evicted);
@@ -68,39 +68,39 @@
   bat_job_t job;
   char name;
   uint32_t prompt_tokens;
-  uint32_t cut_after;
-} job_t;
+  uint32_t stop_after_tokens;
+} test_job_t;
 
 static void
-start (bat_job_t *job, void *context)
+on_start (bat_job_t *job, void *context)
 {
   (void)context;
-  job->prefill_tokens = ((job_t *)job)->prompt_tokens;
+  job->prefill_tokens = ((test_job_t *)job)->prompt_tokens;
 }
 
 static bool
-token (bat_job_t *job, void *context)
+on_token (bat_job_t *job, void *context)
 {
-  job_t *own = (job_t *)job;
-  g_string_append_c (context, own->name);
-  return own->cut_after == 0 || job->made_tokens < own->cut_after;
+  test_job_t *test_job = (test_job_t *)job;
+  g_string_append_c (context, test_job->name);
+  return test_job->stop_after_tokens == 0 || job->generated_tokens < test_job->stop_after_tokens;
 }
 
 static void
-end (bat_job_t *job, bool whole, void *context)
+on_end (bat_job_t *job, bool completed, void *context)
 {
   (void)job;
-  g_string_append_c (context, whole ? '.' : '!');
+  g_string_append_c (context, completed ? '.' : '!');
 }
 
 static bat_t *
-batch_new (uint32_t slots, uint64_t prefill_per_step, GString *trace)
+new_batch (uint32_t slots, uint64_t prefill_millitokens_per_step, GString *trace)
 {
   bat_options_t options = { .slots = slots,
-                            .prefill_per_step = prefill_per_step,
-                            .on_start = start,
-                            .on_token = token,
-                            .on_end = end,
+                            .prefill_millitokens_per_step = prefill_millitokens_per_step,
+                            .on_start = on_start,
+                            .on_token = on_token,
+                            .on_end = on_end,
                             .context = trace };
   return bat_new (&options);
 }
@@ -109,11 +109,11 @@
 test_batch_serves_by_priority_then_arrival (void)
 {
   g_autoptr (GString) trace = g_string_new (NULL);
-  g_autoptr (bat_t) batch = batch_new (1, 0, trace);
-  job_t low = { .name = 'l', .job = { .priority = 2, .wanted_tokens = 1 } };
-  job_t early = { .name = 'e', .job = { .priority = 1, .wanted_tokens = 2 } };
-  job_t late = { .name = 't', .job = { .priority = 1, .wanted_tokens = 1 } };
-  job_t gone = { .name = 'g', .job = { .priority = 0, .wanted_tokens = 1 } };
+  g_autoptr (bat_t) batch = new_batch (1, 0, trace);
+  test_job_t low = { .name = 'l', .job = { .priority = 2, .target_tokens = 1 } };
+  test_job_t early = { .name = 'e', .job = { .priority = 1, .target_tokens = 2 } };
+  test_job_t late = { .name = 't', .job = { .priority = 1, .target_tokens = 1 } };
+  test_job_t gone = { .name = 'g', .job = { .priority = 0, .target_tokens = 1 } };
   bat_add (batch, &low.job);
   bat_add (batch, &early.job);
   bat_add (batch, &late.job);
@@ -130,10 +130,12 @@
 test_batch_shares_prefill_and_slots (void)
 {
   g_autoptr (GString) trace = g_string_new (NULL);
-  g_autoptr (bat_t) batch = batch_new (2, 10 * 1000, trace);
-  job_t one = { .name = '1', .prompt_tokens = 15, .job = { .wanted_tokens = 2 } };
-  job_t two = { .name = '2', .prompt_tokens = 15, .cut_after = 1, .job = { .wanted_tokens = 2 } };
-  job_t three = { .name = '3', .job = { .wanted_tokens = 1 } };
+  g_autoptr (bat_t) batch = new_batch (2, 10 * 1000, trace);
+  test_job_t one = { .name = '1', .prompt_tokens = 15, .job = { .target_tokens = 2 } };
+  test_job_t two = {
+    .name = '2', .prompt_tokens = 15, .stop_after_tokens = 1, .job = { .target_tokens = 2 }
+  };
+  test_job_t three = { .name = '3', .job = { .target_tokens = 1 } };
   bat_add (batch, &one.job);
   bat_add (batch, &two.job);
   bat_add (batch, &three.job);
@@ -149,22 +151,22 @@
 }
 
 static void
-test_cache_events_come_late_and_with_gaps (void)
+test_cache_events_are_delayed_and_lost (void)
 {
   cev_t *events = cev_new (1000, 50, 1);
   for (uint64_t i = 0; i < 100; i++)
     cev_add (events, 0, i, true);
   json_auto_t *early = cev_list (events, 999, 0);
   json_auto_t *due = cev_list (events, 1000, 0);
-  size_t seen = json_array_size (json_object_get (due, "events"));
+  size_t published = json_array_size (json_object_get (due, "events"));
   CU_ASSERT_EQUAL (json_array_size (json_object_get (early, "events")), 0);
   CU_ASSERT_EQUAL (json_integer_value (json_object_get (due, "next")), 100);
-  CU_ASSERT (seen > 20 && seen < 80);
+  CU_ASSERT (published > 20 && published < 80);
   cev_free (events);
 }
 
 static void
-test_record_file_has_each_change_at_once (void)
+test_record_file_has_each_change_immediately (void)
 {
   int ends[2];
   char text[1024] = "";
@@ -187,13 +189,13 @@
 }
 
 static json_int_t
-number_of (const json_t *object, const char *name)
+get_number (const json_t *object, const char *name)
 {
   return json_integer_value (json_object_get (object, name));
 }
 
 static void
-test_log_keeps_offsets_over_retention (void)
+test_log_keeps_offsets_after_retention (void)
 {
   plg_t *log = plg_new (3, 1024);
   uint64_t offset;
@@ -203,20 +205,20 @@
       CU_ASSERT_EQUAL (offset, i);
     }
   json_t *read = plg_read (log, "s", 10, 2);
-  CU_ASSERT_EQUAL (number_of (read, "first"), 4997);
-  CU_ASSERT_EQUAL (number_of (read, "next"), 4999);
-  CU_ASSERT_EQUAL (number_of (read, "end"), 5000);
+  CU_ASSERT_EQUAL (get_number (read, "first"), 4997);
+  CU_ASSERT_EQUAL (get_number (read, "next"), 4999);
+  CU_ASSERT_EQUAL (get_number (read, "end"), 5000);
   json_decref (read);
   plg_truncate (log, "s", 9999);
   read = plg_read (log, "s", 0, 2);
-  CU_ASSERT_EQUAL (number_of (read, "first"), 5000);
+  CU_ASSERT_EQUAL (get_number (read, "first"), 5000);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (read, "records")), 0);
   json_decref (read);
   plg_free (log);
 }
 
 static json_t *
-one_host (const char *name, const char *state)
+host_array (const char *name, const char *state)
 {
   return json_pack ("[{s:s, s:s, s:s, s:s, s:s, s:s, s:s}]", "name", name, "role", "sidecar",
                     "data_center", "hall", "region", "city", "http", "127.0.0.1:1", "exchange",
@@ -224,36 +226,36 @@
 }
 
 static void
-check_view (phl_t *list,
-            uint64_t now_us,
-            const char *reader,
-            uint64_t since,
-            json_int_t revision,
-            bool full)
+check_host_view (phl_t *list,
+                 uint64_t now_us,
+                 const char *reader,
+                 uint64_t since,
+                 json_int_t revision,
+                 bool full)
 {
   json_auto_t *view = phl_view (list, now_us, reader, since);
-  CU_ASSERT_EQUAL (number_of (view, "revision"), revision);
+  CU_ASSERT_EQUAL (get_number (view, "revision"), revision);
   CU_ASSERT_EQUAL (json_is_true (json_object_get (view, "full")), full);
 }
 
 static void
-test_list_lags_and_is_held_for_one_reader (void)
+test_host_list_lags_and_freezes_for_one_reader (void)
 {
   phl_t *list = phl_new (1000);
-  json_auto_t *first = one_host ("a", "live");
-  json_auto_t *second = one_host ("b", "live");
+  json_auto_t *first = host_array ("a", "live");
+  json_auto_t *second = host_array ("b", "live");
   CU_ASSERT_TRUE (phl_set (list, 0, first, true));
-  check_view (list, 999, NULL, 0, 0, true);
-  check_view (list, 1000, NULL, 0, 1, true);
+  check_host_view (list, 999, NULL, 0, 0, true);
+  check_host_view (list, 1000, NULL, 0, 1, true);
   CU_ASSERT_TRUE (phl_hold (list, 1000, "router-1", true));
   CU_ASSERT_TRUE (phl_set (list, 1000, second, true));
-  check_view (list, 2000, "router-1", 1, 1, false);
-  check_view (list, 2000, "router-2", 1, 3, false);
+  check_host_view (list, 2000, "router-1", 1, 1, false);
+  check_host_view (list, 2000, "router-2", 1, 3, false);
   json_t *view = phl_view (list, 2000, NULL, 1);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (view, "hosts")), 2);
   json_decref (view);
   CU_ASSERT_TRUE (phl_hold (list, 2000, "router-1", false));
-  check_view (list, 2000, "router-1", 9, 3, true);
+  check_host_view (list, 2000, "router-1", 9, 3, true);
   phl_free (list);
 }
 
@@ -262,13 +264,14 @@
 {
   static const CU_TestInfo tests[] = {
     { "cache finds the longest prefix", test_cache_finds_longest_prefix },
-    { "cache evicts the oldest, tails first", test_cache_evicts_oldest_and_tails_first },
+    { "cache evicts the least recent, last blocks first",
+      test_cache_evicts_least_recent_and_last_blocks_first },
     { "batch serves by priority, then arrival", test_batch_serves_by_priority_then_arrival },
     { "batch shares prefill and slots", test_batch_shares_prefill_and_slots },
-    { "cache events come late and with gaps", test_cache_events_come_late_and_with_gaps },
-    { "record file has each change at once", test_record_file_has_each_change_at_once },
-    { "log keeps offsets over retention", test_log_keeps_offsets_over_retention },
-    { "list lags and is held for one reader", test_list_lags_and_is_held_for_one_reader },
+    { "cache events are delayed and lost", test_cache_events_are_delayed_and_lost },
+    { "record file has each change immediately", test_record_file_has_each_change_immediately },
+    { "log keeps offsets after retention", test_log_keeps_offsets_after_retention },
+    { "host list lags and freezes for one reader", test_host_list_lags_and_freezes_for_one_reader },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("standin", tests);
