--- a/standin/platform.h
+++ b/standin/platform.h
@@ -1,8 +1,8 @@
 /**
  * DOC: platform
  *
- * The state of the stand-in platform, shared by its files: platform_calls.c answers the calls of
- * the log, platform_admin.c the list of hosts and what tests ask.
+ * Shared state of the stand-in platform: platform_calls.c answers the calls of the log,
+ * platform_admin.c the host list and the administrative calls of tests.
  */
 #ifndef STANDIN_PLATFORM_H
 #define STANDIN_PLATFORM_H
@@ -13,63 +13,84 @@
 
 #include <glib.h>
 
+/** enum spl_log_state - the injected fault of the log */
 typedef enum
 {
   SPL_UP,
-  SPL_DOWN,         /* every call is cut */
-  SPL_SLOW,         /* appends take effect at once, all answers come late */
-  SPL_SLOW_EFFECT,  /* appends take effect late too */
-  SPL_LOSE_ANSWERS, /* appends take effect and are cut */
-  SPL_LOSE_APPENDS, /* appends take no effect and are cut */
-  SPL_REFUSE        /* appends are refused for certain */
+  SPL_DOWN,         /* every connection is closed without an answer */
+  SPL_SLOW,         /* appends are applied immediately, all answers are delayed */
+  SPL_SLOW_EFFECT,  /* appends are applied after the delay, too */
+  SPL_LOSE_ANSWERS, /* appends are applied but not answered */
+  SPL_LOSE_APPENDS, /* appends are neither applied nor answered */
+  SPL_REFUSE        /* appends are refused with status 503 and not applied */
 } spl_log_state_t;
 
+/**
+ * struct spl_options - command-line options
+ * @listen: address to listen on, IP:PORT
+ * @retain_records: records that each stream retains
+ * @retain_bytes: bytes that each stream retains
+ * @list_lag_us: delay before readers see a change of the host list
+ * @max_appends_s: limit on appends per second; 0 is unlimited
+ */
 typedef struct
 {
   const char *listen;
   uint64_t retain_records;
   uint64_t retain_bytes;
   uint64_t list_lag_us;
-  uint64_t appends_s;
+  uint64_t max_appends_s;
 } spl_options_t;
 
 /**
  * struct spl - the platform
- * @keyed: the keyed topics; of the log's states they know up, down and refuse
- * @fault_stream: the stream that the log's fault is for; NULL is all
- * @fault_count: calls that the fault still applies to; 0 is until it is changed
- * @append_credit_us: token bucket of the append rate
+ * @log: the streams
+ * @keyed: the keyed topics; only SPL_DOWN and SPL_REFUSE of @log_state affect them
+ * @hosts: the host list
+ * @waiters: reads of the log that wait for a record
+ * @log_state: current fault of the log
+ * @slow_delay_us: delay of SPL_SLOW and SPL_SLOW_EFFECT
+ * @fault_stream: the only stream that the fault applies to; NULL is all streams
+ * @fault_calls_left: calls that the fault still applies to; 0 is no limit
+ * @list_down: whether reads of the host list are aborted
+ * @append_credit_us: token bucket of the append rate, in microseconds of accrued time
+ * @credit_updated_us: when @append_credit_us was updated, on the monotonic clock
+ * @appends: applied appends, of the log and the keyed topics
+ * @reads: reads of the log and all calls to the keyed topics
+ * @refused: refused appends to the log
  */
 typedef struct
 {
   spl_options_t options;
   struct event_base *base;
   plg_t *log;
-  struct kst *keyed;
+  struct keyed_store *keyed;
   phl_t *hosts;
-  GQueue waiters; /* spl_pending_t */
+  GQueue waiters;
   spl_log_state_t log_state;
-  uint64_t slow_us;
+  uint64_t slow_delay_us;
   char *fault_stream;
-  uint64_t fault_count;
+  uint64_t fault_calls_left;
   bool list_down;
   int64_t append_credit_us;
-  uint64_t credited_us;
+  uint64_t credit_updated_us;
   uint64_t appends;
   uint64_t reads;
   uint64_t refused;
 } spl_t;
 
-/** spl_log_append() - POST /log/append */
+/** spl_log_append() - handles POST /log/append */
 void spl_log_append (spl_t *platform, sht_call_t *call);
-/** spl_log_read() - GET /log/read */
+/** spl_log_read() - handles GET /log/read */
 void spl_log_read (spl_t *platform, sht_call_t *call);
-/** spl_cut_waiters() - the log went down: cut the reads that wait */
+/** spl_cut_waiters() - closes the connections of waiting reads, when the log goes down */
 void spl_cut_waiters (spl_t *platform);
-/** spl_admin() - any call: answers it or hands it on by its path */
+/** spl_admin() - handles any call, by its method and path */
 void spl_admin (spl_t *platform, sht_call_t *call);
 
+/** spl_answer_error() - answers with an error as JSON; ends the call */
 void spl_answer_error (sht_call_t *call, int status, const char *message);
+/** spl_now_us() - the monotonic clock */
 uint64_t spl_now_us (void);
 
 #endif
--- a/standin/platform_admin.c
+++ b/standin/platform_admin.c
@@ -8,7 +8,7 @@
                                                "refuse" };
 
 static void
-hosts_read (spl_t *platform, sht_call_t *call)
+handle_read_hosts (spl_t *platform, sht_call_t *call)
 {
   if (platform->list_down)
     {
@@ -21,13 +21,13 @@
 }
 
 static void
-admin_hosts (spl_t *platform, sht_call_t *call)
+handle_set_hosts (spl_t *platform, sht_call_t *call)
 {
   json_t *hosts = sht_json (call);
-  bool whole = sht_query_u64 (call, "upsert", 0) == 0;
-  bool good = phl_set (platform->hosts, spl_now_us (), hosts, whole);
+  bool replace_all = sht_query_u64 (call, "upsert", 0) == 0;
+  bool valid = phl_set (platform->hosts, spl_now_us (), hosts, replace_all);
   json_decref (hosts);
-  if (good)
+  if (valid)
     sht_reply (call, 200, json_object ());
   else
     spl_answer_error (call, 400, "not an array of hosts with all their keys");
@@ -53,55 +53,55 @@
 static bool
 set_list_state (spl_t *platform, const char *name)
 {
-  bool stale = strcmp (name, "stale") == 0;
+  bool frozen = strcmp (name, "stale") == 0;
   platform->list_down = strcmp (name, "down") == 0;
-  return phl_hold (platform->hosts, spl_now_us (), "", stale) &&
-         (stale || platform->list_down || strcmp (name, "up") == 0);
+  return phl_hold (platform->hosts, spl_now_us (), "", frozen) &&
+         (frozen || platform->list_down || strcmp (name, "up") == 0);
 }
 
 static bool
-set_views (spl_t *platform, json_t *views)
+set_reader_views (spl_t *platform, json_t *views)
 {
   const char *reader;
   json_t *state;
-  bool good = true;
+  bool valid = true;
   json_object_foreach (views, reader, state)
     {
-      bool stale = g_strcmp0 (json_string_value (state), "stale") == 0;
-      good = phl_hold (platform->hosts, spl_now_us (), reader, stale) && good;
+      bool frozen = g_strcmp0 (json_string_value (state), "stale") == 0;
+      valid = phl_hold (platform->hosts, spl_now_us (), reader, frozen) && valid;
     }
-  return good;
+  return valid;
 }
 
 static void
-admin_fault (spl_t *platform, sht_call_t *call)
+handle_set_fault (spl_t *platform, sht_call_t *call)
 {
   json_t *fault = sht_json (call);
   const char *log_state = json_string_value (json_object_get (fault, "log"));
   const char *list_state = json_string_value (json_object_get (fault, "list"));
-  bool good = json_is_object (fault);
+  bool valid = json_is_object (fault);
   if (log_state != NULL)
     {
-      platform->slow_us =
+      platform->slow_delay_us =
           (uint64_t)MAX (0, json_integer_value (json_object_get (fault, "slow_ms"))) * 1000;
-      platform->fault_count =
+      platform->fault_calls_left =
           (uint64_t)MAX (0, json_integer_value (json_object_get (fault, "count")));
       g_free (platform->fault_stream);
       platform->fault_stream = g_strdup (json_string_value (json_object_get (fault, "stream")));
-      good = set_log_state (platform, log_state) && good;
+      valid = set_log_state (platform, log_state) && valid;
     }
   if (list_state != NULL)
-    good = set_list_state (platform, list_state) && good;
-  good = set_views (platform, json_object_get (fault, "view")) && good;
+    valid = set_list_state (platform, list_state) && valid;
+  valid = set_reader_views (platform, json_object_get (fault, "view")) && valid;
   json_decref (fault);
-  if (good)
+  if (valid)
     sht_reply (call, 200, json_object ());
   else
     spl_answer_error (call, 400, "no such fault");
 }
 
 static void
-admin_truncate (spl_t *platform, sht_call_t *call)
+handle_truncate (spl_t *platform, sht_call_t *call)
 {
   const char *stream = sht_query (call, "stream");
   if (stream != NULL)
@@ -110,7 +110,7 @@
 }
 
 static void
-admin_log (spl_t *platform, sht_call_t *call)
+handle_show_log (spl_t *platform, sht_call_t *call)
 {
   const char *stream = sht_query (call, "stream");
   if (stream == NULL)
@@ -120,7 +120,7 @@
 }
 
 static void
-admin_stats (spl_t *platform, sht_call_t *call)
+handle_stats (spl_t *platform, sht_call_t *call)
 {
   sht_reply (call, 200,
              json_pack ("{s:I, s:I, s:I, s:I}", "appends", (json_int_t)platform->appends, "reads",
@@ -136,22 +136,18 @@
 } route_t;
 
 static void
-health (spl_t *platform, sht_call_t *call)
+handle_health (spl_t *platform, sht_call_t *call)
 {
   (void)platform;
   sht_reply (call, 200, json_pack ("{s:s}", "status", "ok"));
 }
 
 static const route_t routes[] = {
-  { "POST", "/log/append", spl_log_append },
-  { "GET", "/log/read", spl_log_read },
-  { "GET", "/hosts", hosts_read },
-  { "GET", "/health", health },
-  { "POST", "/admin/hosts", admin_hosts },
-  { "POST", "/admin/fault", admin_fault },
-  { "POST", "/admin/truncate", admin_truncate },
-  { "GET", "/admin/log", admin_log },
-  { "GET", "/admin/stats", admin_stats },
+  { "POST", "/log/append", spl_log_append },      { "GET", "/log/read", spl_log_read },
+  { "GET", "/hosts", handle_read_hosts },         { "GET", "/health", handle_health },
+  { "POST", "/admin/hosts", handle_set_hosts },   { "POST", "/admin/fault", handle_set_fault },
+  { "POST", "/admin/truncate", handle_truncate }, { "GET", "/admin/log", handle_show_log },
+  { "GET", "/admin/stats", handle_stats },
 };
 
 void
--- a/standin/platform_log.c
+++ b/standin/platform_log.c
@@ -2,22 +2,22 @@
 
 #include <glib.h>
 
-#define COMPACT_RECORDS 1024 /* dropped records whose places are given back at once */
+#define COMPACT_MIN_DROPPED 1024 /* dropped records after which the array is compacted */
 
 typedef struct
 {
-  GPtrArray *records; /* GBytes; the first @dropped places are NULL */
-  guint dropped;
-  uint64_t base_offset; /* of place 0 */
-  uint64_t held_bytes;
-} plg_stream_t;
+  GPtrArray *records; /* GBytes; the first @dropped_count elements are NULL */
+  guint dropped_count;
+  uint64_t array_offset; /* offset of element 0 of @records */
+  uint64_t retained_bytes;
+} stream_t;
 
-struct plg
+struct record_log
 {
   uint64_t retain_records;
   uint64_t retain_bytes;
   uint64_t total_bytes;
-  GHashTable *streams; /* name -> plg_stream_t */
+  GHashTable *streams; /* name -> stream_t */
 };
 
 static void
@@ -30,67 +30,67 @@
 static void
 stream_free (gpointer data)
 {
-  plg_stream_t *stream = data;
+  stream_t *stream = data;
   g_ptr_array_free (stream->records, TRUE);
   g_free (stream);
 }
 
 static uint64_t
-first_of (const plg_stream_t *stream)
+first_offset (const stream_t *stream)
 {
-  return stream->base_offset + stream->dropped;
+  return stream->array_offset + stream->dropped_count;
 }
 
 static uint64_t
-end_of (const plg_stream_t *stream)
+end_offset (const stream_t *stream)
 {
-  return stream->base_offset + stream->records->len;
+  return stream->array_offset + stream->records->len;
 }
 
 static void
-drop_first (plg_t *plg, plg_stream_t *stream)
+drop_oldest (plg_t *log, stream_t *stream)
 {
-  GBytes *record = g_ptr_array_index (stream->records, stream->dropped);
+  GBytes *record = g_ptr_array_index (stream->records, stream->dropped_count);
   gsize record_bytes = g_bytes_get_size (record);
-  stream->held_bytes -= record_bytes;
-  plg->total_bytes -= record_bytes;
+  stream->retained_bytes -= record_bytes;
+  log->total_bytes -= record_bytes;
   g_bytes_unref (record);
-  g_ptr_array_index (stream->records, stream->dropped) = NULL;
-  stream->dropped++;
-  if (stream->dropped < COMPACT_RECORDS)
+  g_ptr_array_index (stream->records, stream->dropped_count) = NULL;
+  stream->dropped_count++;
+  if (stream->dropped_count < COMPACT_MIN_DROPPED)
     return;
-  g_ptr_array_remove_range (stream->records, 0, stream->dropped);
-  stream->base_offset += stream->dropped;
-  stream->dropped = 0;
+  g_ptr_array_remove_range (stream->records, 0, stream->dropped_count);
+  stream->array_offset += stream->dropped_count;
+  stream->dropped_count = 0;
 }
 
 static void
-retain (plg_t *plg, plg_stream_t *stream)
+enforce_retention (plg_t *log, stream_t *stream)
 {
-  while (end_of (stream) - first_of (stream) > 1 &&
-         (end_of (stream) - first_of (stream) > plg->retain_records ||
-          stream->held_bytes > plg->retain_bytes))
-    drop_first (plg, stream);
+  while (end_offset (stream) - first_offset (stream) > 1 &&
+         (end_offset (stream) - first_offset (stream) > log->retain_records ||
+          stream->retained_bytes > log->retain_bytes))
+    drop_oldest (log, stream);
 }
 
-static plg_stream_t *
-stream_named (plg_t *plg, const char *name)
+static stream_t *
+get_or_create_stream (plg_t *log, const char *name)
 {
-  plg_stream_t *stream = g_hash_table_lookup (plg->streams, name);
+  stream_t *stream = g_hash_table_lookup (log->streams, name);
   if (stream != NULL)
     return stream;
-  if (g_hash_table_size (plg->streams) >= PLG_LIMIT_STREAMS)
+  if (g_hash_table_size (log->streams) >= PLG_LIMIT_STREAMS)
     return NULL;
-  stream = g_new0 (plg_stream_t, 1);
+  stream = g_new0 (stream_t, 1);
   stream->records = g_ptr_array_new_with_free_func (record_free);
-  g_hash_table_insert (plg->streams, g_strdup (name), stream);
+  g_hash_table_insert (log->streams, g_strdup (name), stream);
   return stream;
 }
 
 static json_t *
-record_json (const plg_stream_t *stream, uint64_t offset, gsize *record_bytes)
+record_json (const stream_t *stream, uint64_t offset, gsize *record_bytes)
 {
-  GBytes *record = g_ptr_array_index (stream->records, offset - stream->base_offset);
+  GBytes *record = g_ptr_array_index (stream->records, offset - stream->array_offset);
   const char *data = g_bytes_get_data (record, record_bytes);
   return json_pack ("{s:I, s:s%}", "offset", (json_int_t)offset, "data", data == NULL ? "" : data,
                     *record_bytes);
@@ -99,56 +99,57 @@
 plg_t *
 plg_new (uint64_t retain_records, uint64_t retain_bytes)
 {
-  plg_t *plg = g_new0 (plg_t, 1);
-  plg->retain_records = retain_records;
-  plg->retain_bytes = retain_bytes;
-  plg->streams = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, stream_free);
-  return plg;
+  plg_t *log = g_new0 (plg_t, 1);
+  log->retain_records = retain_records;
+  log->retain_bytes = retain_bytes;
+  log->streams = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, stream_free);
+  return log;
 }
 
 void
-plg_free (plg_t *plg)
+plg_free (plg_t *log)
 {
-  if (plg == NULL)
+  if (log == NULL)
     return;
-  g_hash_table_destroy (plg->streams);
-  g_free (plg);
+  g_hash_table_destroy (log->streams);
+  g_free (log);
 }
 
 bool
-plg_append (plg_t *plg, const char *stream, const char *data, size_t data_bytes, uint64_t *offset)
+plg_append (
+    plg_t *log, const char *stream_name, const char *data, size_t data_bytes, uint64_t *offset)
 {
-  plg_stream_t *own = stream_named (plg, stream);
-  if (own == NULL || plg->total_bytes + data_bytes > PLG_LIMIT_TOTAL_BYTES)
+  stream_t *stream = get_or_create_stream (log, stream_name);
+  if (stream == NULL || log->total_bytes + data_bytes > PLG_LIMIT_TOTAL_BYTES)
     return false;
-  *offset = end_of (own);
-  g_ptr_array_add (own->records, g_bytes_new (data, data_bytes));
-  own->held_bytes += data_bytes;
-  plg->total_bytes += data_bytes;
-  retain (plg, own);
+  *offset = end_offset (stream);
+  g_ptr_array_add (stream->records, g_bytes_new (data, data_bytes));
+  stream->retained_bytes += data_bytes;
+  log->total_bytes += data_bytes;
+  enforce_retention (log, stream);
   return true;
 }
 
 uint64_t
-plg_end (const plg_t *plg, const char *stream)
+plg_end (const plg_t *log, const char *stream_name)
 {
-  const plg_stream_t *own = g_hash_table_lookup (plg->streams, stream);
-  return own == NULL ? 0 : end_of (own);
+  const stream_t *stream = g_hash_table_lookup (log->streams, stream_name);
+  return stream == NULL ? 0 : end_offset (stream);
 }
 
 json_t *
-plg_read (const plg_t *plg, const char *stream, uint64_t from, uint32_t max_records)
+plg_read (const plg_t *log, const char *stream_name, uint64_t from, uint32_t max_records)
 {
-  const plg_stream_t *own = g_hash_table_lookup (plg->streams, stream);
-  uint64_t first = own == NULL ? 0 : first_of (own);
-  uint64_t end = own == NULL ? 0 : end_of (own);
+  const stream_t *stream = g_hash_table_lookup (log->streams, stream_name);
+  uint64_t first = stream == NULL ? 0 : first_offset (stream);
+  uint64_t end = stream == NULL ? 0 : end_offset (stream);
   uint64_t next = MAX (from, first);
   json_t *records = json_array ();
   gsize answer_bytes = 0;
   for (; next < end && json_array_size (records) < max_records; next++)
     {
       gsize record_bytes;
-      json_t *record = record_json (own, next, &record_bytes);
+      json_t *record = record_json (stream, next, &record_bytes);
       answer_bytes += record_bytes;
       if (answer_bytes > PLG_LIMIT_ANSWER_BYTES && json_array_size (records) > 0)
         {
@@ -162,28 +163,29 @@
 }
 
 void
-plg_truncate (plg_t *plg, const char *stream, uint64_t before)
+plg_truncate (plg_t *log, const char *stream_name, uint64_t before)
 {
-  plg_stream_t *own = g_hash_table_lookup (plg->streams, stream);
-  while (own != NULL && first_of (own) < before && first_of (own) < end_of (own))
-    drop_first (plg, own);
+  stream_t *stream = g_hash_table_lookup (log->streams, stream_name);
+  while (stream != NULL && first_offset (stream) < before &&
+         first_offset (stream) < end_offset (stream))
+    drop_oldest (log, stream);
 }
 
 json_t *
-plg_streams (const plg_t *plg)
+plg_streams (const plg_t *log)
 {
   json_t *list = json_object ();
   GHashTableIter iter;
   gpointer name;
   gpointer value;
-  g_hash_table_iter_init (&iter, plg->streams);
+  g_hash_table_iter_init (&iter, log->streams);
   while (g_hash_table_iter_next (&iter, &name, &value))
     {
-      const plg_stream_t *stream = value;
+      const stream_t *stream = value;
       json_object_set_new (list, name,
-                           json_pack ("{s:I, s:I, s:I}", "first", (json_int_t)first_of (stream),
-                                      "end", (json_int_t)end_of (stream), "bytes",
-                                      (json_int_t)stream->held_bytes));
+                           json_pack ("{s:I, s:I, s:I}", "first", (json_int_t)first_offset (stream),
+                                      "end", (json_int_t)end_offset (stream), "bytes",
+                                      (json_int_t)stream->retained_bytes));
     }
   return list;
 }
--- a/standin/standin_platform.c
+++ b/standin/standin_platform.c
@@ -1,9 +1,9 @@
 /**
  * DOC: standin_platform
  *
- * A small stand-in for the platform, for tests, the demo and benches: its log service and its list
- * of hosts, over the interface told in src/connection/platform.h, with faults set by POST
- * /admin/fault.
+ * Simulates the platform for tests, the demo and benchmarks: its log service, keyed topics and host
+ * list, with the interface described in src/connection/platform.h. POST /admin/fault injects
+ * faults.
  */
 #include "keyed_store.h"
 #include "platform.h"
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 
 static void
-call_came (sht_call_t *call, void *context)
+on_call (sht_call_t *call, void *context)
 {
   spl_admin (context, call);
 }
@@ -28,7 +28,7 @@
 };
 
 static uint64_t
-number (const char *text)
+parse_number (const char *text)
 {
   guint64 value;
   GError *error = NULL;
@@ -39,7 +39,7 @@
 }
 
 static void
-take_flag (spl_options_t *options, int flag, const char *value)
+apply_flag (spl_options_t *options, int flag, const char *value)
 {
   switch (flag)
     {
@@ -47,16 +47,16 @@
       options->listen = value;
       break;
     case 'r':
-      options->retain_records = MAX (1, number (value));
+      options->retain_records = MAX (1, parse_number (value));
       break;
     case 'b':
-      options->retain_bytes = number (value);
+      options->retain_bytes = parse_number (value);
       break;
     case 'g':
-      options->list_lag_us = number (value) * 1000;
+      options->list_lag_us = parse_number (value) * 1000;
       break;
     case 'a':
-      options->appends_s = number (value);
+      options->max_appends_s = parse_number (value);
       break;
     default:
       g_printerr ("standin-platform --listen IP:PORT [--retain-records N] [--retain-bytes N]\n"
@@ -66,19 +66,19 @@
 }
 
 static spl_options_t
-read_flags (int argc, char **argv)
+parse_flags (int argc, char **argv)
 {
   spl_options_t options = { .retain_records = 100000, .retain_bytes = 64 * 1024 * 1024 };
   int flag;
   while ((flag = getopt_long (argc, argv, "", flags, NULL)) != -1)
-    take_flag (&options, flag, optarg);
+    apply_flag (&options, flag, optarg);
   if (options.listen == NULL || optind != argc)
-    take_flag (&options, '?', NULL);
+    apply_flag (&options, '?', NULL);
   return options;
 }
 
 static void
-stop (evutil_socket_t fd, short what, void *arg)
+on_stop_signal (evutil_socket_t fd, short what, void *arg)
 {
   (void)fd;
   (void)what;
@@ -88,19 +88,19 @@
 int
 main (int argc, char **argv)
 {
-  static spl_t state; /* reachable to the end, so that a leak checker reports none of it */
+  static spl_t state; /* static, so that leak checkers treat its memory as reachable */
   spl_t *platform = &state;
-  platform->options = read_flags (argc, argv);
+  platform->options = parse_flags (argc, argv);
   platform->base = sht_base_new ();
   platform->log = plg_new (platform->options.retain_records, platform->options.retain_bytes);
   platform->hosts = phl_new (platform->options.list_lag_us);
   platform->keyed = kst_new (platform);
   g_queue_init (&platform->waiters);
   signal (SIGPIPE, SIG_IGN);
-  if (sht_listen (platform->base, platform->options.listen, call_came, platform) == NULL)
+  if (sht_listen (platform->base, platform->options.listen, on_call, platform) == NULL)
     return 1;
-  event_add (evsignal_new (platform->base, SIGTERM, stop, platform->base), NULL);
-  event_add (evsignal_new (platform->base, SIGINT, stop, platform->base), NULL);
+  event_add (evsignal_new (platform->base, SIGTERM, on_stop_signal, platform->base), NULL);
+  event_add (evsignal_new (platform->base, SIGINT, on_stop_signal, platform->base), NULL);
   g_print ("platform listens on %s\n", platform->options.listen);
   event_base_dispatch (platform->base);
   return 0;
--- a/standin/standin_upstream.c
+++ b/standin/standin_upstream.c
@@ -1,11 +1,11 @@
 /**
  * DOC: standin_upstream
  *
- * A stand-in for an upstream on the users' platform: it registers in the store's keyed topic of
- * engines, renews its entry, says that it is leaving before it ends, and answers requests plainly
- * or as a stream of events. What it begins and ends goes to a record, a line each: "begin|end
- * TIME_MS ID INSTANCE ACCOUNT FROM OUTCOME".
- * With --advertise its entry names another address, as of a proxy before it.
+ * Simulates an upstream on the users' platform. It registers in the keyed topic of engines, renews
+ * its entry, and marks it as draining for a while before it exits. It answers requests with a plain
+ * answer or a stream of events. The record file gets a line for each start and end of a request:
+ * "begin|end TIME_MS ID INSTANCE ACCOUNT FROM OUTCOME". With --advertise the entry names another
+ * address, for example of a proxy in front of it.
  */
 #include "connection/platform_call.h"
 #include "http.h"
@@ -18,8 +18,8 @@
 #include <unistd.h>
 
 #define HEARTBEAT_MS 400
-#define LINGER_MS 300 /* after the last request of one that leaves */
-#define TOPIC "keyed.servers"
+#define EXIT_DELAY_MS 300 /* between the removal of the entry and the exit */
+#define ENGINES_TOPIC "keyed.servers"
 
 typedef struct
 {
@@ -37,7 +37,15 @@
   uint32_t lose_percent;
 } options_t;
 
-/** struct upstream - @instance is new with each start */
+/**
+ * struct upstream - the process
+ * @store: client of the store
+ * @record: record file
+ * @instance: name of the instance, unique to each start; the key of its entry
+ * @running: requests that run
+ * @leaving_since_us: when it began to leave, on the monotonic clock; 0 before
+ * @is_entry_removed: whether the removal of the entry has been sent
+ */
 typedef struct
 {
   options_t options;
@@ -47,19 +55,23 @@
   FILE *record;
   char instance[48];
   uint32_t running;
-  uint64_t leaving_us;
-  bool gone;
+  uint64_t leaving_since_us;
+  bool is_entry_removed;
   struct event *heartbeat;
 } upstream_t;
 
-/** struct run - a request that runs */
+/**
+ * struct run - a running request
+ * @call: NULL once its caller has disconnected
+ * @next_event: number of the next event to send; 0 for a plain answer
+ */
 typedef struct
 {
   upstream_t *upstream;
-  sht_call_t *call; /* NULL once its caller has gone */
+  sht_call_t *call;
   char *id;
   char *account;
-  uint64_t next_event; /* 0 for a plain answer */
+  uint64_t next_event;
   struct event *timer;
 } run_t;
 
@@ -70,7 +82,7 @@
 }
 
 static void
-note (const upstream_t *upstream, const char *what, const run_t *run, const char *outcome)
+write_record (const upstream_t *upstream, const char *what, const run_t *run, const char *outcome)
 {
   fprintf (upstream->record, "%s %" G_GINT64_FORMAT " %s %s %s %" G_GUINT64_FORMAT " %s\n", what,
            g_get_real_time () / 1000, run->id, upstream->instance, run->account, run->next_event,
@@ -89,17 +101,17 @@
 }
 
 static void
-run_gone (void *context)
+on_caller_disconnect (void *context)
 {
   run_t *run = context;
 
-  note (run->upstream, "end", run, "gone");
+  write_record (run->upstream, "end", run, "gone");
   run->call = NULL;
   run_free (run);
 }
 
 static void
-add_event (run_t *run)
+send_event (run_t *run)
 {
   g_autofree char *text =
       g_strdup_printf ("id: %" G_GUINT64_FORMAT "\ndata: %s %" G_GUINT64_FORMAT "\n\n",
@@ -112,21 +124,22 @@
 answer_plain (run_t *run)
 {
   upstream_t *upstream = run->upstream;
-  uint32_t dice = (uint32_t)g_rand_int_range (upstream->rand, 0, 100);
-  bool fails = dice < upstream->options.fail_percent;
-  bool lost = !fails && dice < upstream->options.fail_percent + upstream->options.lose_percent;
+  uint32_t draw = (uint32_t)g_rand_int_range (upstream->rand, 0, 100);
+  bool is_failed = draw < upstream->options.fail_percent;
+  bool is_lost =
+      !is_failed && draw < upstream->options.fail_percent + upstream->options.lose_percent;
   g_autofree char *text = g_strdup_printf ("answer to %s by %s\n", run->id, upstream->instance);
 
-  note (upstream, "end", run, fails ? "failed" : lost ? "lost" : "ok");
-  if (lost)
+  write_record (upstream, "end", run, is_failed ? "failed" : is_lost ? "lost" : "ok");
+  if (is_lost)
     sht_cut (run->call);
   else
-    sht_reply_bytes (run->call, fails ? 500 : 200, text, strlen (text));
+    sht_reply_bytes (run->call, is_failed ? 500 : 200, text, strlen (text));
   run_free (run);
 }
 
 static void
-run_due (evutil_socket_t fd, short what, void *context)
+on_run_timer (evutil_socket_t fd, short what, void *context)
 {
   run_t *run = context;
   struct timeval wait = { 0, (suseconds_t)run->upstream->options.work_ms * 1000 };
@@ -138,13 +151,13 @@
       answer_plain (run);
       return;
     }
-  add_event (run);
+  send_event (run);
   if (run->next_event++ < run->upstream->options.events)
     {
       event_add (run->timer, &wait);
       return;
     }
-  note (run->upstream, "end", run, "ok");
+  write_record (run->upstream, "end", run, "ok");
   sht_end_stream (run->call);
   run_free (run);
 }
@@ -159,9 +172,9 @@
   sht_add_header (call, "X-Engine-Load", load);
 }
 
-/* Return: whether the request was turned away without running */
+/* Return: whether the request was refused without running it */
 static bool
-turned_away (upstream_t *upstream, sht_call_t *call, const char *id)
+refuse_request (upstream_t *upstream, sht_call_t *call, const char *id)
 {
   const char *expected = sht_header (call, "X-Expect-Instance");
 
@@ -179,16 +192,16 @@
 }
 
 static void
-call_came (sht_call_t *call, void *context)
+on_call (sht_call_t *call, void *context)
 {
   upstream_t *upstream = context;
   const char *id = sht_header (call, "X-Request-Id");
   const char *account = sht_header (call, "X-Tenant");
-  const char *last = sht_header (call, "Last-Event-Id");
+  const char *last_event_id = sht_header (call, "Last-Event-Id");
   struct timeval wait = { 0, (suseconds_t)upstream->options.work_ms * 1000 };
   run_t *run;
 
-  if (turned_away (upstream, call, id))
+  if (refuse_request (upstream, call, id))
     return;
   run = g_new0 (run_t, 1);
   run->upstream = upstream;
@@ -196,36 +209,36 @@
   run->id = g_strdup (id);
   run->account = g_strdup (account ? account : "-");
   if (upstream->options.events > 0)
-    run->next_event = (last ? g_ascii_strtoull (last, NULL, 10) : 0) + 1;
-  run->timer = evtimer_new (upstream->base, run_due, run);
+    run->next_event = (last_event_id ? g_ascii_strtoull (last_event_id, NULL, 10) : 0) + 1;
+  run->timer = evtimer_new (upstream->base, on_run_timer, run);
   upstream->running++;
-  note (upstream, "begin", run, sht_header (call, "X-Key") ? "key-shown" : "-");
+  write_record (upstream, "begin", run, sht_header (call, "X-Key") ? "key-shown" : "-");
   add_headers (upstream, call, id);
-  sht_on_gone (call, run_gone, run);
+  sht_on_gone (call, on_caller_disconnect, run);
   if (run->next_event > 0)
     sht_begin_stream (call);
   event_add (run->timer, &wait);
 }
 
 static void
-put_done (const pcl_answer_t *answer, void *context)
+on_entry_stored (const pcl_answer_t *answer, void *context)
 {
   upstream_t *upstream = context;
   run_t none = { .id = "-", .account = "-" };
 
-  if (upstream->leaving_us != 0 && answer->status == 200)
-    note (upstream, "leaving", &none, upstream->gone ? "dropped" : "told");
+  if (upstream->leaving_since_us != 0 && answer->status == 200)
+    write_record (upstream, "leaving", &none, upstream->is_entry_removed ? "dropped" : "told");
 }
 
 static void
-ignore (void *context)
+on_store_call_dropped (void *context)
 {
   (void)context;
 }
 
-/* a record of the keyed topic, without a value when the entry goes */
+/* Writes the entry to the keyed topic; an empty value deletes it. */
 static void
-put_entry (upstream_t *upstream, const char *value)
+store_entry (upstream_t *upstream, const char *value)
 {
   GString *body = g_string_new (NULL);
   size_t key_bytes = strlen (upstream->instance);
@@ -236,52 +249,53 @@
   g_string_append_c (body, (char)key_bytes);
   g_string_append (body, upstream->instance);
   g_string_append (body, value);
-  pcl_start (upstream->store, &(pcl_request_t){ .method = "POST",
-                                                .target = "/log-append?topic=" TOPIC "&part=0",
-                                                .body = body->str,
-                                                .body_bytes = body->len,
-                                                .timeout_ms = HEARTBEAT_MS,
-                                                .answer_limit_bytes = 4096,
-                                                .done = put_done,
-                                                .dropped = ignore,
-                                                .context = upstream });
+  pcl_start (upstream->store,
+             &(pcl_request_t){ .method = "POST",
+                               .target = "/log-append?topic=" ENGINES_TOPIC "&part=0",
+                               .body = body->str,
+                               .body_bytes = body->len,
+                               .timeout_ms = HEARTBEAT_MS,
+                               .answer_limit_bytes = 4096,
+                               .done = on_entry_stored,
+                               .dropped = on_store_call_dropped,
+                               .context = upstream });
   g_string_free (body, TRUE);
 }
 
 static void
-renew (upstream_t *upstream)
+renew_entry (upstream_t *upstream)
 {
   const options_t *options = &upstream->options;
   g_autofree char *value =
       g_strdup_printf ("{\"service\":\"%s\",\"addr\":\"%s\",\"zone\":\"%s\",\"slots\":%u,"
                        "\"state\":\"%s\"}",
                        options->service, options->advertise, options->data_center, options->slots,
-                       upstream->leaving_us ? "draining" : "ready");
+                       upstream->leaving_since_us ? "draining" : "ready");
 
-  put_entry (upstream, value);
+  store_entry (upstream, value);
 }
 
-/* It ends once it has told long enough that it leaves, and all that ran has ended. */
+/* Exits once the entry has been draining for long enough and all requests have ended. */
 static void
 on_heartbeat (evutil_socket_t fd, short what, void *context)
 {
   upstream_t *upstream = context;
-  uint64_t told_us = upstream->leaving_us ? now_us () - upstream->leaving_us : 0;
-  struct timeval linger = { 0, LINGER_MS * 1000 };
+  uint64_t leaving_for_us = upstream->leaving_since_us ? now_us () - upstream->leaving_since_us : 0;
+  struct timeval exit_delay = { 0, EXIT_DELAY_MS * 1000 };
 
   (void)fd;
   (void)what;
-  if (told_us < (uint64_t)upstream->options.drain_ms * 1000 || upstream->running > 0)
+  if (leaving_for_us < (uint64_t)upstream->options.drain_ms * 1000 || upstream->running > 0)
     {
-      if (!upstream->gone)
-        renew (upstream);
+      if (!upstream->is_entry_removed)
+        renew_entry (upstream);
       return;
     }
-  if (upstream->gone)
+  if (upstream->is_entry_removed)
     return;
-  upstream->gone = true;
-  put_entry (upstream, "");
-  event_base_loopexit (upstream->base, &linger);
+  upstream->is_entry_removed = true;
+  store_entry (upstream, "");
+  event_base_loopexit (upstream->base, &exit_delay);
 }
 
 static void
@@ -291,9 +305,9 @@
 
   (void)fd;
   (void)what;
-  if (upstream->leaving_us == 0)
-    upstream->leaving_us = now_us ();
-  renew (upstream);
+  if (upstream->leaving_since_us == 0)
+    upstream->leaving_since_us = now_us ();
+  renew_entry (upstream);
 }
 
 static const struct option flags[] = {
@@ -313,7 +327,7 @@
 };
 
 static uint32_t
-number (const char *text)
+parse_number (const char *text)
 {
   guint64 value;
 
@@ -324,7 +338,7 @@
 }
 
 static void
-take_flag (options_t *options, int flag, const char *value)
+apply_flag (options_t *options, int flag, const char *value)
 {
   uint32_t *const numbers[] = {
     ['n'] = &options->slots,    ['w'] = &options->work_ms,      ['e'] = &options->events,
@@ -336,7 +350,7 @@
   };
 
   if (flag > 0 && (size_t)flag < G_N_ELEMENTS (numbers) && numbers[flag])
-    *numbers[flag] = number (value);
+    *numbers[flag] = parse_number (value);
   else if (flag > 0 && (size_t)flag < G_N_ELEMENTS (texts) && texts[flag])
     *texts[flag] = value;
   else
@@ -350,7 +364,7 @@
 }
 
 static options_t
-read_flags (int argc, char **argv)
+parse_flags (int argc, char **argv)
 {
   options_t options = {
     .data_center = "hall-bayangol", .slots = 16, .work_ms = 5, .drain_ms = 600
@@ -358,26 +372,26 @@
   int flag;
 
   while ((flag = getopt_long (argc, argv, "", flags, NULL)) != -1)
-    take_flag (&options, flag, optarg);
+    apply_flag (&options, flag, optarg);
   if (!options.listen || !options.store || !options.service || !options.record || optind != argc)
-    take_flag (&options, '?', NULL);
+    apply_flag (&options, '?', NULL);
   if (!options.advertise)
     options.advertise = options.listen;
   return options;
 }
 
 static void
-open_upstream (upstream_t *upstream)
+upstream_init (upstream_t *upstream)
 {
   set_address_t store;
-  struct timeval beat = { 0, HEARTBEAT_MS * 1000 };
+  struct timeval interval = { 0, HEARTBEAT_MS * 1000 };
 
   if (!set_parse_address (upstream->options.store, &store, NULL))
-    take_flag (&upstream->options, '?', NULL);
+    apply_flag (&upstream->options, '?', NULL);
   upstream->record = fopen (upstream->options.record, "ae");
   if (!upstream->record)
     {
-      g_printerr ("%s: can't be written\n", upstream->options.record);
+      g_printerr ("cannot open %s for writing\n", upstream->options.record);
       exit (2);
     }
   upstream->base = sht_base_new ();
@@ -386,21 +400,21 @@
   g_snprintf (upstream->instance, sizeof upstream->instance, "i-%" G_GINT64_MODIFIER "x-%d",
               g_get_real_time (), (int)getpid ());
   upstream->heartbeat = event_new (upstream->base, -1, EV_PERSIST, on_heartbeat, upstream);
-  event_add (upstream->heartbeat, &beat);
+  event_add (upstream->heartbeat, &interval);
 }
 
 int
 main (int argc, char **argv)
 {
-  static upstream_t upstream; /* reachable to the end, so that a leak checker reports none of it */
+  static upstream_t upstream; /* static, so that leak checkers treat its memory as reachable */
 
-  upstream.options = read_flags (argc, argv);
+  upstream.options = parse_flags (argc, argv);
   signal (SIGPIPE, SIG_IGN);
-  open_upstream (&upstream);
-  if (!sht_listen (upstream.base, upstream.options.listen, call_came, &upstream))
+  upstream_init (&upstream);
+  if (!sht_listen (upstream.base, upstream.options.listen, on_call, &upstream))
     return 1;
   event_add (evsignal_new (upstream.base, SIGTERM, on_stop, &upstream), NULL);
-  renew (&upstream);
+  renew_entry (&upstream);
   event_base_dispatch (upstream.base);
   return 0;
 }
