--- a/standin/engine.h
+++ b/standin/engine.h
@@ -94,7 +94,7 @@
 } sen_load_t;
 
 /**
- * struct sen - the engine
+ * struct sen_t - the engine
  * @step_us: duration of one step of the batch
  * @next_step_us: when the next step is due, on the monotonic clock
  * @step_scheduled: whether @step_timer is pending; it isn't while the batch is empty
--- a/standin/platform.h
+++ b/standin/platform.h
@@ -43,7 +43,7 @@
 } spl_options_t;
 
 /**
- * struct spl - the platform
+ * struct spl_t - the platform
  * @log: the streams
  * @keyed: the keyed topics; only SPL_DOWN and SPL_REFUSE of @log_state affect them
  * @hosts: the host list
--- a/standin/standin_upstream.c
+++ b/standin/standin_upstream.c
@@ -4,7 +4,8 @@
  * Simulates an upstream on the users' platform. It registers in the keyed topic of engines, renews
  * its entry, and marks it as draining for a while before it exits. It answers requests with a plain
  * answer or a stream of events. The record file gets a line for each start and end of a request:
- * "begin|end TIME_MS ID INSTANCE ACCOUNT FROM OUTCOME". With --advertise the entry names another
+ * "begin|end TIME_MS ID INSTANCE ACCOUNT FROM OUTCOME". A line "leaving" in the same format follows
+ * each confirmed update of the entry during the exit. With --advertise the entry names another
  * address, for example of a proxy in front of it.
  */
 #include "connection/platform_call.h"
