--- a/standin/engine_run.c
+++ b/standin/engine_run.c
@@ -153,11 +153,11 @@
 static void
 record_begin (sen_run_t *run)
 {
-  erc_run_t begun = { .id = run->id,
-                      .account = sht_header (run->call, "X-Account"),
-                      .key = get_idempotency_key (run->call),
-                      .body_hash = run->body_hash };
-  run->serial = erc_begin (run->engine->record, &begun);
+  erc_run_t run_info = { .id = run->id,
+                         .account = sht_header (run->call, "X-Account"),
+                         .key = get_idempotency_key (run->call),
+                         .body_hash = run->body_hash };
+  run->serial = erc_begin (run->engine->record, &run_info);
 }
 
 static void
--- a/standin/keyed_store.c
+++ b/standin/keyed_store.c
@@ -124,7 +124,7 @@
 static void
 reply_records (sht_call_t *call, const topic_t *topic, uint64_t from)
 {
-  uint64_t limit = sht_query_u64 (call, "max_kb", 1024) * 1024;
+  uint64_t limit_bytes = sht_query_u64 (call, "max_kb", 1024) * 1024;
   GString *body = g_string_new (NULL);
 
   if (from < topic->first_offset)
@@ -135,8 +135,9 @@
     }
   append_big_endian (body, end_offset (topic), 8);
   append_big_endian (body, topic->first_offset, 8);
-  for (uint64_t at = from; at < end_offset (topic) && (at == from || body->len < limit); at++)
-    append_record (body, g_ptr_array_index (topic->records, at - topic->first_offset));
+  for (uint64_t offset = from;
+       offset < end_offset (topic) && (offset == from || body->len < limit_bytes); offset++)
+    append_record (body, g_ptr_array_index (topic->records, offset - topic->first_offset));
   sht_reply_bytes (call, 200, body->str, body->len);
   g_string_free (body, TRUE);
 }
@@ -227,9 +228,9 @@
 /* Stores the record at the front of the body, or renews its entry. Return: false if there is no
  * complete record with a key */
 static bool
-parse_record (kst_t *store, topic_t *topic, const uint8_t **at, size_t *remaining_bytes)
+consume_record (kst_t *store, topic_t *topic, const uint8_t **cursor, size_t *remaining_bytes)
 {
-  const uint8_t *bytes = *at;
+  const uint8_t *bytes = *cursor;
   size_t length;
   size_t key_bytes;
   g_autofree char *key = NULL;
@@ -247,7 +248,7 @@
     value = g_bytes_new (bytes + LENGTH_PREFIX_BYTES + 1 + key_bytes, length - 1 - key_bytes);
   if (!renew_if_unchanged (topic, key, value))
     store_record (store, topic, key, value);
-  *at += LENGTH_PREFIX_BYTES + length;
+  *cursor += LENGTH_PREFIX_BYTES + length;
   *remaining_bytes -= LENGTH_PREFIX_BYTES + length;
   return true;
 }
@@ -256,11 +257,11 @@
 handle_append (kst_t *store, sht_call_t *call, topic_t *topic)
 {
   size_t remaining_bytes;
-  const uint8_t *at = (const uint8_t *)sht_body (call, &remaining_bytes);
+  const uint8_t *cursor = (const uint8_t *)sht_body (call, &remaining_bytes);
   uint64_t offset = end_offset (topic);
 
   while (remaining_bytes > 0)
-    if (!parse_record (store, topic, &at, &remaining_bytes))
+    if (!consume_record (store, topic, &cursor, &remaining_bytes))
       {
         spl_answer_error (call, 400, "no whole record with a key");
         return;
@@ -317,16 +318,16 @@
   const char *after = sht_query (call, "after");
   GList *keys = g_list_sort (g_hash_table_get_keys (topic->latest), compare_names);
   json_t *items = json_array ();
-  GList *at = keys;
+  GList *item = keys;
 
   (void)store;
-  while (at && after && strcmp (at->data, after) <= 0)
-    at = at->next;
-  for (; at && json_array_size (items) < KST_LIMIT_PAGE; at = at->next)
+  while (item && after && strcmp (item->data, after) <= 0)
+    item = item->next;
+  for (; item && json_array_size (items) < KST_LIMIT_PAGE; item = item->next)
     json_array_append_new (items,
-                           item_json (at->data, g_hash_table_lookup (topic->latest, at->data)));
+                           item_json (item->data, g_hash_table_lookup (topic->latest, item->data)));
   sht_reply (call, 200,
-             json_pack ("{s:o,s:b,s:I}", "items", items, "more", at != NULL, "end",
+             json_pack ("{s:o,s:b,s:I}", "items", items, "more", item != NULL, "end",
                         (json_int_t)end_offset (topic)));
   g_list_free (keys);
 }
--- a/standin/platform_hosts.c
+++ b/standin/platform_hosts.c
@@ -5,7 +5,7 @@
 
 typedef struct
 {
-  uint64_t at_us;
+  uint64_t changed_us;
   json_t *host; /* the host after the change; "state" is "gone" if it was removed */
 } change_t;
 
@@ -79,7 +79,7 @@
 add_change (phl_t *host_list, uint64_t now_us, json_t *host)
 {
   change_t *change = g_new0 (change_t, 1);
-  change->at_us = now_us;
+  change->changed_us = now_us;
   change->host = json_deep_copy (host);
   apply_change (host_list->current, change->host);
   g_ptr_array_add (host_list->changes, change);
@@ -101,17 +101,17 @@
 {
   const char *name;
   json_t *host;
-  json_t *before = json_copy (host_list->current);
-  json_object_foreach (before, name, host)
+  json_t *previous = json_copy (host_list->current);
+  json_object_foreach (previous, name, host)
     {
       if (json_object_get (names, name) != NULL)
         continue;
-      json_t *gone = json_deep_copy (host);
-      json_object_set_new (gone, "state", json_string ("gone"));
-      add_change (host_list, now_us, gone);
-      json_decref (gone);
+      json_t *removed = json_deep_copy (host);
+      json_object_set_new (removed, "state", json_string ("gone"));
+      add_change (host_list, now_us, removed);
+      json_decref (removed);
     }
-  json_decref (before);
+  json_decref (previous);
 }
 
 /* Return: the newest revision that is at least as old as the lag and not newer than the revision at
@@ -124,7 +124,7 @@
     {
       const change_t *change =
           g_ptr_array_index (host_list->changes, revision - host_list->base_revision - 1);
-      if (change->at_us + host_list->lag_us <= now_us)
+      if (change->changed_us + host_list->lag_us <= now_us)
         break;
       revision--;
     }
--- a/tests/test_standin.c
+++ b/tests/test_standin.c
@@ -112,13 +112,13 @@
   g_autoptr (bat_t) batch = new_batch (1, 0, trace);
   test_job_t low = { .name = 'l', .job = { .priority = 2, .target_tokens = 1 } };
   test_job_t early = { .name = 'e', .job = { .priority = 1, .target_tokens = 2 } };
-  test_job_t late = { .name = 't', .job = { .priority = 1, .target_tokens = 1 } };
-  test_job_t gone = { .name = 'g', .job = { .priority = 0, .target_tokens = 1 } };
+  test_job_t later = { .name = 't', .job = { .priority = 1, .target_tokens = 1 } };
+  test_job_t removed = { .name = 'g', .job = { .priority = 0, .target_tokens = 1 } };
   bat_add (batch, &low.job);
   bat_add (batch, &early.job);
-  bat_add (batch, &late.job);
-  bat_add (batch, &gone.job);
-  bat_remove (batch, &gone.job);
+  bat_add (batch, &later.job);
+  bat_add (batch, &removed.job);
+  bat_remove (batch, &removed.job);
   CU_ASSERT_EQUAL (bat_waiting (batch), 3);
   for (int i = 0; i < 6; i++)
     bat_step (batch);
