--- a/src/connection/admin_seal.c
+++ b/src/connection/admin_seal.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define SEAL_CHARS 64 /* SHA-256 in hex */
+#define HMAC_HEX_CHARS 64 /* SHA-256 in hex */
 
 char *
 seal_make (const char *fleet_key, const char *order, const char *host, uint64_t time_s)
@@ -16,13 +16,13 @@
 }
 
 static bool
-same_text (const char *one, const char *other, size_t chars)
+equal_in_constant_time (const char *a, const char *b, size_t chars)
 {
-  volatile unsigned char differ = 0;
+  volatile unsigned char difference = 0;
 
-  for (size_t at = 0; at < chars; at++)
-    differ |= (unsigned char)one[at] ^ (unsigned char)other[at];
-  return differ == 0;
+  for (size_t i = 0; i < chars; i++)
+    difference |= (unsigned char)a[i] ^ (unsigned char)b[i];
+  return difference == 0;
 }
 
 bool
@@ -33,10 +33,10 @@
             uint64_t now_s,
             const char *seal)
 {
-  g_autofree char *wanted = seal_make (fleet_key, order, host, time_s);
-  uint64_t apart_s = time_s > now_s ? time_s - now_s : now_s - time_s;
+  g_autofree char *expected = seal_make (fleet_key, order, host, time_s);
+  uint64_t difference_s = time_s > now_s ? time_s - now_s : now_s - time_s;
 
-  if (seal == NULL || strlen (seal) != SEAL_CHARS)
+  if (seal == NULL || strlen (seal) != HMAC_HEX_CHARS)
     return false;
-  return same_text (seal, wanted, SEAL_CHARS) && apart_s <= SEAL_WINDOW_S;
+  return equal_in_constant_time (seal, expected, HMAC_HEX_CHARS) && difference_s <= SEAL_WINDOW_S;
 }
--- a/src/connection/admin_seal.h
+++ b/src/connection/admin_seal.h
@@ -1,9 +1,9 @@
 /**
  * DOC: admin_seal
  *
- * Seals orders of the command-line tool to a daemon under the fleet key: HMAC-SHA256 over the
- * order, the host's name and the time. An order that was seen on the wire can be sent again for as
- * long as its time is accepted, so only orders that are idempotent are sealed this way.
+ * Authenticates commands that the command-line tool sends to a daemon: an HMAC-SHA256 under the
+ * fleet key over the command, the host name and the time. Anyone who captures such a command can
+ * replay it for as long as its time is accepted, so only idempotent commands are sealed this way.
  */
 #ifndef CONNECTION_ADMIN_SEAL_H
 #define CONNECTION_ADMIN_SEAL_H
@@ -13,16 +13,24 @@
 
 #define SEAL_HEADER "X-Medlarplank-Seal"
 #define SEAL_DRAIN "drain"
-#define SEAL_WINDOW_S 60 /* a time this far from the daemon's is still accepted */
+#define SEAL_WINDOW_S 60 /* accepted difference between the sender's clock and the daemon's */
 
-/** seal_make() - the seal in lower-case hex, to be freed by g_free(); @time_s is Unix time */
+/**
+ * seal_make() - compute the seal of a command
+ * @order: the command, for example %SEAL_DRAIN
+ * @time_s: Unix time
+ *
+ * Return: the HMAC in lower-case hex, to be freed by g_free()
+ */
 char *seal_make (const char *fleet_key, const char *order, const char *host, uint64_t time_s);
 
 /**
- * seal_check() - whether @seal is that of the order and its time is near @now_s
+ * seal_check() - verify the seal of a command
+ *
+ * Compares in constant time, so that an attacker can't find a valid seal byte by byte from response
+ * times.
  *
- * Takes as long for a seal that is wrong in its first byte as for one wrong in its last, so that
- * a caller can't find it byte by byte.
+ * Return: true when @seal is valid and @time_s is within %SEAL_WINDOW_S of @now_s
  */
 bool seal_check (const char *fleet_key,
                  const char *order,
--- a/src/connection/budget.c
+++ b/src/connection/budget.c
@@ -5,10 +5,10 @@
 
 #include <glib.h>
 
-#define FILL_US (UINT64_C (10) * CLK_US_PER_S) /* after which a bucket is full in any case */
+#define REFILL_MAX_US (UINT64_C (10) * CLK_US_PER_S) /* after this time any bucket is full */
 
 static int64_t
-full (const bdg_t *bdg)
+capacity_bytes (const bdg_t *bdg)
 {
   return MAX (bdg->rate_bytes, LIM_DATAGRAM_BYTES + BDG_HEADER_BYTES);
 }
@@ -16,11 +16,11 @@
 static void
 refill (bdg_t *bdg, uint64_t now_us)
 {
-  uint64_t waited_us = MIN (now_us - bdg->filled_us, FILL_US);
-  int64_t gained_bytes = (int64_t)(waited_us * bdg->rate_bytes / CLK_US_PER_S);
-  if (gained_bytes == 0)
-    return; /* else a bucket that is asked often would lose what is less than a byte */
-  bdg->tokens_bytes = MIN (bdg->tokens_bytes + gained_bytes, full (bdg));
+  uint64_t elapsed_us = MIN (now_us - bdg->filled_us, REFILL_MAX_US);
+  int64_t added_bytes = (int64_t)(elapsed_us * bdg->rate_bytes / CLK_US_PER_S);
+  if (added_bytes == 0)
+    return; /* keep filled_us, or frequent calls would lose the fraction of a byte each time */
+  bdg->tokens_bytes = MIN (bdg->tokens_bytes + added_bytes, capacity_bytes (bdg));
   bdg->filled_us = now_us;
 }
 
@@ -28,7 +28,7 @@
 bdg_init (bdg_t *bdg, uint32_t rate_bytes, uint64_t now_us)
 {
   bdg->rate_bytes = rate_bytes;
-  bdg->tokens_bytes = full (bdg);
+  bdg->tokens_bytes = capacity_bytes (bdg);
   bdg->filled_us = now_us;
 }
 
--- a/src/connection/budget.h
+++ b/src/connection/budget.h
@@ -1,8 +1,9 @@
 /**
  * DOC: budget
  *
- * Token bucket of bytes that holds control traffic under its rate. A pure state machine. It holds
- * one second's worth, but room for a whole datagram, or a small rate could never send one.
+ * Token bucket, counted in bytes, that limits the rate of control traffic. Does no I/O. Its
+ * capacity is one second's worth, but at least one datagram of maximum size: with a smaller
+ * capacity a low rate could never send one.
  */
 #ifndef CONNECTION_BUDGET_H
 #define CONNECTION_BUDGET_H
@@ -10,9 +11,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define BDG_HEADER_BYTES 28 /* of IPv4 and UDP: on the wire, so in the budget */
+#define BDG_HEADER_BYTES 28 /* IPv4 and UDP headers, which count towards the budget */
 
-/** struct bdg - a budget of @rate_bytes a second */
+/**
+ * bdg_t - token bucket
+ * @rate_bytes: bytes added per second
+ * @tokens_bytes: bytes that may be sent now; negative after bdg_charge() beyond the budget
+ * @filled_us: time up to which tokens have been added
+ */
 typedef struct
 {
   uint32_t rate_bytes;
@@ -20,14 +26,14 @@
   uint64_t filled_us;
 } bdg_t;
 
-/** bdg_init() - full */
+/** bdg_init() - initialize a full bucket */
 void bdg_init (bdg_t *bdg, uint32_t rate_bytes, uint64_t now_us);
-/** bdg_take() - Return: false when there is not enough; then nothing is taken */
+/** bdg_take() - take @bytes. Return: false, with nothing taken, when fewer are left */
 bool bdg_take (bdg_t *bdg, uint64_t now_us, uint32_t bytes);
-/** bdg_charge() - traffic that cannot be held back; its debt is one second's worth at most, as it
- * must not silence the rest */
+/** bdg_charge() - take @bytes for traffic that is sent in any case. The bucket goes negative by at
+ * most one second's worth, so that such traffic can't block the rest for long */
 void bdg_charge (bdg_t *bdg, uint64_t now_us, uint32_t bytes);
-/** bdg_has() - whether bdg_take() would take */
+/** bdg_has() - whether bdg_take() of @bytes would succeed */
 bool bdg_has (bdg_t *bdg, uint64_t now_us, uint32_t bytes);
 
 #endif
--- a/src/connection/exchange.c
+++ b/src/connection/exchange.c
@@ -11,20 +11,20 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define OPEN_CALLS 16
-#define READS_PER_EVENT 64
-#define FLUSH_READS 4096
-#define BUDGET_LOG_US (UINT64_C (10) * CLK_US_PER_S)
+#define PENDING_CALLS 16
+#define READS_PER_EVENT_MAX 64
+#define DISCARD_READS_MAX 4096
+#define BUDGET_LOG_INTERVAL_US (UINT64_C (10) * CLK_US_PER_S)
 
-/** struct open_call - a call whose reply has not come */
+/** pending_call_t - a call that has not been answered; a free slot when @open is false */
 typedef struct
 {
   bool open;
   uint32_t xid;
   edp_t peer;
-} open_call_t;
+} pending_call_t;
 
-/** struct counts - counters of the control traffic */
+/** counters_t - counters of the control traffic */
 typedef struct
 {
   cnt_t *bytes_sent;
@@ -36,7 +36,7 @@
   cnt_t *unasked;
   cnt_t *over_budget;
   cnt_t *send_failed;
-} counts_t;
+} counters_t;
 
 struct exc
 {
@@ -47,21 +47,21 @@
   struct event *timer;
   GRand *rand;
   uint32_t next_xid;
-  open_call_t calls[OPEN_CALLS];
+  pending_call_t calls[PENDING_CALLS];
   uint32_t next_call;
   bdg_t budget;
-  uint64_t held_back; /* since @held_back_logged_us */
+  uint64_t held_back; /* datagrams not sent for lack of budget since @held_back_logged_us */
   uint64_t held_back_logged_us;
-  counts_t counts;
+  counters_t counts;
 };
 
 static void
-tell_held_back (exc_t *exc)
+note_held_back (exc_t *exc)
 {
   uint64_t now_us = clk_now_us (exc->options.clk);
   exc->held_back++;
   cnt_add (exc->counts.over_budget, 1);
-  if (exc->held_back_logged_us != 0 && now_us - exc->held_back_logged_us < BUDGET_LOG_US)
+  if (exc->held_back_logged_us != 0 && now_us - exc->held_back_logged_us < BUDGET_LOG_INTERVAL_US)
     return;
   log_event (LOG_LEVEL_WARNING, "control_budget_reached", "budget_bytes_s",
              LOG_U64 (exc->options.budget_bytes), "datagrams_held_back", LOG_U64 (exc->held_back),
@@ -75,7 +75,7 @@
 {
   if (bdg_take (&exc->budget, clk_now_us (exc->options.clk), bytes))
     return true;
-  tell_held_back (exc);
+  note_held_back (exc);
   return false;
 }
 
@@ -110,12 +110,12 @@
   exc->options.fill (&message, to, exc->options.context);
   char datagram[LIM_DATAGRAM_BYTES];
   size_t bytes = wir_encode (datagram, sizeof datagram, exc->fleet_key, xid, is_reply, &message);
-  g_assert (bytes != 0); /* the bounds of the .x file fit into a datagram */
+  g_assert (bytes != 0); /* a message with all arrays full fits into a datagram */
   return send_bytes (exc, datagram, bytes, peer);
 }
 
 static void
-call (exc_t *exc, const set_address_t *address)
+start_call (exc_t *exc, const set_address_t *address)
 {
   edp_t peer;
   if (!edp_make (&peer, address))
@@ -123,7 +123,7 @@
   uint32_t xid = exc->next_xid++;
   if (!send_message (exc, xid, false, NULL, &peer))
     return;
-  open_call_t *slot = &exc->calls[exc->next_call++ % OPEN_CALLS];
+  pending_call_t *slot = &exc->calls[exc->next_call++ % PENDING_CALLS];
   slot->open = true;
   slot->xid = xid;
   slot->peer = peer;
@@ -132,9 +132,9 @@
 static bool
 close_call (exc_t *exc, uint32_t xid, const edp_t *peer)
 {
-  for (uint32_t i = 0; i < OPEN_CALLS; i++)
+  for (uint32_t i = 0; i < PENDING_CALLS; i++)
     {
-      open_call_t *slot = &exc->calls[i];
+      pending_call_t *slot = &exc->calls[i];
       if (!slot->open || slot->xid != xid || !edp_same (&slot->peer, peer))
         continue;
       slot->open = false;
@@ -144,7 +144,7 @@
 }
 
 static void
-take_message (
+handle_message (
     exc_t *exc, uint32_t xid, bool is_reply, const xch_message *message, const edp_t *peer)
 {
   if (is_reply && !close_call (exc, xid, peer))
@@ -158,7 +158,7 @@
 }
 
 static void
-take_datagram (exc_t *exc, const char *datagram, size_t bytes, const edp_t *peer)
+handle_datagram (exc_t *exc, const char *datagram, size_t bytes, const edp_t *peer)
 {
   cnt_add (exc->counts.received, 1);
   cnt_add (exc->counts.bytes_received, bytes + BDG_HEADER_BYTES);
@@ -169,7 +169,7 @@
   switch (outcome)
     {
     case WIR_OK:
-      take_message (exc, xid, is_reply, &message, peer);
+      handle_message (exc, xid, is_reply, &message, peer);
       wir_free (&message);
       break;
     case WIR_BAD_AUTH:
@@ -182,7 +182,7 @@
     }
 }
 
-/* One byte more than a datagram may have, so that a longer one shows. */
+/* Reads one byte more than the maximum, so that an oversized datagram is detected. */
 static ssize_t
 receive (exc_t *exc, char datagram[LIM_DATAGRAM_BYTES + 1], edp_t *peer)
 {
@@ -197,19 +197,19 @@
   exc_t *exc = context;
   (void)socket;
   (void)what;
-  /* Bounded, so that a flood does not hold up the task's other events. */
-  for (uint32_t i = 0; i < READS_PER_EVENT; i++)
+  /* Bounded, so that a flood of datagrams does not delay the other events of the task. */
+  for (uint32_t i = 0; i < READS_PER_EVENT_MAX; i++)
     {
       char datagram[LIM_DATAGRAM_BYTES + 1];
       edp_t peer;
       ssize_t bytes = receive (exc, datagram, &peer);
       if (bytes < 0)
         return;
-      take_datagram (exc, datagram, (size_t)bytes, &peer);
+      handle_datagram (exc, datagram, (size_t)bytes, &peer);
     }
 }
 
-/* From 3/4 to 5/4 of the interval: daemons started together do not stay in step. */
+/* Waits 3/4 to 5/4 of the interval, so that daemons that started together don't stay in phase. */
 static void
 arm_timer (exc_t *exc)
 {
@@ -227,7 +227,7 @@
   (void)what;
   set_address_t peer;
   if (exc->options.pick (&peer, exc->options.context))
-    call (exc, &peer);
+    start_call (exc, &peer);
   arm_timer (exc);
 }
 
@@ -250,7 +250,7 @@
 }
 
 static void
-get_counters (counts_t *counts, cnt_set_t *set)
+get_counters (counters_t *counts, cnt_set_t *set)
 {
   counts->bytes_sent =
       cnt_get (set, "medlarplank_control_bytes_sent_total",
@@ -316,7 +316,7 @@
 void
 exc_now (exc_t *exc, const set_address_t *peer)
 {
-  call (exc, peer);
+  start_call (exc, peer);
 }
 
 void
@@ -324,8 +324,8 @@
 {
   char datagram[LIM_DATAGRAM_BYTES + 1];
   edp_t peer;
-  /* Bounded for a flood: more than a socket's buffer holds. */
-  for (uint32_t i = 0; i < FLUSH_READS && receive (exc, datagram, &peer) >= 0; i++)
+  /* Bounded in case of a flood; the limit is more than a socket buffer holds. */
+  for (uint32_t i = 0; i < DISCARD_READS_MAX && receive (exc, datagram, &peer) >= 0; i++)
     cnt_add (exc->counts.received, 1);
   memset (exc->calls, 0, sizeof exc->calls);
 }
--- a/src/connection/exchange.h
+++ b/src/connection/exchange.h
@@ -1,13 +1,13 @@
 /**
  * DOC: exchange
  *
- * The UDP socket of the control task: starts one message every interval to a random peer, answers
- * those of others, and keeps what it sends under the byte budget. What to say and what to make of
- * what was heard is left to callbacks.
+ * The UDP socket of the control task: calls a random peer once per interval, replies to calls of
+ * others, and keeps what it sends within the byte budget. Callbacks provide the content of outgoing
+ * messages and process received ones.
  *
- * Only an authentic call that its hearer finds worth it is answered, by one datagram of at most
- * %LIM_DATAGRAM_BYTES; a reply is never answered and counts only for a call that is still open, at
- * the address that was called.
+ * Only an authenticated call that the callback accepts is answered, by one datagram of at most
+ * %LIM_DATAGRAM_BYTES. A reply is never answered; it is accepted only for an outstanding call and
+ * from the address that was called.
  */
 #ifndef CONNECTION_EXCHANGE_H
 #define CONNECTION_EXCHANGE_H
@@ -23,12 +23,14 @@
 
 /**
  * struct exc_options - options of exc_new()
+ * @interval_ms: mean time between two calls; each one varies by a quarter
+ * @budget_bytes: bytes per second that may be sent, UDP and IP headers included
  * @seed: for xids and the jitter of the interval
- * @fill: fill in an outgoing message, whose arrays have room for the .x file's bounds; @to is what
- *   the peer said of itself when this is a reply, else NULL
- * @heard: an authentic message; a reply was sent after the call that it answers. Return: whether a
- *   call is worth an answer, false for one that was sent before what is known of its sender
- * @pick: choose whom to send to. Return: false when there is nobody
+ * @fill: fills in an outgoing message, whose arrays have the sizes of src/proto/exchange.x; @to is
+ *   the sender entry of the call when this is a reply, otherwise NULL
+ * @heard: processes an authenticated message; a reply was sent after the call that it answers.
+ *   Return: whether to answer a call; false for one that is older than what is known of its sender
+ * @pick: chooses the peer to call. Return: false when there is none
  */
 typedef struct
 {
@@ -48,19 +50,21 @@
 
 typedef struct exc exc_t;
 
+/** exc_new() - open the socket and start calling. Return: NULL with @error set when the address
+ * can't be bound */
 exc_t *exc_new (const exc_options_t *options, GError **error);
 void exc_free (exc_t *exc);
-/** exc_now() - send a message at once to @peer, within the budget (a leaving host tells others) */
+/** exc_now() - call @peer at once, within the budget; a leaving host announces itself this way */
 void exc_now (exc_t *exc, const set_address_t *peer);
-/** exc_flush() - drop what waits in the socket and the calls still open: after a pause, datagrams
- * that came during it are old, and so are the ages in them */
+/** exc_flush() - discard received datagrams that have not been read and all outstanding calls. Used
+ * after the process was suspended: what arrived meanwhile is outdated, and so are the ages in it */
 void exc_flush (exc_t *exc);
-/** exc_charge() - other control traffic, which shares the byte budget */
+/** exc_charge() - charge @bytes of other control traffic to the budget, which it shares */
 void exc_charge (exc_t *exc, uint32_t bytes);
-/** exc_has_spare() - whether three quarters of a second's budget are left, so that a message beyond
- * the usual ones holds none of them back */
+/** exc_has_spare() - whether three quarters of a second's budget are left, so that an additional
+ * message delays none of the regular ones */
 bool exc_has_spare (exc_t *exc);
-/** exc_address() - where it listens; for a port that the system chose */
+/** exc_address() - the bound address, with the port that the kernel chose for port 0 */
 set_address_t exc_address (const exc_t *exc);
 
 #endif
--- a/src/connection/http_error.c
+++ b/src/connection/http_error.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 static json_t *
-text_or_null (const char *text)
+string_or_null (const char *text)
 {
   char *valid;
   json_t *json;
@@ -26,11 +26,11 @@
   char *dumped;
   char *body;
 
-  json_object_set_new (error, "message", text_or_null (message));
-  json_object_set_new (error, "type", text_or_null (type));
-  json_object_set_new (error, "code", text_or_null (code));
+  json_object_set_new (error, "message", string_or_null (message));
+  json_object_set_new (error, "type", string_or_null (type));
+  json_object_set_new (error, "code", string_or_null (code));
   if (verdict)
-    json_object_set_new (error, "verdict", text_or_null (verdict));
+    json_object_set_new (error, "verdict", string_or_null (verdict));
   json_object_set_new (root, "error", error);
   dumped = json_dumps (root, JSON_COMPACT);
   json_decref (root);
--- a/src/connection/http_error.h
+++ b/src/connection/http_error.h
@@ -1,19 +1,19 @@
 /**
  * DOC: http_error
  *
- * The JSON body of an error answer, the same wherever a caller meets one.
+ * The JSON body of error responses, in the same format wherever a client receives one.
  */
 #ifndef CONNECTION_HTTP_ERROR_H
 #define CONNECTION_HTTP_ERROR_H
 
 /**
- * err_body() - {"error": {"message": ..., "type": ..., "code": ..., "verdict": ...}}
- * @message: for people
- * @type: class of errors, e.g. "invalid_request"
- * @code: for programs, e.g. "body_too_large"; NULL is null
- * @verdict: a word of vrd_name(); NULL leaves it out
+ * err_body() - format {"error": {"message": ..., "type": ..., "code": ..., "verdict": ...}}
+ * @message: human-readable text
+ * @type: class of the error, e.g. "invalid_request"
+ * @code: machine-readable code, e.g. "body_too_large"; NULL becomes null
+ * @verdict: result of vrd_name(); left out when NULL
  *
- * Bytes that are not UTF-8 are replaced. Return: to be freed by g_free().
+ * Bytes that are not UTF-8 are replaced. Return: the body, to be freed by g_free().
  */
 char *err_body (const char *message, const char *type, const char *code, const char *verdict);
 
--- a/src/connection/http_framing.c
+++ b/src/connection/http_framing.c
@@ -4,10 +4,10 @@
 #include <glib.h>
 #include <string.h>
 
-#define LENGTH_DIGITS 18 /* what fits an int64_t whatever the digits are */
+#define LENGTH_DIGITS 18 /* any number of so many digits fits an int64_t */
 
 static bool
-length_ok (const char *value)
+is_valid_length (const char *value)
 {
   size_t digits = strspn (value, "0123456789");
 
@@ -18,30 +18,30 @@
 frm_of (const struct evkeyvalq *headers)
 {
   const struct evkeyval *header;
-  bool broken = false;
-  int lengths = 0;
-  int encodings = 0;
+  bool invalid = false;
+  int length_count = 0;
+  int encoding_count = 0;
 
   for (header = headers->tqh_first; header; header = header->next.tqe_next)
     {
-      /* the library keeps the space of "Content-Length : 5"; other readers drop it */
-      broken |= !frm_name_ok (header->key);
+      /* libevent keeps the space in the name of "Content-Length : 5"; other parsers drop it */
+      invalid |= !frm_name_ok (header->key);
       if (evutil_ascii_strcasecmp (header->key, "Content-Length") == 0)
         {
-          lengths++;
-          broken |= !length_ok (header->value);
+          length_count++;
+          invalid |= !is_valid_length (header->value);
         }
       else if (evutil_ascii_strcasecmp (header->key, "Transfer-Encoding") == 0)
         {
-          encodings++;
-          broken |= evutil_ascii_strcasecmp (header->value, "chunked") != 0;
+          encoding_count++;
+          invalid |= evutil_ascii_strcasecmp (header->value, "chunked") != 0;
         }
     }
-  if (broken || lengths + encodings > 1)
+  if (invalid || length_count + encoding_count > 1)
     return FRM_BROKEN;
-  if (encodings)
+  if (encoding_count)
     return FRM_CHUNKED;
-  return lengths ? FRM_LENGTH : FRM_NONE;
+  return length_count ? FRM_LENGTH : FRM_NONE;
 }
 
 uint64_t
@@ -58,12 +58,12 @@
 bool
 frm_name_ok (const char *name)
 {
-  static const char marks[] = "!#$%&'*+-.^_`|~";
+  static const char punctuation[] = "!#$%&'*+-.^_`|~";
 
   if (*name == '\0')
     return false;
   for (; *name; name++)
-    if (!g_ascii_isalnum (*name) && !strchr (marks, *name))
+    if (!g_ascii_isalnum (*name) && !strchr (punctuation, *name))
       return false;
   return true;
 }
--- a/src/connection/http_framing.h
+++ b/src/connection/http_framing.h
@@ -1,9 +1,10 @@
 /**
  * DOC: http_framing
  *
- * Checks of the headers that say where a message ends, and of header text. The library takes the
- * first of two Content-Length headers, and Transfer-Encoding before Content-Length; another reader
- * of the same bytes may choose otherwise and see another message. Such messages are refused.
+ * Validates message framing (Content-Length and Transfer-Encoding) and header text, against request
+ * smuggling. libevent uses the first of two Content-Length headers and prefers Transfer-Encoding to
+ * Content-Length; another parser may choose otherwise and see different message boundaries in the
+ * same bytes. Messages with ambiguous framing are therefore rejected.
  */
 #ifndef CONNECTION_HTTP_FRAMING_H
 #define CONNECTION_HTTP_FRAMING_H
@@ -14,21 +15,23 @@
 
 typedef enum
 {
-  FRM_NONE,    /* no length is declared */
-  FRM_LENGTH,  /* by one sound Content-Length */
-  FRM_CHUNKED, /* by Transfer-Encoding: chunked */
-  FRM_BROKEN   /* doubled, contradictory, unknown, or not to be told for a malformed name */
+  FRM_NONE,    /* neither Content-Length nor Transfer-Encoding */
+  FRM_LENGTH,  /* exactly one valid Content-Length */
+  FRM_CHUNKED, /* Transfer-Encoding: chunked */
+  FRM_BROKEN   /* duplicate, contradictory or unknown, or a header name is malformed */
 } frm_t;
 
-/** frm_of() - how the length of the message's body is declared */
+/** frm_of() - determine how the headers delimit the body */
 frm_t frm_of (const struct evkeyvalq *headers);
-/** frm_length() - the value of the one Content-Length; 0 when there is none */
+/** frm_length() - the value of Content-Length, for headers of %FRM_LENGTH; 0 when there is none */
 uint64_t frm_length (const struct evkeyvalq *headers);
-/** frm_name_ok() - whether @name is a token, as a header name must be */
+/** frm_name_ok() - whether @name is a valid header name (a token of RFC 9110) */
 bool frm_name_ok (const char *name);
-/** frm_value_ok() - whether @value has no control character but tab, so that it ends no line */
+/** frm_value_ok() - whether @value has no control character but tab: a line break would let it
+ * inject headers */
 bool frm_value_ok (const char *value);
-/** frm_target_ok() - whether @target starts with a slash and has visible ASCII characters only */
+/** frm_target_ok() - whether @target starts with a slash and consists of visible ASCII characters
+ */
 bool frm_target_ok (const char *target);
 
 #endif
--- a/src/connection/platform.c
+++ b/src/connection/platform.c
@@ -13,14 +13,14 @@
 #define HOSTS_ANSWER_LIMIT_BYTES (16 * 1024 * 1024)
 #define CONTENT_TYPE "application/octet-stream"
 
-/** struct plt_http - @plt goes first, so that it can be cast */
+/** struct plt_http - a platform over HTTP; @plt is first, so that a pointer to it can be cast */
 typedef struct
 {
   plt_t plt;
   pcl_t *pcl;
 } plt_http_t;
 
-/** struct plt_call - who waits for an answer, and what was asked */
+/** struct plt_call - parameters and callback of a pending call; one of the callbacks is set */
 typedef struct
 {
   uint64_t from;
@@ -32,7 +32,7 @@
 } plt_call_t;
 
 static bool
-says_no_effect (const pcl_answer_t *answer)
+reports_no_effect (const pcl_answer_t *answer)
 {
   if (answer->status >= 400 && answer->status < 500)
     return true;
@@ -40,20 +40,20 @@
          g_strcmp0 (evhttp_find_header (answer->headers, "X-Log-Effect"), "none") == 0;
 }
 
-/* Nothing that left for the platform can have taken effect; a read has none anyway, and a caller
- * that hears PLT_REFUSED for it would think that the platform is up. */
+/* An append of which nothing was sent had no effect. A read never has one, but PLT_REFUSED for it
+ * would make the caller believe that the platform is reachable. */
 static plt_outcome_t
 outcome_of (const plt_call_t *call, const pcl_answer_t *answer)
 {
   if (answer->status == 0)
     return answer->not_sent && call->appended != NULL ? PLT_REFUSED : PLT_UNKNOWN;
-  if (says_no_effect (answer))
+  if (reports_no_effect (answer))
     return PLT_REFUSED;
   return answer->status == 200 ? PLT_OK : PLT_UNKNOWN;
 }
 
 static void
-end_append (plt_call_t *call, plt_outcome_t outcome, const char *text, size_t text_bytes)
+finish_append (plt_call_t *call, plt_outcome_t outcome, const char *text, size_t text_bytes)
 {
   uint64_t offset = 0;
   if (outcome == PLT_OK && !pla_append (text, text_bytes, &offset))
@@ -62,7 +62,7 @@
 }
 
 static void
-end_read (plt_call_t *call, plt_outcome_t outcome, const char *text, size_t text_bytes)
+finish_read (plt_call_t *call, plt_outcome_t outcome, const char *text, size_t text_bytes)
 {
   pla_read_t answer = { 0 };
   if (outcome == PLT_OK && !pla_read (&answer, text, text_bytes, call->from, call->max_records))
@@ -73,7 +73,7 @@
 }
 
 static void
-end_hosts (plt_call_t *call, plt_outcome_t outcome, const char *text, size_t text_bytes)
+finish_hosts (plt_call_t *call, plt_outcome_t outcome, const char *text, size_t text_bytes)
 {
   plt_hosts_t answer = { 0 };
   if (outcome == PLT_OK && !pla_hosts (&answer, text, text_bytes))
@@ -85,23 +85,23 @@
 }
 
 static void
-call_ended (const pcl_answer_t *answer, void *context)
+on_call_done (const pcl_answer_t *answer, void *context)
 {
   plt_call_t *call = context;
   plt_outcome_t outcome = outcome_of (call, answer);
   if (call->appended != NULL)
-    end_append (call, outcome, answer->body, answer->body_bytes);
+    finish_append (call, outcome, answer->body, answer->body_bytes);
   else if (call->read_done != NULL)
-    end_read (call, outcome, answer->body, answer->body_bytes);
+    finish_read (call, outcome, answer->body, answer->body_bytes);
   else
-    end_hosts (call, outcome, answer->body, answer->body_bytes);
+    finish_hosts (call, outcome, answer->body, answer->body_bytes);
   g_free (call);
 }
 
 static void
-call_start (plt_t *plt, plt_call_t *call, pcl_request_t *request)
+start_call (plt_t *plt, plt_call_t *call, pcl_request_t *request)
 {
-  request->done = call_ended;
+  request->done = on_call_done;
   request->dropped = g_free;
   request->context = call;
   pcl_start (((plt_http_t *)plt)->pcl, request);
@@ -120,7 +120,7 @@
   g_autofree char *target = g_strdup_printf ("/log/append?stream=%s", name);
   call->appended = done;
   call->context = context;
-  call_start (plt, call,
+  start_call (plt, call,
               &(pcl_request_t){ .method = "POST",
                                 .target = target,
                                 .body = data,
@@ -148,7 +148,7 @@
   call->context = context;
   call->from = from_offset;
   call->max_records = MIN (max_records, PLA_RECORDS_LIMIT);
-  call_start (plt, call,
+  start_call (plt, call,
               &(pcl_request_t){ .method = "GET",
                                 .target = target,
                                 .timeout_ms = wait_ms + PLT_TIMEOUT_MS,
@@ -162,7 +162,7 @@
   g_autofree char *target = g_strdup_printf ("/hosts?since=%" PRIu64, revision);
   call->hosts_done = done;
   call->context = context;
-  call_start (plt, call,
+  start_call (plt, call,
               &(pcl_request_t){ .method = "GET",
                                 .target = target,
                                 .timeout_ms = PLT_TIMEOUT_MS,
@@ -172,19 +172,19 @@
 static void
 http_free (plt_t *plt)
 {
-  plt_http_t *own = (plt_http_t *)plt;
-  pcl_free (own->pcl);
-  g_free (own);
+  plt_http_t *self = (plt_http_t *)plt;
+  pcl_free (self->pcl);
+  g_free (self);
 }
 
 plt_t *
 plt_http_new (struct event_base *base, const set_address_t *address, const char *reader_name)
 {
-  plt_http_t *own = g_new0 (plt_http_t, 1);
-  own->plt.append = http_append;
-  own->plt.read = http_read;
-  own->plt.hosts = http_hosts;
-  own->plt.free = http_free;
-  own->pcl = pcl_new (base, address, reader_name);
-  return &own->plt;
+  plt_http_t *self = g_new0 (plt_http_t, 1);
+  self->plt.append = http_append;
+  self->plt.read = http_read;
+  self->plt.hosts = http_hosts;
+  self->plt.free = http_free;
+  self->pcl = pcl_new (base, address, reader_name);
+  return &self->plt;
 }
--- a/src/connection/platform.h
+++ b/src/connection/platform.h
@@ -1,9 +1,9 @@
 /**
  * DOC: platform
  *
- * What the platform gives, as callbacks: its append-only log and its lagging list of hosts.
- * Another platform is another file that fills in these structs. All calls return at once and
- * answer later on the same event base, exactly once, never from within the call.
+ * Interface to the platform's services: its append-only streams and its eventually consistent list
+ * of hosts. Each adapter of a platform fills in these structs. All calls return at once; their
+ * callback runs later on the same event base, exactly once, never from within the call.
  */
 #ifndef CONNECTION_PLATFORM_H
 #define CONNECTION_PLATFORM_H
@@ -20,15 +20,15 @@
 typedef enum
 {
   PLT_OK,
-  PLT_REFUSED, /* certain: it took no effect */
-  PLT_UNKNOWN, /* down, slow or cut: it may have taken effect */
-  PLT_EXPIRED  /* of a read: the records asked for are no longer kept */
+  PLT_REFUSED, /* failed, and certain to have had no effect */
+  PLT_UNKNOWN, /* unreachable, timed out or invalid response: may have had an effect */
+  PLT_EXPIRED  /* of a read: the requested records are no longer retained */
 } plt_outcome_t;
 
 /**
  * struct plt_record - a record of a stream
- * @key: of a record in a keyed stream, else NULL
- * @data: NULL in a keyed stream when the record drops its key
+ * @key: key of the record in a keyed stream, otherwise NULL
+ * @data: the value; NULL in a keyed stream when the record deletes its key
  */
 typedef struct
 {
@@ -39,10 +39,10 @@
 } plt_record_t;
 
 /**
- * struct plt_read - what a read brought
- * @first_offset: first that is still retained
- * @next_offset: where to read on
- * @end_offset: end of the stream when it was read
+ * struct plt_read - result of a read; valid during the callback
+ * @first_offset: offset of the oldest record that is still retained
+ * @next_offset: offset to continue reading from
+ * @end_offset: end of the stream at the time of the read
  */
 typedef struct
 {
@@ -58,9 +58,10 @@
 typedef void (*plt_read_done_t) (const plt_read_t *read, void *context);
 
 /**
- * struct plt_newest - one page of the newest record of each key of a keyed stream
+ * struct plt_newest - one page of the newest record of each key of a keyed stream; valid during the
+ *   callback
  * @more: further keys follow the last one of @records
- * @end_offset: end of the stream when the page was made
+ * @end_offset: end of the stream when the page was created
  */
 typedef struct
 {
@@ -72,7 +73,11 @@
 } plt_newest_t;
 typedef void (*plt_newest_done_t) (const plt_newest_t *newest, void *context);
 
-/** struct plt_hosts - @full: a whole list; otherwise changes since the revision asked from */
+/**
+ * struct plt_hosts - the list of hosts, or its changes; valid during the callback
+ * @full: @hosts is the complete list; otherwise the changes since the requested revision
+ * @revision: revision of the list, to request the next changes from
+ */
 typedef struct
 {
   plt_outcome_t outcome;
@@ -84,23 +89,27 @@
 typedef void (*plt_hosts_done_t) (const plt_hosts_t *hosts, void *context);
 
 /* keyed streams */
-#define PLT_STREAM_ROUTING "routing" /* what operators write: by the keys below */
-#define PLT_STREAM_ENGINES "engines" /* entries of engines, each under its id */
-#define PLT_STREAM_ROUTERS "routers" /* addresses of routers, each under its host's name */
+#define PLT_STREAM_ROUTING "routing" /* written by operators, with the keys below */
+#define PLT_STREAM_ENGINES "engines" /* entries of engines; the key is the engine's id */
+#define PLT_STREAM_ROUTERS "routers" /* addresses of routers; the key is the host's name */
 
-/* keys of the stream of routing */
-#define PLT_KEY_CONFIG "config"       /* the newest configuration */
-#define PLT_KEY_DRAIN_PREFIX "drain/" /* and a data centre, drained while this is there */
+/* keys of PLT_STREAM_ROUTING */
+#define PLT_KEY_CONFIG "config" /* the newest configuration */
+#define PLT_KEY_DRAIN_PREFIX                                                                       \
+  "drain/" /* followed by a data centre, drained while the key exists                              \
+            */
 
 /**
- * struct plt - the platform
- * @append: one record to a stream; NULL when it has keyed streams only
- * @put: one record to a keyed stream, the newest of @key from then on; NULL when it has none
- * @read: records from @from_offset on; waits up to @wait_ms for one when there is none
- * @hosts: the list, as changes since @revision where it can; NULL when it has none
- * @newest: a page of a keyed stream's newest records, from the key after @after_key on, which is
- *   NULL for the first; NULL when it has no keyed streams
- * @free: calls that have not been answered are dropped; not from within an answer
+ * struct plt - a platform
+ * @append: appends a record to a stream; NULL for a platform with keyed streams only
+ * @put: writes a record to a keyed stream, which replaces the newest one of @key; NULL for a
+ * platform without keyed streams
+ * @read: returns records from @from_offset on; waits up to @wait_ms for one when there is none
+ * @hosts: returns the list of hosts, as changes since @revision if possible; NULL for a platform
+ *   without such a list
+ * @newest: returns a page of the newest records of a keyed stream, starting after @after_key, which
+ *   is NULL for the first page; NULL for a platform without keyed streams
+ * @free: drops pending calls without a callback; must not be called from within a callback
  */
 typedef struct plt plt_t;
 struct plt
@@ -131,21 +140,21 @@
   void (*free) (plt_t *plt);
 };
 
-#define PLT_TIMEOUT_MS 2000 /* beyond a read's own wait */
+#define PLT_TIMEOUT_MS 2000 /* of a call, in addition to the wait of a read */
 
 /**
- * plt_http_new() - the platform by HTTP
- * @reader_name: sent as the header X-Reader; NULL for none
+ * plt_http_new() - create an adapter for a platform with the following HTTP interface
+ * @reader_name: value of the header X-Reader; NULL for none
  *
  *   POST /log/append?stream=S            body: the record -> {"offset":N}
  *   GET  /log/read?stream=S&from=N&max=M&wait_ms=W
  *        -> {"first":F,"next":X,"end":E,"records":[{"offset":N,"data":"..."}]}
  *   GET  /hosts?since=R -> {"revision":R,"full":true|false,"hosts":[{"name","role","data_center",
  *        "region","http":"IP:PORT","exchange":"IP:PORT","state":"live|leaving|gone"}]}
- * A 4xx answer is PLT_REFUSED, a 503 with the header "X-Log-Effect: none" too, and an append that
- * never left for the platform; everything else that is not a good 200 is PLT_UNKNOWN. The offsets
- * of a stream have no holes: an answer that skips one is not believed, as the reader would miss a
- * record for good.
+ * A 4xx response, a 503 with the header "X-Log-Effect: none", and an append of which nothing was
+ * sent are %PLT_REFUSED. Everything else but a valid 200 is %PLT_UNKNOWN. The offsets of a stream
+ * have no gaps: a response that skips one is treated as invalid, since its reader would never get
+ * the missing record.
  */
 plt_t *
 plt_http_new (struct event_base *base, const set_address_t *address, const char *reader_name);
--- a/src/connection/platform_answer.c
+++ b/src/connection/platform_answer.c
@@ -63,7 +63,7 @@
 }
 
 static json_t *
-load (const char *text, size_t text_bytes)
+parse_json (const char *text, size_t text_bytes)
 {
   return json_loadb (text, text_bytes, JSON_REJECT_DUPLICATES, NULL);
 }
@@ -99,26 +99,26 @@
 bool
 pla_append (const char *text, size_t text_bytes, uint64_t *offset)
 {
-  json_t *json = load (text, text_bytes);
-  bool good = get_u64 (json, "offset", offset);
+  json_t *json = parse_json (text, text_bytes);
+  bool valid = get_u64 (json, "offset", offset);
   json_decref (json);
-  return good;
+  return valid;
 }
 
 bool
 pla_read (pla_read_t *out, const char *text, size_t text_bytes, uint64_t from, uint32_t max_records)
 {
   memset (out, 0, sizeof *out);
-  out->json = load (text, text_bytes);
+  out->json = parse_json (text, text_bytes);
   out->read.outcome = PLT_OK;
-  bool good = get_u64 (out->json, "first", &out->read.first_offset) &&
-              get_u64 (out->json, "next", &out->read.next_offset) &&
-              get_u64 (out->json, "end", &out->read.end_offset) &&
-              out->read.first_offset <= out->read.end_offset &&
-              get_records (out, from, max_records);
-  if (!good)
+  bool valid = get_u64 (out->json, "first", &out->read.first_offset) &&
+               get_u64 (out->json, "next", &out->read.next_offset) &&
+               get_u64 (out->json, "end", &out->read.end_offset) &&
+               out->read.first_offset <= out->read.end_offset &&
+               get_records (out, from, max_records);
+  if (!valid)
     pla_read_clear (out);
-  return good;
+  return valid;
 }
 
 void
@@ -132,22 +132,22 @@
 bool
 pla_hosts (plt_hosts_t *out, const char *text, size_t text_bytes)
 {
-  json_t *json = load (text, text_bytes);
+  json_t *json = parse_json (text, text_bytes);
   const json_t *list = json_object_get (json, "hosts");
   const json_t *full = json_object_get (json, "full");
   size_t count = json_array_size (list);
-  bool good = json_is_array (list) && json_is_boolean (full) && count <= PLA_HOSTS_LIMIT;
+  bool valid = json_is_array (list) && json_is_boolean (full) && count <= PLA_HOSTS_LIMIT;
   memset (out, 0, sizeof *out);
-  good = good && get_u64 (json, "revision", &out->revision);
-  mem_listed_t *hosts = g_new0 (mem_listed_t, good ? count + 1 : 1);
-  for (size_t i = 0; good && i < count; i++)
-    good = get_host (json_array_get (list, i), &hosts[i]);
+  valid = valid && get_u64 (json, "revision", &out->revision);
+  mem_listed_t *hosts = g_new0 (mem_listed_t, valid ? count + 1 : 1);
+  for (size_t i = 0; valid && i < count; i++)
+    valid = get_host (json_array_get (list, i), &hosts[i]);
   out->outcome = PLT_OK;
   out->full = json_is_true (full);
   out->hosts = hosts;
   out->host_count = (uint32_t)count;
   json_decref (json);
-  if (good)
+  if (valid)
     return true;
   g_free (hosts);
   memset (out, 0, sizeof *out);
--- a/src/connection/platform_answer.h
+++ b/src/connection/platform_answer.h
@@ -1,8 +1,8 @@
 /**
  * DOC: platform_answer
  *
- * The platform's answers, read from JSON. Types and bounds are checked: an answer that does not
- * hold them is not believed.
+ * Parses the JSON responses of the platform. A response with a wrong type or a value out of bounds
+ * is rejected as a whole.
  */
 #ifndef CONNECTION_PLATFORM_ANSWER_H
 #define CONNECTION_PLATFORM_ANSWER_H
@@ -11,13 +11,13 @@
 
 #include <jansson.h>
 
-#define PLA_RECORDS_LIMIT 10000
-#define PLA_HOSTS_LIMIT 65536
+#define PLA_RECORDS_LIMIT 10000 /* records of one read */
+#define PLA_HOSTS_LIMIT 65536   /* hosts of one list */
 
-/** pla_append() - Return: false when the answer is broken */
+/** pla_append() - parse the response to an append. Return: false when it is invalid */
 bool pla_append (const char *text, size_t text_bytes, uint64_t *offset);
 
-/** struct pla_read - a read answer; @read points into @json and @records */
+/** pla_read_t - a parsed response to a read; @read points into @json and @records */
 typedef struct
 {
   plt_read_t read;
@@ -25,12 +25,19 @@
   json_t *json;
 } pla_read_t;
 
-/** pla_read() - @out is to be given to pla_read_clear() when true is returned */
+/**
+ * pla_read() - parse the response to a read
+ * @from: offset that was requested; the records must continue from it without gaps
+ * @max_records: number of records that was requested
+ *
+ * Return: false when the response is invalid; when true, @out is to be cleared by pla_read_clear()
+ */
 bool pla_read (
     pla_read_t *out, const char *text, size_t text_bytes, uint64_t from, uint32_t max_records);
 void pla_read_clear (pla_read_t *out);
 
-/** pla_hosts() - @out.hosts is to be freed by g_free() when true is returned */
+/** pla_hosts() - parse a list of hosts. Return: false when it is invalid; when true, @out.hosts is
+ * to be freed by g_free() */
 bool pla_hosts (plt_hosts_t *out, const char *text, size_t text_bytes);
 
 #endif
--- a/src/connection/platform_call.c
+++ b/src/connection/platform_call.c
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <sys/queue.h>
 
-#define IDLE_CONNECTIONS 4
+#define IDLE_CONNECTIONS_MAX 4
 #define IDLE_TIMEOUT_MS 30000
 
 struct pcl
@@ -13,7 +13,7 @@
   hcl_t *hcl;
   set_address_t address;
   char reader_name[LIM_NAME_BYTES];
-  GQueue calls; /* call_t, not answered yet */
+  GQueue calls; /* pending calls, of call_t */
 };
 
 typedef struct
@@ -44,7 +44,7 @@
 }
 
 static bool
-head_came (int status, struct evkeyvalq *headers, void *context)
+on_head (int status, struct evkeyvalq *headers, void *context)
 {
   call_t *call = context;
   const struct evkeyval *header;
@@ -56,7 +56,7 @@
 }
 
 static void
-data_came (struct evbuffer *data, void *context)
+on_data (struct evbuffer *data, void *context)
 {
   call_t *call = context;
   size_t part_bytes = evbuffer_get_length (data);
@@ -70,12 +70,12 @@
 }
 
 static void
-call_ended (const hcl_end_t *end, void *context)
+on_end (const hcl_end_t *end, void *context)
 {
   call_t *call = context;
-  bool whole = end->whole && !call->too_large;
-  size_t body_bytes = whole ? evbuffer_get_length (call->answer) : 0;
-  pcl_answer_t answer = { .status = whole ? end->status : 0,
+  bool complete = end->whole && !call->too_large;
+  size_t body_bytes = complete ? evbuffer_get_length (call->answer) : 0;
+  pcl_answer_t answer = { .status = complete ? end->status : 0,
                           .not_sent = !end->whole && end->verdict == VRD_NOT_RUN,
                           .headers = &call->headers,
                           .body = "",
@@ -120,9 +120,9 @@
                                   .body_bytes = request->body_bytes,
                                   .timeout_us = (uint64_t)request->timeout_ms * CLK_US_PER_MS,
                                   .answer_limit_bytes = (uint32_t)request->answer_limit_bytes,
-                                  .on_head = head_came,
-                                  .on_data = data_came,
-                                  .on_end = call_ended,
+                                  .on_head = on_head,
+                                  .on_data = on_data,
+                                  .on_end = on_end,
                                   .context = call });
 }
 
@@ -131,7 +131,7 @@
 {
   pcl_t *pcl = g_new0 (pcl_t, 1);
 
-  pcl->hcl = hcl_new (base, IDLE_CONNECTIONS, IDLE_TIMEOUT_MS);
+  pcl->hcl = hcl_new (base, IDLE_CONNECTIONS_MAX, IDLE_TIMEOUT_MS);
   pcl->address = *address;
   if (reader_name)
     g_strlcpy (pcl->reader_name, reader_name, sizeof pcl->reader_name);
--- a/src/connection/platform_call.h
+++ b/src/connection/platform_call.h
@@ -1,8 +1,9 @@
 /**
  * DOC: platform_call
  *
- * Calls to the platform over HTTP, whatever its format: one answer of bounded size, or how far the
- * call got. What the answer means is left to the adapter that made the call.
+ * HTTP client of the adapters of platforms, independent of a platform's format. A call ends with
+ * one response of bounded size, or with the information whether anything was sent. The adapter that
+ * made the call interprets the response.
  */
 #ifndef CONNECTION_PLATFORM_CALL_H
 #define CONNECTION_PLATFORM_CALL_H
@@ -13,10 +14,10 @@
 typedef struct pcl pcl_t;
 
 /**
- * struct pcl_answer - how a call ended
- * @status: 0 when no whole answer came
- * @not_sent: nothing left for the platform, so the call took no effect
- * @body: valid until the callback returns; not NUL-terminated
+ * struct pcl_answer - result of a call; valid until the callback returns
+ * @status: HTTP status; 0 when no complete response arrived
+ * @not_sent: no byte of the request was sent, so the call had no effect
+ * @body: not NUL-terminated
  */
 typedef struct
 {
@@ -27,15 +28,16 @@
   size_t body_bytes;
 } pcl_answer_t;
 
-/** pcl_done_t - frees @context too, if it is to be freed */
+/** pcl_done_t - receives the result of a call; must free @context if that is allocated */
 typedef void (*pcl_done_t) (const pcl_answer_t *answer, void *context);
 
 /**
- * struct pcl_request - a call
- * @target: path and query; copied, as is @body
+ * struct pcl_request - parameters of a call
+ * @target: path and query; copied, like @body
  * @content_type: NULL for none
- * @timeout_ms: for the whole call
- * @dropped: called in place of @done when the calls are dropped by pcl_free()
+ * @timeout_ms: limit on the duration of the call
+ * @answer_limit_bytes: a longer response body counts as incomplete
+ * @dropped: called instead of @done when pcl_free() drops the call
  */
 typedef struct
 {
@@ -51,10 +53,11 @@
   void *context;
 } pcl_request_t;
 
-/** pcl_new() - @reader_name is sent as the header X-Reader; NULL for none */
+/** pcl_new() - create a client; @reader_name is sent as the header X-Reader, NULL for none */
 pcl_t *pcl_new (struct event_base *base, const set_address_t *address, const char *reader_name);
-/** pcl_free() - drops the calls that are not answered; not from within an answer */
+/** pcl_free() - drop all pending calls and free; must not be called from within a callback */
 void pcl_free (pcl_t *pcl);
+/** pcl_start() - send a request; its callback never runs from within this function */
 void pcl_start (pcl_t *pcl, const pcl_request_t *request);
 
 #endif
--- a/src/connection/socket.c
+++ b/src/connection/socket.c
@@ -9,15 +9,15 @@
 sck_tune (int fd)
 {
   int on = 1;
-  int probe_after_s = 1;
-  int probe_every_s = 1;
-  int probes = LIM_HTTP_DEAD_PEER_S - 1;
+  int keepalive_idle_s = 1;
+  int keepalive_interval_s = 1;
+  int keepalive_probe_count = LIM_HTTP_DEAD_PEER_S - 1;
 
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &probe_after_s, sizeof probe_after_s);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &probe_every_s, sizeof probe_every_s);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &keepalive_idle_s, sizeof keepalive_idle_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &keepalive_interval_s, sizeof keepalive_interval_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &keepalive_probe_count, sizeof keepalive_probe_count);
 }
 
 void
--- a/src/connection/socket.h
+++ b/src/connection/socket.h
@@ -1,25 +1,28 @@
 /**
  * DOC: socket
  *
- * Options of the TCP sockets of a daemon.
+ * Socket options of a daemon's TCP connections.
  */
 #ifndef CONNECTION_SOCKET_H
 #define CONNECTION_SOCKET_H
 
 /**
- * sck_tune() - options of a connection, or of a listener whose connections inherit them
+ * sck_tune() - set the options of a connection, or of a listener, whose connections inherit them
  *
- * A token must not wait until the one before it is acknowledged. A peer whose host or data centre
- * is gone sends no reset; it is given up after %LIM_HTTP_DEAD_PEER_S, however long the answer may
- * take. A process that is merely slow or paused is not, since its kernel acknowledges for it.
+ * Disables Nagle's algorithm: a streamed token must not wait until the one before it is
+ * acknowledged. Enables keep-alive probes: a peer whose host or data centre has failed sends no
+ * reset, so its connection is closed after %LIM_HTTP_DEAD_PEER_S, even while a long response is
+ * outstanding. A process that is only slow or suspended is not affected, since its kernel answers
+ * the probes.
  */
 void sck_tune (int fd);
 
 /**
- * sck_tune_client() - options of a connection that sends requests
+ * sck_tune_client() - set the options of a connection that sends requests
  *
- * A request that is never acknowledged is given up as well. Not so for answers: the limit would
- * also cut a stream whose reader is slow, since a closed window counts as nothing acknowledged.
+ * Adds a limit on unacknowledged data (TCP_USER_TIMEOUT) to those of sck_tune(). It is not set
+ * where responses are sent: there it would also cut a stream whose reader is slow, since the kernel
+ * treats a closed receive window like missing acknowledgements.
  */
 void sck_tune_client (int fd);
 
--- a/src/connection/stream_follow.h
+++ b/src/connection/stream_follow.h
@@ -1,10 +1,10 @@
 /**
  * DOC: stream_follow
  *
- * Follows a keyed stream of the platform into a view: lists the newest records first, then reads on
- * from the end of that list; lists anew when the records to be read are no longer kept. Backs off
- * while the platform fails. One that rests reads only when it is asked to: others tell its owner
- * that there is nothing new.
+ * Keeps a view up to date with a keyed stream of the platform. Lists the newest record of each key
+ * first, then reads on from the end of that list; lists again when the records to be read are no
+ * longer retained. Backs off while the platform fails. A resting follower reads only on request:
+ * its owner learns from other hosts whether there are new records.
  */
 #ifndef CONNECTION_STREAM_FOLLOW_H
 #define CONNECTION_STREAM_FOLLOW_H
@@ -16,33 +16,38 @@
 
 #include <event2/event.h>
 
-/* The first failure is often a lost answer; after more of them the platform is down for seconds,
- * and a fleet that asks at this rate stays far below what it may ask. */
+/* Delay before a failed call is repeated, doubled at each failure. A single failure is often a lost
+ * response, hence the short minimum; after several the platform is down for seconds, and at the
+ * maximum the retries of a whole fleet stay far below the platform's request limit. */
 #define SFL_BACKOFF_MIN_MS 100
 #define SFL_BACKOFF_MAX_MS 800
-#define SFL_PACE_MIN_MS 50 /* between two reads that both brought records */
+#define SFL_PACE_MIN_MS 50 /* minimum time between the starts of two reads */
 
-/* From one answer to the next a reader that follows lets pass its wait and this part of it, but for
- * the least wait: a store that is asked for news and then left at once tells none. */
+/* Bounds the time between two responses to the configured wait plus 1/SFL_SILENT_PART of it: a read
+ * that starts late waits for less. It waits for SFL_WAIT_MIN_MS at least, since the store returns
+ * no new record to a read that ends at once. */
 #define SFL_SILENT_PART 4
 #define SFL_WAIT_MIN_MS 100
 
 typedef enum
 {
-  SFL_LISTED,  /* the view holds all that the platform has; told after each whole list */
-  SFL_LOST,    /* the platform fails */
-  SFL_REGAINED /* it answers again */
+  SFL_LISTED,  /* a list was completed: the view holds all that the platform had then */
+  SFL_LOST,    /* a call failed after successful ones */
+  SFL_REGAINED /* a call succeeded after failed ones */
 } sfl_state_t;
 
 /**
  * struct sfl_options - options of sfl_new()
- * @stream: static
- * @wait_ms: a read waits so long for a record; 0 is not at all
- * @pace_ms: between the starts of two reads, when the first brought records
- * @latest_only: only the newest record of each key counts; where several have come they are listed,
- *   so that a quick series of large records does not fill the host's link
- * @held: nothing is read before sfl_begin()
- * @told: how it goes
+ * @plt: must outlive the follower's calls; see sfl_free()
+ * @stream: name of the stream; a static string
+ * @wait_ms: how long a read may wait at the platform for a new record; 0 for not at all
+ * @pace_ms: time between the starts of two reads when the first one returned records
+ * @latest_only: only the newest record of each key matters. When more than one new record exists
+ *   they are listed instead of read, so that a quick series of large records does not saturate the
+ *   host's link
+ * @held: no call starts before sfl_begin()
+ * @seed: for the jitter of the backoff
+ * @told: called with each event of sfl_state_t
  */
 typedef struct
 {
@@ -63,32 +68,36 @@
 
 typedef struct sfl sfl_t;
 
-/** sfl_new() - starts at once, unless it is held */
+/** sfl_new() - create a follower, which starts at once unless it is held */
 sfl_t *sfl_new (const sfl_options_t *options);
-/** sfl_hold() - no call starts until sfl_begin() */
+/** sfl_hold() - start no further call until sfl_begin() */
 void sfl_hold (sfl_t *sfl);
+/** sfl_begin() - end a hold; no effect when not held */
 void sfl_begin (sfl_t *sfl);
-/** sfl_free() - after the platform was freed, which drops the calls under way */
+/** sfl_free() - free the follower. Only after the platform was freed, which drops its pending calls
+ */
 void sfl_free (sfl_t *sfl);
-/** sfl_next() - offset that is read next; 0 until a list has come */
+/** sfl_next() - the offset to read next; 0 until a list has been completed */
 uint64_t sfl_next (const sfl_t *sfl);
-/** sfl_advance() - a peer has told all records before @next */
+/** sfl_advance() - note that the view has got all records before offset @next from a peer, so that
+ * they need not be listed or read; ends a hold */
 void sfl_advance (sfl_t *sfl, uint64_t next);
-/** sfl_set_resting() - after a whole list has come: whether no read starts by itself. One that is
- * under way goes on */
+/** sfl_set_resting() - whether, after a completed list, no read starts by itself. A pending call is
+ * not cancelled */
 void sfl_set_resting (sfl_t *sfl, bool resting);
-/** sfl_read_soon() - a resting one reads once, as soon as its pace and its backoff allow */
+/** sfl_read_soon() - make a resting follower read once, as soon as pace and backoff allow */
 void sfl_read_soon (sfl_t *sfl);
-/** sfl_has_listed() - whether a whole list has come since the start */
+/** sfl_has_listed() - whether the view has been complete since the start: by a list or by
+ * sfl_advance() */
 bool sfl_has_listed (const sfl_t *sfl);
-/** sfl_is_failing() - whether its last call failed */
+/** sfl_is_failing() - whether the last call failed */
 bool sfl_is_failing (const sfl_t *sfl);
-/** sfl_is_catching_up() - whether the records that come now were written while the platform failed
- * here, as far as known; to be asked from within the view's callback */
+/** sfl_is_catching_up() - whether the records being applied were, as far as known, written while
+ * this host could not reach the platform. Meant for the view's callback */
 bool sfl_is_catching_up (const sfl_t *sfl);
-/** sfl_tried_us() - when the last call began; 0 when none has */
+/** sfl_tried_us() - time at which the last call started; 0 before the first */
 uint64_t sfl_tried_us (const sfl_t *sfl);
-/** sfl_heard_us() - when the last good answer came; 0 when none has */
+/** sfl_heard_us() - time of the last successful response; 0 before the first */
 uint64_t sfl_heard_us (const sfl_t *sfl);
 
 #endif
--- a/src/connection/wire.c
+++ b/src/connection/wire.c
@@ -5,22 +5,22 @@
 #include <glib.h>
 #include <string.h>
 
-#define WORDS(bytes) ((bytes) / sizeof (uint32_t))
+#define XDR_UNITS(bytes) ((bytes) / sizeof (uint32_t))
 
-/* After the verifier's body a reply still has its accept status. */
+/* The accept status, which follows the verifier in the header of a reply. */
 #define REPLY_TAIL_BYTES sizeof (uint32_t)
 
-/** struct header - an RPC header with room for what its opaque parts point to */
+/** rpc_header_t - an RPC header with storage for its credential and verifier */
 typedef struct
 {
   struct rpc_msg rpc;
   char credential[MAX_AUTH_BYTES];
   char verifier[MAX_AUTH_BYTES];
-} header_t;
+} rpc_header_t;
 
-/* The results are coded apart, once the HMAC was checked. */
+/* The message body is encoded and decoded separately: decoding waits for the HMAC check. */
 static bool_t
-code_no_results (XDR *xdr, void *results)
+xdr_no_results (XDR *xdr, void *results)
 {
   (void)xdr;
   (void)results;
@@ -28,7 +28,7 @@
 }
 
 static void
-sign (const char *key, const void *datagram, size_t bytes, uint8_t out[WIR_HMAC_BYTES])
+compute_hmac (const char *key, const void *datagram, size_t bytes, uint8_t out[WIR_HMAC_BYTES])
 {
   gsize out_bytes = WIR_HMAC_BYTES;
   GHmac *hmac = g_hmac_new (G_CHECKSUM_SHA256, (const guchar *)key, strlen (key));
@@ -37,8 +37,8 @@
   g_hmac_unref (hmac);
 }
 
-/* Takes the same time wherever the first difference is: else the time of an answer would tell an
- * attacker how much of a guessed HMAC fits. */
+/* Takes the same time wherever the first difference is: otherwise the response time would reveal
+ * how much of a guessed HMAC is correct. */
 static bool
 equal_in_constant_time (const uint8_t *a, const uint8_t *b, size_t bytes)
 {
@@ -49,7 +49,7 @@
 }
 
 static void
-header_init_call (header_t *header, uint32_t xid)
+header_init_call (rpc_header_t *header, uint32_t xid)
 {
   memset (header, 0, sizeof *header);
   header->rpc.rm_xid = xid;
@@ -67,7 +67,7 @@
 }
 
 static void
-header_init_reply (header_t *header, uint32_t xid)
+header_init_reply (rpc_header_t *header, uint32_t xid)
 {
   memset (header, 0, sizeof *header);
   header->rpc.rm_xid = xid;
@@ -78,50 +78,50 @@
   reply->ar_verf.oa_base = header->verifier;
   reply->ar_verf.oa_length = WIR_HMAC_BYTES;
   reply->ar_stat = SUCCESS;
-  reply->ar_results.proc = (xdrproc_t)code_no_results;
+  reply->ar_results.proc = (xdrproc_t)xdr_no_results;
 }
 
-/* Codes the header. Return: where the verifier's body starts, 0 when it cannot be coded. */
+/* Encodes or decodes the header. Return: the offset of the verifier's body, 0 on failure. */
 static size_t
-code_header (XDR *xdr, header_t *header, bool is_reply)
+xdr_header (XDR *xdr, rpc_header_t *header, bool is_reply)
 {
-  bool coded = is_reply ? xdr_replymsg (xdr, &header->rpc) : xdr_callmsg (xdr, &header->rpc);
-  if (!coded)
+  bool done = is_reply ? xdr_replymsg (xdr, &header->rpc) : xdr_callmsg (xdr, &header->rpc);
+  if (!done)
     return 0;
   return XDR_GETPOS (xdr) - WIR_HMAC_BYTES - (is_reply ? REPLY_TAIL_BYTES : 0);
 }
 
 static bool
-is_our_verifier (const struct opaque_auth *verifier)
+is_exchange_verifier (const struct opaque_auth *verifier)
 {
   return verifier->oa_flavor == WIR_FLAVOR && verifier->oa_length == WIR_HMAC_BYTES;
 }
 
 static bool
-is_our_call (const struct call_body *call)
+is_exchange_call (const struct call_body *call)
 {
   return call->cb_rpcvers == RPC_MSG_VERSION && call->cb_prog == MEDLARPLANK_EXCHANGE &&
          call->cb_vers == MEDLARPLANK_EXCHANGE_V1 && call->cb_proc == XCH_SWAP &&
          call->cb_cred.oa_flavor == AUTH_NONE && call->cb_cred.oa_length == 0 &&
-         is_our_verifier (&call->cb_verf);
+         is_exchange_verifier (&call->cb_verf);
 }
 
 static bool
-is_our_reply (const struct reply_body *reply)
+is_exchange_reply (const struct reply_body *reply)
 {
   return reply->rp_stat == MSG_ACCEPTED && reply->rp_acpt.ar_stat == SUCCESS &&
-         is_our_verifier (&reply->rp_acpt.ar_verf);
+         is_exchange_verifier (&reply->rp_acpt.ar_verf);
 }
 
 static bool
-is_our_header (const header_t *header, bool is_reply)
+is_exchange_header (const rpc_header_t *header, bool is_reply)
 {
   if (is_reply)
-    return header->rpc.rm_direction == REPLY && is_our_reply (&header->rpc.rm_reply);
-  return header->rpc.rm_direction == CALL && is_our_call (&header->rpc.rm_call);
+    return header->rpc.rm_direction == REPLY && is_exchange_reply (&header->rpc.rm_reply);
+  return header->rpc.rm_direction == CALL && is_exchange_call (&header->rpc.rm_call);
 }
 
-/* Whether the HMAC at @hmac_at fits. Zeroes it, as the signer had it. */
+/* Whether the HMAC at @hmac_at matches. Zeroes it first, as it was when the sender computed it. */
 static bool
 check_hmac (uint8_t *datagram, size_t bytes, size_t hmac_at, const char *key)
 {
@@ -129,7 +129,7 @@
   uint8_t expected[WIR_HMAC_BYTES];
   memcpy (claimed, datagram + hmac_at, sizeof claimed);
   memset (datagram + hmac_at, 0, sizeof claimed);
-  sign (key, datagram, bytes, expected);
+  compute_hmac (key, datagram, bytes, expected);
   return equal_in_constant_time (claimed, expected, sizeof claimed);
 }
 
@@ -147,15 +147,15 @@
 wir_encode (
     char *out, size_t out_bytes, const char *key, uint32_t xid, bool is_reply, xch_message *message)
 {
-  uint32_t datagram[WORDS (LIM_DATAGRAM_BYTES)] = { 0 };
-  header_t header;
+  uint32_t datagram[XDR_UNITS (LIM_DATAGRAM_BYTES)] = { 0 };
+  rpc_header_t header;
   XDR xdr;
   if (is_reply)
     header_init_reply (&header, xid);
   else
     header_init_call (&header, xid);
   xdrmem_create (&xdr, (char *)datagram, sizeof datagram, XDR_ENCODE);
-  size_t hmac_at = code_header (&xdr, &header, is_reply);
+  size_t hmac_at = xdr_header (&xdr, &header, is_reply);
   size_t bytes = 0;
   if (hmac_at != 0 && xdr_xch_message (&xdr, message))
     bytes = XDR_GETPOS (&xdr);
@@ -163,7 +163,7 @@
   if (bytes == 0 || bytes > out_bytes)
     return 0;
   uint8_t hmac[WIR_HMAC_BYTES];
-  sign (key, datagram, bytes, hmac);
+  compute_hmac (key, datagram, bytes, hmac);
   memcpy ((uint8_t *)datagram + hmac_at, hmac, sizeof hmac);
   memcpy (out, datagram, bytes);
   return bytes;
@@ -177,7 +177,7 @@
             bool *is_reply,
             xch_message *message)
 {
-  uint32_t datagram[WORDS (LIM_DATAGRAM_BYTES)];
+  uint32_t datagram[XDR_UNITS (LIM_DATAGRAM_BYTES)];
   memset (message, 0, sizeof *message);
   if (in_bytes > sizeof datagram)
     return WIR_TOO_LARGE;
@@ -185,8 +185,8 @@
     return WIR_BROKEN;
   memcpy (datagram, in, in_bytes);
   *is_reply = g_ntohl (datagram[1]) == REPLY;
-  header_t header;
-  /* Filled in, so that the decoder writes into the header's own room and takes no memory. */
+  rpc_header_t header;
+  /* Set the buffers of the header, so that the decoder uses them instead of allocating memory. */
   if (*is_reply)
     header_init_reply (&header, 0);
   else
@@ -194,8 +194,8 @@
   XDR xdr;
   xdrmem_create (&xdr, (char *)datagram, (u_int)in_bytes, XDR_DECODE);
   wir_outcome_t outcome = WIR_BROKEN;
-  size_t hmac_at = code_header (&xdr, &header, *is_reply);
-  if (hmac_at != 0 && is_our_header (&header, *is_reply))
+  size_t hmac_at = xdr_header (&xdr, &header, *is_reply);
+  if (hmac_at != 0 && is_exchange_header (&header, *is_reply))
     {
       outcome = WIR_BAD_AUTH;
       if (check_hmac ((uint8_t *)datagram, in_bytes, hmac_at, key))
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -1,31 +1,35 @@
 /**
  * DOC: wire
  *
- * Datagrams of the exchange: RPC call and reply headers, XDR bodies, and an HMAC-SHA256 under the
- * fleet key in the verifier. Encoding and decoding only; no sockets.
+ * Encodes and decodes the datagrams of the exchange: ONC RPC call and reply headers, XDR bodies,
+ * and an HMAC-SHA256 under the fleet key in the RPC verifier. Uses no sockets.
  *
  * The verifier (a call's cb_verf, an accepted reply's ar_verf) has the flavor %WIR_FLAVOR and the
- * HMAC as its body. The HMAC covers the whole datagram with the body of the verifier zeroed: xid,
- * direction, program and procedure too, so a call cannot be sent back as a reply.
+ * HMAC as its body. The HMAC covers the whole datagram with the body of the verifier zeroed. That
+ * includes xid, direction, program and procedure, so a call cannot be reflected as a reply.
  *
- * Replay. The HMAC does not tell an old datagram from a new one. A reply counts only for an xid
- * that is still open, from the address that was asked. A call counts only if its sender's
- * (incarnation, sequence) is higher than the last one heard of that host, and only if that host is
- * listed. Others are not answered, but for those of an earlier incarnation: a process whose clock
- * went back between two starts must hear why nobody believes it. What is left: after a restart a
- * daemon has heard nobody, and takes one old call of each listed host as new until that host's true
- * word reaches it, directly or by others. Such a call can show a host as leaving that is live,
- * which costs hops, or the reverse, which the host itself refuses; it can bring load samples that
- * are too old, which expire in %LIM_SAMPLE_AGE_US, and marks of suspects that had expired. It
- * cannot bring back an old version: a version only rises. Times of sending would close this, but
- * hosts' clocks differ, and a host with a wrong clock would be cut off.
+ * Replay protection. The HMAC does not distinguish a replayed datagram from a new one. A reply is
+ * accepted only for an xid that is still outstanding and from the address that was called. A call
+ * is accepted only if its sender is in the host list and its (incarnation, sequence) is higher than
+ * the last one received from that host. Other calls are not answered, except those of an earlier
+ * incarnation: a process whose clock went back between two starts must learn why its messages are
+ * ignored.
+ *
+ * Remaining exposure: after a restart a daemon has no sequence numbers, so it accepts one replayed
+ * call of each listed host until a current message of that host arrives, directly or through other
+ * hosts. Such a call can show a live host as leaving, which costs extra hops, or a leaving host as
+ * live, which that host itself rejects. It can bring outdated load samples, which expire after
+ * %LIM_SAMPLE_AGE_US, and suspicions that had expired. It cannot bring back an old version, since a
+ * version never decreases. Send times in messages would prevent this, but hosts' clocks differ, and
+ * a host with a wrong clock would be cut off.
  */
 #ifndef CONNECTION_WIRE_H
 #define CONNECTION_WIRE_H
 
 #include "proto/exchange.h"
 
-/* libtirpc defines these as macros; they would swallow the functions of request/policy/member.h. */
+/* libtirpc defines these as macros, which would replace the functions of request/policy/member.h.
+ */
 #undef mem_alloc
 #undef mem_free
 
@@ -33,31 +37,39 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define WIR_FLAVOR 0x20004d50 /* of the verifier; the number of the program */
+#define WIR_FLAVOR 0x20004d50 /* auth flavor of the verifier; equal to the RPC program number */
 #define WIR_HMAC_BYTES 32
 
 typedef enum
 {
   WIR_OK,
-  WIR_BROKEN,   /* not a message of this program and version, or cut short */
-  WIR_BAD_AUTH, /* the HMAC does not fit */
-  WIR_TOO_LARGE
+  WIR_BROKEN,   /* malformed, truncated, or of another RPC program or version */
+  WIR_BAD_AUTH, /* the HMAC does not match */
+  WIR_TOO_LARGE /* longer than %LIM_DATAGRAM_BYTES */
 } wir_outcome_t;
 
-/** wir_encode() - @is_reply tells call from reply. Return: bytes written, 0 when it does not fit */
+/**
+ * wir_encode() - encode and authenticate a call, or a reply when @is_reply is true
+ * @key: the fleet key, NUL-terminated
+ * @xid: RPC transaction id; a reply has that of its call
+ *
+ * Return: the number of bytes written to @out, 0 when the message does not fit
+ */
 size_t wir_encode (char *out,
                    size_t out_bytes,
                    const char *key,
                    uint32_t xid,
                    bool is_reply,
                    xch_message *message);
-/** wir_decode() - on WIR_OK the message must be freed by wir_free() */
+/** wir_decode() - verify and decode a datagram. After %WIR_OK @message must be freed by wir_free();
+ * after any other outcome it holds nothing */
 wir_outcome_t wir_decode (const char *in,
                           size_t in_bytes,
                           const char *key,
                           uint32_t *xid,
                           bool *is_reply,
                           xch_message *message);
+/** wir_free() - free the arrays of a decoded message and zero it */
 void wir_free (xch_message *message);
 
 #endif
--- a/tests/test_admin_seal.c
+++ b/tests/test_admin_seal.c
@@ -17,14 +17,14 @@
 test_known_value (void)
 {
   g_autofree char *seal = seal_make ("key", "drain", "h", 1);
-  g_autofree char *want =
+  g_autofree char *expected =
       g_compute_hmac_for_string (G_CHECKSUM_SHA256, (const guchar *)"key", 3, "drain\nh\n1", -1);
 
-  CU_ASSERT_STRING_EQUAL (seal, want);
+  CU_ASSERT_STRING_EQUAL (seal, expected);
 }
 
 static void
-test_only_its_own_order (void)
+test_seal_covers_every_field (void)
 {
   g_autofree char *seal = seal_make (KEY, SEAL_DRAIN, "h1", NOW_S);
   g_autofree char *upper = g_ascii_strup (seal, -1);
@@ -39,31 +39,31 @@
   CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S, cut));
   CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S, ""));
   CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S, NULL));
-  for (size_t at = 0; at < strlen (seal); at++)
+  for (size_t i = 0; i < strlen (seal); i++)
     {
       g_autofree char *other = g_strdup (seal);
 
-      other[at] = other[at] == '0' ? '1' : '0';
+      other[i] = other[i] == '0' ? '1' : '0';
       CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S, other));
     }
 }
 
 /*
- * Someone who read an old order off the wire sends it again much later, when the host has long
- * been replaced under the same name. Its time is out of the window, so the new host stays.
+ * Guards against a captured command that is replayed much later, after the host was replaced by
+ * another one of the same name: its time is outside of the window, so the new host ignores it.
  */
 static void
-test_old_order (void)
+test_replayed_command_expires (void)
 {
   static const int64_t TIMES_S[] = { -61, -60, 60, 61 };
-  static const bool GOOD[] = { false, true, true, false };
+  static const bool ACCEPTED[] = { false, true, true, false };
 
-  for (size_t at = 0; at < G_N_ELEMENTS (TIMES_S); at++)
+  for (size_t i = 0; i < G_N_ELEMENTS (TIMES_S); i++)
     {
-      uint64_t time_s = (uint64_t)(NOW_S + TIMES_S[at]);
+      uint64_t time_s = (uint64_t)(NOW_S + TIMES_S[i]);
       g_autofree char *seal = seal_make (KEY, SEAL_DRAIN, "h1", time_s);
 
-      CU_ASSERT_EQUAL (drain (KEY, "h1", time_s, seal), GOOD[at]);
+      CU_ASSERT_EQUAL (drain (KEY, "h1", time_s, seal), ACCEPTED[i]);
     }
 }
 
@@ -72,8 +72,8 @@
 {
   static const CU_TestInfo tests[] = {
     SUITE_TEST (test_known_value),
-    SUITE_TEST (test_only_its_own_order),
-    SUITE_TEST (test_old_order),
+    SUITE_TEST (test_seal_covers_every_field),
+    SUITE_TEST (test_replayed_command_expires),
     CU_TEST_INFO_NULL,
   };
   return suite_run ("admin seal", tests);
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -13,21 +13,22 @@
 #define KEY "sixteen bytes or more"
 #define FUZZ_ROUNDS 20000
 #define DEADLINE_S 5
-#define CALL_HMAC_AT 40 /* after ten words of the header */
-/* header with HMAC, message without elements: the sender, four offsets, an age and three counts */
+#define CALL_HMAC_AT 40 /* offset of the HMAC: ten 32-bit units of the header come first */
+/* Header with HMAC, and a message without array elements: the sender, four offsets, an age and
+ * three element counts. */
 #define EMPTY_REPLY_BYTES (56 + 72)
 
-/** struct full - a message with every array full */
+/** full_message_t - a message with every array at its maximum length */
 typedef struct
 {
   xch_message message;
   xch_sample samples[XCH_SAMPLES];
   xch_word words[XCH_WORDS];
   xch_mark marks[XCH_MARKS];
-} full_t;
+} full_message_t;
 
 static void
-full_init (full_t *full)
+full_message_init (full_message_t *full)
 {
   memset (full, 0, sizeof *full);
   full->message.sender.host_hash = UINT64_MAX;
@@ -47,8 +48,8 @@
 static size_t
 encode_full (char out[LIM_DATAGRAM_BYTES], bool is_reply)
 {
-  full_t full;
-  full_init (&full);
+  full_message_t full;
+  full_message_init (&full);
   return wir_encode (out, LIM_DATAGRAM_BYTES, KEY, 0xfeedf00d, is_reply, &full.message);
 }
 
@@ -94,11 +95,10 @@
   check_round_trip (true);
 }
 
-/* Somebody on the network changes one bit of a datagram on its way, the direction or the xid
- * included, or cuts it. The receiver would act on what no daemon said. The HMAC covers every byte
- * but its own, so that each such datagram is dropped. */
+/* An attacker changes one bit of a datagram, be it of the direction or the xid, or truncates it.
+ * Each such datagram must be dropped, or the receiver would act on data that no daemon sent. */
 static void
-test_each_bit_is_covered (void)
+test_hmac_covers_each_bit (void)
 {
   for (uint32_t is_reply = 0; is_reply < 2; is_reply++)
     {
@@ -124,16 +124,15 @@
   CU_ASSERT_EQUAL (decode (datagram, bytes, "another key of the size"), WIR_BAD_AUTH);
   CU_ASSERT_EQUAL (decode (datagram, sizeof datagram, KEY), WIR_TOO_LARGE);
   CU_ASSERT_EQUAL (decode (datagram, 0, KEY), WIR_BROKEN);
-  full_t full;
-  full_init (&full);
+  full_message_t full;
+  full_message_init (&full);
   CU_ASSERT_EQUAL (wir_encode (datagram, 100, KEY, 1, false, &full.message), 0);
   full.message.samples.samples_len = XCH_SAMPLES + 1;
   CU_ASSERT_EQUAL (wir_encode (datagram, LIM_DATAGRAM_BYTES, KEY, 1, false, &full.message), 0);
 }
 
-/* Datagrams that nobody would send: random bytes, and true ones with some bytes changed and another
- * length, from a fixed seed. None may be taken, and under the sanitizers none may read or write
- * out of bounds or leak. */
+/* Random bytes, and valid datagrams with some bytes and the length changed, from a fixed seed. None
+ * may be accepted, and under the sanitizers none may cause an access out of bounds or a leak. */
 static void
 test_fuzz_decode (void)
 {
@@ -155,7 +154,7 @@
     }
 }
 
-/* Signs a call again, as a daemon with the key would. */
+/* Recomputes the HMAC of a call, as a daemon with the key would. */
 static void
 sign_call (char *datagram, size_t bytes)
 {
@@ -168,9 +167,9 @@
   g_hmac_unref (hmac);
 }
 
-/* A daemon of another version, or a broken one, holds the key and sends bodies that do not check:
- * too many elements, cut short, or with bytes left over. They must be dropped as broken, without
- * a read or a write out of bounds or a leak. */
+/* A daemon of another version, or a faulty one, has the key and sends invalid bodies: too many
+ * array elements, truncated, or with trailing bytes. They must be dropped as malformed, without an
+ * access out of bounds or a leak. */
 static void
 test_fuzz_signed_bodies (void)
 {
@@ -193,7 +192,7 @@
   CU_ASSERT_TRUE (broken > FUZZ_ROUNDS / 3 && broken < FUZZ_ROUNDS);
 }
 
-/** struct node - a daemon's end of the exchange */
+/** node_t - one daemon that takes part in the exchange */
 typedef struct
 {
   exc_t *exc;
@@ -270,24 +269,24 @@
 }
 
 static uint64_t
-counted (const node_t *node, const char *name)
+counter_value (const node_t *node, const char *name)
 {
   return cnt_value (cnt_get (node->counters, name, ""));
 }
 
-/* Runs the events until @name of @node has reached @value. */
+/* Runs the event loop until counter @name of @node has reached @value. */
 static void
 run_until (struct event_base *base, const node_t *node, const char *name, uint64_t value)
 {
   gint64 end_us = g_get_monotonic_time () + DEADLINE_S * G_USEC_PER_SEC;
-  while (counted (node, name) < value && g_get_monotonic_time () < end_us)
+  while (counter_value (node, name) < value && g_get_monotonic_time () < end_us)
     event_base_loop (base, EVLOOP_ONCE);
-  CU_ASSERT_TRUE (counted (node, name) >= value);
+  CU_ASSERT_TRUE (counter_value (node, name) >= value);
 }
 
-/* Runs the events until nothing is left to read: whatever @node got was taken. */
+/* Runs the event loop long enough that all received datagrams have been processed. */
 static void
-settle (struct event_base *base)
+run_pending_events (struct event_base *base)
 {
   for (uint32_t i = 0; i < 5; i++)
     event_base_loop (base, EVLOOP_ONCE);
@@ -310,15 +309,15 @@
   CU_ASSERT_TRUE (b.calls >= 3);
   CU_ASSERT_TRUE (a.replies >= 3);
   CU_ASSERT_EQUAL (a.calls + b.replies, 0);
-  CU_ASSERT_EQUAL (counted (&a, "medlarplank_control_bytes_received_total"),
-                   counted (&a, RECEIVED) * (EMPTY_REPLY_BYTES + BDG_HEADER_BYTES));
+  CU_ASSERT_EQUAL (counter_value (&a, "medlarplank_control_bytes_received_total"),
+                   counter_value (&a, RECEIVED) * (EMPTY_REPLY_BYTES + BDG_HEADER_BYTES));
   node_clear (&a);
   node_clear (&b);
   event_base_free (base);
 }
 
-/* A host without the fleet key floods a daemon with calls. If it answered, the daemon would be a
- * source of traffic towards whatever address the calls claim to come from. */
+/* A host without the fleet key sends calls. If the daemon answered, it could be abused to send
+ * traffic to whatever source address the calls are forged with. */
 static void
 test_only_authentic_calls_are_answered (void)
 {
@@ -330,16 +329,16 @@
   set_address_t to = exc_address (b.exc);
   exc_now (a.exc, &to);
   run_until (base, &b, RECEIVED, 1);
-  CU_ASSERT_EQUAL (counted (&b, "medlarplank_control_bad_auth_total"), 1);
+  CU_ASSERT_EQUAL (counter_value (&b, "medlarplank_control_bad_auth_total"), 1);
   CU_ASSERT_EQUAL (b.calls, 0);
-  CU_ASSERT_EQUAL (counted (&b, SENT), 0);
+  CU_ASSERT_EQUAL (counter_value (&b, SENT), 0);
   node_clear (&a);
   node_clear (&b);
   event_base_free (base);
 }
 
-/* Somebody records a call and its reply, and sends them again. The call is one that its hearer
- * finds old, so it is not answered; the reply fits no open call, so it is not heard. */
+/* An attacker captures a call and its reply and replays them. The callback finds the call outdated,
+ * so it is not answered; the reply matches no outstanding call, so it is not passed on. */
 static void
 test_replays_are_dropped (void)
 {
@@ -361,48 +360,49 @@
   run_until (base, &node, RECEIVED, 4);
   CU_ASSERT_EQUAL (node.calls, 2);
   CU_ASSERT_EQUAL (node.replies, 0);
-  CU_ASSERT_EQUAL (counted (&node, "medlarplank_control_unasked_total"), 2);
-  CU_ASSERT_EQUAL (counted (&node, SENT), 0);
+  CU_ASSERT_EQUAL (counter_value (&node, "medlarplank_control_unasked_total"), 2);
+  CU_ASSERT_EQUAL (counter_value (&node, SENT), 0);
   close (sender);
   node_clear (&node);
   event_base_free (base);
 }
 
-/* A daemon has to send more than its rate allows. It must stay under it, however much there is to
- * say, and go on as time passes. */
+/* A daemon has more to send than its rate allows. It must stay within the budget and continue to
+ * send as the budget refills. */
 static void
 test_budget_holds (void)
 {
   struct event_base *base = event_base_new ();
   node_t a;
   node_init (&a, base, KEY, 2000);
-  set_address_t nobody = exc_address (a.exc);
+  set_address_t own_address = exc_address (a.exc);
   for (uint32_t i = 0; i < 50; i++)
-    exc_now (a.exc, &nobody);
-  uint64_t first_bytes = counted (&a, "medlarplank_control_bytes_sent_total");
+    exc_now (a.exc, &own_address);
+  uint64_t first_bytes = counter_value (&a, "medlarplank_control_bytes_sent_total");
   CU_ASSERT_TRUE (first_bytes > 1700 && first_bytes <= 2000);
-  CU_ASSERT_EQUAL (counted (&a, "medlarplank_control_over_budget_total") + counted (&a, SENT), 50);
+  CU_ASSERT_EQUAL (
+      counter_value (&a, "medlarplank_control_over_budget_total") + counter_value (&a, SENT), 50);
   for (uint32_t i = 0; i < 100; i++)
     {
       clk_advance (&a.clk, CLK_US_PER_S / 10);
       for (uint32_t j = 0; j < 10; j++)
-        exc_now (a.exc, &nobody);
+        exc_now (a.exc, &own_address);
     }
-  uint64_t bytes = counted (&a, "medlarplank_control_bytes_sent_total");
+  uint64_t bytes = counter_value (&a, "medlarplank_control_bytes_sent_total");
   CU_ASSERT_TRUE (bytes > 20000 && bytes <= 22000);
   exc_charge (a.exc, 50000);
   clk_advance (&a.clk, CLK_US_PER_S);
-  uint64_t sent = counted (&a, SENT);
-  exc_now (a.exc, &nobody);
-  CU_ASSERT_EQUAL (counted (&a, SENT), sent);
+  uint64_t sent = counter_value (&a, SENT);
+  exc_now (a.exc, &own_address);
+  CU_ASSERT_EQUAL (counter_value (&a, SENT), sent);
   node_clear (&a);
   event_base_free (base);
 }
 
-/* A daemon is stopped while a call waits in its socket and a reply to its own call too. When it
- * goes on it must not take them for news: what they say is as old as the stop. */
+/* A daemon is suspended while a call, and a reply to its own call, wait in its socket. When it
+ * resumes it must not process them: their content dates from before the suspension. */
 static void
-test_flush_drops_what_waited (void)
+test_flush_discards_waiting_datagrams (void)
 {
   struct event_base *base = event_base_new ();
   node_t a;
@@ -414,11 +414,11 @@
   exc_now (a.exc, &to_b);
   exc_now (b.exc, &to_a);
   exc_flush (a.exc);
-  CU_ASSERT_EQUAL (counted (&a, RECEIVED), 1);
+  CU_ASSERT_EQUAL (counter_value (&a, RECEIVED), 1);
   run_until (base, &a, RECEIVED, 2);
-  settle (base);
+  run_pending_events (base);
   CU_ASSERT_EQUAL (a.calls + a.replies, 0);
-  CU_ASSERT_EQUAL (counted (&a, "medlarplank_control_unasked_total"), 1);
+  CU_ASSERT_EQUAL (counter_value (&a, "medlarplank_control_unasked_total"), 1);
   node_clear (&a);
   node_clear (&b);
   event_base_free (base);
@@ -429,7 +429,7 @@
 {
   static const CU_TestInfo tests[] = {
     SUITE_TEST (test_round_trip),
-    SUITE_TEST (test_each_bit_is_covered),
+    SUITE_TEST (test_hmac_covers_each_bit),
     SUITE_TEST (test_wrong_key_and_sizes),
     SUITE_TEST (test_fuzz_decode),
     SUITE_TEST (test_fuzz_signed_bodies),
@@ -437,7 +437,7 @@
     SUITE_TEST (test_only_authentic_calls_are_answered),
     SUITE_TEST (test_replays_are_dropped),
     SUITE_TEST (test_budget_holds),
-    SUITE_TEST (test_flush_drops_what_waited),
+    SUITE_TEST (test_flush_discards_waiting_datagrams),
     CU_TEST_INFO_NULL,
   };
   return suite_run ("exchange", tests);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,7 +1,7 @@
 /**
  * DOC: test_platform
  *
- * The platform by HTTP, against a small server that answers as each test tells it.
+ * Unit tests of the platform over HTTP, against a server whose responses each test sets.
  */
 #include "connection/platform.h"
 #include "connection/platform_answer.h"
@@ -20,12 +20,12 @@
 
 typedef enum
 {
-  SERVER_ANSWERS,
-  SERVER_CUTS,
-  SERVER_HOLDS
+  SERVER_RESPONDS,
+  SERVER_CLOSES,
+  SERVER_IGNORES
 } server_mode_t;
 
-/** struct fixture - a server, the platform that asks it, and what came of the last call */
+/** fixture_t - a server, a platform that calls it, and the result of the last call */
 typedef struct
 {
   struct event_base *base;
@@ -48,7 +48,7 @@
 } fixture_t;
 
 static void
-cut (evutil_socket_t fd, short what, void *connection)
+close_connection (evutil_socket_t fd, short what, void *connection)
 {
   (void)fd;
   (void)what;
@@ -56,69 +56,71 @@
 }
 
 static void
-keep_request (fixture_t *f, struct evhttp_request *request)
+record_request (fixture_t *fixture, struct evhttp_request *request)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   size_t body_bytes = evbuffer_get_length (input);
-  g_free (f->target);
-  g_free (f->reader);
-  g_free (f->sent);
-  f->target = g_strdup (evhttp_request_get_uri (request));
-  f->reader =
+  g_free (fixture->target);
+  g_free (fixture->reader);
+  g_free (fixture->sent);
+  fixture->target = g_strdup (evhttp_request_get_uri (request));
+  fixture->reader =
       g_strdup (evhttp_find_header (evhttp_request_get_input_headers (request), "X-Reader"));
-  f->sent = g_strndup ((const char *)evbuffer_pullup (input, -1), body_bytes);
-  f->requests++;
+  fixture->sent = g_strndup ((const char *)evbuffer_pullup (input, -1), body_bytes);
+  fixture->requests++;
 }
 
 static void
-serve (struct evhttp_request *request, void *context)
+handle_request (struct evhttp_request *request, void *context)
 {
-  fixture_t *f = context;
-  keep_request (f, request);
-  if (f->mode == SERVER_HOLDS)
+  fixture_t *fixture = context;
+  record_request (fixture, request);
+  if (fixture->mode == SERVER_IGNORES)
     return;
-  if (f->mode == SERVER_CUTS)
+  if (fixture->mode == SERVER_CLOSES)
     {
-      event_base_once (f->base, -1, EV_TIMEOUT, cut, evhttp_request_get_connection (request), NULL);
+      event_base_once (fixture->base, -1, EV_TIMEOUT, close_connection,
+                       evhttp_request_get_connection (request), NULL);
       return;
     }
   struct evbuffer *body = evbuffer_new ();
-  evbuffer_add (body, f->body, strlen (f->body));
-  if (f->no_effect)
+  evbuffer_add (body, fixture->body, strlen (fixture->body));
+  if (fixture->no_effect)
     evhttp_add_header (evhttp_request_get_output_headers (request), "X-Log-Effect", "none");
-  evhttp_send_reply (request, f->status, NULL, body);
+  evhttp_send_reply (request, fixture->status, NULL, body);
   evbuffer_free (body);
 }
 
 static void
-setup (fixture_t *f)
+setup (fixture_t *fixture)
 {
-  memset (f, 0, sizeof *f);
-  f->base = event_base_new ();
-  f->http = evhttp_new (f->base);
-  f->status = 200;
-  g_snprintf (f->address.ip, sizeof f->address.ip, "127.%d.%d.1", ((getpid () >> 8) & 0x7f) + 1,
-              getpid () & 0xff);
-  f->address.port = 18090;
-  evhttp_set_gencb (f->http, serve, f);
-  CU_ASSERT_EQUAL_FATAL (evhttp_bind_socket (f->http, f->address.ip, f->address.port), 0);
-  f->plt = plt_http_new (f->base, &f->address, "router-1");
+  memset (fixture, 0, sizeof *fixture);
+  fixture->base = event_base_new ();
+  fixture->http = evhttp_new (fixture->base);
+  fixture->status = 200;
+  g_snprintf (fixture->address.ip, sizeof fixture->address.ip, "127.%d.%d.1",
+              ((getpid () >> 8) & 0x7f) + 1, getpid () & 0xff);
+  fixture->address.port = 18090;
+  evhttp_set_gencb (fixture->http, handle_request, fixture);
+  CU_ASSERT_EQUAL_FATAL (
+      evhttp_bind_socket (fixture->http, fixture->address.ip, fixture->address.port), 0);
+  fixture->plt = plt_http_new (fixture->base, &fixture->address, "router-1");
 }
 
 static void
-teardown (fixture_t *f)
+teardown (fixture_t *fixture)
 {
-  f->plt->free (f->plt);
-  if (f->http != NULL)
-    evhttp_free (f->http);
-  event_base_free (f->base);
-  g_free (f->target);
-  g_free (f->reader);
-  g_free (f->sent);
+  fixture->plt->free (fixture->plt);
+  if (fixture->http != NULL)
+    evhttp_free (fixture->http);
+  event_base_free (fixture->base);
+  g_free (fixture->target);
+  g_free (fixture->reader);
+  g_free (fixture->sent);
 }
 
 static void
-expire (evutil_socket_t fd, short what, void *context)
+on_deadline (evutil_socket_t fd, short what, void *context)
 {
   bool *expired = context;
   (void)fd;
@@ -128,14 +130,14 @@
 
 /* Runs the event loop until @count has grown to @wanted. */
 static void
-wait_for (fixture_t *f, const uint32_t *count, uint32_t wanted)
+wait_for (fixture_t *fixture, const uint32_t *count, uint32_t wanted)
 {
   bool expired = false;
   struct timeval deadline = { DEADLINE_S, 0 };
-  struct event *timer = evtimer_new (f->base, expire, &expired);
+  struct event *timer = evtimer_new (fixture->base, on_deadline, &expired);
   event_add (timer, &deadline);
   while (*count < wanted && !expired)
-    event_base_loop (f->base, EVLOOP_ONCE);
+    event_base_loop (fixture->base, EVLOOP_ONCE);
   event_free (timer);
   CU_ASSERT_EQUAL (*count, wanted);
 }
@@ -143,134 +145,135 @@
 static void
 appended (plt_outcome_t outcome, uint64_t offset, void *context)
 {
-  fixture_t *f = context;
-  f->answers++;
-  f->outcome = outcome;
-  f->offset = offset;
+  fixture_t *fixture = context;
+  fixture->answers++;
+  fixture->outcome = outcome;
+  fixture->offset = offset;
 }
 
 static void
 read_done (const plt_read_t *read, void *context)
 {
-  fixture_t *f = context;
-  f->answers++;
-  f->outcome = read->outcome;
-  f->count = read->record_count;
+  fixture_t *fixture = context;
+  fixture->answers++;
+  fixture->outcome = read->outcome;
+  fixture->count = read->record_count;
   if (read->record_count > 0)
-    g_strlcpy (f->text, read->records[0].data, sizeof f->text);
+    g_strlcpy (fixture->text, read->records[0].data, sizeof fixture->text);
 }
 
 static void
 hosts_done (const plt_hosts_t *hosts, void *context)
 {
-  fixture_t *f = context;
-  f->answers++;
-  f->outcome = hosts->outcome;
-  f->count = hosts->host_count;
+  fixture_t *fixture = context;
+  fixture->answers++;
+  fixture->outcome = hosts->outcome;
+  fixture->count = hosts->host_count;
   if (hosts->host_count > 0)
-    g_strlcpy (f->text, hosts->hosts[0].name, sizeof f->text);
+    g_strlcpy (fixture->text, hosts->hosts[0].name, sizeof fixture->text);
 }
 
 static plt_outcome_t
-append (fixture_t *f)
+append (fixture_t *fixture)
 {
-  uint32_t before = f->answers;
-  f->plt->append (f->plt, "a b", "record", 6, appended, f);
-  CU_ASSERT_EQUAL (f->answers, before);
-  wait_for (f, &f->answers, before + 1);
-  return f->outcome;
+  uint32_t before = fixture->answers;
+  fixture->plt->append (fixture->plt, "a b", "record", 6, appended, fixture);
+  CU_ASSERT_EQUAL (fixture->answers, before);
+  wait_for (fixture, &fixture->answers, before + 1);
+  return fixture->outcome;
 }
 
 static plt_outcome_t
-read_from (fixture_t *f, uint64_t from)
+read_from (fixture_t *fixture, uint64_t from)
 {
-  uint32_t before = f->answers;
-  f->plt->read (f->plt, "s", from, 10, 20, read_done, f);
-  CU_ASSERT_EQUAL (f->answers, before);
-  wait_for (f, &f->answers, before + 1);
-  return f->outcome;
+  uint32_t before = fixture->answers;
+  fixture->plt->read (fixture->plt, "s", from, 10, 20, read_done, fixture);
+  CU_ASSERT_EQUAL (fixture->answers, before);
+  wait_for (fixture, &fixture->answers, before + 1);
+  return fixture->outcome;
 }
 
 static plt_outcome_t
-list_hosts (fixture_t *f)
+list_hosts (fixture_t *fixture)
 {
-  uint32_t before = f->answers;
-  f->plt->hosts (f->plt, 6, hosts_done, f);
-  CU_ASSERT_EQUAL (f->answers, before);
-  wait_for (f, &f->answers, before + 1);
-  return f->outcome;
+  uint32_t before = fixture->answers;
+  fixture->plt->hosts (fixture->plt, 6, hosts_done, fixture);
+  CU_ASSERT_EQUAL (fixture->answers, before);
+  wait_for (fixture, &fixture->answers, before + 1);
+  return fixture->outcome;
 }
 
 static void
 test_calls_as_documented (void)
 {
-  fixture_t f;
-  setup (&f);
-  f.body = "{\"offset\":41}";
-  CU_ASSERT_EQUAL (append (&f), PLT_OK);
-  CU_ASSERT_EQUAL (f.offset, 41);
-  CU_ASSERT_STRING_EQUAL (f.target, "/log/append?stream=a%20b");
-  CU_ASSERT_STRING_EQUAL (f.sent, "record");
-  CU_ASSERT_STRING_EQUAL (f.reader, "router-1");
-  f.body = "{\"first\":3,\"next\":5,\"end\":9,\"records\":[{\"offset\":4,\"data\":\"four\"}]}";
-  CU_ASSERT_EQUAL (read_from (&f, 4), PLT_OK);
-  CU_ASSERT_EQUAL (f.count, 1);
-  CU_ASSERT_STRING_EQUAL (f.text, "four");
-  CU_ASSERT_STRING_EQUAL (f.target, "/log/read?stream=s&from=4&max=10&wait_ms=20");
-  f.body = HOST_START HOST_END;
-  CU_ASSERT_EQUAL (list_hosts (&f), PLT_OK);
-  CU_ASSERT_EQUAL (f.count, 1);
-  CU_ASSERT_STRING_EQUAL (f.text, "e1");
-  CU_ASSERT_STRING_EQUAL (f.target, "/hosts?since=6");
-  teardown (&f);
+  fixture_t fixture;
+  setup (&fixture);
+  fixture.body = "{\"offset\":41}";
+  CU_ASSERT_EQUAL (append (&fixture), PLT_OK);
+  CU_ASSERT_EQUAL (fixture.offset, 41);
+  CU_ASSERT_STRING_EQUAL (fixture.target, "/log/append?stream=a%20b");
+  CU_ASSERT_STRING_EQUAL (fixture.sent, "record");
+  CU_ASSERT_STRING_EQUAL (fixture.reader, "router-1");
+  fixture.body =
+      "{\"first\":3,\"next\":5,\"end\":9,\"records\":[{\"offset\":4,\"data\":\"four\"}]}";
+  CU_ASSERT_EQUAL (read_from (&fixture, 4), PLT_OK);
+  CU_ASSERT_EQUAL (fixture.count, 1);
+  CU_ASSERT_STRING_EQUAL (fixture.text, "four");
+  CU_ASSERT_STRING_EQUAL (fixture.target, "/log/read?stream=s&from=4&max=10&wait_ms=20");
+  fixture.body = HOST_START HOST_END;
+  CU_ASSERT_EQUAL (list_hosts (&fixture), PLT_OK);
+  CU_ASSERT_EQUAL (fixture.count, 1);
+  CU_ASSERT_STRING_EQUAL (fixture.text, "e1");
+  CU_ASSERT_STRING_EQUAL (fixture.target, "/hosts?since=6");
+  teardown (&fixture);
 }
 
-/* The caller of an append must know whether it may have taken effect. An answer that says so is
- * certain, and so is a platform that nothing was sent to; all other failures are not, as the record
- * may be in the log although its answer was lost. */
+/* The caller of an append must learn whether it may have had an effect. It certainly had none when
+ * the response says so or when nothing was sent. Every other failure leaves this open: the record
+ * may be in the log although the response was lost. */
 static void
-test_refusals_only_where_certain (void)
+test_refused_only_when_certain (void)
 {
-  fixture_t f;
-  setup (&f);
-  f.body = "{\"error\":\"?\"}";
-  f.status = 400;
-  CU_ASSERT_EQUAL (append (&f), PLT_REFUSED);
-  f.status = 503;
-  CU_ASSERT_EQUAL (append (&f), PLT_UNKNOWN);
-  f.no_effect = true;
-  CU_ASSERT_EQUAL (append (&f), PLT_REFUSED);
-  f.status = 500;
-  CU_ASSERT_EQUAL (append (&f), PLT_UNKNOWN);
-  f.status = 200;
-  CU_ASSERT_EQUAL (append (&f), PLT_UNKNOWN);
-  f.mode = SERVER_CUTS;
-  CU_ASSERT_EQUAL (append (&f), PLT_UNKNOWN);
-  CU_ASSERT_EQUAL (read_from (&f, 0), PLT_UNKNOWN);
-  evhttp_free (f.http);
-  f.http = NULL;
-  CU_ASSERT_EQUAL (append (&f), PLT_REFUSED);
-  CU_ASSERT_EQUAL (list_hosts (&f), PLT_UNKNOWN);
-  teardown (&f);
+  fixture_t fixture;
+  setup (&fixture);
+  fixture.body = "{\"error\":\"?\"}";
+  fixture.status = 400;
+  CU_ASSERT_EQUAL (append (&fixture), PLT_REFUSED);
+  fixture.status = 503;
+  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
+  fixture.no_effect = true;
+  CU_ASSERT_EQUAL (append (&fixture), PLT_REFUSED);
+  fixture.status = 500;
+  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
+  fixture.status = 200;
+  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
+  fixture.mode = SERVER_CLOSES;
+  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
+  CU_ASSERT_EQUAL (read_from (&fixture, 0), PLT_UNKNOWN);
+  evhttp_free (fixture.http);
+  fixture.http = NULL;
+  CU_ASSERT_EQUAL (append (&fixture), PLT_REFUSED);
+  CU_ASSERT_EQUAL (list_hosts (&fixture), PLT_UNKNOWN);
+  teardown (&fixture);
 }
 
 static void
 test_free_drops_calls (void)
 {
-  fixture_t f;
-  setup (&f);
-  f.mode = SERVER_HOLDS;
-  f.plt->append (f.plt, "s", "x", 1, appended, &f);
-  f.plt->hosts (f.plt, 0, hosts_done, &f);
-  wait_for (&f, &f.requests, 2);
-  teardown (&f);
-  CU_ASSERT_EQUAL (f.answers, 0);
+  fixture_t fixture;
+  setup (&fixture);
+  fixture.mode = SERVER_IGNORES;
+  fixture.plt->append (fixture.plt, "s", "x", 1, appended, &fixture);
+  fixture.plt->hosts (fixture.plt, 0, hosts_done, &fixture);
+  wait_for (&fixture, &fixture.requests, 2);
+  teardown (&fixture);
+  CU_ASSERT_EQUAL (fixture.answers, 0);
 }
 
-/* An answer with a hole would make the reader miss a record for good, and so a version or a claim;
- * one with records from before the place asked for would show it a record twice. */
+/* A response with a gap would make the reader miss a record, and so a version or a claim, for good;
+ * one with records from before the requested offset would make it process a record twice. */
 static void
-test_broken_reads_are_not_believed (void)
+test_invalid_reads_are_rejected (void)
 {
   static const char *const broken[] = {
     "",
@@ -300,7 +303,7 @@
 }
 
 static void
-test_broken_lists_are_not_believed (void)
+test_invalid_lists_are_rejected (void)
 {
   static const char *const broken[] = {
     "{\"revision\":7,\"full\":true}",
@@ -332,10 +335,10 @@
 {
   static const CU_TestInfo tests[] = {
     { "calls as documented", test_calls_as_documented },
-    { "refusals only where certain", test_refusals_only_where_certain },
+    { "refused only when certain", test_refused_only_when_certain },
     { "free drops calls", test_free_drops_calls },
-    { "broken reads are not believed", test_broken_reads_are_not_believed },
-    { "broken lists are not believed", test_broken_lists_are_not_believed },
+    { "invalid reads are rejected", test_invalid_reads_are_rejected },
+    { "invalid lists are rejected", test_invalid_lists_are_rejected },
     CU_TEST_INFO_NULL,
   };
   return suite_run ("platform", tests);
