--- a/src/connection/exchange.c
+++ b/src/connection/exchange.c
@@ -237,15 +237,17 @@
   edp_t listen;
   if (!edp_make (&listen, &exc->options.listen))
     {
-      g_set_error (error, G_FILE_ERROR, G_FILE_ERROR_INVAL, "no IP number");
+      g_set_error (error, G_FILE_ERROR, G_FILE_ERROR_INVAL,
+                   "the exchange address is not an IP number");
       return false;
     }
   exc->socket = socket (listen.address.ss_family, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (exc->socket >= 0 && bind (exc->socket, (struct sockaddr *)&listen.address, listen.bytes) == 0)
     return true;
   int code = errno;
-  g_set_error (error, G_FILE_ERROR, g_file_error_from_errno (code), "exchange on %s:%u: %s",
-               exc->options.listen.ip, exc->options.listen.port, g_strerror (code));
+  g_set_error (error, G_FILE_ERROR, g_file_error_from_errno (code),
+               "cannot bind the exchange socket to %s:%u: %s", exc->options.listen.ip,
+               exc->options.listen.port, g_strerror (code));
   return false;
 }
 
--- a/src/connection/http_client.c
+++ b/src/connection/http_client.c
@@ -3,9 +3,9 @@
 
 #include <string.h>
 
-/* methods of the library; 0 for another */
+/* Return: 0 for an unsupported method */
 static enum evhttp_cmd_type
-method_of (const char *name)
+method_from_name (const char *name)
 {
   static const struct
   {
@@ -25,9 +25,9 @@
 }
 
 static bool
-options_ok (const hcl_options_t *options)
+are_valid_options (const hcl_options_t *options)
 {
-  if (!method_of (options->method) || !frm_target_ok (options->target))
+  if (!method_from_name (options->method) || !frm_target_ok (options->target))
     return false;
   for (uint32_t i = 0; i < options->header_count; i++)
     if (!frm_name_ok (options->headers[i].name) || !frm_value_ok (options->headers[i].value))
@@ -45,7 +45,7 @@
   g_free (call);
 }
 
-/* on_end is left to the call's event: the user may do anything there */
+/* The call's event runs on_end later, since that callback may call any function of the client */
 static void
 end_call (hcl_call_t *call, bool whole, vrd_reason_t reason)
 {
@@ -93,22 +93,23 @@
 }
 
 static bool
-needs_length (const hcl_call_t *call, int status)
+must_declare_length (const hcl_call_t *call, int status)
 {
   return call->method != EVHTTP_REQ_HEAD && status != 204 && status != 304;
 }
 
-/* Return: VRD_REASON_NONE when the answer may be passed on */
+/* Return: VRD_REASON_NONE when the response may be passed on */
 static vrd_reason_t
-judge_head (const hcl_call_t *call, int status, const struct evkeyvalq *headers)
+check_head (const hcl_call_t *call, int status, const struct evkeyvalq *headers)
 {
   frm_t framing = frm_of (headers);
   const char *value;
 
   if (status < 200 || framing == FRM_BROKEN)
     return VRD_REASON_CUT;
-  /* the library takes the end of the connection for the end of such an answer */
-  if (framing == FRM_NONE && needs_length (call, status) && !call->until_close)
+  /* libevent treats the end of the connection as the end of such a response, so a truncated one
+   * would look complete */
+  if (framing == FRM_NONE && must_declare_length (call, status) && !call->until_close)
     return VRD_REASON_CUT;
   if (!call->check_name)
     return VRD_REASON_NONE;
@@ -116,7 +117,7 @@
   return value && strcmp (value, call->check_value) == 0 ? VRD_REASON_NONE : VRD_REASON_CROSSED;
 }
 
-/* a negative return makes the library fail the request, which nobody listens to any more */
+/* A negative return value makes libevent fail the request, which has no call any more by then */
 static int
 on_head (struct evhttp_request *request, void *context)
 {
@@ -130,17 +131,18 @@
     return -1;
   if (status == 100)
     {
-      evhttp_clear_headers (headers); /* else they would count as the answer's */
+      /* or libevent would add them to those of the final response */
+      evhttp_clear_headers (headers);
       return 0;
     }
   call->end.status = status;
-  reason = judge_head (call, status, headers);
+  reason = check_head (call, status, headers);
   if (reason != VRD_REASON_NONE)
     {
       end_call (call, false, reason);
       return -1;
     }
-  call->headed = true;
+  call->head_received = true;
   if (call->on_head && !call->on_head (status, headers, call->context) && conn->call)
     end_call (call, false, VRD_REASON_CUT);
   if (!conn->call)
@@ -151,7 +153,7 @@
 }
 
 static void
-on_part (struct evhttp_request *request, void *context)
+on_chunk (struct evhttp_request *request, void *context)
 {
   hcl_conn_t *conn = context;
   hcl_call_t *call = conn->call;
@@ -160,7 +162,7 @@
     call->on_data (evhttp_request_get_input_buffer (request), call->context);
 }
 
-/* the library tells a failure by no request, or by one without a status */
+/* libevent reports a failure by a NULL request or by one without a status */
 static void
 on_done (struct evhttp_request *request, void *context)
 {
@@ -169,14 +171,14 @@
 
   if (!call)
     return;
-  if (request && call->headed)
+  if (request && call->head_received)
     end_call (call, true, VRD_REASON_NONE);
   else
     end_call (call, false, VRD_REASON_CUT);
 }
 
 static bool
-is_own_header (const char *name)
+is_set_by_client (const char *name)
 {
   return g_ascii_strcasecmp (name, "Content-Length") == 0 ||
          g_ascii_strcasecmp (name, "Transfer-Encoding") == 0 ||
@@ -201,7 +203,7 @@
   char digits[32];
 
   for (uint32_t i = 0; i < options->header_count; i++)
-    if (!is_own_header (options->headers[i].name))
+    if (!is_set_by_client (options->headers[i].name))
       evhttp_add_header (headers, options->headers[i].name, options->headers[i].value);
   add_host (headers, options->address);
   g_snprintf (digits, sizeof digits, "%zu", options->body_bytes);
@@ -215,7 +217,7 @@
   struct evhttp_request *request = evhttp_request_new (on_done, conn);
 
   evhttp_request_set_header_cb (request, on_head);
-  evhttp_request_set_chunked_cb (request, on_part);
+  evhttp_request_set_chunked_cb (request, on_chunk);
   add_headers (evhttp_request_get_output_headers (request), options);
   if (options->body_bytes > 0)
     evbuffer_add_reference (evhttp_request_get_output_buffer (request), options->body,
@@ -236,7 +238,7 @@
   call->on_data = options->on_data;
   call->on_end = options->on_end;
   call->context = options->context;
-  call->method = method_of (options->method);
+  call->method = method_from_name (options->method);
   call->until_close = options->until_close;
   g_hash_table_add (hcl->calls, call);
   return call;
@@ -263,7 +265,7 @@
                              (suseconds_t)(options->timeout_us % CLK_US_PER_S) };
   hcl_call_t *call = call_new (hcl, options);
 
-  if (!options_ok (options))
+  if (!are_valid_options (options))
     {
       end_call (call, false, VRD_REASON_CONNECT);
       return call;
@@ -291,7 +293,7 @@
 hcl_pause (hcl_call_t *call, bool paused)
 {
   call->paused = paused;
-  if (!call->conn || !call->headed)
+  if (!call->conn || !call->head_received)
     return;
   if (paused)
     bufferevent_disable (call->conn->bev, EV_READ);
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -1,9 +1,9 @@
 /**
  * DOC: http_client
  *
- * HTTP requests of a task over evhttp, with connections kept for reuse, one request at a time on
- * each. Tells how far a failed request got, and never takes a cut answer for a whole one. The
- * process must ignore SIGPIPE.
+ * HTTP client of a task, on top of libevent's evhttp. Keeps connections for reuse and sends one
+ * request at a time on each. Reports whether a failed request may have been executed, and never
+ * accepts a truncated response as complete. The process must ignore SIGPIPE.
  */
 #ifndef CONNECTION_HTTP_CLIENT_H
 #define CONNECTION_HTTP_CLIENT_H
@@ -18,9 +18,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef struct hcl hcl_t;           /* connections of one task */
+typedef struct hcl hcl_t;           /* client of one task, with its connection pool */
 typedef struct hcl_call hcl_call_t; /* one request in flight */
 
+/** hcl_header_t - a request header */
 typedef struct
 {
   const char *name;
@@ -28,12 +29,13 @@
 } hcl_header_t;
 
 /**
- * struct hcl_end - how a call ended
- * @whole: the answer came whole, with its length declared, and @check_name had @check_value
- * @status: 0 when no status came
- * @verdict: when not whole: VRD_NOT_RUN only if nothing left for the peer, else VRD_MAY_HAVE_RUN
- * @reason: VRD_REASON_CONNECT when nothing left, else _CUT, _CROSSED or _TIMEOUT; a timeout is
- *   _TIMEOUT in any case
+ * struct hcl_end - result of a call
+ * @whole: the response is complete, its length was declared, and header @check_name of the options,
+ *   if set, had the value @check_value
+ * @status: HTTP status; 0 when none was received
+ * @verdict: when not @whole: VRD_NOT_RUN if no byte was sent, otherwise VRD_MAY_HAVE_RUN
+ * @reason: when not @whole: VRD_REASON_TIMEOUT after a timeout, VRD_REASON_CONNECT if no byte was
+ *   sent, VRD_REASON_CROSSED if the response belongs to another request, otherwise VRD_REASON_CUT
  */
 typedef struct
 {
@@ -44,25 +46,28 @@
 } hcl_end_t;
 
 /**
- * struct hcl_options - one request
- * @method: GET, POST, HEAD, PUT, DELETE, OPTIONS or PATCH; another fails the call as not run
- * @target: starts with a slash; one with a character that is not visible ASCII fails the call as
- *   not run
- * @header_count: of @headers; one with a control character fails the call as not run.
- *   Content-Length, Transfer-Encoding, Connection and Expect are the client's own and left out. A
- *   Host is added when there is none
- * @body: borrowed until @on_end is called or hcl_cancel() returns
- * @timeout_us: for the whole call; 0 is none. Connecting has a limit besides, %LIM_HTTP_CONNECT_MS
- * @answer_limit_bytes: a longer body counts as cut; 0 is none
- * @until_close: an answer without a declared length is whole when the peer closes the connection in
- *   order, and cut when it resets it
- * @idle_limit_us: take no kept connection that has been idle for longer; 0 is no limit
- * @check_name: response header that must be there with @check_value, else VRD_REASON_CROSSED and
- *   nothing of the answer is passed on; NULL for none
- * @on_head: status and headers of an answer that declares its length; false ends the call as cut
- * @on_data: a part of the body; what is not drained is dropped
- * @on_end: last, exactly once, never from within another function or callback of the client; the
- *   call no longer exists then. All callbacks but this one may be NULL.
+ * struct hcl_options - parameters of a request
+ * @method: GET, POST, HEAD, PUT, DELETE, OPTIONS or PATCH; the call fails as not run with another
+ * @target: path and query, starting with a slash; the call fails as not run if a character is not
+ *   visible ASCII
+ * @header_count: number of @headers; the call fails as not run if one has a control character.
+ *   Content-Length, Transfer-Encoding, Connection and Expect are set by the client and ignored
+ * here. Host is added if missing
+ * @body: must stay valid until @on_end is called or hcl_cancel() returns
+ * @timeout_us: limit on the duration of the call, 0 for none. Connecting also has its own limit,
+ *   %LIM_HTTP_CONNECT_MS or that of hcl_set_connect_limit()
+ * @answer_limit_bytes: a response with a longer body counts as truncated; 0 for no limit
+ * @until_close: accept a response without a declared length: it is complete when the peer closes
+ * the connection normally, and truncated when the peer resets it
+ * @idle_limit_us: don't reuse a connection that has been idle for longer; 0 for no limit
+ * @check_name: response header that must have the value @check_value; otherwise the call ends with
+ *   VRD_REASON_CROSSED and no part of the response is passed on. NULL for no check
+ * @on_head: receives status and headers of an acceptable response; returns false to end the call as
+ *   truncated
+ * @on_data: receives a part of the body; bytes that it leaves in the buffer are discarded
+ * @on_end: receives the result, exactly once and last, never from within another function or
+ * callback of the client; the call has been freed by then. Must not be NULL; the other callbacks
+ * may be
  */
 typedef struct
 {
@@ -85,21 +90,25 @@
   void *context;
 } hcl_options_t;
 
-/** hcl_new() - at most @idle_limit idle connections are kept for each address */
+/** hcl_new() - create a client that keeps at most @idle_limit idle connections per address, each
+ * for at most @idle_timeout_ms */
 hcl_t *hcl_new (struct event_base *base, uint32_t idle_limit, uint32_t idle_timeout_ms);
-/** hcl_set_connect_limit() - of connections made from now on, in place of %LIM_HTTP_CONNECT_MS */
+/** hcl_set_connect_limit() - set the time limit for connecting of new connections, instead of
+ * %LIM_HTTP_CONNECT_MS */
 void hcl_set_connect_limit (hcl_t *hcl, uint32_t limit_ms);
-/** hcl_free() - cancels all calls. Not from within @on_head or @on_data */
+/** hcl_free() - cancel all calls and free. Must not be called from within @on_head or @on_data */
 void hcl_free (hcl_t *hcl);
+/** hcl_start() - send a request. Return: the call, valid until @on_end is called or it is
+ * cancelled; a request that can't be sent also ends by @on_end */
 hcl_call_t *hcl_start (hcl_t *hcl, const hcl_options_t *options);
-/** hcl_cancel() - closes the connection; @on_end is not called. The call no longer exists then */
+/** hcl_cancel() - close the call's connection and free the call; @on_end is not called */
 void hcl_cancel (hcl_call_t *call);
-/** hcl_pause() - stop or go on reading the answer while the reader of what it is passed on to is
- * slow. What has been read already still comes, at most a chunk or a read of the socket */
+/** hcl_pause() - stop or resume reading the response, for backpressure from a slow reader. Data
+ * that has already been read is still passed on: at most one chunk or one read of the socket */
 void hcl_pause (hcl_call_t *call, bool paused);
-/** hcl_forget() - close the idle connections to @address: whoever has them there has gone */
+/** hcl_forget() - close the idle connections to @address, after the process there has ended */
 void hcl_forget (hcl_t *hcl, const set_address_t *address);
-/** hcl_sent() - whether any byte may have left for the peer */
+/** hcl_sent() - whether any byte of the request may have been sent */
 bool hcl_sent (const hcl_call_t *call);
 
 #endif
--- a/src/connection/http_client_pool.c
+++ b/src/connection/http_client_pool.c
@@ -4,17 +4,18 @@
 #include <errno.h>
 #include <sys/socket.h>
 
-/* the library's own timeouts would cut a slow answer; those of the call and the pool decide */
-static const struct timeval never = { 365 * 24 * 3600, 0 };
+/* Disables libevent's own timeouts, which would cut slow responses; those of the call and the pool
+ * apply instead */
+static const struct timeval never_timeout = { 365 * 24 * 3600, 0 };
 
 static char *
-key_of (const set_address_t *address)
+address_key (const set_address_t *address)
 {
   return g_strdup_printf ("%s %u", address->ip, address->port);
 }
 
 static void
-leave_pool (hcl_conn_t *conn)
+remove_from_pool (hcl_conn_t *conn)
 {
   GQueue *queue = g_hash_table_lookup (conn->hcl->idle, conn->key);
 
@@ -28,7 +29,7 @@
 void
 hcl_conn_free (hcl_conn_t *conn)
 {
-  leave_pool (conn);
+  remove_from_pool (conn);
   conn->closed = true;
   g_hash_table_remove (conn->hcl->conns, conn);
   evhttp_connection_set_closecb (conn->evcon, NULL, NULL);
@@ -38,7 +39,7 @@
   g_free (conn);
 }
 
-/* not connected in time, idle for too long, or closed */
+/* Runs after the connect timeout, after the idle timeout, or when the connection was closed */
 static void
 on_event (evutil_socket_t fd, short what, void *context)
 {
@@ -51,9 +52,9 @@
   hcl_conn_free (conn);
 }
 
-/* a bufferevent keeps others from its output */
+/* A bufferevent freezes its output buffer against changes from outside, hence the unfreeze */
 static void
-empty_output (hcl_conn_t *conn)
+discard_output (hcl_conn_t *conn)
 {
   struct evbuffer *output = bufferevent_get_output (conn->bev);
 
@@ -65,14 +66,15 @@
 void
 hcl_conn_close (hcl_conn_t *conn)
 {
-  leave_pool (conn);
+  remove_from_pool (conn);
   conn->closed = true;
-  /* no byte of a body that the caller may free may leave from here on; see on_output() too */
+  /* From here on the caller may free the request body, so nothing more of it may be sent;
+   * on_output() covers the case that libevent enables the bufferevent again */
   bufferevent_disable (conn->bev, EV_READ | EV_WRITE);
   event_active (conn->event, EV_TIMEOUT, 0);
 }
 
-/* the library has closed the socket: on an error, at the peer's wish, or idle */
+/* libevent has closed the socket: after an error, because the peer asked for it, or while idle */
 static void
 on_close (struct evhttp_connection *evcon, void *context)
 {
@@ -85,8 +87,8 @@
 }
 
 /*
- * Bytes put into the output mean that the connection stands. Bytes taken from it have left, unless
- * the library empties it after it has given the socket up.
+ * Bytes added to the output mean that the connection is established. Bytes removed from it have
+ * been sent, unless libevent empties the buffer after it has closed the socket.
  */
 static void
 on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *context)
@@ -95,15 +97,15 @@
   evutil_socket_t fd = bufferevent_getfd (conn->bev);
 
   (void)buffer;
-  /* A connection that comes about in the turn of the loop in which it is closed is written to all
-   * the same: the library enables it again and puts the request into it, whose body may be gone. */
+  /* If a connection is established in the same iteration of the event loop in which it was closed
+   * here, libevent still enables it and writes the request, whose body may have been freed. */
   if (conn->closed && info->n_added > 0)
-    empty_output (conn);
+    discard_output (conn);
   if (conn->closed)
     return;
-  if (info->n_added > 0 && conn->fresh)
+  if (info->n_added > 0 && conn->connecting)
     {
-      conn->fresh = false;
+      conn->connecting = false;
       sck_tune_client (fd);
       event_del (conn->event);
     }
@@ -117,15 +119,15 @@
   hcl_conn_t *conn = g_new0 (hcl_conn_t, 1);
 
   conn->hcl = hcl;
-  conn->key = key_of (address);
-  conn->fresh = true;
+  conn->key = address_key (address);
+  conn->connecting = true;
   conn->evcon = evhttp_connection_base_new (hcl->base, NULL, address->ip, address->port);
   g_assert (conn->evcon);
   conn->bev = evhttp_connection_get_bufferevent (conn->evcon);
   conn->event = evtimer_new (hcl->base, on_event, conn);
   event_add (conn->event, &hcl->connect_limit);
   evhttp_connection_set_retries (conn->evcon, 0);
-  evhttp_connection_set_timeout_tv (conn->evcon, &never);
+  evhttp_connection_set_timeout_tv (conn->evcon, &never_timeout);
   evhttp_connection_set_max_headers_size (conn->evcon, LIM_HTTP_ANSWER_HEADER_BYTES);
   evhttp_connection_set_closecb (conn->evcon, on_close, conn);
   evbuffer_add_cb (bufferevent_get_output (conn->bev), on_output, conn);
@@ -134,11 +136,12 @@
 }
 
 /*
- * Whether nothing has come on an idle connection: neither its close, nor bytes that the next answer
- * would begin with. The loop may not have seen them yet, so the socket itself is asked.
+ * Whether an idle connection can be reused: the peer has neither closed it nor sent bytes, which
+ * would be taken for the start of the next response. Checks the socket too, since the event loop
+ * may not have noticed either of them yet.
  */
 static bool
-is_silent (const hcl_conn_t *conn)
+has_nothing_to_read (const hcl_conn_t *conn)
 {
   evutil_socket_t fd = bufferevent_getfd (conn->bev);
   char byte;
@@ -154,26 +157,26 @@
 hcl_conn_take (hcl_t *hcl, const set_address_t *address, uint64_t idle_limit_us)
 {
   int64_t now_us = g_get_monotonic_time ();
-  char *key = key_of (address);
+  char *key = address_key (address);
   GQueue *queue;
-  hcl_conn_t *taken = NULL;
+  hcl_conn_t *found = NULL;
 
-  while (!taken && (queue = g_hash_table_lookup (hcl->idle, key)))
+  while (!found && (queue = g_hash_table_lookup (hcl->idle, key)))
     {
       hcl_conn_t *conn = g_queue_peek_head (queue);
 
-      /* the one used last is at the head: the others have been idle for longer */
+      /* the queue is ordered by last use, so all others have been idle for longer */
       if ((uint64_t)(now_us - conn->idle_since_us) > idle_limit_us)
         break;
-      leave_pool (conn);
+      remove_from_pool (conn);
       event_del (conn->event);
-      if (is_silent (conn))
-        taken = conn;
+      if (has_nothing_to_read (conn))
+        found = conn;
       else
         hcl_conn_close (conn);
     }
   g_free (key);
-  return taken ? taken : conn_new (hcl, address);
+  return found ? found : conn_new (hcl, address);
 }
 
 void
@@ -203,10 +206,10 @@
 void
 hcl_forget (hcl_t *hcl, const set_address_t *address)
 {
-  g_autofree char *key = key_of (address);
+  g_autofree char *key = address_key (address);
   GQueue *queue;
 
-  /* closing the last one takes the queue away */
+  /* closing the last connection removes the queue from the table */
   while ((queue = g_hash_table_lookup (hcl->idle, key)))
     hcl_conn_close (g_queue_peek_head (queue));
 }
--- a/src/connection/http_server.c
+++ b/src/connection/http_server.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-static const char *const refused_names[HSV_REFUSED_COUNT] = {
+static const char *const rejected_metric_names[HSV_REFUSED_COUNT] = {
   [HSV_REFUSED_BODY] = "medlarplank_http_refused_total{reason=\"body\"}",
   [HSV_REFUSED_HEADERS] = "medlarplank_http_refused_total{reason=\"headers\"}",
   [HSV_REFUSED_CONNECTIONS] = "medlarplank_http_refused_total{reason=\"connections\"}",
@@ -27,7 +27,7 @@
                               "Headers of answers left out for a control character");
   for (int i = 0; i < HSV_REFUSED_COUNT; i++)
     hsv->refused[i] =
-        cnt_get (set, refused_names[i], "Requests refused by the listener before they ran");
+        cnt_get (set, rejected_metric_names[i], "Requests refused by the listener before they ran");
 }
 
 static bool
@@ -69,11 +69,11 @@
                                         (struct sockaddr *)&storage, bytes);
   if (!listener)
     {
-      int code = errno;
+      int error_number = errno;
       char *text = set_address_text (address);
 
-      g_set_error (error, G_FILE_ERROR, g_file_error_from_errno (code), "listen on %s: %s", text,
-                   g_strerror (code));
+      g_set_error (error, G_FILE_ERROR, g_file_error_from_errno (error_number),
+                   "cannot listen on %s: %s", text, g_strerror (error_number));
       g_free (text);
       return false;
     }
@@ -83,23 +83,23 @@
 }
 
 static struct timeval
-timeval_of (uint32_t ms)
+timeval_from_ms (uint32_t ms)
 {
   return (struct timeval){ ms / 1000, ms % 1000 * 1000 };
 }
 
 static void
-set_limits (hsv_t *hsv)
+apply_limits (hsv_t *hsv)
 {
   uint16_t methods = EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD | EVHTTP_REQ_PUT |
                      EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS | EVHTTP_REQ_PATCH;
 
-  hsv->idle_timeout = timeval_of (hsv->options.idle_timeout_ms);
+  hsv->idle_timeout = timeval_from_ms (hsv->options.idle_timeout_ms);
   if (hsv->options.request_timeout_ms == 0)
     hsv->options.request_timeout_ms = LIM_HTTP_REQUEST_MS;
   if (hsv->options.coming_limit_bytes == 0)
     hsv->options.coming_limit_bytes = LIM_HTTP_COMING_BYTES;
-  hsv->request_timeout = timeval_of (hsv->options.request_timeout_ms);
+  hsv->request_timeout = timeval_from_ms (hsv->options.request_timeout_ms);
   evhttp_set_allowed_methods (hsv->http, methods);
   evhttp_set_max_headers_size (hsv->http, hsv->options.header_limit_bytes);
   evhttp_set_max_body_size (hsv->http, hsv->options.body_limit_bytes);
@@ -126,7 +126,7 @@
 }
 
 static void
-on_linger_end (evutil_socket_t fd, short what, void *context)
+on_close_idle (evutil_socket_t fd, short what, void *context)
 {
   hsv_t *hsv = context;
   GList *conns = g_hash_table_get_values (hsv->conns);
@@ -150,13 +150,13 @@
 
   hsv->options = *options;
   hsv->http = evhttp_new (options->base);
-  hsv->fresh = g_hash_table_new (NULL, NULL);
+  hsv->new_conns = g_hash_table_new (NULL, NULL);
   hsv->conns = g_hash_table_new (NULL, NULL);
   hsv->drains = g_hash_table_new (NULL, NULL);
   hsv->unlisten = evtimer_new (options->base, on_unlisten, hsv);
-  hsv->linger = evtimer_new (options->base, on_linger_end, hsv);
+  hsv->close_idle = evtimer_new (options->base, on_close_idle, hsv);
   get_counters (hsv);
-  set_limits (hsv);
+  apply_limits (hsv);
   if (!bind_listener (hsv, error))
     {
       hsv_free (hsv);
@@ -168,12 +168,12 @@
 void
 hsv_free (hsv_t *hsv)
 {
-  GList *fresh = g_hash_table_get_values (hsv->fresh);
+  GList *new_conns = g_hash_table_get_values (hsv->new_conns);
   GList *drains;
 
-  for (GList *link = fresh; link; link = link->next)
+  for (GList *link = new_conns; link; link = link->next)
     hsv_conn_adopt (link->data);
-  g_list_free (fresh);
+  g_list_free (new_conns);
   unlisten (hsv);
   evhttp_free (hsv->http);
   drains = g_hash_table_get_keys (hsv->drains);
@@ -181,8 +181,8 @@
     hsv_drain_free (link->data);
   g_list_free (drains);
   event_free (hsv->unlisten);
-  event_free (hsv->linger);
-  g_hash_table_destroy (hsv->fresh);
+  event_free (hsv->close_idle);
+  g_hash_table_destroy (hsv->new_conns);
   g_hash_table_destroy (hsv->conns);
   g_hash_table_destroy (hsv->drains);
   g_free (hsv);
@@ -207,10 +207,10 @@
 void
 hsv_linger (hsv_t *hsv)
 {
-  struct timeval linger = timeval_of (LIM_HTTP_STOP_LINGER_MS);
+  struct timeval close_idle = timeval_from_ms (LIM_HTTP_STOP_LINGER_MS);
 
-  if (!evtimer_pending (hsv->linger, NULL))
-    event_add (hsv->linger, &linger);
+  if (!evtimer_pending (hsv->close_idle, NULL))
+    event_add (hsv->close_idle, &close_idle);
 }
 
 void
@@ -228,7 +228,7 @@
   options->request_timeout_ms =
       request_timeout_ms ? request_timeout_ms : options->request_timeout_ms;
   options->idle_timeout_ms = idle_timeout_ms ? idle_timeout_ms : options->idle_timeout_ms;
-  set_limits (hsv);
+  apply_limits (hsv);
 }
 
 void
@@ -240,13 +240,13 @@
 void
 hsv_stop (hsv_t *hsv)
 {
-  struct timeval next_turn = { 0, 0 };
+  struct timeval at_once = { 0, 0 };
 
   if (hsv->stopping)
     return;
   hsv->stopping = true;
   hsv->closing = true;
-  event_add (hsv->unlisten, &next_turn);
+  event_add (hsv->unlisten, &at_once);
   hsv_linger (hsv);
 }
 
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -1,9 +1,9 @@
 /**
  * DOC: http_server
  *
- * The HTTP listener of a task over evhttp: limits on what a caller can grow, one exchange a
- * request, answers whole or streamed, and notice when the caller goes away. The library writes to
- * sockets that the other side has reset, so the process must ignore SIGPIPE.
+ * HTTP server of a task, on top of libevent's evhttp. Limits the resources that a client can use,
+ * sends complete or streamed responses, and reports when a client disconnects. libevent writes to
+ * sockets that the peer has reset, so the process must ignore SIGPIPE.
  */
 #ifndef CONNECTION_HTTP_SERVER_H
 #define CONNECTION_HTTP_SERVER_H
@@ -18,22 +18,24 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef struct hsv hsv_t;           /* a listener */
-typedef struct hsv_call hsv_call_t; /* a request that is not answered yet */
+typedef struct hsv hsv_t;           /* a server: one listening socket and its connections */
+typedef struct hsv_call hsv_call_t; /* a request that has not been answered */
 
 /**
  * struct hsv_options - options of hsv_new()
- * @body_limit_bytes: a longer body is answered by 413
- * @header_limit_bytes: of request line and headers; more are answered by 431
- * @header_limit_count: more headers are answered by 431
- * @connection_limit: a connection over it is answered by 503 and closed; far over it none is taken
- * @idle_timeout_ms: a connection is closed after this time without a byte read, or, while an
- *   answer leaves, without a byte written. There is no limit on the time between the two.
- * @request_timeout_ms: a connection is closed when a request takes longer to come; 0 is
+ * @body_limit_bytes: a request with a longer body is rejected by 413
+ * @header_limit_bytes: limit on request line and headers; a request over it is rejected by 431
+ * @header_limit_count: a request with more headers is rejected by 431
+ * @connection_limit: requests on connections over it are rejected by 503. With
+ *   %LIM_HTTP_OVER_LIMIT more connections, no further ones are accepted
+ * @idle_timeout_ms: a connection is closed after this time without a byte read, or, while a
+ * response is sent, without a byte written. The time between request and response is not limited
+ * @request_timeout_ms: a connection is closed when receiving a request takes longer; 0 for
  *   %LIM_HTTP_REQUEST_MS
- * @coming_limit_bytes: of all requests that are not whole yet together; over it the one of which
- *   most has come is answered by 503; 0 is %LIM_HTTP_COMING_BYTES
- * @on_call: a whole request within the limits; it must be answered once, now or later
+ * @coming_limit_bytes: limit on the sum of all requests that have been received in part; when it is
+ *   exceeded, the largest of them is rejected by 503; 0 for %LIM_HTTP_COMING_BYTES
+ * @on_call: receives each complete request within the limits; it must be answered exactly once, at
+ *   once or later
  */
 typedef struct
 {
@@ -51,74 +53,83 @@
   void *context;
 } hsv_options_t;
 
+/** hsv_new() - start to listen. Return: NULL with @error set when the address can't be bound */
 hsv_t *hsv_new (const hsv_options_t *options, GError **error);
-/** hsv_free() - closes all connections; the calls on them end as by a caller that has gone. Not
- * from within a callback of the listener */
+/** hsv_free() - close all connections; pending calls end as if their client had disconnected. Must
+ * not be called from within a callback of the server */
 void hsv_free (hsv_t *hsv);
-/** hsv_port() - the port listened on, for a @listen with port 0 */
+/** hsv_port() - the bound port, which the kernel chooses when @listen has port 0 */
 uint16_t hsv_port (const hsv_t *hsv);
-/** hsv_configure() - other limits for connections made from now on; 0 keeps what is in force */
+/** hsv_configure() - change the limits for new connections; 0 leaves a limit as it is */
 void hsv_configure (hsv_t *hsv,
                     uint32_t body_limit_bytes,
                     uint32_t header_limit_bytes,
                     uint32_t request_timeout_ms,
                     uint32_t idle_timeout_ms);
-/** hsv_say_close() - answers from now on say "Connection: close"; it goes on listening, since a
- * balancer sends connections until it has noticed that the daemon is not ready */
+/** hsv_say_close() - send "Connection: close" in all responses from now on, but keep listening: a
+ * load balancer opens connections until it has noticed that the daemon is not ready */
 void hsv_say_close (hsv_t *hsv);
-/** hsv_hold() - accept no connection until hsv_release(); callers wait in the system's queue */
+/** hsv_hold() - accept no connection until hsv_release(); clients wait in the kernel's queue */
 void hsv_hold (hsv_t *hsv);
+/** hsv_release() - accept connections again after hsv_hold() */
 void hsv_release (hsv_t *hsv);
-/** hsv_stop() - stop listening; answers from now on say "Connection: close". Connections that wait
- * in the kernel are still taken; idle ones are closed after %LIM_HTTP_STOP_LINGER_MS, since a
- * request may be on its way. */
+/** hsv_stop() - stop listening and send "Connection: close" in all responses from now on.
+ * Connections in the kernel's queue are still accepted. Idle ones are closed after
+ * %LIM_HTTP_STOP_LINGER_MS, since a request may be on its way */
 void hsv_stop (hsv_t *hsv);
-/** hsv_busy() - calls that are not answered yet, or whose answer has not left whole. After
- * hsv_stop() also connections on which a request may still come; 0 is then final */
+/** hsv_busy() - number of calls that have not been answered or whose response has not been sent
+ * completely. After hsv_stop(), the number of connections on which a request may still arrive is
+ * included, and 0 is final */
 uint32_t hsv_busy (const hsv_t *hsv);
 
+/** hsv_method() - the request method in upper case */
 const char *hsv_method (const hsv_call_t *call);
-/** hsv_path() - path without the query */
+/** hsv_path() - the path without the query */
 const char *hsv_path (const hsv_call_t *call);
-/** hsv_target() - as it came, path and query */
+/** hsv_target() - the request target as received: path and query */
 const char *hsv_target (const hsv_call_t *call);
-/** hsv_query() - value of a query parameter, or NULL; valid until the call ends */
+/** hsv_query() - the value of a query parameter, or NULL; valid until the call ends */
 const char *hsv_query (hsv_call_t *call, const char *name);
+/** hsv_header() - the value of a request header, or NULL */
 const char *hsv_header (const hsv_call_t *call, const char *name);
+/** hsv_headers() - all request headers */
 struct evkeyvalq *hsv_headers (const hsv_call_t *call);
-/** hsv_body() - the whole body; not NUL-terminated; valid until the call is answered */
+/** hsv_body() - the request body; not NUL-terminated; valid until the call is answered */
 const char *hsv_body (hsv_call_t *call, size_t *body_bytes);
-/** hsv_take_body() - the whole body, to be freed by g_free(), NULL when empty; the call has none
- * any more */
+/** hsv_take_body() - remove the request body from the call. Return: the body, to be freed by
+ * g_free(); NULL when it is empty */
 char *hsv_take_body (hsv_call_t *call, size_t *body_bytes);
 
-/** hsv_on_gone() - the caller closed its connection, or its half of it, or did not take bytes for
- * the idle timeout, before hsv_reply() or hsv_end(). The call is freed after @gone returns and must
- * not be answered. Not called after hsv_abort(). */
+/** hsv_on_gone() - set a callback for the case that, before hsv_reply() or hsv_end(), the client
+ * closes its connection or its half of it, or accepts no bytes for the idle timeout. The call is
+ * freed after @gone returns and must not be answered. Not called after hsv_abort() */
 void hsv_on_gone (hsv_call_t *call, void (*gone) (void *context), void *context);
-/** hsv_on_room() - for streams: called when more than half of the queued bytes have left */
+/** hsv_on_room() - set a callback for streamed responses, called after hsv_part() has returned
+ * false once the queue has shrunk to less than half of %HSV_QUEUED_LIMIT_BYTES */
 void hsv_on_room (hsv_call_t *call, void (*room) (void *context), void *context);
 
-/** hsv_add_header() - a header of the answer; one with a control character is left out and counted.
- * Transfer-Encoding and Connection are the listener's own and left out, but for "Connection: close"
- */
+/** hsv_add_header() - add a response header. One with a control character is dropped and counted.
+ * Transfer-Encoding and Connection are set by the server and ignored here, except
+ * "Connection: close" */
 void hsv_add_header (hsv_call_t *call, const char *name, const char *value);
-/** hsv_reply() - the whole answer; ends the call. To HEAD only the length of @body is told, unless
- * a Content-Length was added */
+/** hsv_reply() - send a complete response and end the call. The response to HEAD has no body, but
+ * the length of @body as Content-Length, unless one was added */
 void hsv_reply (hsv_call_t *call, int status, const void *body, size_t body_bytes);
-/** hsv_reply_text() - as hsv_reply() with a content type */
+/** hsv_reply_text() - like hsv_reply(), for a NUL-terminated body with a content type */
 void hsv_reply_text (hsv_call_t *call, int status, const char *content_type, const char *text);
-/** hsv_begin() - start an answer of unknown length: chunked, or for a caller of HTTP/1.0 ended by
- * the close of the connection */
+/** hsv_begin() - start a response of unknown length: chunked, or for an HTTP/1.0 client ended by
+ * closing the connection */
 void hsv_begin (hsv_call_t *call, int status);
-/** hsv_part() - a part of it; drains @data. Return: false when the queued bytes are over the limit:
- * wait for hsv_on_room() */
+/** hsv_part() - send a part of a streamed response; empties @data. Return: false when more than
+ * %HSV_QUEUED_LIMIT_BYTES are queued: wait for the callback of hsv_on_room() */
 bool hsv_part (hsv_call_t *call, struct evbuffer *data);
-/** hsv_end() - the answer is whole; ends the call */
+/** hsv_end() - complete a streamed response and end the call */
 void hsv_end (hsv_call_t *call);
-/** hsv_abort() - cut the connection so that the caller cannot take the part for the whole */
+/** hsv_abort() - end the call and close the connection in such a way that the client can't take the
+ * part of the response that it has for the complete one */
 void hsv_abort (hsv_call_t *call);
 
-#define HSV_QUEUED_LIMIT_BYTES (256 * 1024)
+#define HSV_QUEUED_LIMIT_BYTES                                                                     \
+  (256 * 1024) /* bytes queued for a client before hsv_part() says stop */
 
 #endif
--- a/src/connection/http_server_call.c
+++ b/src/connection/http_server_call.c
@@ -23,7 +23,8 @@
   g_free (call);
 }
 
-/* from here on the caller's going is no longer told; the connection counts until all has left */
+/* A disconnect of the client is no longer reported from here on. The connection still counts as
+ * busy until the response has been sent */
 static void
 end_call (hsv_call_t *call)
 {
@@ -52,7 +53,7 @@
 }
 
 static void
-say_close (const hsv_call_t *call)
+add_connection_close (const hsv_call_t *call)
 {
   evhttp_remove_header (output_headers (call), "Connection");
   evhttp_add_header (output_headers (call), "Connection", "close");
@@ -91,12 +92,12 @@
 const char *
 hsv_path (const hsv_call_t *call)
 {
-  hsv_call_t *cache = (hsv_call_t *)call;
+  hsv_call_t *mutable_call = (hsv_call_t *)call;
   const char *target = hsv_target (call);
 
-  if (!cache->path)
-    cache->path = g_strndup (target, strcspn (target, "?#"));
-  return cache->path;
+  if (!mutable_call->path)
+    mutable_call->path = g_strndup (target, strcspn (target, "?#"));
+  return mutable_call->path;
 }
 
 const char *
@@ -179,10 +180,11 @@
   if (g_ascii_strcasecmp (name, "Connection") != 0)
     evhttp_add_header (output_headers (call), name, value);
   else if (g_ascii_strcasecmp (value, "close") == 0)
-    say_close (call);
+    add_connection_close (call);
 }
 
-/* HTTP/1.0 without a length, or a body where none belongs, would run into the next answer */
+/* Without a length on HTTP/1.0, or with a body where none is allowed, the client could not tell
+ * where the next response starts */
 static void
 declare_length (hsv_call_t *call, int status, size_t body_bytes)
 {
@@ -211,7 +213,7 @@
   if (has_body (call, status))
     evbuffer_add (buffer, body, body_bytes);
   if (call->conn->hsv->closing)
-    say_close (call);
+    add_connection_close (call);
   end_call (call);
   evhttp_send_reply (request, status, NULL, buffer);
   evbuffer_free (buffer);
@@ -233,7 +235,7 @@
     while (evhttp_remove_header (output_headers (call), "Content-Length") == 0)
       ;
   if (call->conn->hsv->closing || is_http_1_0 (call))
-    say_close (call);
+    add_connection_close (call);
   evhttp_send_reply_start (call->request, status, NULL);
 }
 
@@ -244,7 +246,7 @@
 
   g_assert (call->begun);
   evhttp_send_reply_chunk (call->request, data);
-  evbuffer_drain (data, evbuffer_get_length (data)); /* left there when no body belongs */
+  evbuffer_drain (data, evbuffer_get_length (data)); /* not sent when no body is allowed */
   call->full |= evbuffer_get_length (output) > HSV_QUEUED_LIMIT_BYTES;
   return !call->full;
 }
@@ -264,8 +266,8 @@
 {
   hsv_conn_t *conn = call->conn;
 
-  conn->doomed = true;
-  conn->reset = is_http_1_0 (call);
+  conn->closing = true;
+  conn->close_by_reset = is_http_1_0 (call);
   end_call (call);
   hsv_conn_soon (conn);
 }
--- a/src/connection/http_server_check.c
+++ b/src/connection/http_server_check.c
@@ -1,7 +1,7 @@
 /*
- * Refusals by the listener itself. All are answered before a request is passed on, so they are
- * certain to have run nothing; and all close the connection, since where the next request would
- * begin is not to be trusted.
+ * Requests that the server itself rejects. This happens before a request is passed on, so a
+ * rejected one has certainly not run. The connection is closed after each, since the start of the
+ * next request can't be determined reliably.
  */
 #include "connection/http_error.h"
 #include "connection/http_framing.h"
@@ -20,48 +20,51 @@
   const char *type;
   const char *code;
   const char *message;
-} refusal_t;
-
-static const refusal_t over_limit = { 503, HSV_REFUSED_CONNECTIONS, "overloaded",
-                                      "too_many_connections",
-                                      "too many connections are open; try again later" };
-static const refusal_t crowded = { 503, HSV_REFUSED_BODY, "overloaded", "too_many_bytes",
-                                   "too many long requests come at once; try again later" };
-static const refusal_t bad_framing = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_framing",
-                                       "the length of the body is not declared soundly" };
-static const refusal_t bad_target = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_target",
-                                      "the request target is malformed" };
-static const refusal_t bad_request = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_request",
-                                       "the request is malformed" };
-static const refusal_t bad_method = { 501, HSV_REFUSED_BAD, "invalid_request", "bad_method",
-                                      "the method is not supported" };
-static const refusal_t bad_expectation = { 417, HSV_REFUSED_BAD, "invalid_request",
-                                           "bad_expectation", "the expectation is not supported" };
-static const refusal_t large_headers = { 431, HSV_REFUSED_HEADERS, "invalid_request",
-                                         "headers_too_large",
-                                         "the headers are too many or too large" };
-static const refusal_t large_body = { 413, HSV_REFUSED_BODY, "invalid_request", "body_too_large",
-                                      "the body is too large" };
-static const refusal_t internal = { 500, HSV_REFUSED_BAD, "internal", "internal",
-                                    "the request could not be read" };
+} rejection_t;
+
+static const rejection_t over_limit = { 503, HSV_REFUSED_CONNECTIONS, "overloaded",
+                                        "too_many_connections",
+                                        "too many connections are open; try again later" };
+static const rejection_t too_many_incomplete = {
+  503, HSV_REFUSED_BODY, "overloaded", "too_many_bytes",
+  "too many long requests come at once; try again later"
+};
+static const rejection_t bad_framing = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_framing",
+                                         "the length of the body is not declared soundly" };
+static const rejection_t bad_target = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_target",
+                                        "the request target is malformed" };
+static const rejection_t bad_request = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_request",
+                                         "the request is malformed" };
+static const rejection_t bad_method = { 501, HSV_REFUSED_BAD, "invalid_request", "bad_method",
+                                        "the method is not supported" };
+static const rejection_t bad_expectation = { 417, HSV_REFUSED_BAD, "invalid_request",
+                                             "bad_expectation",
+                                             "the expectation is not supported" };
+static const rejection_t large_headers = { 431, HSV_REFUSED_HEADERS, "invalid_request",
+                                           "headers_too_large",
+                                           "the headers are too many or too large" };
+static const rejection_t large_body = { 413, HSV_REFUSED_BODY, "invalid_request", "body_too_large",
+                                        "the body is too large" };
+static const rejection_t internal = { 500, HSV_REFUSED_BAD, "internal", "internal",
+                                      "the request could not be read" };
 
 static char *
-refusal_body (hsv_t *hsv, const refusal_t *refusal)
+rejection_body (hsv_t *hsv, const rejection_t *rejection)
 {
-  cnt_add (hsv->refused[refusal->refused], 1);
-  return err_body (refusal->message, refusal->type, refusal->code, vrd_name (VRD_NOT_RUN));
+  cnt_add (hsv->refused[rejection->refused], 1);
+  return err_body (rejection->message, rejection->type, rejection->code, vrd_name (VRD_NOT_RUN));
 }
 
 static void
-refuse (hsv_call_t *call, const refusal_t *refusal)
+reject (hsv_call_t *call, const rejection_t *rejection)
 {
-  char *body = refusal_body (call->conn->hsv, refusal);
+  char *body = rejection_body (call->conn->hsv, rejection);
 
-  call->conn->linger = true;
+  call->conn->drain_input = true;
   hsv_conn_dup (call->conn);
   hsv_add_header (call, "Connection", "close");
   hsv_add_header (call, VRD_HEADER, vrd_name (VRD_NOT_RUN));
-  hsv_reply_text (call, refusal->status, "application/json", body);
+  hsv_reply_text (call, rejection->status, "application/json", body);
   g_free (body);
 }
 
@@ -77,7 +80,7 @@
 }
 
 static bool
-target_ok (const hsv_call_t *call)
+is_valid_target (const hsv_call_t *call)
 {
   const char *target = hsv_target (call);
 
@@ -87,12 +90,12 @@
 }
 
 /*
- * The library may take a request as whole at the end of its headers though a body is declared, and
- * would read that body as the next request: bytes of one client account would become a request of
- * their own.
+ * libevent may consider a request complete at the end of its headers although a body is declared,
+ * and would then parse that body as the next request. This would allow request smuggling: bytes of
+ * one client account's body would be executed as a request of their own.
  */
 static bool
-framing_ok (const hsv_call_t *call)
+is_valid_framing (const hsv_call_t *call)
 {
   const struct evkeyvalq *headers = hsv_headers (call);
   struct evbuffer *body = evhttp_request_get_input_buffer (call->request);
@@ -110,10 +113,10 @@
     }
 }
 
-/* The HTTP client does not send such a value. A daemon that passes the request on would take that
- * for hosts that can't be reached, and one caller could make it distrust them all. */
+/* The HTTP client refuses to send a value with control characters. A daemon that passed the request
+ * on would take this for an unreachable host, so one client could make it suspect all hosts. */
 static bool
-values_ok (const hsv_call_t *call)
+are_valid_values (const hsv_call_t *call)
 {
   const struct evkeyval *header;
 
@@ -126,24 +129,25 @@
 bool
 hsv_check (hsv_call_t *call)
 {
-  const refusal_t *refusal = NULL;
+  const rejection_t *rejection = NULL;
 
-  if (call->conn->over)
-    refusal = &over_limit;
-  else if (!framing_ok (call))
-    refusal = &bad_framing;
+  if (call->conn->over_limit)
+    rejection = &over_limit;
+  else if (!is_valid_framing (call))
+    rejection = &bad_framing;
   else if (header_count (hsv_headers (call)) > call->conn->hsv->options.header_limit_count)
-    refusal = &large_headers;
-  else if (!target_ok (call))
-    refusal = &bad_target;
-  else if (!values_ok (call))
-    refusal = &bad_request;
-  if (refusal)
-    refuse (call, refusal);
-  return refusal != NULL;
+    rejection = &large_headers;
+  else if (!is_valid_target (call))
+    rejection = &bad_target;
+  else if (!are_valid_values (call))
+    rejection = &bad_request;
+  if (rejection)
+    reject (call, rejection);
+  return rejection != NULL;
 }
 
-/* the library calls headers over the limit a bad request: count what it read, or could not */
+/* libevent reports headers over the limit as a bad request. Detects them by the number of bytes
+ * that it has consumed, plus those of a line without an end that it could not consume */
 static bool
 headers_over_limit (hsv_conn_t *conn)
 {
@@ -155,8 +159,8 @@
   return bytes > conn->hsv->options.header_limit_bytes;
 }
 
-static const refusal_t *
-refusal_of_page (hsv_conn_t *conn, int status)
+static const rejection_t *
+rejection_for_status (hsv_conn_t *conn, int status)
 {
   switch (status)
     {
@@ -175,27 +179,28 @@
 }
 
 static char *
-page_of (const refusal_t *refusal, const char *body)
+format_response (const rejection_t *rejection, const char *body)
 {
   return g_strdup_printf ("HTTP/1.1 %d Refused\r\n"
                           "Content-Type: application/json\r\n"
                           "Content-Length: %zu\r\n"
                           "Connection: close\r\n"
                           "%s: %s\r\n\r\n%s",
-                          refusal->status, strlen (body), VRD_HEADER, vrd_name (VRD_NOT_RUN), body);
+                          rejection->status, strlen (body), VRD_HEADER, vrd_name (VRD_NOT_RUN),
+                          body);
 }
 
-/* The library is in the middle of reading and would not send; a page is small enough for a socket
- * whose output is empty. */
+/* Writes to the socket directly, since libevent is in the middle of reading and would not send. The
+ * response is small enough for the empty send buffer of the socket. */
 void
 hsv_turn_away (hsv_conn_t *conn)
 {
-  g_autofree char *body = refusal_body (conn->hsv, &crowded);
-  g_autofree char *page = page_of (&crowded, body);
+  g_autofree char *body = rejection_body (conn->hsv, &too_many_incomplete);
+  g_autofree char *page = format_response (&too_many_incomplete, body);
 
-  conn->linger = true;
+  conn->drain_input = true;
   if (hsv_conn_dup (conn) >= 0)
-    send (conn->watch_fd, page, strlen (page), MSG_DONTWAIT | MSG_NOSIGNAL);
+    send (conn->dup_fd, page, strlen (page), MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
 void
@@ -203,7 +208,7 @@
 {
   struct evbuffer *output = bufferevent_get_output (conn->bev);
   char head[sizeof "HTTP/1.1 400"] = "";
-  const refusal_t *refusal;
+  const rejection_t *rejection;
   char *body;
   char *page;
   int status;
@@ -212,14 +217,14 @@
   status = atoi (head + strlen ("HTTP/1.1 "));
   if (status < 400)
     return;
-  refusal = refusal_of_page (conn, status);
-  body = refusal_body (conn->hsv, refusal);
-  conn->linger = true;
+  rejection = rejection_for_status (conn, status);
+  body = rejection_body (conn->hsv, rejection);
+  conn->drain_input = true;
   hsv_conn_dup (conn);
-  /* a bufferevent keeps others from its output; nothing of the page has left yet */
+  /* a bufferevent freezes its output buffer, of which nothing has been sent yet */
   evbuffer_unfreeze (output, 1);
   evbuffer_drain (output, evbuffer_get_length (output));
-  page = page_of (refusal, body);
+  page = format_response (rejection, body);
   evbuffer_add (output, page, strlen (page));
   evbuffer_freeze (output, 1);
   g_free (page);
--- a/src/connection/http_server_conn.c
+++ b/src/connection/http_server_conn.c
@@ -10,9 +10,9 @@
 evutil_socket_t
 hsv_conn_dup (hsv_conn_t *conn)
 {
-  if (conn->watch_fd < 0)
-    conn->watch_fd = fcntl (bufferevent_getfd (conn->bev), F_DUPFD_CLOEXEC, 0);
-  return conn->watch_fd;
+  if (conn->dup_fd < 0)
+    conn->dup_fd = fcntl (bufferevent_getfd (conn->bev), F_DUPFD_CLOEXEC, 0);
+  return conn->dup_fd;
 }
 
 static void
@@ -42,18 +42,18 @@
   set_accepting (hsv, true);
 }
 
-/* what came of a request counts until the request is whole */
+/* Updates the server's sum of incomplete requests too */
 static void
-count_coming (hsv_conn_t *conn, uint64_t coming_bytes)
+set_incomplete_bytes (hsv_conn_t *conn, uint64_t incomplete_bytes)
 {
-  conn->hsv->coming_bytes += coming_bytes - conn->coming_bytes;
-  conn->coming_bytes = coming_bytes;
+  conn->hsv->incomplete_bytes += incomplete_bytes - conn->incomplete_bytes;
+  conn->incomplete_bytes = incomplete_bytes;
 }
 
 static hsv_conn_t *
-most_came (hsv_t *hsv)
+find_largest_incomplete (hsv_t *hsv)
 {
-  hsv_conn_t *most = NULL;
+  hsv_conn_t *largest = NULL;
   GHashTableIter iter;
   gpointer value;
 
@@ -62,32 +62,34 @@
     {
       hsv_conn_t *conn = value;
 
-      if (!conn->crowded && (!most || conn->coming_bytes > most->coming_bytes))
-        most = conn;
+      if (!conn->evicted && (!largest || conn->incomplete_bytes > largest->incomplete_bytes))
+        largest = conn;
     }
-  return most;
+  return largest;
 }
 
 /*
- * Anyone may send the greater part of a long body on each of many connections, before a key is
- * looked at, and use up the memory of the host. Those that hold most of it go first, so short
- * requests of others are not touched.
+ * Guards against clients that send most of a long body on each of many connections, before their
+ * API key is checked, to exhaust the host's memory. The largest incomplete requests are evicted
+ * first, so that short requests of others are not affected.
  */
 static void
-make_room (hsv_t *hsv)
+evict_incomplete (hsv_t *hsv)
 {
-  hsv_conn_t *most;
+  hsv_conn_t *largest;
 
-  while (hsv->coming_bytes > hsv->options.coming_limit_bytes && (most = most_came (hsv)))
+  while (hsv->incomplete_bytes > hsv->options.coming_limit_bytes &&
+         (largest = find_largest_incomplete (hsv)))
     {
-      most->crowded = true;
-      count_coming (most, 0);
-      bufferevent_disable (most->bev, EV_READ);
-      hsv_conn_soon (most);
+      largest->evicted = true;
+      set_incomplete_bytes (largest, 0);
+      bufferevent_disable (largest->bev, EV_READ);
+      hsv_conn_soon (largest);
     }
 }
 
-/* the library may still hold the bufferevent: leave nothing in it that points here */
+/* libevent may keep the bufferevent, so all callbacks with a pointer to @conn are removed from it
+ */
 static void
 conn_free (hsv_conn_t *conn)
 {
@@ -95,26 +97,27 @@
 
   if (conn->busy)
     hsv->busy_count--;
-  count_coming (conn, 0);
+  set_incomplete_bytes (conn, 0);
   hsv->open_count--;
   cnt_add (hsv->connections, UINT64_MAX);
   evbuffer_remove_cb_entry (bufferevent_get_input (conn->bev), conn->input_cb);
   evbuffer_remove_cb_entry (bufferevent_get_output (conn->bev), conn->output_cb);
-  event_free (conn->soon);
-  event_free (conn->late);
-  if (conn->watch)
-    event_free (conn->watch);
-  if (conn->watch_fd >= 0 && conn->linger)
-    hsv_drain_start (hsv, conn->watch_fd);
-  else if (conn->watch_fd >= 0)
-    evutil_closesocket (conn->watch_fd);
+  event_free (conn->deferred);
+  event_free (conn->request_timer);
+  if (conn->disconnect_watch)
+    event_free (conn->disconnect_watch);
+  if (conn->dup_fd >= 0 && conn->drain_input)
+    hsv_drain_start (hsv, conn->dup_fd);
+  else if (conn->dup_fd >= 0)
+    evutil_closesocket (conn->dup_fd);
   g_free (conn);
   set_accepting (hsv, true);
 }
 
 /*
- * The one place where a connection ends, whoever ends it: the library on an error, a timeout or
- * after the last answer, or we. A request that the library has unlinked is left to us to free.
+ * The only place where a connection ends, whether it is closed by libevent (after an error, a
+ * timeout or the last response) or by the server. A request that libevent has unlinked from its
+ * connection is left to us to free.
  */
 static void
 on_close (struct evhttp_connection *evcon, void *context)
@@ -141,21 +144,21 @@
 }
 
 /*
- * A reset, not an end of file: a caller of HTTP/1.0, whose answer ends where the connection does,
- * would take the part for the whole. Disconnecting the socket sends it at once, before the library
- * shuts the socket down.
+ * Closes by a reset instead of an end of file: for an HTTP/1.0 client, whose response ends where
+ * the connection does, an end of file would make a truncated response look complete. Connecting to
+ * AF_UNSPEC sends the reset at once, before libevent shuts the socket down.
  */
 static void
 reset_socket (hsv_conn_t *conn)
 {
-  struct sockaddr nobody = { .sa_family = AF_UNSPEC };
+  struct sockaddr no_address = { .sa_family = AF_UNSPEC };
 
-  if (connect (bufferevent_getfd (conn->bev), &nobody, sizeof nobody) < 0)
+  if (connect (bufferevent_getfd (conn->bev), &no_address, sizeof no_address) < 0)
     return;
 }
 
 static void
-on_soon (evutil_socket_t fd, short what, void *context)
+on_deferred (evutil_socket_t fd, short what, void *context)
 {
   hsv_conn_t *conn = context;
 
@@ -163,43 +166,45 @@
   (void)what;
   if (!conn->evcon && !hsv_conn_adopt (conn))
     return;
-  if (conn->crowded && !conn->busy)
+  if (conn->evicted && !conn->busy)
     {
       hsv_turn_away (conn);
       evhttp_connection_free (conn->evcon);
       return;
     }
-  if (conn->doomed && !conn->reset && evbuffer_get_length (bufferevent_get_output (conn->bev)) > 0)
-    return; /* what is queued says why: on_output() calls again once it has left */
-  if (conn->doomed)
+  if (conn->closing && !conn->close_by_reset &&
+      evbuffer_get_length (bufferevent_get_output (conn->bev)) > 0)
+    return; /* send the queued response first; on_output() calls again when it has been sent */
+  if (conn->closing)
     {
-      if (conn->reset)
+      if (conn->close_by_reset)
         reset_socket (conn);
       evhttp_connection_free (conn->evcon);
       return;
     }
-  if (conn->page)
+  if (conn->check_error_page)
     {
-      conn->page = false;
+      conn->check_error_page = false;
       hsv_restyle (conn);
     }
-  if (conn->room_due)
+  if (conn->notify_writable)
     {
-      conn->room_due = false;
+      conn->notify_writable = false;
       if (conn->call && conn->call->room)
-        conn->call->room (conn->call->room_context); /* may end the connection */
+        conn->call->room (conn->call->room_context); /* may free conn */
     }
 }
 
 void
 hsv_conn_soon (hsv_conn_t *conn)
 {
-  event_active (conn->soon, EV_TIMEOUT, 0);
+  event_active (conn->deferred, EV_TIMEOUT, 0);
 }
 
-/* a caller that sends a byte now and then is not idle, and would hold its connection for ever */
+/* Closes the connection of a client that sends its request too slowly. One that sends a byte now
+ * and then is never idle, so the idle timeout would let it keep the connection forever */
 static void
-on_late (evutil_socket_t fd, short what, void *context)
+on_request_timeout (evutil_socket_t fd, short what, void *context)
 {
   hsv_conn_t *conn = context;
 
@@ -210,10 +215,10 @@
 }
 
 static void
-start_reading (hsv_conn_t *conn)
+start_request_timer (hsv_conn_t *conn)
 {
-  if (!conn->busy && !evtimer_pending (conn->late, NULL))
-    event_add (conn->late, &conn->hsv->request_timeout);
+  if (!conn->busy && !evtimer_pending (conn->request_timer, NULL))
+    event_add (conn->request_timer, &conn->hsv->request_timeout);
 }
 
 static void
@@ -225,41 +230,41 @@
   conn->read_bytes += info->n_deleted;
   if (info->n_added == 0)
     return;
-  start_reading (conn);
-  if (conn->busy || conn->crowded)
+  start_request_timer (conn);
+  if (conn->busy || conn->evicted)
     return;
-  count_coming (conn, conn->coming_bytes + info->n_added);
-  if (conn->hsv->coming_bytes > conn->hsv->options.coming_limit_bytes)
-    make_room (conn->hsv);
+  set_incomplete_bytes (conn, conn->incomplete_bytes + info->n_added);
+  if (conn->hsv->incomplete_bytes > conn->hsv->options.coming_limit_bytes)
+    evict_incomplete (conn->hsv);
 }
 
-/* runs inside the library's own writing: only notes, and leaves the rest to on_soon() */
+/* Runs while libevent writes, so it only sets flags; on_deferred() does the work */
 static void
 on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *context)
 {
   hsv_conn_t *conn = context;
   bool half_empty = evbuffer_get_length (buffer) < HSV_QUEUED_LIMIT_BYTES / 2;
 
-  if (conn->doomed && info->n_deleted > 0 && evbuffer_get_length (buffer) == 0)
+  if (conn->closing && info->n_deleted > 0 && evbuffer_get_length (buffer) == 0)
     hsv_conn_soon (conn);
 
-  if (info->n_added > 0 && !conn->busy && !conn->page)
+  if (info->n_added > 0 && !conn->busy && !conn->check_error_page)
     {
-      conn->page = true;
+      conn->check_error_page = true;
       hsv_conn_soon (conn);
     }
   if (info->n_deleted > 0 && half_empty && conn->call && conn->call->full)
     {
       conn->call->full = false;
-      conn->room_due = true;
+      conn->notify_writable = true;
       hsv_conn_soon (conn);
     }
 }
 
 /*
- * evhttp tells nobody of a connection before its first request. Its connection is the context of
- * the bufferevent's callbacks from the moment it takes the bufferevent; on_soon() runs in the same
- * turn of the loop, before any event of the socket can.
+ * evhttp does not report a connection before its first request. But as soon as it uses a
+ * bufferevent, the evhttp connection is the context of the bufferevent's callbacks. on_deferred()
+ * calls this in the same iteration of the event loop, before any event of the socket.
  */
 bool
 hsv_conn_adopt (hsv_conn_t *conn)
@@ -268,7 +273,7 @@
   void *evcon = NULL;
 
   bufferevent_getcb (bev, NULL, NULL, NULL, &evcon);
-  g_hash_table_remove (conn->hsv->fresh, bev);
+  g_hash_table_remove (conn->hsv->new_conns, bev);
   if (!evcon)
     {
       conn_free (conn);
@@ -295,25 +300,26 @@
   conn = g_new0 (hsv_conn_t, 1);
   conn->hsv = hsv;
   conn->bev = bev;
-  conn->watch_fd = -1;
-  conn->soon = event_new (base, -1, 0, on_soon, conn);
-  conn->late = evtimer_new (base, on_late, conn);
+  conn->dup_fd = -1;
+  conn->deferred = event_new (base, -1, 0, on_deferred, conn);
+  conn->request_timer = evtimer_new (base, on_request_timeout, conn);
   conn->input_cb = evbuffer_add_cb (bufferevent_get_input (bev), on_input, conn);
   conn->output_cb = evbuffer_add_cb (bufferevent_get_output (bev), on_output, conn);
-  conn->over = ++hsv->open_count > hsv->options.connection_limit;
+  conn->over_limit = ++hsv->open_count > hsv->options.connection_limit;
   cnt_add (hsv->connections, 1);
-  /* while an answer leaves the library reads on without looking: bound what that can pile up */
+  /* while a response is sent, libevent keeps reading without parsing: limit what it can buffer */
   input_limit_bytes = (size_t)hsv->options.body_limit_bytes + hsv->options.header_limit_bytes;
   bufferevent_setwatermark (bev, EV_READ, 0, input_limit_bytes + 1024);
   bufferevent_incref (bev);
-  g_hash_table_insert (hsv->fresh, bev, conn);
+  g_hash_table_insert (hsv->new_conns, bev, conn);
   hsv_conn_soon (conn);
   if (hsv->open_count >= (uint64_t)hsv->options.connection_limit + LIM_HTTP_OVER_LIMIT)
     set_accepting (hsv, false);
   return bev;
 }
 
-/* a reset is not told apart from bytes of a next request by the event, nor by reading */
+/* The event alone does not tell a disconnect from bytes of the next request, and reading would not
+ * detect a reset behind such bytes */
 static bool
 caller_closed (evutil_socket_t fd)
 {
@@ -323,7 +329,7 @@
 }
 
 static void
-on_watch (evutil_socket_t fd, short what, void *context)
+on_socket_event (evutil_socket_t fd, short what, void *context)
 {
   hsv_conn_t *conn = context;
 
@@ -333,24 +339,26 @@
 }
 
 /*
- * The library does not read while a call waits, so it would not see the caller close. Reading on
- * is no way: bytes of a next request would reach the library in a state in which it exits. The
- * socket itself is watched instead, edge-triggered, so that such bytes wake us once only; and by a
- * duplicate, since a level-triggered event that asks for the close alone spins on a reset.
+ * libevent does not read while a call is pending, so it would not notice that the client
+ * disconnects. Reading can't be enabled: bytes of the next request would reach libevent in a state
+ * in which it exits the process. The socket itself is watched instead. The event is edge-triggered,
+ * so that such bytes wake us only once, and uses a duplicate of the descriptor. A level-triggered
+ * event for the close alone would fire endlessly after a reset.
  */
 static void
-start_watch (hsv_conn_t *conn)
+watch_disconnect (hsv_conn_t *conn)
 {
   short events = EV_READ | EV_CLOSED | EV_ET | EV_PERSIST;
 
-  if (!conn->watch && hsv_conn_dup (conn) >= 0)
-    conn->watch = event_new (conn->hsv->options.base, conn->watch_fd, events, on_watch, conn);
-  if (conn->watch)
-    event_add (conn->watch, NULL);
+  if (!conn->disconnect_watch && hsv_conn_dup (conn) >= 0)
+    conn->disconnect_watch =
+        event_new (conn->hsv->options.base, conn->dup_fd, events, on_socket_event, conn);
+  if (conn->disconnect_watch)
+    event_add (conn->disconnect_watch, NULL);
 }
 
 static void
-on_complete (struct evhttp_request *request, void *context)
+on_response_sent (struct evhttp_request *request, void *context)
 {
   hsv_conn_t *conn = context;
 
@@ -359,14 +367,14 @@
   conn->busy = false;
   conn->hsv->busy_count--;
   conn->read_bytes = 0;
-  count_coming (conn, evbuffer_get_length (bufferevent_get_input (conn->bev)));
-  if (conn->watch)
-    event_del (conn->watch);
+  set_incomplete_bytes (conn, evbuffer_get_length (bufferevent_get_input (conn->bev)));
+  if (conn->disconnect_watch)
+    event_del (conn->disconnect_watch);
   bufferevent_set_timeouts (conn->bev, &conn->hsv->idle_timeout, &conn->hsv->idle_timeout);
   if (evbuffer_get_length (bufferevent_get_input (conn->bev)) > 0)
-    start_reading (conn);
+    start_request_timer (conn);
   if (conn->hsv->stopping)
-    hsv_linger (conn->hsv); /* its head may have left before the stop, without saying close */
+    hsv_linger (conn->hsv); /* the response may have been sent without "Connection: close" */
 }
 
 void
@@ -382,15 +390,15 @@
       evhttp_send_error (request, 503, NULL);
       return;
     }
-  event_del (conn->late);
-  count_coming (conn, 0);
-  conn->crowded = false; /* it is whole after all */
+  event_del (conn->request_timer);
+  set_incomplete_bytes (conn, 0);
+  conn->evicted = false; /* its rest arrived before it was rejected */
   conn->busy = true;
   hsv->busy_count++;
   cnt_add (hsv->requests, 1);
   conn->request = request;
-  evhttp_request_set_on_complete_cb (request, on_complete, conn);
-  /* the library reads while it writes: a caller that rightly keeps silent must not time out */
+  evhttp_request_set_on_complete_cb (request, on_response_sent, conn);
+  /* libevent also reads while it writes: a client that waits for its response must not time out */
   bufferevent_set_timeouts (conn->bev, NULL, &hsv->idle_timeout);
   call = hsv_call_new (conn, request);
   conn->call = call;
@@ -399,7 +407,7 @@
   hsv->options.on_call (call, hsv->options.context);
   conn = g_hash_table_lookup (hsv->conns, evcon);
   if (conn && conn->call)
-    start_watch (conn);
+    watch_disconnect (conn);
 }
 
 bool
--- a/src/connection/http_server_drain.c
+++ b/src/connection/http_server_drain.c
@@ -1,19 +1,24 @@
 /*
- * A socket that is closed while bytes of its caller are unread is reset, and the reset overtakes
- * the answer that says why the request was refused. So the caller's bytes are read out first,
- * bounded in bytes and time.
+ * Lingering close. Closing a socket with unread input sends a reset, which can make the client lose
+ * the response that says why its request was rejected. The remaining input is therefore read and
+ * discarded first, within limits on bytes and time.
  */
 #include "connection/http_server_internal.h"
 
 #include <errno.h>
 #include <sys/socket.h>
 
+/**
+ * struct hsv_drain - a socket whose input is discarded
+ * @timer: closes the socket after %LIM_HTTP_DRAIN_MS
+ * @read_bytes: discarded so far
+ */
 struct hsv_drain
 {
   hsv_t *hsv;
   evutil_socket_t fd;
   struct event *readable;
-  struct event *expired;
+  struct event *timer;
   uint64_t read_bytes;
 };
 
@@ -22,7 +27,7 @@
 {
   g_hash_table_remove (drain->hsv->drains, drain);
   event_free (drain->readable);
-  event_free (drain->expired);
+  event_free (drain->timer);
   evutil_closesocket (drain->fd);
   g_free (drain);
 }
@@ -44,7 +49,7 @@
 }
 
 static void
-on_expired (evutil_socket_t fd, short what, void *context)
+on_timeout (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
@@ -67,8 +72,8 @@
   drain->hsv = hsv;
   drain->fd = fd;
   drain->readable = event_new (base, fd, EV_READ | EV_PERSIST, on_readable, drain);
-  drain->expired = evtimer_new (base, on_expired, drain);
+  drain->timer = evtimer_new (base, on_timeout, drain);
   event_add (drain->readable, NULL);
-  event_add (drain->expired, &limit);
+  event_add (drain->timer, &limit);
   g_hash_table_add (hsv->drains, drain);
 }
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -14,7 +14,7 @@
 static const char *const OK_ONLY[] = { OK_ANSWER };
 static const char *const SILENT[] = { NULL };
 
-/* what a call has brought */
+/* Results of a call, and what its callbacks are to do */
 typedef struct
 {
   hcl_call_t *call;
@@ -26,7 +26,7 @@
   bool cancel_in_head;
   bool cancel_in_data;
   bool pause_in_data;
-} heard_t;
+} call_state_t;
 
 typedef struct
 {
@@ -34,138 +34,138 @@
   hcl_t *hcl;
   raw_server_t *server;
   hcl_options_t options;
-  heard_t heard;
-} bench_t;
+  call_state_t state;
+} fixture_t;
 
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  heard_t *heard = context;
+  call_state_t *state = context;
 
   (void)headers;
-  heard->head_status = status;
-  if (heard->cancel_in_head)
-    hcl_cancel (heard->call);
-  return !heard->refuse_head;
+  state->head_status = status;
+  if (state->cancel_in_head)
+    hcl_cancel (state->call);
+  return !state->refuse_head;
 }
 
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  heard_t *heard = context;
+  call_state_t *state = context;
   size_t bytes = evbuffer_get_length (data);
 
-  g_string_append_len (heard->body, (char *)evbuffer_pullup (data, -1), (gssize)bytes);
+  g_string_append_len (state->body, (char *)evbuffer_pullup (data, -1), (gssize)bytes);
   evbuffer_drain (data, bytes);
-  if (heard->cancel_in_data)
-    hcl_cancel (heard->call);
-  else if (heard->pause_in_data)
-    hcl_pause (heard->call, true);
+  if (state->cancel_in_data)
+    hcl_cancel (state->call);
+  else if (state->pause_in_data)
+    hcl_pause (state->call, true);
 }
 
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  heard_t *heard = context;
+  call_state_t *state = context;
 
-  heard->end = *end;
-  heard->ends++;
+  state->end = *end;
+  state->ends++;
 }
 
 static bool
 has_ended (void *context)
 {
-  return ((heard_t *)context)->ends > 0;
+  return ((call_state_t *)context)->ends > 0;
 }
 
 static bool
 has_head (void *context)
 {
-  return ((heard_t *)context)->head_status == 200;
+  return ((call_state_t *)context)->head_status == 200;
 }
 
 static bool
 has_body (void *context)
 {
-  return ((heard_t *)context)->body->len > 0;
+  return ((call_state_t *)context)->body->len > 0;
 }
 
-/* a client, and a peer that answers by @scripts */
-static bench_t *
-bench_new (const char *const *scripts, uint32_t script_count)
+/* Returns a client and a server that sends the responses @scripts */
+static fixture_t *
+fixture_new (const char *const *scripts, uint32_t script_count)
 {
-  bench_t *bench = g_new0 (bench_t, 1);
+  fixture_t *fixture = g_new0 (fixture_t, 1);
 
-  bench->base = event_base_new ();
-  bench->hcl = hcl_new (bench->base, 2, IDLE_TIMEOUT_MS);
-  bench->heard.body = g_string_new (NULL);
-  bench->server = raw_server_new (bench->base, scripts, script_count);
-  bench->options = (hcl_options_t){ .address = &bench->server->address,
-                                    .method = "GET",
-                                    .target = "/x",
-                                    .timeout_us = 3 * SECOND_US,
-                                    .answer_limit_bytes = 1024 * 1024,
-                                    .on_head = on_head,
-                                    .on_data = on_data,
-                                    .on_end = on_end,
-                                    .context = &bench->heard };
-  return bench;
+  fixture->base = event_base_new ();
+  fixture->hcl = hcl_new (fixture->base, 2, IDLE_TIMEOUT_MS);
+  fixture->state.body = g_string_new (NULL);
+  fixture->server = raw_server_new (fixture->base, scripts, script_count);
+  fixture->options = (hcl_options_t){ .address = &fixture->server->address,
+                                      .method = "GET",
+                                      .target = "/x",
+                                      .timeout_us = 3 * SECOND_US,
+                                      .answer_limit_bytes = 1024 * 1024,
+                                      .on_head = on_head,
+                                      .on_data = on_data,
+                                      .on_end = on_end,
+                                      .context = &fixture->state };
+  return fixture;
 }
 
 static void
-bench_free (bench_t *bench)
+fixture_free (fixture_t *fixture)
 {
-  g_clear_pointer (&bench->hcl, hcl_free);
-  raw_server_free (bench->server);
-  g_string_free (bench->heard.body, TRUE);
-  event_base_free (bench->base);
-  g_free (bench);
+  g_clear_pointer (&fixture->hcl, hcl_free);
+  raw_server_free (fixture->server);
+  g_string_free (fixture->state.body, TRUE);
+  event_base_free (fixture->base);
+  g_free (fixture);
 }
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (bench_t, bench_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (fixture_t, fixture_free)
 
 static void
-forget (heard_t *heard)
+reset_state (call_state_t *state)
 {
-  GString *body = g_string_truncate (heard->body, 0);
+  GString *body = g_string_truncate (state->body, 0);
 
-  memset (heard, 0, sizeof *heard);
-  heard->body = body;
+  memset (state, 0, sizeof *state);
+  state->body = body;
 }
 
-/* start, and run until the end */
+/* Starts a call and runs the event loop until it has ended */
 static void
-call (bench_t *bench)
+run_call (fixture_t *fixture)
 {
-  forget (&bench->heard);
-  bench->heard.call = hcl_start (bench->hcl, &bench->options);
-  CU_ASSERT_EQUAL (bench->heard.ends, 0);
-  CU_ASSERT_TRUE (raw_run_until (bench->base, has_ended, &bench->heard));
-  CU_ASSERT_EQUAL (bench->heard.ends, 1);
+  reset_state (&fixture->state);
+  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
+  CU_ASSERT_EQUAL (fixture->state.ends, 0);
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  CU_ASSERT_EQUAL (fixture->state.ends, 1);
 }
 
 static void
-check_failed (const heard_t *heard, vrd_t verdict, vrd_reason_t reason)
+check_failed (const call_state_t *state, vrd_t verdict, vrd_reason_t reason)
 {
-  CU_ASSERT_FALSE (heard->end.whole);
-  CU_ASSERT_EQUAL (heard->end.verdict, verdict);
-  CU_ASSERT_EQUAL (heard->end.reason, reason);
+  CU_ASSERT_FALSE (state->end.whole);
+  CU_ASSERT_EQUAL (state->end.verdict, verdict);
+  CU_ASSERT_EQUAL (state->end.reason, reason);
 }
 
 static void
-call_fails (bench_t *bench, vrd_t verdict, vrd_reason_t reason)
+run_failing_call (fixture_t *fixture, vrd_t verdict, vrd_reason_t reason)
 {
-  call (bench);
-  check_failed (&bench->heard, verdict, reason);
+  run_call (fixture);
+  check_failed (&fixture->state, verdict, reason);
 }
 
 static void
-call_brings (bench_t *bench, int status, const char *body)
+run_successful_call (fixture_t *fixture, int status, const char *body)
 {
-  call (bench);
-  CU_ASSERT_TRUE (bench->heard.end.whole);
-  CU_ASSERT_EQUAL (bench->heard.end.status, status);
-  CU_ASSERT_STRING_EQUAL (bench->heard.body->str, body);
+  run_call (fixture);
+  CU_ASSERT_TRUE (fixture->state.end.whole);
+  CU_ASSERT_EQUAL (fixture->state.end.status, status);
+  CU_ASSERT_STRING_EQUAL (fixture->state.body->str, body);
 }
 
 static void
@@ -180,21 +180,21 @@
     "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbusy",
   };
-  g_autoptr (bench_t) bench = bench_new (scripts, G_N_ELEMENTS (scripts));
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
 
-  call_brings (bench, 200, "first");
-  call_brings (bench, 200, "second");
-  call_brings (bench, 201, "third");
-  call_brings (bench, 204, "");
-  call_brings (bench, 200, "");
-  call_brings (bench, 503, "busy");
-  CU_ASSERT_EQUAL (bench->server->accepted, 1);
+  run_successful_call (fixture, 200, "first");
+  run_successful_call (fixture, 200, "second");
+  run_successful_call (fixture, 201, "third");
+  run_successful_call (fixture, 204, "");
+  run_successful_call (fixture, 200, "");
+  run_successful_call (fixture, 503, "busy");
+  CU_ASSERT_EQUAL (fixture->server->accepted, 1);
 }
 
 /*
- * The peer sends a part of the answer and closes, or declares its length not at all, twice or
- * contradictorily. The library takes some of these for whole answers. The caller must hear that
- * the answer is cut, and that the request may have run; the connection is not used again.
+ * The peer closes in the middle of the response, or declares its length not at all, twice or
+ * contradictorily. libevent accepts some of these as complete. The caller must learn that the
+ * response is truncated and that the request may have run; the connection must not be reused.
  */
 static void
 test_cut_answers (void)
@@ -216,19 +216,19 @@
     "nonsense\r\n\r\n",
     "",
   };
-  g_autoptr (bench_t) bench = bench_new (scripts, G_N_ELEMENTS (scripts));
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
 
-  bench->server->close_after = true;
+  fixture->server->close_after = true;
   for (uint32_t i = 0; i < G_N_ELEMENTS (scripts); i++)
     {
-      call_fails (bench, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
-      CU_ASSERT_EQUAL (bench->server->accepted, i + 1);
+      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+      CU_ASSERT_EQUAL (fixture->server->accepted, i + 1);
     }
 }
 
 /*
- * Another caller's late answer is the first thing that comes on the connection. Its attempt id is
- * not ours: not a byte of it may be passed on, nor may the connection be used again.
+ * The connection delivers a late response to another client's request first, recognizable by a
+ * different attempt id. No byte of it may be passed on, and the connection must not be reused.
  */
 static void
 test_crossed_answer (void)
@@ -238,23 +238,24 @@
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother",
     "HTTP/1.1 200 OK\r\nX-Attempt: a\r\nContent-Length: 4\r\n\r\nours",
   };
-  g_autoptr (bench_t) bench = bench_new (scripts, G_N_ELEMENTS (scripts));
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
 
-  bench->options.check_name = "X-Attempt";
-  bench->options.check_value = "a";
+  fixture->options.check_name = "X-Attempt";
+  fixture->options.check_value = "a";
   for (uint32_t i = 0; i < 2; i++)
     {
-      call_fails (bench, VRD_MAY_HAVE_RUN, VRD_REASON_CROSSED);
-      CU_ASSERT_EQUAL (bench->heard.head_status, 0);
-      CU_ASSERT_EQUAL (bench->heard.body->len, 0);
+      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CROSSED);
+      CU_ASSERT_EQUAL (fixture->state.head_status, 0);
+      CU_ASSERT_EQUAL (fixture->state.body->len, 0);
     }
-  call_brings (bench, 200, "ours");
-  CU_ASSERT_EQUAL (bench->server->accepted, 3);
+  run_successful_call (fixture, 200, "ours");
+  CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
 
 /*
- * The peer sends more bytes than its answer declares, or sends bytes while the connection is idle.
- * Kept, they would be read as the answer to the next request, of another client account.
+ * The peer sends more bytes than its response declares, or sends bytes while the connection is
+ * idle. If the connection were reused, they would be taken for the response to the next request,
+ * which may be of another client account.
  */
 static void
 test_stray_bytes (void)
@@ -264,76 +265,76 @@
     "5\r\n\r\nstray",
     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nours",
   };
-  g_autoptr (bench_t) bench = bench_new (scripts, G_N_ELEMENTS (scripts));
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
 
-  call_brings (bench, 200, "ok");
-  call_brings (bench, 200, "ours");
-  CU_ASSERT_EQUAL (bench->server->accepted, 2);
-  raw_send (bench->server->conns->pdata[1], scripts[0]);
-  call_brings (bench, 200, "ours");
-  CU_ASSERT_EQUAL (bench->server->accepted, 3);
+  run_successful_call (fixture, 200, "ok");
+  run_successful_call (fixture, 200, "ours");
+  CU_ASSERT_EQUAL (fixture->server->accepted, 2);
+  raw_send (fixture->server->conns->pdata[1], scripts[0]);
+  run_successful_call (fixture, 200, "ours");
+  CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
 
 /*
- * Nothing listens, or the peer never takes the connection. No byte has left, so the request is
- * certain not to have run and may be tried elsewhere.
+ * Nothing listens, or the peer never accepts the connection. No byte was sent, so the request has
+ * certainly not run and may be retried elsewhere.
  */
 static void
 test_no_connection (void)
 {
-  g_autoptr (bench_t) bench = bench_new (SILENT, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
   set_address_t nobody = raw_address ();
 
   nobody.port = 1;
-  bench->options.address = &nobody;
-  call_fails (bench, VRD_NOT_RUN, VRD_REASON_CONNECT);
-  CU_ASSERT_EQUAL (bench->heard.end.status, 0);
-  bench->options.address = &bench->server->address;
-  raw_server_fill (bench->server);
-  bench->options.timeout_us = 20 * 1000;
-  call_fails (bench, VRD_NOT_RUN, VRD_REASON_TIMEOUT);
-  bench->options.timeout_us = 0;
-  call_fails (bench, VRD_NOT_RUN, VRD_REASON_CONNECT);
+  fixture->options.address = &nobody;
+  run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_CONNECT);
+  CU_ASSERT_EQUAL (fixture->state.end.status, 0);
+  fixture->options.address = &fixture->server->address;
+  raw_server_fill (fixture->server);
+  fixture->options.timeout_us = 20 * 1000;
+  run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_TIMEOUT);
+  fixture->options.timeout_us = 0;
+  run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_CONNECT);
 }
 
 /*
- * The peer closes, or resets, a kept-alive connection while it is idle; the loop has not seen it
- * when the next request starts. That request must go over a new connection, unharmed.
+ * The peer closes or resets a keep-alive connection while it is idle, and the event loop has not
+ * noticed it when the next request starts. That request must use a new connection and succeed.
  */
 static void
 test_closed_while_idle (void)
 {
-  g_autoptr (bench_t) bench = bench_new (OK_ONLY, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (OK_ONLY, 1);
 
   for (uint32_t i = 0; i < 4; i++)
     {
-      call_brings (bench, 200, "ok");
-      CU_ASSERT_EQUAL (bench->server->accepted, i + 1);
-      raw_close (bench->server->conns->pdata[i], i % 2 == 1);
+      run_successful_call (fixture, 200, "ok");
+      CU_ASSERT_EQUAL (fixture->server->accepted, i + 1);
+      raw_close (fixture->server->conns->pdata[i], i % 2 == 1);
     }
 }
 
 /*
- * The peer resets a kept-alive connection after the next request was queued for it and before a
- * byte of it was written. The request is certain not to have run.
+ * The peer resets a keep-alive connection after the next request was queued on it and before a byte
+ * of it was written. The request has certainly not run.
  */
 static void
 test_reset_before_write (void)
 {
-  g_autoptr (bench_t) bench = bench_new (OK_ONLY, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (OK_ONLY, 1);
 
-  call_brings (bench, 200, "ok");
-  forget (&bench->heard);
-  hcl_start (bench->hcl, &bench->options);
-  raw_close (bench->server->conns->pdata[0], true);
-  CU_ASSERT_TRUE (raw_run_until (bench->base, has_ended, &bench->heard));
-  check_failed (&bench->heard, VRD_NOT_RUN, VRD_REASON_CONNECT);
-  CU_ASSERT_EQUAL (bench->server->accepted, 1);
+  run_successful_call (fixture, 200, "ok");
+  reset_state (&fixture->state);
+  hcl_start (fixture->hcl, &fixture->options);
+  raw_close (fixture->server->conns->pdata[0], true);
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  check_failed (&fixture->state, VRD_NOT_RUN, VRD_REASON_CONNECT);
+  CU_ASSERT_EQUAL (fixture->server->accepted, 1);
 }
 
 /*
- * A kept-alive connection ends after the next request was written, without an answer. Whether the
- * peer ran it, nobody can tell.
+ * A keep-alive connection ends after the next request was written, without a response. The request
+ * may have run.
  */
 static void
 test_closed_after_write (void)
@@ -342,60 +343,61 @@
 
   for (int reset = 0; reset < 2; reset++)
     {
-      g_autoptr (bench_t) bench = bench_new (scripts, G_N_ELEMENTS (scripts));
-      call_brings (bench, 200, "ok");
-      bench->server->close_after = true;
-      bench->server->reset_after = reset;
-      call_fails (bench, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
-      CU_ASSERT_EQUAL (bench->server->accepted, 1);
+      g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
+      run_successful_call (fixture, 200, "ok");
+      fixture->server->close_after = true;
+      fixture->server->reset_after = reset;
+      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+      CU_ASSERT_EQUAL (fixture->server->accepted, 1);
     }
 }
 
 /*
- * The peer never answers, or answers half and stalls. The call ends at its timeout, and the late
- * rest must not meet the next request: the connection is closed.
+ * The peer never responds, or stalls in the middle of the response. The call ends at its timeout,
+ * and its connection is closed, so that the rest can't be taken for the response to the next
+ * request.
  */
 static void
 test_timeout (void)
 {
   static const char *const scripts[] = { NULL, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
                                          OK_ANSWER };
-  g_autoptr (bench_t) bench = bench_new (scripts, G_N_ELEMENTS (scripts));
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
 
-  bench->options.timeout_us = 50 * 1000;
+  fixture->options.timeout_us = 50 * 1000;
   for (uint32_t i = 0; i < 2; i++)
     {
-      call_fails (bench, VRD_MAY_HAVE_RUN, VRD_REASON_TIMEOUT);
+      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_TIMEOUT);
     }
-  bench->options.timeout_us = 3 * SECOND_US;
-  call_brings (bench, 200, "ok");
-  CU_ASSERT_EQUAL (bench->server->accepted, 3);
+  fixture->options.timeout_us = 3 * SECOND_US;
+  run_successful_call (fixture, 200, "ok");
+  CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
 
 static void
 test_bad_options (void)
 {
   static const hcl_header_t bad[] = { { "X-A", "b\r\nX-Evil: 1" }, { "X A", "b" }, { "X\n", "b" } };
-  g_autoptr (bench_t) bench = bench_new (SILENT, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
 
   for (size_t i = 0; i < G_N_ELEMENTS (bad) + 3; i++)
     {
-      bench->options.header_count = 0;
-      bench->options.target = "/x";
+      fixture->options.header_count = 0;
+      fixture->options.target = "/x";
       if (i < G_N_ELEMENTS (bad))
         {
-          bench->options.headers = &bad[i];
-          bench->options.header_count = 1;
+          fixture->options.headers = &bad[i];
+          fixture->options.header_count = 1;
         }
       else if (i == G_N_ELEMENTS (bad))
-        bench->options.target = "/x HTTP/1.1\r\nX-Evil: 1";
+        fixture->options.target = "/x HTTP/1.1\r\nX-Evil: 1";
       else if (i == G_N_ELEMENTS (bad) + 1)
-        bench->options.target = "x";
+        fixture->options.target = "x";
       else
-        bench->options.method = "BREW";
-      call_fails (bench, VRD_NOT_RUN, VRD_REASON_CONNECT);
+        fixture->options.method = "BREW";
+      run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_CONNECT);
     }
-  CU_ASSERT_EQUAL (bench->server->accepted, 0);
+  CU_ASSERT_EQUAL (fixture->server->accepted, 0);
 }
 
 static bool
@@ -406,7 +408,7 @@
   return server->conns->len > 0 && strstr (((raw_t *)server->conns->pdata[0])->got->str, "body");
 }
 
-/* what the peer reads: one Host, one Content-Length, and none of the caller's framing */
+/* The request has one Host, one Content-Length, and none of the caller's framing headers */
 static void
 test_request_bytes (void)
 {
@@ -414,27 +416,27 @@
                                           { "Content-Length", "99" },
                                           { "Transfer-Encoding", "chunked" },
                                           { "Expect", "100-continue" } };
-  g_autoptr (bench_t) bench = bench_new (SILENT, 1);
-
-  bench->server->keep_head = true;
-  bench->options.method = "POST";
-  bench->options.headers = headers;
-  bench->options.header_count = G_N_ELEMENTS (headers);
-  bench->options.body = "body";
-  bench->options.body_bytes = 4;
-  bench->heard.call = hcl_start (bench->hcl, &bench->options);
-  CU_ASSERT_FALSE (hcl_sent (bench->heard.call));
-  CU_ASSERT_TRUE (raw_run_until (bench->base, has_request, bench->server));
-  CU_ASSERT_TRUE (hcl_sent (bench->heard.call));
+  g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
+
+  fixture->server->keep_head = true;
+  fixture->options.method = "POST";
+  fixture->options.headers = headers;
+  fixture->options.header_count = G_N_ELEMENTS (headers);
+  fixture->options.body = "body";
+  fixture->options.body_bytes = 4;
+  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
+  CU_ASSERT_FALSE (hcl_sent (fixture->state.call));
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_request, fixture->server));
+  CU_ASSERT_TRUE (hcl_sent (fixture->state.call));
   g_autofree char *expected = g_strdup_printf (
       "POST /x HTTP/1.1\r\nX-One: 1\r\nHost: %s:%u\r\nContent-Length: 4\r\n\r\nbody",
-      bench->server->address.ip, bench->server->address.port);
-  CU_ASSERT_STRING_EQUAL (((raw_t *)bench->server->conns->pdata[0])->got->str, expected);
+      fixture->server->address.ip, fixture->server->address.port);
+  CU_ASSERT_STRING_EQUAL (((raw_t *)fixture->server->conns->pdata[0])->got->str, expected);
 }
 
 /*
- * The caller gives the call up from within its callbacks, or refuses the head. The library goes on
- * reading what it has; none of that may reach the caller any more, and nothing is freed twice.
+ * The caller cancels the call from within its callbacks, or rejects the head. libevent goes on
+ * parsing what it has read; none of that may reach the caller, and nothing may be freed twice.
  */
 static void
 test_cancel_in_callbacks (void)
@@ -442,79 +444,80 @@
   static const char *const scripts[] = {
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n1\r\nb\r\n0\r\n\r\n",
   };
-  g_autoptr (bench_t) bench = bench_new (scripts, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, 1);
 
   for (int i = 0; i < 2; i++)
     {
-      forget (&bench->heard);
-      bench->heard.cancel_in_head = i == 0;
-      bench->heard.cancel_in_data = i == 1;
-      bench->heard.call = hcl_start (bench->hcl, &bench->options);
-      CU_ASSERT_TRUE (raw_run_until (bench->base, i == 0 ? has_head : has_body, &bench->heard));
-      raw_run_ms (bench->base, 5);
-      CU_ASSERT_EQUAL (bench->heard.body->len, (gsize)i);
-      CU_ASSERT_EQUAL (bench->heard.ends, 0);
+      reset_state (&fixture->state);
+      fixture->state.cancel_in_head = i == 0;
+      fixture->state.cancel_in_data = i == 1;
+      fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
+      CU_ASSERT_TRUE (raw_run_until (fixture->base, i == 0 ? has_head : has_body, &fixture->state));
+      raw_run_ms (fixture->base, 5);
+      CU_ASSERT_EQUAL (fixture->state.body->len, (gsize)i);
+      CU_ASSERT_EQUAL (fixture->state.ends, 0);
     }
-  forget (&bench->heard);
-  bench->heard.refuse_head = true;
-  hcl_start (bench->hcl, &bench->options);
-  CU_ASSERT_TRUE (raw_run_until (bench->base, has_ended, &bench->heard));
-  check_failed (&bench->heard, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
-  CU_ASSERT_EQUAL (bench->heard.body->len, 0);
-  CU_ASSERT_EQUAL (bench->server->accepted, 3);
+  reset_state (&fixture->state);
+  fixture->state.refuse_head = true;
+  hcl_start (fixture->hcl, &fixture->options);
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  check_failed (&fixture->state, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+  CU_ASSERT_EQUAL (fixture->state.body->len, 0);
+  CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
 
-/* cancelled before the connection stands, and by hcl_free() with calls in every state */
+/* Calls are cancelled before their connection is established, and by hcl_free() in every state */
 static void
 test_cancel_early (void)
 {
   static const char *const scripts[] = { "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" };
-  g_autoptr (bench_t) bench = bench_new (scripts, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, 1);
   char *body = g_strdup ("body");
 
-  bench->options.method = "POST";
-  bench->options.body = body;
-  bench->options.body_bytes = 4;
-  hcl_cancel (hcl_start (bench->hcl, &bench->options));
+  fixture->options.method = "POST";
+  fixture->options.body = body;
+  fixture->options.body_bytes = 4;
+  hcl_cancel (hcl_start (fixture->hcl, &fixture->options));
   memset (body, 'x', 4);
   g_free (body);
-  bench->options.body_bytes = 0;
-  hcl_start (bench->hcl, &bench->options);
-  CU_ASSERT_TRUE (raw_run_until (bench->base, has_body, &bench->heard));
-  hcl_start (bench->hcl, &bench->options);
-  bench->options.target = "bad";
-  hcl_start (bench->hcl, &bench->options);
-  g_clear_pointer (&bench->hcl, hcl_free);
-  CU_ASSERT_EQUAL (bench->heard.ends, 0);
+  fixture->options.body_bytes = 0;
+  hcl_start (fixture->hcl, &fixture->options);
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_body, &fixture->state));
+  hcl_start (fixture->hcl, &fixture->options);
+  fixture->options.target = "bad";
+  hcl_start (fixture->hcl, &fixture->options);
+  g_clear_pointer (&fixture->hcl, hcl_free);
+  CU_ASSERT_EQUAL (fixture->state.ends, 0);
 }
 
-/* read what is in the socket of a deaf peer; Return: whether a byte of it is @odd */
+/* Reads what has arrived at a peer that is not read otherwise. Return: whether it contains @wanted
+ */
 static bool
-drain_has (raw_t *raw, char odd)
+received_contains (raw_t *raw, char wanted)
 {
   char bytes[64 * 1024];
   ssize_t count;
   bool found = false;
 
   while ((count = recv (raw->fd, bytes, sizeof bytes, MSG_DONTWAIT)) > 0)
-    found |= memchr (bytes, odd, (size_t)count) != NULL;
+    found |= memchr (bytes, wanted, (size_t)count) != NULL;
   return found;
 }
 
 static void
 cancel_and_reuse (evutil_socket_t fd, short what, void *context)
 {
-  bench_t *bench = context;
+  fixture_t *fixture = context;
 
   (void)fd;
   (void)what;
-  hcl_cancel (bench->heard.call);
-  memset ((char *)bench->options.body, 'y', bench->options.body_bytes);
+  hcl_cancel (fixture->state.call);
+  memset ((char *)fixture->options.body, 'y', fixture->options.body_bytes);
 }
 
 /*
- * A call is cancelled in the middle of sending, and its body's memory used for something else. The
- * socket is ready for more in the same turn of the loop: nothing of the new content may leave.
+ * A call is cancelled while its body is being sent, and the memory of the body is overwritten. The
+ * socket is writable in the same iteration of the event loop: none of the new content may be sent.
  */
 static void
 test_cancel_while_sending (void)
@@ -523,30 +526,30 @@
   {
     BODY_BYTES = 32 * 1024 * 1024
   };
-  g_autoptr (bench_t) bench = bench_new (SILENT, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
   raw_t *raw;
   struct event *cancel;
 
-  bench->server->deaf = true;
-  bench->options.method = "POST";
-  bench->options.body = g_strnfill (BODY_BYTES, 'x');
-  bench->options.body_bytes = BODY_BYTES;
-  bench->heard.call = hcl_start (bench->hcl, &bench->options);
-  raw_run_ms (bench->base, 30);
-  raw = bench->server->conns->pdata[0];
-  CU_ASSERT_FALSE (drain_has (raw, 'y'));
-  cancel = event_new (bench->base, -1, 0, cancel_and_reuse, bench);
+  fixture->server->deaf = true;
+  fixture->options.method = "POST";
+  fixture->options.body = g_strnfill (BODY_BYTES, 'x');
+  fixture->options.body_bytes = BODY_BYTES;
+  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
+  raw_run_ms (fixture->base, 30);
+  raw = fixture->server->conns->pdata[0];
+  CU_ASSERT_FALSE (received_contains (raw, 'y'));
+  cancel = event_new (fixture->base, -1, 0, cancel_and_reuse, fixture);
   event_active (cancel, EV_TIMEOUT, 0);
-  event_base_loop (bench->base, EVLOOP_ONCE);
-  raw_run_ms (bench->base, 5);
-  CU_ASSERT_FALSE (drain_has (raw, 'y'));
+  event_base_loop (fixture->base, EVLOOP_ONCE);
+  raw_run_ms (fixture->base, 5);
+  CU_ASSERT_FALSE (received_contains (raw, 'y'));
   event_free (cancel);
-  g_free ((char *)bench->options.body);
+  g_free ((char *)fixture->options.body);
 }
 
 /*
- * The reader behind the caller is slow, so reading is paused. The peer must feel it, instead of
- * the answer piling up here; and once reading goes on, the answer comes whole.
+ * The caller passes the response on to a slow reader, so it pauses reading. The response must not
+ * accumulate here, so that TCP slows down the peer; once reading resumes, it arrives completely.
  */
 static void
 test_pause (void)
@@ -559,31 +562,32 @@
   for (int i = 0; i < 200000; i++)
     g_string_append_c (script, 'a' + i % 26);
   scripts[0] = script->str;
-  g_autoptr (bench_t) bench = bench_new (scripts, 1);
-  bench->heard.call = hcl_start (bench->hcl, &bench->options);
-  hcl_pause (bench->heard.call, true); /* before the head has come, then while data comes */
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, 1);
+  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
+  hcl_pause (fixture->state.call,
+             true); /* before the head is received; in the second round, during the body */
   for (int i = 0; i < 2; i++)
     {
-      g_string_append (received, bench->heard.body->str);
-      g_string_truncate (bench->heard.body, 0);
-      CU_ASSERT_TRUE (raw_run_until (bench->base, has_body, &bench->heard));
-      while_paused = bench->heard.body->len;
-      raw_run_ms (bench->base, 20);
-      CU_ASSERT_EQUAL (bench->heard.body->len, while_paused);
+      g_string_append (received, fixture->state.body->str);
+      g_string_truncate (fixture->state.body, 0);
+      CU_ASSERT_TRUE (raw_run_until (fixture->base, has_body, &fixture->state));
+      while_paused = fixture->state.body->len;
+      raw_run_ms (fixture->base, 20);
+      CU_ASSERT_EQUAL (fixture->state.body->len, while_paused);
       CU_ASSERT_TRUE (while_paused < 100000);
-      bench->heard.pause_in_data = true;
+      fixture->state.pause_in_data = true;
       if (i == 0)
-        hcl_pause (bench->heard.call, false);
+        hcl_pause (fixture->state.call, false);
     }
-  bench->heard.pause_in_data = false;
-  hcl_pause (bench->heard.call, false);
-  CU_ASSERT_TRUE (raw_run_until (bench->base, has_ended, &bench->heard));
-  g_string_append (received, bench->heard.body->str);
-  CU_ASSERT_TRUE (bench->heard.end.whole);
+  fixture->state.pause_in_data = false;
+  hcl_pause (fixture->state.call, false);
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  g_string_append (received, fixture->state.body->str);
+  CU_ASSERT_TRUE (fixture->state.end.whole);
   CU_ASSERT_STRING_EQUAL (received->str, strstr (script->str, "\r\n\r\n") + 4);
 }
 
-/* an answer over the limit counts as cut, however its length is declared */
+/* A response over the limit counts as truncated, however its length is declared */
 static void
 test_answer_limit (void)
 {
@@ -592,18 +596,18 @@
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\n123456\r\n5\r\n78901\r\n0\r\n\r\n",
     "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n1234567890",
   };
-  g_autoptr (bench_t) bench = bench_new (scripts, G_N_ELEMENTS (scripts));
+  g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
 
-  bench->options.answer_limit_bytes = 10;
-  call_fails (bench, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
-  call_fails (bench, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
-  call_brings (bench, 200, "1234567890");
+  fixture->options.answer_limit_bytes = 10;
+  run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+  run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+  run_successful_call (fixture, 200, "1234567890");
 }
 
 static bool
 three_ended (void *context)
 {
-  return ((heard_t *)context)->ends == 3;
+  return ((call_state_t *)context)->ends == 3;
 }
 
 static uint32_t
@@ -622,25 +626,25 @@
   return closed_count (context) == 1;
 }
 
-/* one request at a time on each connection; at most the limit is kept idle, and not for ever */
+/* Each connection carries one request at a time; idle ones are limited in number and time */
 static void
 test_pool (void)
 {
-  g_autoptr (bench_t) bench = bench_new (OK_ONLY, 1);
+  g_autoptr (fixture_t) fixture = fixture_new (OK_ONLY, 1);
 
   for (int i = 0; i < 3; i++)
-    hcl_start (bench->hcl, &bench->options);
-  CU_ASSERT_TRUE (raw_run_until (bench->base, three_ended, &bench->heard));
-  CU_ASSERT_EQUAL (bench->server->accepted, 3);
-  CU_ASSERT_TRUE (raw_run_until (bench->base, one_closed, bench->server));
-  raw_run_ms (bench->base, 5);
-  CU_ASSERT_EQUAL (closed_count (bench->server), 1);
-
-  g_autoptr (bench_t) brief = bench_new (OK_ONLY, 1);
-  hcl_free (brief->hcl);
-  brief->hcl = hcl_new (brief->base, 2, 20);
-  call (brief);
-  CU_ASSERT_TRUE (raw_run_until (brief->base, one_closed, brief->server));
+    hcl_start (fixture->hcl, &fixture->options);
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, three_ended, &fixture->state));
+  CU_ASSERT_EQUAL (fixture->server->accepted, 3);
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, one_closed, fixture->server));
+  raw_run_ms (fixture->base, 5);
+  CU_ASSERT_EQUAL (closed_count (fixture->server), 1);
+
+  g_autoptr (fixture_t) short_idle = fixture_new (OK_ONLY, 1);
+  hcl_free (short_idle->hcl);
+  short_idle->hcl = hcl_new (short_idle->base, 2, 20);
+  run_call (short_idle);
+  CU_ASSERT_TRUE (raw_run_until (short_idle->base, one_closed, short_idle->server));
 }
 
 int
--- a/tests/test_http_client_cancel.c
+++ b/tests/test_http_client_cancel.c
@@ -7,10 +7,10 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TRIES 50
+#define ATTEMPTS 50
 #define BODY_BYTES 4096
 
-/** struct bench - a client, a peer that answers nothing, and a pipe whose event cancels the call */
+/** fixture_t - a client, a server that never responds, and a pipe whose event cancels the call */
 typedef struct
 {
   struct event_base *base;
@@ -21,97 +21,99 @@
   int pipe[2];
   struct event *cancel;
   bool cancelled;
-  uint32_t sent; /* calls that had been sent when they were cancelled */
-} bench_t;
+  uint32_t sent; /* number of calls of which a byte was sent before they were cancelled */
+} fixture_t;
 
 static void
 on_end (const hcl_end_t *end, void *context)
 {
   (void)end;
   (void)context;
-  CU_FAIL ("a cancelled call has no end");
+  CU_FAIL ("on_end must not be called for a cancelled call");
 }
 
 static void
 cancel_and_free (evutil_socket_t fd, short what, void *context)
 {
-  bench_t *bench = context;
+  fixture_t *fixture = context;
 
   (void)fd;
   (void)what;
-  bench->sent += hcl_sent (bench->call);
-  hcl_cancel (bench->call);
-  memset (bench->body, 'y', BODY_BYTES);
-  g_free (bench->body);
-  bench->cancelled = true;
+  fixture->sent += hcl_sent (fixture->call);
+  hcl_cancel (fixture->call);
+  memset (fixture->body, 'y', BODY_BYTES);
+  g_free (fixture->body);
+  fixture->cancelled = true;
 }
 
 static bool
 is_cancelled (void *context)
 {
-  return ((bench_t *)context)->cancelled;
+  return ((fixture_t *)context)->cancelled;
 }
 
 static void
-start (bench_t *bench)
+start (fixture_t *fixture)
 {
-  hcl_options_t options = { .address = &bench->server->address,
+  hcl_options_t options = { .address = &fixture->server->address,
                             .method = "POST",
                             .target = "/x",
                             .body_bytes = BODY_BYTES,
                             .on_end = on_end };
 
-  bench->body = g_malloc (BODY_BYTES);
-  memset (bench->body, 'x', BODY_BYTES);
-  options.body = bench->body;
-  bench->cancelled = false;
-  bench->call = hcl_start (bench->hcl, &options);
+  fixture->body = g_malloc (BODY_BYTES);
+  memset (fixture->body, 'x', BODY_BYTES);
+  options.body = fixture->body;
+  fixture->cancelled = false;
+  fixture->call = hcl_start (fixture->hcl, &options);
 }
 
 static uint32_t
-received (const bench_t *bench)
+received (const fixture_t *fixture)
 {
   uint32_t count = 0;
 
-  for (guint i = 0; i < bench->server->conns->len; i++)
-    count += ((const raw_t *)bench->server->conns->pdata[i])->got->len > 0;
+  for (guint i = 0; i < fixture->server->conns->len; i++)
+    count += ((const raw_t *)fixture->server->conns->pdata[i])->got->len > 0;
   return count;
 }
 
-/* A caller goes away in the very turn of the loop in which the connection for its request comes
- * about. The library then wrote the request after all, from memory that was freed and may hold
- * another caller's body by now. Not a byte may leave. */
+/* A call is cancelled in the same iteration of the event loop in which its connection is
+ * established. libevent then still wrote the request, from memory that had been freed and might
+ * hold another client's body by then. No byte may be sent. */
 static void
 test_cancel_as_it_connects (void)
 {
   static const char *const SILENT[] = { NULL };
-  bench_t bench = { 0 };
+  fixture_t fixture = { 0 };
 
-  bench.base = event_base_new ();
-  bench.hcl = hcl_new (bench.base, 2, 10000);
-  bench.server = raw_server_new (bench.base, SILENT, 1);
-  bench.server->keep_head = true;
-  CU_ASSERT_EQUAL_FATAL (pipe (bench.pipe), 0);
-  bench.cancel = event_new (bench.base, bench.pipe[0], EV_READ, cancel_and_free, &bench);
-  CU_ASSERT_EQUAL (write (bench.pipe[1], "x", 1), 1);
-  for (int i = 0; i < TRIES; i++)
+  fixture.base = event_base_new ();
+  fixture.hcl = hcl_new (fixture.base, 2, 10000);
+  fixture.server = raw_server_new (fixture.base, SILENT, 1);
+  fixture.server->keep_head = true;
+  CU_ASSERT_EQUAL_FATAL (pipe (fixture.pipe), 0);
+  fixture.cancel = event_new (fixture.base, fixture.pipe[0], EV_READ, cancel_and_free, &fixture);
+  CU_ASSERT_EQUAL (write (fixture.pipe[1], "x", 1), 1);
+  for (int i = 0; i < ATTEMPTS; i++)
     {
-      /* whichever the kernel tells first, one order of the two has the cancel before the write */
+      /* Registers the pipe before the connection in half of the rounds and after it in the others,
+       * so that the cancellation is handled first in one of the two, whatever order the kernel
+       * reports */
       if (i % 2 == 0)
-        event_add (bench.cancel, NULL);
-      start (&bench);
-      event_add (bench.cancel, NULL);
-      CU_ASSERT_TRUE (raw_run_until (bench.base, is_cancelled, &bench));
+        event_add (fixture.cancel, NULL);
+      start (&fixture);
+      event_add (fixture.cancel, NULL);
+      CU_ASSERT_TRUE (raw_run_until (fixture.base, is_cancelled, &fixture));
     }
-  raw_run_ms (bench.base, 20);
-  CU_ASSERT_TRUE (bench.sent < TRIES);
-  CU_ASSERT_EQUAL (received (&bench), bench.sent);
-  event_free (bench.cancel);
-  close (bench.pipe[0]);
-  close (bench.pipe[1]);
-  hcl_free (bench.hcl);
-  raw_server_free (bench.server);
-  event_base_free (bench.base);
+  raw_run_ms (fixture.base, 20);
+  CU_ASSERT_TRUE (fixture.sent < ATTEMPTS);
+  CU_ASSERT_EQUAL (received (&fixture), fixture.sent);
+  event_free (fixture.cancel);
+  close (fixture.pipe[0]);
+  close (fixture.pipe[1]);
+  hcl_free (fixture.hcl);
+  raw_server_free (fixture.server);
+  event_base_free (fixture.base);
 }
 
 int
