--- a/tests/http_bench.c
+++ b/tests/http_bench.c
@@ -4,37 +4,37 @@
 #include <string.h>
 
 static void
-on_gone (void *context)
+on_disconnect (void *context)
 {
-  ((hbn_t *)context)->gone++;
+  ((hbn_t *)context)->disconnects++;
 }
 
 static void
-on_room (void *context)
+on_writable (void *context)
 {
-  ((hbn_t *)context)->rooms++;
+  ((hbn_t *)context)->writable_count++;
 }
 
 static void
 on_call (hsv_call_t *call, void *context)
 {
-  hbn_t *bench = context;
+  hbn_t *fixture = context;
 
-  bench->calls++;
-  if (bench->now)
+  fixture->calls++;
+  if (fixture->reply_at_once)
     {
       hsv_reply_text (call, 200, "text/plain", hsv_target (call));
       return;
     }
-  hsv_on_gone (call, on_gone, bench);
-  hsv_on_room (call, on_room, bench);
-  g_ptr_array_add (bench->waiting, call);
+  hsv_on_gone (call, on_disconnect, fixture);
+  hsv_on_room (call, on_writable, fixture);
+  g_ptr_array_add (fixture->waiting, call);
 }
 
 hbn_t *
 hbn_new_timeouts (uint32_t idle_timeout_ms, uint32_t request_timeout_ms)
 {
-  hbn_t *bench = g_new0 (hbn_t, 1);
+  hbn_t *fixture = g_new0 (hbn_t, 1);
   hsv_options_t options = { .body_limit_bytes = HBN_BODY_LIMIT_BYTES,
                             .header_limit_bytes = HBN_HEADER_LIMIT_BYTES,
                             .header_limit_count = 20,
@@ -45,19 +45,19 @@
                             .on_call = on_call };
   GError *error = NULL;
 
-  bench->base = event_base_new ();
-  bench->counters = cnt_set_new ();
-  bench->waiting = g_ptr_array_new ();
-  bench->raws = g_ptr_array_new_with_free_func ((GDestroyNotify)raw_free);
-  bench->address = raw_address ();
-  options.base = bench->base;
-  options.counters = bench->counters;
-  options.listen = bench->address;
-  options.context = bench;
-  bench->hsv = hsv_new (&options, &error);
+  fixture->base = event_base_new ();
+  fixture->counters = cnt_set_new ();
+  fixture->waiting = g_ptr_array_new ();
+  fixture->clients = g_ptr_array_new_with_free_func ((GDestroyNotify)raw_free);
+  fixture->address = raw_address ();
+  options.base = fixture->base;
+  options.counters = fixture->counters;
+  options.listen = fixture->address;
+  options.context = fixture;
+  fixture->hsv = hsv_new (&options, &error);
   g_assert_no_error (error);
-  bench->address.port = hsv_port (bench->hsv);
-  return bench;
+  fixture->address.port = hsv_port (fixture->hsv);
+  return fixture;
 }
 
 hbn_t *
@@ -67,51 +67,51 @@
 }
 
 void
-hbn_free (hbn_t *bench)
+hbn_free (hbn_t *fixture)
 {
-  if (bench->hsv)
-    hsv_free (bench->hsv);
-  g_ptr_array_free (bench->raws, TRUE);
-  g_ptr_array_free (bench->waiting, TRUE);
-  cnt_set_free (bench->counters);
-  event_base_free (bench->base);
-  g_free (bench);
+  if (fixture->hsv)
+    hsv_free (fixture->hsv);
+  g_ptr_array_free (fixture->clients, TRUE);
+  g_ptr_array_free (fixture->waiting, TRUE);
+  cnt_set_free (fixture->counters);
+  event_base_free (fixture->base);
+  g_free (fixture);
 }
 
 uint64_t
-hbn_counted (hbn_t *bench, const char *name)
+hbn_counted (hbn_t *fixture, const char *name)
 {
-  return cnt_value (cnt_get (bench->counters, name, ""));
+  return cnt_value (cnt_get (fixture->counters, name, ""));
 }
 
 uint64_t
-hbn_refused (hbn_t *bench, const char *reason)
+hbn_refused (hbn_t *fixture, const char *reason)
 {
   char *name = g_strdup_printf ("medlarplank_http_refused_total{reason=\"%s\"}", reason);
-  uint64_t value = hbn_counted (bench, name);
+  uint64_t value = hbn_counted (fixture, name);
 
   g_free (name);
   return value;
 }
 
 hsv_call_t *
-hbn_call_at (hbn_t *bench, guint index)
+hbn_call_at (hbn_t *fixture, guint index)
 {
-  return bench->waiting->pdata[index];
+  return fixture->waiting->pdata[index];
 }
 
-/* conditions of raw_run_until() */
+/* Conditions for raw_run_until() */
 
 typedef struct
 {
   raw_t *raw;
   const char *text;
-} sees_t;
+} expected_text_t;
 
 static bool
-sees (void *context)
+has_received (void *context)
 {
-  sees_t *expected = context;
+  expected_text_t *expected = context;
 
   return strstr (expected->raw->got->str, expected->text);
 }
@@ -143,7 +143,7 @@
 bool
 hbn_one_gone (void *context)
 {
-  return ((hbn_t *)context)->gone == 1;
+  return ((hbn_t *)context)->disconnects == 1;
 }
 
 bool
@@ -153,29 +153,29 @@
 }
 
 void
-hbn_run_until_sees (hbn_t *bench, raw_t *raw, const char *text)
+hbn_run_until_sees (hbn_t *fixture, raw_t *raw, const char *text)
 {
-  sees_t expected = { raw, text };
+  expected_text_t expected = { raw, text };
 
-  CU_ASSERT_TRUE (raw_run_until (bench->base, sees, &expected));
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_received, &expected));
 }
 
 raw_t *
-hbn_ask (hbn_t *bench, const char *request)
+hbn_ask (hbn_t *fixture, const char *request)
 {
-  raw_t *raw = raw_connect (bench->base, &bench->address);
+  raw_t *raw = raw_connect (fixture->base, &fixture->address);
 
   raw_send (raw, request);
-  g_ptr_array_add (bench->raws, raw);
+  g_ptr_array_add (fixture->clients, raw);
   return raw;
 }
 
 raw_t *
-hbn_ask_waiting (hbn_t *bench, const char *request)
+hbn_ask_waiting (hbn_t *fixture, const char *request)
 {
-  raw_t *raw = hbn_ask (bench, request);
+  raw_t *raw = hbn_ask (fixture, request);
 
-  CU_ASSERT_TRUE (raw_run_until (bench->base, hbn_one_waits, bench));
+  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_one_waits, fixture));
   return raw;
 }
 
@@ -186,7 +186,7 @@
 }
 
 static struct evbuffer *
-bytes_of (const char *text)
+buffer_with (const char *text)
 {
   struct evbuffer *buffer = evbuffer_new ();
 
@@ -197,7 +197,7 @@
 bool
 hbn_part (hsv_call_t *call, const char *text)
 {
-  struct evbuffer *buffer = bytes_of (text);
+  struct evbuffer *buffer = buffer_with (text);
   bool room = hsv_part (call, buffer);
 
   CU_ASSERT_EQUAL (evbuffer_get_length (buffer), 0);
--- a/tests/raw_peer.c
+++ b/tests/raw_peer.c
@@ -100,7 +100,7 @@
 }
 
 static void
-answer (raw_server_t *server, raw_t *raw)
+send_script (raw_server_t *server, raw_t *raw)
 {
   uint32_t last = server->script_count - 1;
   const char *script = server->scripts[MIN (server->answered, last)];
@@ -130,7 +130,7 @@
         return;
       if (!server->keep_head)
         g_string_erase (raw->got, 0, end + 4 - raw->got->str);
-      answer (server, raw);
+      send_script (server, raw);
       return;
     }
 }
@@ -147,7 +147,7 @@
     return;
   server->accepted++;
   raw = raw_new (server->base, conn_fd, on_server_readable, server);
-  if (server->deaf)
+  if (server->never_read)
     event_del (raw->readable);
   g_ptr_array_add (server->conns, raw);
 }
@@ -182,10 +182,10 @@
 
   event_del (server->acceptable);
   g_assert (listen (server->fd, 0) == 0);
-  for (size_t i = 0; i < G_N_ELEMENTS (server->fillers); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (server->backlog_fds); i++)
     {
-      server->fillers[i] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      (void)!connect (server->fillers[i], (struct sockaddr *)&name, sizeof name);
+      server->backlog_fds[i] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+      (void)!connect (server->backlog_fds[i], (struct sockaddr *)&name, sizeof name);
     }
 }
 
@@ -194,9 +194,9 @@
 {
   event_free (server->acceptable);
   close (server->fd);
-  for (size_t i = 0; i < G_N_ELEMENTS (server->fillers); i++)
-    if (server->fillers[i] > 0)
-      close (server->fillers[i]);
+  for (size_t i = 0; i < G_N_ELEMENTS (server->backlog_fds); i++)
+    if (server->backlog_fds[i] > 0)
+      close (server->backlog_fds[i]);
   g_ptr_array_free (server->conns, TRUE);
   g_free (server);
 }
@@ -210,7 +210,10 @@
 }
 
 static bool
-run (struct event_base *base, struct timeval limit, bool (*done) (void *context), void *context)
+run_loop (struct event_base *base,
+          struct timeval limit,
+          bool (*done) (void *context),
+          void *context)
 {
   bool expired = false;
   struct event *deadline = evtimer_new (base, on_deadline, &expired);
@@ -225,11 +228,11 @@
 bool
 raw_run_until (struct event_base *base, bool (*done) (void *context), void *context)
 {
-  return run (base, (struct timeval){ DEADLINE_S, 0 }, done, context);
+  return run_loop (base, (struct timeval){ DEADLINE_S, 0 }, done, context);
 }
 
 void
 raw_run_ms (struct event_base *base, uint32_t ms)
 {
-  run (base, (struct timeval){ ms / 1000, ms % 1000 * 1000 }, NULL, NULL);
+  run_loop (base, (struct timeval){ ms / 1000, ms % 1000 * 1000 }, NULL, NULL);
 }
--- a/tests/raw_peer.h
+++ b/tests/raw_peer.h
@@ -1,7 +1,8 @@
 /**
  * DOC: raw_peer
  *
- * Peers of HTTP that send exactly the bytes they are told, however wrong, and note what comes.
+ * TCP clients and servers for tests of HTTP code. They send exactly the bytes that a test gives
+ * them, valid or not, and record what they receive.
  */
 #ifndef TESTS_RAW_PEER_H
 #define TESTS_RAW_PEER_H
@@ -11,7 +12,12 @@
 #include <event2/event.h>
 #include <glib.h>
 
-/** struct raw - one connection of either side */
+/**
+ * raw_t - a connection, made by raw_connect() or accepted by a raw_server_t
+ * @got: bytes received
+ * @eof: the peer has closed or reset the connection
+ * @reset: the peer has reset it
+ */
 typedef struct
 {
   struct event_base *base;
@@ -20,11 +26,20 @@
   GString *got;
   bool eof;
   bool reset;
-  bool deaf; /* leave what comes in the socket */
 } raw_t;
 
-/** struct raw_server - answers each request head that it sees by the next script, and the last one
- * over again; a NULL script answers nothing */
+/**
+ * raw_server_t - a server that sends one script for each request head
+ * @scripts: sent in turn, the last one repeatedly; nothing is sent for a NULL script
+ * @answered: number of request heads so far
+ * @close_after: close the connection after each script
+ * @reset_after: reset the connection after each script
+ * @never_read: leave received bytes in the socket
+ * @keep_head: don't remove the request head from @got of the connection
+ * @conns: all accepted connections, of raw_t
+ * @accepted: number of accepted connections
+ * @backlog_fds: connections that fill the kernel's queue, see raw_server_fill()
+ */
 typedef struct
 {
   struct event_base *base;
@@ -34,31 +49,38 @@
   const char *const *scripts;
   uint32_t script_count;
   uint32_t answered;
-  bool close_after; /* close once a script is written */
-  bool reset_after; /* close by a reset once a script is written */
-  bool deaf;        /* read nothing */
-  bool keep_head;   /* leave the head in got */
-  GPtrArray *conns; /* raw_t */
+  bool close_after;
+  bool reset_after;
+  bool never_read;
+  bool keep_head;
+  GPtrArray *conns;
   uint32_t accepted;
-  int fillers[4];
+  int backlog_fds[4];
 } raw_server_t;
 
-/** raw_address() - a loopback address of this process alone, port 0 */
+/** raw_address() - a loopback address that only this process uses, with port 0 */
 set_address_t raw_address (void);
+/** raw_connect() - connect to @address */
 raw_t *raw_connect (struct event_base *base, const set_address_t *address);
+/** raw_send() - send @text, which must fit into the socket's buffer */
 void raw_send (raw_t *raw, const char *text);
-/** raw_close() - with @reset the peer sees a reset instead of the end of file */
+/** raw_close() - close the connection, with @reset by a reset instead of an end of file */
 void raw_close (raw_t *raw, bool reset);
+/** raw_free() - close and free a connection */
 void raw_free (raw_t *raw);
 
+/** raw_server_new() - start a server on a free port of raw_address() */
 raw_server_t *raw_server_new (struct event_base *base, const char *const *scripts, uint32_t count);
-/** raw_server_fill() - take no connections any more; those that come now never come about */
+/** raw_server_fill() - stop accepting and fill the kernel's queue, so that further connections are
+ * never established */
 void raw_server_fill (raw_server_t *server);
+/** raw_server_free() - stop the server and close its connections */
 void raw_server_free (raw_server_t *server);
 
-/** raw_run_until() - run the loop until @done says so. Return: false after five seconds */
+/** raw_run_until() - run the event loop until @done returns true. Return: false after five seconds
+ */
 bool raw_run_until (struct event_base *base, bool (*done) (void *context), void *context);
-/** raw_run_ms() - run the loop for a time, to see that nothing happens */
+/** raw_run_ms() - run the event loop for @ms, to check that something does not happen */
 void raw_run_ms (struct event_base *base, uint32_t ms);
 
 #endif
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -169,7 +169,7 @@
 }
 
 static void
-test_whole_answers (void)
+test_complete_responses (void)
 {
   static const char *const scripts[] = {
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst",
@@ -197,7 +197,7 @@
  * response is truncated and that the request may have run; the connection must not be reused.
  */
 static void
-test_cut_answers (void)
+test_truncated_responses (void)
 {
   static const char *const scripts[] = {
     "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\npart",
@@ -231,7 +231,7 @@
  * different attempt id. No byte of it may be passed on, and the connection must not be reused.
  */
 static void
-test_crossed_answer (void)
+test_response_to_another_request (void)
 {
   static const char *const scripts[] = {
     "HTTP/1.1 200 OK\r\nX-Attempt: b\r\nContent-Length: 5\r\n\r\nother",
@@ -530,7 +530,7 @@
   raw_t *raw;
   struct event *cancel;
 
-  fixture->server->deaf = true;
+  fixture->server->never_read = true;
   fixture->options.method = "POST";
   fixture->options.body = g_strnfill (BODY_BYTES, 'x');
   fixture->options.body_bytes = BODY_BYTES;
@@ -589,7 +589,7 @@
 
 /* A response over the limit counts as truncated, however its length is declared */
 static void
-test_answer_limit (void)
+test_response_limit (void)
 {
   static const char *const scripts[] = {
     "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n12345678901",
@@ -651,9 +651,9 @@
 main (void)
 {
   static const CU_TestInfo tests[] = {
-    { "whole answers", test_whole_answers },
-    { "cut answers", test_cut_answers },
-    { "crossed answer", test_crossed_answer },
+    { "complete responses", test_complete_responses },
+    { "truncated responses", test_truncated_responses },
+    { "response to another request", test_response_to_another_request },
     { "stray bytes", test_stray_bytes },
     { "no connection", test_no_connection },
     { "closed while idle", test_closed_while_idle },
@@ -666,7 +666,7 @@
     { "cancel early", test_cancel_early },
     { "cancel while sending", test_cancel_while_sending },
     { "pause", test_pause },
-    { "answer limit", test_answer_limit },
+    { "response limit", test_response_limit },
     { "pool", test_pool },
     CU_TEST_INFO_NULL,
   };
