--- a/src/connection/admin_seal.h
+++ b/src/connection/admin_seal.h
@@ -13,7 +13,9 @@
 
 #define SEAL_HEADER "X-Medlarplank-Seal"
 #define SEAL_DRAIN "drain"
-#define SEAL_WINDOW_S 60 /* accepted difference between the sender's clock and the daemon's */
+
+/* accepted difference between the sender's clock and the daemon's */
+#define SEAL_WINDOW_S 60
 
 /**
  * seal_make() - compute the seal of a command
--- a/src/connection/exchange.h
+++ b/src/connection/exchange.h
@@ -26,10 +26,11 @@
  * @interval_ms: mean time between two calls; each one varies by a quarter
  * @budget_bytes: bytes per second that may be sent, UDP and IP headers included
  * @seed: for xids and the jitter of the interval
- * @fill: fills in an outgoing message, whose arrays have the sizes of src/proto/exchange.x; @to is
- *   the sender entry of the call when this is a reply, otherwise NULL
+ * @fill: fills in an outgoing message, whose arrays have the sizes of src/proto/exchange.x; @to
+ *   is the sender entry of the call when this is a reply, otherwise NULL
  * @heard: processes an authenticated message; a reply was sent after the call that it answers.
- *   Return: whether to answer a call; false for one that is older than what is known of its sender
+ *   Return: whether to answer a call; false for one that is older than what is known of its
+ *   sender
  * @pick: chooses the peer to call. Return: false when there is none
  */
 typedef struct
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -30,12 +30,13 @@
 
 /**
  * struct hcl_end - result of a call
- * @whole: the response is complete, its length was declared, and header @check_name of the options,
- *   if set, had the value @check_value
+ * @whole: the response is complete, its length was declared, and header @check_name of the
+ *   options, if set, had the value @check_value
  * @status: HTTP status; 0 when none was received
  * @verdict: when not @whole: VRD_NOT_RUN if no byte was sent, otherwise VRD_MAY_HAVE_RUN
- * @reason: when not @whole: VRD_REASON_TIMEOUT after a timeout, VRD_REASON_CONNECT if no byte was
- *   sent, VRD_REASON_CROSSED if the response belongs to another request, otherwise VRD_REASON_CUT
+ * @reason: when not @whole: VRD_REASON_TIMEOUT after a timeout, VRD_REASON_CONNECT if no byte
+ *   was sent, VRD_REASON_CROSSED if the response belongs to another request, otherwise
+ *   VRD_REASON_CUT
  */
 typedef struct
 {
@@ -47,27 +48,28 @@
 
 /**
  * struct hcl_options - parameters of a request
- * @method: GET, POST, HEAD, PUT, DELETE, OPTIONS or PATCH; the call fails as not run with another
- * @target: path and query, starting with a slash; the call fails as not run if a character is not
- *   visible ASCII
+ * @method: GET, POST, HEAD, PUT, DELETE, OPTIONS or PATCH; the call fails as not run with
+ *   another
+ * @target: path and query, starting with a slash; the call fails as not run if a character is
+ *   not visible ASCII
  * @header_count: number of @headers; the call fails as not run if one has a control character.
  *   Content-Length, Transfer-Encoding, Connection and Expect are set by the client and ignored
- * here. Host is added if missing
+ *   here. Host is added if missing
  * @body: must stay valid until @on_end is called or hcl_cancel() returns
- * @timeout_us: limit on the duration of the call, 0 for none. Connecting also has its own limit,
- *   %LIM_HTTP_CONNECT_MS or that of hcl_set_connect_limit()
+ * @timeout_us: limit on the duration of the call, 0 for none. Connecting also has its own
+ *   limit, %LIM_HTTP_CONNECT_MS or that of hcl_set_connect_limit()
  * @answer_limit_bytes: a response with a longer body counts as truncated; 0 for no limit
- * @until_close: accept a response without a declared length: it is complete when the peer closes
- * the connection normally, and truncated when the peer resets it
+ * @until_close: accept a response without a declared length: it is complete when the peer
+ *   closes the connection normally, and truncated when the peer resets it
  * @idle_limit_us: don't reuse a connection that has been idle for longer; 0 for no limit
- * @check_name: response header that must have the value @check_value; otherwise the call ends with
- *   VRD_REASON_CROSSED and no part of the response is passed on. NULL for no check
- * @on_head: receives status and headers of an acceptable response; returns false to end the call as
- *   truncated
+ * @check_name: response header that must have the value @check_value; otherwise the call ends
+ *   with VRD_REASON_CROSSED and no part of the response is passed on. NULL for no check
+ * @on_head: receives status and headers of a response with valid framing that has passed the
+ *   check of @check_name; returns false to end the call as truncated
  * @on_data: receives a part of the body; bytes that it leaves in the buffer are discarded
  * @on_end: receives the result, exactly once and last, never from within another function or
- * callback of the client; the call has been freed by then. Must not be NULL; the other callbacks
- * may be
+ *   callback of the client; the call has been freed by then. Must not be NULL; the other
+ *   callbacks may be
  */
 typedef struct
 {
--- a/src/connection/http_server.c
+++ b/src/connection/http_server.c
@@ -97,8 +97,8 @@
   hsv->idle_timeout = timeval_from_ms (hsv->options.idle_timeout_ms);
   if (hsv->options.request_timeout_ms == 0)
     hsv->options.request_timeout_ms = LIM_HTTP_REQUEST_MS;
-  if (hsv->options.coming_limit_bytes == 0)
-    hsv->options.coming_limit_bytes = LIM_HTTP_COMING_BYTES;
+  if (hsv->options.incomplete_limit_bytes == 0)
+    hsv->options.incomplete_limit_bytes = LIM_HTTP_COMING_BYTES;
   hsv->request_timeout = timeval_from_ms (hsv->options.request_timeout_ms);
   evhttp_set_allowed_methods (hsv->http, methods);
   evhttp_set_max_headers_size (hsv->http, hsv->options.header_limit_bytes);
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -26,16 +26,17 @@
  * @body_limit_bytes: a request with a longer body is rejected by 413
  * @header_limit_bytes: limit on request line and headers; a request over it is rejected by 431
  * @header_limit_count: a request with more headers is rejected by 431
- * @connection_limit: requests on connections over it are rejected by 503. With
+ * @connection_limit: connections over it are closed after a response 503. With
  *   %LIM_HTTP_OVER_LIMIT more connections, no further ones are accepted
  * @idle_timeout_ms: a connection is closed after this time without a byte read, or, while a
- * response is sent, without a byte written. The time between request and response is not limited
+ *   response is sent, without a byte written. The time between request and response is not
+ *   limited
  * @request_timeout_ms: a connection is closed when receiving a request takes longer; 0 for
  *   %LIM_HTTP_REQUEST_MS
- * @coming_limit_bytes: limit on the sum of all requests that have been received in part; when it is
- *   exceeded, the largest of them is rejected by 503; 0 for %LIM_HTTP_COMING_BYTES
- * @on_call: receives each complete request within the limits; it must be answered exactly once, at
- *   once or later
+ * @incomplete_limit_bytes: limit on the sum of all requests that have been received in part;
+ *   when it is exceeded, the largest of them is rejected by 503; 0 for %LIM_HTTP_COMING_BYTES
+ * @on_call: receives each complete request within the limits; it must be answered exactly once,
+ *   at once or later
  */
 typedef struct
 {
@@ -48,7 +49,7 @@
   uint32_t connection_limit;
   uint32_t idle_timeout_ms;
   uint32_t request_timeout_ms;
-  uint32_t coming_limit_bytes;
+  uint32_t incomplete_limit_bytes;
   void (*on_call) (hsv_call_t *call, void *context);
   void *context;
 } hsv_options_t;
--- a/src/connection/http_server_conn.c
+++ b/src/connection/http_server_conn.c
@@ -78,7 +78,7 @@
 {
   hsv_conn_t *largest;
 
-  while (hsv->incomplete_bytes > hsv->options.coming_limit_bytes &&
+  while (hsv->incomplete_bytes > hsv->options.incomplete_limit_bytes &&
          (largest = find_largest_incomplete (hsv)))
     {
       largest->evicted = true;
@@ -234,7 +234,7 @@
   if (conn->busy || conn->evicted)
     return;
   set_incomplete_bytes (conn, conn->incomplete_bytes + info->n_added);
-  if (conn->hsv->incomplete_bytes > conn->hsv->options.coming_limit_bytes)
+  if (conn->hsv->incomplete_bytes > conn->hsv->options.incomplete_limit_bytes)
     evict_incomplete (conn->hsv);
 }
 
--- a/src/connection/http_server_internal.h
+++ b/src/connection/http_server_internal.h
@@ -82,7 +82,7 @@
  * @over_limit: opened over the connection limit; its request is rejected
  * @closing: to be closed by @deferred
  * @close_by_reset: to be closed by a reset, since an end of file would look like a complete
- * response
+ *   response
  * @check_error_page: libevent may have queued an error page of its own
  * @notify_writable: the queue has shrunk; the call's callback is to be run
  * @drain_input: read and discard what the client still sends before the socket is closed
--- a/src/connection/platform.h
+++ b/src/connection/platform.h
@@ -103,12 +103,12 @@
  * struct plt - a platform
  * @append: appends a record to a stream; NULL for a platform with keyed streams only
  * @put: writes a record to a keyed stream, which replaces the newest one of @key; NULL for a
- * platform without keyed streams
+ *   platform without keyed streams
  * @read: returns records from @from_offset on; waits up to @wait_ms for one when there is none
- * @hosts: returns the list of hosts, as changes since @revision if possible; NULL for a platform
- *   without such a list
- * @newest: returns a page of the newest records of a keyed stream, starting after @after_key, which
- *   is NULL for the first page; NULL for a platform without keyed streams
+ * @hosts: returns the list of hosts, as changes since @revision if possible; NULL for a
+ *   platform without such a list
+ * @newest: returns a page of the newest records of a keyed stream, starting after @after_key,
+ *   which is NULL for the first page; NULL for a platform without keyed streams
  * @free: drops pending calls without a callback; must not be called from within a callback
  */
 typedef struct plt plt_t;
--- a/src/connection/stream_follow.h
+++ b/src/connection/stream_follow.h
@@ -42,9 +42,9 @@
  * @stream: name of the stream; a static string
  * @wait_ms: how long a read may wait at the platform for a new record; 0 for not at all
  * @pace_ms: time between the starts of two reads when the first one returned records
- * @latest_only: only the newest record of each key matters. When more than one new record exists
- *   they are listed instead of read, so that a quick series of large records does not saturate the
- *   host's link
+ * @latest_only: only the newest record of each key matters. When more than one new record
+ *   exists they are listed instead of read, so that a quick series of large records does not
+ *   saturate the host's link
  * @held: no call starts before sfl_begin()
  * @seed: for the jitter of the backoff
  * @told: called with each event of sfl_state_t
--- a/tests/http_bench.c
+++ b/tests/http_bench.c
@@ -41,7 +41,7 @@
                             .connection_limit = HBN_CONNECTION_LIMIT,
                             .idle_timeout_ms = idle_timeout_ms,
                             .request_timeout_ms = request_timeout_ms,
-                            .coming_limit_bytes = HBN_COMING_LIMIT_BYTES,
+                            .incomplete_limit_bytes = HBN_COMING_LIMIT_BYTES,
                             .on_call = on_call };
   GError *error = NULL;
 
--- a/tests/raw_peer.h
+++ b/tests/raw_peer.h
@@ -62,7 +62,7 @@
 set_address_t raw_address (void);
 /** raw_connect() - connect to @address */
 raw_t *raw_connect (struct event_base *base, const set_address_t *address);
-/** raw_send() - send @text, which must fit into the socket's buffer */
+/** raw_send() - send @text; blocks until the kernel has taken all of it */
 void raw_send (raw_t *raw, const char *text);
 /** raw_close() - close the connection, with @reset by a reset instead of an end of file */
 void raw_close (raw_t *raw, bool reset);
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -269,7 +269,7 @@
 }
 
 static uint64_t
-counter_value (const node_t *node, const char *name)
+node_counter (const node_t *node, const char *name)
 {
   return cnt_value (cnt_get (node->counters, name, ""));
 }
@@ -279,9 +279,9 @@
 run_until (struct event_base *base, const node_t *node, const char *name, uint64_t value)
 {
   gint64 end_us = g_get_monotonic_time () + DEADLINE_S * G_USEC_PER_SEC;
-  while (counter_value (node, name) < value && g_get_monotonic_time () < end_us)
+  while (node_counter (node, name) < value && g_get_monotonic_time () < end_us)
     event_base_loop (base, EVLOOP_ONCE);
-  CU_ASSERT_TRUE (counter_value (node, name) >= value);
+  CU_ASSERT_TRUE (node_counter (node, name) >= value);
 }
 
 /* Runs the event loop long enough that all received datagrams have been processed. */
@@ -309,8 +309,8 @@
   CU_ASSERT_TRUE (b.calls >= 3);
   CU_ASSERT_TRUE (a.replies >= 3);
   CU_ASSERT_EQUAL (a.calls + b.replies, 0);
-  CU_ASSERT_EQUAL (counter_value (&a, "medlarplank_control_bytes_received_total"),
-                   counter_value (&a, RECEIVED) * (EMPTY_REPLY_BYTES + BDG_HEADER_BYTES));
+  CU_ASSERT_EQUAL (node_counter (&a, "medlarplank_control_bytes_received_total"),
+                   node_counter (&a, RECEIVED) * (EMPTY_REPLY_BYTES + BDG_HEADER_BYTES));
   node_clear (&a);
   node_clear (&b);
   event_base_free (base);
@@ -329,9 +329,9 @@
   set_address_t to = exc_address (b.exc);
   exc_now (a.exc, &to);
   run_until (base, &b, RECEIVED, 1);
-  CU_ASSERT_EQUAL (counter_value (&b, "medlarplank_control_bad_auth_total"), 1);
+  CU_ASSERT_EQUAL (node_counter (&b, "medlarplank_control_bad_auth_total"), 1);
   CU_ASSERT_EQUAL (b.calls, 0);
-  CU_ASSERT_EQUAL (counter_value (&b, SENT), 0);
+  CU_ASSERT_EQUAL (node_counter (&b, SENT), 0);
   node_clear (&a);
   node_clear (&b);
   event_base_free (base);
@@ -360,8 +360,8 @@
   run_until (base, &node, RECEIVED, 4);
   CU_ASSERT_EQUAL (node.calls, 2);
   CU_ASSERT_EQUAL (node.replies, 0);
-  CU_ASSERT_EQUAL (counter_value (&node, "medlarplank_control_unasked_total"), 2);
-  CU_ASSERT_EQUAL (counter_value (&node, SENT), 0);
+  CU_ASSERT_EQUAL (node_counter (&node, "medlarplank_control_unasked_total"), 2);
+  CU_ASSERT_EQUAL (node_counter (&node, SENT), 0);
   close (sender);
   node_clear (&node);
   event_base_free (base);
@@ -378,23 +378,23 @@
   set_address_t own_address = exc_address (a.exc);
   for (uint32_t i = 0; i < 50; i++)
     exc_now (a.exc, &own_address);
-  uint64_t first_bytes = counter_value (&a, "medlarplank_control_bytes_sent_total");
+  uint64_t first_bytes = node_counter (&a, "medlarplank_control_bytes_sent_total");
   CU_ASSERT_TRUE (first_bytes > 1700 && first_bytes <= 2000);
   CU_ASSERT_EQUAL (
-      counter_value (&a, "medlarplank_control_over_budget_total") + counter_value (&a, SENT), 50);
+      node_counter (&a, "medlarplank_control_over_budget_total") + node_counter (&a, SENT), 50);
   for (uint32_t i = 0; i < 100; i++)
     {
       clk_advance (&a.clk, CLK_US_PER_S / 10);
       for (uint32_t j = 0; j < 10; j++)
         exc_now (a.exc, &own_address);
     }
-  uint64_t bytes = counter_value (&a, "medlarplank_control_bytes_sent_total");
+  uint64_t bytes = node_counter (&a, "medlarplank_control_bytes_sent_total");
   CU_ASSERT_TRUE (bytes > 20000 && bytes <= 22000);
   exc_charge (a.exc, 50000);
   clk_advance (&a.clk, CLK_US_PER_S);
-  uint64_t sent = counter_value (&a, SENT);
+  uint64_t sent = node_counter (&a, SENT);
   exc_now (a.exc, &own_address);
-  CU_ASSERT_EQUAL (counter_value (&a, SENT), sent);
+  CU_ASSERT_EQUAL (node_counter (&a, SENT), sent);
   node_clear (&a);
   event_base_free (base);
 }
@@ -414,11 +414,11 @@
   exc_now (a.exc, &to_b);
   exc_now (b.exc, &to_a);
   exc_flush (a.exc);
-  CU_ASSERT_EQUAL (counter_value (&a, RECEIVED), 1);
+  CU_ASSERT_EQUAL (node_counter (&a, RECEIVED), 1);
   run_until (base, &a, RECEIVED, 2);
   run_pending_events (base);
   CU_ASSERT_EQUAL (a.calls + a.replies, 0);
-  CU_ASSERT_EQUAL (counter_value (&a, "medlarplank_control_unasked_total"), 1);
+  CU_ASSERT_EQUAL (node_counter (&a, "medlarplank_control_unasked_total"), 1);
   node_clear (&a);
   node_clear (&b);
   event_base_free (base);
