--- a/bench/cache.c
+++ b/bench/cache.c
@@ -12,21 +12,21 @@
 struct cch
 {
   GHashTable *entries;
-  GQueue newest_first;
-  uint64_t tokens;
-  uint64_t limit;
+  GQueue newest_first; /* of cch_entry_t, by last use */
+  uint64_t tokens;     /* sum over all entries */
+  uint64_t token_limit;
 };
 
 static cch_entry_t *
-find (cch_t *cache, uint64_t chat_hash)
+find_entry (cch_t *cache, uint64_t chat_hash)
 {
   return g_hash_table_lookup (cache->entries, &chat_hash);
 }
 
 static void
-evict (cch_t *cache)
+evict_to_limit (cch_t *cache)
 {
-  while (cache->tokens > cache->limit && cache->newest_first.length > 0)
+  while (cache->tokens > cache->token_limit && cache->newest_first.length > 0)
     {
       cch_entry_t *oldest = g_queue_peek_tail (&cache->newest_first);
       cache->tokens -= oldest->tokens;
@@ -41,7 +41,7 @@
   cch_t *cache = g_new0 (cch_t, 1);
   cache->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   g_queue_init (&cache->newest_first);
-  cache->limit = token_limit;
+  cache->token_limit = token_limit;
   return cache;
 }
 
@@ -57,7 +57,7 @@
 uint32_t
 cch_get (cch_t *cache, uint64_t chat_hash)
 {
-  cch_entry_t *entry = find (cache, chat_hash);
+  cch_entry_t *entry = find_entry (cache, chat_hash);
   if (entry == NULL)
     return 0;
   g_queue_unlink (&cache->newest_first, &entry->link);
@@ -68,14 +68,14 @@
 uint32_t
 cch_peek (cch_t *cache, uint64_t chat_hash)
 {
-  const cch_entry_t *entry = find (cache, chat_hash);
+  const cch_entry_t *entry = find_entry (cache, chat_hash);
   return entry != NULL ? entry->tokens : 0;
 }
 
 void
 cch_put (cch_t *cache, uint64_t chat_hash, uint32_t tokens)
 {
-  cch_entry_t *entry = find (cache, chat_hash);
+  cch_entry_t *entry = find_entry (cache, chat_hash);
   if (entry == NULL)
     {
       entry = g_new0 (cch_entry_t, 1);
@@ -89,5 +89,5 @@
   cache->tokens += tokens;
   cache->tokens -= entry->tokens;
   entry->tokens = tokens;
-  evict (cache);
+  evict_to_limit (cache);
 }
--- a/bench/events.c
+++ b/bench/events.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static bool
-goes_before (const evt_t *a, const evt_t *b)
+is_before (const evt_t *a, const evt_t *b)
 {
   return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
@@ -12,9 +12,9 @@
 static void
 swap (evt_t *a, evt_t *b)
 {
-  const evt_t held = *a;
+  const evt_t saved = *a;
   *a = *b;
-  *b = held;
+  *b = saved;
 }
 
 void
@@ -33,16 +33,16 @@
 void
 evt_add (evt_queue_t *queue, uint64_t at_us, uint32_t kind, uint32_t number, void *data)
 {
-  if (queue->count == queue->room)
+  if (queue->count == queue->capacity)
     {
-      queue->room = queue->room * 2 + 1024;
-      queue->heap = g_renew (evt_t, queue->heap, queue->room);
+      queue->capacity = queue->capacity * 2 + 1024;
+      queue->heap = g_renew (evt_t, queue->heap, queue->capacity);
     }
   uint32_t at = queue->count++;
   queue->heap[at] = (evt_t){
-    .at_us = at_us, .order = queue->made++, .kind = kind, .number = number, .data = data
+    .at_us = at_us, .order = queue->added++, .kind = kind, .number = number, .data = data
   };
-  while (at > 0 && goes_before (&queue->heap[at], &queue->heap[(at - 1) / 2]))
+  while (at > 0 && is_before (&queue->heap[at], &queue->heap[(at - 1) / 2]))
     {
       swap (&queue->heap[at], &queue->heap[(at - 1) / 2]);
       at = (at - 1) / 2;
@@ -61,7 +61,7 @@
     {
       uint32_t first = at;
       for (uint32_t child = 2 * at + 1; child <= 2 * at + 2 && child < queue->count; child++)
-        if (goes_before (&queue->heap[child], &queue->heap[first]))
+        if (is_before (&queue->heap[child], &queue->heap[first]))
           first = child;
       if (first == at)
         return true;
--- a/bench/events.h
+++ b/bench/events.h
@@ -1,7 +1,7 @@
 /**
  * DOC: events
  *
- * What happens in virtual time, in order; a binary heap.
+ * Event queue of a discrete-event simulation: a binary heap ordered by virtual time.
  */
 #ifndef BENCH_EVENTS_H
 #define BENCH_EVENTS_H
@@ -9,7 +9,13 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** struct evt - @order: of making, so that events of one time come in a fixed order */
+/**
+ * struct evt - one event
+ * @at_us: virtual time at which it is due
+ * @order: insertion number; events of the same time are taken in the order of insertion, so that a
+ *   run can be repeated exactly
+ * @kind, @number, @data: passed through for the caller
+ */
 typedef struct
 {
   uint64_t at_us;
@@ -19,17 +25,23 @@
   void *data;
 } evt_t;
 
+/**
+ * struct evt_queue - the pending events
+ * @added: events added so far, the @order of the next one
+ */
 typedef struct
 {
   evt_t *heap;
   uint32_t count;
-  uint32_t room;
-  uint64_t made;
+  uint32_t capacity;
+  uint64_t added;
 } evt_queue_t;
 
 void evt_init (evt_queue_t *queue);
+/** evt_clear() - frees the heap; the queue is empty and can be used again. @data is not freed */
 void evt_clear (evt_queue_t *queue);
 void evt_add (evt_queue_t *queue, uint64_t at_us, uint32_t kind, uint32_t number, void *data);
+/** evt_take() - removes the earliest event. Return: false when the queue is empty */
 bool evt_take (evt_queue_t *queue, evt_t *out);
 
 #endif
--- a/bench/figures.c
+++ b/bench/figures.c
@@ -5,20 +5,20 @@
 #include <string.h>
 
 static int
-compare (const void *a, const void *b)
+compare_floats (const void *a, const void *b)
 {
-  const float one = *(const float *)a;
-  const float two = *(const float *)b;
-  return (one > two) - (one < two);
+  const float left = *(const float *)a;
+  const float right = *(const float *)b;
+  return (left > right) - (left < right);
 }
 
 void
 fig_add (fig_list_t *list, double value)
 {
-  if (list->count == list->room)
+  if (list->count == list->capacity)
     {
-      list->room = list->room * 2 + 1024;
-      list->values = g_renew (float, list->values, list->room);
+      list->capacity = list->capacity * 2 + 1024;
+      list->values = g_renew (float, list->values, list->capacity);
     }
   list->values[list->count++] = (float)value;
 }
@@ -28,9 +28,9 @@
 {
   if (list->count == 0)
     return 0;
-  qsort (list->values, list->count, sizeof list->values[0], compare);
-  const uint32_t at = (uint32_t)(share * (list->count - 1) + 0.5);
-  return (double)list->values[at];
+  qsort (list->values, list->count, sizeof list->values[0], compare_floats);
+  const uint32_t index = (uint32_t)(share * (list->count - 1) + 0.5);
+  return (double)list->values[index];
 }
 
 void
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -1,7 +1,7 @@
 /**
  * DOC: figures
  *
- * What one run of the benchmark measures.
+ * Results of one simulation run: counters, and samples of which quantiles are taken.
  */
 #ifndef BENCH_FIGURES_H
 #define BENCH_FIGURES_H
@@ -10,27 +10,33 @@
 
 #include <stdint.h>
 
-/** struct fig_list - values of which quantiles are taken */
+/** struct fig_list - a growing array of samples */
 typedef struct
 {
   float *values;
   uint32_t count;
-  uint32_t room;
+  uint32_t capacity;
 } fig_list_t;
 
 /**
- * struct fig - figures of one run, after its warm-up
- * @prefix_tokens, @cached_tokens: of returning chats
- * @gone_tokens, @moved_tokens, @evicted_tokens: not found, as the engine that had served the chat
- *   was gone or replaced; as another one served it now; as it had no room to keep it
- * @skew: max / mean load at each dispatch
- * @over_bound: dispatches after which the engine had more than max(c x mean, mean + 1), by the true
- *   mean
- * @over_slack: more than one request beyond that
- * @excess: for @over_bound, load beyond the bound, in requests
- * @short_wait, @quiet_wait: from arrival to dispatch, in milliseconds; priority 0, and accounts
- *   that do not surge
- * @short_first, @quiet_first: from arrival to the first token
+ * struct figures - results of one run, counted after the warm-up
+ * @prefix_tokens: context tokens of returning chats, which an earlier turn may have left in a cache
+ * @cached_tokens: those of @prefix_tokens that the serving engine had in its cache
+ * @gone_tokens: cache misses because the engine of the last turn is gone or was restarted
+ * @moved_tokens: cache misses because another engine serves the chat now
+ * @evicted_tokens: cache misses because the engine had evicted the chat
+ * @over_bound: dispatches after which the engine's load was over the load bound, max(c * mean,
+ *   mean + 1), where mean is the true mean load of the engines
+ * @over_slack: those of @over_bound whose load was more than one request over the bound
+ * @quiet_requests, @quiet_refused: of the accounts that never surge
+ * @may_have_run: requests that ended without an answer and of which it is unknown whether they ran
+ * @refusals: refusals by sidecars by reason, also of requests that another engine then served
+ * @load_sum: sum of the true mean load over @dispatches
+ * @skew: maximum / mean load of the engines, at each dispatch
+ * @excess: load over the bound in requests, for each of @over_bound
+ * @short_wait, @short_first: milliseconds from arrival to dispatch, and to the first token, of the
+ *   requests of priority 0 from accounts that never surge
+ * @quiet_wait, @quiet_first: the same for all requests of the accounts that never surge
  */
 typedef struct
 {
@@ -48,7 +54,7 @@
   uint64_t quiet_requests;
   uint64_t quiet_refused;
   uint64_t may_have_run;
-  uint64_t refusals[VRD_REASON_COUNT]; /* by sidecars, also those that another engine made good */
+  uint64_t refusals[VRD_REASON_COUNT];
   double load_sum;
   fig_list_t skew;
   fig_list_t excess;
@@ -59,8 +65,9 @@
 } fig_t;
 
 void fig_add (fig_list_t *list, double value);
-/** fig_quantile() - sorts the list; 0 when it is empty */
+/** fig_quantile() - the quantile @share (0..1) of the samples, 0 when there are none; sorts them */
 double fig_quantile (fig_list_t *list, double share);
+/** fig_clear() - frees the samples and sets all counters to 0 */
 void fig_clear (fig_t *figures);
 
 #endif
--- a/bench/random.c
+++ b/bench/random.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* splitmix64: any seed gives a good stream */
+/* splitmix64, which has no weak seeds. */
 uint64_t
 rnd_next (uint64_t *state)
 {
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -5,11 +5,11 @@
 #include <glib.h>
 #include <string.h>
 
-#define WKL_SIGMA 0.5 /* of the logarithm of token counts */
-#define WKL_LONG_PAUSE 10.0
-#define WKL_CONTEXT_LIMIT 60000
+#define TOKEN_COUNT_SIGMA 0.5 /* standard deviation of the logarithm */
+#define LONG_PAUSE_FACTOR 10.0
+#define CONTEXT_LIMIT_TOKENS 60000
 
-/* Rates are set for a mean load of about two thirds of the slots. */
+/* The session rates give a mean load of about two thirds of the slots. */
 static const wkl_t workloads[] = {
   { .name = "tuul",
     .slots = 32,
@@ -46,14 +46,14 @@
 };
 
 static uint32_t
-draw_share (uint64_t *random, const double *shares, uint32_t count)
+draw_index (uint64_t *random, const double *shares, uint32_t count)
 {
-  double left = rnd_unit (random);
+  double rest = rnd_unit (random);
   for (uint32_t i = 0; i + 1 < count; i++)
     {
-      if (left < shares[i])
+      if (rest < shares[i])
         return i;
-      left -= shares[i];
+      rest -= shares[i];
     }
   return count - 1;
 }
@@ -64,13 +64,13 @@
   double shares[WKL_CLASSES];
   for (uint32_t i = 0; i < WKL_CLASSES; i++)
     shares[i] = workload->classes[i].share;
-  return draw_share (random, shares, WKL_CLASSES);
+  return draw_index (random, shares, WKL_CLASSES);
 }
 
 static uint32_t
 draw_tokens (uint64_t *random, double median)
 {
-  return median > 0 ? (uint32_t)rnd_lognormal (random, median, WKL_SIGMA) + 1 : 0;
+  return median > 0 ? (uint32_t)rnd_lognormal (random, median, TOKEN_COUNT_SIGMA) + 1 : 0;
 }
 
 const wkl_t *
@@ -89,7 +89,7 @@
   session->random = seed;
   session->chat_hash = rnd_next (&session->random) | 1;
   session->class_index = draw_class (&session->random, workload);
-  const uint32_t drawn = draw_share (&session->random, workload->account_shares, WKL_ACCOUNTS);
+  const uint32_t drawn = draw_index (&session->random, workload->account_shares, WKL_ACCOUNTS);
   session->account = account < 0 ? drawn : (uint32_t)account;
   session->of_surge = account >= 0;
   return session;
@@ -101,14 +101,14 @@
   const wkl_class_t *class = &workload->classes[session->class_index];
   uint64_t *random = &session->random;
   wkl_turn_t turn = { 0 };
-  const double added = session->turn == 0 ? class->opening_tokens : class->turn_tokens;
-  turn.prompt_tokens = session->context_tokens + draw_tokens (random, added);
+  const double median_tokens = session->turn == 0 ? class->opening_tokens : class->turn_tokens;
+  turn.prompt_tokens = session->context_tokens + draw_tokens (random, median_tokens);
   turn.output_tokens = draw_tokens (random, class->output_tokens);
   turn.returns = rnd_unit (random) < class->return_share &&
-                 turn.prompt_tokens + turn.output_tokens < WKL_CONTEXT_LIMIT;
+                 turn.prompt_tokens + turn.output_tokens < CONTEXT_LIMIT_TOKENS;
   double pause_s = rnd_exponential (random, class->pause_s);
   if (rnd_unit (random) < class->long_pause_share)
-    pause_s *= WKL_LONG_PAUSE;
+    pause_s *= LONG_PAUSE_FACTOR;
   turn.pause_us = (uint64_t)(pause_s * 1e6);
   return turn;
 }
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -1,9 +1,9 @@
 /**
  * DOC: workload
  *
- * The callers of the benchmark: sessions arrive at random, a session is one request without a chat
- * or a chat whose turns come after pauses. All that a session does is drawn from its own seed, so
- * it does the same under every policy.
+ * Request workload of the simulation. Sessions arrive at random; a session is a single request
+ * without a chat, or a chat with several turns and pauses between them. Everything in a session is
+ * drawn from the session's own seed, so that it is the same under every policy.
  */
 #ifndef BENCH_WORKLOAD_H
 #define BENCH_WORKLOAD_H
@@ -15,10 +15,14 @@
 #define WKL_CLASSES 5
 
 /**
- * struct wkl_class - a class of requests
- * @share: of the sessions
- * @return_share: chance that a turn is followed by another one; 0 for a request without a chat
- * @long_pause_share: of the pauses that are ten times as long
+ * struct wkl_class - a request class
+ * @share: fraction of the sessions that are of this class
+ * @opening_tokens, @turn_tokens: median prompt tokens of the first turn, and added by each later
+ * one
+ * @output_tokens: median tokens of an answer
+ * @return_share: probability that another turn follows a turn; 0 for requests without a chat
+ * @pause_s: mean pause between an answer and the next turn
+ * @long_pause_share: fraction of the pauses that are ten times as long
  */
 typedef struct
 {
@@ -36,9 +40,17 @@
 } wkl_class_t;
 
 /**
- * struct wkl - a workload and the engines that serve it
- * @sessions_s: that arrive in a second for each engine
- * @cache_tokens: prefix cache of one engine
+ * struct workload - a workload and the parameters of its engines
+ * @slots: requests that an engine runs at once
+ * @bound_percent: load bound of an engine in percent of the mean load
+ * @prefill_tokens_s: uncached prompt tokens that an engine processes in a second
+ * @token_us: time for each output token
+ * @cache_lifetime_s: how long routers expect an unused prefix to stay in a cache
+ * @cache_tokens: capacity of one engine's prefix cache
+ * @sessions_s: new sessions in a second for each engine
+ * @surging_account: index of the account that surges under that fault
+ * @account_shares: fraction of the sessions of each account
+ * @account_weights: fair-queue weights as in a manifest; large accounts have larger ones
  */
 typedef struct
 {
@@ -52,14 +64,17 @@
   double sessions_s;
   uint32_t surging_account;
   double account_shares[WKL_ACCOUNTS];
-  uint32_t account_weights[WKL_ACCOUNTS]; /* as a manifest sets them: large accounts have more */
+  uint32_t account_weights[WKL_ACCOUNTS];
   wkl_class_t classes[WKL_CLASSES];
 } wkl_t;
 
 /**
- * struct wkl_session
- * @context_tokens: what earlier turns left, the prefix of the next one
- * @last_engine, @last_incarnation: who served the last turn
+ * struct wkl_session - a session and its state between two turns
+ * @random: state of its random stream
+ * @turn: turns that have ended
+ * @context_tokens: prompt and answer of the earlier turns, the prefix of the next prompt
+ * @of_surge: whether it belongs to the extra load of a surge
+ * @last_engine, @last_incarnation: engine (index) that served the last turn
  */
 typedef struct
 {
@@ -74,7 +89,11 @@
   uint64_t last_incarnation;
 } wkl_session_t;
 
-/** struct wkl_turn - one request of a session */
+/**
+ * struct workload_turn - one request of a session
+ * @returns: whether another turn follows
+ * @pause_us: time from the answer to the next turn
+ */
 typedef struct
 {
   uint32_t prompt_tokens;
@@ -83,9 +102,11 @@
   uint64_t pause_us;
 } wkl_turn_t;
 
-/** wkl_find() - "tuul" or "jogak", else NULL */
+/** wkl_find() - the workload "tuul" or "jogak", else NULL */
 const wkl_t *wkl_find (const char *name);
+/** wkl_session_new() - a session of account @account, or of a random one if it is negative */
 wkl_session_t *wkl_session_new (const wkl_t *workload, uint64_t seed, int32_t account);
+/** wkl_turn() - draws the next turn of @session */
 wkl_turn_t wkl_turn (const wkl_t *workload, wkl_session_t *session);
 
 #endif
