--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -1,8 +1,9 @@
 /**
  * DOC: bench_load
  *
- * Load of returning chats over real HTTP, against routers, or engines, or both in one run. One
- * thread, bounded in requests and time. Exit status 1 when any answer was not the caller's own.
+ * HTTP load generator with multi-turn chats, against routers, engines, or both in one run. Single
+ * threaded; the number of requests and the time are limited. Exit status 1 if any answer
+ * belonged to another request.
  */
 #include "load_answer.h"
 #include "load_chats.h"
@@ -20,11 +21,17 @@
 #define CHAT_PATH "/v1/chat/completions"
 #define CHAT_HEADER "X-Chat-Id"
 #define CLASS_HEADER "X-Class"
-#define TOKEN_BYTES 4      /* of the stand-in engine */
-#define RETRY_TAKE_US 1000 /* all chats pause: look again after this */
-#define DRAIN_S 30         /* after the last request, wait for answers that long */
+#define TOKEN_BYTES 4      /* bytes that the stand-in engine counts as a token */
+#define CHAT_RETRY_US 1000 /* before the next search for a chat, when all are paused */
+#define DRAIN_S 30         /* limit of the wait for answers after the last request was sent */
 
-/** struct load - a run */
+/**
+ * struct load - a run
+ * @arrival_timer, @next_arrival_us: the next request of an open loop
+ * @skipped: requests of an open loop that were due but not sent
+ * @in_flight: requests without an answer yet, and workers that wait for a chat
+ * @ending: no more requests are sent
+ */
 typedef struct
 {
   const lop_t *options;
@@ -33,7 +40,7 @@
   lch_t *chats;
   lcl_t *client;
   lst_t *stats;
-  struct event *arrival_timer; /* open loop */
+  struct event *arrival_timer;
   struct event *end_timer;
   uint64_t started_us;
   uint64_t next_arrival_us;
@@ -43,11 +50,14 @@
   bool ending;
 } load_t;
 
-/** struct turn - one request in flight */
+/**
+ * struct turn - one request in flight
+ * @chat: NULL for a request without a chat
+ */
 typedef struct
 {
   load_t *load;
-  lch_chat_t *chat; /* NULL for a plain call */
+  lch_chat_t *chat;
   lan_kind_t kind;
   lop_side_t side;
   uint64_t start_us;
@@ -56,7 +66,7 @@
   const lop_class_t *class;
 } turn_t;
 
-/** struct worker - a caller of the closed loop that waits for a chat whose pause is over */
+/** struct worker - a worker of the closed loop that waits for a chat whose pause has ended */
 typedef struct
 {
   load_t *load;
@@ -72,7 +82,7 @@
 }
 
 static struct timeval
-time_of (uint64_t us)
+timeval_from_us (uint64_t us)
 {
   struct timeval time = { (time_t)(us / G_USEC_PER_SEC), (suseconds_t)(us % G_USEC_PER_SEC) };
   return time;
@@ -118,12 +128,12 @@
 }
 
 static char *
-failure_of (const lcl_answer_t *answer, const lan_t *read)
+describe_failure (const lcl_answer_t *answer, const lan_t *parsed)
 {
   if (answer->failure != NULL)
     return g_strdup (answer->failure);
   if (answer->status == 200)
-    return read->verdict == LAN_BROKEN ? g_strdup ("broken") : NULL;
+    return parsed->verdict == LAN_BROKEN ? g_strdup ("broken") : NULL;
   g_autofree char *code = lan_error_code (answer->body);
   return g_strdup_printf ("%d %s %s", answer->status,
                           answer->verdict == NULL ? "-" : answer->verdict,
@@ -131,22 +141,22 @@
 }
 
 static void
-give_back (const turn_t *turn, const lan_t *read, bool good)
+end_chat_turn (const turn_t *turn, const lan_t *parsed, bool succeeded)
 {
-  uint64_t answer_bytes = strlen (read->text) + strlen ("assistant\n\n");
-  uint64_t reusable = read->prompt_tokens + answer_bytes / TOKEN_BYTES;
+  uint64_t answer_bytes = strlen (parsed->text) + strlen ("assistant\n\n");
+  uint64_t reusable = parsed->prompt_tokens + answer_bytes / TOKEN_BYTES;
   if (turn->chat != NULL)
-    lch_give (turn->load->chats, turn->chat, now_us (), good ? read->text : NULL,
+    lch_give (turn->load->chats, turn->chat, now_us (), succeeded ? parsed->text : NULL,
               (uint32_t)reusable);
 }
 
 static void
-turn_done (const lcl_answer_t *answer, void *context)
+on_answer (const lcl_answer_t *answer, void *context)
 {
   turn_t *turn = context;
   load_t *load = turn->load;
-  lan_t read = lan_read (turn->kind, answer->body, turn->body_hash);
-  g_autofree char *failure = failure_of (answer, &read);
+  lan_t parsed = lan_read (turn->kind, answer->body, turn->body_hash);
+  g_autofree char *failure = describe_failure (answer, &parsed);
   lst_sample_t sample = { .side = turn->side,
                           .latency_us = answer->end_us - turn->start_us,
                           .first_token_us = answer->first_us - turn->start_us,
@@ -155,10 +165,10 @@
                           .class_name = turn->kind == LAN_PLAIN ? "plain" : turn->class->name,
                           .account = load->options->accounts[turn->account].name,
                           .reusable_tokens = turn->chat == NULL ? 0 : turn->chat->reusable_tokens,
-                          .answer = &read };
+                          .answer = &parsed };
   lst_add (load->stats, &sample);
-  give_back (turn, &read, failure == NULL && read.verdict == LAN_OWN);
-  g_free (read.text);
+  end_chat_turn (turn, &parsed, failure == NULL && parsed.verdict == LAN_OWN);
+  g_free (parsed.text);
   g_free (turn);
   load->in_flight--;
   if (load->options->rate_s <= 0 && may_send (load))
@@ -167,7 +177,7 @@
 }
 
 static const set_address_t *
-target_of (const load_t *load, const turn_t *turn)
+choose_target (const load_t *load, const turn_t *turn)
 {
   uint32_t count = load->options->target_count[turn->side];
   uint32_t index = turn->side == LOP_DIRECT && turn->chat != NULL
@@ -183,25 +193,25 @@
   g_autofree char *authorization =
       g_strdup_printf ("Bearer %s", load->options->accounts[turn->account].key);
   g_autofree char *chat_id = turn->chat == NULL ? NULL : lch_id (turn->chat);
-  g_autofree char *number =
+  g_autofree char *request_id =
       g_strdup_printf ("load-%u-%" G_GUINT64_FORMAT, load->options->seed, (guint64)load->sent);
   bool fleet = turn->side == LOP_FLEET;
-  bool claims = turn->kind == LAN_PLAIN && strcmp (method, "POST") == 0;
+  bool needs_key = turn->kind == LAN_PLAIN && strcmp (method, "POST") == 0;
   const char *class_name = load->options->has_classes ? turn->class->name : NULL;
   lcl_header_t headers[] = { { "Content-Type", "application/json" },
                              { "Authorization", fleet ? authorization : NULL },
                              { CHAT_HEADER, fleet ? chat_id : NULL },
                              { CLASS_HEADER, fleet ? class_name : NULL },
-                             { "Idempotency-Key", claims ? number : NULL },
-                             { "X-Request-Id", fleet ? NULL : number },
+                             { "Idempotency-Key", needs_key ? request_id : NULL },
+                             { "X-Request-Id", fleet ? NULL : request_id },
                              { NULL, NULL } };
-  lcl_request_t request = { .address = target_of (load, turn),
+  lcl_request_t request = { .address = choose_target (load, turn),
                             .method = method,
                             .target = target,
                             .headers = headers,
                             .body = body,
                             .timeout_ms = load->options->timeout_ms,
-                            .done = turn_done,
+                            .done = on_answer,
                             .context = turn };
   turn->body_hash = XXH64 (body->str, body->len, 0);
   load->sent++;
@@ -240,7 +250,7 @@
 }
 
 static void
-worker_wakes (evutil_socket_t fd, short what, void *arg)
+on_worker_timer (evutil_socket_t fd, short what, void *arg)
 {
   worker_t *worker = arg;
   load_t *load = worker->load;
@@ -254,14 +264,14 @@
   end_if_drained (load);
 }
 
-/* A waiting worker counts as in flight, so that the run does not end before it has looked. */
+/* A waiting worker counts as in flight, so that the run doesn't end before its next search. */
 static void
 wait_for_chat (load_t *load)
 {
-  struct timeval wait = time_of (RETRY_TAKE_US);
+  struct timeval wait = timeval_from_us (CHAT_RETRY_US);
   worker_t *worker = g_new0 (worker_t, 1);
   worker->load = load;
-  worker->timer = evtimer_new (load->base, worker_wakes, worker);
+  worker->timer = evtimer_new (load->base, on_worker_timer, worker);
   load->in_flight++;
   event_add (worker->timer, &wait);
 }
@@ -288,9 +298,10 @@
     start_chat (load, turn, chat);
 }
 
-/* Latency counts from the planned arrival: a tool that is late itself must not hide it. */
+/* Latency is measured from the planned arrival, so that a delay of this tool is part of it (no
+ * coordinated omission). */
 static void
-arrivals_due (evutil_socket_t fd, short what, void *arg)
+on_arrival_timer (evutil_socket_t fd, short what, void *arg)
 {
   load_t *load = arg;
   uint64_t now = now_us ();
@@ -306,14 +317,15 @@
           -log (1 - g_rand_double (load->rand)) * G_USEC_PER_SEC / load->options->rate_s;
       load->next_arrival_us += (uint64_t)gap_us + 1;
     }
-  struct timeval wait = time_of (load->next_arrival_us > now ? load->next_arrival_us - now : 0);
+  struct timeval wait =
+      timeval_from_us (load->next_arrival_us > now ? load->next_arrival_us - now : 0);
   if (may_send (load))
     event_add (load->arrival_timer, &wait);
   end_if_drained (load);
 }
 
 static void
-stop (evutil_socket_t fd, short what, void *arg)
+stop_loop (evutil_socket_t fd, short what, void *arg)
 {
   (void)fd;
   (void)what;
@@ -327,7 +339,7 @@
   if (load->options->rate_s > 0)
     {
       load->next_arrival_us = load->started_us;
-      arrivals_due (-1, 0, load);
+      on_arrival_timer (-1, 0, load);
       return;
     }
   for (uint32_t i = 0; i < load->options->concurrency && may_send (load); i++)
@@ -342,22 +354,23 @@
   load.chats = lch_new (options, load.rand);
   load.client = lcl_new (base);
   load.stats = lst_new ();
-  load.arrival_timer = evtimer_new (base, arrivals_due, &load);
-  load.end_timer = evtimer_new (base, stop, base);
+  load.arrival_timer = evtimer_new (base, on_arrival_timer, &load);
+  load.end_timer = evtimer_new (base, stop_loop, base);
   start (&load);
   event_base_dispatch (base);
   uint64_t elapsed_us = now_us () - load.started_us;
-  bool others = lst_print (load.stats, options, elapsed_us, load.skipped);
+  bool has_mismatch = lst_print (load.stats, options, elapsed_us, load.skipped);
   event_free (load.arrival_timer);
   event_free (load.end_timer);
   lst_free (load.stats);
   lcl_free (load.client);
   lch_free (load.chats);
   g_rand_free (load.rand);
-  return others;
+  return has_mismatch;
 }
 
-/* Arrivals must not wait for the coarse clock, which is 4 ms off at 250 ticks a second. */
+/* libevent's default coarse clock has a resolution of 4 ms at 250 ticks a second, too coarse for
+ * arrivals. */
 static struct event_base *
 precise_base_new (void)
 {
@@ -373,19 +386,19 @@
 {
   lop_t *options = lop_load (argc, argv);
   struct event_base *base = precise_base_new ();
-  struct event *interrupted = evsignal_new (base, SIGINT, stop, base);
-  struct event *terminated = evsignal_new (base, SIGTERM, stop, base);
-  bool others = false;
+  struct event *interrupted = evsignal_new (base, SIGINT, stop_loop, base);
+  struct event *terminated = evsignal_new (base, SIGTERM, stop_loop, base);
+  bool has_mismatch = false;
   signal (SIGPIPE, SIG_IGN);
   event_add (interrupted, NULL);
   event_add (terminated, NULL);
   if (options->idle == 0)
-    others = run_load (options, base);
+    has_mismatch = run_load (options, base);
   else
     lid_hold (options, base);
   event_free (interrupted);
   event_free (terminated);
   event_base_free (base);
   g_free (options);
-  return others ? 1 : 0;
+  return has_mismatch ? 1 : 0;
 }
--- a/bench/bench_watch.c
+++ b/bench/bench_watch.c
@@ -1,9 +1,9 @@
 /**
  * DOC: bench_watch
  *
- * Watches the daemons of a fleet while others load it: asks each sidecar for its load and bound
- * many times a second, and every daemon for its counters. Prints lines of NAME<TAB>VALUE when it is
- * told to end by SIGTERM or SIGINT.
+ * Polls the daemons of a fleet that is under load: each sidecar for its load and load bound many
+ * times a second, and each daemon for its counters less often. On SIGTERM or SIGINT it prints lines
+ * NAME<TAB>VALUE and ends.
  */
 #include "load_client.h"
 #include "watch_sums.h"
@@ -15,16 +15,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define INTERVAL_MS 20
-#define METRICS_EVERY 10 /* rounds */
-#define ASK_TIMEOUT_MS 500
+#define DEFAULT_INTERVAL_MS 20
+#define METRICS_EVERY_ROUNDS 10
+#define POLL_TIMEOUT_MS 500
 
 static const char usage_text[] =
     "bench-watch --daemon GROUP,NAME,IP:PORT... [--bound GROUP,PERCENT]... [--interval-ms N]\n"
     "  a router's GROUP is \"router\"\n";
 
-/** struct target - a daemon that is asked */
 typedef struct watch watch_t;
+
+/** struct target - a daemon that is polled */
 typedef struct
 {
   watch_t *watch;
@@ -36,30 +37,30 @@
 {
   struct event_base *base;
   lcl_t *client;
-  wsm_t *wsm;
+  wsm_t *stats;
   GPtrArray *targets;
   struct event *timer;
   uint32_t interval_ms;
-  uint32_t pending; /* answers that this round waits for */
+  uint32_t pending; /* polls of this round without an answer yet */
   uint64_t round;
 };
 
-static void __attribute__ ((noreturn)) wrong (const char *message)
+static void __attribute__ ((noreturn)) exit_usage (const char *message)
 {
   g_printerr ("%s\n%s", message, usage_text);
   exit (2);
 }
 
 static void
-answered (watch_t *watch)
+end_poll (watch_t *watch)
 {
   watch->pending--;
   if (watch->pending == 0)
-    wsm_round (watch->wsm);
+    wsm_round (watch->stats);
 }
 
 static void
-take_status (const lcl_answer_t *answer, void *context)
+on_status (const lcl_answer_t *answer, void *context)
 {
   target_t *target = context;
   json_t *json = NULL;
@@ -73,34 +74,35 @@
       target->daemon->known = true;
     }
   json_decref (json);
-  answered (target->watch);
+  end_poll (target->watch);
 }
 
 static void
-take_metrics (const lcl_answer_t *answer, void *context)
+on_metrics (const lcl_answer_t *answer, void *context)
 {
   target_t *target = context;
   if (answer->failure == NULL && answer->status == 200)
     wsm_metrics (target->daemon, answer->body->str);
-  answered (target->watch);
+  end_poll (target->watch);
 }
 
 static void
-ask (target_t *target, const char *path, lcl_done_t done)
+poll_daemon (target_t *target, const char *path, lcl_done_t done)
 {
   static const lcl_header_t none[] = { { NULL, NULL } };
   const lcl_request_t request = { .address = &target->address,
                                   .method = "GET",
                                   .target = path,
                                   .headers = none,
-                                  .timeout_ms = ASK_TIMEOUT_MS,
+                                  .timeout_ms = POLL_TIMEOUT_MS,
                                   .done = done,
                                   .context = target };
   target->watch->pending++;
   lcl_send (target->watch->client, &request);
 }
 
-/* A round that is not yet answered by all delays the next: samples of one moment are compared. */
+/* The next round waits until all polls of this one have ended, since loads are only comparable
+ * within one moment. */
 static void
 on_timer (evutil_socket_t fd, short what, void *context)
 {
@@ -109,19 +111,19 @@
   (void)what;
   if (watch->pending > 0)
     return;
-  const bool metrics = watch->round++ % METRICS_EVERY == 0;
+  const bool metrics = watch->round++ % METRICS_EVERY_ROUNDS == 0;
   for (guint i = 0; i < watch->targets->len; i++)
     {
       target_t *target = g_ptr_array_index (watch->targets, i);
       if (strcmp (target->daemon->group, "router") != 0)
-        ask (target, "/medlarplank/status", take_status);
+        poll_daemon (target, "/medlarplank/status", on_status);
       if (metrics)
-        ask (target, "/metrics", take_metrics);
+        poll_daemon (target, "/metrics", on_metrics);
     }
 }
 
 static void
-stop (evutil_socket_t fd, short what, void *base)
+stop_loop (evutil_socket_t fd, short what, void *base)
 {
   (void)fd;
   (void)what;
@@ -133,13 +135,13 @@
 {
   g_auto (GStrv) parts = g_strsplit (text, ",", 4);
   if (g_strv_length (parts) != 3)
-    wrong ("a daemon is GROUP,NAME,IP:PORT");
+    exit_usage ("a daemon is GROUP,NAME,IP:PORT");
   target_t *target = g_new0 (target_t, 1);
   GError *error = NULL;
   if (!set_parse_address (parts[2], &target->address, &error))
-    wrong (error->message);
+    exit_usage (error->message);
   target->watch = watch;
-  target->daemon = wsm_add (watch->wsm, parts[0], parts[1]);
+  target->daemon = wsm_add (watch->stats, parts[0], parts[1]);
   g_ptr_array_add (watch->targets, target);
 }
 
@@ -150,8 +152,8 @@
   guint64 percent;
   if (g_strv_length (parts) != 2 ||
       !g_ascii_string_to_unsigned (parts[1], 10, 100, 100000, &percent, NULL))
-    wrong ("a bound is GROUP,PERCENT");
-  wsm_bound (watch->wsm, parts[0], (uint32_t)percent);
+    exit_usage ("a bound is GROUP,PERCENT");
+  wsm_bound (watch->stats, parts[0], (uint32_t)percent);
 }
 
 static void
@@ -172,9 +174,9 @@
     else if (flag == 'i')
       watch->interval_ms = (uint32_t)MAX (1, atoi (optarg));
     else
-      wrong ("wrong flag");
+      exit_usage ("wrong flag");
   if (optind != argc || watch->targets->len == 0)
-    wrong ("no daemon to watch");
+    exit_usage ("no daemon to watch");
 }
 
 static struct event_base *
@@ -190,8 +192,8 @@
 static void
 run (watch_t *watch)
 {
-  struct event *interrupted = evsignal_new (watch->base, SIGINT, stop, watch->base);
-  struct event *terminated = evsignal_new (watch->base, SIGTERM, stop, watch->base);
+  struct event *interrupted = evsignal_new (watch->base, SIGINT, stop_loop, watch->base);
+  struct event *terminated = evsignal_new (watch->base, SIGTERM, stop_loop, watch->base);
   struct timeval interval = { watch->interval_ms / 1000,
                               (suseconds_t)(watch->interval_ms % 1000) * 1000 };
   const gint64 started_us = g_get_monotonic_time ();
@@ -200,7 +202,7 @@
   watch->timer = event_new (watch->base, -1, EV_PERSIST, on_timer, watch);
   event_add (watch->timer, &interval);
   event_base_dispatch (watch->base);
-  wsm_print (watch->wsm, (double)(g_get_monotonic_time () - started_us) / G_USEC_PER_SEC);
+  wsm_print (watch->stats, (double)(g_get_monotonic_time () - started_us) / G_USEC_PER_SEC);
   event_free (watch->timer);
   event_free (interrupted);
   event_free (terminated);
@@ -209,16 +211,16 @@
 int
 main (int argc, char **argv)
 {
-  watch_t watch = { .interval_ms = INTERVAL_MS };
+  watch_t watch = { .interval_ms = DEFAULT_INTERVAL_MS };
   watch.base = precise_base_new ();
   watch.client = lcl_new (watch.base);
-  watch.wsm = wsm_new ();
+  watch.stats = wsm_new ();
   watch.targets = g_ptr_array_new_with_free_func (g_free);
   read_flags (&watch, argc, argv);
   signal (SIGPIPE, SIG_IGN);
   run (&watch);
   lcl_free (watch.client);
-  wsm_free (watch.wsm);
+  wsm_free (watch.stats);
   g_ptr_array_free (watch.targets, TRUE);
   event_base_free (watch.base);
   return 0;
--- a/bench/load_answer.c
+++ b/bench/load_answer.c
@@ -5,42 +5,42 @@
 #include <string.h>
 
 #define EVENT_PREFIX "data: "
-#define EVENT_DONE "[DONE]"
+#define STREAM_END "[DONE]"
 
 static void
-read_usage (lan_t *lan, const json_t *json)
+read_usage (lan_t *result, const json_t *json)
 {
   const json_t *usage = json_object_get (json, "usage");
   if (usage == NULL)
     return;
-  lan->prompt_tokens = (uint64_t)json_integer_value (json_object_get (usage, "prompt_tokens"));
-  lan->completion_tokens =
+  result->prompt_tokens = (uint64_t)json_integer_value (json_object_get (usage, "prompt_tokens"));
+  result->completion_tokens =
       (uint64_t)json_integer_value (json_object_get (usage, "completion_tokens"));
-  lan->cached_tokens = (uint64_t)json_integer_value (json_object_get (usage, "cached_tokens"));
+  result->cached_tokens = (uint64_t)json_integer_value (json_object_get (usage, "cached_tokens"));
 }
 
 static const char *
-first_content (const json_t *json, const char *part)
+first_choice_content (const json_t *json, const char *part)
 {
   const json_t *choice = json_array_get (json_object_get (json, "choices"), 0);
   return json_string_value (json_object_get (json_object_get (choice, part), "content"));
 }
 
 static bool
-read_event (lan_t *lan, const char *line, GString *text)
+read_event (lan_t *result, const char *line, GString *text)
 {
   json_t *json = json_loads (line, 0, NULL);
-  const char *content = first_content (json, "delta");
-  bool good = json != NULL && json_object_get (json, "error") == NULL;
+  const char *content = first_choice_content (json, "delta");
+  bool is_valid = json != NULL && json_object_get (json, "error") == NULL;
   if (content != NULL)
     g_string_append (text, content);
-  read_usage (lan, json);
+  read_usage (result, json);
   json_decref (json);
-  return good;
+  return is_valid;
 }
 
 static bool
-read_stream (lan_t *lan, const GString *answer, GString *text)
+read_stream (lan_t *result, const GString *answer, GString *text)
 {
   g_auto (GStrv) lines = g_strsplit (answer->str, "\n", 0);
   bool done = false;
@@ -49,26 +49,26 @@
       if (!g_str_has_prefix (*line, EVENT_PREFIX))
         continue;
       const char *event = *line + strlen (EVENT_PREFIX);
-      if (strcmp (event, EVENT_DONE) == 0)
+      if (strcmp (event, STREAM_END) == 0)
         done = true;
-      else if (!read_event (lan, event, text))
+      else if (!read_event (result, event, text))
         return false;
     }
   return done;
 }
 
 static bool
-read_whole (lan_t *lan, lan_kind_t kind, const GString *answer, GString *text)
+read_whole (lan_t *result, lan_kind_t kind, const GString *answer, GString *text)
 {
   json_t *json = json_loadb (answer->str, answer->len, 0, NULL);
-  const char *found = kind == LAN_CHAT ? first_content (json, "message")
+  const char *found = kind == LAN_CHAT ? first_choice_content (json, "message")
                                        : json_string_value (json_object_get (json, "body_hash"));
-  bool good = found != NULL;
-  if (good)
+  bool is_valid = found != NULL;
+  if (is_valid)
     g_string_append (text, found);
-  read_usage (lan, json);
+  read_usage (result, json);
   json_decref (json);
-  return good;
+  return is_valid;
 }
 
 char *
@@ -84,17 +84,17 @@
 lan_t
 lan_read (lan_kind_t kind, const GString *answer, uint64_t body_hash)
 {
-  lan_t lan = { .verdict = LAN_BROKEN };
+  lan_t result = { .verdict = LAN_BROKEN };
   GString *text = g_string_new (NULL);
-  char own[64];
+  char expected_prefix[64];
   if (kind == LAN_PLAIN)
-    g_snprintf (own, sizeof own, "%016" PRIx64, body_hash);
+    g_snprintf (expected_prefix, sizeof expected_prefix, "%016" PRIx64, body_hash);
   else
-    g_snprintf (own, sizeof own, "answer to %016" PRIx64 " ", body_hash);
-  bool good =
-      kind == LAN_STREAM ? read_stream (&lan, answer, text) : read_whole (&lan, kind, answer, text);
-  if (good)
-    lan.verdict = g_str_has_prefix (text->str, own) ? LAN_OWN : LAN_OTHERS;
-  lan.text = g_string_free (text, FALSE);
-  return lan;
+    g_snprintf (expected_prefix, sizeof expected_prefix, "answer to %016" PRIx64 " ", body_hash);
+  bool is_valid = kind == LAN_STREAM ? read_stream (&result, answer, text)
+                                     : read_whole (&result, kind, answer, text);
+  if (is_valid)
+    result.verdict = g_str_has_prefix (text->str, expected_prefix) ? LAN_OWN : LAN_OTHERS;
+  result.text = g_string_free (text, FALSE);
+  return result;
 }
--- a/bench/load_chats.c
+++ b/bench/load_chats.c
@@ -2,14 +2,14 @@
 
 #include <math.h>
 
-#define TAKE_TRIES 64
+#define MAX_DRAWS 64 /* of a random chat; bounds the search while most chats pause */
 
 struct lch
 {
   const lop_t *options;
   GRand *rand;
-  lch_chat_t *chats;
-  double *cumulated; /* of the Zipf weights; NULL when uniform */
+  lch_chat_t *items;
+  double *cumulative_weights; /* Zipf weights of the chats; NULL if the choice is uniform */
 };
 
 static const char *const words[] = { "bale",   "lot",     "claim",   "appeal",
@@ -18,33 +18,33 @@
                                      "grade",  "floor",   "letter",  "counter" };
 
 static double *
-cumulate (uint32_t count, double exponent)
+cumulative_zipf_weights (uint32_t count, double exponent)
 {
   if (exponent <= 0)
     return NULL;
-  double *cumulated = g_new (double, count);
+  double *cumulative_weights = g_new (double, count);
   double sum = 0;
   for (uint32_t i = 0; i < count; i++)
     {
       sum += pow (i + 1, -exponent);
-      cumulated[i] = sum;
+      cumulative_weights[i] = sum;
     }
-  return cumulated;
+  return cumulative_weights;
 }
 
 static uint32_t
-draw_index (const lch_t *lch)
+draw_index (const lch_t *chats)
 {
-  uint32_t count = lch->options->chats;
-  if (lch->cumulated == NULL)
-    return (uint32_t)g_rand_int_range (lch->rand, 0, (gint32)count);
-  double value = g_rand_double (lch->rand) * lch->cumulated[count - 1];
+  uint32_t count = chats->options->chats;
+  if (chats->cumulative_weights == NULL)
+    return (uint32_t)g_rand_int_range (chats->rand, 0, (gint32)count);
+  double value = g_rand_double (chats->rand) * chats->cumulative_weights[count - 1];
   uint32_t low = 0;
   uint32_t high = count - 1;
   while (low < high)
     {
       uint32_t middle = (low + high) / 2;
-      if (lch->cumulated[middle] < value)
+      if (chats->cumulative_weights[middle] < value)
         low = middle + 1;
       else
         high = middle;
@@ -53,13 +53,13 @@
 }
 
 static uint32_t
-draw_account (const lch_t *lch)
+draw_account (const lch_t *chats)
 {
-  const lop_t *options = lch->options;
+  const lop_t *options = chats->options;
   double sum = 0;
   for (uint32_t i = 0; i < options->account_count; i++)
     sum += options->accounts[i].weight;
-  double value = g_rand_double (lch->rand) * sum;
+  double value = g_rand_double (chats->rand) * sum;
   for (uint32_t i = 0; i < options->account_count; i++)
     {
       value -= options->accounts[i].weight;
@@ -70,73 +70,73 @@
 }
 
 static void
-add_user_message (lch_t *lch, lch_chat_t *chat, uint32_t text_bytes)
+add_user_message (lch_t *chats, lch_chat_t *chat, uint32_t text_bytes)
 {
   GString *messages = chat->messages;
   if (messages->len > 0)
     g_string_append_c (messages, ',');
   g_string_append_printf (messages, "{\"role\":\"user\",\"content\":\"chat %u turn %u.%u",
-                          chat->index, chat->renewals, chat->turns);
-  gsize start = messages->len;
-  while (messages->len - start < text_bytes)
+                          chat->index, chat->restarts, chat->turns);
+  gsize start_bytes = messages->len;
+  while (messages->len - start_bytes < text_bytes)
     g_string_append_printf (messages, " %s",
-                            words[g_rand_int_range (lch->rand, 0, G_N_ELEMENTS (words))]);
+                            words[g_rand_int_range (chats->rand, 0, G_N_ELEMENTS (words))]);
   g_string_append (messages, "\"}");
 }
 
 static void
-renew (lch_chat_t *chat)
+restart_chat (lch_chat_t *chat)
 {
   g_string_truncate (chat->messages, 0);
   chat->turns = 0;
   chat->reusable_tokens = 0;
-  chat->renewals++;
+  chat->restarts++;
 }
 
 lch_t *
 lch_new (const lop_t *options, GRand *rand)
 {
-  lch_t *lch = g_new0 (lch_t, 1);
-  lch->options = options;
-  lch->rand = rand;
-  lch->chats = g_new0 (lch_chat_t, options->chats);
-  lch->cumulated = cumulate (options->chats, options->zipf);
+  lch_t *chats = g_new0 (lch_t, 1);
+  chats->options = options;
+  chats->rand = rand;
+  chats->items = g_new0 (lch_chat_t, options->chats);
+  chats->cumulative_weights = cumulative_zipf_weights (options->chats, options->zipf);
   for (uint32_t i = 0; i < options->chats; i++)
     {
-      lch_chat_t *chat = &lch->chats[i];
+      lch_chat_t *chat = &chats->items[i];
       chat->messages = g_string_new (NULL);
       chat->index = i;
-      chat->account = draw_account (lch);
+      chat->account = draw_account (chats);
       chat->side = g_rand_double (rand) < options->direct_share ? LOP_DIRECT : LOP_FLEET;
     }
-  return lch;
+  return chats;
 }
 
 void
-lch_free (lch_t *lch)
+lch_free (lch_t *chats)
 {
-  if (lch == NULL)
+  if (chats == NULL)
     return;
-  for (uint32_t i = 0; i < lch->options->chats; i++)
-    g_string_free (lch->chats[i].messages, TRUE);
-  g_free (lch->chats);
-  g_free (lch->cumulated);
-  g_free (lch);
+  for (uint32_t i = 0; i < chats->options->chats; i++)
+    g_string_free (chats->items[i].messages, TRUE);
+  g_free (chats->items);
+  g_free (chats->cumulative_weights);
+  g_free (chats);
 }
 
 lch_chat_t *
-lch_take (lch_t *lch, uint64_t now_us)
+lch_take (lch_t *chats, uint64_t now_us)
 {
-  for (int i = 0; i < TAKE_TRIES; i++)
+  for (int i = 0; i < MAX_DRAWS; i++)
     {
-      lch_chat_t *chat = &lch->chats[draw_index (lch)];
-      if (chat->free_us > now_us)
+      lch_chat_t *chat = &chats->items[draw_index (chats)];
+      if (chat->available_us > now_us)
         continue;
-      if (chat->messages->len > lch->options->history_limit_bytes)
-        renew (chat);
-      add_user_message (lch, chat,
-                        chat->turns == 0 ? lch->options->first_bytes : lch->options->turn_bytes);
-      chat->free_us = G_MAXUINT64;
+      if (chat->messages->len > chats->options->history_limit_bytes)
+        restart_chat (chat);
+      add_user_message (
+          chats, chat, chat->turns == 0 ? chats->options->first_bytes : chats->options->turn_bytes);
+      chat->available_us = G_MAXUINT64;
       return chat;
     }
   return NULL;
@@ -145,14 +145,14 @@
 char *
 lch_id (const lch_chat_t *chat)
 {
-  return g_strdup_printf ("chat-%u-%u", chat->index, chat->renewals);
+  return g_strdup_printf ("chat-%u-%u", chat->index, chat->restarts);
 }
 
 GString *
-lch_body (const lch_t *lch, const lch_chat_t *chat, uint32_t max_tokens, bool stream)
+lch_body (const lch_t *chats, const lch_chat_t *chat, uint32_t max_tokens, bool stream)
 {
   GString *body = g_string_sized_new (chat->messages->len + 128);
-  g_string_append_printf (body, "{\"model\":\"%s\",\"messages\":[", lch->options->model);
+  g_string_append_printf (body, "{\"model\":\"%s\",\"messages\":[", chats->options->model);
   g_string_append_len (body, chat->messages->str, (gssize)chat->messages->len);
   g_string_append_printf (body, "],\"max_tokens\":%u,\"stream\":%s}", max_tokens,
                           stream ? "true" : "false");
@@ -161,13 +161,14 @@
 
 void
 lch_give (
-    lch_t *lch, lch_chat_t *chat, uint64_t now_us, const char *answer, uint32_t reusable_tokens)
+    lch_t *chats, lch_chat_t *chat, uint64_t now_us, const char *answer, uint32_t reusable_tokens)
 {
-  double pause_us = (double)lch->options->pause_ms * 1000 * -log (1 - g_rand_double (lch->rand));
-  chat->free_us = now_us + (uint64_t)pause_us;
+  double pause_us =
+      (double)chats->options->pause_ms * 1000 * -log (1 - g_rand_double (chats->rand));
+  chat->available_us = now_us + (uint64_t)pause_us;
   if (answer == NULL)
     {
-      renew (chat);
+      restart_chat (chat);
       return;
     }
   g_string_append_printf (chat->messages, ",{\"role\":\"assistant\",\"content\":\"%s\"}", answer);
--- a/bench/load_client.c
+++ b/bench/load_client.c
@@ -20,14 +20,14 @@
 {
   lcl_t *owner;
   struct evhttp_connection *connection;
-  struct evhttp_request *request; /* NULL once evhttp has freed it */
-  struct event *timer;            /* timeout; then the deferred end */
-  char *place;
+  struct evhttp_request *request; /* NULL after evhttp has freed it */
+  struct event *timer;            /* the timeout; after the request, the deferred callback */
+  char *endpoint;
   lcl_done_t done;
   void *context;
   GString *body;
   lcl_answer_t answer;
-  bool keep;
+  bool keep_alive;
   char *verdict;
   char *engine;
 } lcl_call_t;
@@ -42,24 +42,24 @@
 }
 
 static GQueue *
-idle_of (lcl_t *lcl, const char *place)
+idle_connections (lcl_t *client, const char *endpoint)
 {
-  GQueue *queue = g_hash_table_lookup (lcl->idle, place);
+  GQueue *queue = g_hash_table_lookup (client->idle, endpoint);
   if (queue == NULL)
     {
       queue = g_queue_new ();
-      g_hash_table_insert (lcl->idle, g_strdup (place), queue);
+      g_hash_table_insert (client->idle, g_strdup (endpoint), queue);
     }
   return queue;
 }
 
 static struct evhttp_connection *
-connection_for (lcl_t *lcl, const char *place, const set_address_t *address)
+take_connection (lcl_t *client, const char *endpoint, const set_address_t *address)
 {
-  struct evhttp_connection *connection = g_queue_pop_head (idle_of (lcl, place));
+  struct evhttp_connection *connection = g_queue_pop_head (idle_connections (client, endpoint));
   if (connection != NULL)
     return connection;
-  return evhttp_connection_base_new (lcl->base, NULL, address->ip, address->port);
+  return evhttp_connection_base_new (client->base, NULL, address->ip, address->port);
 }
 
 static void
@@ -67,7 +67,7 @@
 {
   event_free (call->timer);
   g_string_free (call->body, TRUE);
-  g_free (call->place);
+  g_free (call->endpoint);
   g_free (call->verdict);
   g_free (call->engine);
   g_free (call);
@@ -79,17 +79,17 @@
   call->answer.body = call->body;
   call->answer.verdict = call->verdict;
   call->answer.engine = call->engine;
-  if (call->keep)
-    g_queue_push_head (idle_of (call->owner, call->place), call->connection);
+  if (call->keep_alive)
+    g_queue_push_head (idle_connections (call->owner, call->endpoint), call->connection);
   else
     evhttp_connection_free (call->connection);
   call->done (&call->answer, call->context);
   call_free (call);
 }
 
-/* Either the time is up while the request is out, or it has ended and this is the turn after. */
+/* Runs when the request times out, or in the event loop's next iteration after it has ended. */
 static void
-timer_due (evutil_socket_t fd, short what, void *arg)
+on_timer (evutil_socket_t fd, short what, void *arg)
 {
   lcl_call_t *call = arg;
   (void)fd;
@@ -105,45 +105,45 @@
 }
 
 static void
-end_soon (lcl_call_t *call)
+end_deferred (lcl_call_t *call)
 {
-  static const struct timeval soon = { 0, 0 };
+  static const struct timeval no_delay = { 0, 0 };
   call->request = NULL;
-  event_add (call->timer, &soon);
+  event_add (call->timer, &no_delay);
 }
 
 static char *
-header_copy (struct evkeyvalq *headers, const char *name)
+copy_header (struct evkeyvalq *headers, const char *name)
 {
   return g_strdup (evhttp_find_header (headers, name));
 }
 
 static bool
-length_declared (struct evkeyvalq *headers)
+has_declared_length (struct evkeyvalq *headers)
 {
   return evhttp_find_header (headers, "Content-Length") != NULL ||
          evhttp_find_header (headers, "Transfer-Encoding") != NULL;
 }
 
 static void
-take_head (lcl_call_t *call, struct evhttp_request *request)
+read_headers (lcl_call_t *call, struct evhttp_request *request)
 {
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
   const char *connection = evhttp_find_header (headers, "Connection");
   call->answer.status = evhttp_request_get_response_code (request);
-  call->verdict = header_copy (headers, VRD_HEADER);
-  call->engine = header_copy (headers, HOP_ENGINE_HEADER);
+  call->verdict = copy_header (headers, VRD_HEADER);
+  call->engine = copy_header (headers, HOP_ENGINE_HEADER);
   if (call->engine == NULL)
-    call->engine = header_copy (headers, "X-Engine");
-  call->keep = connection == NULL || g_ascii_strcasecmp (connection, "close") != 0;
-  if (length_declared (headers))
+    call->engine = copy_header (headers, "X-Engine");
+  call->keep_alive = connection == NULL || g_ascii_strcasecmp (connection, "close") != 0;
+  if (has_declared_length (headers))
     return;
   call->answer.failure = "no_length";
-  call->keep = false;
+  call->keep_alive = false;
 }
 
 static void
-part_came (struct evhttp_request *request, void *arg)
+on_body_part (struct evhttp_request *request, void *arg)
 {
   lcl_call_t *call = arg;
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
@@ -154,7 +154,7 @@
 }
 
 static void
-request_done (struct evhttp_request *request, void *arg)
+on_request_done (struct evhttp_request *request, void *arg)
 {
   lcl_call_t *call = arg;
   call->answer.end_us = (uint64_t)g_get_monotonic_time ();
@@ -163,10 +163,10 @@
   else if (evhttp_request_get_response_code (request) == 0)
     call->answer.failure = "connect";
   else
-    take_head (call, request);
+    read_headers (call, request);
   if (call->answer.first_us == 0)
     call->answer.first_us = call->answer.end_us;
-  end_soon (call);
+  end_deferred (call);
 }
 
 static void
@@ -179,9 +179,9 @@
       evhttp_add_header (out, header->name, header->value);
 }
 
-/* Without it the end of a long history may wait for a delayed acknowledgement. */
+/* Nagle's algorithm would hold back the end of a long body until a delayed acknowledgement. */
 static void
-send_at_once (struct evhttp_connection *connection)
+disable_nagle (struct evhttp_connection *connection)
 {
   int fd = bufferevent_getfd (evhttp_connection_get_bufferevent (connection));
   int on = 1;
@@ -192,38 +192,38 @@
 lcl_t *
 lcl_new (struct event_base *base)
 {
-  lcl_t *lcl = g_new0 (lcl_t, 1);
-  lcl->base = base;
-  lcl->idle = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, queue_free);
-  return lcl;
+  lcl_t *client = g_new0 (lcl_t, 1);
+  client->base = base;
+  client->idle = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, queue_free);
+  return client;
 }
 
 void
-lcl_free (lcl_t *lcl)
+lcl_free (lcl_t *client)
 {
-  if (lcl == NULL)
+  if (client == NULL)
     return;
-  g_hash_table_destroy (lcl->idle);
-  g_free (lcl);
+  g_hash_table_destroy (client->idle);
+  g_free (client);
 }
 
 void
-lcl_send (lcl_t *lcl, const lcl_request_t *options)
+lcl_send (lcl_t *client, const lcl_request_t *options)
 {
   lcl_call_t *call = g_new0 (lcl_call_t, 1);
   struct timeval timeout = { (time_t)(options->timeout_ms / 1000),
                              (suseconds_t)(options->timeout_ms % 1000 * 1000) };
   enum evhttp_cmd_type command =
       strcmp (options->method, "GET") == 0 ? EVHTTP_REQ_GET : EVHTTP_REQ_POST;
-  call->owner = lcl;
+  call->owner = client;
   call->done = options->done;
   call->context = options->context;
   call->body = g_string_new (NULL);
-  call->place = g_strdup_printf ("%s:%u", options->address->ip, options->address->port);
-  call->connection = connection_for (lcl, call->place, options->address);
-  call->timer = evtimer_new (lcl->base, timer_due, call);
-  call->request = evhttp_request_new (request_done, call);
-  evhttp_request_set_chunked_cb (call->request, part_came);
+  call->endpoint = g_strdup_printf ("%s:%u", options->address->ip, options->address->port);
+  call->connection = take_connection (client, call->endpoint, options->address);
+  call->timer = evtimer_new (client->base, on_timer, call);
+  call->request = evhttp_request_new (on_request_done, call);
+  evhttp_request_set_chunked_cb (call->request, on_body_part);
   add_headers (call->request, options);
   if (command == EVHTTP_REQ_POST)
     evbuffer_add (evhttp_request_get_output_buffer (call->request), options->body->str,
@@ -234,8 +234,8 @@
       call->answer.failure == NULL)
     {
       call->answer.failure = "connect";
-      end_soon (call);
+      end_deferred (call);
       return;
     }
-  send_at_once (call->connection);
+  disable_nagle (call->connection);
 }
--- a/bench/load_client.h
+++ b/bench/load_client.h
@@ -1,8 +1,8 @@
 /**
  * DOC: load_client
  *
- * HTTP requests of the load tool over evhttp, on connections that are kept. On purpose not the
- * fleet's own client, so that one fault cannot hide another.
+ * HTTP client of the load tool over evhttp, with persistent connections. It shares no code with the
+ * daemons' HTTP client, so that a fault on one side can't be hidden by the same fault on the other.
  */
 #ifndef BENCH_LOAD_CLIENT_H
 #define BENCH_LOAD_CLIENT_H
@@ -17,10 +17,13 @@
 typedef struct lcl lcl_t;
 
 /**
- * struct lcl_answer - how a request ended
- * @failure: "connect", "cut" or "timeout"; NULL when a whole answer came
- * @verdict, @engine: headers of the answer, or NULL
- * @first_us, @end_us: when the first byte of the body came, and the last
+ * struct lcl_answer - how a request ended; valid during the callback
+ * @failure: "connect" (no connection or no answer), "cut" (the connection closed before the end),
+ *   "timeout" or "no_length" (neither Content-Length nor Transfer-Encoding); NULL if the answer is
+ *   complete
+ * @status: HTTP status, 0 if none was read
+ * @verdict, @engine: values of these headers of the answer, or NULL
+ * @first_us, @end_us: g_get_monotonic_time() of the first and the last byte of the body
  */
 typedef struct
 {
@@ -41,8 +44,12 @@
   const char *value;
 } lcl_header_t;
 
-/** struct lcl_request - one request; all is copied. @headers end with a NULL name; a header whose
- * value is NULL is left out */
+/**
+ * struct lcl_request - one request; everything in it is copied
+ * @headers: ends with a NULL name; a header with a NULL value is not sent
+ * @body: sent with POST only
+ * @timeout_ms: from sending to the last byte of the answer
+ */
 typedef struct
 {
   const set_address_t *address;
@@ -56,8 +63,8 @@
 } lcl_request_t;
 
 lcl_t *lcl_new (struct event_base *base);
-void lcl_free (lcl_t *lcl);
-/** lcl_send() - @done is called exactly once, never from within */
-void lcl_send (lcl_t *lcl, const lcl_request_t *request);
+void lcl_free (lcl_t *client);
+/** lcl_send() - sends a request; @done is called exactly once, after lcl_send() has returned */
+void lcl_send (lcl_t *client, const lcl_request_t *request);
 
 #endif
--- a/bench/load_idle.h
+++ b/bench/load_idle.h
@@ -1,8 +1,8 @@
 /**
  * DOC: load_idle
  *
- * Connections without requests: opened and held for a time, so that the memory that they take on
- * the other side can be read meanwhile.
+ * Opens connections and keeps them idle for a time, so that the memory that they take in the server
+ * can be measured.
  */
 #ifndef BENCH_LOAD_IDLE_H
 #define BENCH_LOAD_IDLE_H
@@ -11,7 +11,11 @@
 
 #include <event2/event.h>
 
-/** lid_hold() - returns when the time is up, after a line with how many were opened and closed */
+/**
+ * lid_hold() - keeps @options->idle connections open for @options->time_s seconds
+ *
+ * Prints how many were opened and how many of them the server closed.
+ */
 void lid_hold (const lop_t *options, struct event_base *base);
 
 #endif
--- a/bench/load_options.c
+++ b/bench/load_options.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CLOSED_CONCURRENCY 16
-#define OPEN_CONCURRENCY 1000
+#define DEFAULT_WORKERS 16
+#define DEFAULT_OPEN_LOOP_IN_FLIGHT 1000
 
 static const char usage_text[] =
     "bench-load --target IP:PORT... [--direct IP:PORT...] (--account NAME:KEY[:WEIGHT]... |\n"
@@ -78,119 +78,119 @@
   { NULL, 0, NULL, 0 },
 };
 
-static void __attribute__ ((noreturn)) wrong (const char *message)
+static void __attribute__ ((noreturn)) exit_usage (const char *message)
 {
   g_printerr ("%s\n%s", message, usage_text);
   exit (2);
 }
 
 static uint64_t
-number (const char *text, uint64_t limit)
+parse_number (const char *text, uint64_t limit)
 {
   guint64 value;
   GError *error = NULL;
   if (!g_ascii_string_to_unsigned (text, 10, 0, limit, &value, &error))
-    wrong (error->message);
+    exit_usage (error->message);
   return value;
 }
 
 static double
-real (const char *text, double limit)
+parse_real (const char *text, double limit)
 {
   char *end;
   double value = g_ascii_strtod (text, &end);
   if (end == text || *end != '\0' || !(value >= 0 && value <= limit))
-    wrong (text);
+    exit_usage (text);
   return value;
 }
 
 static void
-add_target (lop_t *lop, lop_side_t side, const char *text)
+add_target (lop_t *options, lop_side_t side, const char *text)
 {
   GError *error = NULL;
-  if (lop->target_count[side] == LOP_LIMIT_TARGETS)
-    wrong ("too many targets");
-  if (!set_parse_address (text, &lop->targets[side][lop->target_count[side]], &error))
-    wrong (error->message);
-  lop->target_count[side]++;
+  if (options->target_count[side] == LOP_LIMIT_TARGETS)
+    exit_usage ("too many targets");
+  if (!set_parse_address (text, &options->targets[side][options->target_count[side]], &error))
+    exit_usage (error->message);
+  options->target_count[side]++;
 }
 
 static void
-add_account (lop_t *lop, const char *text)
+add_account (lop_t *options, const char *text)
 {
   g_auto (GStrv) parts = g_strsplit (text, ":", 3);
   guint count = g_strv_length (parts);
-  if (count < 2 || lop->account_count == LOP_LIMIT_ACCOUNTS)
-    wrong ("an account is NAME:KEY[:WEIGHT]");
-  lop_account_t *account = &lop->accounts[lop->account_count++];
+  if (count < 2 || options->account_count == LOP_LIMIT_ACCOUNTS)
+    exit_usage ("an account is NAME:KEY[:WEIGHT]");
+  lop_account_t *account = &options->accounts[options->account_count++];
   g_strlcpy (account->name, parts[0], sizeof account->name);
   g_strlcpy (account->key, parts[1], sizeof account->key);
-  account->weight = count < 3 ? 1 : (uint32_t)number (parts[2], 1000000);
+  account->weight = count < 3 ? 1 : (uint32_t)parse_number (parts[2], 1000000);
 }
 
 static void
-add_accounts (lop_t *lop, const char *path)
+add_accounts_from_file (lop_t *options, const char *path)
 {
   g_autofree char *text = NULL;
   GError *error = NULL;
   if (!g_file_get_contents (path, &text, NULL, &error))
-    wrong (error->message);
+    exit_usage (error->message);
   g_auto (GStrv) lines = g_strsplit (text, "\n", 0);
   for (char **line = lines; *line != NULL; line++)
     if (**line != '\0' && **line != '#')
-      add_account (lop, *line);
+      add_account (options, *line);
 }
 
 static void
-add_class (lop_t *lop, const char *text)
+add_class (lop_t *options, const char *text)
 {
   g_auto (GStrv) parts = g_strsplit (text, ":", 3);
   guint count = g_strv_length (parts);
-  if (count < 1 || lop->class_count == LOP_LIMIT_CLASSES)
-    wrong ("a class is NAME[:WEIGHT[:MAX_TOKENS]]");
-  lop_class_t *class = &lop->classes[lop->class_count++];
+  if (count < 1 || options->class_count == LOP_LIMIT_CLASSES)
+    exit_usage ("a class is NAME[:WEIGHT[:MAX_TOKENS]]");
+  lop_class_t *class = &options->classes[options->class_count++];
   g_strlcpy (class->name, parts[0], sizeof class->name);
-  class->weight = count < 2 ? 1 : (uint32_t)number (parts[1], 1000000);
-  class->max_tokens = count < 3 ? 0 : (uint32_t)number (parts[2], 65536);
+  class->weight = count < 2 ? 1 : (uint32_t)parse_number (parts[1], 1000000);
+  class->max_tokens = count < 3 ? 0 : (uint32_t)parse_number (parts[2], 65536);
 }
 
 static bool
-take_load_flag (lop_t *lop, int flag, const char *value)
+apply_load_flag (lop_t *options, int flag, const char *value)
 {
   switch (flag)
     {
     case FLAG_REQUESTS:
-      lop->requests = number (value, LOP_LIMIT_REQUESTS);
+      options->requests = parse_number (value, LOP_LIMIT_REQUESTS);
       return true;
     case FLAG_TIME:
-      lop->time_s = number (value, LOP_LIMIT_TIME_S);
+      options->time_s = parse_number (value, LOP_LIMIT_TIME_S);
       return true;
     case FLAG_RATE:
-      lop->rate_s = real (value, 1e6);
+      options->rate_s = parse_real (value, 1e6);
       return true;
     case FLAG_CONCURRENCY:
-      lop->concurrency = (uint32_t)MAX (1, number (value, LOP_LIMIT_CONCURRENCY));
+      options->concurrency = (uint32_t)MAX (1, parse_number (value, LOP_LIMIT_CONCURRENCY));
       return true;
     case FLAG_CHATS:
-      lop->chats = (uint32_t)MAX (1, number (value, LOP_LIMIT_CHATS));
+      options->chats = (uint32_t)MAX (1, parse_number (value, LOP_LIMIT_CHATS));
       return true;
     case FLAG_ZIPF:
-      lop->zipf = real (value, 10);
+      options->zipf = parse_real (value, 10);
       return true;
     case FLAG_PAUSE:
-      lop->pause_ms = number (value, 24 * 3600 * 1000);
+      options->pause_ms = parse_number (value, 24 * 3600 * 1000);
       return true;
     case FLAG_FIRST:
-      lop->first_bytes = (uint32_t)number (value, 4 * 1024 * 1024);
+      options->first_bytes = (uint32_t)parse_number (value, 4 * 1024 * 1024);
       return true;
     case FLAG_TURN:
-      lop->turn_bytes = (uint32_t)number (value, 1024 * 1024);
+      options->turn_bytes = (uint32_t)parse_number (value, 1024 * 1024);
       return true;
     case FLAG_HISTORY:
-      lop->history_limit_bytes = (uint32_t)number (value, 8 * 1024 * 1024);
+      options->history_limit_bytes = (uint32_t)parse_number (value, 8 * 1024 * 1024);
       return true;
     case FLAG_MAX_TOKENS:
-      lop->max_tokens = (uint32_t)MAX (1, number (value, 65536));
+      options->max_tokens = (uint32_t)MAX (1, parse_number (value, 65536));
       return true;
     default:
       return false;
@@ -198,108 +198,108 @@
 }
 
 static void
-take_flag (lop_t *lop, int flag, const char *value)
+apply_flag (lop_t *options, int flag, const char *value)
 {
   switch (flag)
     {
     case FLAG_TARGET:
-      add_target (lop, LOP_FLEET, value);
+      add_target (options, LOP_FLEET, value);
       break;
     case FLAG_DIRECT:
-      add_target (lop, LOP_DIRECT, value);
+      add_target (options, LOP_DIRECT, value);
       break;
     case FLAG_ACCOUNT:
-      add_account (lop, value);
+      add_account (options, value);
       break;
     case FLAG_KEYS:
-      add_accounts (lop, value);
+      add_accounts_from_file (options, value);
       break;
     case FLAG_MODEL:
-      g_strlcpy (lop->model, value, sizeof lop->model);
+      g_strlcpy (options->model, value, sizeof options->model);
       break;
     case FLAG_CLASS:
-      add_class (lop, value);
+      add_class (options, value);
       break;
     case FLAG_STREAM:
-      lop->stream_share = real (value, 1);
+      options->stream_share = parse_real (value, 1);
       break;
     case FLAG_PLAIN_SHARE:
-      lop->plain_share = real (value, 1);
+      options->plain_share = parse_real (value, 1);
       break;
     case FLAG_PLAIN_PATH:
-      g_strlcpy (lop->plain_path, value, sizeof lop->plain_path);
+      g_strlcpy (options->plain_path, value, sizeof options->plain_path);
       break;
     case FLAG_PLAIN_METHOD:
-      g_strlcpy (lop->plain_method, value, sizeof lop->plain_method);
+      g_strlcpy (options->plain_method, value, sizeof options->plain_method);
       break;
     case FLAG_DIRECT_SHARE:
-      lop->direct_share = real (value, 1);
+      options->direct_share = parse_real (value, 1);
       break;
     case FLAG_TIMEOUT:
-      lop->timeout_ms = MAX (1, number (value, 3600 * 1000));
+      options->timeout_ms = MAX (1, parse_number (value, 3600 * 1000));
       break;
     case FLAG_IDLE:
-      lop->idle = (uint32_t)number (value, 1000000);
+      options->idle = (uint32_t)parse_number (value, 1000000);
       break;
     case FLAG_SEED:
-      lop->seed = (uint32_t)number (value, G_MAXUINT32);
+      options->seed = (uint32_t)parse_number (value, G_MAXUINT32);
       break;
     case FLAG_JSON:
-      lop->json = true;
+      options->json = true;
       break;
     case FLAG_TSV:
-      lop->tsv = true;
+      options->tsv = true;
       break;
     default:
-      wrong ("wrong flag");
+      exit_usage ("wrong flag");
     }
 }
 
 static void
-check (lop_t *lop)
+check_options (lop_t *options)
 {
-  uint32_t targets = lop->target_count[LOP_FLEET] + lop->target_count[LOP_DIRECT];
+  uint32_t targets = options->target_count[LOP_FLEET] + options->target_count[LOP_DIRECT];
   if (targets == 0)
-    wrong ("no --target and no --direct");
-  if (lop->account_count == 0)
-    add_account (lop, "none:none");
-  lop->has_classes = lop->class_count > 0;
-  if (!lop->has_classes)
-    add_class (lop, "default");
-  if (lop->plain_share > 0 && lop->plain_path[0] != '/')
-    wrong ("--plain-share needs --plain-path");
-  if (strcmp (lop->plain_method, "GET") != 0 && strcmp (lop->plain_method, "POST") != 0)
-    wrong ("--plain-method is GET or POST");
-  if (lop->concurrency == 0)
-    lop->concurrency = lop->rate_s > 0 ? OPEN_CONCURRENCY : CLOSED_CONCURRENCY;
-  if (lop->target_count[LOP_FLEET] == 0)
-    lop->direct_share = 1;
-  if (lop->target_count[LOP_DIRECT] == 0)
-    lop->direct_share = 0;
+    exit_usage ("no --target and no --direct");
+  if (options->account_count == 0)
+    add_account (options, "none:none");
+  options->has_classes = options->class_count > 0;
+  if (!options->has_classes)
+    add_class (options, "default");
+  if (options->plain_share > 0 && options->plain_path[0] != '/')
+    exit_usage ("--plain-share needs --plain-path");
+  if (strcmp (options->plain_method, "GET") != 0 && strcmp (options->plain_method, "POST") != 0)
+    exit_usage ("--plain-method is GET or POST");
+  if (options->concurrency == 0)
+    options->concurrency = options->rate_s > 0 ? DEFAULT_OPEN_LOOP_IN_FLIGHT : DEFAULT_WORKERS;
+  if (options->target_count[LOP_FLEET] == 0)
+    options->direct_share = 1;
+  if (options->target_count[LOP_DIRECT] == 0)
+    options->direct_share = 0;
 }
 
 lop_t *
 lop_load (int argc, char **argv)
 {
-  lop_t *lop = g_new0 (lop_t, 1);
-  lop->requests = 1000;
-  lop->time_s = 60;
-  lop->chats = 200;
-  lop->first_bytes = 4000;
-  lop->turn_bytes = 400;
-  lop->history_limit_bytes = 256 * 1024;
-  lop->max_tokens = 16;
-  lop->direct_share = 0.5;
-  lop->timeout_ms = 60000;
-  lop->seed = 1;
-  g_strlcpy (lop->model, "model", sizeof lop->model);
-  g_strlcpy (lop->plain_method, "POST", sizeof lop->plain_method);
+  lop_t *options = g_new0 (lop_t, 1);
+  options->requests = 1000;
+  options->time_s = 60;
+  options->chats = 200;
+  options->first_bytes = 4000;
+  options->turn_bytes = 400;
+  options->history_limit_bytes = 256 * 1024;
+  options->max_tokens = 16;
+  options->direct_share = 0.5;
+  options->timeout_ms = 60000;
+  options->seed = 1;
+  g_strlcpy (options->model, "model", sizeof options->model);
+  g_strlcpy (options->plain_method, "POST", sizeof options->plain_method);
   int flag;
   while ((flag = getopt_long (argc, argv, "", flags, NULL)) != -1)
-    if (!take_load_flag (lop, flag, optarg))
-      take_flag (lop, flag, optarg);
+    if (!apply_load_flag (options, flag, optarg))
+      apply_flag (options, flag, optarg);
   if (optind != argc)
-    wrong (argv[optind]);
-  check (lop);
-  return lop;
+    exit_usage (argv[optind]);
+  check_options (options);
+  return options;
 }
--- a/bench/load_options.h
+++ b/bench/load_options.h
@@ -1,7 +1,7 @@
 /**
  * DOC: load_options
  *
- * What the load tool is asked to do, read from its flags.
+ * Command-line options of the load tool.
  */
 #ifndef BENCH_LOAD_OPTIONS_H
 #define BENCH_LOAD_OPTIONS_H
@@ -19,14 +19,19 @@
 #define LOP_LIMIT_CONCURRENCY 20000
 #define LOP_LIMIT_TIME_S (24 * 3600)
 
-/** enum lop_side - where a request goes: through the fleet, or straight to an engine */
+/** enum lop_side - where a request goes: to a router, or straight to an engine */
 typedef enum
 {
   LOP_FLEET,
   LOP_DIRECT,
-  LOP_SIDES
+  LOP_SIDES /* number of sides */
 } lop_side_t;
 
+/**
+ * struct lop_account - a client account
+ * @key: its API key
+ * @weight: share of the chats, relative to the other accounts
+ */
 typedef struct
 {
   char name[LIM_NAME_BYTES];
@@ -34,7 +39,11 @@
   uint32_t weight;
 } lop_account_t;
 
-/** struct lop_class - @max_tokens: output asked for; 0 is the tool's default */
+/**
+ * struct lop_class - a request class
+ * @weight: share of the requests, relative to the other classes
+ * @max_tokens: output tokens to ask for; 0 for the tool's default
+ */
 typedef struct
 {
   char name[LIM_NAME_BYTES];
@@ -43,15 +52,27 @@
 } lop_class_t;
 
 /**
- * struct lop - the options
- * @rate_s: open loop: requests a second; 0 is a closed loop of @concurrency callers
- * @concurrency: callers of the closed loop; in the open one, requests in flight at most
- * @zipf: exponent of the choice of chats; 0 is uniform
+ * struct load_options - the options
+ * @targets: addresses of the routers and of the engines
+ * @has_classes: false if no class was given, and requests don't name one
+ * @model: model name in the requests
+ * @requests: limit of requests
+ * @time_s: time after which no more requests are sent
+ * @rate_s: requests a second in an open loop (sent whether or not earlier ones have ended); 0 for a
+ *   closed loop of @concurrency workers, each of which waits for its answer
+ * @concurrency: workers of the closed loop; in an open loop, the most requests in flight
+ * @chats: number of chats
+ * @zipf: exponent of the Zipf distribution by which chats are chosen; 0 for uniform
  * @pause_ms: mean pause of a chat between an answer and its next turn
- * @history_limit_bytes: a chat whose history is longer starts anew
- * @plain_share: share of requests that go to @plain_path instead of a chat
- * @direct_share: share of the chats that go to the engines, when both sides have targets
- * @idle: connections to open and hold instead of sending requests
+ * @first_bytes, @turn_bytes: text of the first user message of a chat, and of each later one
+ * @history_limit_bytes: a chat with a longer history starts again with an empty one
+ * @max_tokens: output tokens to ask for, where the class doesn't say
+ * @stream_share: fraction of the chat requests that ask for a stream
+ * @plain_share: fraction of the requests that go to @plain_path and belong to no chat
+ * @direct_share: fraction of the chats and plain requests that go straight to the engines, if both
+ *   sides have targets
+ * @idle: if not 0, this many connections are opened and kept idle, and no requests are sent
+ * @json, @tsv: output format; text if neither is set
  */
 typedef struct
 {
@@ -61,7 +82,7 @@
   uint32_t account_count;
   lop_class_t classes[LOP_LIMIT_CLASSES];
   uint32_t class_count;
-  bool has_classes; /* false: none was named, and requests name none */
+  bool has_classes;
   char model[LIM_NAME_BYTES];
   uint64_t requests;
   uint64_t time_s;
@@ -86,7 +107,7 @@
   bool tsv;
 } lop_t;
 
-/** lop_load() - ends the process with status 2 after a message when a flag is wrong */
+/** lop_load() - parses the flags; on an invalid one, prints a message and exits with status 2 */
 lop_t *lop_load (int argc, char **argv);
 
 #endif
--- a/bench/load_stats.c
+++ b/bench/load_stats.c
@@ -12,16 +12,16 @@
 typedef struct
 {
   lst_times_t all;
-  GHashTable *by_class; /* name -> lst_times_t */
-  GHashTable *failures; /* text -> count */
-  GHashTable *engines;
-  GHashTable *accounts; /* answered requests by account */
+  GHashTable *by_class; /* class name -> lst_times_t */
+  GHashTable *failures; /* failure -> count */
+  GHashTable *engines;  /* engine name -> answered requests */
+  GHashTable *accounts; /* account name -> answered requests */
   uint64_t answered;
   uint64_t failed;
-  uint64_t others; /* answers that were not the caller's own */
+  uint64_t mismatched; /* answers that belong to another request */
   uint64_t prompt_tokens;
   uint64_t output_tokens;
-  uint64_t returning;
+  uint64_t returning; /* answers to later turns of a chat; the next three fields are theirs */
   uint64_t returning_prompt_tokens;
   uint64_t returning_cached_tokens;
   uint64_t reusable_tokens;
@@ -63,7 +63,7 @@
 }
 
 static void
-count (GHashTable *table, const char *name)
+increment (GHashTable *table, const char *name)
 {
   guint64 *value = g_hash_table_lookup (table, name);
   if (value == NULL)
@@ -175,7 +175,7 @@
   json_t *json = times_json (&side->all);
   json_object_set_new (json, "answered", json_integer ((json_int_t)side->answered));
   json_object_set_new (json, "failed", json_integer ((json_int_t)side->failed));
-  json_object_set_new (json, "not_own", json_integer ((json_int_t)side->others));
+  json_object_set_new (json, "not_own", json_integer ((json_int_t)side->mismatched));
   json_object_set_new (json, "answered_s", json_real ((double)side->answered / elapsed_s));
   json_object_set_new (json, "output_tokens_s",
                        json_real ((double)side->output_tokens / elapsed_s));
@@ -187,25 +187,25 @@
   return json;
 }
 
-/* How much slower the fleet is than its engines alone, taken in the same run. */
+/* Ratio of the latencies through the routers to those of the engines alone, in the same run. */
 static json_t *
-overhead_json (lst_t *lst)
+overhead_json (lst_t *stats)
 {
   json_t *json = json_object ();
-  lst_times_t *fleet = &lst->sides[LOP_FLEET].all;
-  lst_times_t *direct = &lst->sides[LOP_DIRECT].all;
+  lst_times_t *fleet = &stats->sides[LOP_FLEET].all;
+  lst_times_t *direct = &stats->sides[LOP_DIRECT].all;
   static const double shares[] = { 0.5, 0.99 };
-  static const char *const latency_names[] = { "latency_p50", "latency_p99" };
-  static const char *const first_names[] = { "first_token_p50", "first_token_p99" };
+  static const char *const latency_keys[] = { "latency_p50", "latency_p99" };
+  static const char *const first_token_keys[] = { "first_token_p50", "first_token_p99" };
   for (size_t i = 0; i < G_N_ELEMENTS (shares); i++)
     {
       double latency = percentile_ms (direct->latency_us, shares[i]);
       double first = percentile_ms (direct->first_token_us, shares[i]);
       if (latency <= 0 || first <= 0)
         continue;
-      json_object_set_new (json, latency_names[i],
+      json_object_set_new (json, latency_keys[i],
                            json_real (percentile_ms (fleet->latency_us, shares[i]) / latency));
-      json_object_set_new (json, first_names[i],
+      json_object_set_new (json, first_token_keys[i],
                            json_real (percentile_ms (fleet->first_token_us, shares[i]) / first));
     }
   return json;
@@ -218,7 +218,7 @@
   json_t *value;
   json_object_foreach ((json_t *)json, name, value)
     {
-      g_autofree char *deeper = g_strconcat (indent, "  ", NULL);
+      g_autofree char *child_prefix = g_strconcat (indent, "  ", NULL);
       if (json_is_object (value) && json_object_get (value, "p50_ms") != NULL)
         g_print ("%s%s: p50 %.2f ms, p90 %.2f ms, p99 %.2f ms, max %.2f ms of %lld\n", indent, name,
                  json_real_value (json_object_get (value, "p50_ms")),
@@ -229,7 +229,7 @@
       else if (json_is_object (value))
         {
           g_print ("%s%s:\n", indent, name);
-          print_text (value, deeper);
+          print_text (value, child_prefix);
         }
       else if (json_is_real (value))
         g_print ("%s%s: %.3f\n", indent, name, json_real_value (value));
@@ -238,18 +238,18 @@
     }
 }
 
-/* One line for each number: its path in the tree, and the number. */
+/* Prints a line PATH<TAB>NUMBER for each number in the tree. */
 static void
-print_lines (const json_t *json, const char *prefix)
+print_tsv (const json_t *json, const char *prefix)
 {
   const char *name;
   json_t *value;
   json_object_foreach ((json_t *)json, name, value)
     {
       g_autofree char *path = g_strconcat (prefix, name, NULL);
-      g_autofree char *deeper = g_strconcat (path, "/", NULL);
+      g_autofree char *child_prefix = g_strconcat (path, "/", NULL);
       if (json_is_object (value))
-        print_lines (value, deeper);
+        print_tsv (value, child_prefix);
       else
         g_print ("%s\t%.6g\n", path, json_number_value (value));
     }
@@ -258,54 +258,54 @@
 lst_t *
 lst_new (void)
 {
-  lst_t *lst = g_new0 (lst_t, 1);
+  lst_t *stats = g_new0 (lst_t, 1);
   for (int i = 0; i < LOP_SIDES; i++)
     {
-      lst_side_t *side = &lst->sides[i];
+      lst_side_t *side = &stats->sides[i];
       times_init (&side->all);
       side->by_class = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, times_free);
       side->failures = counts_new ();
       side->engines = counts_new ();
       side->accounts = counts_new ();
     }
-  return lst;
+  return stats;
 }
 
 void
-lst_free (lst_t *lst)
+lst_free (lst_t *stats)
 {
-  if (lst == NULL)
+  if (stats == NULL)
     return;
   for (int i = 0; i < LOP_SIDES; i++)
     {
-      lst_side_t *side = &lst->sides[i];
+      lst_side_t *side = &stats->sides[i];
       times_clear (&side->all);
       g_hash_table_destroy (side->by_class);
       g_hash_table_destroy (side->failures);
       g_hash_table_destroy (side->engines);
       g_hash_table_destroy (side->accounts);
     }
-  g_free (lst);
+  g_free (stats);
 }
 
 void
-lst_add (lst_t *lst, const lst_sample_t *sample)
+lst_add (lst_t *stats, const lst_sample_t *sample)
 {
-  lst_side_t *side = &lst->sides[sample->side];
+  lst_side_t *side = &stats->sides[sample->side];
   if (sample->failure != NULL)
     {
       side->failed++;
-      count (side->failures, sample->failure);
+      increment (side->failures, sample->failure);
       return;
     }
   side->answered++;
-  side->others += sample->answer->verdict == LAN_OTHERS ? 1 : 0;
+  side->mismatched += sample->answer->verdict == LAN_OTHERS ? 1 : 0;
   side->prompt_tokens += sample->answer->prompt_tokens;
   side->output_tokens += sample->answer->completion_tokens;
   times_add (&side->all, sample);
   times_add (class_times (side, sample->class_name), sample);
-  count (side->engines, sample->engine == NULL ? "unnamed" : sample->engine);
-  count (side->accounts, sample->account);
+  increment (side->engines, sample->engine == NULL ? "unnamed" : sample->engine);
+  increment (side->accounts, sample->account);
   if (sample->reusable_tokens == 0)
     return;
   side->returning++;
@@ -315,18 +315,18 @@
 }
 
 bool
-lst_print (lst_t *lst, const lop_t *options, uint64_t elapsed_us, uint64_t skipped)
+lst_print (lst_t *stats, const lop_t *options, uint64_t elapsed_us, uint64_t skipped)
 {
   json_t *json = json_object ();
-  bool others = false;
+  bool has_mismatch = false;
   for (int i = 0; i < LOP_SIDES; i++)
     {
-      others = others || lst->sides[i].others > 0;
+      has_mismatch = has_mismatch || stats->sides[i].mismatched > 0;
       if (options->target_count[i] > 0)
-        json_object_set_new (json, side_names[i], side_json (&lst->sides[i], elapsed_us));
+        json_object_set_new (json, side_names[i], side_json (&stats->sides[i], elapsed_us));
     }
   if (json_object_size (json) == LOP_SIDES)
-    json_object_set_new (json, "fleet_to_direct", overhead_json (lst));
+    json_object_set_new (json, "fleet_to_direct", overhead_json (stats));
   json_object_set_new (json, "elapsed_s", json_real ((double)elapsed_us / G_USEC_PER_SEC));
   json_object_set_new (json, "not_sent", json_integer ((json_int_t)skipped));
   if (options->json)
@@ -336,9 +336,9 @@
       free (text);
     }
   else if (options->tsv)
-    print_lines (json, "");
+    print_tsv (json, "");
   else
     print_text (json, "");
   json_decref (json);
-  return others;
+  return has_mismatch;
 }
--- a/bench/load_stats.h
+++ b/bench/load_stats.h
@@ -1,7 +1,7 @@
 /**
  * DOC: load_stats
  *
- * What the load tool measured, for each side, and how it is printed.
+ * Measurements of the load tool for each side (routers, engines), and their output.
  */
 #ifndef BENCH_LOAD_STATS_H
 #define BENCH_LOAD_STATS_H
@@ -12,10 +12,13 @@
 typedef struct lst lst_t;
 
 /**
- * struct lst_sample - one request that ended
- * @failure: NULL when answered, else what the caller saw, e.g. "503 not_run queue_full" or "cut"
- * @engine: that answered, or NULL
- * @reusable_tokens: of a returning chat: what may have been cached; 0 for a first turn
+ * struct lst_sample - one request that has ended
+ * @latency_us: from the start of the request to the last byte of the answer
+ * @first_token_us: from the start of the request to the first byte of the answer's body
+ * @failure: NULL if answered, else what the client saw, e.g. "503 not_run queue_full" or "cut"
+ * @engine: the engine that answered, or NULL if the answer doesn't name one
+ * @reusable_tokens: tokens of the chat's earlier turns that may have been cached; 0 in its first
+ * turn
  */
 typedef struct
 {
@@ -31,9 +34,14 @@
 } lst_sample_t;
 
 lst_t *lst_new (void);
-void lst_free (lst_t *lst);
-void lst_add (lst_t *lst, const lst_sample_t *sample);
-/** lst_print() - text, or one JSON object. Return: whether any answer was not the caller's own */
-bool lst_print (lst_t *lst, const lop_t *options, uint64_t elapsed_us, uint64_t skipped);
+void lst_free (lst_t *stats);
+void lst_add (lst_t *stats, const lst_sample_t *sample);
+/**
+ * lst_print() - prints all measurements in the format that @options ask for
+ * @skipped: requests that were due but not sent
+ *
+ * Return: whether any answer belonged to another request
+ */
+bool lst_print (lst_t *stats, const lop_t *options, uint64_t elapsed_us, uint64_t skipped);
 
 #endif
--- a/bench/watch_sums.c
+++ b/bench/watch_sums.c
@@ -4,17 +4,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MILLI 1000
+#define MILLI_PER_REQUEST 1000
 #define CONTROL_PREFIX "medlarplank_control_bytes_"
 
-/** struct group - a service; @ratios: max/mean of the load, of rounds with a mean of 1 or more */
+/**
+ * struct group - the daemons of a service
+ * @percent: load bound in percent of the mean load
+ * @rounds: rounds in which any of them reported a load
+ * @samples: loads reported
+ * @over_own_bound: samples over the bound that the daemon itself reported
+ * @over_true_bound: samples over the bound by the true mean of the round
+ * @load_sum: sum of the mean loads of the rounds
+ * @ratios: maximum / mean load of each round whose mean is 1 or more
+ */
 typedef struct
 {
   uint32_t percent;
   uint64_t rounds;
   uint64_t samples;
-  uint64_t over_own;
-  uint64_t over_mean;
+  uint64_t over_own_bound;
+  uint64_t over_true_bound;
   double load_sum;
   GArray *ratios;
 } group_t;
@@ -29,8 +38,8 @@
 daemon_free (gpointer data)
 {
   wsm_daemon_t *daemon = data;
-  g_hash_table_destroy (daemon->last);
-  g_hash_table_destroy (daemon->grown);
+  g_hash_table_destroy (daemon->last_values);
+  g_hash_table_destroy (daemon->growth);
   g_free (daemon->group);
   g_free (daemon->name);
   g_free (daemon);
@@ -45,15 +54,15 @@
 }
 
 static group_t *
-group_named (wsm_t *wsm, const char *name)
+find_or_add_group (wsm_t *stats, const char *name)
 {
-  group_t *group = g_hash_table_lookup (wsm->groups, name);
+  group_t *group = g_hash_table_lookup (stats->groups, name);
   if (group != NULL)
     return group;
   group = g_new0 (group_t, 1);
   group->percent = 125;
   group->ratios = g_array_new (FALSE, FALSE, sizeof (double));
-  g_hash_table_insert (wsm->groups, g_strdup (name), group);
+  g_hash_table_insert (stats->groups, g_strdup (name), group);
   return group;
 }
 
@@ -85,47 +94,48 @@
 }
 
 static void
-take_counter (wsm_daemon_t *daemon, const char *name, uint64_t value)
+add_counter (wsm_daemon_t *daemon, const char *name, uint64_t value)
 {
-  const uint64_t before = value_of (daemon->last, name);
+  const uint64_t before = value_of (daemon->last_values, name);
   const uint64_t growth = value >= before ? value - before : value;
-  set_value (daemon->last, name, value);
-  if (daemon->started)
-    set_value (daemon->grown, name, value_of (daemon->grown, name) + growth);
+  set_value (daemon->last_values, name, value);
+  if (daemon->has_baseline)
+    set_value (daemon->growth, name, value_of (daemon->growth, name) + growth);
 }
 
-/* The bound of the promise, by the true mean of this round. */
+/* The load bound, max(percent of the mean, mean + 1), with the true mean of this round. */
 static bool
-is_over_mean (uint32_t load, double mean, uint32_t percent)
+is_over_bound (uint32_t load, double mean, uint32_t percent)
 {
   return load > MAX (mean * percent / 100, mean + 1) + 1e-9;
 }
 
 static void
-count_round (wsm_t *wsm, const char *name, group_t *group)
+count_round (wsm_t *stats, const char *name, group_t *group)
 {
   uint64_t sum = 0;
-  uint32_t most = 0;
+  uint32_t max = 0;
   uint32_t count = 0;
-  for (guint i = 0; i < wsm->daemons->len; i++)
+  for (guint i = 0; i < stats->daemons->len; i++)
     {
-      const wsm_daemon_t *daemon = g_ptr_array_index (wsm->daemons, i);
+      const wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
       if (!daemon->known || strcmp (daemon->group, name) != 0)
         continue;
       sum += daemon->load;
-      most = MAX (most, daemon->load);
+      max = MAX (max, daemon->load);
       count++;
     }
   if (count == 0)
     return;
   const double mean = (double)sum / count;
-  for (guint i = 0; i < wsm->daemons->len; i++)
+  for (guint i = 0; i < stats->daemons->len; i++)
     {
-      wsm_daemon_t *daemon = g_ptr_array_index (wsm->daemons, i);
+      wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
       if (!daemon->known || strcmp (daemon->group, name) != 0)
         continue;
-      group->over_own += (uint64_t)daemon->load * MILLI > daemon->bound_milli ? 1 : 0;
-      group->over_mean += is_over_mean (daemon->load, mean, group->percent) ? 1 : 0;
+      group->over_own_bound +=
+          (uint64_t)daemon->load * MILLI_PER_REQUEST > daemon->bound_milli ? 1 : 0;
+      group->over_true_bound += is_over_bound (daemon->load, mean, group->percent) ? 1 : 0;
       daemon->load_sum += daemon->load;
       daemon->load_count++;
     }
@@ -134,7 +144,7 @@
   group->load_sum += mean;
   if (mean < 1)
     return;
-  const double ratio = most / mean;
+  const double ratio = max / mean;
   g_array_append_val (group->ratios, ratio);
 }
 
@@ -154,76 +164,78 @@
   return g_array_index (sorted, double, (guint)(share * (sorted->len - 1) + 0.5));
 }
 
-/* Of the loads averaged over the whole time: what chance of the moment evens out is left out. */
+/* Maximum / mean of the daemons' loads averaged over the whole time. Unlike the ratios of single
+ * rounds, it doesn't contain short random imbalance. */
 static double
-average_ratio (const wsm_t *wsm, const char *name)
+ratio_of_averages (const wsm_t *stats, const char *name)
 {
   double sum = 0;
-  double most = 0;
+  double max = 0;
   uint32_t count = 0;
-  for (guint i = 0; i < wsm->daemons->len; i++)
+  for (guint i = 0; i < stats->daemons->len; i++)
     {
-      const wsm_daemon_t *daemon = g_ptr_array_index (wsm->daemons, i);
+      const wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
       if (strcmp (daemon->group, name) != 0 || daemon->load_count == 0)
         continue;
       const double load = (double)daemon->load_sum / (double)daemon->load_count;
       sum += load;
-      most = MAX (most, load);
+      max = MAX (max, load);
       count++;
     }
-  return sum > 0 ? most / (sum / count) : NAN;
+  return sum > 0 ? max / (sum / count) : NAN;
 }
 
 static void
-print_group (const wsm_t *wsm, const char *name, group_t *group)
+print_group (const wsm_t *stats, const char *name, group_t *group)
 {
   if (group->rounds == 0)
     return;
   g_array_sort (group->ratios, by_value);
   g_print ("%s/rounds\t%" G_GUINT64_FORMAT "\n", name, group->rounds);
   g_print ("%s/samples\t%" G_GUINT64_FORMAT "\n", name, group->samples);
-  g_print ("%s/over_own\t%" G_GUINT64_FORMAT "\n", name, group->over_own);
-  g_print ("%s/over_mean\t%" G_GUINT64_FORMAT "\n", name, group->over_mean);
+  g_print ("%s/over_own\t%" G_GUINT64_FORMAT "\n", name, group->over_own_bound);
+  g_print ("%s/over_mean\t%" G_GUINT64_FORMAT "\n", name, group->over_true_bound);
   g_print ("%s/mean_load\t%.3f\n", name, group->load_sum / (double)group->rounds);
   g_print ("%s/ratio_p50\t%.3f\n", name, percentile (group->ratios, 0.5));
   g_print ("%s/ratio_p99\t%.3f\n", name, percentile (group->ratios, 0.99));
   g_print ("%s/ratio_max\t%.3f\n", name, percentile (group->ratios, 1));
-  g_print ("%s/ratio_average\t%.3f\n", name, average_ratio (wsm, name));
+  g_print ("%s/ratio_average\t%.3f\n", name, ratio_of_averages (stats, name));
 }
 
 static uint64_t
 control_bytes (const wsm_daemon_t *daemon)
 {
-  return value_of (daemon->grown, CONTROL_PREFIX "sent_total") +
-         value_of (daemon->grown, CONTROL_PREFIX "received_total");
+  return value_of (daemon->growth, CONTROL_PREFIX "sent_total") +
+         value_of (daemon->growth, CONTROL_PREFIX "received_total");
 }
 
 static void
-print_control (const wsm_t *wsm, double seconds)
+print_control (const wsm_t *stats, double seconds)
 {
   double sum = 0;
-  double most = 0;
-  for (guint i = 0; i < wsm->daemons->len; i++)
+  double max = 0;
+  for (guint i = 0; i < stats->daemons->len; i++)
     {
-      const double bytes_s = (double)control_bytes (g_ptr_array_index (wsm->daemons, i)) / seconds;
+      const double bytes_s =
+          (double)control_bytes (g_ptr_array_index (stats->daemons, i)) / seconds;
       sum += bytes_s;
-      most = MAX (most, bytes_s);
+      max = MAX (max, bytes_s);
     }
-  g_print ("control_bytes_s/mean\t%.0f\n", sum / MAX (wsm->daemons->len, 1));
-  g_print ("control_bytes_s/max\t%.0f\n", most);
+  g_print ("control_bytes_s/mean\t%.0f\n", sum / MAX (stats->daemons->len, 1));
+  g_print ("control_bytes_s/max\t%.0f\n", max);
 }
 
 static void
-print_counters (const wsm_t *wsm)
+print_counters (const wsm_t *stats)
 {
   g_autoptr (GHashTable) sums = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   GHashTableIter iter;
   gpointer name;
   gpointer value;
-  for (guint i = 0; i < wsm->daemons->len; i++)
+  for (guint i = 0; i < stats->daemons->len; i++)
     {
-      const wsm_daemon_t *daemon = g_ptr_array_index (wsm->daemons, i);
-      g_hash_table_iter_init (&iter, daemon->grown);
+      const wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
+      g_hash_table_iter_init (&iter, daemon->growth);
       while (g_hash_table_iter_next (&iter, &name, &value))
         set_value (sums, name, value_of (sums, name) + *(guint64 *)value);
     }
@@ -236,38 +248,38 @@
 wsm_t *
 wsm_new (void)
 {
-  wsm_t *wsm = g_new0 (wsm_t, 1);
-  wsm->daemons = g_ptr_array_new_with_free_func (daemon_free);
-  wsm->groups = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, group_free);
-  return wsm;
+  wsm_t *stats = g_new0 (wsm_t, 1);
+  stats->daemons = g_ptr_array_new_with_free_func (daemon_free);
+  stats->groups = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, group_free);
+  return stats;
 }
 
 void
-wsm_free (wsm_t *wsm)
+wsm_free (wsm_t *stats)
 {
-  if (wsm == NULL)
+  if (stats == NULL)
     return;
-  g_ptr_array_free (wsm->daemons, TRUE);
-  g_hash_table_destroy (wsm->groups);
-  g_free (wsm);
+  g_ptr_array_free (stats->daemons, TRUE);
+  g_hash_table_destroy (stats->groups);
+  g_free (stats);
 }
 
 wsm_daemon_t *
-wsm_add (wsm_t *wsm, const char *group, const char *name)
+wsm_add (wsm_t *stats, const char *group, const char *name)
 {
   wsm_daemon_t *daemon = g_new0 (wsm_daemon_t, 1);
   daemon->group = g_strdup (group);
   daemon->name = g_strdup (name);
-  daemon->last = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  daemon->grown = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_ptr_array_add (wsm->daemons, daemon);
+  daemon->last_values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  daemon->growth = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  g_ptr_array_add (stats->daemons, daemon);
   return daemon;
 }
 
 void
-wsm_bound (wsm_t *wsm, const char *group, uint32_t percent)
+wsm_bound (wsm_t *stats, const char *group, uint32_t percent)
 {
-  group_named (wsm, group)->percent = percent;
+  find_or_add_group (stats, group)->percent = percent;
 }
 
 void
@@ -281,34 +293,34 @@
         continue;
       *blank = '\0';
       if (is_counter (*line))
-        take_counter (daemon, *line, strtoull (blank + 1, NULL, 10));
+        add_counter (daemon, *line, strtoull (blank + 1, NULL, 10));
     }
-  daemon->started = true;
+  daemon->has_baseline = true;
 }
 
 void
-wsm_round (wsm_t *wsm)
+wsm_round (wsm_t *stats)
 {
   GHashTableIter iter;
   gpointer name;
   gpointer group;
-  g_hash_table_iter_init (&iter, wsm->groups);
+  g_hash_table_iter_init (&iter, stats->groups);
   while (g_hash_table_iter_next (&iter, &name, &group))
-    count_round (wsm, name, group);
-  for (guint i = 0; i < wsm->daemons->len; i++)
-    ((wsm_daemon_t *)g_ptr_array_index (wsm->daemons, i))->known = false;
+    count_round (stats, name, group);
+  for (guint i = 0; i < stats->daemons->len; i++)
+    ((wsm_daemon_t *)g_ptr_array_index (stats->daemons, i))->known = false;
 }
 
 void
-wsm_print (wsm_t *wsm, double seconds)
+wsm_print (wsm_t *stats, double seconds)
 {
   GHashTableIter iter;
   gpointer name;
   gpointer group;
   g_print ("seconds\t%.3f\n", seconds);
-  g_hash_table_iter_init (&iter, wsm->groups);
+  g_hash_table_iter_init (&iter, stats->groups);
   while (g_hash_table_iter_next (&iter, &name, &group))
-    print_group (wsm, name, group);
-  print_control (wsm, seconds);
-  print_counters (wsm);
+    print_group (stats, name, group);
+  print_control (stats, seconds);
+  print_counters (stats);
 }
--- a/bench/watch_sums.h
+++ b/bench/watch_sums.h
@@ -1,8 +1,9 @@
 /**
  * DOC: watch_sums
  *
- * What a watched fleet did: how its load was spread from moment to moment, and how its counters
- * grew. A counter that a restarted daemon began anew is added on, not subtracted.
+ * Statistics of a fleet that is polled: how evenly the load is distributed at each moment, and by
+ * how much the counters grew. When a counter is smaller than before, its daemon was restarted, and
+ * the new value counts as growth.
  */
 #ifndef BENCH_WATCH_SUMS_H
 #define BENCH_WATCH_SUMS_H
@@ -14,15 +15,21 @@
 /**
  * struct wsm_daemon - one daemon
  * @group: its service, or "router"
- * @load, @bound_milli: as it said in this round; only when @known
+ * @last_values: metric -> the value of a counter in the last poll
+ * @growth: metric -> how much a counter has grown since the first poll
+ * @has_baseline: whether its counters have been read before
+ * @known: whether it reported @load and @bound_milli in this round
+ * @load: requests that it runs
+ * @bound_milli: its own load bound, in thousandths of a request
+ * @load_sum, @load_count: sum and number of all reported loads
  */
 typedef struct
 {
   char *group;
   char *name;
-  GHashTable *last;  /* counter -> its last value */
-  GHashTable *grown; /* counter -> how much it grew */
-  bool started;      /* its counters were read before */
+  GHashTable *last_values;
+  GHashTable *growth;
+  bool has_baseline;
   bool known;
   uint32_t load;
   uint32_t bound_milli;
@@ -33,16 +40,16 @@
 typedef struct wsm wsm_t;
 
 wsm_t *wsm_new (void);
-void wsm_free (wsm_t *wsm);
-/** wsm_add() - Return: the daemon, which @wsm keeps */
-wsm_daemon_t *wsm_add (wsm_t *wsm, const char *group, const char *name);
-/** wsm_bound() - @percent of the mean is the service's bound */
-void wsm_bound (wsm_t *wsm, const char *group, uint32_t percent);
-/** wsm_metrics() - the text of /metrics of @daemon */
+void wsm_free (wsm_t *stats);
+/** wsm_add() - adds a daemon. Return: the daemon, owned by @stats */
+wsm_daemon_t *wsm_add (wsm_t *stats, const char *group, const char *name);
+/** wsm_bound() - sets the load bound of a service, in percent of its mean load; 125 if not set */
+void wsm_bound (wsm_t *stats, const char *group, uint32_t percent);
+/** wsm_metrics() - reads the counters in the text of the /metrics page of @daemon */
 void wsm_metrics (wsm_daemon_t *daemon, const char *text);
-/** wsm_round() - all daemons that answer have been asked once; counts and forgets @known */
-void wsm_round (wsm_t *wsm);
-/** wsm_print() - lines of NAME<TAB>VALUE */
-void wsm_print (wsm_t *wsm, double seconds);
+/** wsm_round() - ends a round of polls: adds the reported loads, and resets @known */
+void wsm_round (wsm_t *stats);
+/** wsm_print() - prints lines NAME<TAB>VALUE; @seconds is the time watched */
+void wsm_print (wsm_t *stats, double seconds);
 
 #endif
