--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -1,8 +1,9 @@
 /**
  * DOC: bench_decisions
  *
- * Runs workloads and faults under the policy and its baselines, and prints a table for each
- * workload and fault; with --tsv also one line for each run. See docs/measurements/.
+ * Simulates workloads and faults under the product's policy and its baselines. Prints a table for
+ * each workload and fault, averaged over the seeds; with --tsv also a line for each run. See
+ * docs/measurements/.
  */
 #include "world.h"
 
@@ -11,21 +12,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WARM_UP_LIFETIMES 2
-#define ROUTERS 6
-#define ENGINES 12
+#define WARM_UP_LIFETIMES 2 /* cache lifetimes before the measurement */
+#define DEFAULT_ROUTERS 6
+#define DEFAULT_ENGINES 12
 
 typedef struct
 {
   const char *workload;
   int policy; /* -1 for all */
-  int fault;
+  int fault;  /* -1 for all */
   uint32_t engines;
   uint32_t routers;
   uint32_t bound_percent;
   uint32_t seeds;
-  uint32_t window_s;
-  uint32_t warm_up_s; /* 0 for the usual */
+  uint32_t window_s;  /* 0 for the fault's own */
+  uint32_t warm_up_s; /* 0 for WARM_UP_LIFETIMES */
   FILE *tsv;
 } options_t;
 
@@ -52,10 +53,10 @@
   COL_SHORT_RATIO,
   COL_REFUSED,
   COL_QUIET_REFUSED,
-  COL_UNSURE,
-  COL_SAID_BOUND,
-  COL_SAID_ELSEWHERE,
-  COL_SAID_LATE,
+  COL_MAY_HAVE_RUN,
+  COL_REFUSED_BOUND,
+  COL_REFUSED_ELSEWHERE,
+  COL_REFUSED_DEADLINE,
   COL_REQUESTS,
   COLUMNS
 } column_t;
@@ -76,7 +77,7 @@
 }
 
 static void
-take_row (fig_t *figures, double row[COLUMNS])
+fill_row (fig_t *figures, double row[COLUMNS])
 {
   const double dispatches = (double)MAX (figures->dispatches, 1);
   row[COL_CACHED] = percent (figures->cached_tokens, figures->prefix_tokens);
@@ -97,10 +98,10 @@
   row[COL_QUIET_FIRST] = fig_quantile (&figures->quiet_first, 0.99);
   row[COL_REFUSED] = percent (figures->refused, figures->requests);
   row[COL_QUIET_REFUSED] = percent (figures->quiet_refused, figures->quiet_requests);
-  row[COL_UNSURE] = (double)figures->may_have_run;
-  row[COL_SAID_BOUND] = percent (figures->refusals[VRD_REASON_OVER_BOUND], figures->requests);
-  row[COL_SAID_ELSEWHERE] = percent (figures->refusals[VRD_REASON_ELSEWHERE], figures->requests);
-  row[COL_SAID_LATE] = percent (figures->refusals[VRD_REASON_DEADLINE], figures->requests);
+  row[COL_MAY_HAVE_RUN] = (double)figures->may_have_run;
+  row[COL_REFUSED_BOUND] = percent (figures->refusals[VRD_REASON_OVER_BOUND], figures->requests);
+  row[COL_REFUSED_ELSEWHERE] = percent (figures->refusals[VRD_REASON_ELSEWHERE], figures->requests);
+  row[COL_REFUSED_DEADLINE] = percent (figures->refusals[VRD_REASON_DEADLINE], figures->requests);
   row[COL_REQUESTS] = (double)figures->requests;
 }
 
@@ -109,25 +110,25 @@
 {
   fig_t figures;
   wld_run (run, &figures);
-  take_row (&figures, row);
+  fill_row (&figures, row);
   fig_clear (&figures);
 }
 
-/* With the same callers over the same window, but without the fault. */
+/* Compares with a run of the same sessions and window without the fault. */
 static void
-compare_calm (wld_options_t run, double row[COLUMNS])
+add_fault_ratios (wld_options_t run, double row[COLUMNS])
 {
-  double calm[COLUMNS];
+  double fault_free[COLUMNS];
   row[COL_CACHED_RATIO] = 100;
   row[COL_QUIET_RATIO] = 1;
   row[COL_SHORT_RATIO] = 1;
   if (run.fault == WLD_STEADY)
     return;
-  run.calm = true;
-  run_once (&run, calm);
-  row[COL_CACHED_RATIO] = 100 * row[COL_CACHED] / MAX (calm[COL_CACHED], 1);
-  row[COL_QUIET_RATIO] = row[COL_QUIET_FIRST] / MAX (calm[COL_QUIET_FIRST], 1);
-  row[COL_SHORT_RATIO] = row[COL_SHORT_FIRST] / MAX (calm[COL_SHORT_FIRST], 1);
+  run.without_fault = true;
+  run_once (&run, fault_free);
+  row[COL_CACHED_RATIO] = 100 * row[COL_CACHED] / MAX (fault_free[COL_CACHED], 1);
+  row[COL_QUIET_RATIO] = row[COL_QUIET_FIRST] / MAX (fault_free[COL_QUIET_FIRST], 1);
+  row[COL_SHORT_RATIO] = row[COL_SHORT_FIRST] / MAX (fault_free[COL_SHORT_FIRST], 1);
 }
 
 static void
@@ -157,7 +158,7 @@
       double row[COLUMNS];
       run.seed = seed;
       run_once (&run, row);
-      compare_calm (run, row);
+      add_fault_ratios (run, row);
       write_tsv (options, &run, row);
       for (uint32_t i = 0; i < COLUMNS; i++)
         sum[i] = i == COL_SKEW_PEAK || i == COL_EXCESS ? MAX (sum[i], row[i])
@@ -278,7 +279,7 @@
 {
   static const char *const workloads[] = { "tuul", "jogak" };
   options_t options = {
-    .policy = -1, .fault = -1, .engines = ENGINES, .routers = ROUTERS, .seeds = 3
+    .policy = -1, .fault = -1, .engines = DEFAULT_ENGINES, .routers = DEFAULT_ROUTERS, .seeds = 3
   };
   read_options (argc, argv, &options);
   printf ("seeds 1..%u\n", options.seeds);
--- a/bench/world.h
+++ b/bench/world.h
@@ -1,10 +1,11 @@
 /**
  * DOC: world
  *
- * Engines, routers and callers of the benchmark in virtual time. The decisions are those of the
- * product: chs_choose(), att_*, adm_*, mean_*, mem_*, hlt_*. There is no model of a network: a hop
- * takes no time, and an exchange arrives at once. Engines take a time for each prompt token that
- * is not cached and for each output token, whatever else they run.
+ * Discrete-event simulation of engines, routers and their clients in virtual time. The decisions
+ * are made by the product's own code: the choice of candidates, attempts, admission, mean load,
+ * membership and engine health. The network is not modelled: requests and gossip messages arrive
+ * without delay. An engine takes a fixed time for each uncached prompt token and for each output
+ * token, independent of its load.
  */
 #ifndef BENCH_WORLD_H
 #define BENCH_WORLD_H
@@ -22,34 +23,38 @@
 
 #include <glib.h>
 
+/** enum wld_policy - how routers choose engines: the product's policy and its baselines */
 typedef enum
 {
-  WLD_FULL,
-  WLD_BOUNDED,    /* bounded load over rendezvous candidates: no directory, no referral */
-  WLD_RENDEZVOUS, /* always the first candidate */
-  WLD_LEAST,      /* least loaded by the samples that the router has heard */
-  WLD_ORACLE,     /* least loaded by the true loads */
-  WLD_RANDOM,
-  WLD_POLICIES
+  WLD_FULL,       /* the product's policy */
+  WLD_BOUNDED,    /* rendezvous hashing with bounded loads, without directory and referrals */
+  WLD_RENDEZVOUS, /* always the first candidate of rendezvous hashing */
+  WLD_LEAST,      /* the least loaded engine by the load samples that the router has received */
+  WLD_ORACLE,     /* the least loaded engine by the true loads */
+  WLD_RANDOM,     /* a random engine */
+  WLD_POLICIES    /* number of policies */
 } wld_policy_t;
 
+/** enum wld_fault - what goes wrong during the measurement */
 typedef enum
 {
-  WLD_STEADY,
-  WLD_SURGE,   /* one small account a hundredfold for a minute */
-  WLD_JOIN,    /* two engines more, one after the other */
-  WLD_ROLLING, /* every engine replaced under its name, one each cache lifetime */
-  WLD_FLAP,    /* an engine unreachable for five seconds, again and again */
-  WLD_CENTER,  /* a third of the engines lost at once, back after a minute, empty */
-  WLD_DARK,    /* an engine that no router reaches, while all daemons hear it */
-  WLD_LATE,    /* as rolling, with lists 3 to 7 seconds late, each view by its own time */
-  WLD_FAULTS
+  WLD_STEADY,  /* nothing */
+  WLD_SURGE,   /* one small account sends 100 times its rate for a minute */
+  WLD_JOIN,    /* two engines are added, one after the other */
+  WLD_ROLLING, /* engines are replaced under their names, one per cache lifetime */
+  WLD_FLAP,    /* an engine is unreachable for 5 s in every 30 s */
+  WLD_CENTER,  /* a third of the engines crash at once and return empty after a minute */
+  WLD_DARK,    /* routers can't reach an engine, while its gossip reaches all daemons */
+  WLD_LATE,    /* as rolling, with host lists that are 3 to 7 s late */
+  WLD_FAULTS   /* number of faults */
 } wld_fault_t;
 
 /**
- * struct wld_options - one run
- * @window_us: measured, after the warm-up
- * @bound_percent: 0 for the workload's
+ * struct wld_options - settings of one run
+ * @bound_percent: load bound in percent of the mean load; 0 for the workload's own
+ * @warm_up_us: virtual time before the measurement and the fault begin
+ * @window_us: virtual time that is measured after the warm-up
+ * @without_fault: run with the same sessions and window as @fault, but without the fault
  */
 typedef struct
 {
@@ -62,15 +67,15 @@
   uint64_t seed;
   uint64_t warm_up_us;
   uint64_t window_us;
-  bool calm; /* the fault's run without the fault, over the same window */
+  bool without_fault;
 } wld_options_t;
 
 extern const char *const wld_policy_names[WLD_POLICIES];
 extern const char *const wld_fault_names[WLD_FAULTS];
 
-/** wld_window_us() - how long a fault is to be measured for */
+/** wld_window_us() - how long a fault has to be measured */
 uint64_t wld_window_us (const wkl_t *workload, wld_fault_t fault, uint32_t engine_count);
-/** wld_run() - one run; @figures to be cleared by fig_clear() */
+/** wld_run() - simulates one run; @figures are to be cleared by fig_clear() */
 void wld_run (const wld_options_t *options, fig_t *figures);
 
 #endif
--- a/bench/world_engine.c
+++ b/bench/world_engine.c
@@ -1,26 +1,26 @@
 #include "world_parts.h"
 
-/** struct run - one request on an engine; a crash takes it off before its event comes */
+/** struct completion - data of the event that ends a request; no @call after its engine's crash */
 typedef struct
 {
-  wld_flight_t *flight;
-} run_t;
+  wld_flight_t *call;
+} completion_t;
 
 static void
-change_load (wld_t *world, uint32_t before, uint32_t after)
+move_true_load (wld_t *world, uint32_t before, uint32_t after)
 {
   wld_true_t *loads = &world->loads;
-  g_assert (after < loads->room);
-  loads->engines_at[before]--;
-  loads->engines_at[after]++;
+  g_assert (after < loads->load_limit);
+  loads->engines_with_load[before]--;
+  loads->engines_with_load[after]++;
   loads->sum = loads->sum - before + after;
   loads->max = MAX (loads->max, after);
-  while (loads->max > 0 && loads->engines_at[loads->max] == 0)
+  while (loads->max > 0 && loads->engines_with_load[loads->max] == 0)
     loads->max--;
 }
 
 static adm_policy_t
-admission_of (wld_policy_t policy)
+admission_policy_for (wld_policy_t policy)
 {
   if (policy == WLD_FULL)
     return ADM_POLICY_FULL;
@@ -35,7 +35,7 @@
 }
 
 static adm_options_t
-options_of (wld_t *world, wld_engine_t *engine)
+make_admission_options (wld_t *world, wld_engine_t *engine)
 {
   const wkl_t *workload = world->options.workload;
   return (adm_options_t){ .engine_hash = engine->hash,
@@ -46,20 +46,20 @@
                           .prefill_tokens_s = workload->prefill_tokens_s,
                           .cache_lifetime_us = (uint64_t)workload->cache_lifetime_s * CLK_US_PER_S,
                           .seed = world->options.seed * 977 + engine->index,
-                          .policy = admission_of (world->options.policy),
+                          .policy = admission_policy_for (world->options.policy),
                           .is_live = lst_is_live,
                           .context = engine->daemon.view };
 }
 
 static void
-note_bound (wld_t *world, const wld_engine_t *engine)
+record_load (wld_t *world, const wld_engine_t *engine)
 {
   const wld_true_t *loads = &world->loads;
   if (!wld_measured (world) || loads->count == 0)
     return;
   const double mean = (double)loads->sum / loads->count;
   const double bound = MAX (mean * bound_percent (world) / 100.0, mean + 1.0);
-  const double load = adm_load (engine->adm);
+  const double load = adm_load (engine->admission);
   fig_t *figures = world->figures;
   figures->dispatches++;
   figures->load_sum += mean;
@@ -72,26 +72,29 @@
 }
 
 static void
-note_wait (wld_t *world, const wld_flight_t *flight)
+record_wait (wld_t *world, const wld_flight_t *call)
 {
   if (!wld_measured (world))
     return;
   fig_t *figures = world->figures;
-  const wkl_session_t *session = flight->session;
-  const double wait_ms = (double)(world->now_us - flight->arrived_us) / 1000.0;
-  const double first_ms = (double)(flight->first_token_us - flight->arrived_us) / 1000.0;
+  const wkl_session_t *session = call->session;
+  const double wait_ms = (double)(world->now_us - call->arrived_us) / 1000.0;
+  const double first_ms = (double)(call->first_token_us - call->arrived_us) / 1000.0;
   if (session->account == world->options.workload->surging_account)
     return;
   fig_add (&figures->quiet_wait, wait_ms);
   fig_add (&figures->quiet_first, first_ms);
-  if (flight->request.item.priority != 0)
+  if (call->request.item.priority != 0)
     return;
   fig_add (&figures->short_wait, wait_ms);
   fig_add (&figures->short_first, first_ms);
 }
 
 static void
-note_cache (wld_t *world, const wld_engine_t *engine, const wkl_session_t *session, uint32_t found)
+record_cache_use (wld_t *world,
+                  const wld_engine_t *engine,
+                  const wkl_session_t *session,
+                  uint32_t found)
 {
   fig_t *figures = world->figures;
   if (!wld_measured (world) || session->turn == 0)
@@ -109,45 +112,45 @@
 }
 
 static uint32_t
-read_cache (wld_t *world, wld_engine_t *engine, const wld_flight_t *flight)
+use_cache (wld_t *world, wld_engine_t *engine, const wld_flight_t *call)
 {
-  const wkl_session_t *session = flight->session;
-  if (!flight->request.has_chat)
+  const wkl_session_t *session = call->session;
+  if (!call->request.has_chat)
     return 0;
-  const uint32_t held = cch_get (engine->cache, session->chat_hash);
-  const uint32_t found = MIN (held, session->context_tokens);
-  note_cache (world, engine, session, found);
-  cch_put (engine->cache, session->chat_hash, flight->turn.prompt_tokens);
+  const uint32_t cached = cch_get (engine->cache, session->chat_hash);
+  const uint32_t found = MIN (cached, session->context_tokens);
+  record_cache_use (world, engine, session, found);
+  cch_put (engine->cache, session->chat_hash, call->turn.prompt_tokens);
   return found;
 }
 
 static void
-start (wld_t *world, wld_engine_t *engine, wld_flight_t *flight)
+start_request (wld_t *world, wld_engine_t *engine, wld_flight_t *call)
 {
   const wkl_t *workload = world->options.workload;
-  const uint32_t load = adm_load (engine->adm);
+  const uint32_t load = adm_load (engine->admission);
   if (engine->counted)
-    change_load (world, load - 1, load);
-  const uint32_t found = read_cache (world, engine, flight);
+    move_true_load (world, load - 1, load);
+  const uint32_t found = use_cache (world, engine, call);
   const uint64_t prefill_us =
-      (uint64_t)(flight->turn.prompt_tokens - found) * CLK_US_PER_S / workload->prefill_tokens_s;
-  const uint64_t decode_us = (uint64_t)flight->turn.output_tokens * workload->token_us;
-  flight->engine = engine;
-  flight->first_token_us = world->now_us + prefill_us + workload->token_us;
-  flight->link = (GList){ .data = flight };
-  g_queue_push_tail_link (&engine->running, &flight->link);
-  run_t *run = g_new0 (run_t, 1);
-  run->flight = flight;
-  flight->run = run;
-  evt_add (&world->events, world->now_us + prefill_us + decode_us, EVT_FINISH, 0, run);
-  note_bound (world, engine);
-  note_wait (world, flight);
+      (uint64_t)(call->turn.prompt_tokens - found) * CLK_US_PER_S / workload->prefill_tokens_s;
+  const uint64_t decode_us = (uint64_t)call->turn.output_tokens * workload->token_us;
+  call->engine = engine;
+  call->first_token_us = world->now_us + prefill_us + workload->token_us;
+  call->link = (GList){ .data = call };
+  g_queue_push_tail_link (&engine->running, &call->link);
+  completion_t *completion = g_new0 (completion_t, 1);
+  completion->call = call;
+  call->completion = completion;
+  evt_add (&world->events, world->now_us + prefill_us + decode_us, EVT_FINISH, 0, completion);
+  record_load (world, engine);
+  record_wait (world, call);
 }
 
 static void
-close_if_drained (wld_t *world, wld_engine_t *engine)
+stop_if_drained (wld_t *world, wld_engine_t *engine)
 {
-  if (!engine->leaving || adm_load (engine->adm) > 0)
+  if (!engine->leaving || adm_load (engine->admission) > 0)
     return;
   lst_change (world, engine, MEM_GONE);
   eng_close (world, engine);
@@ -164,11 +167,13 @@
       plc_rank (view->engines, view->count, world->service_hash, entry->chat_hash, order, 2);
   for (uint32_t i = 0; i < found; i++)
     {
-      wld_engine_t *next = g_hash_table_lookup (world->by_hash, &view->engines[order[i]].hash);
+      wld_engine_t *next =
+          g_hash_table_lookup (world->engines_by_hash, &view->engines[order[i]].hash);
       if (next == engine)
         continue;
       if (next->present && entry->engine_hash != engine->hash && entry->engine_hash != next->hash)
-        dir_put (adm_directory (next->adm), entry->served_us, entry->chat_hash, entry->engine_hash);
+        dir_put (adm_directory (next->admission), entry->served_us, entry->chat_hash,
+                 entry->engine_hash);
       return;
     }
 }
@@ -179,47 +184,47 @@
   if (engine->counted == counted)
     return;
   wld_true_t *loads = &world->loads;
-  const uint32_t load = adm_load (engine->adm);
+  const uint32_t load = adm_load (engine->admission);
   if (!counted)
-    change_load (world, load, 0);
-  loads->engines_at[0] += counted ? 1 : -1;
+    move_true_load (world, load, 0);
+  loads->engines_with_load[0] += counted ? 1 : -1;
   loads->count += counted ? 1 : -1;
   engine->counted = counted;
   if (counted && load > 0)
-    change_load (world, 0, load);
+    move_true_load (world, 0, load);
 }
 
 void
 eng_open (wld_t *world, wld_engine_t *engine, bool joined)
 {
-  const adm_options_t options = options_of (world, engine);
-  engine->adm = adm_new (&options);
+  const adm_options_t options = make_admission_options (world, engine);
+  engine->admission = adm_new (&options);
   engine->cache = cch_new (world->options.workload->cache_tokens);
-  engine->daemon.mean = adm_mean (engine->adm);
+  engine->daemon.mean = adm_mean (engine->admission);
   engine->incarnation++;
   engine->sequence = 1;
   engine->present = true;
   engine->reachable = true;
   engine->leaving = false;
   if (joined)
-    adm_set_joined (engine->adm, world->now_us);
+    adm_set_joined (engine->admission, world->now_us);
   eng_count (world, engine, true);
 }
 
 void
 eng_configure (wld_t *world, wld_engine_t *engine)
 {
-  const adm_options_t options = options_of (world, engine);
-  adm_configure (engine->adm, &options);
+  const adm_options_t options = make_admission_options (world, engine);
+  adm_configure (engine->admission, &options);
 }
 
 void
 eng_close (wld_t *world, wld_engine_t *engine)
 {
   eng_count (world, engine, false);
-  adm_free (engine->adm);
+  adm_free (engine->admission);
   cch_free (engine->cache);
-  engine->adm = NULL;
+  engine->admission = NULL;
   engine->cache = NULL;
   engine->daemon.mean = NULL;
   engine->present = false;
@@ -231,16 +236,16 @@
   engine->leaving = true;
   engine->sequence++;
   eng_count (world, engine, false);
-  adm_set_leaving (engine->adm, true);
+  adm_set_leaving (engine->admission, true);
   lst_change (world, engine, MEM_LEAVING);
   const uint32_t daemons = lst_daemon_count (world);
   for (uint32_t i = 0; i < 3; i++)
     lst_tell (world, &engine->daemon,
-              lst_daemon (world, rnd_below (&world->random_world, daemons)));
+              lst_daemon (world, rnd_below (&world->random_events, daemons)));
   if (world->options.policy == WLD_FULL)
-    dir_each (adm_directory (engine->adm), hand_over, engine);
+    dir_each (adm_directory (engine->admission), hand_over, engine);
   eng_pump (world, engine);
-  close_if_drained (world, engine);
+  stop_if_drained (world, engine);
 }
 
 void
@@ -248,17 +253,17 @@
 {
   GQueue lost = G_QUEUE_INIT;
   adm_decision_t decision;
-  wld_flight_t *flight;
-  /* Those that wait are lost with the host too: nobody is left to say that they did not run. */
-  adm_set_engine_up (engine->adm, false);
+  wld_flight_t *call;
+  /* Queued requests are lost as well: nothing is left to confirm that they didn't run. */
+  adm_set_engine_up (engine->admission, false);
   adm_request_t *waiting;
-  while ((waiting = adm_reject (engine->adm, world->now_us, &decision)) != NULL)
+  while ((waiting = adm_reject (engine->admission, world->now_us, &decision)) != NULL)
     g_queue_push_tail (&lost, waiting);
-  while ((flight = g_queue_peek_head (&engine->running)) != NULL)
+  while ((call = g_queue_peek_head (&engine->running)) != NULL)
     {
-      g_queue_unlink (&engine->running, &flight->link);
-      ((run_t *)flight->run)->flight = NULL;
-      g_queue_push_tail (&lost, &flight->request);
+      g_queue_unlink (&engine->running, &call->link);
+      ((completion_t *)call->completion)->call = NULL;
+      g_queue_push_tail (&lost, &call->request);
     }
   eng_close (world, engine);
   adm_request_t *request;
@@ -267,13 +272,13 @@
 }
 
 bool
-eng_offer (wld_t *world, wld_engine_t *engine, wld_flight_t *flight, adm_decision_t *decision)
+eng_offer (wld_t *world, wld_engine_t *engine, wld_flight_t *call, adm_decision_t *decision)
 {
-  *decision = adm_offer (engine->adm, world->now_us, &flight->request);
+  *decision = adm_offer (engine->admission, world->now_us, &call->request);
   switch (decision->action)
     {
     case ADM_DISPATCH:
-      start (world, engine, flight);
+      start_request (world, engine, call);
       return true;
     case ADM_WAIT:
       eng_pump (world, engine);
@@ -288,25 +293,25 @@
 void
 eng_finish (wld_t *world, void *data)
 {
-  run_t *run = data;
-  wld_flight_t *flight = run->flight;
-  g_free (run);
-  if (flight == NULL)
+  completion_t *completion = data;
+  wld_flight_t *call = completion->call;
+  g_free (completion);
+  if (call == NULL)
     return;
-  wld_engine_t *engine = flight->engine;
-  const uint32_t load = adm_load (engine->adm);
-  const uint32_t tokens = flight->turn.prompt_tokens + flight->turn.output_tokens;
-  flight->session->last_engine = engine->index;
-  flight->session->last_incarnation = engine->incarnation;
-  if (flight->request.has_chat)
-    cch_put (engine->cache, flight->session->chat_hash, tokens);
-  g_queue_unlink (&engine->running, &flight->link);
-  adm_finish (engine->adm, world->now_us, &flight->request, true);
+  wld_engine_t *engine = call->engine;
+  const uint32_t load = adm_load (engine->admission);
+  const uint32_t tokens = call->turn.prompt_tokens + call->turn.output_tokens;
+  call->session->last_engine = engine->index;
+  call->session->last_incarnation = engine->incarnation;
+  if (call->request.has_chat)
+    cch_put (engine->cache, call->session->chat_hash, tokens);
+  g_queue_unlink (&engine->running, &call->link);
+  adm_finish (engine->admission, world->now_us, &call->request, true);
   if (engine->counted)
-    change_load (world, load, load - 1);
-  rtr_answered (world, flight);
+    move_true_load (world, load, load - 1);
+  rtr_answered (world, call);
   eng_pump (world, engine);
-  close_if_drained (world, engine);
+  stop_if_drained (world, engine);
 }
 
 void
@@ -314,8 +319,8 @@
 {
   adm_decision_t decision;
   adm_request_t *request;
-  while ((request = adm_reject (engine->adm, world->now_us, &decision)) != NULL)
+  while ((request = adm_reject (engine->admission, world->now_us, &decision)) != NULL)
     rtr_refused (world, (wld_flight_t *)request, &decision);
-  while ((request = adm_next (engine->adm, world->now_us)) != NULL)
-    start (world, engine, (wld_flight_t *)request);
+  while ((request = adm_next (engine->admission, world->now_us)) != NULL)
+    start_request (world, engine, (wld_flight_t *)request);
 }
--- a/bench/world_fault.c
+++ b/bench/world_fault.c
@@ -2,28 +2,28 @@
 
 #include <math.h>
 
-#define FLT_SURGE_FACTOR 100.0
-#define FLT_SURGE_US (60 * CLK_US_PER_S)
-#define FLT_AWAY_US (40 * (uint64_t)CLK_US_PER_S)
-#define FLT_FLAP_EVERY_US (30 * (uint64_t)CLK_US_PER_S)
-#define FLT_FLAP_US (5 * CLK_US_PER_S)
-#define FLT_DRAIN_CHECK_US CLK_US_PER_S
-#define FLT_CENTER_US (60 * (uint64_t)CLK_US_PER_S)
+#define SURGE_FACTOR 100.0
+#define SURGE_DURATION_US (60 * CLK_US_PER_S)
+#define REPLACEMENT_DELAY_US (40 * (uint64_t)CLK_US_PER_S)
+#define FLAP_PERIOD_US (30 * (uint64_t)CLK_US_PER_S)
+#define FLAP_OUTAGE_US (5 * CLK_US_PER_S)
+#define DRAIN_POLL_US CLK_US_PER_S
+#define DATA_CENTER_OUTAGE_US (60 * (uint64_t)CLK_US_PER_S)
 
 typedef enum
 {
-  ACT_SURGE_ON,
-  ACT_SURGE_OFF,
-  ACT_JOIN,
-  ACT_LEAVE,
-  ACT_CRASH,
-  ACT_CUT,
-  ACT_DARK,
-  ACT_MEND
+  ACTION_SURGE_ON,
+  ACTION_SURGE_OFF,
+  ACTION_JOIN,
+  ACTION_LEAVE,
+  ACTION_CRASH,
+  ACTION_DISCONNECT,
+  ACTION_BLOCK_ROUTERS,
+  ACTION_RECONNECT
 } action_t;
 
 static void
-at (wld_t *world, uint64_t after_us, action_t action, wld_engine_t *engine)
+schedule_action (wld_t *world, uint64_t after_us, action_t action, wld_engine_t *engine)
 {
   evt_add (&world->events, world->options.warm_up_us + after_us, EVT_FAULT, action, engine);
 }
@@ -34,28 +34,28 @@
   const uint64_t step_us = (uint64_t)world->options.workload->cache_lifetime_s * CLK_US_PER_S;
   for (uint32_t i = 0; i < world->options.engine_count; i++)
     {
-      at (world, i * step_us, ACT_LEAVE, &world->engines[i]);
-      at (world, i * step_us + FLT_AWAY_US, ACT_JOIN, &world->engines[i]);
+      schedule_action (world, i * step_us, ACTION_LEAVE, &world->engines[i]);
+      schedule_action (world, i * step_us + REPLACEMENT_DELAY_US, ACTION_JOIN, &world->engines[i]);
     }
 }
 
 static void
 plan_flap (wld_t *world)
 {
-  for (uint64_t from_us = 0; from_us < world->options.window_us; from_us += FLT_FLAP_EVERY_US)
+  for (uint64_t from_us = 0; from_us < world->options.window_us; from_us += FLAP_PERIOD_US)
     {
-      at (world, from_us, ACT_CUT, &world->engines[0]);
-      at (world, from_us + FLT_FLAP_US, ACT_MEND, &world->engines[0]);
+      schedule_action (world, from_us, ACTION_DISCONNECT, &world->engines[0]);
+      schedule_action (world, from_us + FLAP_OUTAGE_US, ACTION_RECONNECT, &world->engines[0]);
     }
 }
 
 static void
-plan_center (wld_t *world)
+plan_data_center_outage (wld_t *world)
 {
   for (uint32_t i = 0; i < world->options.engine_count; i += WLD_CENTERS)
     {
-      at (world, 0, ACT_CRASH, &world->engines[i]);
-      at (world, FLT_CENTER_US, ACT_JOIN, &world->engines[i]);
+      schedule_action (world, 0, ACTION_CRASH, &world->engines[i]);
+      schedule_action (world, DATA_CENTER_OUTAGE_US, ACTION_JOIN, &world->engines[i]);
     }
 }
 
@@ -69,7 +69,7 @@
 next_session_us (wld_t *world, bool of_surge)
 {
   const wkl_t *workload = world->options.workload;
-  const double surge = workload->account_shares[workload->surging_account] * FLT_SURGE_FACTOR;
+  const double surge = workload->account_shares[workload->surging_account] * SURGE_FACTOR;
   const double rate = session_rate (world) * (of_surge ? surge : 1.0);
   uint64_t *random = of_surge ? &world->random_surge : &world->random_sessions;
   return world->now_us + (uint64_t)(rnd_exponential (random, 1e6 / rate)) + 1;
@@ -92,18 +92,19 @@
 void
 flt_plan (wld_t *world)
 {
-  if (world->options.calm)
+  if (world->options.without_fault)
     return;
   const uint64_t lifetime_us = (uint64_t)world->options.workload->cache_lifetime_s * CLK_US_PER_S;
   switch (world->options.fault)
     {
     case WLD_SURGE:
-      at (world, 0, ACT_SURGE_ON, NULL);
-      at (world, FLT_SURGE_US, ACT_SURGE_OFF, NULL);
+      schedule_action (world, 0, ACTION_SURGE_ON, NULL);
+      schedule_action (world, SURGE_DURATION_US, ACTION_SURGE_OFF, NULL);
       break;
     case WLD_JOIN:
-      at (world, 0, ACT_JOIN, &world->engines[world->options.engine_count]);
-      at (world, lifetime_us, ACT_JOIN, &world->engines[world->options.engine_count + 1]);
+      schedule_action (world, 0, ACTION_JOIN, &world->engines[world->options.engine_count]);
+      schedule_action (world, lifetime_us, ACTION_JOIN,
+                       &world->engines[world->options.engine_count + 1]);
       break;
     case WLD_ROLLING:
     case WLD_LATE:
@@ -113,23 +114,23 @@
       plan_flap (world);
       break;
     case WLD_DARK:
-      at (world, 0, ACT_DARK, &world->engines[0]);
+      schedule_action (world, 0, ACTION_BLOCK_ROUTERS, &world->engines[0]);
       break;
     case WLD_CENTER:
-      plan_center (world);
+      plan_data_center_outage (world);
       break;
     default:
       break;
     }
 }
 
-/* A host that still drains is not replaced yet. */
+/* An engine that is still draining can't be replaced yet. */
 static void
-join (wld_t *world, wld_engine_t *engine)
+join_engine (wld_t *world, wld_engine_t *engine)
 {
   if (engine->present)
     {
-      evt_add (&world->events, world->now_us + FLT_DRAIN_CHECK_US, EVT_FAULT, ACT_JOIN, engine);
+      evt_add (&world->events, world->now_us + DRAIN_POLL_US, EVT_FAULT, ACTION_JOIN, engine);
       return;
     }
   eng_open (world, engine, true);
@@ -141,33 +142,33 @@
 {
   switch ((action_t)action)
     {
-    case ACT_SURGE_ON:
+    case ACTION_SURGE_ON:
       world->surging = true;
       flt_session (world, true);
       break;
-    case ACT_SURGE_OFF:
+    case ACTION_SURGE_OFF:
       world->surging = false;
       break;
-    case ACT_JOIN:
-      join (world, engine);
+    case ACTION_JOIN:
+      join_engine (world, engine);
       break;
-    case ACT_LEAVE:
+    case ACTION_LEAVE:
       eng_leave (world, engine);
       break;
-    case ACT_CRASH:
+    case ACTION_CRASH:
       eng_crash (world, engine);
       lst_change (world, engine, MEM_GONE);
       break;
-    case ACT_CUT:
+    case ACTION_DISCONNECT:
       engine->reachable = false;
       eng_count (world, engine, false);
       lst_change (world, engine, MEM_GONE);
       break;
-    case ACT_DARK:
-      engine->dark = true;
+    case ACTION_BLOCK_ROUTERS:
+      engine->blocked_for_routers = true;
       eng_count (world, engine, false);
       break;
-    case ACT_MEND:
+    case ACTION_RECONNECT:
       engine->reachable = true;
       eng_count (world, engine, true);
       lst_change (world, engine, MEM_LIVE);
@@ -182,7 +183,7 @@
   switch (fault)
     {
     case WLD_SURGE:
-      return FLT_SURGE_US;
+      return SURGE_DURATION_US;
     case WLD_ROLLING:
     case WLD_LATE:
       return lifetime_us * engine_count;
--- a/bench/world_list.c
+++ b/bench/world_list.c
@@ -1,13 +1,13 @@
 #include "world_parts.h"
 
-/** struct change - of the platform's list, on its way to one view */
+/** struct change - a change of the platform's list that a view has not received yet */
 typedef struct
 {
   mem_listed_t listed;
 } change_t;
 
 static mem_listed_t
-listed_of (const wld_engine_t *engine, mem_state_t state)
+make_list_entry (const wld_engine_t *engine, mem_state_t state)
 {
   mem_listed_t listed = { .state = state };
   g_strlcpy (listed.name, engine->name, sizeof listed.name);
@@ -15,7 +15,7 @@
 }
 
 static mem_word_t
-own_word (const wld_engine_t *engine)
+make_own_report (const wld_engine_t *engine)
 {
   return (mem_word_t){ .host_hash = engine->hash,
                        .incarnation = engine->incarnation,
@@ -24,33 +24,34 @@
 }
 
 static void
-keep_word (wld_t *world, wld_daemon_t *daemon, const mem_word_t *word)
+remember_report (wld_t *world, wld_daemon_t *daemon, const mem_word_t *report)
 {
-  daemon->words[daemon->word_next] = *word;
-  daemon->heard_us[daemon->word_next] = world->now_us;
-  daemon->word_next = (daemon->word_next + 1) % WLD_WORDS;
+  daemon->reports[daemon->next_report] = *report;
+  daemon->reports_heard_us[daemon->next_report] = world->now_us;
+  daemon->next_report = (daemon->next_report + 1) % WLD_WORDS;
 }
 
 static void
-tell_words (wld_t *world, const wld_daemon_t *from, wld_daemon_t *to)
+send_reports (wld_t *world, const wld_daemon_t *from, wld_daemon_t *to)
 {
   if (from->engine != NULL)
     {
-      const mem_word_t word = own_word (from->engine);
-      lst_hear (world, to, &word);
+      const mem_word_t report = make_own_report (from->engine);
+      lst_hear (world, to, &report);
     }
   for (uint32_t i = 0; i < WLD_WORDS; i++)
-    if (from->words[i].host_hash != 0 && from->heard_us[i] + WLD_WORD_AGE_US > world->now_us)
-      lst_hear (world, to, &from->words[i]);
+    if (from->reports[i].host_hash != 0 &&
+        from->reports_heard_us[i] + WLD_WORD_AGE_US > world->now_us)
+      lst_hear (world, to, &from->reports[i]);
 }
 
 static void
-tell_samples (wld_t *world, wld_daemon_t *from, wld_daemon_t *to)
+send_samples (wld_t *world, wld_daemon_t *from, wld_daemon_t *to)
 {
   mean_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
   uint32_t count = 0;
   if (from->engine != NULL && !from->engine->leaving)
-    samples[count++] = adm_sample (from->engine->adm, world->now_us);
+    samples[count++] = adm_sample (from->engine->admission, world->now_us);
   count += mean_pick (from->mean, world->now_us, samples + count, LIM_SAMPLES_PER_MESSAGE - count);
   for (uint32_t i = 0; i < count; i++)
     {
@@ -61,7 +62,7 @@
 }
 
 static bool
-answers (const wld_daemon_t *daemon)
+is_reachable (const wld_daemon_t *daemon)
 {
   return daemon->engine == NULL || (daemon->engine->present && daemon->engine->reachable);
 }
@@ -70,15 +71,15 @@
 lst_is_live (uint64_t engine_hash, void *context)
 {
   const wld_view_t *view = context;
-  return g_hash_table_contains (view->live, &engine_hash);
+  return g_hash_table_contains (view->live_hashes, &engine_hash);
 }
 
-/* A sidecar's options carry the count of live engines. */
+/* The number of live engines is one of the options of admission. */
 static void
-configure (wld_t *world, const wld_view_t *view)
+configure_engines (wld_t *world, const wld_view_t *view)
 {
   for (uint32_t i = 0; i < world->engine_count; i++)
-    if (world->engines[i].daemon.view == view && world->engines[i].adm != NULL)
+    if (world->engines[i].daemon.view == view && world->engines[i].admission != NULL)
       eng_configure (world, &world->engines[i]);
 }
 
@@ -91,22 +92,22 @@
   view->engines = g_renew (plc_engine_t, view->engines, snapshot->host_count);
   view->details = g_renew (chs_engine_t, view->details, snapshot->host_count);
   view->count = 0;
-  g_hash_table_remove_all (view->live);
+  g_hash_table_remove_all (view->live_hashes);
   for (uint32_t i = 0; i < snapshot->host_count; i++)
     {
       const mem_host_t *host = &snapshot->hosts[i];
       if (host->state != MEM_LIVE)
         continue;
-      wld_engine_t *engine = g_hash_table_lookup (world->by_hash, &host->hash);
+      wld_engine_t *engine = g_hash_table_lookup (world->engines_by_hash, &host->hash);
       view->details[view->count] =
           (chs_engine_t){ .joined_us = host->joined_us, .settled_us = host->settled_us };
       view->engines[view->count] =
           (plc_engine_t){ .hash = host->hash, .index = view->count, .weight = 1.0f };
       view->count++;
-      g_hash_table_add (view->live, &engine->hash);
+      g_hash_table_add (view->live_hashes, &engine->hash);
     }
   mem_snapshot_unref (snapshot);
-  configure (world, view);
+  configure_engines (world, view);
 }
 
 void
@@ -114,10 +115,10 @@
 {
   g_autofree mem_listed_t *listed = g_new0 (mem_listed_t, world->options.engine_count);
   for (uint32_t i = 0; i < world->options.engine_count; i++)
-    listed[i] = listed_of (&world->engines[i], MEM_LIVE);
+    listed[i] = make_list_entry (&world->engines[i], MEM_LIVE);
   view->world = world;
   view->members = mem_new ();
-  view->live = g_hash_table_new (g_int64_hash, g_int64_equal);
+  view->live_hashes = g_hash_table_new (g_int64_hash, g_int64_equal);
   mem_list_full (view->members, world->now_us, listed, world->options.engine_count, 1);
   lst_rebuild (world, view);
 }
@@ -126,7 +127,7 @@
 lst_close (wld_view_t *view)
 {
   mem_free (view->members);
-  g_hash_table_destroy (view->live);
+  g_hash_table_destroy (view->live_hashes);
   g_free (view->engines);
   g_free (view->details);
 }
@@ -137,7 +138,7 @@
   for (uint32_t i = 0; i < world->view_count; i++)
     {
       change_t *change = g_new0 (change_t, 1);
-      change->listed = listed_of (engine, state);
+      change->listed = make_list_entry (engine, state);
       evt_add (&world->events, world->now_us + world->views[i].lag_us, EVT_LIST, i, change);
     }
 }
@@ -152,13 +153,13 @@
 }
 
 void
-lst_hear (wld_t *world, wld_daemon_t *daemon, const mem_word_t *word)
+lst_hear (wld_t *world, wld_daemon_t *daemon, const mem_word_t *report)
 {
-  if (!mem_hear (daemon->view->members, world->now_us, word))
+  if (!mem_hear (daemon->view->members, world->now_us, report))
     return;
-  keep_word (world, daemon, word);
-  if (word->state != MEM_LIVE)
-    mean_forget (daemon->mean, word->host_hash);
+  remember_report (world, daemon, report);
+  if (report->state != MEM_LIVE)
+    mean_forget (daemon->mean, report->host_hash);
   lst_rebuild (world, daemon->view);
 }
 
@@ -179,17 +180,18 @@
 void
 lst_tell (wld_t *world, wld_daemon_t *from, wld_daemon_t *to)
 {
-  if (from == to || !answers (from) || !answers (to))
+  if (from == to || !is_reachable (from) || !is_reachable (to))
     return;
-  tell_words (world, from, to);
-  tell_samples (world, from, to);
+  send_reports (world, from, to);
+  send_samples (world, from, to);
 }
 
 void
 lst_exchange (wld_t *world, uint32_t number)
 {
   wld_daemon_t *from = lst_daemon (world, number);
-  wld_daemon_t *to = lst_daemon (world, rnd_below (&world->random_world, lst_daemon_count (world)));
+  wld_daemon_t *to =
+      lst_daemon (world, rnd_below (&world->random_events, lst_daemon_count (world)));
   lst_tell (world, from, to);
   lst_tell (world, to, from);
   if (from->engine != NULL && from->engine->present)
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -1,9 +1,9 @@
 #include "world_parts.h"
 
 static wld_engine_t *
-engine_of (const wld_t *world, uint64_t hash)
+find_engine (const wld_t *world, uint64_t hash)
 {
-  return g_hash_table_lookup (world->by_hash, &hash);
+  return g_hash_table_lookup (world->engines_by_hash, &hash);
 }
 
 static bool
@@ -14,7 +14,7 @@
 }
 
 static void
-choose_by_rank (wld_t *world, wld_router_t *router, const wld_flight_t *flight, chs_t *chosen)
+choose_by_rank (wld_t *world, wld_router_t *router, const wld_flight_t *call, chs_t *chosen)
 {
   const wld_view_t *view = router->daemon.view;
   const bool full = world->options.policy == WLD_FULL;
@@ -24,13 +24,13 @@
     .details = view->details,
     .engine_count = view->count,
     .service_hash = world->service_hash,
-    .chat_hash = flight->request.chat_hash,
-    .has_chat = flight->request.has_chat,
-    .first_turn = flight->session->turn == 0,
+    .chat_hash = call->request.chat_hash,
+    .has_chat = call->request.has_chat,
+    .first_turn = call->session->turn == 0,
     .cache_lifetime_us = (uint64_t)world->options.workload->cache_lifetime_s * CLK_US_PER_S,
     .samples = full ? &router->samples : NULL,
-    .under_way = full ? router->under_way : NULL,
-    .tie = flight->request.fingerprint >> 9,
+    .under_way = full ? router->in_flight : NULL,
+    .tie = call->request.fingerprint >> 9,
     .is_usable = is_usable,
     .context = router,
   };
@@ -38,7 +38,7 @@
   *chosen = chs_choose (&query);
 }
 
-/* Puts @hash first and drops the last when there are too many. */
+/* Moves or inserts @hash to the front; the last candidate is dropped if there are too many. */
 static void
 put_first (chs_t *chosen, uint64_t hash)
 {
@@ -54,11 +54,11 @@
 }
 
 static uint64_t
-least_sampled (wld_t *world, const wld_router_t *router)
+least_loaded_by_samples (wld_t *world, const wld_router_t *router)
 {
   uint64_t found = 0;
   uint32_t least = UINT32_MAX;
-  const uint32_t from = rnd_below (&world->random_world, MAX (router->samples.count, 1));
+  const uint32_t from = rnd_below (&world->random_events, MAX (router->samples.count, 1));
   for (uint32_t i = 0; i < router->samples.count; i++)
     {
       const mean_sample_t *sample = &router->samples.samples[(from + i) % router->samples.count];
@@ -73,17 +73,17 @@
 }
 
 static uint64_t
-least_true (wld_t *world)
+least_loaded_by_truth (wld_t *world)
 {
   uint64_t found = 0;
   uint32_t least = UINT32_MAX;
-  const uint32_t from = rnd_below (&world->random_world, world->engine_count);
+  const uint32_t from = rnd_below (&world->random_events, world->engine_count);
   for (uint32_t i = 0; i < world->engine_count; i++)
     {
       const wld_engine_t *engine = &world->engines[(from + i) % world->engine_count];
       if (!engine->present || engine->leaving || !engine->reachable)
         continue;
-      const uint32_t load = adm_load (engine->adm) + adm_waiting (engine->adm);
+      const uint32_t load = adm_load (engine->admission) + adm_waiting (engine->admission);
       if (load >= least)
         continue;
       least = load;
@@ -93,23 +93,23 @@
 }
 
 static chs_t
-choose (wld_t *world, wld_router_t *router, const wld_flight_t *flight)
+choose (wld_t *world, wld_router_t *router, const wld_flight_t *call)
 {
   chs_t chosen;
   uint64_t first = 0;
-  choose_by_rank (world, router, flight, &chosen);
+  choose_by_rank (world, router, call, &chosen);
   const wld_view_t *view = router->daemon.view;
   switch (world->options.policy)
     {
     case WLD_LEAST:
-      first = least_sampled (world, router);
+      first = least_loaded_by_samples (world, router);
       break;
     case WLD_ORACLE:
-      first = least_true (world);
+      first = least_loaded_by_truth (world);
       break;
     case WLD_RANDOM:
       if (view->count > 0)
-        first = view->engines[rnd_below (&world->random_world, view->count)].hash;
+        first = view->engines[rnd_below (&world->random_events, view->count)].hash;
       break;
     default:
       return chosen;
@@ -120,10 +120,10 @@
 }
 
 static void
-end_turn (wld_t *world, wld_flight_t *flight, bool served)
+end_turn (wld_t *world, wld_flight_t *call, bool served)
 {
-  wkl_session_t *session = flight->session;
-  const wkl_turn_t *turn = &flight->turn;
+  wkl_session_t *session = call->session;
+  const wkl_turn_t *turn = &call->turn;
   if (served)
     session->context_tokens = turn->prompt_tokens + turn->output_tokens;
   session->turn++;
@@ -131,34 +131,34 @@
     evt_add (&world->events, world->now_us + turn->pause_us, EVT_RETURN, 0, session);
   else
     g_free (session);
-  g_free (flight);
+  g_free (call);
 }
 
 static void
-note_end (wld_t *world, const wld_flight_t *flight, bool served)
+record_end (wld_t *world, const wld_flight_t *call, bool served)
 {
   if (!wld_measured (world))
     return;
   fig_t *figures = world->figures;
-  const bool quiet = flight->session->account != world->options.workload->surging_account;
+  const bool quiet = call->session->account != world->options.workload->surging_account;
   figures->requests++;
-  figures->hops += flight->hops;
+  figures->hops += call->hops;
   figures->refused += !served;
   figures->quiet_requests += quiet;
   figures->quiet_refused += quiet && !served;
 }
 
 static void
-give_up (wld_t *world, wld_flight_t *flight, const att_step_t *step)
+fail_call (wld_t *world, wld_flight_t *call, const att_step_t *step)
 {
-  note_end (world, flight, false);
+  record_end (world, call, false);
   if (wld_measured (world) && step->verdict != VRD_NOT_RUN)
     world->figures->may_have_run++;
-  end_turn (world, flight, false);
+  end_turn (world, call, false);
 }
 
 static att_outcome_t
-outcome_of (const adm_decision_t *decision)
+refusal_outcome (const adm_decision_t *decision)
 {
   return (att_outcome_t){ .verdict = VRD_NOT_RUN,
                           .reason = decision->reason,
@@ -167,9 +167,9 @@
                           .referral_count = decision->referral_count };
 }
 
-/* A hop brings load samples along. */
+/* A router attaches load samples to each request that it sends to an engine. */
 static void
-bring_samples (wld_t *world, wld_router_t *router, wld_engine_t *engine)
+attach_samples (wld_t *world, wld_router_t *router, wld_engine_t *engine)
 {
   mean_sample_t samples[HOP_SAMPLES];
   const uint32_t count = mean_pick (&router->samples, world->now_us, samples, HOP_SAMPLES);
@@ -178,94 +178,94 @@
       mean_add (engine->daemon.mean, &samples[i]);
 }
 
-/* An answer tells the load of its engine. */
+/* Each answer and refusal carries the load of its engine. */
 static void
 learn_load (wld_t *world, wld_router_t *router, const wld_engine_t *engine)
 {
-  const mean_sample_t sample = adm_sample (engine->adm, world->now_us);
+  const mean_sample_t sample = adm_sample (engine->admission, world->now_us);
   if (engine->leaving)
     mean_forget (&router->samples, engine->hash);
   else
     mean_add (&router->samples, &sample);
 }
 
-/* Return: whether an engine took it; else *step says what comes next */
+/* Return: whether the engine runs or queues the request; else @step is the next step */
 static bool
-send (wld_t *world, wld_flight_t *flight, att_step_t *step)
+send_attempt (wld_t *world, wld_flight_t *call, att_step_t *step)
 {
-  wld_router_t *router = flight->router;
-  wld_engine_t *engine = engine_of (world, step->engine_hash);
+  wld_router_t *router = call->router;
+  wld_engine_t *engine = find_engine (world, step->engine_hash);
   adm_decision_t decision;
   att_outcome_t outcome = { .verdict = VRD_NOT_RUN, .reason = VRD_REASON_CONNECT };
-  flight->hops++;
-  if (engine->present && engine->reachable && !engine->dark)
+  call->hops++;
+  if (engine->present && engine->reachable && !engine->blocked_for_routers)
     {
       hlt_success (router->health, engine->hash);
-      flight->request.may_wait = step->may_wait;
-      flight->request.referred = step->referred;
-      bring_samples (world, router, engine);
-      uwy_begin (router->under_way, engine->hash);
-      if (eng_offer (world, engine, flight, &decision))
+      call->request.may_wait = step->may_wait;
+      call->request.referred = step->referred;
+      attach_samples (world, router, engine);
+      uwy_begin (router->in_flight, engine->hash);
+      if (eng_offer (world, engine, call, &decision))
         return true;
-      uwy_end (router->under_way, engine->hash);
+      uwy_end (router->in_flight, engine->hash);
       learn_load (world, router, engine);
-      outcome = outcome_of (&decision);
+      outcome = refusal_outcome (&decision);
     }
   else
     hlt_failure (router->health, world->now_us, engine->hash);
-  *step = att_ended (&flight->att, world->now_us, &router->budget, &outcome);
+  *step = att_ended (&call->att, world->now_us, &router->budget, &outcome);
   return false;
 }
 
 static void
-follow (wld_t *world, wld_flight_t *flight, att_step_t step)
+run_attempts (wld_t *world, wld_flight_t *call, att_step_t step)
 {
   for (;;)
     switch (step.action)
       {
       case ATT_SEND:
-        if (send (world, flight, &step))
+        if (send_attempt (world, call, &step))
           return;
         break;
       case ATT_REVOKE:
-        step = att_revoked (&flight->att, world->now_us, &flight->router->budget, VRD_MAY_HAVE_RUN);
+        step = att_revoked (&call->att, world->now_us, &call->router->budget, VRD_MAY_HAVE_RUN);
         break;
       default:
-        give_up (world, flight, &step);
+        fail_call (world, call, &step);
         return;
       }
 }
 
 static wld_flight_t *
-make_flight (wld_t *world, wld_router_t *router, wkl_session_t *session)
+make_call (wld_t *world, wld_router_t *router, wkl_session_t *session)
 {
   const wkl_class_t *class = &world->options.workload->classes[session->class_index];
-  wld_flight_t *flight = g_new0 (wld_flight_t, 1);
-  adm_request_t *request = &flight->request;
-  flight->router = router;
-  flight->session = session;
-  flight->arrived_us = world->now_us;
-  flight->turn = wkl_turn (world->options.workload, session);
+  wld_flight_t *call = g_new0 (wld_flight_t, 1);
+  adm_request_t *request = &call->request;
+  call->router = router;
+  call->session = session;
+  call->arrived_us = world->now_us;
+  call->turn = wkl_turn (world->options.workload, session);
   request->item =
       (fq_item_t){ .account_hash = world->account_hash[session->account],
                    .weight = world->options.workload->account_weights[session->account],
                    .priority = class->priority,
-                   .cost = flight->turn.prompt_tokens + flight->turn.output_tokens,
+                   .cost = call->turn.prompt_tokens + call->turn.output_tokens,
                    .queue_limit = LIM_QUEUE_PER_ACCOUNT,
                    .deadline_us = world->now_us + (uint64_t) class->deadline_ms * CLK_US_PER_MS };
   request->chat_hash = session->chat_hash;
   request->fingerprint = session->chat_hash + session->turn;
   request->has_chat = class->return_share > 0;
-  request->prompt_tokens = flight->turn.prompt_tokens;
-  request->output_tokens = flight->turn.output_tokens;
-  return flight;
+  request->prompt_tokens = call->turn.prompt_tokens;
+  request->output_tokens = call->turn.output_tokens;
+  return call;
 }
 
 void
 rtr_open (wld_t *world, wld_router_t *router, uint32_t index)
 {
   router->health = hlt_new ();
-  router->under_way = uwy_new ();
+  router->in_flight = uwy_new ();
   router->daemon.mean = &router->samples;
   router->daemon.view = &world->views[(world->engine_count + index) % world->view_count];
   mean_init (&router->samples, world->options.seed * 31 + index);
@@ -276,61 +276,61 @@
 rtr_close (wld_router_t *router)
 {
   hlt_free (router->health);
-  uwy_free (router->under_way);
+  uwy_free (router->in_flight);
 }
 
 void
 rtr_begin (wld_t *world, wld_router_t *router, wkl_session_t *session)
 {
-  wld_flight_t *flight = make_flight (world, router, session);
+  wld_flight_t *call = make_call (world, router, session);
   const wkl_class_t *class = &world->options.workload->classes[session->class_index];
-  const chs_t chosen = choose (world, router, flight);
-  flight->request.home_hash = chosen.home_hash;
-  flight->request.former_hash = chosen.former_hash;
+  const chs_t chosen = choose (world, router, call);
+  call->request.home_hash = chosen.home_hash;
+  call->request.former_hash = chosen.former_hash;
   const att_options_t options = { .idempotent = class->idempotent,
-                                  .deadline_us = flight->request.item.deadline_us,
+                                  .deadline_us = call->request.item.deadline_us,
                                   .candidates = chosen.candidates,
                                   .candidate_count = chosen.candidate_count };
-  follow (world, flight, att_begin (&flight->att, world->now_us, &options));
+  run_attempts (world, call, att_begin (&call->att, world->now_us, &options));
 }
 
 void
-rtr_refused (wld_t *world, wld_flight_t *flight, const adm_decision_t *decision)
+rtr_refused (wld_t *world, wld_flight_t *call, const adm_decision_t *decision)
 {
-  const att_outcome_t outcome = outcome_of (decision);
+  const att_outcome_t outcome = refusal_outcome (decision);
   if (wld_measured (world))
     world->figures->refusals[decision->reason]++;
-  uwy_end (flight->router->under_way, flight->att.last_engine);
-  follow (world, flight,
-          att_ended (&flight->att, world->now_us, &flight->router->budget, &outcome));
+  uwy_end (call->router->in_flight, call->att.last_engine);
+  run_attempts (world, call,
+                att_ended (&call->att, world->now_us, &call->router->budget, &outcome));
 }
 
 void
-rtr_lost (wld_t *world, wld_flight_t *flight)
+rtr_lost (wld_t *world, wld_flight_t *call)
 {
   const att_outcome_t outcome = { .lost = true,
                                   .verdict = VRD_MAY_HAVE_RUN,
                                   .reason = VRD_REASON_CUT };
-  uwy_end (flight->router->under_way, flight->att.last_engine);
-  if (flight->first_token_us != 0 && flight->first_token_us <= world->now_us)
-    att_answer_begun (&flight->att);
-  follow (world, flight,
-          att_ended (&flight->att, world->now_us, &flight->router->budget, &outcome));
+  uwy_end (call->router->in_flight, call->att.last_engine);
+  if (call->first_token_us != 0 && call->first_token_us <= world->now_us)
+    att_answer_begun (&call->att);
+  run_attempts (world, call,
+                att_ended (&call->att, world->now_us, &call->router->budget, &outcome));
 }
 
 void
-rtr_answered (wld_t *world, wld_flight_t *flight)
+rtr_answered (wld_t *world, wld_flight_t *call)
 {
   const att_outcome_t outcome = { .answered = true, .verdict = VRD_RAN };
-  uwy_end (flight->router->under_way, flight->att.last_engine);
-  att_ended (&flight->att, world->now_us, &flight->router->budget, &outcome);
-  learn_load (world, flight->router, flight->engine);
-  const adm_request_t *request = &flight->request;
-  wld_engine_t *home = engine_of (world, request->home_hash);
-  const bool tells = world->options.policy == WLD_FULL && request->has_chat &&
-                     home != flight->engine && home->present && home->reachable;
-  if (tells)
-    adm_served_elsewhere (home->adm, world->now_us, request->chat_hash, flight->engine->hash);
-  note_end (world, flight, true);
-  end_turn (world, flight, true);
+  uwy_end (call->router->in_flight, call->att.last_engine);
+  att_ended (&call->att, world->now_us, &call->router->budget, &outcome);
+  learn_load (world, call->router, call->engine);
+  const adm_request_t *request = &call->request;
+  wld_engine_t *home = find_engine (world, request->home_hash);
+  const bool home_must_know = world->options.policy == WLD_FULL && request->has_chat &&
+                              home != call->engine && home->present && home->reachable;
+  if (home_must_know)
+    adm_served_elsewhere (home->admission, world->now_us, request->chat_hash, call->engine->hash);
+  record_end (world, call, true);
+  end_turn (world, call, true);
 }
