--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -1,9 +1,10 @@
 /**
  * DOC: bench_capacity
  *
- * The slopes behind docs/CAPACITY.md: processor time and memory of each kind of state and message,
- * at growing sizes up to the full one. Prints tab-separated lines "what, size, unit, value".
- * Processor time is the thread's own, so that a busy machine shows less.
+ * Processor time and memory of each kind of state and message, at growing sizes up to the design
+ * limit; docs/CAPACITY.md takes its slopes from here. Prints tab-separated lines "what, size, unit,
+ * value". Processor time is that of the thread, so that other load on the machine has little
+ * effect.
  */
 #include "connection/wire.h"
 #include "base/clock.h"
@@ -22,11 +23,13 @@
 #include <string.h>
 #include <time.h>
 
+/* The size of fleet to design for. */
 #define FULL_ENGINES 3700
 #define FULL_ACCOUNTS 1700
 #define FULL_HOSTS (3700 + 880)
-#define SERVICE_ENGINES 1234
-#define HOME_CHATS 5200
+#define SERVICE_ENGINES 1234   /* of the largest service */
+#define DIRECTORY_CHATS 5200   /* chats in the directory of one sidecar */
+#define IP_UDP_HEADER_BYTES 28 /* added to each datagram */
 
 static const char fleet_key[] = "bench-fleet-key-0123456789";
 
@@ -149,7 +152,7 @@
 }
 
 static void
-bench_members (uint32_t host_count)
+bench_membership (uint32_t host_count)
 {
   mem_listed_t *listed = make_list (host_count);
   uint64_t heap = heap_bytes ();
@@ -173,8 +176,8 @@
   start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
     {
-      mem_word_t word = { plc_hash_name (listed[i % host_count].name), 1, i, MEM_LIVE };
-      mem_hear (mem, 3 * CLK_US_PER_S, &word);
+      mem_word_t report = { plc_hash_name (listed[i % host_count].name), 1, i, MEM_LIVE };
+      mem_hear (mem, 3 * CLK_US_PER_S, &report);
     }
   print_row ("hear a host's word", host_count, "ns", (double)(cpu_ns () - start) / rounds);
   mem_snapshot_unref (first);
@@ -184,7 +187,7 @@
 }
 
 static void
-bench_wire (void)
+bench_exchange (void)
 {
   xch_sample samples[XCH_SAMPLES] = { 0 };
   xch_word words[XCH_WORDS] = { 0 };
@@ -194,13 +197,15 @@
   message.samples.samples_val = samples;
   char datagram[LIM_DATAGRAM_BYTES];
   size_t plain_bytes = wir_encode (datagram, sizeof datagram, fleet_key, 1, false, &message);
-  print_row ("exchange datagram, eight samples", XCH_SAMPLES, "bytes", (double)plain_bytes + 28);
+  print_row ("exchange datagram, eight samples", XCH_SAMPLES, "bytes",
+             (double)plain_bytes + IP_UDP_HEADER_BYTES);
   message.words.words_len = XCH_WORDS;
   message.words.words_val = words;
   message.marks.marks_len = XCH_MARKS;
   message.marks.marks_val = marks;
   size_t full_bytes = wir_encode (datagram, sizeof datagram, fleet_key, 1, false, &message);
-  print_row ("exchange datagram, all arrays full", XCH_SAMPLES, "bytes", (double)full_bytes + 28);
+  print_row ("exchange datagram, all arrays full", XCH_SAMPLES, "bytes",
+             (double)full_bytes + IP_UDP_HEADER_BYTES);
 
   const uint32_t rounds = 20000;
   uint64_t start = cpu_ns ();
@@ -288,7 +293,7 @@
   uint64_t record_bytes = 0;
   uint64_t longest_ns = 0;
   uint64_t start = cpu_ns ();
-  uint64_t before = start;
+  uint64_t previous_ns = start;
   for (uint32_t i = 0; i < key_count; i++)
     {
       char record[256];
@@ -297,11 +302,11 @@
                              i + 1, i + 1, i, (unsigned long long)wall_ms);
       record_bytes += (uint64_t)length;
       clm_feed (clm, CLK_US_PER_S, wall_ms, i, record, (size_t)length);
-      uint64_t after = cpu_ns ();
-      longest_ns = MAX (longest_ns, after - before);
-      before = after;
+      uint64_t now_ns = cpu_ns ();
+      longest_ns = MAX (longest_ns, now_ns - previous_ns);
+      previous_ns = now_ns;
     }
-  print_row ("claim read back", key_count, "ns", (double)(before - start) / key_count);
+  print_row ("claim read back", key_count, "ns", (double)(previous_ns - start) / key_count);
   print_row ("longest of them", key_count, "ns", (double)longest_ns);
   print_row ("claim record", key_count, "bytes", (double)record_bytes / key_count);
   print_row ("claim keys kept", key_count, "count", clm_key_count (clm));
@@ -352,14 +357,14 @@
   bench_manifest (FULL_ACCOUNTS, 370);
   bench_manifest (170, FULL_ENGINES);
   bench_manifest (FULL_ACCOUNTS, FULL_ENGINES);
-  bench_members (20);
-  bench_members (458);
-  bench_members (FULL_HOSTS);
-  bench_wire ();
+  bench_membership (20);
+  bench_membership (458);
+  bench_membership (FULL_HOSTS);
+  bench_exchange ();
   bench_mean (12);
   bench_mean (SERVICE_ENGINES);
-  bench_directory (HOME_CHATS / 10);
-  bench_directory (HOME_CHATS);
+  bench_directory (DIRECTORY_CHATS / 10);
+  bench_directory (DIRECTORY_CHATS);
   bench_claims (1000);
   bench_claims (100000);
   bench_claims (1000000);
--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -1,10 +1,10 @@
 /**
  * DOC: bench_claims
  *
- * Claims at the size of a fleet: many sidecars follow claims streams of one log that takes so many
- * appends a second and refuses the rest. Decisions only: readers of the real code in virtual time,
- * over a log in memory, driven as the control task drives them. Prints one tab-separated line for
- * each setting.
+ * Simulates claims at the size of a fleet: many sidecars follow the claims streams of one log,
+ * which accepts a limited number of appends a second and refuses the rest. The daemons' own claim
+ * code runs in virtual time over a log in memory, called as the control task calls it. Prints a
+ * tab-separated line for each combination of options.
  *
  * Usage: bench-claims [KEYED_S STREAMS FOLLOWERS APPENDS_S [SECONDS]]; without arguments, a table.
  */
@@ -20,70 +20,95 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP_US CLK_US_PER_MS
-#define ROUND_TRIP_US (10 * CLK_US_PER_MS)
+#define STEP_US CLK_US_PER_MS              /* of virtual time */
+#define ROUND_TRIP_US (10 * CLK_US_PER_MS) /* between a sidecar and the log */
 #define TICK_US (100 * CLK_US_PER_MS)
-#define READ_WAIT_US (200 * CLK_US_PER_MS)
-#define READ_RECORDS 500
-#define DEADLINE_US (5 * (uint64_t)CLK_US_PER_S)
-#define SERVICE_US 50000.0
+#define READ_WAIT_US (200 * CLK_US_PER_MS) /* long poll: a read waits that long for records */
+#define READ_RECORDS 500                   /* limit of one read */
+#define REQUEST_DEADLINE_US (5 * (uint64_t)CLK_US_PER_S)
+#define MEAN_RUN_TIME_US 50000.0
 #define HORIZON_US (3600 * (uint64_t)CLK_US_PER_S)
 #define WALL_BASE_MS UINT64_C (1800000000000)
-/* What HTTP and JSON add to an append with its answer, to a read with its answer, to a record. */
+/* Overhead of HTTP and JSON: of an append and its answer, of a read and its answer, of a record. */
 #define APPEND_BYTES 300
 #define READ_BYTES 350
 #define RECORD_BYTES 30
-#define WARM_US (5 * (uint64_t)CLK_US_PER_S)
+#define WARM_UP_US (5 * (uint64_t)CLK_US_PER_S)
 
+/**
+ * struct claims_options - settings of a run
+ * @keyed_s: requests with an idempotency key in a second
+ * @streams: claims streams of the log
+ * @followers: sidecars that get the requests of one stream
+ * @appends_s: appends that the log accepts in a second; 0 for no limit
+ */
 typedef struct
 {
   uint32_t keyed_s;
   uint32_t streams;
-  uint32_t followers; /* sidecars that get the keyed requests of one stream */
-  uint32_t appends_s; /* 0: no limit */
+  uint32_t followers;
+  uint32_t appends_s;
   uint32_t seconds;
-} plan_t;
+} claims_options_t;
 
-/* run_t - a request that was granted and runs at its engine */
+/** struct running_request - a request whose claim was granted and that its engine runs */
 typedef struct
 {
   uint64_t claim_id[2];
   clm_key_t key;
   uint64_t end_us;
-} run_t;
+} running_request_t;
 
-/* asked_t - a request that waits for its claim */
+/** struct waiting_request - a request that waits for its claim */
 typedef struct
 {
   uint64_t at_us;
   clm_key_t key;
-} asked_t;
+} waiting_request_t;
 
-/* follower_t - one sidecar and one stream, as the control task has it */
+/**
+ * struct follower - a sidecar that follows one stream
+ * @append: body of the append in flight, or NULL
+ * @append_at_us: when the append reaches the log; after that, when its answer reaches the sidecar
+ * @append_arrived: whether it has reached the log
+ * @append_accepted: whether the log has accepted it, at @append_offset
+ * @reading: whether a read is in flight
+ * @read_answered: whether the log has answered it
+ * @read_at_us: when the read reaches the log; after its answer, when that reaches the sidecar
+ * @read_until_us: end of the long poll
+ * @read_end: offset after the last record of the answer
+ * @tick_us: next periodic tick of the control task
+ */
 typedef struct
 {
   clm_t *clm;
   GPtrArray *stream;
   GArray *runs;
   char *append;
-  uint64_t append_at_us; /* when it reaches the log, then when its answer is here */
-  bool append_judged;
-  bool append_taken;
+  uint64_t append_at_us;
+  bool append_arrived;
+  bool append_accepted;
   uint64_t append_offset;
   bool reading;
-  bool read_judged;
+  bool read_answered;
   uint64_t read_at_us;
   uint64_t read_until_us;
   uint64_t read_end;
   uint64_t tick_us;
 } follower_t;
 
+/**
+ * struct sim - a run; counters and samples are taken after the warm-up
+ * @append_tokens: token bucket of the log's limit, in appends
+ * @entries: claims in the accepted appends
+ * @granted_ms, @refused_ms: from a request until its claim is granted or refused
+ */
 typedef struct
 {
-  plan_t plan;
+  claims_options_t options;
   uint64_t now_us;
   uint64_t rand;
-  double credit;
+  double append_tokens;
   GPtrArray **streams;
   follower_t *followers;
   uint64_t next_id;
@@ -102,7 +127,7 @@
 static bool
 is_warm (const sim_t *sim)
 {
-  return sim->now_us >= WARM_US;
+  return sim->now_us >= WARM_UP_US;
 }
 
 static uint64_t
@@ -112,18 +137,18 @@
 }
 
 static void
-take_results (sim_t *sim, follower_t *follower)
+handle_results (sim_t *sim, follower_t *follower)
 {
   clm_result_t result;
   while (clm_result (follower->clm, sim->now_us, &result))
     {
-      asked_t *asked = result.owner;
-      double ms = (double)(sim->now_us - asked->at_us) / CLK_US_PER_MS;
+      waiting_request_t *request = result.owner;
+      double ms = (double)(sim->now_us - request->at_us) / CLK_US_PER_MS;
       bool granted = result.verdict == CLM_GRANTED;
       if (granted)
         {
-          run_t run = { { result.claim_id[0], result.claim_id[1] }, asked->key, 0 };
-          run.end_us = sim->now_us + (uint64_t)rnd_exponential (&sim->rand, SERVICE_US);
+          running_request_t run = { { result.claim_id[0], result.claim_id[1] }, request->key, 0 };
+          run.end_us = sim->now_us + (uint64_t)rnd_exponential (&sim->rand, MEAN_RUN_TIME_US);
           g_array_append_val (follower->runs, run);
         }
       if (is_warm (sim))
@@ -132,41 +157,41 @@
           sim->granted += granted;
           sim->refused_claims += !granted;
         }
-      g_free (asked);
+      g_free (request);
     }
 }
 
 static void
-pump (sim_t *sim, follower_t *follower)
+start_log_calls (sim_t *sim, follower_t *follower)
 {
   if (follower->append == NULL)
     {
       follower->append = clm_batch (follower->clm, sim->now_us, wall_ms (sim));
       follower->append_at_us = sim->now_us + ROUND_TRIP_US / 2;
-      follower->append_judged = false;
+      follower->append_arrived = false;
     }
   if (!follower->reading && clm_wants_read (follower->clm))
     {
       follower->reading = true;
-      follower->read_judged = false;
+      follower->read_answered = false;
       follower->read_at_us = sim->now_us + ROUND_TRIP_US / 2;
       follower->read_until_us = follower->read_at_us + READ_WAIT_US;
     }
 }
 
 static bool
-log_takes (sim_t *sim)
+log_accepts (sim_t *sim)
 {
-  if (sim->plan.appends_s == 0)
+  if (sim->options.appends_s == 0)
     return true;
-  if (sim->credit < 1)
+  if (sim->append_tokens < 1)
     return false;
-  sim->credit -= 1;
+  sim->append_tokens -= 1;
   return true;
 }
 
 static uint32_t
-entries_of (const char *text)
+count_entries (const char *text)
 {
   uint32_t count = 0;
   for (; *text != '\0'; text++)
@@ -174,21 +199,21 @@
   return count;
 }
 
-/* The append has reached the log. */
+/* The append in flight reaches the log. */
 static void
-judge_append (sim_t *sim, follower_t *follower)
+append_to_log (sim_t *sim, follower_t *follower)
 {
-  follower->append_judged = true;
+  follower->append_arrived = true;
   follower->append_at_us = sim->now_us + ROUND_TRIP_US / 2;
-  follower->append_taken = log_takes (sim);
+  follower->append_accepted = log_accepts (sim);
   if (is_warm (sim))
     {
       sim->appends++;
       sim->sent_bytes += strlen (follower->append) + APPEND_BYTES;
-      sim->refused_appends += !follower->append_taken;
-      sim->entries += follower->append_taken ? entries_of (follower->append) : 0;
+      sim->refused_appends += !follower->append_accepted;
+      sim->entries += follower->append_accepted ? count_entries (follower->append) : 0;
     }
-  if (!follower->append_taken)
+  if (!follower->append_accepted)
     return;
   follower->append_offset = follower->stream->len;
   g_ptr_array_add (follower->stream, g_strdup (follower->append));
@@ -198,7 +223,7 @@
 answer_append (sim_t *sim, follower_t *follower)
 {
   g_clear_pointer (&follower->append, g_free);
-  if (follower->append_taken)
+  if (follower->append_accepted)
     clm_appended (follower->clm, sim->now_us, follower->append_offset);
   else
     clm_append_refused (follower->clm, sim->now_us);
@@ -209,14 +234,14 @@
 {
   if (follower->append == NULL || sim->now_us < follower->append_at_us)
     return;
-  if (!follower->append_judged)
+  if (!follower->append_arrived)
     {
-      judge_append (sim, follower);
+      append_to_log (sim, follower);
       return;
     }
   answer_append (sim, follower);
-  take_results (sim, follower);
-  pump (sim, follower);
+  handle_results (sim, follower);
+  start_log_calls (sim, follower);
 }
 
 static void
@@ -241,19 +266,19 @@
 {
   if (!follower->reading || sim->now_us < follower->read_at_us)
     return;
-  if (!follower->read_judged)
+  if (!follower->read_answered)
     {
       uint64_t from = clm_next_offset (follower->clm);
       if (follower->stream->len == from && sim->now_us < follower->read_until_us)
         return;
-      follower->read_judged = true;
+      follower->read_answered = true;
       follower->read_end = MIN (follower->stream->len, from + READ_RECORDS);
       follower->read_at_us = sim->now_us + ROUND_TRIP_US / 2;
       return;
     }
   answer_read (sim, follower);
-  take_results (sim, follower);
-  pump (sim, follower);
+  handle_results (sim, follower);
+  start_log_calls (sim, follower);
 }
 
 static void
@@ -261,37 +286,38 @@
 {
   for (guint i = follower->runs->len; i-- > 0;)
     {
-      run_t run = g_array_index (follower->runs, run_t, i);
+      running_request_t run = g_array_index (follower->runs, running_request_t, i);
       if (sim->now_us < run.end_us)
         continue;
       clm_done (follower->clm, run.claim_id, &run.key, 200);
       g_array_remove_index_fast (follower->runs, i);
-      pump (sim, follower);
+      start_log_calls (sim, follower);
     }
 }
 
 static void
-ask (sim_t *sim)
+add_request (sim_t *sim)
 {
-  uint32_t count = sim->plan.streams * sim->plan.followers;
+  uint32_t count = sim->options.streams * sim->options.followers;
   follower_t *follower = &sim->followers[rnd_below (&sim->rand, count)];
   uint64_t claim_id[2] = { 1, ++sim->next_id };
-  asked_t *asked = g_new0 (asked_t, 1);
-  asked->at_us = sim->now_us;
-  asked->key = (clm_key_t){ { rnd_next (&sim->rand), rnd_next (&sim->rand) }, 5 };
+  waiting_request_t *request = g_new0 (waiting_request_t, 1);
+  request->at_us = sim->now_us;
+  request->key = (clm_key_t){ { rnd_next (&sim->rand), rnd_next (&sim->rand) }, 5 };
   sim->asked += is_warm (sim);
-  clm_request (follower->clm, sim->now_us, claim_id, &asked->key, sim->now_us + DEADLINE_US, asked);
-  take_results (sim, follower);
-  pump (sim, follower);
+  clm_request (follower->clm, sim->now_us, claim_id, &request->key,
+               sim->now_us + REQUEST_DEADLINE_US, request);
+  handle_results (sim, follower);
+  start_log_calls (sim, follower);
 }
 
 static void
 step (sim_t *sim)
 {
   sim->now_us += STEP_US;
-  sim->credit += (double)sim->plan.appends_s * STEP_US / CLK_US_PER_S;
-  sim->credit = MIN (sim->credit, sim->plan.appends_s);
-  for (uint32_t i = 0; i < sim->plan.streams * sim->plan.followers; i++)
+  sim->append_tokens += (double)sim->options.appends_s * STEP_US / CLK_US_PER_S;
+  sim->append_tokens = MIN (sim->append_tokens, sim->options.appends_s);
+  for (uint32_t i = 0; i < sim->options.streams * sim->options.followers; i++)
     {
       follower_t *follower = &sim->followers[i];
       step_append (sim, follower);
@@ -301,30 +327,30 @@
         continue;
       while (follower->tick_us <= sim->now_us)
         follower->tick_us += TICK_US;
-      take_results (sim, follower);
-      pump (sim, follower);
+      handle_results (sim, follower);
+      start_log_calls (sim, follower);
     }
 }
 
 static void
-sim_start (sim_t *sim, const plan_t *plan)
+sim_start (sim_t *sim, const claims_options_t *options)
 {
   memset (sim, 0, sizeof *sim);
-  sim->plan = *plan;
+  sim->options = *options;
   sim->rand = 7;
   sim->now_us = CLK_US_PER_S;
-  sim->credit = plan->appends_s;
-  sim->streams = g_new0 (GPtrArray *, plan->streams);
-  sim->followers = g_new0 (follower_t, plan->streams * plan->followers);
-  for (uint32_t i = 0; i < plan->streams; i++)
+  sim->append_tokens = options->appends_s;
+  sim->streams = g_new0 (GPtrArray *, options->streams);
+  sim->followers = g_new0 (follower_t, options->streams * options->followers);
+  for (uint32_t i = 0; i < options->streams; i++)
     sim->streams[i] = g_ptr_array_new_with_free_func (g_free);
-  for (uint32_t i = 0; i < plan->streams * plan->followers; i++)
+  for (uint32_t i = 0; i < options->streams * options->followers; i++)
     {
       follower_t *follower = &sim->followers[i];
       follower->clm = clm_new (HORIZON_US);
       clm_begin (follower->clm, 0);
-      follower->stream = sim->streams[i % plan->streams];
-      follower->runs = g_array_new (FALSE, FALSE, sizeof (run_t));
+      follower->stream = sim->streams[i % options->streams];
+      follower->runs = g_array_new (FALSE, FALSE, sizeof (running_request_t));
       follower->tick_us = sim->now_us + (uint64_t)(rnd_unit (&sim->rand) * TICK_US);
     }
 }
@@ -332,13 +358,13 @@
 static void
 sim_clear (sim_t *sim)
 {
-  for (uint32_t i = 0; i < sim->plan.streams * sim->plan.followers; i++)
+  for (uint32_t i = 0; i < sim->options.streams * sim->options.followers; i++)
     {
       clm_free (sim->followers[i].clm);
       g_array_free (sim->followers[i].runs, TRUE);
       g_free (sim->followers[i].append);
     }
-  for (uint32_t i = 0; i < sim->plan.streams; i++)
+  for (uint32_t i = 0; i < sim->options.streams; i++)
     g_ptr_array_free (sim->streams[i], TRUE);
   g_free (sim->streams);
   g_free (sim->followers);
@@ -349,36 +375,36 @@
 static void
 print_figures (sim_t *sim, double seconds)
 {
-  const plan_t *plan = &sim->plan;
+  const claims_options_t *options = &sim->options;
   double answered = MAX (1, sim->granted + sim->refused_claims);
-  double followers = plan->streams * plan->followers;
-  double taken = (double)(sim->appends - sim->refused_appends);
+  double followers = options->streams * options->followers;
+  double accepted = (double)(sim->appends - sim->refused_appends);
   printf ("%u\t%u\t%u\t%u\t%.0f\t%.0f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n",
-          plan->keyed_s, plan->streams, plan->followers, plan->appends_s, taken / seconds,
-          (double)sim->refused_appends / seconds, (double)sim->appends / MAX (1, sim->granted),
-          (double)sim->entries / MAX (1, taken), 100.0 * (double)sim->refused_claims / answered,
-          fig_quantile (&sim->granted_ms, 0.5), fig_quantile (&sim->granted_ms, 0.99),
-          fig_quantile (&sim->refused_ms, 0.5), fig_quantile (&sim->refused_ms, 0.99),
-          (double)sim->sent_bytes / followers / seconds,
+          options->keyed_s, options->streams, options->followers, options->appends_s,
+          accepted / seconds, (double)sim->refused_appends / seconds,
+          (double)sim->appends / MAX (1, sim->granted), (double)sim->entries / MAX (1, accepted),
+          100.0 * (double)sim->refused_claims / answered, fig_quantile (&sim->granted_ms, 0.5),
+          fig_quantile (&sim->granted_ms, 0.99), fig_quantile (&sim->refused_ms, 0.5),
+          fig_quantile (&sim->refused_ms, 0.99), (double)sim->sent_bytes / followers / seconds,
           (double)sim->read_bytes / followers / seconds);
   fflush (stdout);
 }
 
 static void
-run (const plan_t *plan)
+run (const claims_options_t *options)
 {
   sim_t sim;
-  sim_start (&sim, plan);
-  uint64_t end_us = WARM_US + plan->seconds * (uint64_t)CLK_US_PER_S;
+  sim_start (&sim, options);
+  uint64_t end_us = WARM_UP_US + options->seconds * (uint64_t)CLK_US_PER_S;
   double next_us = (double)sim.now_us;
   while (sim.now_us < end_us)
     {
       for (; next_us <= (double)sim.now_us;
-           next_us += rnd_exponential (&sim.rand, 1e6 / plan->keyed_s))
-        ask (&sim);
+           next_us += rnd_exponential (&sim.rand, 1e6 / options->keyed_s))
+        add_request (&sim);
       step (&sim);
     }
-  print_figures (&sim, plan->seconds);
+  print_figures (&sim, options->seconds);
   sim_clear (&sim);
 }
 
@@ -392,10 +418,10 @@
     for (uint32_t j = 0; j < G_N_ELEMENTS (streams); j++)
       for (uint32_t k = 0; k < G_N_ELEMENTS (followers); k++)
         {
-          plan_t plan = { keyed_s[i], streams[j], followers[k], 0, 15 };
-          run (&plan);
-          plan.appends_s = 300;
-          run (&plan);
+          claims_options_t options = { keyed_s[i], streams[j], followers[k], 0, 15 };
+          run (&options);
+          options.appends_s = 300;
+          run (&options);
         }
 }
 
@@ -410,8 +436,9 @@
       print_table ();
       return 0;
     }
-  plan_t plan = { (uint32_t)atoi (argv[1]), (uint32_t)atoi (argv[2]), (uint32_t)atoi (argv[3]),
-                  (uint32_t)atoi (argv[4]), argc > 5 ? (uint32_t)atoi (argv[5]) : 15 };
-  run (&plan);
+  claims_options_t options = { (uint32_t)atoi (argv[1]), (uint32_t)atoi (argv[2]),
+                               (uint32_t)atoi (argv[3]), (uint32_t)atoi (argv[4]),
+                               argc > 5 ? (uint32_t)atoi (argv[5]) : 15 };
+  run (&options);
   return 0;
 }
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -1,9 +1,9 @@
 /**
  * DOC: bench_gateway
  *
- * The gateway's decisions under the load and the faults of two deployments, or of one that a file
- * describes, beside baselines: a line for each policy, fault and deployment, summed over seeds. See
- * docs/measurements/gateway.md.
+ * Simulates the gateway's decisions and those of baseline policies, under the load and the faults
+ * of two built-in deployments or of one that a file describes. Prints a line for each deployment,
+ * fault and policy, summed over the seeds. See docs/measurements/gateway.md.
  */
 #include "gateway/sim.h"
 #include "gateway/site_file.h"
@@ -13,9 +13,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SEEDS 3
+#define DEFAULT_SEEDS 3
 
-/** struct pick - what to run; NULL or negative for all; @file: in place of the two deployments */
+/**
+ * struct selection - what to run
+ * @file: a deployment to run instead of the built-in ones, or NULL
+ * @site, @fault, @policy: run only the one of this name; NULL for all
+ */
 typedef struct
 {
   const sit_t *file;
@@ -23,10 +27,10 @@
   const char *fault;
   const char *policy;
   uint32_t seeds;
-} pick_t;
+} selection_t;
 
 static bool
-wanted (const char *name, const char *only)
+is_selected (const char *name, const char *only)
 {
   return !only || strcmp (name, only) == 0;
 }
@@ -43,7 +47,7 @@
 }
 
 static void
-add (sim_figures_t *to, const sim_figures_t *more)
+add_figures (sim_figures_t *to, const sim_figures_t *more)
 {
   add_count (&to->during, &more->during);
   add_count (&to->quiet, &more->quiet);
@@ -56,9 +60,9 @@
 }
 
 static double
-share (uint64_t part, uint64_t of)
+ratio (uint64_t part, uint64_t whole)
 {
-  return of > 0 ? (double)part / (double)of : 0;
+  return whole > 0 ? (double)part / (double)whole : 0;
 }
 
 static void
@@ -74,45 +78,45 @@
 
       one.seed = seed;
       figures = sim_run (&one);
-      add (&sum, &figures);
+      add_figures (&sum, &figures);
     }
   printf ("%s\t%s\t%s\t%u\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.3f\t%lld\t%llu\t%.3f\n",
           options->site->name, sim_fault_name (options->fault), sim_policy_name (options->policy),
-          during->requests, share (during->on_time, during->requests),
-          share (during->late, during->requests), share (during->refused, during->requests),
-          share (during->failed, during->requests), share (during->late_refusals, during->requests),
-          share (sum.quiet.on_time + sum.quiet.late, sum.quiet.requests),
-          share (sum.read_tokens, sum.prompt_tokens), (long long)sum.retries_most,
+          during->requests, ratio (during->on_time, during->requests),
+          ratio (during->late, during->requests), ratio (during->refused, during->requests),
+          ratio (during->failed, during->requests), ratio (during->late_refusals, during->requests),
+          ratio (sum.quiet.on_time + sum.quiet.late, sum.quiet.requests),
+          ratio (sum.read_tokens, sum.prompt_tokens), (long long)sum.retries_most,
           (unsigned long long)sum.over_cap, sum.peak_milli / 1000.0);
   fflush (stdout);
 }
 
 static void
-run_site (const pick_t *pick, const sit_t *site)
+run_site (const selection_t *selection, const sit_t *site)
 {
   for (int fault = 0; fault < SIM_FAULTS; fault++)
     for (int policy = 0; policy < SIM_POLICIES; policy++)
-      if (wanted (sim_fault_name ((sim_fault_t)fault), pick->fault) &&
-          wanted (sim_policy_name ((sim_policy_t)policy), pick->policy))
+      if (is_selected (sim_fault_name ((sim_fault_t)fault), selection->fault) &&
+          is_selected (sim_policy_name ((sim_policy_t)policy), selection->policy))
         run (&(sim_options_t){ .site = site,
                                .fault = (sim_fault_t)fault,
                                .policy = (sim_policy_t)policy },
-             pick->seeds);
+             selection->seeds);
 }
 
 static void
-run_all (const pick_t *pick)
+run_all (const selection_t *selection)
 {
   const sit_t *site;
 
   printf (
       "site\tfault\tpolicy\trequests\ton_time\tlate\trefused\tfailed\trefused_late\tquiet_served\t"
       "read\tretries_beyond\tover_cap\tpeak\n");
-  if (pick->file)
-    run_site (pick, pick->file);
-  for (uint32_t i = 0; !pick->file && (site = sit_at (i)); i++)
-    if (wanted (site->name, pick->site))
-      run_site (pick, site);
+  if (selection->file)
+    run_site (selection, selection->file);
+  for (uint32_t i = 0; !selection->file && (site = sit_at (i)); i++)
+    if (is_selected (site->name, selection->site))
+      run_site (selection, site);
 }
 
 static void
@@ -133,28 +137,28 @@
                                            { "seeds", required_argument, NULL, 'n' },
                                            { "help", no_argument, NULL, 'h' },
                                            { 0 } };
-  pick_t pick = { .seeds = SEEDS };
+  selection_t selection = { .seeds = DEFAULT_SEEDS };
   int option;
 
   while ((option = getopt_long (argc, argv, "", options, NULL)) != -1)
     switch (option)
       {
       case 's':
-        pick.site = optarg;
+        selection.site = optarg;
         break;
       case 'F':
-        pick.file = sif_read (optarg);
-        if (!pick.file)
+        selection.file = sif_read (optarg);
+        if (!selection.file)
           return 2;
         break;
       case 'f':
-        pick.fault = optarg;
+        selection.fault = optarg;
         break;
       case 'p':
-        pick.policy = optarg;
+        selection.policy = optarg;
         break;
       case 'n':
-        pick.seeds = (uint32_t)strtoul (optarg, NULL, 10);
+        selection.seeds = (uint32_t)strtoul (optarg, NULL, 10);
         break;
       case 'h':
         usage (stdout);
@@ -163,6 +167,6 @@
         usage (stderr);
         return 2;
       }
-  run_all (&pick);
+  run_all (&selection);
   return 0;
 }
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -1,8 +1,9 @@
 /**
  * DOC: bench_spread
  *
- * How fast news spread through a fleet of the size to design for, and how good the estimates of
- * mean loads are: see spread/fleet.h. Prints tab-separated lines. See docs/measurements/control.md.
+ * Simulates gossip in fleets up to the size to design for (see spread/fleet.h): how fast
+ * information reaches all daemons, and how accurate the estimates of the mean load are. Prints
+ * tab-separated lines. See docs/measurements/control.md.
  */
 #include "base/log.h"
 #include "spread/run.h"
@@ -14,10 +15,11 @@
 
 #define HORIZON_US (60 * (uint64_t)CLK_US_PER_S)
 #define ROUNDS 3
-#define LEAVER 5 /* a sidecar, of service 0 */
-#define FINGERPRINT 4711
+/* Index of the sidecar, of service 0, that leaves or reports a crash mark. */
+#define TEST_SIDECAR 5
+#define FINGERPRINT 4711 /* of the request in the crash mark */
 
-/** struct size - of a fleet */
+/** struct fleet_size - number of engines (with their sidecars) and of routers */
 typedef struct
 {
   uint32_t engines;
@@ -25,10 +27,10 @@
 } fleet_size_t;
 
 static const fleet_size_t sizes[] = { { 36, 14 }, { 360, 140 }, { 3702, 878 } };
-static const uint32_t losses[] = { 0, 5, 30 };
+static const uint32_t lost_percents[] = { 0, 5, 30 }; /* of datagrams */
 
 static bool
-wanted (const run_t *run, const char *name)
+is_selected (const run_t *run, const char *name)
 {
   return run->only == NULL || strcmp (run->only, name) == 0;
 }
@@ -74,7 +76,7 @@
   return false;
 }
 
-/* Of routers or of sidecars, as @role; they talk and are talked to differently. */
+/* Prints the traffic of one role. Routers and sidecars differ in what they send and receive. */
 static void
 print_role (const run_t *run,
             bool (*is_role) (const flt_node_t *node, void *context),
@@ -158,12 +160,12 @@
   for (uint32_t round = 0; round < ROUNDS; round++)
     {
       run->options.seed++;
-      run_begin (run, LEAVER + 1);
-      flt_node_t *leaver = &run->flt->nodes[LEAVER];
+      run_begin (run, TEST_SIDECAR + 1);
+      flt_node_t *leaving_node = &run->flt->nodes[TEST_SIDECAR];
       uint64_t start_us = run->flt->now_us;
-      flt_wait_for (run->flt, has_leaving, &leaver->ctrl->own_hash);
-      flt_enter (leaver);
-      ctrl_stop_leave (leaver->ctrl, "bench");
+      flt_wait_for (run->flt, has_leaving, &leaving_node->ctrl->own_hash);
+      flt_enter (leaving_node);
+      ctrl_stop_leave (leaving_node->ctrl, "bench");
       flt_run (run->flt, HORIZON_US / 2, true);
       run_print_heard (run, "leaving, routers", start_us, run_is_router, NULL);
       run_end (run);
@@ -177,7 +179,7 @@
     {
       run->options.seed++;
       run_begin (run, 0);
-      flt_node_t *node = &run->flt->nodes[LEAVER];
+      flt_node_t *node = &run->flt->nodes[TEST_SIDECAR];
       msg_marks_t marks = { .count = 1 };
       marks.marks[0] = (sus_mark_t){ FINGERPRINT, { node->ctrl->own_hash, 0 }, 0 };
       uint64_t start_us = run->flt->now_us;
@@ -201,44 +203,49 @@
   run_end (run);
 }
 
-/** struct crowd - hosts of one data centre, of which words are awaited */
+/**
+ * struct evacuation - the hosts of a data centre that leave together
+ * @watched: only the first @watched daemons, the sidecars, are counted
+ * @heard: pairs of a router and a leaving host of which the router knows that it leaves
+ * @expected: all such pairs
+ */
 typedef struct
 {
   uint32_t data_center;
   uint32_t watched;
   uint64_t heard;
   uint64_t expected;
-} crowd_t;
+} evacuation_t;
 
 static void
-count_crowd (const run_t *run, crowd_t *crowd)
+count_heard (const run_t *run, evacuation_t *evacuation)
 {
   const flt_t *flt = run->flt;
-  crowd->heard = 0;
-  crowd->expected = 0;
+  evacuation->heard = 0;
+  evacuation->expected = 0;
   for (uint32_t i = 0; i < flt->count; i++)
     {
       if (flt->nodes[i].stopped || !run_is_router (&flt->nodes[i], NULL))
         continue;
-      for (uint32_t j = crowd->data_center; j < crowd->watched; j += FLT_DATA_CENTERS)
+      for (uint32_t j = evacuation->data_center; j < evacuation->watched; j += FLT_DATA_CENTERS)
         {
           uint64_t hash = flt->nodes[j].ctrl->own_hash;
-          crowd->expected++;
-          crowd->heard += has_leaving (&flt->nodes[i], &hash);
+          evacuation->expected++;
+          evacuation->heard += has_leaving (&flt->nodes[i], &hash);
         }
     }
 }
 
-/* All sidecars of a data centre are told to leave at once. What the list brings is left out. */
+/* All sidecars of a data centre leave at once. Only gossip is counted, not the host list. */
 static void
 bench_evacuation (run_t *run)
 {
-  crowd_t crowd = { .data_center = 3, .watched = run->options.engines };
+  evacuation_t evacuation = { .data_center = 3, .watched = run->options.engines };
   const uint32_t after_s[] = { 2, 3, 5, 10 };
   uint32_t at_s = 0;
-  run_begin (run, crowd.watched);
+  run_begin (run, evacuation.watched);
   flt_counts_t before = run->flt->counts;
-  for (uint32_t i = crowd.data_center; i < crowd.watched; i += FLT_DATA_CENTERS)
+  for (uint32_t i = evacuation.data_center; i < evacuation.watched; i += FLT_DATA_CENTERS)
     {
       flt_enter (&run->flt->nodes[i]);
       ctrl_stop_leave (run->flt->nodes[i].ctrl, "bench");
@@ -248,15 +255,15 @@
       char row[96];
       flt_run (run->flt, (uint64_t)(after_s[i] - at_s) * CLK_US_PER_S, false);
       at_s = after_s[i];
-      count_crowd (run, &crowd);
+      count_heard (run, &evacuation);
       snprintf (row, sizeof row, "data centre leaves: words heard by routers after %u s", at_s);
-      run_print (run, row, "%", 100.0 * (double)crowd.heard / (double)crowd.expected);
+      run_print (run, row, "%", 100.0 * (double)evacuation.heard / (double)evacuation.expected);
     }
   run_print_traffic (run, "data centre leaves", &before, (uint64_t)at_s * CLK_US_PER_S);
   run_end (run);
 }
 
-/* A data centre stops without a word; the list tells of it three seconds later. */
+/* A data centre fails without notice, and the host list has it three seconds later. */
 static void
 bench_drop (run_t *run)
 {
@@ -278,19 +285,19 @@
 }
 
 static bool
-is_in_cut (const flt_node_t *node, void *context)
+is_in_region (const flt_node_t *node, void *context)
 {
   return node->data_center % FLT_REGIONS == *(const uint32_t *)context;
 }
 
 static bool
-is_not_in_cut (const flt_node_t *node, void *context)
+is_outside_region (const flt_node_t *node, void *context)
 {
-  return !is_in_cut (node, context);
+  return !is_in_region (node, context);
 }
 
-/* A region is cut off from the others and from the platform for two minutes; meanwhile a version is
- * published. */
+/* A region is partitioned from the other regions and from the platform for two minutes, during
+ * which a version is published. */
 static void
 bench_cut (run_t *run)
 {
@@ -302,13 +309,13 @@
   uint64_t start_us = run->flt->now_us;
   flt_wait_for (run->flt, has_version, NULL);
   flt_run (run->flt, 2 * HORIZON_US, false);
-  run_print_heard (run, "version while a region is cut, the others", start_us, is_not_in_cut,
+  run_print_heard (run, "version while a region is cut, the others", start_us, is_outside_region,
                    &region);
   flt_counts_t before = run->flt->counts;
   run->flt->cut_region = -1;
   start_us = run->flt->now_us;
   flt_run (run->flt, HORIZON_US, true);
-  run_print_heard (run, "version once the cut heals, the region", start_us, is_in_cut, &region);
+  run_print_heard (run, "version once the cut heals, the region", start_us, is_in_region, &region);
   run_print_traffic (run, "cut heals", &before, run->flt->now_us - start_us);
   run_end (run);
 }
@@ -317,9 +324,9 @@
 {
   const char *name;
   void (*run) (run_t *run);
-} part_t;
+} benchmark_t;
 
-static const part_t parts[] = {
+static const benchmark_t benchmarks[] = {
   { "quiet", bench_quiet },           { "version", bench_version }, { "list", bench_list },
   { "leaving", bench_leaving },       { "mark", bench_mark },       { "means", bench_means },
   { "evacuation", bench_evacuation }, { "drop", bench_drop },       { "cut", bench_cut },
@@ -331,20 +338,20 @@
 {
   run->options.engines = size->engines;
   run->options.routers = size->routers;
-  for (uint32_t i = 0; i < G_N_ELEMENTS (losses); i++)
+  for (uint32_t i = 0; i < G_N_ELEMENTS (lost_percents); i++)
     {
-      run->options.lost_percent = losses[i];
-      for (uint32_t j = 0; j < G_N_ELEMENTS (parts); j++)
+      run->options.lost_percent = lost_percents[i];
+      for (uint32_t j = 0; j < G_N_ELEMENTS (benchmarks); j++)
         {
           run->options.seed = 1;
-          if (wanted (run, parts[j].name))
-            parts[j].run (run);
+          if (is_selected (run, benchmarks[j].name))
+            benchmarks[j].run (run);
         }
     }
 }
 
 static uint32_t
-number (const char *text)
+parse_number (const char *text)
 {
   guint64 value;
   if (g_ascii_string_to_unsigned (text, 10, 1, 100000, &value, NULL))
@@ -369,11 +376,11 @@
   while ((flag = getopt_long (argc, argv, "", flags, NULL)) != -1)
     {
       if (flag == 'i')
-        run.options.interval_ms = number (optarg);
+        run.options.interval_ms = parse_number (optarg);
       else if (flag == 'b')
-        run.options.budget_bytes = number (optarg);
+        run.options.budget_bytes = parse_number (optarg);
       else if (flag == 'd')
-        daemons = number (optarg);
+        daemons = parse_number (optarg);
       else if (flag == 'p')
         run.only = optarg;
       else
