--- a/bench/world_engine.c
+++ b/bench/world_engine.c
@@ -7,9 +7,9 @@
 } completion_t;
 
 static void
-move_true_load (wld_t *world, uint32_t before, uint32_t after)
+move_true_load (wld_t *sim, uint32_t before, uint32_t after)
 {
-  wld_true_t *loads = &world->loads;
+  wld_true_t *loads = &sim->loads;
   g_assert (after < loads->load_limit);
   loads->engines_with_load[before]--;
   loads->engines_with_load[after]++;
@@ -28,39 +28,39 @@
 }
 
 static uint32_t
-bound_percent (const wld_t *world)
+bound_percent (const wld_t *sim)
 {
-  const uint32_t set = world->options.bound_percent;
-  return set != 0 ? set : world->options.workload->bound_percent;
+  const uint32_t set = sim->options.bound_percent;
+  return set != 0 ? set : sim->options.workload->bound_percent;
 }
 
 static adm_options_t
-make_admission_options (wld_t *world, wld_engine_t *engine)
+make_admission_options (wld_t *sim, wld_engine_t *engine)
 {
-  const wkl_t *workload = world->options.workload;
+  const wkl_t *workload = sim->options.workload;
   return (adm_options_t){ .engine_hash = engine->hash,
-                          .service_hash = world->service_hash,
+                          .service_hash = sim->service_hash,
                           .slots = workload->slots,
-                          .bound_percent = bound_percent (world),
+                          .bound_percent = bound_percent (sim),
                           .engine_count = engine->daemon.view->count,
                           .prefill_tokens_s = workload->prefill_tokens_s,
                           .cache_lifetime_us = (uint64_t)workload->cache_lifetime_s * CLK_US_PER_S,
-                          .seed = world->options.seed * 977 + engine->index,
-                          .policy = admission_policy_for (world->options.policy),
+                          .seed = sim->options.seed * 977 + engine->index,
+                          .policy = admission_policy_for (sim->options.policy),
                           .is_live = lst_is_live,
                           .context = engine->daemon.view };
 }
 
 static void
-record_load (wld_t *world, const wld_engine_t *engine)
+record_load (wld_t *sim, const wld_engine_t *engine)
 {
-  const wld_true_t *loads = &world->loads;
-  if (!wld_measured (world) || loads->count == 0)
+  const wld_true_t *loads = &sim->loads;
+  if (!wld_measured (sim) || loads->count == 0)
     return;
   const double mean = (double)loads->sum / loads->count;
-  const double bound = MAX (mean * bound_percent (world) / 100.0, mean + 1.0);
+  const double bound = MAX (mean * bound_percent (sim) / 100.0, mean + 1.0);
   const double load = adm_load (engine->admission);
-  fig_t *figures = world->figures;
+  fig_t *figures = sim->figures;
   figures->dispatches++;
   figures->load_sum += mean;
   fig_add (&figures->skew, loads->max / mean);
@@ -72,15 +72,15 @@
 }
 
 static void
-record_wait (wld_t *world, const wld_flight_t *call)
+record_wait (wld_t *sim, const wld_flight_t *call)
 {
-  if (!wld_measured (world))
+  if (!wld_measured (sim))
     return;
-  fig_t *figures = world->figures;
+  fig_t *figures = sim->figures;
   const wkl_session_t *session = call->session;
-  const double wait_ms = (double)(world->now_us - call->arrived_us) / 1000.0;
+  const double wait_ms = (double)(sim->now_us - call->arrived_us) / 1000.0;
   const double first_ms = (double)(call->first_token_us - call->arrived_us) / 1000.0;
-  if (session->account == world->options.workload->surging_account)
+  if (session->account == sim->options.workload->surging_account)
     return;
   fig_add (&figures->quiet_wait, wait_ms);
   fig_add (&figures->quiet_first, first_ms);
@@ -91,15 +91,15 @@
 }
 
 static void
-record_cache_use (wld_t *world,
+record_cache_use (wld_t *sim,
                   const wld_engine_t *engine,
                   const wkl_session_t *session,
                   uint32_t found)
 {
-  fig_t *figures = world->figures;
-  if (!wld_measured (world) || session->turn == 0)
+  fig_t *figures = sim->figures;
+  if (!wld_measured (sim) || session->turn == 0)
     return;
-  const wld_engine_t *last = &world->engines[session->last_engine];
+  const wld_engine_t *last = &sim->engines[session->last_engine];
   const uint32_t missed = session->context_tokens - found;
   figures->prefix_tokens += session->context_tokens;
   figures->cached_tokens += found;
@@ -112,48 +112,48 @@
 }
 
 static uint32_t
-use_cache (wld_t *world, wld_engine_t *engine, const wld_flight_t *call)
+use_cache (wld_t *sim, wld_engine_t *engine, const wld_flight_t *call)
 {
   const wkl_session_t *session = call->session;
   if (!call->request.has_chat)
     return 0;
   const uint32_t cached = cch_get (engine->cache, session->chat_hash);
   const uint32_t found = MIN (cached, session->context_tokens);
-  record_cache_use (world, engine, session, found);
+  record_cache_use (sim, engine, session, found);
   cch_put (engine->cache, session->chat_hash, call->turn.prompt_tokens);
   return found;
 }
 
 static void
-start_request (wld_t *world, wld_engine_t *engine, wld_flight_t *call)
+start_request (wld_t *sim, wld_engine_t *engine, wld_flight_t *call)
 {
-  const wkl_t *workload = world->options.workload;
+  const wkl_t *workload = sim->options.workload;
   const uint32_t load = adm_load (engine->admission);
   if (engine->counted)
-    move_true_load (world, load - 1, load);
-  const uint32_t found = use_cache (world, engine, call);
+    move_true_load (sim, load - 1, load);
+  const uint32_t found = use_cache (sim, engine, call);
   const uint64_t prefill_us =
       (uint64_t)(call->turn.prompt_tokens - found) * CLK_US_PER_S / workload->prefill_tokens_s;
   const uint64_t decode_us = (uint64_t)call->turn.output_tokens * workload->token_us;
   call->engine = engine;
-  call->first_token_us = world->now_us + prefill_us + workload->token_us;
+  call->first_token_us = sim->now_us + prefill_us + workload->token_us;
   call->link = (GList){ .data = call };
   g_queue_push_tail_link (&engine->running, &call->link);
   completion_t *completion = g_new0 (completion_t, 1);
   completion->call = call;
   call->completion = completion;
-  evt_add (&world->events, world->now_us + prefill_us + decode_us, EVT_FINISH, 0, completion);
-  record_load (world, engine);
-  record_wait (world, call);
+  evt_add (&sim->events, sim->now_us + prefill_us + decode_us, EVT_FINISH, 0, completion);
+  record_load (sim, engine);
+  record_wait (sim, call);
 }
 
 static void
-stop_if_drained (wld_t *world, wld_engine_t *engine)
+stop_if_drained (wld_t *sim, wld_engine_t *engine)
 {
   if (!engine->leaving || adm_load (engine->admission) > 0)
     return;
-  lst_change (world, engine, MEM_GONE);
-  eng_close (world, engine);
+  lst_change (sim, engine, MEM_GONE);
+  eng_close (sim, engine);
 }
 
 static void
@@ -161,14 +161,14 @@
 {
   wld_engine_t *engine = context;
   const wld_view_t *view = engine->daemon.view;
-  wld_t *world = view->world;
+  wld_t *sim = view->sim;
   uint32_t order[2];
   const uint32_t found =
-      plc_rank (view->engines, view->count, world->service_hash, entry->chat_hash, order, 2);
+      plc_rank (view->engines, view->count, sim->service_hash, entry->chat_hash, order, 2);
   for (uint32_t i = 0; i < found; i++)
     {
       wld_engine_t *next =
-          g_hash_table_lookup (world->engines_by_hash, &view->engines[order[i]].hash);
+          g_hash_table_lookup (sim->engines_by_hash, &view->engines[order[i]].hash);
       if (next == engine)
         continue;
       if (next->present && entry->engine_hash != engine->hash && entry->engine_hash != next->hash)
@@ -179,27 +179,27 @@
 }
 
 void
-eng_count (wld_t *world, wld_engine_t *engine, bool counted)
+eng_count (wld_t *sim, wld_engine_t *engine, bool counted)
 {
   if (engine->counted == counted)
     return;
-  wld_true_t *loads = &world->loads;
+  wld_true_t *loads = &sim->loads;
   const uint32_t load = adm_load (engine->admission);
   if (!counted)
-    move_true_load (world, load, 0);
+    move_true_load (sim, load, 0);
   loads->engines_with_load[0] += counted ? 1 : -1;
   loads->count += counted ? 1 : -1;
   engine->counted = counted;
   if (counted && load > 0)
-    move_true_load (world, 0, load);
+    move_true_load (sim, 0, load);
 }
 
 void
-eng_open (wld_t *world, wld_engine_t *engine, bool joined)
+eng_open (wld_t *sim, wld_engine_t *engine, bool joined)
 {
-  const adm_options_t options = make_admission_options (world, engine);
+  const adm_options_t options = make_admission_options (sim, engine);
   engine->admission = adm_new (&options);
-  engine->cache = cch_new (world->options.workload->cache_tokens);
+  engine->cache = cch_new (sim->options.workload->cache_tokens);
   engine->daemon.mean = adm_mean (engine->admission);
   engine->incarnation++;
   engine->sequence = 1;
@@ -207,21 +207,21 @@
   engine->reachable = true;
   engine->leaving = false;
   if (joined)
-    adm_set_joined (engine->admission, world->now_us);
-  eng_count (world, engine, true);
+    adm_set_joined (engine->admission, sim->now_us);
+  eng_count (sim, engine, true);
 }
 
 void
-eng_configure (wld_t *world, wld_engine_t *engine)
+eng_configure (wld_t *sim, wld_engine_t *engine)
 {
-  const adm_options_t options = make_admission_options (world, engine);
+  const adm_options_t options = make_admission_options (sim, engine);
   adm_configure (engine->admission, &options);
 }
 
 void
-eng_close (wld_t *world, wld_engine_t *engine)
+eng_close (wld_t *sim, wld_engine_t *engine)
 {
-  eng_count (world, engine, false);
+  eng_count (sim, engine, false);
   adm_free (engine->admission);
   cch_free (engine->cache);
   engine->admission = NULL;
@@ -231,25 +231,24 @@
 }
 
 void
-eng_leave (wld_t *world, wld_engine_t *engine)
+eng_leave (wld_t *sim, wld_engine_t *engine)
 {
   engine->leaving = true;
   engine->sequence++;
-  eng_count (world, engine, false);
+  eng_count (sim, engine, false);
   adm_set_leaving (engine->admission, true);
-  lst_change (world, engine, MEM_LEAVING);
-  const uint32_t daemons = lst_daemon_count (world);
+  lst_change (sim, engine, MEM_LEAVING);
+  const uint32_t daemons = lst_daemon_count (sim);
   for (uint32_t i = 0; i < 3; i++)
-    lst_tell (world, &engine->daemon,
-              lst_daemon (world, rnd_below (&world->random_events, daemons)));
-  if (world->options.policy == WLD_FULL)
+    lst_tell (sim, &engine->daemon, lst_daemon (sim, rnd_below (&sim->random_events, daemons)));
+  if (sim->options.policy == WLD_FULL)
     dir_each (adm_directory (engine->admission), hand_over, engine);
-  eng_pump (world, engine);
-  stop_if_drained (world, engine);
+  eng_pump (sim, engine);
+  stop_if_drained (sim, engine);
 }
 
 void
-eng_crash (wld_t *world, wld_engine_t *engine)
+eng_crash (wld_t *sim, wld_engine_t *engine)
 {
   GQueue lost = G_QUEUE_INIT;
   adm_decision_t decision;
@@ -257,7 +256,7 @@
   /* Queued requests are lost as well: nothing is left to confirm that they didn't run. */
   adm_set_engine_up (engine->admission, false);
   adm_request_t *waiting;
-  while ((waiting = adm_reject (engine->admission, world->now_us, &decision)) != NULL)
+  while ((waiting = adm_reject (engine->admission, sim->now_us, &decision)) != NULL)
     g_queue_push_tail (&lost, waiting);
   while ((call = g_queue_peek_head (&engine->running)) != NULL)
     {
@@ -265,33 +264,33 @@
       ((completion_t *)call->completion)->call = NULL;
       g_queue_push_tail (&lost, &call->request);
     }
-  eng_close (world, engine);
+  eng_close (sim, engine);
   adm_request_t *request;
   while ((request = g_queue_pop_head (&lost)) != NULL)
-    rtr_lost (world, (wld_flight_t *)request);
+    rtr_lost (sim, (wld_flight_t *)request);
 }
 
 bool
-eng_offer (wld_t *world, wld_engine_t *engine, wld_flight_t *call, adm_decision_t *decision)
+eng_offer (wld_t *sim, wld_engine_t *engine, wld_flight_t *call, adm_decision_t *decision)
 {
-  *decision = adm_offer (engine->admission, world->now_us, &call->request);
+  *decision = adm_offer (engine->admission, sim->now_us, &call->request);
   switch (decision->action)
     {
     case ADM_DISPATCH:
-      start_request (world, engine, call);
+      start_request (sim, engine, call);
       return true;
     case ADM_WAIT:
-      eng_pump (world, engine);
+      eng_pump (sim, engine);
       return true;
     default:
-      if (wld_measured (world))
-        world->figures->refusals[decision->reason]++;
+      if (wld_measured (sim))
+        sim->figures->refusals[decision->reason]++;
       return false;
     }
 }
 
 void
-eng_finish (wld_t *world, void *data)
+eng_finish (wld_t *sim, void *data)
 {
   completion_t *completion = data;
   wld_flight_t *call = completion->call;
@@ -306,21 +305,21 @@
   if (call->request.has_chat)
     cch_put (engine->cache, call->session->chat_hash, tokens);
   g_queue_unlink (&engine->running, &call->link);
-  adm_finish (engine->admission, world->now_us, &call->request, true);
+  adm_finish (engine->admission, sim->now_us, &call->request, true);
   if (engine->counted)
-    move_true_load (world, load, load - 1);
-  rtr_answered (world, call);
-  eng_pump (world, engine);
-  stop_if_drained (world, engine);
+    move_true_load (sim, load, load - 1);
+  rtr_answered (sim, call);
+  eng_pump (sim, engine);
+  stop_if_drained (sim, engine);
 }
 
 void
-eng_pump (wld_t *world, wld_engine_t *engine)
+eng_pump (wld_t *sim, wld_engine_t *engine)
 {
   adm_decision_t decision;
   adm_request_t *request;
-  while ((request = adm_reject (engine->admission, world->now_us, &decision)) != NULL)
-    rtr_refused (world, (wld_flight_t *)request, &decision);
-  while ((request = adm_next (engine->admission, world->now_us)) != NULL)
-    start_request (world, engine, (wld_flight_t *)request);
+  while ((request = adm_reject (engine->admission, sim->now_us, &decision)) != NULL)
+    rtr_refused (sim, (wld_flight_t *)request, &decision);
+  while ((request = adm_next (engine->admission, sim->now_us)) != NULL)
+    start_request (sim, engine, (wld_flight_t *)request);
 }
--- a/bench/world_list.c
+++ b/bench/world_list.c
@@ -24,35 +24,35 @@
 }
 
 static void
-remember_report (wld_t *world, wld_daemon_t *daemon, const mem_word_t *report)
+remember_report (wld_t *sim, wld_daemon_t *daemon, const mem_word_t *report)
 {
   daemon->reports[daemon->next_report] = *report;
-  daemon->reports_heard_us[daemon->next_report] = world->now_us;
+  daemon->reports_heard_us[daemon->next_report] = sim->now_us;
   daemon->next_report = (daemon->next_report + 1) % WLD_WORDS;
 }
 
 static void
-send_reports (wld_t *world, const wld_daemon_t *from, wld_daemon_t *to)
+send_reports (wld_t *sim, const wld_daemon_t *from, wld_daemon_t *to)
 {
   if (from->engine != NULL)
     {
       const mem_word_t report = make_own_report (from->engine);
-      lst_hear (world, to, &report);
+      lst_hear (sim, to, &report);
     }
   for (uint32_t i = 0; i < WLD_WORDS; i++)
     if (from->reports[i].host_hash != 0 &&
-        from->reports_heard_us[i] + WLD_WORD_AGE_US > world->now_us)
-      lst_hear (world, to, &from->reports[i]);
+        from->reports_heard_us[i] + WLD_WORD_AGE_US > sim->now_us)
+      lst_hear (sim, to, &from->reports[i]);
 }
 
 static void
-send_samples (wld_t *world, wld_daemon_t *from, wld_daemon_t *to)
+send_samples (wld_t *sim, wld_daemon_t *from, wld_daemon_t *to)
 {
   mean_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
   uint32_t count = 0;
   if (from->engine != NULL && !from->engine->leaving)
-    samples[count++] = adm_sample (from->engine->admission, world->now_us);
-  count += mean_pick (from->mean, world->now_us, samples + count, LIM_SAMPLES_PER_MESSAGE - count);
+    samples[count++] = adm_sample (from->engine->admission, sim->now_us);
+  count += mean_pick (from->mean, sim->now_us, samples + count, LIM_SAMPLES_PER_MESSAGE - count);
   for (uint32_t i = 0; i < count; i++)
     {
       const bool own = to->engine != NULL && to->engine->hash == samples[i].engine_hash;
@@ -76,15 +76,15 @@
 
 /* The number of live engines is one of the options of admission. */
 static void
-configure_engines (wld_t *world, const wld_view_t *view)
+configure_engines (wld_t *sim, const wld_view_t *view)
 {
-  for (uint32_t i = 0; i < world->engine_count; i++)
-    if (world->engines[i].daemon.view == view && world->engines[i].admission != NULL)
-      eng_configure (world, &world->engines[i]);
+  for (uint32_t i = 0; i < sim->engine_count; i++)
+    if (sim->engines[i].daemon.view == view && sim->engines[i].admission != NULL)
+      eng_configure (sim, &sim->engines[i]);
 }
 
 void
-lst_rebuild (wld_t *world, wld_view_t *view)
+lst_rebuild (wld_t *sim, wld_view_t *view)
 {
   if (!mem_changed (view->members))
     return;
@@ -98,7 +98,7 @@
       const mem_host_t *host = &snapshot->hosts[i];
       if (host->state != MEM_LIVE)
         continue;
-      wld_engine_t *engine = g_hash_table_lookup (world->engines_by_hash, &host->hash);
+      wld_engine_t *engine = g_hash_table_lookup (sim->engines_by_hash, &host->hash);
       view->details[view->count] =
           (chs_engine_t){ .joined_us = host->joined_us, .settled_us = host->settled_us };
       view->engines[view->count] =
@@ -107,20 +107,20 @@
       g_hash_table_add (view->live_hashes, &engine->hash);
     }
   mem_snapshot_unref (snapshot);
-  configure_engines (world, view);
+  configure_engines (sim, view);
 }
 
 void
-lst_open (wld_t *world, wld_view_t *view)
+lst_open (wld_t *sim, wld_view_t *view)
 {
-  g_autofree mem_listed_t *listed = g_new0 (mem_listed_t, world->options.engine_count);
-  for (uint32_t i = 0; i < world->options.engine_count; i++)
-    listed[i] = make_list_entry (&world->engines[i], MEM_LIVE);
-  view->world = world;
+  g_autofree mem_listed_t *listed = g_new0 (mem_listed_t, sim->options.engine_count);
+  for (uint32_t i = 0; i < sim->options.engine_count; i++)
+    listed[i] = make_list_entry (&sim->engines[i], MEM_LIVE);
+  view->sim = sim;
   view->members = mem_new ();
   view->live_hashes = g_hash_table_new (g_int64_hash, g_int64_equal);
-  mem_list_full (view->members, world->now_us, listed, world->options.engine_count, 1);
-  lst_rebuild (world, view);
+  mem_list_full (view->members, sim->now_us, listed, sim->options.engine_count, 1);
+  lst_rebuild (sim, view);
 }
 
 void
@@ -133,67 +133,66 @@
 }
 
 void
-lst_change (wld_t *world, const wld_engine_t *engine, mem_state_t state)
+lst_change (wld_t *sim, const wld_engine_t *engine, mem_state_t state)
 {
-  for (uint32_t i = 0; i < world->view_count; i++)
+  for (uint32_t i = 0; i < sim->view_count; i++)
     {
       change_t *change = g_new0 (change_t, 1);
       change->listed = make_list_entry (engine, state);
-      evt_add (&world->events, world->now_us + world->views[i].lag_us, EVT_LIST, i, change);
+      evt_add (&sim->events, sim->now_us + sim->views[i].lag_us, EVT_LIST, i, change);
     }
 }
 
 void
-lst_arrive (wld_t *world, wld_view_t *view, void *data)
+lst_arrive (wld_t *sim, wld_view_t *view, void *data)
 {
   change_t *change = data;
-  mem_list_delta (view->members, world->now_us, &change->listed, 1, 0);
+  mem_list_delta (view->members, sim->now_us, &change->listed, 1, 0);
   g_free (change);
-  lst_rebuild (world, view);
+  lst_rebuild (sim, view);
 }
 
 void
-lst_hear (wld_t *world, wld_daemon_t *daemon, const mem_word_t *report)
+lst_hear (wld_t *sim, wld_daemon_t *daemon, const mem_word_t *report)
 {
-  if (!mem_hear (daemon->view->members, world->now_us, report))
+  if (!mem_hear (daemon->view->members, sim->now_us, report))
     return;
-  remember_report (world, daemon, report);
+  remember_report (sim, daemon, report);
   if (report->state != MEM_LIVE)
     mean_forget (daemon->mean, report->host_hash);
-  lst_rebuild (world, daemon->view);
+  lst_rebuild (sim, daemon->view);
 }
 
 uint32_t
-lst_daemon_count (const wld_t *world)
+lst_daemon_count (const wld_t *sim)
 {
-  return world->engine_count + world->options.router_count;
+  return sim->engine_count + sim->options.router_count;
 }
 
 wld_daemon_t *
-lst_daemon (wld_t *world, uint32_t number)
+lst_daemon (wld_t *sim, uint32_t number)
 {
-  if (number < world->engine_count)
-    return &world->engines[number].daemon;
-  return &world->routers[number - world->engine_count].daemon;
+  if (number < sim->engine_count)
+    return &sim->engines[number].daemon;
+  return &sim->routers[number - sim->engine_count].daemon;
 }
 
 void
-lst_tell (wld_t *world, wld_daemon_t *from, wld_daemon_t *to)
+lst_tell (wld_t *sim, wld_daemon_t *from, wld_daemon_t *to)
 {
   if (from == to || !is_reachable (from) || !is_reachable (to))
     return;
-  send_reports (world, from, to);
-  send_samples (world, from, to);
+  send_reports (sim, from, to);
+  send_samples (sim, from, to);
 }
 
 void
-lst_exchange (wld_t *world, uint32_t number)
+lst_exchange (wld_t *sim, uint32_t number)
 {
-  wld_daemon_t *from = lst_daemon (world, number);
-  wld_daemon_t *to =
-      lst_daemon (world, rnd_below (&world->random_events, lst_daemon_count (world)));
-  lst_tell (world, from, to);
-  lst_tell (world, to, from);
+  wld_daemon_t *from = lst_daemon (sim, number);
+  wld_daemon_t *to = lst_daemon (sim, rnd_below (&sim->random_events, lst_daemon_count (sim)));
+  lst_tell (sim, from, to);
+  lst_tell (sim, to, from);
   if (from->engine != NULL && from->engine->present)
-    eng_pump (world, from->engine);
+    eng_pump (sim, from->engine);
 }
--- a/bench/world_parts.h
+++ b/bench/world_parts.h
@@ -34,7 +34,7 @@
   uint32_t count;
   GHashTable *live_hashes;
   uint64_t lag_us;
-  wld_t *world;
+  wld_t *sim;
 } wld_view_t;
 
 /**
@@ -183,70 +183,70 @@
 
 /** wld_measured() - whether the current time is within the measurement */
 static inline bool
-wld_measured (const wld_t *world)
+wld_measured (const wld_t *sim)
 {
-  return world->now_us >= world->options.warm_up_us && world->now_us < world->end_us;
+  return sim->now_us >= sim->options.warm_up_us && sim->now_us < sim->end_us;
 }
 
 /* world_engine.c */
 /** eng_open() - starts an engine with an empty cache; @joined: while the fleet runs */
-void eng_open (wld_t *world, wld_engine_t *engine, bool joined);
+void eng_open (wld_t *sim, wld_engine_t *engine, bool joined);
 /** eng_configure() - applies the number of live engines that its view has */
-void eng_configure (wld_t *world, wld_engine_t *engine);
+void eng_configure (wld_t *sim, wld_engine_t *engine);
 /** eng_close() - stops an engine that runs no requests */
-void eng_close (wld_t *world, wld_engine_t *engine);
+void eng_close (wld_t *sim, wld_engine_t *engine);
 /** eng_leave() - starts to drain an engine, which stops when its requests have ended */
-void eng_leave (wld_t *world, wld_engine_t *engine);
+void eng_leave (wld_t *sim, wld_engine_t *engine);
 /** eng_crash() - stops an engine at once; its requests are lost */
-void eng_crash (wld_t *world, wld_engine_t *engine);
+void eng_crash (wld_t *sim, wld_engine_t *engine);
 /** eng_offer() - Return: whether the engine runs or queues the request; else @decision says why */
-bool eng_offer (wld_t *world, wld_engine_t *engine, wld_flight_t *call, adm_decision_t *decision);
+bool eng_offer (wld_t *sim, wld_engine_t *engine, wld_flight_t *call, adm_decision_t *decision);
 /** eng_finish() - ends a request, unless its engine has crashed; @completion is freed */
-void eng_finish (wld_t *world, void *completion);
+void eng_finish (wld_t *sim, void *completion);
 /** eng_pump() - rejects and starts queued requests, as is due after each event of an adm_t */
-void eng_pump (wld_t *world, wld_engine_t *engine);
+void eng_pump (wld_t *sim, wld_engine_t *engine);
 /** eng_count() - adds an engine to the true mean or removes it */
-void eng_count (wld_t *world, wld_engine_t *engine, bool counted);
+void eng_count (wld_t *sim, wld_engine_t *engine, bool counted);
 
 /* world_router.c */
-void rtr_open (wld_t *world, wld_router_t *router, uint32_t index);
+void rtr_open (wld_t *sim, wld_router_t *router, uint32_t index);
 void rtr_close (wld_router_t *router);
 /** rtr_begin() - sends the next request of @session */
-void rtr_begin (wld_t *world, wld_router_t *router, wkl_session_t *session);
+void rtr_begin (wld_t *sim, wld_router_t *router, wkl_session_t *session);
 /** rtr_refused() - an engine has rejected a request that it had queued */
-void rtr_refused (wld_t *world, wld_flight_t *call, const adm_decision_t *decision);
+void rtr_refused (wld_t *sim, wld_flight_t *call, const adm_decision_t *decision);
 /** rtr_lost() - the engine of a request has crashed */
-void rtr_lost (wld_t *world, wld_flight_t *call);
+void rtr_lost (wld_t *sim, wld_flight_t *call);
 /** rtr_answered() - a request has its whole answer */
-void rtr_answered (wld_t *world, wld_flight_t *call);
+void rtr_answered (wld_t *sim, wld_flight_t *call);
 
 /* world_list.c */
-void lst_open (wld_t *world, wld_view_t *view);
+void lst_open (wld_t *sim, wld_view_t *view);
 void lst_close (wld_view_t *view);
 /** lst_change() - changes the platform's list, which arrives at each view after the view's lag */
-void lst_change (wld_t *world, const wld_engine_t *engine, mem_state_t state);
+void lst_change (wld_t *sim, const wld_engine_t *engine, mem_state_t state);
 /** lst_arrive() - applies a change of the list to a view; frees @change */
-void lst_arrive (wld_t *world, wld_view_t *view, void *change);
+void lst_arrive (wld_t *sim, wld_view_t *view, void *change);
 /** lst_hear() - a daemon receives a membership report */
-void lst_hear (wld_t *world, wld_daemon_t *daemon, const mem_word_t *report);
+void lst_hear (wld_t *sim, wld_daemon_t *daemon, const mem_word_t *report);
 /** lst_rebuild() - updates the engines of a view after a change of its members */
-void lst_rebuild (wld_t *world, wld_view_t *view);
+void lst_rebuild (wld_t *sim, wld_view_t *view);
 /** lst_is_live() - whether an engine is live in @view, a wld_view_t */
 bool lst_is_live (uint64_t engine_hash, void *view);
 /** lst_exchange() - a gossip message of daemon @number to a random one, and the reply */
-void lst_exchange (wld_t *world, uint32_t number);
+void lst_exchange (wld_t *sim, uint32_t number);
 /** lst_daemon() - the daemon @number; sidecars come before routers */
-wld_daemon_t *lst_daemon (wld_t *world, uint32_t number);
-uint32_t lst_daemon_count (const wld_t *world);
+wld_daemon_t *lst_daemon (wld_t *sim, uint32_t number);
+uint32_t lst_daemon_count (const wld_t *sim);
 /** lst_tell() - sends membership reports and load samples, if both daemons are reachable */
-void lst_tell (wld_t *world, wld_daemon_t *from, wld_daemon_t *to);
+void lst_tell (wld_t *sim, wld_daemon_t *from, wld_daemon_t *to);
 
 /* world_fault.c */
 /** flt_plan() - schedules the actions of the run's fault */
-void flt_plan (wld_t *world);
+void flt_plan (wld_t *sim);
 /** flt_happen() - runs an action of the fault; @engine may be NULL where it concerns none */
-void flt_happen (wld_t *world, uint32_t action, wld_engine_t *engine);
+void flt_happen (wld_t *sim, uint32_t action, wld_engine_t *engine);
 /** flt_session() - starts a session, and schedules the arrival of the next one */
-void flt_session (wld_t *world, bool of_surge);
+void flt_session (wld_t *sim, bool of_surge);
 
 #endif
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -1,9 +1,9 @@
 #include "world_parts.h"
 
 static wld_engine_t *
-find_engine (const wld_t *world, uint64_t hash)
+find_engine (const wld_t *sim, uint64_t hash)
 {
-  return g_hash_table_lookup (world->engines_by_hash, &hash);
+  return g_hash_table_lookup (sim->engines_by_hash, &hash);
 }
 
 static bool
@@ -14,27 +14,27 @@
 }
 
 static void
-choose_by_rank (wld_t *world, wld_router_t *router, const wld_flight_t *call, chs_t *chosen)
+choose_by_rank (wld_t *sim, wld_router_t *router, const wld_flight_t *call, chs_t *chosen)
 {
   const wld_view_t *view = router->daemon.view;
-  const bool full = world->options.policy == WLD_FULL;
+  const bool full = sim->options.policy == WLD_FULL;
   const chs_query_t query = {
-    .now_us = world->now_us,
+    .now_us = sim->now_us,
     .engines = view->engines,
     .details = view->details,
     .engine_count = view->count,
-    .service_hash = world->service_hash,
+    .service_hash = sim->service_hash,
     .chat_hash = call->request.chat_hash,
     .has_chat = call->request.has_chat,
     .first_turn = call->session->turn == 0,
-    .cache_lifetime_us = (uint64_t)world->options.workload->cache_lifetime_s * CLK_US_PER_S,
+    .cache_lifetime_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLK_US_PER_S,
     .samples = full ? &router->samples : NULL,
     .under_way = full ? router->in_flight : NULL,
     .tie = call->request.fingerprint >> 9,
     .is_usable = is_usable,
     .context = router,
   };
-  router->now_us = world->now_us;
+  router->now_us = sim->now_us;
   *chosen = chs_choose (&query);
 }
 
@@ -54,15 +54,15 @@
 }
 
 static uint64_t
-least_loaded_by_samples (wld_t *world, const wld_router_t *router)
+least_loaded_by_samples (wld_t *sim, const wld_router_t *router)
 {
   uint64_t found = 0;
   uint32_t least = UINT32_MAX;
-  const uint32_t from = rnd_below (&world->random_events, MAX (router->samples.count, 1));
+  const uint32_t from = rnd_below (&sim->random_events, MAX (router->samples.count, 1));
   for (uint32_t i = 0; i < router->samples.count; i++)
     {
       const mean_sample_t *sample = &router->samples.samples[(from + i) % router->samples.count];
-      if (sample->taken_us + LIM_SAMPLE_AGE_US < world->now_us ||
+      if (sample->taken_us + LIM_SAMPLE_AGE_US < sim->now_us ||
           sample->load + sample->waiting >= least ||
           !lst_is_live (sample->engine_hash, router->daemon.view))
         continue;
@@ -73,14 +73,14 @@
 }
 
 static uint64_t
-least_loaded_by_truth (wld_t *world)
+least_loaded_by_truth (wld_t *sim)
 {
   uint64_t found = 0;
   uint32_t least = UINT32_MAX;
-  const uint32_t from = rnd_below (&world->random_events, world->engine_count);
-  for (uint32_t i = 0; i < world->engine_count; i++)
+  const uint32_t from = rnd_below (&sim->random_events, sim->engine_count);
+  for (uint32_t i = 0; i < sim->engine_count; i++)
     {
-      const wld_engine_t *engine = &world->engines[(from + i) % world->engine_count];
+      const wld_engine_t *engine = &sim->engines[(from + i) % sim->engine_count];
       if (!engine->present || engine->leaving || !engine->reachable)
         continue;
       const uint32_t load = adm_load (engine->admission) + adm_waiting (engine->admission);
@@ -93,23 +93,23 @@
 }
 
 static chs_t
-choose (wld_t *world, wld_router_t *router, const wld_flight_t *call)
+choose (wld_t *sim, wld_router_t *router, const wld_flight_t *call)
 {
   chs_t chosen;
   uint64_t first = 0;
-  choose_by_rank (world, router, call, &chosen);
+  choose_by_rank (sim, router, call, &chosen);
   const wld_view_t *view = router->daemon.view;
-  switch (world->options.policy)
+  switch (sim->options.policy)
     {
     case WLD_LEAST:
-      first = least_loaded_by_samples (world, router);
+      first = least_loaded_by_samples (sim, router);
       break;
     case WLD_ORACLE:
-      first = least_loaded_by_truth (world);
+      first = least_loaded_by_truth (sim);
       break;
     case WLD_RANDOM:
       if (view->count > 0)
-        first = view->engines[rnd_below (&world->random_events, view->count)].hash;
+        first = view->engines[rnd_below (&sim->random_events, view->count)].hash;
       break;
     default:
       return chosen;
@@ -120,27 +120,27 @@
 }
 
 static void
-end_turn (wld_t *world, wld_flight_t *call, bool served)
+end_turn (wld_t *sim, wld_flight_t *call, bool served)
 {
   wkl_session_t *session = call->session;
   const wkl_turn_t *turn = &call->turn;
   if (served)
     session->context_tokens = turn->prompt_tokens + turn->output_tokens;
   session->turn++;
-  if (turn->returns && world->now_us < world->end_us)
-    evt_add (&world->events, world->now_us + turn->pause_us, EVT_RETURN, 0, session);
+  if (turn->returns && sim->now_us < sim->end_us)
+    evt_add (&sim->events, sim->now_us + turn->pause_us, EVT_RETURN, 0, session);
   else
     g_free (session);
   g_free (call);
 }
 
 static void
-record_end (wld_t *world, const wld_flight_t *call, bool served)
+record_end (wld_t *sim, const wld_flight_t *call, bool served)
 {
-  if (!wld_measured (world))
+  if (!wld_measured (sim))
     return;
-  fig_t *figures = world->figures;
-  const bool quiet = call->session->account != world->options.workload->surging_account;
+  fig_t *figures = sim->figures;
+  const bool quiet = call->session->account != sim->options.workload->surging_account;
   figures->requests++;
   figures->hops += call->hops;
   figures->refused += !served;
@@ -149,12 +149,12 @@
 }
 
 static void
-fail_call (wld_t *world, wld_flight_t *call, const att_step_t *step)
+fail_call (wld_t *sim, wld_flight_t *call, const att_step_t *step)
 {
-  record_end (world, call, false);
-  if (wld_measured (world) && step->verdict != VRD_NOT_RUN)
-    world->figures->may_have_run++;
-  end_turn (world, call, false);
+  record_end (sim, call, false);
+  if (wld_measured (sim) && step->verdict != VRD_NOT_RUN)
+    sim->figures->may_have_run++;
+  end_turn (sim, call, false);
 }
 
 static att_outcome_t
@@ -169,10 +169,10 @@
 
 /* A router attaches load samples to each request that it sends to an engine. */
 static void
-attach_samples (wld_t *world, wld_router_t *router, wld_engine_t *engine)
+attach_samples (wld_t *sim, wld_router_t *router, wld_engine_t *engine)
 {
   mean_sample_t samples[HOP_SAMPLES];
-  const uint32_t count = mean_pick (&router->samples, world->now_us, samples, HOP_SAMPLES);
+  const uint32_t count = mean_pick (&router->samples, sim->now_us, samples, HOP_SAMPLES);
   for (uint32_t i = 0; i < count; i++)
     if (samples[i].engine_hash != engine->hash)
       mean_add (engine->daemon.mean, &samples[i]);
@@ -180,9 +180,9 @@
 
 /* Each answer and refusal carries the load of its engine. */
 static void
-learn_load (wld_t *world, wld_router_t *router, const wld_engine_t *engine)
+learn_load (wld_t *sim, wld_router_t *router, const wld_engine_t *engine)
 {
-  const mean_sample_t sample = adm_sample (engine->admission, world->now_us);
+  const mean_sample_t sample = adm_sample (engine->admission, sim->now_us);
   if (engine->leaving)
     mean_forget (&router->samples, engine->hash);
   else
@@ -191,10 +191,10 @@
 
 /* Return: whether the engine runs or queues the request; else @step is the next step */
 static bool
-send_attempt (wld_t *world, wld_flight_t *call, att_step_t *step)
+send_attempt (wld_t *sim, wld_flight_t *call, att_step_t *step)
 {
   wld_router_t *router = call->router;
-  wld_engine_t *engine = find_engine (world, step->engine_hash);
+  wld_engine_t *engine = find_engine (sim, step->engine_hash);
   adm_decision_t decision;
   att_outcome_t outcome = { .verdict = VRD_NOT_RUN, .reason = VRD_REASON_CONNECT };
   call->hops++;
@@ -203,56 +203,56 @@
       hlt_success (router->health, engine->hash);
       call->request.may_wait = step->may_wait;
       call->request.referred = step->referred;
-      attach_samples (world, router, engine);
+      attach_samples (sim, router, engine);
       uwy_begin (router->in_flight, engine->hash);
-      if (eng_offer (world, engine, call, &decision))
+      if (eng_offer (sim, engine, call, &decision))
         return true;
       uwy_end (router->in_flight, engine->hash);
-      learn_load (world, router, engine);
+      learn_load (sim, router, engine);
       outcome = refusal_outcome (&decision);
     }
   else
-    hlt_failure (router->health, world->now_us, engine->hash);
-  *step = att_ended (&call->att, world->now_us, &router->budget, &outcome);
+    hlt_failure (router->health, sim->now_us, engine->hash);
+  *step = att_ended (&call->att, sim->now_us, &router->budget, &outcome);
   return false;
 }
 
 static void
-run_attempts (wld_t *world, wld_flight_t *call, att_step_t step)
+run_attempts (wld_t *sim, wld_flight_t *call, att_step_t step)
 {
   for (;;)
     switch (step.action)
       {
       case ATT_SEND:
-        if (send_attempt (world, call, &step))
+        if (send_attempt (sim, call, &step))
           return;
         break;
       case ATT_REVOKE:
-        step = att_revoked (&call->att, world->now_us, &call->router->budget, VRD_MAY_HAVE_RUN);
+        step = att_revoked (&call->att, sim->now_us, &call->router->budget, VRD_MAY_HAVE_RUN);
         break;
       default:
-        fail_call (world, call, &step);
+        fail_call (sim, call, &step);
         return;
       }
 }
 
 static wld_flight_t *
-make_call (wld_t *world, wld_router_t *router, wkl_session_t *session)
+make_call (wld_t *sim, wld_router_t *router, wkl_session_t *session)
 {
-  const wkl_class_t *class = &world->options.workload->classes[session->class_index];
+  const wkl_class_t *class = &sim->options.workload->classes[session->class_index];
   wld_flight_t *call = g_new0 (wld_flight_t, 1);
   adm_request_t *request = &call->request;
   call->router = router;
   call->session = session;
-  call->arrived_us = world->now_us;
-  call->turn = wkl_turn (world->options.workload, session);
+  call->arrived_us = sim->now_us;
+  call->turn = wkl_turn (sim->options.workload, session);
   request->item =
-      (fq_item_t){ .account_hash = world->account_hash[session->account],
-                   .weight = world->options.workload->account_weights[session->account],
+      (fq_item_t){ .account_hash = sim->account_hash[session->account],
+                   .weight = sim->options.workload->account_weights[session->account],
                    .priority = class->priority,
                    .cost = call->turn.prompt_tokens + call->turn.output_tokens,
                    .queue_limit = LIM_QUEUE_PER_ACCOUNT,
-                   .deadline_us = world->now_us + (uint64_t) class->deadline_ms * CLK_US_PER_MS };
+                   .deadline_us = sim->now_us + (uint64_t) class->deadline_ms * CLK_US_PER_MS };
   request->chat_hash = session->chat_hash;
   request->fingerprint = session->chat_hash + session->turn;
   request->has_chat = class->return_share > 0;
@@ -262,13 +262,13 @@
 }
 
 void
-rtr_open (wld_t *world, wld_router_t *router, uint32_t index)
+rtr_open (wld_t *sim, wld_router_t *router, uint32_t index)
 {
   router->health = hlt_new ();
   router->in_flight = uwy_new ();
   router->daemon.mean = &router->samples;
-  router->daemon.view = &world->views[(world->engine_count + index) % world->view_count];
-  mean_init (&router->samples, world->options.seed * 31 + index);
+  router->daemon.view = &sim->views[(sim->engine_count + index) % sim->view_count];
+  mean_init (&router->samples, sim->options.seed * 31 + index);
   att_budget_init (&router->budget);
 }
 
@@ -280,57 +280,55 @@
 }
 
 void
-rtr_begin (wld_t *world, wld_router_t *router, wkl_session_t *session)
+rtr_begin (wld_t *sim, wld_router_t *router, wkl_session_t *session)
 {
-  wld_flight_t *call = make_call (world, router, session);
-  const wkl_class_t *class = &world->options.workload->classes[session->class_index];
-  const chs_t chosen = choose (world, router, call);
+  wld_flight_t *call = make_call (sim, router, session);
+  const wkl_class_t *class = &sim->options.workload->classes[session->class_index];
+  const chs_t chosen = choose (sim, router, call);
   call->request.home_hash = chosen.home_hash;
   call->request.former_hash = chosen.former_hash;
   const att_options_t options = { .idempotent = class->idempotent,
                                   .deadline_us = call->request.item.deadline_us,
                                   .candidates = chosen.candidates,
                                   .candidate_count = chosen.candidate_count };
-  run_attempts (world, call, att_begin (&call->att, world->now_us, &options));
+  run_attempts (sim, call, att_begin (&call->att, sim->now_us, &options));
 }
 
 void
-rtr_refused (wld_t *world, wld_flight_t *call, const adm_decision_t *decision)
+rtr_refused (wld_t *sim, wld_flight_t *call, const adm_decision_t *decision)
 {
   const att_outcome_t outcome = refusal_outcome (decision);
-  if (wld_measured (world))
-    world->figures->refusals[decision->reason]++;
+  if (wld_measured (sim))
+    sim->figures->refusals[decision->reason]++;
   uwy_end (call->router->in_flight, call->att.last_engine);
-  run_attempts (world, call,
-                att_ended (&call->att, world->now_us, &call->router->budget, &outcome));
+  run_attempts (sim, call, att_ended (&call->att, sim->now_us, &call->router->budget, &outcome));
 }
 
 void
-rtr_lost (wld_t *world, wld_flight_t *call)
+rtr_lost (wld_t *sim, wld_flight_t *call)
 {
   const att_outcome_t outcome = { .lost = true,
                                   .verdict = VRD_MAY_HAVE_RUN,
                                   .reason = VRD_REASON_CUT };
   uwy_end (call->router->in_flight, call->att.last_engine);
-  if (call->first_token_us != 0 && call->first_token_us <= world->now_us)
+  if (call->first_token_us != 0 && call->first_token_us <= sim->now_us)
     att_answer_begun (&call->att);
-  run_attempts (world, call,
-                att_ended (&call->att, world->now_us, &call->router->budget, &outcome));
+  run_attempts (sim, call, att_ended (&call->att, sim->now_us, &call->router->budget, &outcome));
 }
 
 void
-rtr_answered (wld_t *world, wld_flight_t *call)
+rtr_answered (wld_t *sim, wld_flight_t *call)
 {
   const att_outcome_t outcome = { .answered = true, .verdict = VRD_RAN };
   uwy_end (call->router->in_flight, call->att.last_engine);
-  att_ended (&call->att, world->now_us, &call->router->budget, &outcome);
-  learn_load (world, call->router, call->engine);
+  att_ended (&call->att, sim->now_us, &call->router->budget, &outcome);
+  learn_load (sim, call->router, call->engine);
   const adm_request_t *request = &call->request;
-  wld_engine_t *home = find_engine (world, request->home_hash);
-  const bool home_must_know = world->options.policy == WLD_FULL && request->has_chat &&
+  wld_engine_t *home = find_engine (sim, request->home_hash);
+  const bool home_must_know = sim->options.policy == WLD_FULL && request->has_chat &&
                               home != call->engine && home->present && home->reachable;
   if (home_must_know)
-    adm_served_elsewhere (home->admission, world->now_us, request->chat_hash, call->engine->hash);
-  record_end (world, call, true);
-  end_turn (world, call, true);
+    adm_served_elsewhere (home->admission, sim->now_us, request->chat_hash, call->engine->hash);
+  record_end (sim, call, true);
+  end_turn (sim, call, true);
 }
