--- a/bench/world_parts.h
+++ b/bench/world_parts.h
@@ -11,10 +11,13 @@
 
 #include "request/hop.h"
 
-#define WLD_EXCHANGE_US (250 * 1000)       /* mean time between a daemon's gossip messages */
-#define WLD_WORDS 4                        /* membership reports that a daemon passes on */
-#define WLD_WORD_AGE_US (5 * CLK_US_PER_S) /* reports are not passed on after this time */
-#define WLD_CENTERS 3 /* data centres, over which the engines are spread evenly */
+/* Mean time between two gossip messages of a daemon. */
+#define WLD_EXCHANGE_US (250 * 1000)
+/* Membership reports that a daemon passes on, and how long it does so. */
+#define WLD_WORDS 4
+#define WLD_WORD_AGE_US (5 * CLK_US_PER_S)
+/* The engines are spread evenly over these data centres. */
+#define WLD_CENTERS 3
 
 typedef struct wld wld_t;
 typedef struct wld_engine wld_engine_t;
