--- a/bench/world_fault.c
+++ b/bench/world_fault.c
@@ -2,175 +2,175 @@
 
 #include <math.h>
 
-#define FLT_SURGE_FACTOR 100.0
-#define FLT_SURGE_US (60 * CLK_US_PER_S)
-#define FLT_AWAY_US (40 * (uint64_t)CLK_US_PER_S)
-#define FLT_FLAP_EVERY_US (30 * (uint64_t)CLK_US_PER_S)
-#define FLT_FLAP_US (5 * CLK_US_PER_S)
-#define FLT_DRAIN_CHECK_US CLK_US_PER_S
-#define FLT_CENTER_US (60 * (uint64_t)CLK_US_PER_S)
+#define SURGE_FACTOR 100.0
+#define SURGE_DURATION_US (60 * CLK_US_PER_S)
+#define REPLACEMENT_DELAY_US (40 * (uint64_t)CLK_US_PER_S)
+#define FLAP_PERIOD_US (30 * (uint64_t)CLK_US_PER_S)
+#define FLAP_OUTAGE_US (5 * CLK_US_PER_S)
+#define DRAIN_POLL_US CLK_US_PER_S
+#define DATA_CENTER_OUTAGE_US (60 * (uint64_t)CLK_US_PER_S)
 
 typedef enum
 {
-  ACT_SURGE_ON,
-  ACT_SURGE_OFF,
-  ACT_JOIN,
-  ACT_LEAVE,
-  ACT_CRASH,
-  ACT_CUT,
-  ACT_DARK,
-  ACT_MEND
+  ACTION_SURGE_ON,
+  ACTION_SURGE_OFF,
+  ACTION_JOIN,
+  ACTION_LEAVE,
+  ACTION_CRASH,
+  ACTION_DISCONNECT,
+  ACTION_BLOCK_ROUTERS,
+  ACTION_RECONNECT
 } action_t;
 
 static void
-at (wld_t *world, uint64_t after_us, action_t action, wld_engine_t *engine)
+schedule_action (wld_t *sim, uint64_t after_us, action_t action, wld_engine_t *engine)
 {
-  evt_add (&world->events, world->options.warm_up_us + after_us, EVT_FAULT, action, engine);
+  evt_add (&sim->events, sim->options.warm_up_us + after_us, EVT_FAULT, action, engine);
 }
 
 static void
-plan_rolling (wld_t *world)
+plan_rolling (wld_t *sim)
 {
-  const uint64_t step_us = (uint64_t)world->options.workload->cache_lifetime_s * CLK_US_PER_S;
-  for (uint32_t i = 0; i < world->options.engine_count; i++)
+  const uint64_t step_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLK_US_PER_S;
+  for (uint32_t i = 0; i < sim->options.engine_count; i++)
     {
-      at (world, i * step_us, ACT_LEAVE, &world->engines[i]);
-      at (world, i * step_us + FLT_AWAY_US, ACT_JOIN, &world->engines[i]);
+      schedule_action (sim, i * step_us, ACTION_LEAVE, &sim->engines[i]);
+      schedule_action (sim, i * step_us + REPLACEMENT_DELAY_US, ACTION_JOIN, &sim->engines[i]);
     }
 }
 
 static void
-plan_flap (wld_t *world)
+plan_flap (wld_t *sim)
 {
-  for (uint64_t from_us = 0; from_us < world->options.window_us; from_us += FLT_FLAP_EVERY_US)
+  for (uint64_t from_us = 0; from_us < sim->options.window_us; from_us += FLAP_PERIOD_US)
     {
-      at (world, from_us, ACT_CUT, &world->engines[0]);
-      at (world, from_us + FLT_FLAP_US, ACT_MEND, &world->engines[0]);
+      schedule_action (sim, from_us, ACTION_DISCONNECT, &sim->engines[0]);
+      schedule_action (sim, from_us + FLAP_OUTAGE_US, ACTION_RECONNECT, &sim->engines[0]);
     }
 }
 
 static void
-plan_center (wld_t *world)
+plan_data_center_outage (wld_t *sim)
 {
-  for (uint32_t i = 0; i < world->options.engine_count; i += WLD_CENTERS)
+  for (uint32_t i = 0; i < sim->options.engine_count; i += WLD_CENTERS)
     {
-      at (world, 0, ACT_CRASH, &world->engines[i]);
-      at (world, FLT_CENTER_US, ACT_JOIN, &world->engines[i]);
+      schedule_action (sim, 0, ACTION_CRASH, &sim->engines[i]);
+      schedule_action (sim, DATA_CENTER_OUTAGE_US, ACTION_JOIN, &sim->engines[i]);
     }
 }
 
 static double
-session_rate (const wld_t *world)
+session_rate (const wld_t *sim)
 {
-  return world->options.workload->sessions_s * world->options.engine_count;
+  return sim->options.workload->sessions_s * sim->options.engine_count;
 }
 
 static uint64_t
-next_session_us (wld_t *world, bool of_surge)
+next_session_us (wld_t *sim, bool of_surge)
 {
-  const wkl_t *workload = world->options.workload;
-  const double surge = workload->account_shares[workload->surging_account] * FLT_SURGE_FACTOR;
-  const double rate = session_rate (world) * (of_surge ? surge : 1.0);
-  uint64_t *random = of_surge ? &world->random_surge : &world->random_sessions;
-  return world->now_us + (uint64_t)(rnd_exponential (random, 1e6 / rate)) + 1;
+  const wkl_t *workload = sim->options.workload;
+  const double surge = workload->account_shares[workload->surging_account] * SURGE_FACTOR;
+  const double rate = session_rate (sim) * (of_surge ? surge : 1.0);
+  uint64_t *random = of_surge ? &sim->random_surge : &sim->random_sessions;
+  return sim->now_us + (uint64_t)(rnd_exponential (random, 1e6 / rate)) + 1;
 }
 
 void
-flt_session (wld_t *world, bool of_surge)
+flt_session (wld_t *sim, bool of_surge)
 {
-  if (world->now_us >= world->end_us || (of_surge && !world->surging))
+  if (sim->now_us >= sim->end_us || (of_surge && !sim->surging))
     return;
-  uint64_t *random = of_surge ? &world->random_surge : &world->random_sessions;
-  const int32_t account = of_surge ? (int32_t)world->options.workload->surging_account : -1;
-  wkl_session_t *session = wkl_session_new (world->options.workload, rnd_next (random), account);
-  wld_router_t *router = &world->routers[rnd_below (random, world->options.router_count)];
-  evt_add (&world->events, next_session_us (world, of_surge),
+  uint64_t *random = of_surge ? &sim->random_surge : &sim->random_sessions;
+  const int32_t account = of_surge ? (int32_t)sim->options.workload->surging_account : -1;
+  wkl_session_t *session = wkl_session_new (sim->options.workload, rnd_next (random), account);
+  wld_router_t *router = &sim->routers[rnd_below (random, sim->options.router_count)];
+  evt_add (&sim->events, next_session_us (sim, of_surge),
            of_surge ? EVT_SURGE_SESSION : EVT_SESSION, 0, NULL);
-  rtr_begin (world, router, session);
+  rtr_begin (sim, router, session);
 }
 
 void
-flt_plan (wld_t *world)
+flt_plan (wld_t *sim)
 {
-  if (world->options.calm)
+  if (sim->options.without_fault)
     return;
-  const uint64_t lifetime_us = (uint64_t)world->options.workload->cache_lifetime_s * CLK_US_PER_S;
-  switch (world->options.fault)
+  const uint64_t lifetime_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLK_US_PER_S;
+  switch (sim->options.fault)
     {
     case WLD_SURGE:
-      at (world, 0, ACT_SURGE_ON, NULL);
-      at (world, FLT_SURGE_US, ACT_SURGE_OFF, NULL);
+      schedule_action (sim, 0, ACTION_SURGE_ON, NULL);
+      schedule_action (sim, SURGE_DURATION_US, ACTION_SURGE_OFF, NULL);
       break;
     case WLD_JOIN:
-      at (world, 0, ACT_JOIN, &world->engines[world->options.engine_count]);
-      at (world, lifetime_us, ACT_JOIN, &world->engines[world->options.engine_count + 1]);
+      schedule_action (sim, 0, ACTION_JOIN, &sim->engines[sim->options.engine_count]);
+      schedule_action (sim, lifetime_us, ACTION_JOIN, &sim->engines[sim->options.engine_count + 1]);
       break;
     case WLD_ROLLING:
     case WLD_LATE:
-      plan_rolling (world);
+      plan_rolling (sim);
       break;
     case WLD_FLAP:
-      plan_flap (world);
+      plan_flap (sim);
       break;
     case WLD_DARK:
-      at (world, 0, ACT_DARK, &world->engines[0]);
+      schedule_action (sim, 0, ACTION_BLOCK_ROUTERS, &sim->engines[0]);
       break;
     case WLD_CENTER:
-      plan_center (world);
+      plan_data_center_outage (sim);
       break;
     default:
       break;
     }
 }
 
-/* A host that still drains is not replaced yet. */
+/* An engine that is still draining can't be replaced yet. */
 static void
-join (wld_t *world, wld_engine_t *engine)
+join_engine (wld_t *sim, wld_engine_t *engine)
 {
   if (engine->present)
     {
-      evt_add (&world->events, world->now_us + FLT_DRAIN_CHECK_US, EVT_FAULT, ACT_JOIN, engine);
+      evt_add (&sim->events, sim->now_us + DRAIN_POLL_US, EVT_FAULT, ACTION_JOIN, engine);
       return;
     }
-  eng_open (world, engine, true);
-  lst_change (world, engine, MEM_LIVE);
+  eng_open (sim, engine, true);
+  lst_change (sim, engine, MEM_LIVE);
 }
 
 void
-flt_happen (wld_t *world, uint32_t action, wld_engine_t *engine)
+flt_happen (wld_t *sim, uint32_t action, wld_engine_t *engine)
 {
   switch ((action_t)action)
     {
-    case ACT_SURGE_ON:
-      world->surging = true;
-      flt_session (world, true);
+    case ACTION_SURGE_ON:
+      sim->surging = true;
+      flt_session (sim, true);
       break;
-    case ACT_SURGE_OFF:
-      world->surging = false;
+    case ACTION_SURGE_OFF:
+      sim->surging = false;
       break;
-    case ACT_JOIN:
-      join (world, engine);
+    case ACTION_JOIN:
+      join_engine (sim, engine);
       break;
-    case ACT_LEAVE:
-      eng_leave (world, engine);
+    case ACTION_LEAVE:
+      eng_leave (sim, engine);
       break;
-    case ACT_CRASH:
-      eng_crash (world, engine);
-      lst_change (world, engine, MEM_GONE);
+    case ACTION_CRASH:
+      eng_crash (sim, engine);
+      lst_change (sim, engine, MEM_GONE);
       break;
-    case ACT_CUT:
+    case ACTION_DISCONNECT:
       engine->reachable = false;
-      eng_count (world, engine, false);
-      lst_change (world, engine, MEM_GONE);
+      eng_count (sim, engine, false);
+      lst_change (sim, engine, MEM_GONE);
       break;
-    case ACT_DARK:
-      engine->dark = true;
-      eng_count (world, engine, false);
+    case ACTION_BLOCK_ROUTERS:
+      engine->blocked_for_routers = true;
+      eng_count (sim, engine, false);
       break;
-    case ACT_MEND:
+    case ACTION_RECONNECT:
       engine->reachable = true;
-      eng_count (world, engine, true);
-      lst_change (world, engine, MEM_LIVE);
+      eng_count (sim, engine, true);
+      lst_change (sim, engine, MEM_LIVE);
       break;
     }
 }
@@ -182,7 +182,7 @@
   switch (fault)
     {
     case WLD_SURGE:
-      return FLT_SURGE_US;
+      return SURGE_DURATION_US;
     case WLD_ROLLING:
     case WLD_LATE:
       return lifetime_us * engine_count;
