--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -1,65 +1,68 @@
 #include "sim_parts.h"
 
-#define LOUD 7 /* the account that surges; neither a large one nor the smallest */
+#define SURGING_ACCOUNT 7 /* index of the account that surges; not one of the large accounts */
 #define LARGE_ACCOUNTS 4
-#define LARGE_SHARE 0.5 /* of all requests, of these together */
-#define HOT_SHARE 0.4
-#define BURST 3.0
-#define FEW_BURST 2.0
-#define OVERLOAD 7.0
-#define LOUD_SHARE 0.6 /* of all requests, while one account surges */
-#define KEPT_SHARE 2   /* one in so many engines stays when many leave */
-#define FAULTY_SHARE 4
-#define WINDOW_US (10 * (uint64_t)CLK_US_PER_S)
-
-static const char *const policies[] = { "full", "uncharged", "patient", "hash", "least", "random" };
-static const char *const faults[] = { "steady", "burst", "hot_part", "hot_account", "grey",  "slow",
-                                      "mute",   "crash", "overload", "few",         "crowds" };
+#define LARGE_ACCOUNTS_SHARE 0.5 /* of all requests, for the large accounts together */
+#define HOT_PREFIX_SHARE 0.4     /* of the requests of the first kind, under SIM_HOT_PART */
+#define BURST_FACTOR 3.0
+#define FEW_ENGINES_FACTOR 2.0
+#define OVERLOAD_FACTOR 7.0
+#define SURGING_ACCOUNT_SHARE 0.6   /* of all requests, while that account surges */
+#define REMAINING_ENGINES_DIVISOR 2 /* one engine in so many, rounded down, does not leave */
+#define FAULTY_ENGINES_DIVISOR 4    /* one engine in so many, rounded up, has the fault */
+#define RETRY_WINDOW_US (10 * (uint64_t)CLK_US_PER_S)
+
+static const char *const policy_names[] = { "full", "uncharged", "patient",
+                                            "hash", "least",     "random" };
+static const char *const fault_names[] = { "steady",   "burst", "hot_part", "hot_account",
+                                           "grey",     "slow",  "mute",     "crash",
+                                           "overload", "few",   "crowds" };
 
 const char *
 sim_policy_name (sim_policy_t policy)
 {
-  return policies[policy];
+  return policy_names[policy];
 }
 
 const char *
 sim_fault_name (sim_fault_t fault)
 {
-  return faults[fault];
+  return fault_names[fault];
 }
 
 static double
-growth (const sim_t *sim)
+traffic_factor (const sim_t *sim)
 {
   if (!sim->faulty)
     return 1.0;
   if (sim->options.fault == SIM_BURST)
-    return BURST;
+    return BURST_FACTOR;
   if (sim->options.fault == SIM_OVERLOAD)
-    return OVERLOAD;
-  return sim->options.fault == SIM_FEW || sim->options.fault == SIM_HOT_ACCOUNT ? FEW_BURST : 1.0;
+    return OVERLOAD_FACTOR;
+  return sim->options.fault == SIM_FEW || sim->options.fault == SIM_HOT_ACCOUNT ? FEW_ENGINES_FACTOR
+                                                                                : 1.0;
 }
 
 static uint32_t
-crowd (const sim_t *sim)
+arrival_group_size (const sim_t *sim)
 {
-  return sim->faulty && sim->options.fault == SIM_CROWDS ? SIM_CROWD : 1;
+  return sim->faulty && sim->options.fault == SIM_CROWDS ? SIM_CROWD_SIZE : 1;
 }
 
 static void
-plan_arrival (sim_t *sim, uint32_t kind)
+schedule_arrivals (sim_t *sim, uint32_t kind)
 {
-  double rate_s = sim->site->kinds[kind].rate_s * growth (sim) / crowd (sim);
+  double rate_s = sim->site->kinds[kind].rate_s * traffic_factor (sim) / arrival_group_size (sim);
 
   if (rate_s <= 0)
     return;
   evt_add (&sim->events,
-           sim->now_us + 1 + (uint64_t)rnd_exponential (&sim->dice, CLK_US_PER_S / rate_s),
-           EVENT_ARRIVE, kind, NULL);
+           sim->now_us + 1 + (uint64_t)rnd_exponential (&sim->random, CLK_US_PER_S / rate_s),
+           EVENT_ARRIVAL, kind, NULL);
 }
 
 static bool
-has_loud_account (const sim_t *sim)
+has_surging_account (const sim_t *sim)
 {
   return sim->options.fault == SIM_HOT_ACCOUNT || sim->options.fault == SIM_OVERLOAD;
 }
@@ -67,39 +70,40 @@
 static uint32_t
 draw_account (sim_t *sim)
 {
-  uint32_t small = sim->site->accounts - LARGE_ACCOUNTS;
+  uint32_t small_accounts = sim->site->accounts - LARGE_ACCOUNTS;
 
-  if (sim->faulty && has_loud_account (sim) && rnd_unit (&sim->dice) < LOUD_SHARE)
-    return LOUD;
-  if (rnd_unit (&sim->dice) < LARGE_SHARE)
-    return rnd_below (&sim->dice, LARGE_ACCOUNTS);
-  return LARGE_ACCOUNTS + rnd_below (&sim->dice, small);
+  if (sim->faulty && has_surging_account (sim) && rnd_unit (&sim->random) < SURGING_ACCOUNT_SHARE)
+    return SURGING_ACCOUNT;
+  if (rnd_unit (&sim->random) < LARGE_ACCOUNTS_SHARE)
+    return rnd_below (&sim->random, LARGE_ACCOUNTS);
+  return LARGE_ACCOUNTS + rnd_below (&sim->random, small_accounts);
 }
 
-/* Parts are asked for with a slight skew. */
+/* Returns the identity of a shared prefix; the square makes some prefixes more popular. */
 static uint64_t
-draw_part (sim_t *sim, const sit_kind_t *kind)
+draw_prefix (sim_t *sim, const sit_kind_t *kind)
 {
   uint32_t kind_index = (uint32_t)(kind - sim->site->kinds);
-  double place = rnd_unit (&sim->dice);
+  double position = rnd_unit (&sim->random);
 
-  if (kind->parts == 0)
+  if (kind->prefixes == 0)
     return 0;
   if (kind_index == 0 && sim->faulty && sim->options.fault == SIM_HOT_PART &&
-      rnd_unit (&sim->dice) < HOT_SHARE)
-    place = 0;
-  return kind_index * UINT64_C (1000) + 1 + (uint64_t)(place * place * kind->parts);
+      rnd_unit (&sim->random) < HOT_PREFIX_SHARE)
+    position = 0;
+  return kind_index * UINT64_C (1000) + 1 + (uint64_t)(position * position * kind->prefixes);
 }
 
+/* Prepares the request for a try of its client, the first or a repeated one. */
 static void
-open_line (sim_t *sim, sim_request_t *request)
+init_try (sim_t *sim, sim_request_t *request)
 {
-  bool patient = sim->options.policy == SIM_PATIENT;
+  bool no_target = sim->options.policy == SIM_PATIENT;
 
-  request->line =
+  request->queue_item =
       (lin_item_t){ .priority = request->kind->priority,
                     .arrived_us = sim->now_us,
-                    .in_time_us = patient ? 0 : request->arrived_us + request->kind->aim_us,
+                    .in_time_us = no_target ? 0 : request->arrived_us + request->kind->aim_us,
                     .deadline_us = request->arrived_us + request->kind->deadline_us,
                     .returns = request->returned,
                     .fair = { .account_hash = request->account + 1, .owner = request } };
@@ -107,50 +111,54 @@
                                            .resumable = request->kind->resumable,
                                            .attempts = request->kind->attempts });
   request->tried_count = 0;
-  request->hops = 0;
+  request->attempt_count = 0;
   rsh_request (&request->gateway->retries[request->kind->service], &sim->site->retries,
                sim->now_us);
   g_array_append_val (sim->request_times[request->kind->service], sim->now_us);
 }
 
 static void
-arrive (sim_t *sim, uint32_t kind)
+add_request (sim_t *sim, uint32_t kind)
 {
   sim_request_t *request = g_new0 (sim_request_t, 1);
 
   request->kind = &sim->site->kinds[kind];
-  request->gateway = g_ptr_array_index (sim->gateways, rnd_below (&sim->dice, sim->site->gateways));
+  request->gateway =
+      g_ptr_array_index (sim->gateways, rnd_below (&sim->random, sim->site->gateways));
   request->account = draw_account (sim);
-  request->part = draw_part (sim, request->kind);
+  request->prefix = draw_prefix (sim, request->kind);
   request->arrived_us = sim->now_us;
-  open_line (sim, request);
+  init_try (sim, request);
   g_ptr_array_add (sim->requests, request);
   g_ptr_array_add (request->gateway->requests, request);
-  evt_add (&sim->events, request->line.deadline_us, EVENT_DEADLINE, 0, request);
+  evt_add (&sim->events, request->queue_item.deadline_us, EVENT_DEADLINE, 0, request);
   sim_place (sim, request);
 }
 
 static void
-arrive_together (sim_t *sim, uint32_t kind)
+handle_arrivals (sim_t *sim, uint32_t kind)
 {
-  plan_arrival (sim, kind);
-  for (uint32_t i = 0; i < crowd (sim); i++)
-    arrive (sim, kind);
+  schedule_arrivals (sim, kind);
+  for (uint32_t i = 0; i < arrival_group_size (sim); i++)
+    add_request (sim, kind);
 }
 
 static void
-count (const sim_t *sim, sim_count_t *to, const sim_request_t *request, sim_answer_t answer)
+count_answer (const sim_t *sim,
+              sim_count_t *total,
+              const sim_request_t *request,
+              sim_answer_t answer)
 {
   uint64_t half_us = request->kind->deadline_us / 2;
   bool on_time = request->head_us <= request->arrived_us + request->kind->aim_us;
 
-  to->requests++;
-  to->on_time += answer == SIM_SERVED && on_time ? 1 : 0;
-  to->late += answer == SIM_SERVED && !on_time ? 1 : 0;
-  to->refused += answer == SIM_REFUSED ? 1 : 0;
-  to->failed += answer == SIM_FAILED ? 1 : 0;
-  to->late_refusals +=
-      answer == SIM_REFUSED && sim->now_us > request->line.arrived_us + half_us ? 1 : 0;
+  total->requests++;
+  total->on_time += answer == SIM_SERVED && on_time ? 1 : 0;
+  total->late += answer == SIM_SERVED && !on_time ? 1 : 0;
+  total->refused += answer == SIM_REFUSED ? 1 : 0;
+  total->failed += answer == SIM_FAILED ? 1 : 0;
+  total->late_refusals +=
+      answer == SIM_REFUSED && sim->now_us > request->queue_item.arrived_us + half_us ? 1 : 0;
 }
 
 void
@@ -158,33 +166,33 @@
 {
   sim_figures_t *figures = &sim->figures;
 
-  g_assert (!request->over && !request->send && !request->line.waiting);
+  g_assert (!request->over && !request->attempt && !request->queue_item.waiting);
   request->over = true;
   g_ptr_array_remove_fast (request->gateway->requests, request);
   if (request->arrived_us < SIM_MEASURED_FROM_US)
     return;
-  count (sim, &figures->all, request, answer);
-  if (request->arrived_us >= SIM_SETTLED_US)
-    count (sim, &figures->after, request, answer);
-  if (request->arrived_us < SIM_FROM_US || request->arrived_us >= SIM_TO_US)
+  count_answer (sim, &figures->all, request, answer);
+  if (request->arrived_us >= SIM_RECOVERED_FROM_US)
+    count_answer (sim, &figures->after, request, answer);
+  if (request->arrived_us < SIM_FAULT_BEGIN_US || request->arrived_us >= SIM_FAULT_END_US)
     return;
-  count (sim, &figures->during, request, answer);
-  count (sim, &figures->kinds[request->kind - sim->site->kinds], request, answer);
-  if (request->account != LOUD && request->kind->service != SIT_MODEL)
-    count (sim, &figures->quiet, request, answer);
+  count_answer (sim, &figures->during, request, answer);
+  count_answer (sim, &figures->kinds[request->kind - sim->site->kinds], request, answer);
+  if (request->account != SURGING_ACCOUNT && request->kind->service != SIT_MODEL)
+    count_answer (sim, &figures->quiet, request, answer);
 }
 
 static sim_mode_t
-mode_of (sim_fault_t fault)
+engine_mode (sim_fault_t fault)
 {
   switch (fault)
     {
     case SIM_GREY:
-      return ENGINE_GREY;
+      return ENGINE_FLAKY;
     case SIM_SLOW:
       return ENGINE_SLOW;
     case SIM_MUTE:
-      return ENGINE_MUTE;
+      return ENGINE_UNRESPONSIVE;
     case SIM_CRASH:
       return ENGINE_DOWN;
     case SIM_STEADY:
@@ -197,20 +205,20 @@
     case SIM_FAULTS:
       break;
     }
-  return ENGINE_SOUND;
+  return ENGINE_HEALTHY;
 }
 
-/* Whether the fault has the engine; the first of each service are as good as any. */
+/* Whether the fault affects the engine: it affects the first engines of each service. */
 static bool
-is_hit (const sim_t *sim, const sim_engine_t *engine)
+is_affected (const sim_t *sim, const sim_engine_t *engine)
 {
-  uint32_t of = sim->site->services[engine->service].engines;
+  uint32_t engine_count = sim->site->services[engine->service].engines;
 
-  return engine->index < (of + FAULTY_SHARE - 1) / FAULTY_SHARE;
+  return engine->index < (engine_count + FAULTY_ENGINES_DIVISOR - 1) / FAULTY_ENGINES_DIVISOR;
 }
 
 static void
-tell_gateways (const sim_t *sim, const sim_engine_t *engine)
+update_gateways (const sim_t *sim, const sim_engine_t *engine)
 {
   for (guint i = 0; i < sim->gateways->len; i++)
     {
@@ -223,12 +231,12 @@
 static void
 set_leaving (sim_t *sim, sim_engine_t *engine, bool leaving)
 {
-  uint32_t of = sim->site->services[engine->service].engines;
+  uint32_t engine_count = sim->site->services[engine->service].engines;
 
-  if (engine->index < of / KEPT_SHARE)
+  if (engine->index < engine_count / REMAINING_ENGINES_DIVISOR)
     return;
   engine->entry.state = leaving ? EGN_LEAVING : EGN_READY;
-  tell_gateways (sim, engine);
+  update_gateways (sim, engine);
 }
 
 static void
@@ -243,45 +251,45 @@
 
       if (fault == SIM_FEW || fault == SIM_HOT_ACCOUNT)
         set_leaving (sim, engine, begins);
-      else if (is_hit (sim, engine))
-        sim_engine_set_mode (sim, engine, begins ? mode_of (fault) : ENGINE_SOUND);
+      else if (is_affected (sim, engine))
+        sim_engine_set_mode (sim, engine, begins ? engine_mode (fault) : ENGINE_HEALTHY);
     }
 }
 
 static void
-come_back (sim_t *sim, sim_request_t *request)
+handle_client_retry (sim_t *sim, sim_request_t *request)
 {
   if (request->over)
     return;
-  open_line (sim, request);
+  init_try (sim, request);
   sim_place (sim, request);
 }
 
 static void
-handle (sim_t *sim, const evt_t *event)
+handle_event (sim_t *sim, const evt_t *event)
 {
-  sim_send_t *send = event->data;
+  sim_send_t *attempt = event->data;
 
   switch ((sim_event_t)event->kind)
     {
-    case EVENT_ARRIVE:
-      if (sim->now_us < SIM_END_US)
-        arrive_together (sim, event->number);
+    case EVENT_ARRIVAL:
+      if (sim->now_us < SIM_ARRIVALS_END_US)
+        handle_arrivals (sim, event->number);
       return;
-    case EVENT_RETURN:
-      come_back (sim, event->data);
+    case EVENT_CLIENT_RETRY:
+      handle_client_retry (sim, event->data);
       return;
     case EVENT_DEADLINE:
       sim_on_deadline (sim, event->data);
       return;
     case EVENT_HEAD:
-      sim_on_head (sim, send);
+      sim_on_head (sim, attempt);
       return;
     case EVENT_END:
-      sim_on_end (sim, send, true, CRS_UNKNOWN);
+      sim_on_end (sim, attempt, true, CRS_UNKNOWN);
       return;
     case EVENT_REFUSED:
-      sim_on_refused (sim, send);
+      sim_on_refused (sim, attempt);
       return;
     case EVENT_TICK:
       sim_on_tick (sim, g_ptr_array_index (sim->gateways, event->number));
@@ -296,14 +304,14 @@
 }
 
 static void
-build (sim_t *sim)
+init_run (sim_t *sim)
 {
   evt_init (&sim->events);
   sim->engines = g_ptr_array_new_with_free_func (sim_engine_free);
   sim->gateways = g_ptr_array_new_with_free_func (sim_gateway_free);
   sim->requests = g_ptr_array_new_with_free_func (g_free);
-  sim->sends = g_ptr_array_new_with_free_func (g_free);
-  sim->peaks = g_array_new (FALSE, FALSE, sizeof (uint32_t));
+  sim->attempts = g_ptr_array_new_with_free_func (g_free);
+  sim->relative_loads = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   for (uint32_t service = 0; service < SIT_SERVICES; service++)
     {
       sim->retry_times[service] = g_array_new (FALSE, FALSE, sizeof (uint64_t));
@@ -314,20 +322,20 @@
   for (uint32_t i = 0; i < sim->site->gateways; i++)
     g_ptr_array_add (sim->gateways, sim_gateway_new (sim, i));
   for (uint32_t kind = 0; kind < SIT_KINDS; kind++)
-    plan_arrival (sim, kind);
-  evt_add (&sim->events, SIM_FROM_US, EVENT_FAULT_BEGINS, 0, NULL);
-  evt_add (&sim->events, SIM_TO_US, EVENT_FAULT_ENDS, 0, NULL);
+    schedule_arrivals (sim, kind);
+  evt_add (&sim->events, SIM_FAULT_BEGIN_US, EVENT_FAULT_BEGINS, 0, NULL);
+  evt_add (&sim->events, SIM_FAULT_END_US, EVENT_FAULT_ENDS, 0, NULL);
 }
 
-/* What is under way at the end: all of it is over by its deadline, so nothing holds an engine. */
+/* Every request is over by its deadline, so none refers to an engine any more. */
 static void
-clear (sim_t *sim)
+clear_run (sim_t *sim)
 {
   g_ptr_array_free (sim->gateways, TRUE);
   g_ptr_array_free (sim->engines, TRUE);
   g_ptr_array_free (sim->requests, TRUE);
-  g_ptr_array_free (sim->sends, TRUE);
-  g_array_free (sim->peaks, TRUE);
+  g_ptr_array_free (sim->attempts, TRUE);
+  g_array_free (sim->relative_loads, TRUE);
   for (uint32_t service = 0; service < SIT_SERVICES; service++)
     {
       g_array_free (sim->retry_times[service], TRUE);
@@ -336,10 +344,12 @@
   evt_clear (&sim->events);
 }
 
+/* Returns the largest excess of retries over the retry budget in any window, negative if there is
+ * none. Both arrays hold times in ascending order. */
 static int64_t
-beyond_allowance (const sim_t *sim, const GArray *retries, const GArray *requests)
+max_retry_excess (const sim_t *sim, const GArray *retries, const GArray *requests)
 {
-  int64_t most = INT64_MIN;
+  int64_t max_excess = INT64_MIN;
   guint first_retry = 0;
   guint first_request = 0;
   guint end_request = 0;
@@ -349,18 +359,18 @@
       uint64_t at_us = g_array_index (retries, uint64_t, i);
       int64_t allowed;
 
-      while (g_array_index (retries, uint64_t, first_retry) + WINDOW_US < at_us)
+      while (g_array_index (retries, uint64_t, first_retry) + RETRY_WINDOW_US < at_us)
         first_retry++;
       while (end_request < requests->len &&
              g_array_index (requests, uint64_t, end_request) <= at_us)
         end_request++;
-      while (g_array_index (requests, uint64_t, first_request) + WINDOW_US < at_us)
+      while (g_array_index (requests, uint64_t, first_request) + RETRY_WINDOW_US < at_us)
         first_request++;
       allowed = (int64_t)(end_request - first_request) * sim->site->retries.ratio_milli / 1000 +
                 sim->site->retries.slack;
-      most = MAX (most, (int64_t)(i - first_retry + 1) - allowed);
+      max_excess = MAX (max_excess, (int64_t)(i - first_retry + 1) - allowed);
     }
-  return most == INT64_MIN ? -(int64_t)sim->site->retries.slack : most;
+  return max_excess == INT64_MIN ? -(int64_t)sim->site->retries.slack : max_excess;
 }
 
 static int
@@ -373,7 +383,7 @@
 }
 
 static void
-sum_up (sim_t *sim)
+compute_figures (sim_t *sim)
 {
   sim_figures_t *figures = &sim->figures;
 
@@ -382,38 +392,41 @@
     {
       figures->retries_most =
           MAX (figures->retries_most,
-               beyond_allowance (sim, sim->retry_times[service], sim->request_times[service]));
+               max_retry_excess (sim, sim->retry_times[service], sim->request_times[service]));
     }
-  g_array_sort (sim->peaks, compare_u32);
-  if (sim->peaks->len > 0)
-    figures->peak_milli = g_array_index (sim->peaks, uint32_t, sim->peaks->len / 2);
+  g_array_sort (sim->relative_loads, compare_u32);
+  if (sim->relative_loads->len > 0)
+    figures->peak_milli =
+        g_array_index (sim->relative_loads, uint32_t, sim->relative_loads->len / 2);
 }
 
-/* A small fleet has as many plain engines all the same. */
+/* The number of plain engines stays: a site has only a few of them. */
 static void
-shrink (sit_t *site, uint32_t part)
+scale_down (sit_t *site, uint32_t divisor)
 {
-  site->gateways = MAX (site->gateways / part, 1U);
-  site->services[SIT_MODEL].engines = MAX (site->services[SIT_MODEL].engines / part, 1U);
+  site->gateways = MAX (site->gateways / divisor, 1U);
+  site->services[SIT_MODEL].engines = MAX (site->services[SIT_MODEL].engines / divisor, 1U);
   for (uint32_t i = 0; i < SIT_KINDS; i++)
-    site->kinds[i].rate_s /= part;
+    site->kinds[i].rate_s /= divisor;
 }
 
 sim_figures_t
 sim_run (const sim_options_t *options)
 {
-  sim_t sim = { .options = *options, .part = *options->site, .dice = options->seed * 2 + 1 };
+  sim_t sim = { .options = *options,
+                .scaled_site = *options->site,
+                .random = options->seed * 2 + 1 };
   evt_t event;
 
-  shrink (&sim.part, MAX (options->part, 1U));
-  sim.site = &sim.part;
-  build (&sim);
+  scale_down (&sim.scaled_site, MAX (options->scale_divisor, 1U));
+  sim.site = &sim.scaled_site;
+  init_run (&sim);
   while (evt_take (&sim.events, &event))
     {
       sim.now_us = event.at_us;
-      handle (&sim, &event);
+      handle_event (&sim, &event);
     }
-  sum_up (&sim);
-  clear (&sim);
+  compute_figures (&sim);
+  clear_run (&sim);
   return sim.figures;
 }
--- a/bench/gateway/sim.h
+++ b/bench/gateway/sim.h
@@ -1,10 +1,11 @@
 /**
  * DOC: sim
  *
- * The gateway's decisions at work without a network: many gateways, each with its own view, place
- * the requests of a deployment at engines in virtual time. The decisions are the product's (spread,
- * engines, line, course, retry share, patience) or those of plain baselines; callers, engines and
- * faults are the same under each.
+ * A simulation, in virtual time and without a network, of many gateways that send the requests of
+ * one site to its engines. Each gateway has its own knowledge of the engines' load. The decisions
+ * are made by the product's code (src/request/policy: spread, engines, line, course, retry_share,
+ * patience) or by a simple baseline policy; clients, engines and faults are the same under each
+ * policy.
  */
 #ifndef BENCH_GATEWAY_SIM_H
 #define BENCH_GATEWAY_SIM_H
@@ -13,61 +14,98 @@
 
 #include <stdint.h>
 
-/** enum sim_policy - all but the first are baselines */
+/**
+ * enum sim_policy - how gateways decide; all but SIM_FULL are baselines for comparison
+ * @SIM_FULL: the product's decisions
+ * @SIM_UNCHARGED: as SIM_FULL, but requests that start are not charged to their account, so the
+ *   waiting queue is not fair between accounts
+ * @SIM_PATIENT: as SIM_FULL, but every request may wait in one queue until its deadline, whatever
+ *   its target time, and the gauge of the service's total load is not used
+ * @SIM_HASH: the engine is chosen by rendezvous hashing of the shared prompt prefix, without a load
+ *   bound, a waiting queue or a limit on retries
+ * @SIM_LEAST: as SIM_HASH, but the engine with the fewest requests of this gateway is chosen
+ * @SIM_RANDOM: as SIM_HASH, but a random engine is chosen
+ * @SIM_POLICIES: the number of policies
+ */
 typedef enum
 {
   SIM_FULL,
-  SIM_UNCHARGED, /* the waiting line does not charge accounts */
-  SIM_PATIENT,   /* all wait to their deadlines in one queue, whatever their aims; no load gauge */
-  SIM_HASH,      /* rendezvous by the shared part, no bound, no line, no limit on retries */
-  SIM_LEAST,     /* fewest own requests, else as SIM_HASH */
-  SIM_RANDOM,    /* any engine, else as SIM_HASH */
+  SIM_UNCHARGED,
+  SIM_PATIENT,
+  SIM_HASH,
+  SIM_LEAST,
+  SIM_RANDOM,
   SIM_POLICIES
 } sim_policy_t;
 
-/** enum sim_fault - what goes wrong from SIM_FROM_US to SIM_TO_US */
+/**
+ * enum sim_fault - what goes wrong from %SIM_FAULT_BEGIN_US to %SIM_FAULT_END_US
+ * @SIM_STEADY: nothing
+ * @SIM_BURST: three times the traffic
+ * @SIM_HOT_PART: 40% of the requests of the first kind share one prompt prefix
+ * @SIM_HOT_ACCOUNT: as SIM_FEW, and one account sends 60% of all requests
+ * @SIM_GREY: a quarter of the engines fails half of its requests
+ * @SIM_SLOW: a quarter of the engines takes six times as long
+ * @SIM_MUTE: a quarter of the engines accepts requests and never answers
+ * @SIM_CRASH: a quarter of the engines aborts its running requests and refuses connections
+ * @SIM_OVERLOAD: seven times the traffic, of which one account sends 60%
+ * @SIM_FEW: at least half of the engines of each service leave, and traffic doubles
+ * @SIM_CROWDS: requests arrive in groups of %SIM_CROWD_SIZE, at the same average rate
+ * @SIM_FAULTS: the number of faults
+ */
 typedef enum
 {
   SIM_STEADY,
-  SIM_BURST,       /* three times the traffic */
-  SIM_HOT_PART,    /* one shared part takes 40% of the first kind's requests */
-  SIM_HOT_ACCOUNT, /* as SIM_FEW, and one account sends 60% of all */
-  SIM_GREY,        /* a quarter of the engines fails half of its requests */
-  SIM_SLOW,        /* a quarter is slower by six */
-  SIM_MUTE,        /* a quarter takes requests and never answers */
-  SIM_CRASH,       /* a quarter breaks off what it runs and refuses connections */
-  SIM_OVERLOAD,    /* seven times the traffic, of which one account sends 60% */
-  SIM_FEW,         /* half of the engines or more leave, and traffic doubles */
-  SIM_CROWDS,      /* requests come %SIM_CROWD at a time, seldomer by as much */
+  SIM_BURST,
+  SIM_HOT_PART,
+  SIM_HOT_ACCOUNT,
+  SIM_GREY,
+  SIM_SLOW,
+  SIM_MUTE,
+  SIM_CRASH,
+  SIM_OVERLOAD,
+  SIM_FEW,
+  SIM_CROWDS,
   SIM_FAULTS
 } sim_fault_t;
 
-#define SIM_CROWD 20
+#define SIM_CROWD_SIZE 20 /* requests that arrive at the same moment under SIM_CROWDS */
 
-#define SIM_MEASURED_FROM_US (UINT64_C (5) * 1000 * 1000) /* caches and times have settled */
-#define SIM_FROM_US (UINT64_C (10) * 1000 * 1000)
-#define SIM_TO_US (UINT64_C (20) * 1000 * 1000)
-#define SIM_SETTLED_US (SIM_TO_US + UINT64_C (2) * 1000 * 1000)
-#define SIM_END_US (UINT64_C (35) * 1000 * 1000) /* the last request comes */
+/* Requests that arrive earlier are not counted: caches are cold and durations are not known yet. */
+#define SIM_MEASURED_FROM_US (UINT64_C (5) * 1000 * 1000)
+#define SIM_FAULT_BEGIN_US (UINT64_C (10) * 1000 * 1000)
+#define SIM_FAULT_END_US (UINT64_C (20) * 1000 * 1000)
+/* Requests that arrive from here on must not be affected by the fault any more. */
+#define SIM_RECOVERED_FROM_US (SIM_FAULT_END_US + UINT64_C (2) * 1000 * 1000)
+#define SIM_ARRIVALS_END_US (UINT64_C (35) * 1000 * 1000) /* no request arrives later */
 
-/** struct sim_options - @part: one in so many of the gateways, of the model engines and of the
- * requests; 0 counts as 1 */
+/**
+ * struct sim_options - options of sim_run()
+ * @site: the site to simulate
+ * @scale_divisor: divides the numbers of gateways and of model engines and the request rates; the
+ *   number of plain engines stays; 0 counts as 1
+ * @policy: how gateways decide
+ * @fault: what goes wrong
+ * @seed: of the random numbers; runs with equal options are identical
+ */
 typedef struct
 {
   const sit_t *site;
-  uint32_t part;
+  uint32_t scale_divisor;
   sim_policy_t policy;
   sim_fault_t fault;
   uint64_t seed;
 } sim_options_t;
 
 /**
- * struct sim_count - what callers got
- * @on_time: whole, and begun within the kind's aim
- * @late: whole, but begun later
- * @refused: told that it has not run
- * @failed: an error, a cut or no answer in time
- * @late_refusals: refused when its last try had waited for over half of its time
+ * struct sim_count - results of a set of requests, as their clients see them
+ * @requests: all requests of the set
+ * @on_time: answered completely, and the answer began within the target time of the kind
+ * @late: answered completely, but the answer began later
+ * @refused: rejected with the assurance that no engine ran the request
+ * @failed: an error, a truncated answer or no answer before the deadline
+ * @late_refusals: rejected when the client had waited for more than half of the deadline since it
+ *   sent the request for the last time
  */
 typedef struct
 {
@@ -80,18 +118,24 @@
 } sim_count_t;
 
 /**
- * struct sim_figures - of one run, after SIM_MEASURED_FROM_US
- * @quiet: of accounts that don't surge, and kinds of the plain service
- * @during: all requests that came while the fault lasted; @kinds: of each kind
- * @after: those that came later than %SIM_SETTLED_US
- * @sends: to engines
- * @early_refusals: refusals of requests that had been sent and had over half of their time left
- * @retries_most: arrivals at engines after a request's first, of all gateways, in any window, less
- * what the operators allow; above 0 is too many
- * @read_tokens, @prompt_tokens: that model engines read, and were asked
- * @peak_milli: highest load of a model engine at a dispatch against the mean of that moment,
- *   median over the dispatches, in thousandths
- * @over_cap: dispatches beyond twice the mean and three
+ * struct sim_figures - results of a run
+ * @all: requests that arrived from %SIM_MEASURED_FROM_US on
+ * @during: requests that arrived while the fault lasted
+ * @quiet: those of @during to the plain service, without the account that surges in some faults
+ * @after: requests that arrived from %SIM_RECOVERED_FROM_US on
+ * @kinds: those of @during, by kind of request
+ * @sends: attempts, in the whole run: a request is sent to an engine once or several times
+ * @early_refusals: rejections, in the whole run, of requests that had been sent to an engine and
+ *   had more than half of their time left
+ * @retries_most: retries that all gateways together sent in any 10 s beyond what the operator's
+ *   retry budget allows for the requests of these seconds, at the worst moment; above 0 the budget
+ *   was exceeded
+ * @read_tokens: prompt tokens that model engines had to process, from %SIM_MEASURED_FROM_US on
+ * @prompt_tokens: prompt tokens that model engines received, including those found in their caches
+ * @peak_milli: load of a model engine after it accepted a request, relative to the mean load of all
+ *   model engines that accept requests; median over all accepted requests, in thousandths
+ * @over_cap: requests that a model engine accepted with which its load exceeded twice the mean plus
+ *   three, which is the limit from which operators call an engine overloaded
  */
 typedef struct
 {
@@ -109,8 +153,11 @@
   uint64_t over_cap;
 } sim_figures_t;
 
+/** sim_policy_name() - the name of @policy on the command line and in the output */
 const char *sim_policy_name (sim_policy_t policy);
+/** sim_fault_name() - the name of @fault on the command line and in the output */
 const char *sim_fault_name (sim_fault_t fault);
+/** sim_run() - simulates one run from start to end. Return: its results */
 sim_figures_t sim_run (const sim_options_t *options);
 
 #endif
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -5,13 +5,16 @@
 #include <xxhash.h>
 
 #define TICK_US (25 * CLK_US_PER_MS)
-#define WATCH_TICKS 4
-#define FULL_MILLI 900 /* as GWY_FULL_MILLI */
-#define RETRY_MIN_US (100 * CLK_US_PER_MS)
-#define RETRY_MAX_US (8000 * CLK_US_PER_MS)
+#define TIMEOUT_CHECK_TICKS 4 /* ticks between two checks for attempts without a response */
+/* Of the slots of a service in use, in thousandths, from which it counts as full; equal to
+ * GWY_FULL_MILLI. */
+#define FULL_MILLI 900
+/* Bounds of the time after which a client sends a rejected request again. */
+#define CLIENT_RETRY_MIN_US (100 * CLK_US_PER_MS)
+#define CLIENT_RETRY_MAX_US (8000 * CLK_US_PER_MS)
 
 static bool
-is_plain (const sim_t *sim)
+is_baseline (const sim_t *sim)
 {
   return sim->options.policy > SIM_PATIENT;
 }
@@ -25,7 +28,7 @@
   gateway->engines = egs_new ();
   gateway->requests = g_ptr_array_new ();
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
-    gateway->lines[i] = lin_new ();
+    gateway->queues[i] = lin_new ();
   for (guint i = 0; i < sim->engines->len; i++)
     {
       const sim_engine_t *engine = g_ptr_array_index (sim->engines, i);
@@ -33,8 +36,8 @@
       egs_put (gateway->engines, sim->now_us, &engine->entry);
     }
   egs_set_complete (gateway->engines);
-  evt_add (&sim->events, sim->now_us + TICK_US + rnd_below (&sim->dice, TICK_US), EVENT_TICK, index,
-           NULL);
+  evt_add (&sim->events, sim->now_us + TICK_US + rnd_below (&sim->random, TICK_US), EVENT_TICK,
+           index, NULL);
   return gateway;
 }
 
@@ -44,43 +47,44 @@
   sim_gateway_t *gateway = data;
 
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
-    lin_free (gateway->lines[i]);
+    lin_free (gateway->queues[i]);
   egs_free (gateway->engines);
   g_ptr_array_free (gateway->requests, TRUE);
   g_free (gateway);
 }
 
 static lin_t *
-line_of (const sim_request_t *request)
+queue_of (const sim_request_t *request)
 {
-  return request->gateway->lines[request->kind->service];
+  return request->gateway->queues[request->kind->service];
 }
 
 static uint64_t
-left_us (const sim_t *sim, const sim_request_t *request)
+remaining_us (const sim_t *sim, const sim_request_t *request)
 {
-  uint64_t deadline_us = request->line.deadline_us;
+  uint64_t deadline_us = request->queue_item.deadline_us;
 
   return deadline_us > sim->now_us ? deadline_us - sim->now_us : 0;
 }
 
+/* Rejects the request. The client sends it again once, after wait_us, if there is time left. */
 static void
-refuse (sim_t *sim, sim_request_t *request, uint64_t wait_us)
+reject (sim_t *sim, sim_request_t *request, uint64_t wait_us)
 {
-  uint64_t back_us = sim->now_us + CLAMP (wait_us, RETRY_MIN_US, RETRY_MAX_US);
+  uint64_t retry_at_us = sim->now_us + CLAMP (wait_us, CLIENT_RETRY_MIN_US, CLIENT_RETRY_MAX_US);
 
   if (request->begun || request->crs.ran > 0)
     {
       sim_finish (sim, request, SIM_FAILED);
       return;
     }
-  if (request->returned || back_us >= request->line.deadline_us)
+  if (request->returned || retry_at_us >= request->queue_item.deadline_us)
     {
       sim_finish (sim, request, SIM_REFUSED);
       return;
     }
   request->returned = true;
-  evt_add (&sim->events, back_us, EVENT_RETURN, 0, request);
+  evt_add (&sim->events, retry_at_us, EVENT_CLIENT_RETRY, 0, request);
 }
 
 static bool
@@ -93,39 +97,39 @@
 }
 
 static uint64_t
-plain_rank (sim_t *sim, const sim_request_t *request, const egn_t *egn)
+baseline_rank (sim_t *sim, const sim_request_t *request, const egn_t *egn)
 {
-  uint64_t dice = rnd_next (&sim->dice) >> 16;
+  uint64_t random_rank = rnd_next (&sim->random) >> 16;
 
   if (sim->options.policy == SIM_LEAST)
-    return ((UINT64_C (1) << 62) - ((uint64_t)egn->own << 48)) + dice;
-  if (sim->options.policy == SIM_HASH && request->part != 0)
-    return XXH64 (&egn->hash, sizeof egn->hash, request->part);
-  return dice;
+    return ((UINT64_C (1) << 62) - ((uint64_t)egn->own << 48)) + random_rank;
+  if (sim->options.policy == SIM_HASH && request->prefix != 0)
+    return XXH64 (&egn->hash, sizeof egn->hash, request->prefix);
+  return random_rank;
 }
 
-/* The best by its rank among the open ones that it has not been sent to. */
+/* Returns the available engine of the highest rank that the request was not sent to before. */
 static spr_choice_t
-plain_choice (sim_t *sim, const sim_request_t *request, const GPtrArray *engines)
+baseline_choice (sim_t *sim, const sim_request_t *request, const GPtrArray *engines)
 {
   spr_choice_t choice = { .action = SPR_NONE };
-  uint64_t best = 0;
+  uint64_t best_rank = 0;
 
   for (guint i = 0; i < engines->len; i++)
     {
       egn_t *egn = g_ptr_array_index (engines, i);
-      uint64_t rank = plain_rank (sim, request, egn);
+      uint64_t rank = baseline_rank (sim, request, egn);
 
-      if (!egn_is_open (egn) || was_tried (request, egn) || (choice.engine && rank <= best))
+      if (!egn_is_open (egn) || was_tried (request, egn) || (choice.engine && rank <= best_rank))
         continue;
       choice = (spr_choice_t){ .action = SPR_SEND, .engine = egn };
-      best = rank;
+      best_rank = rank;
     }
   return choice;
 }
 
 static const char *
-service_of (const sim_t *sim, const sim_request_t *request)
+service_name (const sim_t *sim, const sim_request_t *request)
 {
   return g_intern_string (sim->site->services[request->kind->service].name);
 }
@@ -136,12 +140,13 @@
   return &request->gateway->loads[request->kind->service];
 }
 
+/* Returns the load of the service as responses reported it, or 0 if the policy does not use it. */
 static uint32_t
-told_milli (const sim_t *sim, const sim_request_t *request)
+reported_load_milli (const sim_t *sim, const sim_request_t *request)
 {
-  bool known = sim->options.policy != SIM_PATIENT;
+  bool uses_gauge = sim->options.policy != SIM_PATIENT;
 
-  return known ? gau_told_milli (&load_of (request)->gauge, sim->now_us) : 0;
+  return uses_gauge ? gau_told_milli (&load_of (request)->gauge, sim->now_us) : 0;
 }
 
 static bool
@@ -149,37 +154,39 @@
 {
   const sim_load_t *load = load_of (request);
 
-  return sim->options.policy != SIM_PATIENT && gau_is_surge (&load->gauge, sim->now_us, load->own);
+  return sim->options.policy != SIM_PATIENT &&
+         gau_is_surge (&load->gauge, sim->now_us, load->in_flight);
 }
 
 static spr_choice_t
-choose (sim_t *sim, const sim_request_t *request)
+choose_engine (sim_t *sim, const sim_request_t *request)
 {
-  const GPtrArray *engines = egs_list (request->gateway->engines, service_of (sim, request));
+  const GPtrArray *engines = egs_list (request->gateway->engines, service_name (sim, request));
   char data_center[16];
 
-  if (is_plain (sim))
-    return plain_choice (sim, request, engines);
+  if (is_baseline (sim))
+    return baseline_choice (sim, request, engines);
   g_snprintf (data_center, sizeof data_center, "hall-%u",
               request->gateway->index % sim->site->data_centers);
-  return spr_choose (engines, sim->now_us,
-                     &(spr_request_t){ .affinity = request->part,
-                                       .affinity_tokens = request->kind->shared_tokens,
-                                       .data_center = data_center,
-                                       .repeatable = crs_may_leave (&request->crs, request->begun),
-                                       .gateways = sim->site->gateways,
-                                       .gateway_hash = request->gateway->index,
-                                       .run_us = lin_run_us (line_of (request)),
-                                       .head_us = lin_head_us (line_of (request)),
-                                       .surge = is_surge (sim, request),
-                                       .told_milli = told_milli (sim, request),
-                                       .late = request->line.waiting && request->line.late,
-                                       .tried = request->tried,
-                                       .tried_count = request->tried_count });
+  return spr_choose (
+      engines, sim->now_us,
+      &(spr_request_t){ .affinity = request->prefix,
+                        .affinity_tokens = request->kind->prefix_tokens,
+                        .data_center = data_center,
+                        .repeatable = crs_may_leave (&request->crs, request->begun),
+                        .gateways = sim->site->gateways,
+                        .gateway_hash = request->gateway->index,
+                        .run_us = lin_run_us (queue_of (request)),
+                        .head_us = lin_head_us (queue_of (request)),
+                        .surge = is_surge (sim, request),
+                        .told_milli = reported_load_milli (sim, request),
+                        .late = request->queue_item.waiting && request->queue_item.late,
+                        .tried = request->tried,
+                        .tried_count = request->tried_count });
 }
 
 static sim_engine_t *
-engine_of (const sim_t *sim, const egn_t *egn)
+find_engine (const sim_t *sim, const egn_t *egn)
 {
   for (guint i = 0; i < sim->engines->len; i++)
     {
@@ -192,12 +199,12 @@
 }
 
 static void
-start (sim_t *sim, sim_request_t *request)
+leave_queue (sim_t *sim, sim_request_t *request)
 {
   if (sim->options.policy == SIM_UNCHARGED)
-    lin_remove (line_of (request), sim->now_us, &request->line);
+    lin_remove (queue_of (request), sim->now_us, &request->queue_item);
   else
-    lin_start (line_of (request), sim->now_us, &request->line);
+    lin_start (queue_of (request), sim->now_us, &request->queue_item);
 }
 
 static uint64_t
@@ -208,7 +215,7 @@
 }
 
 static void
-note_retry (const sim_t *sim, sim_request_t *request)
+spend_retry (const sim_t *sim, sim_request_t *request)
 {
   if (crs_sends (&request->crs))
     rsh_spend (&request->gateway->retries[request->kind->service], &sim->site->retries,
@@ -216,44 +223,46 @@
 }
 
 static void
-send_to (sim_t *sim, sim_request_t *request, egn_t *egn)
-{
-  sim_send_t *sent = g_new0 (sim_send_t, 1);
-
-  start (sim, request);
-  note_retry (sim, request);
-  *sent = (sim_send_t){
-    .request = request, .engine = engine_of (sim, egn), .egn = egn, .sent_us = sim->now_us
-  };
-  g_ptr_array_add (sim->sends, sent);
-  request->send = sent;
-  request->tried[request->tried_count % SIM_TRIED] = egn->hash;
-  request->tried_count = MIN (request->tried_count + 1, SIM_TRIED);
+send_request (sim_t *sim, sim_request_t *request, egn_t *egn)
+{
+  sim_send_t *attempt = g_new0 (sim_send_t, 1);
+
+  leave_queue (sim, request);
+  spend_retry (sim, request);
+  *attempt = (sim_send_t){ .request = request,
+                           .engine = find_engine (sim, egn),
+                           .known_engine = egn,
+                           .sent_us = sim->now_us };
+  g_ptr_array_add (sim->attempts, attempt);
+  request->attempt = attempt;
+  request->tried[request->tried_count % SIM_TRIED_MAX] = egn->hash;
+  request->tried_count = MIN (request->tried_count + 1, SIM_TRIED_MAX);
   sim->figures.sends++;
-  if (request->hops++ > request->crs.unsent)
+  if (request->attempt_count++ > request->crs.unsent)
     g_array_append_val (sim->retry_times[request->kind->service], sim->now_us);
   egn_begin (egn, sim->now_us);
-  load_of (request)->own++;
+  load_of (request)->in_flight++;
   egn_probe (egn, sim->now_us);
-  sim_engine_take (sim, sent);
+  sim_engine_take (sim, attempt);
 }
 
 static lin_room_t
-room_of (const sim_t *sim, const sim_request_t *request)
+queue_capacity (const sim_t *sim, const sim_request_t *request)
 {
   return (lin_room_t){ .slots = egs_open_slots (request->gateway->engines,
-                                                service_of (sim, request), sim->now_us),
+                                                service_name (sim, request), sim->now_us),
                        .gateways = sim->site->gateways };
 }
 
 static void
-keep_waiting (sim_t *sim, sim_request_t *request)
+wait_in_queue (sim_t *sim, sim_request_t *request)
 {
-  lin_room_t room = room_of (sim, request);
+  lin_room_t capacity = queue_capacity (sim, request);
   uint64_t wait_us;
 
-  if (lin_push (line_of (request), sim->now_us, &room, &request->line, &wait_us) != LIN_WAITS)
-    refuse (sim, request, lin_retry_us (line_of (request), sim->now_us, wait_us));
+  if (lin_push (queue_of (request), sim->now_us, &capacity, &request->queue_item, &wait_us) !=
+      LIN_WAITS)
+    reject (sim, request, lin_retry_us (queue_of (request), sim->now_us, wait_us));
 }
 
 void
@@ -261,100 +270,101 @@
 {
   spr_choice_t choice;
 
-  if (lin_count_in_time (line_of (request)) > 0 && request->hops == 0)
+  if (lin_count_in_time (queue_of (request)) > 0 && request->attempt_count == 0)
     {
-      keep_waiting (sim, request);
+      wait_in_queue (sim, request);
       return;
     }
-  choice = choose (sim, request);
+  choice = choose_engine (sim, request);
   if (choice.action == SPR_SEND)
-    send_to (sim, request, choice.engine);
+    send_request (sim, request, choice.engine);
   else if (choice.action == SPR_WAIT)
-    keep_waiting (sim, request);
+    wait_in_queue (sim, request);
   else
-    refuse (sim, request, RETRY_MIN_US);
+    reject (sim, request, CLIENT_RETRY_MIN_US);
 }
 
-/** struct pick - context of may_start(); @choice: for the request that it was asked for last */
+/** struct start_context - context of may_start(); @choice: for the request of its latest call */
 typedef struct
 {
   sim_t *sim;
   spr_choice_t choice;
-} pick_t;
+} start_context_t;
 
 static bool
 may_start (void *owner, void *context)
 {
   const sim_request_t *request = owner;
-  pick_t *pick = context;
+  start_context_t *start = context;
 
-  if (request->crs.retry_due && retry_wait_us (pick->sim, request) > 0)
+  if (request->crs.retry_due && retry_wait_us (start->sim, request) > 0)
     return false;
-  pick->choice = choose (pick->sim, request);
-  return pick->choice.action != SPR_WAIT;
+  start->choice = choose_engine (start->sim, request);
+  return start->choice.action != SPR_WAIT;
 }
 
 static void
-pump (sim_t *sim, lin_t *line)
+start_waiting (sim_t *sim, lin_t *queue)
 {
-  pick_t pick = { .sim = sim };
+  start_context_t context = { .sim = sim };
   sim_request_t *request;
 
-  while ((request = lin_first (line, may_start, &pick)))
+  while ((request = lin_first (queue, may_start, &context)))
     {
-      if (pick.choice.action == SPR_SEND)
+      if (context.choice.action == SPR_SEND)
         {
-          send_to (sim, request, pick.choice.engine);
+          send_request (sim, request, context.choice.engine);
           continue;
         }
-      lin_remove (line, sim->now_us, &request->line);
-      refuse (sim, request, RETRY_MIN_US);
+      lin_remove (queue, sim->now_us, &request->queue_item);
+      reject (sim, request, CLIENT_RETRY_MIN_US);
     }
 }
 
-/** struct asking - context of may_retry() */
+/** struct retry_context - context of may_retry() */
 typedef struct
 {
   sim_t *sim;
   sim_request_t *request;
-} asking_t;
+} retry_context_t;
 
 static bool
 may_retry (void *context)
 {
-  const asking_t *asking = context;
+  const retry_context_t *retry = context;
 
-  return is_plain (asking->sim) || retry_wait_us (asking->sim, asking->request) == 0;
+  return is_baseline (retry->sim) || retry_wait_us (retry->sim, retry->request) == 0;
 }
 
 static void
-note_early (sim_t *sim, const sim_request_t *request)
+count_early_refusal (sim_t *sim, const sim_request_t *request)
 {
-  if (left_us (sim, request) > request->kind->deadline_us / 2)
+  if (remaining_us (sim, request) > request->kind->deadline_us / 2)
     sim->figures.early_refusals++;
 }
 
+/* Takes the next step after an attempt that failed with the outcome. */
 static void
-go_on (sim_t *sim, sim_request_t *request, crs_outcome_t outcome)
+continue_request (sim_t *sim, sim_request_t *request, crs_outcome_t outcome)
 {
-  asking_t asking = { sim, request };
+  retry_context_t context = { sim, request };
   uint64_t wait_us = retry_wait_us (sim, request);
 
-  switch (crs_next (&request->crs, outcome, left_us (sim, request), may_retry, &asking))
+  switch (crs_next (&request->crs, outcome, remaining_us (sim, request), may_retry, &context))
     {
     case CRS_AGAIN:
     case CRS_RESUME:
       sim_place (sim, request);
       return;
     case CRS_WAIT:
-      if (lin_push_behind (line_of (request), sim->now_us, &request->line, wait_us))
+      if (lin_push_behind (queue_of (request), sim->now_us, &request->queue_item, wait_us))
         return;
-      note_early (sim, request);
-      refuse (sim, request, wait_us);
+      count_early_refusal (sim, request);
+      reject (sim, request, wait_us);
       return;
     case CRS_REFUSE:
-      note_early (sim, request);
-      refuse (sim, request, RETRY_MIN_US);
+      count_early_refusal (sim, request);
+      reject (sim, request, CLIENT_RETRY_MIN_US);
       return;
     case CRS_PASS:
     case CRS_FAIL:
@@ -364,43 +374,44 @@
     }
 }
 
-/* The send is over for its request; it may run on at its engine, which never happens here. */
+/* Separates the attempt, which has ended or was abandoned, from its request. The caller removes it
+ * from the engine, unless the engine never ran it. */
 static sim_request_t *
-let_go (sim_send_t *send)
+detach_attempt (sim_send_t *attempt)
 {
-  sim_request_t *request = send->request;
+  sim_request_t *request = attempt->request;
 
-  send->over = true;
-  send->request = NULL;
-  request->send = NULL;
-  load_of (request)->own--;
-  egn_end (send->egn);
+  attempt->over = true;
+  attempt->request = NULL;
+  request->attempt = NULL;
+  load_of (request)->in_flight--;
+  egn_end (attempt->known_engine);
   return request;
 }
 
 void
-sim_on_head (sim_t *sim, sim_send_t *send)
+sim_on_head (sim_t *sim, sim_send_t *attempt)
 {
-  sim_request_t *request = send->request;
-  sim_engine_t *engine = send->engine;
-  egn_load_t told;
+  sim_request_t *request = attempt->request;
+  sim_engine_t *engine = attempt->engine;
+  egn_load_t reported;
   bool failed;
 
-  if (send->over)
+  if (attempt->over)
     return;
-  failed = engine->mode == ENGINE_GREY && rnd_unit (&sim->dice) < 0.5;
-  send->heard_us = sim->now_us;
-  send->egn->heard_us = sim->now_us;
-  told = sim->site->services[engine->service].tells_begin ? send->begun_load
-                                                          : sim_engine_told (engine);
-  egn_told (send->egn, sim->now_us, &told);
-  gau_told (&load_of (request)->gauge, sim->now_us, told.running + told.waiting, told.slots,
-            load_of (request)->own);
-  egn_worked (send->egn, sim->now_us, failed);
-  lin_note_head (line_of (request), sim->now_us - send->sent_us);
+  failed = engine->mode == ENGINE_FLAKY && rnd_unit (&sim->random) < 0.5;
+  attempt->heard_us = sim->now_us;
+  attempt->known_engine->heard_us = sim->now_us;
+  reported = sim->site->services[engine->service].reports_load_at_start ? attempt->begun_load
+                                                                        : sim_engine_told (engine);
+  egn_told (attempt->known_engine, sim->now_us, &reported);
+  gau_told (&load_of (request)->gauge, sim->now_us, reported.running + reported.waiting,
+            reported.slots, load_of (request)->in_flight);
+  egn_worked (attempt->known_engine, sim->now_us, failed);
+  lin_note_head (queue_of (request), sim->now_us - attempt->sent_us);
   if (failed)
     {
-      sim_on_end (sim, send, false, CRS_FAILED);
+      sim_on_end (sim, attempt, false, CRS_FAILED);
       return;
     }
   request->begun = request->kind->events > 0;
@@ -409,112 +420,114 @@
 }
 
 static void
-note_pace (sim_t *sim, const sim_send_t *send)
+record_duration (sim_t *sim, const sim_send_t *attempt)
 {
-  const sit_kind_t *kind = send->request->kind;
-  uint64_t took_us = kind->events > 0 ? (sim->now_us - send->heard_us) / kind->events
-                                      : sim->now_us - send->sent_us;
+  const sit_kind_t *kind = attempt->request->kind;
+  uint64_t duration_us = kind->events > 0 ? (sim->now_us - attempt->heard_us) / kind->events
+                                          : sim->now_us - attempt->sent_us;
 
-  egn_paced (send->egn, sim->now_us,
-             pac_sample (&send->request->gateway->paces[kind - sim->site->kinds], took_us));
+  egn_paced (attempt->known_engine, sim->now_us,
+             pac_sample (&attempt->request->gateway->paces[kind - sim->site->kinds], duration_us));
 }
 
 void
-sim_on_end (sim_t *sim, sim_send_t *send, bool whole, crs_outcome_t outcome)
+sim_on_end (sim_t *sim, sim_send_t *attempt, bool whole, crs_outcome_t outcome)
 {
   sim_request_t *request;
-  lin_t *line;
+  lin_t *queue;
 
-  if (send->over)
+  if (attempt->over)
     return;
-  sim_engine_drop (sim, send);
+  sim_engine_drop (sim, attempt);
   if (whole)
-    note_pace (sim, send);
+    record_duration (sim, attempt);
   if (whole)
-    lin_note_run (line_of (send->request), &send->request->line, sim->now_us - send->sent_us);
+    lin_note_run (queue_of (attempt->request), &attempt->request->queue_item,
+                  sim->now_us - attempt->sent_us);
   else if (outcome != CRS_FAILED)
-    egn_failed (send->egn, sim->now_us);
-  request = let_go (send);
-  line = line_of (request);
+    egn_failed (attempt->known_engine, sim->now_us);
+  request = detach_attempt (attempt);
+  queue = queue_of (request);
   if (whole)
     sim_finish (sim, request, SIM_SERVED);
   else
-    go_on (sim, request, outcome);
-  pump (sim, line);
+    continue_request (sim, request, outcome);
+  start_waiting (sim, queue);
 }
 
 void
-sim_on_refused (sim_t *sim, sim_send_t *send)
+sim_on_refused (sim_t *sim, sim_send_t *attempt)
 {
   sim_request_t *request;
 
-  if (send->over)
+  if (attempt->over)
     return;
-  if (!send->reached)
-    egn_failed (send->egn, sim->now_us);
-  else if (!is_plain (sim))
+  if (!attempt->reached)
+    egn_failed (attempt->known_engine, sim->now_us);
+  else if (!is_baseline (sim))
     {
-      egn_full (send->egn, sim->now_us);
-      send->request->tried_count--;
+      egn_full (attempt->known_engine, sim->now_us);
+      attempt->request->tried_count--;
     }
-  request = let_go (send);
-  go_on (sim, request, send->reached ? CRS_FULL : CRS_UNSENT);
+  request = detach_attempt (attempt);
+  continue_request (sim, request, attempt->reached ? CRS_FULL : CRS_UNSENT);
 }
 
 void
 sim_on_deadline (sim_t *sim, sim_request_t *request)
 {
-  sim_send_t *send = request->send;
-  bool waiting = request->line.waiting;
+  sim_send_t *attempt = request->attempt;
+  bool was_waiting = request->queue_item.waiting;
 
   if (request->over)
     return;
-  lin_remove (line_of (request), sim->now_us, &request->line);
-  if (send)
+  lin_remove (queue_of (request), sim->now_us, &request->queue_item);
+  if (attempt)
     {
-      sim_engine_drop (sim, send);
-      let_go (send);
+      sim_engine_drop (sim, attempt);
+      detach_attempt (attempt);
     }
-  sim_finish (sim, request, waiting ? SIM_REFUSED : SIM_FAILED);
+  sim_finish (sim, request, was_waiting ? SIM_REFUSED : SIM_FAILED);
 }
 
 static void
-watch_send (sim_t *sim, sim_request_t *request)
+check_timeout (sim_t *sim, sim_request_t *request)
 {
-  sim_send_t *send = request->send;
-  ptc_t ptc;
+  sim_send_t *attempt = request->attempt;
+  ptc_t timeout;
 
-  if (!send || is_plain (sim))
+  if (!attempt || is_baseline (sim))
     return;
-  ptc = (ptc_t){ .sent_us = send->sent_us,
-                 .heard_us = send->heard_us,
-                 .engine_heard_us = send->egn->heard_us,
-                 .prompt_tokens = request->kind->own_tokens + request->kind->shared_tokens,
-                 .usual_us = lin_head_us (line_of (request)),
-                 .time_us = request->line.deadline_us - send->sent_us,
-                 .full = told_milli (sim, request) >= FULL_MILLI };
-
-  /* An engine that has begun an answer here ends it, but for a crash, which breaks it. */
-  if (send->heard_us != 0 || !crs_may_leave (&request->crs, request->begun) ||
-      !ptc_is_lost (&ptc, sim->now_us))
+  timeout = (ptc_t){ .sent_us = attempt->sent_us,
+                     .heard_us = attempt->heard_us,
+                     .engine_heard_us = attempt->known_engine->heard_us,
+                     .prompt_tokens = request->kind->own_tokens + request->kind->prefix_tokens,
+                     .usual_us = lin_head_us (queue_of (request)),
+                     .time_us = request->queue_item.deadline_us - attempt->sent_us,
+                     .full = reported_load_milli (sim, request) >= FULL_MILLI };
+
+  /* A simulated engine that has begun a response always finishes it, except in a crash, which ends
+   * the attempt by itself: so only attempts without a response head can time out. */
+  if (attempt->heard_us != 0 || !crs_may_leave (&request->crs, request->begun) ||
+      !ptc_is_lost (&timeout, sim->now_us))
     return;
-  egn_failed (send->egn, sim->now_us);
-  sim_engine_drop (sim, send);
-  let_go (send);
-  go_on (sim, request, CRS_UNKNOWN);
+  egn_failed (attempt->known_engine, sim->now_us);
+  sim_engine_drop (sim, attempt);
+  detach_attempt (attempt);
+  continue_request (sim, request, CRS_UNKNOWN);
 }
 
 static void
-expire (sim_t *sim, lin_t *line)
+reject_expired (sim_t *sim, lin_t *queue)
 {
   sim_request_t *request;
 
-  while ((request = lin_expired (line, sim->now_us)))
+  while ((request = lin_expired (queue, sim->now_us)))
     {
-      lin_room_t room = room_of (sim, request);
-      uint64_t wait_us = lin_wait_us (line, &room, &request->line);
+      lin_room_t capacity = queue_capacity (sim, request);
+      uint64_t wait_us = lin_wait_us (queue, &capacity, &request->queue_item);
 
-      refuse (sim, request, lin_retry_us (line, sim->now_us, wait_us));
+      reject (sim, request, lin_retry_us (queue, sim->now_us, wait_us));
     }
 }
 
@@ -525,12 +538,13 @@
 
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
     {
-      pump (sim, gateway->lines[i]);
-      expire (sim, gateway->lines[i]);
+      start_waiting (sim, gateway->queues[i]);
+      reject_expired (sim, gateway->queues[i]);
     }
-  /* One that ends meanwhile changes places with the last, which is looked at the next time. */
-  for (guint i = 0; tick % WATCH_TICKS == 0 && i < gateway->requests->len; i++)
-    watch_send (sim, g_ptr_array_index (gateway->requests, i));
-  if (sim->now_us < SIM_END_US + 20 * (uint64_t)CLK_US_PER_S)
+  /* A request that ends during the loop is replaced by the last one, which is then checked in the
+   * next round. */
+  for (guint i = 0; tick % TIMEOUT_CHECK_TICKS == 0 && i < gateway->requests->len; i++)
+    check_timeout (sim, g_ptr_array_index (gateway->requests, i));
+  if (sim->now_us < SIM_ARRIVALS_END_US + 20 * (uint64_t)CLK_US_PER_S)
     evt_add (&sim->events, sim->now_us + TICK_US, EVENT_TICK, gateway->index, NULL);
 }
--- a/bench/gateway/sim_parts.h
+++ b/bench/gateway/sim_parts.h
@@ -1,8 +1,8 @@
 /**
  * DOC: sim_parts
  *
- * Shared by the files of the simulation: sim.c (callers, faults and figures), sim_engine.c,
- * sim_gateway.c (the course of a request).
+ * Private declarations of the simulation, shared by sim.c (clients, faults and results),
+ * sim_engine.c (engines) and sim_gateway.c (the attempts of a request at engines).
  */
 #ifndef BENCH_GATEWAY_SIM_PARTS_H
 #define BENCH_GATEWAY_SIM_PARTS_H
@@ -20,37 +20,61 @@
 
 #include <glib.h>
 
-#define SIM_TRIED 8
+#define SIM_TRIED_MAX 8 /* engines that a request remembers to have been sent to */
 
+/**
+ * enum sim_event - kinds of events, with the event fields that they use
+ * @EVENT_ARRIVAL: clients send requests of the kind with index @number
+ * @EVENT_CLIENT_RETRY: the client of the rejected request @data sends it again
+ * @EVENT_DEADLINE: the deadline of the request @data
+ * @EVENT_HEAD: the engine sends the response head of the attempt @data
+ * @EVENT_END: the engine sends the end of the response of the attempt @data
+ * @EVENT_REFUSED: the gateway learns that the engine refused the attempt @data
+ * @EVENT_TICK: periodic work of the gateway with index @number
+ * @EVENT_FAULT_BEGINS: the fault of the run begins
+ * @EVENT_FAULT_ENDS: the fault of the run ends
+ */
 typedef enum
 {
-  EVENT_ARRIVE, /* of kind @number */
-  EVENT_RETURN, /* a refused caller comes back: the request in @data */
+  EVENT_ARRIVAL,
+  EVENT_CLIENT_RETRY,
   EVENT_DEADLINE,
-  EVENT_HEAD, /* of the send in @data */
+  EVENT_HEAD,
   EVENT_END,
   EVENT_REFUSED,
-  EVENT_TICK, /* of gateway @number */
+  EVENT_TICK,
   EVENT_FAULT_BEGINS,
   EVENT_FAULT_ENDS
 } sim_event_t;
 
+/**
+ * enum sim_mode - how an engine behaves
+ * @ENGINE_HEALTHY: without a fault
+ * @ENGINE_FLAKY: fails half of its requests
+ * @ENGINE_SLOW: takes several times as long
+ * @ENGINE_UNRESPONSIVE: accepts requests and never answers
+ * @ENGINE_DOWN: refuses connections
+ */
 typedef enum
 {
-  ENGINE_SOUND,
-  ENGINE_GREY,
+  ENGINE_HEALTHY,
+  ENGINE_FLAKY,
   ENGINE_SLOW,
-  ENGINE_MUTE,
+  ENGINE_UNRESPONSIVE,
   ENGINE_DOWN
 } sim_mode_t;
 
 typedef struct sim_send sim_send_t;
 
 /**
- * struct sim_engine - an engine as it is
- * @sends: that it runs, of sim_send_t
- * @queue: that wait for one of its slots, likewise, the next one first
- * @read_free_us: when the prompts that it has to read are read
+ * struct sim_engine - the actual state of an engine
+ * @entry: its entry in the directory of engines
+ * @service: index of its service
+ * @index: its number within the service
+ * @running: sim_send_t that it runs
+ * @queue: sim_send_t that wait for one of its slots, the next to start first
+ * @prompts_done_us: when it has processed all prompts that it has accepted so far
+ * @cache: prompt prefixes that it holds
  */
 typedef struct
 {
@@ -58,63 +82,96 @@
   uint32_t service;
   uint32_t index;
   sim_mode_t mode;
-  GPtrArray *sends;
+  GPtrArray *running;
   GPtrArray *queue;
-  uint64_t read_free_us;
+  uint64_t prompts_done_us;
   cch_t *cache;
 } sim_engine_t;
 
-/** struct sim_load - of a service's engines, as a gateway knows it; @own: its sends there */
+/**
+ * struct sim_load - load of a service's engines, as one gateway knows it
+ * @gauge: from the loads that responses report
+ * @in_flight: attempts of this gateway that have not ended
+ */
 typedef struct
 {
   gau_t gauge;
-  uint64_t own;
+  uint64_t in_flight;
 } sim_load_t;
 
-/** struct sim_gateway - one gateway and its view; @requests: those not over */
+/**
+ * struct sim_gateway - a gateway and what it knows
+ * @index: its number
+ * @engines: its view of all engines
+ * @queues: by service, the requests that wait for an engine
+ * @loads: by service
+ * @retries: by service, its share of the retry budget
+ * @paces: by kind of request, the usual duration
+ * @requests: its sim_request_t that are not over
+ */
 typedef struct
 {
   uint32_t index;
   egs_t *engines;
-  lin_t *lines[SIT_SERVICES];
+  lin_t *queues[SIT_SERVICES];
   sim_load_t loads[SIT_SERVICES];
   rsh_t retries[SIT_SERVICES];
   pac_t paces[SIT_KINDS];
   GPtrArray *requests;
 } sim_gateway_t;
 
-/** struct sim_request - of a caller, over all its tries */
+/**
+ * struct sim_request - a request of a client, from its arrival until it is over
+ * @account: index of the client account
+ * @prefix: identifies its shared prompt prefix, 0 for none
+ * @arrived_us: when the client sent it for the first time
+ * @queue_item: its item in the gateway's queue; with the arrival and deadline of the client's
+ *   latest try
+ * @crs: which attempts are still allowed
+ * @attempt: the attempt in progress, or NULL
+ * @tried: hashes of the engines that it was sent to in the client's latest try
+ * @tried_count: entries of @tried
+ * @attempt_count: attempts in the client's latest try
+ * @begun: a part of a streamed response has reached the client
+ * @returned: the client was rejected once and has sent it again, or will
+ * @over: the client has its final answer
+ * @head_us: when the first response head arrived, 0 before
+ */
 typedef struct
 {
   const sit_kind_t *kind;
   sim_gateway_t *gateway;
   uint32_t account;
-  uint64_t part;
+  uint64_t prefix;
   uint64_t arrived_us;
-  lin_item_t line;
+  lin_item_t queue_item;
   crs_t crs;
-  sim_send_t *send;
-  uint64_t tried[SIM_TRIED];
+  sim_send_t *attempt;
+  uint64_t tried[SIM_TRIED_MAX];
   uint32_t tried_count;
-  uint32_t hops;
+  uint32_t attempt_count;
   bool begun;
   bool returned;
   bool over;
-  uint64_t head_us; /* of the first answer, 0 before */
+  uint64_t head_us;
 } sim_request_t;
 
 /**
- * struct sim_send - of a request to an engine
- * @request: NULL once given up
- * @egn: in the gateway's view
- * @begun_load: of its engine, when it began to run there
- * @reached: the engine took the connection
+ * struct sim_send - an attempt: one transmission of a request to an engine
+ * @request: NULL once the attempt is over
+ * @engine: the engine itself
+ * @known_engine: the engine in the gateway's view
+ * @sent_us: when the gateway sent it
+ * @heard_us: when the response head arrived, 0 before
+ * @begun_load: load of the engine when it began to run the attempt
+ * @over: it has ended or was abandoned; events of it that are still queued have no effect
+ * @reached: the engine accepted the connection
  */
 struct sim_send
 {
   sim_request_t *request;
   sim_engine_t *engine;
-  egn_t *egn;
+  egn_t *known_engine;
   uint64_t sent_us;
   uint64_t heard_us;
   egn_load_t begun_load;
@@ -122,49 +179,76 @@
   bool reached;
 };
 
+/**
+ * struct sim - a run
+ * @scaled_site: the site of the options after division by the scale divisor
+ * @site: points to @scaled_site
+ * @now_us: virtual time
+ * @random: state of the random numbers
+ * @events: what happens next
+ * @engines: sim_engine_t of all services
+ * @gateways: all sim_gateway_t
+ * @requests: all sim_request_t, also those that are over
+ * @attempts: all sim_send_t, also those that are over
+ * @retry_times: by service, when retries were sent: uint64_t in ascending order
+ * @request_times: by service, when clients sent requests, likewise
+ * @relative_loads: uint32_t, what the median of sim_figures.peak_milli is taken of
+ * @faulty: the fault has begun and has not ended
+ */
 typedef struct
 {
   sim_options_t options;
-  sit_t part;
-  const sit_t *site; /* @part */
+  sit_t scaled_site;
+  const sit_t *site;
   uint64_t now_us;
-  uint64_t dice;
+  uint64_t random;
   evt_queue_t events;
-  GPtrArray *engines; /* of sim_engine_t, all services */
+  GPtrArray *engines;
   GPtrArray *gateways;
   GPtrArray *requests;
-  GPtrArray *sends;
-  GArray *retry_times[SIT_SERVICES]; /* of uint64_t, in order */
+  GPtrArray *attempts;
+  GArray *retry_times[SIT_SERVICES];
   GArray *request_times[SIT_SERVICES];
-  GArray *peaks; /* of uint32_t */
+  GArray *relative_loads;
   bool faulty;
   sim_figures_t figures;
 } sim_t;
 
 sim_engine_t *sim_engine_new (sim_t *sim, uint32_t service, uint32_t index);
 void sim_engine_free (gpointer engine);
-/** sim_engine_take() - a send arrives there: it runs, or what comes of it is planned */
+/** sim_engine_take() - @send arrives at its engine, which runs it, queues it or refuses it */
 void sim_engine_take (sim_t *sim, sim_send_t *send);
-/** sim_engine_drop() - the send ended or was given up */
+/** sim_engine_drop() - removes @send, which has ended or was abandoned, and starts the next one */
 void sim_engine_drop (sim_t *sim, sim_send_t *send);
+/** sim_engine_load() - attempts that run or wait at @engine */
 uint32_t sim_engine_load (const sim_engine_t *engine);
-/** sim_engine_told() - as its answers tell it now */
+/** sim_engine_told() - the load that @engine would report in a response now */
 egn_load_t sim_engine_told (const sim_engine_t *engine);
-/** sim_engine_set_mode() - a fault begins or ends */
+/** sim_engine_set_mode() - changes the behaviour; %ENGINE_DOWN aborts all attempts at @engine */
 void sim_engine_set_mode (sim_t *sim, sim_engine_t *engine, sim_mode_t mode);
 
 sim_gateway_t *sim_gateway_new (sim_t *sim, uint32_t index);
 void sim_gateway_free (gpointer gateway);
-/** sim_place() - send the request on, let it wait or refuse it */
+/** sim_place() - sends @request to an engine, queues it or rejects it */
 void sim_place (sim_t *sim, sim_request_t *request);
+/** sim_on_head() - the response head of @send arrives at the gateway */
 void sim_on_head (sim_t *sim, sim_send_t *send);
-/** sim_on_end() - @outcome counts only where the answer is not whole */
+/** sim_on_end() - the response of @send has ended: completely if @whole, else with @outcome */
 void sim_on_end (sim_t *sim, sim_send_t *send, bool whole, crs_outcome_t outcome);
-/** sim_on_refused() - the engine did not run it: it was full, or took no connection */
+/** sim_on_refused() - the engine of @send did not run it: it was full or not reachable */
 void sim_on_refused (sim_t *sim, sim_send_t *send);
+/** sim_on_deadline() - ends @request if it is not over */
 void sim_on_deadline (sim_t *sim, sim_request_t *request);
+/** sim_on_tick() - starts waiting requests, rejects those that waited too long, and abandons
+ * attempts at engines that appear to be lost */
 void sim_on_tick (sim_t *sim, sim_gateway_t *gateway);
 
+/**
+ * enum sim_answer - how a request ends for its client
+ * @SIM_SERVED: with a complete response
+ * @SIM_REFUSED: rejected; no engine ran it
+ * @SIM_FAILED: with an error, a truncated response or none
+ */
 typedef enum
 {
   SIM_SERVED,
@@ -172,7 +256,7 @@
   SIM_FAILED
 } sim_answer_t;
 
-/** sim_finish() - the caller has its answer */
+/** sim_finish() - ends @request and counts its result */
 void sim_finish (sim_t *sim, sim_request_t *request, sim_answer_t answer);
 
 #endif
--- a/bench/gateway/site.c
+++ b/bench/gateway/site.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 #define MS(n) ((n) * (uint64_t)CLK_US_PER_MS)
-#define WINDOW_US (10 * (uint64_t)CLK_US_PER_S)
+#define RETRY_WINDOW_US (10 * (uint64_t)CLK_US_PER_S)
 
-static const sit_t sites[] = {
+static const sit_t builtin_sites[] = {
   { .name = "tuul",
     .gateways = 22,
     .data_centers = 3,
@@ -24,7 +24,7 @@
                  MS (120), MS (1000) },
                { "doc-lookup", 1, RTE_IDEMPOTENT, false, 2, 2, 47.1, 0, 0, 0, 0, MS (15), MS (120),
                  MS (1000) } },
-    .retries = { .ratio_milli = 200, .slack = 84, .window_us = WINDOW_US } },
+    .retries = { .ratio_milli = 200, .slack = 84, .window_us = RETRY_WINDOW_US } },
   { .name = "jogak",
     .gateways = 28,
     .data_centers = 4,
@@ -41,13 +41,13 @@
                  MS (150), MS (2500) },
                { "price-quote", 1, RTE_IDEMPOTENT, false, 2, 2, 57.1, 0, 0, 0, 0, MS (30), MS (150),
                  MS (2500) } },
-    .retries = { .ratio_milli = 200, .slack = 96, .window_us = WINDOW_US } },
+    .retries = { .ratio_milli = 200, .slack = 96, .window_us = RETRY_WINDOW_US } },
 };
 
 const sit_t *
 sit_at (uint32_t index)
 {
-  return index < sizeof sites / sizeof sites[0] ? &sites[index] : NULL;
+  return index < sizeof builtin_sites / sizeof builtin_sites[0] ? &builtin_sites[index] : NULL;
 }
 
 const sit_t *
--- a/bench/gateway/site.h
+++ b/bench/gateway/site.h
@@ -1,8 +1,8 @@
 /**
  * DOC: site
  *
- * The deployments that the benchmark of the gateway's decisions plays: services, kinds of requests
- * and their rates, as users describe two of theirs.
+ * A site is a deployment that the simulation runs: its data centres, services, kinds of requests
+ * and their rates. Two sites that users described are built in; site_file.h reads others.
  */
 #ifndef BENCH_GATEWAY_SITE_H
 #define BENCH_GATEWAY_SITE_H
@@ -12,31 +12,44 @@
 
 #include <stdint.h>
 
-#define SIT_SERVICES 2
-#define SIT_KINDS 5
-#define SIT_MODEL 0 /* the service whose engines read prompts; the other one is plain */
+#define SIT_SERVICES 2 /* services of a site */
+#define SIT_KINDS 5    /* kinds of requests of a site */
+/* Index of the service whose engines run a language model: they process prompts and cache their
+ * prefixes. The other service is plain: a request occupies a slot for some time. */
+#define SIT_MODEL 0
 
 /**
- * struct sit_service - the engines of a service
- * @slots: requests that each runs at once
- * @tells_begin: the load that its answers tell is that when they began to run
- * @queue: requests that wait at each for one of its slots; it refuses the rest
+ * struct sit_service - a service and its engines
+ * @engines: number of engines
+ * @slots: requests that one engine runs at the same time
+ * @queue_limit: requests that may wait at one engine for a slot; it refuses further ones
+ * @reports_load_at_start: responses report the load of the engine at the start of their request,
+ *   not at the moment when they are sent
  */
 typedef struct
 {
   const char *name;
   uint32_t engines;
   uint32_t slots;
-  uint32_t queue;
-  bool tells_begin;
+  uint32_t queue_limit;
+  bool reports_load_at_start;
 } sit_service_t;
 
 /**
  * struct sit_kind - a kind of requests
- * @parts: different shared parts, of @shared_tokens each
- * @own_tokens: of its prompt, read anew each time
- * @events: of a stream; 0 for a plain answer, which takes @work_us
- * @aim_us: from arrival to the head of the answer; later counts as late
+ * @service: index of the service
+ * @kind: how often the route may run a request
+ * @resumable: an interrupted stream may be continued by another engine
+ * @attempts: engines that may run one request
+ * @priority: 0 is the most urgent
+ * @rate_s: requests per second
+ * @prefixes: number of different prompt prefixes that requests share
+ * @prefix_tokens: length of each of these prefixes
+ * @own_tokens: prompt tokens that no other request has, so they are never cached
+ * @events: events of a streamed response; 0 for a response that is not streamed
+ * @work_us: median duration of a request with @events 0
+ * @aim_us: target time from the arrival of a request to the head of its response
+ * @deadline_us: time that the client waits for an answer, repeated tries included
  */
 typedef struct
 {
@@ -47,8 +60,8 @@
   uint32_t attempts;
   uint32_t priority;
   double rate_s;
-  uint32_t parts;
-  uint32_t shared_tokens;
+  uint32_t prefixes;
+  uint32_t prefix_tokens;
   uint32_t own_tokens;
   uint32_t events;
   uint64_t work_us;
@@ -57,8 +70,11 @@
 } sit_kind_t;
 
 /**
- * struct sit - a deployment
- * @cache_tokens: of shared parts that a model engine holds
+ * struct sit - a site
+ * @gateways: number of gateways, spread evenly over the data centres, as are the engines
+ * @accounts: number of client accounts
+ * @cache_tokens: prompt tokens that the prefix cache of one model engine holds
+ * @retries: the retry budget of each service
  */
 typedef struct
 {
@@ -72,11 +88,11 @@
   rsh_options_t retries;
 } sit_t;
 
-/** sit_find() - by name, or NULL */
+/** sit_find() - Return: the built-in site @name, or NULL */
 const sit_t *sit_find (const char *name);
-/** sit_at() - NULL after the last */
+/** sit_at() - Return: the built-in site @index, or NULL after the last one */
 const sit_t *sit_at (uint32_t index);
-/** sit_rate_s() - requests a second of all kinds */
+/** sit_rate_s() - requests per second, of all kinds together */
 double sit_rate_s (const sit_t *site);
 
 #endif
--- a/bench/gateway/site_file.c
+++ b/bench/gateway/site_file.c
@@ -7,110 +7,109 @@
 #include <stdio.h>
 #include <string.h>
 
-/** struct reading - @fault: the first member that is missing or of another type, NULL while all is
- * well */
+/** struct parser - @invalid: name of the first member that is missing or invalid, or NULL */
 typedef struct
 {
-  const char *fault;
-} reading_t;
+  const char *invalid;
+} parser_t;
 
 static const char *
-text_of (reading_t *reading, const json_t *object, const char *name)
+parse_text (parser_t *parser, const json_t *object, const char *name)
 {
   const char *text = json_string_value (json_object_get (object, name));
 
-  if (!text && !reading->fault)
-    reading->fault = name;
+  if (!text && !parser->invalid)
+    parser->invalid = name;
   return text ? g_intern_string (text) : "";
 }
 
-/* One that is missing is 0, unless it is @needed. */
+/* A missing number counts as 0, unless it is required. */
 static double
-number_of (reading_t *reading, const json_t *object, const char *name, bool needed)
+parse_number (parser_t *parser, const json_t *object, const char *name, bool required)
 {
   const json_t *value = json_object_get (object, name);
-  bool sound = value ? json_is_number (value) && json_number_value (value) >= 0 : !needed;
+  bool valid = value ? json_is_number (value) && json_number_value (value) >= 0 : !required;
 
-  if (!sound && !reading->fault)
-    reading->fault = name;
-  return sound && value ? json_number_value (value) : 0;
+  if (!valid && !parser->invalid)
+    parser->invalid = name;
+  return valid && value ? json_number_value (value) : 0;
 }
 
 static uint32_t
-count_of (reading_t *reading, const json_t *object, const char *name)
+parse_count (parser_t *parser, const json_t *object, const char *name)
 {
-  return (uint32_t)number_of (reading, object, name, true);
+  return (uint32_t)parse_number (parser, object, name, true);
 }
 
 static uint64_t
-us_of (reading_t *reading, const json_t *object, const char *name, bool needed)
+parse_ms_as_us (parser_t *parser, const json_t *object, const char *name, bool required)
 {
-  return (uint64_t)(number_of (reading, object, name, needed) * CLK_US_PER_MS);
+  return (uint64_t)(parse_number (parser, object, name, required) * CLK_US_PER_MS);
 }
 
 static rte_kind_t
-kind_of (reading_t *reading, const json_t *object)
+parse_request_kind (parser_t *parser, const json_t *object)
 {
-  const char *text = text_of (reading, object, "kind");
+  const char *text = parse_text (parser, object, "kind");
 
   if (strcmp (text, "stream") == 0)
     return RTE_STREAM;
   if (strcmp (text, "idempotent") == 0)
     return RTE_IDEMPOTENT;
-  if (strcmp (text, "non_idempotent") != 0 && !reading->fault)
-    reading->fault = "kind";
+  if (strcmp (text, "non_idempotent") != 0 && !parser->invalid)
+    parser->invalid = "kind";
   return RTE_NON_IDEMPOTENT;
 }
 
 static sit_kind_t
-read_kind (reading_t *reading, const json_t *json)
+parse_kind (parser_t *parser, const json_t *json)
 {
   return (sit_kind_t){
-    .name = text_of (reading, json, "name"),
-    .service = count_of (reading, json, "service") % SIT_SERVICES,
-    .kind = kind_of (reading, json),
+    .name = parse_text (parser, json, "name"),
+    .service = parse_count (parser, json, "service") % SIT_SERVICES,
+    .kind = parse_request_kind (parser, json),
     .resumable = json_is_true (json_object_get (json, "resumable")),
-    .attempts = count_of (reading, json, "attempts"),
-    .priority = count_of (reading, json, "priority"),
-    .rate_s = number_of (reading, json, "rate_s", true),
-    .parts = (uint32_t)number_of (reading, json, "parts", false),
-    .shared_tokens = (uint32_t)number_of (reading, json, "shared_tokens", false),
-    .own_tokens = (uint32_t)number_of (reading, json, "own_tokens", false),
-    .events = (uint32_t)number_of (reading, json, "events", false),
-    .work_us = us_of (reading, json, "work_ms", false),
-    .aim_us = us_of (reading, json, "aim_ms", true),
-    .deadline_us = us_of (reading, json, "deadline_ms", true),
+    .attempts = parse_count (parser, json, "attempts"),
+    .priority = parse_count (parser, json, "priority"),
+    .rate_s = parse_number (parser, json, "rate_s", true),
+    .prefixes = (uint32_t)parse_number (parser, json, "parts", false),
+    .prefix_tokens = (uint32_t)parse_number (parser, json, "shared_tokens", false),
+    .own_tokens = (uint32_t)parse_number (parser, json, "own_tokens", false),
+    .events = (uint32_t)parse_number (parser, json, "events", false),
+    .work_us = parse_ms_as_us (parser, json, "work_ms", false),
+    .aim_us = parse_ms_as_us (parser, json, "aim_ms", true),
+    .deadline_us = parse_ms_as_us (parser, json, "deadline_ms", true),
   };
 }
 
 static sit_service_t
-read_service (reading_t *reading, const json_t *json)
+parse_service (parser_t *parser, const json_t *json)
 {
-  return (sit_service_t){ .name = text_of (reading, json, "name"),
-                          .engines = count_of (reading, json, "engines"),
-                          .slots = count_of (reading, json, "slots"),
-                          .queue = count_of (reading, json, "queue") };
+  return (sit_service_t){ .name = parse_text (parser, json, "name"),
+                          .engines = parse_count (parser, json, "engines"),
+                          .slots = parse_count (parser, json, "slots"),
+                          .queue_limit = parse_count (parser, json, "queue") };
 }
 
 static void
-read_site (reading_t *reading, const json_t *json, sit_t *site)
+parse_site (parser_t *parser, const json_t *json, sit_t *site)
 {
   const json_t *retries = json_object_get (json, "retries");
   const json_t *services = json_object_get (json, "services");
   const json_t *kinds = json_object_get (json, "kinds");
 
-  site->name = text_of (reading, json, "name");
-  site->gateways = count_of (reading, json, "gateways");
-  site->data_centers = count_of (reading, json, "data_centers");
-  site->accounts = count_of (reading, json, "accounts");
-  site->cache_tokens = (uint64_t)number_of (reading, json, "cache_tokens", true);
+  site->name = parse_text (parser, json, "name");
+  site->gateways = parse_count (parser, json, "gateways");
+  site->data_centers = parse_count (parser, json, "data_centers");
+  site->accounts = parse_count (parser, json, "accounts");
+  site->cache_tokens = (uint64_t)parse_number (parser, json, "cache_tokens", true);
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
-    site->services[i] = read_service (reading, json_array_get (services, i));
+    site->services[i] = parse_service (parser, json_array_get (services, i));
   for (uint32_t i = 0; i < SIT_KINDS; i++)
-    site->kinds[i] = read_kind (reading, json_array_get (kinds, i));
-  site->retries.ratio_milli = count_of (reading, retries, "ratio_milli");
-  site->retries.slack = count_of (reading, retries, "slack");
-  site->retries.window_us = us_of (reading, retries, "window_ms", true);
+    site->kinds[i] = parse_kind (parser, json_array_get (kinds, i));
+  site->retries.ratio_milli = parse_count (parser, retries, "ratio_milli");
+  site->retries.slack = parse_count (parser, retries, "slack");
+  site->retries.window_us = parse_ms_as_us (parser, retries, "window_ms", true);
 }
 
 const sit_t *
@@ -118,7 +117,7 @@
 {
   json_error_t error;
   json_t *json = json_load_file (path, JSON_REJECT_DUPLICATES, &error);
-  reading_t reading = { 0 };
+  parser_t parser = { 0 };
   sit_t *site;
 
   if (!json)
@@ -127,11 +126,11 @@
       return NULL;
     }
   site = g_new0 (sit_t, 1);
-  read_site (&reading, json, site);
+  parse_site (&parser, json, site);
   json_decref (json);
-  if (!reading.fault)
+  if (!parser.invalid)
     return site;
-  fprintf (stderr, "%s: \"%s\" is missing or unsound\n", path, reading.fault);
+  fprintf (stderr, "%s: \"%s\" is missing or unsound\n", path, parser.invalid);
   g_free (site);
   return NULL;
 }
--- a/tests/test_gateway_load.c
+++ b/tests/test_gateway_load.c
@@ -1,26 +1,27 @@
 /*
- * Tests of the gateway's decisions together, under the load and the faults of a deployment, beside
- * plain baselines: what callers get. The simulation in bench/gateway has no network and no threads,
- * and its draws are seeded, so each run is the same.
+ * Tests all decisions of the gateway together, under the load and the faults of a site, by the
+ * results that clients see, partly in comparison with simple baseline policies. The simulation in
+ * bench/gateway has no network and no threads, and its random numbers are seeded, so each run is
+ * the same.
  */
 #include "bench/gateway/sim.h"
 #include "suite.h"
 
 #include <glib.h>
 
-#define SEEDS 3 /* of a figure that differs by a few thousandths between them */
+#define SEEDS 3 /* runs to average, where results of single seeds differ by a few thousandths */
 
 static sim_figures_t
-play_seed (const char *site, sim_fault_t fault, sim_policy_t policy, uint32_t seed)
+simulate_seed (const char *site, sim_fault_t fault, sim_policy_t policy, uint32_t seed)
 {
   return sim_run (
       &(sim_options_t){ .site = sit_find (site), .fault = fault, .policy = policy, .seed = seed });
 }
 
 static sim_figures_t
-play (const char *site, sim_fault_t fault, sim_policy_t policy)
+simulate (const char *site, sim_fault_t fault, sim_policy_t policy)
 {
-  return play_seed (site, fault, policy, 1);
+  return simulate_seed (site, fault, policy, 1);
 }
 
 static double
@@ -36,81 +37,83 @@
 }
 
 static double
-reads (const sim_figures_t *figures)
+processed_share (const sim_figures_t *figures)
 {
   return (double)figures->read_tokens / (double)MAX (figures->prompt_tokens, 1U);
 }
 
-/* Nothing is wrong: all is answered in time, and a third of what least-loaded placing reads has to
- * be read. */
+/* Without a fault all requests are answered in time, and engines process less than a third of the
+ * prompt tokens that they process when the least loaded engine is chosen. */
 static void
 test_steady_load_finds_its_caches (void)
 {
-  sim_figures_t full = play ("tuul", SIM_STEADY, SIM_FULL);
-  sim_figures_t least = play ("tuul", SIM_STEADY, SIM_LEAST);
+  sim_figures_t full = simulate ("tuul", SIM_STEADY, SIM_FULL);
+  sim_figures_t least = simulate ("tuul", SIM_STEADY, SIM_LEAST);
 
   CU_ASSERT (on_time (&full.all) > 0.999);
-  CU_ASSERT (reads (&full) < reads (&least) / 3);
+  CU_ASSERT (processed_share (&full) < processed_share (&least) / 3);
   CU_ASSERT (full.over_cap * 100 < full.sends);
 }
 
 /*
- * 40% of one kind's requests share one part of their prompts, and 28 gateways learn of each other's
- * sends late. By the part's home alone, its engine would hold several times the mean.
+ * 40% of the requests of one kind share one prompt prefix, and 28 gateways learn late what the
+ * others send. If each sent all these requests to the first engine in the order of rendezvous
+ * hashing, that engine would have several times the mean load.
  */
 static void
 test_hot_part_does_not_overload_its_home (void)
 {
-  sim_figures_t full = play ("jogak", SIM_HOT_PART, SIM_FULL);
-  sim_figures_t hash = play ("jogak", SIM_HOT_PART, SIM_HASH);
+  sim_figures_t full = simulate ("jogak", SIM_HOT_PART, SIM_FULL);
+  sim_figures_t hash = simulate ("jogak", SIM_HOT_PART, SIM_HASH);
 
   CU_ASSERT (full.over_cap * 50 < full.sends);
   CU_ASSERT (hash.over_cap > 8 * full.over_cap);
-  CU_ASSERT (reads (&full) < 0.15);
+  CU_ASSERT (processed_share (&full) < 0.15);
 }
 
-/* Half of the model engines and two of three plain ones leave while traffic doubles. The plain one
- * that is left is at 93% of its slots, which 22 gateways share: none may stand idle. */
+/* Half of the model engines and two of three plain engines leave while traffic doubles. The
+ * remaining plain engine needs 93% of its slots, which 22 gateways share, so no slot may be left
+ * idle. */
 static void
 test_few_engines_are_used_to_the_full (void)
 {
-  sim_figures_t full = play ("tuul", SIM_FEW, SIM_FULL);
-  sim_figures_t hash = play ("tuul", SIM_FEW, SIM_HASH);
-  double sum = on_time (&full.during);
+  sim_figures_t full = simulate ("tuul", SIM_FEW, SIM_FULL);
+  sim_figures_t hash = simulate ("tuul", SIM_FEW, SIM_HASH);
+  double on_time_sum = on_time (&full.during);
 
   for (uint32_t seed = 2; seed <= SEEDS; seed++)
     {
-      sim_figures_t more = play_seed ("tuul", SIM_FEW, SIM_FULL, seed);
+      sim_figures_t other = simulate_seed ("tuul", SIM_FEW, SIM_FULL, seed);
 
-      sum += on_time (&more.during);
+      on_time_sum += on_time (&other.during);
     }
-  CU_ASSERT (sum / SEEDS > 0.97);
+  CU_ASSERT (on_time_sum / SEEDS > 0.97);
   CU_ASSERT (unanswered (&full.during) < 0.01);
   CU_ASSERT (unanswered (&full.during) < unanswered (&hash.during));
 }
 
 /*
- * As before, and one account sends 60% of all, to plain engines that get more than they can do. The
- * others' requests are all answered; when what an account starts was not charged to it, one in
- * twenty of them heard 503.
+ * As in the test before, and one account sends 60% of all requests, so plain engines get more than
+ * they can run. Nearly all requests of the other accounts must be answered; when started requests
+ * were not charged to their account, one in twenty of them was rejected with 503.
  */
 static void
 test_quiet_accounts_are_answered (void)
 {
-  sim_figures_t full = play ("jogak", SIM_HOT_ACCOUNT, SIM_FULL);
-  sim_figures_t before = play ("jogak", SIM_HOT_ACCOUNT, SIM_UNCHARGED);
+  sim_figures_t full = simulate ("jogak", SIM_HOT_ACCOUNT, SIM_FULL);
+  sim_figures_t uncharged = simulate ("jogak", SIM_HOT_ACCOUNT, SIM_UNCHARGED);
 
   CU_ASSERT (unanswered (&full.quiet) < 0.01);
-  CU_ASSERT (unanswered (&before.quiet) > 0.02);
+  CU_ASSERT (unanswered (&uncharged.quiet) > 0.02);
   CU_ASSERT (on_time (&full.quiet) > 0.5);
 }
 
-/* A quarter of the engines goes dark: it takes requests and never answers. */
+/* A quarter of the engines accepts requests and never answers them. */
 static void
 test_dark_engines_cost_little (void)
 {
-  sim_figures_t full = play ("tuul", SIM_MUTE, SIM_FULL);
-  sim_figures_t random = play ("tuul", SIM_MUTE, SIM_RANDOM);
+  sim_figures_t full = simulate ("tuul", SIM_MUTE, SIM_FULL);
+  sim_figures_t random = simulate ("tuul", SIM_MUTE, SIM_RANDOM);
 
   CU_ASSERT (unanswered (&full.during) < 0.05);
   CU_ASSERT (unanswered (&random.during) > 3 * unanswered (&full.during));
@@ -119,47 +122,49 @@
 static void
 test_slow_engines_cost_little (void)
 {
-  sim_figures_t full = play ("jogak", SIM_SLOW, SIM_FULL);
-  sim_figures_t hash = play ("jogak", SIM_SLOW, SIM_HASH);
+  sim_figures_t full = simulate ("jogak", SIM_SLOW, SIM_FULL);
+  sim_figures_t hash = simulate ("jogak", SIM_SLOW, SIM_HASH);
 
   CU_ASSERT (on_time (&full.during) > 0.955);
   CU_ASSERT (1 - on_time (&full.during) < 0.7 * (1 - on_time (&hash.during)));
 }
 
-/* Whatever fails, no more requests reach engines again than their operators allow, while each
- * gateway knows only its own. Without the limit the engines that are left get a storm. */
+/* Under every fault all gateways together stay within the operator's retry budget, although each
+ * gateway knows only its own retries. Without the budget, retries overload the remaining engines.
+ */
 static void
 test_retries_stay_within_the_allowance (void)
 {
   for (int fault = 0; fault < SIM_FAULTS; fault++)
     {
-      sim_figures_t full = play ("jogak", (sim_fault_t)fault, SIM_FULL);
+      sim_figures_t full = simulate ("jogak", (sim_fault_t)fault, SIM_FULL);
 
       CU_ASSERT (full.retries_most <= 0);
     }
-  CU_ASSERT (play ("jogak", SIM_FEW, SIM_LEAST).retries_most > 0);
+  CU_ASSERT (simulate ("jogak", SIM_FEW, SIM_LEAST).retries_most > 0);
 }
 
-/* What can't be served is said early: hardly any refusal comes when half of the time is over. */
+/* Requests that can't be served are rejected early: hardly any rejection comes when more than half
+ * of the deadline has passed. */
 static void
 test_refusals_come_early (void)
 {
-  sim_figures_t full = play ("jogak", SIM_HOT_ACCOUNT, SIM_FULL);
+  sim_figures_t full = simulate ("jogak", SIM_HOT_ACCOUNT, SIM_FULL);
 
   CU_ASSERT (full.during.refused > 0);
   CU_ASSERT (full.during.late_refusals * 100 < full.during.requests);
 }
 
 /*
- * Seven times the traffic for ten seconds, of which one account sends 60%. Whoever waits in one
- * queue to its deadline is answered late or not at all; whoever is told at once leaves the slots to
- * those that can be answered in time.
+ * Seven times the traffic for ten seconds, of which one account sends 60%. If all requests wait in
+ * one queue until their deadline, most are answered late or not at all. Immediate rejections leave
+ * the slots to requests that can be answered in time.
  */
 static void
 test_an_overload_is_answered_in_time (void)
 {
-  sim_figures_t full = play ("jogak", SIM_OVERLOAD, SIM_FULL);
-  sim_figures_t patient = play ("jogak", SIM_OVERLOAD, SIM_PATIENT);
+  sim_figures_t full = simulate ("jogak", SIM_OVERLOAD, SIM_FULL);
+  sim_figures_t patient = simulate ("jogak", SIM_OVERLOAD, SIM_PATIENT);
 
   CU_ASSERT (on_time (&full.during) > 1.1 * on_time (&patient.during));
   CU_ASSERT (full.during.failed * 3 < patient.during.failed);
@@ -168,22 +173,22 @@
   CU_ASSERT (unanswered (&full.quiet) < 0.03);
 }
 
-/* From two seconds after an overload on, nothing is left of it. */
+/* Two seconds after the end of an overload, requests are served as before it. */
 static void
 test_an_overload_leaves_nothing_behind (void)
 {
-  sim_figures_t full = play ("tuul", SIM_OVERLOAD, SIM_FULL);
+  sim_figures_t full = simulate ("tuul", SIM_OVERLOAD, SIM_FULL);
 
   CU_ASSERT (full.after.requests > 1000);
   CU_ASSERT (on_time (&full.after) > 0.97);
 }
 
-/* No kind is served much more often than a more urgent one; tuul's kinds in the order of their
- * priorities are the second, the first and the third. */
+/* No kind of request has a much smaller share of unanswered requests than a more urgent kind. The
+ * kinds of site tuul in order of priority: the second, the first, the third. */
 static void
 test_the_urgent_come_first_in_an_overload (void)
 {
-  sim_figures_t full = play ("tuul", SIM_OVERLOAD, SIM_FULL);
+  sim_figures_t full = simulate ("tuul", SIM_OVERLOAD, SIM_FULL);
   const sim_count_t *kinds = full.kinds;
 
   CU_ASSERT (unanswered (&kinds[1]) < unanswered (&kinds[0]) + 0.05);
@@ -191,7 +196,7 @@
   CU_ASSERT (unanswered (&kinds[0]) < unanswered (&kinds[2]) + 0.05);
 }
 
-/** struct one_engine - a service of one engine, and look-ups for it that take @work_us each */
+/** struct one_engine - a service of one engine, and its requests that take @work_us each */
 typedef struct
 {
   uint32_t gateways;
@@ -201,18 +206,18 @@
 } one_engine_t;
 
 static sim_figures_t
-play_one_engine (const one_engine_t *one, uint64_t seed)
+simulate_one_engine (const one_engine_t *setup, uint64_t seed)
 {
-  sit_t site = { .gateways = one->gateways,
+  sit_t site = { .gateways = setup->gateways,
                  .data_centers = 3,
                  .accounts = 10,
-                 .services = { { "models", 1, 1, 0, false }, one->service },
+                 .services = { { "models", 1, 1, 0, false }, setup->service },
                  .kinds = { { .name = "look-up",
                               .service = 1,
                               .kind = RTE_IDEMPOTENT,
                               .attempts = 2,
-                              .rate_s = one->rate_s,
-                              .work_us = one->work_us,
+                              .rate_s = setup->rate_s,
+                              .work_us = setup->work_us,
                               .aim_us = 300 * 1000,
                               .deadline_us = 4000 * 1000 } },
                  .retries = { .ratio_milli = 200, .slack = 1000, .window_us = 10 * 1000 * 1000 } };
@@ -221,8 +226,8 @@
       &(sim_options_t){ .site = &site, .fault = SIM_CROWDS, .policy = SIM_FULL, .seed = seed });
 }
 
-/* Guards against refusals of requests that have time and retries left, by gateways that ask the
- * only engine, which is full, three times within some milliseconds. */
+/* Guards against rejections of requests that have time and retries left: gateways asked the only
+ * engine, which was full, three times within some milliseconds and then gave up. */
 static void
 test_a_full_engine_is_waited_for (void)
 {
@@ -233,7 +238,7 @@
   for (uint32_t i = 0; i < G_N_ELEMENTS (sizes); i++)
     for (uint64_t seed = 1; seed <= SEEDS; seed++)
       {
-        sim_figures_t figures = play_one_engine (&sizes[i], seed);
+        sim_figures_t figures = simulate_one_engine (&sizes[i], seed);
 
         CU_ASSERT (figures.all.requests > 1000);
         CU_ASSERT (figures.sends > figures.all.requests);
