--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <time.h>
 
-#define TELLS 20
+#define REPEATS 20 /* snapshots whose average cost is measured */
 
 static uint64_t
-cpu_us (void)
+thread_cpu_us (void)
 {
   struct timespec ts;
   clock_gettime (CLOCK_THREAD_CPUTIME_ID, &ts);
@@ -17,7 +17,7 @@
 }
 
 static void
-hear (flt_node_t *node, const flt_node_t *from, uint64_t incarnation)
+receive_message (flt_node_t *node, const flt_node_t *from, uint64_t incarnation)
 {
   xch_message message = { 0 };
   message.sender.host_hash = from->ctrl->own_hash;
@@ -35,58 +35,59 @@
   if (run->options.lost_percent != 0)
     return;
   run_begin (run, 0);
-  flt_t *flt = run->flt;
-  flt_node_t *node = &flt->nodes[0];
-  uint32_t restarted = flt->count / FLT_DATA_CENTERS;
-  mem_list_full (node->ctrl->mem, flt->now_us, flt->listed, flt->count, 1);
-  for (uint32_t i = 1; i < flt->count; i++)
-    hear (node, &flt->nodes[i], 1);
-  flt->now_us += RUN_WINDOW_US;
-  hear (node, &flt->nodes[1], 2);
-  flt->now_us += RUN_WINDOW_US;
-  cnt_t *told = cnt_get (flt->counters, "medlarplank_members_told_total", "");
-  uint64_t told_before = cnt_value (told);
-  uint64_t start_us = cpu_us ();
+  flt_t *fleet = run->flt;
+  flt_node_t *node = &fleet->nodes[0];
+  uint32_t restarted = fleet->count / FLT_DATA_CENTERS;
+  mem_list_full (node->ctrl->mem, fleet->now_us, fleet->listed, fleet->count, 1);
+  for (uint32_t i = 1; i < fleet->count; i++)
+    receive_message (node, &fleet->nodes[i], 1);
+  fleet->now_us += RUN_WINDOW_US;
+  receive_message (node, &fleet->nodes[1], 2);
+  fleet->now_us += RUN_WINDOW_US;
+  cnt_t *snapshots = cnt_get (fleet->counters, "medlarplank_members_told_total", "");
+  uint64_t snapshots_before = cnt_value (snapshots);
+  uint64_t start_us = thread_cpu_us ();
   for (uint32_t i = 0; i < restarted; i++)
     {
-      flt->now_us += 2 * CLK_US_PER_S / restarted;
-      hear (node, &flt->nodes[3 + i * FLT_DATA_CENTERS % (flt->count - 3)], 3);
+      fleet->now_us += 2 * CLK_US_PER_S / restarted;
+      receive_message (node, &fleet->nodes[3 + i * FLT_DATA_CENTERS % (fleet->count - 3)], 3);
     }
-  flt->now_us += CLK_US_PER_S;
-  hear (node, &flt->nodes[2], 4);
+  fleet->now_us += CLK_US_PER_S;
+  receive_message (node, &fleet->nodes[2], 4);
   run_print (run, "data centre restarts: words", "count", restarted);
   run_print (run, "data centre restarts: snapshots told", "count",
-             (double)(cnt_value (told) - told_before));
+             (double)(cnt_value (snapshots) - snapshots_before));
   run_print (run, "data centre restarts: processor time", "ms",
-             (double)(cpu_us () - start_us) / 1000);
+             (double)(thread_cpu_us () - start_us) / 1000);
   run_end (run);
 }
 
 static void
-tell (void *message, void (*handler) (mbx_message_t *message, void *context), void *task)
+deliver (void *message, void (*handler) (mbx_message_t *message, void *context), void *task)
 {
   mbx_message_t *head = message;
   handler (head, task);
   head->free (head);
 }
 
-/* What one snapshot costs a data task. */
+/* Returns the average processor time that a data task needs for a snapshot of the members. The
+ * first snapshot is not measured. */
 static double
-members_cost_us (flt_t *flt, void (*handler) (mbx_message_t *message, void *context), void *task)
+members_cost_us (flt_t *fleet, void (*handler) (mbx_message_t *message, void *context), void *task)
 {
   msg_version_t *version = msg_new (MSG_VERSION);
-  version->man = man_ref (flt->man);
-  tell (version, handler, task);
+  version->man = man_ref (fleet->man);
+  deliver (version, handler, task);
   uint64_t start_us = 0;
-  for (uint32_t i = 0; i <= TELLS; i++)
+  for (uint32_t i = 0; i <= REPEATS; i++)
     {
       msg_members_t *members = msg_new (MSG_MEMBERS);
-      members->members = mem_snapshot_ref (flt->members);
-      tell (members, handler, task);
+      members->members = mem_snapshot_ref (fleet->members);
+      deliver (members, handler, task);
       if (i == 0)
-        start_us = cpu_us ();
+        start_us = thread_cpu_us ();
     }
-  return (double)(cpu_us () - start_us) / TELLS;
+  return (double)(thread_cpu_us () - start_us) / REPEATS;
 }
 
 void
@@ -95,25 +96,25 @@
   if (run->options.lost_percent != 0)
     return;
   run_begin (run, 0);
-  flt_t *flt = run->flt;
-  dmn_t *router = &flt->nodes[flt->count - 1].dmn;
-  dmn_t *sidecar = &flt->nodes[0].dmn;
-  router->to_control = flt->mailbox;
-  sidecar->to_control = flt->mailbox;
+  flt_t *fleet = run->flt;
+  dmn_t *router = &fleet->nodes[fleet->count - 1].dmn;
+  dmn_t *sidecar = &fleet->nodes[0].dmn;
+  router->to_control = fleet->mailbox;
+  sidecar->to_control = fleet->mailbox;
   g_strlcpy (router->set.listen.ip, "127.0.0.1", sizeof router->set.listen.ip);
   sidecar->set.listen = router->set.listen;
   sidecar->set.engine = router->set.listen;
-  rtr_t *rtr = rtr_new (router, flt->base, NULL);
-  sdc_t *sdc = sdc_new (sidecar, flt->base, NULL);
+  rtr_t *rtr = rtr_new (router, fleet->base, NULL);
+  sdc_t *sdc = sdc_new (sidecar, fleet->base, NULL);
   if (rtr == NULL || sdc == NULL)
     {
       fprintf (stderr, "bench_spread: no port\n");
       exit (1);
     }
   run_print (run, "members told to a router's data task", "us",
-             members_cost_us (flt, rtr_message, rtr));
+             members_cost_us (fleet, rtr_message, rtr));
   run_print (run, "members told to a sidecar's data task", "us",
-             members_cost_us (flt, sdc_message, sdc));
+             members_cost_us (fleet, sdc_message, sdc));
   rtr_free (rtr);
   sdc_free (sdc);
   run_end (run);
--- a/bench/spread/exchange.c
+++ b/bench/spread/exchange.c
@@ -5,10 +5,10 @@
 
 #include <string.h>
 
-#define ONE_WAY_US (2 * CLK_US_PER_MS)
-#define PORT_BASE 1000 /* the port of a node tells its index */
+#define NETWORK_DELAY_US (2 * CLK_US_PER_MS)
+#define PORT_BASE 1000 /* the port of a node is this plus its index */
 
-/** struct datagram - in flight */
+/** struct datagram - a datagram that is being delivered; @from: index of the sender */
 typedef struct
 {
   uint32_t from;
@@ -24,7 +24,7 @@
   exc_options_t options;
   flt_node_t *node;
   bdg_t budget;
-  uint32_t overhead_bytes; /* of a datagram around its XDR body */
+  uint32_t overhead_bytes; /* of a datagram without its XDR body */
 };
 
 static uint32_t
@@ -33,7 +33,7 @@
   return (uint32_t)xdr_sizeof ((xdrproc_t)xdr_xch_message, message);
 }
 
-/* The share of a message that is not its body, as the real codec makes it. */
+/* Returns the bytes that the product's codec and the network headers add to the body. */
 static uint32_t
 measure_overhead (const char *key)
 {
@@ -44,56 +44,56 @@
 }
 
 static bool
-is_cut (const flt_t *flt, const flt_node_t *a, const flt_node_t *b)
+is_partitioned (const flt_t *fleet, const flt_node_t *a, const flt_node_t *b)
 {
   int32_t region_a = (int32_t)(a->data_center % FLT_REGIONS);
   int32_t region_b = (int32_t)(b->data_center % FLT_REGIONS);
-  return region_a != region_b && (region_a == flt->cut_region || region_b == flt->cut_region);
+  return region_a != region_b && (region_a == fleet->cut_region || region_b == fleet->cut_region);
 }
 
 static void
 deliver (exc_t *exc, flt_node_t *to, datagram_t *datagram)
 {
-  flt_t *flt = exc->node->flt;
-  bool lost = rnd_below (&flt->random, 100) < flt->options.lost_percent;
-  if (lost || to->stopped || is_cut (flt, exc->node, to))
+  flt_t *fleet = exc->node->flt;
+  bool lost = rnd_below (&fleet->random, 100) < fleet->options.lost_percent;
+  if (lost || to->stopped || is_partitioned (fleet, exc->node, to))
     {
       g_free (datagram);
       return;
     }
-  evt_add (&flt->events, flt->now_us + ONE_WAY_US, FLT_DATAGRAM, to->index, datagram);
+  evt_add (&fleet->events, fleet->now_us + NETWORK_DELAY_US, FLT_DATAGRAM, to->index, datagram);
 }
 
 static void
-send_message (exc_t *exc, flt_node_t *to, bool is_reply, const xch_word *asker)
+send_message (exc_t *exc, flt_node_t *to, bool is_reply, const xch_word *requester)
 {
-  flt_t *flt = exc->node->flt;
+  flt_t *fleet = exc->node->flt;
   datagram_t *datagram = g_new0 (datagram_t, 1);
   datagram->from = exc->node->index;
   datagram->is_reply = is_reply;
   datagram->message.samples.samples_val = datagram->samples;
   datagram->message.words.words_val = datagram->words;
   datagram->message.marks.marks_val = datagram->marks;
-  exc->options.fill (&datagram->message, asker, exc->options.context);
+  exc->options.fill (&datagram->message, requester, exc->options.context);
   uint32_t bytes = body_bytes (&datagram->message) + exc->overhead_bytes;
-  if (!bdg_take (&exc->budget, flt->now_us, bytes))
+  if (!bdg_take (&exc->budget, fleet->now_us, bytes))
     {
-      flt->counts.held_back++;
+      fleet->counts.over_budget++;
       g_free (datagram);
       return;
     }
   exc->node->sent++;
   exc->node->sent_bytes += bytes;
-  flt->counts.datagrams++;
-  flt->counts.exchange_bytes += bytes;
+  fleet->counts.datagrams++;
+  fleet->counts.exchange_bytes += bytes;
   deliver (exc, to, datagram);
 }
 
 static void
-call (exc_t *exc, const set_address_t *address)
+send_request (exc_t *exc, const set_address_t *address)
 {
-  flt_t *flt = exc->node->flt;
-  send_message (exc, &flt->nodes[address->port - PORT_BASE], false, NULL);
+  flt_t *fleet = exc->node->flt;
+  send_message (exc, &fleet->nodes[address->port - PORT_BASE], false, NULL);
 }
 
 exc_t *
@@ -118,7 +118,7 @@
 void
 exc_now (exc_t *exc, const set_address_t *peer)
 {
-  call (exc, peer);
+  send_request (exc, peer);
 }
 
 void
@@ -152,7 +152,7 @@
   exc_t *exc = node->ctrl->exc;
   set_address_t peer;
   if (exc->options.pick (&peer, exc->options.context))
-    call (exc, &peer);
+    send_request (exc, &peer);
 }
 
 void
@@ -160,8 +160,9 @@
 {
   datagram_t *datagram = data;
   exc_t *exc = node->ctrl->exc;
-  bool answer = exc->options.heard (&datagram->message, datagram->is_reply, exc->options.context);
-  if (answer && !datagram->is_reply)
+  bool wants_reply =
+      exc->options.heard (&datagram->message, datagram->is_reply, exc->options.context);
+  if (wants_reply && !datagram->is_reply)
     send_message (exc, &node->flt->nodes[datagram->from], true, &datagram->message.sender);
   g_free (datagram);
 }
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -10,19 +10,21 @@
 #define FLEET_KEY "bench-fleet-key-0123456789"
 #define PORT_BASE 1000
 #define TICK_US (PSE_TICK_MS * CLK_US_PER_MS)
-#define LOAD 138 /* requests under way at an engine: 34,000 a second, 15 s each, 3,700 engines */
-#define RAMP_US (10 * CLK_US_PER_S) /* in which loads double */
+/* Mean number of requests that an engine runs: 34,000 requests per second of 15 s each, spread over
+ * 3,700 engines. */
+#define MEAN_LOAD 138
+#define LOAD_RAMP_US (10 * CLK_US_PER_S) /* time in which loads double */
 
 static bool
-is_engine (const flt_t *flt, uint32_t index)
+is_engine (const flt_t *fleet, uint32_t index)
 {
-  return index < flt->options.engines;
+  return index < fleet->options.engines;
 }
 
 static void
-name_host (const flt_t *flt, uint32_t index, char *out, size_t bytes)
+format_host_name (const flt_t *fleet, uint32_t index, char *out, size_t bytes)
 {
-  g_snprintf (out, bytes, "%s-%u", is_engine (flt, index) ? "engine" : "router", index);
+  g_snprintf (out, bytes, "%s-%u", is_engine (fleet, index) ? "engine" : "router", index);
 }
 
 static uint32_t
@@ -38,14 +40,14 @@
 }
 
 static void
-list_hosts (flt_t *flt)
+init_host_list (flt_t *fleet)
 {
-  flt->listed = g_new0 (mem_listed_t, flt->count);
-  for (uint32_t i = 0; i < flt->count; i++)
+  fleet->listed = g_new0 (mem_listed_t, fleet->count);
+  for (uint32_t i = 0; i < fleet->count; i++)
     {
-      mem_listed_t *host = &flt->listed[i];
-      name_host (flt, i, host->name, sizeof host->name);
-      host->router = !is_engine (flt, i);
+      mem_listed_t *host = &fleet->listed[i];
+      format_host_name (fleet, i, host->name, sizeof host->name);
+      host->router = !is_engine (fleet, i);
       g_snprintf (host->data_center, sizeof host->data_center, "dc-%u", data_center_of (i));
       g_snprintf (host->region, sizeof host->region, "region-%u", data_center_of (i) % FLT_REGIONS);
       g_strlcpy (host->exchange.ip, "10.0.0.1", sizeof host->exchange.ip);
@@ -55,27 +57,27 @@
 }
 
 static void
-take_list (flt_t *flt)
+publish_list (flt_t *fleet)
 {
   mem_t *mem = mem_new ();
-  mem_list_full (mem, flt->now_us, flt->listed, flt->count, ++flt->list_revision);
-  if (flt->members != NULL)
-    mem_snapshot_unref (flt->members);
-  flt->members = mem_snapshot (mem);
+  mem_list_full (mem, fleet->now_us, fleet->listed, fleet->count, ++fleet->list_revision);
+  if (fleet->members != NULL)
+    mem_snapshot_unref (fleet->members);
+  fleet->members = mem_snapshot (mem);
   mem_free (mem);
 }
 
 static json_t *
-services (const flt_t *flt)
+services_to_json (const flt_t *fleet)
 {
   json_t *all = json_object ();
   for (uint32_t s = 0; s < FLT_SERVICES; s++)
     {
       char name[LIM_NAME_BYTES];
       json_t *engines = json_array ();
-      for (uint32_t i = 0; i < flt->options.engines; i++)
+      for (uint32_t i = 0; i < fleet->options.engines; i++)
         {
-          name_host (flt, i, name, sizeof name);
+          format_host_name (fleet, i, name, sizeof name);
           if (service_of (i) == s)
             json_array_append_new (engines, json_string (name));
         }
@@ -86,13 +88,14 @@
 }
 
 static man_t *
-make_manifest (const flt_t *flt)
+make_manifest (const flt_t *fleet)
 {
   char digest[65];
   g_snprintf (digest, sizeof digest, "%064x", 1);
-  json_t *json = json_pack ("{s{s{ss}} s{s{}} so s[{ss ss ss}]}", "client_accounts", "one",
-                            "key_sha256", digest, "classes", "chat", "services", services (flt),
-                            "routes", "path", "/a", "service", "service-0", "class", "chat");
+  json_t *json =
+      json_pack ("{s{s{ss}} s{s{}} so s[{ss ss ss}]}", "client_accounts", "one", "key_sha256",
+                 digest, "classes", "chat", "services", services_to_json (fleet), "routes", "path",
+                 "/a", "service", "service-0", "class", "chat");
   GError *error = NULL;
   man_t *man = man_from_json (json, &error);
   json_decref (json);
@@ -102,64 +105,65 @@
   return man;
 }
 
-/* Nobody reads what is told to data tasks. */
+/* Messages to data tasks are dropped: the simulation has no data tasks. */
 static void
-ignore (mbx_message_t *message, void *context)
+drop_message (mbx_message_t *message, void *context)
 {
   (void)message;
   (void)context;
 }
 
 static void
-set_up_settings (flt_t *flt, flt_node_t *node)
+init_settings (flt_t *fleet, flt_node_t *node)
 {
   set_t *set = &node->dmn.set;
-  const mem_listed_t *listed = &flt->listed[node->index];
+  const mem_listed_t *listed = &fleet->listed[node->index];
   set->role = listed->router ? SET_ROLE_ROUTER : SET_ROLE_SIDECAR;
   g_strlcpy (set->name, listed->name, sizeof set->name);
   g_strlcpy (set->data_center, listed->data_center, sizeof set->data_center);
   g_strlcpy (set->region, listed->region, sizeof set->region);
   g_strlcpy (set->fleet_key, FLEET_KEY, sizeof set->fleet_key);
   set->exchange = listed->exchange;
-  set->exchange_interval_ms = flt->options.interval_ms;
+  set->exchange_interval_ms = fleet->options.interval_ms;
   set->list_interval_ms = 1000;
-  set->control_budget_bytes = flt->options.budget_bytes;
+  set->control_budget_bytes = fleet->options.budget_bytes;
   set->claim_horizon_s = 86400;
   set->log_retention_s = 604800;
 }
 
 static uint64_t
-jittered_us (flt_t *flt)
+draw_interval_us (flt_t *fleet)
 {
-  return (uint64_t)((double)flt->options.interval_ms * CLK_US_PER_MS *
-                    (0.75 + rnd_unit (&flt->random) / 2));
+  return (uint64_t)((double)fleet->options.interval_ms * CLK_US_PER_MS *
+                    (0.75 + rnd_unit (&fleet->random) / 2));
 }
 
 static void
-start_node (flt_t *flt, uint32_t index)
+start_node (flt_t *fleet, uint32_t index)
 {
-  flt_node_t *node = &flt->nodes[index];
-  node->flt = flt;
+  flt_node_t *node = &fleet->nodes[index];
+  node->flt = fleet;
   node->index = index;
   node->data_center = data_center_of (index);
   node->service = service_of (index);
-  node->bias = rnd_lognormal (&flt->random, 1, 0.25);
-  node->phase = rnd_unit (&flt->random);
-  node->period_us = (5 + 10 * rnd_unit (&flt->random)) * CLK_US_PER_S;
-  set_up_settings (flt, node);
-  clk_init_paused (&node->dmn.clk, flt->now_us);
+  node->load_factor = rnd_lognormal (&fleet->random, 1, 0.25);
+  node->load_phase = rnd_unit (&fleet->random);
+  node->load_period_us = (5 + 10 * rnd_unit (&fleet->random)) * CLK_US_PER_S;
+  init_settings (fleet, node);
+  clk_init_paused (&node->dmn.clk, fleet->now_us);
   node->dmn.incarnation = 1;
-  node->dmn.counters = flt->counters;
-  node->dmn.to_data = flt->mailbox;
-  node->ctrl = ctrl_new_on (&node->dmn, flt->base, &flt->plt, NULL);
-  event_del (node->ctrl->tick); /* time is virtual */
-  mem_list_full (node->ctrl->mem, flt->now_us, flt->listed, flt->options.watched, 1);
-  evt_add (&flt->events, flt->now_us + rnd_below (&flt->random, TICK_US), FLT_TICK, index, NULL);
-  evt_add (&flt->events, flt->now_us + jittered_us (flt), FLT_TIMER, index, NULL);
+  node->dmn.counters = fleet->counters;
+  node->dmn.to_data = fleet->mailbox;
+  node->ctrl = ctrl_new_on (&node->dmn, fleet->base, &fleet->plt, NULL);
+  event_del (node->ctrl->tick); /* the timer follows real time; FLT_TICK replaces it */
+  mem_list_full (node->ctrl->mem, fleet->now_us, fleet->listed, fleet->options.watched, 1);
+  evt_add (&fleet->events, fleet->now_us + rnd_below (&fleet->random, TICK_US), FLT_TICK, index,
+           NULL);
+  evt_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER, index, NULL);
 }
 
 static void
-tell_load (flt_node_t *node)
+update_own_load (flt_node_t *node)
 {
   if (!is_engine (node->flt, node->index))
     return;
@@ -174,21 +178,22 @@
 }
 
 static void
-handle (flt_t *flt, const evt_t *event)
+handle_event (flt_t *fleet, const evt_t *event)
 {
-  flt_node_t *node = &flt->nodes[event->number];
+  flt_node_t *node = &fleet->nodes[event->number];
   flt_enter (node);
   switch ((flt_event_t)event->kind)
     {
     case FLT_TIMER:
-      tell_load (node);
+      update_own_load (node);
       flt_exchange_timer (node);
-      evt_add (&flt->events, flt->now_us + jittered_us (flt), FLT_TIMER, node->index, NULL);
+      evt_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER, node->index,
+               NULL);
       break;
     case FLT_TICK:
-      tell_load (node);
+      update_own_load (node);
       ctrl_turn (node->ctrl);
-      evt_add (&flt->events, flt->now_us + TICK_US, FLT_TICK, node->index, NULL);
+      evt_add (&fleet->events, fleet->now_us + TICK_US, FLT_TICK, node->index, NULL);
       break;
     case FLT_DATAGRAM:
       flt_exchange_datagram (node, event->data);
@@ -206,69 +211,70 @@
 }
 
 static void
-note_heard (flt_t *flt, flt_node_t *node, uint32_t *missing)
+record_received (flt_t *fleet, flt_node_t *node, uint32_t *missing)
 {
-  if (flt->has_heard == NULL || node->heard_us != 0 || !flt->has_heard (node, flt->context))
+  if (fleet->has_received == NULL || node->received_us != 0 ||
+      !fleet->has_received (node, fleet->context))
     return;
-  node->heard_us = flt->now_us;
+  node->received_us = fleet->now_us;
   if (*missing > 0)
     --*missing;
 }
 
 static uint32_t
-count_missing (const flt_t *flt)
+count_missing (const flt_t *fleet)
 {
   uint32_t missing = 0;
-  for (uint32_t i = 0; i < flt->count; i++)
-    missing += !flt->nodes[i].stopped && flt->nodes[i].heard_us == 0;
+  for (uint32_t i = 0; i < fleet->count; i++)
+    missing += !fleet->nodes[i].stopped && fleet->nodes[i].received_us == 0;
   return missing;
 }
 
 flt_t *
 flt_new (const flt_options_t *options)
 {
-  flt_t *flt = g_new0 (flt_t, 1);
+  flt_t *fleet = g_new0 (flt_t, 1);
   log_init ("bench-spread", "bench", LOG_LEVEL_ERROR);
-  flt->options = *options;
-  flt->count = options->engines + options->routers;
-  flt->now_us = 1000 * (uint64_t)CLK_US_PER_S;
-  flt->random = options->seed;
-  flt->cut_region = -1;
-  flt->base = event_base_new ();
-  flt->counters = cnt_set_new ();
-  flt->mailbox = mbx_new (flt->base, ignore, NULL);
-  flt->dummy = mem_new ();
-  mem_snapshot_unref (mem_snapshot (flt->dummy)); /* so that it does not count as changed */
-  evt_init (&flt->events);
-  flt_platform_init (flt);
-  list_hosts (flt);
-  take_list (flt);
-  flt->man = make_manifest (flt);
-  flt->log_end = 1;
-  flt->nodes = g_new0 (flt_node_t, flt->count);
-  for (uint32_t i = 0; i < flt->count; i++)
-    start_node (flt, i);
-  return flt;
+  fleet->options = *options;
+  fleet->count = options->engines + options->routers;
+  fleet->now_us = 1000 * (uint64_t)CLK_US_PER_S;
+  fleet->random = options->seed;
+  fleet->cut_region = -1;
+  fleet->base = event_base_new ();
+  fleet->counters = cnt_set_new ();
+  fleet->mailbox = mbx_new (fleet->base, drop_message, NULL);
+  fleet->empty_members = mem_new ();
+  mem_snapshot_unref (mem_snapshot (fleet->empty_members)); /* marks it as unchanged */
+  evt_init (&fleet->events);
+  flt_platform_init (fleet);
+  init_host_list (fleet);
+  publish_list (fleet);
+  fleet->man = make_manifest (fleet);
+  fleet->log_end = 1;
+  fleet->nodes = g_new0 (flt_node_t, fleet->count);
+  for (uint32_t i = 0; i < fleet->count; i++)
+    start_node (fleet, i);
+  return fleet;
 }
 
 void
-flt_free (flt_t *flt)
+flt_free (flt_t *fleet)
 {
   evt_t event;
-  while (evt_take (&flt->events, &event))
+  while (evt_take (&fleet->events, &event))
     g_free (event.data);
-  evt_clear (&flt->events);
-  for (uint32_t i = 0; i < flt->count; i++)
-    ctrl_free (flt->nodes[i].ctrl);
-  g_free (flt->nodes);
-  g_free (flt->listed);
-  mem_snapshot_unref (flt->members);
-  man_unref (flt->man);
-  mem_free (flt->dummy);
-  mbx_free (flt->mailbox);
-  cnt_set_free (flt->counters);
-  event_base_free (flt->base);
-  g_free (flt);
+  evt_clear (&fleet->events);
+  for (uint32_t i = 0; i < fleet->count; i++)
+    ctrl_free (fleet->nodes[i].ctrl);
+  g_free (fleet->nodes);
+  g_free (fleet->listed);
+  mem_snapshot_unref (fleet->members);
+  man_unref (fleet->man);
+  mem_free (fleet->empty_members);
+  mbx_free (fleet->mailbox);
+  cnt_set_free (fleet->counters);
+  event_base_free (fleet->base);
+  g_free (fleet);
 }
 
 void
@@ -278,84 +284,86 @@
 }
 
 void
-flt_run (flt_t *flt, uint64_t span_us, bool until_heard)
+flt_run (flt_t *fleet, uint64_t span_us, bool until_received)
 {
-  uint64_t end_us = flt->now_us + span_us;
-  uint32_t missing = count_missing (flt);
+  uint64_t end_us = fleet->now_us + span_us;
+  uint32_t missing = count_missing (fleet);
   uint32_t handled = 0;
   evt_t event;
-  while (!(until_heard && missing == 0) && evt_take (&flt->events, &event))
+  while (!(until_received && missing == 0) && evt_take (&fleet->events, &event))
     {
       if (event.at_us > end_us)
         {
-          evt_add (&flt->events, event.at_us, event.kind, event.number, event.data);
+          evt_add (&fleet->events, event.at_us, event.kind, event.number, event.data);
           break;
         }
-      flt->now_us = event.at_us;
-      if (flt->nodes[event.number].stopped)
+      fleet->now_us = event.at_us;
+      if (fleet->nodes[event.number].stopped)
         {
           g_free (event.data);
           continue;
         }
-      handle (flt, &event);
-      note_heard (flt, &flt->nodes[event.number], &missing);
+      handle_event (fleet, &event);
+      record_received (fleet, &fleet->nodes[event.number], &missing);
       if (++handled % 256 == 0)
-        event_base_loop (flt->base, EVLOOP_NONBLOCK);
+        event_base_loop (fleet->base, EVLOOP_NONBLOCK);
     }
-  if (!until_heard)
-    flt->now_us = end_us;
+  if (!until_received)
+    fleet->now_us = end_us;
 }
 
 void
-flt_wait_for (flt_t *flt, bool (*has_heard) (const flt_node_t *node, void *context), void *context)
+flt_wait_for (flt_t *fleet,
+              bool (*has_received) (const flt_node_t *node, void *context),
+              void *context)
 {
-  flt->has_heard = has_heard;
-  flt->context = context;
-  for (uint32_t i = 0; i < flt->count; i++)
-    flt->nodes[i].heard_us = 0;
+  fleet->has_received = has_received;
+  fleet->context = context;
+  for (uint32_t i = 0; i < fleet->count; i++)
+    fleet->nodes[i].received_us = 0;
 }
 
 void
-flt_publish (flt_t *flt)
+flt_publish (flt_t *fleet)
 {
-  json_t *patch =
-      json_pack ("{s{s{si}}}", "client_accounts", "one", "weight", (int)(1000 + flt->man->version));
+  json_t *patch = json_pack ("{s{s{si}}}", "client_accounts", "one", "weight",
+                             (int)(1000 + fleet->man->version));
   GError *error = NULL;
-  man_t *man = man_patch (flt->man, patch, &error);
+  man_t *man = man_patch (fleet->man, patch, &error);
   json_decref (patch);
   if (man == NULL)
     g_error ("%s", error->message);
-  man->version = flt->man->version + 1;
-  man_unref (flt->man);
-  flt->man = man;
-  flt->log_end++;
+  man->version = fleet->man->version + 1;
+  man_unref (fleet->man);
+  fleet->man = man;
+  fleet->log_end++;
 }
 
 void
-flt_list (flt_t *flt, int32_t data_center, mem_state_t state)
+flt_list (flt_t *fleet, int32_t data_center, mem_state_t state)
 {
-  for (uint32_t i = 0; i < flt->count; i++)
+  for (uint32_t i = 0; i < fleet->count; i++)
     {
       if (data_center < 0 || data_center_of (i) == (uint32_t)data_center)
-        flt->listed[i].state = state;
+        fleet->listed[i].state = state;
     }
-  take_list (flt);
+  publish_list (fleet);
 }
 
 void
-flt_stop (flt_t *flt, uint32_t data_center)
+flt_stop (flt_t *fleet, uint32_t data_center)
 {
-  for (uint32_t i = 0; i < flt->count; i++)
-    flt->nodes[i].stopped = flt->nodes[i].stopped || data_center_of (i) == data_center;
+  for (uint32_t i = 0; i < fleet->count; i++)
+    fleet->nodes[i].stopped = fleet->nodes[i].stopped || data_center_of (i) == data_center;
 }
 
 double
 flt_load (const flt_node_t *node)
 {
-  const flt_t *flt = node->flt;
-  double level = LOAD;
-  if (flt->ramp_us != 0 && flt->now_us > flt->ramp_us)
-    level *= 1 + MIN (1.0, (double)(flt->now_us - flt->ramp_us) / RAMP_US);
-  double turn = (double)flt->now_us / node->period_us + node->phase;
-  return level * node->bias * (1 + 0.1 * sin (2 * M_PI * turn));
+  const flt_t *fleet = node->flt;
+  double level = MEAN_LOAD;
+  if (fleet->ramp_us != 0 && fleet->now_us > fleet->ramp_us)
+    level *= 1 + MIN (1.0, (double)(fleet->now_us - fleet->ramp_us) / LOAD_RAMP_US);
+  double position = (double)fleet->now_us / node->load_period_us + node->load_phase;
+  return level * node->load_factor * (1 + 0.1 * sin (2 * M_PI * position));
 }
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -1,16 +1,16 @@
 /**
  * DOC: fleet
  *
- * Thousands of control tasks in one process and in virtual time, for the bench of how news spread.
- * Each is the daemon's own control task (src/process/control*.c); the fakes here stand in for its
- * UDP socket, the platform and the fetch of a manifest over HTTP. Datagrams take a fixed time, a
- * fixed share of them is lost, hosts can stop and regions can be cut apart; nothing else of a
- * network is modelled.
+ * Simulates thousands of daemons in one process and in virtual time, to measure how fast
+ * information propagates between them. Each daemon runs the product's control task
+ * (src/process/control*.c); the UDP socket, the platform and the download of a manifest over HTTP
+ * are replaced by fakes. Datagrams have a fixed delay and a fixed loss rate, hosts can stop, and a
+ * region can be partitioned from the others; no other property of a network is modelled.
  *
- * A table of 4,580 hosts takes 2.5 MB in each daemon, too much for 4,580 of them in one process.
- * So all daemons of the fleet share one snapshot of the members, and each keeps words only of the
- * few hosts that the bench watches. Words of the others count as news each time, are not passed on,
- * and no daemon rebuilds its snapshot.
+ * A member table of 4,580 hosts takes 2.5 MB per daemon, too much for 4,580 daemons in one process.
+ * So all daemons share one snapshot of the members, and the table of each daemon has only the few
+ * hosts that the benchmark watches. A daemon treats statements about any other host as new each
+ * time that it receives them, does not forward them, and never rebuilds its snapshot.
  */
 #ifndef BENCH_SPREAD_FLEET_H
 #define BENCH_SPREAD_FLEET_H
@@ -20,14 +20,19 @@
 #include "process/control_private.h"
 
 #define FLT_DATA_CENTERS 12
-#define FLT_REGIONS 4
+#define FLT_REGIONS 4 /* data centre i is in region i modulo this */
 #define FLT_SERVICES 3
 
 /**
  * struct flt_options - options of flt_new()
- * @engines: sidecars, spread over the data centres and services in turn
- * @lost_percent: of datagrams
- * @watched: of how many sidecars, from the first on, each daemon keeps the words
+ * @engines: number of sidecars, each with an engine; assigned to the data centres and services by
+ *   round robin
+ * @routers: number of routers, assigned to the data centres likewise
+ * @lost_percent: share of datagrams that are lost
+ * @interval_ms: mean time between two exchanges that a daemon starts
+ * @budget_bytes: bytes per second that a daemon may send
+ * @watched: number of sidecars, from the first on, that each daemon has in its member table
+ * @seed: of the random numbers; runs with equal options are identical
  */
 typedef struct
 {
@@ -44,10 +49,17 @@
 
 /**
  * struct flt_node - one daemon
- * @dmn: goes first, so that the fake exchange finds the node
- * @heard_us: when it first had what the bench waits for, 0 before
- * @sent, @sent_bytes: datagrams
- * @bias, @phase, @period_us: of the load of its engine over time
+ * @dmn: must be the first member: the fakes cast a pointer to it to the node
+ * @ctrl: its control task
+ * @index: its number in the fleet; sidecars come before routers
+ * @service: index of the service of its engine; not used for a router
+ * @stopped: it handles no event and receives nothing any more
+ * @received_us: when it first had the information that flt_wait_for() names, 0 before
+ * @sent: datagrams sent
+ * @sent_bytes: bytes of these datagrams, with headers
+ * @load_factor: average load of its engine, relative to that of all engines
+ * @load_phase: phase of the load's periodic variation, in periods
+ * @load_period_us: period of that variation
  */
 typedef struct
 {
@@ -58,21 +70,30 @@
   uint32_t data_center;
   uint32_t service;
   bool stopped;
-  uint64_t heard_us;
+  uint64_t received_us;
   uint64_t sent;
   uint64_t sent_bytes;
-  double bias;
-  double phase;
-  double period_us;
+  double load_factor;
+  double load_phase;
+  double load_period_us;
 } flt_node_t;
 
-/** struct flt_counts - of all daemons together */
+/**
+ * struct flt_counts - totals of all daemons since the start of the fleet
+ * @datagrams: datagrams sent, including lost ones
+ * @exchange_bytes: bytes of these datagrams, with headers
+ * @charged_bytes: estimated bytes of requests to the platform and to peers
+ * @over_budget: datagrams not sent because the daemon's bandwidth budget was used up
+ * @list_reads: requests for the list of hosts
+ * @log_reads: requests for records of a log of the platform
+ * @fetches: downloads of a manifest from a peer
+ */
 typedef struct
 {
   uint64_t datagrams;
   uint64_t exchange_bytes;
   uint64_t charged_bytes;
-  uint64_t held_back;
+  uint64_t over_budget;
   uint64_t list_reads;
   uint64_t log_reads;
   uint64_t fetches;
@@ -80,12 +101,26 @@
 
 /**
  * struct flt - the fleet
- * @plt: goes first, so that the fake platform finds the fleet
- * @man: in force at the end of the log, @log_end
- * @members: what the platform's list says
- * @has_heard: what the bench waits for; NULL for nothing
- * @cut_region: the region that is cut off from the others and the platform, or -1
- * @ramp_us: from when on loads rise, 0 for never
+ * @plt: must be the first member: the fake platform casts a pointer to it to the fleet
+ * @base: event loop of the control tasks; the simulation drives it
+ * @counters: shared by all daemons
+ * @mailbox: receives and drops messages to the data tasks
+ * @empty_members: an empty member table, which takes the changes of list reads
+ * @nodes: the daemons
+ * @count: number of @nodes
+ * @now_us: virtual time
+ * @random: state of the random numbers
+ * @events: what happens next
+ * @man: the manifest in force at the end of the log
+ * @log_end: offset after the last record of the log
+ * @members: snapshot of the hosts that the platform lists
+ * @listed: the list of hosts, by index of the node
+ * @list_revision: revision of that list
+ * @cut_region: region partitioned from the others and from the platform, or -1
+ * @ramp_us: when loads begin to rise to twice their level, 0 for never
+ * @counts: totals of all daemons
+ * @has_received: whether a node has the information that is waited for; NULL when nothing is
+ * @context: of @has_received
  */
 struct flt
 {
@@ -94,7 +129,7 @@
   struct event_base *base;
   cnt_set_t *counters;
   mbx_t *mailbox;
-  mem_t *dummy;
+  mem_t *empty_members;
   flt_node_t *nodes;
   uint32_t count;
   uint64_t now_us;
@@ -108,10 +143,19 @@
   int32_t cut_region;
   uint64_t ramp_us;
   flt_counts_t counts;
-  bool (*has_heard) (const flt_node_t *node, void *context);
+  bool (*has_received) (const flt_node_t *node, void *context);
   void *context;
 };
 
+/**
+ * enum flt_event - kinds of events; each concerns one node
+ * @FLT_TIMER: the node starts an exchange with a peer
+ * @FLT_TICK: periodic work of the control task
+ * @FLT_DATAGRAM: a datagram arrives at the node
+ * @FLT_READ: the platform's answer to a read of the log arrives
+ * @FLT_HOSTS: the platform's answer with the list of hosts arrives
+ * @FLT_FETCH: a manifest from a peer arrives
+ */
 typedef enum
 {
   FLT_TIMER,
@@ -122,34 +166,46 @@
   FLT_FETCH
 } flt_event_t;
 
-/** flt_new() - a fleet whose daemons have heard all, under version 1 */
+/** flt_new() - starts a fleet in which all daemons know all hosts; the platform has manifest
+ * version
+ * 1 */
 flt_t *flt_new (const flt_options_t *options);
-void flt_free (flt_t *flt);
-/** flt_run() - for @span_us, or until all that run have heard when @until_heard */
-void flt_run (flt_t *flt, uint64_t span_us, bool until_heard);
-/** flt_wait_for() - from now on; what was heard before does not count */
-void
-flt_wait_for (flt_t *flt, bool (*has_heard) (const flt_node_t *node, void *context), void *context);
-/** flt_publish() - append another version to the log */
-void flt_publish (flt_t *flt);
-/** flt_list() - put hosts [@first, @end) of one data centre, or -1 for all, on the list as @state
- */
-void flt_list (flt_t *flt, int32_t data_center, mem_state_t state);
-/** flt_stop() - the daemons of a data centre stop, without a word */
-void flt_stop (flt_t *flt, uint32_t data_center);
+void flt_free (flt_t *fleet);
+/** flt_run() - advances virtual time by @span_us; with @until_received it stops as soon as all
+ * running daemons have the information that flt_wait_for() names */
+void flt_run (flt_t *fleet, uint64_t span_us, bool until_received);
+/** flt_wait_for() - sets the information to wait for and resets @received_us of all nodes;
+ * @has_received is asked after each event of a node */
+void flt_wait_for (flt_t *fleet,
+                   bool (*has_received) (const flt_node_t *node, void *context),
+                   void *context);
+/** flt_publish() - publishes another version of the manifest: appends it to the platform's log */
+void flt_publish (flt_t *fleet);
+/** flt_list() - sets the state of all hosts of @data_center, or of all hosts if it is -1, in the
+ * platform's list, and publishes a new revision of the list */
+void flt_list (flt_t *fleet, int32_t data_center, mem_state_t state);
+/** flt_stop() - stops all daemons of @data_center without notice to the others */
+void flt_stop (flt_t *fleet, uint32_t data_center);
+/** flt_load() - Return: the load of the engine of @node now, in running requests */
 double flt_load (const flt_node_t *node);
-/** flt_enter() - before any call into a daemon */
+/** flt_enter() - sets the clock of @node to virtual time; to be called before any call into it */
 void flt_enter (flt_node_t *node);
 
-/* exchange.c, the fake of connection/exchange.h */
+/* exchange.c: the fake of connection/exchange.h */
+/** flt_exchange_timer() - handles %FLT_TIMER */
 void flt_exchange_timer (flt_node_t *node);
+/** flt_exchange_datagram() - handles %FLT_DATAGRAM; frees @data */
 void flt_exchange_datagram (flt_node_t *node, void *data);
 void flt_exchange_drop (void *data);
 
-/* platform.c, the fake of connection/platform.h and of the fetch from a peer */
-void flt_platform_init (flt_t *flt);
+/* platform.c: the fake of connection/platform.h and of downloads from a peer */
+/** flt_platform_init() - sets the operations of the fake platform */
+void flt_platform_init (flt_t *fleet);
+/** flt_platform_read() - handles %FLT_READ; frees @data, or keeps it while the read waits */
 void flt_platform_read (flt_node_t *node, void *data);
+/** flt_platform_hosts() - handles %FLT_HOSTS; frees @data */
 void flt_platform_hosts (flt_node_t *node, void *data);
+/** flt_fetch_end() - handles %FLT_FETCH; frees @data */
 void flt_fetch_end (flt_node_t *node, void *data);
 
 #endif
--- a/bench/spread/means.c
+++ b/bench/spread/means.c
@@ -6,51 +6,61 @@
 #include <stdio.h>
 #include <string.h>
 
-#define BOUND 0.25 /* load beyond the mean that the default bound allows */
+/* An engine may exceed the mean load by this share of the mean under the default load bound. */
+#define LOAD_BOUND 0.25
 
-/** struct error - of the estimates of one role, in hundredths of the true mean */
+/**
+ * struct estimate_error - errors of the estimated mean loads of one role, in percent of the true
+ * mean
+ * @size: absolute values of the errors
+ * @sum: sum of the errors with their sign
+ * @margin_sum: sum of the margins of the estimates
+ * @samples_sum: sum of the numbers of load samples that the estimates are made of
+ * @beyond_bound: number of errors larger than %LOAD_BOUND
+ */
 typedef struct
 {
   fig_list_t size;
   double sum;
   double margin_sum;
   double samples_sum;
-  uint32_t beyond;
-} error_t;
+  uint32_t beyond_bound;
+} estimate_error_t;
 
 static void
-true_means (const flt_t *flt, double mean[FLT_SERVICES], uint32_t count[FLT_SERVICES])
+true_means (const flt_t *fleet, double mean[FLT_SERVICES], uint32_t count[FLT_SERVICES])
 {
   memset (mean, 0, FLT_SERVICES * sizeof *mean);
   memset (count, 0, FLT_SERVICES * sizeof *count);
-  for (uint32_t i = 0; i < flt->options.engines; i++)
+  for (uint32_t i = 0; i < fleet->options.engines; i++)
     {
-      if (flt->nodes[i].stopped)
+      if (fleet->nodes[i].stopped)
         continue;
-      mean[flt->nodes[i].service] += flt_load (&flt->nodes[i]);
-      count[flt->nodes[i].service]++;
+      mean[fleet->nodes[i].service] += flt_load (&fleet->nodes[i]);
+      count[fleet->nodes[i].service]++;
     }
   for (uint32_t s = 0; s < FLT_SERVICES; s++)
     mean[s] /= count[s];
 }
 
 static void
-add_estimate (error_t *error, const flt_node_t *node, uint32_t service, double mean, uint32_t count)
+add_estimate (
+    estimate_error_t *error, const flt_node_t *node, uint32_t service, double mean, uint32_t count)
 {
-  const man_service_t *of = &rep_manifest (node->ctrl->manifest.rep)->services[service];
-  const mean_table_t *table = ctrl_talk_table (node->ctrl, of->hash);
+  const man_service_t *man_service = &rep_manifest (node->ctrl->manifest.rep)->services[service];
+  const mean_table_t *table = ctrl_talk_table (node->ctrl, man_service->hash);
   const mean_sample_t *own = run_is_router (node, NULL) ? NULL : &node->ctrl->talk.own_sample;
   mean_estimate_t estimate = mean_estimate (table, node->flt->now_us, own, count);
-  double off = 100 * ((double)estimate.mean_milli / 1000 - mean) / mean;
-  fig_add (&error->size, fabs (off));
-  error->sum += off;
+  double error_percent = 100 * ((double)estimate.mean_milli / 1000 - mean) / mean;
+  fig_add (&error->size, fabs (error_percent));
+  error->sum += error_percent;
   error->margin_sum += 100 * (double)estimate.margin_milli / 1000 / mean;
   error->samples_sum += estimate.count;
-  error->beyond += fabs (off) > 100 * BOUND;
+  error->beyond_bound += fabs (error_percent) > 100 * LOAD_BOUND;
 }
 
 static void
-print_error (const run_t *run, const char *what, const char *role, error_t *error)
+print_error (const run_t *run, const char *what, const char *role, estimate_error_t *error)
 {
   char row[96];
   uint32_t count = error->size.count;
@@ -67,15 +77,15 @@
   snprintf (row, sizeof row, "%s, %s: samples", what, role);
   run_print (run, row, "count", error->samples_sum / count);
   snprintf (row, sizeof row, "%s, %s: error beyond the bound", what, role);
-  run_print (run, row, "%", 100.0 * error->beyond / count);
+  run_print (run, row, "%", 100.0 * error->beyond_bound / count);
   g_free (error->size.values);
 }
 
 void
 run_means (run_t *run, const char *what)
 {
-  error_t sidecars = { 0 };
-  error_t routers = { 0 };
+  estimate_error_t sidecars = { 0 };
+  estimate_error_t routers = { 0 };
   for (uint32_t i = 0; i < RUN_WINDOW_US / CLK_US_PER_S; i++)
     {
       double mean[FLT_SERVICES];
@@ -86,7 +96,7 @@
         {
           const flt_node_t *node = &run->flt->nodes[j];
           uint32_t service = run_is_router (node, NULL) ? i % FLT_SERVICES : node->service;
-          error_t *error = run_is_router (node, NULL) ? &routers : &sidecars;
+          estimate_error_t *error = run_is_router (node, NULL) ? &routers : &sidecars;
           if (!node->stopped)
             add_estimate (error, node, service, mean[service], count[service]);
         }
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -4,14 +4,23 @@
 
 #include <string.h>
 
+/* The platform answers after the minimum plus a random time below the jitter. */
 #define ANSWER_MIN_US (10 * CLK_US_PER_MS)
-#define ANSWER_SPREAD_US (20 * CLK_US_PER_MS)
-#define FAIL_US (2 * CLK_US_PER_S)
-#define LOOK_US (10 * CLK_US_PER_MS) /* how often a read that waits is looked at */
-#define FETCH_US (50 * CLK_US_PER_MS)
-#define FETCH_BETWEEN_US (1 * CLK_US_PER_S)
-
-/** struct request - to the platform; fails when @cut */
+#define ANSWER_JITTER_US (20 * CLK_US_PER_MS)
+#define TIMEOUT_US (2 * CLK_US_PER_S)        /* until a request of a partitioned node fails */
+#define POLL_US (10 * CLK_US_PER_MS)         /* between two checks of a read that waits */
+#define FETCH_US (50 * CLK_US_PER_MS)        /* duration of a download from a peer */
+#define FETCH_INTERVAL_US (1 * CLK_US_PER_S) /* between two downloads of a node, before jitter */
+
+/**
+ * struct request - a request to the platform
+ * @read: callback of a read of the log, or NULL
+ * @hosts: callback of a request for the list of hosts, or NULL
+ * @op: argument of the callback
+ * @from_offset: first offset to read, or the revision of the list that the node has
+ * @until_us: until when a read waits for a new record
+ * @partitioned: the node could not reach the platform when it sent the request, which fails
+ */
 typedef struct
 {
   plt_read_done_t read;
@@ -19,7 +28,7 @@
   ctrl_op_t *op;
   uint64_t from_offset;
   uint64_t until_us;
-  bool cut;
+  bool partitioned;
 } request_t;
 
 static flt_node_t *
@@ -29,20 +38,20 @@
 }
 
 static bool
-is_cut (const flt_node_t *node)
+is_partitioned (const flt_node_t *node)
 {
   return (int32_t)(node->data_center % FLT_REGIONS) == node->flt->cut_region;
 }
 
 static void
-ask (flt_t *flt, flt_event_t kind, request_t *request)
+schedule_answer (flt_t *fleet, flt_event_t kind, request_t *request)
 {
   const flt_node_t *node = node_of (request->op);
-  request->cut = is_cut (node);
-  uint64_t wait_us = ANSWER_MIN_US + rnd_below (&flt->random, ANSWER_SPREAD_US);
-  if (request->cut)
-    wait_us = FAIL_US;
-  evt_add (&flt->events, flt->now_us + wait_us, kind, node->index, request);
+  request->partitioned = is_partitioned (node);
+  uint64_t wait_us = ANSWER_MIN_US + rnd_below (&fleet->random, ANSWER_JITTER_US);
+  if (request->partitioned)
+    wait_us = TIMEOUT_US;
+  evt_add (&fleet->events, fleet->now_us + wait_us, kind, node->index, request);
 }
 
 static void
@@ -58,7 +67,7 @@
   (void)data;
   (void)data_bytes;
   (void)done;
-  (void)context; /* checkpoints: never answered here */
+  (void)context; /* only checkpoints are appended; these appends are never answered */
 }
 
 static void
@@ -70,28 +79,28 @@
            plt_read_done_t done,
            void *context)
 {
-  flt_t *flt = (flt_t *)plt;
+  flt_t *fleet = (flt_t *)plt;
   (void)stream;
   (void)max_records;
   request_t *request = g_new0 (request_t, 1);
   request->read = done;
   request->op = context;
   request->from_offset = from_offset;
-  request->until_us = flt->now_us + (uint64_t)wait_ms * CLK_US_PER_MS;
-  flt->counts.log_reads++;
-  ask (flt, FLT_READ, request);
+  request->until_us = fleet->now_us + (uint64_t)wait_ms * CLK_US_PER_MS;
+  fleet->counts.log_reads++;
+  schedule_answer (fleet, FLT_READ, request);
 }
 
 static void
 fake_hosts (plt_t *plt, uint64_t revision, plt_hosts_done_t done, void *context)
 {
-  flt_t *flt = (flt_t *)plt;
+  flt_t *fleet = (flt_t *)plt;
   request_t *request = g_new0 (request_t, 1);
   request->hosts = done;
   request->op = context;
   request->from_offset = revision;
-  flt->counts.list_reads++;
-  ask (flt, FLT_HOSTS, request);
+  fleet->counts.list_reads++;
+  schedule_answer (fleet, FLT_HOSTS, request);
 }
 
 static void
@@ -100,9 +109,9 @@
   (void)plt;
 }
 
-/* The records themselves are left out: the version that they make is handed over. */
+/* Hands the manifest to the node directly: the fake log has no records. */
 static void
-bring_version (flt_node_t *node)
+update_manifest (flt_node_t *node)
 {
   rep_t *rep = node->ctrl->manifest.rep;
   rep_begin (rep, 0);
@@ -110,39 +119,41 @@
 }
 
 void
-flt_platform_init (flt_t *flt)
+flt_platform_init (flt_t *fleet)
 {
-  flt->plt.append = fake_append;
-  flt->plt.read = fake_read;
-  flt->plt.hosts = fake_hosts;
-  flt->plt.free = fake_free;
+  fleet->plt.append = fake_append;
+  fleet->plt.read = fake_read;
+  fleet->plt.hosts = fake_hosts;
+  fleet->plt.free = fake_free;
 }
 
 void
 flt_platform_read (flt_node_t *node, void *data)
 {
-  flt_t *flt = node->flt;
+  flt_t *fleet = node->flt;
   request_t *request = data;
-  if (!request->cut && request->from_offset >= flt->log_end && flt->now_us < request->until_us)
+  if (!request->partitioned && request->from_offset >= fleet->log_end &&
+      fleet->now_us < request->until_us)
     {
-      evt_add (&flt->events, flt->now_us + LOOK_US, FLT_READ, node->index, request);
+      evt_add (&fleet->events, fleet->now_us + POLL_US, FLT_READ, node->index, request);
       return;
     }
   plt_read_t read = { .outcome = PLT_UNKNOWN };
-  if (!request->cut)
+  if (!request->partitioned)
     {
-      bring_version (node);
+      update_manifest (node);
       read.outcome = PLT_OK;
-      read.next_offset = flt->log_end;
-      read.end_offset = flt->log_end;
+      read.next_offset = fleet->log_end;
+      read.end_offset = fleet->log_end;
     }
   request->read (&read, request->op);
   g_free (request);
 }
 
-/* The members go to the daemon as one snapshot for all; its own table hears an empty change. */
+/* Gives the node the snapshot of the members that all nodes share. The list read itself brings an
+ * empty change, to the table empty_members. */
 static void
-bring_members (flt_node_t *node)
+update_members (flt_node_t *node)
 {
   ctrl_peers_t *peers = &node->ctrl->peers;
   if (peers->members == node->flt->members)
@@ -156,19 +167,19 @@
 void
 flt_platform_hosts (flt_node_t *node, void *data)
 {
-  flt_t *flt = node->flt;
+  flt_t *fleet = node->flt;
   request_t *request = data;
   plt_hosts_t hosts = { .outcome = PLT_UNKNOWN };
-  if (!request->cut)
+  if (!request->partitioned)
     {
       hosts.outcome = PLT_OK;
-      hosts.revision = flt->list_revision;
-      bring_members (node);
+      hosts.revision = fleet->list_revision;
+      update_members (node);
     }
-  mem_t *own = node->ctrl->mem;
-  node->ctrl->mem = flt->dummy;
+  mem_t *own_members = node->ctrl->mem;
+  node->ctrl->mem = fleet->empty_members;
   request->hosts (&hosts, request->op);
-  node->ctrl->mem = own;
+  node->ctrl->mem = own_members;
   node->ctrl->list.read_once = false;
   g_free (request);
 }
@@ -177,15 +188,15 @@
 ctrl_fetch_start (ctrl_t *ctrl, const mem_host_t *host)
 {
   flt_node_t *node = (flt_node_t *)ctrl->dmn;
-  flt_t *flt = node->flt;
-  if (ctrl->fetch.call != NULL || flt->now_us < ctrl->fetch.next_us)
+  flt_t *fleet = node->flt;
+  if (ctrl->fetch.call != NULL || fleet->now_us < ctrl->fetch.next_us)
     return;
-  ctrl->fetch.next_us = flt->now_us + ctrl_jitter (ctrl, FETCH_BETWEEN_US);
+  ctrl->fetch.next_us = fleet->now_us + ctrl_jitter (ctrl, FETCH_INTERVAL_US);
   exc_charge (ctrl->exc, CTRL_REQUEST_BYTES);
-  flt->counts.fetches++;
+  fleet->counts.fetches++;
   uint64_t *peer = g_new (uint64_t, 1);
-  *peer = (uint64_t)(host->exchange.port - flt->nodes[0].dmn.set.exchange.port);
-  evt_add (&flt->events, flt->now_us + FETCH_US, FLT_FETCH, node->index, peer);
+  *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].dmn.set.exchange.port);
+  evt_add (&fleet->events, fleet->now_us + FETCH_US, FLT_FETCH, node->index, peer);
 }
 
 void
@@ -198,10 +209,10 @@
 flt_fetch_end (flt_node_t *node, void *data)
 {
   const flt_node_t *peer = &node->flt->nodes[*(uint64_t *)data];
-  rep_t *from = peer->ctrl->manifest.rep;
-  bool reached = !peer->stopped && is_cut (peer) == is_cut (node);
-  if (reached && rep_ready (from) &&
-      rep_adopt (node->ctrl->manifest.rep, rep_manifest (from), rep_next_offset (from)))
+  rep_t *source = peer->ctrl->manifest.rep;
+  bool reached = !peer->stopped && is_partitioned (peer) == is_partitioned (node);
+  if (reached && rep_ready (source) &&
+      rep_adopt (node->ctrl->manifest.rep, rep_manifest (source), rep_next_offset (source)))
     {
       ctrl_manifest_flush (node->ctrl);
       ctrl_fresh_flush (node->ctrl);
--- a/bench/spread/run.c
+++ b/bench/spread/run.c
@@ -4,7 +4,7 @@
 
 #include <stdio.h>
 
-#define SETTLE_US (5 * (uint64_t)CLK_US_PER_S)
+#define WARM_UP_US (5 * (uint64_t)CLK_US_PER_S) /* before a measurement */
 
 void
 run_print (const run_t *run, const char *what, const char *unit, double value)
@@ -20,7 +20,7 @@
 {
   run->options.watched = watched;
   run->flt = flt_new (&run->options);
-  flt_run (run->flt, SETTLE_US, false);
+  flt_run (run->flt, WARM_UP_US, false);
 }
 
 void
@@ -29,7 +29,7 @@
   g_clear_pointer (&run->flt, flt_free);
 }
 
-/* Times since @start_us at which the nodes that @counts heard, as rows. */
+/* Prints the distribution of received_us - start_us of the running nodes for which counts holds. */
 void
 run_print_heard (const run_t *run,
                  const char *what,
@@ -46,11 +46,11 @@
       if (node->stopped || (counts != NULL && !counts (node, context)))
         continue;
       total++;
-      if (node->heard_us == 0)
+      if (node->received_us == 0)
         continue;
-      uint64_t after_us = node->heard_us > start_us ? node->heard_us - start_us : 0;
-      within_2s += after_us <= 2 * CLK_US_PER_S;
-      fig_add (&list, (double)after_us / CLK_US_PER_S);
+      uint64_t delay_us = node->received_us > start_us ? node->received_us - start_us : 0;
+      within_2s += delay_us <= 2 * CLK_US_PER_S;
+      fig_add (&list, (double)delay_us / CLK_US_PER_S);
     }
   char row[96];
   snprintf (row, sizeof row, "%s: half", what);
@@ -84,7 +84,7 @@
   snprintf (row, sizeof row, "%s: datagrams", what);
   run_print (run, row, "1/s/daemon", (double)(now->datagrams - before->datagrams) / node_s);
   snprintf (row, sizeof row, "%s: held back", what);
-  run_print (run, row, "1/s/daemon", (double)(now->held_back - before->held_back) / node_s);
+  run_print (run, row, "1/s/daemon", (double)(now->over_budget - before->over_budget) / node_s);
   snprintf (row, sizeof row, "%s: list reads", what);
   run_print (run, row, "1/s", (double)(now->list_reads - before->list_reads) / span_s);
   snprintf (row, sizeof row, "%s: log reads", what);
--- a/bench/spread/run.h
+++ b/bench/spread/run.h
@@ -1,16 +1,22 @@
 /**
  * DOC: run
  *
- * One fleet that the bench runs, and how its lines are printed.
+ * Runs a measurement on a simulated fleet and prints its results: lines with the number of daemons,
+ * the datagram loss in percent, what was measured, the unit and the value, separated by tabs.
  */
 #ifndef BENCH_SPREAD_RUN_H
 #define BENCH_SPREAD_RUN_H
 
 #include "fleet.h"
 
-#define RUN_WINDOW_US (10 * (uint64_t)CLK_US_PER_S)
+#define RUN_WINDOW_US (10 * (uint64_t)CLK_US_PER_S) /* length of one measurement */
 
-/** struct run - one fleet, and how its lines begin */
+/**
+ * struct run - a measurement
+ * @options: of the fleet
+ * @only: name of the only part of the benchmark to run, or NULL for all
+ * @flt: the fleet, or NULL between run_end() and run_begin()
+ */
 typedef struct
 {
   flt_options_t options;
@@ -18,33 +24,42 @@
   flt_t *flt;
 } run_t;
 
-/** run_begin() - a fleet in which each daemon keeps the words of @watched sidecars */
+/** run_begin() - starts a fleet and lets it run for the warm-up time; see @watched of flt_options
+ */
 void run_begin (run_t *run, uint32_t watched);
+/** run_end() - frees the fleet */
 void run_end (run_t *run);
+/** run_print() - prints one line: @what was measured, its @unit and @value */
 void run_print (const run_t *run, const char *what, const char *unit, double value);
-/** run_print_heard() - when those that @counts heard, from @start_us on; NULL for all */
+/** run_print_heard() - prints how long after @start_us the daemons received the information that
+ * flt_wait_for() names: only running daemons for which @counts holds, or all when it is NULL */
 void run_print_heard (const run_t *run,
                       const char *what,
                       uint64_t start_us,
                       bool (*counts) (const flt_node_t *node, void *context),
                       void *context);
-/** run_print_traffic() - of all daemons in the last @span_us, since @before */
+/** run_print_traffic() - prints the average traffic of the last @span_us; @before: the totals at
+ * the start of that time */
 void run_print_traffic (const run_t *run,
                         const char *what,
                         const flt_counts_t *before,
                         uint64_t span_us);
+/** run_is_router() - whether @node is a router; @context is not used */
 bool run_is_router (const flt_node_t *node, void *context);
+/** run_is_sidecar() - whether @node is a sidecar; @context is not used */
 bool run_is_sidecar (const flt_node_t *node, void *context);
 
 /* means.c */
-/** run_means() - how good the estimates of mean loads are over %RUN_WINDOW_US */
+/** run_means() - measures, once a second for %RUN_WINDOW_US, how far the mean loads that daemons
+ * estimate are from the true mean loads */
 void run_means (run_t *run, const char *what);
 
 /* costs.c */
-/** run_restarts() - one daemon with a whole table hears from each host of a data centre that it has
- * restarted, within two seconds */
+/** run_restarts() - measures the cost for one daemon, which has all hosts in its member table, when
+ * every host of a data centre restarts within two seconds */
 void run_restarts (run_t *run);
-/** run_data() - what one snapshot of the members costs a data task */
+/** run_data() - measures the processor time that the data task of a router and of a sidecar needs
+ * for a snapshot of the members */
 void run_data (run_t *run);
 
 #endif
