--- a/bench/gateway/site.h
+++ b/bench/gateway/site.h
@@ -70,7 +70,7 @@
 } sit_kind_t;
 
 /**
- * struct sit - a site
+ * struct site - a site
  * @gateways: number of gateways, spread evenly over the data centres, as are the engines
  * @accounts: number of client accounts
  * @cache_tokens: prompt tokens that the prefix cache of one model engine holds
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -191,14 +191,14 @@
 /** flt_enter() - sets the clock of @node to virtual time; to be called before any call into it */
 void flt_enter (flt_node_t *node);
 
-/* exchange.c: the fake of connection/exchange.h */
+/* The fake of connection/exchange.h */
 /** flt_exchange_timer() - handles %FLT_TIMER */
 void flt_exchange_timer (flt_node_t *node);
 /** flt_exchange_datagram() - handles %FLT_DATAGRAM; frees @data */
 void flt_exchange_datagram (flt_node_t *node, void *data);
 void flt_exchange_drop (void *data);
 
-/* platform.c: the fake of connection/platform.h and of downloads from a peer */
+/* The fake of connection/platform.h and of downloads from a peer */
 /** flt_platform_init() - sets the operations of the fake platform */
 void flt_platform_init (flt_t *fleet);
 /** flt_platform_read() - handles %FLT_READ; frees @data, or keeps it while the read waits */
