--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -166,9 +166,8 @@
   FLT_FETCH
 } flt_event_t;
 
-/** flt_new() - starts a fleet in which all daemons know all hosts; the platform has manifest
- * version
- * 1 */
+/** flt_new() - Return: a fleet whose daemons all run, with a platform that lists all hosts and has
+ * one version of the manifest */
 flt_t *flt_new (const flt_options_t *options);
 void flt_free (flt_t *fleet);
 /** flt_run() - advances virtual time by @span_us; with @until_received it stops as soon as all
