--- a/tests/test_gateway_load.c
+++ b/tests/test_gateway_load.c
@@ -9,7 +9,7 @@
 
 #include <glib.h>
 
-#define SEEDS 3 /* runs to average, where results of single seeds differ by a few thousandths */
+#define SEEDS 3 /* runs of a test whose results differ a little from seed to seed */
 
 static sim_figures_t
 simulate_seed (const char *site, sim_fault_t fault, sim_policy_t policy, uint32_t seed)
@@ -110,7 +110,7 @@
 
 /* A quarter of the engines accepts requests and never answers them. */
 static void
-test_dark_engines_cost_little (void)
+test_unresponsive_engines_cost_little (void)
 {
   sim_figures_t full = simulate ("tuul", SIM_MUTE, SIM_FULL);
   sim_figures_t random = simulate ("tuul", SIM_MUTE, SIM_RANDOM);
@@ -253,7 +253,7 @@
                                        SUITE_TEST (test_hot_part_does_not_overload_its_home),
                                        SUITE_TEST (test_few_engines_are_used_to_the_full),
                                        SUITE_TEST (test_quiet_accounts_are_answered),
-                                       SUITE_TEST (test_dark_engines_cost_little),
+                                       SUITE_TEST (test_unresponsive_engines_cost_little),
                                        SUITE_TEST (test_slow_engines_cost_little),
                                        SUITE_TEST (test_retries_stay_within_the_allowance),
                                        SUITE_TEST (test_refusals_come_early),
