--- a/tests/test_gateway_load.c
+++ b/tests/test_gateway_load.c
@@ -9,7 +9,7 @@
 
 #include <glib.h>
 
-#define SEEDS 3 /* runs of a test whose results differ a little from seed to seed */
+#define SEEDS 3 /* runs of a test whose results differ by a few thousandths between seeds */
 
 static sim_figures_t
 simulate_seed (const char *site, sim_fault_t fault, sim_policy_t policy, uint32_t seed)
