--- a/tests/driver.c
+++ b/tests/driver.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define POLL_US 2000
+#define POLL_INTERVAL_US 2000
 #define LOG_TAIL_LINES 40
 
 drv_t *
@@ -20,13 +20,13 @@
   signal (SIGPIPE, SIG_IGN);
   drv->name = g_strdup (name);
   drv->dir = g_dir_make_tmp ("medlarplank-XXXXXX", NULL);
-  drv->net = g_strdup_printf ("127.%u.%u", (pid >> 8 & 0x7f) + 1, pid & 0xff);
+  drv->network = g_strdup_printf ("127.%u.%u", (pid >> 8 & 0x7f) + 1, pid & 0xff);
   drv->base = event_base_new ();
   drv->processes = g_ptr_array_new ();
   drv->calls = g_ptr_array_new ();
-  drv->forwards = g_ptr_array_new ();
-  drv->lines = g_ptr_array_new ();
-  drv->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  drv->proxies = g_ptr_array_new ();
+  drv->transcript = g_ptr_array_new ();
+  drv->run_counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_assert (drv->dir != NULL);
   return drv;
 }
@@ -44,9 +44,9 @@
 }
 
 static void
-run_once (drv_t *drv)
+run_loop_once (drv_t *drv)
 {
-  struct timeval tick = { 0, POLL_US };
+  struct timeval tick = { 0, POLL_INTERVAL_US };
   event_base_loopexit (drv->base, &tick);
   event_base_dispatch (drv->base);
 }
@@ -60,9 +60,9 @@
       if (met (context))
         return true;
       if (g_get_monotonic_time () > limit_us)
-        drv_fail (drv, "waited in vain for %s", what);
+        drv_fail (drv, "timed out waiting for %s", what);
       else
-        run_once (drv);
+        run_loop_once (drv);
     }
   return false;
 }
@@ -72,7 +72,7 @@
 {
   gint64 end_us = g_get_monotonic_time () + (gint64)wait_ms * 1000;
   while (!drv->failed && g_get_monotonic_time () < end_us)
-    run_once (drv);
+    run_loop_once (drv);
 }
 
 static void
@@ -88,7 +88,7 @@
   host->engine = drv_process_new (drv, DRV_ENGINE, name, drv->fleet.engine_flags);
   host->engine->record_path = g_strdup_printf ("%s/%s.record", drv->dir, name);
   drv_process_flag (host->engine, "--name=%s", name);
-  drv_process_flag (host->engine, "--kind=%s", host->plain ? "plain" : "model");
+  drv_process_flag (host->engine, "--kind=%s", host->is_plain ? "plain" : "model");
   drv_process_flag (host->engine, "--record=%s", host->engine->record_path);
   drv_process_start (host->engine);
 }
@@ -113,12 +113,12 @@
 start_host (drv_t *drv, const char *name, bool plain)
 {
   drv_host_t *host = &drv->hosts[drv->host_count++];
-  host->plain = plain;
+  host->is_plain = plain;
   host->state = "live";
   start_engine (drv, host, name);
   const char *engine_ip = host->engine->ip;
   const char *platform_ip = drv->platform->ip;
-  if (drv->fleet.forwards)
+  if (drv->fleet.use_proxies)
     {
       host->upstream = drv_forward_new (drv, engine_ip);
       host->log = drv_forward_new (drv, platform_ip);
@@ -127,7 +127,7 @@
     }
   host->sidecar = daemon_new (drv, DRV_SIDECAR, name, platform_ip);
   drv_process_flag (host->sidecar, "--engine=%s:%d", engine_ip, DRV_PORT);
-  if (drv->fleet.forwards)
+  if (drv->fleet.use_proxies)
     host->hop = drv_forward_new (drv, host->sidecar->ip);
   drv_process_start (host->sidecar);
 }
@@ -135,10 +135,10 @@
 static void
 start_hosts (drv_t *drv)
 {
-  for (uint32_t i = 0; i < drv->fleet.models + drv->fleet.plains; i++)
+  for (uint32_t i = 0; i < drv->fleet.model_hosts + drv->fleet.plain_hosts; i++)
     {
-      bool plain = i >= drv->fleet.models;
-      uint32_t number = plain ? i - drv->fleet.models : i;
+      bool plain = i >= drv->fleet.model_hosts;
+      uint32_t number = plain ? i - drv->fleet.model_hosts : i;
       g_autofree char *name = g_strdup_printf ("%s%u", plain ? "p" : "m", number + 1);
       start_host (drv, name, plain);
     }
@@ -157,12 +157,12 @@
 }
 
 static bool
-is_up (void *context)
+is_healthy (void *context)
 {
   drv_process_t *process = context;
   drv_call_t *call = drv_send (process->drv, process->ip, "GET", "/health", NULL, NULL);
-  while (call->end == DRV_WAITING)
-    run_once (process->drv);
+  while (call->outcome == DRV_WAITING)
+    run_loop_once (process->drv);
   return call->status == 200;
 }
 
@@ -171,7 +171,7 @@
 {
   g_setenv ("MEDLARPLANK_FLEET_KEY", DRV_FLEET_KEY, TRUE);
   start_platform (drv);
-  drv_until (drv, DRV_WAIT_MS, "the platform", is_up, drv->platform);
+  drv_until (drv, DRV_WAIT_MS, "the platform", is_healthy, drv->platform);
 }
 
 void
@@ -191,14 +191,14 @@
 }
 
 static void
-print_log (const drv_process_t *process)
+print_log_tail (const drv_process_t *process)
 {
   g_autofree char *text = NULL;
   if (!g_file_get_contents (process->log_path, &text, NULL, NULL))
     return;
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
   guint count = g_strv_length (lines);
-  printf ("-- log of %s, role %d --\n", process->name, (int)process->role);
+  printf ("-- end of the log of %s, role %d --\n", process->name, (int)process->role);
   for (guint i = count > LOG_TAIL_LINES ? count - LOG_TAIL_LINES : 0; i < count; i++)
     printf ("%s\n", lines[i]);
 }
@@ -226,12 +226,12 @@
 }
 
 static void
-clean_up (drv_t *drv)
+remove_dir (drv_t *drv)
 {
   const char *file;
   if (drv->failed && g_getenv ("MEDLARPLANK_KEEP") != NULL)
     {
-      printf ("kept: %s\n", drv->dir);
+      printf ("session directory kept: %s\n", drv->dir);
       return;
     }
   GDir *dir = g_dir_open (drv->dir, 0, NULL);
@@ -252,21 +252,21 @@
 }
 
 static void
-free_all (drv_t *drv)
+free_session (drv_t *drv)
 {
   g_ptr_array_foreach (drv->calls, (GFunc)(void (*) (void))drv_call_free, NULL);
-  g_ptr_array_foreach (drv->forwards, (GFunc)(void (*) (void))drv_forward_free, NULL);
+  g_ptr_array_foreach (drv->proxies, (GFunc)(void (*) (void))drv_forward_free, NULL);
   g_ptr_array_foreach (drv->processes, (GFunc)(void (*) (void))drv_process_free, NULL);
-  g_ptr_array_foreach (drv->lines, (GFunc)(void (*) (void))line_free, NULL);
+  g_ptr_array_foreach (drv->transcript, (GFunc)(void (*) (void))line_free, NULL);
   g_ptr_array_free (drv->calls, TRUE);
-  g_ptr_array_free (drv->forwards, TRUE);
+  g_ptr_array_free (drv->proxies, TRUE);
   g_ptr_array_free (drv->processes, TRUE);
-  g_ptr_array_free (drv->lines, TRUE);
-  g_hash_table_destroy (drv->runs);
+  g_ptr_array_free (drv->transcript, TRUE);
+  g_hash_table_destroy (drv->run_counts);
   event_base_free (drv->base);
   g_free (drv->name);
   g_free (drv->dir);
-  g_free (drv->net);
+  g_free (drv->network);
   g_free (drv);
 }
 
@@ -281,11 +281,11 @@
   if (!drv->failed)
     drv_compare (drv);
   if (drv->failed)
-    g_ptr_array_foreach (drv->processes, (GFunc)(void (*) (void))print_log, NULL);
+    g_ptr_array_foreach (drv->processes, (GFunc)(void (*) (void))print_log_tail, NULL);
   for (guint i = 0; i < drv->processes->len; i++)
     drv_kill (drv->processes->pdata[i]);
-  clean_up (drv);
-  free_all (drv);
+  remove_dir (drv);
+  free_session (drv);
 }
 
 int
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -1,12 +1,14 @@
 /**
  * DOC: driver
  *
- * Drives a whole fleet of real processes over loopback: the stand-in platform, engines, sidecars
- * and routers, each on an IP of its own derived from the test's process id. Sessions send requests
- * as callers do, bring about faults, and end in a transcript that is compared with a golden file.
+ * Test driver for sessions: runs a fleet of real processes (stand-in platform, engines, sidecars,
+ * routers, gateways) over loopback, sends requests as callers do, injects faults, and compares the
+ * transcript of the session with a golden file. Each process listens on an IP address of its own,
+ * derived from the process id of the test, so that test programs can run in parallel.
  *
- * Nothing sleeps: all waiting is for a condition with a deadline, while the event loop runs. When
- * something fails, the session fails, later waits return at once, and drv_finish() cleans up.
+ * There are no fixed sleeps for expected events: each wait runs the event loop until a condition
+ * holds or a deadline passes. After the first failure the session is marked as failed, further
+ * waits return at once, and drv_finish() stops all processes.
  */
 #ifndef TESTS_DRIVER_H
 #define TESTS_DRIVER_H
@@ -18,8 +20,14 @@
 #include <stdint.h>
 #include <sys/types.h>
 
+/**
+ * DRV_PORT - Port of the HTTP listener and of the exchange of every process, which differ in their
+ * IP addresses; gateways use the three ports after it as well.
+ */
 #define DRV_PORT 8080
-#define DRV_WAIT_MS 15000 /* the deadline of a wait that should be over at once */
+/** DRV_WAIT_MS - Default deadline of a wait; a condition normally holds long before. */
+#define DRV_WAIT_MS 15000
+/** DRV_HOSTS - Capacity of the arrays of hosts and of routers. */
 #define DRV_HOSTS 32
 #define DRV_FLEET_KEY "fleet-key-of-the-sessions"
 
@@ -27,23 +35,27 @@
 typedef struct drv_call drv_call_t;
 typedef struct drv_forward drv_forward_t;
 
+/** enum drv_role_t - The program that a process runs. */
 typedef enum
 {
   DRV_PLATFORM,
   DRV_ENGINE,
   DRV_SIDECAR,
   DRV_ROUTER,
-  DRV_TOOL,
+  DRV_TOOL, /* medlarplankctl */
   DRV_UPSTREAM,
   DRV_GATEWAY
 } drv_role_t;
 
 /**
- * struct drv_process - one program
- * @pid: 0 while it does not run
- * @status: of waitpid(), once it ended
- * @paused: by SIGSTOP
- * @leaving_runs: what had begun on an engine when its grace after leaving was over; -1 is unknown
+ * struct drv_process - A child process.
+ * @ip: Loopback address that it listens on, in dotted notation.
+ * @log_path: File that receives its standard output and standard error.
+ * @record_path: File in which an engine or upstream records its runs, else NULL.
+ * @pid: 0 while the process is not running.
+ * @status: Wait status of the last exit, from waitpid().
+ * @is_paused: Whether it is stopped by SIGSTOP.
+ * @max_runs: Upper limit of the runs that its record may hold, set by drv_left(); -1 is no limit.
  */
 typedef struct
 {
@@ -56,54 +68,81 @@
   GPtrArray *argv;
   pid_t pid;
   int status;
-  bool paused;
-  int64_t leaving_runs;
+  bool is_paused;
+  int64_t max_runs;
 } drv_process_t;
 
-/** struct drv_host - an upstream: its engine, its sidecar and the hop towards it */
+/**
+ * struct drv_host - An engine with its sidecar and the proxies around them.
+ * @hop: Proxy between routers and sidecar, or NULL.
+ * @upstream: Proxy between sidecar and engine, or NULL.
+ * @log: Proxy between sidecar and platform, or NULL.
+ * @state: State of the host in the platform's host list; NULL leaves it out of the list.
+ * @is_plain: Whether it belongs to the plain service claims-portal instead of the model service
+ * medlar-pool.
+ */
 typedef struct
 {
   drv_process_t *engine;
   drv_process_t *sidecar;
-  drv_forward_t *hop;      /* between routers and sidecar, or NULL */
-  drv_forward_t *upstream; /* between sidecar and engine, or NULL */
-  drv_forward_t *log;      /* between sidecar and platform, or NULL */
-  const char *state;       /* in the platform's list; NULL is not listed */
-  bool plain;
+  drv_forward_t *hop;
+  drv_forward_t *upstream;
+  drv_forward_t *log;
+  const char *state;
+  bool is_plain;
 } drv_host_t;
 
 /**
- * struct drv_fleet - what drv_start() starts
- * @models, @plains: engines of the services medlar-pool and claims-portal
- * @engine_flags, @daemon_flags: more flags, separated by blanks, or NULL
- * @forwards: put forwarders into the hops, before the engines and before the sidecars' log
- * @manifest: JSON merge patch on the sessions' manifest, or NULL
+ * struct drv_fleet - The processes that drv_start() starts, and their flags.
+ * @model_hosts: Number of hosts of the model service medlar-pool.
+ * @plain_hosts: Number of hosts of the plain service claims-portal.
+ * @routers: Number of routers.
+ * @engine_flags: Additional flags of all engines, separated by blanks, or NULL.
+ * @platform_flags: Likewise, of the stand-in platform.
+ * @daemon_flags: Likewise, of all sidecars and routers.
+ * @use_proxies: Put a proxy in front of each sidecar, of each engine, and between each sidecar and
+ * the platform.
+ * @manifest: Not evaluated.
  */
 typedef struct
 {
-  uint32_t models;
-  uint32_t plains;
+  uint32_t model_hosts;
+  uint32_t plain_hosts;
   uint32_t routers;
   const char *engine_flags;
   const char *platform_flags;
   const char *daemon_flags;
-  bool forwards;
+  bool use_proxies;
   const char *manifest;
 } drv_fleet_t;
 
+/**
+ * struct drv - A session: the fleet, the calls made so far, and the transcript.
+ * @name: Name of the golden file without its suffix.
+ * @dir: Temporary directory for logs, records and other files, removed by drv_finish().
+ * @network: First three bytes of all IP addresses of the session, as "127.A.B".
+ * @next_ip: Last byte of the IP address that was handed out last.
+ * @processes: All child processes, as drv_process_t.
+ * @calls: All calls, as drv_call_t.
+ * @proxies: All proxies, as drv_forward_t.
+ * @transcript: Lines of the transcript, as drv_line_t.
+ * @run_counts: Number of runs that the engines recorded, by body hash and by request id.
+ * @counted_record_bytes: Total size of the record files when @run_counts was computed.
+ * @failed: Whether drv_fail() was called.
+ */
 struct drv
 {
   char *name;
   char *dir;
-  char *net; /* "127.A.B" */
+  char *network;
   uint32_t next_ip;
   struct event_base *base;
-  GPtrArray *processes; /* drv_process_t */
-  GPtrArray *calls;     /* drv_call_t */
-  GPtrArray *forwards;  /* drv_forward_t */
-  GPtrArray *lines;     /* of the transcript: drv_line_t */
-  GHashTable *runs;     /* what the records tell: hash of the body, or id -> how often it began */
-  uint64_t runs_bytes;  /* of the records that @runs was made from */
+  GPtrArray *processes;
+  GPtrArray *calls;
+  GPtrArray *proxies;
+  GPtrArray *transcript;
+  GHashTable *run_counts;
+  uint64_t counted_record_bytes;
   drv_fleet_t fleet;
   drv_process_t *platform;
   drv_host_t hosts[DRV_HOSTS];
@@ -113,96 +152,131 @@
   bool failed;
 };
 
-/** struct drv_test - a session of a program */
+/** struct drv_test - A test of a session program. */
 typedef struct
 {
   const char *name;
   void (*run) (void);
 } drv_test_t;
 
-/** drv_main() - run all sessions of a program. Return: its exit status */
+/** drv_main() - Run all tests of a program. Return: The exit status, 0 if none failed. */
 int drv_main (const char *suite, const drv_test_t *tests, uint32_t count);
 
-/** drv_new() - @name is that of the golden file */
+/** drv_new() - Create a session whose transcript is compared with tests/golden/@name.txt. */
 drv_t *drv_new (const char *name);
-/** drv_start_platform() - the stand-in platform alone */
+/** drv_start_platform() - Start the stand-in platform alone and wait until it answers. */
 void drv_start_platform (drv_t *drv);
-/** drv_start() - the fleet, with version 1 of its manifest in force and all daemons ready */
+/** drv_start() - Start a fleet; wait until all daemons are ready with manifest version 1 in force.
+ */
 void drv_start (drv_t *drv, const drv_fleet_t *fleet);
-/** drv_finish() - stops all, checks what must always hold and the golden file, frees all */
+/**
+ * drv_finish() - Stop all processes, check the invariants and the transcript, and free the session.
+ *
+ * After a failure it prints the end of each log. The files stay if MEDLARPLANK_KEEP is set.
+ */
 void drv_finish (drv_t *drv);
 
+/** drv_fail() - Print a message and mark the session and the running test as failed. */
 void drv_fail (drv_t *drv, const char *format, ...) G_GNUC_PRINTF (2, 3);
+/** drv_met_t - Whether the condition that a wait is for holds. */
 typedef bool (*drv_met_t) (void *context);
-/** drv_until() - run the event loop until @met; @what is for the message when it is not */
+/**
+ * drv_until() - Run the event loop until @met returns true.
+ * @limit_ms: Time after which the session fails.
+ * @what: Names the condition in the failure message.
+ * Return: False if the session has failed.
+ */
 bool drv_until (drv_t *drv, uint32_t limit_ms, const char *what, drv_met_t met, void *context);
-/** drv_for() - run the event loop for that long, for what must not happen meanwhile */
+/** drv_for() - Run the event loop for @wait_ms, for instance to see that something does not happen.
+ */
 void drv_for (drv_t *drv, uint32_t wait_ms);
 
-/* processes */
+/* Processes */
+
+/** drv_next_ip() - Allocate an unused IP address. Return: Its text, owned by the caller. */
 char *drv_next_ip (drv_t *drv);
+/** drv_process_new() - Prepare a process; @flags are separated by blanks, or NULL. */
 drv_process_t *drv_process_new (drv_t *drv, drv_role_t role, const char *name, const char *flags);
+/** drv_process_flag() - Append one command-line argument. */
 void drv_process_flag (drv_process_t *process, const char *format, ...) G_GNUC_PRINTF (2, 3);
 void drv_process_start (drv_process_t *process);
+/** drv_signal() - Send a signal; for SIGSTOP, wait until all threads have stopped. */
 void drv_signal (drv_process_t *process, int number);
-/** drv_kill() - kill -9, and wait for the end */
+/** drv_kill() - Send SIGKILL and wait for the exit. */
 void drv_kill (drv_process_t *process);
-/** drv_ended() - wait for its end. Return: exit status, -1 when a signal ended it */
+/** drv_ended() - Wait for the exit. Return: The exit status, -1 if a signal ended the process. */
 int drv_ended (drv_process_t *process);
+/** drv_reap() - Poll for the exit without blocking. Return: Whether the process has ended. */
 bool drv_reap (drv_process_t *process);
 void drv_process_free (drv_process_t *process);
-/** drv_ready() - wait until the daemon says that it is ready */
+/** drv_ready() - Wait until the status of a daemon reports that it is ready. */
 void drv_ready (drv_process_t *process);
-/** drv_logged() - how many lines of its log hold both texts; @second may be NULL */
+/** drv_logged() - Count the lines of its log that contain both texts; @second may be NULL. */
 uint32_t drv_logged (const drv_process_t *process, const char *first, const char *second);
 
-/** drv_tool() - start medlarplankctl; wait for its status by drv_ended() */
+/** drv_tool() - Start medlarplankctl with @flags; drv_ended() returns its exit status. */
 drv_process_t *drv_tool (drv_t *drv, const char *flags);
-/** drv_file() - a file of that name in the session's directory, removed at the end. Return: path */
+/** drv_file() - Write a file into the temporary directory. Return: Its path, owned by the caller.
+ */
 char *drv_file (drv_t *drv, const char *name, const char *text);
 
-/* the platform */
-/** drv_admin() - a call to a stand-in; it must be answered 200. Return: the body */
+/* The stand-in platform and the manifest */
+
+/** drv_admin() - Call a process over HTTP; the session fails if the status is not 200. Return: The
+ * body as JSON, owned by the caller. */
 json_t *
 drv_admin (drv_process_t *process, const char *method, const char *target, const char *body);
-/** drv_fault() - a fault of the platform, as JSON in which ' stands for the double quote */
+/** drv_fault() - Inject a fault into the platform, given as JSON for drv_quoted(). */
 void drv_fault (drv_t *drv, const char *fault);
-/** drv_list() - tell the platform's list the state of all hosts */
+/** drv_list() - Send the states of all hosts and routers to the platform's host list. */
 void drv_list (drv_t *drv);
-/** drv_publish() - append a publish record to the log; @patch as in drv_fault() */
+/**
+ * drv_publish() - Append a publish record to the manifest stream.
+ * @id: Identifies the record.
+ * @base: Version that the record is based on.
+ * @patch: JSON merge patch for drv_quoted(), or NULL for the complete manifest of the session.
+ */
 void drv_publish (drv_t *drv, const char *id, uint64_t base, const char *patch);
-/** drv_in_log() - wait until a record of the stream contains @text */
+/** drv_in_log() - Wait until a record of the platform's log stream @stream contains @text. */
 void drv_in_log (drv_t *drv, const char *stream, const char *text);
-/** drv_in_force() - wait until all daemons that run have the version in force */
+/** drv_in_force() - Wait until @version is in force at all running sidecars and routers. */
 void drv_in_force (drv_t *drv, uint64_t version);
-/** drv_version() - the version in force at one daemon, 0 when it doesn't say */
+/** drv_version() - Return: The manifest version in force at a daemon, 0 if it does not answer. */
 uint64_t drv_version (drv_process_t *process);
+/** drv_quoted() - Parse JSON in which ' stands for the double quote; abort on a syntax error. */
 json_t *drv_quoted (const char *text);
+/** drv_manifest() - Return: The complete manifest of the session as JSON text. */
 char *drv_manifest (const drv_t *drv);
 
-/* callers */
+/* Callers */
+
+/** enum drv_kind_t - The four routes of the manifest. */
 typedef enum
 {
-  DRV_CHAT,   /* model, idempotent */
-  DRV_TAG,    /* model, non-idempotent */
-  DRV_LOOKUP, /* plain, idempotent */
-  DRV_BOOKING /* plain, non-idempotent */
+  DRV_CHAT,   /* model service, idempotent */
+  DRV_TAG,    /* model service, non-idempotent */
+  DRV_LOOKUP, /* plain service, idempotent */
+  DRV_BOOKING /* plain service, non-idempotent */
 } drv_kind_t;
 
 /**
- * struct drv_ask - one request of a caller
- * @name: in the transcript, and in the body, which so is like no other
- * @same_as: the body of the request of that name, for resends; or NULL
- * @account: "alpha" or "beta"; NULL is alpha
- * @key: Idempotency-Key or NULL
- * @text: what the chat says; NULL for a short text
- * @authorization: in place of the account's
- * @deadline_ms: 0 is that of the class
+ * struct drv_ask - A request of a caller.
+ * @name: Name in the transcript; also part of the body, which makes the body unique.
+ * @same_body_as: Name of an earlier request whose body is sent again, or NULL.
+ * @router: Index of the router that receives the request.
+ * @account: "alpha" or "beta"; NULL is "alpha".
+ * @chat: Value of X-Chat-Id, or NULL.
+ * @key: Value of Idempotency-Key, or NULL.
+ * @text: Text of the request, or NULL for a short one.
+ * @authorization: Replaces the Authorization value of the account, or NULL.
+ * @tokens: Length of the answer in tokens; 0 is 4.
+ * @deadline_ms: Value of X-Deadline-Ms; 0 leaves the deadline to the request class.
+ * @stream: Whether the answer is requested as an event stream.
  */
 typedef struct
 {
   const char *name;
-  const char *same_as;
+  const char *same_body_as;
   drv_kind_t kind;
   uint32_t router;
   const char *account;
@@ -215,15 +289,30 @@
   bool stream;
 } drv_ask_t;
 
+/** enum drv_end_t - How a call ended, from the view of the caller. */
 typedef enum
 {
-  DRV_WAITING,
-  DRV_WHOLE,
-  DRV_CUT,       /* an answer that is not whole */
-  DRV_NO_ANSWER, /* the connection ended before a head */
-  DRV_HUNG_UP    /* by the caller */
+  DRV_WAITING,   /* not ended yet */
+  DRV_WHOLE,     /* complete response, of any status */
+  DRV_CUT,       /* connection closed after the response header and before the end of the body */
+  DRV_NO_ANSWER, /* connection failed or closed before the response header was complete */
+  DRV_HUNG_UP    /* connection closed by the caller */
 } drv_end_t;
 
+/**
+ * struct drv_call - A request that was sent, and its response.
+ * @name: Name in the transcript; NULL for internal calls, which the invariants skip.
+ * @sent_body: Body of the request.
+ * @status: HTTP status of the response, 0 before its header is complete.
+ * @headers: Header fields of the response, names in lower case.
+ * @body: Body of the response, decoded if it is chunked.
+ * @sent_us: Monotonic time of the request.
+ * @head_us: Monotonic time at which the response header was complete.
+ * @ended_us: Monotonic time at which the call ended.
+ * @remaining_bytes: Bytes that are missing from the body or, if it is chunked, from the current
+ * chunk; -1 if the response has no Content-Length.
+ * @in_chunk: Whether the parser is within a chunk or before the line break that closes it.
+ */
 struct drv_call
 {
   drv_t *drv;
@@ -233,32 +322,36 @@
   char *sent_body;
   uint32_t router;
   drv_kind_t kind;
-  bool streamed;
+  bool is_streamed;
   uint32_t tokens;
-  drv_end_t end;
+  drv_end_t outcome;
   int status;
-  GHashTable *headers; /* names in lower case */
+  GHashTable *headers;
   GString *body;
   uint64_t sent_us;
-  uint64_t head_us; /* when the head of the answer came */
+  uint64_t head_us;
   uint64_t ended_us;
-  /* of the parser */
   struct bufferevent *bev;
   bool has_head;
   bool chunked;
-  int64_t left; /* of the body or the chunk; -1: not declared */
+  int64_t remaining_bytes;
   bool in_chunk;
 };
 
+/** drv_ask() - Send a request to a router and return at once. */
 drv_call_t *drv_ask (drv_t *drv, const drv_ask_t *ask);
-/** drv_send() - any request; @headers are whole lines, each with CRLF */
+/**
+ * drv_send() - Send any HTTP request to DRV_PORT of @ip and return at once.
+ * @headers: Complete header lines, each ending in CRLF, or NULL.
+ * @body: Text, or NULL for an empty body.
+ */
 drv_call_t *drv_send (drv_t *drv,
                       const char *ip,
                       const char *method,
                       const char *target,
                       const char *headers,
                       const char *body);
-/** drv_send_bytes() - as drv_send(), with a body of any bytes */
+/** drv_send_bytes() - Like drv_send(), with a body that may contain any bytes. */
 drv_call_t *drv_send_bytes (drv_t *drv,
                             const char *ip,
                             const char *method,
@@ -267,75 +360,92 @@
                             const char *body,
                             size_t body_bytes);
 void drv_call_free (drv_call_t *call);
-/** drv_answered() - wait until the call ended */
+/** drv_answered() - Wait until the call has ended. */
 void drv_answered (drv_call_t *call);
+/** drv_all_answered() - Wait until all calls of the session have ended. */
 void drv_all_answered (drv_t *drv);
-/** drv_begun() - wait until some of the body's answer came */
+/** drv_begun() - Wait until the first bytes of the response body have arrived or the call has
+ * ended.
+ */
 void drv_begun (drv_call_t *call);
+/** drv_hang_up() - Close the caller's connection if the call has not ended. */
 void drv_hang_up (drv_call_t *call);
+/** drv_header() - Return: A response header field, or NULL; @name is in lower case. */
 const char *drv_header (const drv_call_t *call, const char *name);
-/** drv_verdict() - of the answer, "" when it tells none */
+/** drv_verdict() - Return: The header field X-Medlarplank-Verdict of the response, "" if absent. */
 const char *drv_verdict (const drv_call_t *call);
-/** drv_reason() - the code of the error, "" when it is none */
-char *drv_reason (const drv_call_t *call);
-/** drv_explain() - print what the call of request @id was answered, for the one who traces a
- * failure
+/** drv_reason() - Return: The error code in the response body, "" if absent, owned by the caller.
  */
+char *drv_reason (const drv_call_t *call);
+/** drv_explain() - Print the response to the request @id to standard output, for debugging. */
 void drv_explain (const drv_call_t *call, const char *id);
-/** drv_own_answer() - whether it is the whole answer to this request */
+/** drv_own_answer() - Return: Whether the response is complete, has status 200 and answers this
+ * request. */
 bool drv_own_answer (const drv_call_t *call);
 
-/* a hop that can be cut */
+/* Proxies that inject connection faults */
+
+/** enum drv_mode_t - What a proxy does to a request or to its response. */
 typedef enum
 {
   DRV_PASS,
-  DRV_CLOSED,     /* nobody listens */
-  DRV_CUT_DURING, /* after a part of the request has been passed on */
-  DRV_CUT_AFTER,  /* the request is passed on, and nothing of the answer */
-  DRV_CUT_ANSWER, /* in the midst of the answer */
-  DRV_HOLD        /* the answer, or its cut, is held until the mode changes */
+  DRV_CLOSED,     /* the proxy does not listen */
+  DRV_CUT_DURING, /* the connection is closed after a part of the request */
+  DRV_CUT_AFTER,  /* the request is passed on; its connection is closed before the response */
+  DRV_CUT_ANSWER, /* the connection is closed after a part of the response */
+  DRV_HOLD        /* the response, or its connection's end, is delayed until the mode changes */
 } drv_mode_t;
 
+/** drv_forward_new() - Listen on a new IP address and forward its connections to @target_ip. */
 drv_forward_t *drv_forward_new (drv_t *drv, const char *target_ip);
 void drv_forward_free (drv_forward_t *forward);
 const char *drv_forward_ip (const drv_forward_t *forward);
 /**
- * drv_forward_set() - what happens to requests from now on
- * @match: only to requests whose first bytes contain it; NULL is all
- * @count: to that many, then they pass again; 0 is all
+ * drv_forward_set() - Set the mode of further requests and release held responses.
+ * @match: Apply the mode only to requests whose first bytes contain it; NULL is all.
+ * @count: Number of requests to apply the mode to before DRV_PASS is restored; 0 is all.
  */
 void drv_forward_set (drv_forward_t *forward, drv_mode_t mode, const char *match, uint32_t count);
-/** drv_forward_cut() - cut all connections that are open now */
+/** drv_forward_cut() - Close all open connections. */
 void drv_forward_cut (drv_forward_t *forward);
-/** drv_forward_hits() - requests that a mode other than DRV_PASS was applied to */
+/** drv_forward_hits() - Return: The number of requests that a mode other than DRV_PASS was applied
+ * to. */
 uint32_t drv_forward_hits (const drv_forward_t *forward);
 
-/* the transcript */
-/** struct drv_line - text, and the call whose outcome is added at the end, or NULL */
+/* Transcript, engine records and invariants */
+
+/** struct drv_line - A line of the transcript; the outcome of @call is appended at the end of the
+ * session, unless @call is NULL. */
 typedef struct
 {
   char *text;
   const drv_call_t *call;
 } drv_line_t;
 
-/** drv_say() - a line */
+/** drv_say() - Add a line of text to the transcript. */
 void drv_say (drv_t *drv, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/** drv_tell() - what the caller got and on how many engines its body began to run; the line is
- * made at the end, when that is known */
+/**
+ * drv_tell() - Add a line with the result of a call and the number of times its body ran.
+ *
+ * The line is formatted at the end of the session, when no further run can begin.
+ */
 void drv_tell (drv_call_t *call);
-/** drv_runs() - how often the body of @call has begun to run on all engines */
+/** drv_runs() - Return: How many times the body of @call began to run, over all engines. */
 uint32_t drv_runs (const drv_call_t *call);
-/** drv_request_ran() - whether an attempt of the request of this id began on an engine */
+/** drv_request_ran() - Return: Whether any attempt of the request id @request began on an engine.
+ */
 bool drv_request_ran (drv_t *drv, const char *request);
-/** drv_check_promises() - what must hold after any session, over calls, records and logs */
+/** drv_check_promises() - Check the invariants of every session over its calls, engine records and
+ * logs. */
 void drv_check_promises (drv_t *drv);
-/** drv_compare() - the transcript with the golden file */
+/** drv_compare() - Compare the transcript with the golden file. */
 void drv_compare (drv_t *drv);
-/** drv_begun_on() - the lines of an engine's record that tell of a beginning, a new array */
+/** drv_begun_on() - Return: The entries with state "begun" of an engine's record, as a new array.
+ */
 json_t *drv_begun_on (const drv_process_t *engine);
-/** drv_runs_on() - all that has begun on one engine */
+/** drv_runs_on() - Return: How many runs began on an engine. */
 uint32_t drv_runs_on (const drv_process_t *engine);
-/** drv_left() - from now on nothing new may begin on that host's engine */
+/** drv_left() - Let drv_finish() fail if any run begins on the host's engine after this call. */
 void drv_left (drv_host_t *host);
 
 #endif
--- a/tests/driver_call.c
+++ b/tests/driver_call.c
@@ -9,20 +9,20 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A client of its own, that judges itself whether an answer is whole: the library under test must
- * not be its own judge. */
+/* An HTTP client that shares no code with the library under test, so that a fault of the library's
+ * parser cannot hide itself. */
 
 static void
-call_over (drv_call_t *call, drv_end_t end)
+end_call (drv_call_t *call, drv_end_t end)
 {
-  call->end = end;
+  call->outcome = end;
   call->ended_us = (uint64_t)g_get_monotonic_time ();
   bufferevent_free (call->bev);
   call->bev = NULL;
 }
 
 static void
-read_head_line (drv_call_t *call, const char *line)
+parse_header_line (drv_call_t *call, const char *line)
 {
   const char *colon = strchr (line, ':');
   if (colon == NULL)
@@ -32,9 +32,9 @@
                         g_strstrip (g_strdup (colon + 1)));
 }
 
-/* Return: whether the head is there. */
+/* Return: Whether the response header is complete. */
 static bool
-read_head (drv_call_t *call, struct evbuffer *in)
+parse_header (drv_call_t *call, struct evbuffer *in)
 {
   struct evbuffer_ptr end = evbuffer_search (in, "\r\n\r\n", 4, NULL);
   char *line;
@@ -45,54 +45,54 @@
       if (call->status == 0)
         call->status = atoi (line + strlen ("HTTP/1.1 "));
       else
-        read_head_line (call, line);
+        parse_header_line (call, line);
       free (line);
     }
   free (line);
   const char *length = drv_header (call, "content-length");
   call->chunked = g_strcmp0 (drv_header (call, "transfer-encoding"), "chunked") == 0;
-  call->left = length != NULL ? (int64_t)g_ascii_strtoll (length, NULL, 10) : -1;
+  call->remaining_bytes = length != NULL ? (int64_t)g_ascii_strtoll (length, NULL, 10) : -1;
   if (call->chunked)
-    call->left = 0;
+    call->remaining_bytes = 0;
   call->has_head = true;
   call->head_us = (uint64_t)g_get_monotonic_time ();
   return true;
 }
 
 static void
-take (drv_call_t *call, struct evbuffer *in, size_t limit)
+read_body (drv_call_t *call, struct evbuffer *in, size_t limit)
 {
   size_t bytes = MIN (limit, evbuffer_get_length (in));
   g_string_append_len (call->body, (const char *)evbuffer_pullup (in, (ev_ssize_t)bytes),
                        (gssize)bytes);
   evbuffer_drain (in, bytes);
-  if (call->left > 0)
-    call->left -= (int64_t)bytes;
+  if (call->remaining_bytes > 0)
+    call->remaining_bytes -= (int64_t)bytes;
 }
 
-/* Return: whether the last chunk has come. */
+/* Return: Whether the last chunk has arrived. */
 static bool
 read_chunks (drv_call_t *call, struct evbuffer *in)
 {
   while (evbuffer_get_length (in) > 0)
     {
-      if (call->in_chunk && call->left > 0)
+      if (call->in_chunk && call->remaining_bytes > 0)
         {
-          take (call, in, (size_t)call->left);
+          read_body (call, in, (size_t)call->remaining_bytes);
           continue;
         }
       char *line = evbuffer_readln (in, NULL, EVBUFFER_EOL_CRLF_STRICT);
       if (line == NULL)
         return false;
       if (call->in_chunk)
-        call->in_chunk = false; /* the empty line after a chunk */
+        call->in_chunk = false; /* the line break that closes a chunk */
       else
         {
-          call->left = (int64_t)g_ascii_strtoull (line, NULL, 16);
+          call->remaining_bytes = (int64_t)g_ascii_strtoull (line, NULL, 16);
           call->in_chunk = true;
         }
       free (line);
-      if (call->in_chunk && call->left == 0)
+      if (call->in_chunk && call->remaining_bytes == 0)
         return true;
     }
   return false;
@@ -103,18 +103,18 @@
 {
   drv_call_t *call = context;
   struct evbuffer *in = bufferevent_get_input (bev);
-  if (!call->has_head && !read_head (call, in))
+  if (!call->has_head && !parse_header (call, in))
     return;
   bool whole = false;
   if (call->chunked)
     whole = read_chunks (call, in);
   else
     {
-      take (call, in, call->left >= 0 ? (size_t)call->left : SIZE_MAX);
-      whole = call->left == 0;
+      read_body (call, in, call->remaining_bytes >= 0 ? (size_t)call->remaining_bytes : SIZE_MAX);
+      whole = call->remaining_bytes == 0;
     }
   if (whole)
-    call_over (call, DRV_WHOLE);
+    end_call (call, DRV_WHOLE);
 }
 
 static void
@@ -123,7 +123,7 @@
   drv_call_t *call = context;
   (void)bev;
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-    call_over (call, call->has_head ? DRV_CUT : DRV_NO_ANSWER);
+    end_call (call, call->has_head ? DRV_CUT : DRV_NO_ANSWER);
 }
 
 drv_call_t *
@@ -153,7 +153,7 @@
   evbuffer_add (output, body, body_bytes);
   bufferevent_enable (call->bev, EV_READ | EV_WRITE);
   if (bufferevent_socket_connect (call->bev, (struct sockaddr *)&to, sizeof to) != 0)
-    call_over (call, DRV_NO_ANSWER);
+    end_call (call, DRV_NO_ANSWER);
   return call;
 }
 
@@ -183,17 +183,18 @@
 }
 
 static char *
-ask_body (const drv_ask_t *ask)
+build_body (const drv_ask_t *request)
 {
-  const char *name = ask->same_as != NULL ? ask->same_as : ask->name;
-  if (ask->kind == DRV_LOOKUP || ask->kind == DRV_BOOKING)
+  const char *name = request->same_body_as != NULL ? request->same_body_as : request->name;
+  if (request->kind == DRV_LOOKUP || request->kind == DRV_BOOKING)
     return g_strdup_printf ("{\"order\":\"%s\",\"text\":\"%s\"}", name,
-                            ask->text != NULL ? ask->text : "");
-  json_t *json = json_pack ("{s:s, s:[{s:s, s:s}, {s:s, s:s}], s:i, s:b}", "model",
-                            ask->kind == DRV_TAG ? "claims-tags" : "claims", "messages", "role",
-                            "user", "content", ask->text != NULL ? ask->text : "hello", "role",
-                            "user", "content", name, "max_tokens",
-                            (int)(ask->tokens != 0 ? ask->tokens : 4), "stream", (int)ask->stream);
+                            request->text != NULL ? request->text : "");
+  json_t *json =
+      json_pack ("{s:s, s:[{s:s, s:s}, {s:s, s:s}], s:i, s:b}", "model",
+                 request->kind == DRV_TAG ? "claims-tags" : "claims", "messages", "role", "user",
+                 "content", request->text != NULL ? request->text : "hello", "role", "user",
+                 "content", name, "max_tokens", (int)(request->tokens != 0 ? request->tokens : 4),
+                 "stream", (int)request->stream);
   char *text = json_dumps (json, JSON_COMPACT);
   char *body = g_strdup (text);
   free (text);
@@ -202,32 +203,32 @@
 }
 
 drv_call_t *
-drv_ask (drv_t *drv, const drv_ask_t *ask)
+drv_ask (drv_t *drv, const drv_ask_t *request)
 {
   static const char *const targets[] = { "/v1/chat/completions", "/v1/chat/completions",
                                          "/portal/lookup", "/portal/bookings" };
-  const char *account = ask->account != NULL ? ask->account : "alpha";
-  g_autofree char *body = ask_body (ask);
+  const char *account = request->account != NULL ? request->account : "alpha";
+  g_autofree char *body = build_body (request);
   GString *headers = g_string_new ("Content-Type: application/json\r\n");
-  if (ask->authorization != NULL)
-    g_string_append_printf (headers, "Authorization: %s\r\n", ask->authorization);
+  if (request->authorization != NULL)
+    g_string_append_printf (headers, "Authorization: %s\r\n", request->authorization);
   else
     g_string_append_printf (headers, "Authorization: Bearer key-%s\r\n", account);
-  if (ask->chat != NULL)
-    g_string_append_printf (headers, "X-Chat-Id: %s\r\n", ask->chat);
-  if (ask->deadline_ms != 0)
-    g_string_append_printf (headers, "X-Deadline-Ms: %u\r\n", ask->deadline_ms);
-  if (ask->key != NULL)
-    g_string_append_printf (headers, "Idempotency-Key: %s\r\n", ask->key);
-  drv_call_t *call =
-      drv_send (drv, drv->routers[ask->router]->ip, "POST", targets[ask->kind], headers->str, body);
-  call->name = g_strdup (ask->name);
-  call->key = g_strdup (ask->key);
+  if (request->chat != NULL)
+    g_string_append_printf (headers, "X-Chat-Id: %s\r\n", request->chat);
+  if (request->deadline_ms != 0)
+    g_string_append_printf (headers, "X-Deadline-Ms: %u\r\n", request->deadline_ms);
+  if (request->key != NULL)
+    g_string_append_printf (headers, "Idempotency-Key: %s\r\n", request->key);
+  drv_call_t *call = drv_send (drv, drv->routers[request->router]->ip, "POST",
+                               targets[request->kind], headers->str, body);
+  call->name = g_strdup (request->name);
+  call->key = g_strdup (request->key);
   call->account = g_strdup (account);
-  call->router = ask->router;
-  call->kind = ask->kind;
-  call->streamed = ask->stream;
-  call->tokens = ask->tokens != 0 ? ask->tokens : 4;
+  call->router = request->router;
+  call->kind = request->kind;
+  call->is_streamed = request->stream;
+  call->tokens = request->tokens != 0 ? request->tokens : 4;
   g_string_free (headers, TRUE);
   return call;
 }
@@ -235,14 +236,14 @@
 static bool
 call_ended (void *context)
 {
-  return ((drv_call_t *)context)->end != DRV_WAITING;
+  return ((drv_call_t *)context)->outcome != DRV_WAITING;
 }
 
 void
 drv_answered (drv_call_t *call)
 {
   g_autofree char *what =
-      g_strdup_printf ("the answer to %s", call->name != NULL ? call->name : "a call");
+      g_strdup_printf ("the response to %s", call->name != NULL ? call->name : "a call");
   drv_until (call->drv, DRV_WAIT_MS, what, call_ended, call);
 }
 
@@ -259,28 +260,28 @@
 void
 drv_all_answered (drv_t *drv)
 {
-  drv_until (drv, 2 * DRV_WAIT_MS, "all answers", all_ended, drv);
+  drv_until (drv, 2 * DRV_WAIT_MS, "all responses", all_ended, drv);
 }
 
 static bool
-call_begun (void *context)
+has_body_or_ended (void *context)
 {
   drv_call_t *call = context;
-  return call->body->len > 0 || call->end != DRV_WAITING;
+  return call->body->len > 0 || call->outcome != DRV_WAITING;
 }
 
 void
 drv_begun (drv_call_t *call)
 {
-  g_autofree char *what = g_strdup_printf ("the first part of the answer to %s", call->name);
-  drv_until (call->drv, DRV_WAIT_MS, what, call_begun, call);
+  g_autofree char *what = g_strdup_printf ("the first bytes of the response to %s", call->name);
+  drv_until (call->drv, DRV_WAIT_MS, what, has_body_or_ended, call);
 }
 
 void
 drv_hang_up (drv_call_t *call)
 {
-  if (call->end == DRV_WAITING)
-    call_over (call, DRV_HUNG_UP);
+  if (call->outcome == DRV_WAITING)
+    end_call (call, DRV_HUNG_UP);
 }
 
 const char *
@@ -308,7 +309,7 @@
 
 /* What the stand-in engine says of this request: its hash, then one word for each token. */
 static bool
-own_text (const drv_call_t *call, const char *text)
+is_expected_text (const drv_call_t *call, const char *text)
 {
   char start[64];
   g_snprintf (start, sizeof start, "answer to %016" PRIx64 " by ",
@@ -319,20 +320,20 @@
   for (uint32_t i = 1; i < call->tokens; i++)
     g_string_append_printf (end, " w%" PRIu32, i);
   const char *after_name = strchr (text + strlen (start), ' ');
-  bool own = g_strcmp0 (after_name != NULL ? after_name : "", end->str) == 0;
+  bool is_correct = g_strcmp0 (after_name != NULL ? after_name : "", end->str) == 0;
   g_string_free (end, TRUE);
-  return own;
+  return is_correct;
 }
 
 static const char *
-first_choice (const json_t *json, const char *part)
+choice_content (const json_t *json, const char *part)
 {
   const json_t *choice = json_array_get (json_object_get (json, "choices"), 0);
   return json_string_value (json_object_get (json_object_get (choice, part), "content"));
 }
 
 static bool
-own_stream (const drv_call_t *call)
+is_expected_stream (const drv_call_t *call)
 {
   GString *text = g_string_new (NULL);
   bool done = false;
@@ -343,13 +344,13 @@
         continue;
       done = strcmp (*line, "data: [DONE]") == 0;
       json_t *json = json_loads (*line + strlen ("data: "), 0, NULL);
-      const char *part = first_choice (json, "delta");
+      const char *part = choice_content (json, "delta");
       g_string_append (text, part != NULL ? part : "");
       json_decref (json);
     }
-  bool own = done && own_text (call, text->str);
+  bool is_correct = done && is_expected_text (call, text->str);
   g_string_free (text, TRUE);
-  return own;
+  return is_correct;
 }
 
 void
@@ -357,28 +358,28 @@
 {
   uint64_t took_ms = (call->ended_us - call->sent_us) / 1000;
 
-  printf ("%s: status=%d end=%d took_ms=%" PRIu64 " body=%s\n", id, call->status, (int)call->end,
-          took_ms, call->body->str);
+  printf ("%s: status=%d end=%d took_ms=%" PRIu64 " body=%s\n", id, call->status,
+          (int)call->outcome, took_ms, call->body->str);
 }
 
 bool
 drv_own_answer (const drv_call_t *call)
 {
-  if (call->end != DRV_WHOLE || call->status != 200)
+  if (call->outcome != DRV_WHOLE || call->status != 200)
     return false;
-  if (call->streamed)
-    return own_stream (call);
+  if (call->is_streamed)
+    return is_expected_stream (call);
   json_t *json = json_loadb (call->body->str, call->body->len, 0, NULL);
-  bool own;
+  bool is_correct;
   if (call->kind == DRV_CHAT || call->kind == DRV_TAG)
-    own = own_text (call, first_choice (json, "message"));
+    is_correct = is_expected_text (call, choice_content (json, "message"));
   else
     {
       char hash[17];
       g_snprintf (hash, sizeof hash, "%016" PRIx64,
                   (uint64_t)XXH64 (call->sent_body, strlen (call->sent_body), 0));
-      own = g_strcmp0 (json_string_value (json_object_get (json, "body_hash")), hash) == 0;
+      is_correct = g_strcmp0 (json_string_value (json_object_get (json, "body_hash")), hash) == 0;
     }
   json_decref (json);
-  return own;
+  return is_correct;
 }
--- a/tests/driver_forward.c
+++ b/tests/driver_forward.c
@@ -8,8 +8,9 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define DURING_BYTES 40  /* of the request that are passed on before it is cut */
-#define ANSWER_BYTES 700 /* of the answer that are passed on before it is cut */
+/* Bytes of a request, or of a response, that are passed on before its connection is closed. */
+#define CUT_REQUEST_BYTES 40
+#define CUT_RESPONSE_BYTES 700
 
 struct drv_forward
 {
@@ -17,126 +18,129 @@
   char *ip;
   char *target_ip;
   struct evconnlistener *listener;
-  GPtrArray *pairs; /* pair_t */
+  GPtrArray *connections; /* connection_t */
   drv_mode_t mode;
   char *match;
   uint32_t count;
   uint32_t hits;
 };
 
-/* pair_t - a connection and its other half; @mode is that of the request under way */
+/* A client connection and the server connection that it is forwarded to; @mode is the mode of the
+ * current request. */
 typedef struct
 {
   drv_forward_t *forward;
-  struct bufferevent *near; /* towards who connected */
-  struct bufferevent *far;
+  struct bufferevent *client;
+  struct bufferevent *server;
   drv_mode_t mode;
-  bool far_gone;  /* while the answer is held */
-  bool answering; /* bytes of an answer came since the last of a request */
-  size_t answer_bytes;
-} pair_t;
+  bool server_closed;  /* the server closed its connection while the response was held */
+  bool response_begun; /* response bytes have arrived since the last request; the next bytes of the
+                     client begin a request */
+  size_t response_bytes;
+} connection_t;
 
 static void
-pair_free (pair_t *pair)
+connection_free (connection_t *connection)
 {
-  g_ptr_array_remove_fast (pair->forward->pairs, pair);
-  bufferevent_free (pair->near);
-  bufferevent_free (pair->far);
-  g_free (pair);
+  g_ptr_array_remove_fast (connection->forward->connections, connection);
+  bufferevent_free (connection->client);
+  bufferevent_free (connection->server);
+  g_free (connection);
 }
 
-static void pair_event (struct bufferevent *bev, short what, void *context);
+static void on_connection_event (struct bufferevent *bev, short what, void *context);
 
 static void
-drained (struct bufferevent *bev, void *context)
+on_flushed (struct bufferevent *bev, void *context)
 {
   (void)bev;
-  pair_free (context);
+  connection_free (context);
 }
 
-/* The pair ends once @last has written all that it was given. */
+/* Stops reading from both sides and frees the connection once @last has written its output. */
 static void
-end_after (pair_t *pair, struct bufferevent *last)
+close_after_flush (connection_t *connection, struct bufferevent *last)
 {
-  struct bufferevent *other = last == pair->near ? pair->far : pair->near;
-  bufferevent_disable (pair->near, EV_READ);
-  bufferevent_disable (pair->far, EV_READ);
-  bufferevent_setcb (other, NULL, NULL, NULL, NULL);
+  struct bufferevent *idle_side =
+      last == connection->client ? connection->server : connection->client;
+  bufferevent_disable (connection->client, EV_READ);
+  bufferevent_disable (connection->server, EV_READ);
+  bufferevent_setcb (idle_side, NULL, NULL, NULL, NULL);
   if (evbuffer_get_length (bufferevent_get_output (last)) == 0)
-    pair_free (pair);
+    connection_free (connection);
   else
-    bufferevent_setcb (last, NULL, drained, pair_event, pair);
+    bufferevent_setcb (last, NULL, on_flushed, on_connection_event, connection);
 }
 
 static bool
-matches (const drv_forward_t *forward, struct evbuffer *in)
+is_matching (const drv_forward_t *forward, struct evbuffer *in)
 {
   return forward->match == NULL ||
          evbuffer_search (in, forward->match, strlen (forward->match), NULL).pos >= 0;
 }
 
 static void
-begin_request (pair_t *pair, struct evbuffer *in)
+begin_request (connection_t *connection, struct evbuffer *in)
 {
-  drv_forward_t *forward = pair->forward;
-  pair->mode = DRV_PASS;
-  pair->answering = false;
-  pair->answer_bytes = 0;
-  if (forward->mode == DRV_PASS || !matches (forward, in))
+  drv_forward_t *forward = connection->forward;
+  connection->mode = DRV_PASS;
+  connection->response_begun = false;
+  connection->response_bytes = 0;
+  if (forward->mode == DRV_PASS || !is_matching (forward, in))
     return;
-  pair->mode = forward->mode;
+  connection->mode = forward->mode;
   forward->hits++;
   if (forward->count > 0 && --forward->count == 0)
     forward->mode = DRV_PASS;
 }
 
 static void
-near_read (struct bufferevent *bev, void *context)
+on_client_read (struct bufferevent *bev, void *context)
 {
-  pair_t *pair = context;
+  connection_t *connection = context;
   struct evbuffer *in = bufferevent_get_input (bev);
-  if (pair->answering)
-    begin_request (pair, in);
-  if (pair->mode != DRV_CUT_DURING)
+  if (connection->response_begun)
+    begin_request (connection, in);
+  if (connection->mode != DRV_CUT_DURING)
     {
-      evbuffer_add_buffer (bufferevent_get_output (pair->far), in);
+      evbuffer_add_buffer (bufferevent_get_output (connection->server), in);
       return;
     }
-  evbuffer_remove_buffer (in, bufferevent_get_output (pair->far), DURING_BYTES);
-  end_after (pair, pair->far);
+  evbuffer_remove_buffer (in, bufferevent_get_output (connection->server), CUT_REQUEST_BYTES);
+  close_after_flush (connection, connection->server);
 }
 
 static void
-far_read (struct bufferevent *bev, void *context)
+on_server_read (struct bufferevent *bev, void *context)
 {
-  pair_t *pair = context;
+  connection_t *connection = context;
   struct evbuffer *in = bufferevent_get_input (bev);
-  pair->answering = true;
-  pair->answer_bytes += evbuffer_get_length (in);
-  if (pair->mode == DRV_HOLD)
+  connection->response_begun = true;
+  connection->response_bytes += evbuffer_get_length (in);
+  if (connection->mode == DRV_HOLD)
     return;
-  if (pair->mode == DRV_CUT_AFTER)
+  if (connection->mode == DRV_CUT_AFTER)
     {
-      pair_free (pair);
+      connection_free (connection);
       return;
     }
-  evbuffer_add_buffer (bufferevent_get_output (pair->near), in);
-  if (pair->mode == DRV_CUT_ANSWER && pair->answer_bytes >= ANSWER_BYTES)
-    end_after (pair, pair->near);
+  evbuffer_add_buffer (bufferevent_get_output (connection->client), in);
+  if (connection->mode == DRV_CUT_ANSWER && connection->response_bytes >= CUT_RESPONSE_BYTES)
+    close_after_flush (connection, connection->client);
 }
 
 static void
-pair_event (struct bufferevent *bev, short what, void *context)
+on_connection_event (struct bufferevent *bev, short what, void *context)
 {
-  pair_t *pair = context;
+  connection_t *connection = context;
   if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
     return;
-  if (bev == pair->far && pair->mode == DRV_HOLD)
-    pair->far_gone = true;
-  else if (bev == pair->far)
-    end_after (pair, pair->near);
+  if (bev == connection->server && connection->mode == DRV_HOLD)
+    connection->server_closed = true;
+  else if (bev == connection->server)
+    close_after_flush (connection, connection->client);
   else
-    pair_free (pair);
+    connection_free (connection);
 }
 
 static struct sockaddr_in
@@ -156,21 +160,22 @@
 {
   drv_forward_t *forward = context;
   struct sockaddr_in target = address_of (forward->target_ip);
-  pair_t *pair = g_new0 (pair_t, 1);
+  connection_t *connection = g_new0 (connection_t, 1);
   (void)listener;
   (void)from;
   (void)from_bytes;
-  pair->forward = forward;
-  pair->answering = true;
-  pair->near = bufferevent_socket_new (forward->drv->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  pair->far = bufferevent_socket_new (forward->drv->base, -1, BEV_OPT_CLOSE_ON_FREE);
-  g_ptr_array_add (forward->pairs, pair);
-  bufferevent_setcb (pair->near, near_read, NULL, pair_event, pair);
-  bufferevent_setcb (pair->far, far_read, NULL, pair_event, pair);
-  bufferevent_enable (pair->near, EV_READ | EV_WRITE);
-  bufferevent_enable (pair->far, EV_READ | EV_WRITE);
-  if (bufferevent_socket_connect (pair->far, (struct sockaddr *)&target, sizeof target) != 0)
-    pair_free (pair);
+  connection->forward = forward;
+  connection->response_begun = true;
+  connection->client = bufferevent_socket_new (forward->drv->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  connection->server = bufferevent_socket_new (forward->drv->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  g_ptr_array_add (forward->connections, connection);
+  bufferevent_setcb (connection->client, on_client_read, NULL, on_connection_event, connection);
+  bufferevent_setcb (connection->server, on_server_read, NULL, on_connection_event, connection);
+  bufferevent_enable (connection->client, EV_READ | EV_WRITE);
+  bufferevent_enable (connection->server, EV_READ | EV_WRITE);
+  if (bufferevent_socket_connect (connection->server, (struct sockaddr *)&target, sizeof target) !=
+      0)
+    connection_free (connection);
 }
 
 static void
@@ -181,7 +186,7 @@
                                                LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
                                                (struct sockaddr *)&address, sizeof address);
   if (forward->listener == NULL)
-    drv_fail (forward->drv, "can't listen on %s: %s", forward->ip, g_strerror (errno));
+    drv_fail (forward->drv, "cannot listen on %s: %s", forward->ip, g_strerror (errno));
 }
 
 drv_forward_t *
@@ -191,8 +196,8 @@
   forward->drv = drv;
   forward->ip = drv_next_ip (drv);
   forward->target_ip = g_strdup (target_ip);
-  forward->pairs = g_ptr_array_new ();
-  g_ptr_array_add (drv->forwards, forward);
+  forward->connections = g_ptr_array_new ();
+  g_ptr_array_add (drv->proxies, forward);
   listen_on (forward);
   return forward;
 }
@@ -200,15 +205,15 @@
 void
 drv_forward_cut (drv_forward_t *forward)
 {
-  while (forward->pairs->len > 0)
-    pair_free (forward->pairs->pdata[0]);
+  while (forward->connections->len > 0)
+    connection_free (forward->connections->pdata[0]);
 }
 
 void
 drv_forward_free (drv_forward_t *forward)
 {
   drv_forward_cut (forward);
-  g_ptr_array_free (forward->pairs, TRUE);
+  g_ptr_array_free (forward->connections, TRUE);
   g_clear_pointer (&forward->listener, evconnlistener_free);
   g_free (forward->ip);
   g_free (forward->target_ip);
@@ -222,19 +227,20 @@
   return forward->ip;
 }
 
-/* What was held goes on its way, late. */
+/* Passes held responses on to their clients. */
 static void
-release_held (drv_forward_t *forward)
+release_held_responses (drv_forward_t *forward)
 {
-  for (guint i = forward->pairs->len; i-- > 0;)
+  for (guint i = forward->connections->len; i-- > 0;)
     {
-      pair_t *pair = forward->pairs->pdata[i];
-      if (pair->mode != DRV_HOLD)
+      connection_t *connection = forward->connections->pdata[i];
+      if (connection->mode != DRV_HOLD)
         continue;
-      pair->mode = DRV_PASS;
-      evbuffer_add_buffer (bufferevent_get_output (pair->near), bufferevent_get_input (pair->far));
-      if (pair->far_gone)
-        end_after (pair, pair->near);
+      connection->mode = DRV_PASS;
+      evbuffer_add_buffer (bufferevent_get_output (connection->client),
+                           bufferevent_get_input (connection->server));
+      if (connection->server_closed)
+        close_after_flush (connection, connection->client);
     }
 }
 
@@ -245,7 +251,7 @@
   forward->match = g_strdup (match);
   forward->mode = mode;
   forward->count = count;
-  release_held (forward);
+  release_held_responses (forward);
   if (mode == DRV_CLOSED)
     {
       drv_forward_cut (forward);
--- a/tests/driver_platform.c
+++ b/tests/driver_platform.c
@@ -3,8 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The manifest of all sessions; ' stands for the double quote. */
-static const char manifest_text[] =
+/* Manifest of the sessions, for drv_quoted(); its parameters are the key hashes of both accounts
+ * and the engine names of both services. */
+static const char manifest_template[] =
     "{'client_accounts': {'alpha': {'key_sha256': '%s'}, 'beta': {'key_sha256': '%s'}},"
     " 'classes': {"
     "  'chat': {'priority': 4, 'deadline_ms': 10000, 'expected_tokens': 16},"
@@ -37,7 +38,7 @@
 }
 
 static char *
-dump (json_t *json)
+dump_json (json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
   char *copy = g_strdup (text);
@@ -51,7 +52,7 @@
 {
   GString *names = g_string_new (NULL);
   for (uint32_t i = 0; i < drv->host_count; i++)
-    if (drv->hosts[i].plain == plain)
+    if (drv->hosts[i].is_plain == plain)
       g_string_append_printf (names, "%s'%s'", names->len > 0 ? "," : "",
                               drv->hosts[i].engine->name);
   return g_string_free (names, FALSE);
@@ -64,8 +65,8 @@
   g_autofree char *beta = g_compute_checksum_for_string (G_CHECKSUM_SHA256, "key-beta", -1);
   g_autofree char *models = engine_names (drv, false);
   g_autofree char *plains = engine_names (drv, true);
-  g_autofree char *text = g_strdup_printf (manifest_text, alpha, beta, models, plains);
-  return dump (drv_quoted (text));
+  g_autofree char *text = g_strdup_printf (manifest_template, alpha, beta, models, plains);
+  return dump_json (drv_quoted (text));
 }
 
 json_t *
@@ -74,19 +75,20 @@
   drv_call_t *call = drv_send (process->drv, process->ip, method, target, NULL, body);
   drv_answered (call);
   if (call->status != 200)
-    drv_fail (process->drv, "%s: %s %s: %d", process->name, method, target, call->status);
+    drv_fail (process->drv, "%s: %s %s was answered with status %d", process->name, method, target,
+              call->status);
   return json_loadb (call->body->str, call->body->len, 0, NULL);
 }
 
 void
 drv_fault (drv_t *drv, const char *fault)
 {
-  g_autofree char *body = dump (drv_quoted (fault));
+  g_autofree char *body = dump_json (drv_quoted (fault));
   json_decref (drv_admin (drv->platform, "POST", "/admin/fault", body));
 }
 
 static json_t *
-listed (const drv_process_t *process, const char *http_ip, const char *state)
+host_list_entry (const drv_process_t *process, const char *http_ip, const char *state)
 {
   g_autofree char *http = g_strdup_printf ("%s:%d", http_ip, DRV_PORT);
   g_autofree char *exchange = g_strdup_printf ("%s:%d", process->ip, DRV_PORT);
@@ -106,11 +108,11 @@
       if (host->state == NULL)
         continue;
       const char *ip = host->hop != NULL ? drv_forward_ip (host->hop) : host->sidecar->ip;
-      json_array_append_new (hosts, listed (host->sidecar, ip, host->state));
+      json_array_append_new (hosts, host_list_entry (host->sidecar, ip, host->state));
     }
   for (uint32_t i = 0; i < drv->router_count; i++)
-    json_array_append_new (hosts, listed (drv->routers[i], drv->routers[i]->ip, "live"));
-  g_autofree char *body = dump (hosts);
+    json_array_append_new (hosts, host_list_entry (drv->routers[i], drv->routers[i]->ip, "live"));
+  g_autofree char *body = dump_json (hosts);
   json_decref (drv_admin (drv->platform, "POST", "/admin/hosts", body));
 }
 
@@ -126,7 +128,7 @@
       g_autofree char *manifest = drv_manifest (drv);
       json_object_set_new (record, "manifest", json_loads (manifest, 0, NULL));
     }
-  g_autofree char *body = dump (record);
+  g_autofree char *body = dump_json (record);
   json_decref (drv_admin (drv->platform, "POST", "/log/append?stream=manifest", body));
 }
 
@@ -135,20 +137,20 @@
   drv_t *drv;
   char *target;
   const char *text;
-} sought_t;
+} log_search_t;
 
 static bool
-stands_in_log (void *context)
+log_contains (void *context)
 {
-  sought_t *sought = context;
-  json_t *log = drv_admin (sought->drv->platform, "GET", sought->target, NULL);
+  log_search_t *search = context;
+  json_t *log = drv_admin (search->drv->platform, "GET", search->target, NULL);
   size_t index;
   json_t *record;
   bool found = false;
   json_array_foreach (json_object_get (log, "records"), index, record)
     {
       const char *data = json_string_value (json_object_get (record, "data"));
-      found = found || strstr (data, sought->text) != NULL;
+      found = found || strstr (data, search->text) != NULL;
     }
   json_decref (log);
   return found;
@@ -157,18 +159,18 @@
 void
 drv_in_log (drv_t *drv, const char *stream, const char *text)
 {
-  sought_t sought = { drv, g_strdup_printf ("/admin/log?stream=%s", stream), text };
-  drv_until (drv, DRV_WAIT_MS, text, stands_in_log, &sought);
-  g_free (sought.target);
+  log_search_t search = { drv, g_strdup_printf ("/admin/log?stream=%s", stream), text };
+  drv_until (drv, DRV_WAIT_MS, text, log_contains, &search);
+  g_free (search.target);
 }
 
-/* Return: what the daemon says of itself, or NULL while it says nothing. */
+/* Return: The status document of a daemon, or NULL if it does not answer within two seconds. */
 static json_t *
-status_of (drv_process_t *process)
+read_status (drv_process_t *process)
 {
   drv_call_t *call = drv_send (process->drv, process->ip, "GET", "/medlarplank/status", NULL, NULL);
   gint64 limit_us = g_get_monotonic_time () + 2 * G_USEC_PER_SEC;
-  while (call->end == DRV_WAITING && g_get_monotonic_time () < limit_us)
+  while (call->outcome == DRV_WAITING && g_get_monotonic_time () < limit_us)
     drv_for (process->drv, 1);
   drv_hang_up (call);
   return json_loadb (call->body->str, call->body->len, 0, NULL);
@@ -177,7 +179,7 @@
 uint64_t
 drv_version (drv_process_t *process)
 {
-  json_t *status = status_of (process);
+  json_t *status = read_status (process);
   uint64_t version = (uint64_t)json_integer_value (json_object_get (status, "version"));
   json_decref (status);
   return version;
@@ -186,7 +188,7 @@
 static bool
 is_ready (void *context)
 {
-  json_t *status = status_of (context);
+  json_t *status = read_status (context);
   bool ready = json_is_true (json_object_get (status, "ready"));
   json_decref (status);
   return ready;
@@ -195,7 +197,7 @@
 void
 drv_ready (drv_process_t *process)
 {
-  g_autofree char *what = g_strdup_printf ("%s to be ready", process->name);
+  g_autofree char *what = g_strdup_printf ("%s to become ready", process->name);
   drv_until (process->drv, DRV_WAIT_MS, what, is_ready, process);
 }
 
@@ -203,18 +205,18 @@
 {
   drv_t *drv;
   uint64_t version;
-} wanted_t;
+} version_wait_t;
 
 static bool
-all_have (void *context)
+all_in_force (void *context)
 {
-  wanted_t *wanted = context;
-  for (guint i = 0; i < wanted->drv->processes->len; i++)
+  version_wait_t *wait = context;
+  for (guint i = 0; i < wait->drv->processes->len; i++)
     {
-      drv_process_t *process = wanted->drv->processes->pdata[i];
+      drv_process_t *process = wait->drv->processes->pdata[i];
       bool daemon = process->role == DRV_SIDECAR || process->role == DRV_ROUTER;
-      if (daemon && process->pid > 0 && !process->paused &&
-          drv_version (process) != wanted->version)
+      if (daemon && process->pid > 0 && !process->is_paused &&
+          drv_version (process) != wait->version)
         return false;
     }
   return true;
@@ -223,7 +225,7 @@
 void
 drv_in_force (drv_t *drv, uint64_t version)
 {
-  wanted_t wanted = { drv, version };
+  version_wait_t wait = { drv, version };
   g_autofree char *what = g_strdup_printf ("version %u in force everywhere", (uint32_t)version);
-  drv_until (drv, DRV_WAIT_MS, what, all_have, &wanted);
+  drv_until (drv, DRV_WAIT_MS, what, all_in_force, &wait);
 }
--- a/tests/driver_process.c
+++ b/tests/driver_process.c
@@ -1,4 +1,4 @@
-#define _GNU_SOURCE /* close_range */
+#define _GNU_SOURCE /* close_range() */
 
 #include "driver.h"
 
@@ -13,6 +13,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+/* By role. */
 static const char *const programs[] = { "standin-platform", "standin-engine", "medlarplankd",
                                         "medlarplankd",     "medlarplankctl", "standin-upstream",
                                         "medlarplankd" };
@@ -21,7 +22,7 @@
 drv_next_ip (drv_t *drv)
 {
   g_assert (drv->next_ip < 250);
-  return g_strdup_printf ("%s.%u", drv->net, ++drv->next_ip);
+  return g_strdup_printf ("%s.%u", drv->network, ++drv->next_ip);
 }
 
 static char *
@@ -40,7 +41,7 @@
   process->name = g_strdup (name);
   process->ip = drv_next_ip (drv);
   process->log_path = g_strdup_printf ("%s/%s-%d.log", drv->dir, name, (int)role);
-  process->leaving_runs = -1;
+  process->max_runs = -1;
   process->argv = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (process->argv, program_path (role));
   if (role != DRV_TOOL)
@@ -62,10 +63,10 @@
   va_end (args);
 }
 
-/* The children end with the test, however that ends. They inherit no socket: a connection that the
- * driver cuts would stay open in them. */
+/* Runs in the child. The kernel kills the child when the test ends, also after a crash. Sockets are
+ * not inherited: a connection that the driver closes would stay open in the child. */
 static void
-become (drv_process_t *process, int log_fd)
+exec_program (drv_process_t *process, int log_fd)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   dup2 (log_fd, STDOUT_FILENO);
@@ -86,19 +87,19 @@
   process->pid = fork ();
   g_assert (process->pid >= 0);
   if (process->pid == 0)
-    become (process, log_fd);
+    exec_program (process, log_fd);
   g_ptr_array_set_size (process->argv, (gint)process->argv->len - 1);
   close (log_fd);
 }
 
-/* The signal alone stops nothing yet: until the kernel has stopped all threads, one of them may
- * still take a request that the session sends next. */
+/* Waits until the kernel has stopped all threads: after SIGSTOP was sent, a thread that still runs
+ * could accept the next request of the session. */
 static void
 wait_stopped (drv_process_t *process)
 {
   int status;
   if (waitpid (process->pid, &status, WUNTRACED) != process->pid || !WIFSTOPPED (status))
-    drv_fail (process->drv, "%s did not stop", process->name);
+    drv_fail (process->drv, "%s did not stop on SIGSTOP", process->name);
 }
 
 void
@@ -110,7 +111,7 @@
   if (number == SIGSTOP)
     wait_stopped (process);
   if (number == SIGSTOP || number == SIGCONT)
-    process->paused = number == SIGSTOP;
+    process->is_paused = number == SIGSTOP;
 }
 
 bool
@@ -121,12 +122,12 @@
   if (waitpid (process->pid, &process->status, WNOHANG) != process->pid)
     return false;
   process->pid = 0;
-  process->paused = false;
+  process->is_paused = false;
   return true;
 }
 
 static bool
-ended (void *context)
+has_exited (void *context)
 {
   return drv_reap (context);
 }
@@ -134,8 +135,8 @@
 int
 drv_ended (drv_process_t *process)
 {
-  g_autofree char *what = g_strdup_printf ("the end of %s", process->name);
-  if (!drv_until (process->drv, DRV_WAIT_MS, what, ended, process))
+  g_autofree char *what = g_strdup_printf ("the exit of %s", process->name);
+  if (!drv_until (process->drv, DRV_WAIT_MS, what, has_exited, process))
     return -1;
   return WIFEXITED (process->status) ? WEXITSTATUS (process->status) : -1;
 }
@@ -148,7 +149,7 @@
   kill (process->pid, SIGKILL);
   waitpid (process->pid, &process->status, 0);
   process->pid = 0;
-  process->paused = false;
+  process->is_paused = false;
 }
 
 void
--- a/tests/driver_promises.c
+++ b/tests/driver_promises.c
@@ -4,42 +4,43 @@
 #include <string.h>
 
 static bool
-non_idempotent (const drv_call_t *call)
+is_non_idempotent (const drv_call_t *call)
 {
   return call->kind == DRV_TAG || call->kind == DRV_BOOKING;
 }
 
 static bool
-same_body (const drv_call_t *a, const drv_call_t *b)
+has_same_body (const drv_call_t *a, const drv_call_t *b)
 {
   return strcmp (a->sent_body, b->sent_body) == 0;
 }
 
 static bool
-same_key (const drv_call_t *a, const drv_call_t *b)
+has_same_key (const drv_call_t *a, const drv_call_t *b)
 {
   return a->key != NULL && g_strcmp0 (a->key, b->key) == 0 &&
          g_strcmp0 (a->account, b->account) == 0;
 }
 
-/* Runs of all bodies that were sent with the key of @call. */
+/* Return: The number of runs of all bodies that were sent with the key of @call. */
 static uint32_t
-runs_of_key (const drv_call_t *call)
+count_runs_of_key (const drv_call_t *call)
 {
   GHashTable *counted = g_hash_table_new (g_str_hash, g_str_equal);
   uint32_t runs = 0;
   for (guint i = 0; i < call->drv->calls->len; i++)
     {
       const drv_call_t *other = call->drv->calls->pdata[i];
-      if (same_key (call, other) && g_hash_table_add (counted, other->sent_body))
+      if (has_same_key (call, other) && g_hash_table_add (counted, other->sent_body))
         runs += drv_runs (other);
     }
   g_hash_table_destroy (counted);
   return runs;
 }
 
-/* Each sending of a body that was not answered as not run may have run once; all that share a key
- * once together. */
+/* A non-idempotent body may run at most once for each time it was sent and not answered with the
+ * verdict not_run. Non-idempotent requests that share a key may run once in total. No request that
+ * was answered with not_run may have run. */
 static void
 check_runs (drv_t *drv, const drv_call_t *call)
 {
@@ -47,7 +48,7 @@
   for (guint i = 0; i < drv->calls->len; i++)
     {
       const drv_call_t *other = drv->calls->pdata[i];
-      if (other->name == NULL || !same_body (call, other))
+      if (other->name == NULL || !has_same_body (call, other))
         continue;
       if (strcmp (drv_verdict (other), "not_run") != 0)
         may_have_run++;
@@ -56,25 +57,27 @@
   const char *request = drv_header (call, "x-medlarplank-request");
   if (strcmp (drv_verdict (call), "not_run") == 0 && request != NULL &&
       drv_request_ran (drv, request))
-    drv_fail (drv, "%s, request %s, was answered not run and ran", call->name, request);
+    drv_fail (drv, "%s, request %s, was answered with not_run but ran", call->name, request);
   if (may_have_run == 0 && runs > 0)
-    drv_fail (drv, "%s was answered not run and ran", call->name);
-  if (non_idempotent (call) && runs > may_have_run)
-    drv_fail (drv, "%s ran %u times for %u sendings", call->name, runs, may_have_run);
-  if (non_idempotent (call) && call->key != NULL && runs_of_key (call) > 1)
-    drv_fail (drv, "the key of %s ran %u times", call->name, runs_of_key (call));
+    drv_fail (drv, "%s was only answered with not_run but ran", call->name);
+  if (is_non_idempotent (call) && runs > may_have_run)
+    drv_fail (drv, "%s ran %u times, was sent %u times without the answer not_run", call->name,
+              runs, may_have_run);
+  if (is_non_idempotent (call) && call->key != NULL && count_runs_of_key (call) > 1)
+    drv_fail (drv, "requests with the key of %s ran %u times", call->name,
+              count_runs_of_key (call));
 }
 
 static void
 check_answer (drv_t *drv, const drv_call_t *call)
 {
-  if (call->end == DRV_WHOLE && call->status == 200 && !drv_own_answer (call))
-    drv_fail (drv, "%s got an answer that is not its own: %s", call->name, call->body->str);
-  if (call->end == DRV_WHOLE && call->status >= 500 && *drv_verdict (call) == '\0')
+  if (call->outcome == DRV_WHOLE && call->status == 200 && !drv_own_answer (call))
+    drv_fail (drv, "%s got a response that does not belong to it: %s", call->name, call->body->str);
+  if (call->outcome == DRV_WHOLE && call->status >= 500 && *drv_verdict (call) == '\0')
     drv_fail (drv, "%s got an error without a verdict: %s", call->name, call->body->str);
 }
 
-/* No attempt begins twice, on whichever engines. */
+/* No attempt may begin twice, neither on one engine nor on two. */
 static void
 check_attempts (drv_t *drv)
 {
@@ -95,6 +98,7 @@
   g_hash_table_destroy (seen);
 }
 
+/* The manifest version in force at a daemon may not decrease while the daemon runs. */
 static void
 check_versions (drv_t *drv, const drv_process_t *process)
 {
@@ -108,10 +112,10 @@
       const char *field = strstr (*line, ": version_in_force ");
       const char *number = field != NULL ? strstr (field, " version=") : NULL;
       if (strstr (*line, "]: started ") != NULL)
-        last = 0; /* a new incarnation learns it anew */
+        last = 0; /* a restarted daemon reads it again from its sources */
       uint64_t version = number != NULL ? strtoull (number + strlen (" version="), NULL, 10) : last;
       if (version < last)
-        drv_fail (drv, "%s went back to version %u", process->name, (uint32_t)version);
+        drv_fail (drv, "%s went back to manifest version %u", process->name, (uint32_t)version);
       last = version;
     }
 }
@@ -132,7 +136,7 @@
     {
       const drv_process_t *process = drv->processes->pdata[i];
       check_versions (drv, process);
-      if (process->leaving_runs >= 0 && drv_runs_on (process) > process->leaving_runs)
-        drv_fail (drv, "work began on %s after it left", process->name);
+      if (process->max_runs >= 0 && drv_runs_on (process) > process->max_runs)
+        drv_fail (drv, "a run began on %s after its host had left", process->name);
     }
 }
--- a/tests/driver_record.c
+++ b/tests/driver_record.c
@@ -5,10 +5,12 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define REQUEST_DIGITS 30 /* of an attempt's id: without the byte that counts the hops */
+/* Leading hexadecimal digits of an attempt's id that all attempts of a request share; the last byte
+ * counts the hops. */
+#define REQUEST_ID_DIGITS 30
 
 static char *
-body_print (const char *body)
+hash_body (const char *body)
 {
   return g_strdup_printf ("%016" PRIx64, (uint64_t)XXH64 (body, strlen (body), 0));
 }
@@ -53,21 +55,22 @@
 }
 
 static void
-count (drv_t *drv, char *text)
+increment_count (drv_t *drv, char *text)
 {
-  uint32_t before = GPOINTER_TO_UINT (g_hash_table_lookup (drv->runs, text));
-  g_hash_table_replace (drv->runs, text, GUINT_TO_POINTER (before + 1));
+  uint32_t before = GPOINTER_TO_UINT (g_hash_table_lookup (drv->run_counts, text));
+  g_hash_table_replace (drv->run_counts, text, GUINT_TO_POINTER (before + 1));
 }
 
-/* Read once for as long as nothing is added: many questions come after the end of all runs. */
+/* Reads the records again only if they have grown: most queries come after the last run has begun.
+ */
 static void
-read_records (drv_t *drv)
+update_run_counts (drv_t *drv)
 {
   uint64_t bytes = record_bytes (drv);
-  if (bytes == drv->runs_bytes)
+  if (bytes == drv->counted_record_bytes)
     return;
-  g_hash_table_remove_all (drv->runs);
-  drv->runs_bytes = bytes;
+  g_hash_table_remove_all (drv->run_counts);
+  drv->counted_record_bytes = bytes;
   for (uint32_t i = 0; i < drv->host_count; i++)
     {
       size_t index;
@@ -76,9 +79,10 @@
       json_array_foreach (begun, index, entry)
         {
           const char *id = json_string_value (json_object_get (entry, "id"));
-          count (drv, g_strdup (json_string_value (json_object_get (entry, "body_hash"))));
+          increment_count (drv,
+                           g_strdup (json_string_value (json_object_get (entry, "body_hash"))));
           if (id != NULL)
-            count (drv, g_strndup (id, REQUEST_DIGITS));
+            increment_count (drv, g_strndup (id, REQUEST_ID_DIGITS));
         }
       json_decref (begun);
     }
@@ -87,21 +91,21 @@
 uint32_t
 drv_runs (const drv_call_t *call)
 {
-  g_autofree char *print = body_print (call->sent_body);
-  read_records (call->drv);
-  return GPOINTER_TO_UINT (g_hash_table_lookup (call->drv->runs, print));
+  g_autofree char *hash = hash_body (call->sent_body);
+  update_run_counts (call->drv);
+  return GPOINTER_TO_UINT (g_hash_table_lookup (call->drv->run_counts, hash));
 }
 
 bool
 drv_request_ran (drv_t *drv, const char *request)
 {
-  g_autofree char *id = g_strndup (request, REQUEST_DIGITS);
-  read_records (drv);
-  return g_hash_table_contains (drv->runs, id);
+  g_autofree char *id = g_strndup (request, REQUEST_ID_DIGITS);
+  update_run_counts (drv);
+  return g_hash_table_contains (drv->run_counts, id);
 }
 
 void
 drv_left (drv_host_t *host)
 {
-  host->engine->leaving_runs = drv_runs_on (host->engine);
+  host->engine->max_runs = drv_runs_on (host->engine);
 }
--- a/tests/driver_transcript.c
+++ b/tests/driver_transcript.c
@@ -13,7 +13,7 @@
 {
   drv_line_t *line = g_new0 (drv_line_t, 1);
   line->text = text;
-  g_ptr_array_add (drv->lines, line);
+  g_ptr_array_add (drv->transcript, line);
   return line;
 }
 
@@ -34,9 +34,9 @@
 }
 
 static const char *
-end_name (const drv_call_t *call)
+outcome_name (const drv_call_t *call)
 {
-  switch (call->end)
+  switch (call->outcome)
     {
     case DRV_WAITING:
       return "waits";
@@ -53,11 +53,11 @@
 }
 
 static char *
-outcome (const drv_call_t *call)
+format_outcome (const drv_call_t *call)
 {
   g_autofree char *reason = drv_reason (call);
   GString *text = g_string_new (NULL);
-  g_string_append_printf (text, "%d %s", call->status, end_name (call));
+  g_string_append_printf (text, "%d %s", call->status, outcome_name (call));
   if (*drv_verdict (call) != '\0')
     g_string_append_printf (text, ", %s", drv_verdict (call));
   if (*reason != '\0')
@@ -68,15 +68,15 @@
 }
 
 static void
-write_line (GString *out, const drv_line_t *line)
+append_line (GString *out, const drv_line_t *line)
 {
   if (line->call == NULL)
     {
       g_string_append_printf (out, "%s\n", line->text);
       return;
     }
-  g_autofree char *told = outcome (line->call);
-  g_string_append_printf (out, "%s: %s; ran %" PRIu32 "\n", line->text, told,
+  g_autofree char *result = format_outcome (line->call);
+  g_string_append_printf (out, "%s: %s; ran %" PRIu32 "\n", line->text, result,
                           drv_runs (line->call));
 }
 
@@ -104,8 +104,8 @@
       g_build_filename (source != NULL ? source : ".", "tests", "golden", file, NULL);
   g_autofree char *golden = NULL;
   GString *text = g_string_new (NULL);
-  for (guint i = 0; i < drv->lines->len; i++)
-    write_line (text, drv->lines->pdata[i]);
+  for (guint i = 0; i < drv->transcript->len; i++)
+    append_line (text, drv->transcript->pdata[i]);
   g_autofree char *folder = g_path_get_dirname (path);
   g_mkdir_with_parents (folder, 0755);
   if (g_strcmp0 (g_getenv ("MEDLARPLANK_GOLDEN"), "write") == 0)
--- a/tests/session_answers.c
+++ b/tests/session_answers.c
@@ -52,7 +52,7 @@
 test_wrong_answers (void)
 {
   drv_t *drv = drv_new ("answers");
-  drv_fleet_t fleet = { .models = 1, .plains = 1, .routers = 1 };
+  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1 };
   drv_start (drv, &fleet);
   drv_host_t *model = &drv->hosts[0];
   drv_host_t *plain = &drv->hosts[1];
@@ -79,7 +79,7 @@
 test_caller_gone (void)
 {
   drv_t *drv = drv_new ("caller_gone");
-  drv_fleet_t fleet = { .models = 1, .plains = 1, .routers = 1 };
+  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1 };
   drv_start (drv, &fleet);
   drv_ask_t chat = { .name = "chat", .stream = true, .tokens = 2000 };
   drv_call_t *call = drv_ask (drv, &chat);
@@ -103,14 +103,14 @@
 {
   drv_t *drv = drv_new ("poison");
   drv_fleet_t fleet = {
-    .models = 4, .plains = 1, .routers = 2, .engine_flags = "--crash-on=POISON"
+    .model_hosts = 4, .plain_hosts = 1, .routers = 2, .engine_flags = "--crash-on=POISON"
   };
   drv_start (drv, &fleet);
   drv_call_t *last = NULL;
   for (uint32_t i = 0; i < 6; i++)
     {
       g_autofree char *name = g_strdup_printf ("sending %u", i);
-      drv_ask_t ask = { .name = name, .same_as = "POISON", .chat = "bad", .router = i % 2 };
+      drv_ask_t ask = { .name = name, .same_body_as = "POISON", .chat = "bad", .router = i % 2 };
       last = drv_ask (drv, &ask);
       drv_answered (last);
     }
--- a/tests/session_bound.c
+++ b/tests/session_bound.c
@@ -93,7 +93,7 @@
       for (uint32_t j = 0; j < WIDTH && refilled < REFILL; j++)
         {
           drv_call_t **call = &bound->surge[i][j];
-          if (*call != NULL && (*call)->end == DRV_WAITING)
+          if (*call != NULL && (*call)->outcome == DRV_WAITING)
             continue;
           uint32_t number = bound->asked[i]++;
           *call = ask (bound, accounts[i], number, true, 30 + number % 100);
@@ -110,7 +110,7 @@
   for (uint32_t passed_ms = 0; passed_ms < HOT_MS; passed_ms += TICK_MS)
     {
       for (uint32_t i = 0; i < HOT; i++)
-        if (calls[i] == NULL || calls[i]->end != DRV_WAITING)
+        if (calls[i] == NULL || calls[i]->outcome != DRV_WAITING)
           calls[i] = ask (bound, "beta", HOT_CHAT, true, 20 + passed_ms % 50);
       drv_for (bound->drv, TICK_MS);
     }
@@ -121,7 +121,7 @@
 static void
 keep_asking (bound_t *bound)
 {
-  if (bound->quiet != NULL && bound->quiet->end == DRV_WAITING)
+  if (bound->quiet != NULL && bound->quiet->outcome == DRV_WAITING)
     return;
   bound->quiet = ask (bound, "alpha", bound->quiets->len, false, 8);
   g_ptr_array_add (bound->quiets, bound->quiet);
@@ -460,7 +460,7 @@
                     .quiets = g_ptr_array_new (),
                     .entries = g_array_new (FALSE, FALSE, sizeof (entry_t)),
                     .outages = g_array_new (FALSE, FALSE, sizeof (outage_t)) };
-  drv_fleet_t fleet = { .models = MODELS, .plains = 1, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = MODELS, .plain_hosts = 1, .routers = 2 };
   drv_start (bound.drv, &fleet);
   add_account (bound.drv);
   kill_host (&bound, MODELS - 1);
--- a/tests/session_daemon.c
+++ b/tests/session_daemon.c
@@ -299,7 +299,7 @@
 test_signals_in_flight (void)
 {
   drv_t *drv = drv_new ("daemon-signals");
-  drv_fleet_t fleet = { .models = 2, .plains = 1, .routers = 1 };
+  drv_fleet_t fleet = { .model_hosts = 2, .plain_hosts = 1, .routers = 1 };
   drv_ask_t ask = { .name = "stream", .chat = "c", .stream = true, .tokens = STREAM_TOKENS };
   drv_process_t *sidecar;
   drv_call_t *call;
@@ -311,7 +311,7 @@
   CU_ASSERT_PTR_NOT_NULL_FATAL (sidecar);
   signal_twice (sidecar);
   signal_twice (drv->routers[0]);
-  CU_ASSERT_EQUAL (call->end, DRV_WAITING);
+  CU_ASSERT_EQUAL (call->outcome, DRV_WAITING);
   drv_answered (call);
   drv_tell (call);
   drv_say (drv, "sidecar: status %d", drv_ended (sidecar));
--- a/tests/session_gateway.c
+++ b/tests/session_gateway.c
@@ -73,7 +73,7 @@
 static bool
 is_good (const drv_call_t *call)
 {
-  return call->status == 200 && call->end == DRV_WHOLE;
+  return call->status == 200 && call->outcome == DRV_WHOLE;
 }
 
 /* Return: how many of them were answered whole */
--- a/tests/session_manifest.c
+++ b/tests/session_manifest.c
@@ -120,7 +120,7 @@
 test_manifest (void)
 {
   drv_t *drv = drv_new ("manifest");
-  drv_fleet_t fleet = { .models = 1, .plains = 2, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2 };
   drv_start (drv, &fleet);
   race (drv);
   lost_answer (drv);
--- a/tests/session_once.c
+++ b/tests/session_once.c
@@ -17,7 +17,7 @@
 book (drv_t *drv, uint32_t router, const char *name, const char *key)
 {
   drv_ask_t ask = {
-    .name = name, .same_as = key, .kind = DRV_BOOKING, .router = router, .key = key
+    .name = name, .same_body_as = key, .kind = DRV_BOOKING, .router = router, .key = key
   };
   return drv_ask (drv, &ask);
 }
@@ -76,7 +76,9 @@
 test_both_routers (void)
 {
   drv_t *drv = drv_new ("once_both");
-  drv_fleet_t fleet = { .models = 1, .plains = 3, .routers = 2, .engine_flags = SLOW_ENGINE };
+  drv_fleet_t fleet = {
+    .model_hosts = 1, .plain_hosts = 3, .routers = 2, .engine_flags = SLOW_ENGINE
+  };
   drv_start (drv, &fleet);
   for (uint32_t i = 0; i < 5; i++)
     {
@@ -99,7 +101,7 @@
 test_lost_answer (void)
 {
   drv_t *drv = drv_new ("once_lost");
-  drv_fleet_t fleet = { .models = 1, .plains = 2, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2 };
   drv_start (drv, &fleet);
   drv_fault (drv, "{'log': 'lose_answers', 'count': 1}");
   book_and_tell (drv, 0, "answer of the claim lost", "lost answer");
@@ -116,7 +118,7 @@
 test_log_out (void)
 {
   drv_t *drv = drv_new ("once_log_out");
-  drv_fleet_t fleet = { .models = 1, .plains = 1, .routers = 1 };
+  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1 };
   drv_start (drv, &fleet);
   drv_fault (drv, "{'log': 'down'}");
   book_and_tell (drv, 0, "log down: finds out", "first");
@@ -143,7 +145,9 @@
 test_sidecar_killed (void)
 {
   drv_t *drv = drv_new ("once_sidecar_killed");
-  drv_fleet_t fleet = { .models = 1, .plains = 2, .routers = 2, .engine_flags = SLOW_ENGINE };
+  drv_fleet_t fleet = {
+    .model_hosts = 1, .plain_hosts = 2, .routers = 2, .engine_flags = SLOW_ENGINE
+  };
   drv_start (drv, &fleet);
   drv_call_t *first = book (drv, 0, "sidecar killed", "k");
   wait_running (first);
@@ -160,7 +164,9 @@
 test_engine_killed (void)
 {
   drv_t *drv = drv_new ("once_engine_killed");
-  drv_fleet_t fleet = { .models = 1, .plains = 2, .routers = 2, .engine_flags = SLOW_ENGINE };
+  drv_fleet_t fleet = {
+    .model_hosts = 1, .plain_hosts = 2, .routers = 2, .engine_flags = SLOW_ENGINE
+  };
   drv_start (drv, &fleet);
   drv_call_t *first = book (drv, 0, "engine killed", "k");
   wait_running (first);
@@ -179,7 +185,9 @@
 test_router_killed (void)
 {
   drv_t *drv = drv_new ("once_router_killed");
-  drv_fleet_t fleet = { .models = 1, .plains = 2, .routers = 2, .engine_flags = SLOW_ENGINE };
+  drv_fleet_t fleet = {
+    .model_hosts = 1, .plain_hosts = 2, .routers = 2, .engine_flags = SLOW_ENGINE
+  };
   drv_start (drv, &fleet);
   drv_call_t *first = book (drv, 0, "router killed", "k");
   wait_running (first);
@@ -218,13 +226,15 @@
 test_holder_frozen (void)
 {
   drv_t *drv = drv_new ("once_frozen");
-  drv_fleet_t fleet = { .models = 1, .plains = 2, .routers = 2, .forwards = true };
+  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2, .use_proxies = true };
   drv_start (drv, &fleet);
   for (uint32_t i = 0; i < drv->host_count; i++)
     drv_forward_set (drv->hosts[i].log, DRV_HOLD, "claims", 0);
-  drv_ask_t ask = {
-    .name = "holder frozen", .same_as = "k", .kind = DRV_BOOKING, .key = "k", .deadline_ms = 3000
-  };
+  drv_ask_t ask = { .name = "holder frozen",
+                    .same_body_as = "k",
+                    .kind = DRV_BOOKING,
+                    .key = "k",
+                    .deadline_ms = 3000 };
   drv_call_t *first = drv_ask (drv, &ask);
   drv_until (drv, DRV_WAIT_MS, "the claim", any_hit, drv);
   drv_host_t *holder = hit_host (drv);
--- a/tests/session_path.c
+++ b/tests/session_path.c
@@ -57,7 +57,7 @@
 {
   drv_t *drv = drv_new ("path");
   drv_fleet_t fleet = {
-    .models = 3, .plains = 2, .routers = 2, .daemon_flags = "--body-limit-bytes=65536"
+    .model_hosts = 3, .plain_hosts = 2, .routers = 2, .daemon_flags = "--body-limit-bytes=65536"
   };
   drv_start (drv, &fleet);
   drv_ask_t asks[] = {
@@ -68,7 +68,10 @@
     { .name = "lookup", .kind = DRV_LOOKUP, .account = "beta" },
     { .name = "booking", .kind = DRV_BOOKING },
     { .name = "booking with a key", .kind = DRV_BOOKING, .key = "b1" },
-    { .name = "its resend", .same_as = "booking with a key", .kind = DRV_BOOKING, .key = "b1" },
+    { .name = "its resend",
+      .same_body_as = "booking with a key",
+      .kind = DRV_BOOKING,
+      .key = "b1" },
     { .name = "the same key, another body", .kind = DRV_BOOKING, .key = "b1" },
     { .name = "the same key, another account",
       .kind = DRV_BOOKING,
--- a/tests/session_random.c
+++ b/tests/session_random.c
@@ -192,11 +192,11 @@
   drv_call_t *first = rnd->keyed->pdata[count - 1 - draw (rnd, MIN (count, 8))];
   g_autofree char *name = g_strdup_printf ("resend %u of %s", rnd->asked++, first->name);
   drv_ask_t ask = { .name = name,
-                    .same_as = first->key,
+                    .same_body_as = first->key,
                     .kind = first->kind,
                     .account = first->account,
                     .key = first->key,
-                    .stream = first->streamed,
+                    .stream = first->is_streamed,
                     .tokens = first->tokens };
   ask_by (rnd, router, &ask);
 }
@@ -219,7 +219,7 @@
     {
       const victim_t *victim = &rnd->victims[i];
       if (victim->state != FIT && is_router (victim) == routers &&
-          (routers || victim->host->plain == plain))
+          (routers || victim->host->is_plain == plain))
         count++;
     }
   return count;
@@ -230,7 +230,7 @@
 some_victim (random_t *rnd, uint32_t count)
 {
   victim_t *victim = &rnd->victims[draw (rnd, count)];
-  bool plain = !is_router (victim) && victim->host->plain;
+  bool plain = !is_router (victim) && victim->host->is_plain;
   uint32_t limit = is_router (victim) || plain ? 1 : 2;
   return victim->state == FIT && unfit (rnd, is_router (victim), plain) < limit ? victim : NULL;
 }
@@ -295,9 +295,9 @@
 static void
 check_left (random_t *rnd, drv_host_t *host)
 {
-  int64_t before = host->engine->leaving_runs;
+  int64_t before = host->engine->max_runs;
   rnd->worked = rnd->worked || (before >= 0 && drv_runs_on (host->engine) > before);
-  host->engine->leaving_runs = -1;
+  host->engine->max_runs = -1;
 }
 
 static void
@@ -313,7 +313,7 @@
       set_state (rnd, victim, is_engine (victim) ? FIT : WAKING);
       break;
     case LEAVING:
-      if (victim->host->engine->leaving_runs < 0)
+      if (victim->host->engine->max_runs < 0)
         break; /* its grace is not over */
       check_left (rnd, victim->host);
       victim->host->state = "live";
@@ -447,11 +447,11 @@
       rnd->hung = rnd->hung || !is_engine (victim);
       set_state (rnd, victim, DEAD);
     }
-  if (victim->state == LEAVING && age_us > GRACE_US && victim->host->engine->leaving_runs < 0)
+  if (victim->state == LEAVING && age_us > GRACE_US && victim->host->engine->max_runs < 0)
     drv_left (victim->host);
   if (victim->state == WAKING && victim->probe == NULL)
     victim->probe = drv_send (rnd->drv, victim->process->ip, "GET", "/readyz", NULL, NULL);
-  if (victim->probe == NULL || victim->probe->end == DRV_WAITING)
+  if (victim->probe == NULL || victim->probe->outcome == DRV_WAITING)
     return;
   if (victim->state == WAKING && victim->probe->status == 200)
     set_state (rnd, victim, FIT);
@@ -491,7 +491,7 @@
 all_answered (const drv_t *drv)
 {
   for (guint i = 0; i < drv->calls->len; i++)
-    if (((drv_call_t *)drv->calls->pdata[i])->end == DRV_WAITING)
+    if (((drv_call_t *)drv->calls->pdata[i])->outcome == DRV_WAITING)
       return false;
   return true;
 }
@@ -595,10 +595,10 @@
     return;
   if (head_us - call->sent_us > (DEADLINE_MS + MARGIN_MS) * 1000)
     complain (call, "held too long", &rnd->late);
-  if (call->end == DRV_NO_ANSWER || call->end == DRV_HUNG_UP)
+  if (call->outcome == DRV_NO_ANSWER || call->outcome == DRV_HUNG_UP)
     complain (call, "without an answer", &rnd->lost);
-  if (call->end == DRV_CUT &&
-      (!call->streamed || !disturbed (rnd, NULL, call->sent_us, call->ended_us)))
+  if (call->outcome == DRV_CUT &&
+      (!call->is_streamed || !disturbed (rnd, NULL, call->sent_us, call->ended_us)))
     complain (call, "cut", &rnd->cut);
 }
 
@@ -659,8 +659,8 @@
                    .rand = g_rand_new_with_seed (seed),
                    .gaps = g_array_new (FALSE, FALSE, sizeof (gap_t)),
                    .keyed = g_ptr_array_new () };
-  drv_fleet_t fleet = { .models = MODELS,
-                        .plains = PLAINS,
+  drv_fleet_t fleet = { .model_hosts = MODELS,
+                        .plain_hosts = PLAINS,
                         .routers = ROUTERS,
                         .engine_flags = "--service-us=60000 --crash-on=" CRASH_TEXT };
   drv_start (rnd.drv, &fleet);
--- a/tests/session_stop.c
+++ b/tests/session_stop.c
@@ -95,7 +95,7 @@
 test_leaving (void)
 {
   drv_t *drv = drv_new ("leaving");
-  drv_fleet_t fleet = { .models = 5, .plains = 1, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 5, .plain_hosts = 1, .routers = 2 };
   drv_start (drv, &fleet);
   chats_and_tell (drv, "before");
   leave (drv, "leaving by the list", by_list);
@@ -110,7 +110,7 @@
 test_old_views (void)
 {
   drv_t *drv = drv_new ("leaving_old_views");
-  drv_fleet_t fleet = { .models = 3, .plains = 1, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
   drv_start (drv, &fleet);
   drv_fault (drv, "{'view': {'r1': 'stale', 'm1': 'stale'}}");
   by_list (&drv->hosts[0]);
@@ -126,7 +126,7 @@
 test_flapping (void)
 {
   drv_t *drv = drv_new ("flapping");
-  drv_fleet_t fleet = { .models = 3, .plains = 1, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
   drv_start (drv, &fleet);
   drv_host_t *host = &drv->hosts[0];
   for (uint32_t i = 0; i < 3; i++)
@@ -149,7 +149,7 @@
 {
   uint32_t ended = 0;
   for (uint32_t i = 0; i < CHATS; i++)
-    ended += calls[i]->end != DRV_WAITING ? 1 : 0;
+    ended += calls[i]->outcome != DRV_WAITING ? 1 : 0;
   return ended;
 }
 
@@ -166,7 +166,7 @@
 test_leaving_frozen (void)
 {
   drv_t *drv = drv_new ("leaving_frozen");
-  drv_fleet_t fleet = { .models = 3, .plains = 1, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
   drv_start (drv, &fleet);
   drv_host_t *host = &drv->hosts[0];
   drv_call_t *calls[CHATS];
@@ -202,7 +202,7 @@
 {
   drv_t *drv = drv_new ("stop");
   drv_fleet_t fleet = {
-    .models = 2, .plains = 2, .routers = 2, .engine_flags = "--service-us=600000"
+    .model_hosts = 2, .plain_hosts = 2, .routers = 2, .engine_flags = "--service-us=600000"
   };
   drv_start (drv, &fleet);
   drv_ask_t booking = { .name = "booking through the stopping router",
--- a/tests/session_surge.c
+++ b/tests/session_surge.c
@@ -86,7 +86,7 @@
 static bool
 well_refused (const drv_call_t *call)
 {
-  return call->end == DRV_WHOLE && (call->status == 429 || call->status == 503) &&
+  return call->outcome == DRV_WHOLE && (call->status == 429 || call->status == 503) &&
          strcmp (drv_verdict (call), "not_run") == 0 && drv_header (call, "retry-after") != NULL;
 }
 
@@ -94,7 +94,7 @@
 test_surge (void)
 {
   surge_t surge = { .drv = drv_new ("surge"), .bound_held = true };
-  drv_fleet_t fleet = { .models = ENGINES, .plains = 1, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = ENGINES, .plain_hosts = 1, .routers = 2 };
   drv_start (surge.drv, &fleet);
   start_surge (&surge);
   tags_meanwhile (&surge);
--- a/tests/session_together.c
+++ b/tests/session_together.c
@@ -36,7 +36,7 @@
       g_autofree char *name = g_strdup_printf ("chat %u", i);
       tell (drv_ask (drv, &(drv_ask_t){ .name = name, .chat = name, .router = i % 2 }));
     }
-  drv_ask_t booking = { .name = "booking", .same_as = "k", .kind = DRV_BOOKING, .key = "k" };
+  drv_ask_t booking = { .name = "booking", .same_body_as = "k", .kind = DRV_BOOKING, .key = "k" };
   tell (drv_ask (drv, &booking));
   drv_fault (drv, "{'log': 'up'}");
   drv_call_t *call;
@@ -77,7 +77,7 @@
 {
   drv_fault (drv, "{'log': 'lose_answers', 'count': 1}");
   drv_ask_t booking = {
-    .name = "its router killed", .same_as = "l", .kind = DRV_BOOKING, .key = "l"
+    .name = "its router killed", .same_body_as = "l", .kind = DRV_BOOKING, .key = "l"
   };
   drv_call_t *first = drv_ask (drv, &booking);
   drv_until (drv, DRV_WAIT_MS, "the booking to run", is_running, first);
@@ -130,7 +130,7 @@
 {
   drv_t *drv = drv_new ("together");
   drv_fleet_t fleet = {
-    .models = 2, .plains = 2, .routers = 2, .engine_flags = "--service-us=300000"
+    .model_hosts = 2, .plain_hosts = 2, .routers = 2, .engine_flags = "--service-us=300000"
   };
   drv_start (drv, &fleet);
   log_and_sidecar (drv);
--- a/tests/session_two.c
+++ b/tests/session_two.c
@@ -37,7 +37,7 @@
   g_autofree char *key = g_strdup_printf ("booking %u", number);
   g_autofree char *name = g_strdup_printf ("booking %u, %s", number, when);
   drv_ask_t asked = {
-    .name = name, .same_as = key, .key = key, .kind = DRV_BOOKING, .router = number % 2
+    .name = name, .same_body_as = key, .key = key, .kind = DRV_BOOKING, .router = number % 2
   };
   return drv_ask (drv, &asked);
 }
@@ -88,8 +88,9 @@
       const drv_call_t *call = surge[i];
       drv_answered (surge[i]);
       own += drv_own_answer (call) ? 1 : 0;
-      told += call->end == DRV_WHOLE && call->status != 200 && *drv_verdict (call) != '\0' ? 1 : 0;
-      cut += call->end == DRV_CUT ? 1 : 0;
+      told +=
+          call->outcome == DRV_WHOLE && call->status != 200 && *drv_verdict (call) != '\0' ? 1 : 0;
+      cut += call->outcome == DRV_CUT ? 1 : 0;
     }
   printf ("surge: %u answered, %u told, %u cut\n", own, told, cut);
   return own > 0 && own + told + cut == SURGE && cut < SURGE / 2;
@@ -103,7 +104,7 @@
 test_log_kills_surge (void)
 {
   drv_t *drv = drv_new ("two_log_surge");
-  drv_fleet_t fleet = { .models = 3, .plains = 2, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 2, .routers = 2 };
   drv_call_t *surge[SURGE];
   drv_call_t *chats[CHATS];
   drv_call_t *bookings[BOOKINGS];
@@ -202,7 +203,7 @@
 {
   traffic_t traffic = { .drv = drv_new ("two_split_stop"), .calls = g_ptr_array_new () };
   drv_t *drv = traffic.drv;
-  drv_fleet_t fleet = { .models = 3, .plains = 2, .routers = 2 };
+  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 2, .routers = 2 };
   drv_start (drv, &fleet);
   drv_fault (drv, "{'view': {'r1': 'stale'}}");
   for (uint32_t i = 0; i < drv->host_count; i++)
--- a/tests/session_verdict.c
+++ b/tests/session_verdict.c
@@ -50,9 +50,11 @@
 test_hop_cut (void)
 {
   drv_t *drv = drv_new ("verdict_hop");
-  drv_fleet_t fleet = {
-    .models = 1, .plains = 1, .routers = 1, .forwards = true, .engine_flags = "--service-us=300000"
-  };
+  drv_fleet_t fleet = { .model_hosts = 1,
+                        .plain_hosts = 1,
+                        .routers = 1,
+                        .use_proxies = true,
+                        .engine_flags = "--service-us=300000" };
   drv_start (drv, &fleet);
   drv_forward_t *hop = drv->hosts[1].hop;
   book_and_tell (drv, "hop as it should be");
@@ -78,7 +80,7 @@
 {
   drv_t *drv = drv_new ("verdict_killed");
   drv_fleet_t fleet = {
-    .models = 1, .plains = 2, .routers = 1, .engine_flags = "--service-us=1000000"
+    .model_hosts = 1, .plain_hosts = 2, .routers = 1, .engine_flags = "--service-us=1000000"
   };
   drv_start (drv, &fleet);
   drv_call_t *call = book (drv, "sidecar killed while it runs");
@@ -96,9 +98,11 @@
 test_sidecar_restarted (void)
 {
   drv_t *drv = drv_new ("verdict_restarted");
-  drv_fleet_t fleet = {
-    .models = 1, .plains = 1, .routers = 1, .forwards = true, .engine_flags = "--service-us=1000000"
-  };
+  drv_fleet_t fleet = { .model_hosts = 1,
+                        .plain_hosts = 1,
+                        .routers = 1,
+                        .use_proxies = true,
+                        .engine_flags = "--service-us=1000000" };
   drv_start (drv, &fleet);
   drv_host_t *host = &drv->hosts[1];
   drv_forward_set (host->hop, DRV_HOLD, BOOKING_PATH, 0);
@@ -123,7 +127,7 @@
 test_sidecar_frozen (void)
 {
   drv_t *drv = drv_new ("verdict_frozen");
-  drv_fleet_t fleet = { .models = 1, .plains = 1, .routers = 1, .forwards = true };
+  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1, .use_proxies = true };
   drv_start (drv, &fleet);
   drv_host_t *host = &drv->hosts[1];
   drv_forward_set (host->hop, DRV_HOLD, BOOKING_PATH, 1);
--- a/tests/suite.h
+++ b/tests/suite.h
@@ -1,23 +1,23 @@
 /**
  * DOC: suite
  *
- * The main part of a test program: one suite, whose failures make the exit status.
+ * Runs a CUnit test program that consists of one suite.
  */
 #ifndef TESTS_SUITE_H
 #define TESTS_SUITE_H
 
 #include <CUnit/Basic.h>
 
-/** SUITE_TEST - A test under the name of its function. */
+/** SUITE_TEST - Entry of a test that is named like its function. */
 #define SUITE_TEST(function)                                                                       \
   {                                                                                                \
 #function, function                                                                            \
   }
 
 /**
- * suite_run - Run all tests of a program and print how each ended.
+ * suite_run - Run all tests and print their results.
  * @name: Name of the suite.
- * @tests: The tests, closed by CU_TEST_INFO_NULL.
+ * @tests: Array of tests that ends with CU_TEST_INFO_NULL.
  * Return: The exit status, 0 if none failed.
  */
 int suite_run (const char *name, const CU_TestInfo *tests);
