--- a/tests/session_answers.c
+++ b/tests/session_answers.c
@@ -1,15 +1,15 @@
 /**
  * DOC: session_answers
  *
- * Engines that answer late, crossed, in part or not at all, callers that go away, and requests
- * that crash engines.
+ * Engines whose responses are late, belong to another request, or are incomplete; callers that
+ * close their connection; and requests that crash engines.
  */
 #include "driver.h"
 
 #include <string.h>
 
 static void
-engine_fault (drv_host_t *host, const char *fault)
+set_engine_fault (drv_host_t *host, const char *fault)
 {
   json_t *json = drv_quoted (fault);
   char *text = json_dumps (json, JSON_COMPACT);
@@ -19,7 +19,7 @@
 }
 
 static void
-ask_and_tell (drv_t *drv, const drv_ask_t *ask)
+run_request (drv_t *drv, const drv_ask_t *ask)
 {
   drv_call_t *call = drv_ask (drv, ask);
   drv_answered (call);
@@ -27,7 +27,7 @@
 }
 
 static bool
-recorded (const drv_host_t *host, const char *state)
+has_record_state (const drv_host_t *host, const char *state)
 {
   g_autofree char *text = NULL;
   return g_file_get_contents (host->engine->record_path, &text, NULL, NULL) &&
@@ -37,44 +37,46 @@
 static bool
 is_cancelled (void *context)
 {
-  return recorded (context, "\"cancelled\"");
+  return has_record_state (context, "\"cancelled\"");
 }
 
 static bool
 is_done (void *context)
 {
-  return recorded (context, "\"done\"");
+  return has_record_state (context, "\"done\"");
 }
 
-/* Answers that are late, another request's, or end without telling their length. The caller gets
- * an error that says that the request may have run, and the next caller its own answer. */
+/* Responses that arrive late, belong to another request, have no length, or are truncated. The
+ * caller gets an error that says that the request may have run, and the next caller gets its own
+ * response.
+ */
 static void
-test_wrong_answers (void)
+test_faulty_responses (void)
 {
   drv_t *drv = drv_new ("answers");
   drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1 };
   drv_start (drv, &fleet);
   drv_host_t *model = &drv->hosts[0];
   drv_host_t *plain = &drv->hosts[1];
-  ask_and_tell (drv, &(drv_ask_t){ .name = "first", .kind = DRV_BOOKING });
-  engine_fault (plain, "{'late_ms': 2000}");
-  ask_and_tell (drv, &(drv_ask_t){ .name = "late", .kind = DRV_BOOKING, .deadline_ms = 700 });
-  ask_and_tell (drv, &(drv_ask_t){ .name = "after the late one", .kind = DRV_BOOKING });
-  engine_fault (plain, "{'cross_ids': true}");
-  ask_and_tell (drv, &(drv_ask_t){ .name = "crossed", .kind = DRV_BOOKING });
-  engine_fault (plain, "{'no_length': true}");
-  ask_and_tell (drv, &(drv_ask_t){ .name = "without a length", .kind = DRV_BOOKING });
-  ask_and_tell (drv, &(drv_ask_t){ .name = "after these", .kind = DRV_BOOKING });
-  engine_fault (model, "{'cut_after_tokens': 5}");
-  ask_and_tell (drv, &(drv_ask_t){ .name = "cut in mid-stream", .stream = true, .tokens = 50 });
-  engine_fault (model, "{'cut_after_tokens': 5}");
-  ask_and_tell (drv, &(drv_ask_t){ .name = "tag, cut", .kind = DRV_TAG, .tokens = 50 });
-  ask_and_tell (drv, &(drv_ask_t){ .name = "last", .stream = true, .tokens = 50 });
+  run_request (drv, &(drv_ask_t){ .name = "first", .kind = DRV_BOOKING });
+  set_engine_fault (plain, "{'late_ms': 2000}");
+  run_request (drv, &(drv_ask_t){ .name = "late", .kind = DRV_BOOKING, .deadline_ms = 700 });
+  run_request (drv, &(drv_ask_t){ .name = "after the late one", .kind = DRV_BOOKING });
+  set_engine_fault (plain, "{'cross_ids': true}");
+  run_request (drv, &(drv_ask_t){ .name = "crossed", .kind = DRV_BOOKING });
+  set_engine_fault (plain, "{'no_length': true}");
+  run_request (drv, &(drv_ask_t){ .name = "without a length", .kind = DRV_BOOKING });
+  run_request (drv, &(drv_ask_t){ .name = "after these", .kind = DRV_BOOKING });
+  set_engine_fault (model, "{'cut_after_tokens': 5}");
+  run_request (drv, &(drv_ask_t){ .name = "cut in mid-stream", .stream = true, .tokens = 50 });
+  set_engine_fault (model, "{'cut_after_tokens': 5}");
+  run_request (drv, &(drv_ask_t){ .name = "tag, cut", .kind = DRV_TAG, .tokens = 50 });
+  run_request (drv, &(drv_ask_t){ .name = "last", .stream = true, .tokens = 50 });
   drv_finish (drv);
 }
 
-/* A caller goes away in mid-stream: the engine is told to stop. With a tag, which may not be
- * repeated, it runs on to its end, or nobody could say what became of it. */
+/* A caller closes its connection during a stream: the engine is told to cancel the request. A tag
+ * is not idempotent and runs to its end instead, as a cancelled one would be of unknown outcome. */
 static void
 test_caller_gone (void)
 {
@@ -85,7 +87,7 @@
   drv_call_t *call = drv_ask (drv, &chat);
   drv_begun (call);
   drv_hang_up (call);
-  drv_until (drv, DRV_WAIT_MS, "the engine to be told", is_cancelled, &drv->hosts[0]);
+  drv_until (drv, DRV_WAIT_MS, "the engine to cancel the chat", is_cancelled, &drv->hosts[0]);
   drv_tell (call);
   drv_ask_t tag = { .name = "tag", .kind = DRV_TAG, .stream = true, .tokens = 100 };
   call = drv_ask (drv, &tag);
@@ -96,10 +98,10 @@
   drv_finish (drv);
 }
 
-/* A chat crashes each engine that runs it, and its caller sends it again and again through both
- * routers. It may cost two engines, no more, and in the end the caller is told not to come back. */
+/* A chat crashes each engine that runs it, and its caller sends it repeatedly through both routers.
+ * It may crash at most two engines; after that the caller is told not to retry. */
 static void
-test_poison (void)
+test_crashing_request (void)
 {
   drv_t *drv = drv_new ("poison");
   drv_fleet_t fleet = {
@@ -119,15 +121,15 @@
   for (uint32_t i = 0; i < drv->host_count; i++)
     crashed += drv_reap (drv->hosts[i].engine) ? 1 : 0;
   drv_say (drv, "engines lost: %u", crashed);
-  ask_and_tell (drv, &(drv_ask_t){ .name = "another chat", .chat = "good" });
+  run_request (drv, &(drv_ask_t){ .name = "another chat", .chat = "good" });
   drv_finish (drv);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "late, crossed and cut answers", test_wrong_answers },
+  static const drv_test_t tests[] = { { "late, crossed and cut answers", test_faulty_responses },
                                       { "the caller goes away", test_caller_gone },
-                                      { "requests that crash engines", test_poison } };
+                                      { "requests that crash engines", test_crashing_request } };
   return drv_main ("answers", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_manifest.c
+++ b/tests/session_manifest.c
@@ -1,16 +1,16 @@
 /**
  * DOC: session_manifest
  *
- * Versions under races, lost answers, a log that is out, and records past retention: each daemon
- * goes forward only, and all come to the same version.
+ * Manifest versions under concurrent publishes, lost responses, an outage of the log, and records
+ * that retention removed. The version of a daemon never decreases, and all reach the same version.
  */
 #include "driver.h"
 
 #include <string.h>
 
-/* @more: further flags of the tool, or "" */
+/* Starts medlarplankctl to publish a patch; @more: additional flags, or "". */
 static drv_process_t *
-publish (drv_t *drv, uint64_t base, uint32_t priority, const char *more)
+start_publish (drv_t *drv, uint64_t base, uint32_t priority, const char *more)
 {
   g_autofree char *name = g_strdup_printf ("patch-%u-%u.json", (uint32_t)base, priority);
   g_autofree char *text =
@@ -23,7 +23,7 @@
 }
 
 static void
-lookup_and_tell (drv_t *drv, uint32_t router, const char *name)
+run_lookup (drv_t *drv, uint32_t router, const char *name)
 {
   drv_ask_t ask = { .name = name, .kind = DRV_LOOKUP, .router = router };
   drv_call_t *call = drv_ask (drv, &ask);
@@ -31,38 +31,39 @@
   drv_tell (call);
 }
 
-/* Two operators publish on the same base. Log order decides; the loser is told (status 3), and no
- * daemon ever has the loser's version in force. */
+/* Two operators publish on the same base version. The first record in the log wins; the other
+ * operator gets exit status 3, and no daemon ever puts its version in force. */
 static void
-race (drv_t *drv)
+test_concurrent_publishes (drv_t *drv)
 {
-  drv_process_t *first = publish (drv, 1, 2, "");
-  drv_process_t *second = publish (drv, 1, 3, "");
+  drv_process_t *first = start_publish (drv, 1, 2, "");
+  drv_process_t *second = start_publish (drv, 1, 3, "");
   int statuses[] = { drv_ended (first), drv_ended (second) };
   drv_say (drv, "two operators race: statuses %d and %d", MIN (statuses[0], statuses[1]),
            MAX (statuses[0], statuses[1]));
   drv_in_force (drv, 2);
 }
 
-/* The log takes the record and its answer is lost: the tool finds it by its id and doesn't publish
- * twice. */
+/* The append succeeds but its response is lost: medlarplankctl finds the record by its id and does
+ * not publish twice. */
 static void
-lost_answer (drv_t *drv)
+test_lost_response (drv_t *drv)
 {
   drv_fault (drv, "{'log': 'lose_answers', 'count': 1}");
-  drv_say (drv, "answer lost: status %d", drv_ended (publish (drv, 2, 4, "")));
+  drv_say (drv, "answer lost: status %d", drv_ended (start_publish (drv, 2, 4, "")));
   drv_in_force (drv, 3);
 }
 
+/* While the log is down a publish fails and the version in force stays; requests are answered. */
 static void
-log_out (drv_t *drv)
+test_log_outage (drv_t *drv)
 {
   drv_fault (drv, "{'log': 'down'}");
-  drv_say (drv, "log out: status %d", drv_ended (publish (drv, 3, 5, "")));
+  drv_say (drv, "log out: status %d", drv_ended (start_publish (drv, 3, 5, "")));
   drv_in_force (drv, 3);
-  lookup_and_tell (drv, 0, "a request while the log is out");
+  run_lookup (drv, 0, "a request while the log is out");
   drv_fault (drv, "{'log': 'up'}");
-  drv_say (drv, "log up again: status %d", drv_ended (publish (drv, 3, 6, "")));
+  drv_say (drv, "log up again: status %d", drv_ended (start_publish (drv, 3, 6, "")));
   drv_in_force (drv, 4);
 }
 
@@ -86,11 +87,11 @@
   drv_ready (drv->routers[1]);
 }
 
-/* A process that was paused for long appends the checkpoint of an old version, and then the log
- * drops all that came before it. A fresh daemon that trusted it would bring version 1 back; it
- * must learn the version in force from its peers. */
+/* A process that was paused for a long time appends a checkpoint of an old version, and then
+ * retention removes all records before it. A daemon that starts now and trusted the checkpoint
+ * would put version 1 in force again; it must take the current version from its peers. */
 static void
-stale_checkpoint (drv_t *drv)
+test_stale_checkpoint (drv_t *drv)
 {
   uint64_t offset = append_stale_checkpoint (drv);
   restart_router (drv);
@@ -105,14 +106,15 @@
            (uint32_t)drv_version (drv->routers[1]));
 }
 
-/* A router starts while the log is out: its peers tell it the version, and it serves. */
+/* A router that starts while the log is down gets the version from its peers and serves requests.
+ */
 static void
-fresh_in_outage (drv_t *drv)
+test_start_in_outage (drv_t *drv)
 {
   drv_fault (drv, "{'log': 'down'}");
   restart_router (drv);
   drv_in_force (drv, 4);
-  lookup_and_tell (drv, 1, "by a router that started while the log was out");
+  run_lookup (drv, 1, "by a router that started while the log was out");
   drv_fault (drv, "{'log': 'up'}");
 }
 
@@ -122,14 +124,14 @@
   drv_t *drv = drv_new ("manifest");
   drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2 };
   drv_start (drv, &fleet);
-  race (drv);
-  lost_answer (drv);
-  log_out (drv);
-  stale_checkpoint (drv);
-  fresh_in_outage (drv);
+  test_concurrent_publishes (drv);
+  test_lost_response (drv);
+  test_log_outage (drv);
+  test_stale_checkpoint (drv);
+  test_start_in_outage (drv);
   g_autofree char *daemon = g_strdup_printf ("--daemon=%s:%d", drv->routers[0]->ip, DRV_PORT);
   drv_say (drv, "publish on what a daemon tells: status %d",
-           drv_ended (publish (drv, 4, 7, daemon)));
+           drv_ended (start_publish (drv, 4, 7, daemon)));
   drv_in_force (drv, 5);
   drv_finish (drv);
 }
--- a/tests/session_path.c
+++ b/tests/session_path.c
@@ -1,15 +1,17 @@
 /**
  * DOC: session_path
  *
- * The whole path of a request without faults, and the errors that are the caller's own.
+ * Requests of all kinds through a fleet without faults, and requests that are refused because of an
+ * error of the caller.
  */
 #include "driver.h"
 
 #define BODY_LIMIT_BYTES 65536
 
-/* A chat returns and finds its prompt cached; it went to the engine that answered it before. */
+/* The second request of a chat, through another router, goes to the engine that answered the first
+ * and finds its prompt in the cache. */
 static void
-returning_chat (drv_t *drv)
+send_chat_twice (drv_t *drv)
 {
   g_autofree char *history = g_strnfill (4000, 'h');
   drv_ask_t ask = { .name = "chat comes", .chat = "c1", .text = history };
@@ -32,7 +34,7 @@
 }
 
 static void
-callers_own_errors (drv_t *drv)
+send_invalid_requests (drv_t *drv)
 {
   g_autofree char *large = g_strnfill (BODY_LIMIT_BYTES, 'x');
   drv_ask_t asks[] = {
@@ -84,8 +86,8 @@
       drv_answered (call);
       drv_tell (call);
     }
-  returning_chat (drv);
-  callers_own_errors (drv);
+  send_chat_twice (drv);
+  send_invalid_requests (drv);
   drv_finish (drv);
 }
 
