--- a/tests/session_stop.c
+++ b/tests/session_stop.c
@@ -1,21 +1,21 @@
 /**
  * DOC: session_stop
  *
- * Planned stops and leaving hosts: no request in flight is cut off, and nothing new goes to a host
- * that leaves.
+ * Daemons that are stopped and hosts that leave: no request in flight is cut off, and after a grace
+ * period no new request is sent to a leaving host.
  */
 #include "driver.h"
 
 #include <signal.h>
 #include <string.h>
 
-#define GRACE_MS 2000
+#define GRACE_MS 2000 /* after a host began to leave, until nothing new may begin on it */
 #define CHATS 20
-#define PACE_MS 30
-#define STREAM_TOKENS 200 /* of 5 ms each: a stream lasts a second */
+#define SEND_INTERVAL_MS 30
+#define STREAM_TOKENS 200 /* at 5 ms per token a stream lasts a second */
 
 static drv_call_t *
-stream (drv_t *drv, uint32_t router, const char *name)
+start_stream (drv_t *drv, uint32_t router, const char *name)
 {
   drv_ask_t ask = {
     .name = name, .chat = name, .router = router, .stream = true, .tokens = STREAM_TOKENS
@@ -25,7 +25,7 @@
   return call;
 }
 
-/* The host whose engine answers @call. */
+/* Return: The host whose engine answers @call. */
 static drv_host_t *
 host_of (drv_call_t *call)
 {
@@ -38,7 +38,7 @@
 }
 
 static void
-chats_and_tell (drv_t *drv, const char *title)
+run_chats (drv_t *drv, const char *title)
 {
   drv_call_t *calls[CHATS];
   for (uint32_t i = 0; i < CHATS; i++)
@@ -54,31 +54,31 @@
   drv_say (drv, "%s: %u of %d chats answered", title, own, CHATS);
 }
 
-/* The host leaves in one of three ways while it streams an answer. The stream ends whole, and when
- * the grace is over nothing new begins on its engine. */
+/* Makes a host leave while it streams a response. The stream must be complete, and after the grace
+ * period no new run may begin on the engine of the host. */
 static void
-leave (drv_t *drv, const char *title, void (*how) (drv_host_t *host))
+test_leave (drv_t *drv, const char *title, void (*start_leaving) (drv_host_t *host))
 {
-  drv_call_t *in_flight = stream (drv, 0, title);
+  drv_call_t *in_flight = start_stream (drv, 0, title);
   drv_host_t *host = host_of (in_flight);
-  how (host);
+  start_leaving (host);
   drv_for (drv, GRACE_MS);
   drv_left (host);
   g_autofree char *after = g_strdup_printf ("after %s", title);
-  chats_and_tell (drv, after);
+  run_chats (drv, after);
   drv_answered (in_flight);
   drv_tell (in_flight);
 }
 
 static void
-by_list (drv_host_t *host)
+leave_by_list (drv_host_t *host)
 {
   host->state = "leaving";
   drv_list (host->sidecar->drv);
 }
 
 static void
-by_tool (drv_host_t *host)
+leave_by_ctl (drv_host_t *host)
 {
   drv_t *drv = host->sidecar->drv;
   g_autofree char *flags = g_strdup_printf ("drain %s", host->sidecar->name);
@@ -86,7 +86,7 @@
 }
 
 static void
-by_signal (drv_host_t *host)
+leave_by_signal (drv_host_t *host)
 {
   drv_signal (host->sidecar, SIGTERM);
 }
@@ -97,31 +97,32 @@
   drv_t *drv = drv_new ("leaving");
   drv_fleet_t fleet = { .model_hosts = 5, .plain_hosts = 1, .routers = 2 };
   drv_start (drv, &fleet);
-  chats_and_tell (drv, "before");
-  leave (drv, "leaving by the list", by_list);
-  leave (drv, "leaving by the tool", by_tool);
-  leave (drv, "leaving by SIGTERM", by_signal);
+  run_chats (drv, "before");
+  test_leave (drv, "leaving by the list", leave_by_list);
+  test_leave (drv, "leaving by the tool", leave_by_ctl);
+  test_leave (drv, "leaving by SIGTERM", leave_by_signal);
   drv_finish (drv);
 }
 
-/* A router and the host itself are shown an old list, on which the host is live. The others tell
- * the host that it leaves, so that it refuses; the router's old view costs it a hop. */
+/* A router and the leaving host itself get an outdated host list, in which the host is live. The
+ * other daemons tell the host that it is leaving, so it refuses requests; each request that the
+ * router sends there costs an additional hop. */
 static void
-test_old_views (void)
+test_outdated_lists (void)
 {
   drv_t *drv = drv_new ("leaving_old_views");
   drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
   drv_start (drv, &fleet);
   drv_fault (drv, "{'view': {'r1': 'stale', 'm1': 'stale'}}");
-  by_list (&drv->hosts[0]);
+  leave_by_list (&drv->hosts[0]);
   drv_for (drv, GRACE_MS);
   drv_left (&drv->hosts[0]);
-  chats_and_tell (drv, "leaving unseen by r1 and by itself");
+  run_chats (drv, "leaving unseen by r1 and by itself");
   drv_finish (drv);
 }
 
-/* A host flaps: its sidecar and its engine are killed and started again, three times. Chats that
- * come meanwhile are answered by the others, whatever they were about to be sent to. */
+/* The sidecar and the engine of a host are killed and restarted three times. Chats that arrive
+ * meanwhile are answered by other hosts, also those that would have been sent to this one. */
 static void
 test_flapping (void)
 {
@@ -134,12 +135,12 @@
       drv_kill (host->sidecar);
       drv_kill (host->engine);
       g_autofree char *down = g_strdup_printf ("down %u", i);
-      chats_and_tell (drv, down);
+      run_chats (drv, down);
       drv_process_start (host->engine);
       drv_process_start (host->sidecar);
       drv_ready (host->sidecar);
       g_autofree char *up = g_strdup_printf ("up again %u", i);
-      chats_and_tell (drv, up);
+      run_chats (drv, up);
     }
   drv_finish (drv);
 }
@@ -154,14 +155,14 @@
 }
 
 static bool
-some_ended (void *context)
+half_have_ended (void *context)
 {
   return count_ended (context) >= CHATS / 2;
 }
 
-/* A sidecar is frozen; tags that were sent to it lie in its socket. Meanwhile its host is put on
- * the list as leaving, and the grace goes by. When it wakes it finds the tags before it finds out
- * that it leaves: it must refuse them, so that they run elsewhere. */
+/* A sidecar is stopped by SIGSTOP with tags waiting in its socket. Meanwhile its host is listed as
+ * leaving, and the grace period ends. When the sidecar continues, it reads the tags before it
+ * learns that it is leaving: it must refuse them, so that they run on other hosts. */
 static void
 test_leaving_frozen (void)
 {
@@ -176,10 +177,11 @@
       g_autofree char *name = g_strdup_printf ("tag %u", i);
       drv_ask_t ask = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
       calls[i] = drv_ask (drv, &ask);
-      drv_for (drv, PACE_MS); /* one after the other, or most would be refused to the frozen host */
+      drv_for (drv, SEND_INTERVAL_MS); /* if sent at once, most would be refused instead of waiting
+                                          at the frozen host */
     }
-  drv_until (drv, DRV_WAIT_MS, "tags on the other engines", some_ended, calls);
-  by_list (host);
+  drv_until (drv, DRV_WAIT_MS, "tags on the other engines", half_have_ended, calls);
+  leave_by_list (host);
   drv_for (drv, GRACE_MS);
   drv_say (drv, "some wait for the frozen host: %s", count_ended (calls) < CHATS ? "yes" : "no");
   drv_left (host);
@@ -195,8 +197,9 @@
   drv_finish (drv);
 }
 
-/* A router and a sidecar are stopped while a stream and a keyed booking pass through them. Both end
- * whole, the daemon ends with status 0, and the caller's next request finds the other router. */
+/* A router and a sidecar are stopped while requests pass through them: a stream and a booking with
+ * a key through the router, a stream through the sidecar. All responses are complete, both daemons
+ * exit with status 0, and a further request through the other router is answered. */
 static void
 test_stop (void)
 {
@@ -208,7 +211,7 @@
   drv_ask_t booking = { .name = "booking through the stopping router",
                         .kind = DRV_BOOKING,
                         .key = "b" };
-  drv_call_t *in_flight = stream (drv, 0, "stream through the stopping router");
+  drv_call_t *in_flight = start_stream (drv, 0, "stream through the stopping router");
   drv_call_t *booked = drv_ask (drv, &booking);
   drv_for (drv, 50);
   drv_signal (drv->routers[0], SIGTERM);
@@ -217,7 +220,7 @@
   drv_answered (booked);
   drv_tell (in_flight);
   drv_tell (booked);
-  in_flight = stream (drv, 1, "stream through the stopping sidecar");
+  in_flight = start_stream (drv, 1, "stream through the stopping sidecar");
   drv_host_t *host = host_of (in_flight);
   drv_signal (host->sidecar, SIGTERM);
   drv_say (drv, "sidecar: status %d", drv_ended (host->sidecar));
@@ -234,7 +237,7 @@
 main (void)
 {
   static const drv_test_t tests[] = { { "hosts leave", test_leaving },
-                                      { "a host leaves that not all see", test_old_views },
+                                      { "a host leaves that not all see", test_outdated_lists },
                                       { "a host flaps", test_flapping },
                                       { "a host leaves while it is frozen", test_leaving_frozen },
                                       { "daemons are stopped", test_stop } };
--- a/tests/session_surge.c
+++ b/tests/session_surge.c
@@ -1,29 +1,30 @@
 /**
  * DOC: session_surge
  *
- * One client account sends far more than the engines can take. The others don't notice, no engine
- * carries more than its share, and all that is refused is refused as not run.
+ * One client account sends far more requests than the engines can process. Requests of other
+ * accounts are answered in time, no engine exceeds its load bound, and each refused request gets
+ * the verdict not_run.
  */
 #include "driver.h"
 
 #include <string.h>
 
-#define SURGE 400
+#define SURGE_REQUESTS 400 /* requests, sent at once */
 #define TAGS 15
 #define TAG_LIMIT_US (2 * 1000 * 1000)
-#define BOUND_TENTHS 15 /* of the mean, as the manifest says */
+#define BOUND_TENTHS 15 /* of the mean load; bound_percent of the manifest is 150 */
 #define ENGINES 4
 
 typedef struct
 {
   drv_t *drv;
-  drv_call_t *surge[SURGE];
-  bool bound_held;
-  uint32_t most_load;
+  drv_call_t *surge[SURGE_REQUESTS];
+  bool is_within_bound;
+  uint32_t max_load;
 } surge_t;
 
 static uint32_t
-load_of (drv_process_t *sidecar)
+read_load (drv_process_t *sidecar)
 {
   json_t *status = drv_admin (sidecar, "GET", "/medlarplank/status", NULL);
   uint32_t load = (uint32_t)json_integer_value (json_object_get (status, "load"));
@@ -31,27 +32,28 @@
   return load;
 }
 
-/* The loads are read one after the other, so one request more than the bound is let pass. */
+/* One request over the bound is allowed, as the loads are read one after the other while they
+ * change. */
 static void
-look_at_loads (surge_t *surge)
+check_loads (surge_t *surge)
 {
   uint32_t total = 0;
-  uint32_t most = 0;
+  uint32_t highest = 0;
   for (uint32_t i = 0; i < ENGINES; i++)
     {
-      uint32_t load = load_of (surge->drv->hosts[i].sidecar);
+      uint32_t load = read_load (surge->drv->hosts[i].sidecar);
       total += load;
-      most = MAX (most, load);
+      highest = MAX (highest, load);
     }
   uint32_t bound = MAX (total * BOUND_TENTHS / (10 * ENGINES), total / ENGINES + 1);
-  surge->most_load = MAX (surge->most_load, most);
-  surge->bound_held = surge->bound_held && most <= bound + 1;
+  surge->max_load = MAX (surge->max_load, highest);
+  surge->is_within_bound = surge->is_within_bound && highest <= bound + 1;
 }
 
 static void
 start_surge (surge_t *surge)
 {
-  for (uint32_t i = 0; i < SURGE; i++)
+  for (uint32_t i = 0; i < SURGE_REQUESTS; i++)
     {
       g_autofree char *name = g_strdup_printf ("surge %u", i);
       drv_ask_t ask = { .name = name,
@@ -65,26 +67,26 @@
 }
 
 static void
-tags_meanwhile (surge_t *surge)
+run_tags (surge_t *surge)
 {
-  uint32_t own = 0;
-  bool fast = true;
+  uint32_t answered = 0;
+  bool in_time = true;
   for (uint32_t i = 0; i < TAGS; i++)
     {
       g_autofree char *name = g_strdup_printf ("tag %u", i);
       drv_ask_t ask = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
       drv_call_t *call = drv_ask (surge->drv, &ask);
       drv_answered (call);
-      own += drv_own_answer (call) ? 1 : 0;
-      fast = fast && call->ended_us - call->sent_us < TAG_LIMIT_US;
-      look_at_loads (surge);
+      answered += drv_own_answer (call) ? 1 : 0;
+      in_time = in_time && call->ended_us - call->sent_us < TAG_LIMIT_US;
+      check_loads (surge);
     }
-  drv_say (surge->drv, "tags of the other account: %u of %d answered, each in time: %s", own, TAGS,
-           fast ? "yes" : "no");
+  drv_say (surge->drv, "tags of the other account: %u of %d answered, each in time: %s", answered,
+           TAGS, in_time ? "yes" : "no");
 }
 
 static bool
-well_refused (const drv_call_t *call)
+is_refused_with_retry (const drv_call_t *call)
 {
   return call->outcome == DRV_WHOLE && (call->status == 429 || call->status == 503) &&
          strcmp (drv_verdict (call), "not_run") == 0 && drv_header (call, "retry-after") != NULL;
@@ -93,24 +95,24 @@
 static void
 test_surge (void)
 {
-  surge_t surge = { .drv = drv_new ("surge"), .bound_held = true };
+  surge_t surge = { .drv = drv_new ("surge"), .is_within_bound = true };
   drv_fleet_t fleet = { .model_hosts = ENGINES, .plain_hosts = 1, .routers = 2 };
   drv_start (surge.drv, &fleet);
   start_surge (&surge);
-  tags_meanwhile (&surge);
+  run_tags (&surge);
   drv_all_answered (surge.drv);
-  uint32_t own = 0;
+  uint32_t answered = 0;
   uint32_t refused = 0;
-  for (uint32_t i = 0; i < SURGE; i++)
+  for (uint32_t i = 0; i < SURGE_REQUESTS; i++)
     {
-      own += drv_own_answer (surge.surge[i]) ? 1 : 0;
-      refused += well_refused (surge.surge[i]) ? 1 : 0;
+      answered += drv_own_answer (surge.surge[i]) ? 1 : 0;
+      refused += is_refused_with_retry (surge.surge[i]) ? 1 : 0;
     }
-  printf ("%u answered, %u refused, most load %u\n", own, refused, surge.most_load);
+  printf ("%u answered, %u refused, most load %u\n", answered, refused, surge.max_load);
   drv_say (surge.drv, "the surge: each answered or refused as not run: %s",
-           own + refused == SURGE ? "yes" : "no");
-  drv_say (surge.drv, "some were answered: %s", own > 0 ? "yes" : "no");
-  drv_say (surge.drv, "no engine over its bound: %s", surge.bound_held ? "yes" : "no");
+           answered + refused == SURGE_REQUESTS ? "yes" : "no");
+  drv_say (surge.drv, "some were answered: %s", answered > 0 ? "yes" : "no");
+  drv_say (surge.drv, "no engine over its bound: %s", surge.is_within_bound ? "yes" : "no");
   drv_finish (surge.drv);
 }
 
--- a/tests/session_together.c
+++ b/tests/session_together.c
@@ -1,17 +1,17 @@
 /**
  * DOC: session_together
  *
- * Two faults at once, and one right after the other.
+ * Combinations of two faults, at the same time or in quick succession.
  */
 #include "driver.h"
 
 #include <signal.h>
 #include <string.h>
 
-#define CLAIMS "claims/claims-portal/0"
+#define CLAIM_STREAM "claims/claims-portal/0"
 
 static drv_call_t *
-tell (drv_call_t *call)
+finish_call (drv_call_t *call)
 {
   drv_answered (call);
   drv_tell (call);
@@ -19,25 +19,25 @@
 }
 
 static bool
-is_running (void *context)
+has_run (void *context)
 {
   return drv_runs (context) > 0;
 }
 
-/* The log goes out and a sidecar dies. Chats go on with the engine that is left; keyed bookings are
- * refused as not run, and run once when the log is back. */
+/* The log is down and a sidecar is killed. Chats are answered by the remaining engine. Bookings
+ * with a key are refused with not_run, and run once when the log is up again. */
 static void
-log_and_sidecar (drv_t *drv)
+test_log_and_sidecar (drv_t *drv)
 {
   drv_fault (drv, "{'log': 'down'}");
   drv_kill (drv->hosts[0].sidecar);
   for (uint32_t i = 0; i < 4; i++)
     {
       g_autofree char *name = g_strdup_printf ("chat %u", i);
-      tell (drv_ask (drv, &(drv_ask_t){ .name = name, .chat = name, .router = i % 2 }));
+      finish_call (drv_ask (drv, &(drv_ask_t){ .name = name, .chat = name, .router = i % 2 }));
     }
   drv_ask_t booking = { .name = "booking", .same_body_as = "k", .kind = DRV_BOOKING, .key = "k" };
-  tell (drv_ask (drv, &booking));
+  finish_call (drv_ask (drv, &booking));
   drv_fault (drv, "{'log': 'up'}");
   drv_call_t *call;
   do
@@ -52,10 +52,10 @@
   drv_tell (call);
 }
 
-/* The log and the list are out for a while, and a sidecar is restarted meanwhile. It comes back
- * with what its peers tell it, and takes chats again; a router that starts then serves, too. */
+/* A sidecar and a router are started while the log is down. They get their state from their peers
+ * and serve chats. */
 static void
-log_and_restarts (drv_t *drv)
+test_log_and_restarts (drv_t *drv)
 {
   drv_fault (drv, "{'log': 'down'}");
   drv_process_start (drv->hosts[0].sidecar);
@@ -65,25 +65,25 @@
   for (uint32_t i = 0; i < 4; i++)
     {
       g_autofree char *name = g_strdup_printf ("chat %u while the log is out", i);
-      tell (drv_ask (drv, &(drv_ask_t){ .name = name, .chat = name, .router = i % 2 }));
+      finish_call (drv_ask (drv, &(drv_ask_t){ .name = name, .chat = name, .router = i % 2 }));
     }
   drv_fault (drv, "{'log': 'up'}");
 }
 
-/* The answer of a claim is lost and the router dies while the booking runs. The resend through the
- * other router must not run it again. */
+/* The response to the append of a claim is lost, and the router is killed while the booking runs. A
+ * resend through the other router must not run the booking again. */
 static void
-lost_answer_and_router (drv_t *drv)
+test_lost_response_and_router (drv_t *drv)
 {
   drv_fault (drv, "{'log': 'lose_answers', 'count': 1}");
   drv_ask_t booking = {
     .name = "its router killed", .same_body_as = "l", .kind = DRV_BOOKING, .key = "l"
   };
   drv_call_t *first = drv_ask (drv, &booking);
-  drv_until (drv, DRV_WAIT_MS, "the booking to run", is_running, first);
+  drv_until (drv, DRV_WAIT_MS, "the booking to run", has_run, first);
   drv_kill (drv->routers[0]);
-  tell (first);
-  drv_in_log (drv, CLAIMS, "\"d\"");
+  finish_call (first);
+  drv_in_log (drv, CLAIM_STREAM, "\"d\"");
   booking.name = "resend";
   booking.router = 1;
   drv_call_t *resend = drv_ask (drv, &booking);
@@ -91,17 +91,17 @@
   drv_say (drv, "resend: %d", resend->status);
 }
 
-/* A host that leaves answers no more calls; its log tells. */
+/* Reads the log, as a leaving host does not answer status requests. */
 static bool
 has_version_2 (void *context)
 {
   return drv_logged (context, "version_in_force", "version=2 ") > 0;
 }
 
-/* A sidecar is frozen, and while it sleeps a version is published and its host put on the list as
- * leaving. When it wakes it must not take work on what it knew before. */
+/* While a sidecar is stopped by SIGSTOP, a manifest version is published and its host is listed as
+ * leaving. When the sidecar continues, it must not accept requests based on its outdated state. */
 static void
-frozen_and_published (drv_t *drv)
+test_frozen_during_publish (drv_t *drv)
 {
   drv_host_t *host = &drv->hosts[2];
   drv_signal (host->sidecar, SIGSTOP);
@@ -121,7 +121,8 @@
       if (!drv_own_answer (call))
         drv_tell (call);
     }
-  drv_until (drv, DRV_WAIT_MS, "version 2 on the host that woke", has_version_2, host->sidecar);
+  drv_until (drv, DRV_WAIT_MS, "version 2 at the sidecar that continued", has_version_2,
+             host->sidecar);
   drv_say (drv, "all later bookings answered by the other host");
 }
 
@@ -133,10 +134,10 @@
     .model_hosts = 2, .plain_hosts = 2, .routers = 2, .engine_flags = "--service-us=300000"
   };
   drv_start (drv, &fleet);
-  log_and_sidecar (drv);
-  lost_answer_and_router (drv);
-  log_and_restarts (drv);
-  frozen_and_published (drv);
+  test_log_and_sidecar (drv);
+  test_lost_response_and_router (drv);
+  test_log_and_restarts (drv);
+  test_frozen_during_publish (drv);
   drv_finish (drv);
 }
 
--- a/tests/session_two.c
+++ b/tests/session_two.c
@@ -1,7 +1,8 @@
 /**
  * DOC: session_two
  *
- * Two failures at once, under traffic: what a caller may conclude doesn't change.
+ * Two failures at the same time, under load: the responses still tell callers correctly whether
+ * their requests ran or may have run.
  */
 #include "driver.h"
 
@@ -9,7 +10,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SURGE 200
+#define SURGE_REQUESTS 200
 #define CHATS 24
 #define BOOKINGS 6
 #define TICK_MS 20
@@ -18,94 +19,96 @@
 typedef struct
 {
   drv_t *drv;
-  GPtrArray *calls; /* drv_call_t: of the traffic */
-  uint32_t asked;
+  GPtrArray *calls; /* drv_call_t */
+  uint32_t sent_count;
 } traffic_t;
 
 static drv_call_t *
-ask (drv_t *drv, const char *account, const char *name, drv_kind_t kind, uint32_t router)
+send_request (drv_t *drv, const char *account, const char *name, drv_kind_t kind, uint32_t router)
 {
-  drv_ask_t asked = {
+  drv_ask_t request = {
     .name = name, .account = account, .chat = name, .kind = kind, .router = router
   };
-  return drv_ask (drv, &asked);
+  return drv_ask (drv, &request);
 }
 
 static drv_call_t *
-book (drv_t *drv, uint32_t number, const char *when)
+send_booking (drv_t *drv, uint32_t number, const char *when)
 {
   g_autofree char *key = g_strdup_printf ("booking %u", number);
   g_autofree char *name = g_strdup_printf ("booking %u, %s", number, when);
-  drv_ask_t asked = {
+  drv_ask_t request = {
     .name = name, .same_body_as = key, .key = key, .kind = DRV_BOOKING, .router = number % 2
   };
-  return drv_ask (drv, &asked);
+  return drv_ask (drv, &request);
 }
 
 static uint32_t
-count_own (drv_call_t *const *calls, uint32_t count)
+wait_and_count_answered (drv_call_t *const *calls, uint32_t count)
 {
-  uint32_t own = 0;
+  uint32_t answered = 0;
   for (uint32_t i = 0; i < count; i++)
     {
       drv_answered (calls[i]);
-      own += drv_own_answer (calls[i]) ? 1 : 0;
+      answered += drv_own_answer (calls[i]) ? 1 : 0;
     }
-  return own;
+  return answered;
 }
 
 static bool
 is_refused (const drv_call_t *call, const char *reason)
 {
-  g_autofree char *told = drv_reason (call);
-  return strcmp (drv_verdict (call), "not_run") == 0 && strcmp (told, reason) == 0 &&
+  g_autofree char *error_code = drv_reason (call);
+  return strcmp (drv_verdict (call), "not_run") == 0 && strcmp (error_code, reason) == 0 &&
          drv_header (call, "retry-after") != NULL;
 }
 
 static void
 start_surge (drv_t *drv, drv_call_t **surge)
 {
-  for (uint32_t i = 0; i < SURGE; i++)
+  for (uint32_t i = 0; i < SURGE_REQUESTS; i++)
     {
       g_autofree char *name = g_strdup_printf ("surge %u", i);
-      drv_ask_t asked = {
+      drv_ask_t request = {
         .name = name, .account = "beta", .chat = name, .router = i % 2, .stream = true, .tokens = 60
       };
-      surge[i] = drv_ask (drv, &asked);
+      surge[i] = drv_ask (drv, &request);
     }
 }
 
-/* Streams that an engine had begun break off when it is killed; each other one of the surge is
- * answered, or its caller is told whether it may send it again. */
+/* Return: Whether each request of the surge was answered, refused with a verdict, or a stream that
+ * was cut off because its engine was killed; and whether at least one was answered and fewer than
+ * half were cut off. */
 static bool
-all_told (drv_call_t *const *surge)
+all_accounted_for (drv_call_t *const *surge)
 {
-  uint32_t own = 0;
-  uint32_t told = 0;
-  uint32_t cut = 0;
-  for (uint32_t i = 0; i < SURGE; i++)
+  uint32_t answered = 0;
+  uint32_t refused = 0;
+  uint32_t cut_off = 0;
+  for (uint32_t i = 0; i < SURGE_REQUESTS; i++)
     {
       const drv_call_t *call = surge[i];
       drv_answered (surge[i]);
-      own += drv_own_answer (call) ? 1 : 0;
-      told +=
+      answered += drv_own_answer (call) ? 1 : 0;
+      refused +=
           call->outcome == DRV_WHOLE && call->status != 200 && *drv_verdict (call) != '\0' ? 1 : 0;
-      cut += call->outcome == DRV_CUT ? 1 : 0;
+      cut_off += call->outcome == DRV_CUT ? 1 : 0;
     }
-  printf ("surge: %u answered, %u told, %u cut\n", own, told, cut);
-  return own > 0 && own + told + cut == SURGE && cut < SURGE / 2;
+  printf ("surge: %u answered, %u refused, %u cut off\n", answered, refused, cut_off);
+  return answered > 0 && answered + refused + cut_off == SURGE_REQUESTS &&
+         cut_off < SURGE_REQUESTS / 2;
 }
 
-/* The log is out, an account surges, and two of three engines are killed one after the other, the
- * first back before the second goes. The chats of the other account are all answered, as nothing of
- * them needs the log; its keyed bookings are refused as not run. When the log is back, the same
- * bookings run, once. */
+/* The log is down, one account sends a surge, and two of three engines are killed one after the
+ * other; the first is restarted before the second is killed. All chats of the other account are
+ * answered, as chats do not need the log; its bookings with a key are refused with not_run. When
+ * the log is up again, the same bookings run once. */
 static void
-test_log_kills_surge (void)
+test_log_down_with_surge (void)
 {
   drv_t *drv = drv_new ("two_log_surge");
   drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 2, .routers = 2 };
-  drv_call_t *surge[SURGE];
+  drv_call_t *surge[SURGE_REQUESTS];
   drv_call_t *chats[CHATS];
   drv_call_t *bookings[BOOKINGS];
   drv_start (drv, &fleet);
@@ -121,8 +124,8 @@
       if (i == CHATS * 3 / 4)
         drv_kill (drv->hosts[1].engine);
       if (i < BOOKINGS)
-        bookings[i] = book (drv, i, "log down");
-      chats[i] = ask (drv, "alpha", name, DRV_CHAT, i % 2);
+        bookings[i] = send_booking (drv, i, "log down");
+      chats[i] = send_request (drv, "alpha", name, DRV_CHAT, i % 2);
       drv_answered (chats[i]);
     }
   uint32_t refused = 0;
@@ -131,17 +134,18 @@
       drv_answered (bookings[i]);
       refused += is_refused (bookings[i], "log_down") ? 1 : 0;
     }
-  drv_say (drv, "chats of the other account: %u of %d answered", count_own (chats, CHATS), CHATS);
+  drv_say (drv, "chats of the other account: %u of %d answered",
+           wait_and_count_answered (chats, CHATS), CHATS);
   drv_say (drv, "its keyed bookings: %u of %d refused as not run", refused, BOOKINGS);
   drv_say (drv, "the surge: each answered, told, or broken off: %s",
-           all_told (surge) ? "yes" : "no");
+           all_accounted_for (surge) ? "yes" : "no");
   drv_fault (drv, "{'log': 'up'}");
   drv_process_start (drv->hosts[1].engine);
   for (uint32_t i = 0; i < BOOKINGS; i++)
     {
       do
         {
-          bookings[i] = book (drv, i, "log up");
+          bookings[i] = send_booking (drv, i, "log up");
           drv_answered (bookings[i]);
           drv_for (drv, TICK_MS);
         }
@@ -151,21 +155,21 @@
   drv_finish (drv);
 }
 
-/* Chats, lookups and keyed bookings through both routers, one of each in every tick. */
+/* Sends chats, lookups and bookings with a key in turn through both routers, one in each tick. */
 static void
-traffic_for (traffic_t *traffic, uint32_t wait_ms)
+send_traffic (traffic_t *traffic, uint32_t wait_ms)
 {
   static const drv_kind_t kinds[] = { DRV_CHAT, DRV_LOOKUP, DRV_BOOKING };
   for (uint32_t passed_ms = 0; passed_ms < wait_ms; passed_ms += TICK_MS)
     {
-      uint32_t number = traffic->asked++;
+      uint32_t number = traffic->sent_count++;
       g_autofree char *name = g_strdup_printf ("traffic %u", number);
-      drv_ask_t asked = { .name = name,
-                          .chat = name,
-                          .key = kinds[number % 3] == DRV_BOOKING ? name : NULL,
-                          .kind = kinds[number % 3],
-                          .router = number / 3 % 2 };
-      g_ptr_array_add (traffic->calls, drv_ask (traffic->drv, &asked));
+      drv_ask_t request = { .name = name,
+                            .chat = name,
+                            .key = kinds[number % 3] == DRV_BOOKING ? name : NULL,
+                            .kind = kinds[number % 3],
+                            .router = number / 3 % 2 };
+      g_ptr_array_add (traffic->calls, drv_ask (traffic->drv, &request));
       drv_for (traffic->drv, TICK_MS);
     }
 }
@@ -176,30 +180,31 @@
   return drv_reap (context);
 }
 
-/* One host leaves, is stopped, and comes back, while one router's list still shows it live. */
+/* Makes a host leave, stops its sidecar and restarts it; one router's list shows it as live all the
+ * time. */
 static void
-replace_host (traffic_t *traffic, drv_host_t *host)
+restart_host (traffic_t *traffic, drv_host_t *host)
 {
   drv_t *drv = traffic->drv;
   host->state = "leaving";
   drv_list (drv);
-  traffic_for (traffic, GRACE_MS / 4);
+  send_traffic (traffic, GRACE_MS / 4);
   drv_signal (host->sidecar, SIGTERM);
-  traffic_for (traffic, GRACE_MS);
-  drv_until (drv, DRV_WAIT_MS, "the end of a sidecar", has_ended, host->sidecar);
+  send_traffic (traffic, GRACE_MS);
+  drv_until (drv, DRV_WAIT_MS, "the exit of a sidecar", has_ended, host->sidecar);
   if (host->sidecar->status != 0)
     drv_fail (drv, "%s ended with status %d", host->sidecar->name, host->sidecar->status);
   host->state = "live";
   drv_process_start (host->sidecar);
   drv_list (drv);
   drv_ready (host->sidecar);
-  traffic_for (traffic, GRACE_MS / 4);
+  send_traffic (traffic, GRACE_MS / 4);
 }
 
-/* All sidecars are replaced one after the other while the list of one router stands still. No
- * caller notices: each request is answered, though one router asks hosts that are gone. */
+/* All sidecars are restarted one after the other while the list of one router is not updated. Each
+ * request is answered, although that router sends some to hosts that have stopped. */
 static void
-test_split_rolling (void)
+test_rolling_restart_outdated_list (void)
 {
   traffic_t traffic = { .drv = drv_new ("two_split_stop"), .calls = g_ptr_array_new () };
   drv_t *drv = traffic.drv;
@@ -207,19 +212,20 @@
   drv_start (drv, &fleet);
   drv_fault (drv, "{'view': {'r1': 'stale'}}");
   for (uint32_t i = 0; i < drv->host_count; i++)
-    replace_host (&traffic, &drv->hosts[i]);
+    restart_host (&traffic, &drv->hosts[i]);
   drv_all_answered (drv);
-  uint32_t own = 0;
+  uint32_t answered = 0;
   for (guint i = 0; i < traffic.calls->len; i++)
     {
       drv_call_t *call = traffic.calls->pdata[i];
       if (drv_own_answer (call))
-        own++;
+        answered++;
       else
         drv_tell (call);
     }
-  printf ("%u of %u answered\n", own, traffic.calls->len);
-  drv_say (drv, "all requests answered meanwhile: %s", own == traffic.calls->len ? "yes" : "no");
+  printf ("%u of %u answered\n", answered, traffic.calls->len);
+  drv_say (drv, "all requests answered meanwhile: %s",
+           answered == traffic.calls->len ? "yes" : "no");
   drv_fault (drv, "{'view': {'r1': 'up'}}");
   drv_finish (drv);
   g_ptr_array_free (traffic.calls, TRUE);
@@ -228,8 +234,9 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "log out, engines killed, one account surges",
-                                        test_log_kills_surge },
-                                      { "list split, all sidecars replaced", test_split_rolling } };
+  static const drv_test_t tests[] = {
+    { "log out, engines killed, one account surges", test_log_down_with_surge },
+    { "list split, all sidecars replaced", test_rolling_restart_outdated_list }
+  };
   return drv_main ("two", tests, G_N_ELEMENTS (tests));
 }
