--- a/tests/session_daemon.c
+++ b/tests/session_daemon.c
@@ -1,4 +1,8 @@
-/* Sessions with the daemon as a process: settings, start, signals and exit status. */
+/**
+ * DOC: session_daemon
+ *
+ * The daemon as a process: settings, start, signals and exit status.
+ */
 #include "driver.h"
 #include "suite.h"
 
@@ -17,10 +21,11 @@
 #define KEY "a-fleet-key-of-some-length"
 #define HTTP_PORT 8080
 #define EXCHANGE_PORT 7000
-#define DEADLINE_S 60
-#define STREAM_TOKENS 200 /* of 5 ms each */
+#define DEADLINE_S 60     /* of the whole test program, by alarm() */
+#define STREAM_TOKENS 200 /* at 5 ms per token a stream lasts a second */
 
-/** struct run - a daemon that was started; its output is read to the end by run_end() */
+/** struct daemon_process - A daemon process and its output, which daemon_wait_exit() reads to the
+ * end. */
 typedef struct
 {
   GPid pid;
@@ -29,11 +34,11 @@
   GString *out;
   GString *err;
   int status;
-} run_t;
+} daemon_process_t;
 
-/* A loopback number of this process alone, so that parallel runs never meet. */
+/* Return: A loopback address derived from the process id, so that parallel runs do not conflict. */
 static const char *
-own_ip (void)
+loopback_ip (void)
 {
   static char ip[INET_ADDRSTRLEN];
 
@@ -45,7 +50,7 @@
 daemon_argv (const char *role, const char *const *flags)
 {
   GPtrArray *argv = g_ptr_array_new ();
-  const char *ip = own_ip ();
+  const char *ip = loopback_ip ();
 
   g_ptr_array_add (argv, g_build_filename (getenv ("MEDLARPLANK_BUILD"), "medlarplankd", NULL));
   g_ptr_array_add (argv, g_strconcat ("--role=", role, NULL));
@@ -63,7 +68,7 @@
   return (char **)g_ptr_array_free (argv, FALSE);
 }
 
-/* A daemon must not outlive a test that its deadline has ended. */
+/* Runs in the child: a daemon must not outlive a test program that was ended by its alarm. */
 static void
 die_with_parent (gpointer data)
 {
@@ -72,23 +77,24 @@
 }
 
 static void
-run_begin (run_t *run, const char *role, const char *const *flags)
+daemon_start (daemon_process_t *daemon, const char *role, const char *const *flags)
 {
   char *envp[] = { "MEDLARPLANK_FLEET_KEY=" KEY, NULL };
   char **argv = daemon_argv (role, flags);
   bool started;
 
-  memset (run, 0, sizeof *run);
-  run->out = g_string_new (NULL);
-  run->err = g_string_new (NULL);
-  started = g_spawn_async_with_pipes (NULL, argv, envp, G_SPAWN_DO_NOT_REAP_CHILD, die_with_parent,
-                                      NULL, &run->pid, NULL, &run->out_fd, &run->err_fd, NULL);
+  memset (daemon, 0, sizeof *daemon);
+  daemon->out = g_string_new (NULL);
+  daemon->err = g_string_new (NULL);
+  started =
+      g_spawn_async_with_pipes (NULL, argv, envp, G_SPAWN_DO_NOT_REAP_CHILD, die_with_parent, NULL,
+                                &daemon->pid, NULL, &daemon->out_fd, &daemon->err_fd, NULL);
   CU_ASSERT_FATAL (started);
   g_strfreev (argv);
 }
 
 static bool
-read_some (int fd, GString *text)
+read_output (int fd, GString *text)
 {
   char part[4096];
   ssize_t bytes = read (fd, part, sizeof part);
@@ -98,43 +104,43 @@
   return bytes > 0;
 }
 
-/* Reads the log until @event was logged. Return: false when the daemon ended before. */
+/* Reads the log until it contains @event. Return: False if the daemon ended before. */
 static bool
-run_await (run_t *run, const char *event)
+daemon_wait_for_event (daemon_process_t *daemon, const char *event)
 {
-  while (strstr (run->out->str, event) == NULL)
-    if (!read_some (run->out_fd, run->out))
+  while (strstr (daemon->out->str, event) == NULL)
+    if (!read_output (daemon->out_fd, daemon->out))
       return false;
   return true;
 }
 
 static void
-run_end (run_t *run)
+daemon_wait_exit (daemon_process_t *daemon)
 {
-  while (read_some (run->err_fd, run->err))
+  while (read_output (daemon->err_fd, daemon->err))
     continue;
-  while (read_some (run->out_fd, run->out))
+  while (read_output (daemon->out_fd, daemon->out))
     continue;
-  CU_ASSERT_EQUAL (waitpid (run->pid, &run->status, 0), run->pid);
-  close (run->out_fd);
-  close (run->err_fd);
+  CU_ASSERT_EQUAL (waitpid (daemon->pid, &daemon->status, 0), daemon->pid);
+  close (daemon->out_fd);
+  close (daemon->err_fd);
 }
 
 static void
-run_free (run_t *run)
+daemon_free (daemon_process_t *daemon)
 {
-  g_string_free (run->out, TRUE);
-  g_string_free (run->err, TRUE);
+  g_string_free (daemon->out, TRUE);
+  g_string_free (daemon->err, TRUE);
 }
 
 static bool
-ended_with (const run_t *run, int status)
+has_exit_status (const daemon_process_t *daemon, int status)
 {
-  bool fits = WIFEXITED (run->status) && WEXITSTATUS (run->status) == status;
+  bool is_equal = WIFEXITED (daemon->status) && WEXITSTATUS (daemon->status) == status;
 
-  if (!fits)
-    printf ("\n  wait status %#x, standard error:\n%s", (unsigned)run->status, run->err->str);
-  return fits;
+  if (!is_equal)
+    printf ("\n  wait status %#x, standard error:\n%s", (unsigned)daemon->status, daemon->err->str);
+  return is_equal;
 }
 
 #define FLAGS(...)                                                                                 \
@@ -147,41 +153,41 @@
 static void
 test_check_settings (void)
 {
-  run_t run;
-
-  run_begin (&run, "sidecar", FLAGS ("--check-settings"));
-  run_end (&run);
-  CU_ASSERT (ended_with (&run, 0));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.out->str, "name=host-1 # --name\n"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.out->str, "fleet-key=(not shown)"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.out->str, "claim-horizon-s=86400 # default\n"));
-  CU_ASSERT_PTR_NULL (strstr (run.out->str, KEY));
-  CU_ASSERT_EQUAL (run.err->len, 0);
-  run_free (&run);
+  daemon_process_t daemon;
+
+  daemon_start (&daemon, "sidecar", FLAGS ("--check-settings"));
+  daemon_wait_exit (&daemon);
+  CU_ASSERT (has_exit_status (&daemon, 0));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.out->str, "name=host-1 # --name\n"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.out->str, "fleet-key=(not shown)"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.out->str, "claim-horizon-s=86400 # default\n"));
+  CU_ASSERT_PTR_NULL (strstr (daemon.out->str, KEY));
+  CU_ASSERT_EQUAL (daemon.err->len, 0);
+  daemon_free (&daemon);
 }
 
 static void
 test_wrong_setting (void)
 {
-  run_t run;
+  daemon_process_t daemon;
 
-  run_begin (&run, "router", FLAGS ("--idle-timeout-ms=soon"));
-  run_end (&run);
-  CU_ASSERT (ended_with (&run, 2));
-  CU_ASSERT_STRING_EQUAL (run.err->str,
+  daemon_start (&daemon, "router", FLAGS ("--idle-timeout-ms=soon"));
+  daemon_wait_exit (&daemon);
+  CU_ASSERT (has_exit_status (&daemon, 2));
+  CU_ASSERT_STRING_EQUAL (daemon.err->str,
                           "medlarplankd: idle-timeout-ms: \"soon\" (--idle-timeout-ms): must be "
                           "100 to 3600000\n");
-  run_free (&run);
+  daemon_free (&daemon);
 }
 
-/* Takes the address away from the daemon. */
+/* Binds the address that the daemon needs. Return: The socket. */
 static int
-occupy (int type, uint16_t port)
+bind_port (int type, uint16_t port)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (port) };
   int fd = socket (AF_INET, type | SOCK_CLOEXEC, 0);
 
-  inet_pton (AF_INET, own_ip (), &address.sin_addr);
+  inet_pton (AF_INET, loopback_ip (), &address.sin_addr);
   CU_ASSERT_EQUAL_FATAL (bind (fd, (struct sockaddr *)&address, sizeof address), 0);
   if (type == SOCK_STREAM)
     CU_ASSERT_EQUAL (listen (fd, 1), 0);
@@ -189,19 +195,19 @@
 }
 
 static void
-refuse_occupied (const char *role, int type, const char *setting, uint16_t port)
+test_occupied_address (const char *role, int type, const char *setting, uint16_t port)
 {
-  char *value = g_strdup_printf ("%s:%d", own_ip (), port);
-  int fd = occupy (type, port);
-  run_t run;
-
-  run_begin (&run, role, NO_FLAGS);
-  run_end (&run);
-  CU_ASSERT (ended_with (&run, 1));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.err->str, "medlarplankd: cannot start: "));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.err->str, setting));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.err->str, value));
-  run_free (&run);
+  char *value = g_strdup_printf ("%s:%d", loopback_ip (), port);
+  int fd = bind_port (type, port);
+  daemon_process_t daemon;
+
+  daemon_start (&daemon, role, NO_FLAGS);
+  daemon_wait_exit (&daemon);
+  CU_ASSERT (has_exit_status (&daemon, 1));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.err->str, "medlarplankd: cannot start: "));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.err->str, setting));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.err->str, value));
+  daemon_free (&daemon);
   close (fd);
   g_free (value);
 }
@@ -209,59 +215,56 @@
 static void
 test_address_in_use (void)
 {
-  refuse_occupied ("router", SOCK_STREAM, "listen", HTTP_PORT);
-  refuse_occupied ("sidecar", SOCK_STREAM, "listen", HTTP_PORT);
-  refuse_occupied ("router", SOCK_DGRAM, "exchange", EXCHANGE_PORT);
+  test_occupied_address ("router", SOCK_STREAM, "listen", HTTP_PORT);
+  test_occupied_address ("sidecar", SOCK_STREAM, "listen", HTTP_PORT);
+  test_occupied_address ("router", SOCK_DGRAM, "exchange", EXCHANGE_PORT);
 }
 
-/*
- * The platform is out and nobody else is there. An idle daemon that is asked to stop has nothing
- * to wait for: it ends with status 0, whatever it may still want to tell the platform.
- */
+/* The platform is unreachable and there are no peers. An idle daemon that is told to stop must exit
+ * with status 0 without waiting to deliver pending messages to the platform. */
 static void
-stop_idle (const char *role, int number)
+test_idle_stop (const char *role, int signal_number)
 {
-  run_t run;
-
-  run_begin (&run, role, NO_FLAGS);
-  CU_ASSERT (run_await (&run, ": started "));
-  CU_ASSERT_EQUAL (kill (run.pid, number), 0);
-  run_end (&run);
-  CU_ASSERT (ended_with (&run, 0));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.out->str, ": stopped graceful=yes\n"));
-  run_free (&run);
+  daemon_process_t daemon;
+
+  daemon_start (&daemon, role, NO_FLAGS);
+  CU_ASSERT (daemon_wait_for_event (&daemon, ": started "));
+  CU_ASSERT_EQUAL (kill (daemon.pid, signal_number), 0);
+  daemon_wait_exit (&daemon);
+  CU_ASSERT (has_exit_status (&daemon, 0));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.out->str, ": stopped graceful=yes\n"));
+  daemon_free (&daemon);
 }
 
 static void
 test_stop_router (void)
 {
-  stop_idle ("router", SIGTERM);
+  test_idle_stop ("router", SIGTERM);
 }
 
 static void
 test_stop_sidecar (void)
 {
-  stop_idle ("sidecar", SIGINT);
+  test_idle_stop ("sidecar", SIGINT);
 }
 
-/*
- * A supervisor sends signals in quick succession while the daemon stops. With the default actions
- * the second one would kill it in the middle of its answers; here it still ends with status 0.
- */
+/* A supervisor sends signals in quick succession while the daemon stops. If their default actions
+ * were restored after the first, the second would kill the daemon during its responses. It must
+ * exit with status 0. */
 static void
-test_stop_twice (void)
+test_repeated_signals (void)
 {
-  static const int numbers[] = { SIGHUP, SIGPIPE, SIGTERM, SIGHUP, SIGTERM, SIGINT };
-  run_t run;
-
-  run_begin (&run, "sidecar", NO_FLAGS);
-  CU_ASSERT (run_await (&run, ": started "));
-  for (uint32_t i = 0; i < G_N_ELEMENTS (numbers); i++)
-    CU_ASSERT_EQUAL (kill (run.pid, numbers[i]), 0);
-  run_end (&run);
-  CU_ASSERT (ended_with (&run, 0));
-  CU_ASSERT_PTR_NOT_NULL (strstr (run.out->str, ": stopped graceful=yes\n"));
-  run_free (&run);
+  static const int signals[] = { SIGHUP, SIGPIPE, SIGTERM, SIGHUP, SIGTERM, SIGINT };
+  daemon_process_t daemon;
+
+  daemon_start (&daemon, "sidecar", NO_FLAGS);
+  CU_ASSERT (daemon_wait_for_event (&daemon, ": started "));
+  for (uint32_t i = 0; i < G_N_ELEMENTS (signals); i++)
+    CU_ASSERT_EQUAL (kill (daemon.pid, signals[i]), 0);
+  daemon_wait_exit (&daemon);
+  CU_ASSERT (has_exit_status (&daemon, 0));
+  CU_ASSERT_PTR_NOT_NULL (strstr (daemon.out->str, ": stopped graceful=yes\n"));
+  daemon_free (&daemon);
 }
 
 static bool
@@ -290,11 +293,9 @@
   return NULL;
 }
 
-/*
- * A caller reads a stream when the router and the sidecar that it passes through are told to stop,
- * and told again. The second signals come while the stream still runs. Both daemons wait for its
- * end: the caller gets it whole, and both end with status 0.
- */
+/* The router and the sidecar that a stream passes through get signals to stop, repeatedly, while
+ * the stream runs. Both must wait for its end and exit with status 0; the caller gets the complete
+ * stream. */
 static void
 test_signals_in_flight (void)
 {
@@ -328,7 +329,7 @@
     { "an address in use", test_address_in_use },
     { "an idle router stops", test_stop_router },
     { "an idle sidecar stops", test_stop_sidecar },
-    { "more signals change nothing", test_stop_twice },
+    { "more signals change nothing", test_repeated_signals },
     { "more signals cut off nothing in flight", test_signals_in_flight },
     CU_TEST_INFO_NULL,
   };
--- a/tests/session_gateway.c
+++ b/tests/session_gateway.c
@@ -1,7 +1,9 @@
-/*
- * The whole path on the users' platform, with real processes: the store, upstreams that register in
- * it, and two gateways. A calm day, a configuration, an upstream that leaves, one that crashes, the
- * store out, a gateway that stops.
+/**
+ * DOC: session_gateway
+ *
+ * The gateway role with real processes: the store of the platform, upstreams that register in it,
+ * and two gateways. Covers normal operation, a new configuration, a drained data centre, an
+ * upstream that leaves, one that crashes, an outage of the store, and a gateway that stops.
  */
 #include "driver.h"
 #include "standin/keyed_store.h"
@@ -12,18 +14,18 @@
 
 #define GATEWAYS 2
 #define UPSTREAMS 5
-#define STREAMS 3 /* of the upstreams, the first ones */
-#define MANY 20
+#define STREAM_UPSTREAMS 3          /* the first upstreams, which answer with event streams */
+#define BATCH_REQUESTS 20           /* requests per batch */
 #define DATA_CENTER "hall-bayangol" /* of all upstreams */
 
-/** struct rig - the processes of the session */
+/** struct fleet - The processes of the session. */
 typedef struct
 {
   drv_t *drv;
   drv_process_t *gateways[GATEWAYS];
   drv_process_t *upstreams[UPSTREAMS];
   uint32_t next_id;
-} rig_t;
+} fleet_t;
 
 #define ROUTE(name, kind, service, more)                                                           \
   "{\"name\":\"" name "\",\"host\":\"fleet\",\"path_prefix\":\"/" name "/\",\"kind\":\"" kind      \
@@ -34,20 +36,20 @@
                                                          ",\"resumable\":true") routes             \
       "],\"tenants\":[{\"name\":\"alpha\",\"api_keys\":[\"key-1\"]}]}"
 
-/* @value empty: the key is dropped */
+/* Writes a keyed record to the store; an empty @value removes the key. */
 static void
-write_record (rig_t *rig, const char *key, const char *value)
+write_record (fleet_t *fleet, const char *key, const char *value)
 {
   size_t length = 1 + strlen (key) + strlen (value);
   GString *body = g_string_new (NULL);
   drv_call_t *call;
 
-  /* a keyed record: its length, that of the key, key and value */
+  /* length of the record in four bytes, length of the key in one, key, value */
   for (int shift = 24; shift >= 0; shift -= 8)
     g_string_append_c (body, (char)(length >> shift));
   g_string_append_c (body, (char)strlen (key));
   g_string_append_printf (body, "%s%s", key, value);
-  call = drv_send_bytes (rig->drv, rig->drv->platform->ip, "POST",
+  call = drv_send_bytes (fleet->drv, fleet->drv->platform->ip, "POST",
                          "/log-append?topic=keyed.op&part=0", "", body->str, body->len);
   drv_answered (call);
   CU_ASSERT_EQUAL (call->status, 200);
@@ -55,80 +57,80 @@
 }
 
 static void
-publish (rig_t *rig, const char *config)
+publish_config (fleet_t *fleet, const char *config)
 {
-  write_record (rig, "config", config);
+  write_record (fleet, "config", config);
 }
 
 static drv_call_t *
-ask (rig_t *rig, uint32_t gateway, const char *method, const char *path)
+send_request (fleet_t *fleet, uint32_t gateway, const char *method, const char *path)
 {
   g_autofree char *headers = g_strdup_printf ("X-Request-Id: q%u\r\nX-Key: key-1\r\n"
                                               "X-Deadline-Ms: 4000\r\n",
-                                              ++rig->next_id);
+                                              ++fleet->next_id);
 
-  return drv_send (rig->drv, rig->gateways[gateway]->ip, method, path, headers, "");
+  return drv_send (fleet->drv, fleet->gateways[gateway]->ip, method, path, headers, "");
 }
 
 static bool
-is_good (const drv_call_t *call)
+is_complete_ok (const drv_call_t *call)
 {
   return call->status == 200 && call->outcome == DRV_WHOLE;
 }
 
-/* Return: how many of them were answered whole */
+/* Return: The number of requests that were answered completely with status 200. */
 static uint32_t
-ask_many (rig_t *rig, const char *method, const char *path)
+run_batch (fleet_t *fleet, const char *method, const char *path)
 {
-  uint32_t first_id = rig->next_id + 1;
-  drv_call_t *calls[MANY];
-  uint32_t good = 0;
+  uint32_t first_id = fleet->next_id + 1;
+  drv_call_t *calls[BATCH_REQUESTS];
+  uint32_t answered = 0;
 
-  for (uint32_t i = 0; i < MANY; i++)
-    calls[i] = ask (rig, i % GATEWAYS, method, path);
-  for (uint32_t i = 0; i < MANY; i++)
+  for (uint32_t i = 0; i < BATCH_REQUESTS; i++)
+    calls[i] = send_request (fleet, i % GATEWAYS, method, path);
+  for (uint32_t i = 0; i < BATCH_REQUESTS; i++)
     {
       g_autofree char *id = g_strdup_printf ("q%u", first_id + i);
 
       drv_answered (calls[i]);
-      good += is_good (calls[i]) ? 1 : 0;
-      if (!is_good (calls[i]))
+      answered += is_complete_ok (calls[i]) ? 1 : 0;
+      if (!is_complete_ok (calls[i]))
         drv_explain (calls[i], id);
     }
-  return good;
+  return answered;
 }
 
 static int
-status_of (rig_t *rig, uint32_t gateway, const char *path)
+request_status (fleet_t *fleet, uint32_t gateway, const char *path)
 {
-  drv_call_t *call = ask (rig, gateway, "GET", path);
+  drv_call_t *call = send_request (fleet, gateway, "GET", path);
 
   drv_answered (call);
   return call->status;
 }
 
 static void
-start_upstream (rig_t *rig, uint32_t index)
+start_upstream (fleet_t *fleet, uint32_t index)
 {
   g_autofree char *name = g_strdup_printf ("upstream%u", index);
-  drv_process_t *process = drv_process_new (rig->drv, DRV_UPSTREAM, name, NULL);
-  bool streams = index < STREAMS;
+  drv_process_t *process = drv_process_new (fleet->drv, DRV_UPSTREAM, name, NULL);
+  bool streams = index < STREAM_UPSTREAMS;
 
-  process->record_path = g_strdup_printf ("%s/%s.record", rig->drv->dir, name);
-  drv_process_flag (process, "--store=%s:%d", rig->drv->platform->ip, DRV_PORT);
+  process->record_path = g_strdup_printf ("%s/%s.record", fleet->drv->dir, name);
+  drv_process_flag (process, "--store=%s:%d", fleet->drv->platform->ip, DRV_PORT);
   drv_process_flag (process, "--service=%s", streams ? "pool" : "ledger");
   drv_process_flag (process, "--events=%d", streams ? 5 : 0);
   drv_process_flag (process, "--work-ms=%d", streams ? 10 : 3);
   drv_process_flag (process, "--record=%s", process->record_path);
-  rig->upstreams[index] = process;
+  fleet->upstreams[index] = process;
   drv_process_start (process);
 }
 
 static void
-start_gateway (rig_t *rig, uint32_t index)
+start_gateway (fleet_t *fleet, uint32_t index)
 {
   g_autofree char *name = g_strdup_printf ("gateway%u", index);
-  drv_process_t *process = drv_process_new (rig->drv, DRV_GATEWAY, name, NULL);
+  drv_process_t *process = drv_process_new (fleet->drv, DRV_GATEWAY, name, NULL);
 
   drv_process_flag (process, "--role=gateway");
   drv_process_flag (process, "--renewal-ms=%u", KST_LAPSE_MS / 3);
@@ -138,109 +140,110 @@
   drv_process_flag (process, "--ready-listen=%s:%d", process->ip, DRV_PORT + 1);
   drv_process_flag (process, "--control-listen=%s:%d", process->ip, DRV_PORT + 2);
   drv_process_flag (process, "--exchange=%s:%d", process->ip, DRV_PORT + 3);
-  drv_process_flag (process, "--platform=%s:%d", rig->drv->platform->ip, DRV_PORT);
+  drv_process_flag (process, "--platform=%s:%d", fleet->drv->platform->ip, DRV_PORT);
   drv_process_flag (process, "--exchange-interval-ms=100");
   drv_process_flag (process, "--control-budget-bytes=7000");
   drv_process_flag (process, "--retry-slack=1000");
-  rig->gateways[index] = process;
+  fleet->gateways[index] = process;
   drv_process_start (process);
 }
 
 static bool
 all_registered (void *context)
 {
-  const rig_t *rig = context;
+  const fleet_t *fleet = context;
 
   for (uint32_t i = 0; i < GATEWAYS; i++)
-    if (drv_logged (rig->gateways[i], ": engine ", "state=ready") < UPSTREAMS ||
-        drv_logged (rig->gateways[i], ": ready ", NULL) == 0)
+    if (drv_logged (fleet->gateways[i], ": engine ", "state=ready") < UPSTREAMS ||
+        drv_logged (fleet->gateways[i], ": ready ", NULL) == 0)
       return false;
   return true;
 }
 
 static void
-start (rig_t *rig)
+start_fleet (fleet_t *fleet)
 {
-  drv_t *drv = rig->drv;
+  drv_t *drv = fleet->drv;
 
   drv_start_platform (drv);
-  publish (rig, CONFIG ("1", ""));
+  publish_config (fleet, CONFIG ("1", ""));
   for (uint32_t i = 0; i < UPSTREAMS; i++)
-    start_upstream (rig, i);
+    start_upstream (fleet, i);
   for (uint32_t i = 0; i < GATEWAYS; i++)
-    start_gateway (rig, i);
-  drv_until (drv, DRV_WAIT_MS, "all upstreams at all gateways", all_registered, rig);
+    start_gateway (fleet, i);
+  drv_until (drv, DRV_WAIT_MS, "all upstreams at all gateways", all_registered, fleet);
 }
 
 static void
-calm (rig_t *rig)
+test_normal_operation (fleet_t *fleet)
 {
-  drv_say (rig->drv, "calm: %u of %u lookups, %u of %u bookings, %u of %u streams",
-           ask_many (rig, "GET", "/look/"), MANY, ask_many (rig, "POST", "/book/"), MANY,
-           ask_many (rig, "POST", "/talk/"), MANY);
-  drv_say (rig->drv, "an unknown route: %d", status_of (rig, 0, "/new/"));
+  drv_say (fleet->drv, "calm: %u of %u lookups, %u of %u bookings, %u of %u streams",
+           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS, run_batch (fleet, "POST", "/book/"),
+           BATCH_REQUESTS, run_batch (fleet, "POST", "/talk/"), BATCH_REQUESTS);
+  drv_say (fleet->drv, "an unknown route: %d", request_status (fleet, 0, "/new/"));
 }
 
 static bool
 new_route_is_served (void *context)
 {
-  rig_t *rig = context;
+  fleet_t *fleet = context;
 
-  return status_of (rig, 0, "/new/") == 200 && status_of (rig, 1, "/new/") == 200;
+  return request_status (fleet, 0, "/new/") == 200 && request_status (fleet, 1, "/new/") == 200;
 }
 
 static void
-configuration (rig_t *rig)
+test_new_route (fleet_t *fleet)
 {
-  publish (rig, CONFIG ("5", "," ROUTE ("new", "idempotent", "ledger", "")));
-  drv_until (rig->drv, DRV_WAIT_MS, "the new route", new_route_is_served, rig);
-  drv_say (rig->drv, "version 5: the new route is served by both");
+  publish_config (fleet, CONFIG ("5", "," ROUTE ("new", "idempotent", "ledger", "")));
+  drv_until (fleet->drv, DRV_WAIT_MS, "the new route", new_route_is_served, fleet);
+  drv_say (fleet->drv, "version 5: the new route is served by both");
 }
 
 static bool
 all_drained (void *context)
 {
-  const rig_t *rig = context;
+  const fleet_t *fleet = context;
 
   for (uint32_t i = 0; i < GATEWAYS; i++)
-    if (drv_logged (rig->gateways[i], ": data_center ", "state=drained") == 0)
+    if (drv_logged (fleet->gateways[i], ": data_center ", "state=drained") == 0)
       return false;
   return true;
 }
 
 static bool
-second_is_ready (void *context)
+is_second_gateway_ready (void *context)
 {
-  return drv_logged (((const rig_t *)context)->gateways[1], ": ready ", NULL) >= 2;
+  return drv_logged (((const fleet_t *)context)->gateways[1], ": ready ", NULL) >= 2;
 }
 
 static bool
-all_taken_back (void *context)
+all_serve_lookups (void *context)
 {
-  rig_t *rig = context;
+  fleet_t *fleet = context;
 
   for (uint32_t i = 0; i < GATEWAYS; i++)
-    if (status_of (rig, i, "/look/") != 200)
+    if (request_status (fleet, i, "/look/") != 200)
       return false;
   return true;
 }
 
-/* All upstreams stand in one data centre. While operators drain it nothing runs, and callers hear
- * so at once; a gateway that starts meanwhile sends nothing there either. */
+/* All upstreams are in one data centre. While operators drain it, no request runs and all are
+ * refused at once, also by a gateway that starts meanwhile. */
 static void
-data_center_is_drained (rig_t *rig)
+test_drained_data_center (fleet_t *fleet)
 {
-  write_record (rig, "evacuate/" DATA_CENTER, "{}");
-  drv_until (rig->drv, DRV_WAIT_MS, "a drained data centre at all gateways", all_drained, rig);
-  drv_say (rig->drv, "its data centre is drained: %u of %u lookups, each is refused with %d",
-           ask_many (rig, "GET", "/look/"), MANY, status_of (rig, 0, "/look/"));
-  drv_kill (rig->gateways[1]);
-  drv_process_start (rig->gateways[1]);
-  drv_until (rig->drv, DRV_WAIT_MS, "a restarted gateway", second_is_ready, rig);
-  drv_say (rig->drv, "a gateway starts meanwhile: %d", status_of (rig, 1, "/look/"));
-  write_record (rig, "evacuate/" DATA_CENTER, "");
-  drv_until (rig->drv, DRV_WAIT_MS, "a data centre that is taken back", all_taken_back, rig);
-  drv_say (rig->drv, "it is taken back: %u of %u lookups", ask_many (rig, "GET", "/look/"), MANY);
+  write_record (fleet, "evacuate/" DATA_CENTER, "{}");
+  drv_until (fleet->drv, DRV_WAIT_MS, "a drained data centre at all gateways", all_drained, fleet);
+  drv_say (fleet->drv, "its data centre is drained: %u of %u lookups, each is refused with %d",
+           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS, request_status (fleet, 0, "/look/"));
+  drv_kill (fleet->gateways[1]);
+  drv_process_start (fleet->gateways[1]);
+  drv_until (fleet->drv, DRV_WAIT_MS, "a restarted gateway", is_second_gateway_ready, fleet);
+  drv_say (fleet->drv, "a gateway starts meanwhile: %d", request_status (fleet, 1, "/look/"));
+  write_record (fleet, "evacuate/" DATA_CENTER, "");
+  drv_until (fleet->drv, DRV_WAIT_MS, "a data centre that is taken back", all_serve_lookups, fleet);
+  drv_say (fleet->drv, "it is taken back: %u of %u lookups", run_batch (fleet, "GET", "/look/"),
+           BATCH_REQUESTS);
 }
 
 static bool
@@ -249,114 +252,120 @@
   return drv_reap (context);
 }
 
-/* It takes nothing more, ends by itself, and nobody hears of it. */
+/* An upstream that gets SIGTERM accepts no further requests and exits by itself. All lookups during
+ * that time are answered. */
 static void
-upstream_leaves (rig_t *rig)
+test_upstream_leaves (fleet_t *fleet)
 {
-  drv_process_t *upstream = rig->upstreams[UPSTREAMS - 1];
-  uint32_t good = 0;
+  drv_process_t *upstream = fleet->upstreams[UPSTREAMS - 1];
+  uint32_t answered = 0;
   uint32_t sent = 0;
 
   drv_signal (upstream, SIGTERM);
-  while (!has_ended (upstream) && sent < 1000 * MANY && !rig->drv->failed)
+  while (!has_ended (upstream) && sent < 1000 * BATCH_REQUESTS && !fleet->drv->failed)
     {
-      good += ask_many (rig, "GET", "/look/");
-      sent += MANY;
+      answered += run_batch (fleet, "GET", "/look/");
+      sent += BATCH_REQUESTS;
     }
-  drv_say (rig->drv, "an upstream leaves: %s lookups answered, it ended with %d",
-           good == sent ? "all" : "not all", drv_ended (upstream));
+  drv_say (fleet->drv, "an upstream leaves: %s lookups answered, it ended with %d",
+           answered == sent ? "all" : "not all", drv_ended (upstream));
 }
 
-/* Streams run on it when it is killed: they go on at the others, each event once. */
+/* An upstream is killed while it sends streams: they are resumed on other upstreams and deliver
+ * each event once. */
 static void
-upstream_crashes (rig_t *rig)
+test_upstream_crashes (fleet_t *fleet)
 {
-  drv_call_t *calls[MANY];
-  uint32_t good = 0;
+  drv_call_t *calls[BATCH_REQUESTS];
+  uint32_t answered = 0;
 
-  for (uint32_t i = 0; i < MANY; i++)
-    calls[i] = ask (rig, i % GATEWAYS, "POST", "/talk/");
+  for (uint32_t i = 0; i < BATCH_REQUESTS; i++)
+    calls[i] = send_request (fleet, i % GATEWAYS, "POST", "/talk/");
   drv_begun (calls[0]);
-  drv_kill (rig->upstreams[0]);
-  for (uint32_t i = 0; i < MANY; i++)
+  drv_kill (fleet->upstreams[0]);
+  for (uint32_t i = 0; i < BATCH_REQUESTS; i++)
     {
       drv_answered (calls[i]);
-      good += is_good (calls[i]) && strstr (calls[i]->body->str, "id: 5\n") ? 1 : 0;
+      answered += is_complete_ok (calls[i]) && strstr (calls[i]->body->str, "id: 5\n") ? 1 : 0;
     }
-  drv_say (rig->drv, "an upstream crashes: %u of %u streams whole", good, MANY);
+  drv_say (fleet->drv, "an upstream crashes: %u of %u streams whole", answered, BATCH_REQUESTS);
 }
 
 static bool
-denies_nothing (void *context)
+is_unknown_route_unavailable (void *context)
 {
-  return status_of (context, 0, "/nowhere/") == 503;
+  return request_status (context, 0, "/nowhere/") == 503;
 }
 
 static bool
-is_certain (void *context)
+is_unknown_route_not_found (void *context)
 {
-  return status_of (context, 0, "/nowhere/") == 404;
+  return request_status (context, 0, "/nowhere/") == 404;
 }
 
+/* While the store is down, a gateway cannot know whether a route was added: it answers an unknown
+ * route with 503 instead of 404. Known routes are still served. */
 static void
-store_out (rig_t *rig)
+test_store_down (fleet_t *fleet)
 {
-  drv_fault (rig->drv, "{'log': 'down'}");
-  drv_until (rig->drv, DRV_WAIT_MS, "a gateway that is not certain", denies_nothing, rig);
-  drv_say (rig->drv, "the store is out: %u of %u lookups, an unknown route is not denied",
-           ask_many (rig, "GET", "/look/"), MANY);
-  drv_fault (rig->drv, "{'log': 'up'}");
-  drv_until (rig->drv, DRV_WAIT_MS, "a gateway that is certain", is_certain, rig);
-  drv_say (rig->drv, "the store is back: %u of %u lookups, an unknown route is denied",
-           ask_many (rig, "GET", "/look/"), MANY);
+  drv_fault (fleet->drv, "{'log': 'down'}");
+  drv_until (fleet->drv, DRV_WAIT_MS, "a gateway that is not certain", is_unknown_route_unavailable,
+             fleet);
+  drv_say (fleet->drv, "the store is out: %u of %u lookups, an unknown route is not denied",
+           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS);
+  drv_fault (fleet->drv, "{'log': 'up'}");
+  drv_until (fleet->drv, DRV_WAIT_MS, "a gateway that is certain", is_unknown_route_not_found,
+             fleet);
+  drv_say (fleet->drv, "the store is back: %u of %u lookups, an unknown route is denied",
+           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS);
 }
 
 static void
-gateway_stops (rig_t *rig)
+test_gateway_stops (fleet_t *fleet)
 {
-  drv_call_t *stream = ask (rig, 0, "POST", "/talk/");
+  drv_call_t *stream = send_request (fleet, 0, "POST", "/talk/");
   int status;
 
   drv_begun (stream);
-  drv_signal (rig->gateways[0], SIGTERM);
+  drv_signal (fleet->gateways[0], SIGTERM);
   drv_answered (stream);
-  status = drv_ended (rig->gateways[0]);
-  drv_say (rig->drv, "a gateway stops: its stream is %s, it ended with %d",
-           is_good (stream) ? "whole" : "cut", status);
+  status = drv_ended (fleet->gateways[0]);
+  drv_say (fleet->drv, "a gateway stops: its stream is %s, it ended with %d",
+           is_complete_ok (stream) ? "whole" : "cut", status);
 }
 
 static void
 test_gateway (void)
 {
-  rig_t rig = { .drv = drv_new ("gateway") };
-
-  start (&rig);
-  calm (&rig);
-  configuration (&rig);
-  data_center_is_drained (&rig);
-  upstream_leaves (&rig);
-  upstream_crashes (&rig);
-  store_out (&rig);
-  gateway_stops (&rig);
-  drv_finish (rig.drv);
+  fleet_t fleet = { .drv = drv_new ("gateway") };
+
+  start_fleet (&fleet);
+  test_normal_operation (&fleet);
+  test_new_route (&fleet);
+  test_drained_data_center (&fleet);
+  test_upstream_leaves (&fleet);
+  test_upstream_crashes (&fleet);
+  test_store_down (&fleet);
+  test_gateway_stops (&fleet);
+  drv_finish (fleet.drv);
 }
 
-/* Guards against refusals that a killed gateway leaves no log line of. Each gateway refuses half of
- * the lookups. */
+/* Guards against lost log lines: a gateway that is killed must have logged each refusal that it
+ * sent. Each gateway refuses half of the lookups. */
 static void
 test_killed_gateway_has_logged (void)
 {
-  rig_t rig = { .drv = drv_new ("gateway_killed") };
-  uint32_t good;
-
-  start (&rig);
-  write_record (&rig, "evacuate/" DATA_CENTER, "{}");
-  drv_until (rig.drv, DRV_WAIT_MS, "a drained data centre at all gateways", all_drained, &rig);
-  good = ask_many (&rig, "GET", "/look/");
-  drv_kill (rig.gateways[1]);
-  drv_say (rig.drv, "%u of %u lookups, of the refused ones the killed gateway has logged %u", good,
-           MANY, drv_logged (rig.gateways[1], ": refuse ", "reason=leaving"));
-  drv_finish (rig.drv);
+  fleet_t fleet = { .drv = drv_new ("gateway_killed") };
+  uint32_t answered;
+
+  start_fleet (&fleet);
+  write_record (&fleet, "evacuate/" DATA_CENTER, "{}");
+  drv_until (fleet.drv, DRV_WAIT_MS, "a drained data centre at all gateways", all_drained, &fleet);
+  answered = run_batch (&fleet, "GET", "/look/");
+  drv_kill (fleet.gateways[1]);
+  drv_say (fleet.drv, "%u of %u lookups, of the refused ones the killed gateway has logged %u",
+           answered, BATCH_REQUESTS, drv_logged (fleet.gateways[1], ": refuse ", "reason=leaving"));
+  drv_finish (fleet.drv);
 }
 
 int
