--- a/tests/session_random.c
+++ b/tests/session_random.c
@@ -1,10 +1,11 @@
 /**
  * DOC: session_random
  *
- * Requests of all kinds, while routers, sidecars and engines are killed, frozen, stopped and
- * crashed, the platform's log and list fail, and operators publish and drain; all drawn from a
- * seed, which is printed and can be given as MEDLARPLANK_SEED. In the end all is healed. The
- * transcript tells whether what must hold held, as what the callers got differs from run to run.
+ * Randomized test: requests of all kinds while routers, sidecars and engines are killed, paused,
+ * stopped and crashed, the log and the host list of the platform fail, and operators publish
+ * manifests and drain hosts. All steps are drawn from a seed, which is printed and can be set by
+ * the environment variable MEDLARPLANK_SEED. At the end all faults are removed. The transcript only
+ * holds whether each invariant held, as the responses differ from run to run.
  */
 #include "driver.h"
 
@@ -17,331 +18,343 @@
 #define PLAINS 2
 #define ROUTERS 2
 #define HOSTS (MODELS + PLAINS)
-#define VICTIMS (ROUTERS + 2 * HOSTS)
+#define TARGETS (ROUTERS + 2 * HOSTS)
 #define STEPS 300
 #define STEP_MS 45
 #define DEADLINE_MS 3000
-#define MARGIN_MS 2000   /* over the deadline, on a machine that does much else */
-#define GRACE_US 2500000 /* after a host began to leave, until nothing new may begin there */
-#define SETTLE_MS 25000  /* back-offs and damping of flapping hosts included */
-#define KEYS 64
-#define GOOD_ROUNDS 3
+#define MARGIN_MS 2000   /* allowed over the deadline, for a loaded machine */
+#define GRACE_US 2500000 /* after a host began to leave, until no run may begin there */
+#define SETTLE_MS 25000  /* includes back-offs and the damping of hosts that restarted often */
+#define GOOD_ROUNDS 3    /* consecutive rounds in which all requests are answered */
 #define CRASH_TEXT "CRASH"
-#define SLACK_US 300000 /* until a crash is noticed */
-#define LIST_LAG_US 1000000
+#define CRASH_NOTICE_US 300000 /* until the session notices a crash */
+#define LIST_LAG_US 1000000    /* until all daemons have read a change of the host list */
 
 typedef enum
 {
-  FIT,
+  RUNNING,
   DEAD,
-  FROZEN,
+  PAUSED,
   STOPPING,
   LEAVING,
-  WAKING /* started or thawed, and not ready yet */
+  STARTING /* started or continued, and not ready yet */
 } state_t;
 
-/** struct victim - a process that faults happen to */
+/**
+ * struct target - A process that faults are injected into.
+ * @host: Its host, NULL for routers.
+ * @since_us: Monotonic time of the last change of its state.
+ * @probe: Readiness request under way, or NULL.
+ */
 typedef struct
 {
   drv_process_t *process;
-  drv_host_t *host; /* NULL for routers */
+  drv_host_t *host;
   state_t state;
   gint64 since_us;
   drv_call_t *probe;
-} victim_t;
+} target_t;
 
 /**
- * struct gap - when a process was not fit
- * @until_us: 0 while it still is not
- * @planned: it was told to stop or to leave, which excuses nothing
+ * struct outage - Period in which a process was not in normal operation.
+ * @planned: It was told to stop or to leave; this excuses no failed request.
+ * @until_us: Monotonic end of the period, 0 if it has not ended.
  */
 typedef struct
 {
-  const victim_t *victim;
+  const target_t *target;
   bool planned;
   gint64 from_us;
   gint64 until_us;
-} gap_t;
+} outage_t;
 
 typedef struct
 {
   drv_t *drv;
   GRand *rand;
-  victim_t victims[VICTIMS]; /* routers, then sidecars, then engines */
-  GArray *gaps;              /* gap_t */
-  GPtrArray *keyed;          /* drv_call_t: latest requests with a key, for resends */
-  uint32_t asked;
+  target_t targets[TARGETS]; /* routers, then sidecars, then engines */
+  GArray *outages;           /* outage_t */
+  GPtrArray *keyed; /* drv_call_t: all requests with a key, of which the latest are sent again */
+  uint32_t sent_count;
   uint32_t publishes;
   bool list_up;
-  bool late;   /* an answer was held beyond its deadline */
-  bool lost;   /* a caller was left without an answer */
-  bool cut;    /* an answer was cut and nothing had happened that could excuse it */
-  bool worked; /* something began on a host that had left */
-  bool hung;   /* a daemon ended by itself, or didn't stop when asked */
-} random_t;
+  bool answered_late;     /* a response came later than the deadline and the margin */
+  bool unanswered;        /* a caller got no response */
+  bool truncated;         /* a response was truncated although no failure could explain it */
+  bool ran_after_leaving; /* a run began on a host that had left */
+  bool exited_wrongly; /* a daemon exited by itself, or with a status other than 0 when stopped */
+} random_session_t;
 
 static uint32_t
-draw (random_t *rnd, uint32_t below)
+draw (random_session_t *session, uint32_t below)
 {
-  return (uint32_t)g_rand_int_range (rnd->rand, 0, (gint32)below);
+  return (uint32_t)g_rand_int_range (session->rand, 0, (gint32)below);
 }
 
 static bool
-is_router (const victim_t *victim)
+is_router (const target_t *target)
 {
-  return victim->host == NULL;
+  return target->host == NULL;
 }
 
 static bool
-is_engine (const victim_t *victim)
+is_engine (const target_t *target)
 {
-  return victim->process->role == DRV_ENGINE;
+  return target->process->role == DRV_ENGINE;
 }
 
 static const char *
-role_name (const victim_t *victim)
+role_name (const target_t *target)
 {
-  return is_router (victim) ? "router" : is_engine (victim) ? "engine" : "sidecar";
+  return is_router (target) ? "router" : is_engine (target) ? "engine" : "sidecar";
 }
 
 static void
-set_state (random_t *rnd, victim_t *victim, state_t state)
+set_state (random_session_t *session, target_t *target, state_t state)
 {
-  static const char *const names[] = { "fit", "dead", "frozen", "stopping", "leaving", "waking" };
+  static const char *const names[] = { "running",  "dead",    "paused",
+                                       "stopping", "leaving", "starting" };
   gint64 now_us = g_get_monotonic_time ();
-  printf ("%s %s: %s\n", role_name (victim), victim->process->name, names[state]);
-  if (victim->state == FIT)
+  printf ("%s %s: %s\n", role_name (target), target->process->name, names[state]);
+  if (target->state == RUNNING)
     {
-      gap_t gap = { victim, state == STOPPING || state == LEAVING, now_us, 0 };
-      g_array_append_val (rnd->gaps, gap);
+      outage_t outage = { target, state == STOPPING || state == LEAVING, now_us, 0 };
+      g_array_append_val (session->outages, outage);
     }
-  for (guint i = 0; state == FIT && i < rnd->gaps->len; i++)
+  for (guint i = 0; state == RUNNING && i < session->outages->len; i++)
     {
-      gap_t *gap = &g_array_index (rnd->gaps, gap_t, i);
-      if (gap->victim == victim && gap->until_us == 0)
-        gap->until_us = now_us;
+      outage_t *outage = &g_array_index (session->outages, outage_t, i);
+      if (outage->target == target && outage->until_us == 0)
+        outage->until_us = now_us;
     }
-  victim->state = state;
-  victim->since_us = now_us;
+  target->state = state;
+  target->since_us = now_us;
 }
 
-/* Whether a failure was under way meanwhile, of @victim or of anything when that is NULL. */
+/* Return: Whether a failure of @target, or of any process if that is NULL, overlaps the period. */
 static bool
-disturbed (const random_t *rnd, const victim_t *victim, uint64_t from_us, uint64_t until_us)
+failure_overlaps (const random_session_t *session,
+                  const target_t *target,
+                  uint64_t from_us,
+                  uint64_t until_us)
 {
-  for (guint i = 0; i < rnd->gaps->len; i++)
+  for (guint i = 0; i < session->outages->len; i++)
     {
-      const gap_t *gap = &g_array_index (rnd->gaps, gap_t, i);
-      if (!gap->planned && (victim == NULL || gap->victim == victim) &&
-          gap->from_us <= (gint64)until_us + SLACK_US &&
-          (gap->until_us == 0 || gap->until_us >= (gint64)from_us))
+      const outage_t *outage = &g_array_index (session->outages, outage_t, i);
+      if (!outage->planned && (target == NULL || outage->target == target) &&
+          outage->from_us <= (gint64)until_us + CRASH_NOTICE_US &&
+          (outage->until_us == 0 || outage->until_us >= (gint64)from_us))
         return true;
     }
   return false;
 }
 
-/* Return: a fit router, or NULL. */
-static victim_t *
-some_router (random_t *rnd)
+/* Return: A random router in normal operation, or NULL. */
+static target_t *
+pick_router (random_session_t *session)
 {
-  uint32_t first = draw (rnd, ROUTERS);
+  uint32_t first = draw (session, ROUTERS);
   for (uint32_t i = 0; i < ROUTERS; i++)
-    if (rnd->victims[(first + i) % ROUTERS].state == FIT)
-      return &rnd->victims[(first + i) % ROUTERS];
+    if (session->targets[(first + i) % ROUTERS].state == RUNNING)
+      return &session->targets[(first + i) % ROUTERS];
   return NULL;
 }
 
 static drv_call_t *
-ask_by (random_t *rnd, victim_t *router, drv_ask_t *ask)
+send_via (random_session_t *session, target_t *router, drv_ask_t *request)
 {
-  ask->router = (uint32_t)(router - rnd->victims);
-  ask->deadline_ms = DEADLINE_MS;
-  return drv_ask (rnd->drv, ask);
+  request->router = (uint32_t)(router - session->targets);
+  request->deadline_ms = DEADLINE_MS;
+  return drv_ask (session->drv, request);
 }
 
 static void
-step_ask (random_t *rnd)
-{
-  victim_t *router = some_router (rnd);
-  g_autofree char *name = g_strdup_printf ("ask %u", rnd->asked++);
-  g_autofree char *chat = g_strdup_printf ("chat %u", draw (rnd, 30));
-  drv_ask_t ask = { .name = name,
-                    .chat = chat,
-                    .kind = (drv_kind_t)draw (rnd, DRV_BOOKING + 1),
-                    .account = draw (rnd, 2) == 0 ? "alpha" : "beta",
-                    .tokens = 1 + draw (rnd, 60) };
-  bool plain = ask.kind == DRV_LOOKUP || ask.kind == DRV_BOOKING;
-  bool once = ask.kind == DRV_TAG || ask.kind == DRV_BOOKING;
-  ask.stream = !plain && draw (rnd, 2) == 0;
-  ask.key = once && draw (rnd, 3) > 0 ? name : NULL;
+step_request (random_session_t *session)
+{
+  target_t *router = pick_router (session);
+  g_autofree char *name = g_strdup_printf ("ask %u", session->sent_count++);
+  g_autofree char *chat = g_strdup_printf ("chat %u", draw (session, 30));
+  drv_ask_t request = { .name = name,
+                        .chat = chat,
+                        .kind = (drv_kind_t)draw (session, DRV_BOOKING + 1),
+                        .account = draw (session, 2) == 0 ? "alpha" : "beta",
+                        .tokens = 1 + draw (session, 60) };
+  bool plain = request.kind == DRV_LOOKUP || request.kind == DRV_BOOKING;
+  bool once = request.kind == DRV_TAG || request.kind == DRV_BOOKING;
+  request.stream = !plain && draw (session, 2) == 0;
+  request.key = once && draw (session, 3) > 0 ? name : NULL;
   if (router == NULL)
     return;
-  drv_call_t *call = ask_by (rnd, router, &ask);
+  drv_call_t *call = send_via (session, router, &request);
   if (call->key != NULL)
-    g_ptr_array_add (rnd->keyed, call);
+    g_ptr_array_add (session->keyed, call);
 }
 
-/* The caller sends one of its last keyed requests again, through any router. */
+/* Sends one of the last requests with a key again, through any router. */
 static void
-step_resend (random_t *rnd)
+step_resend (random_session_t *session)
 {
-  victim_t *router = some_router (rnd);
-  guint count = rnd->keyed->len;
+  target_t *router = pick_router (session);
+  guint count = session->keyed->len;
   if (router == NULL || count == 0)
     return;
-  drv_call_t *first = rnd->keyed->pdata[count - 1 - draw (rnd, MIN (count, 8))];
-  g_autofree char *name = g_strdup_printf ("resend %u of %s", rnd->asked++, first->name);
-  drv_ask_t ask = { .name = name,
-                    .same_body_as = first->key,
-                    .kind = first->kind,
-                    .account = first->account,
-                    .key = first->key,
-                    .stream = first->is_streamed,
-                    .tokens = first->tokens };
-  ask_by (rnd, router, &ask);
+  drv_call_t *first = session->keyed->pdata[count - 1 - draw (session, MIN (count, 8))];
+  g_autofree char *name = g_strdup_printf ("resend %u of %s", session->sent_count++, first->name);
+  drv_ask_t request = { .name = name,
+                        .same_body_as = first->key,
+                        .kind = first->kind,
+                        .account = first->account,
+                        .key = first->key,
+                        .stream = first->is_streamed,
+                        .tokens = first->tokens };
+  send_via (session, router, &request);
 }
 
 static void
-step_crash (random_t *rnd)
+step_crash (random_session_t *session)
 {
-  victim_t *router = some_router (rnd);
-  g_autofree char *name = g_strdup_printf ("crash %u", rnd->asked++);
-  drv_ask_t ask = { .name = name, .text = CRASH_TEXT, .stream = draw (rnd, 2) == 0 };
+  target_t *router = pick_router (session);
+  g_autofree char *name = g_strdup_printf ("crash %u", session->sent_count++);
+  drv_ask_t request = { .name = name, .text = CRASH_TEXT, .stream = draw (session, 2) == 0 };
   if (router != NULL)
-    ask_by (rnd, router, &ask);
+    send_via (session, router, &request);
 }
 
 static uint32_t
-unfit (const random_t *rnd, bool routers, bool plain)
+count_not_running (const random_session_t *session, bool routers, bool plain)
 {
   uint32_t count = 0;
-  for (uint32_t i = 0; i < VICTIMS; i++)
+  for (uint32_t i = 0; i < TARGETS; i++)
     {
-      const victim_t *victim = &rnd->victims[i];
-      if (victim->state != FIT && is_router (victim) == routers &&
-          (routers || victim->host->is_plain == plain))
+      const target_t *target = &session->targets[i];
+      if (target->state != RUNNING && is_router (target) == routers &&
+          (routers || target->host->is_plain == plain))
         count++;
     }
   return count;
 }
 
-/* Return: a process that may fail now, or NULL: of the routers one is left, of the models two. */
-static victim_t *
-some_victim (random_t *rnd, uint32_t count)
+/* Return: A random process that may fail now, or NULL. One router, the processes of two model hosts
+ * and those of one plain host always stay in operation. */
+static target_t *
+pick_target (random_session_t *session, uint32_t count)
 {
-  victim_t *victim = &rnd->victims[draw (rnd, count)];
-  bool plain = !is_router (victim) && victim->host->is_plain;
-  uint32_t limit = is_router (victim) || plain ? 1 : 2;
-  return victim->state == FIT && unfit (rnd, is_router (victim), plain) < limit ? victim : NULL;
+  target_t *target = &session->targets[draw (session, count)];
+  bool plain = !is_router (target) && target->host->is_plain;
+  uint32_t limit = is_router (target) || plain ? 1 : 2;
+  return target->state == RUNNING && count_not_running (session, is_router (target), plain) < limit
+             ? target
+             : NULL;
 }
 
 static void
-step_kill (random_t *rnd)
+step_kill (random_session_t *session)
 {
-  victim_t *victim = some_victim (rnd, VICTIMS);
-  if (victim == NULL)
+  target_t *target = pick_target (session, TARGETS);
+  if (target == NULL)
     return;
-  drv_kill (victim->process);
-  set_state (rnd, victim, DEAD);
+  drv_kill (target->process);
+  set_state (session, target, DEAD);
 }
 
 static void
-step_freeze (random_t *rnd)
+step_pause (random_session_t *session)
 {
-  victim_t *victim = some_victim (rnd, VICTIMS);
-  if (victim == NULL)
+  target_t *target = pick_target (session, TARGETS);
+  if (target == NULL)
     return;
-  drv_signal (victim->process, SIGSTOP);
-  set_state (rnd, victim, FROZEN);
+  drv_signal (target->process, SIGSTOP);
+  set_state (session, target, PAUSED);
 }
 
 static void
-step_stop (random_t *rnd)
+step_stop (random_session_t *session)
 {
-  victim_t *victim = some_victim (rnd, ROUTERS + HOSTS);
-  if (victim == NULL)
+  target_t *target = pick_target (session, ROUTERS + HOSTS);
+  if (target == NULL)
     return;
-  drv_signal (victim->process, SIGTERM);
-  set_state (rnd, victim, STOPPING);
+  drv_signal (target->process, SIGTERM);
+  set_state (session, target, STOPPING);
 }
 
 static void
-step_drain (random_t *rnd)
+step_drain (random_session_t *session)
 {
-  victim_t *victim = some_victim (rnd, ROUTERS + HOSTS);
-  if (victim == NULL || is_router (victim))
+  target_t *target = pick_target (session, ROUTERS + HOSTS);
+  if (target == NULL || is_router (target))
     return;
-  if (rnd->list_up && draw (rnd, 2) == 0)
+  if (session->list_up && draw (session, 2) == 0)
     {
-      victim->host->state = "leaving";
-      drv_list (rnd->drv);
+      target->host->state = "leaving";
+      drv_list (session->drv);
     }
   else
     {
-      g_autofree char *flags = g_strdup_printf ("drain %s --daemon=%s:%d", victim->process->name,
-                                                victim->process->ip, DRV_PORT);
-      drv_ended (drv_tool (rnd->drv, flags));
+      g_autofree char *flags = g_strdup_printf ("drain %s --daemon=%s:%d", target->process->name,
+                                                target->process->ip, DRV_PORT);
+      drv_ended (drv_tool (session->drv, flags));
     }
-  set_state (rnd, victim, LEAVING);
+  set_state (session, target, LEAVING);
 }
 
 static void
-restart (random_t *rnd, victim_t *victim)
+restart (random_session_t *session, target_t *target)
 {
-  drv_process_start (victim->process);
-  set_state (rnd, victim, is_engine (victim) ? FIT : WAKING);
+  drv_process_start (target->process);
+  set_state (session, target, is_engine (target) ? RUNNING : STARTING);
 }
 
 static void
-check_left (random_t *rnd, drv_host_t *host)
+check_runs_after_leaving (random_session_t *session, drv_host_t *host)
 {
   int64_t before = host->engine->max_runs;
-  rnd->worked = rnd->worked || (before >= 0 && drv_runs_on (host->engine) > before);
+  session->ran_after_leaving =
+      session->ran_after_leaving || (before >= 0 && drv_runs_on (host->engine) > before);
   host->engine->max_runs = -1;
 }
 
 static void
-heal (random_t *rnd, victim_t *victim)
+repair (random_session_t *session, target_t *target)
 {
-  switch (victim->state)
+  switch (target->state)
     {
     case DEAD:
-      restart (rnd, victim);
+      restart (session, target);
       break;
-    case FROZEN:
-      drv_signal (victim->process, SIGCONT);
-      set_state (rnd, victim, is_engine (victim) ? FIT : WAKING);
+    case PAUSED:
+      drv_signal (target->process, SIGCONT);
+      set_state (session, target, is_engine (target) ? RUNNING : STARTING);
       break;
     case LEAVING:
-      if (victim->host->engine->max_runs < 0)
-        break; /* its grace is not over */
-      check_left (rnd, victim->host);
-      victim->host->state = "live";
-      drv_list (rnd->drv);
-      drv_signal (victim->process, SIGTERM);
-      set_state (rnd, victim, STOPPING);
+      if (target->host->engine->max_runs < 0)
+        break; /* its grace period has not ended */
+      check_runs_after_leaving (session, target->host);
+      target->host->state = "live";
+      drv_list (session->drv);
+      drv_signal (target->process, SIGTERM);
+      set_state (session, target, STOPPING);
       break;
-    default: /* see look_after() */
+    default: /* handled by update_state() */
       break;
     }
 }
 
 static void
-step_heal (random_t *rnd)
+step_repair (random_session_t *session)
 {
-  uint32_t first = draw (rnd, VICTIMS);
-  for (uint32_t i = 0; i < VICTIMS; i++)
+  uint32_t first = draw (session, TARGETS);
+  for (uint32_t i = 0; i < TARGETS; i++)
     {
-      victim_t *victim = &rnd->victims[(first + i) % VICTIMS];
-      if (victim->state == FIT || victim->state == STOPPING || victim->state == WAKING)
+      target_t *target = &session->targets[(first + i) % TARGETS];
+      if (target->state == RUNNING || target->state == STOPPING || target->state == STARTING)
         continue;
-      heal (rnd, victim);
+      repair (session, target);
       return;
     }
 }
 
 static void
-step_log (random_t *rnd)
+step_log (random_session_t *session)
 {
   static const char *const faults[] = { "{'log': 'up'}",
                                         "{'log': 'up'}",
@@ -351,42 +364,43 @@
                                         "{'log': 'lose_answers', 'count': 4}",
                                         "{'log': 'lose_appends', 'count': 4}",
                                         "{'log': 'refuse', 'count': 4}" };
-  const char *fault = faults[draw (rnd, G_N_ELEMENTS (faults))];
+  const char *fault = faults[draw (session, G_N_ELEMENTS (faults))];
   printf ("%s\n", fault);
-  drv_fault (rnd->drv, fault);
+  drv_fault (session->drv, fault);
 }
 
-/* A host that the list tells to leave must get to know of it before the list fails. */
+/* Return: Whether a host may not have read yet that it is listed as leaving; the list must not fail
+ * before. */
 static bool
-just_listed (const random_t *rnd)
+is_list_change_recent (const random_session_t *session)
 {
-  for (uint32_t i = 0; i < VICTIMS; i++)
-    if (rnd->victims[i].state == LEAVING &&
-        g_get_monotonic_time () - rnd->victims[i].since_us < LIST_LAG_US)
+  for (uint32_t i = 0; i < TARGETS; i++)
+    if (session->targets[i].state == LEAVING &&
+        g_get_monotonic_time () - session->targets[i].since_us < LIST_LAG_US)
       return true;
   return false;
 }
 
 static void
-step_list (random_t *rnd)
+step_list (random_session_t *session)
 {
   static const char *const faults[] = { "{'list': 'up', 'view': {'r1': 'up', 'm1': 'up'}}",
                                         "{'list': 'stale'}", "{'list': 'down'}",
                                         "{'view': {'r1': 'stale'}}", "{'view': {'m1': 'stale'}}" };
-  uint32_t fault = draw (rnd, G_N_ELEMENTS (faults));
-  if (just_listed (rnd))
+  uint32_t fault = draw (session, G_N_ELEMENTS (faults));
+  if (is_list_change_recent (session))
     return;
-  rnd->list_up = fault == 0;
+  session->list_up = fault == 0;
   printf ("%s\n", faults[fault]);
-  drv_fault (rnd->drv, faults[fault]);
+  drv_fault (session->drv, faults[fault]);
 }
 
-/* Publishes that the log takes, whatever becomes of the answers. Return: the version they lead to;
- * log order alone decides, as it does in the fleet. */
+/* Return: The manifest version that the records in the log lead to. As in the daemons, only the
+ * order of the records counts, not the responses that the publishers got. */
 static uint64_t
-published (random_t *rnd)
+version_in_log (random_session_t *session)
 {
-  json_t *log = drv_admin (rnd->drv->platform, "GET", "/admin/log?stream=manifest", NULL);
+  json_t *log = drv_admin (session->drv->platform, "GET", "/admin/log?stream=manifest", NULL);
   uint64_t version = 0;
   size_t index;
   json_t *entry;
@@ -404,86 +418,87 @@
 }
 
 static void
-publish (random_t *rnd, uint64_t base)
+publish (random_session_t *session, uint64_t base)
 {
-  uint32_t number = rnd->publishes++;
+  uint32_t number = session->publishes++;
   g_autofree char *id = g_strdup_printf ("random %u", number);
   json_t *record = json_pack ("{s:s, s:s, s:I, s:s, s:{s:{s:{s:i}}}}", "kind", "publish", "id", id,
                               "base", (json_int_t)base, "by", "session", "patch", "client_accounts",
                               "beta", "weight", (int)(1000 + number));
   char *body = json_dumps (record, JSON_COMPACT);
-  drv_send (rnd->drv, rnd->drv->platform->ip, "POST", "/log/append?stream=manifest", NULL, body);
+  drv_send (session->drv, session->drv->platform->ip, "POST", "/log/append?stream=manifest", NULL,
+            body);
   free (body);
   json_decref (record);
 }
 
 static void
-step_publish (random_t *rnd)
+step_publish (random_session_t *session)
 {
-  publish (rnd, published (rnd));
+  publish (session, version_in_log (session));
 }
 
 static void
-step_race (random_t *rnd)
+step_race (random_session_t *session)
 {
-  uint64_t base = published (rnd);
-  publish (rnd, base);
-  publish (rnd, base);
+  uint64_t base = version_in_log (session);
+  publish (session, base);
+  publish (session, base);
 }
 
-/* What a process does without being asked: ends, gets ready, or must have left by now. */
+/* Updates the state of a process that has exited, become ready, or whose grace period has ended. */
 static void
-look_after (random_t *rnd, victim_t *victim)
+update_state (random_session_t *session, target_t *target)
 {
-  gint64 age_us = g_get_monotonic_time () - victim->since_us;
-  bool ended = drv_reap (victim->process);
-  if (ended && victim->state == STOPPING)
+  gint64 age_us = g_get_monotonic_time () - target->since_us;
+  bool ended = drv_reap (target->process);
+  if (ended && target->state == STOPPING)
     {
-      rnd->hung = rnd->hung || victim->process->status != 0;
-      restart (rnd, victim);
+      session->exited_wrongly = session->exited_wrongly || target->process->status != 0;
+      restart (session, target);
     }
-  else if (ended && victim->state != DEAD)
+  else if (ended && target->state != DEAD)
     {
-      rnd->hung = rnd->hung || !is_engine (victim);
-      set_state (rnd, victim, DEAD);
+      session->exited_wrongly = session->exited_wrongly || !is_engine (target);
+      set_state (session, target, DEAD);
     }
-  if (victim->state == LEAVING && age_us > GRACE_US && victim->host->engine->max_runs < 0)
-    drv_left (victim->host);
-  if (victim->state == WAKING && victim->probe == NULL)
-    victim->probe = drv_send (rnd->drv, victim->process->ip, "GET", "/readyz", NULL, NULL);
-  if (victim->probe == NULL || victim->probe->outcome == DRV_WAITING)
+  if (target->state == LEAVING && age_us > GRACE_US && target->host->engine->max_runs < 0)
+    drv_left (target->host);
+  if (target->state == STARTING && target->probe == NULL)
+    target->probe = drv_send (session->drv, target->process->ip, "GET", "/readyz", NULL, NULL);
+  if (target->probe == NULL || target->probe->outcome == DRV_WAITING)
     return;
-  if (victim->state == WAKING && victim->probe->status == 200)
-    set_state (rnd, victim, FIT);
-  victim->probe = NULL;
+  if (target->state == STARTING && target->probe->status == 200)
+    set_state (session, target, RUNNING);
+  target->probe = NULL;
 }
 
 static void
-look_after_all (random_t *rnd)
+update_all_states (random_session_t *session)
 {
-  for (uint32_t i = 0; i < VICTIMS; i++)
-    look_after (rnd, &rnd->victims[i]);
+  for (uint32_t i = 0; i < TARGETS; i++)
+    update_state (session, &session->targets[i]);
 }
 
 static void
-run_steps (random_t *rnd)
+run_steps (random_session_t *session)
 {
   static const struct
   {
     uint32_t weight;
-    void (*run) (random_t *rnd);
-  } steps[] = { { 60, step_ask },   { 12, step_resend }, { 8, step_heal },    { 3, step_kill },
-                { 3, step_freeze }, { 2, step_stop },    { 2, step_drain },   { 1, step_crash },
-                { 4, step_log },    { 3, step_list },    { 1, step_publish }, { 1, step_race } };
-  for (uint32_t i = 0; i < STEPS && !rnd->drv->failed; i++)
+    void (*run) (random_session_t *session);
+  } steps[] = { { 60, step_request }, { 12, step_resend }, { 8, step_repair },  { 3, step_kill },
+                { 3, step_pause },    { 2, step_stop },    { 2, step_drain },   { 1, step_crash },
+                { 4, step_log },      { 3, step_list },    { 1, step_publish }, { 1, step_race } };
+  for (uint32_t i = 0; i < STEPS && !session->drv->failed; i++)
     {
-      uint32_t at = draw (rnd, 100);
+      uint32_t at = draw (session, 100);
       uint32_t step = 0;
       while (at >= steps[step].weight)
         at -= steps[step++].weight;
-      steps[step].run (rnd);
-      drv_for (rnd->drv, draw (rnd, 2 * STEP_MS));
-      look_after_all (rnd);
+      steps[step].run (session);
+      drv_for (session->drv, draw (session, 2 * STEP_MS));
+      update_all_states (session);
     }
 }
 
@@ -496,149 +511,152 @@
   return true;
 }
 
-/* Answered too: a request that crashes engines may still be on its way to the next. */
+/* All calls must have ended as well: a request that crashes engines may still be retried on
+ * another. */
 static bool
-all_fit (void *context)
+all_running (void *context)
 {
-  random_t *rnd = context;
-  bool fit = all_answered (rnd->drv);
-  look_after_all (rnd);
-  for (uint32_t i = 0; i < VICTIMS; i++)
+  random_session_t *session = context;
+  bool is_running = all_answered (session->drv);
+  update_all_states (session);
+  for (uint32_t i = 0; i < TARGETS; i++)
     {
-      heal (rnd, &rnd->victims[i]);
-      fit = fit && rnd->victims[i].state == FIT && rnd->victims[i].probe == NULL;
+      repair (session, &session->targets[i]);
+      is_running =
+          is_running && session->targets[i].state == RUNNING && session->targets[i].probe == NULL;
     }
-  return fit;
+  return is_running;
 }
 
 static bool
-one_version (void *context)
+all_at_same_version (void *context)
 {
-  random_t *rnd = context;
-  uint64_t version = published (rnd);
+  random_session_t *session = context;
+  uint64_t version = version_in_log (session);
   for (uint32_t i = 0; i < ROUTERS + HOSTS; i++)
-    if (drv_version (rnd->victims[i].process) != version)
+    if (drv_version (session->targets[i].process) != version)
       return false;
   return true;
 }
 
 static bool
-served_again (random_t *rnd)
+run_round (random_session_t *session)
 {
   drv_call_t *calls[ROUTERS * (DRV_BOOKING + 1)];
-  bool good = true;
+  bool answered = true;
   for (uint32_t i = 0; i < G_N_ELEMENTS (calls); i++)
     {
-      g_autofree char *name = g_strdup_printf ("settled %u", rnd->asked++);
-      drv_ask_t ask = { .name = name, .chat = name, .kind = (drv_kind_t)(i / ROUTERS) };
-      ask.key = ask.kind == DRV_TAG || ask.kind == DRV_BOOKING ? name : NULL;
-      calls[i] = ask_by (rnd, &rnd->victims[i % ROUTERS], &ask);
+      g_autofree char *name = g_strdup_printf ("settled %u", session->sent_count++);
+      drv_ask_t request = { .name = name, .chat = name, .kind = (drv_kind_t)(i / ROUTERS) };
+      request.key = request.kind == DRV_TAG || request.kind == DRV_BOOKING ? name : NULL;
+      calls[i] = send_via (session, &session->targets[i % ROUTERS], &request);
     }
   for (uint32_t i = 0; i < G_N_ELEMENTS (calls); i++)
     {
       drv_answered (calls[i]);
-      good = good && drv_own_answer (calls[i]);
+      answered = answered && drv_own_answer (calls[i]);
     }
-  return good;
+  return answered;
 }
 
 static bool
-all_engines_work (const random_t *rnd, const uint32_t *before)
+all_engines_work (const random_session_t *session, const uint32_t *before)
 {
   for (uint32_t i = 0; i < HOSTS; i++)
-    if (drv_runs_on (rnd->drv->hosts[i].engine) == before[i])
+    if (drv_runs_on (session->drv->hosts[i].engine) == before[i])
       return false;
   return true;
 }
 
-/* Return: whether, some time after all was healed, requests of all kinds are answered through all
- * routers, three times in a row, and all engines have been given work. */
+/* Return: Whether within SETTLE_MS requests of all kinds are answered through all routers in
+ * GOOD_ROUNDS consecutive rounds, and every engine has run some of them. */
 static bool
-settles (random_t *rnd)
+recovers (random_session_t *session)
 {
   uint32_t before[HOSTS];
-  uint32_t good = 0;
+  uint32_t answered = 0;
   gint64 limit_us = g_get_monotonic_time () + SETTLE_MS * 1000;
   for (uint32_t i = 0; i < HOSTS; i++)
-    before[i] = drv_runs_on (rnd->drv->hosts[i].engine);
-  while (!rnd->drv->failed && g_get_monotonic_time () < limit_us)
+    before[i] = drv_runs_on (session->drv->hosts[i].engine);
+  while (!session->drv->failed && g_get_monotonic_time () < limit_us)
     {
-      good = served_again (rnd) ? good + 1 : 0;
-      if (good >= GOOD_ROUNDS && all_engines_work (rnd, before))
+      answered = run_round (session) ? answered + 1 : 0;
+      if (answered >= GOOD_ROUNDS && all_engines_work (session, before))
         return true;
-      drv_for (rnd->drv, good > 0 ? 1 : STEP_MS);
+      drv_for (session->drv, answered > 0 ? 1 : STEP_MS);
     }
   return false;
 }
 
 static void
-complain (const drv_call_t *call, const char *what, bool *flag)
+report_violation (const drv_call_t *call, const char *what, bool *flag)
 {
-  printf ("%s, request %s, %s: %d, after %u ms\n", call->name,
+  printf ("%s, request %s, %s: status %d, after %u ms\n", call->name,
           drv_header (call, "x-medlarplank-request"), what, call->status,
           (uint32_t)((call->ended_us - call->sent_us) / 1000));
   *flag = true;
 }
 
-static const victim_t *
-router_of (const random_t *rnd, const drv_call_t *call)
+static const target_t *
+router_of (const random_session_t *session, const drv_call_t *call)
 {
-  return &rnd->victims[call->router];
+  return &session->targets[call->router];
 }
 
 static void
-judge (random_t *rnd, const drv_call_t *call)
+check_call (random_session_t *session, const drv_call_t *call)
 {
-  bool excused = disturbed (rnd, router_of (rnd, call), call->sent_us, call->ended_us);
+  bool is_excused =
+      failure_overlaps (session, router_of (session, call), call->sent_us, call->ended_us);
   uint64_t head_us = call->head_us != 0 ? call->head_us : call->ended_us;
-  if (excused)
+  if (is_excused)
     return;
   if (head_us - call->sent_us > (DEADLINE_MS + MARGIN_MS) * 1000)
-    complain (call, "held too long", &rnd->late);
+    report_violation (call, "answered too late", &session->answered_late);
   if (call->outcome == DRV_NO_ANSWER || call->outcome == DRV_HUNG_UP)
-    complain (call, "without an answer", &rnd->lost);
+    report_violation (call, "without a response", &session->unanswered);
   if (call->outcome == DRV_CUT &&
-      (!call->is_streamed || !disturbed (rnd, NULL, call->sent_us, call->ended_us)))
-    complain (call, "cut", &rnd->cut);
+      (!call->is_streamed || !failure_overlaps (session, NULL, call->sent_us, call->ended_us)))
+    report_violation (call, "truncated", &session->truncated);
 }
 
 static void
-judge_all (random_t *rnd)
+check_all_calls (random_session_t *session)
 {
-  uint32_t own = 0;
+  uint32_t answered = 0;
   uint32_t refused = 0;
   uint32_t all = 0;
-  for (guint i = 0; i < rnd->drv->calls->len; i++)
+  for (guint i = 0; i < session->drv->calls->len; i++)
     {
-      const drv_call_t *call = rnd->drv->calls->pdata[i];
+      const drv_call_t *call = session->drv->calls->pdata[i];
       if (call->name == NULL)
         continue;
-      judge (rnd, call);
+      check_call (session, call);
       all++;
-      own += drv_own_answer (call) ? 1 : 0;
+      answered += drv_own_answer (call) ? 1 : 0;
       refused += strcmp (drv_verdict (call), "not_run") == 0 ? 1 : 0;
     }
-  printf ("%u requests, %u answered, %u not run, %u other\n", all, own, refused,
-          all - own - refused);
+  printf ("%u requests, %u answered, %u not run, %u other\n", all, answered, refused,
+          all - answered - refused);
 }
 
 static void
-say (random_t *rnd, const char *what, bool held)
+add_result (random_session_t *session, const char *what, bool held)
 {
-  drv_say (rnd->drv, "%s: %s", what, held ? "yes" : "no");
+  drv_say (session->drv, "%s: %s", what, held ? "yes" : "no");
 }
 
 static void
-add_victims (random_t *rnd)
+add_targets (random_session_t *session)
 {
-  drv_t *drv = rnd->drv;
-  victim_t *next = rnd->victims;
+  drv_t *drv = session->drv;
+  target_t *next = session->targets;
   for (uint32_t i = 0; i < ROUTERS; i++)
-    *next++ = (victim_t){ .process = drv->routers[i] };
+    *next++ = (target_t){ .process = drv->routers[i] };
   for (uint32_t i = 0; i < HOSTS; i++)
-    *next++ = (victim_t){ .process = drv->hosts[i].sidecar, .host = &drv->hosts[i] };
+    *next++ = (target_t){ .process = drv->hosts[i].sidecar, .host = &drv->hosts[i] };
   for (uint32_t i = 0; i < HOSTS; i++)
-    *next++ = (victim_t){ .process = drv->hosts[i].engine, .host = &drv->hosts[i] };
+    *next++ = (target_t){ .process = drv->hosts[i].engine, .host = &drv->hosts[i] };
 }
 
 static uint32_t
@@ -654,34 +672,36 @@
 test_random (void)
 {
   uint32_t seed = seed_of_run ();
-  random_t rnd = { .drv = drv_new ("random"),
-                   .list_up = true,
-                   .rand = g_rand_new_with_seed (seed),
-                   .gaps = g_array_new (FALSE, FALSE, sizeof (gap_t)),
-                   .keyed = g_ptr_array_new () };
+  random_session_t session = { .drv = drv_new ("random"),
+                               .list_up = true,
+                               .rand = g_rand_new_with_seed (seed),
+                               .outages = g_array_new (FALSE, FALSE, sizeof (outage_t)),
+                               .keyed = g_ptr_array_new () };
   drv_fleet_t fleet = { .model_hosts = MODELS,
                         .plain_hosts = PLAINS,
                         .routers = ROUTERS,
                         .engine_flags = "--service-us=60000 --crash-on=" CRASH_TEXT };
-  drv_start (rnd.drv, &fleet);
-  add_victims (&rnd);
-  run_steps (&rnd);
-  drv_fault (rnd.drv, "{'log': 'up', 'list': 'up', 'view': {'r1': 'up', 'm1': 'up'}}");
-  bool fit = drv_until (rnd.drv, 2 * DRV_WAIT_MS, "all to be fit again", all_fit, &rnd);
-  fit = fit && drv_until (rnd.drv, DRV_WAIT_MS, "one version", one_version, &rnd);
-  say (&rnd, "all processes are fit again, and in one version", fit);
-  say (&rnd, "requests of all kinds are answered again", settles (&rnd));
-  judge_all (&rnd);
-  say (&rnd, "no caller was left without an answer", !rnd.lost);
-  say (&rnd, "no answer was held beyond its deadline", !rnd.late);
-  say (&rnd, "no answer was cut but by a failure", !rnd.cut);
-  say (&rnd, "nothing began on a host after its grace", !rnd.worked);
-  say (&rnd, "no daemon ended but as it was told", !rnd.hung);
-  drv_finish (rnd.drv);
+  drv_start (session.drv, &fleet);
+  add_targets (&session);
+  run_steps (&session);
+  drv_fault (session.drv, "{'log': 'up', 'list': 'up', 'view': {'r1': 'up', 'm1': 'up'}}");
+  bool is_running = drv_until (session.drv, 2 * DRV_WAIT_MS,
+                               "all processes to be in operation again", all_running, &session);
+  is_running = is_running && drv_until (session.drv, DRV_WAIT_MS, "the same version at all daemons",
+                                        all_at_same_version, &session);
+  add_result (&session, "all processes are fit again, and in one version", is_running);
+  add_result (&session, "requests of all kinds are answered again", recovers (&session));
+  check_all_calls (&session);
+  add_result (&session, "no caller was left without an answer", !session.unanswered);
+  add_result (&session, "no answer was held beyond its deadline", !session.answered_late);
+  add_result (&session, "no answer was cut but by a failure", !session.truncated);
+  add_result (&session, "nothing began on a host after its grace", !session.ran_after_leaving);
+  add_result (&session, "no daemon ended but as it was told", !session.exited_wrongly);
+  drv_finish (session.drv);
   printf ("seed %u\n", seed);
-  g_array_free (rnd.gaps, TRUE);
-  g_ptr_array_free (rnd.keyed, TRUE);
-  g_rand_free (rnd.rand);
+  g_array_free (session.outages, TRUE);
+  g_ptr_array_free (session.keyed, TRUE);
+  g_rand_free (session.rand);
 }
 
 int
