--- a/tests/driver.h
+++ b/tests/driver.h
@@ -260,7 +260,7 @@
 } drv_kind_t;
 
 /**
- * struct drv_ask - A request of a caller.
+ * struct driver_request - A request of a caller.
  * @name: Name in the transcript; also part of the body, which makes the body unique.
  * @same_body_as: Name of an earlier request whose body is sent again, or NULL.
  * @router: Index of the router that receives the request.
@@ -289,14 +289,21 @@
   bool stream;
 } drv_ask_t;
 
-/** enum drv_end_t - How a call ended, from the view of the caller. */
+/**
+ * enum drv_end_t - How a call ended, from the view of the caller.
+ * @DRV_WAITING: It has not ended yet.
+ * @DRV_WHOLE: The response is complete, whatever its status.
+ * @DRV_CUT: The connection was closed after the response header, before the end of the body.
+ * @DRV_NO_ANSWER: The connection failed or was closed before the end of the response header.
+ * @DRV_HUNG_UP: The caller closed the connection.
+ */
 typedef enum
 {
-  DRV_WAITING,   /* not ended yet */
-  DRV_WHOLE,     /* complete response, of any status */
-  DRV_CUT,       /* connection closed after the response header and before the end of the body */
-  DRV_NO_ANSWER, /* connection failed or closed before the response header was complete */
-  DRV_HUNG_UP    /* connection closed by the caller */
+  DRV_WAITING,
+  DRV_WHOLE,
+  DRV_CUT,
+  DRV_NO_ANSWER,
+  DRV_HUNG_UP
 } drv_end_t;
 
 /**
@@ -339,7 +346,7 @@
 };
 
 /** drv_ask() - Send a request to a router and return at once. */
-drv_call_t *drv_ask (drv_t *drv, const drv_ask_t *ask);
+drv_call_t *drv_ask (drv_t *drv, const drv_ask_t *request);
 /**
  * drv_send() - Send any HTTP request to DRV_PORT of @ip and return at once.
  * @headers: Complete header lines, each ending in CRLF, or NULL.
@@ -385,32 +392,40 @@
 
 /* Proxies that inject connection faults */
 
-/** enum drv_mode_t - What a proxy does to a request or to its response. */
+/**
+ * enum drv_mode_t - What a proxy does to a request or to its response.
+ * @DRV_PASS: Pass both on.
+ * @DRV_CLOSED: Do not listen.
+ * @DRV_CUT_DURING: Close the connection after passing on a part of the request.
+ * @DRV_CUT_AFTER: Pass the request on, and close the connection when its response arrives.
+ * @DRV_CUT_ANSWER: Close the connection after passing on a part of the response.
+ * @DRV_HOLD: Hold back the response, or the end of its connection, until the mode changes.
+ */
 typedef enum
 {
   DRV_PASS,
-  DRV_CLOSED,     /* the proxy does not listen */
-  DRV_CUT_DURING, /* the connection is closed after a part of the request */
-  DRV_CUT_AFTER,  /* the request is passed on; its connection is closed before the response */
-  DRV_CUT_ANSWER, /* the connection is closed after a part of the response */
-  DRV_HOLD        /* the response, or its connection's end, is delayed until the mode changes */
+  DRV_CLOSED,
+  DRV_CUT_DURING,
+  DRV_CUT_AFTER,
+  DRV_CUT_ANSWER,
+  DRV_HOLD
 } drv_mode_t;
 
 /** drv_forward_new() - Listen on a new IP address and forward its connections to @target_ip. */
 drv_forward_t *drv_forward_new (drv_t *drv, const char *target_ip);
-void drv_forward_free (drv_forward_t *forward);
-const char *drv_forward_ip (const drv_forward_t *forward);
+void drv_forward_free (drv_forward_t *proxy);
+const char *drv_forward_ip (const drv_forward_t *proxy);
 /**
  * drv_forward_set() - Set the mode of further requests and release held responses.
  * @match: Apply the mode only to requests whose first bytes contain it; NULL is all.
  * @count: Number of requests to apply the mode to before DRV_PASS is restored; 0 is all.
  */
-void drv_forward_set (drv_forward_t *forward, drv_mode_t mode, const char *match, uint32_t count);
+void drv_forward_set (drv_forward_t *proxy, drv_mode_t mode, const char *match, uint32_t count);
 /** drv_forward_cut() - Close all open connections. */
-void drv_forward_cut (drv_forward_t *forward);
+void drv_forward_cut (drv_forward_t *proxy);
 /** drv_forward_hits() - Return: The number of requests that a mode other than DRV_PASS was applied
  * to. */
-uint32_t drv_forward_hits (const drv_forward_t *forward);
+uint32_t drv_forward_hits (const drv_forward_t *proxy);
 
 /* Transcript, engine records and invariants */
 
--- a/tests/driver_forward.c
+++ b/tests/driver_forward.c
@@ -29,7 +29,7 @@
  * current request. */
 typedef struct
 {
-  drv_forward_t *forward;
+  drv_forward_t *proxy;
   struct bufferevent *client;
   struct bufferevent *server;
   drv_mode_t mode;
@@ -42,7 +42,7 @@
 static void
 connection_free (connection_t *connection)
 {
-  g_ptr_array_remove_fast (connection->forward->connections, connection);
+  g_ptr_array_remove_fast (connection->proxy->connections, connection);
   bufferevent_free (connection->client);
   bufferevent_free (connection->server);
   g_free (connection);
@@ -73,25 +73,25 @@
 }
 
 static bool
-is_matching (const drv_forward_t *forward, struct evbuffer *in)
+is_matching (const drv_forward_t *proxy, struct evbuffer *in)
 {
-  return forward->match == NULL ||
-         evbuffer_search (in, forward->match, strlen (forward->match), NULL).pos >= 0;
+  return proxy->match == NULL ||
+         evbuffer_search (in, proxy->match, strlen (proxy->match), NULL).pos >= 0;
 }
 
 static void
 begin_request (connection_t *connection, struct evbuffer *in)
 {
-  drv_forward_t *forward = connection->forward;
+  drv_forward_t *proxy = connection->proxy;
   connection->mode = DRV_PASS;
   connection->response_begun = false;
   connection->response_bytes = 0;
-  if (forward->mode == DRV_PASS || !is_matching (forward, in))
+  if (proxy->mode == DRV_PASS || !is_matching (proxy, in))
     return;
-  connection->mode = forward->mode;
-  forward->hits++;
-  if (forward->count > 0 && --forward->count == 0)
-    forward->mode = DRV_PASS;
+  connection->mode = proxy->mode;
+  proxy->hits++;
+  if (proxy->count > 0 && --proxy->count == 0)
+    proxy->mode = DRV_PASS;
 }
 
 static void
@@ -158,17 +158,17 @@
            int from_bytes,
            void *context)
 {
-  drv_forward_t *forward = context;
-  struct sockaddr_in target = address_of (forward->target_ip);
+  drv_forward_t *proxy = context;
+  struct sockaddr_in target = address_of (proxy->target_ip);
   connection_t *connection = g_new0 (connection_t, 1);
   (void)listener;
   (void)from;
   (void)from_bytes;
-  connection->forward = forward;
+  connection->proxy = proxy;
   connection->response_begun = true;
-  connection->client = bufferevent_socket_new (forward->drv->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  connection->server = bufferevent_socket_new (forward->drv->base, -1, BEV_OPT_CLOSE_ON_FREE);
-  g_ptr_array_add (forward->connections, connection);
+  connection->client = bufferevent_socket_new (proxy->drv->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  connection->server = bufferevent_socket_new (proxy->drv->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  g_ptr_array_add (proxy->connections, connection);
   bufferevent_setcb (connection->client, on_client_read, NULL, on_connection_event, connection);
   bufferevent_setcb (connection->server, on_server_read, NULL, on_connection_event, connection);
   bufferevent_enable (connection->client, EV_READ | EV_WRITE);
@@ -179,61 +179,61 @@
 }
 
 static void
-listen_on (drv_forward_t *forward)
+listen_on (drv_forward_t *proxy)
 {
-  struct sockaddr_in address = address_of (forward->ip);
-  forward->listener = evconnlistener_new_bind (forward->drv->base, on_accept, forward,
-                                               LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
-                                               (struct sockaddr *)&address, sizeof address);
-  if (forward->listener == NULL)
-    drv_fail (forward->drv, "cannot listen on %s: %s", forward->ip, g_strerror (errno));
+  struct sockaddr_in address = address_of (proxy->ip);
+  proxy->listener = evconnlistener_new_bind (proxy->drv->base, on_accept, proxy,
+                                             LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
+                                             (struct sockaddr *)&address, sizeof address);
+  if (proxy->listener == NULL)
+    drv_fail (proxy->drv, "cannot listen on %s: %s", proxy->ip, g_strerror (errno));
 }
 
 drv_forward_t *
 drv_forward_new (drv_t *drv, const char *target_ip)
 {
-  drv_forward_t *forward = g_new0 (drv_forward_t, 1);
-  forward->drv = drv;
-  forward->ip = drv_next_ip (drv);
-  forward->target_ip = g_strdup (target_ip);
-  forward->connections = g_ptr_array_new ();
-  g_ptr_array_add (drv->proxies, forward);
-  listen_on (forward);
-  return forward;
+  drv_forward_t *proxy = g_new0 (drv_forward_t, 1);
+  proxy->drv = drv;
+  proxy->ip = drv_next_ip (drv);
+  proxy->target_ip = g_strdup (target_ip);
+  proxy->connections = g_ptr_array_new ();
+  g_ptr_array_add (drv->proxies, proxy);
+  listen_on (proxy);
+  return proxy;
 }
 
 void
-drv_forward_cut (drv_forward_t *forward)
+drv_forward_cut (drv_forward_t *proxy)
 {
-  while (forward->connections->len > 0)
-    connection_free (forward->connections->pdata[0]);
+  while (proxy->connections->len > 0)
+    connection_free (proxy->connections->pdata[0]);
 }
 
 void
-drv_forward_free (drv_forward_t *forward)
+drv_forward_free (drv_forward_t *proxy)
 {
-  drv_forward_cut (forward);
-  g_ptr_array_free (forward->connections, TRUE);
-  g_clear_pointer (&forward->listener, evconnlistener_free);
-  g_free (forward->ip);
-  g_free (forward->target_ip);
-  g_free (forward->match);
-  g_free (forward);
+  drv_forward_cut (proxy);
+  g_ptr_array_free (proxy->connections, TRUE);
+  g_clear_pointer (&proxy->listener, evconnlistener_free);
+  g_free (proxy->ip);
+  g_free (proxy->target_ip);
+  g_free (proxy->match);
+  g_free (proxy);
 }
 
 const char *
-drv_forward_ip (const drv_forward_t *forward)
+drv_forward_ip (const drv_forward_t *proxy)
 {
-  return forward->ip;
+  return proxy->ip;
 }
 
 /* Passes held responses on to their clients. */
 static void
-release_held_responses (drv_forward_t *forward)
+release_held_responses (drv_forward_t *proxy)
 {
-  for (guint i = forward->connections->len; i-- > 0;)
+  for (guint i = proxy->connections->len; i-- > 0;)
     {
-      connection_t *connection = forward->connections->pdata[i];
+      connection_t *connection = proxy->connections->pdata[i];
       if (connection->mode != DRV_HOLD)
         continue;
       connection->mode = DRV_PASS;
@@ -245,24 +245,24 @@
 }
 
 void
-drv_forward_set (drv_forward_t *forward, drv_mode_t mode, const char *match, uint32_t count)
+drv_forward_set (drv_forward_t *proxy, drv_mode_t mode, const char *match, uint32_t count)
 {
-  g_free (forward->match);
-  forward->match = g_strdup (match);
-  forward->mode = mode;
-  forward->count = count;
-  release_held_responses (forward);
+  g_free (proxy->match);
+  proxy->match = g_strdup (match);
+  proxy->mode = mode;
+  proxy->count = count;
+  release_held_responses (proxy);
   if (mode == DRV_CLOSED)
     {
-      drv_forward_cut (forward);
-      g_clear_pointer (&forward->listener, evconnlistener_free);
+      drv_forward_cut (proxy);
+      g_clear_pointer (&proxy->listener, evconnlistener_free);
     }
-  else if (forward->listener == NULL)
-    listen_on (forward);
+  else if (proxy->listener == NULL)
+    listen_on (proxy);
 }
 
 uint32_t
-drv_forward_hits (const drv_forward_t *forward)
+drv_forward_hits (const drv_forward_t *proxy)
 {
-  return forward->hits;
+  return proxy->hits;
 }
--- a/tests/session_answers.c
+++ b/tests/session_answers.c
@@ -19,9 +19,9 @@
 }
 
 static void
-run_request (drv_t *drv, const drv_ask_t *ask)
+run_request (drv_t *drv, const drv_ask_t *request)
 {
-  drv_call_t *call = drv_ask (drv, ask);
+  drv_call_t *call = drv_ask (drv, request);
   drv_answered (call);
   drv_tell (call);
 }
@@ -112,8 +112,10 @@
   for (uint32_t i = 0; i < 6; i++)
     {
       g_autofree char *name = g_strdup_printf ("sending %u", i);
-      drv_ask_t ask = { .name = name, .same_body_as = "POISON", .chat = "bad", .router = i % 2 };
-      last = drv_ask (drv, &ask);
+      drv_ask_t request = {
+        .name = name, .same_body_as = "POISON", .chat = "bad", .router = i % 2
+      };
+      last = drv_ask (drv, &request);
       drv_answered (last);
     }
   drv_tell (last);
@@ -128,8 +130,9 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "late, crossed and cut answers", test_faulty_responses },
-                                      { "the caller goes away", test_caller_gone },
+  static const drv_test_t tests[] = { { "late, mismatched and truncated responses",
+                                        test_faulty_responses },
+                                      { "the caller closes its connection", test_caller_gone },
                                       { "requests that crash engines", test_crashing_request } };
   return drv_main ("answers", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_daemon.c
+++ b/tests/session_daemon.c
@@ -301,12 +301,12 @@
 {
   drv_t *drv = drv_new ("daemon-signals");
   drv_fleet_t fleet = { .model_hosts = 2, .plain_hosts = 1, .routers = 1 };
-  drv_ask_t ask = { .name = "stream", .chat = "c", .stream = true, .tokens = STREAM_TOKENS };
+  drv_ask_t request = { .name = "stream", .chat = "c", .stream = true, .tokens = STREAM_TOKENS };
   drv_process_t *sidecar;
   drv_call_t *call;
 
   drv_start (drv, &fleet);
-  call = drv_ask (drv, &ask);
+  call = drv_ask (drv, &request);
   drv_begun (call);
   sidecar = sidecar_of (call);
   CU_ASSERT_PTR_NOT_NULL_FATAL (sidecar);
--- a/tests/session_gateway.c
+++ b/tests/session_gateway.c
@@ -371,9 +371,10 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "the path on the users' platform", test_gateway },
-                                      { "a killed gateway has logged its refusals",
-                                        test_killed_gateway_has_logged } };
+  static const drv_test_t tests[] = {
+    { "two gateways under normal operation and faults", test_gateway },
+    { "a killed gateway has logged its refusals", test_killed_gateway_has_logged }
+  };
 
   return drv_main ("gateway", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_manifest.c
+++ b/tests/session_manifest.c
@@ -25,8 +25,8 @@
 static void
 run_lookup (drv_t *drv, uint32_t router, const char *name)
 {
-  drv_ask_t ask = { .name = name, .kind = DRV_LOOKUP, .router = router };
-  drv_call_t *call = drv_ask (drv, &ask);
+  drv_ask_t request = { .name = name, .kind = DRV_LOOKUP, .router = router };
+  drv_call_t *call = drv_ask (drv, &request);
   drv_answered (call);
   drv_tell (call);
 }
@@ -139,6 +139,6 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "versions go forward only", test_manifest } };
+  static const drv_test_t tests[] = { { "versions never decrease", test_manifest } };
   return drv_main ("manifest", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_once.c
+++ b/tests/session_once.c
@@ -16,10 +16,10 @@
 static drv_call_t *
 send_booking (drv_t *drv, uint32_t router, const char *name, const char *key)
 {
-  drv_ask_t ask = {
+  drv_ask_t request = {
     .name = name, .same_body_as = key, .kind = DRV_BOOKING, .router = router, .key = key
   };
-  return drv_ask (drv, &ask);
+  return drv_ask (drv, &request);
 }
 
 static drv_call_t *
@@ -120,7 +120,7 @@
  * deadline; all other requests are answered. A slow log only delays bookings with a key, unless the
  * delay exceeds their deadline. */
 static void
-test_log_out (void)
+test_log_down (void)
 {
   drv_t *drv = drv_new ("once_log_out");
   drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1 };
@@ -231,19 +231,19 @@
  * answered that it may have run, as the claim is in force. When the sidecar continues, the deadline
  * has passed: it must not run the booking and releases the key, so that a further resend runs. */
 static void
-test_claim_owner_frozen (void)
+test_claim_owner_paused (void)
 {
   drv_t *drv = drv_new ("once_frozen");
   drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2, .use_proxies = true };
   drv_start (drv, &fleet);
   for (uint32_t i = 0; i < drv->host_count; i++)
     drv_forward_set (drv->hosts[i].log, DRV_HOLD, "claims", 0);
-  drv_ask_t ask = { .name = "holder frozen",
-                    .same_body_as = "k",
-                    .kind = DRV_BOOKING,
-                    .key = "k",
-                    .deadline_ms = 3000 };
-  drv_call_t *first = drv_ask (drv, &ask);
+  drv_ask_t request = { .name = "holder frozen",
+                        .same_body_as = "k",
+                        .kind = DRV_BOOKING,
+                        .key = "k",
+                        .deadline_ms = 3000 };
+  drv_call_t *first = drv_ask (drv, &request);
   drv_until (drv, DRV_WAIT_MS, "the claim", any_host_has_hits, drv);
   drv_host_t *claim_owner = host_with_hits (drv);
   drv_in_log (drv, CLAIM_STREAM, "\"c\"");
@@ -253,12 +253,12 @@
   drv_answered (first);
   drv_tell (first);
   /* The router keeps sending to a host after its first failures, and then chooses another. */
-  ask.name = "resend while it is frozen";
-  ask.deadline_ms = 1500;
+  request.name = "resend while it is frozen";
+  request.deadline_ms = 1500;
   drv_call_t *resend;
   do
     {
-      resend = drv_ask (drv, &ask);
+      resend = drv_ask (drv, &request);
       drv_answered (resend);
     }
   while (!drv->failed && resend->status == 504);
@@ -272,12 +272,14 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "through both routers at once", test_both_routers },
-                                      { "the log's answer is lost", test_claim_append_lost },
-                                      { "the log is out or slow", test_log_out },
-                                      { "the sidecar is killed", test_sidecar_killed },
-                                      { "the engine is killed", test_engine_killed },
-                                      { "the router is killed", test_router_killed },
-                                      { "the holder is frozen", test_claim_owner_frozen } };
+  static const drv_test_t tests[] = {
+    { "through both routers at once", test_both_routers },
+    { "the append or its response is lost", test_claim_append_lost },
+    { "the log is down or slow", test_log_down },
+    { "the sidecar is killed", test_sidecar_killed },
+    { "the engine is killed", test_engine_killed },
+    { "the router is killed", test_router_killed },
+    { "the owner of the claim is paused", test_claim_owner_paused }
+  };
   return drv_main ("once", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_path.c
+++ b/tests/session_path.c
@@ -14,12 +14,12 @@
 send_chat_twice (drv_t *drv)
 {
   g_autofree char *history = g_strnfill (4000, 'h');
-  drv_ask_t ask = { .name = "chat comes", .chat = "c1", .text = history };
-  drv_call_t *first = drv_ask (drv, &ask);
+  drv_ask_t request = { .name = "chat comes", .chat = "c1", .text = history };
+  drv_call_t *first = drv_ask (drv, &request);
   drv_answered (first);
-  ask.name = "chat returns by the other router";
-  ask.router = 1;
-  drv_call_t *second = drv_ask (drv, &ask);
+  request.name = "chat returns by the other router";
+  request.router = 1;
+  drv_call_t *second = drv_ask (drv, &request);
   drv_answered (second);
   drv_tell (first);
   drv_tell (second);
@@ -37,13 +37,13 @@
 send_invalid_requests (drv_t *drv)
 {
   g_autofree char *large = g_strnfill (BODY_LIMIT_BYTES, 'x');
-  drv_ask_t asks[] = {
+  drv_ask_t requests[] = {
     { .name = "no such key", .authorization = "Bearer nobody" },
     { .name = "a body that is too large", .text = large },
   };
-  for (uint32_t i = 0; i < G_N_ELEMENTS (asks); i++)
+  for (uint32_t i = 0; i < G_N_ELEMENTS (requests); i++)
     {
-      drv_call_t *call = drv_ask (drv, &asks[i]);
+      drv_call_t *call = drv_ask (drv, &requests[i]);
       drv_answered (call);
       drv_tell (call);
     }
@@ -62,7 +62,7 @@
     .model_hosts = 3, .plain_hosts = 2, .routers = 2, .daemon_flags = "--body-limit-bytes=65536"
   };
   drv_start (drv, &fleet);
-  drv_ask_t asks[] = {
+  drv_ask_t requests[] = {
     { .name = "plain chat" },
     { .name = "streamed chat", .stream = true, .tokens = 20 },
     { .name = "tag", .kind = DRV_TAG },
@@ -80,9 +80,9 @@
       .key = "b1",
       .account = "beta" },
   };
-  for (uint32_t i = 0; i < G_N_ELEMENTS (asks); i++)
+  for (uint32_t i = 0; i < G_N_ELEMENTS (requests); i++)
     {
-      drv_call_t *call = drv_ask (drv, &asks[i]);
+      drv_call_t *call = drv_ask (drv, &requests[i]);
       drv_answered (call);
       drv_tell (call);
     }
@@ -94,6 +94,6 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "the whole path", test_path } };
+  static const drv_test_t tests[] = { { "requests without faults", test_path } };
   return drv_main ("path", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_stop.c
+++ b/tests/session_stop.c
@@ -17,10 +17,10 @@
 static drv_call_t *
 start_stream (drv_t *drv, uint32_t router, const char *name)
 {
-  drv_ask_t ask = {
+  drv_ask_t request = {
     .name = name, .chat = name, .router = router, .stream = true, .tokens = STREAM_TOKENS
   };
-  drv_call_t *call = drv_ask (drv, &ask);
+  drv_call_t *call = drv_ask (drv, &request);
   drv_begun (call);
   return call;
 }
@@ -44,14 +44,14 @@
   for (uint32_t i = 0; i < CHATS; i++)
     {
       g_autofree char *name = g_strdup_printf ("%s %u", title, i);
-      drv_ask_t ask = { .name = name, .chat = name, .router = i % 2 };
-      calls[i] = drv_ask (drv, &ask);
+      drv_ask_t request = { .name = name, .chat = name, .router = i % 2 };
+      calls[i] = drv_ask (drv, &request);
       drv_answered (calls[i]);
     }
-  uint32_t own = 0;
+  uint32_t answered = 0;
   for (uint32_t i = 0; i < CHATS; i++)
-    own += drv_own_answer (calls[i]) ? 1 : 0;
-  drv_say (drv, "%s: %u of %d chats answered", title, own, CHATS);
+    answered += drv_own_answer (calls[i]) ? 1 : 0;
+  drv_say (drv, "%s: %u of %d chats answered", title, answered, CHATS);
 }
 
 /* Makes a host leave while it streams a response. The stream must be complete, and after the grace
@@ -164,7 +164,7 @@
  * leaving, and the grace period ends. When the sidecar continues, it reads the tags before it
  * learns that it is leaving: it must refuse them, so that they run on other hosts. */
 static void
-test_leaving_frozen (void)
+test_leaving_paused (void)
 {
   drv_t *drv = drv_new ("leaving_frozen");
   drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
@@ -175,10 +175,10 @@
   for (uint32_t i = 0; i < CHATS; i++)
     {
       g_autofree char *name = g_strdup_printf ("tag %u", i);
-      drv_ask_t ask = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
-      calls[i] = drv_ask (drv, &ask);
-      drv_for (drv, SEND_INTERVAL_MS); /* if sent at once, most would be refused instead of waiting
-                                          at the frozen host */
+      drv_ask_t request = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
+      calls[i] = drv_ask (drv, &request);
+      /* If sent at once, most would be refused instead of waiting at the paused host. */
+      drv_for (drv, SEND_INTERVAL_MS);
     }
   drv_until (drv, DRV_WAIT_MS, "tags on the other engines", half_have_ended, calls);
   leave_by_list (host);
@@ -187,13 +187,13 @@
   drv_left (host);
   drv_signal (host->sidecar, SIGCONT);
   drv_all_answered (drv);
-  uint32_t own = 0;
+  uint32_t answered = 0;
   for (uint32_t i = 0; i < CHATS; i++)
     if (drv_own_answer (calls[i]))
-      own++;
+      answered++;
     else
       drv_tell (calls[i]);
-  drv_say (drv, "after it woke: %u of %d tags answered", own, CHATS);
+  drv_say (drv, "after it woke: %u of %d tags answered", answered, CHATS);
   drv_finish (drv);
 }
 
@@ -226,8 +226,8 @@
   drv_say (drv, "sidecar: status %d", drv_ended (host->sidecar));
   drv_answered (in_flight);
   drv_tell (in_flight);
-  drv_ask_t ask = { .name = "after both", .router = 1 };
-  drv_call_t *after = drv_ask (drv, &ask);
+  drv_ask_t request = { .name = "after both", .router = 1 };
+  drv_call_t *after = drv_ask (drv, &request);
   drv_answered (after);
   drv_tell (after);
   drv_finish (drv);
@@ -236,10 +236,12 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "hosts leave", test_leaving },
-                                      { "a host leaves that not all see", test_outdated_lists },
-                                      { "a host flaps", test_flapping },
-                                      { "a host leaves while it is frozen", test_leaving_frozen },
-                                      { "daemons are stopped", test_stop } };
+  static const drv_test_t tests[] = {
+    { "hosts leave", test_leaving },
+    { "a host leaves, some daemons have an outdated list", test_outdated_lists },
+    { "a host is restarted repeatedly", test_flapping },
+    { "a host leaves while its sidecar is paused", test_leaving_paused },
+    { "daemons are stopped", test_stop }
+  };
   return drv_main ("stop", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_surge.c
+++ b/tests/session_surge.c
@@ -56,13 +56,13 @@
   for (uint32_t i = 0; i < SURGE_REQUESTS; i++)
     {
       g_autofree char *name = g_strdup_printf ("surge %u", i);
-      drv_ask_t ask = { .name = name,
-                        .account = "beta",
-                        .chat = name,
-                        .router = i % 2,
-                        .stream = true,
-                        .tokens = 100 };
-      surge->surge[i] = drv_ask (surge->drv, &ask);
+      drv_ask_t request = { .name = name,
+                            .account = "beta",
+                            .chat = name,
+                            .router = i % 2,
+                            .stream = true,
+                            .tokens = 100 };
+      surge->surge[i] = drv_ask (surge->drv, &request);
     }
 }
 
@@ -74,8 +74,8 @@
   for (uint32_t i = 0; i < TAGS; i++)
     {
       g_autofree char *name = g_strdup_printf ("tag %u", i);
-      drv_ask_t ask = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
-      drv_call_t *call = drv_ask (surge->drv, &ask);
+      drv_ask_t request = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
+      drv_call_t *call = drv_ask (surge->drv, &request);
       drv_answered (call);
       answered += drv_own_answer (call) ? 1 : 0;
       in_time = in_time && call->ended_us - call->sent_us < TAG_LIMIT_US;
--- a/tests/session_together.c
+++ b/tests/session_together.c
@@ -101,7 +101,7 @@
 /* While a sidecar is stopped by SIGSTOP, a manifest version is published and its host is listed as
  * leaving. When the sidecar continues, it must not accept requests based on its outdated state. */
 static void
-test_frozen_during_publish (drv_t *drv)
+test_paused_during_publish (drv_t *drv)
 {
   drv_host_t *host = &drv->hosts[2];
   drv_signal (host->sidecar, SIGSTOP);
@@ -115,8 +115,8 @@
   for (uint32_t i = 0; i < 10; i++)
     {
       g_autofree char *name = g_strdup_printf ("booking %u after it woke", i);
-      drv_ask_t ask = { .name = name, .kind = DRV_BOOKING, .router = 1 };
-      drv_call_t *call = drv_ask (drv, &ask);
+      drv_ask_t request = { .name = name, .kind = DRV_BOOKING, .router = 1 };
+      drv_call_t *call = drv_ask (drv, &request);
       drv_answered (call);
       if (!drv_own_answer (call))
         drv_tell (call);
@@ -137,7 +137,7 @@
   test_log_and_sidecar (drv);
   test_lost_response_and_router (drv);
   test_log_and_restarts (drv);
-  test_frozen_during_publish (drv);
+  test_paused_during_publish (drv);
   drv_finish (drv);
 }
 
--- a/tests/session_two.c
+++ b/tests/session_two.c
@@ -235,8 +235,8 @@
 main (void)
 {
   static const drv_test_t tests[] = {
-    { "log out, engines killed, one account surges", test_log_down_with_surge },
-    { "list split, all sidecars replaced", test_rolling_restart_outdated_list }
+    { "log down, engines killed, one account surges", test_log_down_with_surge },
+    { "outdated list, all sidecars restarted", test_rolling_restart_outdated_list }
   };
   return drv_main ("two", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_verdict.c
+++ b/tests/session_verdict.c
@@ -13,8 +13,8 @@
 static drv_call_t *
 send_booking (drv_t *drv, const char *name)
 {
-  drv_ask_t ask = { .name = name, .kind = DRV_BOOKING, .deadline_ms = 3000 };
-  return drv_ask (drv, &ask);
+  drv_ask_t request = { .name = name, .kind = DRV_BOOKING, .deadline_ms = 3000 };
+  return drv_ask (drv, &request);
 }
 
 static void
@@ -109,10 +109,10 @@
   drv_start (drv, &fleet);
   drv_host_t *host = &drv->hosts[1];
   drv_forward_set (host->hop, DRV_HOLD, BOOKING_PATH, 0);
-  drv_ask_t ask = { .name = "sidecar restarted while it runs",
-                    .kind = DRV_BOOKING,
-                    .deadline_ms = 20000 };
-  drv_call_t *call = drv_ask (drv, &ask);
+  drv_ask_t request = { .name = "sidecar restarted while it runs",
+                        .kind = DRV_BOOKING,
+                        .deadline_ms = 20000 };
+  drv_call_t *call = drv_ask (drv, &request);
   wait_until_run (call);
   drv_kill (host->sidecar);
   drv_process_start (host->sidecar);
@@ -127,7 +127,7 @@
  * deadline and can only answer that the booking may have run. When the sidecar continues, it finds
  * the booking in its socket; as the deadline has passed and the caller is gone, it must not run. */
 static void
-test_sidecar_frozen (void)
+test_sidecar_paused (void)
 {
   drv_t *drv = drv_new ("verdict_frozen");
   drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1, .use_proxies = true };
@@ -148,9 +148,10 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "the hop is cut", test_connection_lost },
+  static const drv_test_t tests[] = { { "the connection to the sidecar is lost",
+                                        test_connection_lost },
                                       { "the sidecar is killed", test_sidecar_killed },
                                       { "the sidecar is restarted", test_sidecar_restarted },
-                                      { "the sidecar is frozen", test_sidecar_frozen } };
+                                      { "the sidecar is paused", test_sidecar_paused } };
   return drv_main ("verdict", tests, G_N_ELEMENTS (tests));
 }
