--- a/tests/session_path.c
+++ b/tests/session_path.c
@@ -1,23 +1,25 @@
 /**
  * DOC: session_path
  *
- * The whole path of a request without faults, and the errors that are the caller's own.
+ * Requests of all kinds through a fleet without faults, and requests that are refused because of an
+ * error of the caller.
  */
 #include "driver.h"
 
 #define BODY_LIMIT_BYTES 65536
 
-/* A chat returns and finds its prompt cached; it went to the engine that answered it before. */
+/* The second request of a chat, through another router, goes to the engine that answered the first
+ * and finds its prompt in the cache. */
 static void
-returning_chat (drv_t *drv)
+send_chat_twice (drv_t *drv)
 {
   g_autofree char *history = g_strnfill (4000, 'h');
-  drv_ask_t ask = { .name = "chat comes", .chat = "c1", .text = history };
-  drv_call_t *first = drv_ask (drv, &ask);
+  drv_ask_t request = { .name = "chat comes", .chat = "c1", .text = history };
+  drv_call_t *first = drv_ask (drv, &request);
   drv_answered (first);
-  ask.name = "chat returns by the other router";
-  ask.router = 1;
-  drv_call_t *second = drv_ask (drv, &ask);
+  request.name = "chat returns by the other router";
+  request.router = 1;
+  drv_call_t *second = drv_ask (drv, &request);
   drv_answered (second);
   drv_tell (first);
   drv_tell (second);
@@ -32,16 +34,16 @@
 }
 
 static void
-callers_own_errors (drv_t *drv)
+send_invalid_requests (drv_t *drv)
 {
   g_autofree char *large = g_strnfill (BODY_LIMIT_BYTES, 'x');
-  drv_ask_t asks[] = {
+  drv_ask_t requests[] = {
     { .name = "no such key", .authorization = "Bearer nobody" },
     { .name = "a body that is too large", .text = large },
   };
-  for (uint32_t i = 0; i < G_N_ELEMENTS (asks); i++)
+  for (uint32_t i = 0; i < G_N_ELEMENTS (requests); i++)
     {
-      drv_call_t *call = drv_ask (drv, &asks[i]);
+      drv_call_t *call = drv_ask (drv, &requests[i]);
       drv_answered (call);
       drv_tell (call);
     }
@@ -57,10 +59,10 @@
 {
   drv_t *drv = drv_new ("path");
   drv_fleet_t fleet = {
-    .models = 3, .plains = 2, .routers = 2, .daemon_flags = "--body-limit-bytes=65536"
+    .model_hosts = 3, .plain_hosts = 2, .routers = 2, .daemon_flags = "--body-limit-bytes=65536"
   };
   drv_start (drv, &fleet);
-  drv_ask_t asks[] = {
+  drv_ask_t requests[] = {
     { .name = "plain chat" },
     { .name = "streamed chat", .stream = true, .tokens = 20 },
     { .name = "tag", .kind = DRV_TAG },
@@ -68,27 +70,30 @@
     { .name = "lookup", .kind = DRV_LOOKUP, .account = "beta" },
     { .name = "booking", .kind = DRV_BOOKING },
     { .name = "booking with a key", .kind = DRV_BOOKING, .key = "b1" },
-    { .name = "its resend", .same_as = "booking with a key", .kind = DRV_BOOKING, .key = "b1" },
+    { .name = "its resend",
+      .same_body_as = "booking with a key",
+      .kind = DRV_BOOKING,
+      .key = "b1" },
     { .name = "the same key, another body", .kind = DRV_BOOKING, .key = "b1" },
     { .name = "the same key, another account",
       .kind = DRV_BOOKING,
       .key = "b1",
       .account = "beta" },
   };
-  for (uint32_t i = 0; i < G_N_ELEMENTS (asks); i++)
+  for (uint32_t i = 0; i < G_N_ELEMENTS (requests); i++)
     {
-      drv_call_t *call = drv_ask (drv, &asks[i]);
+      drv_call_t *call = drv_ask (drv, &requests[i]);
       drv_answered (call);
       drv_tell (call);
     }
-  returning_chat (drv);
-  callers_own_errors (drv);
+  send_chat_twice (drv);
+  send_invalid_requests (drv);
   drv_finish (drv);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "the whole path", test_path } };
+  static const drv_test_t tests[] = { { "requests without faults", test_path } };
   return drv_main ("path", tests, G_N_ELEMENTS (tests));
 }
