--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -33,13 +33,13 @@
 }
 
 static GPtrArray *
-get_stream (const fkp_t *platform, const char *name)
+get_stream (const fkp_t *fake, const char *name)
 {
-  GPtrArray *records = g_hash_table_lookup (platform->streams, name);
+  GPtrArray *records = g_hash_table_lookup (fake->streams, name);
   if (records == NULL)
     {
       records = g_ptr_array_new_with_free_func (g_free);
-      g_hash_table_insert (platform->streams, g_strdup (name), records);
+      g_hash_table_insert (fake->streams, g_strdup (name), records);
     }
   return records;
 }
@@ -52,15 +52,15 @@
              plt_appended_t done,
              void *context)
 {
-  fkp_t *platform = (fkp_t *)plt;
+  fkp_t *fake = (fkp_t *)plt;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_APPEND;
   call->stream = g_strdup (stream);
   call->data = g_strndup (data, data_bytes);
   call->appended = done;
   call->context = context;
-  g_queue_push_tail (&platform->calls, call);
-  platform->appends++;
+  g_queue_push_tail (&fake->calls, call);
+  fake->appends++;
 }
 
 static void
@@ -72,71 +72,71 @@
            plt_read_done_t done,
            void *context)
 {
-  fkp_t *platform = (fkp_t *)plt;
+  fkp_t *fake = (fkp_t *)plt;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_READ;
   call->stream = g_strdup (stream);
   call->from_offset = from_offset;
   call->max_records = max_records;
-  call->until_ms = platform->now_ms + wait_ms;
+  call->until_ms = fake->now_ms + wait_ms;
   call->read = done;
   call->context = context;
-  g_queue_push_tail (&platform->calls, call);
-  platform->reads++;
+  g_queue_push_tail (&fake->calls, call);
+  fake->reads++;
 }
 
 static void
 fake_hosts (plt_t *plt, uint64_t revision, plt_hosts_done_t done, void *context)
 {
-  fkp_t *platform = (fkp_t *)plt;
+  fkp_t *fake = (fkp_t *)plt;
   (void)revision;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_HOSTS;
   call->hosts = done;
   call->context = context;
-  g_queue_push_tail (&platform->calls, call);
-  platform->lists++;
+  g_queue_push_tail (&fake->calls, call);
+  fake->lists++;
 }
 
 static void
 fake_free (plt_t *plt)
 {
-  fkp_t *platform = (fkp_t *)plt;
-  g_queue_clear_full (&platform->calls, call_free);
-  platform->freed = true;
+  fkp_t *fake = (fkp_t *)plt;
+  g_queue_clear_full (&fake->calls, call_free);
+  fake->freed = true;
 }
 
 static void
-answer_append (fkp_t *platform, const call_t *call)
+answer_append (fkp_t *fake, const call_t *call)
 {
-  if (platform->append_down)
+  if (fake->append_down)
     {
       call->appended (PLT_UNKNOWN, 0, call->context);
       return;
     }
-  if (platform->append_refused)
+  if (fake->append_refused)
     {
       call->appended (PLT_REFUSED, 0, call->context);
       return;
     }
-  GPtrArray *records = get_stream (platform, call->stream);
+  GPtrArray *records = get_stream (fake, call->stream);
   uint64_t offset = records->len;
   g_ptr_array_add (records, g_strdup (call->data));
-  call->appended (platform->append_lost ? PLT_UNKNOWN : PLT_OK, offset, call->context);
+  call->appended (fake->append_lost ? PLT_UNKNOWN : PLT_OK, offset, call->context);
 }
 
 static void
-answer_read (const fkp_t *platform, const call_t *call)
+answer_read (const fkp_t *fake, const call_t *call)
 {
   plt_read_t read = { .outcome = PLT_UNKNOWN };
-  if (platform->read_down)
+  if (fake->read_down)
     {
       call->read (&read, call->context);
       return;
     }
-  const GPtrArray *stream = get_stream (platform, call->stream);
+  const GPtrArray *stream = get_stream (fake, call->stream);
   read.outcome = PLT_OK;
-  read.first_offset = MIN (platform->first_offset, stream->len);
+  read.first_offset = MIN (fake->first_offset, stream->len);
   read.end_offset = stream->len;
   uint64_t from = MAX (call->from_offset, read.first_offset);
   uint64_t count = from < stream->len ? MIN (stream->len - from, call->max_records) : 0;
@@ -155,99 +155,95 @@
 }
 
 static void
-answer_hosts (const fkp_t *platform, const call_t *call)
+answer_hosts (const fkp_t *fake, const call_t *call)
 {
   plt_hosts_t hosts = { .outcome = PLT_UNKNOWN };
-  if (!platform->list_down)
+  if (!fake->list_down)
     {
       hosts.outcome = PLT_OK;
       hosts.full = true;
-      hosts.revision = platform->revision;
-      hosts.hosts = platform->hosts;
-      hosts.host_count = platform->host_count;
+      hosts.revision = fake->revision;
+      hosts.hosts = fake->hosts;
+      hosts.host_count = fake->host_count;
     }
   call->hosts (&hosts, call->context);
 }
 
 static void
-answer_call (fkp_t *platform, const call_t *call)
+answer_call (fkp_t *fake, const call_t *call)
 {
   switch (call->kind)
     {
     case CALL_APPEND:
-      answer_append (platform, call);
+      answer_append (fake, call);
       break;
     case CALL_READ:
-      answer_read (platform, call);
+      answer_read (fake, call);
       break;
     case CALL_HOSTS:
-      answer_hosts (platform, call);
+      answer_hosts (fake, call);
       break;
     }
 }
 
 static bool
-must_wait (const fkp_t *platform, const call_t *call)
+must_wait (const fkp_t *fake, const call_t *call)
 {
-  if (call->kind == CALL_READ && platform->read_stuck)
+  if (call->kind == CALL_READ && fake->read_stuck)
     return true;
-  if (call->kind != CALL_READ || call->until_ms <= platform->now_ms || platform->read_down)
+  if (call->kind != CALL_READ || call->until_ms <= fake->now_ms || fake->read_down)
     return false;
-  return call->from_offset >= get_stream (platform, call->stream)->len;
+  return call->from_offset >= get_stream (fake, call->stream)->len;
 }
 
 void
-fkp_init (fkp_t *platform)
+fkp_init (fkp_t *fake)
 {
-  memset (platform, 0, sizeof *platform);
-  platform->plt.append = fake_append;
-  platform->plt.read = fake_read;
-  platform->plt.hosts = fake_hosts;
-  platform->plt.free = fake_free;
-  platform->streams =
+  memset (fake, 0, sizeof *fake);
+  fake->plt.append = fake_append;
+  fake->plt.read = fake_read;
+  fake->plt.hosts = fake_hosts;
+  fake->plt.free = fake_free;
+  fake->streams =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-  g_queue_init (&platform->calls);
+  g_queue_init (&fake->calls);
 }
 
 void
-fkp_clear (fkp_t *platform)
+fkp_clear (fkp_t *fake)
 {
-  g_queue_clear_full (&platform->calls, call_free);
-  g_hash_table_destroy (platform->streams);
+  g_queue_clear_full (&fake->calls, call_free);
+  g_hash_table_destroy (fake->streams);
 }
 
 void
-fkp_put (fkp_t *platform, const char *stream, const char *record)
+fkp_put (fkp_t *fake, const char *stream, const char *record)
 {
-  g_ptr_array_add (get_stream (platform, stream), g_strdup (record));
+  g_ptr_array_add (get_stream (fake, stream), g_strdup (record));
 }
 
 uint32_t
-fkp_length (const fkp_t *platform, const char *stream)
+fkp_length (const fkp_t *fake, const char *stream)
 {
-  return get_stream (platform, stream)->len;
+  return get_stream (fake, stream)->len;
 }
 
 const char *
-fkp_record (const fkp_t *platform, const char *stream, uint32_t offset)
+fkp_record (const fkp_t *fake, const char *stream, uint32_t offset)
 {
-  return g_ptr_array_index (get_stream (platform, stream), offset);
+  return g_ptr_array_index (get_stream (fake, stream), offset);
 }
 
 void
-fkp_host (fkp_t *platform,
-          const char *name,
-          bool router,
-          const char *ip,
-          uint16_t port,
-          mem_state_t state)
+fkp_host (
+    fkp_t *fake, const char *name, bool router, const char *ip, uint16_t port, mem_state_t state)
 {
   uint32_t i = 0;
-  while (i < platform->host_count && strcmp (platform->hosts[i].name, name) != 0)
+  while (i < fake->host_count && strcmp (fake->hosts[i].name, name) != 0)
     i++;
-  g_assert (i < G_N_ELEMENTS (platform->hosts));
-  platform->host_count = MAX (platform->host_count, i + 1);
-  mem_listed_t *host = &platform->hosts[i];
+  g_assert (i < G_N_ELEMENTS (fake->hosts));
+  fake->host_count = MAX (fake->host_count, i + 1);
+  mem_listed_t *host = &fake->hosts[i];
   g_strlcpy (host->name, name, sizeof host->name);
   g_strlcpy (host->data_center, "hall", sizeof host->data_center);
   g_strlcpy (host->region, "town", sizeof host->region);
@@ -256,22 +252,22 @@
   host->http = host->exchange;
   host->router = router;
   host->state = state;
-  platform->revision++;
+  fake->revision++;
 }
 
 uint32_t
-fkp_answer (fkp_t *platform)
+fkp_answer (fkp_t *fake)
 {
   uint32_t count = 0;
-  for (guint left = platform->calls.length; left > 0; left--)
+  for (guint left = fake->calls.length; left > 0; left--)
     {
-      call_t *call = g_queue_pop_head (&platform->calls);
-      if (must_wait (platform, call))
+      call_t *call = g_queue_pop_head (&fake->calls);
+      if (must_wait (fake, call))
         {
-          g_queue_push_tail (&platform->calls, call);
+          g_queue_push_tail (&fake->calls, call);
           continue;
         }
-      answer_call (platform, call);
+      answer_call (fake, call);
       call_free (call);
       count++;
     }
