--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -176,7 +176,7 @@
   start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
     {
-      mem_word_t report = { plc_hash_name (listed[i % host_count].name), 1, i, MEM_LIVE };
+      mem_word_t report = { rendezvous_hash_name (listed[i % host_count].name), 1, i, MEM_LIVE };
       mem_hear (mem, 3 * CLK_US_PER_S, &report);
     }
   print_row ("hear a host's word", host_count, "ns", (double)(cpu_ns () - start) / rounds);
@@ -231,22 +231,23 @@
 static void
 bench_mean (uint32_t engine_count)
 {
-  mean_table_t table;
-  mean_init (&table, 1);
+  load_samples_t table;
+  load_samples_init (&table, 1);
   const uint32_t rounds = 100000;
   uint64_t start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
     {
-      mean_sample_t sample = { .engine_hash = 1 + i % engine_count,
+      load_sample_t sample = { .engine_hash = 1 + i % engine_count,
                                .load = i % 20,
                                .taken_us = CLK_US_PER_S + i };
-      mean_add (&table, &sample);
+      load_samples_add (&table, &sample);
     }
   print_row ("keep a load sample", engine_count, "ns", (double)(cpu_ns () - start) / rounds);
   start = cpu_ns ();
   uint64_t sum = 0;
   for (uint32_t i = 0; i < rounds; i++)
-    sum += mean_estimate (&table, CLK_US_PER_S + rounds, NULL, engine_count).mean_milli;
+    sum +=
+        load_samples_estimate_mean (&table, CLK_US_PER_S + rounds, NULL, engine_count).mean_milli;
   print_row ("estimate the mean", engine_count, "ns", (double)(cpu_ns () - start) / rounds);
   if (sum == 0)
     fprintf (stderr, "bench_capacity: no mean\n");
@@ -261,7 +262,7 @@
     {
       char id[32];
       snprintf (id, sizeof id, "chat-%u", i);
-      chats[i] = plc_hash_chat ("account", id);
+      chats[i] = rendezvous_hash_chat ("account", id);
     }
   uint64_t heap = heap_bytes ();
   dir_t *dir = dir_new (LIM_DIRECTORY_ENTRIES);
@@ -317,18 +318,18 @@
 static void
 bench_placement (uint32_t engine_count)
 {
-  plc_engine_t *engines = g_new0 (plc_engine_t, engine_count);
+  rendezvous_engine_t *engines = g_new0 (rendezvous_engine_t, engine_count);
   for (uint32_t i = 0; i < engine_count; i++)
     {
       char name[32];
       snprintf (name, sizeof name, "dc-%u-engine-%u", i % 12, i);
-      engines[i] = (plc_engine_t){ plc_hash_name (name), i, 1 };
+      engines[i] = (rendezvous_engine_t){ rendezvous_hash_name (name), i, 1 };
     }
   const uint32_t rounds = 2000;
   uint32_t out[8];
   uint64_t start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
-    plc_rank (engines, engine_count, 7, i, out, 8);
+    rendezvous_rank (engines, engine_count, 7, i, out, 8);
   print_row ("rank eight candidates", engine_count, "ns", (double)(cpu_ns () - start) / rounds);
   print_row ("candidates in memory", engine_count, "bytes", (double)engine_count * sizeof *engines);
   g_free (engines);
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -37,11 +37,11 @@
 typedef struct
 {
   uint32_t engine_count;
-  plc_engine_t *engines;
-  chs_engine_t *details;
-  mean_table_t samples;
+  rendezvous_engine_t *engines;
+  candidates_engine_t *details;
+  load_samples_t samples;
   adm_t *adm;
-  egs_t *egs;
+  engines_t *egs;
   uint64_t random;
   uint64_t now_us;
   uint64_t sink;
@@ -58,29 +58,29 @@
 }
 
 static void
-add_samples (const fixture_t *fixture, mean_table_t *table)
+add_samples (const fixture_t *fixture, load_samples_t *table)
 {
   for (uint32_t i = 1; i < fixture->engine_count; i++)
     {
-      const mean_sample_t sample = { .engine_hash = fixture->engines[i].hash,
+      const load_sample_t sample = { .engine_hash = fixture->engines[i].hash,
                                      .service_hash = SERVICE_HASH,
                                      .load = 10 + i % 5,
                                      .taken_us = fixture->now_us + i };
-      mean_add (table, &sample);
+      load_samples_add (table, &sample);
     }
 }
 
 static void
 add_gateway_engines (fixture_t *fixture)
 {
-  egn_entry_t entry = { .service = g_intern_static_string ("pool"), .slots = SLOTS };
+  engine_entry_t entry = { .service = g_intern_static_string ("pool"), .slots = SLOTS };
 
-  fixture->egs = egs_new ();
+  fixture->egs = engines_new ();
   for (uint32_t i = 0; i < fixture->engine_count; i++)
     {
       g_snprintf (entry.id, sizeof entry.id, "engine-%u", i);
-      egn_told (egs_put (fixture->egs, fixture->now_us, &entry), fixture->now_us,
-                &(egn_load_t){ .running = 10 + i % 5, .slots = SLOTS });
+      engine_note_load (engines_put (fixture->egs, fixture->now_us, &entry), fixture->now_us,
+                        &(engine_load_t){ .running = 10 + i % 5, .slots = SLOTS });
     }
 }
 
@@ -88,11 +88,11 @@
 init_fixture (fixture_t *fixture, uint32_t engine_count)
 {
   *fixture = (fixture_t){ .engine_count = engine_count, .random = 1, .now_us = CLK_US_PER_S };
-  fixture->engines = g_new0 (plc_engine_t, engine_count);
-  fixture->details = g_new0 (chs_engine_t, engine_count);
+  fixture->engines = g_new0 (rendezvous_engine_t, engine_count);
+  fixture->details = g_new0 (candidates_engine_t, engine_count);
   for (uint32_t i = 0; i < engine_count; i++)
     fixture->engines[i] =
-        (plc_engine_t){ .hash = rnd_next (&fixture->random), .index = i, .weight = 1.0f };
+        (rendezvous_engine_t){ .hash = rnd_next (&fixture->random), .index = i, .weight = 1.0f };
   const adm_options_t options = { .engine_hash = fixture->engines[0].hash,
                                   .service_hash = SERVICE_HASH,
                                   .slots = SLOTS,
@@ -102,7 +102,7 @@
                                   .cache_lifetime_us = 240 * (uint64_t)CLK_US_PER_S,
                                   .seed = 1 };
   fixture->adm = adm_new (&options);
-  mean_init (&fixture->samples, 1);
+  load_samples_init (&fixture->samples, 1);
   add_samples (fixture, &fixture->samples);
   add_samples (fixture, adm_mean (fixture->adm));
   add_gateway_engines (fixture);
@@ -112,7 +112,7 @@
 clear_fixture (fixture_t *fixture)
 {
   adm_free (fixture->adm);
-  egs_free (fixture->egs);
+  engines_free (fixture->egs);
   g_free (fixture->engines);
   g_free (fixture->details);
 }
@@ -121,41 +121,42 @@
 run_rank (fixture_t *fixture)
 {
   uint32_t out[8];
-  plc_rank (fixture->engines, fixture->engine_count, SERVICE_HASH, rnd_next (&fixture->random), out,
-            8);
+  rendezvous_rank (fixture->engines, fixture->engine_count, SERVICE_HASH,
+                   rnd_next (&fixture->random), out, 8);
   fixture->sink += out[0];
 }
 
 static void
 run_choose_at_router (fixture_t *fixture)
 {
-  const chs_query_t query = { .now_us = fixture->now_us,
-                              .engines = fixture->engines,
-                              .details = fixture->details,
-                              .engine_count = fixture->engine_count,
-                              .service_hash = SERVICE_HASH,
-                              .chat_hash = rnd_next (&fixture->random),
-                              .samples = &fixture->samples };
-  fixture->sink += chs_choose (&query).home_hash;
+  const candidates_query_t query = { .now_us = fixture->now_us,
+                                     .engines = fixture->engines,
+                                     .details = fixture->details,
+                                     .engine_count = fixture->engine_count,
+                                     .service_hash = SERVICE_HASH,
+                                     .chat_hash = rnd_next (&fixture->random),
+                                     .samples = &fixture->samples };
+  fixture->sink += candidates_choose (&query).home_hash;
 }
 
 static void
 run_choose_at_gateway (fixture_t *fixture)
 {
-  const GPtrArray *engines = egs_list (fixture->egs, g_intern_static_string ("pool"));
-  const spr_request_t request = { .affinity = rnd_next (&fixture->random),
-                                  .data_center = "hall",
-                                  .gateways = 22 };
+  const GPtrArray *engines = engines_of_service (fixture->egs, g_intern_static_string ("pool"));
+  const engine_choice_request_t request = { .affinity = rnd_next (&fixture->random),
+                                            .data_center = "hall",
+                                            .gateways = 22 };
 
-  fixture->sink += spr_choose (engines, fixture->now_us, &request).load;
+  fixture->sink += engine_choice_make (engines, fixture->now_us, &request).load;
 }
 
 static void
 run_estimate (fixture_t *fixture)
 {
-  const mean_sample_t own = { .engine_hash = fixture->engines[0].hash, .load = 12 };
+  const load_sample_t own = { .engine_hash = fixture->engines[0].hash, .load = 12 };
   fixture->sink +=
-      mean_estimate (&fixture->samples, fixture->now_us, &own, fixture->engine_count).mean_milli;
+      load_samples_estimate_mean (&fixture->samples, fixture->now_us, &own, fixture->engine_count)
+          .mean_milli;
 }
 
 static adm_request_t
@@ -287,8 +288,9 @@
   adm_t *adm = adm_new (&options);
   printf ("sidecar\t%.0f\n", heap_bytes () - before);
   printf ("chat (directory entry)\t%zu\n", sizeof (dir_entry_t));
-  printf ("engine (candidate at a router)\t%zu\n", sizeof (plc_engine_t) + sizeof (chs_engine_t));
-  printf ("load sample\t%zu\n", sizeof (mean_sample_t));
+  printf ("engine (candidate at a router)\t%zu\n",
+          sizeof (rendezvous_engine_t) + sizeof (candidates_engine_t));
+  printf ("load sample\t%zu\n", sizeof (load_sample_t));
   printf ("request (admission state)\t%zu\n", sizeof (adm_request_t));
   adm_free (adm);
   const double idle = heap_bytes ();
--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -224,7 +224,7 @@
     {
       sim_gateway_t *gateway = g_ptr_array_index (sim->gateways, i);
 
-      egs_put (gateway->engines, sim->now_us, &engine->entry);
+      engines_put (gateway->engines, sim->now_us, &engine->entry);
     }
 }
 
@@ -235,7 +235,7 @@
 
   if (engine->index < engine_count / REMAINING_ENGINES_DIVISOR)
     return;
-  engine->entry.state = leaving ? EGN_LEAVING : EGN_READY;
+  engine->entry.state = leaving ? ENGINE_LEAVING : ENGINE_READY;
   update_gateways (sim, engine);
 }
 
--- a/bench/gateway/sim_engine.c
+++ b/bench/gateway/sim_engine.c
@@ -13,7 +13,7 @@
 {
   const sit_service_t *settings = &sim->site->services[service];
   sim_engine_t *engine = g_new0 (sim_engine_t, 1);
-  egn_entry_t *entry = &engine->entry;
+  engine_entry_t *entry = &engine->entry;
 
   engine->service = service;
   engine->index = index;
@@ -25,7 +25,7 @@
               index % sim->site->data_centers);
   entry->service = g_intern_string (settings->name);
   entry->slots = settings->slots;
-  entry->state = EGN_READY;
+  entry->state = ENGINE_READY;
   return engine;
 }
 
@@ -108,7 +108,7 @@
     {
       const sim_engine_t *other = g_ptr_array_index (sim->engines, i);
 
-      if (other->service != service || other->entry.state != EGN_READY)
+      if (other->service != service || other->entry.state != ENGINE_READY)
         continue;
       sum += sim_engine_load (other);
       ready_engines++;
@@ -124,12 +124,12 @@
   return engine->running->len + engine->queue->len;
 }
 
-egn_load_t
+engine_load_t
 sim_engine_told (const sim_engine_t *engine)
 {
-  return (egn_load_t){ .running = engine->running->len,
-                       .waiting = engine->queue->len,
-                       .slots = engine->entry.slots };
+  return (engine_load_t){ .running = engine->running->len,
+                          .waiting = engine->queue->len,
+                          .slots = engine->entry.slots };
 }
 
 static void
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -25,7 +25,7 @@
   sim_gateway_t *gateway = g_new0 (sim_gateway_t, 1);
 
   gateway->index = index;
-  gateway->engines = egs_new ();
+  gateway->engines = engines_new ();
   gateway->requests = g_ptr_array_new ();
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
     gateway->queues[i] = lin_new ();
@@ -33,9 +33,9 @@
     {
       const sim_engine_t *engine = g_ptr_array_index (sim->engines, i);
 
-      egs_put (gateway->engines, sim->now_us, &engine->entry);
+      engines_put (gateway->engines, sim->now_us, &engine->entry);
     }
-  egs_set_complete (gateway->engines);
+  engines_set_complete (gateway->engines);
   evt_add (&sim->events, sim->now_us + TICK_US + rnd_below (&sim->random, TICK_US), EVENT_TICK,
            index, NULL);
   return gateway;
@@ -48,7 +48,7 @@
 
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
     lin_free (gateway->queues[i]);
-  egs_free (gateway->engines);
+  engines_free (gateway->engines);
   g_ptr_array_free (gateway->requests, TRUE);
   g_free (gateway);
 }
@@ -88,7 +88,7 @@
 }
 
 static bool
-was_tried (const sim_request_t *request, const egn_t *egn)
+was_tried (const sim_request_t *request, const engine_t *egn)
 {
   for (uint32_t i = 0; i < request->tried_count; i++)
     if (request->tried[i] == egn->hash)
@@ -97,7 +97,7 @@
 }
 
 static uint64_t
-baseline_rank (sim_t *sim, const sim_request_t *request, const egn_t *egn)
+baseline_rank (sim_t *sim, const sim_request_t *request, const engine_t *egn)
 {
   uint64_t random_rank = rnd_next (&sim->random) >> 16;
 
@@ -109,20 +109,20 @@
 }
 
 /* Returns the available engine of the highest rank that the request was not sent to before. */
-static spr_choice_t
+static engine_choice_t
 baseline_choice (sim_t *sim, const sim_request_t *request, const GPtrArray *engines)
 {
-  spr_choice_t choice = { .action = SPR_NONE };
+  engine_choice_t choice = { .action = ENGINE_CHOICE_NONE };
   uint64_t best_rank = 0;
 
   for (guint i = 0; i < engines->len; i++)
     {
-      egn_t *egn = g_ptr_array_index (engines, i);
+      engine_t *egn = g_ptr_array_index (engines, i);
       uint64_t rank = baseline_rank (sim, request, egn);
 
-      if (!egn_is_open (egn) || was_tried (request, egn) || (choice.engine && rank <= best_rank))
+      if (!engine_is_open (egn) || was_tried (request, egn) || (choice.engine && rank <= best_rank))
         continue;
-      choice = (spr_choice_t){ .action = SPR_SEND, .engine = egn };
+      choice = (engine_choice_t){ .action = ENGINE_CHOICE_SEND, .engine = egn };
       best_rank = rank;
     }
   return choice;
@@ -146,7 +146,7 @@
 {
   bool uses_gauge = sim->options.policy != SIM_PATIENT;
 
-  return uses_gauge ? gau_told_milli (&load_of (request)->gauge, sim->now_us) : 0;
+  return uses_gauge ? load_gauge_utilization_milli (&load_of (request)->gauge, sim->now_us) : 0;
 }
 
 static bool
@@ -155,38 +155,39 @@
   const sim_load_t *load = load_of (request);
 
   return sim->options.policy != SIM_PATIENT &&
-         gau_is_surge (&load->gauge, sim->now_us, load->in_flight);
+         load_gauge_is_surge (&load->gauge, sim->now_us, load->in_flight);
 }
 
-static spr_choice_t
+static engine_choice_t
 choose_engine (sim_t *sim, const sim_request_t *request)
 {
-  const GPtrArray *engines = egs_list (request->gateway->engines, service_name (sim, request));
+  const GPtrArray *engines =
+      engines_of_service (request->gateway->engines, service_name (sim, request));
   char data_center[16];
 
   if (is_baseline (sim))
     return baseline_choice (sim, request, engines);
   g_snprintf (data_center, sizeof data_center, "hall-%u",
               request->gateway->index % sim->site->data_centers);
-  return spr_choose (
+  return engine_choice_make (
       engines, sim->now_us,
-      &(spr_request_t){ .affinity = request->prefix,
-                        .affinity_tokens = request->kind->prefix_tokens,
-                        .data_center = data_center,
-                        .repeatable = crs_may_leave (&request->crs, request->begun),
-                        .gateways = sim->site->gateways,
-                        .gateway_hash = request->gateway->index,
-                        .run_us = lin_run_us (queue_of (request)),
-                        .head_us = lin_head_us (queue_of (request)),
-                        .surge = is_surge (sim, request),
-                        .told_milli = reported_load_milli (sim, request),
-                        .late = request->queue_item.waiting && request->queue_item.late,
-                        .tried = request->tried,
-                        .tried_count = request->tried_count });
+      &(engine_choice_request_t){ .affinity = request->prefix,
+                                  .affinity_tokens = request->kind->prefix_tokens,
+                                  .data_center = data_center,
+                                  .repeatable = crs_may_leave (&request->crs, request->begun),
+                                  .gateways = sim->site->gateways,
+                                  .gateway_hash = request->gateway->index,
+                                  .run_us = lin_run_us (queue_of (request)),
+                                  .head_us = lin_head_us (queue_of (request)),
+                                  .surge = is_surge (sim, request),
+                                  .utilization_milli = reported_load_milli (sim, request),
+                                  .late = request->queue_item.waiting && request->queue_item.late,
+                                  .tried = request->tried,
+                                  .tried_count = request->tried_count });
 }
 
 static sim_engine_t *
-find_engine (const sim_t *sim, const egn_t *egn)
+find_engine (const sim_t *sim, const engine_t *egn)
 {
   for (guint i = 0; i < sim->engines->len; i++)
     {
@@ -223,7 +224,7 @@
 }
 
 static void
-send_request (sim_t *sim, sim_request_t *request, egn_t *egn)
+send_request (sim_t *sim, sim_request_t *request, engine_t *egn)
 {
   sim_send_t *attempt = g_new0 (sim_send_t, 1);
 
@@ -240,17 +241,17 @@
   sim->figures.sends++;
   if (request->attempt_count++ > request->crs.unsent)
     g_array_append_val (sim->retry_times[request->kind->service], sim->now_us);
-  egn_begin (egn, sim->now_us);
+  engine_begin_request (egn, sim->now_us);
   load_of (request)->in_flight++;
-  egn_probe (egn, sim->now_us);
+  engine_note_probe (egn, sim->now_us);
   sim_engine_take (sim, attempt);
 }
 
 static lin_room_t
 queue_capacity (const sim_t *sim, const sim_request_t *request)
 {
-  return (lin_room_t){ .slots = egs_open_slots (request->gateway->engines,
-                                                service_name (sim, request), sim->now_us),
+  return (lin_room_t){ .slots = engines_count_open_slots (request->gateway->engines,
+                                                          service_name (sim, request), sim->now_us),
                        .gateways = sim->site->gateways };
 }
 
@@ -268,7 +269,7 @@
 void
 sim_place (sim_t *sim, sim_request_t *request)
 {
-  spr_choice_t choice;
+  engine_choice_t choice;
 
   if (lin_count_in_time (queue_of (request)) > 0 && request->attempt_count == 0)
     {
@@ -276,9 +277,9 @@
       return;
     }
   choice = choose_engine (sim, request);
-  if (choice.action == SPR_SEND)
+  if (choice.action == ENGINE_CHOICE_SEND)
     send_request (sim, request, choice.engine);
-  else if (choice.action == SPR_WAIT)
+  else if (choice.action == ENGINE_CHOICE_WAIT)
     wait_in_queue (sim, request);
   else
     reject (sim, request, CLIENT_RETRY_MIN_US);
@@ -288,7 +289,7 @@
 typedef struct
 {
   sim_t *sim;
-  spr_choice_t choice;
+  engine_choice_t choice;
 } start_context_t;
 
 static bool
@@ -300,7 +301,7 @@
   if (request->crs.retry_due && retry_wait_us (start->sim, request) > 0)
     return false;
   start->choice = choose_engine (start->sim, request);
-  return start->choice.action != SPR_WAIT;
+  return start->choice.action != ENGINE_CHOICE_WAIT;
 }
 
 static void
@@ -311,7 +312,7 @@
 
   while ((request = lin_first (queue, may_start, &context)))
     {
-      if (context.choice.action == SPR_SEND)
+      if (context.choice.action == ENGINE_CHOICE_SEND)
         {
           send_request (sim, request, context.choice.engine);
           continue;
@@ -385,7 +386,7 @@
   attempt->request = NULL;
   request->attempt = NULL;
   load_of (request)->in_flight--;
-  egn_end (attempt->known_engine);
+  engine_end_request (attempt->known_engine);
   return request;
 }
 
@@ -394,7 +395,7 @@
 {
   sim_request_t *request = attempt->request;
   sim_engine_t *engine = attempt->engine;
-  egn_load_t reported;
+  engine_load_t reported;
   bool failed;
 
   if (attempt->over)
@@ -404,10 +405,10 @@
   attempt->known_engine->heard_us = sim->now_us;
   reported = sim->site->services[engine->service].reports_load_at_start ? attempt->begun_load
                                                                         : sim_engine_told (engine);
-  egn_told (attempt->known_engine, sim->now_us, &reported);
-  gau_told (&load_of (request)->gauge, sim->now_us, reported.running + reported.waiting,
-            reported.slots, load_of (request)->in_flight);
-  egn_worked (attempt->known_engine, sim->now_us, failed);
+  engine_note_load (attempt->known_engine, sim->now_us, &reported);
+  load_gauge_add (&load_of (request)->gauge, sim->now_us, reported.running + reported.waiting,
+                  reported.slots, load_of (request)->in_flight);
+  engine_note_answer (attempt->known_engine, sim->now_us, failed);
   lin_note_head (queue_of (request), sim->now_us - attempt->sent_us);
   if (failed)
     {
@@ -426,8 +427,9 @@
   uint64_t duration_us = kind->events > 0 ? (sim->now_us - attempt->heard_us) / kind->events
                                           : sim->now_us - attempt->sent_us;
 
-  egn_paced (attempt->known_engine, sim->now_us,
-             pac_sample (&attempt->request->gateway->paces[kind - sim->site->kinds], duration_us));
+  engine_note_latency (
+      attempt->known_engine, sim->now_us,
+      pac_sample (&attempt->request->gateway->paces[kind - sim->site->kinds], duration_us));
 }
 
 void
@@ -445,7 +447,7 @@
     lin_note_run (queue_of (attempt->request), &attempt->request->queue_item,
                   sim->now_us - attempt->sent_us);
   else if (outcome != CRS_FAILED)
-    egn_failed (attempt->known_engine, sim->now_us);
+    engine_note_failure (attempt->known_engine, sim->now_us);
   request = detach_attempt (attempt);
   queue = queue_of (request);
   if (whole)
@@ -463,10 +465,10 @@
   if (attempt->over)
     return;
   if (!attempt->reached)
-    egn_failed (attempt->known_engine, sim->now_us);
+    engine_note_failure (attempt->known_engine, sim->now_us);
   else if (!is_baseline (sim))
     {
-      egn_full (attempt->known_engine, sim->now_us);
+      engine_note_full (attempt->known_engine, sim->now_us);
       attempt->request->tried_count--;
     }
   request = detach_attempt (attempt);
@@ -511,7 +513,7 @@
   if (attempt->heard_us != 0 || !crs_may_leave (&request->crs, request->begun) ||
       !ptc_is_lost (&timeout, sim->now_us))
     return;
-  egn_failed (attempt->known_engine, sim->now_us);
+  engine_note_failure (attempt->known_engine, sim->now_us);
   sim_engine_drop (sim, attempt);
   detach_attempt (attempt);
   continue_request (sim, request, CRS_UNKNOWN);
--- a/bench/gateway/sim_parts.h
+++ b/bench/gateway/sim_parts.h
@@ -78,7 +78,7 @@
  */
 typedef struct
 {
-  egn_entry_t entry;
+  engine_entry_t entry;
   uint32_t service;
   uint32_t index;
   sim_mode_t mode;
@@ -95,7 +95,7 @@
  */
 typedef struct
 {
-  gau_t gauge;
+  load_gauge_t gauge;
   uint64_t in_flight;
 } sim_load_t;
 
@@ -112,7 +112,7 @@
 typedef struct
 {
   uint32_t index;
-  egs_t *engines;
+  engines_t *engines;
   lin_t *queues[SIT_SERVICES];
   sim_load_t loads[SIT_SERVICES];
   rsh_t retries[SIT_SERVICES];
@@ -171,10 +171,10 @@
 {
   sim_request_t *request;
   sim_engine_t *engine;
-  egn_t *known_engine;
+  engine_t *known_engine;
   uint64_t sent_us;
   uint64_t heard_us;
-  egn_load_t begun_load;
+  engine_load_t begun_load;
   bool over;
   bool reached;
 };
@@ -223,7 +223,7 @@
 /** sim_engine_load() - attempts that run or wait at @engine */
 uint32_t sim_engine_load (const sim_engine_t *engine);
 /** sim_engine_told() - the load that @engine would report in a response now */
-egn_load_t sim_engine_told (const sim_engine_t *engine);
+engine_load_t sim_engine_told (const sim_engine_t *engine);
 /** sim_engine_set_mode() - changes the behaviour; %ENGINE_DOWN aborts all attempts at @engine */
 void sim_engine_set_mode (sim_t *sim, sim_engine_t *engine, sim_mode_t mode);
 
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -169,7 +169,7 @@
     return;
   ctrl_talk_t *talk = &node->ctrl->talk;
   talk->has_own_sample = true;
-  talk->own_sample = (mean_sample_t){
+  talk->own_sample = (load_sample_t){
     .engine_hash = node->ctrl->own_hash,
     .service_hash = node->flt->man->services[node->service].hash,
     .load = (uint32_t)llround (flt_load (node)),
--- a/bench/world.c
+++ b/bench/world.c
@@ -37,7 +37,7 @@
     {
       wld_engine_t *engine = &sim->engines[i];
       snprintf (engine->name, sizeof engine->name, "engine-%u", i);
-      engine->hash = plc_hash_name (engine->name);
+      engine->hash = rendezvous_hash_name (engine->name);
       engine->index = i;
       engine->daemon.engine = engine;
       g_queue_init (&engine->running);
@@ -71,13 +71,13 @@
   sim->options = *options;
   sim->figures = figures;
   sim->end_us = options->warm_up_us + options->window_us;
-  sim->service_hash = plc_hash_name (options->workload->name);
+  sim->service_hash = rendezvous_hash_name (options->workload->name);
   sim->random_sessions = options->seed;
   sim->random_surge = options->seed ^ 0x5u;
   sim->random_events = options->seed ^ 0xau;
   sim->engines_by_hash = g_hash_table_new (g_int64_hash, g_int64_equal);
   for (uint32_t i = 0; i < WKL_ACCOUNTS; i++)
-    sim->account_hash[i] = plc_hash_chat ("account", options->workload->name) + i;
+    sim->account_hash[i] = rendezvous_hash_chat ("account", options->workload->name) + i;
   sim->loads.load_limit = options->workload->slots + 2;
   sim->loads.engines_with_load = g_new0 (uint32_t, sim->loads.load_limit);
   init_engines (sim);
--- a/bench/world_engine.c
+++ b/bench/world_engine.c
@@ -164,7 +164,7 @@
   wld_t *sim = view->sim;
   uint32_t order[2];
   const uint32_t found =
-      plc_rank (view->engines, view->count, sim->service_hash, entry->chat_hash, order, 2);
+      rendezvous_rank (view->engines, view->count, sim->service_hash, entry->chat_hash, order, 2);
   for (uint32_t i = 0; i < found; i++)
     {
       wld_engine_t *next =
--- a/bench/world_list.c
+++ b/bench/world_list.c
@@ -48,16 +48,17 @@
 static void
 send_samples (wld_t *sim, wld_daemon_t *from, wld_daemon_t *to)
 {
-  mean_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
+  load_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
   uint32_t count = 0;
   if (from->engine != NULL && !from->engine->leaving)
     samples[count++] = adm_sample (from->engine->admission, sim->now_us);
-  count += mean_pick (from->mean, sim->now_us, samples + count, LIM_SAMPLES_PER_MESSAGE - count);
+  count +=
+      load_samples_pick (from->mean, sim->now_us, samples + count, LIM_SAMPLES_PER_MESSAGE - count);
   for (uint32_t i = 0; i < count; i++)
     {
       const bool own = to->engine != NULL && to->engine->hash == samples[i].engine_hash;
       if (!own && lst_is_live (samples[i].engine_hash, to->view))
-        mean_add (to->mean, &samples[i]);
+        load_samples_add (to->mean, &samples[i]);
     }
 }
 
@@ -89,8 +90,8 @@
   if (!mem_changed (view->members))
     return;
   mem_snapshot_t *snapshot = mem_snapshot (view->members);
-  view->engines = g_renew (plc_engine_t, view->engines, snapshot->host_count);
-  view->details = g_renew (chs_engine_t, view->details, snapshot->host_count);
+  view->engines = g_renew (rendezvous_engine_t, view->engines, snapshot->host_count);
+  view->details = g_renew (candidates_engine_t, view->details, snapshot->host_count);
   view->count = 0;
   g_hash_table_remove_all (view->live_hashes);
   for (uint32_t i = 0; i < snapshot->host_count; i++)
@@ -100,9 +101,9 @@
         continue;
       wld_engine_t *engine = g_hash_table_lookup (sim->engines_by_hash, &host->hash);
       view->details[view->count] =
-          (chs_engine_t){ .joined_us = host->joined_us, .settled_us = host->settled_us };
+          (candidates_engine_t){ .joined_us = host->joined_us, .settled_us = host->settled_us };
       view->engines[view->count] =
-          (plc_engine_t){ .hash = host->hash, .index = view->count, .weight = 1.0f };
+          (rendezvous_engine_t){ .hash = host->hash, .index = view->count, .weight = 1.0f };
       view->count++;
       g_hash_table_add (view->live_hashes, &engine->hash);
     }
@@ -159,7 +160,7 @@
     return;
   remember_report (sim, daemon, report);
   if (report->state != MEM_LIVE)
-    mean_forget (daemon->mean, report->host_hash);
+    load_samples_forget (daemon->mean, report->host_hash);
   lst_rebuild (sim, daemon->view);
 }
 
--- a/bench/world_parts.h
+++ b/bench/world_parts.h
@@ -32,8 +32,8 @@
 typedef struct
 {
   mem_t *members;
-  plc_engine_t *engines;
-  chs_engine_t *details;
+  rendezvous_engine_t *engines;
+  candidates_engine_t *details;
   uint32_t count;
   GHashTable *live_hashes;
   uint64_t lag_us;
@@ -51,7 +51,7 @@
 typedef struct
 {
   wld_view_t *view;
-  mean_table_t *mean;
+  load_samples_t *mean;
   wld_engine_t *engine;
   mem_word_t reports[WLD_WORDS];
   uint64_t reports_heard_us[WLD_WORDS];
@@ -62,12 +62,12 @@
  * struct wld_router - a router
  * @samples: load samples from gossip and from answers
  * @in_flight: its own requests at each engine
- * @now_us: the time for a callback of chs_choose()
+ * @now_us: the time for a callback of candidates_choose()
  */
 typedef struct
 {
   wld_daemon_t daemon;
-  mean_table_t samples;
+  load_samples_t samples;
   hlt_t *health;
   att_budget_t budget;
   uwy_t *in_flight;
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -14,11 +14,11 @@
 }
 
 static void
-choose_by_rank (wld_t *sim, wld_router_t *router, const wld_flight_t *call, chs_t *chosen)
+choose_by_rank (wld_t *sim, wld_router_t *router, const wld_flight_t *call, candidates_t *chosen)
 {
   const wld_view_t *view = router->daemon.view;
   const bool full = sim->options.policy == WLD_FULL;
-  const chs_query_t query = {
+  const candidates_query_t query = {
     .now_us = sim->now_us,
     .engines = view->engines,
     .details = view->details,
@@ -35,12 +35,12 @@
     .context = router,
   };
   router->now_us = sim->now_us;
-  *chosen = chs_choose (&query);
+  *chosen = candidates_choose (&query);
 }
 
 /* Moves or inserts @hash to the front; the last candidate is dropped if there are too many. */
 static void
-put_first (chs_t *chosen, uint64_t hash)
+put_first (candidates_t *chosen, uint64_t hash)
 {
   uint32_t at = 0;
   while (at < chosen->candidate_count && chosen->candidates[at] != hash)
@@ -61,7 +61,7 @@
   const uint32_t from = rnd_below (&sim->random_events, MAX (router->samples.count, 1));
   for (uint32_t i = 0; i < router->samples.count; i++)
     {
-      const mean_sample_t *sample = &router->samples.samples[(from + i) % router->samples.count];
+      const load_sample_t *sample = &router->samples.samples[(from + i) % router->samples.count];
       if (sample->taken_us + LIM_SAMPLE_AGE_US < sim->now_us ||
           sample->load + sample->waiting >= least ||
           !lst_is_live (sample->engine_hash, router->daemon.view))
@@ -92,10 +92,10 @@
   return found;
 }
 
-static chs_t
+static candidates_t
 choose (wld_t *sim, wld_router_t *router, const wld_flight_t *call)
 {
-  chs_t chosen;
+  candidates_t chosen;
   uint64_t first = 0;
   choose_by_rank (sim, router, call, &chosen);
   const wld_view_t *view = router->daemon.view;
@@ -171,22 +171,22 @@
 static void
 attach_samples (wld_t *sim, wld_router_t *router, wld_engine_t *engine)
 {
-  mean_sample_t samples[HOP_SAMPLES];
-  const uint32_t count = mean_pick (&router->samples, sim->now_us, samples, HOP_SAMPLES);
+  load_sample_t samples[HOP_SAMPLES];
+  const uint32_t count = load_samples_pick (&router->samples, sim->now_us, samples, HOP_SAMPLES);
   for (uint32_t i = 0; i < count; i++)
     if (samples[i].engine_hash != engine->hash)
-      mean_add (engine->daemon.mean, &samples[i]);
+      load_samples_add (engine->daemon.mean, &samples[i]);
 }
 
 /* Each answer and refusal carries the load of its engine. */
 static void
 learn_load (wld_t *sim, wld_router_t *router, const wld_engine_t *engine)
 {
-  const mean_sample_t sample = adm_sample (engine->admission, sim->now_us);
+  const load_sample_t sample = adm_sample (engine->admission, sim->now_us);
   if (engine->leaving)
-    mean_forget (&router->samples, engine->hash);
+    load_samples_forget (&router->samples, engine->hash);
   else
-    mean_add (&router->samples, &sample);
+    load_samples_add (&router->samples, &sample);
 }
 
 /* Return: whether the engine runs or queues the request; else @step is the next step */
@@ -268,7 +268,7 @@
   router->in_flight = uwy_new ();
   router->daemon.mean = &router->samples;
   router->daemon.view = &sim->views[(sim->engine_count + index) % sim->view_count];
-  mean_init (&router->samples, sim->options.seed * 31 + index);
+  load_samples_init (&router->samples, sim->options.seed * 31 + index);
   att_budget_init (&router->budget);
 }
 
@@ -284,7 +284,7 @@
 {
   wld_flight_t *call = make_call (sim, router, session);
   const wkl_class_t *class = &sim->options.workload->classes[session->class_index];
-  const chs_t chosen = choose (sim, router, call);
+  const candidates_t chosen = choose (sim, router, call);
   call->request.home_hash = chosen.home_hash;
   call->request.former_hash = chosen.former_hash;
   const att_options_t options = { .idempotent = class->idempotent,
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -50,7 +50,7 @@
   ctrl->dmn = dmn;
   ctrl->base = base;
   ctrl->plt = plt;
-  ctrl->own_hash = plc_hash_name (dmn->set.name);
+  ctrl->own_hash = rendezvous_hash_name (dmn->set.name);
   ctrl->rand = g_rand_new_with_seed ((guint32)(ctrl->own_hash ^ dmn->incarnation));
   ctrl->calls = g_ptr_array_new_with_free_func (g_free);
   ctrl->mem = mem_new ();
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -80,10 +80,10 @@
 
 /* Return: false when the sample is too old, of an unknown service or host, or of the own engine. */
 static bool
-accept_sample (ctrl_t *ctrl, uint64_t now_us, const xch_sample *received, mean_sample_t *out)
+accept_sample (ctrl_t *ctrl, uint64_t now_us, const xch_sample *received, load_sample_t *out)
 {
   uint64_t age_us = (uint64_t)received->age_ms * CLK_US_PER_MS;
-  mean_table_t *table = ctrl_talk_table (ctrl, received->service_hash);
+  load_samples_t *table = ctrl_talk_table (ctrl, received->service_hash);
   if (age_us > LIM_SAMPLE_AGE_US || age_us > now_us || table == NULL ||
       received->engine_hash == ctrl->own_hash ||
       mem_find_hash (ctrl->peers.members, received->engine_hash) == NULL)
@@ -94,7 +94,7 @@
   out->waiting = received->waiting;
   out->cost = received->cost;
   out->taken_us = now_us - age_us;
-  mean_add (table, out);
+  load_samples_add (table, out);
   return true;
 }
 
@@ -303,8 +303,8 @@
       uint64_t hash = man->services[i].hash;
       if (ctrl_talk_table (ctrl, hash) != NULL)
         continue;
-      mean_table_t *table = g_new (mean_table_t, 1);
-      mean_init (table, hash ^ ctrl->own_hash);
+      load_samples_t *table = g_new (load_samples_t, 1);
+      load_samples_init (table, hash ^ ctrl->own_hash);
       g_hash_table_insert (tables, new_hash_key (hash), table);
     }
 }
--- a/src/process/control_fill.c
+++ b/src/process/control_fill.c
@@ -22,7 +22,7 @@
 }
 
 static void
-put_sample (xch_message *message, uint64_t now_us, const mean_sample_t *sample)
+put_sample (xch_message *message, uint64_t now_us, const load_sample_t *sample)
 {
   xch_sample *out = &message->samples.samples_val[message->samples.samples_len++];
   out->engine_hash = sample->engine_hash;
@@ -49,17 +49,17 @@
 }
 
 static void
-put_samples_of (xch_message *message, uint64_t now_us, mean_table_t *table, uint32_t limit)
+put_samples_of (xch_message *message, uint64_t now_us, load_samples_t *table, uint32_t limit)
 {
-  mean_sample_t picked[XCH_SAMPLES];
+  load_sample_t picked[XCH_SAMPLES];
   if (message->samples.samples_len >= limit)
     return;
-  uint32_t count = mean_pick (table, now_us, picked, limit - message->samples.samples_len);
+  uint32_t count = load_samples_pick (table, now_us, picked, limit - message->samples.samples_len);
   for (uint32_t i = 0; i < count; i++)
     put_sample (message, now_us, &picked[i]);
 }
 
-static mean_table_t *
+static load_samples_t *
 random_table (ctrl_t *ctrl)
 {
   guint count = g_hash_table_size (ctrl->talk.samples);
@@ -100,14 +100,14 @@
 static void
 put_samples_of_two_services (ctrl_t *ctrl, xch_message *message, uint64_t now_us, uint32_t room)
 {
-  mean_table_t *first = NULL;
+  load_samples_t *first = NULL;
   if (has_fresh_own_sample (ctrl, now_us))
     first = ctrl_talk_table (ctrl, ctrl->talk.own_sample.service_hash);
   else
     first = random_table (ctrl);
   if (first == NULL)
     return;
-  mean_table_t *second = random_table (ctrl);
+  load_samples_t *second = random_table (ctrl);
   put_samples_of (message, now_us, first, second == first ? room : room - room / 4);
   if (second != first)
     put_samples_of (message, now_us, second, room);
@@ -122,7 +122,7 @@
   if (has_fresh_own_sample (ctrl, now_us))
     put_sample (message, now_us, &ctrl->talk.own_sample);
   const man_service_t *service = service_of_host (ctrl, host_hash);
-  mean_table_t *table = service != NULL ? ctrl_talk_table (ctrl, service->hash) : NULL;
+  load_samples_t *table = service != NULL ? ctrl_talk_table (ctrl, service->hash) : NULL;
   if (table != NULL)
     put_samples_of (message, now_us, table, room);
   else
@@ -206,7 +206,7 @@
   return report;
 }
 
-mean_table_t *
+load_samples_t *
 ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash)
 {
   return g_hash_table_lookup (ctrl->talk.samples, &service_hash);
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -64,7 +64,7 @@
   for (uint32_t i = 0; i < hosts->host_count; i++)
     {
       const mem_listed_t *host = &hosts->hosts[i];
-      uint64_t hash = plc_hash_name (host->name);
+      uint64_t hash = rendezvous_hash_name (host->name);
       if (host->state == MEM_LEAVING && hash != ctrl->own_hash &&
           strcmp (host->data_center, data_center) == 0 && mem_awaits_leave (ctrl->mem, hash))
         lvn_add (ctrl->list.leaving, ctrl_now_us (ctrl), hash);
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -154,7 +154,7 @@
  * @sequence: of the last message sent
  * @rumours: state reports and marks that are still being passed on
  * @own_sample: load of this daemon's engine, valid if @has_own_sample
- * @samples: service hash -> mean_table_t, for the services of the manifest in force
+ * @samples: service hash -> load_samples_t, for the services of the manifest in force
  * @old_messages: counts messages with a sequence or incarnation that was superseded
  * @unlisted: counts messages of senders that are not in the host list
  */
@@ -165,7 +165,7 @@
   uint32_t sequence;
   rmr_t rumours;
   bool has_own_sample;
-  mean_sample_t own_sample;
+  load_sample_t own_sample;
   GHashTable *samples;
   cnt_t *old_messages;
   cnt_t *unlisted;
@@ -361,7 +361,7 @@
 /** ctrl_talk_word() - a report of this daemon's state, with a new sequence */
 mem_word_t ctrl_talk_word (ctrl_t *ctrl);
 /** ctrl_talk_table() - load samples of a service, NULL for one out of force */
-mean_table_t *ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash);
+load_samples_t *ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash);
 
 /* Exchange with peers */
 void ctrl_talk_init (ctrl_t *ctrl);
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -56,7 +56,7 @@
   uint32_t sequence;
   uint64_t heard_us;
   rmr_t gossip;
-  lnw_t loads;
+  load_reports_t loads;
 };
 
 static uint64_t
@@ -143,8 +143,8 @@
 static void
 fill_loads (gpr_t *peers, xch_message *message)
 {
-  lnw_item_t items[XCH_SAMPLES];
-  uint32_t count = lnw_take (&peers->loads, now_us (peers), items, XCH_SAMPLES);
+  load_report_t items[XCH_SAMPLES];
+  uint32_t count = load_reports_latest (&peers->loads, now_us (peers), items, XCH_SAMPLES);
 
   for (uint32_t i = 0; i < count; i++)
     {
@@ -164,11 +164,11 @@
     {
       const xch_sample *received = &message->samples.samples_val[i];
       uint64_t age_us = (uint64_t)received->age_ms * CLK_US_PER_MS;
-      lnw_item_t item = { .engine_hash = received->engine_hash,
-                          .load = received->load,
-                          .told_us = now_us (peers) - MIN (age_us, now_us (peers)) };
+      load_report_t item = { .engine_hash = received->engine_hash,
+                             .load = received->load,
+                             .told_us = now_us (peers) - MIN (age_us, now_us (peers)) };
 
-      if (lnw_add (&peers->loads, now_us (peers), &item))
+      if (load_reports_add (&peers->loads, now_us (peers), &item))
         peers->options.on_load (&item, peers->options.context);
     }
 }
@@ -444,9 +444,9 @@
 }
 
 void
-gpr_add_load (gpr_t *peers, const lnw_item_t *item)
+gpr_add_load (gpr_t *peers, const load_report_t *item)
 {
-  lnw_add (&peers->loads, now_us (peers), item);
+  load_reports_add (&peers->loads, now_us (peers), item);
 }
 
 /* One read can bring the entries of many engines. A message for each entry would use up the message
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -31,7 +31,7 @@
 struct gwp
 {
   gwp_options_t options;
-  egs_t *engines;
+  engines_t *engines;
   gwy_t *gateway;
   gst_t *store;
   hsv_t *ready_listener;
@@ -86,7 +86,7 @@
   process->was_ready = ready;
   log_event (LOG_LEVEL_NOTICE, ready ? "ready" : "not_ready", "version",
              LOG_U64 (process->table ? rte_version (process->table) : 0), "engines",
-             LOG_U64 (egs_count (process->engines)), NULL);
+             LOG_U64 (engines_count (process->engines)), NULL);
 }
 
 /* An older version that is read late must not replace a newer one. */
@@ -126,12 +126,12 @@
 {
   gwp_t *process = context;
 
-  if (!egs_set_drained (process->engines, now_us (process), data_center, drained))
+  if (!engines_set_drained (process->engines, now_us (process), data_center, drained))
     return;
   log_event (LOG_LEVEL_NOTICE, "data_center", "data_center", data_center, "state",
              drained ? "drained" : "taken_back", "offset", LOG_U64 (offset), "engines",
-             LOG_U64 (egs_count_in (process->engines, data_center)), NULL);
-  cnt_set_value (process->drained_count, egs_drained_count (process->engines));
+             LOG_U64 (engines_count_in_data_center (process->engines, data_center)), NULL);
+  cnt_set_value (process->drained_count, engines_count_drained_data_centers (process->engines));
   gst_tell_news (process->store);
   gwy_engines_changed (process->gateway);
 }
@@ -140,22 +140,22 @@
 log_engine (const gwp_t *process, const char *id, const char *state, uint64_t offset)
 {
   log_event (LOG_LEVEL_NOTICE, "engine", "engine", id, "state", state, "offset", LOG_U64 (offset),
-             "engines", LOG_U64 (egs_count (process->engines)), NULL);
+             "engines", LOG_U64 (engines_count (process->engines)), NULL);
 }
 
 static void
 update_engine_counts (gwp_t *process)
 {
-  cnt_set_value (process->engine_count, egs_count (process->engines));
+  cnt_set_value (process->engine_count, engines_count (process->engines));
   cnt_set_value (process->lapsed_count, lapses_count (process->lapsed));
 }
 
 static void
 remove_engine (gwp_t *process, const char *id, uint64_t offset)
 {
-  if (!egs_find (process->engines, id))
+  if (!engines_find (process->engines, id))
     return;
-  egs_gone (process->engines, id);
+  engines_remove (process->engines, id);
   update_engine_counts (process);
   log_engine (process, id, "gone", offset);
   gst_tell_news (process->store);
@@ -174,11 +174,11 @@
   remove_engine (process, id, offset);
 }
 
-/** struct previous_entry - what was known of an engine id before a new entry; @state is EGN_GONE
+/** struct previous_entry - what was known of an engine id before a new entry; @state is ENGINE_GONE
  * when nothing was */
 typedef struct
 {
-  egn_state_t state;
+  engine_state_t state;
   uint64_t hash;
   set_address_t address;
 } previous_entry_t;
@@ -186,10 +186,10 @@
 static previous_entry_t
 get_previous_entry (const gwp_t *process, const char *id)
 {
-  const egn_t *engine = egs_find (process->engines, id);
+  const engine_t *engine = engines_find (process->engines, id);
 
   if (!engine)
-    return (previous_entry_t){ .state = EGN_GONE };
+    return (previous_entry_t){ .state = ENGINE_GONE };
   return (previous_entry_t){ engine->entry.state, engine->hash, engine->entry.address };
 }
 
@@ -197,8 +197,8 @@
 put_engine (gwp_t *process, const char *id, const char *value, size_t value_bytes, uint64_t offset)
 {
   previous_entry_t previous = get_previous_entry (process, id);
-  egn_entry_t entry;
-  const egn_t *engine;
+  engine_entry_t entry;
+  const engine_t *engine;
   GError *error = NULL;
 
   if (!process->options.readers.engine (&entry, id, value, value_bytes, &error))
@@ -208,16 +208,16 @@
     }
   lapses_remove (process->lapsed, id);
   entry.region = g_intern_string (rgn_of (&process->options.set->regions, entry.data_center));
-  engine = egs_put (process->engines, now_us (process), &entry);
-  if (previous.state != EGN_GONE && engine->hash != previous.hash)
+  engine = engines_put (process->engines, now_us (process), &entry);
+  if (previous.state != ENGINE_GONE && engine->hash != previous.hash)
     {
       log_engine (process, id, "restarted", offset);
       gwy_engine_restarted (process->gateway, previous.hash, &previous.address);
-      previous.state = EGN_GONE;
+      previous.state = ENGINE_GONE;
     }
   if (engine->entry.state == previous.state)
     return;
-  log_engine (process, id, engine->entry.state == EGN_READY ? "ready" : "leaving", offset);
+  log_engine (process, id, engine->entry.state == ENGINE_READY ? "ready" : "leaving", offset);
   gst_tell_news (process->store);
   gwy_engines_changed (process->gateway);
 }
@@ -241,11 +241,11 @@
 
   if (text)
     put_engine (process, id, text, text_bytes, offset);
-  else if (may_have_lapsed && egs_find (process->engines, id))
+  else if (may_have_lapsed && engines_find (process->engines, id))
     {
       log_engine (process, id, "perhaps_lapsed", offset);
       lapses_add (process->lapsed, id, due_us);
-      egs_lapsed (process->engines, id);
+      engines_note_expired (process->engines, id);
     }
   else
     remove_engine (process, id, offset);
@@ -258,7 +258,7 @@
   gwp_t *process = context;
 
   if (process->store && gst_has_engines (process->store))
-    egs_set_complete (process->engines);
+    engines_set_complete (process->engines);
   if (process->gateway)
     gwy_set_certain (process->gateway, gst_is_certain (process->store));
   log_readiness (process);
@@ -274,7 +274,7 @@
 }
 
 static void
-on_peer_load (const lnw_item_t *item, void *context)
+on_peer_load (const load_report_t *item, void *context)
 {
   gwp_t *process = context;
 
@@ -283,7 +283,7 @@
 }
 
 static void
-on_own_load (const lnw_item_t *item, void *context)
+on_own_load (const load_report_t *item, void *context)
 {
   gwp_t *process = context;
 
@@ -480,7 +480,7 @@
   struct timeval tick = { 0, GWP_TICK_MS * 1000 };
 
   process->options = *options;
-  process->engines = egs_new ();
+  process->engines = engines_new ();
   process->lapsed = lapses_new ();
   process->stall_count = cnt_get (options->counters, "medlarplank_stalls_total",
                                   "Times that the process stood still for long");
@@ -514,7 +514,7 @@
     hsv_free (process->control_listener);
   if (process->table)
     rte_unref (process->table);
-  egs_free (process->engines);
+  engines_free (process->engines);
   lapses_free (process->lapsed);
   event_free (process->tick);
   g_free (process);
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -46,7 +46,7 @@
 {
   rte_t *(*routing) (const char *text, size_t text_bytes, const rte_t *before, GError **error);
   bool (*engine) (
-      egn_entry_t *out, const char *id, const char *text, size_t text_bytes, GError **error);
+      engine_entry_t *out, const char *id, const char *text, size_t text_bytes, GError **error);
 } gwp_readers_t;
 
 /**
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -285,7 +285,7 @@
 }
 
 static void
-on_peer_load (const lnw_item_t *item, void *context)
+on_peer_load (const load_report_t *item, void *context)
 {
   gst_t *store = context;
 
@@ -741,7 +741,7 @@
 }
 
 void
-gst_add_load (gst_t *store, const lnw_item_t *item)
+gst_add_load (gst_t *store, const load_report_t *item)
 {
   gpr_add_load (store->peers, item);
 }
--- a/src/process/gateway_store.h
+++ b/src/process/gateway_store.h
@@ -87,7 +87,7 @@
                      void *context);
   void (*on_status) (void *context);
   void (*on_suspect) (const sus_mark_t *mark, void *context);
-  void (*on_load) (const lnw_item_t *item, void *context);
+  void (*on_load) (const load_report_t *item, void *context);
   void *context;
 } gst_options_t;
 
@@ -117,7 +117,7 @@
 /** gst_add_suspect() - reports a request that crashes its engines to peers */
 void gst_add_suspect (gst_t *store, const sus_mark_t *mark);
 /** gst_add_load() - reports a high load of an engine to peers */
-void gst_add_load (gst_t *store, const lnw_item_t *item);
+void gst_add_load (gst_t *store, const load_report_t *item);
 /** gst_answer() - answers a peer that fetches records. @settled: whether no removed engine entry
  * may still be restored. Return: false, without an answer, when the request has another path */
 bool gst_answer (gst_t *store, hsv_call_t *call, bool settled);
--- a/src/request/gateway/format.h
+++ b/src/request/gateway/format.h
@@ -87,7 +87,7 @@
   bool is_other;
   bool genuine;
   bool has_load;
-  egn_load_t load;
+  engine_load_t load;
   uint32_t idle_ms;
   bool leaving;
   uint32_t rest_ms;
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -107,7 +107,7 @@
 
   while (cwt_take (&gwy->crashes, now_us, &loss))
     {
-      if (prv_has (gwy->served, now_us, loss.fingerprint) ||
+      if (recent_answers_contain (gwy->served, now_us, loss.fingerprint) ||
           !sus_add (gwy->suspects, now_us, loss.fingerprint, loss.engine_hash) ||
           !sus_get (gwy->suspects, now_us, loss.fingerprint, &mark))
         continue;
@@ -142,12 +142,12 @@
 }
 
 void
-gwy_heard_load (gwy_t *gwy, const lnw_item_t *item)
+gwy_heard_load (gwy_t *gwy, const load_report_t *item)
 {
-  egn_t *engine = egs_find_hash (gwy->options.engines, item->engine_hash);
+  engine_t *engine = engines_find_by_hash (gwy->options.engines, item->engine_hash);
 
   if (engine)
-    egn_heard (engine, item->told_us, item->load);
+    engine_note_peer_load (engine, item->told_us, item->load);
 }
 
 void
@@ -155,7 +155,7 @@
 {
   uint64_t now_us = gwy_now_us (gwy);
 
-  if (sus_is_cleared (mark) || !prv_has (gwy->served, now_us, mark->fingerprint))
+  if (sus_is_cleared (mark) || !recent_answers_contain (gwy->served, now_us, mark->fingerprint))
     sus_merge (gwy->suspects, now_us, mark);
   else
     announce_cleared (gwy, mark->fingerprint);
@@ -166,7 +166,7 @@
 void
 gwy_served (gwy_t *gwy, uint64_t fingerprint)
 {
-  prv_answered (gwy->served, gwy_now_us (gwy), fingerprint);
+  recent_answers_add (gwy->served, gwy_now_us (gwy), fingerprint);
   if (sus_clear (gwy->suspects, fingerprint))
     announce_cleared (gwy, fingerprint);
 }
@@ -200,8 +200,8 @@
   gwy->started_us = gwy_now_us (gwy);
   gwy->routers = 1;
   gwy->suspects = sus_new (GWY_SUSPECTS, GWY_SUSPECT_US);
-  gwy->served = prv_new (GWY_PROVEN, GWY_PROVEN_US);
-  gwy->cache_warm = prv_new (GWY_WARM, GWY_WARM_US);
+  gwy->served = recent_answers_new (GWY_PROVEN, GWY_PROVEN_US);
+  gwy->cache_warm = recent_answers_new (GWY_WARM, GWY_WARM_US);
   gwy->services = g_hash_table_new_full (NULL, NULL, NULL, service_free);
   gwy->calls = g_hash_table_new (NULL, NULL);
   register_counters (gwy);
@@ -250,8 +250,8 @@
   cancel_calls (gwy);
   hcl_free (gwy->upstreams);
   event_free (gwy->tick_timer);
-  prv_free (gwy->served);
-  prv_free (gwy->cache_warm);
+  recent_answers_free (gwy->served);
+  recent_answers_free (gwy->cache_warm);
   sus_free (gwy->suspects);
   g_hash_table_destroy (gwy->services);
   g_hash_table_destroy (gwy->calls);
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -43,11 +43,11 @@
   const clk_t *clk;
   cnt_set_t *counters;
   const set_t *set;
-  egs_t *engines;
+  engines_t *engines;
   const fmt_t *format;
   rsh_options_t retries;
   void (*suspected) (const sus_mark_t *mark, void *context);
-  void (*high_load) (const lnw_item_t *item, void *context);
+  void (*high_load) (const load_report_t *item, void *context);
   void *context;
 } gwy_options_t;
 
@@ -67,7 +67,7 @@
  */
 void gwy_set_routers (gwy_t *gwy, uint32_t routers, uint32_t known);
 /** gwy_heard_load() - takes over a high load that an engine reported to another gateway */
-void gwy_heard_load (gwy_t *gwy, const lnw_item_t *item);
+void gwy_heard_load (gwy_t *gwy, const load_report_t *item);
 /** gwy_heard_suspect() - takes over another gateway's mark of a request that crashes engines, or
  * the clearing of one */
 void gwy_heard_suspect (gwy_t *gwy, const sus_mark_t *mark);
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -156,7 +156,8 @@
 make_queue_item (gwy_call_t *call)
 {
   gwy_usual_t *stats = gwy_usual (call->gwy, call->route);
-  uint64_t age_us = fas_age_us (&stats->first_ask, call->arrived_us, call->request.deadline_ms);
+  uint64_t age_us =
+      first_attempt_age_us (&stats->first_ask, call->arrived_us, call->request.deadline_ms);
   uint64_t aim_us = (uint64_t)call->route->aim_ms * CLK_US_PER_MS;
   uint64_t silence_us = (uint64_t)call->route->silence_ms * CLK_US_PER_MS;
 
@@ -269,16 +270,16 @@
   log_flush ();
 }
 
-static home_regions_t
+static region_filter_t
 bound_regions (const gwy_call_t *call)
 {
   char **by_account = call->account ? call->account->regions : NULL;
 
-  return (home_regions_t){ .route = (const char *const *)call->route->regions,
-                           .account = (const char *const *)by_account };
+  return (region_filter_t){ .route = (const char *const *)call->route->regions,
+                            .account = (const char *const *)by_account };
 }
 
-spr_choice_t
+engine_choice_t
 gwy_call_choose (const gwy_call_t *call)
 {
   const gwy_t *gwy = call->gwy;
@@ -286,30 +287,31 @@
   const rte_service_t *rules = rte_service (gwy->table, service->name);
   uint64_t now_us = gwy_now_us (gwy);
 
-  return spr_choose (
-      egs_list (gwy->options.engines, service->name), now_us,
-      &(spr_request_t){ .affinity = call->affinity,
-                        .affinity_tokens = call->affinity_tokens,
-                        .data_center = gwy->options.set->data_center,
-                        .repeatable = crs_may_leave (&call->course, call->rly.begun),
-                        .gateways = gwy->routers,
-                        .gateway_hash = gwy->name_hash,
-                        .run_us = lin_run_us (service->queue),
-                        .head_us = lin_head_us (service->queue),
-                        .told_milli = gau_told_milli (&service->load_gauge, now_us),
-                        .surge = gau_is_surge (&service->load_gauge, now_us, service->in_flight),
-                        .late = call->queue_item.waiting && call->queue_item.late,
-                        .cold_per_s = rules ? rules->cold_per_s : 0,
-                        .cold_start_us = rules ? rules->cold_start_us : 0,
-                        .known_gateways = gwy->known_routers,
-                        .homes = bound_regions (call),
-                        .drain_us = (uint64_t)gwy->options.set->center_drain_ms * CLK_US_PER_MS,
-                        .tried = call->tried,
-                        .tried_count = call->tried_count });
+  return engine_choice_make (
+      engines_of_service (gwy->options.engines, service->name), now_us,
+      &(engine_choice_request_t){
+          .affinity = call->affinity,
+          .affinity_tokens = call->affinity_tokens,
+          .data_center = gwy->options.set->data_center,
+          .repeatable = crs_may_leave (&call->course, call->rly.begun),
+          .gateways = gwy->routers,
+          .gateway_hash = gwy->name_hash,
+          .run_us = lin_run_us (service->queue),
+          .head_us = lin_head_us (service->queue),
+          .utilization_milli = load_gauge_utilization_milli (&service->load_gauge, now_us),
+          .surge = load_gauge_is_surge (&service->load_gauge, now_us, service->in_flight),
+          .late = call->queue_item.waiting && call->queue_item.late,
+          .cold_per_s = rules ? rules->cold_per_s : 0,
+          .cold_start_us = rules ? rules->cold_start_us : 0,
+          .known_gateways = gwy->known_routers,
+          .homes = bound_regions (call),
+          .drain_us = (uint64_t)gwy->options.set->center_drain_ms * CLK_US_PER_MS,
+          .tried = call->tried,
+          .tried_count = call->tried_count });
 }
 
 void
-gwy_call_no_engine (gwy_call_t *call, const spr_choice_t *choice)
+gwy_call_no_engine (gwy_call_t *call, const engine_choice_t *choice)
 {
   gwy_call_give_up (call, choice->drained ? VRD_REASON_LEAVING : VRD_REASON_NO_ENGINE,
                     choice->drained ? GWY_RETRY_DRAINED_MS : GWY_RETRY_MIN_MS);
@@ -318,7 +320,7 @@
 void
 gwy_call_place (gwy_call_t *call)
 {
-  spr_choice_t choice;
+  engine_choice_t choice;
 
   /* A new request must not overtake those in the queue. */
   if (lin_count_in_time (call->service->queue) > 0 && call->hops == 0)
@@ -327,9 +329,9 @@
       return;
     }
   choice = gwy_call_choose (call);
-  if (choice.action == SPR_SEND)
+  if (choice.action == ENGINE_CHOICE_SEND)
     gwy_hop_send (call, &choice);
-  else if (choice.action == SPR_WAIT)
+  else if (choice.action == ENGINE_CHOICE_WAIT)
     gwy_wait_push (call);
   else if (choice.rest_us > 0)
     gwy_wait_for_rest (call, choice.rest_us);
--- a/src/request/gateway/gateway_hop.c
+++ b/src/request/gateway/gateway_hop.c
@@ -21,13 +21,13 @@
 static void
 release_engine (gwy_call_t *call)
 {
-  egn_t *engine = call->engine;
+  engine_t *engine = call->engine;
 
   call->upstream = NULL;
   call->engine = NULL;
   if (!engine)
     return;
-  egn_end (engine);
+  engine_end_request (engine);
   call->service->in_flight--;
 }
 
@@ -49,7 +49,7 @@
 }
 
 static uint64_t
-cache_warm_key (const gwy_call_t *call, const egn_t *engine)
+cache_warm_key (const gwy_call_t *call, const engine_t *engine)
 {
   return call->shared_parts ^ engine->hash;
 }
@@ -58,23 +58,23 @@
 announce_high_load (const gwy_call_t *call, uint64_t now_us)
 {
   const gwy_t *gwy = call->gwy;
-  lnw_item_t item = { .engine_hash = call->engine->hash,
-                      .load = call->response.load.running + call->response.load.waiting,
-                      .told_us = now_us };
+  load_report_t item = { .engine_hash = call->engine->hash,
+                         .load = call->response.load.running + call->response.load.waiting,
+                         .told_us = now_us };
 
-  if (lnw_is_news (item.load, call->service->mean_milli, SPR_OVERLOAD_FACTOR,
-                   SPR_OVERLOAD_MORE_MILLI))
+  if (load_reports_is_high (item.load, call->service->mean_milli, ENGINE_CHOICE_OVERLOAD_FACTOR,
+                            ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI))
     gwy->options.high_load (&item, gwy->options.context);
 }
 
 static void
 record_load (gwy_call_t *call, uint64_t now_us)
 {
-  const egn_load_t *load = &call->response.load;
+  const engine_load_t *load = &call->response.load;
 
-  egn_told (call->engine, now_us, load);
-  gau_told (&call->service->load_gauge, now_us, load->running + load->waiting,
-            egn_slots (call->engine, 0), call->service->in_flight);
+  engine_note_load (call->engine, now_us, load);
+  load_gauge_add (&call->service->load_gauge, now_us, load->running + load->waiting,
+                  engine_slots (call->engine, 0), call->service->in_flight);
   announce_high_load (call, now_us);
 }
 
@@ -84,13 +84,14 @@
 record_engine_notice (const gwy_call_t *call, uint64_t now_us)
 {
   const fmt_answer_t *response = &call->response;
-  bool is_news = response->leaving && egs_leaves (call->gwy->options.engines, now_us, call->engine);
+  bool is_news =
+      response->leaving && engines_note_leaving (call->gwy->options.engines, now_us, call->engine);
 
   if (!response->leaving && response->rest_ms == 0)
     return;
   if (response->rest_ms > 0)
-    egs_rests (call->gwy->options.engines, now_us, call->engine,
-               (uint64_t)response->rest_ms * CLK_US_PER_MS);
+    engines_note_backoff (call->gwy->options.engines, now_us, call->engine,
+                          (uint64_t)response->rest_ms * CLK_US_PER_MS);
   log_event (is_news ? LOG_LEVEL_NOTICE : LOG_LEVEL_INFO, "engine_says", "id", call->id, "engine",
              call->engine->entry.id, "leaving", response->leaving ? "yes" : "no", "rest_ms",
              LOG_U64 (response->rest_ms), NULL);
@@ -108,14 +109,15 @@
   if (!call->response.not_run)
     lin_note_head (call->service->queue, now_us - call->sent_us);
   if (status == 200)
-    prv_answered (call->gwy->cache_warm, now_us, cache_warm_key (call, call->engine));
+    recent_answers_add (call->gwy->cache_warm, now_us, cache_warm_key (call, call->engine));
   lat_add (call->service->head_histogram, now_us - call->sent_us);
   if (call->response.idle_ms > 0)
     call->engine->idle_ms = call->response.idle_ms;
   record_engine_notice (call, now_us);
   if (call->response.has_load)
     record_load (call, now_us);
-  egn_worked (call->engine, now_us, status >= STATUS_SERVER_ERROR && !call->response.not_run);
+  engine_note_answer (call->engine, now_us,
+                      status >= STATUS_SERVER_ERROR && !call->response.not_run);
 }
 
 static bool
@@ -205,7 +207,7 @@
   if (rly_held_up (&call->rly) || call->client_was_slow || (call->streaming && events < 2))
     return;
   took_us = call->streaming ? (now_us - call->head_us) / (events - 1) : now_us - call->sent_us;
-  egn_paced (call->engine, now_us, pac_sample (select_pace (call), took_us));
+  engine_note_latency (call->engine, now_us, pac_sample (select_pace (call), took_us));
 }
 
 /* Refusals are left out. They take a millisecond, so a service whose engines refuse many requests
@@ -228,15 +230,15 @@
  * refused while other engines were free.
  */
 static void
-record_refusal (gwy_call_t *call, egn_t *engine)
+record_refusal (gwy_call_t *call, engine_t *engine)
 {
   if (call->response.is_other)
-    egn_displaced (engine);
+    engine_note_displaced (engine);
   if (call->response.is_other || call->tried_count == 0)
     return;
   /* A full engine stays a candidate: if it were excluded, a request whose service has only this
    * engine would be refused though it had to wait for mere milliseconds. */
-  egn_full (engine, gwy_now_us (call->gwy));
+  engine_note_full (engine, gwy_now_us (call->gwy));
   call->tried_count--;
 }
 
@@ -303,9 +305,9 @@
   uint64_t now_us = gwy_now_us (call->gwy);
 
   if (is_unsent (end))
-    egn_unreachable (call->engine, now_us);
+    engine_note_unreachable (call->engine, now_us);
   else
-    egn_failed (call->engine, now_us);
+    engine_note_failure (call->engine, now_us);
 }
 
 static void
@@ -357,7 +359,8 @@
                 .usual_us = lin_head_us (call->service->queue),
                 .time_us = call->deadline_us - MIN (call->sent_us, call->deadline_us),
                 .gap_us = (uint64_t)call->route->gap_ms * CLK_US_PER_MS,
-                .full = gau_told_milli (&call->service->load_gauge, now_us) >= GWY_FULL_MILLI };
+                .full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >=
+                        GWY_FULL_MILLI };
 
   if (!call->upstream || !call->client)
     return;
@@ -368,7 +371,7 @@
     }
   if (!crs_may_leave (&call->course, call->rly.begun) || !ptc_is_lost (&ptc, now_us))
     return;
-  egn_failed (call->engine, now_us);
+  engine_note_failure (call->engine, now_us);
   give_up_hop (call, "silent", VRD_REASON_TIMEOUT);
 }
 
@@ -395,10 +398,10 @@
  * from would make the request wait if that source has become unreachable since.
  */
 static void
-drop_needless_source (const gwy_call_t *call, spr_choice_t *choice)
+drop_needless_source (const gwy_call_t *call, engine_choice_t *choice)
 {
-  if (prv_has (call->gwy->cache_warm, gwy_now_us (call->gwy),
-               cache_warm_key (call, choice->engine)))
+  if (recent_answers_contain (call->gwy->cache_warm, gwy_now_us (call->gwy),
+                              cache_warm_key (call, choice->engine)))
     choice->source = NULL;
 }
 
@@ -414,7 +417,7 @@
 }
 
 static void
-begin_hop (gwy_call_t *call, const spr_choice_t *choice)
+begin_hop (gwy_call_t *call, const engine_choice_t *choice)
 {
   uint64_t now_us = gwy_now_us (call->gwy);
 
@@ -430,17 +433,17 @@
   call->last_byte_us = 0;
   memset (&call->response, 0, sizeof call->response);
   lin_start (call->service->queue, now_us, &call->queue_item);
-  egn_begin (choice->engine, now_us);
+  engine_begin_request (choice->engine, now_us);
   call->service->in_flight++;
-  egn_probe (choice->engine, now_us);
+  engine_note_probe (choice->engine, now_us);
 }
 
 static void
-log_place (const gwy_call_t *call, const spr_choice_t *choice)
+log_place (const gwy_call_t *call, const engine_choice_t *choice)
 {
-  const egn_t *engine = choice->engine;
-  bool of_peer = engine->news_us > engine->told_us;
-  uint64_t told_us = MAX (engine->told_us, engine->news_us);
+  const engine_t *engine = choice->engine;
+  bool of_peer = engine->peer_report_us > engine->told_us;
+  uint64_t told_us = MAX (engine->told_us, engine->peer_report_us);
   uint64_t age_ms = (call->sent_us - MIN (told_us, call->sent_us)) / CLK_US_PER_MS;
 
   log_event (LOG_LEVEL_INFO, "place", "id", call->id, "service", call->service->name, "engine",
@@ -454,7 +457,7 @@
 }
 
 void
-gwy_hop_send (gwy_call_t *call, spr_choice_t *choice)
+gwy_hop_send (gwy_call_t *call, engine_choice_t *choice)
 {
   g_autoptr (GArray) headers = g_array_new (FALSE, FALSE, sizeof (hcl_header_t));
   fmt_text_t text;
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -80,7 +80,7 @@
   gwy_t *gwy;
   const char *name;
   lin_t *queue;
-  gau_t load_gauge;
+  load_gauge_t load_gauge;
   uint64_t in_flight;
   uint32_t mean_milli;
   rsh_t retries;
@@ -103,7 +103,7 @@
   uint64_t route_hash;
   pac_t event_pace;
   pac_t answer_pace;
-  fas_t first_ask;
+  first_attempt_t first_ask;
   uint64_t run_us;
 } gwy_usual_t;
 
@@ -122,9 +122,9 @@
   GHashTable *services;   /* interned name -> gwy_service_t */
   GHashTable *calls;      /* set of gwy_call_t */
   cwt_t crashes;
-  sus_t *suspects;   /* requests that are suspected of crashing engines */
-  prv_t *served;     /* fingerprints of requests that were served lately */
-  prv_t *cache_warm; /* prompts and engines that read their shared parts lately */
+  sus_t *suspects;              /* requests that are suspected of crashing engines */
+  recent_answers_t *served;     /* fingerprints of requests that were served lately */
+  recent_answers_t *cache_warm; /* prompts and engines that read their shared parts lately */
   gwy_usual_t route_stats[GWY_ROUTES];
   uint32_t ticks;
   struct event *tick_timer;
@@ -183,7 +183,7 @@
   rly_t rly;
   char *body;
   size_t body_bytes;
-  egn_t *engine;
+  engine_t *engine;
   uint64_t tried[GWY_TRIED];
   uint32_t tried_count;
   uint32_t hops;
@@ -231,7 +231,7 @@
 /** gwy_call_place() - sends the request to an engine, queues it, or refuses it */
 void gwy_call_place (gwy_call_t *call);
 /** gwy_call_choose() - the engine to which the request would be sent now */
-spr_choice_t gwy_call_choose (const gwy_call_t *call);
+engine_choice_t gwy_call_choose (const gwy_call_t *call);
 /** gwy_call_outcome() - a hop ended with @outcome; takes the next step, which may free the call */
 void gwy_call_outcome (gwy_call_t *call, crs_outcome_t outcome, vrd_reason_t reason);
 /** gwy_call_retry_wait_us() - time until the retry budget allows a retry if no request comes
@@ -243,7 +243,7 @@
  * otherwise by an error which says that it may have run; frees it */
 void gwy_call_give_up (gwy_call_t *call, vrd_reason_t reason, uint32_t retry_after_ms);
 /** gwy_call_no_engine() - ends the call because @choice found no engine to ask; frees it */
-void gwy_call_no_engine (gwy_call_t *call, const spr_choice_t *choice);
+void gwy_call_no_engine (gwy_call_t *call, const engine_choice_t *choice);
 /** gwy_call_log() - logs one decision on the request */
 void
 gwy_call_log (const gwy_call_t *call, const char *event, const char *outcome, vrd_reason_t reason);
@@ -256,7 +256,7 @@
 
 /** gwy_hop_send() - sends the request to the engine of @choice; clears its cache source where none
  * is needed */
-void gwy_hop_send (gwy_call_t *call, spr_choice_t *choice);
+void gwy_hop_send (gwy_call_t *call, engine_choice_t *choice);
 /** gwy_hop_watch() - gives the current hop up if its engine is silent for too long and the request
  * may go to another one */
 void gwy_hop_watch (gwy_call_t *call);
--- a/src/request/gateway/gateway_wait.c
+++ b/src/request/gateway/gateway_wait.c
@@ -6,8 +6,8 @@
 static lin_room_t
 measure_room (gwy_t *gwy, const gwy_service_t *service)
 {
-  return (lin_room_t){ .slots =
-                           egs_open_slots (gwy->options.engines, service->name, gwy_now_us (gwy)),
+  return (lin_room_t){ .slots = engines_count_open_slots (gwy->options.engines, service->name,
+                                                          gwy_now_us (gwy)),
                        .gateways = gwy->routers };
 }
 
@@ -93,23 +93,23 @@
 may_start (void *owner, void *context)
 {
   const gwy_call_t *call = owner;
-  spr_choice_t *choice = context;
+  engine_choice_t *choice = context;
 
   if (call->course.retry_due && gwy_call_retry_wait_us (call) > 0)
     return false;
   *choice = gwy_call_choose (call);
-  return choice->action != SPR_WAIT && choice->rest_us == 0;
+  return choice->action != ENGINE_CHOICE_WAIT && choice->rest_us == 0;
 }
 
 void
 gwy_wait_pump (gwy_service_t *service)
 {
-  spr_choice_t choice = { 0 };
+  engine_choice_t choice = { 0 };
   gwy_call_t *call;
 
   while ((call = lin_first (service->queue, may_start, &choice)))
     {
-      if (choice.action == SPR_SEND)
+      if (choice.action == ENGINE_CHOICE_SEND)
         {
           gwy_hop_send (call, &choice);
           continue;
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -58,7 +58,7 @@
 {
   mbx_message_t head;
   uint32_t count;
-  mean_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
+  load_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
 } msg_samples_t;
 
 #define MSG_MARKS_MAX 4
--- a/src/request/policy/admit.c
+++ b/src/request/policy/admit.c
@@ -117,7 +117,7 @@
   adm->directory = dir_new (LIM_DIRECTORY_ENTRIES);
   adm->suspects = sus_new (LIM_SUSPECTS, ADM_SUSPECT_LIFETIME_US);
   adm->rng = options->seed | 1;
-  mean_init (&adm->mean, options->seed);
+  load_samples_init (&adm->mean, options->seed);
   return adm;
 }
 
@@ -265,7 +265,7 @@
 adm_lost (adm_t *adm, uint64_t engine_hash)
 {
   if (engine_hash != adm->options.engine_hash)
-    mean_forget (&adm->mean, engine_hash);
+    load_samples_forget (&adm->mean, engine_hash);
 }
 
 void
@@ -274,10 +274,10 @@
   dir_put (adm->directory, now_us, chat_hash, engine_hash);
 }
 
-mean_sample_t
+load_sample_t
 adm_sample (const adm_t *adm, uint64_t now_us)
 {
-  return (mean_sample_t){ .engine_hash = adm->options.engine_hash,
+  return (load_sample_t){ .engine_hash = adm->options.engine_hash,
                           .service_hash = adm->options.service_hash,
                           .load = adm->load,
                           .waiting = fq_count (adm->queue),
@@ -285,7 +285,7 @@
                           .taken_us = now_us };
 }
 
-mean_table_t *
+load_samples_t *
 adm_mean (adm_t *adm)
 {
   return &adm->mean;
--- a/src/request/policy/admit.h
+++ b/src/request/policy/admit.h
@@ -195,9 +195,9 @@
 void adm_served_elsewhere (adm_t *adm, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash);
 
 /** adm_sample() - Return: load sample of this engine, to be sent to other sidecars */
-mean_sample_t adm_sample (const adm_t *adm, uint64_t now_us);
+load_sample_t adm_sample (const adm_t *adm, uint64_t now_us);
 /** adm_mean() - Return: load samples of the other engines; the caller adds them */
-mean_table_t *adm_mean (adm_t *adm);
+load_samples_t *adm_mean (adm_t *adm);
 /** adm_suspects() - Return: requests suspected of crashes */
 sus_t *adm_suspects (adm_t *adm);
 /** adm_directory() - Return: engines on which chats were served last */
--- a/src/request/policy/admit_bound.c
+++ b/src/request/policy/admit_bound.c
@@ -1,10 +1,10 @@
 #include "request/policy/admit_private.h"
 
-static mean_estimate_t
+static load_samples_estimate_t
 estimate_mean (const adm_t *adm, uint64_t now_us)
 {
-  const mean_sample_t own = adm_sample (adm, now_us);
-  return mean_estimate (&adm->mean, now_us, &own, adm->options.engine_count);
+  const load_sample_t own = adm_sample (adm, now_us);
+  return load_samples_estimate_mean (&adm->mean, now_us, &own, adm->options.engine_count);
 }
 
 /*
@@ -22,7 +22,7 @@
 }
 
 static uint64_t
-compute_bound_milli (const adm_t *adm, uint64_t now_us, const mean_estimate_t *estimate)
+compute_bound_milli (const adm_t *adm, uint64_t now_us, const load_samples_estimate_t *estimate)
 {
   const uint64_t slots_milli = (uint64_t)adm->options.slots * MILLI;
   if (adm->options.policy == ADM_POLICY_OPEN || adm->options.engine_count <= 1)
@@ -35,7 +35,7 @@
       const bool just_joined = adm->joined_us != 0 && now_us < adm->joined_us + LIM_SAMPLE_AGE_US;
       return just_joined ? MILLI : slots_milli;
     }
-  const uint64_t margin = estimate->margin_milli + dft_margin_milli (&adm->drift);
+  const uint64_t margin = estimate->margin_milli + load_drift_margin_milli (&adm->drift);
   const uint64_t low = estimate->mean_milli > margin ? estimate->mean_milli - margin : 0;
   return MAX (low * adm->options.bound_percent / 100, one_more_milli (estimate->mean_milli));
 }
@@ -83,9 +83,9 @@
 uint64_t
 adm_bound_now (adm_t *adm, uint64_t now_us)
 {
-  const mean_estimate_t estimate = estimate_mean (adm, now_us);
+  const load_samples_estimate_t estimate = estimate_mean (adm, now_us);
   if (estimate.count > 1)
-    dft_note (&adm->drift, now_us, estimate.mean_milli);
+    load_drift_add (&adm->drift, now_us, estimate.mean_milli);
   return compute_bound_milli (adm, now_us, &estimate);
 }
 
@@ -126,7 +126,7 @@
 
 /* Requests at the other engine are assumed to take as long as those here. */
 uint64_t
-adm_wait_there_us (const adm_t *adm, const mean_sample_t *remote, uint64_t limit)
+adm_wait_there_us (const adm_t *adm, const load_sample_t *remote, uint64_t limit)
 {
   if (remote->load == 0 || remote->waiting + adm_ends_needed (remote->load, limit) == 0)
     return 0;
@@ -137,6 +137,6 @@
 uint64_t
 adm_bound_milli (const adm_t *adm, uint64_t now_us)
 {
-  const mean_estimate_t estimate = estimate_mean (adm, now_us);
+  const load_samples_estimate_t estimate = estimate_mean (adm, now_us);
   return compute_bound_milli (adm, now_us, &estimate);
 }
--- a/src/request/policy/admit_private.h
+++ b/src/request/policy/admit_private.h
@@ -38,9 +38,9 @@
   fq_t *queue;
   dir_t *directory;
   sus_t *suspects;
-  mean_table_t mean;
+  load_samples_t mean;
   drn_t completions;
-  dft_t drift;
+  load_drift_t drift;
   uint64_t joined_us;
   uint64_t last_account;
   uint64_t account_changed_us;
@@ -72,7 +72,7 @@
 uint64_t
 adm_wait_us (const adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli);
 /** adm_wait_there_us() - Return: expected wait at another engine, from its load sample */
-uint64_t adm_wait_there_us (const adm_t *adm, const mean_sample_t *remote, uint64_t limit);
+uint64_t adm_wait_there_us (const adm_t *adm, const load_sample_t *remote, uint64_t limit);
 
 /** adm_refer_to_warm() - checks whether the request should go where its context is cached. Return:
  * whether it is rejected, with @decision */
--- a/src/request/policy/admit_warm.c
+++ b/src/request/policy/admit_warm.c
@@ -25,7 +25,7 @@
 {
   if (adm->options.is_live != NULL && !adm->options.is_live (engine_hash, adm->options.context))
     return false;
-  const mean_sample_t *remote = ref_find (&adm->mean, now_us, engine_hash);
+  const load_sample_t *remote = ref_find (&adm->mean, now_us, engine_hash);
   const uint64_t limit = adm_limit_milli (adm, now_us, &request->item, bound_milli);
   return remote == NULL ||
          adm_wait_there_us (adm, remote, limit) <= adm_cold_start_us (adm, request);
--- a/src/request/policy/choose.c
+++ b/src/request/policy/choose.c
@@ -18,19 +18,22 @@
 } ranked_t;
 
 static bool
-usable (const chs_query_t *query, uint64_t engine_hash)
+usable (const candidates_query_t *query, uint64_t engine_hash)
 {
   return query->is_usable == NULL || query->is_usable (engine_hash, query->context);
 }
 
 static void
-append_usable (
-    const chs_query_t *query, const uint32_t *order, uint32_t found, bool settled, ranked_t *out)
+append_usable (const candidates_query_t *query,
+               const uint32_t *order,
+               uint32_t found,
+               bool settled,
+               ranked_t *out)
 {
   for (uint32_t i = 0; i < found; i++)
     {
-      const plc_engine_t *engine = &query->engines[order[i]];
-      const chs_engine_t *details = &query->details[order[i]];
+      const rendezvous_engine_t *engine = &query->engines[order[i]];
+      const candidates_engine_t *details = &query->details[order[i]];
       if ((details->settled_us <= query->now_us) != settled || !usable (query, engine->hash))
         continue;
       out->hash[out->count] = engine->hash;
@@ -39,11 +42,11 @@
 }
 
 static void
-rank_engines (const chs_query_t *query, ranked_t *out)
+rank_engines (const candidates_query_t *query, ranked_t *out)
 {
   uint32_t order[RANKED_MAX];
-  const uint32_t found = plc_rank (query->engines, query->engine_count, query->service_hash,
-                                   query->chat_hash, order, RANKED_MAX);
+  const uint32_t found = rendezvous_rank (query->engines, query->engine_count, query->service_hash,
+                                          query->chat_hash, order, RANKED_MAX);
   out->count = 0;
   append_usable (query, order, found, true, out);
   out->settled_count = out->count;
@@ -53,7 +56,7 @@
 /* Return: the first engine that was there before the home joined, while it can still have the chat
  * cached; 0 when none */
 static uint64_t
-find_former (const chs_query_t *query, const ranked_t *ranked)
+find_former (const candidates_query_t *query, const ranked_t *ranked)
 {
   const uint64_t joined_us = ranked->joined_us[0];
   if (!query->has_chat || query->first_turn || joined_us == 0 ||
@@ -68,19 +71,19 @@
 /* The higher of two counts: a sample misses the requests sent since, and this router's own count
  * misses those of other routers. */
 static uint32_t
-estimated_load (const chs_query_t *query, const mean_sample_t *sample, uint64_t engine_hash)
+estimated_load (const candidates_query_t *query, const load_sample_t *sample, uint64_t engine_hash)
 {
   const uint32_t own = query->under_way != NULL ? uwy_count (query->under_way, engine_hash) : 0;
   return sample == NULL ? own : MAX (own, sample->load + sample->waiting);
 }
 
 static bool
-is_second_less_loaded (const chs_query_t *query, const ranked_t *ranked)
+is_second_less_loaded (const candidates_query_t *query, const ranked_t *ranked)
 {
   if (query->has_chat || query->samples == NULL || ranked->settled_count < 2)
     return false;
-  const mean_sample_t *first = ref_find (query->samples, query->now_us, ranked->hash[0]);
-  const mean_sample_t *second = ref_find (query->samples, query->now_us, ranked->hash[1]);
+  const load_sample_t *first = ref_find (query->samples, query->now_us, ranked->hash[0]);
+  const load_sample_t *second = ref_find (query->samples, query->now_us, ranked->hash[1]);
   /* An engine without a sample is not empty, so the samples are then not compared. */
   if (first == NULL || second == NULL)
     first = second = NULL;
@@ -89,11 +92,11 @@
   return second_load < first_load || (second_load == first_load && (query->tie & 1) != 0);
 }
 
-chs_t
-chs_choose (const chs_query_t *query)
+candidates_t
+candidates_choose (const candidates_query_t *query)
 {
   ranked_t ranked;
-  chs_t chosen = { 0 };
+  candidates_t chosen = { 0 };
   rank_engines (query, &ranked);
   if (ranked.count == 0)
     return chosen;
--- a/src/request/policy/choose.h
+++ b/src/request/policy/choose.h
@@ -24,7 +24,7 @@
 #include <stdint.h>
 
 /**
- * struct chs_engine - times of an engine, as in mem_host_t
+ * struct candidates_engine - times of an engine, as in mem_host_t
  * @joined_us: when it joined
  * @settled_us: from when on it can be the home of chats
  */
@@ -32,10 +32,10 @@
 {
   uint64_t joined_us;
   uint64_t settled_us;
-} chs_engine_t;
+} candidates_engine_t;
 
 /**
- * struct chs_query - one request
+ * struct candidates_query - one request
  * @now_us: current time
  * @engines: of the service in the router's region, with weight 0 for those that are leaving. The
  *   index of each is its position, here and in @details
@@ -55,8 +55,8 @@
 typedef struct
 {
   uint64_t now_us;
-  const plc_engine_t *engines;
-  const chs_engine_t *details;
+  const rendezvous_engine_t *engines;
+  const candidates_engine_t *details;
   uint32_t engine_count;
   uint64_t service_hash;
   uint64_t chat_hash;
@@ -64,11 +64,11 @@
   bool first_turn;
   uint64_t cache_lifetime_us;
   uint64_t tie;
-  const mean_table_t *samples;
+  const load_samples_t *samples;
   const uwy_t *under_way;
   bool (*is_usable) (uint64_t engine_hash, void *context);
   void *context;
-} chs_query_t;
+} candidates_query_t;
 
 /**
  * struct candidates - engines for a request
@@ -83,9 +83,10 @@
   uint32_t candidate_count;
   uint64_t home_hash;
   uint64_t former_hash;
-} chs_t;
+} candidates_t;
 
-/** chs_choose() - finds the engines for a request; takes O(engines) time and allocates no memory */
-chs_t chs_choose (const chs_query_t *query);
+/** candidates_choose() - finds the engines for a request; takes O(engines) time and allocates no
+ * memory */
+candidates_t candidates_choose (const candidates_query_t *query);
 
 #endif
--- a/src/request/policy/cold_share.h
+++ b/src/request/policy/cold_share.h
@@ -22,10 +22,10 @@
  * With many gateways, sends coincide by chance. At half of 16 requests per second, the calculated
  * probability of a second with more than 29 is 1.4e-10 with 103 gateways and 1.6e-9 with 880.
  */
-#define COLD_SHARE_PERCENT 50
+#define COLD_START_LIMIT_PERCENT 50
 
 /**
- * struct cold_share - one gateway at one engine
+ * struct cold_start_limit - one gateway at one engine
  * @per_s: requests per second that the engine sustains in its cold start; 0 when unknown, and then
  *   there is no limit
  * @gateways: number that may send there, with those not heard recently, as a gateway that is cut
@@ -43,12 +43,12 @@
   uint64_t engine_hash;
   uint64_t since_us;
   uint64_t sent_us;
-} cold_share_t;
+} cold_start_limit_t;
 
-/** cold_share_interval_us() - minimum time between two requests of a gateway; 0 when @per_s is
- * unknown */
-uint64_t cold_share_interval_us (uint32_t per_s, uint32_t gateways);
-/** cold_share_has_turn() - whether the gateway may send a request to the engine now */
-bool cold_share_has_turn (const cold_share_t *share, uint64_t now_us);
+/** cold_start_limit_interval_us() - minimum time between two requests of a gateway; 0 when @per_s
+ * is unknown */
+uint64_t cold_start_limit_interval_us (uint32_t per_s, uint32_t gateways);
+/** cold_start_limit_allows() - whether the gateway may send a request to the engine now */
+bool cold_start_limit_allows (const cold_start_limit_t *share, uint64_t now_us);
 
 #endif
--- a/src/request/policy/drift.c
+++ b/src/request/policy/drift.c
@@ -6,9 +6,9 @@
 #define MARGIN_FACTOR 1 /* multiple of the average change */
 
 void
-dft_note (dft_t *drift, uint64_t now_us, uint64_t mean_milli)
+load_drift_add (load_drift_t *drift, uint64_t now_us, uint64_t mean_milli)
 {
-  if (drift->noted_us != 0 && now_us < drift->noted_us + DFT_STEP_US)
+  if (drift->noted_us != 0 && now_us < drift->noted_us + LOAD_DRIFT_STEP_US)
     return;
   const bool is_first = drift->noted_us == 0;
   const uint64_t change_milli = mean_milli > drift->mean_milli ? mean_milli - drift->mean_milli
@@ -24,7 +24,7 @@
 }
 
 uint64_t
-dft_margin_milli (const dft_t *drift)
+load_drift_margin_milli (const load_drift_t *drift)
 {
   return MARGIN_FACTOR * drift->drift_milli;
 }
--- a/src/request/policy/drift.h
+++ b/src/request/policy/drift.h
@@ -12,25 +12,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define DFT_STEP_US (500 * 1000) /* about the age of a sample */
+#define LOAD_DRIFT_STEP_US (500 * 1000) /* about the age of a sample */
 
 /**
  * struct load_drift - change of one service's mean load; initialized with zeros
  * @noted_us: time of the last estimate that was used; 0 for none
  * @mean_milli: that estimate, in thousandths of a request
- * @drift_milli: smoothed absolute change over %DFT_STEP_US, in thousandths of a request
+ * @drift_milli: smoothed absolute change over %LOAD_DRIFT_STEP_US, in thousandths of a request
  */
 typedef struct
 {
   uint64_t noted_us;
   uint64_t mean_milli;
   uint64_t drift_milli;
-} dft_t;
+} load_drift_t;
 
-/** dft_note() - adds an estimate of the mean; ignored within %DFT_STEP_US of the last one */
-void dft_note (dft_t *drift, uint64_t now_us, uint64_t mean_milli);
-/** dft_margin_milli() - by how much the mean may be below the estimate, in thousandths of a
+/** load_drift_add() - adds an estimate of the mean; ignored within %LOAD_DRIFT_STEP_US of the last
+ * one */
+void load_drift_add (load_drift_t *drift, uint64_t now_us, uint64_t mean_milli);
+/** load_drift_margin_milli() - by how much the mean may be below the estimate, in thousandths of a
  * request */
-uint64_t dft_margin_milli (const dft_t *drift);
+uint64_t load_drift_margin_milli (const load_drift_t *drift);
 
 #endif
--- a/src/request/policy/engines.h
+++ b/src/request/policy/engines.h
@@ -18,13 +18,13 @@
 
 typedef enum
 {
-  EGN_READY,
-  EGN_LEAVING, /* takes no new requests and finishes the ones it has */
-  EGN_GONE     /* no longer in the registry; requests there may still finish */
-} egn_state_t;
+  ENGINE_READY,
+  ENGINE_LEAVING, /* takes no new requests and finishes the ones it has */
+  ENGINE_GONE     /* no longer in the registry; requests there may still finish */
+} engine_state_t;
 
 /**
- * struct egn_entry - the registry's entry of an engine
+ * struct engine_entry - the registry's entry of an engine
  * @id: unchanged when the engine restarts
  * @born_ms: start time of the process by its host's clock; 0 when the entry doesn't state it
  * @service: interned
@@ -42,15 +42,15 @@
   set_address_t address;
   uint32_t slots;
   uint32_t cold_ms;
-  egn_state_t state;
-} egn_entry_t;
+  engine_state_t state;
+} engine_entry_t;
 
 /**
- * struct egn_load - load that an engine reports in an answer
+ * struct engine_load - load that an engine reports in an answer
  * @running: requests in its slots
  * @waiting: requests in its queue
  * @slots: 0 when it doesn't state them
- * @effort_percent: current duration of work on its host, in percent of the usual duration; 0 when
+ * @slowdown_percent: current duration of work on its host, in percent of the usual duration; 0 when
  *   it doesn't state it
  */
 typedef struct
@@ -58,14 +58,14 @@
   uint32_t running;
   uint32_t waiting;
   uint32_t slots;
-  uint32_t effort_percent;
-} egn_load_t;
+  uint32_t slowdown_percent;
+} engine_load_t;
 
-#define EGN_EFFORT_USUAL 100 /* work takes its usual time */
+#define ENGINE_SLOWDOWN_NONE_PERCENT 100 /* work takes its usual time */
 /* A larger value is taken for an error of the engine. */
-#define EGN_EFFORT_MOST 10000
+#define ENGINE_SLOWDOWN_MAX_PERCENT 10000
 /* The speed of a host changes many times a second, so a reported slowdown halves in this time. */
-#define EGN_EFFORT_HALF_US (UINT64_C (200) * 1000)
+#define ENGINE_SLOWDOWN_HALF_LIFE_US (UINT64_C (200) * 1000)
 
 /**
  * struct engine - an engine
@@ -75,11 +75,11 @@
  * @refs: one of the registry's entry and one of each request of this gateway
  * @own: requests of this gateway at the engine
  * @told_us: when the engine last reported its load to this gateway; 0 for never
- * @news_us: when it reported the load that another gateway passed on; 0 for never
+ * @peer_report_us: when it reported the load that another gateway passed on; 0 for never
  * @others: requests of other gateways there, as of @told_us
- * @peer_report_others: requests of other gateways there, as of @news_us
- * @slowdown_us: when it reported @effort_percent
- * @effort_percent: as in egn_load_t; 0 when it never reported it
+ * @peer_report_others: requests of other gateways there, as of @peer_report_us
+ * @slowdown_us: when it reported @slowdown_percent
+ * @slowdown_percent: as in engine_load_t; 0 when it never reported it
  * @failures: consecutive failed requests of this gateway
  * @ejected_until_us: end of the last ejection; a single probe may be sent then
  * @probe_us: when the last probe was sent; 0 for none since the last failure
@@ -111,17 +111,17 @@
  */
 typedef struct
 {
-  egn_entry_t entry;
+  engine_entry_t entry;
   uint64_t hash;
   uint64_t rank_hash;
   uint32_t refs;
   uint32_t own;
   uint64_t told_us;
-  uint64_t news_us;
+  uint64_t peer_report_us;
   uint32_t others;
   uint32_t peer_report_others;
   uint64_t slowdown_us;
-  uint32_t effort_percent;
+  uint32_t slowdown_percent;
   uint32_t failures;
   uint64_t ejected_until_us;
   uint64_t probe_us;
@@ -146,10 +146,10 @@
   bool entry_expired;
   bool displaced;
   bool reported_leaving;
-} egn_t;
+} engine_t;
 
 /** struct engines - the engines of all services that the registry lists */
-typedef struct engines egs_t;
+typedef struct engines engines_t;
 
 /*
  * Half-life of a reported load. As the report ages, the estimate moves from the reported number to
@@ -160,15 +160,15 @@
  * part, 1.4% of requests met an engine above the overload limit (twice the mean plus three) when
  * the estimate halved towards zero each second, and 0.5% with this rule.
  */
-#define EGN_TOLD_US (UINT64_C (1500) * 1000)
+#define ENGINE_REPORT_HALF_LIFE_US (UINT64_C (1500) * 1000)
 /* Load assumed of an engine of which nothing is known, in thousandths of the mean: above it, as
  * other gateways may be filling the engine. */
-#define EGN_UNKNOWN_MILLI 1150
+#define ENGINE_UNKNOWN_LOAD_MILLI 1150
 /* Consecutive failures that eject an engine: a single one may be the fault of the request. */
-#define EGN_FAILURES 2
+#define ENGINE_EJECTION_FAILURES 2
 /* Half-life of the error rate and the latency ratio: an engine that recovers is not called, so
  * nothing else would clear them. */
-#define EGN_ERROR_HALF_US (UINT64_C (1500) * 1000)
+#define ENGINE_ERROR_HALF_LIFE_US (UINT64_C (1500) * 1000)
 /*
  * Time without any byte after which an engine with requests counts as silent. A host that stops
  * responding accepts requests and answers none: nothing fails until the deadlines pass, and as its
@@ -176,24 +176,24 @@
  * a quarter of the requests went to them for ten seconds. A working engine sends a byte of some
  * request within milliseconds, except while it reads long prompts: 30,000 tokens take 268 ms.
  */
-#define EGN_SILENT_US (UINT64_C (400) * 1000)
+#define ENGINE_SILENT_US (UINT64_C (400) * 1000)
 /* Where answers usually take longer to begin, an engine is silent after this multiple of the usual
  * time. */
-#define EGN_SILENT_FACTOR 4
+#define ENGINE_SILENT_FACTOR 4
 /* Interval of single requests to a silent engine, which show when it works again. */
-#define EGN_SILENT_PROBE_US (UINT64_C (4000) * 1000)
+#define ENGINE_SILENT_PROBE_US (UINT64_C (4000) * 1000)
 /* Duration of an ejection; it doubles with each further failure up to the maximum, as a crashed
  * engine is back after some seconds. */
-#define EGN_SKIP_MIN_US (UINT64_C (500) * 1000)
-#define EGN_SKIP_MAX_US (UINT64_C (4000) * 1000)
+#define ENGINE_EJECTION_MIN_US (UINT64_C (500) * 1000)
+#define ENGINE_EJECTION_MAX_US (UINT64_C (4000) * 1000)
 /* A probe is likely to fail. A request that can be repeated at another engine loses a moment only,
  * so one that can't serves as the probe this much later, if no other came. */
-#define EGN_RISK_US (UINT64_C (4000) * 1000)
+#define ENGINE_UNREPEATABLE_PROBE_DELAY_US (UINT64_C (4000) * 1000)
 
-egs_t *egs_new (void);
-void egs_free (egs_t *engines);
+engines_t *engines_new (void);
+void engines_free (engines_t *engines);
 /**
- * egs_put() - adds or updates the registry's entry of an engine
+ * engines_put() - adds or updates the registry's entry of an engine
  *
  * A later start time under the same id means a new engine, to which nothing known of the old one
  * applies; the old one stays until its last request has ended. An entry with an earlier start time
@@ -201,74 +201,82 @@
  *
  * Return: the engine
  */
-egn_t *egs_put (egs_t *engines, uint64_t now_us, const egn_entry_t *entry);
+engine_t *engines_put (engines_t *engines, uint64_t now_us, const engine_entry_t *entry);
 /**
- * egs_set_drained() - starts or ends the drain of @data_center, by order of the operators
+ * engines_set_drained() - starts or ends the drain of @data_center, by order of the operators
  *
  * Its engines get no more requests during the drain. Afterwards they have lost their caches and may
  * be cold, whatever their entries from before the drain say.
  *
  * Return: whether that changed anything
  */
-bool egs_set_drained (egs_t *engines, uint64_t now_us, const char *data_center, bool drained);
+bool
+engines_set_drained (engines_t *engines, uint64_t now_us, const char *data_center, bool drained);
 /**
- * egs_leaves() - records that @engine stated in an answer that it is leaving
+ * engines_note_leaving() - records that @engine stated in an answer that it is leaving
  *
  * It gets no more requests until it is started again.
  *
  * Return: whether it states so for the first time
  */
-bool egs_leaves (egs_t *engines, uint64_t now_us, egn_t *engine);
-/** egs_rests() - records that @engine refused a request and asked for none for @backoff_us */
-void egs_rests (egs_t *engines, uint64_t now_us, egn_t *engine, uint64_t backoff_us);
-/** egs_drained_count() - number of data centres that are being drained */
-uint32_t egs_drained_count (const egs_t *engines);
-/** egs_count_in() - number of engines of @data_center in the registry */
-uint32_t egs_count_in (const egs_t *engines, const char *data_center);
-/** egs_lapsed() - records that the entry of @id expired, perhaps only because the store is
- * unreachable; holds until egs_put() or egs_gone() */
-void egs_lapsed (egs_t *engines, const char *id);
-/** egs_gone() - removes the engine @id, which the registry no longer lists */
-void egs_gone (egs_t *engines, const char *id);
-/** egs_find_hash() - finds the engine with @hash, of id and start time. Return: NULL when none */
-egn_t *egs_find_hash (const egs_t *engines, uint64_t hash);
-/** egs_find() - finds the engine with @id. Return: NULL when none */
-egn_t *egs_find (const egs_t *engines, const char *id);
-/** egs_list() - engines of @service, which is interned, as an array of egn_t; valid until the next
- * egs_put() or egs_gone() */
-const GPtrArray *egs_list (const egs_t *engines, const char *service);
-/** egs_open_slots() - sum of the slots of the engines of @service, which is interned, that may get
- * requests; an engine that doesn't state its slots counts as one */
-uint64_t egs_open_slots (const egs_t *engines, const char *service, uint64_t now_us);
-/** egs_set_complete() - marks the first list as read: engines that are added later have joined */
-void egs_set_complete (egs_t *engines);
-/** egs_count() - number of engines in the registry */
-uint32_t egs_count (const egs_t *engines);
+bool engines_note_leaving (engines_t *engines, uint64_t now_us, engine_t *engine);
+/** engines_note_backoff() - records that @engine refused a request and asked for none for
+ * @backoff_us */
+void
+engines_note_backoff (engines_t *engines, uint64_t now_us, engine_t *engine, uint64_t backoff_us);
+/** engines_count_drained_data_centers() - number of data centres that are being drained */
+uint32_t engines_count_drained_data_centers (const engines_t *engines);
+/** engines_count_in_data_center() - number of engines of @data_center in the registry */
+uint32_t engines_count_in_data_center (const engines_t *engines, const char *data_center);
+/** engines_note_expired() - records that the entry of @id expired, perhaps only because the store
+ * is unreachable; holds until engines_put() or engines_remove() */
+void engines_note_expired (engines_t *engines, const char *id);
+/** engines_remove() - removes the engine @id, which the registry no longer lists */
+void engines_remove (engines_t *engines, const char *id);
+/** engines_find_by_hash() - finds the engine with @hash, of id and start time. Return: NULL when
+ * none */
+engine_t *engines_find_by_hash (const engines_t *engines, uint64_t hash);
+/** engines_find() - finds the engine with @id. Return: NULL when none */
+engine_t *engines_find (const engines_t *engines, const char *id);
+/** engines_of_service() - engines of @service, which is interned, as an array of engine_t; valid
+ * until the next engines_put() or engines_remove() */
+const GPtrArray *engines_of_service (const engines_t *engines, const char *service);
+/** engines_count_open_slots() - sum of the slots of the engines of @service, which is interned,
+ * that may get requests; an engine that doesn't state its slots counts as one */
+uint64_t engines_count_open_slots (const engines_t *engines, const char *service, uint64_t now_us);
+/** engines_set_complete() - marks the first list as read: engines that are added later have joined
+ */
+void engines_set_complete (engines_t *engines);
+/** engines_count() - number of engines in the registry */
+uint32_t engines_count (const engines_t *engines);
 
-/** egn_begin() - counts a request that is sent to @engine, and keeps a reference for it */
-void egn_begin (egn_t *engine, uint64_t now_us);
-/** egn_end() - ends a request that egn_begin() counted; may free @engine */
-void egn_end (egn_t *engine);
-/** egn_told() - records the @load that @engine reported in an answer */
-void egn_told (egn_t *engine, uint64_t now_us, const egn_load_t *load);
-/** egn_heard() - records that @engine reported @load requests to another gateway at @reported_us.
- * Gateways pass on high loads only, so this is used for the engine and not for the mean */
-void egn_heard (egn_t *engine, uint64_t reported_us, uint32_t load);
+/** engine_begin_request() - counts a request that is sent to @engine, and keeps a reference for it
+ */
+void engine_begin_request (engine_t *engine, uint64_t now_us);
+/** engine_end_request() - ends a request that engine_begin_request() counted; may free @engine */
+void engine_end_request (engine_t *engine);
+/** engine_note_load() - records the @load that @engine reported in an answer */
+void engine_note_load (engine_t *engine, uint64_t now_us, const engine_load_t *load);
+/** engine_note_peer_load() - records that @engine reported @load requests to another gateway at
+ * @reported_us. Gateways pass on high loads only, so this is used for the engine and not for the
+ * mean */
+void engine_note_peer_load (engine_t *engine, uint64_t reported_us, uint32_t load);
 /* Time after which a full engine is tried again when no request of this gateway ends there first.
  */
-#define EGN_FULL_US (UINT64_C (100) * 1000)
+#define ENGINE_FULL_US (UINT64_C (100) * 1000)
 
 /* Time after a refusal in which the window applies; later the other gateways have other requests
  * there. */
-#define EGN_WINDOW_US (UINT64_C (10) * 1000 * 1000)
+#define ENGINE_WINDOW_US (UINT64_C (10) * 1000 * 1000)
 
-/** egn_full() - records that @engine refused a request of this gateway for lack of a slot; the
- * request must not have been ended yet */
-void egn_full (egn_t *engine, uint64_t now_us);
-/** egn_is_full() - whether @engine refused a request for lack of a slot within %EGN_FULL_US */
-bool egn_is_full (const egn_t *engine, uint64_t now_us);
+/** engine_note_full() - records that @engine refused a request of this gateway for lack of a slot;
+ * the request must not have been ended yet */
+void engine_note_full (engine_t *engine, uint64_t now_us);
+/** engine_is_full() - whether @engine refused a request for lack of a slot within %ENGINE_FULL_US
+ */
+bool engine_is_full (const engine_t *engine, uint64_t now_us);
 /**
- * egn_has_window() - whether @engine is likely to accept one more request of this gateway
+ * engine_has_window() - whether @engine is likely to accept one more request of this gateway
  * @pause_us: time after the last refusal or send in which an engine beyond the window gets none
  *
  * Gateways that share a full engine all hear of a free slot, and not of each other. If each sent
@@ -277,53 +285,58 @@
  * requests that the engine did accept, and while the window is fully used it grows by one in the
  * time that an answer takes to begin.
  */
-bool egn_has_window (const egn_t *engine, uint64_t now_us, uint64_t pause_us);
-/** egn_worked() - records that @engine answered; @failed when the answer was an error of its own */
-void egn_worked (egn_t *engine, uint64_t now_us, bool failed);
-/** egn_failed() - records that @engine broke off a request or could not be reached */
-void egn_failed (egn_t *engine, uint64_t now_us);
-/** egn_displaced() - records that another engine answered at the address of @engine, which has
- * therefore gone; it gets no requests until the registry has a new entry of it */
-void egn_displaced (egn_t *engine);
-/** egn_unreachable() - records a failure as egn_failed() does, where @engine accepted no
- * connection; when it answers again it has restarted */
-void egn_unreachable (egn_t *engine, uint64_t now_us);
-/** egn_load_now() - estimated requests of all gateways at @engine; @usual_milli is the mean number
- * of requests of other gateways at the engines of its service, in thousandths */
-uint32_t egn_load_now (const egn_t *engine, uint64_t now_us, uint64_t usual_milli);
-/** egn_trust_milli() - weight of the load that @engine reported, falling with age from 1000 to 0 */
-uint32_t egn_trust_milli (const egn_t *engine, uint64_t now_us);
-/** egn_errors_now() - share of its recent answers that were failures, in thousandths */
-uint32_t egn_errors_now (const egn_t *engine, uint64_t now_us);
-/** egn_is_silent() - whether @engine has requests of this gateway, has sent nothing for too long,
- * and no probe is due; @usual_us is the usual time from a request to the head of its answer;
- * @repeatable as in egn_is_skipped() */
-bool egn_is_silent (const egn_t *engine, uint64_t now_us, uint64_t usual_us, bool repeatable);
-/** egn_paced() - records that an answer took @ratio_milli thousandths of the usual time, see
- * pac_sample() */
-void egn_paced (egn_t *engine, uint64_t now_us, uint32_t ratio_milli);
-/** egn_pace_now() - duration of its recent answers relative to the usual duration, in thousandths;
- * 1000 when unknown */
-uint32_t egn_pace_now (const egn_t *engine, uint64_t now_us);
-/** egn_effort_now() - slowdown of its host in percent, falling with age from the reported value to
- * %EGN_EFFORT_USUAL */
-uint32_t egn_effort_now (const egn_t *engine, uint64_t now_us);
-/** egn_is_open() - whether @engine takes new requests: the registry says it is ready, it has not
+bool engine_has_window (const engine_t *engine, uint64_t now_us, uint64_t pause_us);
+/** engine_note_answer() - records that @engine answered; @failed when the answer was an error of
+ * its own */
+void engine_note_answer (engine_t *engine, uint64_t now_us, bool failed);
+/** engine_note_failure() - records that @engine broke off a request or could not be reached */
+void engine_note_failure (engine_t *engine, uint64_t now_us);
+/** engine_note_displaced() - records that another engine answered at the address of @engine, which
+ * has therefore gone; it gets no requests until the registry has a new entry of it */
+void engine_note_displaced (engine_t *engine);
+/** engine_note_unreachable() - records a failure as engine_note_failure() does, where @engine
+ * accepted no connection; when it answers again it has restarted */
+void engine_note_unreachable (engine_t *engine, uint64_t now_us);
+/** engine_estimate_load() - estimated requests of all gateways at @engine; @usual_milli is the mean
+ * number of requests of other gateways at the engines of its service, in thousandths */
+uint32_t engine_estimate_load (const engine_t *engine, uint64_t now_us, uint64_t usual_milli);
+/** engine_load_weight_milli() - weight of the load that @engine reported, falling with age from
+ * 1000 to 0 */
+uint32_t engine_load_weight_milli (const engine_t *engine, uint64_t now_us);
+/** engine_error_rate_milli() - share of its recent answers that were failures, in thousandths */
+uint32_t engine_error_rate_milli (const engine_t *engine, uint64_t now_us);
+/** engine_is_silent() - whether @engine has requests of this gateway, has sent nothing for too
+ * long, and no probe is due; @usual_us is the usual time from a request to the head of its answer;
+ * @repeatable as in engine_is_ejected() */
+bool engine_is_silent (const engine_t *engine, uint64_t now_us, uint64_t usual_us, bool repeatable);
+/** engine_note_latency() - records that an answer took @ratio_milli thousandths of the usual time,
+ * see pac_sample() */
+void engine_note_latency (engine_t *engine, uint64_t now_us, uint32_t ratio_milli);
+/** engine_latency_ratio_milli() - duration of its recent answers relative to the usual duration, in
+ * thousandths; 1000 when unknown */
+uint32_t engine_latency_ratio_milli (const engine_t *engine, uint64_t now_us);
+/** engine_slowdown_percent() - slowdown of its host in percent, falling with age from the reported
+ * value to %ENGINE_SLOWDOWN_NONE_PERCENT */
+uint32_t engine_slowdown_percent (const engine_t *engine, uint64_t now_us);
+/** engine_is_open() - whether @engine takes new requests: the registry says it is ready, it has not
  * stated that it is leaving, and it is neither drained nor displaced */
-bool egn_is_open (const egn_t *engine);
-/** egn_is_resting() - whether @engine asked for no requests at this time */
-bool egn_is_resting (const egn_t *engine, uint64_t now_us);
-/** egn_is_cold() - whether @engine is in its cold start: by its entry, or for @cold_start_us after
- * it returned */
-bool egn_is_cold (const egn_t *engine, uint64_t now_us, uint64_t cold_start_us);
-/** egn_cold_since_us() - when the cold start of @engine was noticed; for engines that are cold */
-uint64_t egn_cold_since_us (const egn_t *engine);
-/** egn_is_skipped() - whether @engine is ejected for failures and no probe is due; a @repeatable
+bool engine_is_open (const engine_t *engine);
+/** engine_is_backing_off() - whether @engine asked for no requests at this time */
+bool engine_is_backing_off (const engine_t *engine, uint64_t now_us);
+/** engine_is_cold() - whether @engine is in its cold start: by its entry, or for @cold_start_us
+ * after it returned */
+bool engine_is_cold (const engine_t *engine, uint64_t now_us, uint64_t cold_start_us);
+/** engine_cold_since_us() - when the cold start of @engine was noticed; for engines that are cold
+ */
+uint64_t engine_cold_since_us (const engine_t *engine);
+/** engine_is_ejected() - whether @engine is ejected for failures and no probe is due; a @repeatable
  * request can be sent to another engine when this one fails it, and probes earlier */
-bool egn_is_skipped (const egn_t *engine, uint64_t now_us, bool repeatable);
-/** egn_probe() - records that the single request is sent that an ejected engine gets as a probe */
-void egn_probe (egn_t *engine, uint64_t now_us);
-/** egn_slots() - requests that @engine runs concurrently; @fallback when it doesn't state them */
-uint32_t egn_slots (const egn_t *engine, uint32_t fallback);
+bool engine_is_ejected (const engine_t *engine, uint64_t now_us, bool repeatable);
+/** engine_note_probe() - records that the single request is sent that an ejected engine gets as a
+ * probe */
+void engine_note_probe (engine_t *engine, uint64_t now_us);
+/** engine_slots() - requests that @engine runs concurrently; @fallback when it doesn't state them
+ */
+uint32_t engine_slots (const engine_t *engine, uint32_t fallback);
 
 #endif
--- a/src/request/policy/first_ask.h
+++ b/src/request/policy/first_ask.h
@@ -15,11 +15,11 @@
 
 /* Time after which the longest time stated is replaced by a shorter one: callers of a new release
  * may have less time. */
-#define FAS_FORGET_US (UINT64_C (10000) * 1000)
+#define FIRST_ATTEMPT_FORGET_US (UINT64_C (10000) * 1000)
 /* A request that states less than this share of the longest time, in thousandths, is a later
  * attempt. First attempts state 850 or more; one after a third of the caller's time, the longest
  * that callers are told to wait, states less than 700. */
-#define FAS_SPREAD_MILLI 750
+#define FIRST_ATTEMPT_SHARE_MILLI 750
 
 /**
  * struct first_attempt - times stated on one route; initialized with zeros
@@ -30,10 +30,10 @@
 {
   uint32_t longest_ms;
   uint64_t seen_us;
-} fas_t;
+} first_attempt_t;
 
-/** fas_age_us() - processes a request whose caller waits for @left_ms more; 0 when not stated.
- * Return: time since its first attempt, 0 when this is the first or that is unknown */
-uint64_t fas_age_us (fas_t *route, uint64_t now_us, uint32_t left_ms);
+/** first_attempt_age_us() - processes a request whose caller waits for @left_ms more; 0 when not
+ * stated. Return: time since its first attempt, 0 when this is the first or that is unknown */
+uint64_t first_attempt_age_us (first_attempt_t *route, uint64_t now_us, uint32_t left_ms);
 
 #endif
--- a/src/request/policy/home_regions.c
+++ b/src/request/policy/home_regions.c
@@ -1,7 +1,7 @@
 #include "request/policy/home_regions.h"
 
 bool
-home_regions_bind (const home_regions_t *regions)
+region_filter_is_active (const region_filter_t *regions)
 {
   return regions->route || regions->account;
 }
@@ -13,19 +13,19 @@
 }
 
 bool
-home_regions_allow (const home_regions_t *regions, const egn_t *engine)
+region_filter_allows (const region_filter_t *regions, const engine_t *engine)
 {
   return is_in_list (regions->route, engine->entry.region) &&
          is_in_list (regions->account, engine->entry.region);
 }
 
 GPtrArray *
-home_regions_engines (const home_regions_t *regions, const GPtrArray *engines)
+region_filter_apply (const region_filter_t *regions, const GPtrArray *engines)
 {
   GPtrArray *allowed = g_ptr_array_new ();
 
   for (guint i = 0; i < engines->len; i++)
-    if (home_regions_allow (regions, g_ptr_array_index (engines, i)))
+    if (region_filter_allows (regions, g_ptr_array_index (engines, i)))
       g_ptr_array_add (allowed, g_ptr_array_index (engines, i));
   return allowed;
 }
--- a/src/request/policy/home_regions.h
+++ b/src/request/policy/home_regions.h
@@ -18,15 +18,15 @@
 {
   const char *const *route;
   const char *const *account;
-} home_regions_t;
+} region_filter_t;
 
-/** home_regions_bind() - whether there is any restriction */
-bool home_regions_bind (const home_regions_t *regions);
-/** home_regions_allow() - whether a request may reach @engine; an engine whose region is unknown is
- * in none */
-bool home_regions_allow (const home_regions_t *regions, const egn_t *engine);
-/** home_regions_engines() - the allowed ones of @engines, an array of egn_t. Return: a new array,
+/** region_filter_is_active() - whether there is any restriction */
+bool region_filter_is_active (const region_filter_t *regions);
+/** region_filter_allows() - whether a request may reach @engine; an engine whose region is unknown
+ * is in none */
+bool region_filter_allows (const region_filter_t *regions, const engine_t *engine);
+/** region_filter_apply() - the allowed ones of @engines, an array of engine_t. Return: a new array,
  * to be freed with g_ptr_array_unref() */
-GPtrArray *home_regions_engines (const home_regions_t *regions, const GPtrArray *engines);
+GPtrArray *region_filter_apply (const region_filter_t *regions, const GPtrArray *engines);
 
 #endif
--- a/src/request/policy/line.c
+++ b/src/request/policy/line.c
@@ -31,8 +31,8 @@
   uint64_t emptied_us;
   uint64_t late_starts_milli;
   uint64_t decayed_us;
-  odd_t odds;
-  odd_t quiet_odds;
+  priority_fairness_t odds;
+  priority_fairness_t quiet_odds;
   bool scarce;
 };
 
@@ -140,7 +140,7 @@
 uint32_t
 lin_odds_milli (const lin_t *lin)
 {
-  return odd_share_milli (&lin->odds);
+  return priority_fairness_started_milli (&lin->odds);
 }
 
 /*
@@ -204,7 +204,7 @@
   decay_late_starts (lin, now_us);
   if (lin->late_starts_milli > 0)
     wait_us = (ahead + 1) * LATE_MEAN_US * MILLI / lin->late_starts_milli;
-  if (odd_share_milli (&lin->odds) >= LIN_MILD_MILLI)
+  if (priority_fairness_started_milli (&lin->odds) >= LIN_MILD_MILLI)
     wait_us = MIN (wait_us, now_us - lin->busy_since_us);
   return wait_us;
 }
@@ -214,8 +214,8 @@
 static bool
 is_surge (const lin_t *lin)
 {
-  return odd_asked_milli (&lin->quiet_odds) * MILLI <
-         odd_asked_milli (&lin->odds) * LIN_QUIET_MOST_MILLI;
+  return priority_fairness_count_milli (&lin->quiet_odds) * MILLI <
+         priority_fairness_count_milli (&lin->odds) * LIN_QUIET_MOST_MILLI;
 }
 
 /*
@@ -227,7 +227,7 @@
 leaves_slots_to_others (const lin_t *lin, uint64_t now_us)
 {
   return lin->scarce && !is_surge (lin) && lin_is_overloaded (lin, now_us) &&
-         odd_share_milli (&lin->odds) < LIN_MILD_MILLI;
+         priority_fairness_started_milli (&lin->odds) < LIN_MILD_MILLI;
 }
 
 /* Return: whether a late request that arrives now is expected to start by @last_us */
@@ -244,9 +244,9 @@
 {
   if (item->returns)
     return;
-  odd_note (&lin->odds, now_us, item->priority, started);
+  priority_fairness_record (&lin->odds, now_us, item->priority, started);
   if (fq_has_credit (lin->in_time, &item->fair))
-    odd_note (&lin->quiet_odds, now_us, item->priority, started);
+    priority_fairness_record (&lin->quiet_odds, now_us, item->priority, started);
 }
 
 static void
@@ -281,14 +281,15 @@
 
 /* A request of an account with credit is never rejected in favour of other priorities: such an
  * account starts before others, so the counted shares don't apply to it. */
-static odd_turn_t
+static priority_fairness_decision_t
 turn_of (const lin_t *lin, uint64_t now_us, const lin_item_t *item)
 {
-  odd_turn_t turn =
-      lin_is_overloaded (lin, now_us) ? odd_turn (&lin->odds, item->priority) : ODD_IN_TURN;
+  priority_fairness_decision_t turn = lin_is_overloaded (lin, now_us)
+                                          ? priority_fairness_decide (&lin->odds, item->priority)
+                                          : PRIORITY_FAIRNESS_IN_ORDER;
 
-  if (turn == ODD_GIVES_WAY && fq_has_credit (lin->in_time, &item->fair))
-    return ODD_IN_TURN;
+  if (turn == PRIORITY_FAIRNESS_YIELD && fq_has_credit (lin->in_time, &item->fair))
+    return PRIORITY_FAIRNESS_IN_ORDER;
   return turn;
 }
 
@@ -299,7 +300,7 @@
 stays_in_first_queue (const lin_t *lin, const lin_item_t *item)
 {
   return (!lin->scarce || is_surge (lin)) &&
-         odd_share_milli (&lin->quiet_odds) >= LIN_QUIET_MILLI &&
+         priority_fairness_started_milli (&lin->quiet_odds) >= LIN_QUIET_MILLI &&
          fq_has_credit (lin->in_time, &item->fair);
 }
 
@@ -322,21 +323,21 @@
 {
   uint64_t in_time_us = in_time_start_us (lin, item);
   uint64_t last_us = last_start_us (lin, item);
-  odd_turn_t turn;
+  priority_fairness_decision_t turn;
   bool late;
 
   g_assert (!item->waiting);
   lin->scarce = room->slots < (uint64_t)room->gateways * LIN_SCARCE_SLOTS;
   set_fair_queue_fields (lin, item);
   turn = turn_of (lin, now_us, item);
-  if (turn == ODD_FIRST)
+  if (turn == PRIORITY_FAIRNESS_FIRST)
     item->fair.priority = 0;
   fq_set_credit (lin->in_time, LIN_CREDIT_MS * room->slots / MAX (room->gateways, 1U));
   item->late = false;
   *wait_us = lin_wait_us (lin, room, item);
   if (now_us + *wait_us >= last_us)
     return LIN_TOO_LATE;
-  late = now_us >= in_time_us || turn == ODD_GIVES_WAY ||
+  late = now_us >= in_time_us || turn == PRIORITY_FAIRNESS_YIELD ||
          (lin_is_overloaded (lin, now_us) && now_us + *wait_us >= in_time_us);
   if (late)
     note_odds (lin, now_us, item, false);
--- a/src/request/policy/load_gauge.h
+++ b/src/request/policy/load_gauge.h
@@ -19,14 +19,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define GAU_GAIN 12 /* reports over which the utilization is smoothed */
+#define LOAD_GAUGE_SMOOTHING 12 /* reports over which the utilization is smoothed */
 /* Age at which the utilization is unknown: streams of one to two seconds have ended since. */
-#define GAU_FORGET_US (UINT64_C (1000) * 1000)
+#define LOAD_GAUGE_AGE_MAX_US (UINT64_C (1000) * 1000)
 
 /* Added to the gateway's own requests, as a few more or fewer come by chance. */
-#define GAU_OWN_LEAST 8
+#define LOAD_GAUGE_OWN_OFFSET 8
 /* Growth of the gateway's own requests since the last reports that is a surge, in thousandths. */
-#define GAU_SURGE_MILLI 1250
+#define LOAD_GAUGE_SURGE_MILLI 1250
 
 /**
  * struct load_gauge - utilization of a service; initialized with zeros
@@ -39,16 +39,17 @@
   uint64_t utilization_milli;
   uint64_t own_milli;
   uint64_t reported_us;
-} gau_t;
+} load_gauge_t;
 
-/** gau_told() - adds a report: @requests run or wait at an engine with @slots, while this gateway
- * has @own requests at the engines of the service */
-void gau_told (gau_t *gauge, uint64_t now_us, uint32_t requests, uint32_t slots, uint64_t own);
-/** gau_told_milli() - reported requests at the engines, in thousandths of their slots; 0 when
- * unknown */
-uint32_t gau_told_milli (const gau_t *gauge, uint64_t now_us);
-/** gau_is_surge() - whether the engines are probably full although they reported free slots, as
- * this gateway now has @own requests there */
-bool gau_is_surge (const gau_t *gauge, uint64_t now_us, uint64_t own);
+/** load_gauge_add() - adds a report: @requests run or wait at an engine with @slots, while this
+ * gateway has @own requests at the engines of the service */
+void load_gauge_add (
+    load_gauge_t *gauge, uint64_t now_us, uint32_t requests, uint32_t slots, uint64_t own);
+/** load_gauge_utilization_milli() - reported requests at the engines, in thousandths of their
+ * slots; 0 when unknown */
+uint32_t load_gauge_utilization_milli (const load_gauge_t *gauge, uint64_t now_us);
+/** load_gauge_is_surge() - whether the engines are probably full although they reported free slots,
+ * as this gateway now has @own requests there */
+bool load_gauge_is_surge (const load_gauge_t *gauge, uint64_t now_us, uint64_t own);
 
 #endif
--- a/src/request/policy/load_news.h
+++ b/src/request/policy/load_news.h
@@ -15,14 +15,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LNW_MOST 16 /* engines; when full, the oldest report is replaced */
+#define LOAD_REPORTS_MAX 16 /* engines; when full, the oldest report is replaced */
 /* Maximum age of a report: later the requests of then have ended and others have begun. */
-#define LNW_AGE_US (UINT64_C (3000) * 1000)
+#define LOAD_REPORTS_AGE_MAX_US (UINT64_C (3000) * 1000)
 /* Share of the overload limit from which on a load is passed on, in thousandths. */
-#define LNW_NEAR_MILLI 1000
+#define LOAD_REPORTS_HIGH_MILLI 1000
 
 /**
- * struct lnw_item - load that an engine reported to some gateway
+ * struct load_report - load that an engine reported to some gateway
  * @engine_hash: of the engine's id and start time
  * @load: requests that ran or waited there
  * @told_us: when it was reported, on the clock of this process
@@ -32,21 +32,26 @@
   uint64_t engine_hash;
   uint32_t load;
   uint64_t told_us;
-} lnw_item_t;
+} load_report_t;
 
 /** struct load_reports - the latest report of each engine; initialized with zeros */
 typedef struct
 {
-  lnw_item_t items[LNW_MOST];
-} lnw_t;
+  load_report_t items[LOAD_REPORTS_MAX];
+} load_reports_t;
 
-/** lnw_is_news() - whether @load should be passed on, where the mean load is @mean_milli and the
- * overload limit is @factor times the mean plus @more_milli, in thousandths of a request */
-bool lnw_is_news (uint32_t load, uint64_t mean_milli, uint32_t factor, uint64_t more_milli);
-/** lnw_add() - adds a report. Return: false when it is too old or a later one of the engine is
- * known */
-bool lnw_add (lnw_t *reports, uint64_t now_us, const lnw_item_t *item);
-/** lnw_take() - copies up to @want reports to @out, the latest first. Return: their number */
-uint32_t lnw_take (const lnw_t *reports, uint64_t now_us, lnw_item_t *out, uint32_t want);
+/** load_reports_is_high() - whether @load should be passed on, where the mean load is @mean_milli
+ * and the overload limit is @factor times the mean plus @more_milli, in thousandths of a request */
+bool
+load_reports_is_high (uint32_t load, uint64_t mean_milli, uint32_t factor, uint64_t more_milli);
+/** load_reports_add() - adds a report. Return: false when it is too old or a later one of the
+ * engine is known */
+bool load_reports_add (load_reports_t *reports, uint64_t now_us, const load_report_t *item);
+/** load_reports_latest() - copies up to @want reports to @out, the latest first. Return: their
+ * number */
+uint32_t load_reports_latest (const load_reports_t *reports,
+                              uint64_t now_us,
+                              load_report_t *out,
+                              uint32_t want);
 
 #endif
--- a/src/request/policy/mean.c
+++ b/src/request/policy/mean.c
@@ -7,7 +7,7 @@
 #define MILLI 1000
 
 static uint64_t
-next_random (mean_table_t *table)
+next_random (load_samples_t *table)
 {
   /* xorshift64*, seeded so that tests are reproducible */
   table->rng ^= table->rng >> 12;
@@ -17,13 +17,13 @@
 }
 
 static bool
-is_fresh (const mean_sample_t *sample, uint64_t now_us)
+is_fresh (const load_sample_t *sample, uint64_t now_us)
 {
   return sample->taken_us + LIM_SAMPLE_AGE_US >= now_us;
 }
 
 static uint32_t
-find_index (const mean_table_t *table, uint64_t engine_hash)
+find_index (const load_samples_t *table, uint64_t engine_hash)
 {
   uint32_t i = 0;
   while (i < table->count && table->samples[i].engine_hash != engine_hash)
@@ -35,8 +35,8 @@
  * these are fewer than half or not busy, as engines of a service with little traffic are idle for
  * lack of requests. Return: how many samples count, from the front */
 static uint32_t
-partition_reached (const mean_table_t *table,
-                   const mean_sample_t **items,
+partition_reached (const load_samples_t *table,
+                   const load_sample_t **items,
                    uint32_t count,
                    uint64_t now_us)
 {
@@ -44,19 +44,19 @@
   uint64_t sum = 0;
   for (uint32_t i = 0; i < count; i++)
     {
-      const mean_sample_t *item = items[i];
-      if (mean_is_unreached (table, item, now_us))
+      const load_sample_t *item = items[i];
+      if (load_samples_is_unreached (table, item, now_us))
         continue;
       sum += item->load;
       items[i] = items[reached];
       items[reached++] = item;
     }
-  const bool busy = sum >= (uint64_t)MEAN_BUSY * reached && reached >= count - reached;
+  const bool busy = sum >= (uint64_t)LOAD_SAMPLES_BUSY_MEAN * reached && reached >= count - reached;
   return busy && reached > 0 ? reached : count;
 }
 
 static uint32_t
-find_oldest (const mean_table_t *table)
+find_oldest (const load_samples_t *table)
 {
   uint32_t oldest = 0;
   for (uint32_t i = 1; i < table->count; i++)
@@ -69,12 +69,12 @@
 
 /* Moves @want randomly chosen elements of @items to its front. */
 static void
-shuffle_front (mean_table_t *table, const mean_sample_t **items, uint32_t count, uint32_t want)
+shuffle_front (load_samples_t *table, const load_sample_t **items, uint32_t count, uint32_t want)
 {
   for (uint32_t i = 0; i < want; i++)
     {
       uint32_t j = i + (uint32_t)(next_random (table) % (count - i));
-      const mean_sample_t *swap = items[i];
+      const load_sample_t *swap = items[i];
       items[i] = items[j];
       items[j] = swap;
     }
@@ -83,21 +83,21 @@
 static int
 compare_newest_first (const void *a, const void *b)
 {
-  const mean_sample_t *x = *(const mean_sample_t *const *)a;
-  const mean_sample_t *y = *(const mean_sample_t *const *)b;
+  const load_sample_t *x = *(const load_sample_t *const *)a;
+  const load_sample_t *y = *(const load_sample_t *const *)b;
   return (x->taken_us < y->taken_us) - (x->taken_us > y->taken_us);
 }
 
 static uint32_t
-collect_fresh (const mean_table_t *table,
+collect_fresh (const load_samples_t *table,
                uint64_t now_us,
                uint64_t except_hash,
-               const mean_sample_t **out)
+               const load_sample_t **out)
 {
   uint32_t count = 0;
   for (uint32_t i = 0; i < table->count; i++)
     {
-      const mean_sample_t *sample = &table->samples[i];
+      const load_sample_t *sample = &table->samples[i];
       if (is_fresh (sample, now_us) && sample->engine_hash != except_hash)
         out[count++] = sample;
     }
@@ -122,7 +122,7 @@
 }
 
 static void
-set_sample (mean_table_t *table, uint32_t i, const mean_sample_t *sample, bool is_new)
+set_sample (load_samples_t *table, uint32_t i, const load_sample_t *sample, bool is_new)
 {
   const bool idle = sample->load == 0 && sample->waiting == 0;
   const bool was_idle = !is_new && table->idle_since_us[i] != 0;
@@ -132,21 +132,23 @@
 }
 
 bool
-mean_is_unreached (const mean_table_t *table, const mean_sample_t *sample, uint64_t now_us)
+load_samples_is_unreached (const load_samples_t *table,
+                           const load_sample_t *sample,
+                           uint64_t now_us)
 {
   const uint64_t since_us = table->idle_since_us[sample - table->samples];
   return since_us != 0 && since_us + LIM_SAMPLE_AGE_US < now_us;
 }
 
 void
-mean_init (mean_table_t *table, uint64_t seed)
+load_samples_init (load_samples_t *table, uint64_t seed)
 {
   memset (table, 0, sizeof *table);
   table->rng = seed | 1;
 }
 
 void
-mean_add (mean_table_t *table, const mean_sample_t *sample)
+load_samples_add (load_samples_t *table, const load_sample_t *sample)
 {
   uint32_t i = find_index (table, sample->engine_hash);
   if (i < table->count)
@@ -166,7 +168,7 @@
 }
 
 void
-mean_forget (mean_table_t *table, uint64_t engine_hash)
+load_samples_forget (load_samples_t *table, uint64_t engine_hash)
 {
   uint32_t i = find_index (table, engine_hash);
   if (i == table->count)
@@ -175,13 +177,13 @@
   table->idle_since_us[i] = table->idle_since_us[table->count];
 }
 
-mean_estimate_t
-mean_estimate (const mean_table_t *table,
-               uint64_t now_us,
-               const mean_sample_t *own,
-               uint32_t engine_count)
+load_samples_estimate_t
+load_samples_estimate_mean (const load_samples_t *table,
+                            uint64_t now_us,
+                            const load_sample_t *own,
+                            uint32_t engine_count)
 {
-  const mean_sample_t *fresh[LIM_SAMPLES_KEPT];
+  const load_sample_t *fresh[LIM_SAMPLES_KEPT];
   uint64_t own_hash = own != NULL ? own->engine_hash : 0;
   uint32_t own_count = own != NULL ? 1 : 0;
   uint32_t sampled = collect_fresh (table, now_us, own_hash, fresh);
@@ -205,7 +207,7 @@
    * high load would raise the bound of the engine that has it. */
   double weight = total > 0 ? (double)others / total : 0;
   double mean = others_mean * weight + (own != NULL ? (double)own->load / total : 0);
-  mean_estimate_t estimate = {
+  load_samples_estimate_t estimate = {
     .mean_milli = (uint64_t)llround (mean * MILLI),
     .margin_milli = (uint64_t)llround (error * weight * MILLI),
     .count = count + own_count,
@@ -214,11 +216,11 @@
 }
 
 uint32_t
-mean_pick (mean_table_t *table, uint64_t now_us, mean_sample_t *out, uint32_t want)
+load_samples_pick (load_samples_t *table, uint64_t now_us, load_sample_t *out, uint32_t want)
 {
-  const mean_sample_t *fresh[LIM_SAMPLES_KEPT];
+  const load_sample_t *fresh[LIM_SAMPLES_KEPT];
   uint32_t count = collect_fresh (table, now_us, 0, fresh);
-  qsort (fresh, count, sizeof (mean_sample_t *), compare_newest_first);
+  qsort (fresh, count, sizeof (load_sample_t *), compare_newest_first);
   /* Peers with the same samples should not all pass on the same ones. */
   count = MIN (count, 2 * want);
   want = MIN (want, count);
@@ -229,11 +231,12 @@
 }
 
 uint32_t
-mean_room (mean_table_t *table, uint64_t now_us, uint64_t except_hash, uint64_t *out, uint32_t want)
+load_samples_below_mean (
+    load_samples_t *table, uint64_t now_us, uint64_t except_hash, uint64_t *out, uint32_t want)
 {
-  const mean_sample_t *fresh[LIM_SAMPLES_KEPT];
+  const load_sample_t *fresh[LIM_SAMPLES_KEPT];
   uint32_t count = collect_fresh (table, now_us, except_hash, fresh);
-  uint64_t mean_milli = mean_estimate (table, now_us, NULL, 0).mean_milli;
+  uint64_t mean_milli = load_samples_estimate_mean (table, now_us, NULL, 0).mean_milli;
   uint32_t room_count = 0;
   for (uint32_t i = 0; i < count; i++)
     {
--- a/src/request/policy/mean.h
+++ b/src/request/policy/mean.h
@@ -15,10 +15,10 @@
 
 /* Mean load, in requests, from which on a service has enough requests for every engine: one without
  * any is then unreached and not merely idle. */
-#define MEAN_BUSY 4
+#define LOAD_SAMPLES_BUSY_MEAN 4
 
 /**
- * struct mean_sample - the load of one engine at one time
+ * struct load_sample - the load of one engine at one time
  * @engine_hash: of the engine's name
  * @service_hash: of the service's name
  * @load: requests dispatched to it
@@ -34,10 +34,10 @@
   uint32_t waiting;
   uint32_t cost;
   uint64_t taken_us;
-} mean_sample_t;
+} load_sample_t;
 
 /**
- * struct mean_table - the samples of one service
+ * struct load_samples - the samples of one service
  * @samples: in no order, at most one of each engine
  * @idle_since_us: at the index of each sample, since when all samples of its engine have shown no
  *   load; 0 when it has load
@@ -46,11 +46,11 @@
  */
 typedef struct
 {
-  mean_sample_t samples[LIM_SAMPLES_KEPT];
+  load_sample_t samples[LIM_SAMPLES_KEPT];
   uint64_t idle_since_us[LIM_SAMPLES_KEPT];
   uint32_t count;
   uint64_t rng;
-} mean_table_t;
+} load_samples_t;
 
 /**
  * struct load_samples_estimate - estimated mean load of a service
@@ -64,45 +64,49 @@
   uint64_t mean_milli;
   uint64_t margin_milli;
   uint32_t count;
-} mean_estimate_t;
+} load_samples_estimate_t;
 
-/** mean_init() - empties the table and seeds its random numbers */
-void mean_init (mean_table_t *table, uint64_t seed);
-/** mean_add() - keeps a sample in place of an older one of the same engine, or of the oldest one
- * when the table is full */
-void mean_add (mean_table_t *table, const mean_sample_t *sample);
-/** mean_is_unreached() - whether the engine of @sample, which must be in @table, has had no load
- * for %LIM_SAMPLE_AGE_US; while the others are busy, this means that routers can't reach it */
-bool mean_is_unreached (const mean_table_t *table, const mean_sample_t *sample, uint64_t now_us);
-/** mean_forget() - removes the sample of an engine */
-void mean_forget (mean_table_t *table, uint64_t engine_hash);
+/** load_samples_init() - empties the table and seeds its random numbers */
+void load_samples_init (load_samples_t *table, uint64_t seed);
+/** load_samples_add() - keeps a sample in place of an older one of the same engine, or of the
+ * oldest one when the table is full */
+void load_samples_add (load_samples_t *table, const load_sample_t *sample);
+/** load_samples_is_unreached() - whether the engine of @sample, which must be in @table, has had no
+ * load for %LIM_SAMPLE_AGE_US; while the others are busy, this means that routers can't reach it */
+bool load_samples_is_unreached (const load_samples_t *table,
+                                const load_sample_t *sample,
+                                uint64_t now_us);
+/** load_samples_forget() - removes the sample of an engine */
+void load_samples_forget (load_samples_t *table, uint64_t engine_hash);
 /**
- * mean_estimate() - estimates the mean load from the samples that are recent enough
+ * load_samples_estimate_mean() - estimates the mean load from the samples that are recent enough
  * @own: the load of this process's engine, or NULL when it has none
  * @engine_count: engines of the service, of which some may have no sample
  *
  * Engines without load for %LIM_SAMPLE_AGE_US are left out if they are at most half of the sampled
- * engines and the others have a mean of %MEAN_BUSY or more. Refusals name such engines as having
- * room, and still they get no requests, so routers can't reach them. Counting them would keep the
- * load bound of the others below the load that they have to carry.
+ * engines and the others have a mean of %LOAD_SAMPLES_BUSY_MEAN or more. Refusals name such engines
+ * as having room, and still they get no requests, so routers can't reach them. Counting them would
+ * keep the load bound of the others below the load that they have to carry.
  */
-mean_estimate_t mean_estimate (const mean_table_t *table,
-                               uint64_t now_us,
-                               const mean_sample_t *own,
-                               uint32_t engine_count);
-/** mean_pick() - copies up to @want samples to pass on to @out, chosen at random among the 2 x
+load_samples_estimate_t load_samples_estimate_mean (const load_samples_t *table,
+                                                    uint64_t now_us,
+                                                    const load_sample_t *own,
+                                                    uint32_t engine_count);
+/** load_samples_pick() - copies up to @want samples to pass on to @out, chosen at random among the
+ * 2 x
  * @want newest. Return: their number */
-uint32_t mean_pick (mean_table_t *table, uint64_t now_us, mean_sample_t *out, uint32_t want);
+uint32_t
+load_samples_pick (load_samples_t *table, uint64_t now_us, load_sample_t *out, uint32_t want);
 /**
- * mean_room() - chooses up to @want engines other than @except_hash with a load at or below the
- * mean
+ * load_samples_below_mean() - chooses up to @want engines other than @except_hash with a load at or
+ * below the mean
  * @out: receives their hashes
  *
  * The choice is random, so that the refusals of many sidecars do not all name the same engine.
  *
  * Return: the number of engines in @out
  */
-uint32_t mean_room (
-    mean_table_t *table, uint64_t now_us, uint64_t except_hash, uint64_t *out, uint32_t want);
+uint32_t load_samples_below_mean (
+    load_samples_t *table, uint64_t now_us, uint64_t except_hash, uint64_t *out, uint32_t want);
 
 #endif
--- a/src/request/policy/member.c
+++ b/src/request/policy/member.c
@@ -207,7 +207,7 @@
 static void
 apply_list_entry (mem_t *mem, uint64_t now_us, const mem_listed_t *listed)
 {
-  uint64_t hash = plc_hash_name (listed->name);
+  uint64_t hash = rendezvous_hash_name (listed->name);
   member_t *entry = find (mem, hash);
   if (listed->state == MEM_GONE)
     {
--- a/src/request/policy/own_word.c
+++ b/src/request/policy/own_word.c
@@ -2,23 +2,23 @@
 
 #include <glib.h>
 
-/** struct self_reports - @by_engine: hash of an engine's id and start time -> oww_word_t */
+/** struct self_reports - @by_engine: hash of an engine's id and start time -> self_report_t */
 struct self_reports
 {
   GHashTable *by_engine;
 };
 
-oww_t *
-oww_new (void)
+self_reports_t *
+self_reports_new (void)
 {
-  oww_t *reports = g_new0 (oww_t, 1);
+  self_reports_t *reports = g_new0 (self_reports_t, 1);
 
   reports->by_engine = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   return reports;
 }
 
 void
-oww_free (oww_t *reports)
+self_reports_free (self_reports_t *reports)
 {
   g_hash_table_destroy (reports->by_engine);
   g_free (reports);
@@ -27,15 +27,15 @@
 static gboolean
 is_expired (gpointer key, gpointer value, gpointer context)
 {
-  const oww_word_t *report = value;
+  const self_report_t *report = value;
   const uint64_t *now_us = context;
 
   (void)key;
-  return *now_us >= MAX (report->stated_us + OWW_KEPT_US, report->backoff_until_us);
+  return *now_us >= MAX (report->stated_us + SELF_REPORTS_KEPT_US, report->backoff_until_us);
 }
 
 static void
-drop_oldest (oww_t *reports)
+drop_oldest (self_reports_t *reports)
 {
   GHashTableIter iter;
   gpointer key;
@@ -45,33 +45,33 @@
 
   g_hash_table_iter_init (&iter, reports->by_engine);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    if (((oww_word_t *)value)->stated_us < oldest_us)
+    if (((self_report_t *)value)->stated_us < oldest_us)
       {
         oldest = key;
-        oldest_us = ((oww_word_t *)value)->stated_us;
+        oldest_us = ((self_report_t *)value)->stated_us;
       }
   g_hash_table_remove (reports->by_engine, oldest);
 }
 
-static oww_word_t *
-get_or_add (oww_t *reports, uint64_t now_us, uint64_t engine_hash)
+static self_report_t *
+get_or_add (self_reports_t *reports, uint64_t now_us, uint64_t engine_hash)
 {
-  oww_word_t *report = g_hash_table_lookup (reports->by_engine, &engine_hash);
+  self_report_t *report = g_hash_table_lookup (reports->by_engine, &engine_hash);
 
   if (report)
     return report;
   g_hash_table_foreach_remove (reports->by_engine, is_expired, &now_us);
-  if (g_hash_table_size (reports->by_engine) >= OWW_MOST)
+  if (g_hash_table_size (reports->by_engine) >= SELF_REPORTS_MAX)
     drop_oldest (reports);
-  report = g_new0 (oww_word_t, 1);
+  report = g_new0 (self_report_t, 1);
   g_hash_table_insert (reports->by_engine, g_memdup2 (&engine_hash, sizeof engine_hash), report);
   return report;
 }
 
 bool
-oww_leaves (oww_t *reports, uint64_t now_us, uint64_t engine_hash)
+self_reports_set_leaving (self_reports_t *reports, uint64_t now_us, uint64_t engine_hash)
 {
-  oww_word_t *report = get_or_add (reports, now_us, engine_hash);
+  self_report_t *report = get_or_add (reports, now_us, engine_hash);
   bool is_first = !report->leaving;
 
   report->stated_us = now_us;
@@ -80,19 +80,22 @@
 }
 
 uint64_t
-oww_rests (oww_t *reports, uint64_t now_us, uint64_t engine_hash, uint64_t backoff_us)
+self_reports_set_backoff (self_reports_t *reports,
+                          uint64_t now_us,
+                          uint64_t engine_hash,
+                          uint64_t backoff_us)
 {
-  oww_word_t *report = get_or_add (reports, now_us, engine_hash);
+  self_report_t *report = get_or_add (reports, now_us, engine_hash);
 
   report->stated_us = now_us;
   report->backoff_until_us = MAX (report->backoff_until_us, now_us + backoff_us);
   return report->backoff_until_us;
 }
 
-oww_word_t
-oww_get (const oww_t *reports, uint64_t engine_hash)
+self_report_t
+self_reports_get (const self_reports_t *reports, uint64_t engine_hash)
 {
-  const oww_word_t *report = g_hash_table_lookup (reports->by_engine, &engine_hash);
+  const self_report_t *report = g_hash_table_lookup (reports->by_engine, &engine_hash);
 
-  return report ? *report : (oww_word_t){ 0 };
+  return report ? *report : (self_report_t){ 0 };
 }
--- a/src/request/policy/own_word.h
+++ b/src/request/policy/own_word.h
@@ -15,11 +15,11 @@
 #include <stdint.h>
 
 /* Time that a statement is kept: an engine that is leaving has ended by then. */
-#define OWW_KEPT_US (UINT64_C (600) * 1000 * 1000)
-#define OWW_MOST 4096 /* engines; when full, the oldest statement is dropped */
+#define SELF_REPORTS_KEPT_US (UINT64_C (600) * 1000 * 1000)
+#define SELF_REPORTS_MAX 4096 /* engines; when full, the oldest statement is dropped */
 
 /**
- * struct oww_word - statements of one engine process
+ * struct self_report - statements of one engine process
  * @stated_us: time of the latest one
  * @backoff_until_us: it wants no requests until then; 0 when it never stated that
  * @leaving: it is shutting down
@@ -29,20 +29,23 @@
   uint64_t stated_us;
   uint64_t backoff_until_us;
   bool leaving;
-} oww_word_t;
+} self_report_t;
 
 /** struct self_reports - statements of all engines, by the hash of an engine's id and start time */
-typedef struct self_reports oww_t;
+typedef struct self_reports self_reports_t;
 
-oww_t *oww_new (void);
-void oww_free (oww_t *reports);
-/** oww_leaves() - records that an engine is leaving. Return: whether it states so for the first
- * time */
-bool oww_leaves (oww_t *reports, uint64_t now_us, uint64_t engine_hash);
-/** oww_rests() - records that an engine refused a request and wants none for @backoff_us. Return:
- * until when; a shorter backoff doesn't end a longer one */
-uint64_t oww_rests (oww_t *reports, uint64_t now_us, uint64_t engine_hash, uint64_t backoff_us);
-/** oww_get() - statements of an engine; all zero when there are none */
-oww_word_t oww_get (const oww_t *reports, uint64_t engine_hash);
+self_reports_t *self_reports_new (void);
+void self_reports_free (self_reports_t *reports);
+/** self_reports_set_leaving() - records that an engine is leaving. Return: whether it states so for
+ * the first time */
+bool self_reports_set_leaving (self_reports_t *reports, uint64_t now_us, uint64_t engine_hash);
+/** self_reports_set_backoff() - records that an engine refused a request and wants none for
+ * @backoff_us. Return: until when; a shorter backoff doesn't end a longer one */
+uint64_t self_reports_set_backoff (self_reports_t *reports,
+                                   uint64_t now_us,
+                                   uint64_t engine_hash,
+                                   uint64_t backoff_us);
+/** self_reports_get() - statements of an engine; all zero when there are none */
+self_report_t self_reports_get (const self_reports_t *reports, uint64_t engine_hash);
 
 #endif
--- a/src/request/policy/place.c
+++ b/src/request/policy/place.c
@@ -58,7 +58,7 @@
 }
 
 static bool
-weights_equal (const plc_engine_t *engines, uint32_t engine_count)
+weights_equal (const rendezvous_engine_t *engines, uint32_t engine_count)
 {
   float weight = 0.0f;
   for (uint32_t i = 0; i < engine_count; i++)
@@ -145,44 +145,44 @@
 }
 
 uint64_t
-plc_hash_name (const char *name)
+rendezvous_hash_name (const char *name)
 {
   return XXH64 (name, strlen (name), 0);
 }
 
 uint64_t
-plc_hash_chat (const char *account, const char *chat_id)
+rendezvous_hash_chat (const char *account, const char *chat_id)
 {
   return XXH64 (chat_id, strlen (chat_id), XXH64 (account, strlen (account), CHAT_SEED));
 }
 
 uint64_t
-plc_hash_body (const char *account, const char *text, uint32_t text_bytes)
+rendezvous_hash_body (const char *account, const char *text, uint32_t text_bytes)
 {
   return XXH64 (text, text_bytes, XXH64 (account, strlen (account), BODY_SEED));
 }
 
 double
-plc_score (uint64_t service_hash, uint64_t chat_hash, uint64_t engine_hash, float weight)
+rendezvous_score (uint64_t service_hash, uint64_t chat_hash, uint64_t engine_hash, float weight)
 {
   return score_of_key (engine_key (chat_key (service_hash, chat_hash), engine_hash), weight);
 }
 
 uint32_t
-plc_rank (const plc_engine_t *engines,
-          uint32_t engine_count,
-          uint64_t service_hash,
-          uint64_t chat_hash,
-          uint32_t *out,
-          uint32_t want)
-{
-  ranked_t heap[PLC_WANT_MAX];
+rendezvous_rank (const rendezvous_engine_t *engines,
+                 uint32_t engine_count,
+                 uint64_t service_hash,
+                 uint64_t chat_hash,
+                 uint32_t *out,
+                 uint32_t want)
+{
+  ranked_t heap[RENDEZVOUS_RANK_MAX];
   const uint64_t key = chat_key (service_hash, chat_hash);
   /* With equal weights the score grows with the hash, so no logarithm is computed. */
   const bool equal = weights_equal (engines, engine_count);
   uint32_t count = 0;
-  if (want > PLC_WANT_MAX)
-    want = PLC_WANT_MAX;
+  if (want > RENDEZVOUS_RANK_MAX)
+    want = RENDEZVOUS_RANK_MAX;
   if (want == 0)
     return 0;
   for (uint32_t i = 0; i < engine_count; i++)
--- a/src/request/policy/proven.c
+++ b/src/request/policy/proven.c
@@ -16,15 +16,15 @@
 };
 
 static entry_t *
-entry_at (const prv_t *answers, uint64_t fingerprint)
+entry_at (const recent_answers_t *answers, uint64_t fingerprint)
 {
   return &answers->entries[fingerprint % answers->count];
 }
 
-prv_t *
-prv_new (uint32_t entries, uint64_t lifetime_us)
+recent_answers_t *
+recent_answers_new (uint32_t entries, uint64_t lifetime_us)
 {
-  prv_t *answers = g_new0 (prv_t, 1);
+  recent_answers_t *answers = g_new0 (recent_answers_t, 1);
 
   answers->entries = g_new0 (entry_t, entries);
   answers->count = entries;
@@ -33,7 +33,7 @@
 }
 
 void
-prv_free (prv_t *answers)
+recent_answers_free (recent_answers_t *answers)
 {
   if (answers == NULL)
     return;
@@ -42,13 +42,13 @@
 }
 
 void
-prv_answered (prv_t *answers, uint64_t now_us, uint64_t fingerprint)
+recent_answers_add (recent_answers_t *answers, uint64_t now_us, uint64_t fingerprint)
 {
   *entry_at (answers, fingerprint) = (entry_t){ .fingerprint = fingerprint, .answered_us = now_us };
 }
 
 void
-prv_forget (prv_t *answers, uint64_t fingerprint)
+recent_answers_remove (recent_answers_t *answers, uint64_t fingerprint)
 {
   entry_t *entry = entry_at (answers, fingerprint);
 
@@ -57,7 +57,7 @@
 }
 
 bool
-prv_has (const prv_t *answers, uint64_t now_us, uint64_t fingerprint)
+recent_answers_contain (const recent_answers_t *answers, uint64_t now_us, uint64_t fingerprint)
 {
   const entry_t *entry = entry_at (answers, fingerprint);
 
--- a/src/request/policy/proven.h
+++ b/src/request/policy/proven.h
@@ -19,17 +19,21 @@
 #include <stdint.h>
 
 /** struct recent_answers - the table of fingerprints */
-typedef struct recent_answers prv_t;
+typedef struct recent_answers recent_answers_t;
 
-/** prv_new() - a table with @entries places, which keeps a fingerprint for @lifetime_us */
-prv_t *prv_new (uint32_t entries, uint64_t lifetime_us);
-/** prv_free() - NULL is allowed */
-void prv_free (prv_t *answers);
-/** prv_answered() - records that an engine answered the request with @fingerprint */
-void prv_answered (prv_t *answers, uint64_t now_us, uint64_t fingerprint);
-/** prv_forget() - removes @fingerprint, whose request is suspected of a crash after all */
-void prv_forget (prv_t *answers, uint64_t fingerprint);
-/** prv_has() - whether the request with @fingerprint was answered within the lifetime */
-bool prv_has (const prv_t *answers, uint64_t now_us, uint64_t fingerprint);
+/** recent_answers_new() - a table with @entries places, which keeps a fingerprint for @lifetime_us
+ */
+recent_answers_t *recent_answers_new (uint32_t entries, uint64_t lifetime_us);
+/** recent_answers_free() - NULL is allowed */
+void recent_answers_free (recent_answers_t *answers);
+/** recent_answers_add() - records that an engine answered the request with @fingerprint */
+void recent_answers_add (recent_answers_t *answers, uint64_t now_us, uint64_t fingerprint);
+/** recent_answers_remove() - removes @fingerprint, whose request is suspected of a crash after all
+ */
+void recent_answers_remove (recent_answers_t *answers, uint64_t fingerprint);
+/** recent_answers_contain() - whether the request with @fingerprint was answered within the
+ * lifetime */
+bool
+recent_answers_contain (const recent_answers_t *answers, uint64_t now_us, uint64_t fingerprint);
 
 #endif
--- a/src/request/policy/refer.c
+++ b/src/request/policy/refer.c
@@ -5,13 +5,13 @@
 #define MILLI 1000
 
 static bool
-is_fresh (const mean_sample_t *sample, uint64_t now_us)
+is_fresh (const load_sample_t *sample, uint64_t now_us)
 {
   return sample->taken_us + LIM_SAMPLE_AGE_US >= now_us;
 }
 
 static bool
-has_capacity (const mean_sample_t *sample, const ref_query_t *query)
+has_capacity (const load_sample_t *sample, const ref_query_t *query)
 {
   if (sample->engine_hash == query->except_hash || !is_fresh (sample, query->now_us))
     return false;
@@ -22,20 +22,20 @@
 
 /* Engines that routers apparently can't reach are named only if there are no others. */
 static uint32_t
-drop_unreachable (const mean_table_t *table,
-                  const mean_sample_t **found,
+drop_unreachable (const load_samples_t *table,
+                  const load_sample_t **found,
                   uint32_t count,
                   uint64_t now_us)
 {
   uint32_t kept = 0;
   for (uint32_t i = 0; i < count; i++)
-    if (!mean_is_unreached (table, found[i], now_us))
+    if (!load_samples_is_unreached (table, found[i], now_us))
       found[kept++] = found[i];
   return kept > 0 ? kept : count;
 }
 
 static uint32_t
-pick_less_loaded (const mean_sample_t *const *found, uint32_t count, uint64_t *rng)
+pick_less_loaded (const load_sample_t *const *found, uint32_t count, uint64_t *rng)
 {
   const uint32_t first = (uint32_t)(ref_random (rng) % count);
   const uint32_t second = (uint32_t)(ref_random (rng) % count);
@@ -54,9 +54,9 @@
 /* Picks the less loaded of two random engines rather than the least loaded of all: samples are
  * delayed, and many sidecars would refer all their requests to the same engine. */
 uint32_t
-ref_room (const mean_table_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out)
+ref_room (const load_samples_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out)
 {
-  const mean_sample_t *found[LIM_SAMPLES_KEPT];
+  const load_sample_t *found[LIM_SAMPLES_KEPT];
   uint32_t count = 0;
   for (uint32_t i = 0; i < table->count; i++)
     if (has_capacity (&table->samples[i], query))
@@ -72,8 +72,8 @@
   return chosen;
 }
 
-const mean_sample_t *
-ref_find (const mean_table_t *table, uint64_t now_us, uint64_t engine_hash)
+const load_sample_t *
+ref_find (const load_samples_t *table, uint64_t now_us, uint64_t engine_hash)
 {
   for (uint32_t i = 0; i < table->count; i++)
     if (table->samples[i].engine_hash == engine_hash)
--- a/src/request/policy/refer.h
+++ b/src/request/policy/refer.h
@@ -38,9 +38,9 @@
  * Return: the number of engines
  */
 uint32_t
-ref_room (const mean_table_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out);
+ref_room (const load_samples_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out);
 /** ref_find() - Return: the sample of an engine, or NULL if there is none or it is too old */
-const mean_sample_t *ref_find (const mean_table_t *table, uint64_t now_us, uint64_t engine_hash);
+const load_sample_t *ref_find (const load_samples_t *table, uint64_t now_us, uint64_t engine_hash);
 /** ref_random() - xorshift64*; seeded through @rng so that simulations are repeatable */
 uint64_t ref_random (uint64_t *rng);
 
--- a/src/request/policy/spread.c
+++ b/src/request/policy/spread.c
@@ -27,7 +27,7 @@
 {
   const GPtrArray *engines;
   uint64_t now_us;
-  const spr_request_t *request;
+  const engine_choice_request_t *request;
   uint32_t open;
   uint64_t mean_milli;
   uint64_t service_mean_milli;
@@ -43,34 +43,34 @@
   bool is_below_share;
 } service_view_t;
 
-static egn_t *
+static engine_t *
 engine_at (const service_view_t *view, guint index)
 {
   return g_ptr_array_index (view->engines, index);
 }
 
 static bool
-is_cold (const service_view_t *view, const egn_t *engine)
+is_cold (const service_view_t *view, const engine_t *engine)
 {
-  return egn_is_cold (engine, view->now_us, view->request->cold_start_us);
+  return engine_is_cold (engine, view->now_us, view->request->cold_start_us);
 }
 
 /* Whether the engine has joined or returned and has not yet reported a load. A cold engine gets few
  * requests, so it counts until it is warm. */
 static bool
-has_joined (const service_view_t *view, const egn_t *engine)
+has_joined (const service_view_t *view, const engine_t *engine)
 {
-  if (!egn_is_open (engine) || engine->told_us != 0 || engine->joined_us == 0)
+  if (!engine_is_open (engine) || engine->told_us != 0 || engine->joined_us == 0)
     return false;
-  return is_cold (view, engine) || view->now_us < engine->joined_us + SPR_IDLE_US;
+  return is_cold (view, engine) || view->now_us < engine->joined_us + ENGINE_CHOICE_IDLE_US;
 }
 
 /* Whether the engine has hardly any load and so lowers the mean of its service. */
 static bool
-is_idle (const service_view_t *view, const egn_t *engine)
+is_idle (const service_view_t *view, const engine_t *engine)
 {
   if (engine->drained_us != 0)
-    return engine->entry.state == EGN_READY;
+    return engine->entry.state == ENGINE_READY;
   return has_joined (view, engine);
 }
 
@@ -80,15 +80,15 @@
  * the older engines would carry a burst alone.
  */
 static uint32_t
-load_at (const service_view_t *view, const egn_t *engine)
+load_at (const service_view_t *view, const engine_t *engine)
 {
   if (has_joined (view, engine))
     return engine->own + (uint32_t)(view->others_mean_milli / MILLI);
-  return egn_load_now (engine, view->now_us, view->others_mean_milli);
+  return engine_estimate_load (engine, view->now_us, view->others_mean_milli);
 }
 
 static bool
-was_tried (const service_view_t *view, const egn_t *engine)
+was_tried (const service_view_t *view, const engine_t *engine)
 {
   for (uint32_t i = 0; i < view->request->tried_count; i++)
     if (view->request->tried[i] == engine->hash)
@@ -112,11 +112,11 @@
   uint32_t count = 0;
 
   for (guint i = 0; i < view->engines->len; i++)
-    values[count++] = egn_errors_now (engine_at (view, i), view->now_us);
+    values[count++] = engine_error_rate_milli (engine_at (view, i), view->now_us);
   if (count == 0)
-    return SPR_ERROR_MILLI;
+    return ENGINE_CHOICE_ERROR_RATE_MILLI;
   qsort (values, count, sizeof *values, compare_u32);
-  return MAX (values[count / 2] * SPR_ERROR_FACTOR, SPR_ERROR_MILLI);
+  return MAX (values[count / 2] * ENGINE_CHOICE_ERROR_RATE_FACTOR, ENGINE_CHOICE_ERROR_RATE_MILLI);
 }
 
 /*
@@ -132,8 +132,9 @@
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *engine = engine_at (view, i);
-      uint32_t weight = egn_is_open (engine) ? egn_trust_milli (engine, view->now_us) : 0;
+      const engine_t *engine = engine_at (view, i);
+      uint32_t weight =
+          engine_is_open (engine) ? engine_load_weight_milli (engine, view->now_us) : 0;
 
       weights += weight;
       own += (uint64_t)weight * engine->own;
@@ -145,9 +146,9 @@
 }
 
 static bool
-is_new (const service_view_t *view, const egn_t *engine)
+is_new (const service_view_t *view, const engine_t *engine)
 {
-  return engine->joined_us != 0 && view->now_us - engine->joined_us < SPR_NEW_US;
+  return engine->joined_us != 0 && view->now_us - engine->joined_us < ENGINE_CHOICE_NEW_US;
 }
 
 /* The mean of the whole service is below that of the engines in use while others of it are idle. */
@@ -159,11 +160,11 @@
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *engine = engine_at (view, i);
+      const engine_t *engine = engine_at (view, i);
 
       if (is_idle (view, engine))
         idle++;
-      else if (egn_is_open (engine))
+      else if (engine_is_open (engine))
         busy++;
     }
   view->service_mean_milli = busy > 0 ? view->mean_milli * busy / (busy + idle) : 0;
@@ -175,7 +176,7 @@
 {
   uint64_t load_milli = view->mean_milli * (view->open - view->joined);
 
-  return view->slots > 0 && load_milli >= view->slots * SPR_CROWDED_MILLI;
+  return view->slots > 0 && load_milli >= view->slots * ENGINE_CHOICE_CROWDED_MILLI;
 }
 
 /*
@@ -192,64 +193,66 @@
   compute_means (view);
   for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *engine = engine_at (view, i);
+      const engine_t *engine = engine_at (view, i);
 
-      if (!egn_is_open (engine))
+      if (!engine_is_open (engine))
         continue;
       view->open++;
       view->own += engine->own;
-      view->slots += egn_slots (engine, view->request->default_slots);
+      view->slots += engine_slots (engine, view->request->default_slots);
       view->joined += has_joined (view, engine) ? 1 : 0;
-      ejected += engine->failures >= EGN_FAILURES ? 1 : 0;
+      ejected += engine->failures >= ENGINE_EJECTION_FAILURES ? 1 : 0;
       expired += engine->entry_expired ? 1 : 0;
     }
   if (view->mean_milli == 0 && view->open > 0)
     view->mean_milli = view->own * MILLI / view->open;
   compute_service_mean (view);
   view->ignores_ejections = ejected * 2 > view->open;
-  view->uses_expired = expired * SPR_LAPSED_PART > view->open;
+  view->uses_expired = expired * ENGINE_CHOICE_EXPIRED_DIVISOR > view->open;
   view->crowded = is_crowded (view);
-  view->full = view->request->surge || (view->request->told_milli >= SPR_FULL_MILLI &&
-                                        view->slots >= gateways * SPR_SHARE_SLOTS);
+  view->full =
+      view->request->surge || (view->request->utilization_milli >= ENGINE_CHOICE_FULL_MILLI &&
+                               view->slots >= gateways * ENGINE_CHOICE_SHARE_MIN_SLOTS);
   view->is_below_share = !view->request->late && view->own * gateways < view->slots + gateways - 1;
   view->error_limit_milli = error_limit (view);
 }
 
 static bool
-is_candidate (const service_view_t *view, const egn_t *engine)
+is_candidate (const service_view_t *view, const engine_t *engine)
 {
-  if (!egn_is_open (engine) || egn_is_resting (engine, view->now_us) || was_tried (view, engine))
+  if (!engine_is_open (engine) || engine_is_backing_off (engine, view->now_us) ||
+      was_tried (view, engine))
     return false;
   if (engine->entry_expired && !view->uses_expired)
     return false;
   return view->ignores_ejections ||
-         !egn_is_skipped (engine, view->now_us, view->request->repeatable);
+         !engine_is_ejected (engine, view->now_us, view->request->repeatable);
 }
 
 /* Whether the engine is warm, or this gateway may send to it in its cold start. */
 static bool
-may_send_cold (const service_view_t *view, const egn_t *engine)
+may_send_cold (const service_view_t *view, const engine_t *engine)
 {
-  const spr_request_t *request = view->request;
-  cold_share_t share = { .per_s = request->cold_per_s,
-                         .gateways = request->known_gateways,
-                         .gateway_hash = request->gateway_hash,
-                         .engine_hash = engine->hash,
-                         .since_us = egn_cold_since_us (engine),
-                         .sent_us = engine->sent_us };
+  const engine_choice_request_t *request = view->request;
+  cold_start_limit_t share = { .per_s = request->cold_per_s,
+                               .gateways = request->known_gateways,
+                               .gateway_hash = request->gateway_hash,
+                               .engine_hash = engine->hash,
+                               .since_us = engine_cold_since_us (engine),
+                               .sent_us = engine->sent_us };
 
-  return !is_cold (view, engine) || cold_share_has_turn (&share, view->now_us);
+  return !is_cold (view, engine) || cold_start_limit_allows (&share, view->now_us);
 }
 
 /* Whether the engine fails, is slow or silent, or is cold where no limit is known for that: other
  * engines within the bound are used first. */
 static bool
-is_degraded (const service_view_t *view, const egn_t *engine)
+is_degraded (const service_view_t *view, const engine_t *engine)
 {
-  return egn_errors_now (engine, view->now_us) > view->error_limit_milli ||
+  return engine_error_rate_milli (engine, view->now_us) > view->error_limit_milli ||
          (view->request->cold_per_s == 0 && is_cold (view, engine)) ||
-         egn_pace_now (engine, view->now_us) > SPR_PACE_MILLI ||
-         egn_is_silent (engine, view->now_us, view->request->head_us, view->request->repeatable);
+         engine_latency_ratio_milli (engine, view->now_us) > ENGINE_CHOICE_LATENCY_RATIO_MILLI ||
+         engine_is_silent (engine, view->now_us, view->request->head_us, view->request->repeatable);
 }
 
 /*
@@ -262,14 +265,14 @@
  * slots comes free.
  */
 static bool
-may_queue (const service_view_t *view, const egn_t *engine, uint32_t slots)
+may_queue (const service_view_t *view, const engine_t *engine, uint32_t slots)
 {
   uint64_t gateways = MAX (view->request->gateways, 1U);
   uint64_t share_us = view->request->run_us * gateways / slots;
 
-  return view->is_below_share && !egn_is_full (engine, view->now_us) &&
+  return view->is_below_share && !engine_is_full (engine, view->now_us) &&
          engine->own * gateways < slots + gateways - 1 &&
-         view->now_us >= engine->sent_us + share_us / SPR_SHARE_PART;
+         view->now_us >= engine->sent_us + share_us / ENGINE_CHOICE_SEND_RATE_FACTOR;
 }
 
 /* Time in which a slot of this gateway's share comes free, and in which it learns whether the
@@ -280,17 +283,17 @@
   uint64_t gateways = MAX (view->request->gateways, 1U);
   uint64_t share_us = view->request->run_us * gateways / MAX (slots, 1U);
 
-  return MAX (share_us / SPR_SHARE_PART, view->request->head_us);
+  return MAX (share_us / ENGINE_CHOICE_SEND_RATE_FACTOR, view->request->head_us);
 }
 
 /* Whether the engine has a slot, or a place in its queue, for one more request of this gateway. */
 static bool
-has_room (const service_view_t *view, const egn_t *engine)
+has_room (const service_view_t *view, const engine_t *engine)
 {
-  uint32_t slots = egn_slots (engine, view->request->default_slots);
+  uint32_t slots = engine_slots (engine, view->request->default_slots);
 
   if (!may_send_cold (view, engine) ||
-      !egn_has_window (engine, view->now_us, window_pause_us (view, slots)))
+      !engine_has_window (engine, view->now_us, window_pause_us (view, slots)))
     return false;
   if (slots == 0 || (!view->full && load_at (view, engine) < slots))
     return true;
@@ -300,7 +303,7 @@
 static uint64_t
 overload_limit_milli (uint64_t mean_milli)
 {
-  return mean_milli * SPR_OVERLOAD_FACTOR + SPR_OVERLOAD_MORE_MILLI;
+  return mean_milli * ENGINE_CHOICE_OVERLOAD_FACTOR + ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI;
 }
 
 /*
@@ -312,11 +315,11 @@
 static uint64_t
 narrow_margin_milli (const service_view_t *view, uint64_t margin_milli)
 {
-  uint64_t full_distance_milli = view->mean_milli + SPR_OVERLOAD_MORE_MILLI;
+  uint64_t full_distance_milli = view->mean_milli + ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI;
   uint64_t limit_milli = overload_limit_milli (view->service_mean_milli);
   uint64_t distance_milli = limit_milli - MIN (limit_milli, view->mean_milli);
 
-  g_assert (full_distance_milli >= SPR_OVERLOAD_MORE_MILLI);
+  g_assert (full_distance_milli >= ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI);
   return MAX (margin_milli * MIN (distance_milli, full_distance_milli) / full_distance_milli,
               MILLI);
 }
@@ -329,27 +332,30 @@
  * it again.
  */
 static uint64_t
-bound_margin_milli (const service_view_t *view, const egn_t *engine)
+bound_margin_milli (const service_view_t *view, const engine_t *engine)
 {
-  uint64_t gateways = MAX (view->request->gateways, SPR_FEW_GATEWAYS);
-  uint64_t any_gateways_milli = view->mean_milli * SPR_BOUND_MILLI / MILLI + SPR_BOUND_MORE_MILLI;
-  uint64_t few_gateways_milli = view->mean_milli * SPR_FEW_MILLI / MILLI + SPR_FEW_MORE_MILLI;
+  uint64_t gateways = MAX (view->request->gateways, ENGINE_CHOICE_FEW_GATEWAYS);
+  uint64_t any_gateways_milli =
+      view->mean_milli * ENGINE_CHOICE_MARGIN_MILLI / MILLI + ENGINE_CHOICE_MARGIN_EXTRA_MILLI;
+  uint64_t few_gateways_milli = view->mean_milli * ENGINE_CHOICE_FEW_MARGIN_MILLI / MILLI +
+                                ENGINE_CHOICE_FEW_MARGIN_EXTRA_MILLI;
   uint64_t margin_milli = narrow_margin_milli (
-      view, any_gateways_milli + few_gateways_milli * SPR_FEW_GATEWAYS / gateways);
-  uint64_t slots_milli = (uint64_t)egn_slots (engine, view->request->default_slots) * MILLI;
+      view, any_gateways_milli + few_gateways_milli * ENGINE_CHOICE_FEW_GATEWAYS / gateways);
+  uint64_t slots_milli = (uint64_t)engine_slots (engine, view->request->default_slots) * MILLI;
   uint64_t free_milli = slots_milli - MIN (slots_milli, view->mean_milli);
 
   if (slots_milli == 0)
     return margin_milli;
-  return margin_milli * MAX (free_milli, slots_milli / SPR_MARGIN_KEPT) / slots_milli;
+  return margin_milli * MAX (free_milli, slots_milli / ENGINE_CHOICE_MARGIN_MIN_DIVISOR) /
+         slots_milli;
 }
 
 /* Whether this gateway's share of the engine is less than one slot, so that it gets a load report
  * of the engine only every few seconds, however full engines are. */
 static bool
-reports_seldom (const service_view_t *view, const egn_t *engine)
+reports_seldom (const service_view_t *view, const engine_t *engine)
 {
-  return egn_slots (engine, view->request->default_slots) < view->request->gateways;
+  return engine_slots (engine, view->request->default_slots) < view->request->gateways;
 }
 
 /* Whether one unreported request of each other gateway would overload an engine. */
@@ -367,7 +373,7 @@
  * mean within a second. So half of the gateways begin, and the others follow after a load report.
  */
 static bool
-uses_joined_engine (const service_view_t *view, const egn_t *engine)
+uses_joined_engine (const service_view_t *view, const engine_t *engine)
 {
   uint64_t hash = view->request->gateway_hash;
 
@@ -375,7 +381,7 @@
 }
 
 static bool
-within_bound (const service_view_t *view, const egn_t *engine)
+within_bound (const service_view_t *view, const engine_t *engine)
 {
   uint64_t load_after_milli = ((uint64_t)load_at (view, engine) + 1) * MILLI;
 
@@ -386,7 +392,7 @@
 
 /* Rendezvous hashing of the request's affinity: the engine with the highest value ranks first. */
 static uint64_t
-rank_value (const service_view_t *view, const egn_t *engine)
+rank_value (const service_view_t *view, const engine_t *engine)
 {
   return XXH64 (&engine->rank_hash, sizeof engine->rank_hash, view->request->affinity);
 }
@@ -398,41 +404,41 @@
  * the second.
  */
 static bool
-uses_second_home (const service_view_t *view, const egn_t *engine)
+uses_second_home (const service_view_t *view, const engine_t *engine)
 {
   uint64_t seed = view->request->affinity;
   uint64_t hash = view->request->gateway_hash;
 
   uint32_t tokens = view->request->affinity_tokens;
 
-  if (tokens == 0 || tokens > SPR_SMALL_TOKENS ||
+  if (tokens == 0 || tokens > ENGINE_CHOICE_SMALL_PART_TOKENS ||
       !(reports_seldom (view, engine) || unreported_may_overload (view)))
     return false;
   return (XXH64 (&hash, sizeof hash, seed) & 1) != 0;
 }
 
-/* Return: the rank value of the last of the first SPR_FEW_HOMES candidates that are not degraded; 0
- * when there are fewer, UINT64_MAX when there is none */
+/* Return: the rank value of the last of the first ENGINE_CHOICE_HOMES_MAX candidates that are not
+ * degraded; 0 when there are fewer, UINT64_MAX when there is none */
 static uint64_t
 last_home_rank (const service_view_t *view)
 {
-  uint64_t top[SPR_FEW_HOMES] = { 0 };
+  uint64_t top[ENGINE_CHOICE_HOMES_MAX] = { 0 };
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *engine = engine_at (view, i);
+      const engine_t *engine = engine_at (view, i);
       uint64_t rank = rank_value (view, engine);
-      uint32_t at = SPR_FEW_HOMES;
+      uint32_t at = ENGINE_CHOICE_HOMES_MAX;
 
       if (!is_candidate (view, engine) || is_degraded (view, engine))
         continue;
       for (; at > 0 && top[at - 1] < rank; at--)
-        if (at < SPR_FEW_HOMES)
+        if (at < ENGINE_CHOICE_HOMES_MAX)
           top[at] = top[at - 1];
-      if (at < SPR_FEW_HOMES)
+      if (at < ENGINE_CHOICE_HOMES_MAX)
         top[at] = rank;
     }
-  return top[0] == 0 ? UINT64_MAX : top[SPR_FEW_HOMES - 1];
+  return top[0] == 0 ? UINT64_MAX : top[ENGINE_CHOICE_HOMES_MAX - 1];
 }
 
 /** struct criteria - conditions for an engine to be chosen */
@@ -443,7 +449,7 @@
 } criteria_t;
 
 static bool
-meets (const service_view_t *view, const egn_t *engine, criteria_t criteria)
+meets (const service_view_t *view, const engine_t *engine, criteria_t criteria)
 {
   if (!is_candidate (view, engine) || !has_room (view, engine))
     return false;
@@ -453,15 +459,15 @@
 }
 
 /* Return: the engine with the highest rank value below @below that meets the criteria, or NULL */
-static egn_t *
+static engine_t *
 find_highest_rank (const service_view_t *view, criteria_t criteria, uint64_t below)
 {
-  egn_t *best = NULL;
+  engine_t *best = NULL;
   uint64_t best_rank = 0;
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *engine = engine_at (view, i);
+      engine_t *engine = engine_at (view, i);
       uint64_t rank = rank_value (view, engine);
 
       if (rank >= below || (best && rank <= best_rank) || !meets (view, engine, criteria))
@@ -474,11 +480,11 @@
 
 /* Return: the engine that caches the request's prompt part for this gateway, or NULL when none
  * meets the criteria */
-static egn_t *
+static engine_t *
 find_home (const service_view_t *view, criteria_t criteria)
 {
-  egn_t *first = find_highest_rank (view, criteria, UINT64_MAX);
-  egn_t *second = NULL;
+  engine_t *first = find_highest_rank (view, criteria, UINT64_MAX);
+  engine_t *second = NULL;
 
   if (first && uses_second_home (view, first))
     second = find_highest_rank (view, criteria, rank_value (view, first));
@@ -486,27 +492,29 @@
 }
 
 /* Return: twice the load after this request, weighted by the slowdown of the host, in thousandths;
- * with a penalty for another data centre that is larger than SPR_NEAR_MORE requests */
+ * with a penalty for another data centre that is larger than ENGINE_CHOICE_LOCAL_EXTRA_REQUESTS
+ * requests */
 static uint64_t
-weighted_load (const service_view_t *view, const egn_t *engine)
+weighted_load (const service_view_t *view, const engine_t *engine)
 {
   uint64_t load_after = (uint64_t)load_at (view, engine) + 1;
-  uint64_t slowdown_milli =
-      (uint64_t)egn_effort_now (engine, view->now_us) * MILLI / EGN_EFFORT_USUAL;
+  uint64_t slowdown_milli = (uint64_t)engine_slowdown_percent (engine, view->now_us) * MILLI /
+                            ENGINE_SLOWDOWN_NONE_PERCENT;
   bool is_local = strcmp (engine->entry.data_center, view->request->data_center) == 0;
 
-  return load_after * slowdown_milli * 2 + (is_local ? 0 : (SPR_NEAR_MORE * 2 + 1) * MILLI);
+  return load_after * slowdown_milli * 2 +
+         (is_local ? 0 : (ENGINE_CHOICE_LOCAL_EXTRA_REQUESTS * 2 + 1) * MILLI);
 }
 
-static egn_t *
+static engine_t *
 find_least_loaded (const service_view_t *view, criteria_t criteria)
 {
-  egn_t *best = NULL;
+  engine_t *best = NULL;
   uint64_t best_load = 0;
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *engine = engine_at (view, i);
+      engine_t *engine = engine_at (view, i);
       uint64_t load = weighted_load (view, engine);
 
       if ((best && load >= best_load) || !meets (view, engine, criteria))
@@ -523,14 +531,14 @@
  * waits for the first ranks, which have its part cached; the free slot goes to a request that waits
  * for that engine.
  */
-static egn_t *
+static engine_t *
 find_least_loaded_home (const service_view_t *view, uint64_t last_rank)
 {
-  egn_t *best = NULL;
+  engine_t *best = NULL;
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *engine = engine_at (view, i);
+      engine_t *engine = engine_at (view, i);
 
       if (rank_value (view, engine) < last_rank ||
           !meets (view, engine, (criteria_t){ .not_degraded = true }))
@@ -543,13 +551,13 @@
 
 /* An engine over the bound delays all its requests and a degraded one fails or delays some, so a
  * degraded engine within the bound is preferred to one over it. */
-static egn_t *
+static engine_t *
 choose_engine (const service_view_t *view)
 {
   static const criteria_t preferences[] = { { true, true }, { true, false }, { false, false } };
   bool first_ranks_only = view->crowded && view->request->affinity != 0;
   uint64_t last_rank = first_ranks_only ? last_home_rank (view) : UINT64_MAX;
-  egn_t *engine = NULL;
+  engine_t *engine = NULL;
 
   if (view->request->affinity != 0)
     engine = find_home (view, preferences[0]);
@@ -563,7 +571,7 @@
 }
 
 static uint32_t
-rank_position (const service_view_t *view, const egn_t *chosen)
+rank_position (const service_view_t *view, const engine_t *chosen)
 {
   uint32_t before = 0;
 
@@ -576,10 +584,11 @@
 
 /* Whether the drain of the data centre is so far that its caches must not be read for copies. */
 static bool
-is_drain_copy_over (const service_view_t *view, const egn_t *engine)
+is_drain_copy_over (const service_view_t *view, const engine_t *engine)
 {
   return engine->drained_us != 0 &&
-         view->now_us >= engine->drained_us + view->request->drain_us / SPR_DRAIN_PART;
+         view->now_us >=
+             engine->drained_us + view->request->drain_us / ENGINE_CHOICE_DRAIN_COPY_DIVISOR;
 }
 
 /*
@@ -588,19 +597,19 @@
  * the first was full. Copying the part from its cache takes a few milliseconds; reading 10,000
  * tokens again takes 94 ms, in which every other request on that engine waits for its tokens.
  */
-static egn_t *
-find_copy_source (const service_view_t *view, const egn_t *chosen)
+static engine_t *
+find_copy_source (const service_view_t *view, const engine_t *chosen)
 {
-  egn_t *best = NULL;
+  engine_t *best = NULL;
 
   if (view->request->affinity == 0)
     return NULL;
   for (guint i = 0; i < view->engines->len; i++)
     {
-      egn_t *engine = engine_at (view, i);
+      engine_t *engine = engine_at (view, i);
 
       if (engine == chosen || is_new (view, engine) || engine->failures > 0 ||
-          engine->entry.state == EGN_GONE || is_drain_copy_over (view, engine))
+          engine->entry.state == ENGINE_GONE || is_drain_copy_over (view, engine))
         continue;
       if (!best || rank_value (view, engine) > rank_value (view, best))
         best = engine;
@@ -625,11 +634,11 @@
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *engine = engine_at (view, i);
+      const engine_t *engine = engine_at (view, i);
 
-      if (egn_is_open (engine))
+      if (engine_is_open (engine))
         return false;
-      any = any || (engine->entry.state == EGN_READY && engine->drained_us != 0);
+      any = any || (engine->entry.state == ENGINE_READY && engine->drained_us != 0);
     }
   return any;
 }
@@ -643,21 +652,21 @@
 
   for (guint i = 0; i < view->engines->len; i++)
     {
-      const egn_t *engine = engine_at (view, i);
+      const engine_t *engine = engine_at (view, i);
       uint64_t left_us = engine->backoff_until_us - MIN (engine->backoff_until_us, view->now_us);
 
-      if (left_us == 0 || !egn_is_open (engine) || was_tried (view, engine))
+      if (left_us == 0 || !engine_is_open (engine) || was_tried (view, engine))
         continue;
       min_us = min_us == 0 ? left_us : MIN (min_us, left_us);
     }
   return min_us;
 }
 
-static spr_choice_t
-choose_among (const GPtrArray *engines, uint64_t now_us, const spr_request_t *request)
+static engine_choice_t
+choose_among (const GPtrArray *engines, uint64_t now_us, const engine_choice_request_t *request)
 {
   service_view_t view = { .engines = engines, .now_us = now_us, .request = request };
-  spr_choice_t choice = { 0 };
+  engine_choice_t choice = { 0 };
 
   evaluate_service (&view);
   choice.candidates = count_candidates (&view);
@@ -665,12 +674,12 @@
   choice.engine = view.full && !view.is_below_share ? NULL : choose_engine (&view);
   if (!choice.engine)
     {
-      choice.action = choice.candidates > 0 ? SPR_WAIT : SPR_NONE;
-      choice.drained = choice.action == SPR_NONE && is_all_drained (&view);
-      choice.rest_us = choice.action == SPR_NONE ? min_backoff_us (&view) : 0;
+      choice.action = choice.candidates > 0 ? ENGINE_CHOICE_WAIT : ENGINE_CHOICE_NONE;
+      choice.drained = choice.action == ENGINE_CHOICE_NONE && is_all_drained (&view);
+      choice.rest_us = choice.action == ENGINE_CHOICE_NONE ? min_backoff_us (&view) : 0;
       return choice;
     }
-  choice.action = SPR_SEND;
+  choice.action = ENGINE_CHOICE_SEND;
   choice.load = load_at (&view, choice.engine);
   choice.source = find_copy_source (&view, choice.engine);
   choice.rank = rank_position (&view, choice.engine);
@@ -679,12 +688,14 @@
 
 /* A request that is restricted to regions must not reach others in any way, not even by a copy from
  * their caches, so engines elsewhere are left out of the whole choice. */
-spr_choice_t
-spr_choose (const GPtrArray *engines, uint64_t now_us, const spr_request_t *request)
+engine_choice_t
+engine_choice_make (const GPtrArray *engines,
+                    uint64_t now_us,
+                    const engine_choice_request_t *request)
 {
   g_autoptr (GPtrArray) allowed = NULL;
 
-  if (home_regions_bind (&request->homes))
-    allowed = home_regions_engines (&request->homes, engines);
+  if (region_filter_is_active (&request->homes))
+    allowed = region_filter_apply (&request->homes, engines);
   return choose_among (allowed ? allowed : engines, now_us, request);
 }
--- a/src/request/policy/spread.h
+++ b/src/request/policy/spread.h
@@ -16,80 +16,80 @@
 
 /* The overload limit, as users define it: this multiple of the mean load of a service plus this
  * number of requests, in thousandths. */
-#define SPR_OVERLOAD_FACTOR 2
-#define SPR_OVERLOAD_MORE_MILLI 3000
+#define ENGINE_CHOICE_OVERLOAD_FACTOR 2
+#define ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI 3000
 /*
  * The load bound of an engine is the mean load plus a margin. The margin is a fraction of the mean
  * plus a number of requests, both in thousandths, and stays below the distance to the overload
  * limit, because the load that other gateways cause is known late. A third of that distance is
- * granted to any number of gateways. The rest is granted to SPR_FEW_GATEWAYS or fewer, and falls in
- * inverse proportion to their number above that. A narrower margin sends more requests away from
- * the engine that caches their prompt part; a wider one sends more of them to engines over the
- * bound.
+ * granted to any number of gateways. The rest is granted to ENGINE_CHOICE_FEW_GATEWAYS or fewer,
+ * and falls in inverse proportion to their number above that. A narrower margin sends more requests
+ * away from the engine that caches their prompt part; a wider one sends more of them to engines
+ * over the bound.
  */
-#define SPR_BOUND_MILLI 300
-#define SPR_BOUND_MORE_MILLI 1100
-#define SPR_FEW_MILLI 650
-#define SPR_FEW_MORE_MILLI 1400
-#define SPR_FEW_GATEWAYS UINT64_C (4)
+#define ENGINE_CHOICE_MARGIN_MILLI 300
+#define ENGINE_CHOICE_MARGIN_EXTRA_MILLI 1100
+#define ENGINE_CHOICE_FEW_MARGIN_MILLI 650
+#define ENGINE_CHOICE_FEW_MARGIN_EXTRA_MILLI 1400
+#define ENGINE_CHOICE_FEW_GATEWAYS UINT64_C (4)
 /* A gateway sends to a full engine at most this many times as often as its share of the slots comes
  * free. With a factor of 1 engines were idle for moments: 0.976 of all requests were on time
  * instead of 0.991 in bench-gateway. */
-#define SPR_SHARE_PART 2
+#define ENGINE_CHOICE_SEND_RATE_FACTOR 2
 /* Divisor: 1/2 of the margin remains when the engines are full. */
-#define SPR_MARGIN_KEPT 2
+#define ENGINE_CHOICE_MARGIN_MIN_DIVISOR 2
 /* From this share of their slots on, in thousandths, engines are crowded. Below it a free slot is
  * found near the first rank anyway. */
-#define SPR_CROWDED_MILLI 800
+#define ENGINE_CHOICE_CROWDED_MILLI 800
 /* Ranks that a request may go to while engines are crowded, and so the engines that cache its
  * prompt part. With three, one that fails and one that is full leave another. */
-#define SPR_FEW_HOMES 3
+#define ENGINE_CHOICE_HOMES_MAX 3
 /* From this utilization on, in thousandths of the slots, a gateway keeps to its share of all slots,
  * because what it knows of single engines is older. */
-#define SPR_FULL_MILLI 1000
+#define ENGINE_CHOICE_FULL_MILLI 1000
 /* Minimum share in slots of a gateway that keeps to it. A smaller one can't be used evenly: with
  * six slots shared by 22 gateways some would stay idle. */
-#define SPR_SHARE_SLOTS 4
+#define ENGINE_CHOICE_SHARE_MIN_SLOTS 4
 /* Tokens of a prompt part that may have two homes. It is read in 9 ms or copied in 1 ms, so a
  * second copy costs little; a second home of parts of 10,000 tokens doubled the bytes of memory
  * moved in a day. */
-#define SPR_SMALL_TOKENS 1000
+#define ENGINE_CHOICE_SMALL_PART_TOKENS 1000
 /* An engine of the gateway's data centre is preferred while it has at most this many requests more
  * than one of another. */
-#define SPR_NEAR_MORE 1
+#define ENGINE_CHOICE_LOCAL_EXTRA_REQUESTS 1
 /* Time after its start in which an engine is not expected to cache the parts that it ranks first
  * for: chats return to most shared parts within it. */
-#define SPR_NEW_US (UINT64_C (10) * 1000 * 1000)
+#define ENGINE_CHOICE_NEW_US (UINT64_C (10) * 1000 * 1000)
 /* An engine that joined or returned counts as idle until it reports its load, and once it is warm
  * no longer than this: by then other gateways have filled it, and this gateway may call it
  * seldom. */
-#define SPR_IDLE_US (UINT64_C (4000) * 1000)
+#define ENGINE_CHOICE_IDLE_US (UINT64_C (4000) * 1000)
 /* Caches of a drained data centre are copied from for 1/2 of the time allowed for its drain. By
  * then popular parts have new homes, and the engines that make the copies need the rest. */
-#define SPR_DRAIN_PART 2
+#define ENGINE_CHOICE_DRAIN_COPY_DIVISOR 2
 /* An engine is used last when its error rate is above this, in thousandths, and above this multiple
  * of the service's median, which contains the errors of the service itself. */
-#define SPR_ERROR_MILLI 300
-#define SPR_ERROR_FACTOR 2
+#define ENGINE_CHOICE_ERROR_RATE_MILLI 300
+#define ENGINE_CHOICE_ERROR_RATE_FACTOR 2
 /* An engine whose answers take more than this, in thousandths of the service's usual time, is used
  * last too. */
-#define SPR_PACE_MILLI 2000
+#define ENGINE_CHOICE_LATENCY_RATIO_MILLI 2000
 /*
  * While the store is unreachable, the entries of all engines expire within one renewal interval. If
  * at most one in this many of a service's entries has expired, the engine has probably left while
  * nobody could read the store: it gets no requests, and the others take over its load.
  */
-#define SPR_LAPSED_PART 3
+#define ENGINE_CHOICE_EXPIRED_DIVISOR 3
 
 typedef enum
 {
-  SPR_SEND, /* to @engine */
-  SPR_WAIT, /* all candidates are full */
-  SPR_NONE  /* there is no candidate */
-} spr_action_t;
+  ENGINE_CHOICE_SEND, /* to @engine */
+  ENGINE_CHOICE_WAIT, /* all candidates are full */
+  ENGINE_CHOICE_NONE  /* there is no candidate */
+} engine_choice_action_t;
 
 /**
- * struct spr_request - a request, and what the gateway knows of its service
+ * struct engine_choice_request - a request, and what the gateway knows of its service
  * @affinity: hash of the prompt part that saves most when it is cached; 0 for none
  * @affinity_tokens: length of that part
  * @data_center: of this gateway
@@ -100,8 +100,8 @@
  * @run_us: usual time that a request of the service keeps its slot
  * @head_us: usual time until the head of an answer
  * @surge: traffic has grown so fast that the engines are full, whatever they last reported
- * @told_milli: recently reported requests at the engines, in thousandths of their slots; 0 when
- *   unknown
+ * @utilization_milli: recently reported requests at the engines, in thousandths of their slots; 0
+ * when unknown
  * @late: it can't be answered in time any more, so it gets only a slot that is surely free
  * @default_slots: of an engine that doesn't state its slots
  * @cold_per_s: requests per second that an engine sustains in its cold start; 0 when unknown
@@ -124,43 +124,45 @@
   uint64_t run_us;
   uint64_t head_us;
   bool surge;
-  uint32_t told_milli;
+  uint32_t utilization_milli;
   bool late;
   uint32_t default_slots;
   uint32_t cold_per_s;
   uint64_t cold_start_us;
   uint32_t known_gateways;
-  home_regions_t homes;
+  region_filter_t homes;
   uint64_t drain_us;
-} spr_request_t;
+} engine_choice_request_t;
 
 /**
- * struct spr_choice - the chosen engine and what the choice was based on
- * @engine: with %SPR_SEND, else NULL
+ * struct engine_choice - the chosen engine and what the choice was based on
+ * @engine: with %ENGINE_CHOICE_SEND, else NULL
  * @source: another engine that most likely has the request's shared parts in its cache, to copy
  *   them from; NULL when there is none
  * @rank: of @engine for the affinity; 0 is the first
  * @load: estimated requests at @engine
  * @mean_milli: mean load of the service, in thousandths of a request
  * @candidates: number of engines that may get the request, also those that are full
- * @drained: with %SPR_NONE: there are engines, but all their data centres are drained
- * @rest_us: with %SPR_NONE: time until the first engine that asked for no requests accepts them
- *   again; 0 when none did
+ * @drained: with %ENGINE_CHOICE_NONE: there are engines, but all their data centres are drained
+ * @rest_us: with %ENGINE_CHOICE_NONE: time until the first engine that asked for no requests
+ * accepts them again; 0 when none did
  */
 typedef struct
 {
-  spr_action_t action;
-  egn_t *engine;
-  egn_t *source;
+  engine_choice_action_t action;
+  engine_t *engine;
+  engine_t *source;
   uint32_t rank;
   uint32_t load;
   uint32_t mean_milli;
   uint32_t candidates;
   bool drained;
   uint64_t rest_us;
-} spr_choice_t;
+} engine_choice_t;
 
-/** spr_choose() - chooses among @engines, an array of egn_t of one service */
-spr_choice_t spr_choose (const GPtrArray *engines, uint64_t now_us, const spr_request_t *request);
+/** engine_choice_make() - chooses among @engines, an array of engine_t of one service */
+engine_choice_t engine_choice_make (const GPtrArray *engines,
+                                    uint64_t now_us,
+                                    const engine_choice_request_t *request);
 
 #endif
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -111,7 +111,7 @@
       if (g_hash_table_contains (router->loads, &hash))
         continue;
       loads = g_new0 (rtr_loads_t, 1);
-      mean_init (&loads->table, router->request_id_high + i);
+      load_samples_init (&loads->table, router->request_id_high + i);
       g_hash_table_insert (router->loads, g_memdup2 (&hash, sizeof hash), loads);
     }
 }
@@ -204,14 +204,14 @@
   router->host_probes =
       g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, (GDestroyNotify)rtr_watch_free);
   router->served_hints = g_new0 (rtr_told_t, RTR_TOLD_ENTRIES);
-  router->answered_requests = prv_new (RTR_PROVEN_ENTRIES, RTR_PROVEN_US);
+  router->answered_requests = recent_answers_new (RTR_PROVEN_ENTRIES, RTR_PROVEN_US);
   router->requests_in_flight = uwy_new ();
   bdg_init (&router->control_budget, daemon->set.control_budget_bytes, clk_now_us (&daemon->clk));
   router->suspects = sus_new (LIM_SUSPECTS, RTR_SUSPECT_US);
   g_queue_init (&router->calls);
   /* The name is included because two routers may start in the same millisecond, and must not use
    * the same attempt ids. */
-  router->request_id_high = plc_hash_name (daemon->set.name) + daemon->incarnation;
+  router->request_id_high = rendezvous_hash_name (daemon->set.name) + daemon->incarnation;
   make_counters (router);
   return router;
 }
@@ -237,7 +237,7 @@
   g_hash_table_destroy (router->incarnations);
   g_hash_table_destroy (router->loads);
   g_free (router->served_hints);
-  prv_free (router->answered_requests);
+  recent_answers_free (router->answered_requests);
   uwy_free (router->requests_in_flight);
   sus_free (router->suspects);
   g_free (router);
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -101,12 +101,13 @@
     {
       if (id[0] == '\0' || strlen (id) >= LIM_CHAT_ID_BYTES)
         return reject (rejection, 400, "bad_chat_id", CHAT_HEADER " is empty or too long");
-      call->hop.chat_hash = plc_hash_chat (call->account->name, id);
+      call->hop.chat_hash = rendezvous_hash_chat (call->account->name, id);
       call->hop.has_chat = true;
     }
   else if (chat->opening != NULL)
     {
-      call->hop.chat_hash = plc_hash_body (call->account->name, chat->opening, chat->opening_bytes);
+      call->hop.chat_hash =
+          rendezvous_hash_body (call->account->name, chat->opening, chat->opening_bytes);
       call->hop.has_chat = true;
     }
   return true;
@@ -149,12 +150,12 @@
     {
       g_snprintf (shard, sizeof shard, "shard/%" PRIu64,
                   call->hop.key_hash[0] % call->service->claim_shards);
-      return plc_hash_name (shard);
+      return rendezvous_hash_name (shard);
     }
   if (call->hop.has_chat)
     return call->hop.chat_hash;
-  if (call->hop.idempotent &&
-      prv_has (call->router->answered_requests, call->arrived_us, call->hop.fingerprint))
+  if (call->hop.idempotent && recent_answers_contain (call->router->answered_requests,
+                                                      call->arrived_us, call->hop.fingerprint))
     return call->request_id[0] ^ call->request_id[1];
   return call->hop.fingerprint;
 }
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -87,8 +87,8 @@
 {
   rtr_call_note (call, "answer", call->attempts.last_engine, VRD_RAN, VRD_REASON_NONE);
   cnt_add (call->router->ended[VRD_RAN], 1);
-  prv_answered (call->router->answered_requests, ops_now_us (call->router->ops),
-                call->hop.fingerprint);
+  recent_answers_add (call->router->answered_requests, ops_now_us (call->router->ops),
+                      call->hop.fingerprint);
   rtr_tell_served (call, call->attempts.last_engine);
   rly_whole (&call->relay);
   rtr_call_free (call);
@@ -170,7 +170,7 @@
 {
   rtr_t *router = call->router;
 
-  prv_forget (router->answered_requests, call->hop.fingerprint);
+  recent_answers_remove (router->answered_requests, call->hop.fingerprint);
   sus_add (router->suspects, ops_now_us (router->ops), call->hop.fingerprint,
            call->attempts.last_engine);
 }
@@ -212,7 +212,7 @@
   sus_mark_t mark;
   bool suspect = sus_get (call->router->suspects, call->arrived_us, call->hop.fingerprint, &mark);
   att_options_t options = { .idempotent = call->hop.idempotent,
-                            .account_hash = plc_hash_name (call->hop.account),
+                            .account_hash = rendezvous_hash_name (call->hop.account),
                             .deadline_us = call->deadline_us,
                             .candidates = call->placement.candidates,
                             .candidate_count = call->placement.candidate_count,
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -54,7 +54,7 @@
 
   for (uint32_t i = 0; parts != NULL && parts[i] != NULL && i < LIM_REFERRALS; i++)
     {
-      uint64_t hash = plc_hash_name (g_strstrip (parts[i]));
+      uint64_t hash = rendezvous_hash_name (g_strstrip (parts[i]));
 
       if (rtr_host (router, hash) == NULL ||
           hlt_skipped (router->health, ops_now_us (router->ops), hash))
@@ -86,15 +86,16 @@
     loads->capacity_refused_us = now_us;
   if (!hop_load_read (text, &load))
     {
-      mean_forget (&loads->table, call->attempts.last_engine); /* it accepts no requests now */
+      load_samples_forget (&loads->table,
+                           call->attempts.last_engine); /* it accepts no requests now */
       return;
     }
-  mean_add (&loads->table, &(mean_sample_t){ .engine_hash = call->attempts.last_engine,
-                                             .service_hash = call->service->hash,
-                                             .load = load.load,
-                                             .waiting = load.waiting,
-                                             .cost = load.cost,
-                                             .taken_us = now_us });
+  load_samples_add (&loads->table, &(load_sample_t){ .engine_hash = call->attempts.last_engine,
+                                                     .service_hash = call->service->hash,
+                                                     .load = load.load,
+                                                     .waiting = load.waiting,
+                                                     .cost = load.cost,
+                                                     .taken_us = now_us });
 }
 
 static void
@@ -259,12 +260,12 @@
 fill_samples (rtr_call_t *call, uint64_t now_us)
 {
   rtr_loads_t *loads = g_hash_table_lookup (call->router->loads, &call->service->hash);
-  mean_sample_t picked[HOP_SAMPLES] = { 0 };
+  load_sample_t picked[HOP_SAMPLES] = { 0 };
   hop_t *hop = &call->hop;
 
   hop->sample_count = 0;
   if (loads != NULL && should_send_samples (call, loads, now_us))
-    hop->sample_count = mean_pick (&loads->table, now_us, picked, HOP_SAMPLES);
+    hop->sample_count = load_samples_pick (&loads->table, now_us, picked, HOP_SAMPLES);
   /* In an overload every request takes four hops; without a limit, their load samples would be a
    * hundred times all other control traffic. The exchange carries the loads too, only later. */
   if (!bdg_take (&call->router->control_budget, now_us, hop->sample_count * HOP_SAMPLE_BYTES))
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/** struct health_query - context of is_usable(), which chs_choose() calls for each host */
+/** struct health_query - context of is_usable(), which candidates_choose() calls for each host */
 typedef struct
 {
   const rtr_t *router;
@@ -18,8 +18,8 @@
 static void
 engines_init (rtr_engines_t *engines, uint32_t max_count)
 {
-  engines->engines = g_new0 (plc_engine_t, max_count);
-  engines->details = g_new0 (chs_engine_t, max_count);
+  engines->engines = g_new0 (rendezvous_engine_t, max_count);
+  engines->details = g_new0 (candidates_engine_t, max_count);
 }
 
 static void
@@ -34,9 +34,10 @@
 {
   uint32_t index = engines->count++;
 
-  engines->engines[index] = (plc_engine_t){ .hash = host->hash, .index = index, .weight = 1.0F };
+  engines->engines[index] =
+      (rendezvous_engine_t){ .hash = host->hash, .index = index, .weight = 1.0F };
   engines->details[index] =
-      (chs_engine_t){ .joined_us = host->joined_us, .settled_us = host->settled_us };
+      (candidates_engine_t){ .joined_us = host->joined_us, .settled_us = host->settled_us };
 }
 
 static void
@@ -79,29 +80,29 @@
 
 /* append_candidates() - adds engines of other regions after those of the own region */
 static void
-append_candidates (chs_t *placement, const chs_t *other_regions)
+append_candidates (candidates_t *placement, const candidates_t *other_regions)
 {
   for (uint32_t i = 0;
        i < other_regions->candidate_count && placement->candidate_count < ATT_CANDIDATES; i++)
     placement->candidates[placement->candidate_count++] = other_regions->candidates[i];
 }
 
-static chs_t
-choose (chs_query_t *query, const rtr_pool_t *pool)
+static candidates_t
+choose (candidates_query_t *query, const rtr_pool_t *pool)
 {
-  chs_t placement;
-  chs_t other_regions;
+  candidates_t placement;
+  candidates_t other_regions;
 
   query->engines = pool->own_region.engines;
   query->details = pool->own_region.details;
   query->engine_count = pool->own_region.count;
-  placement = chs_choose (query);
+  placement = candidates_choose (query);
   if (placement.candidate_count == ATT_CANDIDATES || pool->other_regions.count == 0)
     return placement;
   query->engines = pool->other_regions.engines;
   query->details = pool->other_regions.details;
   query->engine_count = pool->other_regions.count;
-  other_regions = chs_choose (query);
+  other_regions = candidates_choose (query);
   if (placement.candidate_count == 0)
     return other_regions;
   append_candidates (&placement, &other_regions);
@@ -161,12 +162,12 @@
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
-      const mean_sample_t *sample = &message->samples[i];
+      const load_sample_t *sample = &message->samples[i];
       rtr_loads_t *loads = g_hash_table_lookup (router->loads, &sample->service_hash);
 
       /* Services that are not in force here have no table. */
       if (loads != NULL)
-        mean_add (&loads->table, sample);
+        load_samples_add (&loads->table, sample);
     }
 }
 
@@ -178,17 +179,19 @@
   const rtr_pool_t *pool = pool_of (router, call->manifest, service);
   const rtr_loads_t *loads = g_hash_table_lookup (router->loads, &service->hash);
   health_query_t health_query = { .router = router, .now_us = ops_now_us (router->ops) };
-  chs_query_t query = { .now_us = health_query.now_us,
-                        .service_hash = service->hash,
-                        .chat_hash = call->placement_hash,
-                        .has_chat = call->hop.has_chat && call->hop.key_hash[1] == 0,
-                        .first_turn = first_turn || !call->hop.has_chat,
-                        .cache_lifetime_us = (uint64_t)service->cache_lifetime_ms * CLK_US_PER_MS,
-                        .tie = call->hop.key_hash[1], /* spreads the keys of one claims stream */
-                        .samples = loads != NULL ? &loads->table : NULL,
-                        .under_way = router->requests_in_flight,
-                        .is_usable = is_usable,
-                        .context = &health_query };
+  candidates_query_t query = {
+    .now_us = health_query.now_us,
+    .service_hash = service->hash,
+    .chat_hash = call->placement_hash,
+    .has_chat = call->hop.has_chat && call->hop.key_hash[1] == 0,
+    .first_turn = first_turn || !call->hop.has_chat,
+    .cache_lifetime_us = (uint64_t)service->cache_lifetime_ms * CLK_US_PER_MS,
+    .tie = call->hop.key_hash[1], /* spreads the keys of one claims stream */
+    .samples = loads != NULL ? &loads->table : NULL,
+    .under_way = router->requests_in_flight,
+    .is_usable = is_usable,
+    .context = &health_query
+  };
 
   memset (&call->placement, 0, sizeof call->placement);
   if (pool == NULL)
