--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -56,13 +56,13 @@
 #define RTR_TOLD_US (60 * 1000 * 1000)
 
 /**
- * struct rtr_engines - engines of a service, in the form that chs_choose() takes
+ * struct rtr_engines - engines of a service, in the form that candidates_choose() takes
  * @details: more about the engine at the same index of @engines
  */
 typedef struct
 {
-  plc_engine_t *engines;
-  chs_engine_t *details;
+  rendezvous_engine_t *engines;
+  candidates_engine_t *details;
   uint32_t count;
 } rtr_engines_t;
 
@@ -85,7 +85,7 @@
  */
 typedef struct
 {
-  mean_table_t table;
+  load_samples_t table;
   uint64_t capacity_refused_us;
 } rtr_loads_t;
 
@@ -143,7 +143,7 @@
   GHashTable *host_probes;
   rtr_told_t *served_hints;
   bdg_t control_budget;
-  prv_t *answered_requests;
+  recent_answers_t *answered_requests;
   sus_t *suspects;
   uwy_t *requests_in_flight;
   GQueue calls;
@@ -208,7 +208,7 @@
   const man_service_t *service;
   const man_class_t *request_class;
   hop_t hop;
-  chs_t placement;
+  candidates_t placement;
   att_t attempts;
   rly_t relay;
   rtr_answer_t answer;
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -31,9 +31,9 @@
 {
   const sdc_t *sidecar = context;
   uint64_t now_us = ops_now_us (sidecar->ops);
-  mean_sample_t own = adm_sample (sidecar->admission, now_us);
-  mean_estimate_t mean =
-      mean_estimate (adm_mean (sidecar->admission), now_us, &own, sidecar->other_engine_count + 1);
+  load_sample_t own = adm_sample (sidecar->admission, now_us);
+  load_samples_estimate_t mean = load_samples_estimate_mean (adm_mean (sidecar->admission), now_us,
+                                                             &own, sidecar->other_engine_count + 1);
 
   json_object_set_new (out, "service",
                        json_string (sidecar->service != NULL ? sidecar->service->name : ""));
@@ -67,7 +67,7 @@
   sidecar->other_engine_count = 0;
   if (sidecar->service == NULL || members == NULL)
     return;
-  sidecar->other_engines = g_new0 (plc_engine_t, members->host_count);
+  sidecar->other_engines = g_new0 (rendezvous_engine_t, members->host_count);
   for (uint32_t i = 0; i < members->host_count; i++)
     {
       const mem_host_t *host = &members->hosts[i];
@@ -76,7 +76,7 @@
           man_service_of_engine (manifest, host->name) != sidecar->service)
         continue;
       sidecar->other_engines[sidecar->other_engine_count++] =
-          (plc_engine_t){ .hash = host->hash, .index = i, .weight = 1.0F };
+          (rendezvous_engine_t){ .hash = host->hash, .index = i, .weight = 1.0F };
     }
 }
 
@@ -221,11 +221,11 @@
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
-      const mean_sample_t *sample = &message->samples[i];
+      const load_sample_t *sample = &message->samples[i];
 
       if (sidecar->service != NULL && sample->service_hash == sidecar->service->hash &&
           sample->engine_hash != sidecar->own_hash)
-        mean_add (adm_mean (sidecar->admission), sample);
+        load_samples_add (adm_mean (sidecar->admission), sample);
     }
   sdc_pump (sidecar);
 }
@@ -290,7 +290,7 @@
 
   sidecar->daemon = daemon;
   sidecar->base = base;
-  sidecar->own_hash = plc_hash_name (daemon->set.name);
+  sidecar->own_hash = rendezvous_hash_name (daemon->set.name);
   sidecar->ops = ops_new (&options, error);
   if (sidecar->ops == NULL)
     {
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -20,7 +20,7 @@
   adm_request_t *request = &call->request;
 
   request->item =
-      (fq_item_t){ .account_hash = plc_hash_name (hop->account),
+      (fq_item_t){ .account_hash = rendezvous_hash_name (hop->account),
                    .weight = account != NULL ? account->weight : DEFAULT_ACCOUNT_WEIGHT,
                    .priority = request_class != NULL ? request_class->priority : 0,
                    .cost = hop->prompt_tokens + hop->output_tokens,
@@ -49,13 +49,13 @@
 
       if (sample->engine_hash == sidecar->own_hash || age_us >= now_us)
         continue;
-      mean_add (adm_mean (sidecar->admission),
-                &(mean_sample_t){ .engine_hash = sample->engine_hash,
-                                  .service_hash = sidecar->service->hash,
-                                  .load = sample->load,
-                                  .waiting = sample->waiting,
-                                  .cost = sample->cost,
-                                  .taken_us = now_us - age_us });
+      load_samples_add (adm_mean (sidecar->admission),
+                        &(load_sample_t){ .engine_hash = sample->engine_hash,
+                                          .service_hash = sidecar->service->hash,
+                                          .load = sample->load,
+                                          .waiting = sample->waiting,
+                                          .cost = sample->cost,
+                                          .taken_us = now_us - age_us });
     }
 }
 
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -32,7 +32,7 @@
 bool
 sdc_load_text (const sdc_t *sidecar, char out[48])
 {
-  mean_sample_t own = adm_sample (sidecar->admission, ops_now_us (sidecar->ops));
+  load_sample_t own = adm_sample (sidecar->admission, ops_now_us (sidecar->ops));
 
   /* An engine that accepts no requests is left out of the mean load. Counted as idle, it would
    * lower the load bound of the engines that have to take over its share. */
--- a/src/request/sidecar/sidecar_leave.c
+++ b/src/request/sidecar/sidecar_leave.c
@@ -94,8 +94,8 @@
   char engine[17];
 
   if (entry->engine_hash == sidecar->own_hash ||
-      plc_rank (sidecar->other_engines, sidecar->other_engine_count, sidecar->service->hash,
-                entry->chat_hash, &index, 1) == 0)
+      rendezvous_rank (sidecar->other_engines, sidecar->other_engine_count, sidecar->service->hash,
+                       entry->chat_hash, &index, 1) == 0)
     return;
   if (handover->batch_by_host[index] == NULL)
     handover->batch_by_host[index] = json_array ();
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -96,7 +96,7 @@
   hst_t *history;
   uint64_t own_hash;
   const man_service_t *service;
-  plc_engine_t *other_engines;
+  rendezvous_engine_t *other_engines;
   uint32_t other_engine_count;
   GHashTable *calls;
   uint32_t suspect_calls;
@@ -110,7 +110,7 @@
   struct event *probe_timer;
   struct event *tick_timer;
   struct event *report_timer;
-  mean_sample_t reported_sample;
+  load_sample_t reported_sample;
   char incarnation_text[24];
   cnt_t *dispatched;
   cnt_t *waited;
--- a/src/version/manifest_read.c
+++ b/src/version/manifest_read.c
@@ -103,7 +103,7 @@
       if (!ok)
         return false;
       g_strlcpy (account->name, *key, sizeof account->name);
-      account->hash = plc_hash_name (*key);
+      account->hash = rendezvous_hash_name (*key);
     }
   return true;
 }
@@ -225,7 +225,7 @@
       bool ok;
 
       g_strlcpy (service->name, *key, sizeof service->name);
-      service->hash = plc_hash_name (*key);
+      service->hash = rendezvous_hash_name (*key);
       ok =
           mck_name (*key, "services", *key, error) &&
           mck_enter (&mck, json_object_get (object, *key), "services", *key, SERVICE_KEYS, error) &&
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -227,7 +227,7 @@
 rig_compose (rig_message_t *incoming, const char *name, uint32_t sequence)
 {
   memset (incoming, 0, sizeof *incoming);
-  incoming->message.sender.host_hash = plc_hash_name (name);
+  incoming->message.sender.host_hash = rendezvous_hash_name (name);
   incoming->message.sender.incarnation = 7;
   incoming->message.sender.sequence = sequence;
   incoming->message.samples.samples_val = incoming->samples;
--- a/tests/control_rig.h
+++ b/tests/control_rig.h
@@ -40,7 +40,7 @@
   uint32_t stale_count;
   uint32_t drain_count;
   uint32_t sample_count;
-  mean_sample_t sample;
+  load_sample_t sample;
   uint32_t mark_count;
   uint32_t claim_result_count;
   clm_result_t claim_result;
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -440,7 +440,7 @@
 
       host->router = i == PFL_SIDECARS;
       g_snprintf (host->name, sizeof host->name, "%s%u", host->router ? "r" : "e", i);
-      host->hash = plc_hash_name (host->name);
+      host->hash = rendezvous_hash_name (host->name);
       g_strlcpy (host->region, "r", sizeof host->region);
       host->http = pfl_address (i + 1);
       host->incarnation = 1000 + i;
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -63,12 +63,12 @@
 {
   for (uint64_t engine = OWN + 1; engine < OWN + ENGINES; engine++)
     {
-      const mean_sample_t sample = { .engine_hash = engine,
+      const load_sample_t sample = { .engine_hash = engine,
                                      .service_hash = SERVICE,
                                      .load = load,
                                      .waiting = waiting,
                                      .taken_us = rig->now_us };
-      mean_add (adm_mean (rig->adm), &sample);
+      load_samples_add (adm_mean (rig->adm), &sample);
     }
 }
 
@@ -172,11 +172,11 @@
   rig_t *rig = rig_new (112);
   for (uint64_t engine = OWN + 1; engine < OWN + ENGINES; engine++)
     {
-      const mean_sample_t sample = { .engine_hash = engine,
+      const load_sample_t sample = { .engine_hash = engine,
                                      .service_hash = SERVICE,
                                      .load = engine == 13 ? 6 : 7,
                                      .taken_us = rig->now_us };
-      mean_add (adm_mean (rig->adm), &sample);
+      load_samples_add (adm_mean (rig->adm), &sample);
     }
   dispatch_many (rig, 8);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_OVER_BOUND);
@@ -194,11 +194,11 @@
     {
       for (uint64_t engine = OWN + 1; engine < OWN + ENGINES; engine++)
         {
-          const mean_sample_t sample = { .engine_hash = engine,
+          const load_sample_t sample = { .engine_hash = engine,
                                          .service_hash = SERVICE,
                                          .load = engine == 13 ? 0 : 10,
                                          .taken_us = rig->now_us };
-          mean_add (adm_mean (rig->adm), &sample);
+          load_samples_add (adm_mean (rig->adm), &sample);
         }
       rig->now_us += SECOND_US / 2;
     }
@@ -380,12 +380,12 @@
   adm_served_elsewhere (rig->adm, rig->now_us, 77, 13);
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 77)).action, ADM_DISPATCH);
   adm_served_elsewhere (rig->adm, rig->now_us, 78, 14);
-  const mean_sample_t full = { .engine_hash = 14,
+  const load_sample_t full = { .engine_hash = 14,
                                .service_hash = SERVICE,
                                .load = SLOTS,
                                .waiting = 200,
                                .taken_us = rig->now_us + 1 };
-  mean_add (adm_mean (rig->adm), &full);
+  load_samples_add (adm_mean (rig->adm), &full);
   rig->now_us += 2;
   CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).action, ADM_DISPATCH);
 }
@@ -517,7 +517,7 @@
   adm_cancel (rig->adm, &rig->requests[SLOTS]);
   adm_finish (rig->adm, rig->now_us, &rig->requests[0], true);
   CU_ASSERT_PTR_NULL (adm_next (rig->adm, rig->now_us));
-  const mean_sample_t sample = adm_sample (rig->adm, rig->now_us);
+  const load_sample_t sample = adm_sample (rig->adm, rig->now_us);
   CU_ASSERT_EQUAL (sample.load, SLOTS - 1);
   CU_ASSERT_EQUAL (sample.waiting, 0);
   CU_ASSERT_EQUAL (sample.cost, (SLOTS - 1) * REQUEST_MS);
@@ -530,12 +530,12 @@
 test_crashed_engine_is_not_counted (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  mean_sample_t lost = { .service_hash = SERVICE, .taken_us = rig->now_us + 1 };
+  load_sample_t lost = { .service_hash = SERVICE, .taken_us = rig->now_us + 1 };
 
   add_samples (rig, 2, 0);
   rig->now_us++;
   for (lost.engine_hash = OWN + 1; lost.engine_hash <= OWN + 2; lost.engine_hash++)
-    mean_add (adm_mean (rig->adm), &lost);
+    load_samples_add (adm_mean (rig->adm), &lost);
   for (uint32_t i = 0; i < 2; i++)
     CU_ASSERT_EQUAL (adm_offer (rig->adm, rig->now_us, make (rig, 1, i)).action, ADM_DISPATCH);
   CU_ASSERT (adm_bound_milli (rig->adm, rig->now_us) < 3000);
--- a/tests/test_cold_share.c
+++ b/tests/test_cold_share.c
@@ -7,7 +7,7 @@
 
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (egs_t, egs_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (engines_t, engines_free)
 
 #define SECOND_US (UINT64_C (1000) * 1000)
 #define NOW_US (100 * SECOND_US)
@@ -47,14 +47,14 @@
   for (uint64_t at_us = NOW_US; at_us < NOW_US + COLD_US; at_us += STEP_US)
     for (uint32_t i = 0; i < gateways; i++)
       {
-        cold_share_t share = { .per_s = PER_S,
-                               .gateways = gateways,
-                               .gateway_hash = i + 1,
-                               .engine_hash = engine_hash,
-                               .since_us = NOW_US + i * late_us,
-                               .sent_us = sent_us[i] };
-
-        if (!cold_share_has_turn (&share, at_us))
+        cold_start_limit_t share = { .per_s = PER_S,
+                                     .gateways = gateways,
+                                     .gateway_hash = i + 1,
+                                     .engine_hash = engine_hash,
+                                     .since_us = NOW_US + i * late_us,
+                                     .sent_us = sent_us[i] };
+
+        if (!cold_start_limit_allows (&share, at_us))
           continue;
         sent_us[i] = at_us;
         g_array_append_val (all, at_us);
@@ -87,7 +87,7 @@
 {
   for (uint64_t engine = 1; engine <= ENGINES; engine++)
     {
-      CU_ASSERT (simulate_burst (4, engine, 0) >= PER_S * COLD_SHARE_PERCENT / 100);
+      CU_ASSERT (simulate_burst (4, engine, 0) >= PER_S * COLD_START_LIMIT_PERCENT / 100);
       CU_ASSERT (simulate_burst (22, engine, 0) >= PER_S / 4);
       CU_ASSERT (simulate_burst (103, engine, 0) >= 1);
     }
@@ -98,35 +98,36 @@
 static void
 test_unknown_fleet_and_unknown_rate (void)
 {
-  cold_share_t share = { .per_s = PER_S };
+  cold_start_limit_t share = { .per_s = PER_S };
 
-  CU_ASSERT (!cold_share_has_turn (&share, NOW_US));
+  CU_ASSERT (!cold_start_limit_allows (&share, NOW_US));
   share.per_s = 0;
-  CU_ASSERT (cold_share_has_turn (&share, NOW_US));
+  CU_ASSERT (cold_start_limit_allows (&share, NOW_US));
 }
 
-static egn_t *
-put (egs_t *engines, uint64_t now_us, const char *id, const char *data_center, uint32_t cold_ms)
+static engine_t *
+put (engines_t *engines, uint64_t now_us, const char *id, const char *data_center, uint32_t cold_ms)
 {
-  egn_entry_t entry = {
-    .service = g_intern_static_string ("pool"), .slots = 8, .state = EGN_READY, .cold_ms = cold_ms
-  };
+  engine_entry_t entry = { .service = g_intern_static_string ("pool"),
+                           .slots = 8,
+                           .state = ENGINE_READY,
+                           .cold_ms = cold_ms };
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, data_center, sizeof entry.data_center);
-  return egs_put (engines, now_us, &entry);
+  return engines_put (engines, now_us, &entry);
 }
 
-static spr_choice_t
-choose (const egs_t *engines, uint64_t now_us, uint32_t known_gateways)
+static engine_choice_t
+choose (const engines_t *engines, uint64_t now_us, uint32_t known_gateways)
 {
-  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), now_us,
-                     &(spr_request_t){ .data_center = "hall-1",
-                                       .gateways = 2,
-                                       .known_gateways = known_gateways,
-                                       .cold_per_s = PER_S,
-                                       .cold_start_us = COLD_US,
-                                       .drain_us = 5 * SECOND_US });
+  return engine_choice_make (engines_of_service (engines, g_intern_static_string ("pool")), now_us,
+                             &(engine_choice_request_t){ .data_center = "hall-1",
+                                                         .gateways = 2,
+                                                         .known_gateways = known_gateways,
+                                                         .cold_per_s = PER_S,
+                                                         .cold_start_us = COLD_US,
+                                                         .drain_us = 5 * SECOND_US });
 }
 
 /*
@@ -136,25 +137,25 @@
 static void
 test_request_waits_for_a_cold_engine (void)
 {
-  g_autoptr (egs_t) engines = egs_new ();
-  uint64_t interval_us = cold_share_interval_us (PER_S, 2);
+  g_autoptr (engines_t) engines = engines_new ();
+  uint64_t interval_us = cold_start_limit_interval_us (PER_S, 2);
   uint32_t sent = 0;
 
   put (engines, NOW_US, "e0", "hall-1", COLD_US / 1000);
   for (uint64_t at_us = NOW_US; at_us < NOW_US + SECOND_US; at_us += STEP_US)
     {
-      spr_choice_t choice = choose (engines, at_us, 2);
+      engine_choice_t choice = choose (engines, at_us, 2);
 
-      CU_ASSERT (choice.action != SPR_NONE);
-      if (choice.action != SPR_SEND)
+      CU_ASSERT (choice.action != ENGINE_CHOICE_NONE);
+      if (choice.action != ENGINE_CHOICE_SEND)
         continue;
-      egn_begin (choice.engine, at_us);
-      egn_end (choice.engine);
+      engine_begin_request (choice.engine, at_us);
+      engine_end_request (choice.engine);
       sent++;
     }
   CU_ASSERT (sent >= 1 && sent <= 1 + SECOND_US / interval_us);
-  CU_ASSERT_EQUAL (choose (engines, NOW_US + SECOND_US, 0).action, SPR_WAIT);
-  CU_ASSERT_EQUAL (choose (engines, NOW_US + COLD_US, 0).action, SPR_SEND);
+  CU_ASSERT_EQUAL (choose (engines, NOW_US + SECOND_US, 0).action, ENGINE_CHOICE_WAIT);
+  CU_ASSERT_EQUAL (choose (engines, NOW_US + COLD_US, 0).action, ENGINE_CHOICE_SEND);
 }
 
 /*
@@ -164,16 +165,16 @@
 static void
 test_engines_are_cold_after_a_drain (void)
 {
-  g_autoptr (egs_t) engines = egs_new ();
-  egn_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
+  g_autoptr (engines_t) engines = engines_new ();
+  engine_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
 
-  CU_ASSERT (!egn_is_cold (engine, NOW_US, COLD_US));
-  egs_set_drained (engines, NOW_US, "hall-1", true);
-  egs_set_drained (engines, NOW_US + SECOND_US, "hall-1", false);
-  CU_ASSERT (egn_is_cold (engine, NOW_US + SECOND_US, COLD_US));
+  CU_ASSERT (!engine_is_cold (engine, NOW_US, COLD_US));
+  engines_set_drained (engines, NOW_US, "hall-1", true);
+  engines_set_drained (engines, NOW_US + SECOND_US, "hall-1", false);
+  CU_ASSERT (engine_is_cold (engine, NOW_US + SECOND_US, COLD_US));
   put (engines, NOW_US + SECOND_US, "e0", "hall-1", 0);
-  CU_ASSERT (egn_is_cold (engine, NOW_US + 2 * SECOND_US, COLD_US));
-  CU_ASSERT (!egn_is_cold (engine, NOW_US + SECOND_US + COLD_US, COLD_US));
+  CU_ASSERT (engine_is_cold (engine, NOW_US + 2 * SECOND_US, COLD_US));
+  CU_ASSERT (!engine_is_cold (engine, NOW_US + SECOND_US + COLD_US, COLD_US));
 }
 
 /* Guards against unlimited requests to an engine that has restarted: it refused connections, and
@@ -181,16 +182,16 @@
 static void
 test_engine_that_was_unreachable_is_cold (void)
 {
-  g_autoptr (egs_t) engines = egs_new ();
-  egn_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
-
-  egn_unreachable (engine, NOW_US);
-  egn_worked (engine, NOW_US, false);
-  CU_ASSERT (!egn_is_cold (engine, NOW_US, COLD_US));
-  for (uint32_t i = 0; i < EGN_FAILURES; i++)
-    egn_unreachable (engine, NOW_US);
-  egn_worked (engine, NOW_US, false);
-  CU_ASSERT (egn_is_cold (engine, NOW_US, COLD_US));
+  g_autoptr (engines_t) engines = engines_new ();
+  engine_t *engine = put (engines, NOW_US, "e0", "hall-1", 0);
+
+  engine_note_unreachable (engine, NOW_US);
+  engine_note_answer (engine, NOW_US, false);
+  CU_ASSERT (!engine_is_cold (engine, NOW_US, COLD_US));
+  for (uint32_t i = 0; i < ENGINE_EJECTION_FAILURES; i++)
+    engine_note_unreachable (engine, NOW_US);
+  engine_note_answer (engine, NOW_US, false);
+  CU_ASSERT (engine_is_cold (engine, NOW_US, COLD_US));
 }
 
 /*
@@ -200,20 +201,20 @@
 static void
 test_drained_engines_get_no_requests (void)
 {
-  g_autoptr (egs_t) engines = egs_new ();
-  egn_t *other;
+  g_autoptr (engines_t) engines = engines_new ();
+  engine_t *other;
 
   put (engines, NOW_US, "e0", "hall-1", 0);
   other = put (engines, NOW_US, "e1", "hall-2", 0);
-  CU_ASSERT (egs_set_drained (engines, NOW_US, "hall-1", true));
-  CU_ASSERT (!egs_set_drained (engines, NOW_US, "hall-1", true));
+  CU_ASSERT (engines_set_drained (engines, NOW_US, "hall-1", true));
+  CU_ASSERT (!engines_set_drained (engines, NOW_US, "hall-1", true));
   put (engines, NOW_US, "e2", "hall-1", 0);
   CU_ASSERT_PTR_EQUAL (choose (engines, NOW_US, 2).engine, other);
   CU_ASSERT_EQUAL (choose (engines, NOW_US, 2).candidates, 1);
-  egs_set_drained (engines, NOW_US, "hall-2", true);
-  CU_ASSERT_EQUAL (choose (engines, NOW_US, 2).action, SPR_NONE);
+  engines_set_drained (engines, NOW_US, "hall-2", true);
+  CU_ASSERT_EQUAL (choose (engines, NOW_US, 2).action, ENGINE_CHOICE_NONE);
   CU_ASSERT (choose (engines, NOW_US, 2).drained);
-  egs_set_drained (engines, NOW_US, "hall-1", false);
+  engines_set_drained (engines, NOW_US, "hall-1", false);
   CU_ASSERT_STRING_EQUAL (choose (engines, NOW_US + COLD_US, 2).engine->entry.data_center,
                           "hall-1");
 }
@@ -222,17 +223,19 @@
 static void
 test_drained_caches_are_copied_for_a_while (void)
 {
-  g_autoptr (egs_t) engines = egs_new ();
-  spr_request_t request = { .data_center = "hall-1", .affinity = 7, .drain_us = 4 * SECOND_US };
+  g_autoptr (engines_t) engines = engines_new ();
+  engine_choice_request_t request = { .data_center = "hall-1",
+                                      .affinity = 7,
+                                      .drain_us = 4 * SECOND_US };
   const GPtrArray *list;
 
   put (engines, NOW_US, "e0", "hall-1", 0);
   put (engines, NOW_US, "e1", "hall-2", 0);
-  list = egs_list (engines, g_intern_static_string ("pool"));
-  egs_set_drained (engines, NOW_US, "hall-1", true);
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US + SECOND_US, &request).source,
-                       egs_find (engines, "e0"));
-  CU_ASSERT_PTR_NULL (spr_choose (list, NOW_US + 2 * SECOND_US, &request).source);
+  list = engines_of_service (engines, g_intern_static_string ("pool"));
+  engines_set_drained (engines, NOW_US, "hall-1", true);
+  CU_ASSERT_PTR_EQUAL (engine_choice_make (list, NOW_US + SECOND_US, &request).source,
+                       engines_find (engines, "e0"));
+  CU_ASSERT_PTR_NULL (engine_choice_make (list, NOW_US + 2 * SECOND_US, &request).source);
 }
 
 int
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -6,13 +6,13 @@
 
 #include <string.h>
 
-#define POOL_HASH plc_hash_name ("pool")
+#define POOL_HASH rendezvous_hash_name ("pool")
 
 static void
 put_sample (rig_message_t *incoming, const char *engine, uint32_t load, uint32_t age_ms)
 {
   xch_sample *sample = &incoming->samples[incoming->message.samples.samples_len++];
-  sample->engine_hash = plc_hash_name (engine);
+  sample->engine_hash = rendezvous_hash_name (engine);
   sample->service_hash = POOL_HASH;
   sample->load = load;
   sample->age_ms = age_ms;
@@ -40,7 +40,7 @@
   msg_samples_t *own = msg_new (MSG_OWN_SAMPLE);
   own->count = 1;
   own->samples[0] =
-      (mean_sample_t){ rig.ctrl->own_hash, POOL_HASH, 3, 0, 0, clk_now_us (&rig.dmn.clk) };
+      (load_sample_t){ rig.ctrl->own_hash, POOL_HASH, 3, 0, 0, clk_now_us (&rig.dmn.clk) };
   rig_deliver (&rig, own);
   clk_advance (&rig.dmn.clk, CLK_US_PER_S);
   rig_message_t out;
@@ -75,19 +75,19 @@
   rig_init (&rig);
   publish_two_services (&rig.platform);
   TICK_UNTIL (&rig, rig.received.version == 2);
-  const uint64_t hashes[] = { POOL_HASH, plc_hash_name ("desk") };
+  const uint64_t hashes[] = { POOL_HASH, rendezvous_hash_name ("desk") };
   uint64_t now_us = clk_now_us (&rig.dmn.clk);
   for (uint32_t i = 0; i < 40; i++)
     {
-      mean_sample_t sample = { 100 + i, hashes[i % 2], 1, 0, 0, now_us };
-      mean_add (ctrl_talk_table (rig.ctrl, hashes[i % 2]), &sample);
+      load_sample_t sample = { 100 + i, hashes[i % 2], 1, 0, 0, now_us };
+      load_samples_add (ctrl_talk_table (rig.ctrl, hashes[i % 2]), &sample);
     }
   rig.ctrl->talk.has_own_sample = true;
-  rig.ctrl->talk.own_sample = (mean_sample_t){ rig.ctrl->own_hash, POOL_HASH, 3, 0, 0, now_us };
+  rig.ctrl->talk.own_sample = (load_sample_t){ rig.ctrl->own_hash, POOL_HASH, 3, 0, 0, now_us };
   const char *peers[] = { "third", "peer" };
   for (uint32_t i = 0; i < 2; i++)
     {
-      xch_word to = { .host_hash = plc_hash_name (peers[i]) };
+      xch_word to = { .host_hash = rendezvous_hash_name (peers[i]) };
       ctrl_talk_fill (rig_compose (&out, "x", 1), &to, rig.ctrl);
       CU_ASSERT_EQUAL (out.message.samples.samples_len, XCH_SAMPLES);
       CU_ASSERT_EQUAL (out.samples[0].engine_hash, rig.ctrl->own_hash);
@@ -236,12 +236,13 @@
       rig_start_fresh (&rig, base);
       rig.dmn.set.control_budget_bytes = budgets[i];
       rig.dmn.set.exchange_interval_ms = 500;
-      mean_table_t *table = g_hash_table_lookup (rig.ctrl->talk.samples, &(uint64_t){ POOL_HASH });
+      load_samples_t *table =
+          g_hash_table_lookup (rig.ctrl->talk.samples, &(uint64_t){ POOL_HASH });
       CU_ASSERT_PTR_NOT_NULL_FATAL (table);
       for (uint32_t engine = 1; engine <= 20; engine++)
         {
-          mean_sample_t sample = { engine, POOL_HASH, 1, 0, 0, clk_now_us (&rig.dmn.clk) };
-          mean_add (table, &sample);
+          load_sample_t sample = { engine, POOL_HASH, 1, 0, 0, clk_now_us (&rig.dmn.clk) };
+          load_samples_add (table, &sample);
         }
       rig.ctrl->talk.has_own_sample = true;
       rig.ctrl->talk.own_sample = table->samples[0];
@@ -282,7 +283,7 @@
   rig_init (&rig);
   rig_message_t incoming;
   rig_compose (&incoming, "third", 1);
-  incoming.words[0] = (xch_word){ plc_hash_name ("peer"), 7, 3, MEM_LEAVING };
+  incoming.words[0] = (xch_word){ rendezvous_hash_name ("peer"), 7, 3, MEM_LEAVING };
   incoming.message.words.words_len = 1;
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   uint64_t before = cnt_value (sent);
@@ -297,7 +298,7 @@
       rig_message_t out;
       ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
       for (uint32_t j = 0; j < out.message.words.words_len; j++)
-        sent_count += out.words[j].host_hash == plc_hash_name ("peer");
+        sent_count += out.words[j].host_hash == rendezvous_hash_name ("peer");
     }
   CU_ASSERT_EQUAL (sent_count, RMR_SENDS);
   /* That "third" is live is news to this daemon only; a restart of it is news to all. */
@@ -317,7 +318,7 @@
 {
   g_auto (rig_t) rig = { 0 };
   rig_message_t incoming, out;
-  uint64_t hash = plc_hash_name ("peer");
+  uint64_t hash = rendezvous_hash_name ("peer");
   rig_init (&rig);
   fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEM_LEAVING);
   TICK_UNTIL (&rig, rig.received.peer_state == MEM_LEAVING);
--- a/tests/test_engine_entries.c
+++ b/tests/test_engine_entries.c
@@ -15,7 +15,7 @@
 #define READY ",\"state\":\"ready\""
 
 static bool
-parse_entry (const char *text, egn_entry_t *entry)
+parse_entry (const char *text, engine_entry_t *entry)
 {
   GError *error = NULL;
   bool valid = prc_read_engine (entry, "i-1", text, strlen (text), &error);
@@ -28,7 +28,7 @@
 static void
 test_valid_entry_is_parsed (void)
 {
-  egn_entry_t entry;
+  engine_entry_t entry;
 
   CU_ASSERT (parse_entry (
       ENTRY (ZONE, SLOTS, READY, ",\"cold_left_ms\":20,\"seq\":4,\"born\":1791152480123"), &entry));
@@ -36,7 +36,7 @@
   CU_ASSERT_PTR_EQUAL (entry.service, g_intern_string ("s"));
   CU_ASSERT_STRING_EQUAL (entry.address.ip, "10.0.0.9");
   CU_ASSERT_STRING_EQUAL (entry.data_center, "hall");
-  CU_ASSERT_EQUAL (entry.state, EGN_READY);
+  CU_ASSERT_EQUAL (entry.state, ENGINE_READY);
   CU_ASSERT_EQUAL (entry.slots, 128);
   CU_ASSERT_EQUAL (entry.cold_ms, 20);
   CU_ASSERT_EQUAL (entry.born_ms, UINT64_C (1791152480123));
@@ -46,10 +46,10 @@
 static void
 test_optional_fields (void)
 {
-  egn_entry_t entry;
+  engine_entry_t entry;
 
   CU_ASSERT (parse_entry (ENTRY (ZONE, SLOTS, ",\"state\":\"draining\"", ""), &entry));
-  CU_ASSERT_EQUAL (entry.state, EGN_LEAVING);
+  CU_ASSERT_EQUAL (entry.state, ENGINE_LEAVING);
   CU_ASSERT_EQUAL (entry.cold_ms, 0);
   CU_ASSERT_EQUAL (entry.born_ms, 0);
 }
@@ -90,7 +90,7 @@
     ENTRY (ZONE, SLOTS, READY, "}"),
     "{\"service\":\"s\xff\",\"addr\":\"10.0.0.9:8080\"" ZONE SLOTS READY "}",
   };
-  egn_entry_t entry;
+  engine_entry_t entry;
 
   for (size_t i = 0; i < G_N_ELEMENTS (texts); i++)
     CU_ASSERT (!parse_entry (texts[i], &entry));
@@ -103,7 +103,7 @@
 {
   static const char valid_entry[] = ENTRY (ZONE, SLOTS, READY, "");
   static const char *const ids[] = { "", "i 1", "i\r\nX-Tenant: other", "i\xff" };
-  egn_entry_t entry;
+  engine_entry_t entry;
 
   for (size_t i = 0; i < G_N_ELEMENTS (ids); i++)
     CU_ASSERT (!prc_read_engine (&entry, ids[i], valid_entry, sizeof valid_entry - 1, NULL));
@@ -116,7 +116,7 @@
   g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'n');
   g_autofree char *text = g_strdup_printf (
       "{\"service\":\"s\",\"addr\":\"10.0.0.9:8080\",\"zone\":\"%s\"" SLOTS READY "}", name);
-  egn_entry_t entry;
+  engine_entry_t entry;
 
   CU_ASSERT (!parse_entry (text, &entry));
   CU_ASSERT (!prc_read_engine (&entry, name, valid_entry, sizeof valid_entry - 1, NULL));
@@ -153,7 +153,7 @@
   for (uint32_t round = 0; round < FUZZ_ROUNDS; round++)
     {
       GString *text = g_string_new (valid_entry);
-      egn_entry_t entry;
+      engine_entry_t entry;
 
       for (int32_t i = g_rand_int_range (rand, 0, FUZZ_CHANGES); i > 0 && text->len > 0; i--)
         mutate (rand, text);
@@ -161,7 +161,7 @@
         {
           accepted++;
           CU_ASSERT (entry.service && entry.address.port != 0 && entry.slots >= 1);
-          CU_ASSERT (entry.state == EGN_READY || entry.state == EGN_LEAVING);
+          CU_ASSERT (entry.state == ENGINE_READY || entry.state == ENGINE_LEAVING);
         }
       g_string_free (text, TRUE);
     }
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -353,7 +353,7 @@
 
   grg_engine (grg, SCRIPTS (OK_RESPONSE), 1);
   grg_engine (grg, SCRIPTS (OK_RESPONSE), 1);
-  clk_init_paused (&grg->clk, clk_now_us (&grg->clk) + SPR_NEW_US);
+  clk_init_paused (&grg->clk, clk_now_us (&grg->clk) + ENGINE_CHOICE_NEW_US);
   expect (grg, "POST", "/talk/", turn, "200");
   CU_ASSERT_EQUAL (count_cache_sources (grg), 1);
   expect (grg, "POST", "/talk/", turn, "200");
--- a/tests/test_leave_notice.c
+++ b/tests/test_leave_notice.c
@@ -80,7 +80,8 @@
 send_notice (fleet_t *fleet, uint64_t now_us, uint32_t index)
 {
   uint64_t delay_us = (uint64_t)g_rand_int_range (fleet->rand, 0, DELAY_MAX_TICKS) * TICK_US;
-  if (mem_leave (fleet->memberships[index], plc_hash_name ("h"), INCARNATION) == MEM_LEAVE_NONE)
+  if (mem_leave (fleet->memberships[index], rendezvous_hash_name ("h"), INCARNATION) ==
+      MEM_LEAVE_NONE)
     return;
   if (!message_is_lost (fleet) &&
       (fleet->notice_due_us == 0 || now_us + delay_us < fleet->notice_due_us))
@@ -94,7 +95,7 @@
 {
   uint32_t index = (uint32_t)g_rand_int_range (fleet->rand, 0, (gint32)fleet->count);
   mem_state_t state = fleet->is_told ? MEM_LEAVING : MEM_LIVE;
-  mem_word_t report = { plc_hash_name ("h"), INCARNATION, sequence, state };
+  mem_word_t report = { rendezvous_hash_name ("h"), INCARNATION, sequence, state };
   if (message_is_lost (fleet))
     return;
   mem_hear (fleet->memberships[index], now_us, &report);
@@ -134,7 +135,7 @@
         continue;
       mem_list_full (fleet->memberships[i], now_us, &leaving, 1, 2);
       if (i < NOTIFIERS)
-        lvn_add (fleet->notices[i], now_us, plc_hash_name ("h"));
+        lvn_add (fleet->notices[i], now_us, rendezvous_hash_name ("h"));
     }
   for (uint32_t i = 0; i < NOTIFIERS; i++)
     send_due_notices (fleet, now_us, i);
--- a/tests/test_load_header.c
+++ b/tests/test_load_header.c
@@ -34,8 +34,8 @@
   CU_ASSERT_EQUAL (out.load.running, 3);
   CU_ASSERT_EQUAL (out.load.waiting, 1);
   CU_ASSERT_EQUAL (out.load.slots, 8);
-  CU_ASSERT_EQUAL (out.load.effort_percent, 250);
-  CU_ASSERT_EQUAL (parse_load ("3,1,8,100,7").load.effort_percent, 100);
+  CU_ASSERT_EQUAL (out.load.slowdown_percent, 250);
+  CU_ASSERT_EQUAL (parse_load ("3,1,8,100,7").load.slowdown_percent, 100);
 }
 
 /* Guards against a load report that is ignored because its effort is missing or invalid, and
@@ -54,7 +54,7 @@
       CU_ASSERT (out.has_load);
       CU_ASSERT_EQUAL (out.load.running, 3);
       CU_ASSERT_EQUAL (out.load.slots, 8);
-      CU_ASSERT_EQUAL (out.load.effort_percent, 0);
+      CU_ASSERT_EQUAL (out.load.slowdown_percent, 0);
     }
 }
 
@@ -73,7 +73,7 @@
 
       for (uint32_t j = 0; j < length; j++)
         text[j] = characters[g_rand_int_range (rand, 0, sizeof characters - 1)];
-      CU_ASSERT_FATAL (parse_load (text).load.effort_percent <= EGN_EFFORT_MOST);
+      CU_ASSERT_FATAL (parse_load (text).load.slowdown_percent <= ENGINE_SLOWDOWN_MAX_PERCENT);
     }
   g_rand_free (rand);
 }
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -26,7 +26,7 @@
 apply_report (
     mem_t *mem, uint64_t now_us, uint64_t incarnation, uint32_t sequence, mem_state_t state)
 {
-  mem_word_t report = { plc_hash_name ("a"), incarnation, sequence, state };
+  mem_word_t report = { rendezvous_hash_name ("a"), incarnation, sequence, state };
   return mem_hear (mem, now_us, &report);
 }
 
@@ -67,7 +67,7 @@
     {
       const mem_host_t *host = &first->hosts[i];
       CU_ASSERT_PTR_EQUAL (mem_find (first, host->name), host);
-      CU_ASSERT_PTR_EQUAL (mem_find_hash (first, plc_hash_name (host->name)), host);
+      CU_ASSERT_PTR_EQUAL (mem_find_hash (first, rendezvous_hash_name (host->name)), host);
       CU_ASSERT_EQUAL (host->settled_us, 0);
     }
   CU_ASSERT_PTR_NULL (mem_find (first, "d"));
@@ -135,10 +135,10 @@
   CU_ASSERT_FALSE (apply_report (mem, SECOND_US, 5, 1, MEM_LIVE));
   CU_ASSERT_EQUAL (published_host (mem).state, MEM_GONE);
   mem_word_t report;
-  CU_ASSERT_FALSE (mem_word (mem, plc_hash_name ("a"), &report));
+  CU_ASSERT_FALSE (mem_word (mem, rendezvous_hash_name ("a"), &report));
   apply_list_state (mem, SECOND_US, MEM_LIVE);
   apply_report (mem, SECOND_US, 5, 3, MEM_LIVE);
-  CU_ASSERT_TRUE (mem_word (mem, plc_hash_name ("a"), &report));
+  CU_ASSERT_TRUE (mem_word (mem, rendezvous_hash_name ("a"), &report));
   CU_ASSERT_EQUAL (report.sequence, 3);
 }
 
--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -15,12 +15,12 @@
 static void
 test_later_attempts_are_recognized_by_remaining_time (void)
 {
-  fas_t route = { 0 };
+  first_attempt_t route = { 0 };
 
-  CU_ASSERT_EQUAL (fas_age_us (&route, NOW_US, 12000), 0);
-  CU_ASSERT_EQUAL (fas_age_us (&route, NOW_US, 10300), 0);
-  CU_ASSERT_EQUAL (fas_age_us (&route, NOW_US, 8000), 4000 * MS);
-  CU_ASSERT_EQUAL (fas_age_us (&route, NOW_US, 0), 0);
+  CU_ASSERT_EQUAL (first_attempt_age_us (&route, NOW_US, 12000), 0);
+  CU_ASSERT_EQUAL (first_attempt_age_us (&route, NOW_US, 10300), 0);
+  CU_ASSERT_EQUAL (first_attempt_age_us (&route, NOW_US, 8000), 4000 * MS);
+  CU_ASSERT_EQUAL (first_attempt_age_us (&route, NOW_US, 0), 0);
 }
 
 /* Callers of a new release have 3 s instead of 12. They are taken for later attempts only for a
@@ -28,19 +28,19 @@
 static void
 test_shorter_time_replaces_the_longest (void)
 {
-  fas_t route = { 0 };
+  first_attempt_t route = { 0 };
 
-  fas_age_us (&route, NOW_US, 12000);
-  CU_ASSERT (fas_age_us (&route, NOW_US + FAS_FORGET_US - 1, 3000) > 0);
-  CU_ASSERT_EQUAL (fas_age_us (&route, NOW_US + FAS_FORGET_US, 3000), 0);
-  CU_ASSERT_EQUAL (fas_age_us (&route, NOW_US + FAS_FORGET_US + MS, 2900), 0);
+  first_attempt_age_us (&route, NOW_US, 12000);
+  CU_ASSERT (first_attempt_age_us (&route, NOW_US + FIRST_ATTEMPT_FORGET_US - 1, 3000) > 0);
+  CU_ASSERT_EQUAL (first_attempt_age_us (&route, NOW_US + FIRST_ATTEMPT_FORGET_US, 3000), 0);
+  CU_ASSERT_EQUAL (first_attempt_age_us (&route, NOW_US + FIRST_ATTEMPT_FORGET_US + MS, 2900), 0);
 }
 
 static void
-add_reports (gau_t *gauge, uint32_t times, uint32_t requests, uint64_t own)
+add_reports (load_gauge_t *gauge, uint32_t times, uint32_t requests, uint64_t own)
 {
   for (uint32_t i = 0; i < times; i++)
-    gau_told (gauge, NOW_US, requests, SLOTS, own);
+    load_gauge_add (gauge, NOW_US, requests, SLOTS, own);
 }
 
 /* Traffic triples. The last answers still report eight requests at an engine, but this gateway has
@@ -48,13 +48,13 @@
 static void
 test_own_growth_shows_a_surge_before_reports_do (void)
 {
-  gau_t gauge = { 0 };
+  load_gauge_t gauge = { 0 };
 
   add_reports (&gauge, 50, 8, 30);
-  CU_ASSERT_EQUAL (gau_told_milli (&gauge, NOW_US), 333);
-  CU_ASSERT (!gau_is_surge (&gauge, NOW_US, 30));
-  CU_ASSERT (!gau_is_surge (&gauge, NOW_US, 60));
-  CU_ASSERT (gau_is_surge (&gauge, NOW_US, 120));
+  CU_ASSERT_EQUAL (load_gauge_utilization_milli (&gauge, NOW_US), 333);
+  CU_ASSERT (!load_gauge_is_surge (&gauge, NOW_US, 30));
+  CU_ASSERT (!load_gauge_is_surge (&gauge, NOW_US, 60));
+  CU_ASSERT (load_gauge_is_surge (&gauge, NOW_US, 120));
 }
 
 /* Engines that are full and stay full are no surge, and each one's own load decides. Neither is one
@@ -62,38 +62,38 @@
 static void
 test_full_engines_and_few_requests_are_no_surge (void)
 {
-  gau_t gauge = { 0 };
-  gau_t few = { 0 };
+  load_gauge_t gauge = { 0 };
+  load_gauge_t few = { 0 };
 
   add_reports (&gauge, 50, 30, 40);
-  CU_ASSERT (!gau_is_surge (&gauge, NOW_US, 40));
+  CU_ASSERT (!load_gauge_is_surge (&gauge, NOW_US, 40));
   add_reports (&few, 50, 24, 0);
-  CU_ASSERT (!gau_is_surge (&few, NOW_US, 1));
+  CU_ASSERT (!load_gauge_is_surge (&few, NOW_US, 1));
 }
 
 static void
 test_old_reports_are_ignored (void)
 {
-  gau_t gauge = { 0 };
+  load_gauge_t gauge = { 0 };
 
-  CU_ASSERT_EQUAL (gau_told_milli (&gauge, NOW_US), 0);
-  CU_ASSERT (!gau_is_surge (&gauge, NOW_US, 1000));
+  CU_ASSERT_EQUAL (load_gauge_utilization_milli (&gauge, NOW_US), 0);
+  CU_ASSERT (!load_gauge_is_surge (&gauge, NOW_US, 1000));
   add_reports (&gauge, 5, 24, 10);
-  CU_ASSERT_EQUAL (gau_told_milli (&gauge, NOW_US + GAU_FORGET_US), 0);
-  CU_ASSERT (!gau_is_surge (&gauge, NOW_US + GAU_FORGET_US, 1000));
-  gau_told (&gauge, NOW_US + GAU_FORGET_US, 6, SLOTS, 10);
-  CU_ASSERT_EQUAL (gau_told_milli (&gauge, NOW_US + GAU_FORGET_US), 250);
-  gau_told (&gauge, NOW_US + GAU_FORGET_US, 6, 0, 10);
-  CU_ASSERT_EQUAL (gau_told_milli (&gauge, NOW_US + GAU_FORGET_US), 250);
+  CU_ASSERT_EQUAL (load_gauge_utilization_milli (&gauge, NOW_US + LOAD_GAUGE_AGE_MAX_US), 0);
+  CU_ASSERT (!load_gauge_is_surge (&gauge, NOW_US + LOAD_GAUGE_AGE_MAX_US, 1000));
+  load_gauge_add (&gauge, NOW_US + LOAD_GAUGE_AGE_MAX_US, 6, SLOTS, 10);
+  CU_ASSERT_EQUAL (load_gauge_utilization_milli (&gauge, NOW_US + LOAD_GAUGE_AGE_MAX_US), 250);
+  load_gauge_add (&gauge, NOW_US + LOAD_GAUGE_AGE_MAX_US, 6, 0, 10);
+  CU_ASSERT_EQUAL (load_gauge_utilization_milli (&gauge, NOW_US + LOAD_GAUGE_AGE_MAX_US), 250);
 }
 
 static void
-add_requests (odd_t *fairness, uint32_t priority, uint32_t started, uint32_t refused)
+add_requests (priority_fairness_t *fairness, uint32_t priority, uint32_t started, uint32_t refused)
 {
   for (uint32_t i = 0; i < started; i++)
-    odd_note (fairness, NOW_US, priority, true);
+    priority_fairness_record (fairness, NOW_US, priority, true);
   for (uint32_t i = 0; i < refused; i++)
-    odd_note (fairness, NOW_US, priority, false);
+    priority_fairness_record (fairness, NOW_US, priority, false);
 }
 
 /* Replies have the higher priority, but their callers wait for 400 ms, those of summaries for 800
@@ -102,14 +102,14 @@
 static void
 test_lower_priority_yields_while_it_is_ahead (void)
 {
-  odd_t fairness = { 0 };
+  priority_fairness_t fairness = { 0 };
 
   add_requests (&fairness, 0, 30, 70);
   add_requests (&fairness, 1, 70, 30);
-  CU_ASSERT_EQUAL (odd_turn (&fairness, 0), ODD_IN_TURN);
-  CU_ASSERT_EQUAL (odd_turn (&fairness, 1), ODD_GIVES_WAY);
+  CU_ASSERT_EQUAL (priority_fairness_decide (&fairness, 0), PRIORITY_FAIRNESS_IN_ORDER);
+  CU_ASSERT_EQUAL (priority_fairness_decide (&fairness, 1), PRIORITY_FAIRNESS_YIELD);
   add_requests (&fairness, 1, 0, 150);
-  CU_ASSERT_EQUAL (odd_turn (&fairness, 1), ODD_IN_TURN);
+  CU_ASSERT_EQUAL (priority_fairness_decide (&fairness, 1), PRIORITY_FAIRNESS_IN_ORDER);
 }
 
 /* Short requests of low priority wait behind all replies, and one in ten starts. They
@@ -117,42 +117,42 @@
 static void
 test_lower_priority_is_not_left_far_behind (void)
 {
-  odd_t fairness = { 0 };
+  priority_fairness_t fairness = { 0 };
 
   add_requests (&fairness, 0, 50, 50);
   add_requests (&fairness, 2, 10, 90);
-  CU_ASSERT_EQUAL (odd_turn (&fairness, 2), ODD_FIRST);
+  CU_ASSERT_EQUAL (priority_fairness_decide (&fairness, 2), PRIORITY_FAIRNESS_FIRST);
   add_requests (&fairness, 2, 70, 0);
-  CU_ASSERT_EQUAL (odd_turn (&fairness, 2), ODD_IN_TURN);
+  CU_ASSERT_EQUAL (priority_fairness_decide (&fairness, 2), PRIORITY_FAIRNESS_IN_ORDER);
 }
 
 /* No reply starts because their engines are gone. Summaries must not be held back for them. */
 static void
 test_small_share_yields_to_none (void)
 {
-  odd_t fairness = { 0 };
+  priority_fairness_t fairness = { 0 };
 
   add_requests (&fairness, 0, 0, 100);
   add_requests (&fairness, 1, 10, 90);
-  CU_ASSERT_EQUAL (odd_turn (&fairness, 1), ODD_IN_TURN);
+  CU_ASSERT_EQUAL (priority_fairness_decide (&fairness, 1), PRIORITY_FAIRNESS_IN_ORDER);
   add_requests (&fairness, 1, 30, 0);
-  CU_ASSERT_EQUAL (odd_turn (&fairness, 1), ODD_GIVES_WAY);
+  CU_ASSERT_EQUAL (priority_fairness_decide (&fairness, 1), PRIORITY_FAIRNESS_YIELD);
 }
 
 static void
 test_counts_decay (void)
 {
-  odd_t fairness = { 0 };
+  priority_fairness_t fairness = { 0 };
 
-  CU_ASSERT_EQUAL (odd_share_milli (&fairness), 1000);
+  CU_ASSERT_EQUAL (priority_fairness_started_milli (&fairness), 1000);
   add_requests (&fairness, 0, 0, 100);
-  CU_ASSERT_EQUAL (odd_share_milli (&fairness), 0);
-  odd_note (&fairness, NOW_US + 3 * ODD_HALF_US, 0, true);
+  CU_ASSERT_EQUAL (priority_fairness_started_milli (&fairness), 0);
+  priority_fairness_record (&fairness, NOW_US + 3 * PRIORITY_FAIRNESS_HALF_LIFE_US, 0, true);
   CU_ASSERT (fairness.asked_milli[0] < 16 * 1000);
-  odd_note (&fairness, NOW_US + 40 * ODD_HALF_US, 9, true);
+  priority_fairness_record (&fairness, NOW_US + 40 * PRIORITY_FAIRNESS_HALF_LIFE_US, 9, true);
   CU_ASSERT_EQUAL (fairness.asked_milli[0], 0);
-  CU_ASSERT_EQUAL (fairness.asked_milli[ODD_LEVELS - 1], 1000);
-  CU_ASSERT_EQUAL (odd_share_milli (&fairness), 1000);
+  CU_ASSERT_EQUAL (fairness.asked_milli[PRIORITY_FAIRNESS_LEVELS - 1], 1000);
+  CU_ASSERT_EQUAL (priority_fairness_started_milli (&fairness), 1000);
 }
 
 int
--- a/tests/test_overloaded.c
+++ b/tests/test_overloaded.c
@@ -67,8 +67,8 @@
 typedef struct
 {
   const kind_t *kinds;
-  egs_t *known[GATEWAYS_MOST];
-  lnw_t reports[GATEWAYS_MOST];
+  engines_t *known[GATEWAYS_MOST];
+  load_reports_t reports[GATEWAYS_MOST];
   uint32_t mean_milli[GATEWAYS_MOST];
   uint32_t load[ENGINES_MOST];
   GQueue runs[2]; /* requests without the head of the answer, and with it */
@@ -81,23 +81,23 @@
   uint32_t over[TICKS];
 } fleet_t;
 
-static egn_t *
+static engine_t *
 engine_of (const fleet_t *fleet, uint32_t gateway, uint32_t engine)
 {
   char id[16];
 
   g_snprintf (id, sizeof id, "e%u", engine);
-  return egs_find (fleet->known[gateway], id);
+  return engines_find (fleet->known[gateway], id);
 }
 
 static void
 add_engine (fleet_t *fleet, uint32_t gateway, uint32_t engine)
 {
-  egn_entry_t entry = { .service = SERVICE, .slots = SLOTS, .state = EGN_READY };
+  engine_entry_t entry = { .service = SERVICE, .slots = SLOTS, .state = ENGINE_READY };
 
   g_snprintf (entry.id, sizeof entry.id, "e%u", engine);
   g_strlcpy (entry.data_center, "hall", sizeof entry.data_center);
-  egs_put (fleet->known[gateway], BEGIN_US, &entry);
+  engines_put (fleet->known[gateway], BEGIN_US, &entry);
 }
 
 static fleet_t *
@@ -111,10 +111,10 @@
   fleet->rand = g_rand_new_with_seed (seed);
   for (uint32_t i = 0; i < gateways; i++)
     {
-      fleet->known[i] = egs_new ();
+      fleet->known[i] = engines_new ();
       for (uint32_t k = 0; k < engines; k++)
         add_engine (fleet, i, k);
-      egs_set_complete (fleet->known[i]);
+      engines_set_complete (fleet->known[i]);
     }
   return fleet;
 }
@@ -125,7 +125,7 @@
   g_queue_clear_full (&fleet->runs[0], g_free);
   g_queue_clear_full (&fleet->runs[1], g_free);
   for (uint32_t i = 0; i < fleet->gateways; i++)
-    egs_free (fleet->known[i]);
+    engines_free (fleet->known[i]);
   g_rand_free (fleet->rand);
   g_free (fleet);
 }
@@ -154,7 +154,8 @@
 is_overloaded (const fleet_t *fleet, uint32_t engine)
 {
   return fleet->load[engine] * fleet->engines >
-         fleet->total * SPR_OVERLOAD_FACTOR + fleet->engines * SPR_OVERLOAD_MORE_MILLI / 1000;
+         fleet->total * ENGINE_CHOICE_OVERLOAD_FACTOR +
+             fleet->engines * ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI / 1000;
 }
 
 static void
@@ -163,50 +164,51 @@
   uint32_t kind = draw_kind (fleet);
   uint32_t gateway = (uint32_t)g_rand_int_range (fleet->rand, 0, (gint32)fleet->gateways);
   uint64_t now_us = BEGIN_US + tick * TICK_US;
-  spr_request_t request = { .affinity = draw_part (fleet, kind),
-                            .affinity_tokens = fleet->kinds[kind].tokens,
-                            .data_center = "hall",
-                            .repeatable = true,
-                            .gateways = fleet->gateways,
-                            .gateway_hash = gateway * 7919 + 13,
-                            .run_us = RUN_TICKS * TICK_US,
-                            .head_us = HEAD_TICKS * TICK_US };
-  spr_choice_t choice = spr_choose (egs_list (fleet->known[gateway], SERVICE), now_us, &request);
+  engine_choice_request_t request = { .affinity = draw_part (fleet, kind),
+                                      .affinity_tokens = fleet->kinds[kind].tokens,
+                                      .data_center = "hall",
+                                      .repeatable = true,
+                                      .gateways = fleet->gateways,
+                                      .gateway_hash = gateway * 7919 + 13,
+                                      .run_us = RUN_TICKS * TICK_US,
+                                      .head_us = HEAD_TICKS * TICK_US };
+  engine_choice_t choice =
+      engine_choice_make (engines_of_service (fleet->known[gateway], SERVICE), now_us, &request);
   run_t *run = g_new0 (run_t, 1);
 
-  g_assert (choice.action == SPR_SEND);
+  g_assert (choice.action == ENGINE_CHOICE_SEND);
   fleet->mean_milli[gateway] = choice.mean_milli;
   *run = (run_t){ gateway, (uint32_t)atoi (choice.engine->entry.id + 1), tick };
   fleet->sent[tick]++;
   fleet->over[tick] += is_overloaded (fleet, run->engine) ? 1 : 0;
   fleet->load[run->engine]++;
   fleet->total++;
-  egn_begin (choice.engine, now_us);
+  engine_begin_request (choice.engine, now_us);
   g_queue_push_tail (&fleet->runs[0], run);
 }
 
 static void
 add_report (fleet_t *fleet, const run_t *run, uint64_t now_us)
 {
-  lnw_item_t item = { .engine_hash = engine_of (fleet, run->gateway, run->engine)->hash,
-                      .load = fleet->load[run->engine],
-                      .told_us = now_us };
+  load_report_t item = { .engine_hash = engine_of (fleet, run->gateway, run->engine)->hash,
+                         .load = fleet->load[run->engine],
+                         .told_us = now_us };
 
-  if (lnw_is_news (item.load, fleet->mean_milli[run->gateway], SPR_OVERLOAD_FACTOR,
-                   SPR_OVERLOAD_MORE_MILLI))
-    lnw_add (&fleet->reports[run->gateway], now_us, &item);
+  if (load_reports_is_high (item.load, fleet->mean_milli[run->gateway],
+                            ENGINE_CHOICE_OVERLOAD_FACTOR, ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI))
+    load_reports_add (&fleet->reports[run->gateway], now_us, &item);
 }
 
 static void
 send_reports (fleet_t *fleet, uint32_t from, uint32_t to, uint64_t now_us)
 {
-  lnw_item_t items[MESSAGE_ITEMS];
-  uint32_t count = lnw_take (&fleet->reports[from], now_us, items, MESSAGE_ITEMS);
+  load_report_t items[MESSAGE_ITEMS];
+  uint32_t count = load_reports_latest (&fleet->reports[from], now_us, items, MESSAGE_ITEMS);
 
   for (uint32_t i = 0; i < count; i++)
-    if (lnw_add (&fleet->reports[to], now_us, &items[i]))
-      egn_heard (egs_find_hash (fleet->known[to], items[i].engine_hash), items[i].told_us,
-                 items[i].load);
+    if (load_reports_add (&fleet->reports[to], now_us, &items[i]))
+      engine_note_peer_load (engines_find_by_hash (fleet->known[to], items[i].engine_hash),
+                             items[i].told_us, items[i].load);
 }
 
 /* Each gateway exchanges its reports with a random peer, once per EXCHANGE_TICKS. */
@@ -234,11 +236,11 @@
 
   while ((run = g_queue_peek_head (&fleet->runs[0])) && tick >= run->sent + HEAD_TICKS)
     {
-      egn_t *engine = engine_of (fleet, run->gateway, run->engine);
+      engine_t *engine = engine_of (fleet, run->gateway, run->engine);
 
-      egn_told (engine, now_us,
-                &(egn_load_t){ .running = fleet->load[run->engine], .slots = SLOTS });
-      egn_worked (engine, now_us, false);
+      engine_note_load (engine, now_us,
+                        &(engine_load_t){ .running = fleet->load[run->engine], .slots = SLOTS });
+      engine_note_answer (engine, now_us, false);
       add_report (fleet, run, now_us);
       g_queue_push_tail (&fleet->runs[1], g_queue_pop_head (&fleet->runs[0]));
     }
@@ -253,7 +255,7 @@
     {
       fleet->load[run->engine]--;
       fleet->total--;
-      egn_end (engine_of (fleet, run->gateway, run->engine));
+      engine_end_request (engine_of (fleet, run->gateway, run->engine));
       g_free (g_queue_pop_head (&fleet->runs[1]));
     }
 }
--- a/tests/test_own_word.c
+++ b/tests/test_own_word.c
@@ -77,32 +77,34 @@
 static void
 test_statement_outlives_the_entry (void)
 {
-  egs_t *engines = egs_new ();
-  egn_entry_t entry = { .id = "e0", .born_ms = 5, .service = g_intern_static_string ("pool") };
-  egn_t *engine = egs_put (engines, NOW_US, &entry);
-
-  CU_ASSERT_TRUE (egs_leaves (engines, NOW_US, engine));
-  CU_ASSERT_FALSE (egs_leaves (engines, NOW_US, engine));
-  CU_ASSERT_FALSE (egn_is_open (egs_put (engines, NOW_US, &entry)));
-  egs_gone (engines, "e0");
-  CU_ASSERT_FALSE (egn_is_open (egs_put (engines, NOW_US, &entry)));
+  engines_t *engines = engines_new ();
+  engine_entry_t entry = { .id = "e0", .born_ms = 5, .service = g_intern_static_string ("pool") };
+  engine_t *engine = engines_put (engines, NOW_US, &entry);
+
+  CU_ASSERT_TRUE (engines_note_leaving (engines, NOW_US, engine));
+  CU_ASSERT_FALSE (engines_note_leaving (engines, NOW_US, engine));
+  CU_ASSERT_FALSE (engine_is_open (engines_put (engines, NOW_US, &entry)));
+  engines_remove (engines, "e0");
+  CU_ASSERT_FALSE (engine_is_open (engines_put (engines, NOW_US, &entry)));
   entry.born_ms = 6;
-  CU_ASSERT_TRUE (egn_is_open (egs_put (engines, NOW_US, &entry)));
-  egs_free (engines);
+  CU_ASSERT_TRUE (engine_is_open (engines_put (engines, NOW_US, &entry)));
+  engines_free (engines);
 }
 
 static void
 test_statements_are_limited_and_expire (void)
 {
-  oww_t *reports = oww_new ();
-
-  for (uint64_t i = 1; i <= OWW_MOST + 1; i++)
-    CU_ASSERT_TRUE (oww_leaves (reports, NOW_US + i, i));
-  CU_ASSERT_FALSE (oww_get (reports, 1).leaving);
-  CU_ASSERT_TRUE (oww_get (reports, 2).leaving && oww_get (reports, OWW_MOST + 1).leaving);
-  CU_ASSERT_TRUE (oww_leaves (reports, NOW_US + OWW_MOST + 1 + OWW_KEPT_US, 9999));
-  CU_ASSERT_FALSE (oww_get (reports, 2).leaving);
-  oww_free (reports);
+  self_reports_t *reports = self_reports_new ();
+
+  for (uint64_t i = 1; i <= SELF_REPORTS_MAX + 1; i++)
+    CU_ASSERT_TRUE (self_reports_set_leaving (reports, NOW_US + i, i));
+  CU_ASSERT_FALSE (self_reports_get (reports, 1).leaving);
+  CU_ASSERT_TRUE (self_reports_get (reports, 2).leaving &&
+                  self_reports_get (reports, SELF_REPORTS_MAX + 1).leaving);
+  CU_ASSERT_TRUE (self_reports_set_leaving (
+      reports, NOW_US + SELF_REPORTS_MAX + 1 + SELF_REPORTS_KEPT_US, 9999));
+  CU_ASSERT_FALSE (self_reports_get (reports, 2).leaving);
+  self_reports_free (reports);
 }
 
 /* Guards against a longer backoff being ended by a shorter one, or by an entry that is added again.
@@ -110,18 +112,19 @@
 static void
 test_longest_backoff_counts (void)
 {
-  egs_t *engines = egs_new ();
-  egn_entry_t entry = { .id = "e0", .service = g_intern_static_string ("pool") };
-  egn_t *engine = egs_put (engines, NOW_US, &entry);
-
-  egs_rests (engines, NOW_US, engine, 3000);
-  egs_rests (engines, NOW_US + 100, engine, 100);
-  CU_ASSERT_TRUE (egn_is_resting (engine, NOW_US + 2999));
-  CU_ASSERT_FALSE (egn_is_resting (engine, NOW_US + 3000));
-  CU_ASSERT_TRUE (egn_is_open (engine));
-  egs_gone (engines, "e0");
-  CU_ASSERT_TRUE (egn_is_resting (egs_put (engines, NOW_US + 200, &entry), NOW_US + 2999));
-  egs_free (engines);
+  engines_t *engines = engines_new ();
+  engine_entry_t entry = { .id = "e0", .service = g_intern_static_string ("pool") };
+  engine_t *engine = engines_put (engines, NOW_US, &entry);
+
+  engines_note_backoff (engines, NOW_US, engine, 3000);
+  engines_note_backoff (engines, NOW_US + 100, engine, 100);
+  CU_ASSERT_TRUE (engine_is_backing_off (engine, NOW_US + 2999));
+  CU_ASSERT_FALSE (engine_is_backing_off (engine, NOW_US + 3000));
+  CU_ASSERT_TRUE (engine_is_open (engine));
+  engines_remove (engines, "e0");
+  CU_ASSERT_TRUE (
+      engine_is_backing_off (engines_put (engines, NOW_US + 200, &entry), NOW_US + 2999));
+  engines_free (engines);
 }
 
 int
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -13,13 +13,14 @@
 #define CHATS 24000
 
 static void
-make_engines (plc_engine_t *engines, uint32_t count)
+make_engines (rendezvous_engine_t *engines, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
     {
       char name[32];
       snprintf (name, sizeof name, "engine-%u", i);
-      engines[i] = (plc_engine_t){ .hash = plc_hash_name (name), .index = i, .weight = 1.0f };
+      engines[i] =
+          (rendezvous_engine_t){ .hash = rendezvous_hash_name (name), .index = i, .weight = 1.0f };
     }
 }
 
@@ -28,13 +29,13 @@
 {
   char id[32];
   snprintf (id, sizeof id, "chat-%u", number);
-  return plc_hash_chat ("hanbit", id);
+  return rendezvous_hash_chat ("hanbit", id);
 }
 
 static void
 test_rank_matches_scores (void)
 {
-  plc_engine_t engines[40];
+  rendezvous_engine_t engines[40];
   make_engines (engines, 40);
   for (uint32_t uneven = 0; uneven < 2; uneven++)
     {
@@ -43,16 +44,17 @@
       for (uint32_t chat = 0; chat < 500; chat++)
         {
           uint32_t out[40];
-          CU_ASSERT_EQUAL_FATAL (plc_rank (engines, 40, 7, hash_chat_number (chat), out, 40), 40);
+          CU_ASSERT_EQUAL_FATAL (rendezvous_rank (engines, 40, 7, hash_chat_number (chat), out, 40),
+                                 40);
           for (uint32_t i = 1; i < 40; i++)
             {
-              const plc_engine_t *a = &engines[out[i - 1]];
-              const plc_engine_t *b = &engines[out[i]];
-              CU_ASSERT (plc_score (7, hash_chat_number (chat), a->hash, a->weight) >=
-                         plc_score (7, hash_chat_number (chat), b->hash, b->weight));
+              const rendezvous_engine_t *a = &engines[out[i - 1]];
+              const rendezvous_engine_t *b = &engines[out[i]];
+              CU_ASSERT (rendezvous_score (7, hash_chat_number (chat), a->hash, a->weight) >=
+                         rendezvous_score (7, hash_chat_number (chat), b->hash, b->weight));
             }
           uint32_t first[3];
-          CU_ASSERT_EQUAL (plc_rank (engines, 40, 7, hash_chat_number (chat), first, 3), 3);
+          CU_ASSERT_EQUAL (rendezvous_rank (engines, 40, 7, hash_chat_number (chat), first, 3), 3);
           CU_ASSERT (memcmp (first, out, sizeof first) == 0);
         }
     }
@@ -61,7 +63,7 @@
 static void
 test_rank_spreads_by_weight (void)
 {
-  plc_engine_t engines[ENGINES];
+  rendezvous_engine_t engines[ENGINES];
   uint32_t homes[ENGINES] = { 0 };
   make_engines (engines, ENGINES);
   engines[3].weight = 2.0f;
@@ -69,7 +71,8 @@
   for (uint32_t chat = 0; chat < CHATS; chat++)
     {
       uint32_t out;
-      CU_ASSERT_EQUAL_FATAL (plc_rank (engines, ENGINES, 7, hash_chat_number (chat), &out, 1), 1);
+      CU_ASSERT_EQUAL_FATAL (
+          rendezvous_rank (engines, ENGINES, 7, hash_chat_number (chat), &out, 1), 1);
       homes[out]++;
     }
   CU_ASSERT_EQUAL (homes[5], 0);
@@ -85,13 +88,13 @@
 static void
 test_leaving_engine_moves_only_its_chats (void)
 {
-  plc_engine_t engines[ENGINES];
+  rendezvous_engine_t engines[ENGINES];
   make_engines (engines, ENGINES);
   for (uint32_t chat = 0; chat < 2000; chat++)
     {
       uint32_t before[2], after;
-      plc_rank (engines, ENGINES, 7, hash_chat_number (chat), before, 2);
-      plc_rank (engines, ENGINES - 1, 7, hash_chat_number (chat), &after, 1);
+      rendezvous_rank (engines, ENGINES, 7, hash_chat_number (chat), before, 2);
+      rendezvous_rank (engines, ENGINES - 1, 7, hash_chat_number (chat), &after, 1);
       CU_ASSERT_EQUAL (after, before[0] == ENGINES - 1 ? before[1] : before[0]);
     }
 }
@@ -99,15 +102,15 @@
 static void
 test_rank_ignores_list_order (void)
 {
-  plc_engine_t engines[ENGINES], reversed[ENGINES];
+  rendezvous_engine_t engines[ENGINES], reversed[ENGINES];
   make_engines (engines, ENGINES);
   for (uint32_t i = 0; i < ENGINES; i++)
     reversed[i] = engines[ENGINES - 1 - i];
   for (uint32_t chat = 0; chat < 500; chat++)
     {
       uint32_t a[4], b[4];
-      plc_rank (engines, ENGINES, 7, hash_chat_number (chat), a, 4);
-      plc_rank (reversed, ENGINES, 7, hash_chat_number (chat), b, 4);
+      rendezvous_rank (engines, ENGINES, 7, hash_chat_number (chat), a, 4);
+      rendezvous_rank (reversed, ENGINES, 7, hash_chat_number (chat), b, 4);
       CU_ASSERT (memcmp (a, b, sizeof a) == 0);
     }
 }
@@ -115,35 +118,36 @@
 static void
 test_rank_edges (void)
 {
-  plc_engine_t engine = { .hash = 5, .index = 9, .weight = 1.0f };
+  rendezvous_engine_t engine = { .hash = 5, .index = 9, .weight = 1.0f };
   uint32_t out[4];
-  CU_ASSERT_EQUAL (plc_rank (&engine, 0, 7, 8, out, 4), 0);
-  CU_ASSERT_EQUAL (plc_rank (&engine, 1, 7, 8, out, 0), 0);
-  CU_ASSERT_EQUAL (plc_rank (&engine, 1, 7, 8, out, 4), 1);
+  CU_ASSERT_EQUAL (rendezvous_rank (&engine, 0, 7, 8, out, 4), 0);
+  CU_ASSERT_EQUAL (rendezvous_rank (&engine, 1, 7, 8, out, 0), 0);
+  CU_ASSERT_EQUAL (rendezvous_rank (&engine, 1, 7, 8, out, 4), 1);
   CU_ASSERT_EQUAL (out[0], 9);
   engine.weight = 0.0f;
-  CU_ASSERT_EQUAL (plc_rank (&engine, 1, 7, 8, out, 4), 0);
+  CU_ASSERT_EQUAL (rendezvous_rank (&engine, 1, 7, 8, out, 4), 0);
 }
 
 static void
 test_chats_of_accounts_differ (void)
 {
-  CU_ASSERT_NOT_EQUAL (plc_hash_chat ("hanbit", "1"), plc_hash_chat ("daeyang", "1"));
-  CU_ASSERT_NOT_EQUAL (plc_hash_chat ("hanbit", "1"), plc_hash_chat ("hanbi", "t1"));
-  CU_ASSERT_NOT_EQUAL (plc_hash_chat ("hanbit", "abc"), plc_hash_body ("hanbit", "abc", 3));
-  CU_ASSERT_NOT_EQUAL (plc_hash_body ("a", "abc", 3), plc_hash_body ("b", "abc", 3));
+  CU_ASSERT_NOT_EQUAL (rendezvous_hash_chat ("hanbit", "1"), rendezvous_hash_chat ("daeyang", "1"));
+  CU_ASSERT_NOT_EQUAL (rendezvous_hash_chat ("hanbit", "1"), rendezvous_hash_chat ("hanbi", "t1"));
+  CU_ASSERT_NOT_EQUAL (rendezvous_hash_chat ("hanbit", "abc"),
+                       rendezvous_hash_body ("hanbit", "abc", 3));
+  CU_ASSERT_NOT_EQUAL (rendezvous_hash_body ("a", "abc", 3), rendezvous_hash_body ("b", "abc", 3));
 }
 
-static chs_query_t
-init_query (plc_engine_t *engines, const chs_engine_t *details)
+static candidates_query_t
+init_query (rendezvous_engine_t *engines, const candidates_engine_t *details)
 {
   make_engines (engines, ENGINES);
-  return (chs_query_t){ .now_us = 1000,
-                        .engines = engines,
-                        .details = details,
-                        .engine_count = ENGINES,
-                        .service_hash = 7,
-                        .chat_hash = hash_chat_number (1) };
+  return (candidates_query_t){ .now_us = 1000,
+                               .engines = engines,
+                               .details = details,
+                               .engine_count = ENGINES,
+                               .service_hash = 7,
+                               .chat_hash = hash_chat_number (1) };
 }
 
 static bool
@@ -155,109 +159,109 @@
 static void
 test_unusable_and_unsettled_engines_are_not_first (void)
 {
-  plc_engine_t engines[ENGINES];
-  chs_engine_t details[ENGINES] = { 0 };
-  chs_query_t query = init_query (engines, details);
+  rendezvous_engine_t engines[ENGINES];
+  candidates_engine_t details[ENGINES] = { 0 };
+  candidates_query_t query = init_query (engines, details);
   query.has_chat = true;
   query.cache_lifetime_us = 500;
-  const chs_t all = chs_choose (&query);
+  const candidates_t all = candidates_choose (&query);
   CU_ASSERT_EQUAL_FATAL (all.candidate_count, ATT_CANDIDATES);
   CU_ASSERT_EQUAL (all.home_hash, all.candidates[0]);
   CU_ASSERT_EQUAL (all.former_hash, 0);
   uint64_t dead = all.candidates[0];
   query.is_usable = is_not_dead;
   query.context = &dead;
-  const chs_t rest = chs_choose (&query);
+  const candidates_t rest = candidates_choose (&query);
   CU_ASSERT_EQUAL (rest.home_hash, all.candidates[1]);
   query.is_usable = NULL;
   for (uint32_t i = 0; i < ENGINES; i++)
     if (engines[i].hash == dead)
-      details[i] = (chs_engine_t){ .joined_us = 900, .settled_us = 1001 };
-  CU_ASSERT_EQUAL (chs_choose (&query).home_hash, all.candidates[1]);
+      details[i] = (candidates_engine_t){ .joined_us = 900, .settled_us = 1001 };
+  CU_ASSERT_EQUAL (candidates_choose (&query).home_hash, all.candidates[1]);
   query.now_us = 1001;
-  CU_ASSERT_EQUAL (chs_choose (&query).home_hash, dead);
-  CU_ASSERT_EQUAL (chs_choose (&query).former_hash, all.candidates[1]);
+  CU_ASSERT_EQUAL (candidates_choose (&query).home_hash, dead);
+  CU_ASSERT_EQUAL (candidates_choose (&query).former_hash, all.candidates[1]);
   query.first_turn = true;
-  CU_ASSERT_EQUAL (chs_choose (&query).former_hash, 0);
+  CU_ASSERT_EQUAL (candidates_choose (&query).former_hash, 0);
   query.first_turn = false;
   query.now_us = 1400;
-  CU_ASSERT_EQUAL (chs_choose (&query).former_hash, 0);
+  CU_ASSERT_EQUAL (candidates_choose (&query).former_hash, 0);
 }
 
 static void
 test_less_loaded_engine_is_first_without_a_chat (void)
 {
-  plc_engine_t engines[ENGINES];
-  const chs_engine_t details[ENGINES] = { 0 };
-  mean_table_t samples;
-  mean_init (&samples, 1);
-  chs_query_t query = init_query (engines, details);
+  rendezvous_engine_t engines[ENGINES];
+  const candidates_engine_t details[ENGINES] = { 0 };
+  load_samples_t samples;
+  load_samples_init (&samples, 1);
+  candidates_query_t query = init_query (engines, details);
   query.samples = &samples;
-  const chs_t plain = chs_choose (&query);
+  const candidates_t plain = candidates_choose (&query);
   for (uint32_t i = 0; i < 2; i++)
     {
-      const mean_sample_t sample = { .engine_hash = plain.candidates[i],
+      const load_sample_t sample = { .engine_hash = plain.candidates[i],
                                      .load = i == 0 ? 9 : 3,
                                      .taken_us = 900 };
-      mean_add (&samples, &sample);
+      load_samples_add (&samples, &sample);
     }
-  const chs_t balanced = chs_choose (&query);
+  const candidates_t balanced = candidates_choose (&query);
   CU_ASSERT_EQUAL (balanced.candidates[0], plain.candidates[1]);
   CU_ASSERT_EQUAL (balanced.candidates[1], plain.candidates[0]);
   query.has_chat = true;
-  CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[0]);
+  CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[0]);
 }
 
 static void
 test_own_requests_count (void)
 {
-  plc_engine_t engines[ENGINES];
-  const chs_engine_t details[ENGINES] = { 0 };
-  mean_table_t samples;
+  rendezvous_engine_t engines[ENGINES];
+  const candidates_engine_t details[ENGINES] = { 0 };
+  load_samples_t samples;
   uwy_t *uwy = uwy_new ();
-  mean_init (&samples, 1);
-  chs_query_t query = init_query (engines, details);
+  load_samples_init (&samples, 1);
+  candidates_query_t query = init_query (engines, details);
   query.samples = &samples;
   query.under_way = uwy;
-  const chs_t plain = chs_choose (&query);
+  const candidates_t plain = candidates_choose (&query);
   query.tie = 1;
-  CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[1]);
+  CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[1]);
   query.tie = 0;
   uwy_begin (uwy, plain.candidates[0]);
   uwy_begin (uwy, plain.candidates[0]);
-  CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[1]);
+  CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[1]);
   uwy_end (uwy, plain.candidates[0]);
   uwy_end (uwy, plain.candidates[0]);
   CU_ASSERT_EQUAL (uwy_count (uwy, plain.candidates[0]), 0);
-  CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[0]);
-  const mean_sample_t busy = { .engine_hash = plain.candidates[1], .load = 5, .taken_us = 900 };
-  mean_add (&samples, &busy);
+  CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[0]);
+  const load_sample_t busy = { .engine_hash = plain.candidates[1], .load = 5, .taken_us = 900 };
+  load_samples_add (&samples, &busy);
   uwy_begin (uwy, plain.candidates[0]);
   /* There is no sample of the first, so the two are compared by the router's own requests. */
-  CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[1]);
-  const mean_sample_t idle = { .engine_hash = plain.candidates[0], .taken_us = 900 };
-  mean_add (&samples, &idle);
-  CU_ASSERT_EQUAL (chs_choose (&query).candidates[0], plain.candidates[0]);
+  CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[1]);
+  const load_sample_t idle = { .engine_hash = plain.candidates[0], .taken_us = 900 };
+  load_samples_add (&samples, &idle);
+  CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[0]);
   uwy_free (uwy);
 }
 
 static void
 test_recent_answers_last_until_removed (void)
 {
-  prv_t *answers = prv_new (4, 100);
-  CU_ASSERT_FALSE (prv_has (answers, 50, 0));
-  prv_answered (answers, 50, 8);
-  CU_ASSERT_TRUE (prv_has (answers, 149, 8));
-  CU_ASSERT_FALSE (prv_has (answers, 150, 8));
-  CU_ASSERT_FALSE (prv_has (answers, 50, 4));
-  prv_forget (answers, 4);
-  CU_ASSERT_TRUE (prv_has (answers, 50, 8));
-  prv_forget (answers, 8);
-  CU_ASSERT_FALSE (prv_has (answers, 50, 8));
-  prv_answered (answers, 50, 8);
-  prv_answered (answers, 50, 4);
-  CU_ASSERT_FALSE (prv_has (answers, 50, 8));
-  prv_free (answers);
+  recent_answers_t *answers = recent_answers_new (4, 100);
+  CU_ASSERT_FALSE (recent_answers_contain (answers, 50, 0));
+  recent_answers_add (answers, 50, 8);
+  CU_ASSERT_TRUE (recent_answers_contain (answers, 149, 8));
+  CU_ASSERT_FALSE (recent_answers_contain (answers, 150, 8));
+  CU_ASSERT_FALSE (recent_answers_contain (answers, 50, 4));
+  recent_answers_remove (answers, 4);
+  CU_ASSERT_TRUE (recent_answers_contain (answers, 50, 8));
+  recent_answers_remove (answers, 8);
+  CU_ASSERT_FALSE (recent_answers_contain (answers, 50, 8));
+  recent_answers_add (answers, 50, 8);
+  recent_answers_add (answers, 50, 4);
+  CU_ASSERT_FALSE (recent_answers_contain (answers, 50, 8));
+  recent_answers_free (answers);
 }
 
 static void
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (egs_t, egs_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (engines_t, engines_free)
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (rte_t, rte_unref)
 
 #define NOW_US (UINT64_C (100) * 1000 * 1000)
@@ -93,28 +93,28 @@
 }
 
 /* The region of one engine in four is unknown. */
-static egs_t *
+static engines_t *
 random_engines (GRand *rand)
 {
-  egs_t *engines = egs_new ();
+  engines_t *engines = engines_new ();
 
   for (uint32_t i = 0; i < ENGINES; i++)
     {
       gint32 region = g_rand_int_range (rand, 0, REGIONS + 1);
-      egn_entry_t entry = { .service = g_intern_static_string ("pool"),
-                            .slots = 2,
-                            .state = g_rand_int_range (rand, 0, 5) == 0 ? EGN_LEAVING : EGN_READY,
-                            .region = region < REGIONS
-                                          ? g_intern_static_string (region_names[region])
-                                          : NULL };
-      egn_t *engine;
+      engine_entry_t entry = {
+        .service = g_intern_static_string ("pool"),
+        .slots = 2,
+        .state = g_rand_int_range (rand, 0, 5) == 0 ? ENGINE_LEAVING : ENGINE_READY,
+        .region = region < REGIONS ? g_intern_static_string (region_names[region]) : NULL
+      };
+      engine_t *engine;
 
       g_snprintf (entry.id, sizeof entry.id, "e%u", i);
-      engine = egs_put (engines, NOW_US, &entry);
+      engine = engines_put (engines, NOW_US, &entry);
       for (gint32 load = g_rand_int_range (rand, 0, 4); load > 0; load--)
-        egn_begin (engine, NOW_US);
+        engine_begin_request (engine, NOW_US);
       for (gint32 failures = g_rand_int_range (rand, 0, 4); failures > 0; failures--)
-        egn_failed (engine, NOW_US);
+        engine_note_failure (engine, NOW_US);
     }
   return engines;
 }
@@ -134,7 +134,7 @@
 }
 
 static bool
-is_allowed (const egn_t *engine, const char *const *regions)
+is_allowed (const engine_t *engine, const char *const *regions)
 {
   return !regions || (engine->entry.region && g_strv_contains (regions, engine->entry.region));
 }
@@ -155,40 +155,42 @@
     {
       const char *by_route[REGIONS + 1];
       const char *by_account[REGIONS + 1];
-      g_autoptr (egs_t) engines = random_engines (rand);
-      spr_request_t request = { .affinity = g_rand_int_range (rand, 0, 3),
-                                .data_center = "hall-1",
-                                .homes = { .route = random_regions (rand, by_route),
-                                           .account = random_regions (rand, by_account) } };
-      const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-      spr_choice_t choice = spr_choose (list, NOW_US, &request);
+      g_autoptr (engines_t) engines = random_engines (rand);
+      engine_choice_request_t request = { .affinity = g_rand_int_range (rand, 0, 3),
+                                          .data_center = "hall-1",
+                                          .homes = { .route = random_regions (rand, by_route),
+                                                     .account =
+                                                         random_regions (rand, by_account) } };
+      const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+      engine_choice_t choice = engine_choice_make (list, NOW_US, &request);
       uint32_t allowed = 0;
 
       for (guint k = 0; k < list->len; k++)
         {
-          const egn_t *engine = g_ptr_array_index (list, k);
+          const engine_t *engine = g_ptr_array_index (list, k);
 
-          allowed += egn_is_open (engine) && is_allowed (engine, request.homes.route) &&
+          allowed += engine_is_open (engine) && is_allowed (engine, request.homes.route) &&
                              is_allowed (engine, request.homes.account)
                          ? 1
                          : 0;
         }
-      CU_ASSERT ((choice.action == SPR_NONE) == (choice.candidates == 0));
-      CU_ASSERT (choice.candidates <= allowed && (allowed > 0 || choice.action == SPR_NONE));
+      CU_ASSERT ((choice.action == ENGINE_CHOICE_NONE) == (choice.candidates == 0));
+      CU_ASSERT (choice.candidates <= allowed &&
+                 (allowed > 0 || choice.action == ENGINE_CHOICE_NONE));
       if (choice.engine)
         CU_ASSERT (is_allowed (choice.engine, request.homes.route) &&
                    is_allowed (choice.engine, request.homes.account));
       if (choice.source)
         CU_ASSERT (is_allowed (choice.source, request.homes.route) &&
                    is_allowed (choice.source, request.homes.account));
-      sent += choice.action == SPR_SEND ? 1 : 0;
-      refused += choice.action == SPR_NONE ? 1 : 0;
+      sent += choice.action == ENGINE_CHOICE_SEND ? 1 : 0;
+      refused += choice.action == ENGINE_CHOICE_NONE ? 1 : 0;
       for (guint k = 0; k < list->len; k++)
         {
-          egn_t *engine = g_ptr_array_index (list, k);
+          engine_t *engine = g_ptr_array_index (list, k);
 
           while (engine->own > 0)
-            egn_end (engine);
+            engine_end_request (engine);
         }
     }
   CU_ASSERT (sent > ROUNDS / 2 && refused > ROUNDS / 50);
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -5,82 +5,83 @@
 
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (egs_t, egs_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (engines_t, engines_free)
 
 #define NOW_US (UINT64_C (100) * 1000 * 1000)
 #define HERE "hall-1"
 
-static egn_t *
-put (egs_t *engines, const char *id, egn_state_t state)
+static engine_t *
+put (engines_t *engines, const char *id, engine_state_t state)
 {
-  egn_entry_t entry = { .service = g_intern_static_string ("pool"), .slots = 8, .state = state };
+  engine_entry_t entry = { .service = g_intern_static_string ("pool"), .slots = 8, .state = state };
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, HERE, sizeof entry.data_center);
-  return egs_put (engines, NOW_US, &entry);
+  return engines_put (engines, NOW_US, &entry);
 }
 
-static egs_t *
+static engines_t *
 make_engines (uint32_t count)
 {
-  egs_t *engines = egs_new ();
+  engines_t *engines = engines_new ();
 
   for (uint32_t i = 0; i < count; i++)
     {
       char id[16];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      put (engines, id, EGN_READY);
+      put (engines, id, ENGINE_READY);
     }
-  egs_set_complete (engines);
+  engines_set_complete (engines);
   return engines;
 }
 
-static spr_choice_t
-choose_at (const egs_t *engines, uint64_t now_us, uint64_t affinity)
+static engine_choice_t
+choose_at (const engines_t *engines, uint64_t now_us, uint64_t affinity)
 {
-  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), now_us,
-                     &(spr_request_t){ .affinity = affinity, .data_center = HERE });
+  return engine_choice_make (
+      engines_of_service (engines, g_intern_static_string ("pool")), now_us,
+      &(engine_choice_request_t){ .affinity = affinity, .data_center = HERE });
 }
 
-static spr_choice_t
-choose (const egs_t *engines, uint64_t affinity)
+static engine_choice_t
+choose (const engines_t *engines, uint64_t affinity)
 {
   return choose_at (engines, NOW_US, affinity);
 }
 
 static void
-load (egn_t *engine, uint32_t count)
+load (engine_t *engine, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    egn_begin (engine, NOW_US);
+    engine_begin_request (engine, NOW_US);
 }
 
 static void
-unload (egs_t *engines, uint32_t count)
+unload (engines_t *engines, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
     {
       char id[16];
-      egn_t *engine;
+      engine_t *engine;
 
       g_snprintf (id, sizeof id, "e%u", i);
-      engine = egs_find (engines, id);
+      engine = engines_find (engines, id);
       while (engine && engine->own > 0)
-        egn_end (engine);
+        engine_end_request (engine);
     }
 }
 
-static egn_t *
-put_start (egs_t *engines, const char *id, uint64_t born_ms, egn_state_t state)
+static engine_t *
+put_start (engines_t *engines, const char *id, uint64_t born_ms, engine_state_t state)
 {
-  egn_entry_t entry = {
+  engine_entry_t entry = {
     .service = g_intern_static_string ("pool"), .born_ms = born_ms, .slots = 8, .state = state
   };
 
   g_strlcpy (entry.id, id, sizeof entry.id);
   g_strlcpy (entry.data_center, HERE, sizeof entry.data_center);
-  return egs_put (engines, NOW_US, &entry);
+  return engines_put (engines, NOW_US, &entry);
 }
 
 /* Guards against an engine that restarted under its id being treated as the process before it,
@@ -88,26 +89,26 @@
 static void
 test_restarted_engine_is_a_new_one (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *before = put_start (engines, "e0", 7, EGN_READY);
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *before = put_start (engines, "e0", 7, ENGINE_READY);
   uint64_t hash = before->hash;
-  egn_t *after;
+  engine_t *after;
 
   load (before, 1);
-  egn_told (before, NOW_US, &(egn_load_t){ .running = 8, .slots = 8 });
-  for (uint32_t i = 0; i < EGN_FAILURES; i++)
-    egn_failed (before, NOW_US);
-  egn_paced (before, NOW_US, 9000);
-  after = put_start (engines, "e0", 8, EGN_READY);
+  engine_note_load (before, NOW_US, &(engine_load_t){ .running = 8, .slots = 8 });
+  for (uint32_t i = 0; i < ENGINE_EJECTION_FAILURES; i++)
+    engine_note_failure (before, NOW_US);
+  engine_note_latency (before, NOW_US, 9000);
+  after = put_start (engines, "e0", 8, ENGINE_READY);
   CU_ASSERT (after != before && after->hash != hash);
   CU_ASSERT_EQUAL (after->rank_hash, before->rank_hash);
-  CU_ASSERT_EQUAL (egn_load_now (after, NOW_US, 0), 0);
-  CU_ASSERT (!egn_is_skipped (after, NOW_US, false));
-  CU_ASSERT_EQUAL (egn_pace_now (after, NOW_US), 1000);
-  CU_ASSERT_EQUAL (egn_errors_now (after, NOW_US), 0);
+  CU_ASSERT_EQUAL (engine_estimate_load (after, NOW_US, 0), 0);
+  CU_ASSERT (!engine_is_ejected (after, NOW_US, false));
+  CU_ASSERT_EQUAL (engine_latency_ratio_milli (after, NOW_US), 1000);
+  CU_ASSERT_EQUAL (engine_error_rate_milli (after, NOW_US), 0);
   CU_ASSERT_EQUAL (after->joined_us, NOW_US);
-  CU_ASSERT_EQUAL (egs_count (engines), 3);
-  egn_end (before);
+  CU_ASSERT_EQUAL (engines_count (engines), 3);
+  engine_end_request (before);
 }
 
 /* Guards against a delayed entry of an engine's earlier process, which was leaving, stopping the
@@ -115,26 +116,26 @@
 static void
 test_late_entry_of_an_older_start_changes_nothing (void)
 {
-  g_autoptr (egs_t) engines = make_engines (1);
-  egn_t *engine = put_start (engines, "e0", 8, EGN_READY);
+  g_autoptr (engines_t) engines = make_engines (1);
+  engine_t *engine = put_start (engines, "e0", 8, ENGINE_READY);
 
-  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 7, EGN_LEAVING), engine);
-  CU_ASSERT (egn_is_open (engine));
-  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 8, EGN_LEAVING), engine);
-  CU_ASSERT (!egn_is_open (engine));
+  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 7, ENGINE_LEAVING), engine);
+  CU_ASSERT (engine_is_open (engine));
+  CU_ASSERT_PTR_EQUAL (put_start (engines, "e0", 8, ENGINE_LEAVING), engine);
+  CU_ASSERT (!engine_is_open (engine));
 }
 
 static void
 test_shared_part_has_one_home (void)
 {
-  g_autoptr (egs_t) engines = make_engines (6);
+  g_autoptr (engines_t) engines = make_engines (6);
   uint32_t homes[6] = { 0 };
 
   for (uint64_t affinity = 1; affinity <= 600; affinity++)
     {
-      spr_choice_t first = choose (engines, affinity);
+      engine_choice_t first = choose (engines, affinity);
 
-      CU_ASSERT_EQUAL (first.action, SPR_SEND);
+      CU_ASSERT_EQUAL (first.action, ENGINE_CHOICE_SEND);
       CU_ASSERT_EQUAL (first.rank, 0);
       CU_ASSERT (first.source && first.source != first.engine);
       CU_ASSERT_PTR_EQUAL (choose (engines, affinity).engine, first.engine);
@@ -152,15 +153,15 @@
 static void
 test_hot_part_spills_at_the_bound (void)
 {
-  g_autoptr (egs_t) engines = make_engines (6);
-  egn_t *home = choose (engines, 42).engine;
-  egn_t *home_source = choose (engines, 42).source;
-  spr_choice_t spill;
+  g_autoptr (engines_t) engines = make_engines (6);
+  engine_t *home = choose (engines, 42).engine;
+  engine_t *home_source = choose (engines, 42).source;
+  engine_choice_t spill;
 
   while (choose (engines, 42).engine == home)
-    egn_begin (home, NOW_US);
+    engine_begin_request (home, NOW_US);
   spill = choose (engines, 42);
-  CU_ASSERT (home->own <= 2 * SPR_BOUND_MORE_MILLI / 1000 + 1);
+  CU_ASSERT (home->own <= 2 * ENGINE_CHOICE_MARGIN_EXTRA_MILLI / 1000 + 1);
   CU_ASSERT_EQUAL (spill.rank, 1);
   CU_ASSERT_PTR_EQUAL (spill.source, home);
   CU_ASSERT_PTR_EQUAL (spill.engine, home_source);
@@ -175,24 +176,24 @@
 static void
 test_new_home_copies_from_the_former (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *former = choose (engines, 7).engine;
-  egn_t *joined = NULL;
-  spr_choice_t later;
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *former = choose (engines, 7).engine;
+  engine_t *joined = NULL;
+  engine_choice_t later;
   char id[16];
 
   for (uint32_t i = 0; choose (engines, 7).engine == former; i++)
     {
       g_snprintf (id, sizeof id, "n%u", i);
-      joined = put (engines, id, EGN_READY);
+      joined = put (engines, id, ENGINE_READY);
     }
   CU_ASSERT_PTR_EQUAL (choose (engines, 7).engine, joined);
   CU_ASSERT_PTR_EQUAL (choose (engines, 7).source, former);
-  put (engines, former->entry.id, EGN_LEAVING);
+  put (engines, former->entry.id, ENGINE_LEAVING);
   CU_ASSERT_PTR_EQUAL (choose (engines, 7).source, former);
-  egs_gone (engines, former->entry.id);
+  engines_remove (engines, former->entry.id);
   CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 7).source, former);
-  later = choose_at (engines, NOW_US + SPR_NEW_US, 7);
+  later = choose_at (engines, NOW_US + ENGINE_CHOICE_NEW_US, 7);
   CU_ASSERT (later.engine == joined && later.source && later.source != former);
   CU_ASSERT_PTR_NOT_EQUAL (later.source, joined);
 }
@@ -200,24 +201,24 @@
 static void
 test_leaving_engine_gets_no_requests (void)
 {
-  g_autoptr (egs_t) engines = make_engines (2);
+  g_autoptr (engines_t) engines = make_engines (2);
 
-  put (engines, "e0", EGN_LEAVING);
+  put (engines, "e0", ENGINE_LEAVING);
   for (uint64_t affinity = 0; affinity < 50; affinity++)
     CU_ASSERT_STRING_EQUAL (choose (engines, affinity).engine->entry.id, "e1");
-  put (engines, "e1", EGN_LEAVING);
-  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_NONE);
+  put (engines, "e1", ENGINE_LEAVING);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, ENGINE_CHOICE_NONE);
 }
 
 static void
 test_request_waits_while_engines_are_full (void)
 {
-  g_autoptr (egs_t) engines = make_engines (2);
+  g_autoptr (engines_t) engines = make_engines (2);
 
-  load (egs_find (engines, "e0"), 8);
-  load (egs_find (engines, "e1"), 8);
-  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_WAIT);
-  egn_end (egs_find (engines, "e0"));
+  load (engines_find (engines, "e0"), 8);
+  load (engines_find (engines, "e1"), 8);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, ENGINE_CHOICE_WAIT);
+  engine_end_request (engines_find (engines, "e0"));
   CU_ASSERT_STRING_EQUAL (choose (engines, 1).engine->entry.id, "e0");
   unload (engines, 2);
 }
@@ -227,14 +228,14 @@
 static void
 test_reported_load_counts_and_ages (void)
 {
-  g_autoptr (egs_t) engines = make_engines (2);
-  egn_t *busy = egs_find (engines, "e0");
+  g_autoptr (engines_t) engines = make_engines (2);
+  engine_t *busy = engines_find (engines, "e0");
 
-  egn_told (busy, NOW_US, &(egn_load_t){ .running = 6, .waiting = 2, .slots = 8 });
-  CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US, 0), 8);
+  engine_note_load (busy, NOW_US, &(engine_load_t){ .running = 6, .waiting = 2, .slots = 8 });
+  CU_ASSERT_EQUAL (engine_estimate_load (busy, NOW_US, 0), 8);
   CU_ASSERT_STRING_EQUAL (choose (engines, 0).engine->entry.id, "e1");
-  CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US + EGN_TOLD_US, 0), 4);
-  CU_ASSERT_EQUAL (egn_load_now (busy, NOW_US + 100 * EGN_TOLD_US, 0), 0);
+  CU_ASSERT_EQUAL (engine_estimate_load (busy, NOW_US + ENGINE_REPORT_HALF_LIFE_US, 0), 4);
+  CU_ASSERT_EQUAL (engine_estimate_load (busy, NOW_US + 100 * ENGINE_REPORT_HALF_LIFE_US, 0), 0);
 }
 
 /* Guards against late requests because they are sent to a host on which work currently takes three
@@ -242,23 +243,24 @@
 static void
 test_reported_slowdown_counts_and_decays (void)
 {
-  g_autoptr (egs_t) engines = make_engines (2);
-  egn_t *slow = egs_find (engines, "e0");
-  egn_load_t told = { .running = 1, .slots = 8, .effort_percent = 300 };
+  g_autoptr (engines_t) engines = make_engines (2);
+  engine_t *slow = engines_find (engines, "e0");
+  engine_load_t told = { .running = 1, .slots = 8, .slowdown_percent = 300 };
 
-  egn_told (slow, NOW_US, &told);
+  engine_note_load (slow, NOW_US, &told);
   told.running = 2;
-  told.effort_percent = 100;
-  egn_told (egs_find (engines, "e1"), NOW_US, &told);
+  told.slowdown_percent = 100;
+  engine_note_load (engines_find (engines, "e1"), NOW_US, &told);
   CU_ASSERT_STRING_EQUAL (choose (engines, 0).engine->entry.id, "e1");
-  CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US), 300);
-  CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US + EGN_EFFORT_HALF_US), 200);
-  CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US + 40 * EGN_EFFORT_HALF_US), EGN_EFFORT_USUAL);
-  CU_ASSERT_STRING_EQUAL (choose_at (engines, NOW_US + 4 * EGN_EFFORT_HALF_US, 0).engine->entry.id,
-                          "e0");
-  told.effort_percent = 0;
-  egn_told (slow, NOW_US, &told);
-  CU_ASSERT_EQUAL (egn_effort_now (slow, NOW_US), 300);
+  CU_ASSERT_EQUAL (engine_slowdown_percent (slow, NOW_US), 300);
+  CU_ASSERT_EQUAL (engine_slowdown_percent (slow, NOW_US + ENGINE_SLOWDOWN_HALF_LIFE_US), 200);
+  CU_ASSERT_EQUAL (engine_slowdown_percent (slow, NOW_US + 40 * ENGINE_SLOWDOWN_HALF_LIFE_US),
+                   ENGINE_SLOWDOWN_NONE_PERCENT);
+  CU_ASSERT_STRING_EQUAL (
+      choose_at (engines, NOW_US + 4 * ENGINE_SLOWDOWN_HALF_LIFE_US, 0).engine->entry.id, "e0");
+  told.slowdown_percent = 0;
+  engine_note_load (slow, NOW_US, &told);
+  CU_ASSERT_EQUAL (engine_slowdown_percent (slow, NOW_US), 300);
 }
 
 /*
@@ -268,17 +270,17 @@
 static void
 test_failing_engine_is_ejected (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *ejected = choose (engines, 9).engine;
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *ejected = choose (engines, 9).engine;
 
-  egn_failed (ejected, NOW_US);
-  egn_failed (ejected, NOW_US);
+  engine_note_failure (ejected, NOW_US);
+  engine_note_failure (ejected, NOW_US);
   CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, ejected);
-  CU_ASSERT (!egn_is_skipped (ejected, NOW_US + EGN_SKIP_MIN_US, true));
-  egn_probe (ejected, NOW_US + EGN_SKIP_MIN_US);
-  CU_ASSERT (egn_is_skipped (ejected, NOW_US + EGN_SKIP_MIN_US + 1, true));
+  CU_ASSERT (!engine_is_ejected (ejected, NOW_US + ENGINE_EJECTION_MIN_US, true));
+  engine_note_probe (ejected, NOW_US + ENGINE_EJECTION_MIN_US);
+  CU_ASSERT (engine_is_ejected (ejected, NOW_US + ENGINE_EJECTION_MIN_US + 1, true));
   for (uint32_t i = 0; i < 20; i++)
-    egn_worked (ejected, NOW_US, false);
+    engine_note_answer (ejected, NOW_US, false);
   CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, ejected);
 }
 
@@ -287,29 +289,29 @@
 static void
 test_ejections_of_all_engines_are_ignored (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
+  g_autoptr (engines_t) engines = make_engines (3);
 
   for (uint32_t i = 0; i < 3; i++)
     {
       char id[16];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_failed (egs_find (engines, id), NOW_US);
-      egn_failed (egs_find (engines, id), NOW_US);
+      engine_note_failure (engines_find (engines, id), NOW_US);
+      engine_note_failure (engines_find (engines, id), NOW_US);
     }
-  CU_ASSERT_EQUAL (choose (engines, 1).action, SPR_SEND);
+  CU_ASSERT_EQUAL (choose (engines, 1).action, ENGINE_CHOICE_SEND);
 }
 
 static void
 test_failing_answers_put_an_engine_last (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *failing = choose (engines, 9).engine;
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *failing = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 8; i++)
-    egn_worked (failing, NOW_US, true);
+    engine_note_answer (failing, NOW_US, true);
   CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, failing);
-  CU_ASSERT_EQUAL (choose (engines, 9).action, SPR_SEND);
+  CU_ASSERT_EQUAL (choose (engines, 9).action, ENGINE_CHOICE_SEND);
 }
 
 /*
@@ -320,7 +322,7 @@
 static void
 test_errors_of_all_engines_put_none_last (void)
 {
-  g_autoptr (egs_t) engines = make_engines (12);
+  g_autoptr (engines_t) engines = make_engines (12);
   uint32_t got[12] = { 0 };
 
   for (uint32_t i = 0; i < 12; i++)
@@ -329,7 +331,7 @@
 
       g_snprintf (id, sizeof id, "e%u", i);
       for (uint32_t k = 0; k < 8; k++)
-        egn_worked (egs_find (engines, id), NOW_US, i > 3 || k % 2 == 0);
+        engine_note_answer (engines_find (engines, id), NOW_US, i > 3 || k % 2 == 0);
     }
   for (uint64_t affinity = 1; affinity <= 1200; affinity++)
     got[atoi (choose (engines, affinity).engine->entry.id + 1)]++;
@@ -340,13 +342,14 @@
 static void
 test_error_rate_decays (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *failing = choose (engines, 9).engine;
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *failing = choose (engines, 9).engine;
 
   for (uint32_t i = 0; i < 30; i++)
-    egn_worked (failing, NOW_US, true);
+    engine_note_answer (failing, NOW_US, true);
   CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, failing);
-  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, failing);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * ENGINE_ERROR_HALF_LIFE_US, 9).engine,
+                       failing);
 }
 
 /* When all engines without errors are over the bound, one with errors is chosen rather than an
@@ -354,21 +357,21 @@
 static void
 test_degraded_engine_is_preferred_to_overloaded (void)
 {
-  g_autoptr (egs_t) engines = make_engines (4);
+  g_autoptr (engines_t) engines = make_engines (4);
 
   for (uint32_t i = 0; i < 30; i++)
-    egn_worked (egs_find (engines, "e0"), NOW_US, true);
-  load (egs_find (engines, "e1"), 7);
-  load (egs_find (engines, "e2"), 7);
-  load (egs_find (engines, "e3"), 7);
-  egn_entry_t idle = egs_find (engines, "e0")->entry;
+    engine_note_answer (engines_find (engines, "e0"), NOW_US, true);
+  load (engines_find (engines, "e1"), 7);
+  load (engines_find (engines, "e2"), 7);
+  load (engines_find (engines, "e3"), 7);
+  engine_entry_t idle = engines_find (engines, "e0")->entry;
   for (uint32_t i = 0; i < 8; i++)
     {
       g_snprintf (idle.id, sizeof idle.id, "x%u", i);
-      idle.state = EGN_READY;
-      egs_put (engines, NOW_US, &idle);
+      idle.state = ENGINE_READY;
+      engines_put (engines, NOW_US, &idle);
       for (uint32_t k = 0; k < 30; k++)
-        egn_worked (egs_find (engines, idle.id), NOW_US, true);
+        engine_note_answer (engines_find (engines, idle.id), NOW_US, true);
     }
   CU_ASSERT_EQUAL (choose (engines, 0).load, 0);
   unload (engines, 4);
@@ -377,28 +380,28 @@
 static void
 test_tried_engines_are_left_out (void)
 {
-  g_autoptr (egs_t) engines = make_engines (2);
-  uint64_t tried[2] = { egs_find (engines, "e0")->hash, egs_find (engines, "e1")->hash };
-  spr_request_t request = { .data_center = HERE, .tried = tried, .tried_count = 1 };
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
+  g_autoptr (engines_t) engines = make_engines (2);
+  uint64_t tried[2] = { engines_find (engines, "e0")->hash, engines_find (engines, "e1")->hash };
+  engine_choice_request_t request = { .data_center = HERE, .tried = tried, .tried_count = 1 };
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
 
-  CU_ASSERT_STRING_EQUAL (spr_choose (list, NOW_US, &request).engine->entry.id, "e1");
+  CU_ASSERT_STRING_EQUAL (engine_choice_make (list, NOW_US, &request).engine->entry.id, "e1");
   request.tried_count = 2;
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_NONE);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_NONE);
 }
 
 /* An engine that the registry removes is kept until its last request ends. */
 static void
 test_engine_outlives_its_entry (void)
 {
-  g_autoptr (egs_t) engines = make_engines (1);
-  egn_t *engine = egs_find (engines, "e0");
+  g_autoptr (engines_t) engines = make_engines (1);
+  engine_t *engine = engines_find (engines, "e0");
 
-  egn_begin (engine, NOW_US);
-  egs_gone (engines, "e0");
-  CU_ASSERT_EQUAL (engine->entry.state, EGN_GONE);
-  CU_ASSERT_EQUAL (egs_count (engines), 0);
-  egn_end (engine);
+  engine_begin_request (engine, NOW_US);
+  engines_remove (engines, "e0");
+  CU_ASSERT_EQUAL (engine->entry.state, ENGINE_GONE);
+  CU_ASSERT_EQUAL (engines_count (engines), 0);
+  engine_end_request (engine);
 }
 
 /*
@@ -409,27 +412,27 @@
 static void
 test_skewed_parts_stay_below_the_limit (void)
 {
-  g_autoptr (egs_t) engines = make_engines (12);
+  g_autoptr (engines_t) engines = make_engines (12);
   g_autoptr (GRand) rand = g_rand_new_with_seed (7);
-  egn_t *under_way[40] = { NULL };
+  engine_t *under_way[40] = { NULL };
   uint32_t at_home = 0;
   uint32_t over = 0;
   uint32_t over_plain = 0;
-  egn_t *plain[40] = { NULL };
+  engine_t *plain[40] = { NULL };
 
   for (uint32_t i = 0; i < 4000; i++)
     {
       uint64_t affinity = 1 + (uint64_t)(85 * g_rand_double (rand) * g_rand_double (rand));
-      spr_choice_t choice = choose (engines, affinity);
+      engine_choice_t choice = choose (engines, affinity);
       uint32_t slot = i % 40;
       uint32_t same = 0;
 
       at_home += choice.rank == 0 ? 1 : 0;
       over += i >= 40 && choice.load > 2 * 40 / 12 + 3 ? 1 : 0;
       if (under_way[slot])
-        egn_end (under_way[slot]);
+        engine_end_request (under_way[slot]);
       under_way[slot] = choice.engine;
-      egn_begin (choice.engine, NOW_US);
+      engine_begin_request (choice.engine, NOW_US);
       plain[slot] = NULL;
       for (uint32_t k = 0; k < 40; k++)
         same += plain[k] == choice.engine ? 1 : 0;
@@ -442,7 +445,7 @@
   CU_ASSERT (over_plain > 40);
   CU_ASSERT (at_home > 2800);
   for (uint32_t i = 0; i < 40; i++)
-    egn_end (under_way[i]);
+    engine_end_request (under_way[i]);
 }
 
 /*
@@ -453,19 +456,19 @@
 static void
 test_silent_engine_goes_last (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *silent = choose (engines, 9).engine;
-  uint64_t silent_us = NOW_US + EGN_SILENT_US;
-  uint64_t probe_us = silent_us + EGN_SILENT_PROBE_US + EGN_RISK_US;
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *silent = choose (engines, 9).engine;
+  uint64_t silent_us = NOW_US + ENGINE_SILENT_US;
+  uint64_t probe_us = silent_us + ENGINE_SILENT_PROBE_US + ENGINE_UNREPEATABLE_PROBE_DELAY_US;
 
-  egn_begin (silent, NOW_US);
+  engine_begin_request (silent, NOW_US);
   CU_ASSERT_PTR_EQUAL (choose_at (engines, silent_us - 1, 9).engine, silent);
   CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, silent_us, 9).engine, silent);
   CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us, 9).engine, silent);
-  egn_begin (silent, probe_us);
+  engine_begin_request (silent, probe_us);
   CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, probe_us + 1, 9).engine, silent);
   silent->heard_us = probe_us + 2;
-  egn_end (silent);
+  engine_end_request (silent);
   CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us + 3, 9).engine, silent);
   unload (engines, 3);
 }
@@ -475,15 +478,18 @@
 static void
 test_silence_depends_on_usual_time (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-  spr_request_t request = { .affinity = 9, .data_center = HERE, .head_us = 2 * CLK_US_PER_S };
-  egn_t *home = choose (engines, 9).engine;
+  g_autoptr (engines_t) engines = make_engines (3);
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+  engine_choice_request_t request = { .affinity = 9,
+                                      .data_center = HERE,
+                                      .head_us = 2 * CLK_US_PER_S };
+  engine_t *home = choose (engines, 9).engine;
 
-  egn_begin (home, NOW_US);
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US + CLK_US_PER_S, &request).engine, home);
+  engine_begin_request (home, NOW_US);
+  CU_ASSERT_PTR_EQUAL (engine_choice_make (list, NOW_US + CLK_US_PER_S, &request).engine, home);
   CU_ASSERT_PTR_NOT_EQUAL (
-      spr_choose (list, NOW_US + EGN_SILENT_FACTOR * request.head_us, &request).engine, home);
+      engine_choice_make (list, NOW_US + ENGINE_SILENT_FACTOR * request.head_us, &request).engine,
+      home);
   unload (engines, 3);
 }
 
@@ -492,20 +498,22 @@
 static void
 test_probe_is_a_repeatable_request (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *ejected = choose (engines, 9).engine;
-  uint64_t due_us = NOW_US + EGN_SKIP_MIN_US;
-  spr_request_t request = { .affinity = 9, .data_center = HERE };
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *ejected = choose (engines, 9).engine;
+  uint64_t due_us = NOW_US + ENGINE_EJECTION_MIN_US;
+  engine_choice_request_t request = { .affinity = 9, .data_center = HERE };
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
 
-  egn_failed (ejected, NOW_US);
-  egn_failed (ejected, NOW_US);
+  engine_note_failure (ejected, NOW_US);
+  engine_note_failure (ejected, NOW_US);
   ejected->error_rate_milli = 0;
-  CU_ASSERT_PTR_NOT_EQUAL (spr_choose (list, due_us, &request).engine, ejected);
+  CU_ASSERT_PTR_NOT_EQUAL (engine_choice_make (list, due_us, &request).engine, ejected);
   request.repeatable = true;
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us, &request).engine, ejected);
+  CU_ASSERT_PTR_EQUAL (engine_choice_make (list, due_us, &request).engine, ejected);
   request.repeatable = false;
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, due_us + EGN_RISK_US, &request).engine, ejected);
+  CU_ASSERT_PTR_EQUAL (
+      engine_choice_make (list, due_us + ENGINE_UNREPEATABLE_PROBE_DELAY_US, &request).engine,
+      ejected);
 }
 
 /* An engine that takes six times as long as the others is used last. It is called again once the
@@ -513,14 +521,14 @@
 static void
 test_slow_engine_goes_last (void)
 {
-  g_autoptr (egs_t) engines = make_engines (3);
-  egn_t *slow = choose (engines, 9).engine;
+  g_autoptr (engines_t) engines = make_engines (3);
+  engine_t *slow = choose (engines, 9).engine;
 
-  egn_paced (slow, NOW_US, 1100);
+  engine_note_latency (slow, NOW_US, 1100);
   CU_ASSERT_PTR_EQUAL (choose (engines, 9).engine, slow);
-  egn_paced (slow, NOW_US, 6000);
+  engine_note_latency (slow, NOW_US, 6000);
   CU_ASSERT_PTR_NOT_EQUAL (choose (engines, 9).engine, slow);
-  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * EGN_ERROR_HALF_US, 9).engine, slow);
+  CU_ASSERT_PTR_EQUAL (choose_at (engines, NOW_US + 2 * ENGINE_ERROR_HALF_LIFE_US, 9).engine, slow);
 }
 
 /*
@@ -532,20 +540,21 @@
 static void
 test_each_gateway_keeps_its_share_of_few_slots (void)
 {
-  g_autoptr (egs_t) engines = make_engines (1);
-  egn_t *engine = egs_find (engines, "e0");
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-  spr_request_t request = { .data_center = HERE, .gateways = 22 };
+  g_autoptr (engines_t) engines = make_engines (1);
+  engine_t *engine = engines_find (engines, "e0");
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+  engine_choice_request_t request = { .data_center = HERE, .gateways = 22 };
 
-  egn_told (engine, NOW_US, &(egn_load_t){ .running = 6, .waiting = 8, .slots = 6 });
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
+  engine_note_load (engine, NOW_US, &(engine_load_t){ .running = 6, .waiting = 8, .slots = 6 });
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_SEND);
   load (engine, 2);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_WAIT);
-  egn_end (engine);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
-  egn_full (engine, NOW_US);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_WAIT);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US + EGN_FULL_US, &request).action, SPR_SEND);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_WAIT);
+  engine_end_request (engine);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_SEND);
+  engine_note_full (engine, NOW_US);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_WAIT);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US + ENGINE_FULL_US, &request).action,
+                   ENGINE_CHOICE_SEND);
   unload (engines, 1);
 }
 
@@ -554,27 +563,29 @@
 static void
 test_refusals_reduce_the_window (void)
 {
-  g_autoptr (egs_t) engines = make_engines (1);
-  egn_t *engine = egs_find (engines, "e0");
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-  const egn_load_t one_free = { .running = 15, .slots = 16 };
-  spr_request_t request = { .data_center = HERE, .gateways = 2, .run_us = 3000, .head_us = 3000 };
+  g_autoptr (engines_t) engines = make_engines (1);
+  engine_t *engine = engines_find (engines, "e0");
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+  const engine_load_t one_free = { .running = 15, .slots = 16 };
+  engine_choice_request_t request = {
+    .data_center = HERE, .gateways = 2, .run_us = 3000, .head_us = 3000
+  };
 
   load (engine, 10);
   for (uint32_t i = 0; i < 2; i++)
     {
-      egn_full (engine, NOW_US);
-      egn_end (engine);
+      engine_note_full (engine, NOW_US);
+      engine_end_request (engine);
     }
-  egn_told (engine, NOW_US, &one_free);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_WAIT);
-  egn_end (engine);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
-  egn_begin (engine, NOW_US);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_WAIT);
+  engine_note_load (engine, NOW_US, &one_free);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_WAIT);
+  engine_end_request (engine);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_SEND);
+  engine_begin_request (engine, NOW_US);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_WAIT);
   for (uint32_t i = 0; i < 9; i++)
-    egn_worked (engine, NOW_US, false);
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
+    engine_note_answer (engine, NOW_US, false);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_SEND);
   unload (engines, 1);
 }
 
@@ -586,10 +597,10 @@
 static void
 test_old_reports_neither_raise_the_bound_nor_persist (void)
 {
-  g_autoptr (egs_t) engines = make_engines (6);
-  const egn_load_t full = { .running = 100, .slots = 128 };
-  const egn_load_t idle = { .running = 4, .slots = 128 };
-  uint64_t later_us = NOW_US + 4 * EGN_TOLD_US;
+  g_autoptr (engines_t) engines = make_engines (6);
+  const engine_load_t full = { .running = 100, .slots = 128 };
+  const engine_load_t idle = { .running = 4, .slots = 128 };
+  uint64_t later_us = NOW_US + 4 * ENGINE_REPORT_HALF_LIFE_US;
   uint32_t at_old_report = 0;
 
   for (uint32_t i = 0; i < 6; i++)
@@ -597,14 +608,16 @@
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_told (egs_find (engines, id), i < 3 ? NOW_US : later_us, i < 3 ? &full : &idle);
+      engine_note_load (engines_find (engines, id), i < 3 ? NOW_US : later_us,
+                        i < 3 ? &full : &idle);
     }
   CU_ASSERT (choose_at (engines, later_us, 1).mean_milli < 12000);
   for (uint64_t affinity = 1; affinity <= 60; affinity++)
-    at_old_report += choose_at (engines, later_us + 2 * EGN_TOLD_US, affinity).engine->hash ==
-                             egs_find (engines, "e0")->hash
-                         ? 1
-                         : 0;
+    at_old_report +=
+        choose_at (engines, later_us + 2 * ENGINE_REPORT_HALF_LIFE_US, affinity).engine->hash ==
+                engines_find (engines, "e0")->hash
+            ? 1
+            : 0;
   CU_ASSERT (at_old_report > 0);
 }
 
@@ -613,15 +626,16 @@
 static void
 test_unknown_load_is_assumed_usual (void)
 {
-  g_autoptr (egs_t) engines = make_engines (8);
-  egn_t *unknown = egs_find (engines, "e0");
+  g_autoptr (engines_t) engines = make_engines (8);
+  engine_t *unknown = engines_find (engines, "e0");
 
   for (uint32_t i = 1; i < 8; i++)
     {
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egn_told (egs_find (engines, id), NOW_US, &(egn_load_t){ .running = 10, .slots = 128 });
+      engine_note_load (engines_find (engines, id), NOW_US,
+                        &(engine_load_t){ .running = 10, .slots = 128 });
     }
   for (uint64_t affinity = 0; affinity <= 100; affinity++)
     CU_ASSERT (choose (engines, affinity).engine != unknown ||
@@ -633,7 +647,7 @@
 static uint32_t
 count_sent_to_expired (uint32_t expired)
 {
-  g_autoptr (egs_t) engines = make_engines (12);
+  g_autoptr (engines_t) engines = make_engines (12);
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < expired; i++)
@@ -641,7 +655,7 @@
       char id[8];
 
       g_snprintf (id, sizeof id, "e%u", i);
-      egs_lapsed (engines, id);
+      engines_note_expired (engines, id);
     }
   for (uint64_t affinity = 1; affinity <= 100; affinity++)
     count += choose (engines, affinity).engine->entry_expired ? 1 : 0;
@@ -663,17 +677,17 @@
 static uint32_t
 count_at_first_home (uint32_t gateways, uint32_t tokens)
 {
-  g_autoptr (egs_t) engines = make_engines (12);
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-  spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways };
-  egn_t *home = spr_choose (list, NOW_US, &request).engine;
+  g_autoptr (engines_t) engines = make_engines (12);
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways };
+  engine_t *home = engine_choice_make (list, NOW_US, &request).engine;
   uint32_t count = 0;
 
   request.affinity_tokens = tokens;
   for (uint64_t i = 0; i < 100; i++)
     {
       request.gateway_hash = i * i + 7;
-      count += spr_choose (list, NOW_US, &request).engine == home ? 1 : 0;
+      count += engine_choice_make (list, NOW_US, &request).engine == home ? 1 : 0;
     }
   return count;
 }
@@ -687,11 +701,11 @@
 static void
 test_small_parts_have_two_homes_where_reports_are_rare (void)
 {
-  uint32_t many = count_at_first_home (100, SPR_SMALL_TOKENS);
+  uint32_t many = count_at_first_home (100, ENGINE_CHOICE_SMALL_PART_TOKENS);
 
   CU_ASSERT (many >= 30 && many <= 70);
-  CU_ASSERT_EQUAL (count_at_first_home (100, SPR_SMALL_TOKENS + 1), 100);
-  CU_ASSERT_EQUAL (count_at_first_home (4, SPR_SMALL_TOKENS), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (100, ENGINE_CHOICE_SMALL_PART_TOKENS + 1), 100);
+  CU_ASSERT_EQUAL (count_at_first_home (4, ENGINE_CHOICE_SMALL_PART_TOKENS), 100);
   CU_ASSERT_EQUAL (count_at_first_home (100, 0), 100);
 }
 
@@ -706,16 +720,18 @@
 
   for (uint32_t i = 0; i < 3; i++)
     {
-      g_autoptr (egs_t) engines = make_engines (12);
-      const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-      spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways[i] };
-      egn_t *home = spr_choose (list, NOW_US, &request).engine;
+      g_autoptr (engines_t) engines = make_engines (12);
+      const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+      engine_choice_request_t request = { .affinity = 9,
+                                          .data_center = HERE,
+                                          .gateways = gateways[i] };
+      engine_t *home = engine_choice_make (list, NOW_US, &request).engine;
 
       for (guint k = 0; k < list->len; k++)
-        egn_told (g_ptr_array_index (list, k), NOW_US,
-                  &(egn_load_t){ .running = loads[i], .slots = 128 });
-      while (spr_choose (list, NOW_US, &request).engine == home)
-        egn_begin (home, NOW_US);
+        engine_note_load (g_ptr_array_index (list, k), NOW_US,
+                          &(engine_load_t){ .running = loads[i], .slots = 128 });
+      while (engine_choice_make (list, NOW_US, &request).engine == home)
+        engine_begin_request (home, NOW_US);
       margins[i] = home->own * 1000 / loads[i];
       unload (engines, 12);
     }
@@ -731,12 +747,12 @@
 static uint32_t
 fill_home_at (const GPtrArray *list, uint64_t now_us)
 {
-  spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
-  egn_t *home = spr_choose (list, now_us, &request).engine;
+  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
+  engine_t *home = engine_choice_make (list, now_us, &request).engine;
 
-  while (spr_choose (list, now_us, &request).engine == home)
-    egn_begin (home, now_us);
-  return egn_load_now (home, now_us, 0);
+  while (engine_choice_make (list, now_us, &request).engine == home)
+    engine_begin_request (home, now_us);
+  return engine_estimate_load (home, now_us, 0);
 }
 
 static uint32_t
@@ -749,11 +765,11 @@
 report_all_loads (const GPtrArray *list, uint64_t now_us)
 {
   for (guint k = 0; k < list->len; k++)
-    egn_told (g_ptr_array_index (list, k), now_us,
-              &(egn_load_t){ .running = FLEET_LOAD, .slots = 128 });
+    engine_note_load (g_ptr_array_index (list, k), now_us,
+                      &(engine_load_t){ .running = FLEET_LOAD, .slots = 128 });
 }
 
-#define LATER_US (NOW_US + 10 * SPR_IDLE_US)
+#define LATER_US (NOW_US + 10 * ENGINE_CHOICE_IDLE_US)
 
 /* Guards against requests to overloaded engines during a drain, which lasts as long as operators
  * want. A third of the engines is idle, so the overload limit, twice the mean of the service plus
@@ -764,8 +780,8 @@
 test_idle_engines_narrow_the_bound (void)
 {
   uint32_t service_mean = (FLEET_ENGINES - FLEET_IDLE) * FLEET_LOAD / FLEET_ENGINES;
-  g_autoptr (egs_t) engines = make_engines (FLEET_ENGINES);
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
+  g_autoptr (engines_t) engines = make_engines (FLEET_ENGINES);
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
   uint32_t usual;
   uint32_t narrowed;
 
@@ -773,8 +789,9 @@
   usual = fill_home (list);
   unload (engines, FLEET_ENGINES);
   for (guint k = 0; k < FLEET_IDLE; k++)
-    g_strlcpy (((egn_t *)g_ptr_array_index (list, k))->entry.data_center, "hall-2", LIM_NAME_BYTES);
-  egs_set_drained (engines, NOW_US, "hall-2", true);
+    g_strlcpy (((engine_t *)g_ptr_array_index (list, k))->entry.data_center, "hall-2",
+               LIM_NAME_BYTES);
+  engines_set_drained (engines, NOW_US, "hall-2", true);
   narrowed = fill_home (list);
   CU_ASSERT (usual >= FLEET_LOAD * 14 / 10);
   CU_ASSERT (narrowed > FLEET_LOAD);
@@ -783,7 +800,7 @@
   report_all_loads (list, LATER_US);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
   unload (engines, FLEET_ENGINES);
-  egs_set_drained (engines, LATER_US, "hall-2", false);
+  engines_set_drained (engines, LATER_US, "hall-2", false);
   CU_ASSERT_EQUAL (fill_home_at (list, LATER_US), narrowed);
   unload (engines, FLEET_ENGINES);
   report_all_loads (list, LATER_US);
@@ -796,45 +813,47 @@
 #define PARTS 200
 
 /* Engines with a mean load of @busy of 24 slots, and others that have just joined. */
-static egs_t *
+static engines_t *
 make_engines_that_join (uint32_t busy)
 {
-  egs_t *engines = make_engines (BUSY_ENGINES);
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
+  engines_t *engines = make_engines (BUSY_ENGINES);
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
 
   for (guint k = 0; k < list->len; k++)
-    egn_told (g_ptr_array_index (list, k), NOW_US,
-              &(egn_load_t){ .running = busy - 2 + k % 5, .slots = 24 });
+    engine_note_load (g_ptr_array_index (list, k), NOW_US,
+                      &(engine_load_t){ .running = busy - 2 + k % 5, .slots = 24 });
   for (uint32_t i = 0; i < JOINED_ENGINES; i++)
     {
       char id[16];
 
       g_snprintf (id, sizeof id, "joined%u", i);
-      put (engines, id, EGN_READY)->entry.slots = 24;
+      put (engines, id, ENGINE_READY)->entry.slots = 24;
     }
   return engines;
 }
 
-static egn_t *
-choose_by (const egs_t *engines, uint32_t gateways, uint64_t gateway_hash, uint64_t part)
+static engine_t *
+choose_by (const engines_t *engines, uint32_t gateways, uint64_t gateway_hash, uint64_t part)
 {
-  spr_request_t request = {
+  engine_choice_request_t request = {
     .affinity = part, .data_center = HERE, .gateways = gateways, .gateway_hash = gateway_hash
   };
 
-  return spr_choose (egs_list (engines, g_intern_static_string ("pool")), NOW_US, &request).engine;
+  return engine_choice_make (engines_of_service (engines, g_intern_static_string ("pool")), NOW_US,
+                             &request)
+      .engine;
 }
 
 /* Return: how many of PARTS choices go to engines that have just joined */
 static uint32_t
 count_sent_to_joined (uint32_t busy)
 {
-  g_autoptr (egs_t) engines = make_engines_that_join (busy);
+  g_autoptr (engines_t) engines = make_engines_that_join (busy);
   uint32_t joined = 0;
 
   for (uint64_t part = 1; part <= PARTS; part++)
     {
-      const egn_t *engine = choose_by (engines, 103, part, part);
+      const engine_t *engine = choose_by (engines, 103, part, part);
 
       joined += engine && engine->told_us == 0 ? 1 : 0;
     }
@@ -858,8 +877,8 @@
 static void
 test_half_of_the_gateways_use_a_joined_engine_first (void)
 {
-  g_autoptr (egs_t) engines = make_engines_that_join (4);
-  const egn_t *home = NULL;
+  g_autoptr (engines_t) engines = make_engines_that_join (4);
+  const engine_t *home = NULL;
   uint64_t part = 0;
   uint32_t few = 0;
   uint32_t many = 0;
@@ -880,16 +899,17 @@
 static void
 test_few_gateways_keep_parts_at_home (void)
 {
-  g_autoptr (egs_t) engines = make_engines (12);
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-  spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 4 };
-  egn_t *home = spr_choose (list, NOW_US, &request).engine;
+  g_autoptr (engines_t) engines = make_engines (12);
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 4 };
+  engine_t *home = engine_choice_make (list, NOW_US, &request).engine;
   uint32_t mean;
 
   for (guint k = 0; k < list->len; k++)
-    egn_told (g_ptr_array_index (list, k), NOW_US, &(egn_load_t){ .running = 6, .slots = 128 });
-  while (spr_choose (list, NOW_US, &request).engine == home)
-    egn_begin (home, NOW_US);
+    engine_note_load (g_ptr_array_index (list, k), NOW_US,
+                      &(engine_load_t){ .running = 6, .slots = 128 });
+  while (engine_choice_make (list, NOW_US, &request).engine == home)
+    engine_begin_request (home, NOW_US);
   mean = (11 * 6 + 6 + home->own) / 12;
   CU_ASSERT (6 + home->own >= 2 * mean);
   CU_ASSERT (6 + home->own <= 2 * mean + 3);
@@ -905,37 +925,37 @@
 static void
 test_crowded_parts_keep_to_the_first_ranks (void)
 {
-  g_autoptr (egs_t) engines = make_engines (12);
-  const GPtrArray *list = egs_list (engines, g_intern_static_string ("pool"));
-  spr_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
-  egn_t *few[SPR_FEW_HOMES];
-  egn_t *far = NULL;
+  g_autoptr (engines_t) engines = make_engines (12);
+  const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
+  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
+  engine_t *few[ENGINE_CHOICE_HOMES_MAX];
+  engine_t *far = NULL;
 
-  for (uint32_t i = 0; i < SPR_FEW_HOMES; i++)
+  for (uint32_t i = 0; i < ENGINE_CHOICE_HOMES_MAX; i++)
     {
       request.tried = (uint64_t[]){ i > 0 ? few[0]->hash : 0, i > 1 ? few[1]->hash : 0 };
       request.tried_count = i;
-      few[i] = spr_choose (list, NOW_US, &request).engine;
+      few[i] = engine_choice_make (list, NOW_US, &request).engine;
     }
   request.tried_count = 0;
   for (guint k = 0; k < list->len; k++)
     {
-      egn_t *engine = g_ptr_array_index (list, k);
+      engine_t *engine = g_ptr_array_index (list, k);
       bool is_few = engine == few[0] || engine == few[1] || engine == few[2];
 
-      egn_told (engine, NOW_US, &(egn_load_t){ .running = 8, .slots = 8 });
+      engine_note_load (engine, NOW_US, &(engine_load_t){ .running = 8, .slots = 8 });
       if (!is_few)
         far = engine;
     }
-  for (uint32_t i = 0; i < SPR_FEW_HOMES; i++)
+  for (uint32_t i = 0; i < ENGINE_CHOICE_HOMES_MAX; i++)
     load (few[i], 2); /* as many as this gateway may keep in an engine's queue */
   CU_ASSERT_PTR_NOT_NULL_FATAL (far);
-  egn_told (far, NOW_US, &(egn_load_t){ .running = 7, .slots = 8 });
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_WAIT);
-  egn_told (few[2], NOW_US, &(egn_load_t){ .running = 7, .slots = 8 });
-  CU_ASSERT_PTR_EQUAL (spr_choose (list, NOW_US, &request).engine, few[2]);
+  engine_note_load (far, NOW_US, &(engine_load_t){ .running = 7, .slots = 8 });
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_WAIT);
+  engine_note_load (few[2], NOW_US, &(engine_load_t){ .running = 7, .slots = 8 });
+  CU_ASSERT_PTR_EQUAL (engine_choice_make (list, NOW_US, &request).engine, few[2]);
   request.affinity = 0;
-  CU_ASSERT_EQUAL (spr_choose (list, NOW_US, &request).action, SPR_SEND);
+  CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_SEND);
   unload (engines, 12);
 }
 
