--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -29,7 +29,7 @@
 /**
  * struct fixture - state that the measured calls use
  * @engines, @details, @samples: engines and load samples, as a router has them
- * @adm: admission state of the first engine's sidecar
+ * @admission: admission state of the first engine's sidecar
  * @egs: the engines as a gateway has them
  * @random: state of the random stream
  * @sink: sum of results, so that the compiler can't remove the calls
@@ -40,7 +40,7 @@
   rendezvous_engine_t *engines;
   candidates_engine_t *details;
   load_samples_t samples;
-  adm_t *adm;
+  admission_t *admission;
   engines_t *egs;
   uint64_t random;
   uint64_t now_us;
@@ -93,25 +93,25 @@
   for (uint32_t i = 0; i < engine_count; i++)
     fixture->engines[i] =
         (rendezvous_engine_t){ .hash = rnd_next (&fixture->random), .index = i, .weight = 1.0f };
-  const adm_options_t options = { .engine_hash = fixture->engines[0].hash,
-                                  .service_hash = SERVICE_HASH,
-                                  .slots = SLOTS,
-                                  .bound_percent = 125,
-                                  .engine_count = engine_count,
-                                  .prefill_tokens_s = 10000,
-                                  .cache_lifetime_us = 240 * (uint64_t)CLK_US_PER_S,
-                                  .seed = 1 };
-  fixture->adm = adm_new (&options);
+  const admission_options_t options = { .engine_hash = fixture->engines[0].hash,
+                                        .service_hash = SERVICE_HASH,
+                                        .slots = SLOTS,
+                                        .bound_percent = 125,
+                                        .engine_count = engine_count,
+                                        .prefill_tokens_s = 10000,
+                                        .cache_lifetime_us = 240 * (uint64_t)CLK_US_PER_S,
+                                        .seed = 1 };
+  fixture->admission = admission_new (&options);
   load_samples_init (&fixture->samples, 1);
   add_samples (fixture, &fixture->samples);
-  add_samples (fixture, adm_mean (fixture->adm));
+  add_samples (fixture, admission_mean (fixture->admission));
   add_gateway_engines (fixture);
 }
 
 static void
 clear_fixture (fixture_t *fixture)
 {
-  adm_free (fixture->adm);
+  admission_free (fixture->admission);
   engines_free (fixture->egs);
   g_free (fixture->engines);
   g_free (fixture->details);
@@ -159,38 +159,40 @@
           .mean_milli;
 }
 
-static adm_request_t
+static admission_request_t
 make_request (fixture_t *fixture, uint64_t chat_hash)
 {
-  return (adm_request_t){ .item = { .account_hash = 1 + rnd_below (&fixture->random, ACCOUNTS),
-                                    .weight = FQ_WEIGHT_ONE,
-                                    .priority = 1,
-                                    .queue_limit = LIM_QUEUE_PER_ACCOUNT,
-                                    .deadline_us = fixture->now_us + 10 * CLK_US_PER_S },
-                          .chat_hash = chat_hash,
-                          .home_hash = fixture->engines[0].hash,
-                          .prompt_tokens = 3000,
-                          .output_tokens = 200,
-                          .has_chat = chat_hash != 0 };
+  return (
+      admission_request_t){ .item = { .account_hash = 1 + rnd_below (&fixture->random, ACCOUNTS),
+                                      .weight = FAIR_QUEUE_WEIGHT_ONE,
+                                      .priority = 1,
+                                      .queue_limit = LIM_QUEUE_PER_ACCOUNT,
+                                      .deadline_us = fixture->now_us + 10 * CLK_US_PER_S },
+                            .chat_hash = chat_hash,
+                            .home_hash = fixture->engines[0].hash,
+                            .prompt_tokens = 3000,
+                            .output_tokens = 200,
+                            .has_chat = chat_hash != 0 };
 }
 
 /* A request of a chat, which is admitted and ends. */
 static void
 run_admit (fixture_t *fixture)
 {
-  adm_request_t request = make_request (fixture, 1 + rnd_below (&fixture->random, CHATS));
-  const adm_decision_t decision = adm_offer (fixture->adm, fixture->now_us, &request);
+  admission_request_t request = make_request (fixture, 1 + rnd_below (&fixture->random, CHATS));
+  const admission_decision_t decision =
+      admission_offer (fixture->admission, fixture->now_us, &request);
   fixture->sink += decision.action;
-  if (decision.action == ADM_DISPATCH)
-    adm_finish (fixture->adm, fixture->now_us, &request, true);
+  if (decision.action == ADMISSION_DISPATCH)
+    admission_finish (fixture->admission, fixture->now_us, &request, true);
 }
 
 /* A request at an engine over its load bound, which is refused with referrals to other engines. */
 static void
 run_refuse (fixture_t *fixture)
 {
-  adm_request_t request = make_request (fixture, 0);
-  fixture->sink += adm_offer (fixture->adm, fixture->now_us, &request).referral_count;
+  admission_request_t request = make_request (fixture, 0);
+  fixture->sink += admission_offer (fixture->admission, fixture->now_us, &request).referral_count;
 }
 
 static int
@@ -244,11 +246,12 @@
 static void
 fill_to_bound (fixture_t *fixture)
 {
-  adm_request_t *requests = g_new0 (adm_request_t, SLOTS);
+  admission_request_t *requests = g_new0 (admission_request_t, SLOTS);
   for (uint32_t i = 0; i < SLOTS; i++)
     {
       requests[i] = make_request (fixture, 0);
-      if (adm_offer (fixture->adm, fixture->now_us, &requests[i]).action != ADM_DISPATCH)
+      if (admission_offer (fixture->admission, fixture->now_us, &requests[i]).action !=
+          ADMISSION_DISPATCH)
         break;
     }
 }
@@ -284,25 +287,27 @@
   fixture_t fixture;
   init_fixture (&fixture, 15);
   const double before = heap_bytes ();
-  const adm_options_t options = { .engine_hash = 1, .slots = SLOTS, .engine_count = 15 };
-  adm_t *adm = adm_new (&options);
+  const admission_options_t options = { .engine_hash = 1, .slots = SLOTS, .engine_count = 15 };
+  admission_t *admission = admission_new (&options);
   printf ("sidecar\t%.0f\n", heap_bytes () - before);
   printf ("chat (directory entry)\t%zu\n", sizeof (dir_entry_t));
   printf ("engine (candidate at a router)\t%zu\n",
           sizeof (rendezvous_engine_t) + sizeof (candidates_engine_t));
   printf ("load sample\t%zu\n", sizeof (load_sample_t));
-  printf ("request (admission state)\t%zu\n", sizeof (adm_request_t));
-  adm_free (adm);
+  printf ("request (admission state)\t%zu\n", sizeof (admission_request_t));
+  admission_free (admission);
   const double idle = heap_bytes ();
-  fq_t *queue = fq_new (ACCOUNTS);
-  fq_set_credit (queue, UINT32_MAX);
+  fair_queue_t *queue = fair_queue_new (ACCOUNTS);
+  fair_queue_set_credit (queue, UINT32_MAX);
   for (uint32_t i = 0; i < ACCOUNTS; i++)
     {
-      fq_item_t item = { .account_hash = i + 1, .weight = FQ_WEIGHT_ONE, .cost = 100 };
-      fq_served (queue, &item);
+      fair_queue_item_t item = { .account_hash = i + 1,
+                                 .weight = FAIR_QUEUE_WEIGHT_ONE,
+                                 .cost = 100 };
+      fair_queue_charge (queue, &item);
     }
   printf ("account (fair queue)\t%.0f\n", (heap_bytes () - idle) / ACCOUNTS);
-  fq_free (queue);
+  fair_queue_free (queue);
   clear_fixture (&fixture);
 }
 
--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -99,9 +99,12 @@
   row[COL_REFUSED] = percent (figures->refused, figures->requests);
   row[COL_QUIET_REFUSED] = percent (figures->quiet_refused, figures->quiet_requests);
   row[COL_MAY_HAVE_RUN] = (double)figures->may_have_run;
-  row[COL_REFUSED_BOUND] = percent (figures->refusals[VRD_REASON_OVER_BOUND], figures->requests);
-  row[COL_REFUSED_ELSEWHERE] = percent (figures->refusals[VRD_REASON_ELSEWHERE], figures->requests);
-  row[COL_REFUSED_DEADLINE] = percent (figures->refusals[VRD_REASON_DEADLINE], figures->requests);
+  row[COL_REFUSED_BOUND] =
+      percent (figures->refusals[VERDICT_REASON_OVER_BOUND], figures->requests);
+  row[COL_REFUSED_ELSEWHERE] =
+      percent (figures->refusals[VERDICT_REASON_ELSEWHERE], figures->requests);
+  row[COL_REFUSED_DEADLINE] =
+      percent (figures->refusals[VERDICT_REASON_DEADLINE], figures->requests);
   row[COL_REQUESTS] = (double)figures->requests;
 }
 
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -54,7 +54,7 @@
   uint64_t quiet_requests;
   uint64_t quiet_refused;
   uint64_t may_have_run;
-  uint64_t refusals[VRD_REASON_COUNT];
+  uint64_t refusals[VERDICT_REASON_COUNT];
   double load_sum;
   fig_list_t skew;
   fig_list_t excess;
--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -101,19 +101,21 @@
   bool no_target = sim->options.policy == SIM_PATIENT;
 
   request->queue_item =
-      (lin_item_t){ .priority = request->kind->priority,
-                    .arrived_us = sim->now_us,
-                    .in_time_us = no_target ? 0 : request->arrived_us + request->kind->aim_us,
-                    .deadline_us = request->arrived_us + request->kind->deadline_us,
-                    .returns = request->returned,
-                    .fair = { .account_hash = request->account + 1, .owner = request } };
-  crs_init (&request->crs, &(crs_rules_t){ .idempotent = request->kind->kind == RTE_IDEMPOTENT,
-                                           .resumable = request->kind->resumable,
-                                           .attempts = request->kind->attempts });
+      (wait_queue_item_t){ .priority = request->kind->priority,
+                           .arrived_us = sim->now_us,
+                           .in_time_us =
+                               no_target ? 0 : request->arrived_us + request->kind->aim_us,
+                           .deadline_us = request->arrived_us + request->kind->deadline_us,
+                           .returns = request->returned,
+                           .fair = { .account_hash = request->account + 1, .owner = request } };
+  retry_plan_init (&request->retry_plan,
+                   &(retry_plan_rules_t){ .idempotent = request->kind->kind == RTE_IDEMPOTENT,
+                                          .resumable = request->kind->resumable,
+                                          .attempts = request->kind->attempts });
   request->tried_count = 0;
   request->attempt_count = 0;
-  rsh_request (&request->gateway->retries[request->kind->service], &sim->site->retries,
-               sim->now_us);
+  retry_budget_count_request (&request->gateway->retries[request->kind->service],
+                              &sim->site->retries, sim->now_us);
   g_array_append_val (sim->request_times[request->kind->service], sim->now_us);
 }
 
@@ -286,7 +288,7 @@
       sim_on_head (sim, attempt);
       return;
     case EVENT_END:
-      sim_on_end (sim, attempt, true, CRS_UNKNOWN);
+      sim_on_end (sim, attempt, true, RETRY_PLAN_OUTCOME_UNKNOWN);
       return;
     case EVENT_REFUSED:
       sim_on_refused (sim, attempt);
--- a/bench/gateway/sim_engine.c
+++ b/bench/gateway/sim_engine.c
@@ -200,7 +200,8 @@
       sim_send_t *attempt = g_ptr_array_index (list, list->len - 1);
       bool begun = attempt->request && attempt->request->begun;
 
-      sim_on_end (sim, attempt, false, begun ? CRS_BROKE : CRS_UNKNOWN);
+      sim_on_end (sim, attempt, false,
+                  begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN);
     }
 }
 
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -28,7 +28,7 @@
   gateway->engines = engines_new ();
   gateway->requests = g_ptr_array_new ();
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
-    gateway->queues[i] = lin_new ();
+    gateway->queues[i] = wait_queue_new ();
   for (guint i = 0; i < sim->engines->len; i++)
     {
       const sim_engine_t *engine = g_ptr_array_index (sim->engines, i);
@@ -47,13 +47,13 @@
   sim_gateway_t *gateway = data;
 
   for (uint32_t i = 0; i < SIT_SERVICES; i++)
-    lin_free (gateway->queues[i]);
+    wait_queue_free (gateway->queues[i]);
   engines_free (gateway->engines);
   g_ptr_array_free (gateway->requests, TRUE);
   g_free (gateway);
 }
 
-static lin_t *
+static wait_queue_t *
 queue_of (const sim_request_t *request)
 {
   return request->gateway->queues[request->kind->service];
@@ -73,7 +73,7 @@
 {
   uint64_t retry_at_us = sim->now_us + CLAMP (wait_us, CLIENT_RETRY_MIN_US, CLIENT_RETRY_MAX_US);
 
-  if (request->begun || request->crs.ran > 0)
+  if (request->begun || request->retry_plan.ran > 0)
     {
       sim_finish (sim, request, SIM_FAILED);
       return;
@@ -174,11 +174,12 @@
       &(engine_choice_request_t){ .affinity = request->prefix,
                                   .affinity_tokens = request->kind->prefix_tokens,
                                   .data_center = data_center,
-                                  .repeatable = crs_may_leave (&request->crs, request->begun),
+                                  .repeatable =
+                                      retry_plan_may_move (&request->retry_plan, request->begun),
                                   .gateways = sim->site->gateways,
                                   .gateway_hash = request->gateway->index,
-                                  .run_us = lin_run_us (queue_of (request)),
-                                  .head_us = lin_head_us (queue_of (request)),
+                                  .run_us = wait_queue_run_us (queue_of (request)),
+                                  .head_us = wait_queue_head_us (queue_of (request)),
                                   .surge = is_surge (sim, request),
                                   .utilization_milli = reported_load_milli (sim, request),
                                   .late = request->queue_item.waiting && request->queue_item.late,
@@ -203,24 +204,24 @@
 leave_queue (sim_t *sim, sim_request_t *request)
 {
   if (sim->options.policy == SIM_UNCHARGED)
-    lin_remove (queue_of (request), sim->now_us, &request->queue_item);
+    wait_queue_remove (queue_of (request), sim->now_us, &request->queue_item);
   else
-    lin_start (queue_of (request), sim->now_us, &request->queue_item);
+    wait_queue_start (queue_of (request), sim->now_us, &request->queue_item);
 }
 
 static uint64_t
 retry_wait_us (const sim_t *sim, const sim_request_t *request)
 {
-  return rsh_wait_us (&request->gateway->retries[request->kind->service], &sim->site->retries,
-                      sim->now_us, sim->site->gateways);
+  return retry_budget_wait_us (&request->gateway->retries[request->kind->service],
+                               &sim->site->retries, sim->now_us, sim->site->gateways);
 }
 
 static void
 spend_retry (const sim_t *sim, sim_request_t *request)
 {
-  if (crs_sends (&request->crs))
-    rsh_spend (&request->gateway->retries[request->kind->service], &sim->site->retries,
-               sim->now_us);
+  if (retry_plan_note_send (&request->retry_plan))
+    retry_budget_count_retry (&request->gateway->retries[request->kind->service],
+                              &sim->site->retries, sim->now_us);
 }
 
 static void
@@ -239,7 +240,7 @@
   request->tried[request->tried_count % SIM_TRIED_MAX] = egn->hash;
   request->tried_count = MIN (request->tried_count + 1, SIM_TRIED_MAX);
   sim->figures.sends++;
-  if (request->attempt_count++ > request->crs.unsent)
+  if (request->attempt_count++ > request->retry_plan.unsent)
     g_array_append_val (sim->retry_times[request->kind->service], sim->now_us);
   engine_begin_request (egn, sim->now_us);
   load_of (request)->in_flight++;
@@ -247,23 +248,24 @@
   sim_engine_take (sim, attempt);
 }
 
-static lin_room_t
+static wait_queue_capacity_t
 queue_capacity (const sim_t *sim, const sim_request_t *request)
 {
-  return (lin_room_t){ .slots = engines_count_open_slots (request->gateway->engines,
-                                                          service_name (sim, request), sim->now_us),
-                       .gateways = sim->site->gateways };
+  return (wait_queue_capacity_t){ .slots = engines_count_open_slots (request->gateway->engines,
+                                                                     service_name (sim, request),
+                                                                     sim->now_us),
+                                  .gateways = sim->site->gateways };
 }
 
 static void
 wait_in_queue (sim_t *sim, sim_request_t *request)
 {
-  lin_room_t capacity = queue_capacity (sim, request);
+  wait_queue_capacity_t capacity = queue_capacity (sim, request);
   uint64_t wait_us;
 
-  if (lin_push (queue_of (request), sim->now_us, &capacity, &request->queue_item, &wait_us) !=
-      LIN_WAITS)
-    reject (sim, request, lin_retry_us (queue_of (request), sim->now_us, wait_us));
+  if (wait_queue_push (queue_of (request), sim->now_us, &capacity, &request->queue_item,
+                       &wait_us) != WAIT_QUEUE_QUEUED)
+    reject (sim, request, wait_queue_retry_us (queue_of (request), sim->now_us, wait_us));
 }
 
 void
@@ -271,7 +273,7 @@
 {
   engine_choice_t choice;
 
-  if (lin_count_in_time (queue_of (request)) > 0 && request->attempt_count == 0)
+  if (wait_queue_count_in_time (queue_of (request)) > 0 && request->attempt_count == 0)
     {
       wait_in_queue (sim, request);
       return;
@@ -298,26 +300,26 @@
   const sim_request_t *request = owner;
   start_context_t *start = context;
 
-  if (request->crs.retry_due && retry_wait_us (start->sim, request) > 0)
+  if (request->retry_plan.retry_due && retry_wait_us (start->sim, request) > 0)
     return false;
   start->choice = choose_engine (start->sim, request);
   return start->choice.action != ENGINE_CHOICE_WAIT;
 }
 
 static void
-start_waiting (sim_t *sim, lin_t *queue)
+start_waiting (sim_t *sim, wait_queue_t *queue)
 {
   start_context_t context = { .sim = sim };
   sim_request_t *request;
 
-  while ((request = lin_first (queue, may_start, &context)))
+  while ((request = wait_queue_first (queue, may_start, &context)))
     {
       if (context.choice.action == ENGINE_CHOICE_SEND)
         {
           send_request (sim, request, context.choice.engine);
           continue;
         }
-      lin_remove (queue, sim->now_us, &request->queue_item);
+      wait_queue_remove (queue, sim->now_us, &request->queue_item);
       reject (sim, request, CLIENT_RETRY_MIN_US);
     }
 }
@@ -346,30 +348,31 @@
 
 /* Takes the next step after an attempt that failed with the outcome. */
 static void
-continue_request (sim_t *sim, sim_request_t *request, crs_outcome_t outcome)
+continue_request (sim_t *sim, sim_request_t *request, retry_plan_outcome_t outcome)
 {
   retry_context_t context = { sim, request };
   uint64_t wait_us = retry_wait_us (sim, request);
 
-  switch (crs_next (&request->crs, outcome, remaining_us (sim, request), may_retry, &context))
+  switch (retry_plan_next (&request->retry_plan, outcome, remaining_us (sim, request), may_retry,
+                           &context))
     {
-    case CRS_AGAIN:
-    case CRS_RESUME:
+    case RETRY_PLAN_STEP_RESEND:
+    case RETRY_PLAN_STEP_RESUME:
       sim_place (sim, request);
       return;
-    case CRS_WAIT:
-      if (lin_push_behind (queue_of (request), sim->now_us, &request->queue_item, wait_us))
+    case RETRY_PLAN_STEP_WAIT:
+      if (wait_queue_push_delayed (queue_of (request), sim->now_us, &request->queue_item, wait_us))
         return;
       count_early_refusal (sim, request);
       reject (sim, request, wait_us);
       return;
-    case CRS_REFUSE:
+    case RETRY_PLAN_STEP_REJECT:
       count_early_refusal (sim, request);
       reject (sim, request, CLIENT_RETRY_MIN_US);
       return;
-    case CRS_PASS:
-    case CRS_FAIL:
-    case CRS_CUT:
+    case RETRY_PLAN_STEP_PASS_ON:
+    case RETRY_PLAN_STEP_FAIL:
+    case RETRY_PLAN_STEP_CUT_OFF:
       sim_finish (sim, request, SIM_FAILED);
       return;
     }
@@ -409,10 +412,10 @@
   load_gauge_add (&load_of (request)->gauge, sim->now_us, reported.running + reported.waiting,
                   reported.slots, load_of (request)->in_flight);
   engine_note_answer (attempt->known_engine, sim->now_us, failed);
-  lin_note_head (queue_of (request), sim->now_us - attempt->sent_us);
+  wait_queue_note_head (queue_of (request), sim->now_us - attempt->sent_us);
   if (failed)
     {
-      sim_on_end (sim, attempt, false, CRS_FAILED);
+      sim_on_end (sim, attempt, false, RETRY_PLAN_OUTCOME_FAILED);
       return;
     }
   request->begun = request->kind->events > 0;
@@ -429,14 +432,14 @@
 
   engine_note_latency (
       attempt->known_engine, sim->now_us,
-      pac_sample (&attempt->request->gateway->paces[kind - sim->site->kinds], duration_us));
+      median_latency_add (&attempt->request->gateway->paces[kind - sim->site->kinds], duration_us));
 }
 
 void
-sim_on_end (sim_t *sim, sim_send_t *attempt, bool whole, crs_outcome_t outcome)
+sim_on_end (sim_t *sim, sim_send_t *attempt, bool whole, retry_plan_outcome_t outcome)
 {
   sim_request_t *request;
-  lin_t *queue;
+  wait_queue_t *queue;
 
   if (attempt->over)
     return;
@@ -444,9 +447,9 @@
   if (whole)
     record_duration (sim, attempt);
   if (whole)
-    lin_note_run (queue_of (attempt->request), &attempt->request->queue_item,
-                  sim->now_us - attempt->sent_us);
-  else if (outcome != CRS_FAILED)
+    wait_queue_note_run (queue_of (attempt->request), &attempt->request->queue_item,
+                         sim->now_us - attempt->sent_us);
+  else if (outcome != RETRY_PLAN_OUTCOME_FAILED)
     engine_note_failure (attempt->known_engine, sim->now_us);
   request = detach_attempt (attempt);
   queue = queue_of (request);
@@ -472,7 +475,8 @@
       attempt->request->tried_count--;
     }
   request = detach_attempt (attempt);
-  continue_request (sim, request, attempt->reached ? CRS_FULL : CRS_UNSENT);
+  continue_request (sim, request,
+                    attempt->reached ? RETRY_PLAN_OUTCOME_FULL : RETRY_PLAN_OUTCOME_UNSENT);
 }
 
 void
@@ -483,7 +487,7 @@
 
   if (request->over)
     return;
-  lin_remove (queue_of (request), sim->now_us, &request->queue_item);
+  wait_queue_remove (queue_of (request), sim->now_us, &request->queue_item);
   if (attempt)
     {
       sim_engine_drop (sim, attempt);
@@ -496,40 +500,41 @@
 check_timeout (sim_t *sim, sim_request_t *request)
 {
   sim_send_t *attempt = request->attempt;
-  ptc_t timeout;
+  hop_timeout_t timeout;
 
   if (!attempt || is_baseline (sim))
     return;
-  timeout = (ptc_t){ .sent_us = attempt->sent_us,
-                     .heard_us = attempt->heard_us,
-                     .engine_heard_us = attempt->known_engine->heard_us,
-                     .prompt_tokens = request->kind->own_tokens + request->kind->prefix_tokens,
-                     .usual_us = lin_head_us (queue_of (request)),
-                     .time_us = request->queue_item.deadline_us - attempt->sent_us,
-                     .full = reported_load_milli (sim, request) >= FULL_MILLI };
+  timeout =
+      (hop_timeout_t){ .sent_us = attempt->sent_us,
+                       .heard_us = attempt->heard_us,
+                       .engine_heard_us = attempt->known_engine->heard_us,
+                       .prompt_tokens = request->kind->own_tokens + request->kind->prefix_tokens,
+                       .usual_us = wait_queue_head_us (queue_of (request)),
+                       .time_us = request->queue_item.deadline_us - attempt->sent_us,
+                       .full = reported_load_milli (sim, request) >= FULL_MILLI };
 
   /* A simulated engine that has begun a response always finishes it, except in a crash, which ends
    * the attempt by itself: so only attempts without a response head can time out. */
-  if (attempt->heard_us != 0 || !crs_may_leave (&request->crs, request->begun) ||
-      !ptc_is_lost (&timeout, sim->now_us))
+  if (attempt->heard_us != 0 || !retry_plan_may_move (&request->retry_plan, request->begun) ||
+      !hop_timeout_has_expired (&timeout, sim->now_us))
     return;
   engine_note_failure (attempt->known_engine, sim->now_us);
   sim_engine_drop (sim, attempt);
   detach_attempt (attempt);
-  continue_request (sim, request, CRS_UNKNOWN);
+  continue_request (sim, request, RETRY_PLAN_OUTCOME_UNKNOWN);
 }
 
 static void
-reject_expired (sim_t *sim, lin_t *queue)
+reject_expired (sim_t *sim, wait_queue_t *queue)
 {
   sim_request_t *request;
 
-  while ((request = lin_expired (queue, sim->now_us)))
+  while ((request = wait_queue_pop_expired (queue, sim->now_us)))
     {
-      lin_room_t capacity = queue_capacity (sim, request);
-      uint64_t wait_us = lin_wait_us (queue, &capacity, &request->queue_item);
+      wait_queue_capacity_t capacity = queue_capacity (sim, request);
+      uint64_t wait_us = wait_queue_wait_us (queue, &capacity, &request->queue_item);
 
-      reject (sim, request, lin_retry_us (queue, sim->now_us, wait_us));
+      reject (sim, request, wait_queue_retry_us (queue, sim->now_us, wait_us));
     }
 }
 
--- a/bench/gateway/sim_parts.h
+++ b/bench/gateway/sim_parts.h
@@ -113,10 +113,10 @@
 {
   uint32_t index;
   engines_t *engines;
-  lin_t *queues[SIT_SERVICES];
+  wait_queue_t *queues[SIT_SERVICES];
   sim_load_t loads[SIT_SERVICES];
-  rsh_t retries[SIT_SERVICES];
-  pac_t paces[SIT_KINDS];
+  retry_budget_t retries[SIT_SERVICES];
+  median_latency_t paces[SIT_KINDS];
   GPtrArray *requests;
 } sim_gateway_t;
 
@@ -127,7 +127,7 @@
  * @arrived_us: when the client sent it for the first time
  * @queue_item: its item in the gateway's queue; with the arrival and deadline of the client's
  *   latest try
- * @crs: which attempts are still allowed
+ * @retry_plan: which attempts are still allowed
  * @attempt: the attempt in progress, or NULL
  * @tried: hashes of the engines that it was sent to in the client's latest try
  * @tried_count: entries of @tried
@@ -144,8 +144,8 @@
   uint32_t account;
   uint64_t prefix;
   uint64_t arrived_us;
-  lin_item_t queue_item;
-  crs_t crs;
+  wait_queue_item_t queue_item;
+  retry_plan_t retry_plan;
   sim_send_t *attempt;
   uint64_t tried[SIM_TRIED_MAX];
   uint32_t tried_count;
@@ -234,7 +234,7 @@
 /** sim_on_head() - the response head of @send arrives at the gateway */
 void sim_on_head (sim_t *sim, sim_send_t *send);
 /** sim_on_end() - the response of @send has ended: completely if @whole, else with @outcome */
-void sim_on_end (sim_t *sim, sim_send_t *send, bool whole, crs_outcome_t outcome);
+void sim_on_end (sim_t *sim, sim_send_t *send, bool whole, retry_plan_outcome_t outcome);
 /** sim_on_refused() - the engine of @send did not run it: it was full or not reachable */
 void sim_on_refused (sim_t *sim, sim_send_t *send);
 /** sim_on_deadline() - ends @request if it is not over */
--- a/bench/gateway/site.h
+++ b/bench/gateway/site.h
@@ -85,7 +85,7 @@
   uint64_t cache_tokens;
   sit_service_t services[SIT_SERVICES];
   sit_kind_t kinds[SIT_KINDS];
-  rsh_options_t retries;
+  retry_budget_options_t retries;
 } sit_t;
 
 /** sit_find() - Return: the built-in site @name, or NULL */
--- a/bench/load_client.c
+++ b/bench/load_client.c
@@ -131,7 +131,7 @@
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
   const char *connection = evhttp_find_header (headers, "Connection");
   call->answer.status = evhttp_request_get_response_code (request);
-  call->verdict = copy_header (headers, VRD_HEADER);
+  call->verdict = copy_header (headers, VERDICT_HEADER);
   call->engine = copy_header (headers, HOP_ENGINE_HEADER);
   if (call->engine == NULL)
     call->engine = copy_header (headers, "X-Engine");
--- a/bench/world_engine.c
+++ b/bench/world_engine.c
@@ -19,12 +19,12 @@
     loads->max--;
 }
 
-static adm_policy_t
+static admission_policy_t
 admission_policy_for (wld_policy_t policy)
 {
   if (policy == WLD_FULL)
-    return ADM_POLICY_FULL;
-  return policy == WLD_BOUNDED ? ADM_POLICY_NO_REFERRAL : ADM_POLICY_OPEN;
+    return ADMISSION_POLICY_FULL;
+  return policy == WLD_BOUNDED ? ADMISSION_POLICY_NO_REFERRAL : ADMISSION_POLICY_SLOTS_ONLY;
 }
 
 static uint32_t
@@ -34,21 +34,22 @@
   return set != 0 ? set : sim->options.workload->bound_percent;
 }
 
-static adm_options_t
+static admission_options_t
 make_admission_options (wld_t *sim, wld_engine_t *engine)
 {
   const wkl_t *workload = sim->options.workload;
-  return (adm_options_t){ .engine_hash = engine->hash,
-                          .service_hash = sim->service_hash,
-                          .slots = workload->slots,
-                          .bound_percent = bound_percent (sim),
-                          .engine_count = engine->daemon.view->count,
-                          .prefill_tokens_s = workload->prefill_tokens_s,
-                          .cache_lifetime_us = (uint64_t)workload->cache_lifetime_s * CLK_US_PER_S,
-                          .seed = sim->options.seed * 977 + engine->index,
-                          .policy = admission_policy_for (sim->options.policy),
-                          .is_live = lst_is_live,
-                          .context = engine->daemon.view };
+  return (admission_options_t){ .engine_hash = engine->hash,
+                                .service_hash = sim->service_hash,
+                                .slots = workload->slots,
+                                .bound_percent = bound_percent (sim),
+                                .engine_count = engine->daemon.view->count,
+                                .prefill_tokens_s = workload->prefill_tokens_s,
+                                .cache_lifetime_us =
+                                    (uint64_t)workload->cache_lifetime_s * CLK_US_PER_S,
+                                .seed = sim->options.seed * 977 + engine->index,
+                                .policy = admission_policy_for (sim->options.policy),
+                                .is_live = lst_is_live,
+                                .context = engine->daemon.view };
 }
 
 static void
@@ -59,7 +60,7 @@
     return;
   const double mean = (double)loads->sum / loads->count;
   const double bound = MAX (mean * bound_percent (sim) / 100.0, mean + 1.0);
-  const double load = adm_load (engine->admission);
+  const double load = admission_load (engine->admission);
   fig_t *figures = sim->figures;
   figures->dispatches++;
   figures->load_sum += mean;
@@ -128,7 +129,7 @@
 start_request (wld_t *sim, wld_engine_t *engine, wld_flight_t *call)
 {
   const wkl_t *workload = sim->options.workload;
-  const uint32_t load = adm_load (engine->admission);
+  const uint32_t load = admission_load (engine->admission);
   if (engine->counted)
     move_true_load (sim, load - 1, load);
   const uint32_t found = use_cache (sim, engine, call);
@@ -150,7 +151,7 @@
 static void
 stop_if_drained (wld_t *sim, wld_engine_t *engine)
 {
-  if (!engine->leaving || adm_load (engine->admission) > 0)
+  if (!engine->leaving || admission_load (engine->admission) > 0)
     return;
   lst_change (sim, engine, MEM_GONE);
   eng_close (sim, engine);
@@ -172,7 +173,7 @@
       if (next == engine)
         continue;
       if (next->present && entry->engine_hash != engine->hash && entry->engine_hash != next->hash)
-        dir_put (adm_directory (next->admission), entry->served_us, entry->chat_hash,
+        dir_put (admission_directory (next->admission), entry->served_us, entry->chat_hash,
                  entry->engine_hash);
       return;
     }
@@ -184,7 +185,7 @@
   if (engine->counted == counted)
     return;
   wld_true_t *loads = &sim->loads;
-  const uint32_t load = adm_load (engine->admission);
+  const uint32_t load = admission_load (engine->admission);
   if (!counted)
     move_true_load (sim, load, 0);
   loads->engines_with_load[0] += counted ? 1 : -1;
@@ -197,32 +198,32 @@
 void
 eng_open (wld_t *sim, wld_engine_t *engine, bool joined)
 {
-  const adm_options_t options = make_admission_options (sim, engine);
-  engine->admission = adm_new (&options);
+  const admission_options_t options = make_admission_options (sim, engine);
+  engine->admission = admission_new (&options);
   engine->cache = cch_new (sim->options.workload->cache_tokens);
-  engine->daemon.mean = adm_mean (engine->admission);
+  engine->daemon.mean = admission_mean (engine->admission);
   engine->incarnation++;
   engine->sequence = 1;
   engine->present = true;
   engine->reachable = true;
   engine->leaving = false;
   if (joined)
-    adm_set_joined (engine->admission, sim->now_us);
+    admission_set_joined (engine->admission, sim->now_us);
   eng_count (sim, engine, true);
 }
 
 void
 eng_configure (wld_t *sim, wld_engine_t *engine)
 {
-  const adm_options_t options = make_admission_options (sim, engine);
-  adm_configure (engine->admission, &options);
+  const admission_options_t options = make_admission_options (sim, engine);
+  admission_configure (engine->admission, &options);
 }
 
 void
 eng_close (wld_t *sim, wld_engine_t *engine)
 {
   eng_count (sim, engine, false);
-  adm_free (engine->admission);
+  admission_free (engine->admission);
   cch_free (engine->cache);
   engine->admission = NULL;
   engine->cache = NULL;
@@ -236,13 +237,13 @@
   engine->leaving = true;
   engine->sequence++;
   eng_count (sim, engine, false);
-  adm_set_leaving (engine->admission, true);
+  admission_set_leaving (engine->admission, true);
   lst_change (sim, engine, MEM_LEAVING);
   const uint32_t daemons = lst_daemon_count (sim);
   for (uint32_t i = 0; i < 3; i++)
     lst_tell (sim, &engine->daemon, lst_daemon (sim, rnd_below (&sim->random_events, daemons)));
   if (sim->options.policy == WLD_FULL)
-    dir_each (adm_directory (engine->admission), hand_over, engine);
+    dir_each (admission_directory (engine->admission), hand_over, engine);
   eng_pump (sim, engine);
   stop_if_drained (sim, engine);
 }
@@ -251,12 +252,12 @@
 eng_crash (wld_t *sim, wld_engine_t *engine)
 {
   GQueue lost = G_QUEUE_INIT;
-  adm_decision_t decision;
+  admission_decision_t decision;
   wld_flight_t *call;
   /* Queued requests are lost as well: nothing is left to confirm that they didn't run. */
-  adm_set_engine_up (engine->admission, false);
-  adm_request_t *waiting;
-  while ((waiting = adm_reject (engine->admission, sim->now_us, &decision)) != NULL)
+  admission_set_engine_up (engine->admission, false);
+  admission_request_t *waiting;
+  while ((waiting = admission_next_rejected (engine->admission, sim->now_us, &decision)) != NULL)
     g_queue_push_tail (&lost, waiting);
   while ((call = g_queue_peek_head (&engine->running)) != NULL)
     {
@@ -265,21 +266,21 @@
       g_queue_push_tail (&lost, &call->request);
     }
   eng_close (sim, engine);
-  adm_request_t *request;
+  admission_request_t *request;
   while ((request = g_queue_pop_head (&lost)) != NULL)
     rtr_lost (sim, (wld_flight_t *)request);
 }
 
 bool
-eng_offer (wld_t *sim, wld_engine_t *engine, wld_flight_t *call, adm_decision_t *decision)
+eng_offer (wld_t *sim, wld_engine_t *engine, wld_flight_t *call, admission_decision_t *decision)
 {
-  *decision = adm_offer (engine->admission, sim->now_us, &call->request);
+  *decision = admission_offer (engine->admission, sim->now_us, &call->request);
   switch (decision->action)
     {
-    case ADM_DISPATCH:
+    case ADMISSION_DISPATCH:
       start_request (sim, engine, call);
       return true;
-    case ADM_WAIT:
+    case ADMISSION_WAIT:
       eng_pump (sim, engine);
       return true;
     default:
@@ -298,14 +299,14 @@
   if (call == NULL)
     return;
   wld_engine_t *engine = call->engine;
-  const uint32_t load = adm_load (engine->admission);
+  const uint32_t load = admission_load (engine->admission);
   const uint32_t tokens = call->turn.prompt_tokens + call->turn.output_tokens;
   call->session->last_engine = engine->index;
   call->session->last_incarnation = engine->incarnation;
   if (call->request.has_chat)
     cch_put (engine->cache, call->session->chat_hash, tokens);
   g_queue_unlink (&engine->running, &call->link);
-  adm_finish (engine->admission, sim->now_us, &call->request, true);
+  admission_finish (engine->admission, sim->now_us, &call->request, true);
   if (engine->counted)
     move_true_load (sim, load, load - 1);
   rtr_answered (sim, call);
@@ -316,10 +317,10 @@
 void
 eng_pump (wld_t *sim, wld_engine_t *engine)
 {
-  adm_decision_t decision;
-  adm_request_t *request;
-  while ((request = adm_reject (engine->admission, sim->now_us, &decision)) != NULL)
+  admission_decision_t decision;
+  admission_request_t *request;
+  while ((request = admission_next_rejected (engine->admission, sim->now_us, &decision)) != NULL)
     rtr_refused (sim, (wld_flight_t *)request, &decision);
-  while ((request = adm_next (engine->admission, sim->now_us)) != NULL)
+  while ((request = admission_next (engine->admission, sim->now_us)) != NULL)
     start_request (sim, engine, (wld_flight_t *)request);
 }
--- a/bench/world_parts.h
+++ b/bench/world_parts.h
@@ -69,7 +69,7 @@
   wld_daemon_t daemon;
   load_samples_t samples;
   hlt_t *health;
-  att_budget_t budget;
+  forwarding_budget_t budget;
   uwy_t *in_flight;
   uint64_t now_us;
 } wld_router_t;
@@ -91,7 +91,7 @@
   char name[LIM_NAME_BYTES];
   uint64_t hash;
   uint32_t index;
-  adm_t *admission;
+  admission_t *admission;
   cch_t *cache;
   GQueue running;
   uint64_t incarnation;
@@ -115,8 +115,8 @@
  */
 struct wld_flight
 {
-  adm_request_t request;
-  att_t att;
+  admission_request_t request;
+  forwarding_t forwarding;
   wkl_session_t *session;
   wkl_turn_t turn;
   wld_router_t *router;
@@ -203,10 +203,11 @@
 /** eng_crash() - stops an engine at once; its requests are lost */
 void eng_crash (wld_t *sim, wld_engine_t *engine);
 /** eng_offer() - Return: whether the engine runs or queues the request; else @decision says why */
-bool eng_offer (wld_t *sim, wld_engine_t *engine, wld_flight_t *call, adm_decision_t *decision);
+bool
+eng_offer (wld_t *sim, wld_engine_t *engine, wld_flight_t *call, admission_decision_t *decision);
 /** eng_finish() - ends a request, unless its engine has crashed; @completion is freed */
 void eng_finish (wld_t *sim, void *completion);
-/** eng_pump() - rejects and starts queued requests, as is due after each event of an adm_t */
+/** eng_pump() - rejects and starts queued requests, as is due after each event of an admission_t */
 void eng_pump (wld_t *sim, wld_engine_t *engine);
 /** eng_count() - adds an engine to the true mean or removes it */
 void eng_count (wld_t *sim, wld_engine_t *engine, bool counted);
@@ -217,7 +218,7 @@
 /** rtr_begin() - sends the next request of @session */
 void rtr_begin (wld_t *sim, wld_router_t *router, wkl_session_t *session);
 /** rtr_refused() - an engine has rejected a request that it had queued */
-void rtr_refused (wld_t *sim, wld_flight_t *call, const adm_decision_t *decision);
+void rtr_refused (wld_t *sim, wld_flight_t *call, const admission_decision_t *decision);
 /** rtr_lost() - the engine of a request has crashed */
 void rtr_lost (wld_t *sim, wld_flight_t *call);
 /** rtr_answered() - a request has its whole answer */
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -45,9 +45,9 @@
   uint32_t at = 0;
   while (at < chosen->candidate_count && chosen->candidates[at] != hash)
     at++;
-  if (at == chosen->candidate_count && at < ATT_CANDIDATES)
+  if (at == chosen->candidate_count && at < FORWARDING_CANDIDATES_MAX)
     chosen->candidate_count++;
-  at = MIN (at, ATT_CANDIDATES - 1);
+  at = MIN (at, FORWARDING_CANDIDATES_MAX - 1);
   for (; at > 0; at--)
     chosen->candidates[at] = chosen->candidates[at - 1];
   chosen->candidates[0] = hash;
@@ -83,7 +83,8 @@
       const wld_engine_t *engine = &sim->engines[(from + i) % sim->engine_count];
       if (!engine->present || engine->leaving || !engine->reachable)
         continue;
-      const uint32_t load = adm_load (engine->admission) + adm_waiting (engine->admission);
+      const uint32_t load =
+          admission_load (engine->admission) + admission_waiting (engine->admission);
       if (load >= least)
         continue;
       least = load;
@@ -149,22 +150,22 @@
 }
 
 static void
-fail_call (wld_t *sim, wld_flight_t *call, const att_step_t *step)
+fail_call (wld_t *sim, wld_flight_t *call, const forwarding_step_t *step)
 {
   record_end (sim, call, false);
-  if (wld_measured (sim) && step->verdict != VRD_NOT_RUN)
+  if (wld_measured (sim) && step->verdict != VERDICT_NOT_RUN)
     sim->figures->may_have_run++;
   end_turn (sim, call, false);
 }
 
-static att_outcome_t
-refusal_outcome (const adm_decision_t *decision)
+static forwarding_outcome_t
+refusal_outcome (const admission_decision_t *decision)
 {
-  return (att_outcome_t){ .verdict = VRD_NOT_RUN,
-                          .reason = decision->reason,
-                          .retry_after_ms = decision->retry_after_ms,
-                          .referrals = decision->referrals,
-                          .referral_count = decision->referral_count };
+  return (forwarding_outcome_t){ .verdict = VERDICT_NOT_RUN,
+                                 .reason = decision->reason,
+                                 .retry_after_ms = decision->retry_after_ms,
+                                 .referrals = decision->referrals,
+                                 .referral_count = decision->referral_count };
 }
 
 /* A router attaches load samples to each request that it sends to an engine. */
@@ -182,7 +183,7 @@
 static void
 learn_load (wld_t *sim, wld_router_t *router, const wld_engine_t *engine)
 {
-  const load_sample_t sample = adm_sample (engine->admission, sim->now_us);
+  const load_sample_t sample = admission_sample (engine->admission, sim->now_us);
   if (engine->leaving)
     load_samples_forget (&router->samples, engine->hash);
   else
@@ -191,12 +192,12 @@
 
 /* Return: whether the engine runs or queues the request; else @step is the next step */
 static bool
-send_attempt (wld_t *sim, wld_flight_t *call, att_step_t *step)
+send_attempt (wld_t *sim, wld_flight_t *call, forwarding_step_t *step)
 {
   wld_router_t *router = call->router;
   wld_engine_t *engine = find_engine (sim, step->engine_hash);
-  adm_decision_t decision;
-  att_outcome_t outcome = { .verdict = VRD_NOT_RUN, .reason = VRD_REASON_CONNECT };
+  admission_decision_t decision;
+  forwarding_outcome_t outcome = { .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_CONNECT };
   call->hops++;
   if (engine->present && engine->reachable && !engine->blocked_for_routers)
     {
@@ -213,22 +214,23 @@
     }
   else
     hlt_failure (router->health, sim->now_us, engine->hash);
-  *step = att_ended (&call->att, sim->now_us, &router->budget, &outcome);
+  *step = forwarding_attempt_ended (&call->forwarding, sim->now_us, &router->budget, &outcome);
   return false;
 }
 
 static void
-run_attempts (wld_t *sim, wld_flight_t *call, att_step_t step)
+run_attempts (wld_t *sim, wld_flight_t *call, forwarding_step_t step)
 {
   for (;;)
     switch (step.action)
       {
-      case ATT_SEND:
+      case FORWARDING_SEND:
         if (send_attempt (sim, call, &step))
           return;
         break;
-      case ATT_REVOKE:
-        step = att_revoked (&call->att, sim->now_us, &call->router->budget, VRD_MAY_HAVE_RUN);
+      case FORWARDING_REVOKE:
+        step = forwarding_revoked (&call->forwarding, sim->now_us, &call->router->budget,
+                                   VERDICT_MAY_HAVE_RUN);
         break;
       default:
         fail_call (sim, call, &step);
@@ -241,18 +243,19 @@
 {
   const wkl_class_t *class = &sim->options.workload->classes[session->class_index];
   wld_flight_t *call = g_new0 (wld_flight_t, 1);
-  adm_request_t *request = &call->request;
+  admission_request_t *request = &call->request;
   call->router = router;
   call->session = session;
   call->arrived_us = sim->now_us;
   call->turn = wkl_turn (sim->options.workload, session);
   request->item =
-      (fq_item_t){ .account_hash = sim->account_hash[session->account],
-                   .weight = sim->options.workload->account_weights[session->account],
-                   .priority = class->priority,
-                   .cost = call->turn.prompt_tokens + call->turn.output_tokens,
-                   .queue_limit = LIM_QUEUE_PER_ACCOUNT,
-                   .deadline_us = sim->now_us + (uint64_t) class->deadline_ms * CLK_US_PER_MS };
+      (fair_queue_item_t){ .account_hash = sim->account_hash[session->account],
+                           .weight = sim->options.workload->account_weights[session->account],
+                           .priority = class->priority,
+                           .cost = call->turn.prompt_tokens + call->turn.output_tokens,
+                           .queue_limit = LIM_QUEUE_PER_ACCOUNT,
+                           .deadline_us =
+                               sim->now_us + (uint64_t) class->deadline_ms * CLK_US_PER_MS };
   request->chat_hash = session->chat_hash;
   request->fingerprint = session->chat_hash + session->turn;
   request->has_chat = class->return_share > 0;
@@ -269,7 +272,7 @@
   router->daemon.mean = &router->samples;
   router->daemon.view = &sim->views[(sim->engine_count + index) % sim->view_count];
   load_samples_init (&router->samples, sim->options.seed * 31 + index);
-  att_budget_init (&router->budget);
+  forwarding_budget_init (&router->budget);
 }
 
 void
@@ -287,48 +290,53 @@
   const candidates_t chosen = choose (sim, router, call);
   call->request.home_hash = chosen.home_hash;
   call->request.former_hash = chosen.former_hash;
-  const att_options_t options = { .idempotent = class->idempotent,
-                                  .deadline_us = call->request.item.deadline_us,
-                                  .candidates = chosen.candidates,
-                                  .candidate_count = chosen.candidate_count };
-  run_attempts (sim, call, att_begin (&call->att, sim->now_us, &options));
+  const forwarding_options_t options = { .idempotent = class->idempotent,
+                                         .deadline_us = call->request.item.deadline_us,
+                                         .candidates = chosen.candidates,
+                                         .candidate_count = chosen.candidate_count };
+  run_attempts (sim, call, forwarding_begin (&call->forwarding, sim->now_us, &options));
 }
 
 void
-rtr_refused (wld_t *sim, wld_flight_t *call, const adm_decision_t *decision)
+rtr_refused (wld_t *sim, wld_flight_t *call, const admission_decision_t *decision)
 {
-  const att_outcome_t outcome = refusal_outcome (decision);
+  const forwarding_outcome_t outcome = refusal_outcome (decision);
   if (wld_measured (sim))
     sim->figures->refusals[decision->reason]++;
-  uwy_end (call->router->in_flight, call->att.last_engine);
-  run_attempts (sim, call, att_ended (&call->att, sim->now_us, &call->router->budget, &outcome));
+  uwy_end (call->router->in_flight, call->forwarding.last_engine);
+  run_attempts (
+      sim, call,
+      forwarding_attempt_ended (&call->forwarding, sim->now_us, &call->router->budget, &outcome));
 }
 
 void
 rtr_lost (wld_t *sim, wld_flight_t *call)
 {
-  const att_outcome_t outcome = { .lost = true,
-                                  .verdict = VRD_MAY_HAVE_RUN,
-                                  .reason = VRD_REASON_CUT };
-  uwy_end (call->router->in_flight, call->att.last_engine);
+  const forwarding_outcome_t outcome = { .lost = true,
+                                         .verdict = VERDICT_MAY_HAVE_RUN,
+                                         .reason = VERDICT_REASON_CUT };
+  uwy_end (call->router->in_flight, call->forwarding.last_engine);
   if (call->first_token_us != 0 && call->first_token_us <= sim->now_us)
-    att_answer_begun (&call->att);
-  run_attempts (sim, call, att_ended (&call->att, sim->now_us, &call->router->budget, &outcome));
+    forwarding_response_begun (&call->forwarding);
+  run_attempts (
+      sim, call,
+      forwarding_attempt_ended (&call->forwarding, sim->now_us, &call->router->budget, &outcome));
 }
 
 void
 rtr_answered (wld_t *sim, wld_flight_t *call)
 {
-  const att_outcome_t outcome = { .answered = true, .verdict = VRD_RAN };
-  uwy_end (call->router->in_flight, call->att.last_engine);
-  att_ended (&call->att, sim->now_us, &call->router->budget, &outcome);
+  const forwarding_outcome_t outcome = { .answered = true, .verdict = VERDICT_RAN };
+  uwy_end (call->router->in_flight, call->forwarding.last_engine);
+  forwarding_attempt_ended (&call->forwarding, sim->now_us, &call->router->budget, &outcome);
   learn_load (sim, call->router, call->engine);
-  const adm_request_t *request = &call->request;
+  const admission_request_t *request = &call->request;
   wld_engine_t *home = find_engine (sim, request->home_hash);
   const bool home_must_know = sim->options.policy == WLD_FULL && request->has_chat &&
                               home != call->engine && home->present && home->reachable;
   if (home_must_know)
-    adm_served_elsewhere (home->admission, sim->now_us, request->chat_hash, call->engine->hash);
+    admission_note_served_elsewhere (home->admission, sim->now_us, request->chat_hash,
+                                     call->engine->hash);
   record_end (sim, call, true);
   end_turn (sim, call, true);
 }
--- a/src/connection/http_client.c
+++ b/src/connection/http_client.c
@@ -47,13 +47,13 @@
 
 /* The call's event runs on_end later, since that callback may call any function of the client */
 static void
-end_call (hcl_call_t *call, bool whole, vrd_reason_t reason)
+end_call (hcl_call_t *call, bool whole, verdict_reason_t reason)
 {
   hcl_conn_t *conn = call->conn;
 
   call->end.whole = whole;
-  call->end.verdict = whole ? VRD_RAN : call->sent ? VRD_MAY_HAVE_RUN : VRD_NOT_RUN;
-  call->end.reason = reason == VRD_REASON_CUT && !call->sent ? VRD_REASON_CONNECT : reason;
+  call->end.verdict = whole ? VERDICT_RAN : call->sent ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
+  call->end.reason = reason == VERDICT_REASON_CUT && !call->sent ? VERDICT_REASON_CONNECT : reason;
   call->conn = NULL;
   event_del (call->event);
   event_active (call->event, EV_TIMEOUT, 0);
@@ -69,7 +69,7 @@
 void
 hcl_call_unconnected (hcl_call_t *call)
 {
-  end_call (call, false, VRD_REASON_CONNECT);
+  end_call (call, false, VERDICT_REASON_CONNECT);
 }
 
 static void
@@ -84,7 +84,7 @@
   (void)what;
   if (call->conn)
     {
-      end_call (call, false, VRD_REASON_TIMEOUT);
+      end_call (call, false, VERDICT_REASON_TIMEOUT);
       return;
     }
   end = call->end;
@@ -98,23 +98,24 @@
   return call->method != EVHTTP_REQ_HEAD && status != 204 && status != 304;
 }
 
-/* Return: VRD_REASON_NONE when the response may be passed on */
-static vrd_reason_t
+/* Return: VERDICT_REASON_NONE when the response may be passed on */
+static verdict_reason_t
 check_head (const hcl_call_t *call, int status, const struct evkeyvalq *headers)
 {
   frm_t framing = frm_of (headers);
   const char *value;
 
   if (status < 200 || framing == FRM_BROKEN)
-    return VRD_REASON_CUT;
+    return VERDICT_REASON_CUT;
   /* libevent treats the end of the connection as the end of such a response, so a truncated one
    * would look complete */
   if (framing == FRM_NONE && must_declare_length (call, status) && !call->until_close)
-    return VRD_REASON_CUT;
+    return VERDICT_REASON_CUT;
   if (!call->check_name)
-    return VRD_REASON_NONE;
+    return VERDICT_REASON_NONE;
   value = evhttp_find_header (headers, call->check_name);
-  return value && strcmp (value, call->check_value) == 0 ? VRD_REASON_NONE : VRD_REASON_CROSSED;
+  return value && strcmp (value, call->check_value) == 0 ? VERDICT_REASON_NONE
+                                                         : VERDICT_REASON_CROSSED;
 }
 
 /* A negative return value makes libevent fail the request, which has no call any more by then */
@@ -125,7 +126,7 @@
   hcl_call_t *call = conn->call;
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
   int status = evhttp_request_get_response_code (request);
-  vrd_reason_t reason;
+  verdict_reason_t reason;
 
   if (!call)
     return -1;
@@ -137,14 +138,14 @@
     }
   call->end.status = status;
   reason = check_head (call, status, headers);
-  if (reason != VRD_REASON_NONE)
+  if (reason != VERDICT_REASON_NONE)
     {
       end_call (call, false, reason);
       return -1;
     }
   call->head_received = true;
   if (call->on_head && !call->on_head (status, headers, call->context) && conn->call)
-    end_call (call, false, VRD_REASON_CUT);
+    end_call (call, false, VERDICT_REASON_CUT);
   if (!conn->call)
     return -1;
   if (call->paused)
@@ -172,9 +173,9 @@
   if (!call)
     return;
   if (request && call->head_received)
-    end_call (call, true, VRD_REASON_NONE);
+    end_call (call, true, VERDICT_REASON_NONE);
   else
-    end_call (call, false, VRD_REASON_CUT);
+    end_call (call, false, VERDICT_REASON_CUT);
 }
 
 static bool
@@ -267,7 +268,7 @@
 
   if (!are_valid_options (options))
     {
-      end_call (call, false, VRD_REASON_CONNECT);
+      end_call (call, false, VERDICT_REASON_CONNECT);
       return call;
     }
   if (options->timeout_us > 0)
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -33,17 +33,17 @@
  * @whole: the response is complete, its length was declared, and header @check_name of the
  *   options, if set, had the value @check_value
  * @status: HTTP status; 0 when none was received
- * @verdict: when not @whole: VRD_NOT_RUN if no byte was sent, otherwise VRD_MAY_HAVE_RUN
- * @reason: when not @whole: VRD_REASON_TIMEOUT after a timeout, VRD_REASON_CONNECT if no byte
- *   was sent, VRD_REASON_CROSSED if the response belongs to another request, otherwise
- *   VRD_REASON_CUT
+ * @verdict: when not @whole: VERDICT_NOT_RUN if no byte was sent, otherwise VERDICT_MAY_HAVE_RUN
+ * @reason: when not @whole: VERDICT_REASON_TIMEOUT after a timeout, VERDICT_REASON_CONNECT if no
+ * byte was sent, VERDICT_REASON_CROSSED if the response belongs to another request, otherwise
+ *   VERDICT_REASON_CUT
  */
 typedef struct
 {
   bool whole;
   int status;
-  vrd_t verdict;
-  vrd_reason_t reason;
+  verdict_t verdict;
+  verdict_reason_t reason;
 } hcl_end_t;
 
 /**
@@ -63,7 +63,7 @@
  *   closes the connection normally, and truncated when the peer resets it
  * @idle_limit_us: don't reuse a connection that has been idle for longer; 0 for no limit
  * @check_name: response header that must have the value @check_value; otherwise the call ends
- *   with VRD_REASON_CROSSED and no part of the response is passed on. NULL for no check
+ *   with VERDICT_REASON_CROSSED and no part of the response is passed on. NULL for no check
  * @on_head: receives status and headers of a response with valid framing that has passed the
  *   check of @check_name; returns false to end the call as truncated
  * @on_data: receives a part of the body; bytes that it leaves in the buffer are discarded
--- a/src/connection/http_error.h
+++ b/src/connection/http_error.h
@@ -11,7 +11,7 @@
  * @message: human-readable text
  * @type: class of the error, e.g. "invalid_request"
  * @code: machine-readable code, e.g. "body_too_large"; NULL becomes null
- * @verdict: result of vrd_name(); left out when NULL
+ * @verdict: result of verdict_to_string(); left out when NULL
  *
  * Bytes that are not UTF-8 are replaced. Return: the body, to be freed by g_free().
  */
--- a/src/connection/http_server_check.c
+++ b/src/connection/http_server_check.c
@@ -52,7 +52,8 @@
 rejection_body (hsv_t *hsv, const rejection_t *rejection)
 {
   cnt_add (hsv->refused[rejection->refused], 1);
-  return err_body (rejection->message, rejection->type, rejection->code, vrd_name (VRD_NOT_RUN));
+  return err_body (rejection->message, rejection->type, rejection->code,
+                   verdict_to_string (VERDICT_NOT_RUN));
 }
 
 static void
@@ -63,7 +64,7 @@
   call->conn->drain_input = true;
   hsv_conn_dup (call->conn);
   hsv_add_header (call, "Connection", "close");
-  hsv_add_header (call, VRD_HEADER, vrd_name (VRD_NOT_RUN));
+  hsv_add_header (call, VERDICT_HEADER, verdict_to_string (VERDICT_NOT_RUN));
   hsv_reply_text (call, rejection->status, "application/json", body);
   g_free (body);
 }
@@ -186,8 +187,8 @@
                           "Content-Length: %zu\r\n"
                           "Connection: close\r\n"
                           "%s: %s\r\n\r\n%s",
-                          rejection->status, strlen (body), VRD_HEADER, vrd_name (VRD_NOT_RUN),
-                          body);
+                          rejection->status, strlen (body), VERDICT_HEADER,
+                          verdict_to_string (VERDICT_NOT_RUN), body);
 }
 
 /* Writes to the socket directly, since libevent is in the middle of reading and would not send. The
--- a/src/connection/platform_call.c
+++ b/src/connection/platform_call.c
@@ -76,7 +76,7 @@
   bool complete = end->whole && !call->too_large;
   size_t body_bytes = complete ? evbuffer_get_length (call->answer) : 0;
   pcl_answer_t answer = { .status = complete ? end->status : 0,
-                          .not_sent = !end->whole && end->verdict == VRD_NOT_RUN,
+                          .not_sent = !end->whole && end->verdict == VERDICT_NOT_RUN,
                           .headers = &call->headers,
                           .body = "",
                           .body_bytes = body_bytes };
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -73,7 +73,7 @@
   if (end->whole)
     adopt_manifest (ctrl);
   else
-    log_fetch_outcome (ctrl, "failed", 0, vrd_reason_name (end->reason));
+    log_fetch_outcome (ctrl, "failed", 0, verdict_reason_to_string (end->reason));
   evbuffer_free (ctrl->fetch.body);
   ctrl->fetch.body = NULL;
 }
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -143,7 +143,7 @@
   if (fetch->fetching_all && fetch->refusal != SAK_SILENT)
     result.reason = refusal_names[fetch->refusal];
   else if (!end->whole)
-    result.reason = vrd_reason_name (end->reason);
+    result.reason = verdict_reason_to_string (end->reason);
   else if (!asl_same (fetch->seal, expected_seal))
     result.reason = "seal";
   else
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -477,7 +477,7 @@
 uint32_t
 gpr_sharers (const gpr_t *peers, bool listed)
 {
-  return rsh_sharers (listed, peers->list->len, count_alive (peers));
+  return retry_budget_sharers (listed, peers->list->len, count_alive (peers));
 }
 
 uint32_t
--- a/src/request/decision.c
+++ b/src/request/decision.c
@@ -41,12 +41,13 @@
 
   hop_attempt_text (decision->request, attempt);
   snprintf (chat, sizeof chat, "%016" PRIx64, decision->chat_hash);
-  json = json_pack ("{s:s,s:I,s:s,s:s,s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:I}", "attempt", attempt,
-                    "wall_ms", (json_int_t)decision->wall_ms, "action", decision->action, "chat",
-                    chat, "account", decision->account, "service", decision->service, "class",
-                    decision->class_name, "chosen", decision->chosen, "reason",
-                    vrd_reason_name (decision->reason), "verdict", vrd_name (decision->verdict),
-                    "hop", (int)decision->hop, "wait_us", (json_int_t)decision->wait_us);
+  json =
+      json_pack ("{s:s,s:I,s:s,s:s,s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:I}", "attempt", attempt, "wall_ms",
+                 (json_int_t)decision->wall_ms, "action", decision->action, "chat", chat, "account",
+                 decision->account, "service", decision->service, "class", decision->class_name,
+                 "chosen", decision->chosen, "reason", verdict_reason_to_string (decision->reason),
+                 "verdict", verdict_to_string (decision->verdict), "hop", (int)decision->hop,
+                 "wait_us", (json_int_t)decision->wait_us);
   if (decision->at_engine)
     add_engine_load (json, decision);
   else
@@ -83,8 +84,9 @@
              LOG_HEX (decision->chat_hash), "account", decision->account, "service",
              decision->service, "class", decision->class_name, "candidates",
              decision->at_engine ? NULL : decision->candidates, "chosen", decision->chosen,
-             "reason", vrd_reason_name (decision->reason), "verdict", vrd_name (decision->verdict),
-             "hop", LOG_U64 (decision->hop), "wait_us", LOG_U64 (decision->wait_us), "load",
+             "reason", verdict_reason_to_string (decision->reason), "verdict",
+             verdict_to_string (decision->verdict), "hop", LOG_U64 (decision->hop), "wait_us",
+             LOG_U64 (decision->wait_us), "load",
              decision->at_engine ? LOG_U64 (decision->load) : NULL, "waiting",
              decision->at_engine ? LOG_U64 (decision->waiting) : NULL, "bound_milli",
              decision->at_engine ? LOG_U64 (decision->bound_milli) : NULL, NULL);
--- a/src/request/decision.h
+++ b/src/request/decision.h
@@ -41,8 +41,8 @@
   char chosen[LIM_NAME_BYTES];
   char candidates[DCN_CANDIDATES_BYTES];
   const char *action; /* a static string; not freed */
-  vrd_t verdict;
-  vrd_reason_t reason;
+  verdict_t verdict;
+  verdict_reason_t reason;
   uint32_t hop;
   uint64_t wait_us;
   bool at_engine;
--- a/src/request/fault.c
+++ b/src/request/fault.c
@@ -11,44 +11,44 @@
 #define TYPE_UPSTREAM "upstream_error"
 
 static const char *
-message_of (vrd_reason_t reason)
+message_of (verdict_reason_t reason)
 {
   switch (reason)
     {
-    case VRD_REASON_OVER_BOUND:
+    case VERDICT_REASON_OVER_BOUND:
       return "all engines asked carry their share of the load";
-    case VRD_REASON_LEAVING:
+    case VERDICT_REASON_LEAVING:
       return "the hosts asked are leaving";
-    case VRD_REASON_STALE:
+    case VERDICT_REASON_STALE:
       return "the daemon has just woken from a pause and takes no new work yet";
-    case VRD_REASON_NO_ENGINE:
+    case VERDICT_REASON_NO_ENGINE:
       return "no engine of the service answers";
-    case VRD_REASON_QUEUE_FULL:
+    case VERDICT_REASON_QUEUE_FULL:
       return "too many requests of this client account wait already";
-    case VRD_REASON_DEADLINE:
+    case VERDICT_REASON_DEADLINE:
       return "the request could not start before its deadline";
-    case VRD_REASON_ACCOUNT_SHARE:
+    case VERDICT_REASON_ACCOUNT_SHARE:
       return "the client account is over its share";
-    case VRD_REASON_SUSPECT:
-    case VRD_REASON_SUSPECT_HERE:
+    case VERDICT_REASON_SUSPECT:
+    case VERDICT_REASON_SUSPECT_HERE:
       return "engines crashed while they ran this request";
-    case VRD_REASON_CLAIMED:
+    case VERDICT_REASON_CLAIMED:
       return "another request with this idempotency key was first";
-    case VRD_REASON_KEY_REUSED:
+    case VERDICT_REASON_KEY_REUSED:
       return "this idempotency key came with another request before";
-    case VRD_REASON_KEY_TOO_OLD:
+    case VERDICT_REASON_KEY_TOO_OLD:
       return "this idempotency key is older than keys are remembered";
-    case VRD_REASON_LOG_DOWN:
+    case VERDICT_REASON_LOG_DOWN:
       return "the idempotency key cannot be claimed at present";
-    case VRD_REASON_CUT:
+    case VERDICT_REASON_CUT:
       return "the answer was cut off";
-    case VRD_REASON_CROSSED:
+    case VERDICT_REASON_CROSSED:
       return "the answer did not belong to this request";
-    case VRD_REASON_TIMEOUT:
+    case VERDICT_REASON_TIMEOUT:
       return "no answer came in time";
-    case VRD_REASON_CONNECT:
+    case VERDICT_REASON_CONNECT:
       return "the hosts asked cannot be reached";
-    case VRD_REASON_ENGINE_CRASHED:
+    case VERDICT_REASON_ENGINE_CRASHED:
       return "the engine crashed while it ran this request";
     default:
       return "the request could not be served";
@@ -64,23 +64,23 @@
 }
 
 int
-flt_status (vrd_reason_t reason, vrd_t verdict)
+flt_status (verdict_reason_t reason, verdict_t verdict)
 {
   switch (reason)
     {
-    case VRD_REASON_QUEUE_FULL:
-    case VRD_REASON_ACCOUNT_SHARE:
+    case VERDICT_REASON_QUEUE_FULL:
+    case VERDICT_REASON_ACCOUNT_SHARE:
       return 429;
-    case VRD_REASON_CLAIMED:
+    case VERDICT_REASON_CLAIMED:
       return 409;
-    case VRD_REASON_SUSPECT:
-    case VRD_REASON_KEY_REUSED:
-    case VRD_REASON_KEY_TOO_OLD:
+    case VERDICT_REASON_SUSPECT:
+    case VERDICT_REASON_KEY_REUSED:
+    case VERDICT_REASON_KEY_TOO_OLD:
       return 422;
-    case VRD_REASON_TIMEOUT:
+    case VERDICT_REASON_TIMEOUT:
       return 504;
     default:
-      return verdict == VRD_NOT_RUN ? 503 : 502;
+      return verdict == VERDICT_NOT_RUN ? 503 : 502;
     }
 }
 
@@ -88,11 +88,11 @@
 flt_body (const flt_t *fault)
 {
   int status = fault->status != 0 ? fault->status : flt_status (fault->reason, fault->verdict);
-  const char *code = fault->code != NULL ? fault->code : vrd_reason_name (fault->reason);
+  const char *code = fault->code != NULL ? fault->code : verdict_reason_to_string (fault->reason);
   const char *message = fault->message != NULL ? fault->message : message_of (fault->reason);
   json_t *json = json_pack ("{s:{s:s,s:s,s:s,s:s,s:s*}}", "error", "message", message, "type",
-                            type_of (status), "code", code, "verdict", vrd_name (fault->verdict),
-                            "request", fault->request);
+                            type_of (status), "code", code, "verdict",
+                            verdict_to_string (fault->verdict), "request", fault->request);
   char *text = json_dumps (json, JSON_COMPACT);
   char *body = g_strdup (text);
 
@@ -108,7 +108,7 @@
   char *body = flt_body (fault);
   char seconds[16];
 
-  hsv_add_header (call, VRD_HEADER, vrd_name (fault->verdict));
+  hsv_add_header (call, VERDICT_HEADER, verdict_to_string (fault->verdict));
   if (fault->request != NULL)
     hsv_add_header (call, FLT_REQUEST_HEADER, fault->request);
   if (fault->retry_after_ms != 0)
@@ -128,5 +128,6 @@
 flt_bad_request (hsv_call_t *call, int status, const char *code, const char *message)
 {
   flt_reply (
-      call, &(flt_t){ .status = status, .code = code, .message = message, .verdict = VRD_NOT_RUN });
+      call,
+      &(flt_t){ .status = status, .code = code, .message = message, .verdict = VERDICT_NOT_RUN });
 }
--- a/src/request/fault.h
+++ b/src/request/fault.h
@@ -29,8 +29,8 @@
   int status;
   const char *code;
   const char *message;
-  vrd_t verdict;
-  vrd_reason_t reason;
+  verdict_t verdict;
+  verdict_reason_t reason;
   uint32_t retry_after_ms;
   bool exact_retry;
   const char *request;
@@ -44,6 +44,6 @@
 /** flt_body() - the JSON body of the error; the caller frees it with g_free() */
 char *flt_body (const flt_t *fault);
 /** flt_status() - the HTTP status for a reason and a verdict */
-int flt_status (vrd_reason_t reason, vrd_t verdict);
+int flt_status (verdict_reason_t reason, verdict_t verdict);
 
 #endif
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -16,7 +16,7 @@
 {
   gwy_service_t *service = data;
 
-  lin_free (service->queue);
+  wait_queue_free (service->queue);
   lat_free (service->wait_histogram);
   lat_free (service->head_histogram);
   lat_free (service->answer_histogram);
@@ -56,8 +56,8 @@
   service = g_new0 (gwy_service_t, 1);
   service->gwy = gwy;
   service->name = name;
-  service->queue = lin_new ();
-  rsh_init (&service->retries, gwy->started_us);
+  service->queue = wait_queue_new ();
+  retry_budget_init (&service->retries, gwy->started_us);
   make_histograms (gwy, service);
   g_hash_table_insert (gwy->services, (gpointer)name, service);
   return service;
@@ -102,10 +102,10 @@
 mark_suspects (gwy_t *gwy)
 {
   uint64_t now_us = gwy_now_us (gwy);
-  cwt_loss_t loss;
+  crash_watch_loss_t loss;
   sus_mark_t mark;
 
-  while (cwt_take (&gwy->crashes, now_us, &loss))
+  while (crash_watch_take (&gwy->crashes, now_us, &loss))
     {
       if (recent_answers_contain (gwy->served, now_us, loss.fingerprint) ||
           !sus_add (gwy->suspects, now_us, loss.fingerprint, loss.engine_hash) ||
@@ -295,7 +295,7 @@
 {
   g_autoptr (GList) calls = g_hash_table_get_keys (gwy->calls);
 
-  cwt_down (&gwy->crashes, gwy_now_us (gwy), hash);
+  crash_watch_note_down (&gwy->crashes, gwy_now_us (gwy), hash);
   hcl_forget (gwy->upstreams, address);
   for (GList *link = calls; link; link = link->next)
     if (g_hash_table_contains (gwy->calls, link->data))
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -45,7 +45,7 @@
   const set_t *set;
   engines_t *engines;
   const fmt_t *format;
-  rsh_options_t retries;
+  retry_budget_options_t retries;
   void (*suspected) (const sus_mark_t *mark, void *context);
   void (*high_load) (const load_report_t *item, void *context);
   void *context;
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -31,7 +31,7 @@
                     .message = is_current
                                    ? "no such route, or no such key"
                                    : "this router does not know the newest configuration yet",
-                    .verdict = VRD_NOT_RUN,
+                    .verdict = VERDICT_NOT_RUN,
                     .retry_after_ms = is_current ? 0 : GWY_RETRY_MIN_MS,
                     .exact_retry = true });
 }
@@ -50,8 +50,9 @@
 reject_suspect (gwy_call_t *call)
 {
   cnt_add (call->gwy->refused, 1);
-  gwy_call_log_failure (call, "refuse", "final", VRD_REASON_SUSPECT);
-  flt_reply (call->client, &(flt_t){ .reason = VRD_REASON_SUSPECT, .verdict = VRD_NOT_RUN });
+  gwy_call_log_failure (call, "refuse", "final", VERDICT_REASON_SUSPECT);
+  flt_reply (call->client,
+             &(flt_t){ .reason = VERDICT_REASON_SUSPECT, .verdict = VERDICT_NOT_RUN });
   gwy_call_free (call);
 }
 
@@ -68,7 +69,7 @@
           &(flt_t){ .status = 503,
                     .code = "stopping",
                     .message = "this router stops",
-                    .verdict = VRD_NOT_RUN,
+                    .verdict = VERDICT_NOT_RUN,
                     .retry_after_ms = GWY_RETRY_MIN_MS,
                     .exact_retry = true });
 }
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -68,23 +68,24 @@
 }
 
 static void
-end_failed (gwy_call_t *call, vrd_reason_t reason)
+end_failed (gwy_call_t *call, verdict_reason_t reason)
 {
-  bool in_time = reason != VRD_REASON_TIMEOUT && reason != VRD_REASON_DEADLINE;
+  bool in_time = reason != VERDICT_REASON_TIMEOUT && reason != VERDICT_REASON_DEADLINE;
 
   count_failure (call);
   gwy_call_log_failure (call, "end", "failed", reason);
-  flt_reply (call->client, &(flt_t){ .reason = in_time ? VRD_REASON_CUT : VRD_REASON_TIMEOUT,
-                                     .verdict = VRD_MAY_HAVE_RUN });
+  flt_reply (call->client,
+             &(flt_t){ .reason = in_time ? VERDICT_REASON_CUT : VERDICT_REASON_TIMEOUT,
+                       .verdict = VERDICT_MAY_HAVE_RUN });
   gwy_call_free (call);
 }
 
 static void
-end_cut (gwy_call_t *call, vrd_reason_t reason)
+end_cut (gwy_call_t *call, verdict_reason_t reason)
 {
   count_failure (call);
   gwy_call_log_failure (call, "end", "cut", reason);
-  rly_cut (&call->rly, &(flt_t){ .reason = VRD_REASON_CUT });
+  rly_cut (&call->rly, &(flt_t){ .reason = VERDICT_REASON_CUT });
   gwy_call_free (call);
 }
 
@@ -98,7 +99,7 @@
   if (call->queue_item.waiting)
     {
       gwy_wait_remove (call);
-      gwy_call_give_up (call, VRD_REASON_DEADLINE, GWY_RETRY_MIN_MS);
+      gwy_call_give_up (call, VERDICT_REASON_DEADLINE, GWY_RETRY_MIN_MS);
       return;
     }
   gwy_hop_drop (call);
@@ -107,19 +108,19 @@
       gwy_call_whole (call);
       return;
     }
-  gwy_call_log_failure (call, "end", "timeout", VRD_REASON_TIMEOUT);
+  gwy_call_log_failure (call, "end", "timeout", VERDICT_REASON_TIMEOUT);
   count_failure (call);
   if (!call->client)
     gwy_call_free (call);
   else if (call->rly.begun)
     {
-      rly_cut (&call->rly, &(flt_t){ .reason = VRD_REASON_TIMEOUT });
+      rly_cut (&call->rly, &(flt_t){ .reason = VERDICT_REASON_TIMEOUT });
       gwy_call_free (call);
     }
   else
     {
       flt_reply (call->client,
-                 &(flt_t){ .reason = VRD_REASON_TIMEOUT, .verdict = VRD_MAY_HAVE_RUN });
+                 &(flt_t){ .reason = VERDICT_REASON_TIMEOUT, .verdict = VERDICT_MAY_HAVE_RUN });
       gwy_call_free (call);
     }
 }
@@ -134,7 +135,7 @@
   cnt_add (call->gwy->gone, 1);
   call->client = NULL;
   rly_gone (&call->rly);
-  gwy_call_log (call, "gone", call->queue_item.waiting ? "waiting" : "sent", VRD_REASON_NONE);
+  gwy_call_log (call, "gone", call->queue_item.waiting ? "waiting" : "sent", VERDICT_REASON_NONE);
   if (call->upstream && call->route->kind == RTE_NON_IDEMPOTENT)
     return;
   gwy_wait_remove (call);
@@ -152,7 +153,7 @@
   event_add (call->timer, &wait);
 }
 
-static lin_item_t
+static wait_queue_item_t
 make_queue_item (gwy_call_t *call)
 {
   gwy_usual_t *stats = gwy_usual (call->gwy, call->route);
@@ -161,17 +162,18 @@
   uint64_t aim_us = (uint64_t)call->route->aim_ms * CLK_US_PER_MS;
   uint64_t silence_us = (uint64_t)call->route->silence_ms * CLK_US_PER_MS;
 
-  return (lin_item_t){ .priority = call->route->priority,
-                       .arrived_us = call->arrived_us,
-                       .deadline_us = call->deadline_us,
-                       .leaves_us = silence_us ? call->arrived_us + silence_us : 0,
-                       .in_time_us = call->arrived_us + aim_us - MIN (age_us, aim_us),
-                       .run_us = stats->run_us,
-                       .returns = age_us > 0,
-                       .fair = { .account_hash = call->account ? call->account->hash : 0,
-                                 .has_precedence = call->account && call->account->has_priority,
-                                 .precedence = call->account ? call->account->priority : 0,
-                                 .owner = call } };
+  return (
+      wait_queue_item_t){ .priority = call->route->priority,
+                          .arrived_us = call->arrived_us,
+                          .deadline_us = call->deadline_us,
+                          .client_gives_up_us = silence_us ? call->arrived_us + silence_us : 0,
+                          .in_time_us = call->arrived_us + aim_us - MIN (age_us, aim_us),
+                          .run_us = stats->run_us,
+                          .returns = age_us > 0,
+                          .fair = { .account_hash = call->account ? call->account->hash : 0,
+                                    .has_precedence = call->account && call->account->has_priority,
+                                    .precedence = call->account ? call->account->priority : 0,
+                                    .owner = call } };
 }
 
 gwy_call_t *
@@ -200,9 +202,10 @@
   target_hash = XXH64 (call->id, strlen (call->id), gwy->next_call_number++);
   call->service = gwy_service (gwy, rte_target (route, target_hash));
   call->body = hsv_take_body (client, &call->body_bytes);
-  crs_init (&call->course, &(crs_rules_t){ .idempotent = route->kind == RTE_IDEMPOTENT,
-                                           .resumable = is_stream && route->resumable,
-                                           .attempts = route->attempts });
+  retry_plan_init (&call->course,
+                   &(retry_plan_rules_t){ .idempotent = route->kind == RTE_IDEMPOTENT,
+                                          .resumable = is_stream && route->resumable,
+                                          .attempts = route->attempts });
   evs_init (&call->evs);
   rly_init (&call->rly, client);
   call->rly.passes_back = gwy->options.format->passes_back;
@@ -212,7 +215,7 @@
       call->evs.last_id = request->last_event;
     }
   g_hash_table_add (gwy->calls, call);
-  rsh_request (&call->service->retries, &gwy->options.retries, call->arrived_us);
+  retry_budget_count_request (&call->service->retries, &gwy->options.retries, call->arrived_us);
   hsv_on_gone (client, on_client_gone, call);
   start_deadline_timer (call);
   return call;
@@ -236,15 +239,16 @@
           log_level_t level,
           const char *event,
           const char *outcome,
-          vrd_reason_t reason)
+          verdict_reason_t reason)
 {
   uint64_t now_us = gwy_now_us (call->gwy);
 
   log_event (
       level, event, "id", call->id, "route", call->route->name, "version",
       LOG_U64 (rte_version (call->table)), "engine", call->engine ? call->engine->entry.id : NULL,
-      "outcome", outcome, "reason", reason == VRD_REASON_NONE ? NULL : vrd_reason_name (reason),
-      "hops", LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
+      "outcome", outcome, "reason",
+      reason == VERDICT_REASON_NONE ? NULL : verdict_reason_to_string (reason), "hops",
+      LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
       LOG_U64 (call->course.unsent), "status", LOG_U64 ((uint64_t)call->status), "head_ms",
       call->has_head ? LOG_U64 ((call->head_us - call->sent_us) / CLK_US_PER_MS) : NULL, "ms",
       LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "left_ms",
@@ -253,7 +257,10 @@
 }
 
 void
-gwy_call_log (const gwy_call_t *call, const char *event, const char *outcome, vrd_reason_t reason)
+gwy_call_log (const gwy_call_t *call,
+              const char *event,
+              const char *outcome,
+              verdict_reason_t reason)
 {
   log_call (call, LOG_LEVEL_INFO, event, outcome, reason);
 }
@@ -264,7 +271,7 @@
 gwy_call_log_failure (const gwy_call_t *call,
                       const char *event,
                       const char *outcome,
-                      vrd_reason_t reason)
+                      verdict_reason_t reason)
 {
   log_call (call, LOG_LEVEL_NOTICE, event, outcome, reason);
   log_flush ();
@@ -293,11 +300,11 @@
           .affinity = call->affinity,
           .affinity_tokens = call->affinity_tokens,
           .data_center = gwy->options.set->data_center,
-          .repeatable = crs_may_leave (&call->course, call->rly.begun),
+          .repeatable = retry_plan_may_move (&call->course, call->rly.begun),
           .gateways = gwy->routers,
           .gateway_hash = gwy->name_hash,
-          .run_us = lin_run_us (service->queue),
-          .head_us = lin_head_us (service->queue),
+          .run_us = wait_queue_run_us (service->queue),
+          .head_us = wait_queue_head_us (service->queue),
           .utilization_milli = load_gauge_utilization_milli (&service->load_gauge, now_us),
           .surge = load_gauge_is_surge (&service->load_gauge, now_us, service->in_flight),
           .late = call->queue_item.waiting && call->queue_item.late,
@@ -313,7 +320,7 @@
 void
 gwy_call_no_engine (gwy_call_t *call, const engine_choice_t *choice)
 {
-  gwy_call_give_up (call, choice->drained ? VRD_REASON_LEAVING : VRD_REASON_NO_ENGINE,
+  gwy_call_give_up (call, choice->drained ? VERDICT_REASON_LEAVING : VERDICT_REASON_NO_ENGINE,
                     choice->drained ? GWY_RETRY_DRAINED_MS : GWY_RETRY_MIN_MS);
 }
 
@@ -323,7 +330,7 @@
   engine_choice_t choice;
 
   /* A new request must not overtake those in the queue. */
-  if (lin_count_in_time (call->service->queue) > 0 && call->hops == 0)
+  if (wait_queue_count_in_time (call->service->queue) > 0 && call->hops == 0)
     {
       gwy_wait_push (call);
       return;
@@ -344,8 +351,8 @@
 {
   gwy_t *gwy = call->gwy;
 
-  return rsh_wait_us (&call->service->retries, &gwy->options.retries, gwy_now_us (gwy),
-                      gwy->known_routers);
+  return retry_budget_wait_us (&call->service->retries, &gwy->options.retries, gwy_now_us (gwy),
+                               gwy->known_routers);
 }
 
 static bool
@@ -356,24 +363,24 @@
 
 /* The log line tells the state of this gateway's share of the retry budget. */
 static void
-log_retry (const gwy_call_t *call, const char *outcome, vrd_reason_t reason)
+log_retry (const gwy_call_t *call, const char *outcome, verdict_reason_t reason)
 {
   const gwy_t *gwy = call->gwy;
-  const rsh_t *retries = &call->service->retries;
+  const retry_budget_t *retries = &call->service->retries;
   uint64_t now_us = gwy_now_us (gwy);
   uint64_t allowed_milli =
-      rsh_allowed_milli (retries, &gwy->options.retries, now_us, gwy->known_routers);
+      retry_budget_allowed_milli (retries, &gwy->options.retries, now_us, gwy->known_routers);
 
   log_event (LOG_LEVEL_INFO, "retry", "id", call->id, "service", call->service->name, "outcome",
-             outcome, "reason", vrd_reason_name (reason), "hops", LOG_U64 (call->hops), "spent",
-             LOG_U64 (rsh_spent (retries)), "allowed_milli", LOG_U64 (allowed_milli), "gateways",
-             LOG_U64 (gwy->known_routers), "started_ms_ago",
+             outcome, "reason", verdict_reason_to_string (reason), "hops", LOG_U64 (call->hops),
+             "spent", LOG_U64 (retry_budget_retries (retries)), "allowed_milli",
+             LOG_U64 (allowed_milli), "gateways", LOG_U64 (gwy->known_routers), "started_ms_ago",
              LOG_U64 ((now_us - gwy->started_us) / CLK_US_PER_MS), "ms",
              LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), NULL);
 }
 
 static void
-prepare_retry (gwy_call_t *call, bool resume, vrd_reason_t reason)
+prepare_retry (gwy_call_t *call, bool resume, verdict_reason_t reason)
 {
   log_retry (call, resume ? "resume" : "again", reason);
   cnt_add (resume ? call->gwy->resumed : call->gwy->retried, 1);
@@ -385,14 +392,14 @@
 }
 
 static void
-retry (gwy_call_t *call, bool resume, vrd_reason_t reason)
+retry (gwy_call_t *call, bool resume, verdict_reason_t reason)
 {
   prepare_retry (call, resume, reason);
   gwy_call_place (call);
 }
 
 void
-gwy_call_outcome (gwy_call_t *call, crs_outcome_t outcome, vrd_reason_t reason)
+gwy_call_outcome (gwy_call_t *call, retry_plan_outcome_t outcome, verdict_reason_t reason)
 {
   uint64_t now_us = gwy_now_us (call->gwy);
   uint64_t left_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
@@ -402,29 +409,29 @@
       gwy_call_free (call);
       return;
     }
-  call->failure_buffered = call->failure_buffered || outcome == CRS_FAILED;
-  switch (crs_next (&call->course, outcome, left_us, may_retry, call))
+  call->failure_buffered = call->failure_buffered || outcome == RETRY_PLAN_OUTCOME_FAILED;
+  switch (retry_plan_next (&call->course, outcome, left_us, may_retry, call))
     {
-    case CRS_AGAIN:
+    case RETRY_PLAN_STEP_RESEND:
       retry (call, call->rly.begun, reason);
       return;
-    case CRS_RESUME:
+    case RETRY_PLAN_STEP_RESUME:
       retry (call, true, reason);
       return;
-    case CRS_WAIT:
+    case RETRY_PLAN_STEP_WAIT:
       prepare_retry (call, call->rly.begun, reason);
       gwy_wait_for_retry (call);
       return;
-    case CRS_PASS:
+    case RETRY_PLAN_STEP_PASS_ON:
       gwy_call_whole (call);
       return;
-    case CRS_REFUSE:
+    case RETRY_PLAN_STEP_REJECT:
       gwy_call_give_up (call, reason, GWY_RETRY_MIN_MS);
       return;
-    case CRS_FAIL:
+    case RETRY_PLAN_STEP_FAIL:
       gwy_call_give_up (call, reason, GWY_RETRY_MIN_MS);
       return;
-    case CRS_CUT:
+    case RETRY_PLAN_STEP_CUT_OFF:
       end_cut (call, reason);
       return;
     }
@@ -456,7 +463,7 @@
     gwy_served (call->gwy, gwy_call_fingerprint (call));
   cnt_add (call->gwy->answered, 1);
   lat_add (call->service->answer_histogram, gwy_now_us (call->gwy) - call->arrived_us);
-  gwy_call_log (call, "end", "answered", VRD_REASON_NONE);
+  gwy_call_log (call, "end", "answered", VERDICT_REASON_NONE);
   rly_whole (&call->rly);
   gwy_call_free (call);
 }
@@ -464,28 +471,30 @@
 /* The log line tells on what the refusal was based: the state of the queue and of the retry budget.
  */
 static void
-log_refusal (const gwy_call_t *call, vrd_reason_t reason, uint32_t retry_after_ms)
+log_refusal (const gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
 {
-  const lin_t *queue = call->service->queue;
+  const wait_queue_t *queue = call->service->queue;
   uint64_t now_us = gwy_now_us (call->gwy);
   uint64_t retry_wait_us = gwy_call_retry_wait_us (call);
 
-  log_event (
-      LOG_LEVEL_NOTICE, "refuse", "id", call->id, "route", call->route->name, "version",
-      LOG_U64 (rte_version (call->table)), "outcome",
-      is_repeatable (call) ? "repeatable" : "not_run", "reason", vrd_reason_name (reason), "hops",
-      LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
-      LOG_U64 (call->course.unsent), "retry_wait_ms", LOG_U64 (retry_wait_us / CLK_US_PER_MS), "ms",
-      LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "retry_after_ms",
-      LOG_U64 (retry_after_ms), "overloaded", lin_is_overloaded (queue, now_us) ? "yes" : "no",
-      "waiting", LOG_U64 (lin_count (queue)), "waiting_in_time",
-      LOG_U64 (lin_count_in_time (queue)), "odds_milli", LOG_U64 (lin_odds_milli (queue)),
-      "returns", call->queue_item.returns ? "yes" : "no", NULL);
+  log_event (LOG_LEVEL_NOTICE, "refuse", "id", call->id, "route", call->route->name, "version",
+             LOG_U64 (rte_version (call->table)), "outcome",
+             is_repeatable (call) ? "repeatable" : "not_run", "reason",
+             verdict_reason_to_string (reason), "hops", LOG_U64 (call->hops), "full",
+             LOG_U64 (call->course.full), "unsent", LOG_U64 (call->course.unsent), "retry_wait_ms",
+             LOG_U64 (retry_wait_us / CLK_US_PER_MS), "ms",
+             LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "retry_after_ms",
+             LOG_U64 (retry_after_ms), "overloaded",
+             wait_queue_is_overloaded (queue, now_us) ? "yes" : "no", "waiting",
+             LOG_U64 (wait_queue_count (queue)), "waiting_in_time",
+             LOG_U64 (wait_queue_count_in_time (queue)), "odds_milli",
+             LOG_U64 (wait_queue_in_time_milli (queue)), "returns",
+             call->queue_item.returns ? "yes" : "no", NULL);
   log_flush ();
 }
 
 static void
-refuse (gwy_call_t *call, vrd_reason_t reason, uint32_t retry_after_ms)
+refuse (gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
 {
   uint32_t wait_ms = CLAMP (retry_after_ms, GWY_RETRY_MIN_MS, GWY_RETRY_MAX_MS);
 
@@ -494,7 +503,7 @@
   log_refusal (call, reason, wait_ms);
   flt_reply (call->client, &(flt_t){ .status = 503,
                                      .reason = reason,
-                                     .verdict = VRD_NOT_RUN,
+                                     .verdict = VERDICT_NOT_RUN,
                                      .retry_after_ms = wait_ms,
                                      .exact_retry = true });
   gwy_call_free (call);
@@ -504,7 +513,7 @@
  * hop may have run. The error response of an engine, if there is one, tells the client more than
  * 502. */
 void
-gwy_call_give_up (gwy_call_t *call, vrd_reason_t reason, uint32_t retry_after_ms)
+gwy_call_give_up (gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
 {
   if (call->rly.begun)
     end_cut (call, reason);
--- a/src/request/gateway/gateway_hop.c
+++ b/src/request/gateway/gateway_hop.c
@@ -107,7 +107,7 @@
   call->events_before_head = call->evs.count;
   call->engine->heard_us = now_us;
   if (!call->response.not_run)
-    lin_note_head (call->service->queue, now_us - call->sent_us);
+    wait_queue_note_head (call->service->queue, now_us - call->sent_us);
   if (status == 200)
     recent_answers_add (call->gwy->cache_warm, now_us, cache_warm_key (call, call->engine));
   lat_add (call->service->head_histogram, now_us - call->sent_us);
@@ -177,7 +177,7 @@
 }
 
 /* Each route has its own: a time that is usual on one is slow on another of the same service. */
-static pac_t *
+static median_latency_t *
 select_pace (const gwy_call_t *call)
 {
   gwy_usual_t *stats = gwy_usual (call->gwy, call->route);
@@ -193,7 +193,7 @@
   if (stats->run_us == 0)
     stats->run_us = run_us;
   stats->run_us = (stats->run_us * (GWY_RUN_GAIN - 1) + run_us) / GWY_RUN_GAIN;
-  lin_note_run (call->service->queue, &call->queue_item, run_us);
+  wait_queue_note_run (call->service->queue, &call->queue_item, run_us);
 }
 
 /* A response that its client reads slowly tells nothing about the engine, and the time of an event
@@ -207,7 +207,7 @@
   if (rly_held_up (&call->rly) || call->client_was_slow || (call->streaming && events < 2))
     return;
   took_us = call->streaming ? (now_us - call->head_us) / (events - 1) : now_us - call->sent_us;
-  engine_note_latency (call->engine, now_us, pac_sample (select_pace (call), took_us));
+  engine_note_latency (call->engine, now_us, median_latency_add (select_pace (call), took_us));
 }
 
 /* Refusals are left out. They take a millisecond, so a service whose engines refuse many requests
@@ -246,15 +246,15 @@
 finish_refused (gwy_call_t *call)
 {
   if (call->response.is_other)
-    gwy_call_outcome (call, CRS_NOT_RUN, VRD_REASON_NO_ENGINE);
+    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_NOT_RUN, VERDICT_REASON_NO_ENGINE);
   else
-    gwy_call_outcome (call, CRS_FULL, VRD_REASON_OVER_BOUND);
+    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_FULL, VERDICT_REASON_OVER_BOUND);
 }
 
 static bool
 is_unsent (const hcl_end_t *end)
 {
-  return end->verdict == VRD_NOT_RUN && end->reason == VRD_REASON_CONNECT;
+  return end->verdict == VERDICT_NOT_RUN && end->reason == VERDICT_REASON_CONNECT;
 }
 
 static void
@@ -263,9 +263,11 @@
   if (call->response.not_run)
     finish_refused (call);
   else if (call->streaming && !evs_is_between (&call->evs))
-    gwy_call_outcome (call, call->rly.begun ? CRS_BROKE : CRS_UNKNOWN, VRD_REASON_CUT);
+    gwy_call_outcome (call,
+                      call->rly.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN,
+                      VERDICT_REASON_CUT);
   else if (call->status >= STATUS_SERVER_ERROR && call->client)
-    gwy_call_outcome (call, CRS_FAILED, VRD_REASON_NONE);
+    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_FAILED, VERDICT_REASON_NONE);
   else
     gwy_call_whole (call);
 }
@@ -277,12 +279,14 @@
 
   if (refused)
     finish_refused (call);
-  else if (end->verdict == VRD_NOT_RUN)
-    gwy_call_outcome (call, is_unsent (end) ? CRS_UNSENT : CRS_NOT_RUN, end->reason);
+  else if (end->verdict == VERDICT_NOT_RUN)
+    gwy_call_outcome (call,
+                      is_unsent (end) ? RETRY_PLAN_OUTCOME_UNSENT : RETRY_PLAN_OUTCOME_NOT_RUN,
+                      end->reason);
   else if (call->rly.begun)
-    gwy_call_outcome (call, CRS_BROKE, end->reason);
+    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_BROKE_OFF, end->reason);
   else
-    gwy_call_outcome (call, CRS_UNKNOWN, end->reason);
+    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_UNKNOWN, end->reason);
 }
 
 /* A connection that broke may mean that the engine crashed; a refused connection shows that it is
@@ -294,9 +298,9 @@
   uint64_t now_us = gwy_now_us (gwy);
 
   if (is_unsent (end))
-    cwt_down (&gwy->crashes, now_us, call->engine->hash);
-  else if (end->reason == VRD_REASON_CUT && call->client && !call->response.crossed)
-    cwt_lost (&gwy->crashes, now_us, call->engine->hash, gwy_call_fingerprint (call));
+    crash_watch_note_down (&gwy->crashes, now_us, call->engine->hash);
+  else if (end->reason == VERDICT_REASON_CUT && call->client && !call->response.crossed)
+    crash_watch_note_loss (&gwy->crashes, now_us, call->engine->hash, gwy_call_fingerprint (call));
 }
 
 static void
@@ -326,7 +330,7 @@
   if (!end->whole)
     record_crash (call, end);
   if (!end->whole)
-    gwy_call_log (call, "hop_lost", vrd_name (end->verdict), end->reason);
+    gwy_call_log (call, "hop_lost", verdict_to_string (end->verdict), end->reason);
   release_engine (call);
   if (end->whole)
     finish_complete (call);
@@ -336,11 +340,12 @@
 }
 
 static void
-give_up_hop (gwy_call_t *call, const char *why, vrd_reason_t reason)
+give_up_hop (gwy_call_t *call, const char *why, verdict_reason_t reason)
 {
   gwy_call_log (call, "hop_lost", why, reason);
   gwy_hop_drop (call);
-  gwy_call_outcome (call, call->rly.begun ? CRS_BROKE : CRS_UNKNOWN, reason);
+  gwy_call_outcome (
+      call, call->rly.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN, reason);
 }
 
 /*
@@ -352,15 +357,16 @@
 gwy_hop_watch (gwy_call_t *call)
 {
   uint64_t now_us = gwy_now_us (call->gwy);
-  ptc_t ptc = { .sent_us = call->sent_us,
-                .heard_us = call->last_byte_us,
-                .engine_heard_us = call->engine ? call->engine->heard_us : 0,
-                .prompt_tokens = call->request.prompt_tokens,
-                .usual_us = lin_head_us (call->service->queue),
-                .time_us = call->deadline_us - MIN (call->sent_us, call->deadline_us),
-                .gap_us = (uint64_t)call->route->gap_ms * CLK_US_PER_MS,
-                .full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >=
-                        GWY_FULL_MILLI };
+  hop_timeout_t hop_timeout = {
+    .sent_us = call->sent_us,
+    .heard_us = call->last_byte_us,
+    .engine_heard_us = call->engine ? call->engine->heard_us : 0,
+    .prompt_tokens = call->request.prompt_tokens,
+    .usual_us = wait_queue_head_us (call->service->queue),
+    .time_us = call->deadline_us - MIN (call->sent_us, call->deadline_us),
+    .gap_us = (uint64_t)call->route->gap_ms * CLK_US_PER_MS,
+    .full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >= GWY_FULL_MILLI
+  };
 
   if (!call->upstream || !call->client)
     return;
@@ -369,17 +375,18 @@
       call->client_was_slow = true;
       return;
     }
-  if (!crs_may_leave (&call->course, call->rly.begun) || !ptc_is_lost (&ptc, now_us))
+  if (!retry_plan_may_move (&call->course, call->rly.begun) ||
+      !hop_timeout_has_expired (&hop_timeout, now_us))
     return;
   engine_note_failure (call->engine, now_us);
-  give_up_hop (call, "silent", VRD_REASON_TIMEOUT);
+  give_up_hop (call, "silent", VERDICT_REASON_TIMEOUT);
 }
 
 void
 gwy_hop_restarted (gwy_call_t *call, uint64_t hash)
 {
   if (call->upstream && call->engine->hash == hash)
-    give_up_hop (call, "restarted", VRD_REASON_CUT);
+    give_up_hop (call, "restarted", VERDICT_REASON_CUT);
 }
 
 /* Return: how long a connection that is reused may have been idle, 0 for no limit */
@@ -425,14 +432,14 @@
   call->tried[call->tried_count % GWY_TRIED] = choice->engine->hash;
   call->tried_count = MIN (call->tried_count + 1, GWY_TRIED);
   call->hops++;
-  if (crs_sends (&call->course))
-    rsh_spend (&call->service->retries, &call->gwy->options.retries, now_us);
+  if (retry_plan_note_send (&call->course))
+    retry_budget_count_retry (&call->service->retries, &call->gwy->options.retries, now_us);
   call->sent_us = now_us;
   call->has_head = false;
   call->client_was_slow = false;
   call->last_byte_us = 0;
   memset (&call->response, 0, sizeof call->response);
-  lin_start (call->service->queue, now_us, &call->queue_item);
+  wait_queue_start (call->service->queue, now_us, &call->queue_item);
   engine_begin_request (choice->engine, now_us);
   call->service->in_flight++;
   engine_note_probe (choice->engine, now_us);
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -79,11 +79,11 @@
 {
   gwy_t *gwy;
   const char *name;
-  lin_t *queue;
+  wait_queue_t *queue;
   load_gauge_t load_gauge;
   uint64_t in_flight;
   uint32_t mean_milli;
-  rsh_t retries;
+  retry_budget_t retries;
   lat_t *wait_histogram;
   lat_t *head_histogram;
   lat_t *answer_histogram;
@@ -101,8 +101,8 @@
 typedef struct
 {
   uint64_t route_hash;
-  pac_t event_pace;
-  pac_t answer_pace;
+  median_latency_t event_pace;
+  median_latency_t answer_pace;
   first_attempt_t first_ask;
   uint64_t run_us;
 } gwy_usual_t;
@@ -121,7 +121,7 @@
   uint32_t known_routers; /* likewise, also those not heard from lately */
   GHashTable *services;   /* interned name -> gwy_service_t */
   GHashTable *calls;      /* set of gwy_call_t */
-  cwt_t crashes;
+  crash_watch_t crashes;
   sus_t *suspects;              /* requests that are suspected of crashing engines */
   recent_answers_t *served;     /* fingerprints of requests that were served lately */
   recent_answers_t *cache_warm; /* prompts and engines that read their shared parts lately */
@@ -177,8 +177,8 @@
   gwy_service_t *service;
   fmt_request_t request;
   char id[FMT_ID_BYTES];
-  lin_item_t queue_item;
-  crs_t course;
+  wait_queue_item_t queue_item;
+  retry_plan_t course;
   evs_t evs;
   rly_t rly;
   char *body;
@@ -233,7 +233,7 @@
 /** gwy_call_choose() - the engine to which the request would be sent now */
 engine_choice_t gwy_call_choose (const gwy_call_t *call);
 /** gwy_call_outcome() - a hop ended with @outcome; takes the next step, which may free the call */
-void gwy_call_outcome (gwy_call_t *call, crs_outcome_t outcome, vrd_reason_t reason);
+void gwy_call_outcome (gwy_call_t *call, retry_plan_outcome_t outcome, verdict_reason_t reason);
 /** gwy_call_retry_wait_us() - time until the retry budget allows a retry if no request comes
  * meanwhile; 0 if it allows one now */
 uint64_t gwy_call_retry_wait_us (const gwy_call_t *call);
@@ -241,18 +241,20 @@
 void gwy_call_whole (gwy_call_t *call);
 /** gwy_call_give_up() - ends the call without another hop: by 503 if the request ran nowhere,
  * otherwise by an error which says that it may have run; frees it */
-void gwy_call_give_up (gwy_call_t *call, vrd_reason_t reason, uint32_t retry_after_ms);
+void gwy_call_give_up (gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms);
 /** gwy_call_no_engine() - ends the call because @choice found no engine to ask; frees it */
 void gwy_call_no_engine (gwy_call_t *call, const engine_choice_t *choice);
 /** gwy_call_log() - logs one decision on the request */
-void
-gwy_call_log (const gwy_call_t *call, const char *event, const char *outcome, vrd_reason_t reason);
+void gwy_call_log (const gwy_call_t *call,
+                   const char *event,
+                   const char *outcome,
+                   verdict_reason_t reason);
 /** gwy_call_log_failure() - likewise, for a refusal or failure that the client gets; the line is
  * written before the response */
 void gwy_call_log_failure (const gwy_call_t *call,
                            const char *event,
                            const char *outcome,
-                           vrd_reason_t reason);
+                           verdict_reason_t reason);
 
 /** gwy_hop_send() - sends the request to the engine of @choice; clears its cache source where none
  * is needed */
--- a/src/request/hop.h
+++ b/src/request/hop.h
@@ -6,7 +6,7 @@
  * on the network can bypass the limits of client accounts. All fields share one header, because
  * reading and searching many headers costs more than everything that a sidecar decides.
  *
- * A refusal is 503 (409 for claims, 422 for final ones) with VRD_HEADER, HOP_REASON_HEADER,
+ * A refusal is 503 (409 for claims, 422 for final ones) with VERDICT_HEADER, HOP_REASON_HEADER,
  * HOP_TRY_HEADER (host names, comma-separated) and Retry-After; its body is the error response for
  * the client.
  */
@@ -37,7 +37,7 @@
 #define HOP_ACCOUNT_HEADER "X-Account"    /* to the engine: name of the client account */
 #define HOP_REQUEST_HEADER "X-Request-Id" /* to the engine, which echoes it: the attempt id */
 
-#define HOP_REVOKE_PATH "/medlarplank/revoke" /* POST ?attempt=ID; responds with VRD_HEADER */
+#define HOP_REVOKE_PATH "/medlarplank/revoke" /* POST ?attempt=ID; responds with VERDICT_HEADER */
 #define HOP_SERVED_PATH                                                                            \
   "/medlarplank/served" /* POST ?chat=HEX&engine=HEX: tells the chat's home who served it */
 #define HOP_DIRECTORY_PATH "/medlarplank/directory" /* POST: hand-over of a leaving sidecar */
--- a/src/request/policy/admit.h
+++ b/src/request/policy/admit.h
@@ -17,8 +17,8 @@
  * request that can't start before its deadline, by the measured completion rate, is rejected at
  * once.
  *
- * After each event (offer, finish, cancel, a new sample, a timer) the caller calls adm_reject() and
- * then adm_next(), each until it returns NULL.
+ * After each event (offer, finish, cancel, a new sample, a timer) the caller calls
+ * admission_next_rejected() and then admission_next(), each until it returns NULL.
  */
 #ifndef REQUEST_POLICY_ADMIT_H
 #define REQUEST_POLICY_ADMIT_H
@@ -35,33 +35,35 @@
 #include <stdint.h>
 
 /* One slot of this number is reserved for accounts that were served less than others. */
-#define ADM_RESERVE_DIVISOR 8
+#define ADMISSION_RESERVE_DIVISOR 8
 /* Maximum credit of an account that was served less than others, as a time of all slots. */
-#define ADM_CREDIT_MS 2000
+#define ADMISSION_CREDIT_MS 2000
 /* After this time without requests of another account, one account may use the reserved slots. */
-#define ADM_ALONE_US (60 * (uint64_t)CLK_US_PER_S)
+#define ADMISSION_SINGLE_ACCOUNT_US (60 * (uint64_t)CLK_US_PER_S)
 /* Cost of a cold start relative to a wait of the same duration: it also uses time of an engine. */
-#define ADM_COLD_WEIGHT 2
+#define ADMISSION_COLD_START_WEIGHT 2
 /* Cache lifetimes for which requests are referred to an engine that may have their context. */
-#define ADM_WARM_LIFETIMES 2
+#define ADMISSION_REFERRAL_LIFETIMES 2
 /* Time for which a request that crashed an engine is remembered. */
-#define ADM_SUSPECT_LIFETIME_US (30 * 60 * (uint64_t)CLK_US_PER_S)
+#define ADMISSION_SUSPECT_LIFETIME_US (30 * 60 * (uint64_t)CLK_US_PER_S)
 /* Time per output token, to estimate the duration of a request before it is measured. */
-#define ADM_TOKEN_US 30000
+#define ADMISSION_TOKEN_US 30000
 /* Limits of the retry time, before up to half is added at random. */
-#define ADM_RETRY_MIN_MS 100
-#define ADM_RETRY_MAX_MS (60 * 1000)
+#define ADMISSION_RETRY_MIN_MS 100
+#define ADMISSION_RETRY_MAX_MS (60 * 1000)
 
-/** enum adm_policy - admission algorithm; all but the first are baselines of the benchmarks */
+/** enum admission_policy - admission algorithm; all but the first are baselines of the benchmarks
+ */
 typedef enum
 {
-  ADM_POLICY_FULL,        /* bounded load with directory and referrals */
-  ADM_POLICY_NO_REFERRAL, /* bounded load without directory and referrals */
-  ADM_POLICY_OPEN         /* admits up to the slots, for routing by hash, least load or random */
-} adm_policy_t;
+  ADMISSION_POLICY_FULL,        /* bounded load with directory and referrals */
+  ADMISSION_POLICY_NO_REFERRAL, /* bounded load without directory and referrals */
+  ADMISSION_POLICY_SLOTS_ONLY   /* admits up to the slots, for routing by hash, least load or random
+                                 */
+} admission_policy_t;
 
 /**
- * struct adm_options - options from the settings and the manifest in force
+ * struct admission_options - options from the settings and the manifest in force
  * @engine_hash: the engine
  * @service_hash: its service
  * @slots: requests that the engine runs concurrently
@@ -85,15 +87,15 @@
   uint32_t prefill_tokens_s;
   uint64_t cache_lifetime_us;
   uint64_t seed;
-  adm_policy_t policy;
+  admission_policy_t policy;
   bool (*is_live) (uint64_t engine_hash, void *context);
   void *context;
-} adm_options_t;
+} admission_options_t;
 
 /**
- * struct adm_request - a request, with what the decision depends on
+ * struct admission_request - a request, with what the decision depends on
  * @item: entry in the queue; the caller sets account, weight, priority, limit and deadline, and
- *   adm_offer() the rest
+ *   admission_offer() the rest
  * @chat_hash: its chat, used if @has_chat
  * @fingerprint: hash that identifies the request when it is sent again after a crash
  * @home_hash: home engine of the chat, the router's first candidate
@@ -111,7 +113,7 @@
  */
 typedef struct
 {
-  fq_item_t item;
+  fair_queue_item_t item;
   uint64_t chat_hash;
   uint64_t fingerprint;
   uint64_t home_hash;
@@ -123,18 +125,18 @@
   bool has_chat;
   uint64_t dispatched_us;
   bool running;
-} adm_request_t;
+} admission_request_t;
 
-/** enum adm_action - what to do with a request */
+/** enum admission_action - what to do with a request */
 typedef enum
 {
-  ADM_DISPATCH, /* send it to the engine now */
-  ADM_WAIT,     /* keep it; it was queued */
-  ADM_REFUSE    /* reject it */
-} adm_action_t;
+  ADMISSION_DISPATCH, /* send it to the engine now */
+  ADMISSION_WAIT,     /* keep it; it was queued */
+  ADMISSION_REJECT    /* reject it */
+} admission_action_t;
 
 /**
- * struct adm_decision - what to do with a request, and why
+ * struct admission_decision - what to do with a request, and why
  * @action: what to do
  * @reason: why the request is rejected
  * @referrals: hashes of the engines to try instead, best first
@@ -146,67 +148,81 @@
  */
 typedef struct
 {
-  adm_action_t action;
-  vrd_reason_t reason;
+  admission_action_t action;
+  verdict_reason_t reason;
   uint64_t referrals[LIM_REFERRALS];
   uint32_t referral_count;
   uint32_t retry_after_ms;
   uint32_t load;
   uint64_t bound_milli;
-} adm_decision_t;
+} admission_decision_t;
 
-/** struct adm - admission control of one engine */
-typedef struct adm adm_t;
+/** struct admission - admission control of one engine */
+typedef struct admission admission_t;
 
-/** adm_new() - Return: the state of an engine without requests, to be freed by adm_free() */
-adm_t *adm_new (const adm_options_t *options);
-void adm_free (adm_t *adm);
-/** adm_configure() - replaces the options; running and queued requests are kept */
-void adm_configure (adm_t *adm, const adm_options_t *options);
-/** adm_set_leaving() - while @leaving, the host shuts down and no request is admitted */
-void adm_set_leaving (adm_t *adm, bool leaving);
-/** adm_set_stale() - while @stale, after a pause of the daemon, no request is admitted, as its
- * cluster state is out of date */
-void adm_set_stale (adm_t *adm, bool stale);
-/** adm_set_engine_up() - while the engine doesn't answer, no request is admitted */
-void adm_set_engine_up (adm_t *adm, bool up);
-/** adm_set_joined() - sets when the engine joined; a new engine refers chats to their former home
+/** admission_new() - Return: the state of an engine without requests, to be freed by
+ * admission_free() */
+admission_t *admission_new (const admission_options_t *options);
+void admission_free (admission_t *admission);
+/** admission_configure() - replaces the options; running and queued requests are kept */
+void admission_configure (admission_t *admission, const admission_options_t *options);
+/** admission_set_leaving() - while @leaving, the host shuts down and no request is admitted */
+void admission_set_leaving (admission_t *admission, bool leaving);
+/** admission_set_stale() - while @stale, after a pause of the daemon, no request is admitted, as
+ * its cluster state is out of date */
+void admission_set_stale (admission_t *admission, bool stale);
+/** admission_set_engine_up() - while the engine doesn't answer, no request is admitted */
+void admission_set_engine_up (admission_t *admission, bool up);
+/** admission_set_joined() - sets when the engine joined; a new engine refers chats to their former
+ * home
  */
-void adm_set_joined (adm_t *adm, uint64_t joined_us);
+void admission_set_joined (admission_t *admission, uint64_t joined_us);
 
-/** adm_offer() - decides on a new request; after ADM_WAIT it has to stay valid until it is returned
- * by adm_next() or adm_reject(), or cancelled */
-adm_decision_t adm_offer (adm_t *adm, uint64_t now_us, adm_request_t *request);
-/** adm_next() - dequeues the next request to dispatch now. Return: NULL if there is none */
-adm_request_t *adm_next (adm_t *adm, uint64_t now_us);
-/** adm_reject() - dequeues a request to reject now, with @decision. Return: NULL if there is none
+/** admission_offer() - decides on a new request; after ADMISSION_WAIT it has to stay valid until it
+ * is returned by admission_next() or admission_next_rejected(), or cancelled */
+admission_decision_t
+admission_offer (admission_t *admission, uint64_t now_us, admission_request_t *request);
+/** admission_next() - dequeues the next request to dispatch now. Return: NULL if there is none */
+admission_request_t *admission_next (admission_t *admission, uint64_t now_us);
+/** admission_next_rejected() - dequeues a request to reject now, with @decision. Return: NULL if
+ * there is none
+ */
+admission_request_t *
+admission_next_rejected (admission_t *admission, uint64_t now_us, admission_decision_t *decision);
+/** admission_finish() - a dispatched request ended, whatever its result; @is_cached: the engine has
+ * its context in the cache now */
+void admission_finish (admission_t *admission,
+                       uint64_t now_us,
+                       admission_request_t *request,
+                       bool is_cached);
+/** admission_cancel() - removes a queued request */
+void admission_cancel (admission_t *admission, admission_request_t *request);
+/** admission_note_crash() - records that the engine crashed while it ran @request */
+void
+admission_note_crash (admission_t *admission, uint64_t now_us, const admission_request_t *request);
+/** admission_forget_engine() - drops the sample of another engine, which crashed, from the mean
+ * load */
+void admission_forget_engine (admission_t *admission, uint64_t engine_hash);
+/** admission_note_served_elsewhere() - records on which other engine a chat of this home was served
  */
-adm_request_t *adm_reject (adm_t *adm, uint64_t now_us, adm_decision_t *decision);
-/** adm_finish() - a dispatched request ended, whatever its result; @is_cached: the engine has its
- * context in the cache now */
-void adm_finish (adm_t *adm, uint64_t now_us, adm_request_t *request, bool is_cached);
-/** adm_cancel() - removes a queued request */
-void adm_cancel (adm_t *adm, adm_request_t *request);
-/** adm_crashed() - records that the engine crashed while it ran @request */
-void adm_crashed (adm_t *adm, uint64_t now_us, const adm_request_t *request);
-/** adm_lost() - drops the sample of another engine, which crashed, from the mean load */
-void adm_lost (adm_t *adm, uint64_t engine_hash);
-/** adm_served_elsewhere() - records on which other engine a chat of this home was served */
-void adm_served_elsewhere (adm_t *adm, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash);
+void admission_note_served_elsewhere (admission_t *admission,
+                                      uint64_t now_us,
+                                      uint64_t chat_hash,
+                                      uint64_t engine_hash);
 
-/** adm_sample() - Return: load sample of this engine, to be sent to other sidecars */
-load_sample_t adm_sample (const adm_t *adm, uint64_t now_us);
-/** adm_mean() - Return: load samples of the other engines; the caller adds them */
-load_samples_t *adm_mean (adm_t *adm);
-/** adm_suspects() - Return: requests suspected of crashes */
-sus_t *adm_suspects (adm_t *adm);
-/** adm_directory() - Return: engines on which chats were served last */
-dir_t *adm_directory (adm_t *adm);
-/** adm_load() - Return: running requests */
-uint32_t adm_load (const adm_t *adm);
-/** adm_waiting() - Return: queued requests */
-uint32_t adm_waiting (const adm_t *adm);
-/** adm_bound_milli() - Return: the present bound, in thousandths of a request */
-uint64_t adm_bound_milli (const adm_t *adm, uint64_t now_us);
+/** admission_sample() - Return: load sample of this engine, to be sent to other sidecars */
+load_sample_t admission_sample (const admission_t *admission, uint64_t now_us);
+/** admission_mean() - Return: load samples of the other engines; the caller adds them */
+load_samples_t *admission_mean (admission_t *admission);
+/** admission_suspects() - Return: requests suspected of crashes */
+sus_t *admission_suspects (admission_t *admission);
+/** admission_directory() - Return: engines on which chats were served last */
+dir_t *admission_directory (admission_t *admission);
+/** admission_load() - Return: running requests */
+uint32_t admission_load (const admission_t *admission);
+/** admission_waiting() - Return: queued requests */
+uint32_t admission_waiting (const admission_t *admission);
+/** admission_bound_milli() - Return: the present bound, in thousandths of a request */
+uint64_t admission_bound_milli (const admission_t *admission, uint64_t now_us);
 
 #endif
--- a/src/request/policy/admit_private.h
+++ b/src/request/policy/admit_private.h
@@ -16,7 +16,7 @@
 
 #define MILLI 1000
 
-/* struct adm - state of one engine
+/* struct admission - state of one engine
  * @options: present options
  * @queue: waiting requests
  * @directory: engine on which each chat was served last
@@ -32,14 +32,14 @@
  * @cost: sum of their estimated durations, in milliseconds
  * @leaving, @stale, @engine_down: reasons to admit nothing
  */
-struct adm
+struct admission
 {
-  adm_options_t options;
-  fq_t *queue;
+  admission_options_t options;
+  fair_queue_t *queue;
   dir_t *directory;
   sus_t *suspects;
   load_samples_t mean;
-  drn_t completions;
+  completion_rate_t completions;
   load_drift_t drift;
   uint64_t joined_us;
   uint64_t last_account;
@@ -52,61 +52,83 @@
   bool engine_down;
 };
 
-/** adm_bound_now() - computes the bound for a decision, and records the mean for the drift. Return:
- * thousandths of a request */
-uint64_t adm_bound_now (adm_t *adm, uint64_t now_us);
-/** adm_limit_milli() - Return: the lower of the bound and the slots that the account may use, in
- * thousandths of a request */
-uint64_t
-adm_limit_milli (const adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli);
-/** adm_fits() - Return: whether the load with one more request is within the limit */
-bool adm_fits (const adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli);
-/** adm_cold_start_us() - Return: cost of serving the request where its context isn't cached */
-uint64_t adm_cold_start_us (const adm_t *adm, const adm_request_t *request);
-/** adm_length_us() - Return: expected duration of the request at the engine */
-uint64_t adm_length_us (const adm_t *adm, const adm_request_t *request);
-/** adm_ends_needed() - Return: requests that have to complete before one more is within @limit,
- * which is in thousandths of a request */
-uint64_t adm_ends_needed (uint32_t load, uint64_t limit);
-/** adm_wait_us() - Return: expected time until @item starts if it is queued here */
-uint64_t
-adm_wait_us (const adm_t *adm, uint64_t now_us, const fq_item_t *item, uint64_t bound_milli);
-/** adm_wait_there_us() - Return: expected wait at another engine, from its load sample */
-uint64_t adm_wait_there_us (const adm_t *adm, const load_sample_t *remote, uint64_t limit);
+/** admission_update_bound() - computes the bound for a decision, and records the mean for the
+ * drift. Return: thousandths of a request */
+uint64_t admission_update_bound (admission_t *admission, uint64_t now_us);
+/** admission_limit_milli() - Return: the lower of the bound and the slots that the account may use,
+ * in thousandths of a request */
+uint64_t admission_limit_milli (const admission_t *admission,
+                                uint64_t now_us,
+                                const fair_queue_item_t *item,
+                                uint64_t bound_milli);
+/** admission_fits() - Return: whether the load with one more request is within the limit */
+bool admission_fits (const admission_t *admission,
+                     uint64_t now_us,
+                     const fair_queue_item_t *item,
+                     uint64_t bound_milli);
+/** admission_cold_start_us() - Return: cost of serving the request where its context isn't cached
+ */
+uint64_t admission_cold_start_us (const admission_t *admission, const admission_request_t *request);
+/** admission_duration_us() - Return: expected duration of the request at the engine */
+uint64_t admission_duration_us (const admission_t *admission, const admission_request_t *request);
+/** admission_completions_needed() - Return: requests that have to complete before one more is
+ * within @limit, which is in thousandths of a request */
+uint64_t admission_completions_needed (uint32_t load, uint64_t limit);
+/** admission_wait_us() - Return: expected time until @item starts if it is queued here */
+uint64_t admission_wait_us (const admission_t *admission,
+                            uint64_t now_us,
+                            const fair_queue_item_t *item,
+                            uint64_t bound_milli);
+/** admission_remote_wait_us() - Return: expected wait at another engine, from its load sample */
+uint64_t admission_remote_wait_us (const admission_t *admission,
+                                   const load_sample_t *remote,
+                                   uint64_t limit);
 
-/** adm_refer_to_warm() - checks whether the request should go where its context is cached. Return:
- * whether it is rejected, with @decision */
-bool adm_refer_to_warm (adm_t *adm,
-                        uint64_t now_us,
-                        const adm_request_t *request,
-                        uint64_t bound_milli,
-                        adm_decision_t *decision);
-/** adm_note_warm() - records that the context of the request's chat is in this engine's cache */
-void adm_note_warm (adm_t *adm, uint64_t now_us, const adm_request_t *request);
+/** admission_refer_to_cached() - checks whether the request should go where its context is cached.
+ * Return: whether it is rejected, with @decision */
+bool admission_refer_to_cached (admission_t *admission,
+                                uint64_t now_us,
+                                const admission_request_t *request,
+                                uint64_t bound_milli,
+                                admission_decision_t *decision);
+/** admission_note_cached() - records that the context of the request's chat is in this engine's
+ * cache */
+void
+admission_note_cached (admission_t *admission, uint64_t now_us, const admission_request_t *request);
 
-/** adm_decide() - Return: a decision without referrals and retry time */
-adm_decision_t
-adm_decide (const adm_t *adm, adm_action_t action, vrd_reason_t reason, uint64_t bound_milli);
-/** adm_point_to_room() - adds referrals to engines whose load with one more request is within
+/** admission_make_decision() - Return: a decision without referrals and retry time */
+admission_decision_t admission_make_decision (const admission_t *admission,
+                                              admission_action_t action,
+                                              verdict_reason_t reason,
+                                              uint64_t bound_milli);
+/** admission_add_referrals() - adds referrals to engines whose load with one more request is within
  * @limit */
-void adm_point_to_room (adm_t *adm, uint64_t now_us, uint64_t limit, adm_decision_t *decision);
-/** adm_refuse_closed() - Return: decision to reject while the engine admits nothing */
-adm_decision_t
-adm_refuse_closed (adm_t *adm, uint64_t now_us, vrd_reason_t reason, uint64_t bound_milli);
-/** adm_refuse_suspect() - checks whether the request is suspected of crashing engines. Return:
- * whether it is rejected, with @decision: here only, or on all engines */
-bool adm_refuse_suspect (adm_t *adm,
-                         uint64_t now_us,
-                         const adm_request_t *request,
-                         uint64_t bound_milli,
-                         adm_decision_t *decision);
-/** adm_refuse_over_bound() - Return: decision to reject with the referrals of
+void admission_add_referrals (admission_t *admission,
+                              uint64_t now_us,
+                              uint64_t limit,
+                              admission_decision_t *decision);
+/** admission_reject_closed() - Return: decision to reject while the engine admits nothing */
+admission_decision_t admission_reject_closed (admission_t *admission,
+                                              uint64_t now_us,
+                                              verdict_reason_t reason,
+                                              uint64_t bound_milli);
+/** admission_reject_suspect() - checks whether the request is suspected of crashing engines.
+ * Return: whether it is rejected, with @decision: here only, or on all engines */
+bool admission_reject_suspect (admission_t *admission,
+                               uint64_t now_us,
+                               const admission_request_t *request,
+                               uint64_t bound_milli,
+                               admission_decision_t *decision);
+/** admission_reject_over_bound() - Return: decision to reject with the referrals of
  * @with_referrals, and a retry time from the expected @wait_us */
-adm_decision_t
-adm_refuse_over_bound (adm_t *adm, uint64_t wait_us, const adm_decision_t *with_referrals);
-/** adm_refuse_to_wait() - Return: decision to reject without referrals, as a slot is expected to be
- * free only in @after_us */
-adm_decision_t
-adm_refuse_to_wait (adm_t *adm, vrd_reason_t reason, uint64_t after_us, uint64_t bound_milli);
+admission_decision_t admission_reject_over_bound (admission_t *admission,
+                                                  uint64_t wait_us,
+                                                  const admission_decision_t *with_referrals);
+/** admission_reject_until() - Return: decision to reject without referrals, as a slot is expected
+ * to be free only in @after_us */
+admission_decision_t admission_reject_until (admission_t *admission,
+                                             verdict_reason_t reason,
+                                             uint64_t after_us,
+                                             uint64_t bound_milli);
 
 #endif
--- a/src/request/policy/admit_warm.c
+++ b/src/request/policy/admit_warm.c
@@ -3,53 +3,56 @@
 /* Longer than the lifetime, which is an expected value: some contexts are cached for longer, and a
  * referral in vain costs only one more hop. */
 static uint64_t
-referral_lifetime_us (const adm_t *adm)
+referral_lifetime_us (const admission_t *admission)
 {
-  return ADM_WARM_LIFETIMES * adm->options.cache_lifetime_us;
+  return ADMISSION_REFERRAL_LIFETIMES * admission->options.cache_lifetime_us;
 }
 
 static bool
-is_new (const adm_t *adm, uint64_t now_us)
+is_new (const admission_t *admission, uint64_t now_us)
 {
-  return adm->joined_us != 0 && now_us < adm->joined_us + referral_lifetime_us (adm);
+  return admission->joined_us != 0 &&
+         now_us < admission->joined_us + referral_lifetime_us (admission);
 }
 
 /* Return: whether a referral to the engine saves time; not if it has left, or if the wait in its
  * queue is longer than a cold start here */
 static bool
-is_worth_referral (const adm_t *adm,
+is_worth_referral (const admission_t *admission,
                    uint64_t now_us,
-                   const adm_request_t *request,
+                   const admission_request_t *request,
                    uint64_t engine_hash,
                    uint64_t bound_milli)
 {
-  if (adm->options.is_live != NULL && !adm->options.is_live (engine_hash, adm->options.context))
+  if (admission->options.is_live != NULL &&
+      !admission->options.is_live (engine_hash, admission->options.context))
     return false;
-  const load_sample_t *remote = ref_find (&adm->mean, now_us, engine_hash);
-  const uint64_t limit = adm_limit_milli (adm, now_us, &request->item, bound_milli);
-  return remote == NULL ||
-         adm_wait_there_us (adm, remote, limit) <= adm_cold_start_us (adm, request);
+  const load_sample_t *remote = referral_find_sample (&admission->mean, now_us, engine_hash);
+  const uint64_t limit = admission_limit_milli (admission, now_us, &request->item, bound_milli);
+  return remote == NULL || admission_remote_wait_us (admission, remote, limit) <=
+                               admission_cold_start_us (admission, request);
 }
 
 static bool
-is_at_home (const adm_t *adm, const adm_request_t *request)
+is_at_home (const admission_t *admission, const admission_request_t *request)
 {
-  return request->home_hash == adm->options.engine_hash && !request->referred;
+  return request->home_hash == admission->options.engine_hash && !request->referred;
 }
 
 /* Return: whether the new home engine of the chat referred the request here, as this engine was the
  * home before and may have the context in its cache */
 static bool
-is_from_new_home (const adm_t *adm, const adm_request_t *request)
+is_from_new_home (const admission_t *admission, const admission_request_t *request)
 {
-  return request->referred && request->home_hash != adm->options.engine_hash &&
-         request->former_hash == adm->options.engine_hash;
+  return request->referred && request->home_hash != admission->options.engine_hash &&
+         request->former_hash == admission->options.engine_hash;
 }
 
-static adm_decision_t
-refer_to (const adm_t *adm, uint64_t engine_hash, uint64_t bound_milli)
+static admission_decision_t
+refer_to (const admission_t *admission, uint64_t engine_hash, uint64_t bound_milli)
 {
-  adm_decision_t decision = adm_decide (adm, ADM_REFUSE, VRD_REASON_ELSEWHERE, bound_milli);
+  admission_decision_t decision =
+      admission_make_decision (admission, ADMISSION_REJECT, VERDICT_REASON_ELSEWHERE, bound_milli);
   decision.referrals[0] = engine_hash;
   decision.referral_count = 1;
   return decision;
@@ -57,13 +60,16 @@
 
 /* Return: the other engine that has the chat's context in its cache, 0 if none is known */
 static uint64_t
-find_cached_elsewhere (const adm_t *adm, uint64_t now_us, const adm_request_t *request)
+find_cached_elsewhere (const admission_t *admission,
+                       uint64_t now_us,
+                       const admission_request_t *request)
 {
-  const uint64_t own = adm->options.engine_hash;
+  const uint64_t own = admission->options.engine_hash;
   dir_entry_t entry;
-  if (dir_get (adm->directory, now_us, referral_lifetime_us (adm), request->chat_hash, &entry))
+  if (dir_get (admission->directory, now_us, referral_lifetime_us (admission), request->chat_hash,
+               &entry))
     return entry.engine_hash != own ? entry.engine_hash : 0;
-  if (is_at_home (adm, request) && is_new (adm, now_us) && request->former_hash != own)
+  if (is_at_home (admission, request) && is_new (admission, now_us) && request->former_hash != own)
     return request->former_hash;
   return 0;
 }
@@ -72,37 +78,39 @@
  * context was lost with the engine that was replaced. Served here, such chats would fill this cache
  * while the one of the new home stays empty. */
 static bool
-should_send_back (const adm_t *adm, uint64_t now_us, const adm_request_t *request)
+should_send_back (const admission_t *admission, uint64_t now_us, const admission_request_t *request)
 {
   dir_entry_t entry;
-  return is_from_new_home (adm, request) &&
-         !dir_get (adm->directory, now_us, referral_lifetime_us (adm), request->chat_hash, &entry);
+  return is_from_new_home (admission, request) &&
+         !dir_get (admission->directory, now_us, referral_lifetime_us (admission),
+                   request->chat_hash, &entry);
 }
 
 bool
-adm_refer_to_warm (adm_t *adm,
-                   uint64_t now_us,
-                   const adm_request_t *request,
-                   uint64_t bound_milli,
-                   adm_decision_t *decision)
+admission_refer_to_cached (admission_t *admission,
+                           uint64_t now_us,
+                           const admission_request_t *request,
+                           uint64_t bound_milli,
+                           admission_decision_t *decision)
 {
-  if (adm->options.policy != ADM_POLICY_FULL || !request->has_chat)
+  if (admission->options.policy != ADMISSION_POLICY_FULL || !request->has_chat)
     return false;
-  if (!is_at_home (adm, request) && !is_from_new_home (adm, request))
+  if (!is_at_home (admission, request) && !is_from_new_home (admission, request))
     return false;
-  const uint64_t engine_hash = find_cached_elsewhere (adm, now_us, request);
+  const uint64_t engine_hash = find_cached_elsewhere (admission, now_us, request);
   const bool elsewhere =
-      engine_hash != 0 && is_worth_referral (adm, now_us, request, engine_hash, bound_milli);
-  if (!elsewhere && !should_send_back (adm, now_us, request))
+      engine_hash != 0 && is_worth_referral (admission, now_us, request, engine_hash, bound_milli);
+  if (!elsewhere && !should_send_back (admission, now_us, request))
     return false;
-  *decision = elsewhere ? refer_to (adm, engine_hash, bound_milli)
-                        : adm_decide (adm, ADM_REFUSE, VRD_REASON_COLD, bound_milli);
+  *decision = elsewhere ? refer_to (admission, engine_hash, bound_milli)
+                        : admission_make_decision (admission, ADMISSION_REJECT, VERDICT_REASON_COLD,
+                                                   bound_milli);
   return true;
 }
 
 void
-adm_note_warm (adm_t *adm, uint64_t now_us, const adm_request_t *request)
+admission_note_cached (admission_t *admission, uint64_t now_us, const admission_request_t *request)
 {
-  if (request->has_chat && adm->options.policy == ADM_POLICY_FULL)
-    dir_put (adm->directory, now_us, request->chat_hash, adm->options.engine_hash);
+  if (request->has_chat && admission->options.policy == ADMISSION_POLICY_FULL)
+    dir_put (admission->directory, now_us, request->chat_hash, admission->options.engine_hash);
 }
--- a/src/request/policy/attempt.h
+++ b/src/request/policy/attempt.h
@@ -5,9 +5,10 @@
  * each outcome and when to give up. A pure state machine: the caller sends the request and reports
  * the outcome.
  *
- * A request that isn't idempotent goes to another engine only after VRD_NOT_RUN. An idempotent one
- * may be retried until the first byte of a response went to the client, within the retry budget of
- * the router. All client accounts share the budget, and each has a reserve that no other one uses.
+ * A request that isn't idempotent goes to another engine only after VERDICT_NOT_RUN. An idempotent
+ * one may be retried until the first byte of a response went to the client, within the retry budget
+ * of the router. All client accounts share the budget, and each has a reserve that no other one
+ * uses.
  */
 #ifndef REQUEST_POLICY_ATTEMPT_H
 #define REQUEST_POLICY_ATTEMPT_H
@@ -18,13 +19,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ATT_BUDGET_MAX_MILLI 10000 /* capacity of the budget: ten retries */
-#define ATT_BUDGET_GAIN_MILLI 100  /* a tenth of a retry for each successful request */
-#define ATT_RESERVE_MAX_MILLI 1000 /* reserve of a client account: one retry */
-#define ATT_RESERVES 256           /* client accounts whose reserve may be used at the same time */
+#define FORWARDING_BUDGET_MAX_MILLI 10000 /* capacity of the budget: ten retries */
+#define FORWARDING_BUDGET_GAIN_MILLI 100  /* a tenth of a retry for each successful request */
+#define FORWARDING_RESERVE_MAX_MILLI 1000 /* reserve of a client account: one retry */
+#define FORWARDING_RESERVES_MAX 256 /* client accounts whose reserve may be used at the same time  \
+                                     */
 
 /**
- * struct att_reserve - reserve of a client account that has used it
+ * struct forwarding_reserve - reserve of a client account that has used it
  * @account_hash: the client account
  * @tokens_milli: what is left, in thousandths of a retry
  */
@@ -32,10 +34,10 @@
 {
   uint64_t account_hash;
   uint64_t tokens_milli;
-} att_reserve_t;
+} forwarding_reserve_t;
 
 /**
- * struct att_budget - retry budget of one router
+ * struct forwarding_budget - retry budget of one router
  * @tokens_milli: token bucket shared by all client accounts, in thousandths of a retry; successful
  *   requests fill it
  * @reserves: used when the bucket is empty; an account without an entry has its whole reserve
@@ -44,21 +46,22 @@
 typedef struct
 {
   uint64_t tokens_milli;
-  att_reserve_t reserves[ATT_RESERVES];
+  forwarding_reserve_t reserves[FORWARDING_RESERVES_MAX];
   uint32_t reserve_count;
-} att_budget_t;
+} forwarding_budget_t;
 
-/** att_budget_init() - starts with a full budget */
-void att_budget_init (att_budget_t *budget);
-/** att_budget_success() - refills the budget and the account's reserve after a successful request;
+/** forwarding_budget_init() - starts with a full budget */
+void forwarding_budget_init (forwarding_budget_t *budget);
+/** forwarding_budget_refill() - refills the budget and the account's reserve after a successful
+ * request;
  * @account_hash: 0 if the request has no account, which has no reserve */
-void att_budget_success (att_budget_t *budget, uint64_t account_hash);
-/** att_budget_take() - takes one retry from the budget or the account's reserve. Return: false if
- * both are empty */
-bool att_budget_take (att_budget_t *budget, uint64_t account_hash);
+void forwarding_budget_refill (forwarding_budget_t *budget, uint64_t account_hash);
+/** forwarding_budget_take() - takes one retry from the budget or the account's reserve. Return:
+ * false if both are empty */
+bool forwarding_budget_take (forwarding_budget_t *budget, uint64_t account_hash);
 
 /**
- * struct att_options - options of one request
+ * struct forwarding_options - options of one request
  * @idempotent: it may be executed more than once
  * @account_hash: its client account, for the reserve of retries
  * @deadline_us: deadline of its client
@@ -75,19 +78,19 @@
   const uint64_t *candidates;
   uint32_t candidate_count;
   const uint64_t *crashed;
-} att_options_t;
+} forwarding_options_t;
 
-/** enum att_action - what the router has to do next */
+/** enum forwarding_action - what the router has to do next */
 typedef enum
 {
-  ATT_SEND,    /* send the request to @engine_hash, with @may_wait and @referred */
-  ATT_REVOKE,  /* ask the sidecar of @engine_hash to never execute the last attempt */
-  ATT_GIVE_UP, /* send an error response with @verdict, @reason and @retry_after_ms */
-  ATT_DONE     /* nothing: the engine's response is forwarded */
-} att_action_t;
+  FORWARDING_SEND,    /* send the request to @engine_hash, with @may_wait and @referred */
+  FORWARDING_REVOKE,  /* ask the sidecar of @engine_hash to never execute the last attempt */
+  FORWARDING_GIVE_UP, /* send an error response with @verdict, @reason and @retry_after_ms */
+  FORWARDING_DONE     /* nothing: the engine's response is forwarded */
+} forwarding_action_t;
 
 /**
- * struct att_step - next step of the router
+ * struct forwarding_step - next step of the router
  * @action: what to do; the other fields are used as described there
  * @engine_hash: the engine
  * @may_wait: whether the sidecar may queue the request
@@ -98,19 +101,19 @@
  */
 typedef struct
 {
-  att_action_t action;
+  forwarding_action_t action;
   uint64_t engine_hash;
   bool may_wait;
   bool referred;
-  vrd_t verdict;
-  vrd_reason_t reason;
+  verdict_t verdict;
+  verdict_reason_t reason;
   uint32_t retry_after_ms;
-} att_step_t;
+} forwarding_step_t;
 
-#define ATT_CANDIDATES 8 /* maximum number of candidates used */
+#define FORWARDING_CANDIDATES_MAX 8 /* maximum number of candidates used */
 
 /**
- * struct att_target - an engine to try
+ * struct forwarding_target - an engine to try
  * @engine_hash: the engine
  * @referred: a sidecar named it
  * @again: it may be tried though it was tried before
@@ -120,14 +123,14 @@
   uint64_t engine_hash;
   bool referred;
   bool again;
-} att_target_t;
+} forwarding_target_t;
 
 /**
- * struct att - state of one request; it owns no memory
+ * struct forwarding - state of one request; it owns no memory
  * @idempotent: the request may be executed more than once
  * @answer_begun: the first byte of a response went to the client
  * @waited: the last sidecar was allowed to queue the request, since no other engine was left
- * @may_have_run: an earlier attempt may have been executed, so the verdict is never VRD_NOT_RUN
+ * @may_have_run: an earlier attempt may have been executed, so the verdict is never VERDICT_NOT_RUN
  * @account_hash: client account
  * @deadline_us: deadline of the client
  * @targets: engines to try; those of the candidates and those referred to
@@ -156,7 +159,7 @@
   bool may_have_run;
   uint64_t account_hash;
   uint64_t deadline_us;
-  att_target_t targets[ATT_CANDIDATES + LIM_HOPS_MOST * (LIM_REFERRALS + 1)];
+  forwarding_target_t targets[FORWARDING_CANDIDATES_MAX + LIM_HOPS_MOST * (LIM_REFERRALS + 1)];
   uint32_t target_count;
   uint32_t target_next;
   uint64_t tried[LIM_HOPS_MOST + 2];
@@ -171,11 +174,11 @@
   uint32_t hop_limit;
   uint32_t retries;
   uint32_t retry_after_ms;
-  vrd_reason_t last_reason;
-} att_t;
+  verdict_reason_t last_reason;
+} forwarding_t;
 
 /**
- * struct att_outcome - how an attempt ended
+ * struct forwarding_outcome - how an attempt ended
  * @answered: the engine sent a complete response, which is forwarded
  * @lost: the connection to the sidecar failed; @verdict is then an assumption of the router, and a
  *   revoke may show that the request wasn't executed
@@ -189,23 +192,29 @@
 {
   bool answered;
   bool lost;
-  vrd_t verdict;
-  vrd_reason_t reason;
+  verdict_t verdict;
+  verdict_reason_t reason;
   uint32_t retry_after_ms;
   const uint64_t *referrals;
   uint32_t referral_count;
-} att_outcome_t;
+} forwarding_outcome_t;
 
-/** att_begin() - initializes the state of a request. Return: the first step */
-att_step_t att_begin (att_t *att, uint64_t now_us, const att_options_t *options);
-/** att_answer_begun() - records that the first byte of a response went to the client, after which
- * no other engine is tried */
-void att_answer_begun (att_t *att);
-/** att_ended() - reports the outcome of an ATT_SEND. Return: the next step */
-att_step_t
-att_ended (att_t *att, uint64_t now_us, att_budget_t *budget, const att_outcome_t *outcome);
-/** att_revoked() - reports the response to an ATT_REVOKE; @verdict: VRD_MAY_HAVE_RUN if none came.
- * Return: the next step */
-att_step_t att_revoked (att_t *att, uint64_t now_us, att_budget_t *budget, vrd_t verdict);
+/** forwarding_begin() - initializes the state of a request. Return: the first step */
+forwarding_step_t
+forwarding_begin (forwarding_t *forwarding, uint64_t now_us, const forwarding_options_t *options);
+/** forwarding_response_begun() - records that the first byte of a response went to the client,
+ * after which no other engine is tried */
+void forwarding_response_begun (forwarding_t *forwarding);
+/** forwarding_attempt_ended() - reports the outcome of an FORWARDING_SEND. Return: the next step */
+forwarding_step_t forwarding_attempt_ended (forwarding_t *forwarding,
+                                            uint64_t now_us,
+                                            forwarding_budget_t *budget,
+                                            const forwarding_outcome_t *outcome);
+/** forwarding_revoked() - reports the response to an FORWARDING_REVOKE; @verdict:
+ * VERDICT_MAY_HAVE_RUN if none came. Return: the next step */
+forwarding_step_t forwarding_revoked (forwarding_t *forwarding,
+                                      uint64_t now_us,
+                                      forwarding_budget_t *budget,
+                                      verdict_t verdict);
 
 #endif
--- a/src/request/policy/choose.c
+++ b/src/request/policy/choose.c
@@ -5,8 +5,8 @@
 #include <glib.h>
 #include <stddef.h>
 
-/* More than ATT_CANDIDATES, as unusable engines are left out afterwards. */
-#define RANKED_MAX (ATT_CANDIDATES + 8)
+/* More than FORWARDING_CANDIDATES_MAX, as unusable engines are left out afterwards. */
+#define RANKED_MAX (FORWARDING_CANDIDATES_MAX + 8)
 
 /* Ranked engines; the first @settled_count can be the home of chats, the others joined recently. */
 typedef struct
@@ -82,8 +82,10 @@
 {
   if (query->has_chat || query->samples == NULL || ranked->settled_count < 2)
     return false;
-  const load_sample_t *first = ref_find (query->samples, query->now_us, ranked->hash[0]);
-  const load_sample_t *second = ref_find (query->samples, query->now_us, ranked->hash[1]);
+  const load_sample_t *first =
+      referral_find_sample (query->samples, query->now_us, ranked->hash[0]);
+  const load_sample_t *second =
+      referral_find_sample (query->samples, query->now_us, ranked->hash[1]);
   /* An engine without a sample is not empty, so the samples are then not compared. */
   if (first == NULL || second == NULL)
     first = second = NULL;
@@ -102,7 +104,8 @@
     return chosen;
   chosen.home_hash = ranked.hash[0];
   chosen.former_hash = find_former (query, &ranked);
-  while (chosen.candidate_count < ranked.count && chosen.candidate_count < ATT_CANDIDATES)
+  while (chosen.candidate_count < ranked.count &&
+         chosen.candidate_count < FORWARDING_CANDIDATES_MAX)
     {
       chosen.candidates[chosen.candidate_count] = ranked.hash[chosen.candidate_count];
       chosen.candidate_count++;
--- a/src/request/policy/choose.h
+++ b/src/request/policy/choose.h
@@ -74,12 +74,12 @@
  * struct candidates - engines for a request
  * @candidates: hashes in the order in which they are tried
  * @candidate_count: number of @candidates
- * @home_hash: home engine of the chat, as in adm_request_t; 0 for none
- * @former_hash: its home before, as in adm_request_t; 0 for none
+ * @home_hash: home engine of the chat, as in admission_request_t; 0 for none
+ * @former_hash: its home before, as in admission_request_t; 0 for none
  */
 typedef struct
 {
-  uint64_t candidates[ATT_CANDIDATES];
+  uint64_t candidates[FORWARDING_CANDIDATES_MAX];
   uint32_t candidate_count;
   uint64_t home_hash;
   uint64_t former_hash;
--- a/src/request/policy/course.c
+++ b/src/request/policy/course.c
@@ -1,14 +1,14 @@
 #include "request/policy/course.h"
 
 void
-crs_init (crs_t *crs, const crs_rules_t *rules)
+retry_plan_init (retry_plan_t *retry_plan, const retry_plan_rules_t *rules)
 {
-  *crs = (crs_t){ .rules = *rules };
+  *retry_plan = (retry_plan_t){ .rules = *rules };
 }
 
 /* Return: whether the request may be sent again after @ran engines may have executed it */
 static bool
-may_rerun (const crs_rules_t *rules, uint32_t ran, bool begun)
+may_rerun (const retry_plan_rules_t *rules, uint32_t ran, bool begun)
 {
   if (ran >= rules->attempts)
     return false;
@@ -16,96 +16,98 @@
 }
 
 bool
-crs_may_leave (const crs_t *crs, bool begun)
+retry_plan_may_move (const retry_plan_t *retry_plan, bool begun)
 {
-  return may_rerun (&crs->rules, crs->ran + 1, begun);
+  return may_rerun (&retry_plan->rules, retry_plan->ran + 1, begun);
 }
 
 static bool
-may_repeat (const crs_t *crs, crs_outcome_t outcome)
+may_repeat (const retry_plan_t *retry_plan, retry_plan_outcome_t outcome)
 {
-  bool runs_left = crs->ran < crs->rules.attempts;
+  bool runs_left = retry_plan->ran < retry_plan->rules.attempts;
 
   switch (outcome)
     {
-    case CRS_NOT_RUN:
-      return crs->refused < CRS_REFUSALS && runs_left;
-    case CRS_FULL:
-      return crs->full < CRS_FULL_MOST && runs_left;
-    case CRS_UNSENT:
-      return crs->unsent < CRS_UNSENT_MOST && runs_left;
-    case CRS_UNKNOWN:
-    case CRS_FAILED:
-    case CRS_BROKE:
+    case RETRY_PLAN_OUTCOME_NOT_RUN:
+      return retry_plan->refused < RETRY_PLAN_REJECTIONS_MAX && runs_left;
+    case RETRY_PLAN_OUTCOME_FULL:
+      return retry_plan->full < RETRY_PLAN_FULL_MAX && runs_left;
+    case RETRY_PLAN_OUTCOME_UNSENT:
+      return retry_plan->unsent < RETRY_PLAN_UNSENT_MAX && runs_left;
+    case RETRY_PLAN_OUTCOME_UNKNOWN:
+    case RETRY_PLAN_OUTCOME_FAILED:
+    case RETRY_PLAN_OUTCOME_BROKE_OFF:
       break;
     }
-  return may_rerun (&crs->rules, crs->ran, outcome == CRS_BROKE);
+  return may_rerun (&retry_plan->rules, retry_plan->ran, outcome == RETRY_PLAN_OUTCOME_BROKE_OFF);
 }
 
-static crs_step_t
-final_step (const crs_t *crs, crs_outcome_t outcome)
+static retry_plan_step_t
+final_step (const retry_plan_t *retry_plan, retry_plan_outcome_t outcome)
 {
   switch (outcome)
     {
-    case CRS_FAILED:
-      return CRS_PASS;
-    case CRS_BROKE:
-      return CRS_CUT;
-    case CRS_NOT_RUN:
-    case CRS_FULL:
-    case CRS_UNSENT:
-      return crs->ran == 0 ? CRS_REFUSE : CRS_FAIL;
-    case CRS_UNKNOWN:
+    case RETRY_PLAN_OUTCOME_FAILED:
+      return RETRY_PLAN_STEP_PASS_ON;
+    case RETRY_PLAN_OUTCOME_BROKE_OFF:
+      return RETRY_PLAN_STEP_CUT_OFF;
+    case RETRY_PLAN_OUTCOME_NOT_RUN:
+    case RETRY_PLAN_OUTCOME_FULL:
+    case RETRY_PLAN_OUTCOME_UNSENT:
+      return retry_plan->ran == 0 ? RETRY_PLAN_STEP_REJECT : RETRY_PLAN_STEP_FAIL;
+    case RETRY_PLAN_OUTCOME_UNKNOWN:
       break;
     }
-  return CRS_FAIL;
+  return RETRY_PLAN_STEP_FAIL;
 }
 
 static void
-count_outcome (crs_t *crs, crs_outcome_t outcome)
+count_outcome (retry_plan_t *retry_plan, retry_plan_outcome_t outcome)
 {
   switch (outcome)
     {
-    case CRS_NOT_RUN:
-      crs->refused++;
+    case RETRY_PLAN_OUTCOME_NOT_RUN:
+      retry_plan->refused++;
       return;
-    case CRS_FULL:
-      crs->full++;
+    case RETRY_PLAN_OUTCOME_FULL:
+      retry_plan->full++;
       return;
-    case CRS_UNSENT:
-      crs->unsent++;
+    case RETRY_PLAN_OUTCOME_UNSENT:
+      retry_plan->unsent++;
       return;
-    case CRS_UNKNOWN:
-    case CRS_FAILED:
-    case CRS_BROKE:
-      crs->ran++;
+    case RETRY_PLAN_OUTCOME_UNKNOWN:
+    case RETRY_PLAN_OUTCOME_FAILED:
+    case RETRY_PLAN_OUTCOME_BROKE_OFF:
+      retry_plan->ran++;
       return;
     }
 }
 
-crs_step_t
-crs_next (crs_t *crs,
-          crs_outcome_t outcome,
-          uint64_t left_us,
-          bool (*may_retry) (void *context),
-          void *context)
+retry_plan_step_t
+retry_plan_next (retry_plan_t *retry_plan,
+                 retry_plan_outcome_t outcome,
+                 uint64_t left_us,
+                 bool (*may_retry) (void *context),
+                 void *context)
 {
-  count_outcome (crs, outcome);
-  if (left_us < CRS_LEAST_US || !may_repeat (crs, outcome))
-    return final_step (crs, outcome);
-  if (outcome == CRS_UNSENT)
-    return CRS_AGAIN;
-  crs->retry_due = true;
+  count_outcome (retry_plan, outcome);
+  if (left_us < RETRY_PLAN_MIN_TIME_US || !may_repeat (retry_plan, outcome))
+    return final_step (retry_plan, outcome);
+  if (outcome == RETRY_PLAN_OUTCOME_UNSENT)
+    return RETRY_PLAN_STEP_RESEND;
+  retry_plan->retry_due = true;
   if (may_retry (context))
-    return outcome == CRS_BROKE ? CRS_RESUME : CRS_AGAIN;
-  return outcome == CRS_FULL ? CRS_WAIT : final_step (crs, outcome);
+    return outcome == RETRY_PLAN_OUTCOME_BROKE_OFF ? RETRY_PLAN_STEP_RESUME
+                                                   : RETRY_PLAN_STEP_RESEND;
+  return outcome == RETRY_PLAN_OUTCOME_FULL ? RETRY_PLAN_STEP_WAIT
+                                            : final_step (retry_plan, outcome);
 }
 
 bool
-crs_sends (crs_t *crs)
+retry_plan_note_send (retry_plan_t *retry_plan)
 {
-  bool is_retry = crs->retry_due;
+  bool is_retry = retry_plan->retry_due;
 
-  crs->retry_due = false;
+  retry_plan->retry_due = false;
   return is_retry;
 }
--- a/src/request/policy/course.h
+++ b/src/request/policy/course.h
@@ -18,41 +18,41 @@
  * retry budget of all requests, and after three rejections the gateway's view of the service must
  * be out of date. Rejections by full engines don't count: those have a free slot again within the
  * time of a request. */
-#define CRS_REFUSALS 3
+#define RETRY_PLAN_REJECTIONS_MAX 3
 /* Rejections by full engines before the request fails. A request that is larger than the memory of
  * an engine is rejected as such by each, and would use up the retries of all other requests. */
-#define CRS_FULL_MOST 5
+#define RETRY_PLAN_FULL_MAX 5
 /* Failed connections before the request fails. They put no load on engines, so they don't use the
  * retry budget, and each shows this gateway that an engine is down: after the loss of a data centre
  * several fail in a row. */
-#define CRS_UNSENT_MOST 8
-#define CRS_LEAST_US (20 * 1000) /* with less time left no engine can answer */
+#define RETRY_PLAN_UNSENT_MAX 8
+#define RETRY_PLAN_MIN_TIME_US (20 * 1000) /* with less time left no engine can answer */
 
-/** enum crs_outcome - how an attempt at an engine ended */
+/** enum retry_plan_outcome - how an attempt at an engine ended */
 typedef enum
 {
-  CRS_NOT_RUN, /* certainly not executed */
-  CRS_FULL,    /* certainly not executed: the engine had no free slot */
-  CRS_UNSENT,  /* certainly not executed: the connection to the engine failed */
-  CRS_UNKNOWN, /* sent, but no usable response arrived */
-  CRS_FAILED,  /* the engine responded with an error of its own */
-  CRS_BROKE    /* the response broke off after a part of it went to the client */
-} crs_outcome_t;
+  RETRY_PLAN_OUTCOME_NOT_RUN,  /* certainly not executed */
+  RETRY_PLAN_OUTCOME_FULL,     /* certainly not executed: the engine had no free slot */
+  RETRY_PLAN_OUTCOME_UNSENT,   /* certainly not executed: the connection to the engine failed */
+  RETRY_PLAN_OUTCOME_UNKNOWN,  /* sent, but no usable response arrived */
+  RETRY_PLAN_OUTCOME_FAILED,   /* the engine responded with an error of its own */
+  RETRY_PLAN_OUTCOME_BROKE_OFF /* the response broke off after a part of it went to the client */
+} retry_plan_outcome_t;
 
-/** enum crs_step - what to do after an attempt */
+/** enum retry_plan_step - what to do after an attempt */
 typedef enum
 {
-  CRS_AGAIN,  /* send the whole request to another engine */
-  CRS_RESUME, /* send it to another engine, to continue after the last complete event */
-  CRS_WAIT,   /* as CRS_AGAIN, once the retry budget allows it */
-  CRS_PASS,   /* pass the engine's error response to the client */
-  CRS_REFUSE, /* answer 503: no engine executed the request */
-  CRS_FAIL,   /* answer 502: an engine may have executed the request */
-  CRS_CUT     /* close the client's connection within the response */
-} crs_step_t;
+  RETRY_PLAN_STEP_RESEND, /* send the whole request to another engine */
+  RETRY_PLAN_STEP_RESUME, /* send it to another engine, to continue after the last complete event */
+  RETRY_PLAN_STEP_WAIT,   /* as RETRY_PLAN_STEP_RESEND, once the retry budget allows it */
+  RETRY_PLAN_STEP_PASS_ON, /* pass the engine's error response to the client */
+  RETRY_PLAN_STEP_REJECT,  /* answer 503: no engine executed the request */
+  RETRY_PLAN_STEP_FAIL,    /* answer 502: an engine may have executed the request */
+  RETRY_PLAN_STEP_CUT_OFF  /* close the client's connection within the response */
+} retry_plan_step_t;
 
 /**
- * struct crs_rules - what the route allows
+ * struct retry_plan_rules - what the route allows
  * @idempotent: the request may be executed more than once
  * @resumable: the response is a stream that another engine can continue
  * @attempts: maximum number of engines that may execute the request
@@ -62,10 +62,10 @@
   bool idempotent;
   bool resumable;
   uint32_t attempts;
-} crs_rules_t;
+} retry_plan_rules_t;
 
 /**
- * struct crs - state of one request
+ * struct retry_plan - state of one request
  * @rules: what its route allows
  * @ran: engines that executed it or may have
  * @refused: engines that certainly didn't execute it, other than those counted below
@@ -75,43 +75,43 @@
  */
 typedef struct
 {
-  crs_rules_t rules;
+  retry_plan_rules_t rules;
   uint32_t ran;
   uint32_t refused;
   uint32_t full;
   uint32_t unsent;
   bool retry_due;
-} crs_t;
+} retry_plan_t;
 
-/** crs_init() - starts a request, copying @rules */
-void crs_init (crs_t *crs, const crs_rules_t *rules);
+/** retry_plan_init() - starts a request, copying @rules */
+void retry_plan_init (retry_plan_t *retry_plan, const retry_plan_rules_t *rules);
 /**
- * crs_may_leave() - whether the request may go to another engine if its current or next one doesn't
- * respond
+ * retry_plan_may_move() - whether the request may go to another engine if its current or next one
+ * doesn't respond
  *
  * @begun: a part of a response went to the client
  */
-bool crs_may_leave (const crs_t *crs, bool begun);
+bool retry_plan_may_move (const retry_plan_t *retry_plan, bool begun);
 /**
- * crs_next() - decides what to do after an attempt ended with @outcome
+ * retry_plan_next() - decides what to do after an attempt ended with @outcome
  *
  * @left_us: time until the client's deadline or the route's timeout, whichever is earlier
  * @may_retry: Return: whether the retry budget allows a retry now; called only if that matters
  * @context: argument of @may_retry
  */
-crs_step_t crs_next (crs_t *crs,
-                     crs_outcome_t outcome,
-                     uint64_t left_us,
-                     bool (*may_retry) (void *context),
-                     void *context);
+retry_plan_step_t retry_plan_next (retry_plan_t *retry_plan,
+                                   retry_plan_outcome_t outcome,
+                                   uint64_t left_us,
+                                   bool (*may_retry) (void *context),
+                                   void *context);
 /**
- * crs_sends() - records that the request is sent to an engine now
+ * retry_plan_note_send() - records that the request is sent to an engine now
  *
- * A retry may wait for seconds after crs_next() until an engine has a free slot. It then belongs to
- * a later window of the retry budget, so it is counted when it is sent.
+ * A retry may wait for seconds after retry_plan_next() until an engine has a free slot. It then
+ * belongs to a later window of the retry budget, so it is counted when it is sent.
  *
  * Return: whether it is a retry that the budget has to count now
  */
-bool crs_sends (crs_t *crs);
+bool retry_plan_note_send (retry_plan_t *retry_plan);
 
 #endif
--- a/src/request/policy/crash_watch.c
+++ b/src/request/policy/crash_watch.c
@@ -8,93 +8,99 @@
   return a_us > b_us ? a_us - b_us : b_us - a_us;
 }
 
-static const cwt_down_t *
-find_down (const cwt_t *cwt, uint64_t engine_hash)
+static const crash_watch_down_t *
+find_down (const crash_watch_t *crash_watch, uint64_t engine_hash)
 {
-  for (uint32_t i = 0; i < CWT_DOWNS; i++)
-    if (cwt->downs[i].engine_hash == engine_hash)
-      return &cwt->downs[i];
+  for (uint32_t i = 0; i < CRASH_WATCH_DOWNS; i++)
+    if (crash_watch->downs[i].engine_hash == engine_hash)
+      return &crash_watch->downs[i];
   return NULL;
 }
 
 /* Two connections to an engine that break together also show a crash: a response lost in the
  * network breaks only one. */
 static bool
-broke_together (const cwt_t *cwt, const cwt_loss_t *loss)
+broke_together (const crash_watch_t *crash_watch, const crash_watch_loss_t *loss)
 {
-  for (uint32_t i = 0; i < CWT_LOSSES; i++)
+  for (uint32_t i = 0; i < CRASH_WATCH_LOSSES; i++)
     {
-      const cwt_loss_t *other = &cwt->losses[i];
+      const crash_watch_loss_t *other = &crash_watch->losses[i];
 
       if (other != loss && other->engine_hash == loss->engine_hash &&
-          time_between (other->lost_us, loss->lost_us) <= CWT_TOGETHER_US)
+          time_between (other->lost_us, loss->lost_us) <= CRASH_WATCH_TOGETHER_US)
         return true;
     }
   return false;
 }
 
 void
-cwt_lost (cwt_t *cwt, uint64_t now_us, uint64_t engine_hash, uint64_t fingerprint)
+crash_watch_note_loss (crash_watch_t *crash_watch,
+                       uint64_t now_us,
+                       uint64_t engine_hash,
+                       uint64_t fingerprint)
 {
-  cwt_loss_t *loss = &cwt->losses[cwt->next_loss++ % CWT_LOSSES];
+  crash_watch_loss_t *loss = &crash_watch->losses[crash_watch->next_loss++ % CRASH_WATCH_LOSSES];
 
-  *loss = (cwt_loss_t){ engine_hash, fingerprint, now_us };
-  if (broke_together (cwt, loss))
-    cwt_down (cwt, now_us, engine_hash);
+  *loss = (crash_watch_loss_t){ engine_hash, fingerprint, now_us };
+  if (broke_together (crash_watch, loss))
+    crash_watch_note_down (crash_watch, now_us, engine_hash);
 }
 
 void
-cwt_down (cwt_t *cwt, uint64_t now_us, uint64_t engine_hash)
+crash_watch_note_down (crash_watch_t *crash_watch, uint64_t now_us, uint64_t engine_hash)
 {
-  if (find_down (cwt, engine_hash))
+  if (find_down (crash_watch, engine_hash))
     return;
-  cwt->downs[cwt->next_down++ % CWT_DOWNS] = (cwt_down_t){ engine_hash, now_us };
+  crash_watch->downs[crash_watch->next_down++ % CRASH_WATCH_DOWNS] =
+      (crash_watch_down_t){ engine_hash, now_us };
 }
 
 /* Return: when connections to the engine broke, or if none did, when it was found down */
 static uint64_t
-crash_time_us (const cwt_t *cwt, const cwt_down_t *down)
+crash_time_us (const crash_watch_t *crash_watch, const crash_watch_down_t *down)
 {
-  for (uint32_t i = 0; i < CWT_LOSSES; i++)
-    if (cwt->losses[i].engine_hash == down->engine_hash)
-      return cwt->losses[i].lost_us;
+  for (uint32_t i = 0; i < CRASH_WATCH_LOSSES; i++)
+    if (crash_watch->losses[i].engine_hash == down->engine_hash)
+      return crash_watch->losses[i].lost_us;
   return down->down_us;
 }
 
 static bool
-others_failed_too (const cwt_t *cwt, const cwt_loss_t *loss)
+others_failed_too (const crash_watch_t *crash_watch, const crash_watch_loss_t *loss)
 {
-  for (uint32_t i = 0; i < CWT_DOWNS; i++)
+  for (uint32_t i = 0; i < CRASH_WATCH_DOWNS; i++)
     {
-      const cwt_down_t *down = &cwt->downs[i];
+      const crash_watch_down_t *down = &crash_watch->downs[i];
 
       if (down->engine_hash != 0 && down->engine_hash != loss->engine_hash &&
-          time_between (crash_time_us (cwt, down), loss->lost_us) <= CWT_EVENT_US)
+          time_between (crash_time_us (crash_watch, down), loss->lost_us) <=
+              CRASH_WATCH_COMMON_CAUSE_US)
         return true;
     }
   return false;
 }
 
 static bool
-is_suspected (const cwt_t *cwt, uint64_t now_us, const cwt_loss_t *loss)
+is_suspected (const crash_watch_t *crash_watch, uint64_t now_us, const crash_watch_loss_t *loss)
 {
-  const cwt_down_t *down;
+  const crash_watch_down_t *down;
 
-  if (loss->engine_hash == 0 || now_us < loss->lost_us + CWT_EVENT_US)
+  if (loss->engine_hash == 0 || now_us < loss->lost_us + CRASH_WATCH_COMMON_CAUSE_US)
     return false;
-  down = find_down (cwt, loss->engine_hash);
-  return down && down->down_us + CWT_TOGETHER_US >= loss->lost_us &&
-         down->down_us <= loss->lost_us + CWT_DOWN_US && !others_failed_too (cwt, loss);
+  down = find_down (crash_watch, loss->engine_hash);
+  return down && down->down_us + CRASH_WATCH_TOGETHER_US >= loss->lost_us &&
+         down->down_us <= loss->lost_us + CRASH_WATCH_DOWN_US &&
+         !others_failed_too (crash_watch, loss);
 }
 
 bool
-cwt_take (cwt_t *cwt, uint64_t now_us, cwt_loss_t *out)
+crash_watch_take (crash_watch_t *crash_watch, uint64_t now_us, crash_watch_loss_t *out)
 {
-  for (uint32_t i = 0; i < CWT_LOSSES; i++)
+  for (uint32_t i = 0; i < CRASH_WATCH_LOSSES; i++)
     {
-      cwt_loss_t *loss = &cwt->losses[i];
+      crash_watch_loss_t *loss = &crash_watch->losses[i];
 
-      if (!is_suspected (cwt, now_us, loss))
+      if (!is_suspected (crash_watch, now_us, loss))
         continue;
       *out = *loss;
       loss->fingerprint = 0;
--- a/src/request/policy/drain.c
+++ b/src/request/policy/drain.c
@@ -10,29 +10,34 @@
 #define STALL_INTERVALS 3
 
 void
-drn_started (drn_t *drn, uint64_t now_us, uint32_t load_before, uint64_t guess_us)
+completion_rate_note_start (completion_rate_t *completion_rate,
+                            uint64_t now_us,
+                            uint32_t load_before,
+                            uint64_t guess_us)
 {
   if (load_before == 0)
-    drn->last_us = now_us;
-  if (drn->length_us == 0)
-    drn->length_us = guess_us;
+    completion_rate->last_us = now_us;
+  if (completion_rate->length_us == 0)
+    completion_rate->length_us = guess_us;
 }
 
 void
-drn_finished (drn_t *drn, uint64_t now_us, uint64_t length_us)
+completion_rate_note_end (completion_rate_t *completion_rate, uint64_t now_us, uint64_t length_us)
 {
-  drn->last_us = now_us;
-  if (length_us > drn->length_us)
-    drn->length_us += (length_us - drn->length_us) / SMOOTHING_REQUESTS;
+  completion_rate->last_us = now_us;
+  if (length_us > completion_rate->length_us)
+    completion_rate->length_us += (length_us - completion_rate->length_us) / SMOOTHING_REQUESTS;
   else
-    drn->length_us -= (drn->length_us - length_us) / SMOOTHING_REQUESTS;
+    completion_rate->length_us -= (completion_rate->length_us - length_us) / SMOOTHING_REQUESTS;
 }
 
 uint64_t
-drn_interval_us (const drn_t *drn, uint64_t now_us, uint32_t load)
+completion_rate_interval_us (const completion_rate_t *completion_rate,
+                             uint64_t now_us,
+                             uint32_t load)
 {
   if (load == 0)
     return 0;
-  const uint64_t gap_us = now_us > drn->last_us ? now_us - drn->last_us : 0;
-  return MAX (drn->length_us / load, gap_us / STALL_INTERVALS);
+  const uint64_t gap_us = now_us > completion_rate->last_us ? now_us - completion_rate->last_us : 0;
+  return MAX (completion_rate->length_us / load, gap_us / STALL_INTERVALS);
 }
--- a/src/request/policy/drain.h
+++ b/src/request/policy/drain.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 /**
- * struct drn - completion rate of one engine
+ * struct completion_rate - completion rate of one engine
  * @length_us: mean duration of a request, 0 before the first request
  * @last_us: when a request last completed, or when the engine last became busy
  */
@@ -19,17 +19,24 @@
 {
   uint64_t length_us;
   uint64_t last_us;
-} drn_t;
+} completion_rate_t;
 
 /**
- * drn_started() - a request starts while @load_before others run
+ * completion_rate_note_start() - a request starts while @load_before others run
  *
  * @guess_us: the duration to assume until one has been measured
  */
-void drn_started (drn_t *drn, uint64_t now_us, uint32_t load_before, uint64_t guess_us);
-/** drn_finished() - a request completes after @length_us */
-void drn_finished (drn_t *drn, uint64_t now_us, uint64_t length_us);
-/** drn_interval_us() - Return: expected time between two completions with @load requests running */
-uint64_t drn_interval_us (const drn_t *drn, uint64_t now_us, uint32_t load);
+void completion_rate_note_start (completion_rate_t *completion_rate,
+                                 uint64_t now_us,
+                                 uint32_t load_before,
+                                 uint64_t guess_us);
+/** completion_rate_note_end() - a request completes after @length_us */
+void
+completion_rate_note_end (completion_rate_t *completion_rate, uint64_t now_us, uint64_t length_us);
+/** completion_rate_interval_us() - Return: expected time between two completions with @load
+ * requests running */
+uint64_t completion_rate_interval_us (const completion_rate_t *completion_rate,
+                                      uint64_t now_us,
+                                      uint32_t load);
 
 #endif
--- a/src/request/policy/engines.h
+++ b/src/request/policy/engines.h
@@ -310,7 +310,7 @@
  * @repeatable as in engine_is_ejected() */
 bool engine_is_silent (const engine_t *engine, uint64_t now_us, uint64_t usual_us, bool repeatable);
 /** engine_note_latency() - records that an answer took @ratio_milli thousandths of the usual time,
- * see pac_sample() */
+ * see median_latency_add() */
 void engine_note_latency (engine_t *engine, uint64_t now_us, uint32_t ratio_milli);
 /** engine_latency_ratio_milli() - duration of its recent answers relative to the usual duration, in
  * thousandths; 1000 when unknown */
--- a/src/request/policy/pace.h
+++ b/src/request/policy/pace.h
@@ -14,22 +14,23 @@
 
 #include <stdint.h>
 
-#define PAC_STEP 32 /* each sample moves the median by 1/32 of its value */
+#define MEDIAN_LATENCY_STEP_DIVISOR 32 /* each sample moves the median by 1/32 of its value */
 
 /**
- * struct pac - median latency of one kind of responses of a service; initialized with zeros
+ * struct median_latency - median latency of one kind of responses of a service; initialized with
+ * zeros
  * @usual_us: the median, 0 before the first sample
  */
 typedef struct
 {
   uint64_t usual_us;
-} pac_t;
+} median_latency_t;
 
 /**
- * pac_sample() - adds a latency sample to the median
+ * median_latency_add() - adds a latency sample to the median
  *
  * Return: the sample divided by the median before it, in thousandths, at most 10,000
  */
-uint32_t pac_sample (pac_t *pac, uint64_t sample_us);
+uint32_t median_latency_add (median_latency_t *median_latency, uint64_t sample_us);
 
 #endif
--- a/src/request/policy/patience.h
+++ b/src/request/policy/patience.h
@@ -15,28 +15,28 @@
 #include <stdint.h>
 
 /* Minimum time without data for any request after which an engine counts as failed. */
-#define PTC_SILENT_US (UINT64_C (500) * 1000)
+#define HOP_TIMEOUT_SILENT_US (UINT64_C (500) * 1000)
 /* Additional time per prompt token, during which an engine emits nothing. Engines usually read 112
  * tokens per millisecond (9 us each); the rest allows for another prompt that is read first. */
-#define PTC_TOKEN_US 25
+#define HOP_TIMEOUT_TOKEN_US 25
 /* Timeout for the response header while the engine sends data for other requests: this multiple of
- * the usual time, and at least PTC_LATE_US. */
-#define PTC_LATE_FACTOR 8
-#define PTC_LATE_US (UINT64_C (1000) * 1000)
-/* PTC_LATE_US is limited to the request's time divided by this, so that a short request whose
- * response is lost can be sent again in time, even if the second response is lost too. A status
- * check has a deadline of one second and takes 25 ms. */
-#define PTC_LATE_PART 4
+ * the usual time, and at least HOP_TIMEOUT_LATE_US. */
+#define HOP_TIMEOUT_LATE_FACTOR 8
+#define HOP_TIMEOUT_LATE_US (UINT64_C (1000) * 1000)
+/* HOP_TIMEOUT_LATE_US is limited to the request's time divided by this, so that a short request
+ * whose response is lost can be sent again in time, even if the second response is lost too. A
+ * status check has a deadline of one second and takes 25 ms. */
+#define HOP_TIMEOUT_LATE_DIVISOR 4
 /* Timeout between events of a stream, as a multiple of the longest regular gap. */
-#define PTC_GAP_FACTOR 3
+#define HOP_TIMEOUT_GAP_FACTOR 3
 
 /* Factor on the timeouts while all engines are full, since a request of low priority then waits in
  * the engine's queue behind others. Without it, at 3.5 times the usual traffic, 5,400 of 74,000
  * requests were abandoned and sent again, which added load to engines of the same full service. */
-#define PTC_FULL_FACTOR 4
+#define HOP_TIMEOUT_FULL_FACTOR 4
 
 /**
- * struct ptc - one attempt of a request at an engine; times in microseconds
+ * struct hop_timeout - one attempt of a request at an engine; times in microseconds
  * @sent_us: when the request was sent
  * @heard_us: when the last byte of its response arrived, 0 if none has
  * @engine_heard_us: when the engine last sent a byte for any request, 0 if it never has
@@ -56,9 +56,9 @@
   uint64_t time_us;
   uint64_t gap_us;
   bool full;
-} ptc_t;
+} hop_timeout_t;
 
-/** ptc_is_lost() - Return: whether to abandon the attempt */
-bool ptc_is_lost (const ptc_t *ptc, uint64_t now_us);
+/** hop_timeout_has_expired() - Return: whether to abandon the attempt */
+bool hop_timeout_has_expired (const hop_timeout_t *hop_timeout, uint64_t now_us);
 
 #endif
--- a/src/request/policy/refer.c
+++ b/src/request/policy/refer.c
@@ -11,7 +11,7 @@
 }
 
 static bool
-has_capacity (const load_sample_t *sample, const ref_query_t *query)
+has_capacity (const load_sample_t *sample, const referral_query_t *query)
 {
   if (sample->engine_hash == query->except_hash || !is_fresh (sample, query->now_us))
     return false;
@@ -37,13 +37,13 @@
 static uint32_t
 pick_less_loaded (const load_sample_t *const *found, uint32_t count, uint64_t *rng)
 {
-  const uint32_t first = (uint32_t)(ref_random (rng) % count);
-  const uint32_t second = (uint32_t)(ref_random (rng) % count);
+  const uint32_t first = (uint32_t)(referral_random (rng) % count);
+  const uint32_t second = (uint32_t)(referral_random (rng) % count);
   return found[second]->load < found[first]->load ? second : first;
 }
 
 uint64_t
-ref_random (uint64_t *rng)
+referral_random (uint64_t *rng)
 {
   *rng ^= *rng >> 12;
   *rng ^= *rng << 25;
@@ -54,7 +54,10 @@
 /* Picks the less loaded of two random engines rather than the least loaded of all: samples are
  * delayed, and many sidecars would refer all their requests to the same engine. */
 uint32_t
-ref_room (const load_samples_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out)
+referral_find_engines (const load_samples_t *table,
+                       const referral_query_t *query,
+                       uint64_t *rng,
+                       uint64_t *out)
 {
   const load_sample_t *found[LIM_SAMPLES_KEPT];
   uint32_t count = 0;
@@ -73,7 +76,7 @@
 }
 
 const load_sample_t *
-ref_find (const load_samples_t *table, uint64_t now_us, uint64_t engine_hash)
+referral_find_sample (const load_samples_t *table, uint64_t now_us, uint64_t engine_hash)
 {
   for (uint32_t i = 0; i < table->count; i++)
     if (table->samples[i].engine_hash == engine_hash)
--- a/src/request/policy/refer.h
+++ b/src/request/policy/refer.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 /**
- * struct ref_query - which engines may be named
+ * struct referral_query - which engines may be named
  * @now_us: the current time, to ignore old samples
  * @except_hash: the engine that rejects the request
  * @limit_milli: load limit including the additional request, in thousandths of a request
@@ -27,21 +27,25 @@
   uint64_t limit_milli;
   bool (*is_live) (uint64_t engine_hash, void *context);
   void *context;
-} ref_query_t;
+} referral_query_t;
 
 /**
- * ref_room() - selects up to %LIM_REFERRALS engines with free capacity
+ * referral_find_engines() - selects up to %LIM_REFERRALS engines with free capacity
  *
- * @rng: state of ref_random()
+ * @rng: state of referral_random()
  * @out: their hashes, best first
  *
  * Return: the number of engines
  */
-uint32_t
-ref_room (const load_samples_t *table, const ref_query_t *query, uint64_t *rng, uint64_t *out);
-/** ref_find() - Return: the sample of an engine, or NULL if there is none or it is too old */
-const load_sample_t *ref_find (const load_samples_t *table, uint64_t now_us, uint64_t engine_hash);
-/** ref_random() - xorshift64*; seeded through @rng so that simulations are repeatable */
-uint64_t ref_random (uint64_t *rng);
+uint32_t referral_find_engines (const load_samples_t *table,
+                                const referral_query_t *query,
+                                uint64_t *rng,
+                                uint64_t *out);
+/** referral_find_sample() - Return: the sample of an engine, or NULL if there is none or it is too
+ * old */
+const load_sample_t *
+referral_find_sample (const load_samples_t *table, uint64_t now_us, uint64_t engine_hash);
+/** referral_random() - xorshift64*; seeded through @rng so that simulations are repeatable */
+uint64_t referral_random (uint64_t *rng);
 
 #endif
--- a/src/request/policy/retry_share.c
+++ b/src/request/policy/retry_share.c
@@ -3,26 +3,26 @@
 #include <glib.h>
 #include <string.h>
 
-#define BUCKET_COUNT (RSH_BUCKETS + 1)
+#define BUCKET_COUNT (RETRY_BUDGET_BUCKETS + 1)
 #define MILLI 1000
 
 /* Clears the buckets between the current one and that of @now_us, which becomes the current one. */
 static void
-advance (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us)
+advance (retry_budget_t *retry_budget, const retry_budget_options_t *options, uint64_t now_us)
 {
-  uint64_t epoch = now_us / (options->window_us / RSH_BUCKETS);
+  uint64_t epoch = now_us / (options->window_us / RETRY_BUDGET_BUCKETS);
 
-  if (epoch >= rsh->epoch + BUCKET_COUNT)
+  if (epoch >= retry_budget->epoch + BUCKET_COUNT)
     {
-      memset (rsh->requests, 0, sizeof rsh->requests);
-      memset (rsh->retries, 0, sizeof rsh->retries);
-      rsh->epoch = epoch;
+      memset (retry_budget->requests, 0, sizeof retry_budget->requests);
+      memset (retry_budget->retries, 0, sizeof retry_budget->retries);
+      retry_budget->epoch = epoch;
     }
-  while (rsh->epoch < epoch)
+  while (retry_budget->epoch < epoch)
     {
-      rsh->epoch++;
-      rsh->requests[rsh->epoch % BUCKET_COUNT] = 0;
-      rsh->retries[rsh->epoch % BUCKET_COUNT] = 0;
+      retry_budget->epoch++;
+      retry_budget->requests[retry_budget->epoch % BUCKET_COUNT] = 0;
+      retry_budget->retries[retry_budget->epoch % BUCKET_COUNT] = 0;
     }
 }
 
@@ -37,71 +37,83 @@
 }
 
 void
-rsh_request (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us)
+retry_budget_count_request (retry_budget_t *retry_budget,
+                            const retry_budget_options_t *options,
+                            uint64_t now_us)
 {
-  advance (rsh, options, now_us);
-  rsh->requests[rsh->epoch % BUCKET_COUNT]++;
+  advance (retry_budget, options, now_us);
+  retry_budget->requests[retry_budget->epoch % BUCKET_COUNT]++;
 }
 
 uint32_t
-rsh_sharers (bool listed, uint32_t known, uint32_t alive)
+retry_budget_sharers (bool listed, uint32_t known, uint32_t alive)
 {
   return listed ? 1 + MAX (known, alive) : 0;
 }
 
 void
-rsh_init (rsh_t *rsh, uint64_t started_us)
+retry_budget_init (retry_budget_t *retry_budget, uint64_t started_us)
 {
-  *rsh = (rsh_t){ .started_us = started_us };
+  *retry_budget = (retry_budget_t){ .started_us = started_us };
 }
 
 uint32_t
-rsh_spent (const rsh_t *rsh)
+retry_budget_retries (const retry_budget_t *retry_budget)
 {
-  return (uint32_t)sum (rsh->retries);
+  return (uint32_t)sum (retry_budget->retries);
 }
 
 uint64_t
-rsh_allowed_milli (const rsh_t *rsh,
-                   const rsh_options_t *options,
-                   uint64_t now_us,
-                   uint32_t routers)
+retry_budget_allowed_milli (const retry_budget_t *retry_budget,
+                            const retry_budget_options_t *options,
+                            uint64_t now_us,
+                            uint32_t routers)
 {
-  uint64_t age_us = now_us - rsh->started_us;
-  uint64_t counted_us = options->window_us / RSH_BUCKETS * BUCKET_COUNT;
+  uint64_t age_us = now_us - retry_budget->started_us;
+  uint64_t counted_us = options->window_us / RETRY_BUDGET_BUCKETS * BUCKET_COUNT;
   uint64_t slack_milli = routers > 0 ? (uint64_t)options->slack * MILLI / routers : 0;
-  uint64_t ratio_milli = sum (rsh->requests) * options->ratio_milli;
+  uint64_t ratio_milli = sum (retry_budget->requests) * options->ratio_milli;
 
   if (age_us >= counted_us)
-    return (ratio_milli + slack_milli) * RSH_PART_MILLI / MILLI;
+    return (ratio_milli + slack_milli) * RETRY_BUDGET_PART_MILLI / MILLI;
   slack_milli = slack_milli * MIN (age_us, options->window_us) / options->window_us;
-  return (ratio_milli + slack_milli) * RSH_FIRST_MILLI / MILLI;
+  return (ratio_milli + slack_milli) * RETRY_BUDGET_FIRST_MILLI / MILLI;
 }
 
 /* Return: whether one more retry is within the limit */
 static bool
-is_allowed (const rsh_t *rsh, const rsh_options_t *options, uint64_t now_us, uint32_t routers)
+is_allowed (const retry_budget_t *retry_budget,
+            const retry_budget_options_t *options,
+            uint64_t now_us,
+            uint32_t routers)
 {
-  return (sum (rsh->retries) + 1) * MILLI <= rsh_allowed_milli (rsh, options, now_us, routers);
+  return (sum (retry_budget->retries) + 1) * MILLI <=
+         retry_budget_allowed_milli (retry_budget, options, now_us, routers);
 }
 
 void
-rsh_spend (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us)
+retry_budget_count_retry (retry_budget_t *retry_budget,
+                          const retry_budget_options_t *options,
+                          uint64_t now_us)
 {
-  advance (rsh, options, now_us);
-  rsh->retries[rsh->epoch % BUCKET_COUNT]++;
+  advance (retry_budget, options, now_us);
+  retry_budget->retries[retry_budget->epoch % BUCKET_COUNT]++;
 }
 
 uint64_t
-rsh_wait_us (rsh_t *rsh, const rsh_options_t *options, uint64_t now_us, uint32_t routers)
+retry_budget_wait_us (retry_budget_t *retry_budget,
+                      const retry_budget_options_t *options,
+                      uint64_t now_us,
+                      uint32_t routers)
 {
-  uint64_t bucket_us = options->window_us / RSH_BUCKETS;
+  uint64_t bucket_us = options->window_us / RETRY_BUDGET_BUCKETS;
   uint64_t at_us = now_us;
-  rsh_t ahead;
+  retry_budget_t ahead;
 
-  advance (rsh, options, now_us);
-  ahead = *rsh;
-  while (!is_allowed (&ahead, options, at_us, routers) && ahead.epoch < rsh->epoch + BUCKET_COUNT)
+  advance (retry_budget, options, now_us);
+  ahead = *retry_budget;
+  while (!is_allowed (&ahead, options, at_us, routers) &&
+         ahead.epoch < retry_budget->epoch + BUCKET_COUNT)
     {
       at_us = (ahead.epoch + 1) * bucket_us;
       advance (&ahead, options, at_us);
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -139,15 +139,16 @@
   router->probes = cnt_get (set, "medlarplank_probes_total", "Quiet hosts asked whether they run.");
   router->served_hints_sent =
       cnt_get (set, "medlarplank_served_hints_total", "Homes told where a chat was served.");
-  for (uint32_t i = 0; i <= VRD_RAN; i++)
+  for (uint32_t i = 0; i <= VERDICT_RAN; i++)
     {
-      snprintf (name, sizeof name, "medlarplank_requests_total{verdict=\"%s\"}", vrd_name (i));
+      snprintf (name, sizeof name, "medlarplank_requests_total{verdict=\"%s\"}",
+                verdict_to_string (i));
       router->ended[i] = cnt_get (set, name, "Requests of callers that ended, by verdict.");
     }
-  for (uint32_t i = 0; i < VRD_REASON_COUNT; i++)
+  for (uint32_t i = 0; i < VERDICT_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_hop_failures_total{reason=\"%s\"}",
-                vrd_reason_name (i));
+                verdict_reason_to_string (i));
       router->hop_failures[i] = cnt_get (set, name, "Hops that brought no answer, by reason.");
     }
 }
@@ -198,7 +199,7 @@
     }
   router->http_client = hcl_new (base, RTR_IDLE_CONNECTIONS, RTR_IDLE_TIMEOUT_MS);
   router->health = hlt_new ();
-  att_budget_init (&router->retry_budget);
+  forwarding_budget_init (&router->retry_budget);
   router->incarnations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   router->loads = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   router->host_probes =
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -247,8 +247,8 @@
 
   if (ops_stale (router->ops) || ops_man (router->ops) == NULL || ops_members (router->ops) == NULL)
     {
-      flt_reply (inbound, &(flt_t){ .verdict = VRD_NOT_RUN,
-                                    .reason = VRD_REASON_STALE,
+      flt_reply (inbound, &(flt_t){ .verdict = VERDICT_NOT_RUN,
+                                    .reason = VERDICT_REASON_STALE,
                                     .retry_after_ms = STALE_RETRY_AFTER_MS });
       return;
     }
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -15,8 +15,11 @@
 }
 
 void
-rtr_call_note (
-    rtr_call_t *call, const char *action, uint64_t engine_hash, vrd_t verdict, vrd_reason_t reason)
+rtr_call_note (rtr_call_t *call,
+               const char *action,
+               uint64_t engine_hash,
+               verdict_t verdict,
+               verdict_reason_t reason)
 {
   const rtr_t *router = call->router;
   const mem_host_t *host = mem_find_hash (ops_members (router->ops), engine_hash);
@@ -39,7 +42,7 @@
 }
 
 flt_t
-rtr_call_fault (const rtr_call_t *call, vrd_t verdict, vrd_reason_t reason)
+rtr_call_fault (const rtr_call_t *call, verdict_t verdict, verdict_reason_t reason)
 {
   return (flt_t){ .verdict = verdict, .reason = reason, .request = call->request_text };
 }
@@ -68,7 +71,7 @@
 }
 
 static void
-give_up (rtr_call_t *call, const att_step_t *step)
+give_up (rtr_call_t *call, const forwarding_step_t *step)
 {
   flt_t fault = rtr_call_fault (call, step->verdict, step->reason);
 
@@ -85,8 +88,8 @@
 static void
 finish (rtr_call_t *call)
 {
-  rtr_call_note (call, "answer", call->attempts.last_engine, VRD_RAN, VRD_REASON_NONE);
-  cnt_add (call->router->ended[VRD_RAN], 1);
+  rtr_call_note (call, "answer", call->attempts.last_engine, VERDICT_RAN, VERDICT_REASON_NONE);
+  cnt_add (call->router->ended[VERDICT_RAN], 1);
   recent_answers_add (call->router->answered_requests, ops_now_us (call->router->ops),
                       call->hop.fingerprint);
   rtr_tell_served (call, call->attempts.last_engine);
@@ -96,7 +99,7 @@
 
 /* send_hop() - Return: false when the host is no longer a live member */
 static bool
-send_hop (rtr_call_t *call, const att_step_t *step)
+send_hop (rtr_call_t *call, const forwarding_step_t *step)
 {
   const mem_host_t *host = rtr_host (call->router, step->engine_hash);
 
@@ -104,31 +107,32 @@
     return false;
   call->hop.may_wait = step->may_wait;
   call->hop.referred = step->referred;
-  rtr_call_note (call, "send", step->engine_hash, VRD_NOT_RUN,
-                 call->attempts.hops > 1 ? call->attempts.last_reason : VRD_REASON_NONE);
+  rtr_call_note (call, "send", step->engine_hash, VERDICT_NOT_RUN,
+                 call->attempts.hops > 1 ? call->attempts.last_reason : VERDICT_REASON_NONE);
   rtr_hop_send (call, host);
   return true;
 }
 
 /* send_revoke() - Return: false when the host is no longer a member */
 static bool
-send_revoke (rtr_call_t *call, const att_step_t *step)
+send_revoke (rtr_call_t *call, const forwarding_step_t *step)
 {
   const mem_host_t *host = mem_find_hash (ops_members (call->router->ops), step->engine_hash);
 
   if (host == NULL)
     return false;
-  rtr_call_note (call, "revoke", step->engine_hash, VRD_MAY_HAVE_RUN, call->attempts.last_reason);
+  rtr_call_note (call, "revoke", step->engine_hash, VERDICT_MAY_HAVE_RUN,
+                 call->attempts.last_reason);
   rtr_revoke (call, host);
   return true;
 }
 
 void
-rtr_call_step (rtr_call_t *call, att_step_t step)
+rtr_call_step (rtr_call_t *call, forwarding_step_t step)
 {
-  static const att_outcome_t UNKNOWN_HOST = { .verdict = VRD_NOT_RUN,
-                                              .reason = VRD_REASON_CONNECT };
-  att_budget_t *budget = &call->router->retry_budget;
+  static const forwarding_outcome_t UNKNOWN_HOST = { .verdict = VERDICT_NOT_RUN,
+                                                     .reason = VERDICT_REASON_CONNECT };
+  forwarding_budget_t *budget = &call->router->retry_budget;
 
   for (;;)
     {
@@ -136,7 +140,7 @@
 
       switch (step.action)
         {
-        case ATT_SEND:
+        case FORWARDING_SEND:
           if (call->caller_gone)
             {
               rtr_call_free (call);
@@ -144,17 +148,17 @@
             }
           if (send_hop (call, &step))
             return;
-          step = att_ended (&call->attempts, now_us, budget, &UNKNOWN_HOST);
+          step = forwarding_attempt_ended (&call->attempts, now_us, budget, &UNKNOWN_HOST);
           break;
-        case ATT_REVOKE:
+        case FORWARDING_REVOKE:
           if (send_revoke (call, &step))
             return;
-          step = att_revoked (&call->attempts, now_us, budget, VRD_MAY_HAVE_RUN);
+          step = forwarding_revoked (&call->attempts, now_us, budget, VERDICT_MAY_HAVE_RUN);
           break;
-        case ATT_GIVE_UP:
+        case FORWARDING_GIVE_UP:
           give_up (call, &step);
           return;
-        case ATT_DONE:
+        case FORWARDING_DONE:
           finish (call);
           return;
         }
@@ -176,17 +180,19 @@
 }
 
 void
-rtr_call_ended (rtr_call_t *call, const att_outcome_t *outcome)
+rtr_call_ended (rtr_call_t *call, const forwarding_outcome_t *outcome)
 {
   rtr_t *router = call->router;
   uint32_t retries = call->attempts.retries;
-  att_step_t step;
+  forwarding_step_t step;
 
   if (!outcome->answered)
     cnt_add (router->hop_failures[outcome->reason], 1);
-  if (outcome->reason == VRD_REASON_ENGINE_CRASHED || outcome->reason == VRD_REASON_SUSPECT_HERE)
+  if (outcome->reason == VERDICT_REASON_ENGINE_CRASHED ||
+      outcome->reason == VERDICT_REASON_SUSPECT_HERE)
     record_crash (call);
-  step = att_ended (&call->attempts, ops_now_us (router->ops), &router->retry_budget, outcome);
+  step = forwarding_attempt_ended (&call->attempts, ops_now_us (router->ops), &router->retry_budget,
+                                   outcome);
   cnt_add (router->retries, call->attempts.retries - retries);
   rtr_call_step (call, step);
 }
@@ -199,7 +205,8 @@
   call->inbound = NULL;
   call->caller_gone = true;
   rly_gone (&call->relay);
-  rtr_call_note (call, "caller_gone", call->attempts.last_engine, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+  rtr_call_note (call, "caller_gone", call->attempts.last_engine, VERDICT_MAY_HAVE_RUN,
+                 VERDICT_REASON_CUT);
   /* A non-idempotent request that may have started is left running. If it were interrupted half
    * way, the caller could not know its outcome, nor send it again. */
   if (call->hop.idempotent || call->outbound == NULL)
@@ -211,13 +218,13 @@
 {
   sus_mark_t mark;
   bool suspect = sus_get (call->router->suspects, call->arrived_us, call->hop.fingerprint, &mark);
-  att_options_t options = { .idempotent = call->hop.idempotent,
-                            .account_hash = rendezvous_hash_name (call->hop.account),
-                            .deadline_us = call->deadline_us,
-                            .candidates = call->placement.candidates,
-                            .candidate_count = call->placement.candidate_count,
-                            .crashed = suspect ? mark.engines : NULL };
+  forwarding_options_t options = { .idempotent = call->hop.idempotent,
+                                   .account_hash = rendezvous_hash_name (call->hop.account),
+                                   .deadline_us = call->deadline_us,
+                                   .candidates = call->placement.candidates,
+                                   .candidate_count = call->placement.candidate_count,
+                                   .crashed = suspect ? mark.engines : NULL };
 
   hsv_on_gone (call->inbound, rtr_call_gone, call);
-  rtr_call_step (call, att_begin (&call->attempts, call->arrived_us, &options));
+  rtr_call_step (call, forwarding_begin (&call->attempts, call->arrived_us, &options));
 }
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -65,10 +65,10 @@
 
 /* is_capacity_refusal() - whether the engine had no capacity for the request */
 static bool
-is_capacity_refusal (vrd_reason_t reason)
+is_capacity_refusal (verdict_reason_t reason)
 {
-  return reason == VRD_REASON_OVER_BOUND || reason == VRD_REASON_DEADLINE ||
-         reason == VRD_REASON_QUEUE_FULL || reason == VRD_REASON_ACCOUNT_SHARE;
+  return reason == VERDICT_REASON_OVER_BOUND || reason == VERDICT_REASON_DEADLINE ||
+         reason == VERDICT_REASON_QUEUE_FULL || reason == VERDICT_REASON_ACCOUNT_SHARE;
 }
 
 /* record_load() - stores the load of the engine that answered, to be sent with later hops */
@@ -107,9 +107,9 @@
   answer->received = true;
   rtr_watch_heard (call->router, call->attempts.last_engine);
   answer->status = status;
-  answer->verdict = vrd_parse (evhttp_find_header (headers, VRD_HEADER));
-  answer->from_engine = answer->verdict == VRD_RAN && reason == NULL;
-  answer->reason = reason != NULL ? vrd_reason_parse (reason) : VRD_REASON_NONE;
+  answer->verdict = verdict_from_string (evhttp_find_header (headers, VERDICT_HEADER));
+  answer->from_engine = answer->verdict == VERDICT_RAN && reason == NULL;
+  answer->reason = reason != NULL ? verdict_reason_from_string (reason) : VERDICT_REASON_NONE;
   answer->retry_after_ms = parse_u32 (evhttp_find_header (headers, HOP_RETRY_AFTER_HEADER));
   record_load (call, evhttp_find_header (headers, HOP_LOAD_HEADER));
   read_referrals (call, evhttp_find_header (headers, HOP_TRY_HEADER));
@@ -129,7 +129,7 @@
     return true;
   rly_head (&call->relay, call->outbound, status, headers);
   rly_add_header (&call->relay, FLT_REQUEST_HEADER, call->request_text);
-  rly_add_header (&call->relay, VRD_HEADER, vrd_name (VRD_RAN));
+  rly_add_header (&call->relay, VERDICT_HEADER, verdict_to_string (VERDICT_RAN));
   if (engine != NULL)
     rly_add_header (&call->relay, HOP_ENGINE_HEADER, engine);
   set_timer (call, RTR_STALL_US);
@@ -148,40 +148,42 @@
     }
   rly_data (&call->relay, data);
   if (call->relay.begun && !call->attempts.answer_begun)
-    att_answer_begun (&call->attempts);
+    forwarding_response_begun (&call->attempts);
   set_timer (call, RTR_STALL_US);
 }
 
 /* lost_outcome() - the outcome of a hop that broke off */
-static att_outcome_t
-lost_outcome (rtr_call_t *call, vrd_t verdict, vrd_reason_t reason)
+static forwarding_outcome_t
+lost_outcome (rtr_call_t *call, verdict_t verdict, verdict_reason_t reason)
 {
   const rtr_answer_t *answer = &call->answer;
 
   /* The engine's answer has begun, so the request ran and there is nothing to revoke. */
   if (answer->from_engine)
-    return (att_outcome_t){ .verdict = VRD_RAN, .reason = reason };
+    return (forwarding_outcome_t){ .verdict = VERDICT_RAN, .reason = reason };
   hlt_failure (call->router->health, ops_now_us (call->router->ops), call->attempts.last_engine);
-  return (att_outcome_t){ .verdict = verdict, .reason = reason, .lost = verdict != VRD_NOT_RUN };
+  return (forwarding_outcome_t){ .verdict = verdict,
+                                 .reason = reason,
+                                 .lost = verdict != VERDICT_NOT_RUN };
 }
 
-static att_outcome_t
+static forwarding_outcome_t
 refusal_outcome (const rtr_call_t *call)
 {
   const rtr_answer_t *answer = &call->answer;
 
-  return (att_outcome_t){ .verdict = answer->verdict,
-                          .reason = answer->reason,
-                          .retry_after_ms = answer->retry_after_ms,
-                          .referrals = answer->referrals,
-                          .referral_count = answer->referral_count };
+  return (forwarding_outcome_t){ .verdict = answer->verdict,
+                                 .reason = answer->reason,
+                                 .retry_after_ms = answer->retry_after_ms,
+                                 .referrals = answer->referrals,
+                                 .referral_count = answer->referral_count };
 }
 
 static void
 on_end (const hcl_end_t *end, void *context)
 {
   rtr_call_t *call = context;
-  att_outcome_t outcome;
+  forwarding_outcome_t outcome;
 
   uwy_end (call->router->requests_in_flight, call->attempts.last_engine);
   call->outbound = NULL;
@@ -190,7 +192,7 @@
   if (call->answer.received && !call->answer.from_engine)
     outcome = refusal_outcome (call); /* a refusal is complete with its headers */
   else if (end->whole)
-    outcome = (att_outcome_t){ .answered = true, .verdict = VRD_RAN };
+    outcome = (forwarding_outcome_t){ .answered = true, .verdict = VERDICT_RAN };
   else
     outcome = lost_outcome (call, end->verdict, end->reason);
   rtr_call_ended (call, &outcome);
@@ -214,7 +216,7 @@
 rtr_hop_timer (evutil_socket_t fd, short what, void *context)
 {
   rtr_call_t *call = context;
-  att_outcome_t outcome;
+  forwarding_outcome_t outcome;
 
   (void)fd;
   (void)what;
@@ -238,7 +240,7 @@
    * frozen. It is revoked, since its answer would come too late. */
   if (!call->answer.received)
     rtr_revoke_unheard (call);
-  outcome = lost_outcome (call, VRD_MAY_HAVE_RUN, VRD_REASON_TIMEOUT);
+  outcome = lost_outcome (call, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_TIMEOUT);
   rtr_hop_drop (call);
   rtr_call_ended (call, &outcome);
 }
@@ -252,7 +254,7 @@
 static bool
 should_send_samples (const rtr_call_t *call, const rtr_loads_t *loads, uint64_t now_us)
 {
-  return (call->attempts.hops > 1 && call->attempts.last_reason == VRD_REASON_OVER_BOUND) ||
+  return (call->attempts.hops > 1 && call->attempts.last_reason == VERDICT_REASON_OVER_BOUND) ||
          now_us < loads->capacity_refused_us + RTR_BURST_US;
 }
 
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -83,7 +83,8 @@
 append_candidates (candidates_t *placement, const candidates_t *other_regions)
 {
   for (uint32_t i = 0;
-       i < other_regions->candidate_count && placement->candidate_count < ATT_CANDIDATES; i++)
+       i < other_regions->candidate_count && placement->candidate_count < FORWARDING_CANDIDATES_MAX;
+       i++)
     placement->candidates[placement->candidate_count++] = other_regions->candidates[i];
 }
 
@@ -97,7 +98,7 @@
   query->details = pool->own_region.details;
   query->engine_count = pool->own_region.count;
   placement = candidates_choose (query);
-  if (placement.candidate_count == ATT_CANDIDATES || pool->other_regions.count == 0)
+  if (placement.candidate_count == FORWARDING_CANDIDATES_MAX || pool->other_regions.count == 0)
     return placement;
   query->engines = pool->other_regions.engines;
   query->details = pool->other_regions.details;
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -135,7 +135,7 @@
   ops_t *ops;
   hcl_t *http_client;
   hlt_t *health;
-  att_budget_t retry_budget;
+  forwarding_budget_t retry_budget;
   rtr_pool_t *pools;
   uint32_t pool_count;
   GHashTable *loads;
@@ -154,8 +154,8 @@
   cnt_t *revokes;
   cnt_t *probes;
   cnt_t *served_hints_sent;
-  cnt_t *ended[VRD_RAN + 1];
-  cnt_t *hop_failures[VRD_REASON_COUNT];
+  cnt_t *ended[VERDICT_RAN + 1];
+  cnt_t *hop_failures[VERDICT_REASON_COUNT];
 };
 
 /**
@@ -169,8 +169,8 @@
   bool received;
   bool from_engine;
   int status;
-  vrd_t verdict;
-  vrd_reason_t reason;
+  verdict_t verdict;
+  verdict_reason_t reason;
   uint32_t retry_after_ms;
   uint64_t referrals[LIM_REFERRALS];
   uint32_t referral_count;
@@ -209,7 +209,7 @@
   const man_class_t *request_class;
   hop_t hop;
   candidates_t placement;
-  att_t attempts;
+  forwarding_t attempts;
   rly_t relay;
   rtr_answer_t answer;
   char *method;
@@ -227,7 +227,7 @@
   uint64_t sent_us;
   uint64_t sent_incarnation;
   set_address_t sent_address;
-  vrd_t revoke_verdict;
+  verdict_t revoke_verdict;
   bool timed_out;
   bool caller_gone;
   struct event *timer;
@@ -255,14 +255,17 @@
 /** rtr_call_gone() - the caller disconnected */
 void rtr_call_gone (void *context);
 /** rtr_call_step() - carries out @step and those that follow; may free the call */
-void rtr_call_step (rtr_call_t *call, att_step_t step);
+void rtr_call_step (rtr_call_t *call, forwarding_step_t step);
 /** rtr_call_ended() - takes the next step after the outcome of a hop; may free the call */
-void rtr_call_ended (rtr_call_t *call, const att_outcome_t *outcome);
+void rtr_call_ended (rtr_call_t *call, const forwarding_outcome_t *outcome);
 /** rtr_call_note() - records a decision in the log and for /medlarplank/explain */
-void rtr_call_note (
-    rtr_call_t *call, const char *action, uint64_t engine_hash, vrd_t verdict, vrd_reason_t reason);
+void rtr_call_note (rtr_call_t *call,
+                    const char *action,
+                    uint64_t engine_hash,
+                    verdict_t verdict,
+                    verdict_reason_t reason);
 /** rtr_call_fault() - the error answer for the caller */
-flt_t rtr_call_fault (const rtr_call_t *call, vrd_t verdict, vrd_reason_t reason);
+flt_t rtr_call_fault (const rtr_call_t *call, verdict_t verdict, verdict_reason_t reason);
 
 /** rtr_hop_send() - sends the request to the sidecar of a host */
 void rtr_hop_send (rtr_call_t *call, const mem_host_t *host);
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -67,7 +67,7 @@
   /* A sidecar that restarted does not know which attempts its predecessor passed to the engine, so
    * its "not run" must be ignored. */
   if (status == 200 && answered != 0 && answered == call->sent_incarnation)
-    call->revoke_verdict = vrd_parse (evhttp_find_header (headers, VRD_HEADER));
+    call->revoke_verdict = verdict_from_string (evhttp_find_header (headers, VERDICT_HEADER));
   return true;
 }
 
@@ -76,12 +76,13 @@
 {
   rtr_call_t *call = context;
   rtr_t *router = call->router;
-  vrd_t verdict = end->whole ? call->revoke_verdict : VRD_MAY_HAVE_RUN;
+  verdict_t verdict = end->whole ? call->revoke_verdict : VERDICT_MAY_HAVE_RUN;
   uint32_t retries = call->attempts.retries;
-  att_step_t step;
+  forwarding_step_t step;
 
   call->revoke_request = NULL;
-  step = att_revoked (&call->attempts, ops_now_us (router->ops), &router->retry_budget, verdict);
+  step = forwarding_revoked (&call->attempts, ops_now_us (router->ops), &router->retry_budget,
+                             verdict);
   cnt_add (router->retries, call->attempts.retries - retries);
   rtr_call_step (call, step);
 }
@@ -113,7 +114,7 @@
   char target[TARGET_BYTES];
 
   revoke_target (call, target);
-  call->revoke_verdict = VRD_MAY_HAVE_RUN;
+  call->revoke_verdict = VERDICT_MAY_HAVE_RUN;
   cnt_add (call->router->revokes, 1);
   call->revoke_request = post_order (call->router, host, &call->sent_address, target, &handlers);
 }
--- a/src/request/router/router_watch.c
+++ b/src/request/router/router_watch.c
@@ -48,8 +48,8 @@
 static void
 fail_waiting_calls (rtr_watch_t *host_probe)
 {
-  static const att_outcome_t HOST_FROZEN = { .verdict = VRD_MAY_HAVE_RUN,
-                                             .reason = VRD_REASON_TIMEOUT };
+  static const forwarding_outcome_t HOST_FROZEN = { .verdict = VERDICT_MAY_HAVE_RUN,
+                                                    .reason = VERDICT_REASON_TIMEOUT };
   GQueue waiting_calls = G_QUEUE_INIT;
   rtr_call_t *call;
 
@@ -89,7 +89,7 @@
     }
   /* Only a timeout shows that the host is frozen. A host that stops gracefully refuses connections
    * while it finishes its requests, and a process that ended has closed its connections already. */
-  if (end->reason != VRD_REASON_TIMEOUT)
+  if (end->reason != VERDICT_REASON_TIMEOUT)
     return;
   hlt_failure (router->health, ops_now_us (router->ops), host_probe->host_hash);
   fail_waiting_calls (host_probe);
