--- a/src/request/sidecar/history.c
+++ b/src/request/sidecar/history.c
@@ -9,7 +9,7 @@
 {
   uint64_t attempt[2];
   uint64_t recorded_us;
-  vrd_t verdict;
+  verdict_t verdict;
 } entry_t;
 
 /**
@@ -66,7 +66,7 @@
 }
 
 static void
-ring_add (ring_t *ring, uint64_t now_us, const uint64_t attempt[2], vrd_t verdict)
+ring_add (ring_t *ring, uint64_t now_us, const uint64_t attempt[2], verdict_t verdict)
 {
   entry_t *entry = &ring->entries[(ring->oldest + ring->count) % ring->limit];
 
@@ -107,7 +107,7 @@
 }
 
 void
-hst_ended (hst_t *history, uint64_t now_us, const uint64_t attempt[2], vrd_t verdict)
+hst_ended (hst_t *history, uint64_t now_us, const uint64_t attempt[2], verdict_t verdict)
 {
   ring_t *ring = &history->ended;
 
@@ -123,7 +123,7 @@
 }
 
 hst_state_t
-hst_find (const hst_t *history, uint64_t now_us, const uint64_t attempt[2], vrd_t *verdict)
+hst_find (const hst_t *history, uint64_t now_us, const uint64_t attempt[2], verdict_t *verdict)
 {
   const entry_t *entry = ring_find (&history->ended, attempt);
 
@@ -136,10 +136,10 @@
   return entry != NULL && now_us < entry->recorded_us + HST_BAR_US ? HST_BARRED : HST_UNKNOWN;
 }
 
-vrd_t
+verdict_t
 hst_revoke (hst_t *history, uint64_t now_us, const uint64_t attempt[2], uint64_t age_us)
 {
-  vrd_t verdict;
+  verdict_t verdict;
 
   expire_revoked (history, now_us);
   switch (hst_find (history, now_us, attempt, &verdict))
@@ -147,7 +147,7 @@
     case HST_ENDED:
       return verdict;
     case HST_BARRED:
-      return VRD_NOT_RUN;
+      return VERDICT_NOT_RUN;
     case HST_UNKNOWN:
       break;
     }
@@ -155,9 +155,9 @@
    * would make the router run it a second time. An attempt sent after the last evicted one ended
    * cannot have been evicted itself, since an attempt ends after it is sent. */
   if (history->has_evicted && history->latest_evicted_us + age_us + HST_AGE_MARGIN_US >= now_us)
-    return VRD_MAY_HAVE_RUN;
+    return VERDICT_MAY_HAVE_RUN;
   if (history->revoked.count == history->revoked.limit)
-    return VRD_MAY_HAVE_RUN;
-  ring_add (&history->revoked, now_us, attempt, VRD_NOT_RUN);
-  return VRD_NOT_RUN;
+    return VERDICT_MAY_HAVE_RUN;
+  ring_add (&history->revoked, now_us, attempt, VERDICT_NOT_RUN);
+  return VERDICT_NOT_RUN;
 }
--- a/src/request/sidecar/history.h
+++ b/src/request/sidecar/history.h
@@ -47,18 +47,18 @@
  * A full table evicts the attempt that ended first. An attempt that is recorded already keeps its
  * first verdict.
  */
-void hst_ended (hst_t *history, uint64_t now_us, const uint64_t attempt[2], vrd_t verdict);
+void hst_ended (hst_t *history, uint64_t now_us, const uint64_t attempt[2], verdict_t verdict);
 /** hst_find() - looks an attempt up; @verdict is set only for HST_ENDED */
 hst_state_t
-hst_find (const hst_t *history, uint64_t now_us, const uint64_t attempt[2], vrd_t *verdict);
+hst_find (const hst_t *history, uint64_t now_us, const uint64_t attempt[2], verdict_t *verdict);
 /**
  * hst_revoke() - revokes an attempt that is not in flight here
  * @age_us: time since the router sent the attempt
  *
- * Return: the recorded verdict of an attempt that ended. VRD_NOT_RUN when the attempt was not
- * passed to the engine and never will be. VRD_MAY_HAVE_RUN when an attempt of that age may have
+ * Return: the recorded verdict of an attempt that ended. VERDICT_NOT_RUN when the attempt was not
+ * passed to the engine and never will be. VERDICT_MAY_HAVE_RUN when an attempt of that age may have
  * been evicted, or the table of revoked attempts is full.
  */
-vrd_t hst_revoke (hst_t *history, uint64_t now_us, const uint64_t attempt[2], uint64_t age_us);
+verdict_t hst_revoke (hst_t *history, uint64_t now_us, const uint64_t attempt[2], uint64_t age_us);
 
 #endif
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -31,20 +31,21 @@
 {
   const sdc_t *sidecar = context;
   uint64_t now_us = ops_now_us (sidecar->ops);
-  load_sample_t own = adm_sample (sidecar->admission, now_us);
-  load_samples_estimate_t mean = load_samples_estimate_mean (adm_mean (sidecar->admission), now_us,
-                                                             &own, sidecar->other_engine_count + 1);
+  load_sample_t own = admission_sample (sidecar->admission, now_us);
+  load_samples_estimate_t mean = load_samples_estimate_mean (
+      admission_mean (sidecar->admission), now_us, &own, sidecar->other_engine_count + 1);
 
   json_object_set_new (out, "service",
                        json_string (sidecar->service != NULL ? sidecar->service->name : ""));
   json_object_set_new (out, "engine_up", json_boolean (sidecar->engine_up));
-  json_object_set_new (out, "load", json_integer (adm_load (sidecar->admission)));
-  json_object_set_new (out, "waiting", json_integer (adm_waiting (sidecar->admission)));
+  json_object_set_new (out, "load", json_integer (admission_load (sidecar->admission)));
+  json_object_set_new (out, "waiting", json_integer (admission_waiting (sidecar->admission)));
   json_object_set_new (out, "mean_milli", json_integer ((json_int_t)mean.mean_milli));
-  json_object_set_new (out, "bound_milli",
-                       json_integer ((json_int_t)adm_bound_milli (sidecar->admission, now_us)));
+  json_object_set_new (
+      out, "bound_milli",
+      json_integer ((json_int_t)admission_bound_milli (sidecar->admission, now_us)));
   json_object_set_new (out, "directory",
-                       json_integer (dir_count (adm_directory (sidecar->admission))));
+                       json_integer (dir_count (admission_directory (sidecar->admission))));
 }
 
 static bool
@@ -80,16 +81,16 @@
     }
 }
 
-static adm_options_t
+static admission_options_t
 admission_options (sdc_t *sidecar)
 {
-  adm_options_t options = { .engine_hash = sidecar->own_hash,
-                            .seed = sidecar->own_hash ^ sidecar->daemon->incarnation,
-                            .slots = 1,
-                            .bound_percent = 100,
-                            .engine_count = sidecar->other_engine_count + 1,
-                            .is_live = is_live,
-                            .context = sidecar };
+  admission_options_t options = { .engine_hash = sidecar->own_hash,
+                                  .seed = sidecar->own_hash ^ sidecar->daemon->incarnation,
+                                  .slots = 1,
+                                  .bound_percent = 100,
+                                  .engine_count = sidecar->other_engine_count + 1,
+                                  .is_live = is_live,
+                                  .context = sidecar };
 
   if (sidecar->service == NULL)
     return options;
@@ -117,18 +118,18 @@
          !ops_stale (sidecar->ops);
 }
 
-vrd_reason_t
+verdict_reason_t
 sdc_closed (const sdc_call_t *call)
 {
   const sdc_t *sidecar = call->sidecar;
 
   if (ops_stale (sidecar->ops))
-    return VRD_REASON_STALE;
+    return VERDICT_REASON_STALE;
   if (is_leaving (sidecar))
-    return VRD_REASON_LEAVING;
+    return VERDICT_REASON_LEAVING;
   if (sidecar->service == NULL || strcmp (sidecar->service->name, call->hop.service) != 0)
-    return VRD_REASON_WRONG_SERVICE;
-  return VRD_REASON_NONE;
+    return VERDICT_REASON_WRONG_SERVICE;
+  return VERDICT_REASON_NONE;
 }
 
 bool
@@ -152,15 +153,15 @@
 {
   sdc_t *sidecar = context;
   const man_t *manifest = ops_man (sidecar->ops);
-  adm_options_t options;
+  admission_options_t options;
 
   sidecar->service =
       manifest != NULL ? man_service_of_engine (manifest, sidecar->daemon->set.name) : NULL;
   list_other_engines (sidecar);
   options = admission_options (sidecar);
-  adm_configure (sidecar->admission, &options);
+  admission_configure (sidecar->admission, &options);
   update_leaving_since (sidecar);
-  adm_set_leaving (sidecar->admission, is_leaving (sidecar));
+  admission_set_leaving (sidecar->admission, is_leaving (sidecar));
   if (is_leaving (sidecar))
     sdc_leave (sidecar);
   else
@@ -187,7 +188,7 @@
     return;
   message = msg_new (MSG_OWN_SAMPLE);
   message->count = 1;
-  message->samples[0] = adm_sample (sidecar->admission, ops_now_us (sidecar->ops));
+  message->samples[0] = admission_sample (sidecar->admission, ops_now_us (sidecar->ops));
   sidecar->reported_sample = message->samples[0];
   mbx_send (sidecar->daemon->to_control, &message->head);
 }
@@ -205,13 +206,13 @@
 {
   sdc_t *sidecar = context;
   int64_t load_change =
-      (int64_t)adm_load (sidecar->admission) - (int64_t)sidecar->reported_sample.load;
+      (int64_t)admission_load (sidecar->admission) - (int64_t)sidecar->reported_sample.load;
 
   (void)fd;
   (void)what;
   sdc_pump (sidecar);
   cnt_set_value (sidecar->bound_milli,
-                 adm_bound_milli (sidecar->admission, ops_now_us (sidecar->ops)));
+                 admission_bound_milli (sidecar->admission, ops_now_us (sidecar->ops)));
   if (load_change >= REPORT_LOAD_CHANGE || load_change <= -REPORT_LOAD_CHANGE)
     report_load (sidecar);
 }
@@ -225,7 +226,7 @@
 
       if (sidecar->service != NULL && sample->service_hash == sidecar->service->hash &&
           sample->engine_hash != sidecar->own_hash)
-        load_samples_add (adm_mean (sidecar->admission), sample);
+        load_samples_add (admission_mean (sidecar->admission), sample);
     }
   sdc_pump (sidecar);
 }
@@ -234,7 +235,8 @@
 merge_crash_marks (sdc_t *sidecar, const msg_marks_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
-    sus_merge (adm_suspects (sidecar->admission), ops_now_us (sidecar->ops), &message->marks[i]);
+    sus_merge (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
+               &message->marks[i]);
 }
 
 static void
@@ -253,10 +255,10 @@
   sidecar->waiting = cnt_get (set, "medlarplank_waiting", "Requests that wait here now.");
   sidecar->bound_milli =
       cnt_get (set, "medlarplank_bound_milli", "Load bound, in thousandths of a request.");
-  for (uint32_t i = 0; i < VRD_REASON_COUNT; i++)
+  for (uint32_t i = 0; i < VERDICT_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_refusals_total{reason=\"%s\"}",
-                vrd_reason_name (i));
+                verdict_reason_to_string (i));
       sidecar->refusals[i] = cnt_get (set, name, "Requests refused or failed here, by reason.");
     }
 }
@@ -286,7 +288,7 @@
                             .changed = on_configuration_changed,
                             .stopping = on_stopping,
                             .context = sidecar };
-  adm_options_t first;
+  admission_options_t first;
 
   sidecar->daemon = daemon;
   sidecar->base = base;
@@ -298,9 +300,9 @@
       return NULL;
     }
   first = admission_options (sidecar);
-  sidecar->admission = adm_new (&first);
-  adm_set_engine_up (sidecar->admission, false);
-  adm_set_joined (sidecar->admission, ops_now_us (sidecar->ops));
+  sidecar->admission = admission_new (&first);
+  admission_set_engine_up (sidecar->admission, false);
+  admission_set_joined (sidecar->admission, ops_now_us (sidecar->ops));
   sidecar->history = hst_new (LIM_REVOKED);
   sidecar->http_client = hcl_new (base, SDC_IDLE_CONNECTIONS, SDC_IDLE_TIMEOUT_MS);
   sidecar->calls = g_hash_table_new (hop_attempt_hash, hop_attempt_equal);
@@ -336,7 +338,7 @@
   event_free (sidecar->report_timer);
   ops_free (sidecar->ops);
   hcl_free (sidecar->http_client);
-  adm_free (sidecar->admission);
+  admission_free (sidecar->admission);
   hst_free (sidecar->history);
   g_hash_table_destroy (sidecar->calls);
   g_free (sidecar->other_engines);
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -17,15 +17,16 @@
   const hop_t *hop = &call->hop;
   const man_account_t *account = man_account_named (call->manifest, hop->account);
   const man_class_t *request_class = man_class_named (call->manifest, hop->class_name);
-  adm_request_t *request = &call->request;
+  admission_request_t *request = &call->request;
 
   request->item =
-      (fq_item_t){ .account_hash = rendezvous_hash_name (hop->account),
-                   .weight = account != NULL ? account->weight : DEFAULT_ACCOUNT_WEIGHT,
-                   .priority = request_class != NULL ? request_class->priority : 0,
-                   .cost = hop->prompt_tokens + hop->output_tokens,
-                   .queue_limit = account != NULL ? account->queue_limit : LIM_QUEUE_PER_ACCOUNT,
-                   .deadline_us = call->deadline_us };
+      (fair_queue_item_t){ .account_hash = rendezvous_hash_name (hop->account),
+                           .weight = account != NULL ? account->weight : DEFAULT_ACCOUNT_WEIGHT,
+                           .priority = request_class != NULL ? request_class->priority : 0,
+                           .cost = hop->prompt_tokens + hop->output_tokens,
+                           .queue_limit =
+                               account != NULL ? account->queue_limit : LIM_QUEUE_PER_ACCOUNT,
+                           .deadline_us = call->deadline_us };
   request->chat_hash = hop->chat_hash;
   request->fingerprint = hop->fingerprint;
   request->home_hash = hop->home_hash;
@@ -49,7 +50,7 @@
 
       if (sample->engine_hash == sidecar->own_hash || age_us >= now_us)
         continue;
-      load_samples_add (adm_mean (sidecar->admission),
+      load_samples_add (admission_mean (sidecar->admission),
                         &(load_sample_t){ .engine_hash = sample->engine_hash,
                                           .service_hash = sidecar->service->hash,
                                           .load = sample->load,
@@ -102,8 +103,8 @@
 refuse_without_call (sdc_t *sidecar, hsv_call_t *inbound, const char *attempt, const flt_t *fault)
 {
   sdc_identify (sidecar, inbound, attempt);
-  if (fault->reason != VRD_REASON_NONE)
-    hsv_add_header (inbound, HOP_REASON_HEADER, vrd_reason_name (fault->reason));
+  if (fault->reason != VERDICT_REASON_NONE)
+    hsv_add_header (inbound, HOP_REASON_HEADER, verdict_reason_to_string (fault->reason));
   flt_reply (inbound, fault);
 }
 
@@ -131,30 +132,30 @@
 static bool
 refuse_used_attempt (sdc_t *sidecar, hsv_call_t *inbound, const hop_t *hop, const char *attempt)
 {
-  flt_t fault = { .verdict = VRD_NOT_RUN, .reason = VRD_REASON_REVOKED };
-  vrd_t ended;
+  flt_t fault = { .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_REVOKED };
+  verdict_t ended;
   hst_state_t state = hst_find (sidecar->history, ops_now_us (sidecar->ops), hop->attempt, &ended);
 
   if (state == HST_UNKNOWN && !g_hash_table_contains (sidecar->calls, hop->attempt))
     return false;
   if (state != HST_BARRED)
     {
-      fault.verdict = VRD_MAY_HAVE_RUN;
+      fault.verdict = VERDICT_MAY_HAVE_RUN;
       fault.status = 409;
     }
   refuse_without_call (sidecar, inbound, attempt, &fault);
   return true;
 }
 
-/* refusal_reason() - why a request is refused before admission, or VRD_REASON_NONE */
-static vrd_reason_t
+/* refusal_reason() - why a request is refused before admission, or VERDICT_REASON_NONE */
+static verdict_reason_t
 refusal_reason (sdc_t *sidecar, const hop_t *hop)
 {
   if (ops_stale (sidecar->ops) || ops_man (sidecar->ops) == NULL)
-    return VRD_REASON_STALE;
+    return VERDICT_REASON_STALE;
   if (sidecar->service == NULL || strcmp (sidecar->service->name, hop->service) != 0)
-    return VRD_REASON_WRONG_SERVICE;
-  return VRD_REASON_NONE;
+    return VERDICT_REASON_WRONG_SERVICE;
+  return VERDICT_REASON_NONE;
 }
 
 void
@@ -162,7 +163,7 @@
 {
   sdc_t *sidecar = context;
   char attempt[33];
-  vrd_reason_t reason;
+  verdict_reason_t reason;
   hop_t hop;
 
   if (!read_hop_headers (sidecar, inbound, &hop))
@@ -171,12 +172,12 @@
   if (refuse_used_attempt (sidecar, inbound, &hop, attempt))
     return;
   reason = refusal_reason (sidecar, &hop);
-  if (reason != VRD_REASON_NONE)
+  if (reason != VERDICT_REASON_NONE)
     {
-      hst_ended (sidecar->history, ops_now_us (sidecar->ops), hop.attempt, VRD_NOT_RUN);
+      hst_ended (sidecar->history, ops_now_us (sidecar->ops), hop.attempt, VERDICT_NOT_RUN);
       cnt_add (sidecar->refusals[reason], 1);
       refuse_without_call (sidecar, inbound, attempt,
-                           &(flt_t){ .verdict = VRD_NOT_RUN, .reason = reason });
+                           &(flt_t){ .verdict = VERDICT_NOT_RUN, .reason = reason });
       return;
     }
   merge_samples (sidecar, &hop);
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -5,7 +5,10 @@
 #include <string.h>
 
 void
-sdc_call_note (const sdc_call_t *call, const char *action, vrd_t verdict, vrd_reason_t reason)
+sdc_call_note (const sdc_call_t *call,
+               const char *action,
+               verdict_t verdict,
+               verdict_reason_t reason)
 {
   const sdc_t *sidecar = call->sidecar;
   dcn_t decision = { .request = { call->hop.attempt[0], call->hop.attempt[1] },
@@ -17,10 +20,10 @@
                      .hop = (uint32_t)(call->hop.attempt[1] & 0xff),
                      .wait_us = ops_now_us (sidecar->ops) - call->arrived_us,
                      .at_engine = true,
-                     .load = adm_load (sidecar->admission),
-                     .waiting = adm_waiting (sidecar->admission),
+                     .load = admission_load (sidecar->admission),
+                     .waiting = admission_waiting (sidecar->admission),
                      .bound_milli =
-                         adm_bound_milli (sidecar->admission, ops_now_us (sidecar->ops)) };
+                         admission_bound_milli (sidecar->admission, ops_now_us (sidecar->ops)) };
 
   g_strlcpy (decision.account, call->hop.account, sizeof decision.account);
   g_strlcpy (decision.service, call->hop.service, sizeof decision.service);
@@ -32,7 +35,7 @@
 bool
 sdc_load_text (const sdc_t *sidecar, char out[48])
 {
-  load_sample_t own = adm_sample (sidecar->admission, ops_now_us (sidecar->ops));
+  load_sample_t own = admission_sample (sidecar->admission, ops_now_us (sidecar->ops));
 
   /* An engine that accepts no requests is left out of the mean load. Counted as idle, it would
    * lower the load bound of the engines that have to take over its share. */
@@ -80,13 +83,13 @@
 
 /* record_outcome() - remembers the verdict for a router that asks for it later */
 static void
-record_outcome (sdc_call_t *call, vrd_t verdict)
+record_outcome (sdc_call_t *call, verdict_t verdict)
 {
   hst_ended (call->sidecar->history, ops_now_us (call->sidecar->ops), call->hop.attempt, verdict);
 }
 
 static void
-add_referrals (sdc_call_t *call, const adm_decision_t *decision)
+add_referrals (sdc_call_t *call, const admission_decision_t *decision)
 {
   const mem_snapshot_t *members = ops_members (call->sidecar->ops);
   GString *names = g_string_new (NULL);
@@ -104,12 +107,12 @@
 }
 
 static void
-reply_refusal (sdc_call_t *call, const adm_decision_t *decision, vrd_t verdict)
+reply_refusal (sdc_call_t *call, const admission_decision_t *decision, verdict_t verdict)
 {
   char retry[16];
 
   sdc_identify (call->sidecar, call->inbound, call->attempt_text);
-  hsv_add_header (call->inbound, HOP_REASON_HEADER, vrd_reason_name (decision->reason));
+  hsv_add_header (call->inbound, HOP_REASON_HEADER, verdict_reason_to_string (decision->reason));
   add_referrals (call, decision);
   if (decision->retry_after_ms != 0)
     {
@@ -124,99 +127,99 @@
 }
 
 static void
-refuse_call (sdc_call_t *call, const adm_decision_t *decision, vrd_t verdict)
+refuse_call (sdc_call_t *call, const admission_decision_t *decision, verdict_t verdict)
 {
   sdc_call_note (call, "refuse", verdict, decision->reason);
   cnt_add (call->sidecar->refusals[decision->reason], 1);
   /* @verdict is about the idempotency key, which another attempt may have claimed; this attempt
    * itself did not run. */
-  record_outcome (call, VRD_NOT_RUN);
+  record_outcome (call, VERDICT_NOT_RUN);
   if (call->inbound != NULL)
     reply_refusal (call, decision, verdict);
   sdc_call_free (call);
 }
 
 void
-sdc_call_refuse (sdc_call_t *call, const adm_decision_t *decision)
+sdc_call_refuse (sdc_call_t *call, const admission_decision_t *decision)
 {
-  refuse_call (call, decision, VRD_NOT_RUN);
+  refuse_call (call, decision, VERDICT_NOT_RUN);
 }
 
 void
-sdc_call_give_back (sdc_call_t *call, vrd_reason_t reason, vrd_t verdict)
+sdc_call_give_back (sdc_call_t *call, verdict_reason_t reason, verdict_t verdict)
 {
   sdc_t *sidecar = call->sidecar;
 
-  adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
-  refuse_call (call, &(adm_decision_t){ .reason = reason }, verdict);
+  admission_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
+  refuse_call (call, &(admission_decision_t){ .reason = reason }, verdict);
 }
 
 void
-sdc_call_fail (sdc_call_t *call, vrd_reason_t reason)
+sdc_call_fail (sdc_call_t *call, verdict_reason_t reason)
 {
-  adm_decision_t decision = { .reason = reason };
+  admission_decision_t decision = { .reason = reason };
 
-  sdc_call_note (call, "fail", VRD_MAY_HAVE_RUN, reason);
+  sdc_call_note (call, "fail", VERDICT_MAY_HAVE_RUN, reason);
   cnt_add (call->sidecar->refusals[reason], 1);
-  record_outcome (call, VRD_MAY_HAVE_RUN);
+  record_outcome (call, VERDICT_MAY_HAVE_RUN);
   if (call->relay.begun)
-    rly_cut (&call->relay, &(flt_t){ .verdict = VRD_MAY_HAVE_RUN, .reason = reason });
+    rly_cut (&call->relay, &(flt_t){ .verdict = VERDICT_MAY_HAVE_RUN, .reason = reason });
   else if (call->inbound != NULL)
-    reply_refusal (call, &decision, VRD_MAY_HAVE_RUN);
+    reply_refusal (call, &decision, VERDICT_MAY_HAVE_RUN);
   call->inbound = NULL;
   sdc_call_free (call);
 }
 
 void
-sdc_call_unheard (sdc_call_t *call, vrd_reason_t reason)
+sdc_call_unheard (sdc_call_t *call, verdict_reason_t reason)
 {
   if (call->inbound != NULL)
-    reply_refusal (call, &(adm_decision_t){ .reason = reason }, VRD_MAY_HAVE_RUN);
+    reply_refusal (call, &(admission_decision_t){ .reason = reason }, VERDICT_MAY_HAVE_RUN);
 }
 
 void
 sdc_call_answered (sdc_call_t *call)
 {
-  sdc_call_note (call, "answer", VRD_RAN, VRD_REASON_NONE);
-  record_outcome (call, VRD_RAN);
+  sdc_call_note (call, "answer", VERDICT_RAN, VERDICT_REASON_NONE);
+  record_outcome (call, VERDICT_RAN);
   rly_whole (&call->relay);
   call->inbound = NULL;
   sdc_call_free (call);
 }
 
-vrd_t
+verdict_t
 sdc_call_drop (sdc_call_t *call)
 {
   sdc_t *sidecar = call->sidecar;
   uint64_t now_us = ops_now_us (sidecar->ops);
-  vrd_t verdict = VRD_NOT_RUN;
+  verdict_t verdict = VERDICT_NOT_RUN;
 
   switch (call->state)
     {
     case SDC_ARRIVED:
       break;
     case SDC_WAITING:
-      adm_cancel (sidecar->admission, &call->request);
+      admission_cancel (sidecar->admission, &call->request);
       break;
     case SDC_CLAIMING:
-      adm_finish (sidecar->admission, now_us, &call->request, false);
+      admission_finish (sidecar->admission, now_us, &call->request, false);
       sdc_claim_end (call, false, 0);
       break;
     case SDC_RUNNING:
       if (!call->hop.idempotent)
-        return VRD_MAY_HAVE_RUN; /* must not be interrupted half way, so it runs to its end */
-      adm_finish (sidecar->admission, now_us, &call->request, false);
-      verdict = VRD_MAY_HAVE_RUN;
+        return VERDICT_MAY_HAVE_RUN; /* must not be interrupted half way, so it runs to its end */
+      admission_finish (sidecar->admission, now_us, &call->request, false);
+      verdict = VERDICT_MAY_HAVE_RUN;
       break;
     case SDC_CUT:
-      return VRD_MAY_HAVE_RUN; /* the result of the health check ends it */
+      return VERDICT_MAY_HAVE_RUN; /* the result of the health check ends it */
     }
-  sdc_call_note (call, "drop", verdict, VRD_REASON_REVOKED);
+  sdc_call_note (call, "drop", verdict, VERDICT_REASON_REVOKED);
   record_outcome (call, verdict);
   if (call->inbound != NULL && !call->relay.begun)
-    reply_refusal (call, &(adm_decision_t){ .reason = VRD_REASON_REVOKED }, verdict);
+    reply_refusal (call, &(admission_decision_t){ .reason = VERDICT_REASON_REVOKED }, verdict);
   else if (call->inbound != NULL)
-    rly_cut (&call->relay, &(flt_t){ .verdict = verdict, .reason = VRD_REASON_REVOKED });
+    rly_cut (&call->relay, &(flt_t){ .verdict = verdict, .reason = VERDICT_REASON_REVOKED });
   sdc_call_free (call);
   return verdict;
 }
@@ -242,7 +245,7 @@
 must_quarantine (sdc_call_t *call)
 {
   sdc_t *sidecar = call->sidecar;
-  sus_t *suspects = adm_suspects (sidecar->admission);
+  sus_t *suspects = admission_suspects (sidecar->admission);
   uint64_t now_us = ops_now_us (sidecar->ops);
   sus_mark_t mark = { .fingerprint = call->hop.fingerprint };
 
@@ -252,7 +255,7 @@
       sus_merge (suspects, now_us, &mark);
       for (uint32_t i = 0; i < G_N_ELEMENTS (mark.engines); i++)
         if (mark.engines[i] != 0)
-          adm_lost (sidecar->admission, mark.engines[i]);
+          admission_forget_engine (sidecar->admission, mark.engines[i]);
     }
   if (!call->suspect && sus_get (suspects, now_us, call->hop.fingerprint, &mark))
     {
@@ -264,38 +267,39 @@
 }
 
 /* suspect_reason() - why this engine must not run a request that crashed engines, or
- * VRD_REASON_NONE */
-static vrd_reason_t
+ * VERDICT_REASON_NONE */
+static verdict_reason_t
 suspect_reason (const sdc_call_t *call)
 {
   const sdc_t *sidecar = call->sidecar;
 
-  switch (sus_check (adm_suspects (sidecar->admission), ops_now_us (sidecar->ops),
+  switch (sus_check (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
                      call->hop.fingerprint, sidecar->own_hash))
     {
     case SUS_FINAL:
-      return VRD_REASON_SUSPECT;
+      return VERDICT_REASON_SUSPECT;
     case SUS_NOT_HERE:
-      return VRD_REASON_SUSPECT_HERE;
+      return VERDICT_REASON_SUSPECT_HERE;
     case SUS_CLEAR:
       break;
     }
-  return VRD_REASON_NONE;
+  return VERDICT_REASON_NONE;
 }
 
-/* dispatch_refusal_reason() - why an admitted request must not be dispatched, or VRD_REASON_NONE
+/* dispatch_refusal_reason() - why an admitted request must not be dispatched, or
+ * VERDICT_REASON_NONE
  *
  * While the request was queued, its engine may have been moved to another service, or a copy of the
  * request may have crashed an engine. */
-static vrd_reason_t
+static verdict_reason_t
 dispatch_refusal_reason (sdc_call_t *call)
 {
-  vrd_reason_t reason = sdc_closed (call);
+  verdict_reason_t reason = sdc_closed (call);
 
-  if (reason == VRD_REASON_NONE)
+  if (reason == VERDICT_REASON_NONE)
     reason = suspect_reason (call);
-  if (reason == VRD_REASON_NONE && must_quarantine (call))
-    reason = VRD_REASON_QUARANTINE;
+  if (reason == VERDICT_REASON_NONE && must_quarantine (call))
+    reason = VERDICT_REASON_QUARANTINE;
   return reason;
 }
 
@@ -303,11 +307,11 @@
 static void
 dispatch (sdc_call_t *call)
 {
-  vrd_reason_t reason = dispatch_refusal_reason (call);
+  verdict_reason_t reason = dispatch_refusal_reason (call);
 
-  if (reason != VRD_REASON_NONE)
+  if (reason != VERDICT_REASON_NONE)
     {
-      sdc_call_give_back (call, reason, VRD_NOT_RUN);
+      sdc_call_give_back (call, reason, VERDICT_NOT_RUN);
       return;
     }
   call->state = SDC_RUNNING;
@@ -322,12 +326,12 @@
  * If a copy of the request crashed the engine meanwhile, that reason replaces admission's own: the
  * router counts an engine crash only when the reason of the refusal names it. */
 static void
-reject_queued (sdc_call_t *call, adm_decision_t *decision)
+reject_queued (sdc_call_t *call, admission_decision_t *decision)
 {
-  vrd_reason_t reason = suspect_reason (call);
+  verdict_reason_t reason = suspect_reason (call);
 
-  if (reason != VRD_REASON_NONE)
-    *decision = (adm_decision_t){ .reason = reason };
+  if (reason != VERDICT_REASON_NONE)
+    *decision = (admission_decision_t){ .reason = reason };
   sdc_call_refuse (call, decision);
 }
 
@@ -335,23 +339,24 @@
 sdc_call_offer (sdc_call_t *call)
 {
   sdc_t *sidecar = call->sidecar;
-  adm_decision_t decision = { .action = ADM_REFUSE, .reason = VRD_REASON_QUARANTINE };
+  admission_decision_t decision = { .action = ADMISSION_REJECT,
+                                    .reason = VERDICT_REASON_QUARANTINE };
 
   hsv_on_gone (call->inbound, on_router_disconnect, call);
-  adm_set_stale (sidecar->admission, ops_stale (sidecar->ops));
+  admission_set_stale (sidecar->admission, ops_stale (sidecar->ops));
   if (!must_quarantine (call))
-    decision = adm_offer (sidecar->admission, ops_now_us (sidecar->ops), &call->request);
+    decision = admission_offer (sidecar->admission, ops_now_us (sidecar->ops), &call->request);
   switch (decision.action)
     {
-    case ADM_DISPATCH:
+    case ADMISSION_DISPATCH:
       dispatch (call);
       break;
-    case ADM_WAIT:
+    case ADMISSION_WAIT:
       call->state = SDC_WAITING;
       cnt_add (sidecar->waited, 1);
-      sdc_call_note (call, "wait", VRD_NOT_RUN, decision.reason);
+      sdc_call_note (call, "wait", VERDICT_NOT_RUN, decision.reason);
       break;
-    case ADM_REFUSE:
+    case ADMISSION_REJECT:
       sdc_call_refuse (call, &decision);
       break;
     }
@@ -360,14 +365,15 @@
 void
 sdc_pump (sdc_t *sidecar)
 {
-  adm_decision_t decision;
-  adm_request_t *request;
+  admission_decision_t decision;
+  admission_request_t *request;
 
-  adm_set_stale (sidecar->admission, ops_stale (sidecar->ops));
-  while ((request = adm_reject (sidecar->admission, ops_now_us (sidecar->ops), &decision)) != NULL)
+  admission_set_stale (sidecar->admission, ops_stale (sidecar->ops));
+  while ((request = admission_next_rejected (sidecar->admission, ops_now_us (sidecar->ops),
+                                             &decision)) != NULL)
     reject_queued ((sdc_call_t *)request, &decision);
-  while ((request = adm_next (sidecar->admission, ops_now_us (sidecar->ops))) != NULL)
+  while ((request = admission_next (sidecar->admission, ops_now_us (sidecar->ops))) != NULL)
     dispatch ((sdc_call_t *)request);
-  cnt_set_value (sidecar->load, adm_load (sidecar->admission));
-  cnt_set_value (sidecar->waiting, adm_waiting (sidecar->admission));
+  cnt_set_value (sidecar->load, admission_load (sidecar->admission));
+  cnt_set_value (sidecar->waiting, admission_waiting (sidecar->admission));
 }
--- a/src/request/sidecar/sidecar_claim.c
+++ b/src/request/sidecar/sidecar_claim.c
@@ -38,7 +38,7 @@
   message->expiry_us = call->deadline_us;
   call->state = SDC_CLAIMING;
   call->claim_open = true;
-  sdc_call_note (call, "claim", VRD_NOT_RUN, VRD_REASON_NONE);
+  sdc_call_note (call, "claim", VERDICT_NOT_RUN, VERDICT_REASON_NONE);
   mbx_send (call->sidecar->daemon->to_control, &message->head);
 }
 
@@ -60,37 +60,38 @@
   mbx_send (call->sidecar->daemon->to_control, &message->head);
 }
 
-/* start_refusal_reason() - why a request with a granted claim must not start, or VRD_REASON_NONE
+/* start_refusal_reason() - why a request with a granted claim must not start, or
+ * VERDICT_REASON_NONE
  *
  * Checked immediately before the request starts, because the process may have been paused with the
  * result in its mailbox, and the host may have begun to leave while a slow log decided the claim. A
  * host that began to leave less than LIM_LEAVING_GRACE_US ago still starts the request. Otherwise
  * the claim would be released by a log record that can arrive after the claim of the next sidecar,
  * and in a planned stop the caller of a request that did not run would be told "may have run". */
-static vrd_reason_t
+static verdict_reason_t
 start_refusal_reason (const sdc_call_t *call)
 {
-  vrd_reason_t reason = sdc_closed (call);
+  verdict_reason_t reason = sdc_closed (call);
 
-  if (reason == VRD_REASON_LEAVING && sdc_left_lately (call->sidecar))
-    reason = VRD_REASON_NONE;
-  if (reason == VRD_REASON_NONE && ops_now_us (call->sidecar->ops) >= call->deadline_us)
-    reason = VRD_REASON_DEADLINE;
+  if (reason == VERDICT_REASON_LEAVING && sdc_left_lately (call->sidecar))
+    reason = VERDICT_REASON_NONE;
+  if (reason == VERDICT_REASON_NONE && ops_now_us (call->sidecar->ops) >= call->deadline_us)
+    reason = VERDICT_REASON_DEADLINE;
   return reason;
 }
 
 static void
 on_claim_granted (sdc_call_t *call)
 {
-  vrd_reason_t reason = start_refusal_reason (call);
+  verdict_reason_t reason = start_refusal_reason (call);
 
-  if (reason == VRD_REASON_NONE)
+  if (reason == VERDICT_REASON_NONE)
     {
       sdc_engine_start (call);
       return;
     }
   sdc_claim_end (call, false, 0);
-  sdc_call_give_back (call, reason, VRD_NOT_RUN);
+  sdc_call_give_back (call, reason, VERDICT_NOT_RUN);
 }
 
 void
@@ -106,20 +107,20 @@
       on_claim_granted (call);
       break;
     case CLM_DONE:
-      sdc_call_give_back (call, VRD_REASON_CLAIMED, VRD_RAN);
+      sdc_call_give_back (call, VERDICT_REASON_CLAIMED, VERDICT_RAN);
       break;
     case CLM_KEY_REUSED:
-      sdc_call_give_back (call, VRD_REASON_KEY_REUSED, VRD_NOT_RUN);
+      sdc_call_give_back (call, VERDICT_REASON_KEY_REUSED, VERDICT_NOT_RUN);
       break;
     case CLM_TOO_LATE:
-      sdc_call_give_back (call, VRD_REASON_DEADLINE, VRD_NOT_RUN);
+      sdc_call_give_back (call, VERDICT_REASON_DEADLINE, VERDICT_NOT_RUN);
       break;
     case CLM_LOG_DOWN:
-      sdc_call_give_back (call, VRD_REASON_LOG_DOWN, VRD_NOT_RUN);
+      sdc_call_give_back (call, VERDICT_REASON_LOG_DOWN, VERDICT_NOT_RUN);
       break;
     case CLM_HELD:
     case CLM_PENDING:
-      sdc_call_give_back (call, VRD_REASON_CLAIMED, VRD_MAY_HAVE_RUN);
+      sdc_call_give_back (call, VERDICT_REASON_CLAIMED, VERDICT_MAY_HAVE_RUN);
       break;
     }
   sdc_pump (sidecar);
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -46,7 +46,7 @@
   rly_add_header (&call->relay, HOP_INCARNATION_HEADER, call->sidecar->incarnation_text);
   if (!call->relay.holding)
     add_load_header (call);
-  rly_add_header (&call->relay, VRD_HEADER, vrd_name (VRD_RAN));
+  rly_add_header (&call->relay, VERDICT_HEADER, verdict_to_string (VERDICT_RAN));
   set_timer (call, SDC_STALL_US);
   return true;
 }
@@ -67,7 +67,7 @@
   bool fills_cache =
       sidecar->service != NULL && sidecar->service->kind == MAN_KIND_MODEL && status == 200;
 
-  adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, fills_cache);
+  admission_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, fills_cache);
   sdc_claim_end (call, true, (uint32_t)status);
   if (!call->relay.begun)
     add_load_header (call); /* the load without this request, which has ended */
@@ -81,7 +81,7 @@
   sdc_t *sidecar = call->sidecar;
 
   sdc_claim_end (call, false, 0);
-  sdc_call_give_back (call, VRD_REASON_NO_ENGINE, VRD_NOT_RUN);
+  sdc_call_give_back (call, VERDICT_REASON_NO_ENGINE, VERDICT_NOT_RUN);
   sdc_probe_now (sidecar);
 }
 
@@ -99,9 +99,9 @@
   call->interrupted_us = ops_now_us (sidecar->ops);
   if (call->relay.begun)
     {
-      rly_cut (
-          &call->relay,
-          &(flt_t){ .verdict = VRD_RAN, .reason = VRD_REASON_CUT, .request = call->attempt_text });
+      rly_cut (&call->relay, &(flt_t){ .verdict = VERDICT_RAN,
+                                       .reason = VERDICT_REASON_CUT,
+                                       .request = call->attempt_text });
       call->inbound = NULL;
     }
   sdc_probe_now (sidecar);
@@ -118,12 +118,12 @@
   event_del (call->timer);
   if (end->whole)
     on_answer_complete (call, end->status);
-  else if (end->verdict == VRD_NOT_RUN)
+  else if (end->verdict == VERDICT_NOT_RUN)
     on_engine_unreachable (call);
   else if (call->answer_mismatch)
     {
-      adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
-      sdc_call_fail (call, VRD_REASON_CROSSED);
+      admission_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
+      sdc_call_fail (call, VERDICT_REASON_CROSSED);
     }
   else
     on_answer_interrupted (call);
@@ -150,13 +150,13 @@
       /* The caller is told now that the request may have run. The engine is not interrupted: after
        * a partial run the outcome would be unknown and the request could not be sent again. */
       call->timeout_reported = true;
-      sdc_call_note (call, "late", VRD_MAY_HAVE_RUN, VRD_REASON_TIMEOUT);
-      sdc_call_unheard (call, VRD_REASON_TIMEOUT);
+      sdc_call_note (call, "late", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_TIMEOUT);
+      sdc_call_unheard (call, VERDICT_REASON_TIMEOUT);
       set_timer (call, SDC_STALL_US);
       return;
     }
-  adm_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
-  sdc_call_fail (call, VRD_REASON_TIMEOUT);
+  admission_finish (sidecar->admission, ops_now_us (sidecar->ops), &call->request, false);
+  sdc_call_fail (call, VERDICT_REASON_TIMEOUT);
   sdc_pump (sidecar);
 }
 
@@ -188,7 +188,7 @@
   added[2] = (hcl_header_t){ .name = HOP_ACCOUNT_HEADER, .value = call->hop.account };
   call->state = SDC_RUNNING;
   cnt_add (sidecar->dispatched, 1);
-  sdc_call_note (call, "dispatch", VRD_MAY_HAVE_RUN, VRD_REASON_NONE);
+  sdc_call_note (call, "dispatch", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_NONE);
   set_timer (call, MAX (remaining_us, CLK_US_PER_MS));
   call->outbound = hcl_start (sidecar->http_client, &options);
 }
--- a/src/request/sidecar/sidecar_leave.c
+++ b/src/request/sidecar/sidecar_leave.c
@@ -117,10 +117,10 @@
     return;
   sidecar->directory_handed_over = true;
   handover.batch_by_host = g_new0 (json_t *, members->host_count);
-  dir_each (adm_directory (sidecar->admission), add_entry, &handover);
+  dir_each (admission_directory (sidecar->admission), add_entry, &handover);
   for (uint32_t i = 0; i < members->host_count; i++)
     flush_batch (&handover, i);
   g_free (handover.batch_by_host);
   log_event (LOG_LEVEL_NOTICE, "directory_handed_over", "entries",
-             LOG_U64 (dir_count (adm_directory (sidecar->admission))), NULL);
+             LOG_U64 (dir_count (admission_directory (sidecar->admission))), NULL);
 }
--- a/src/request/sidecar/sidecar_orders.c
+++ b/src/request/sidecar/sidecar_orders.c
@@ -16,8 +16,8 @@
   return true;
 }
 
-/* revoke_attempt() - Return: whether the attempt ran; after VRD_NOT_RUN it never runs here */
-static vrd_t
+/* revoke_attempt() - Return: whether the attempt ran; after VERDICT_NOT_RUN it never runs here */
+static verdict_t
 revoke_attempt (sdc_t *sidecar, const uint64_t attempt[2], uint64_t age_us)
 {
   sdc_call_t *call = g_hash_table_lookup (sidecar->calls, attempt);
@@ -34,7 +34,7 @@
   const char *age = hsv_query (inbound, "age_ms");
   uint64_t attempt[2];
   guint64 age_ms;
-  vrd_t verdict;
+  verdict_t verdict;
 
   if (text == NULL || !hop_attempt_parse (text, attempt) || age == NULL ||
       !g_ascii_string_to_unsigned (age, 10, 0, UINT32_MAX, &age_ms, NULL))
@@ -44,8 +44,8 @@
     }
   verdict = revoke_attempt (sidecar, attempt, age_ms * CLK_US_PER_MS);
   sdc_identify (sidecar, inbound, text);
-  hsv_add_header (inbound, VRD_HEADER, vrd_name (verdict));
-  hsv_reply_text (inbound, 200, "text/plain", vrd_name (verdict));
+  hsv_add_header (inbound, VERDICT_HEADER, verdict_to_string (verdict));
+  hsv_reply_text (inbound, 200, "text/plain", verdict_to_string (verdict));
   sdc_pump (sidecar);
 }
 
@@ -61,7 +61,7 @@
       flt_bad_request (inbound, 400, "bad_request", "chat or engine is missing or not valid");
       return;
     }
-  adm_served_elsewhere (sidecar->admission, ops_now_us (sidecar->ops), chat, engine);
+  admission_note_served_elsewhere (sidecar->admission, ops_now_us (sidecar->ops), chat, engine);
   cnt_add (sidecar->directory_notes, 1);
   hsv_reply_text (inbound, 200, "text/plain", "noted\n");
 }
@@ -85,7 +85,7 @@
       if (!parse_hash (json_string_value (json_array_get (entry, 0)), &chat) ||
           !parse_hash (json_string_value (json_array_get (entry, 1)), &engine))
         continue;
-      adm_served_elsewhere (sidecar->admission, ops_now_us (sidecar->ops), chat, engine);
+      admission_note_served_elsewhere (sidecar->admission, ops_now_us (sidecar->ops), chat, engine);
       cnt_add (sidecar->directory_notes, 1);
       stored++;
     }
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -92,7 +92,7 @@
   struct event_base *base;
   ops_t *ops;
   hcl_t *http_client;
-  adm_t *admission;
+  admission_t *admission;
   hst_t *history;
   uint64_t own_hash;
   const man_service_t *service;
@@ -116,7 +116,7 @@
   cnt_t *waited;
   cnt_t *crashes;
   cnt_t *directory_notes;
-  cnt_t *refusals[VRD_REASON_COUNT];
+  cnt_t *refusals[VERDICT_REASON_COUNT];
   cnt_t *load;
   cnt_t *waiting;
   cnt_t *bound_milli;
@@ -140,7 +140,7 @@
  */
 typedef struct
 {
-  adm_request_t request;
+  admission_request_t request;
   sdc_t *sidecar;
   sdc_state_t state;
   hsv_call_t *inbound;
@@ -191,26 +191,27 @@
  *
  * The call must not be queued or admitted.
  */
-void sdc_call_refuse (sdc_call_t *call, const adm_decision_t *decision);
+void sdc_call_refuse (sdc_call_t *call, const admission_decision_t *decision);
 /**
  * sdc_call_fail() - answers that the request may have run, and frees the call
  *
- * An answer that has begun is broken off. To be called after adm_finish().
+ * An answer that has begun is broken off. To be called after admission_finish().
  */
-void sdc_call_fail (sdc_call_t *call, vrd_reason_t reason);
+void sdc_call_fail (sdc_call_t *call, verdict_reason_t reason);
 /**
  * sdc_call_unheard() - answers that the request may have run, and leaves it running
  *
  * The engine is not interrupted; its answer will be discarded.
  */
-void sdc_call_unheard (sdc_call_t *call, vrd_reason_t reason);
-/** sdc_call_answered() - ends a call whose answer is complete; to be called after adm_finish() */
+void sdc_call_unheard (sdc_call_t *call, verdict_reason_t reason);
+/** sdc_call_answered() - ends a call whose answer is complete; to be called after
+ * admission_finish() */
 void sdc_call_answered (sdc_call_t *call);
 /**
  * sdc_call_give_back() - refuses an admitted request that was not sent to the engine
  * @verdict: what the router is told of the request; the attempt itself is recorded as not run
  */
-void sdc_call_give_back (sdc_call_t *call, vrd_reason_t reason, vrd_t verdict);
+void sdc_call_give_back (sdc_call_t *call, verdict_reason_t reason, verdict_t verdict);
 void sdc_call_free (sdc_call_t *call);
 /**
  * sdc_call_drop() - cancels a request whose answer nobody waits for
@@ -219,11 +220,15 @@
  *
  * Return: whether the attempt ran, as far as this is known
  */
-vrd_t sdc_call_drop (sdc_call_t *call);
+verdict_t sdc_call_drop (sdc_call_t *call);
 /** sdc_call_note() - records a decision in the log and for /medlarplank/explain */
-void sdc_call_note (const sdc_call_t *call, const char *action, vrd_t verdict, vrd_reason_t reason);
-/** sdc_closed() - why no request of the call's service may start here now, or VRD_REASON_NONE */
-vrd_reason_t sdc_closed (const sdc_call_t *call);
+void sdc_call_note (const sdc_call_t *call,
+                    const char *action,
+                    verdict_t verdict,
+                    verdict_reason_t reason);
+/** sdc_closed() - why no request of the call's service may start here now, or VERDICT_REASON_NONE
+ */
+verdict_reason_t sdc_closed (const sdc_call_t *call);
 /** sdc_left_lately() - whether this host began to leave less than LIM_LEAVING_GRACE_US ago */
 bool sdc_left_lately (const sdc_t *sidecar);
 /** sdc_pump() - refuses and dispatches queued requests as far as their deadlines and the load allow
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -24,7 +24,7 @@
   if (sidecar->engine_up == up)
     return;
   sidecar->engine_up = up;
-  adm_set_engine_up (sidecar->admission, up);
+  admission_set_engine_up (sidecar->admission, up);
   log_event (LOG_LEVEL_NOTICE, up ? "engine_up" : "engine_down", "engine",
              sidecar->daemon->set.name, NULL);
 }
@@ -36,7 +36,7 @@
   msg_marks_t *message = msg_new (MSG_NEW_MARK);
 
   message->count = 1;
-  if (sus_get (adm_suspects (sidecar->admission), ops_now_us (sidecar->ops), fingerprint,
+  if (sus_get (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops), fingerprint,
                &message->marks[0]))
     mbx_send (sidecar->daemon->to_control, &message->head);
   else
@@ -56,11 +56,11 @@
 
   if (crashed)
     {
-      adm_crashed (sidecar->admission, now_us, &call->request);
+      admission_note_crash (sidecar->admission, now_us, &call->request);
       publish_crash_mark (sidecar, call->hop.fingerprint);
     }
-  adm_finish (sidecar->admission, now_us, &call->request, false);
-  sdc_call_fail (call, crashed ? VRD_REASON_ENGINE_CRASHED : VRD_REASON_CUT);
+  admission_finish (sidecar->admission, now_us, &call->request, false);
+  sdc_call_fail (call, crashed ? VERDICT_REASON_ENGINE_CRASHED : VERDICT_REASON_CUT);
 }
 
 /* end_interrupted_calls() - ends the calls that were interrupted before the health check began
@@ -124,8 +124,8 @@
 {
   sdc_t *sidecar = context;
   bool disconnected =
-      !end->whole && (end->reason == VRD_REASON_CUT || end->reason == VRD_REASON_CROSSED);
-  bool crashed = !end->whole && end->reason == VRD_REASON_CONNECT;
+      !end->whole && (end->reason == VERDICT_REASON_CUT || end->reason == VERDICT_REASON_CROSSED);
+  bool crashed = !end->whole && end->reason == VERDICT_REASON_CONNECT;
 
   sidecar->probe = NULL;
   sidecar->probe_disconnects = disconnected ? sidecar->probe_disconnects + 1 : 0;
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -575,7 +575,7 @@
   pfl_answer_t *answer = context;
 
   answer->status = status;
-  copy_header (headers, VRD_HEADER, answer->verdict, sizeof answer->verdict);
+  copy_header (headers, VERDICT_HEADER, answer->verdict, sizeof answer->verdict);
   copy_header (headers, "X-Medlarplank-Engine", answer->engine, sizeof answer->engine);
   copy_header (headers, "X-Medlarplank-Request", answer->request_id, sizeof answer->request_id);
   copy_header (headers, "Retry-After", answer->retry_after, sizeof answer->retry_after);
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -16,9 +16,9 @@
 /* The admission control of one sidecar with its clock and requests. @gone: an engine that left */
 typedef struct
 {
-  adm_t *adm;
+  admission_t *admission;
   uint64_t now_us;
-  adm_request_t requests[REQUESTS];
+  admission_request_t requests[REQUESTS];
   uint32_t count;
   uint64_t gone;
 } rig_t;
@@ -34,24 +34,24 @@
 {
   rig_t *rig = g_new0 (rig_t, 1);
   rig->now_us = 100 * SECOND_US;
-  const adm_options_t options = { .engine_hash = OWN,
-                                  .service_hash = SERVICE,
-                                  .slots = SLOTS,
-                                  .bound_percent = bound_percent,
-                                  .engine_count = ENGINES,
-                                  .prefill_tokens_s = 10000,
-                                  .cache_lifetime_us = LIFETIME_US,
-                                  .seed = 3,
-                                  .is_live = is_live,
-                                  .context = rig };
-  rig->adm = adm_new (&options);
+  const admission_options_t options = { .engine_hash = OWN,
+                                        .service_hash = SERVICE,
+                                        .slots = SLOTS,
+                                        .bound_percent = bound_percent,
+                                        .engine_count = ENGINES,
+                                        .prefill_tokens_s = 10000,
+                                        .cache_lifetime_us = LIFETIME_US,
+                                        .seed = 3,
+                                        .is_live = is_live,
+                                        .context = rig };
+  rig->admission = admission_new (&options);
   return rig;
 }
 
 static void
 rig_free (rig_t *rig)
 {
-  adm_free (rig->adm);
+  admission_free (rig->admission);
   g_free (rig);
 }
 
@@ -68,41 +68,41 @@
                                      .load = load,
                                      .waiting = waiting,
                                      .taken_us = rig->now_us };
-      load_samples_add (adm_mean (rig->adm), &sample);
+      load_samples_add (admission_mean (rig->admission), &sample);
     }
 }
 
-static adm_request_t *
+static admission_request_t *
 make (rig_t *rig, uint64_t account, uint64_t chat)
 {
   CU_ASSERT_FATAL (rig->count < REQUESTS);
-  adm_request_t *request = &rig->requests[rig->count++];
-  *request = (adm_request_t){ .item = { .account_hash = account,
-                                        .weight = 1000,
-                                        .priority = 1,
-                                        .cost = 1000,
-                                        .queue_limit = 8,
-                                        .deadline_us = rig->now_us + 20 * SECOND_US },
-                              .chat_hash = chat,
-                              .fingerprint = 1000 + rig->count,
-                              .home_hash = OWN,
-                              .prompt_tokens = 500,
-                              .output_tokens = 100,
-                              .has_chat = chat != 0 };
+  admission_request_t *request = &rig->requests[rig->count++];
+  *request = (admission_request_t){ .item = { .account_hash = account,
+                                              .weight = 1000,
+                                              .priority = 1,
+                                              .cost = 1000,
+                                              .queue_limit = 8,
+                                              .deadline_us = rig->now_us + 20 * SECOND_US },
+                                    .chat_hash = chat,
+                                    .fingerprint = 1000 + rig->count,
+                                    .home_hash = OWN,
+                                    .prompt_tokens = 500,
+                                    .output_tokens = 100,
+                                    .has_chat = chat != 0 };
   return request;
 }
 
-static adm_decision_t
-offer (rig_t *rig, adm_request_t *request)
+static admission_decision_t
+offer (rig_t *rig, admission_request_t *request)
 {
-  return adm_offer (rig->adm, rig->now_us, request);
+  return admission_offer (rig->admission, rig->now_us, request);
 }
 
 static void
 dispatch_many (rig_t *rig, uint32_t load)
 {
   for (uint32_t i = 0; i < load; i++)
-    CU_ASSERT_EQUAL_FATAL (offer (rig, make (rig, 1 + i % 4, 0)).action, ADM_DISPATCH);
+    CU_ASSERT_EQUAL_FATAL (offer (rig, make (rig, 1 + i % 4, 0)).action, ADMISSION_DISPATCH);
 }
 
 /* Offers requests of eight accounts and ignores the decisions. */
@@ -120,14 +120,14 @@
   add_samples (rig, 8, 0);
   dispatch_many (rig, 9);
   /* mean (8 + 8 + 8 + 9) / 4 = 8.25, bound 10.31 */
-  CU_ASSERT_EQUAL (adm_bound_milli (rig->adm, rig->now_us), 10312);
+  CU_ASSERT_EQUAL (admission_bound_milli (rig->admission, rig->now_us), 10312);
   dispatch_many (rig, 1);
-  const adm_decision_t decision = offer (rig, make (rig, 1, 0));
-  CU_ASSERT_EQUAL (decision.action, ADM_REFUSE);
-  CU_ASSERT_EQUAL (decision.reason, VRD_REASON_OVER_BOUND);
+  const admission_decision_t decision = offer (rig, make (rig, 1, 0));
+  CU_ASSERT_EQUAL (decision.action, ADMISSION_REJECT);
+  CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_OVER_BOUND);
   CU_ASSERT_EQUAL (decision.referral_count, 3);
   CU_ASSERT (decision.retry_after_ms > 0);
-  CU_ASSERT_EQUAL (adm_load (rig->adm), 10);
+  CU_ASSERT_EQUAL (admission_load (rig->admission), 10);
 }
 
 static void
@@ -136,7 +136,7 @@
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 0, 0);
   dispatch_many (rig, 1);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_OVER_BOUND);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VERDICT_REASON_OVER_BOUND);
 }
 
 /* The mean load changes, so the bound has a margin. Guards against a service whose engines all have
@@ -150,18 +150,18 @@
     {
       rig->now_us += SECOND_US;
       add_samples (rig, i % 2 == 0 ? 2 : 6, 0);
-      adm_request_t *request = &rig->requests[0];
+      admission_request_t *request = &rig->requests[0];
       rig->count = 0;
-      CU_ASSERT_EQUAL_FATAL (offer (rig, make (rig, 1, 0)).action, ADM_DISPATCH);
-      adm_finish (rig->adm, rig->now_us, request, true);
+      CU_ASSERT_EQUAL_FATAL (offer (rig, make (rig, 1, 0)).action, ADMISSION_DISPATCH);
+      admission_finish (rig->admission, rig->now_us, request, true);
     }
   add_samples (rig, 0, 0);
   rig->now_us += SECOND_US;
   add_samples (rig, 8, 0);
   rig->count = 0;
   dispatch_many (rig, 8);
-  CU_ASSERT (adm_bound_milli (rig->adm, rig->now_us) < 10000);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).action, ADM_DISPATCH);
+  CU_ASSERT (admission_bound_milli (rig->admission, rig->now_us) < 10000);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).action, ADMISSION_DISPATCH);
 }
 
 /* All engines run seven requests, but one of them has just completed one. Guards against a bound
@@ -176,10 +176,10 @@
                                      .service_hash = SERVICE,
                                      .load = engine == 13 ? 6 : 7,
                                      .taken_us = rig->now_us };
-      load_samples_add (adm_mean (rig->adm), &sample);
+      load_samples_add (admission_mean (rig->admission), &sample);
     }
   dispatch_many (rig, 8);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_OVER_BOUND);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VERDICT_REASON_OVER_BOUND);
   rig_free (rig);
 }
 
@@ -198,14 +198,14 @@
                                          .service_hash = SERVICE,
                                          .load = engine == 13 ? 0 : 10,
                                          .taken_us = rig->now_us };
-          load_samples_add (adm_mean (rig->adm), &sample);
+          load_samples_add (admission_mean (rig->admission), &sample);
         }
       rig->now_us += SECOND_US / 2;
     }
   dispatch_many (rig, 10);
-  CU_ASSERT (adm_bound_milli (rig->adm, rig->now_us) >= 11000);
-  const adm_decision_t decision = offer (rig, make (rig, 1, 0));
-  CU_ASSERT_EQUAL (decision.action, ADM_DISPATCH);
+  CU_ASSERT (admission_bound_milli (rig->admission, rig->now_us) >= 11000);
+  const admission_decision_t decision = offer (rig, make (rig, 1, 0));
+  CU_ASSERT_EQUAL (decision.action, ADMISSION_DISPATCH);
 }
 
 /* No samples arrive. Guards against rejecting requests on all engines while the exchange of samples
@@ -215,10 +215,10 @@
 test_unknown_mean (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  adm_set_joined (rig->adm, rig->now_us);
-  CU_ASSERT_EQUAL (adm_bound_milli (rig->adm, rig->now_us), 1000);
+  admission_set_joined (rig->admission, rig->now_us);
+  CU_ASSERT_EQUAL (admission_bound_milli (rig->admission, rig->now_us), 1000);
   rig->now_us += LIM_SAMPLE_AGE_US;
-  CU_ASSERT_EQUAL (adm_bound_milli (rig->adm, rig->now_us), SLOTS * 1000);
+  CU_ASSERT_EQUAL (admission_bound_milli (rig->admission, rig->now_us), SLOTS * 1000);
 }
 
 /* The engine is at its bound. Guards against rejecting a request of a long chat whose context is
@@ -230,15 +230,15 @@
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 8, 0);
   dispatch_many (rig, 10);
-  adm_request_t *warm = make (rig, 1, 77);
+  admission_request_t *warm = make (rig, 1, 77);
   warm->prompt_tokens = 40000;
-  CU_ASSERT_EQUAL (offer (rig, warm).action, ADM_WAIT);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 2, 0)).reason, VRD_REASON_OVER_BOUND);
-  CU_ASSERT_PTR_NULL (adm_next (rig->adm, rig->now_us));
-  adm_finish (rig->adm, rig->now_us, &rig->requests[0], true);
-  CU_ASSERT_PTR_EQUAL (adm_next (rig->adm, rig->now_us), warm);
+  CU_ASSERT_EQUAL (offer (rig, warm).action, ADMISSION_WAIT);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 2, 0)).reason, VERDICT_REASON_OVER_BOUND);
+  CU_ASSERT_PTR_NULL (admission_next (rig->admission, rig->now_us));
+  admission_finish (rig->admission, rig->now_us, &rig->requests[0], true);
+  CU_ASSERT_PTR_EQUAL (admission_next (rig->admission, rig->now_us), warm);
   CU_ASSERT (warm->running);
-  CU_ASSERT_EQUAL (adm_load (rig->adm), 10);
+  CU_ASSERT_EQUAL (admission_load (rig->admission), 10);
 }
 
 static void
@@ -247,10 +247,10 @@
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, SLOTS, 3);
   dispatch_many (rig, SLOTS - 2);
-  adm_request_t *other = make (rig, 9, 0);
-  CU_ASSERT_EQUAL (offer (rig, other).action, ADM_DISPATCH);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 10, 0)).action, ADM_DISPATCH);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 9, 0)).action, ADM_WAIT);
+  admission_request_t *other = make (rig, 9, 0);
+  CU_ASSERT_EQUAL (offer (rig, other).action, ADMISSION_DISPATCH);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 10, 0)).action, ADMISSION_DISPATCH);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 9, 0)).action, ADMISSION_WAIT);
 }
 
 /* All engines are full until after the deadline of a new request. Guards against queueing it until
@@ -264,16 +264,16 @@
   rig->now_us += 3 * SECOND_US;
   add_samples (rig, SLOTS, 3);
   for (uint32_t i = 0; i < SLOTS; i++)
-    adm_finish (rig->adm, rig->now_us, &rig->requests[i], true);
+    admission_finish (rig->admission, rig->now_us, &rig->requests[i], true);
   for (uint32_t i = 0; i < SLOTS; i++)
-    CU_ASSERT_EQUAL (offer (rig, make (rig, 1 + i % 8, 0)).action, ADM_DISPATCH);
-  adm_request_t *late = make (rig, 9, 0);
+    CU_ASSERT_EQUAL (offer (rig, make (rig, 1 + i % 8, 0)).action, ADMISSION_DISPATCH);
+  admission_request_t *late = make (rig, 9, 0);
   late->item.deadline_us = rig->now_us + 10000;
-  const adm_decision_t decision = offer (rig, late);
-  CU_ASSERT_EQUAL (decision.action, ADM_REFUSE);
-  CU_ASSERT_EQUAL (decision.reason, VRD_REASON_DEADLINE);
+  const admission_decision_t decision = offer (rig, late);
+  CU_ASSERT_EQUAL (decision.action, ADMISSION_REJECT);
+  CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_DEADLINE);
   CU_ASSERT (decision.retry_after_ms >= 100 && decision.retry_after_ms < 1000);
-  CU_ASSERT_EQUAL (adm_waiting (rig->adm), 0);
+  CU_ASSERT_EQUAL (admission_waiting (rig->admission), 0);
 }
 
 /* The engine stalls while a request is queued. Guards against keeping the request until its
@@ -282,17 +282,17 @@
 test_stall_rejects_before_deadline (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  adm_decision_t decision;
+  admission_decision_t decision;
   add_samples (rig, SLOTS, 3);
   offer_many (rig, SLOTS);
-  adm_request_t *waiting = make (rig, 9, 0);
-  CU_ASSERT_EQUAL_FATAL (offer (rig, waiting).action, ADM_WAIT);
-  CU_ASSERT_PTR_NULL (adm_reject (rig->adm, rig->now_us, &decision));
+  admission_request_t *waiting = make (rig, 9, 0);
+  CU_ASSERT_EQUAL_FATAL (offer (rig, waiting).action, ADMISSION_WAIT);
+  CU_ASSERT_PTR_NULL (admission_next_rejected (rig->admission, rig->now_us, &decision));
   rig->now_us += 16 * SECOND_US;
   add_samples (rig, SLOTS, 3);
-  CU_ASSERT_PTR_EQUAL (adm_reject (rig->adm, rig->now_us, &decision), waiting);
-  CU_ASSERT_EQUAL (decision.reason, VRD_REASON_DEADLINE);
-  CU_ASSERT_PTR_NULL (adm_reject (rig->adm, rig->now_us, &decision));
+  CU_ASSERT_PTR_EQUAL (admission_next_rejected (rig->admission, rig->now_us, &decision), waiting);
+  CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_DEADLINE);
+  CU_ASSERT_PTR_NULL (admission_next_rejected (rig->admission, rig->now_us, &decision));
 }
 
 /* One client account surges and uses all slots that it may. Guards against a request of another
@@ -302,14 +302,14 @@
 {
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, SLOTS, 0);
-  adm_finish (rig->adm, rig->now_us,
-              (offer (rig, make (rig, 2, 0)), &rig->requests[rig->count - 1]), true);
+  admission_finish (rig->admission, rig->now_us,
+                    (offer (rig, make (rig, 2, 0)), &rig->requests[rig->count - 1]), true);
   uint32_t running = 0;
   for (uint32_t i = 0; i < 20; i++)
-    running += offer (rig, make (rig, 1, 0)).action == ADM_DISPATCH;
-  CU_ASSERT_EQUAL (running, SLOTS - SLOTS / ADM_RESERVE_DIVISOR);
-  CU_ASSERT (adm_waiting (rig->adm) > 0);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 2, 0)).action, ADM_DISPATCH);
+    running += offer (rig, make (rig, 1, 0)).action == ADMISSION_DISPATCH;
+  CU_ASSERT_EQUAL (running, SLOTS - SLOTS / ADMISSION_RESERVE_DIVISOR);
+  CU_ASSERT (admission_waiting (rig->admission) > 0);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 2, 0)).action, ADMISSION_DISPATCH);
 }
 
 static void
@@ -320,9 +320,9 @@
   dispatch_many (rig, 4);
   for (uint32_t i = 0; i < SLOTS + 8; i++)
     offer (rig, make (rig, 1, 0));
-  CU_ASSERT_EQUAL (adm_waiting (rig->adm), 8);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_ACCOUNT_SHARE);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 2, 0)).action, ADM_DISPATCH);
+  CU_ASSERT_EQUAL (admission_waiting (rig->admission), 8);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VERDICT_REASON_ACCOUNT_SHARE);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 2, 0)).action, ADMISSION_DISPATCH);
 }
 
 /* Guards against unused reserved slots while only one account has used the engine for a minute. */
@@ -333,18 +333,18 @@
   add_samples (rig, SLOTS, 0);
   for (uint32_t i = 0; i < SLOTS; i++)
     {
-      adm_request_t *request = make (rig, 1, 0);
+      admission_request_t *request = make (rig, 1, 0);
       request->item.deadline_us = 0;
       offer (rig, request);
     }
-  CU_ASSERT_EQUAL (adm_load (rig->adm), SLOTS - SLOTS / ADM_RESERVE_DIVISOR);
-  rig->now_us += ADM_ALONE_US - 1;
+  CU_ASSERT_EQUAL (admission_load (rig->admission), SLOTS - SLOTS / ADMISSION_RESERVE_DIVISOR);
+  rig->now_us += ADMISSION_SINGLE_ACCOUNT_US - 1;
   add_samples (rig, SLOTS, 0);
-  CU_ASSERT_PTR_NULL (adm_next (rig->adm, rig->now_us));
+  CU_ASSERT_PTR_NULL (admission_next (rig->admission, rig->now_us));
   rig->now_us++;
-  CU_ASSERT_PTR_NOT_NULL (adm_next (rig->adm, rig->now_us));
-  CU_ASSERT_PTR_NOT_NULL (adm_next (rig->adm, rig->now_us));
-  CU_ASSERT_EQUAL (adm_load (rig->adm), SLOTS);
+  CU_ASSERT_PTR_NOT_NULL (admission_next (rig->admission, rig->now_us));
+  CU_ASSERT_PTR_NOT_NULL (admission_next (rig->admission, rig->now_us));
+  CU_ASSERT_EQUAL (admission_load (rig->admission), SLOTS);
 }
 
 static void
@@ -352,21 +352,21 @@
 {
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 1, 0);
-  adm_served_elsewhere (rig->adm, rig->now_us, 77, 13);
-  const adm_decision_t decision = offer (rig, make (rig, 1, 77));
-  CU_ASSERT_EQUAL (decision.reason, VRD_REASON_ELSEWHERE);
+  admission_note_served_elsewhere (rig->admission, rig->now_us, 77, 13);
+  const admission_decision_t decision = offer (rig, make (rig, 1, 77));
+  CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_ELSEWHERE);
   CU_ASSERT_EQUAL (decision.referral_count, 1);
   CU_ASSERT_EQUAL (decision.referrals[0], 13);
-  adm_request_t *sent_back = make (rig, 1, 77);
+  admission_request_t *sent_back = make (rig, 1, 77);
   sent_back->referred = true;
-  CU_ASSERT_EQUAL (offer (rig, sent_back).action, ADM_DISPATCH);
-  adm_finish (rig->adm, rig->now_us, sent_back, true);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 77)).action, ADM_DISPATCH);
-  adm_served_elsewhere (rig->adm, rig->now_us, 78, 13);
-  rig->now_us += ADM_WARM_LIFETIMES * LIFETIME_US;
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).reason, VRD_REASON_ELSEWHERE);
+  CU_ASSERT_EQUAL (offer (rig, sent_back).action, ADMISSION_DISPATCH);
+  admission_finish (rig->admission, rig->now_us, sent_back, true);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 77)).action, ADMISSION_DISPATCH);
+  admission_note_served_elsewhere (rig->admission, rig->now_us, 78, 13);
+  rig->now_us += ADMISSION_REFERRAL_LIFETIMES * LIFETIME_US;
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).reason, VERDICT_REASON_ELSEWHERE);
   rig->now_us++;
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).action, ADM_DISPATCH);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).action, ADMISSION_DISPATCH);
 }
 
 /* The engine that has the context left, or the wait in its queue is longer than reading the context
@@ -377,17 +377,17 @@
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 2, 0);
   rig->gone = 13;
-  adm_served_elsewhere (rig->adm, rig->now_us, 77, 13);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 77)).action, ADM_DISPATCH);
-  adm_served_elsewhere (rig->adm, rig->now_us, 78, 14);
+  admission_note_served_elsewhere (rig->admission, rig->now_us, 77, 13);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 77)).action, ADMISSION_DISPATCH);
+  admission_note_served_elsewhere (rig->admission, rig->now_us, 78, 14);
   const load_sample_t full = { .engine_hash = 14,
                                .service_hash = SERVICE,
                                .load = SLOTS,
                                .waiting = 200,
                                .taken_us = rig->now_us + 1 };
-  load_samples_add (adm_mean (rig->adm), &full);
+  load_samples_add (admission_mean (rig->admission), &full);
   rig->now_us += 2;
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).action, ADM_DISPATCH);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 78)).action, ADMISSION_DISPATCH);
 }
 
 /* An engine joins and becomes the home of chats whose context another engine has. It refers a chat
@@ -398,22 +398,22 @@
 {
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 1, 0);
-  adm_set_joined (rig->adm, rig->now_us);
-  adm_request_t *first = make (rig, 1, 77);
+  admission_set_joined (rig->admission, rig->now_us);
+  admission_request_t *first = make (rig, 1, 77);
   first->former_hash = 12;
-  CU_ASSERT_EQUAL (offer (rig, first).reason, VRD_REASON_ELSEWHERE);
+  CU_ASSERT_EQUAL (offer (rig, first).reason, VERDICT_REASON_ELSEWHERE);
   first->referred = true;
-  CU_ASSERT_EQUAL (offer (rig, first).action, ADM_DISPATCH);
-  adm_finish (rig->adm, rig->now_us, first, true);
+  CU_ASSERT_EQUAL (offer (rig, first).action, ADMISSION_DISPATCH);
+  admission_finish (rig->admission, rig->now_us, first, true);
   first->referred = false;
-  CU_ASSERT_EQUAL (offer (rig, first).action, ADM_DISPATCH);
-  adm_finish (rig->adm, rig->now_us, first, true);
-  adm_request_t *later = make (rig, 1, 78);
+  CU_ASSERT_EQUAL (offer (rig, first).action, ADMISSION_DISPATCH);
+  admission_finish (rig->admission, rig->now_us, first, true);
+  admission_request_t *later = make (rig, 1, 78);
   later->former_hash = 12;
-  rig->now_us += ADM_WARM_LIFETIMES * LIFETIME_US - 1;
-  CU_ASSERT_EQUAL (offer (rig, later).reason, VRD_REASON_ELSEWHERE);
+  rig->now_us += ADMISSION_REFERRAL_LIFETIMES * LIFETIME_US - 1;
+  CU_ASSERT_EQUAL (offer (rig, later).reason, VERDICT_REASON_ELSEWHERE);
   rig->now_us++;
-  CU_ASSERT_EQUAL (offer (rig, later).action, ADM_DISPATCH);
+  CU_ASSERT_EQUAL (offer (rig, later).action, ADMISSION_DISPATCH);
 }
 
 /* An engine was replaced, and the new one refers its chats to this former home, which has served
@@ -424,26 +424,26 @@
 {
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 8, 0);
-  adm_request_t *warm = make (rig, 1, 77);
-  CU_ASSERT_EQUAL_FATAL (offer (rig, warm).action, ADM_DISPATCH);
-  adm_finish (rig->adm, rig->now_us, warm, true);
+  admission_request_t *warm = make (rig, 1, 77);
+  CU_ASSERT_EQUAL_FATAL (offer (rig, warm).action, ADMISSION_DISPATCH);
+  admission_finish (rig->admission, rig->now_us, warm, true);
   for (uint64_t chat = 77; chat <= 79; chat++)
     {
-      adm_request_t *back = make (rig, 1, chat);
+      admission_request_t *back = make (rig, 1, chat);
       back->home_hash = 12;
       back->prompt_tokens = 40000;
       back->former_hash = OWN;
       back->referred = true;
       if (chat == 79)
-        adm_served_elsewhere (rig->adm, rig->now_us, 79, 14);
-      const adm_decision_t decision = offer (rig, back);
-      CU_ASSERT_EQUAL (decision.action, chat == 77 ? ADM_DISPATCH : ADM_REFUSE);
+        admission_note_served_elsewhere (rig->admission, rig->now_us, 79, 14);
+      const admission_decision_t decision = offer (rig, back);
+      CU_ASSERT_EQUAL (decision.action, chat == 77 ? ADMISSION_DISPATCH : ADMISSION_REJECT);
       if (chat == 78)
-        CU_ASSERT_EQUAL (decision.reason, VRD_REASON_COLD);
+        CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_COLD);
       if (chat == 79)
         CU_ASSERT_EQUAL (decision.referrals[0], 14);
       back->former_hash = 0;
-      CU_ASSERT (chat == 77 || offer (rig, back).action == ADM_DISPATCH);
+      CU_ASSERT (chat == 77 || offer (rig, back).action == ADMISSION_DISPATCH);
     }
 }
 
@@ -454,19 +454,19 @@
 test_leaving_admits_nothing (void)
 {
   g_autoptr (rig_t) rig = rig_new (125);
-  adm_decision_t decision;
+  admission_decision_t decision;
   add_samples (rig, SLOTS, 3);
   offer_many (rig, SLOTS + 2);
-  CU_ASSERT_EQUAL (adm_waiting (rig->adm), 2);
-  adm_set_leaving (rig->adm, true);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_LEAVING);
-  adm_finish (rig->adm, rig->now_us, &rig->requests[0], true);
-  CU_ASSERT_PTR_NULL (adm_next (rig->adm, rig->now_us));
-  CU_ASSERT_PTR_NOT_NULL (adm_reject (rig->adm, rig->now_us, &decision));
-  CU_ASSERT_EQUAL (decision.reason, VRD_REASON_LEAVING);
-  CU_ASSERT_PTR_NOT_NULL (adm_reject (rig->adm, rig->now_us, &decision));
-  CU_ASSERT_PTR_NULL (adm_reject (rig->adm, rig->now_us, &decision));
-  CU_ASSERT_EQUAL (adm_load (rig->adm), SLOTS - 1);
+  CU_ASSERT_EQUAL (admission_waiting (rig->admission), 2);
+  admission_set_leaving (rig->admission, true);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VERDICT_REASON_LEAVING);
+  admission_finish (rig->admission, rig->now_us, &rig->requests[0], true);
+  CU_ASSERT_PTR_NULL (admission_next (rig->admission, rig->now_us));
+  CU_ASSERT_PTR_NOT_NULL (admission_next_rejected (rig->admission, rig->now_us, &decision));
+  CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_LEAVING);
+  CU_ASSERT_PTR_NOT_NULL (admission_next_rejected (rig->admission, rig->now_us, &decision));
+  CU_ASSERT_PTR_NULL (admission_next_rejected (rig->admission, rig->now_us, &decision));
+  CU_ASSERT_EQUAL (admission_load (rig->admission), SLOTS - 1);
 }
 
 static void
@@ -474,15 +474,15 @@
 {
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 1, 0);
-  adm_set_stale (rig->adm, true);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VRD_REASON_STALE);
-  adm_set_stale (rig->adm, false);
-  adm_set_engine_up (rig->adm, false);
-  const adm_decision_t decision = offer (rig, make (rig, 1, 0));
-  CU_ASSERT_EQUAL (decision.reason, VRD_REASON_NO_ENGINE);
+  admission_set_stale (rig->admission, true);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).reason, VERDICT_REASON_STALE);
+  admission_set_stale (rig->admission, false);
+  admission_set_engine_up (rig->admission, false);
+  const admission_decision_t decision = offer (rig, make (rig, 1, 0));
+  CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_NO_ENGINE);
   CU_ASSERT (decision.referral_count > 0);
-  adm_set_engine_up (rig->adm, true);
-  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).action, ADM_DISPATCH);
+  admission_set_engine_up (rig->admission, true);
+  CU_ASSERT_EQUAL (offer (rig, make (rig, 1, 0)).action, ADMISSION_DISPATCH);
 }
 
 /* A request crashed this engine and is sent again. Guards against it crashing the engine twice, and
@@ -493,17 +493,17 @@
 {
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, 1, 0);
-  adm_request_t *crashing = make (rig, 1, 0);
-  CU_ASSERT_EQUAL_FATAL (offer (rig, crashing).action, ADM_DISPATCH);
-  adm_crashed (rig->adm, rig->now_us, crashing);
-  adm_set_engine_up (rig->adm, false);
-  adm_finish (rig->adm, rig->now_us, crashing, false);
-  CU_ASSERT_EQUAL (offer (rig, crashing).reason, VRD_REASON_SUSPECT_HERE);
-  adm_set_engine_up (rig->adm, true);
-  CU_ASSERT_EQUAL (offer (rig, crashing).reason, VRD_REASON_SUSPECT_HERE);
-  sus_add (adm_suspects (rig->adm), rig->now_us, crashing->fingerprint, 13);
-  const adm_decision_t decision = offer (rig, crashing);
-  CU_ASSERT_EQUAL (decision.reason, VRD_REASON_SUSPECT);
+  admission_request_t *crashing = make (rig, 1, 0);
+  CU_ASSERT_EQUAL_FATAL (offer (rig, crashing).action, ADMISSION_DISPATCH);
+  admission_note_crash (rig->admission, rig->now_us, crashing);
+  admission_set_engine_up (rig->admission, false);
+  admission_finish (rig->admission, rig->now_us, crashing, false);
+  CU_ASSERT_EQUAL (offer (rig, crashing).reason, VERDICT_REASON_SUSPECT_HERE);
+  admission_set_engine_up (rig->admission, true);
+  CU_ASSERT_EQUAL (offer (rig, crashing).reason, VERDICT_REASON_SUSPECT_HERE);
+  sus_add (admission_suspects (rig->admission), rig->now_us, crashing->fingerprint, 13);
+  const admission_decision_t decision = offer (rig, crashing);
+  CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_SUSPECT);
   CU_ASSERT_EQUAL (decision.retry_after_ms, 0);
 }
 
@@ -513,11 +513,11 @@
   g_autoptr (rig_t) rig = rig_new (125);
   add_samples (rig, SLOTS, 3);
   offer_many (rig, SLOTS + 1);
-  CU_ASSERT_EQUAL_FATAL (adm_waiting (rig->adm), 1);
-  adm_cancel (rig->adm, &rig->requests[SLOTS]);
-  adm_finish (rig->adm, rig->now_us, &rig->requests[0], true);
-  CU_ASSERT_PTR_NULL (adm_next (rig->adm, rig->now_us));
-  const load_sample_t sample = adm_sample (rig->adm, rig->now_us);
+  CU_ASSERT_EQUAL_FATAL (admission_waiting (rig->admission), 1);
+  admission_cancel (rig->admission, &rig->requests[SLOTS]);
+  admission_finish (rig->admission, rig->now_us, &rig->requests[0], true);
+  CU_ASSERT_PTR_NULL (admission_next (rig->admission, rig->now_us));
+  const load_sample_t sample = admission_sample (rig->admission, rig->now_us);
   CU_ASSERT_EQUAL (sample.load, SLOTS - 1);
   CU_ASSERT_EQUAL (sample.waiting, 0);
   CU_ASSERT_EQUAL (sample.cost, (SLOTS - 1) * REQUEST_MS);
@@ -535,15 +535,17 @@
   add_samples (rig, 2, 0);
   rig->now_us++;
   for (lost.engine_hash = OWN + 1; lost.engine_hash <= OWN + 2; lost.engine_hash++)
-    load_samples_add (adm_mean (rig->adm), &lost);
+    load_samples_add (admission_mean (rig->admission), &lost);
   for (uint32_t i = 0; i < 2; i++)
-    CU_ASSERT_EQUAL (adm_offer (rig->adm, rig->now_us, make (rig, 1, i)).action, ADM_DISPATCH);
-  CU_ASSERT (adm_bound_milli (rig->adm, rig->now_us) < 3000);
-  adm_lost (rig->adm, OWN + 1);
-  adm_lost (rig->adm, OWN + 2);
-  adm_lost (rig->adm, OWN);
-  CU_ASSERT (adm_bound_milli (rig->adm, rig->now_us) >= 3000);
-  CU_ASSERT_EQUAL (adm_offer (rig->adm, rig->now_us, make (rig, 1, 2)).action, ADM_DISPATCH);
+    CU_ASSERT_EQUAL (admission_offer (rig->admission, rig->now_us, make (rig, 1, i)).action,
+                     ADMISSION_DISPATCH);
+  CU_ASSERT (admission_bound_milli (rig->admission, rig->now_us) < 3000);
+  admission_forget_engine (rig->admission, OWN + 1);
+  admission_forget_engine (rig->admission, OWN + 2);
+  admission_forget_engine (rig->admission, OWN);
+  CU_ASSERT (admission_bound_milli (rig->admission, rig->now_us) >= 3000);
+  CU_ASSERT_EQUAL (admission_offer (rig->admission, rig->now_us, make (rig, 1, 2)).action,
+                   ADMISSION_DISPATCH);
 }
 
 int
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -11,8 +11,8 @@
 /** struct rig - one request, and the retry budget of its router */
 typedef struct
 {
-  att_t att;
-  att_budget_t budget;
+  forwarding_t forwarding;
+  forwarding_budget_t budget;
 } rig_t;
 
 static rig_t
@@ -20,56 +20,58 @@
 {
   rig_t rig = { 0 };
 
-  att_budget_init (&rig.budget);
+  forwarding_budget_init (&rig.budget);
   return rig;
 }
 
-static att_step_t
+static forwarding_step_t
 begin (rig_t *rig, bool idempotent, uint32_t count)
 {
-  att_options_t options = { .idempotent = idempotent,
-                            .deadline_us = DEADLINE_US,
-                            .candidates = CANDIDATES,
-                            .candidate_count = count };
+  forwarding_options_t options = { .idempotent = idempotent,
+                                   .deadline_us = DEADLINE_US,
+                                   .candidates = CANDIDATES,
+                                   .candidate_count = count };
 
-  return att_begin (&rig->att, 0, &options);
+  return forwarding_begin (&rig->forwarding, 0, &options);
 }
 
-static att_outcome_t
-refusal (vrd_reason_t reason)
+static forwarding_outcome_t
+refusal (verdict_reason_t reason)
 {
-  return (att_outcome_t){ .verdict = VRD_NOT_RUN, .reason = reason };
+  return (forwarding_outcome_t){ .verdict = VERDICT_NOT_RUN, .reason = reason };
 }
 
-static att_outcome_t
+static forwarding_outcome_t
 broken_connection (void)
 {
-  return (att_outcome_t){ .verdict = VRD_MAY_HAVE_RUN, .reason = VRD_REASON_CUT, .lost = true };
+  return (forwarding_outcome_t){ .verdict = VERDICT_MAY_HAVE_RUN,
+                                 .reason = VERDICT_REASON_CUT,
+                                 .lost = true };
 }
 
-static att_step_t
-ended (rig_t *rig, uint64_t now_us, const att_outcome_t *outcome)
+static forwarding_step_t
+ended (rig_t *rig, uint64_t now_us, const forwarding_outcome_t *outcome)
 {
-  return att_ended (&rig->att, now_us, &rig->budget, outcome);
+  return forwarding_attempt_ended (&rig->forwarding, now_us, &rig->budget, outcome);
 }
 
-static att_step_t
-revoked (rig_t *rig, uint64_t now_us, vrd_t verdict)
+static forwarding_step_t
+revoked (rig_t *rig, uint64_t now_us, verdict_t verdict)
 {
-  return att_revoked (&rig->att, now_us, &rig->budget, verdict);
+  return forwarding_revoked (&rig->forwarding, now_us, &rig->budget, verdict);
 }
 
 static void
-check_sent (const att_step_t *step, uint64_t engine_hash)
+check_sent (const forwarding_step_t *step, uint64_t engine_hash)
 {
-  CU_ASSERT_EQUAL (step->action, ATT_SEND);
+  CU_ASSERT_EQUAL (step->action, FORWARDING_SEND);
   CU_ASSERT_EQUAL (step->engine_hash, engine_hash);
 }
 
 static void
-check_given_up (const att_step_t *step, vrd_t verdict)
+check_given_up (const forwarding_step_t *step, verdict_t verdict)
 {
-  CU_ASSERT_EQUAL (step->action, ATT_GIVE_UP);
+  CU_ASSERT_EQUAL (step->action, FORWARDING_GIVE_UP);
   CU_ASSERT_EQUAL (step->verdict, verdict);
 }
 
@@ -77,24 +79,24 @@
 response_ends_the_request (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t answered = { .answered = true, .verdict = VRD_RAN };
-  att_step_t step = begin (&rig, true, 3);
+  forwarding_outcome_t answered = { .answered = true, .verdict = VERDICT_RAN };
+  forwarding_step_t step = begin (&rig, true, 3);
 
   check_sent (&step, 10);
   CU_ASSERT_FALSE (step.may_wait);
   CU_ASSERT_FALSE (step.referred);
-  CU_ASSERT_EQUAL (ended (&rig, 1, &answered).action, ATT_DONE);
-  CU_ASSERT_EQUAL (rig.budget.tokens_milli, ATT_BUDGET_GAIN_MILLI);
+  CU_ASSERT_EQUAL (ended (&rig, 1, &answered).action, FORWARDING_DONE);
+  CU_ASSERT_EQUAL (rig.budget.tokens_milli, FORWARDING_BUDGET_GAIN_MILLI);
 }
 
 static void
 fails_without_candidates (void)
 {
   rig_t rig = { 0 };
-  att_step_t step = begin (&rig, true, 0);
+  forwarding_step_t step = begin (&rig, true, 0);
 
-  check_given_up (&step, VRD_NOT_RUN);
-  CU_ASSERT_EQUAL (step.reason, VRD_REASON_NO_ENGINE);
+  check_given_up (&step, VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (step.reason, VERDICT_REASON_NO_ENGINE);
   CU_ASSERT_NOT_EQUAL (step.retry_after_ms, 0);
 }
 
@@ -102,10 +104,10 @@
 only_candidate_may_queue (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
+  forwarding_outcome_t full = refusal (VERDICT_REASON_OVER_BOUND);
 
   CU_ASSERT_TRUE (begin (&rig, true, 1).may_wait);
-  CU_ASSERT_EQUAL (ended (&rig, 1, &full).action, ATT_GIVE_UP);
+  CU_ASSERT_EQUAL (ended (&rig, 1, &full).action, FORWARDING_GIVE_UP);
 }
 
 static void
@@ -113,12 +115,12 @@
 {
   rig_t rig = { 0 };
   uint64_t referrals[] = { 20, 10, 21 };
-  att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
+  forwarding_outcome_t full = refusal (VERDICT_REASON_OVER_BOUND);
 
   begin (&rig, false, 3);
   full.referrals = referrals;
   full.referral_count = 3;
-  att_step_t step = ended (&rig, 1, &full);
+  forwarding_step_t step = ended (&rig, 1, &full);
   CU_ASSERT_EQUAL (step.engine_hash, 20);
   CU_ASSERT_TRUE (step.referred);
   full.referral_count = 0;
@@ -134,25 +136,25 @@
 last_hop_may_queue_at_the_first (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
-  att_step_t step = begin (&rig, true, 6);
+  forwarding_outcome_t full = refusal (VERDICT_REASON_OVER_BOUND);
+  forwarding_step_t step = begin (&rig, true, 6);
 
   full.retry_after_ms = 700;
   for (uint32_t hop = 1; hop < LIM_HOPS; hop++)
     {
       CU_ASSERT_FALSE (step.may_wait);
       step = ended (&rig, 1, &full);
-      CU_ASSERT_EQUAL (step.action, ATT_SEND);
+      CU_ASSERT_EQUAL (step.action, FORWARDING_SEND);
       full.retry_after_ms = 400 + hop;
     }
   CU_ASSERT_EQUAL (step.engine_hash, 10);
   CU_ASSERT_TRUE (step.may_wait);
   CU_ASSERT_TRUE (step.referred);
-  full = refusal (VRD_REASON_QUEUE_FULL);
+  full = refusal (VERDICT_REASON_QUEUE_FULL);
   step = ended (&rig, 1, &full);
-  check_given_up (&step, VRD_NOT_RUN);
+  check_given_up (&step, VERDICT_NOT_RUN);
   CU_ASSERT_EQUAL (step.retry_after_ms, 401);
-  CU_ASSERT_EQUAL (rig.att.hops, LIM_HOPS);
+  CU_ASSERT_EQUAL (rig.forwarding.hops, LIM_HOPS);
 }
 
 /* A request is queued at its last hop when that host is stopped as planned. Guards against a 503
@@ -163,9 +165,9 @@
 other_engines_are_tried_when_a_host_stops (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
-  att_outcome_t leaving = refusal (VRD_REASON_LEAVING);
-  att_step_t step = begin (&rig, true, 3);
+  forwarding_outcome_t full = refusal (VERDICT_REASON_OVER_BOUND);
+  forwarding_outcome_t leaving = refusal (VERDICT_REASON_LEAVING);
+  forwarding_step_t step = begin (&rig, true, 3);
 
   for (uint32_t hop = 1; hop < LIM_HOPS; hop++)
     step = ended (&rig, 1, &full);
@@ -180,27 +182,27 @@
   CU_ASSERT_EQUAL (step.engine_hash, 11);
   CU_ASSERT_TRUE (step.may_wait);
   step = ended (&rig, 1, &leaving);
-  CU_ASSERT_EQUAL (step.action, ATT_SEND);
-  CU_ASSERT_EQUAL (rig.att.hops, LIM_HOPS_MOST);
+  CU_ASSERT_EQUAL (step.action, FORWARDING_SEND);
+  CU_ASSERT_EQUAL (rig.forwarding.hops, LIM_HOPS_MOST);
   CU_ASSERT_TRUE (step.may_wait);
   step = ended (&rig, 1, &leaving);
-  check_given_up (&step, VRD_NOT_RUN);
+  check_given_up (&step, VERDICT_NOT_RUN);
 }
 
 static void
 few_candidates_queue_sooner (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
+  forwarding_outcome_t full = refusal (VERDICT_REASON_OVER_BOUND);
 
   begin (&rig, true, 2);
-  att_step_t step = ended (&rig, 1, &full);
+  forwarding_step_t step = ended (&rig, 1, &full);
   CU_ASSERT_EQUAL (step.engine_hash, 11);
   CU_ASSERT_FALSE (step.may_wait);
   step = ended (&rig, 1, &full);
   CU_ASSERT_EQUAL (step.engine_hash, 10);
   CU_ASSERT_TRUE (step.may_wait);
-  CU_ASSERT_EQUAL (ended (&rig, 1, &full).action, ATT_GIVE_UP);
+  CU_ASSERT_EQUAL (ended (&rig, 1, &full).action, FORWARDING_GIVE_UP);
 }
 
 /* The home engine refers a chat to the engine that has its context, but that one is above its
@@ -212,13 +214,13 @@
   rig_t rig = { 0 };
   uint64_t warm = 30;
   uint64_t room = 31;
-  att_outcome_t elsewhere = refusal (VRD_REASON_ELSEWHERE);
-  att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
+  forwarding_outcome_t elsewhere = refusal (VERDICT_REASON_ELSEWHERE);
+  forwarding_outcome_t full = refusal (VERDICT_REASON_OVER_BOUND);
 
   begin (&rig, true, 4);
   elsewhere.referrals = &warm;
   elsewhere.referral_count = 1;
-  att_step_t step = ended (&rig, 1, &elsewhere);
+  forwarding_step_t step = ended (&rig, 1, &elsewhere);
   CU_ASSERT_EQUAL (step.engine_hash, 30);
   full.referrals = &room;
   full.referral_count = 1;
@@ -236,77 +238,79 @@
 deadline_at_one_engine_tries_others (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t late = refusal (VRD_REASON_DEADLINE);
+  forwarding_outcome_t late = refusal (VERDICT_REASON_DEADLINE);
 
   begin (&rig, true, 2);
-  att_step_t step = ended (&rig, 1, &late);
+  forwarding_step_t step = ended (&rig, 1, &late);
   CU_ASSERT_EQUAL (step.engine_hash, 11);
   CU_ASSERT_TRUE (step.may_wait);
-  CU_ASSERT_EQUAL (ended (&rig, 1, &late).action, ATT_GIVE_UP);
+  CU_ASSERT_EQUAL (ended (&rig, 1, &late).action, FORWARDING_GIVE_UP);
 }
 
 static void
 rejections_use_no_budget (void)
 {
-  static const vrd_reason_t REASONS[] = { VRD_REASON_LEAVING,       VRD_REASON_STALE,
-                                          VRD_REASON_SUSPECT_HERE,  VRD_REASON_NO_ENGINE,
-                                          VRD_REASON_CONNECT,       VRD_REASON_REVOKED,
-                                          VRD_REASON_WRONG_SERVICE, VRD_REASON_TIMEOUT };
+  static const verdict_reason_t REASONS[] = {
+    VERDICT_REASON_LEAVING,       VERDICT_REASON_STALE,   VERDICT_REASON_SUSPECT_HERE,
+    VERDICT_REASON_NO_ENGINE,     VERDICT_REASON_CONNECT, VERDICT_REASON_REVOKED,
+    VERDICT_REASON_WRONG_SERVICE, VERDICT_REASON_TIMEOUT
+  };
 
   for (uint32_t i = 0; i < sizeof REASONS / sizeof REASONS[0]; i++)
     {
       rig_t rig = { 0 };
-      att_outcome_t refused = refusal (REASONS[i]);
+      forwarding_outcome_t refused = refusal (REASONS[i]);
 
       begin (&rig, false, 6);
-      att_step_t step = ended (&rig, 1, &refused);
+      forwarding_step_t step = ended (&rig, 1, &refused);
       check_sent (&step, 11);
     }
 }
 
 /* hops_until_given_up() - Return: number of hops if each sidecar names another engine */
 static uint32_t
-hops_until_given_up (vrd_reason_t reason)
+hops_until_given_up (verdict_reason_t reason)
 {
   rig_t rig = rig_with_budget ();
   uint64_t next = 100;
-  att_outcome_t refused = refusal (reason);
-  att_step_t step = begin (&rig, true, 6);
+  forwarding_outcome_t refused = refusal (reason);
+  forwarding_step_t step = begin (&rig, true, 6);
   uint32_t sent = 0;
 
   refused.referrals = &next;
   refused.referral_count = 1;
-  for (; step.action == ATT_SEND; next++, sent++)
+  for (; step.action == FORWARDING_SEND; next++, sent++)
     step = ended (&rig, 1, &refused);
-  check_given_up (&step, VRD_NOT_RUN);
+  check_given_up (&step, VERDICT_NOT_RUN);
   return sent;
 }
 
 static void
 hops_are_limited (void)
 {
-  CU_ASSERT_EQUAL (hops_until_given_up (VRD_REASON_OVER_BOUND), LIM_HOPS);
-  CU_ASSERT_EQUAL (hops_until_given_up (VRD_REASON_COLD), LIM_HOPS);
-  CU_ASSERT_EQUAL (hops_until_given_up (VRD_REASON_LEAVING), LIM_HOPS_MOST);
-  CU_ASSERT_EQUAL (hops_until_given_up (VRD_REASON_STALE), LIM_HOPS_MOST);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_OVER_BOUND), LIM_HOPS);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_COLD), LIM_HOPS);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_LEAVING), LIM_HOPS_MOST);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_STALE), LIM_HOPS_MOST);
 }
 
 /* Guards against a retry time for requests that crash engines, or that fail again if retried. */
 static void
 final_rejections_have_no_retry_time (void)
 {
-  static const vrd_reason_t REASONS[] = { VRD_REASON_SUSPECT, VRD_REASON_CLAIMED,
-                                          VRD_REASON_KEY_REUSED, VRD_REASON_KEY_TOO_OLD };
+  static const verdict_reason_t REASONS[] = { VERDICT_REASON_SUSPECT, VERDICT_REASON_CLAIMED,
+                                              VERDICT_REASON_KEY_REUSED,
+                                              VERDICT_REASON_KEY_TOO_OLD };
 
   for (uint32_t i = 0; i < sizeof REASONS / sizeof REASONS[0]; i++)
     {
       rig_t rig = { 0 };
-      att_outcome_t refused = refusal (REASONS[i]);
+      forwarding_outcome_t refused = refusal (REASONS[i]);
 
       begin (&rig, false, 6);
       refused.retry_after_ms = 5000;
-      att_step_t step = ended (&rig, 1, &refused);
-      CU_ASSERT_EQUAL (step.action, ATT_GIVE_UP);
+      forwarding_step_t step = ended (&rig, 1, &refused);
+      CU_ASSERT_EQUAL (step.action, FORWARDING_GIVE_UP);
       CU_ASSERT_EQUAL (step.reason, REASONS[i]);
       CU_ASSERT_EQUAL (step.retry_after_ms, 0);
     }
@@ -316,11 +320,11 @@
 log_down_has_a_retry_time (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t refused = refusal (VRD_REASON_LOG_DOWN);
+  forwarding_outcome_t refused = refusal (VERDICT_REASON_LOG_DOWN);
 
   begin (&rig, false, 6);
-  att_step_t step = ended (&rig, 1, &refused);
-  check_given_up (&step, VRD_NOT_RUN);
+  forwarding_step_t step = ended (&rig, 1, &refused);
+  check_given_up (&step, VERDICT_NOT_RUN);
   CU_ASSERT_NOT_EQUAL (step.retry_after_ms, 0);
 }
 
@@ -328,12 +332,12 @@
 past_deadline_gives_up_at_once (void)
 {
   rig_t rig = { 0 };
-  att_outcome_t refused = refusal (VRD_REASON_LEAVING);
+  forwarding_outcome_t refused = refusal (VERDICT_REASON_LEAVING);
 
   begin (&rig, true, 6);
-  att_step_t step = ended (&rig, DEADLINE_US, &refused);
-  check_given_up (&step, VRD_NOT_RUN);
-  CU_ASSERT_EQUAL (step.reason, VRD_REASON_DEADLINE);
+  forwarding_step_t step = ended (&rig, DEADLINE_US, &refused);
+  check_given_up (&step, VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (step.reason, VERDICT_REASON_DEADLINE);
   CU_ASSERT_NOT_EQUAL (step.retry_after_ms, 0);
 }
 
@@ -344,31 +348,32 @@
 non_idempotent_is_resent_only_if_not_run (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = broken_connection ();
+  forwarding_outcome_t cut = broken_connection ();
 
   begin (&rig, false, 6);
-  att_step_t step = ended (&rig, 1, &cut);
-  CU_ASSERT_EQUAL (step.action, ATT_REVOKE);
+  forwarding_step_t step = ended (&rig, 1, &cut);
+  CU_ASSERT_EQUAL (step.action, FORWARDING_REVOKE);
   CU_ASSERT_EQUAL (step.engine_hash, 10);
-  step = revoked (&rig, 2, VRD_NOT_RUN);
+  step = revoked (&rig, 2, VERDICT_NOT_RUN);
   check_sent (&step, 11);
   ended (&rig, 3, &cut);
-  step = revoked (&rig, 4, VRD_MAY_HAVE_RUN);
-  check_given_up (&step, VRD_MAY_HAVE_RUN);
+  step = revoked (&rig, 4, VERDICT_MAY_HAVE_RUN);
+  check_given_up (&step, VERDICT_MAY_HAVE_RUN);
   CU_ASSERT_EQUAL (step.retry_after_ms, 0);
-  CU_ASSERT_EQUAL (rig.budget.tokens_milli, ATT_BUDGET_MAX_MILLI);
+  CU_ASSERT_EQUAL (rig.budget.tokens_milli, FORWARDING_BUDGET_MAX_MILLI);
 }
 
 static void
 crash_reported_by_sidecar_needs_no_revoke (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t crashed = { .verdict = VRD_MAY_HAVE_RUN, .reason = VRD_REASON_ENGINE_CRASHED };
+  forwarding_outcome_t crashed = { .verdict = VERDICT_MAY_HAVE_RUN,
+                                   .reason = VERDICT_REASON_ENGINE_CRASHED };
 
   begin (&rig, false, 6);
-  CU_ASSERT_EQUAL (ended (&rig, 1, &crashed).action, ATT_GIVE_UP);
+  CU_ASSERT_EQUAL (ended (&rig, 1, &crashed).action, FORWARDING_GIVE_UP);
   begin (&rig, true, 6);
-  CU_ASSERT_EQUAL (ended (&rig, 1, &crashed).action, ATT_SEND);
+  CU_ASSERT_EQUAL (ended (&rig, 1, &crashed).action, FORWARDING_SEND);
 }
 
 /* Many connections break at once. Guards against retries that multiply an overload: idempotent
@@ -377,19 +382,19 @@
 budget_limits_retries (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = broken_connection ();
-  att_step_t step;
+  forwarding_outcome_t cut = broken_connection ();
+  forwarding_step_t step;
   uint32_t retried = 0;
 
   for (uint32_t i = 0; i < 50; i++)
     {
       begin (&rig, true, 6);
       ended (&rig, 1, &cut);
-      step = revoked (&rig, 1, VRD_MAY_HAVE_RUN);
-      retried += step.action == ATT_SEND;
+      step = revoked (&rig, 1, VERDICT_MAY_HAVE_RUN);
+      retried += step.action == FORWARDING_SEND;
     }
-  CU_ASSERT_EQUAL (retried, ATT_BUDGET_MAX_MILLI / 1000);
-  check_given_up (&step, VRD_MAY_HAVE_RUN);
+  CU_ASSERT_EQUAL (retried, FORWARDING_BUDGET_MAX_MILLI / 1000);
+  check_given_up (&step, VERDICT_MAY_HAVE_RUN);
 }
 
 /* A request crashes the sidecar along with the engine, so that no sidecar reports the crash. Guards
@@ -399,16 +404,16 @@
 two_broken_connections_end_the_request (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = broken_connection ();
+  forwarding_outcome_t cut = broken_connection ();
 
   begin (&rig, true, 6);
   ended (&rig, 1, &cut);
-  CU_ASSERT_EQUAL (revoked (&rig, 1, VRD_NOT_RUN).action, ATT_SEND);
+  CU_ASSERT_EQUAL (revoked (&rig, 1, VERDICT_NOT_RUN).action, FORWARDING_SEND);
   ended (&rig, 2, &cut);
-  CU_ASSERT_EQUAL (revoked (&rig, 2, VRD_MAY_HAVE_RUN).action, ATT_SEND);
+  CU_ASSERT_EQUAL (revoked (&rig, 2, VERDICT_MAY_HAVE_RUN).action, FORWARDING_SEND);
   ended (&rig, 3, &cut);
-  att_step_t step = revoked (&rig, 3, VRD_MAY_HAVE_RUN);
-  check_given_up (&step, VRD_MAY_HAVE_RUN);
+  forwarding_step_t step = revoked (&rig, 3, VERDICT_MAY_HAVE_RUN);
+  check_given_up (&step, VERDICT_MAY_HAVE_RUN);
   CU_ASSERT_NOT_EQUAL (step.retry_after_ms, 0);
 }
 
@@ -418,41 +423,42 @@
 static void
 other_engines_are_tried_when_a_host_is_lost (void)
 {
-  static const vrd_t VERDICTS[] = { VRD_MAY_HAVE_RUN, VRD_NOT_RUN };
+  static const verdict_t VERDICTS[] = { VERDICT_MAY_HAVE_RUN, VERDICT_NOT_RUN };
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (VERDICTS); i++)
     {
       rig_t rig = rig_with_budget ();
-      att_outcome_t full = refusal (VRD_REASON_OVER_BOUND);
-      att_outcome_t cut = broken_connection ();
-      att_step_t step = begin (&rig, true, 3);
+      forwarding_outcome_t full = refusal (VERDICT_REASON_OVER_BOUND);
+      forwarding_outcome_t cut = broken_connection ();
+      forwarding_step_t step = begin (&rig, true, 3);
 
-      while (step.action == ATT_SEND && !step.may_wait)
+      while (step.action == FORWARDING_SEND && !step.may_wait)
         step = ended (&rig, 1, &full);
       CU_ASSERT_EQUAL (step.engine_hash, CANDIDATES[0]);
-      CU_ASSERT_EQUAL (ended (&rig, 2, &cut).action, ATT_REVOKE);
+      CU_ASSERT_EQUAL (ended (&rig, 2, &cut).action, FORWARDING_REVOKE);
       step = revoked (&rig, 3, VERDICTS[i]);
-      CU_ASSERT_EQUAL (step.action, ATT_SEND);
-      while (step.action == ATT_SEND && !step.may_wait)
+      CU_ASSERT_EQUAL (step.action, FORWARDING_SEND);
+      while (step.action == FORWARDING_SEND && !step.may_wait)
         step = ended (&rig, 4, &full);
       check_sent (&step, CANDIDATES[1]);
     }
 }
 
 static bool
-retry_lost_hop (att_budget_t *budget, uint64_t account_hash)
+retry_lost_hop (forwarding_budget_t *budget, uint64_t account_hash)
 {
-  att_options_t options = { .idempotent = true,
-                            .account_hash = account_hash,
-                            .deadline_us = DEADLINE_US,
-                            .candidates = CANDIDATES,
-                            .candidate_count = 6 };
-  att_outcome_t cut = broken_connection ();
-  att_t att;
+  forwarding_options_t options = { .idempotent = true,
+                                   .account_hash = account_hash,
+                                   .deadline_us = DEADLINE_US,
+                                   .candidates = CANDIDATES,
+                                   .candidate_count = 6 };
+  forwarding_outcome_t cut = broken_connection ();
+  forwarding_t forwarding;
 
-  att_begin (&att, 0, &options);
-  att_ended (&att, 1, budget, &cut);
-  return att_revoked (&att, 1, budget, VRD_MAY_HAVE_RUN).action == ATT_SEND;
+  forwarding_begin (&forwarding, 0, &options);
+  forwarding_attempt_ended (&forwarding, 1, budget, &cut);
+  return forwarding_revoked (&forwarding, 1, budget, VERDICT_MAY_HAVE_RUN).action ==
+         FORWARDING_SEND;
 }
 
 /* A surging account has many requests at a host that is killed, and their retries use up the
@@ -461,21 +467,21 @@
 static void
 surge_leaves_other_accounts_a_retry (void)
 {
-  att_budget_t budget;
+  forwarding_budget_t budget;
   uint32_t retried = 0;
 
-  att_budget_init (&budget);
+  forwarding_budget_init (&budget);
   for (uint32_t i = 0; i < 50; i++)
     retried += retry_lost_hop (&budget, 1);
-  CU_ASSERT_EQUAL (retried, (ATT_BUDGET_MAX_MILLI + ATT_RESERVE_MAX_MILLI) / 1000);
+  CU_ASSERT_EQUAL (retried, (FORWARDING_BUDGET_MAX_MILLI + FORWARDING_RESERVE_MAX_MILLI) / 1000);
   CU_ASSERT_TRUE (retry_lost_hop (&budget, 2));
   CU_ASSERT_FALSE (retry_lost_hop (&budget, 2));
-  for (uint32_t i = 0; i < 2 * ATT_RESERVES; i++)
+  for (uint32_t i = 0; i < 2 * FORWARDING_RESERVES_MAX; i++)
     retry_lost_hop (&budget, 100 + i);
-  CU_ASSERT_EQUAL (budget.reserve_count, ATT_RESERVES);
+  CU_ASSERT_EQUAL (budget.reserve_count, FORWARDING_RESERVES_MAX);
   for (uint32_t i = 0; i < 10; i++)
-    att_budget_success (&budget, 2);
-  CU_ASSERT_EQUAL (budget.reserve_count, ATT_RESERVES - 1);
+    forwarding_budget_refill (&budget, 2);
+  CU_ASSERT_EQUAL (budget.reserve_count, FORWARDING_RESERVES_MAX - 1);
   budget.tokens_milli = 0;
   CU_ASSERT_TRUE (retry_lost_hop (&budget, 2));
 }
@@ -486,14 +492,14 @@
 verdict_is_of_the_whole_request (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = broken_connection ();
-  att_outcome_t full = refusal (VRD_REASON_LOG_DOWN);
+  forwarding_outcome_t cut = broken_connection ();
+  forwarding_outcome_t full = refusal (VERDICT_REASON_LOG_DOWN);
 
   begin (&rig, true, 6);
   ended (&rig, 1, &cut);
-  revoked (&rig, 1, VRD_MAY_HAVE_RUN);
-  att_step_t step = ended (&rig, 2, &full);
-  check_given_up (&step, VRD_MAY_HAVE_RUN);
+  revoked (&rig, 1, VERDICT_MAY_HAVE_RUN);
+  forwarding_step_t step = ended (&rig, 2, &full);
+  check_given_up (&step, VERDICT_MAY_HAVE_RUN);
 }
 
 /* A response breaks off after its first byte went to the client. Guards against appending the
@@ -502,13 +508,13 @@
 no_retry_after_response_has_begun (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t cut = broken_connection ();
+  forwarding_outcome_t cut = broken_connection ();
 
   begin (&rig, true, 6);
-  att_answer_begun (&rig.att);
-  att_step_t step = ended (&rig, 1, &cut);
-  check_given_up (&step, VRD_MAY_HAVE_RUN);
-  CU_ASSERT_EQUAL (step.reason, VRD_REASON_CUT);
+  forwarding_response_begun (&rig.forwarding);
+  forwarding_step_t step = ended (&rig, 1, &cut);
+  check_given_up (&step, VERDICT_MAY_HAVE_RUN);
+  CU_ASSERT_EQUAL (step.reason, VERDICT_REASON_CUT);
 }
 
 /* A request has crashed two engines, but their sidecars don't know of each other's crash yet, so
@@ -517,23 +523,24 @@
 crashes_of_two_engines_are_added (void)
 {
   rig_t rig = rig_with_budget ();
-  att_outcome_t here = refusal (VRD_REASON_SUSPECT_HERE);
-  att_outcome_t crashed = { .verdict = VRD_MAY_HAVE_RUN, .reason = VRD_REASON_ENGINE_CRASHED };
+  forwarding_outcome_t here = refusal (VERDICT_REASON_SUSPECT_HERE);
+  forwarding_outcome_t crashed = { .verdict = VERDICT_MAY_HAVE_RUN,
+                                   .reason = VERDICT_REASON_ENGINE_CRASHED };
 
   begin (&rig, true, 6);
-  att_step_t step = ended (&rig, 1, &here);
-  CU_ASSERT_EQUAL (step.action, ATT_SEND);
-  CU_ASSERT_EQUAL (rig.att.crashed[0], 10);
+  forwarding_step_t step = ended (&rig, 1, &here);
+  CU_ASSERT_EQUAL (step.action, FORWARDING_SEND);
+  CU_ASSERT_EQUAL (rig.forwarding.crashed[0], 10);
   step = ended (&rig, 1, &here);
-  check_given_up (&step, VRD_NOT_RUN);
-  CU_ASSERT_EQUAL (step.reason, VRD_REASON_SUSPECT);
+  check_given_up (&step, VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (step.reason, VERDICT_REASON_SUSPECT);
   CU_ASSERT_EQUAL (step.retry_after_ms, 0);
 
   begin (&rig, true, 6);
   ended (&rig, 1, &crashed);
   step = ended (&rig, 1, &crashed);
-  check_given_up (&step, VRD_MAY_HAVE_RUN);
-  CU_ASSERT_EQUAL (step.reason, VRD_REASON_SUSPECT);
+  check_given_up (&step, VERDICT_MAY_HAVE_RUN);
+  CU_ASSERT_EQUAL (step.reason, VERDICT_REASON_SUSPECT);
 }
 
 int
--- a/tests/test_course.c
+++ b/tests/test_course.c
@@ -29,21 +29,21 @@
   return false;
 }
 
-static crs_step_t
-next (crs_t *crs, crs_outcome_t outcome)
+static retry_plan_step_t
+next (retry_plan_t *retry_plan, retry_plan_outcome_t outcome)
 {
   uint32_t asked = 0;
 
-  return crs_next (crs, outcome, PLENTY_US, allow, &asked);
+  return retry_plan_next (retry_plan, outcome, PLENTY_US, allow, &asked);
 }
 
-static crs_t
+static retry_plan_t
 make (bool idempotent, bool resumable, uint32_t attempts)
 {
-  crs_t crs;
+  retry_plan_t retry_plan;
 
-  crs_init (&crs, &(crs_rules_t){ idempotent, resumable, attempts });
-  return crs;
+  retry_plan_init (&retry_plan, &(retry_plan_rules_t){ idempotent, resumable, attempts });
+  return retry_plan;
 }
 
 /* Guards against a request that is not idempotent being executed twice, or reported as not
@@ -51,14 +51,14 @@
 static void
 test_non_idempotent_is_resent_only_if_not_run (void)
 {
-  crs_t crs = make (false, false, 2);
+  retry_plan_t retry_plan = make (false, false, 2);
 
-  CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_UNKNOWN), CRS_FAIL);
-  crs = make (false, false, 2);
-  CU_ASSERT_EQUAL (next (&crs, CRS_FAILED), CRS_PASS);
-  crs = make (false, false, 2);
-  CU_ASSERT_EQUAL (next (&crs, CRS_BROKE), CRS_CUT);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_UNKNOWN), RETRY_PLAN_STEP_FAIL);
+  retry_plan = make (false, false, 2);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_FAILED), RETRY_PLAN_STEP_PASS_ON);
+  retry_plan = make (false, false, 2);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_BROKE_OFF), RETRY_PLAN_STEP_CUT_OFF);
 }
 
 /* Guards against 503 for a request that one engine may have executed before all others rejected
@@ -66,60 +66,64 @@
 static void
 test_may_have_run_is_not_reported_as_not_run (void)
 {
-  crs_t crs = make (true, false, 3);
+  retry_plan_t retry_plan = make (true, false, 3);
 
-  CU_ASSERT_EQUAL (next (&crs, CRS_UNKNOWN), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_FAIL);
-  crs = make (true, false, 3);
-  for (uint32_t i = 1; i < CRS_REFUSALS; i++)
-    CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_REFUSE);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_UNKNOWN), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_FAIL);
+  retry_plan = make (true, false, 3);
+  for (uint32_t i = 1; i < RETRY_PLAN_REJECTIONS_MAX; i++)
+    CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_REJECT);
 }
 
 static void
 test_route_limits_engines_that_may_run (void)
 {
-  crs_t crs = make (true, false, 2);
+  retry_plan_t retry_plan = make (true, false, 2);
 
-  CU_ASSERT_EQUAL (next (&crs, CRS_FAILED), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_FAILED), CRS_PASS);
-  crs = make (false, true, 2);
-  CU_ASSERT_EQUAL (next (&crs, CRS_BROKE), CRS_RESUME);
-  CU_ASSERT_EQUAL (next (&crs, CRS_BROKE), CRS_CUT);
-  crs = make (false, true, 1);
-  CU_ASSERT_EQUAL (next (&crs, CRS_BROKE), CRS_CUT);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_FAILED), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_FAILED), RETRY_PLAN_STEP_PASS_ON);
+  retry_plan = make (false, true, 2);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_BROKE_OFF), RETRY_PLAN_STEP_RESUME);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_BROKE_OFF), RETRY_PLAN_STEP_CUT_OFF);
+  retry_plan = make (false, true, 1);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_BROKE_OFF), RETRY_PLAN_STEP_CUT_OFF);
 }
 
 /* Only requests that may be sent again can probe a failed engine or be moved from a silent one. */
 static void
 test_which_requests_may_move (void)
 {
-  crs_t payment;
-  crs_t lookup;
-  crs_t stream;
-
-  crs_init (&payment, &(crs_rules_t){ .attempts = 3 });
-  crs_init (&lookup, &(crs_rules_t){ .idempotent = true, .attempts = 2 });
-  crs_init (&stream, &(crs_rules_t){ .resumable = true, .attempts = 2 });
-  CU_ASSERT_FALSE (crs_may_leave (&payment, false));
-  CU_ASSERT_TRUE (crs_may_leave (&lookup, false));
-  CU_ASSERT_FALSE (crs_may_leave (&lookup, true));
-  CU_ASSERT_TRUE (crs_may_leave (&stream, true));
+  retry_plan_t payment;
+  retry_plan_t lookup;
+  retry_plan_t stream;
+
+  retry_plan_init (&payment, &(retry_plan_rules_t){ .attempts = 3 });
+  retry_plan_init (&lookup, &(retry_plan_rules_t){ .idempotent = true, .attempts = 2 });
+  retry_plan_init (&stream, &(retry_plan_rules_t){ .resumable = true, .attempts = 2 });
+  CU_ASSERT_FALSE (retry_plan_may_move (&payment, false));
+  CU_ASSERT_TRUE (retry_plan_may_move (&lookup, false));
+  CU_ASSERT_FALSE (retry_plan_may_move (&lookup, true));
+  CU_ASSERT_TRUE (retry_plan_may_move (&stream, true));
   lookup.ran = 1;
-  CU_ASSERT_FALSE (crs_may_leave (&lookup, false));
+  CU_ASSERT_FALSE (retry_plan_may_move (&lookup, false));
 }
 
 static void
 test_no_retry_without_budget_or_time (void)
 {
-  crs_t crs = make (true, false, 2);
+  retry_plan_t retry_plan = make (true, false, 2);
   uint32_t asked = 0;
 
-  CU_ASSERT_EQUAL (crs_next (&crs, CRS_FAILED, PLENTY_US, forbid, NULL), CRS_PASS);
-  crs = make (true, false, 2);
-  CU_ASSERT_EQUAL (crs_next (&crs, CRS_UNKNOWN, CRS_LEAST_US - 1, allow, &asked), CRS_FAIL);
+  CU_ASSERT_EQUAL (
+      retry_plan_next (&retry_plan, RETRY_PLAN_OUTCOME_FAILED, PLENTY_US, forbid, NULL),
+      RETRY_PLAN_STEP_PASS_ON);
+  retry_plan = make (true, false, 2);
+  CU_ASSERT_EQUAL (retry_plan_next (&retry_plan, RETRY_PLAN_OUTCOME_UNKNOWN,
+                                    RETRY_PLAN_MIN_TIME_US - 1, allow, &asked),
+                   RETRY_PLAN_STEP_FAIL);
   CU_ASSERT_EQUAL (asked, 0);
 }
 
@@ -128,16 +132,19 @@
 static void
 test_full_engines_are_retried (void)
 {
-  crs_t crs = make (true, false, 2);
+  retry_plan_t retry_plan = make (true, false, 2);
 
-  CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_AGAIN);
-  for (uint32_t i = 1; i < CRS_FULL_MOST; i++)
-    CU_ASSERT_EQUAL (next (&crs, CRS_FULL), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_NOT_RUN), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_FULL), CRS_REFUSE);
-  crs = make (true, false, 2);
-  CU_ASSERT_EQUAL (crs_next (&crs, CRS_FULL, PLENTY_US, forbid, NULL), CRS_WAIT);
-  CU_ASSERT_EQUAL (crs_next (&crs, CRS_NOT_RUN, PLENTY_US, forbid, NULL), CRS_REFUSE);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_RESEND);
+  for (uint32_t i = 1; i < RETRY_PLAN_FULL_MAX; i++)
+    CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_FULL), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN), RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_FULL), RETRY_PLAN_STEP_REJECT);
+  retry_plan = make (true, false, 2);
+  CU_ASSERT_EQUAL (retry_plan_next (&retry_plan, RETRY_PLAN_OUTCOME_FULL, PLENTY_US, forbid, NULL),
+                   RETRY_PLAN_STEP_WAIT);
+  CU_ASSERT_EQUAL (
+      retry_plan_next (&retry_plan, RETRY_PLAN_OUTCOME_NOT_RUN, PLENTY_US, forbid, NULL),
+      RETRY_PLAN_STEP_REJECT);
 }
 
 /* Guards against 503 when many engines fail at once: failed connections must not use the retry
@@ -145,30 +152,35 @@
 static void
 test_failed_connections_use_no_retry (void)
 {
-  crs_t crs = make (false, false, 1);
+  retry_plan_t retry_plan = make (false, false, 1);
 
-  for (uint32_t i = 1; i < CRS_UNSENT_MOST; i++)
-    CU_ASSERT_EQUAL (crs_next (&crs, CRS_UNSENT, PLENTY_US, forbid, NULL), CRS_AGAIN);
-  CU_ASSERT_EQUAL (next (&crs, CRS_UNSENT), CRS_REFUSE);
+  for (uint32_t i = 1; i < RETRY_PLAN_UNSENT_MAX; i++)
+    CU_ASSERT_EQUAL (
+        retry_plan_next (&retry_plan, RETRY_PLAN_OUTCOME_UNSENT, PLENTY_US, forbid, NULL),
+        RETRY_PLAN_STEP_RESEND);
+  CU_ASSERT_EQUAL (next (&retry_plan, RETRY_PLAN_OUTCOME_UNSENT), RETRY_PLAN_STEP_REJECT);
 }
 
-static const rsh_options_t options = { .ratio_milli = 200, .slack = 40, .window_us = 10 * S_US };
+static const retry_budget_options_t options = { .ratio_milli = 200,
+                                                .slack = 40,
+                                                .window_us = 10 * S_US };
 
 static uint32_t
-use_all_retries (rsh_t *rsh, uint64_t now_us, uint32_t routers)
+use_all_retries (retry_budget_t *retry_budget, uint64_t now_us, uint32_t routers)
 {
   uint32_t taken = 0;
 
-  for (; taken < 1000 && rsh_wait_us (rsh, &options, now_us, routers) == 0; taken++)
-    rsh_spend (rsh, &options, now_us);
+  for (; taken < 1000 && retry_budget_wait_us (retry_budget, &options, now_us, routers) == 0;
+       taken++)
+    retry_budget_count_retry (retry_budget, &options, now_us);
   return taken;
 }
 
 static void
 test_share_of_the_slack (void)
 {
-  rsh_t alone = { 0 };
-  rsh_t one_of_four = { 0 };
+  retry_budget_t alone = { 0 };
+  retry_budget_t one_of_four = { 0 };
 
   CU_ASSERT_EQUAL (use_all_retries (&alone, 50 * S_US, 1), 30);
   CU_ASSERT_EQUAL (use_all_retries (&one_of_four, 50 * S_US, 4), 7);
@@ -177,16 +189,16 @@
 static void
 test_wait_for_a_retry (void)
 {
-  rsh_t rsh = { 0 };
+  retry_budget_t retry_budget = { 0 };
   uint64_t now_us = 50 * S_US + 7;
   uint64_t wait_us;
 
-  CU_ASSERT_EQUAL (rsh_wait_us (&rsh, &options, now_us, 1), 0);
-  use_all_retries (&rsh, now_us, 1);
-  wait_us = rsh_wait_us (&rsh, &options, now_us, 1);
+  CU_ASSERT_EQUAL (retry_budget_wait_us (&retry_budget, &options, now_us, 1), 0);
+  use_all_retries (&retry_budget, now_us, 1);
+  wait_us = retry_budget_wait_us (&retry_budget, &options, now_us, 1);
   CU_ASSERT (wait_us > options.window_us / 2);
-  CU_ASSERT_NOT_EQUAL (rsh_wait_us (&rsh, &options, now_us + wait_us - 1, 1), 0);
-  CU_ASSERT_EQUAL (rsh_wait_us (&rsh, &options, now_us + wait_us, 1), 0);
+  CU_ASSERT_NOT_EQUAL (retry_budget_wait_us (&retry_budget, &options, now_us + wait_us - 1, 1), 0);
+  CU_ASSERT_EQUAL (retry_budget_wait_us (&retry_budget, &options, now_us + wait_us, 1), 0);
 }
 
 /* Four routers with uneven traffic send all retries that they may, for a minute. In no window of
@@ -194,7 +206,7 @@
 static void
 test_routers_together_keep_the_limit (void)
 {
-  rsh_t routers[4] = { 0 };
+  retry_budget_t routers[4] = { 0 };
   uint32_t sent[600] = { 0 };
   uint32_t requests[600] = { 0 };
 
@@ -205,7 +217,7 @@
         uint32_t arrivals = tick % 97 < 40 ? i : 3 - i;
 
         for (uint32_t k = 0; k < arrivals; k++)
-          rsh_request (&routers[i], &options, now_us);
+          retry_budget_count_request (&routers[i], &options, now_us);
         requests[tick] += arrivals;
         sent[tick] += use_all_retries (&routers[i], now_us, 4);
       }
@@ -321,9 +333,9 @@
 #define TIME_US (UINT64_C (12000) * 1000)
 
 static bool
-is_lost (const ptc_t *ptc, uint64_t after_ms)
+is_lost (const hop_timeout_t *hop_timeout, uint64_t after_ms)
 {
-  return ptc_is_lost (ptc, SENT_US + after_ms * 1000);
+  return hop_timeout_has_expired (hop_timeout, SENT_US + after_ms * 1000);
 }
 
 /* An engine stops responding to all requests while its connections stay open. Guards against a
@@ -332,29 +344,29 @@
 static void
 test_silent_engine_is_abandoned (void)
 {
-  ptc_t ptc = {
+  hop_timeout_t hop_timeout = {
     .sent_us = SENT_US, .engine_heard_us = SENT_US - 1000, .usual_us = 50 * 1000, .time_us = TIME_US
   };
 
-  CU_ASSERT (!is_lost (&ptc, 490));
-  CU_ASSERT (is_lost (&ptc, 510));
-  ptc.prompt_tokens = 30000;
-  CU_ASSERT (!is_lost (&ptc, 1200));
-  CU_ASSERT (is_lost (&ptc, 1300));
+  CU_ASSERT (!is_lost (&hop_timeout, 490));
+  CU_ASSERT (is_lost (&hop_timeout, 510));
+  hop_timeout.prompt_tokens = 30000;
+  CU_ASSERT (!is_lost (&hop_timeout, 1200));
+  CU_ASSERT (is_lost (&hop_timeout, 1300));
 }
 
 /* The engine responds to other requests, so this one may only be queued: its timeout is longer. */
 static void
 test_late_request_is_abandoned_later (void)
 {
-  ptc_t ptc = { .sent_us = SENT_US, .usual_us = 50 * 1000, .time_us = TIME_US };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US, .usual_us = 50 * 1000, .time_us = TIME_US };
 
-  ptc.engine_heard_us = SENT_US + 990 * 1000;
-  CU_ASSERT (!is_lost (&ptc, 995));
-  CU_ASSERT (is_lost (&ptc, 1000));
-  ptc.usual_us = 300 * 1000;
-  ptc.engine_heard_us = SENT_US + 2290 * 1000;
-  CU_ASSERT (!is_lost (&ptc, 2300));
+  hop_timeout.engine_heard_us = SENT_US + 990 * 1000;
+  CU_ASSERT (!is_lost (&hop_timeout, 995));
+  CU_ASSERT (is_lost (&hop_timeout, 1000));
+  hop_timeout.usual_us = 300 * 1000;
+  hop_timeout.engine_heard_us = SENT_US + 2290 * 1000;
+  CU_ASSERT (!is_lost (&hop_timeout, 2300));
 }
 
 /* The response of a request with a deadline of one second is lost. Guards against a timeout that
@@ -362,42 +374,42 @@
 static void
 test_lost_response_of_a_short_request (void)
 {
-  ptc_t ptc = { .sent_us = SENT_US, .usual_us = 25 * 1000, .time_us = 1000 * 1000 };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US, .usual_us = 25 * 1000, .time_us = 1000 * 1000 };
 
-  ptc.engine_heard_us = SENT_US + 240 * 1000;
-  CU_ASSERT (!is_lost (&ptc, 245));
-  CU_ASSERT (is_lost (&ptc, 250));
-  ptc.usual_us = 60 * 1000;
-  CU_ASSERT (!is_lost (&ptc, 475));
-  CU_ASSERT (is_lost (&ptc, 480));
+  hop_timeout.engine_heard_us = SENT_US + 240 * 1000;
+  CU_ASSERT (!is_lost (&hop_timeout, 245));
+  CU_ASSERT (is_lost (&hop_timeout, 250));
+  hop_timeout.usual_us = 60 * 1000;
+  CU_ASSERT (!is_lost (&hop_timeout, 475));
+  CU_ASSERT (is_lost (&hop_timeout, 480));
 }
 
 static void
 test_silent_stream_is_abandoned (void)
 {
-  ptc_t ptc = {
+  hop_timeout_t hop_timeout = {
     .sent_us = SENT_US, .heard_us = SENT_US + 100 * 1000, .usual_us = 50 * 1000, .time_us = TIME_US
   };
 
-  CU_ASSERT (!is_lost (&ptc, 60 * 1000));
-  ptc.gap_us = 300 * 1000;
-  ptc.engine_heard_us = SENT_US + 900 * 1000;
-  CU_ASSERT (!is_lost (&ptc, 1000));
-  CU_ASSERT (is_lost (&ptc, 1100));
-  ptc.engine_heard_us = ptc.heard_us;
-  CU_ASSERT (is_lost (&ptc, 610));
+  CU_ASSERT (!is_lost (&hop_timeout, 60 * 1000));
+  hop_timeout.gap_us = 300 * 1000;
+  hop_timeout.engine_heard_us = SENT_US + 900 * 1000;
+  CU_ASSERT (!is_lost (&hop_timeout, 1000));
+  CU_ASSERT (is_lost (&hop_timeout, 1100));
+  hop_timeout.engine_heard_us = hop_timeout.heard_us;
+  CU_ASSERT (is_lost (&hop_timeout, 610));
 }
 
 #define ENGINE_A 11
 #define ENGINE_B 12
 
 static uint32_t
-count_suspects (cwt_t *cwt, uint64_t now_us)
+count_suspects (crash_watch_t *crash_watch, uint64_t now_us)
 {
-  cwt_loss_t loss;
+  crash_watch_loss_t loss;
   uint32_t count = 0;
 
-  while (cwt_take (cwt, now_us, &loss))
+  while (crash_watch_take (crash_watch, now_us, &loss))
     count++;
   return count;
 }
@@ -406,16 +418,16 @@
 static void
 test_single_crash_suspects_the_request (void)
 {
-  cwt_t cwt = { 0 };
-  cwt_loss_t loss;
+  crash_watch_t crash_watch = { 0 };
+  crash_watch_loss_t loss;
 
-  cwt_lost (&cwt, SENT_US, ENGINE_A, 7);
-  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 0);
-  cwt_down (&cwt, SENT_US + S_US, ENGINE_A);
-  CU_ASSERT (cwt_take (&cwt, SENT_US + S_US, &loss));
+  crash_watch_note_loss (&crash_watch, SENT_US, ENGINE_A, 7);
+  CU_ASSERT_EQUAL (count_suspects (&crash_watch, SENT_US + S_US), 0);
+  crash_watch_note_down (&crash_watch, SENT_US + S_US, ENGINE_A);
+  CU_ASSERT (crash_watch_take (&crash_watch, SENT_US + S_US, &loss));
   CU_ASSERT_EQUAL (loss.fingerprint, 7);
   CU_ASSERT_EQUAL (loss.engine_hash, ENGINE_A);
-  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 0);
+  CU_ASSERT_EQUAL (count_suspects (&crash_watch, SENT_US + S_US), 0);
 }
 
 /* Guards against a suspicion after responses that were lost in the network, when the engine is
@@ -423,12 +435,12 @@
 static void
 test_lost_response_suspects_nothing (void)
 {
-  cwt_t cwt = { 0 };
+  crash_watch_t crash_watch = { 0 };
 
-  cwt_lost (&cwt, SENT_US, ENGINE_A, 7);
-  cwt_lost (&cwt, SENT_US + S_US, ENGINE_A, 8);
-  cwt_down (&cwt, SENT_US + 30 * S_US, ENGINE_A);
-  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + 31 * S_US), 0);
+  crash_watch_note_loss (&crash_watch, SENT_US, ENGINE_A, 7);
+  crash_watch_note_loss (&crash_watch, SENT_US + S_US, ENGINE_A, 8);
+  crash_watch_note_down (&crash_watch, SENT_US + 30 * S_US, ENGINE_A);
+  CU_ASSERT_EQUAL (count_suspects (&crash_watch, SENT_US + 31 * S_US), 0);
 }
 
 /* Guards against requests being rejected permanently after two engines failed at once, which no
@@ -436,23 +448,24 @@
 static void
 test_common_failure_suspects_nothing (void)
 {
-  cwt_t cwt = { 0 };
+  crash_watch_t crash_watch = { 0 };
 
   for (uint64_t request = 1; request <= 10; request++)
-    cwt_lost (&cwt, SENT_US + request, request % 2 ? ENGINE_A : ENGINE_B, request);
-  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 0);
-  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + 10 * S_US), 0);
+    crash_watch_note_loss (&crash_watch, SENT_US + request, request % 2 ? ENGINE_A : ENGINE_B,
+                           request);
+  CU_ASSERT_EQUAL (count_suspects (&crash_watch, SENT_US + S_US), 0);
+  CU_ASSERT_EQUAL (count_suspects (&crash_watch, SENT_US + 10 * S_US), 0);
 }
 
 static void
 test_all_requests_of_a_crash_are_suspected (void)
 {
-  cwt_t cwt = { 0 };
+  crash_watch_t crash_watch = { 0 };
 
   for (uint64_t request = 1; request <= 3; request++)
-    cwt_lost (&cwt, SENT_US + request, ENGINE_A, request);
-  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US / 4), 0);
-  CU_ASSERT_EQUAL (count_suspects (&cwt, SENT_US + S_US), 3);
+    crash_watch_note_loss (&crash_watch, SENT_US + request, ENGINE_A, request);
+  CU_ASSERT_EQUAL (count_suspects (&crash_watch, SENT_US + S_US / 4), 0);
+  CU_ASSERT_EQUAL (count_suspects (&crash_watch, SENT_US + S_US), 3);
 }
 
 /* Guards against a request of low priority being moved from one full engine to another, which only
@@ -460,13 +473,13 @@
 static void
 test_timeout_is_longer_if_engines_are_full (void)
 {
-  ptc_t ptc = { .sent_us = SENT_US, .usual_us = 100 * 1000, .time_us = TIME_US };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US, .usual_us = 100 * 1000, .time_us = TIME_US };
 
-  CU_ASSERT (is_lost (&ptc, 1000));
-  ptc.full = true;
-  CU_ASSERT (!is_lost (&ptc, 1000));
-  CU_ASSERT (!is_lost (&ptc, 1999));
-  CU_ASSERT (is_lost (&ptc, 2000));
+  CU_ASSERT (is_lost (&hop_timeout, 1000));
+  hop_timeout.full = true;
+  CU_ASSERT (!is_lost (&hop_timeout, 1000));
+  CU_ASSERT (!is_lost (&hop_timeout, 1999));
+  CU_ASSERT (is_lost (&hop_timeout, 2000));
 }
 
 int
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -164,9 +164,9 @@
   grg_settle (grg);
   grg_engine (grg,
               SCRIPTS (FULL_RESPONSE, FULL_RESPONSE, FULL_RESPONSE, FULL_RESPONSE, OK_RESPONSE),
-              CRS_FULL_MOST);
+              RETRY_PLAN_FULL_MAX);
   expect (grg, "POST", "/book/", EMPTY_BODY, "200");
-  CU_ASSERT_EQUAL (grg_requests (grg), CRS_FULL_MOST);
+  CU_ASSERT_EQUAL (grg_requests (grg), RETRY_PLAN_FULL_MAX);
 }
 
 /* Guards against a client that waits until its deadline for an engine that stays full: it must get
@@ -181,7 +181,7 @@
   grg_engine (grg, SCRIPTS (FULL_RESPONSE), 1);
   raw = grg_ask (grg, "POST", "/book/", EMPTY_BODY "X-Deadline-Ms: 60000\r\n");
   CU_ASSERT (starts_with (raw, "HTTP/1.1 503 ") && contains (raw, "Retry-After: 0."));
-  CU_ASSERT_EQUAL (grg_requests (grg), CRS_FULL_MOST);
+  CU_ASSERT_EQUAL (grg_requests (grg), RETRY_PLAN_FULL_MAX);
   raw_free (raw);
 }
 
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -145,7 +145,7 @@
 }
 
 static void
-check_failed (const call_state_t *state, vrd_t verdict, vrd_reason_t reason)
+check_failed (const call_state_t *state, verdict_t verdict, verdict_reason_t reason)
 {
   CU_ASSERT_FALSE (state->end.whole);
   CU_ASSERT_EQUAL (state->end.verdict, verdict);
@@ -153,7 +153,7 @@
 }
 
 static void
-run_failing_call (fixture_t *fixture, vrd_t verdict, vrd_reason_t reason)
+run_failing_call (fixture_t *fixture, verdict_t verdict, verdict_reason_t reason)
 {
   run_call (fixture);
   check_failed (&fixture->state, verdict, reason);
@@ -221,7 +221,7 @@
   fixture->server->close_after = true;
   for (uint32_t i = 0; i < G_N_ELEMENTS (scripts); i++)
     {
-      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+      run_failing_call (fixture, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_CUT);
       CU_ASSERT_EQUAL (fixture->server->accepted, i + 1);
     }
 }
@@ -244,7 +244,7 @@
   fixture->options.check_value = "a";
   for (uint32_t i = 0; i < 2; i++)
     {
-      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CROSSED);
+      run_failing_call (fixture, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_CROSSED);
       CU_ASSERT_EQUAL (fixture->state.head_status, 0);
       CU_ASSERT_EQUAL (fixture->state.body->len, 0);
     }
@@ -287,14 +287,14 @@
 
   nobody.port = 1;
   fixture->options.address = &nobody;
-  run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_CONNECT);
+  run_failing_call (fixture, VERDICT_NOT_RUN, VERDICT_REASON_CONNECT);
   CU_ASSERT_EQUAL (fixture->state.end.status, 0);
   fixture->options.address = &fixture->server->address;
   raw_server_fill (fixture->server);
   fixture->options.timeout_us = 20 * 1000;
-  run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_TIMEOUT);
+  run_failing_call (fixture, VERDICT_NOT_RUN, VERDICT_REASON_TIMEOUT);
   fixture->options.timeout_us = 0;
-  run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_CONNECT);
+  run_failing_call (fixture, VERDICT_NOT_RUN, VERDICT_REASON_CONNECT);
 }
 
 /*
@@ -328,7 +328,7 @@
   hcl_start (fixture->hcl, &fixture->options);
   raw_close (fixture->server->conns->pdata[0], true);
   CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
-  check_failed (&fixture->state, VRD_NOT_RUN, VRD_REASON_CONNECT);
+  check_failed (&fixture->state, VERDICT_NOT_RUN, VERDICT_REASON_CONNECT);
   CU_ASSERT_EQUAL (fixture->server->accepted, 1);
 }
 
@@ -347,7 +347,7 @@
       run_successful_call (fixture, 200, "ok");
       fixture->server->close_after = true;
       fixture->server->reset_after = reset;
-      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+      run_failing_call (fixture, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_CUT);
       CU_ASSERT_EQUAL (fixture->server->accepted, 1);
     }
 }
@@ -367,7 +367,7 @@
   fixture->options.timeout_us = 50 * 1000;
   for (uint32_t i = 0; i < 2; i++)
     {
-      run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_TIMEOUT);
+      run_failing_call (fixture, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_TIMEOUT);
     }
   fixture->options.timeout_us = 3 * SECOND_US;
   run_successful_call (fixture, 200, "ok");
@@ -395,7 +395,7 @@
         fixture->options.target = "x";
       else
         fixture->options.method = "BREW";
-      run_failing_call (fixture, VRD_NOT_RUN, VRD_REASON_CONNECT);
+      run_failing_call (fixture, VERDICT_NOT_RUN, VERDICT_REASON_CONNECT);
     }
   CU_ASSERT_EQUAL (fixture->server->accepted, 0);
 }
@@ -461,7 +461,7 @@
   fixture->state.refuse_head = true;
   hcl_start (fixture->hcl, &fixture->options);
   CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
-  check_failed (&fixture->state, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+  check_failed (&fixture->state, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_CUT);
   CU_ASSERT_EQUAL (fixture->state.body->len, 0);
   CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
@@ -599,8 +599,8 @@
   g_autoptr (fixture_t) fixture = fixture_new (scripts, G_N_ELEMENTS (scripts));
 
   fixture->options.answer_limit_bytes = 10;
-  run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
-  run_failing_call (fixture, VRD_MAY_HAVE_RUN, VRD_REASON_CUT);
+  run_failing_call (fixture, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_CUT);
+  run_failing_call (fixture, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_CUT);
   run_successful_call (fixture, 200, "1234567890");
 }
 
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -8,19 +8,20 @@
 #define SLOW_US (6 * USUAL_US)
 
 static void
-add_samples (pac_t *pac, uint32_t samples, uint32_t one_slow_in)
+add_samples (median_latency_t *median_latency, uint32_t samples, uint32_t one_slow_in)
 {
   for (uint32_t i = 0; i < samples; i++)
-    pac_sample (pac, one_slow_in > 0 && i % one_slow_in == 0 ? SLOW_US : USUAL_US);
+    median_latency_add (median_latency,
+                        one_slow_in > 0 && i % one_slow_in == 0 ? SLOW_US : USUAL_US);
 }
 
 static void
 test_first_sample_is_the_median (void)
 {
-  pac_t pac = { 0 };
+  median_latency_t median_latency = { 0 };
 
-  CU_ASSERT_EQUAL (pac_sample (&pac, SLOW_US), 1000);
-  CU_ASSERT_EQUAL (pac.usual_us, SLOW_US);
+  CU_ASSERT_EQUAL (median_latency_add (&median_latency, SLOW_US), 1000);
+  CU_ASSERT_EQUAL (median_latency.usual_us, SLOW_US);
 }
 
 /* A quarter of the engines becomes six times slower for good. Guards against a median that follows
@@ -28,36 +29,36 @@
 static void
 test_slow_quarter_stays_visible (void)
 {
-  pac_t pac = { 0 };
+  median_latency_t median_latency = { 0 };
 
-  add_samples (&pac, 200, 0);
-  add_samples (&pac, 2000, 4);
-  CU_ASSERT (pac_sample (&pac, SLOW_US) > 4000);
-  CU_ASSERT (pac_sample (&pac, USUAL_US) < 1400);
+  add_samples (&median_latency, 200, 0);
+  add_samples (&median_latency, 2000, 4);
+  CU_ASSERT (median_latency_add (&median_latency, SLOW_US) > 4000);
+  CU_ASSERT (median_latency_add (&median_latency, USUAL_US) < 1400);
 }
 
 /* Guards against all engines counting as slow when all become slower, as in an overload. */
 static void
 test_slow_service_moves_the_median (void)
 {
-  pac_t pac = { 0 };
+  median_latency_t median_latency = { 0 };
 
-  add_samples (&pac, 200, 0);
-  add_samples (&pac, 200, 1);
-  CU_ASSERT (pac_sample (&pac, SLOW_US) < 1200);
+  add_samples (&median_latency, 200, 0);
+  add_samples (&median_latency, 200, 1);
+  CU_ASSERT (median_latency_add (&median_latency, SLOW_US) < 1200);
 }
 
 static void
 test_ratio_is_bounded (void)
 {
-  pac_t pac = { 0 };
+  median_latency_t median_latency = { 0 };
 
-  add_samples (&pac, 10, 0);
-  CU_ASSERT_EQUAL (pac_sample (&pac, UINT64_C (1) << 50), 10000);
+  add_samples (&median_latency, 10, 0);
+  CU_ASSERT_EQUAL (median_latency_add (&median_latency, UINT64_C (1) << 50), 10000);
   for (uint32_t i = 0; i < 5000; i++)
-    pac_sample (&pac, 0);
-  CU_ASSERT (pac.usual_us >= 1);
-  CU_ASSERT (pac_sample (&pac, USUAL_US) <= 10000);
+    median_latency_add (&median_latency, 0);
+  CU_ASSERT (median_latency.usual_us >= 1);
+  CU_ASSERT (median_latency_add (&median_latency, USUAL_US) <= 10000);
 }
 
 int
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -177,7 +177,7 @@
   g_auto (pfl_answer_t) answer = { 0 };
 
   pfl_ask (context, &(pfl_request_t){ .path = "/livez" }, &answer);
-  bool closed = !answer.end.whole && answer.end.reason == VRD_REASON_CONNECT;
+  bool closed = !answer.end.whole && answer.end.reason == VERDICT_REASON_CONNECT;
   return closed;
 }
 
--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -43,7 +43,7 @@
       return;
     }
   fake->revokes++;
-  hsv_add_header (call, VRD_HEADER, fake->verdict);
+  hsv_add_header (call, VERDICT_HEADER, fake->verdict);
   hsv_add_header (call, HOP_INCARNATION_HEADER, fake->incarnation);
   hsv_reply_text (call, 200, "text/plain", "");
 }
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -165,7 +165,7 @@
   query.has_chat = true;
   query.cache_lifetime_us = 500;
   const candidates_t all = candidates_choose (&query);
-  CU_ASSERT_EQUAL_FATAL (all.candidate_count, ATT_CANDIDATES);
+  CU_ASSERT_EQUAL_FATAL (all.candidate_count, FORWARDING_CANDIDATES_MAX);
   CU_ASSERT_EQUAL (all.home_hash, all.candidates[0]);
   CU_ASSERT_EQUAL (all.former_hash, 0);
   uint64_t dead = all.candidates[0];
@@ -267,13 +267,13 @@
 static void
 test_verdict_names (void)
 {
-  for (vrd_t verdict = VRD_NOT_RUN; verdict <= VRD_RAN; verdict++)
-    CU_ASSERT_EQUAL (vrd_parse (vrd_name (verdict)), verdict);
-  CU_ASSERT_EQUAL (vrd_parse (NULL), VRD_MAY_HAVE_RUN);
-  CU_ASSERT_EQUAL (vrd_parse ("NOT_RUN"), VRD_MAY_HAVE_RUN);
-  for (vrd_reason_t reason = VRD_REASON_NONE; reason < VRD_REASON_COUNT; reason++)
-    CU_ASSERT_EQUAL (vrd_reason_parse (vrd_reason_name (reason)), reason);
-  CU_ASSERT_EQUAL (vrd_reason_parse ("other"), VRD_REASON_NONE);
+  for (verdict_t verdict = VERDICT_NOT_RUN; verdict <= VERDICT_RAN; verdict++)
+    CU_ASSERT_EQUAL (verdict_from_string (verdict_to_string (verdict)), verdict);
+  CU_ASSERT_EQUAL (verdict_from_string (NULL), VERDICT_MAY_HAVE_RUN);
+  CU_ASSERT_EQUAL (verdict_from_string ("NOT_RUN"), VERDICT_MAY_HAVE_RUN);
+  for (verdict_reason_t reason = VERDICT_REASON_NONE; reason < VERDICT_REASON_COUNT; reason++)
+    CU_ASSERT_EQUAL (verdict_reason_from_string (verdict_reason_to_string (reason)), reason);
+  CU_ASSERT_EQUAL (verdict_reason_from_string ("other"), VERDICT_REASON_NONE);
 }
 
 int
--- a/tests/test_request_parts.c
+++ b/tests/test_request_parts.c
@@ -109,14 +109,14 @@
 static void
 errors_carry_the_verdict (void)
 {
-  g_autofree char *body =
-      flt_body (&(flt_t){ .verdict = VRD_NOT_RUN, .reason = VRD_REASON_DEADLINE, .request = "ab" });
+  g_autofree char *body = flt_body (
+      &(flt_t){ .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_DEADLINE, .request = "ab" });
 
   CU_ASSERT_STRING_EQUAL (body, "{\"error\":{\"message\":\"the request could not start before its "
                                 "deadline\",\"type\":\"overloaded_error\",\"code\":\"deadline\","
                                 "\"verdict\":\"not_run\",\"request\":\"ab\"}}");
-  CU_ASSERT_EQUAL (flt_status (VRD_REASON_CUT, VRD_MAY_HAVE_RUN), 502);
-  CU_ASSERT_EQUAL (flt_status (VRD_REASON_CUT, VRD_NOT_RUN), 503);
+  CU_ASSERT_EQUAL (flt_status (VERDICT_REASON_CUT, VERDICT_MAY_HAVE_RUN), 502);
+  CU_ASSERT_EQUAL (flt_status (VERDICT_REASON_CUT, VERDICT_NOT_RUN), 503);
 }
 
 static void
--- a/tests/test_retry_sum.c
+++ b/tests/test_retry_sum.c
@@ -23,11 +23,11 @@
  */
 typedef struct
 {
-  rsh_t rsh;
+  retry_budget_t retry_budget;
   uint32_t known;
   uint32_t alive;
   bool lists; /* it has read the registry since its start */
-  crs_t calls[WAITING_MAX];
+  retry_plan_t calls[WAITING_MAX];
   uint32_t waiting;
 } member_t;
 
@@ -40,7 +40,7 @@
 {
   member_t members[GATEWAYS_MAX];
   uint32_t count;
-  rsh_options_t options;
+  retry_budget_options_t options;
   GRand *rand;
   bool uneven; /* one gateway in eight gets most of the requests */
   bool waits;  /* retries wait for a free slot for seconds */
@@ -66,7 +66,7 @@
 static void
 restart (member_t *member, uint32_t tick)
 {
-  rsh_init (&member->rsh, at_us (tick));
+  retry_budget_init (&member->retry_budget, at_us (tick));
   member->lists = false;
   member->known = 0;
   member->alive = 0;
@@ -89,8 +89,9 @@
 {
   fleet_t *fleet = g_new0 (fleet_t, 1);
 
-  fleet->options =
-      (rsh_options_t){ .ratio_milli = 200, .slack = slack_for (count), .window_us = 10 * S_US };
+  fleet->options = (retry_budget_options_t){ .ratio_milli = 200,
+                                             .slack = slack_for (count),
+                                             .window_us = 10 * S_US };
   fleet->rand = g_rand_new_with_seed (count);
   join (fleet, count);
   return fleet;
@@ -106,7 +107,7 @@
 static uint32_t
 sharers_of (const member_t *member)
 {
-  return rsh_sharers (member->lists, member->known, member->alive);
+  return retry_budget_sharers (member->lists, member->known, member->alive);
 }
 
 /* Return: requests that arrive in one tick at the gateway with this index */
@@ -130,16 +131,16 @@
 
   for (uint32_t i = 0; i < member->waiting; i++)
     {
-      crs_t *crs = &member->calls[i];
+      retry_plan_t *retry_plan = &member->calls[i];
 
-      if (!has_free_slots ||
-          rsh_wait_us (&member->rsh, &fleet->options, at_us (tick), sharers_of (member)))
+      if (!has_free_slots || retry_budget_wait_us (&member->retry_budget, &fleet->options,
+                                                   at_us (tick), sharers_of (member)))
         {
-          member->calls[left++] = *crs;
+          member->calls[left++] = *retry_plan;
           continue;
         }
-      if (crs_sends (crs))
-        rsh_spend (&member->rsh, &fleet->options, at_us (tick));
+      if (retry_plan_note_send (retry_plan))
+        retry_budget_count_retry (&member->retry_budget, &fleet->options, at_us (tick));
       fleet->retries[tick]++;
     }
   member->waiting = left;
@@ -158,8 +159,8 @@
 {
   const chance_t *chance = context;
 
-  return rsh_wait_us (&chance->member->rsh, &chance->fleet->options, at_us (chance->tick),
-                      sharers_of (chance->member)) == 0;
+  return retry_budget_wait_us (&chance->member->retry_budget, &chance->fleet->options,
+                               at_us (chance->tick), sharers_of (chance->member)) == 0;
 }
 
 /* Adds failed requests until the budget allows no further retry or the limit of waiting ones is
@@ -171,12 +172,13 @@
 
   while (member->waiting < WAITING_MAX)
     {
-      crs_t crs;
+      retry_plan_t retry_plan;
 
-      crs_init (&crs, &(crs_rules_t){ .idempotent = true, .attempts = 4 });
-      if (crs_next (&crs, CRS_FAILED, S_US, may_retry, &chance) != CRS_AGAIN)
+      retry_plan_init (&retry_plan, &(retry_plan_rules_t){ .idempotent = true, .attempts = 4 });
+      if (retry_plan_next (&retry_plan, RETRY_PLAN_OUTCOME_FAILED, S_US, may_retry, &chance) !=
+          RETRY_PLAN_STEP_RESEND)
         return;
-      member->calls[member->waiting++] = crs;
+      member->calls[member->waiting++] = retry_plan;
       if (!fleet->waits)
         send_waiting (fleet, member, tick);
     }
@@ -195,7 +197,7 @@
 
           for (uint32_t n = arrivals_at (fleet, i); n > 0; n--)
             {
-              rsh_request (&member->rsh, &fleet->options, at_us (tick));
+              retry_budget_count_request (&member->retry_budget, &fleet->options, at_us (tick));
               fleet->requests[tick]++;
             }
           add_retries (fleet, member, tick);
@@ -303,7 +305,7 @@
     if (tick % 20 == 0 && i % 2 == tick / 20 % 2)
       restart (&fleet->members[i], tick);
     else if (tick % 20 == 5)
-      fleet->members[i] = (member_t){ .rsh = fleet->members[i].rsh,
+      fleet->members[i] = (member_t){ .retry_budget = fleet->members[i].retry_budget,
                                       .lists = true,
                                       .known = fleet->count - 1,
                                       .alive = fleet->count / 2 };
