--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -131,10 +131,10 @@
   free (text);
 }
 
-static mem_listed_t *
+static membership_list_entry_t *
 make_list (uint32_t host_count)
 {
-  mem_listed_t *listed = g_new0 (mem_listed_t, host_count);
+  membership_list_entry_t *listed = g_new0 (membership_list_entry_t, host_count);
   for (uint32_t i = 0; i < host_count; i++)
     {
       snprintf (listed[i].name, sizeof listed[i].name, "dc-%u-host-%u", i % 12, i);
@@ -146,7 +146,7 @@
       listed[i].exchange = listed[i].http;
       listed[i].exchange.port = 7081;
       listed[i].router = i < host_count / 5;
-      listed[i].state = MEM_LIVE;
+      listed[i].state = MEMBERSHIP_LIVE;
     }
   return listed;
 }
@@ -154,35 +154,36 @@
 static void
 bench_membership (uint32_t host_count)
 {
-  mem_listed_t *listed = make_list (host_count);
+  membership_list_entry_t *listed = make_list (host_count);
   uint64_t heap = heap_bytes ();
-  mem_t *mem = mem_new ();
+  membership_t *membership = membership_new ();
   uint64_t start = cpu_ns ();
-  mem_list_full (mem, CLK_US_PER_S, listed, host_count, 1);
+  membership_apply_list (membership, CLK_US_PER_S, listed, host_count, 1);
   print_row ("host list, whole", host_count, "us", (double)(cpu_ns () - start) / 1000);
   start = cpu_ns ();
-  mem_snapshot_t *first = mem_snapshot (mem);
+  membership_snapshot_t *first = membership_take_snapshot (membership);
   print_row ("host snapshot", host_count, "us", (double)(cpu_ns () - start) / 1000);
   print_row ("hosts and one snapshot in memory", host_count, "bytes",
              (double)(heap_bytes () - heap));
 
   start = cpu_ns ();
-  listed[0].state = MEM_LEAVING;
-  mem_list_delta (mem, 2 * CLK_US_PER_S, listed, 1, 2);
-  mem_snapshot_t *second = mem_snapshot (mem);
+  listed[0].state = MEMBERSHIP_LEAVING;
+  membership_apply_list_changes (membership, 2 * CLK_US_PER_S, listed, 1, 2);
+  membership_snapshot_t *second = membership_take_snapshot (membership);
   print_row ("one change with its snapshot", host_count, "us", (double)(cpu_ns () - start) / 1000);
 
   const uint32_t rounds = 100000;
   start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
     {
-      mem_word_t report = { rendezvous_hash_name (listed[i % host_count].name), 1, i, MEM_LIVE };
-      mem_hear (mem, 3 * CLK_US_PER_S, &report);
+      membership_report_t report = { rendezvous_hash_name (listed[i % host_count].name), 1, i,
+                                     MEMBERSHIP_LIVE };
+      membership_apply_report (membership, 3 * CLK_US_PER_S, &report);
     }
   print_row ("hear a host's word", host_count, "ns", (double)(cpu_ns () - start) / rounds);
-  mem_snapshot_unref (first);
-  mem_snapshot_unref (second);
-  mem_free (mem);
+  membership_snapshot_unref (first);
+  membership_snapshot_unref (second);
+  membership_free (membership);
   g_free (listed);
 }
 
@@ -265,22 +266,22 @@
       chats[i] = rendezvous_hash_chat ("account", id);
     }
   uint64_t heap = heap_bytes ();
-  dir_t *dir = dir_new (LIM_DIRECTORY_ENTRIES);
+  chat_directory_t *dir = chat_directory_new (LIM_DIRECTORY_ENTRIES);
   uint64_t start = cpu_ns ();
   for (uint32_t i = 0; i < chat_count; i++)
-    dir_put (dir, i, chats[i], i + 1);
+    chat_directory_put (dir, i, chats[i], i + 1);
   print_row ("directory put", chat_count, "ns", (double)(cpu_ns () - start) / chat_count);
   start = cpu_ns ();
   uint32_t found = 0;
   for (uint32_t i = 0; i < chat_count; i++)
     {
-      dir_entry_t entry;
-      found += dir_get (dir, chat_count, UINT64_MAX, chats[i], &entry);
+      chat_directory_entry_t entry;
+      found += chat_directory_get (dir, chat_count, UINT64_MAX, chats[i], &entry);
     }
   print_row ("directory get", chat_count, "ns", (double)(cpu_ns () - start) / chat_count);
   print_row ("directory entries still found", chat_count, "count", found);
   print_row ("directory in memory", chat_count, "bytes", (double)(heap_bytes () - heap));
-  dir_free (dir);
+  chat_directory_free (dir);
   g_free (chats);
 }
 
@@ -288,8 +289,8 @@
 bench_claims (uint32_t key_count)
 {
   uint64_t heap = heap_bytes ();
-  clm_t *clm = clm_new ((uint64_t)86400 * CLK_US_PER_S);
-  clm_begin (clm, 0);
+  claim_stream_t *claim_stream = claim_new ((uint64_t)86400 * CLK_US_PER_S);
+  claim_set_first_offset (claim_stream, 0);
   const uint64_t wall_ms = 1800000000000u;
   uint64_t record_bytes = 0;
   uint64_t longest_ns = 0;
@@ -302,7 +303,7 @@
                              "[{\"c\":\"%032x\",\"k\":\"%032x\",\"b\":\"%016x\",\"t\":%llu}]",
                              i + 1, i + 1, i, (unsigned long long)wall_ms);
       record_bytes += (uint64_t)length;
-      clm_feed (clm, CLK_US_PER_S, wall_ms, i, record, (size_t)length);
+      claim_apply_record (claim_stream, CLK_US_PER_S, wall_ms, i, record, (size_t)length);
       uint64_t now_ns = cpu_ns ();
       longest_ns = MAX (longest_ns, now_ns - previous_ns);
       previous_ns = now_ns;
@@ -310,9 +311,9 @@
   print_row ("claim read back", key_count, "ns", (double)(previous_ns - start) / key_count);
   print_row ("longest of them", key_count, "ns", (double)longest_ns);
   print_row ("claim record", key_count, "bytes", (double)record_bytes / key_count);
-  print_row ("claim keys kept", key_count, "count", clm_key_count (clm));
+  print_row ("claim keys kept", key_count, "count", claim_key_count (claim_stream));
   print_row ("claims in memory", key_count, "bytes", (double)(heap_bytes () - heap));
-  clm_free (clm);
+  claim_free (claim_stream);
 }
 
 static void
--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -55,7 +55,7 @@
 typedef struct
 {
   uint64_t claim_id[2];
-  clm_key_t key;
+  claim_key_t key;
   uint64_t end_us;
 } running_request_t;
 
@@ -63,7 +63,7 @@
 typedef struct
 {
   uint64_t at_us;
-  clm_key_t key;
+  claim_key_t key;
 } waiting_request_t;
 
 /**
@@ -81,7 +81,7 @@
  */
 typedef struct
 {
-  clm_t *clm;
+  claim_stream_t *claim_stream;
   GPtrArray *stream;
   GArray *runs;
   char *append;
@@ -139,12 +139,12 @@
 static void
 handle_results (sim_t *sim, follower_t *follower)
 {
-  clm_result_t result;
-  while (clm_result (follower->clm, sim->now_us, &result))
+  claim_result_t result;
+  while (claim_take_result (follower->claim_stream, sim->now_us, &result))
     {
       waiting_request_t *request = result.owner;
       double ms = (double)(sim->now_us - request->at_us) / CLK_US_PER_MS;
-      bool granted = result.verdict == CLM_GRANTED;
+      bool granted = result.verdict == CLAIM_GRANTED;
       if (granted)
         {
           running_request_t run = { { result.claim_id[0], result.claim_id[1] }, request->key, 0 };
@@ -166,11 +166,11 @@
 {
   if (follower->append == NULL)
     {
-      follower->append = clm_batch (follower->clm, sim->now_us, wall_ms (sim));
+      follower->append = claim_next_batch (follower->claim_stream, sim->now_us, wall_ms (sim));
       follower->append_at_us = sim->now_us + ROUND_TRIP_US / 2;
       follower->append_arrived = false;
     }
-  if (!follower->reading && clm_wants_read (follower->clm))
+  if (!follower->reading && claim_needs_read (follower->claim_stream))
     {
       follower->reading = true;
       follower->read_answered = false;
@@ -224,9 +224,9 @@
 {
   g_clear_pointer (&follower->append, g_free);
   if (follower->append_accepted)
-    clm_appended (follower->clm, sim->now_us, follower->append_offset);
+    claim_append_succeeded (follower->claim_stream, sim->now_us, follower->append_offset);
   else
-    clm_append_refused (follower->clm, sim->now_us);
+    claim_append_refused (follower->claim_stream, sim->now_us);
 }
 
 static void
@@ -248,15 +248,16 @@
 answer_read (sim_t *sim, follower_t *follower)
 {
   follower->reading = false;
-  uint64_t from = clm_next_offset (follower->clm);
+  uint64_t from = claim_next_offset (follower->claim_stream);
   uint64_t bytes = READ_BYTES;
   for (uint64_t at = from; at < follower->read_end; at++)
     {
       const char *text = g_ptr_array_index (follower->stream, at);
       bytes += strlen (text) + RECORD_BYTES;
-      clm_feed (follower->clm, sim->now_us, wall_ms (sim), at, text, strlen (text));
+      claim_apply_record (follower->claim_stream, sim->now_us, wall_ms (sim), at, text,
+                          strlen (text));
     }
-  clm_read_to (follower->clm, sim->now_us, follower->read_end);
+  claim_read_to_end (follower->claim_stream, sim->now_us, follower->read_end);
   if (is_warm (sim))
     sim->read_bytes += bytes;
 }
@@ -268,7 +269,7 @@
     return;
   if (!follower->read_answered)
     {
-      uint64_t from = clm_next_offset (follower->clm);
+      uint64_t from = claim_next_offset (follower->claim_stream);
       if (follower->stream->len == from && sim->now_us < follower->read_until_us)
         return;
       follower->read_answered = true;
@@ -289,7 +290,7 @@
       running_request_t run = g_array_index (follower->runs, running_request_t, i);
       if (sim->now_us < run.end_us)
         continue;
-      clm_done (follower->clm, run.claim_id, &run.key, 200);
+      claim_finish (follower->claim_stream, run.claim_id, &run.key, 200);
       g_array_remove_index_fast (follower->runs, i);
       start_log_calls (sim, follower);
     }
@@ -303,10 +304,10 @@
   uint64_t claim_id[2] = { 1, ++sim->next_id };
   waiting_request_t *request = g_new0 (waiting_request_t, 1);
   request->at_us = sim->now_us;
-  request->key = (clm_key_t){ { rnd_next (&sim->rand), rnd_next (&sim->rand) }, 5 };
+  request->key = (claim_key_t){ { rnd_next (&sim->rand), rnd_next (&sim->rand) }, 5 };
   sim->asked += is_warm (sim);
-  clm_request (follower->clm, sim->now_us, claim_id, &request->key,
-               sim->now_us + REQUEST_DEADLINE_US, request);
+  claim_request (follower->claim_stream, sim->now_us, claim_id, &request->key,
+                 sim->now_us + REQUEST_DEADLINE_US, request);
   handle_results (sim, follower);
   start_log_calls (sim, follower);
 }
@@ -323,7 +324,7 @@
       step_append (sim, follower);
       step_read (sim, follower);
       step_runs (sim, follower);
-      if (sim->now_us < MIN (follower->tick_us, clm_due_us (follower->clm)))
+      if (sim->now_us < MIN (follower->tick_us, claim_append_due_us (follower->claim_stream)))
         continue;
       while (follower->tick_us <= sim->now_us)
         follower->tick_us += TICK_US;
@@ -347,8 +348,8 @@
   for (uint32_t i = 0; i < options->streams * options->followers; i++)
     {
       follower_t *follower = &sim->followers[i];
-      follower->clm = clm_new (HORIZON_US);
-      clm_begin (follower->clm, 0);
+      follower->claim_stream = claim_new (HORIZON_US);
+      claim_set_first_offset (follower->claim_stream, 0);
       follower->stream = sim->streams[i % options->streams];
       follower->runs = g_array_new (FALSE, FALSE, sizeof (running_request_t));
       follower->tick_us = sim->now_us + (uint64_t)(rnd_unit (&sim->rand) * TICK_US);
@@ -360,7 +361,7 @@
 {
   for (uint32_t i = 0; i < sim->options.streams * sim->options.followers; i++)
     {
-      clm_free (sim->followers[i].clm);
+      claim_free (sim->followers[i].claim_stream);
       g_array_free (sim->followers[i].runs, TRUE);
       g_free (sim->followers[i].append);
     }
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -290,7 +290,7 @@
   const admission_options_t options = { .engine_hash = 1, .slots = SLOTS, .engine_count = 15 };
   admission_t *admission = admission_new (&options);
   printf ("sidecar\t%.0f\n", heap_bytes () - before);
-  printf ("chat (directory entry)\t%zu\n", sizeof (dir_entry_t));
+  printf ("chat (directory entry)\t%zu\n", sizeof (chat_directory_entry_t));
   printf ("engine (candidate at a router)\t%zu\n",
           sizeof (rendezvous_engine_t) + sizeof (candidates_engine_t));
   printf ("load sample\t%zu\n", sizeof (load_sample_t));
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -59,8 +59,9 @@
 has_leaving (const flt_node_t *node, void *context)
 {
   const uint64_t *hash = context;
-  mem_word_t word;
-  return mem_word (node->ctrl->mem, *hash, &word) && word.state == MEM_LEAVING;
+  membership_report_t word;
+  return membership_last_report (node->ctrl->membership, *hash, &word) &&
+         word.state == MEMBERSHIP_LEAVING;
 }
 
 static bool
@@ -144,7 +145,7 @@
   run_begin (run, 0);
   for (uint32_t round = 0; round < ROUNDS; round++)
     {
-      flt_list (run->flt, -1, MEM_LIVE);
+      flt_list (run->flt, -1, MEMBERSHIP_LIVE);
       uint64_t start_us = run->flt->now_us;
       flt_wait_for (run->flt, has_list, NULL);
       flt_run (run->flt, HORIZON_US, true);
@@ -181,7 +182,7 @@
       run_begin (run, 0);
       flt_node_t *node = &run->flt->nodes[TEST_SIDECAR];
       msg_marks_t marks = { .count = 1 };
-      marks.marks[0] = (sus_mark_t){ FINGERPRINT, { node->ctrl->own_hash, 0 }, 0 };
+      marks.marks[0] = (suspect_mark_t){ FINGERPRINT, { node->ctrl->own_hash, 0 }, 0 };
       uint64_t start_us = run->flt->now_us;
       flt_wait_for (run->flt, has_mark, NULL);
       flt_enter (node);
@@ -271,7 +272,7 @@
   flt_counts_t before = run->flt->counts;
   flt_stop (run->flt, 3);
   flt_run (run->flt, 3 * CLK_US_PER_S, false);
-  flt_list (run->flt, 3, MEM_GONE);
+  flt_list (run->flt, 3, MEMBERSHIP_GONE);
   flt_publish (run->flt);
   uint64_t start_us = run->flt->now_us;
   flt_wait_for (run->flt, has_version, NULL);
--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -38,7 +38,7 @@
   flt_t *fleet = run->flt;
   flt_node_t *node = &fleet->nodes[0];
   uint32_t restarted = fleet->count / FLT_DATA_CENTERS;
-  mem_list_full (node->ctrl->mem, fleet->now_us, fleet->listed, fleet->count, 1);
+  membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed, fleet->count, 1);
   for (uint32_t i = 1; i < fleet->count; i++)
     receive_message (node, &fleet->nodes[i], 1);
   fleet->now_us += RUN_WINDOW_US;
@@ -82,7 +82,7 @@
   for (uint32_t i = 0; i <= REPEATS; i++)
     {
       msg_members_t *members = msg_new (MSG_MEMBERS);
-      members->members = mem_snapshot_ref (fleet->members);
+      members->members = membership_snapshot_ref (fleet->members);
       deliver (members, handler, task);
       if (i == 0)
         start_us = thread_cpu_us ();
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -42,10 +42,10 @@
 static void
 init_host_list (flt_t *fleet)
 {
-  fleet->listed = g_new0 (mem_listed_t, fleet->count);
+  fleet->listed = g_new0 (membership_list_entry_t, fleet->count);
   for (uint32_t i = 0; i < fleet->count; i++)
     {
-      mem_listed_t *host = &fleet->listed[i];
+      membership_list_entry_t *host = &fleet->listed[i];
       format_host_name (fleet, i, host->name, sizeof host->name);
       host->router = !is_engine (fleet, i);
       g_snprintf (host->data_center, sizeof host->data_center, "dc-%u", data_center_of (i));
@@ -59,12 +59,13 @@
 static void
 publish_list (flt_t *fleet)
 {
-  mem_t *mem = mem_new ();
-  mem_list_full (mem, fleet->now_us, fleet->listed, fleet->count, ++fleet->list_revision);
+  membership_t *membership = membership_new ();
+  membership_apply_list (membership, fleet->now_us, fleet->listed, fleet->count,
+                         ++fleet->list_revision);
   if (fleet->members != NULL)
-    mem_snapshot_unref (fleet->members);
-  fleet->members = mem_snapshot (mem);
-  mem_free (mem);
+    membership_snapshot_unref (fleet->members);
+  fleet->members = membership_take_snapshot (membership);
+  membership_free (membership);
 }
 
 static json_t *
@@ -117,7 +118,7 @@
 init_settings (flt_t *fleet, flt_node_t *node)
 {
   set_t *set = &node->dmn.set;
-  const mem_listed_t *listed = &fleet->listed[node->index];
+  const membership_list_entry_t *listed = &fleet->listed[node->index];
   set->role = listed->router ? SET_ROLE_ROUTER : SET_ROLE_SIDECAR;
   g_strlcpy (set->name, listed->name, sizeof set->name);
   g_strlcpy (set->data_center, listed->data_center, sizeof set->data_center);
@@ -156,7 +157,8 @@
   node->dmn.to_data = fleet->mailbox;
   node->ctrl = ctrl_new_on (&node->dmn, fleet->base, &fleet->plt, NULL);
   event_del (node->ctrl->tick); /* the timer follows real time; FLT_TICK replaces it */
-  mem_list_full (node->ctrl->mem, fleet->now_us, fleet->listed, fleet->options.watched, 1);
+  membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed,
+                         fleet->options.watched, 1);
   evt_add (&fleet->events, fleet->now_us + rnd_below (&fleet->random, TICK_US), FLT_TICK, index,
            NULL);
   evt_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER, index, NULL);
@@ -243,8 +245,9 @@
   fleet->base = event_base_new ();
   fleet->counters = cnt_set_new ();
   fleet->mailbox = mbx_new (fleet->base, drop_message, NULL);
-  fleet->empty_members = mem_new ();
-  mem_snapshot_unref (mem_snapshot (fleet->empty_members)); /* marks it as unchanged */
+  fleet->empty_members = membership_new ();
+  membership_snapshot_unref (
+      membership_take_snapshot (fleet->empty_members)); /* marks it as unchanged */
   evt_init (&fleet->events);
   flt_platform_init (fleet);
   init_host_list (fleet);
@@ -268,9 +271,9 @@
     ctrl_free (fleet->nodes[i].ctrl);
   g_free (fleet->nodes);
   g_free (fleet->listed);
-  mem_snapshot_unref (fleet->members);
+  membership_snapshot_unref (fleet->members);
   man_unref (fleet->man);
-  mem_free (fleet->empty_members);
+  membership_free (fleet->empty_members);
   mbx_free (fleet->mailbox);
   cnt_set_free (fleet->counters);
   event_base_free (fleet->base);
@@ -340,7 +343,7 @@
 }
 
 void
-flt_list (flt_t *fleet, int32_t data_center, mem_state_t state)
+flt_list (flt_t *fleet, int32_t data_center, membership_state_t state)
 {
   for (uint32_t i = 0; i < fleet->count; i++)
     {
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -129,7 +129,7 @@
   struct event_base *base;
   cnt_set_t *counters;
   mbx_t *mailbox;
-  mem_t *empty_members;
+  membership_t *empty_members;
   flt_node_t *nodes;
   uint32_t count;
   uint64_t now_us;
@@ -137,8 +137,8 @@
   evt_queue_t events;
   man_t *man;
   uint64_t log_end;
-  mem_snapshot_t *members;
-  mem_listed_t *listed;
+  membership_snapshot_t *members;
+  membership_list_entry_t *listed;
   uint64_t list_revision;
   int32_t cut_region;
   uint64_t ramp_us;
@@ -182,7 +182,7 @@
 void flt_publish (flt_t *fleet);
 /** flt_list() - sets the state of all hosts of @data_center, or of all hosts if it is -1, in the
  * platform's list, and publishes a new revision of the list */
-void flt_list (flt_t *fleet, int32_t data_center, mem_state_t state);
+void flt_list (flt_t *fleet, int32_t data_center, membership_state_t state);
 /** flt_stop() - stops all daemons of @data_center without notice to the others */
 void flt_stop (flt_t *fleet, uint32_t data_center);
 /** flt_load() - Return: the load of the engine of @node now, in running requests */
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -159,8 +159,8 @@
   if (peers->members == node->flt->members)
     return;
   if (peers->members != NULL)
-    mem_snapshot_unref (peers->members);
-  peers->members = mem_snapshot_ref (node->flt->members);
+    membership_snapshot_unref (peers->members);
+  peers->members = membership_snapshot_ref (node->flt->members);
   ctrl_peers_rebuild (node->ctrl);
 }
 
@@ -176,16 +176,16 @@
       hosts.revision = fleet->list_revision;
       update_members (node);
     }
-  mem_t *own_members = node->ctrl->mem;
-  node->ctrl->mem = fleet->empty_members;
+  membership_t *own_members = node->ctrl->membership;
+  node->ctrl->membership = fleet->empty_members;
   request->hosts (&hosts, request->op);
-  node->ctrl->mem = own_members;
+  node->ctrl->membership = own_members;
   node->ctrl->list.read_once = false;
   g_free (request);
 }
 
 void
-ctrl_fetch_start (ctrl_t *ctrl, const mem_host_t *host)
+ctrl_fetch_start (ctrl_t *ctrl, const membership_host_t *host)
 {
   flt_node_t *node = (flt_node_t *)ctrl->dmn;
   flt_t *fleet = node->flt;
--- a/bench/world_engine.c
+++ b/bench/world_engine.c
@@ -153,12 +153,12 @@
 {
   if (!engine->leaving || admission_load (engine->admission) > 0)
     return;
-  lst_change (sim, engine, MEM_GONE);
+  lst_change (sim, engine, MEMBERSHIP_GONE);
   eng_close (sim, engine);
 }
 
 static void
-hand_over (const dir_entry_t *entry, void *context)
+hand_over (const chat_directory_entry_t *entry, void *context)
 {
   wld_engine_t *engine = context;
   const wld_view_t *view = engine->daemon.view;
@@ -173,8 +173,8 @@
       if (next == engine)
         continue;
       if (next->present && entry->engine_hash != engine->hash && entry->engine_hash != next->hash)
-        dir_put (admission_directory (next->admission), entry->served_us, entry->chat_hash,
-                 entry->engine_hash);
+        chat_directory_put (admission_directory (next->admission), entry->served_us,
+                            entry->chat_hash, entry->engine_hash);
       return;
     }
 }
@@ -238,12 +238,12 @@
   engine->sequence++;
   eng_count (sim, engine, false);
   admission_set_leaving (engine->admission, true);
-  lst_change (sim, engine, MEM_LEAVING);
+  lst_change (sim, engine, MEMBERSHIP_LEAVING);
   const uint32_t daemons = lst_daemon_count (sim);
   for (uint32_t i = 0; i < 3; i++)
     lst_tell (sim, &engine->daemon, lst_daemon (sim, rnd_below (&sim->random_events, daemons)));
   if (sim->options.policy == WLD_FULL)
-    dir_each (admission_directory (engine->admission), hand_over, engine);
+    chat_directory_for_each (admission_directory (engine->admission), hand_over, engine);
   eng_pump (sim, engine);
   stop_if_drained (sim, engine);
 }
--- a/bench/world_fault.c
+++ b/bench/world_fault.c
@@ -133,7 +133,7 @@
       return;
     }
   eng_open (sim, engine, true);
-  lst_change (sim, engine, MEM_LIVE);
+  lst_change (sim, engine, MEMBERSHIP_LIVE);
 }
 
 void
@@ -156,12 +156,12 @@
       break;
     case ACTION_CRASH:
       eng_crash (sim, engine);
-      lst_change (sim, engine, MEM_GONE);
+      lst_change (sim, engine, MEMBERSHIP_GONE);
       break;
     case ACTION_DISCONNECT:
       engine->reachable = false;
       eng_count (sim, engine, false);
-      lst_change (sim, engine, MEM_GONE);
+      lst_change (sim, engine, MEMBERSHIP_GONE);
       break;
     case ACTION_BLOCK_ROUTERS:
       engine->blocked_for_routers = true;
@@ -170,7 +170,7 @@
     case ACTION_RECONNECT:
       engine->reachable = true;
       eng_count (sim, engine, true);
-      lst_change (sim, engine, MEM_LIVE);
+      lst_change (sim, engine, MEMBERSHIP_LIVE);
       break;
     }
 }
--- a/bench/world_list.c
+++ b/bench/world_list.c
@@ -3,28 +3,28 @@
 /** struct change - a change of the platform's list that a view has not received yet */
 typedef struct
 {
-  mem_listed_t listed;
+  membership_list_entry_t listed;
 } change_t;
 
-static mem_listed_t
-make_list_entry (const wld_engine_t *engine, mem_state_t state)
+static membership_list_entry_t
+make_list_entry (const wld_engine_t *engine, membership_state_t state)
 {
-  mem_listed_t listed = { .state = state };
+  membership_list_entry_t listed = { .state = state };
   g_strlcpy (listed.name, engine->name, sizeof listed.name);
   return listed;
 }
 
-static mem_word_t
+static membership_report_t
 make_own_report (const wld_engine_t *engine)
 {
-  return (mem_word_t){ .host_hash = engine->hash,
-                       .incarnation = engine->incarnation,
-                       .sequence = engine->sequence,
-                       .state = engine->leaving ? MEM_LEAVING : MEM_LIVE };
+  return (membership_report_t){ .host_hash = engine->hash,
+                                .incarnation = engine->incarnation,
+                                .sequence = engine->sequence,
+                                .state = engine->leaving ? MEMBERSHIP_LEAVING : MEMBERSHIP_LIVE };
 }
 
 static void
-remember_report (wld_t *sim, wld_daemon_t *daemon, const mem_word_t *report)
+remember_report (wld_t *sim, wld_daemon_t *daemon, const membership_report_t *report)
 {
   daemon->reports[daemon->next_report] = *report;
   daemon->reports_heard_us[daemon->next_report] = sim->now_us;
@@ -36,7 +36,7 @@
 {
   if (from->engine != NULL)
     {
-      const mem_word_t report = make_own_report (from->engine);
+      const membership_report_t report = make_own_report (from->engine);
       lst_hear (sim, to, &report);
     }
   for (uint32_t i = 0; i < WLD_WORDS; i++)
@@ -87,17 +87,17 @@
 void
 lst_rebuild (wld_t *sim, wld_view_t *view)
 {
-  if (!mem_changed (view->members))
+  if (!membership_has_changed (view->members))
     return;
-  mem_snapshot_t *snapshot = mem_snapshot (view->members);
+  membership_snapshot_t *snapshot = membership_take_snapshot (view->members);
   view->engines = g_renew (rendezvous_engine_t, view->engines, snapshot->host_count);
   view->details = g_renew (candidates_engine_t, view->details, snapshot->host_count);
   view->count = 0;
   g_hash_table_remove_all (view->live_hashes);
   for (uint32_t i = 0; i < snapshot->host_count; i++)
     {
-      const mem_host_t *host = &snapshot->hosts[i];
-      if (host->state != MEM_LIVE)
+      const membership_host_t *host = &snapshot->hosts[i];
+      if (host->state != MEMBERSHIP_LIVE)
         continue;
       wld_engine_t *engine = g_hash_table_lookup (sim->engines_by_hash, &host->hash);
       view->details[view->count] =
@@ -107,34 +107,35 @@
       view->count++;
       g_hash_table_add (view->live_hashes, &engine->hash);
     }
-  mem_snapshot_unref (snapshot);
+  membership_snapshot_unref (snapshot);
   configure_engines (sim, view);
 }
 
 void
 lst_open (wld_t *sim, wld_view_t *view)
 {
-  g_autofree mem_listed_t *listed = g_new0 (mem_listed_t, sim->options.engine_count);
+  g_autofree membership_list_entry_t *listed =
+      g_new0 (membership_list_entry_t, sim->options.engine_count);
   for (uint32_t i = 0; i < sim->options.engine_count; i++)
-    listed[i] = make_list_entry (&sim->engines[i], MEM_LIVE);
+    listed[i] = make_list_entry (&sim->engines[i], MEMBERSHIP_LIVE);
   view->sim = sim;
-  view->members = mem_new ();
+  view->members = membership_new ();
   view->live_hashes = g_hash_table_new (g_int64_hash, g_int64_equal);
-  mem_list_full (view->members, sim->now_us, listed, sim->options.engine_count, 1);
+  membership_apply_list (view->members, sim->now_us, listed, sim->options.engine_count, 1);
   lst_rebuild (sim, view);
 }
 
 void
 lst_close (wld_view_t *view)
 {
-  mem_free (view->members);
+  membership_free (view->members);
   g_hash_table_destroy (view->live_hashes);
   g_free (view->engines);
   g_free (view->details);
 }
 
 void
-lst_change (wld_t *sim, const wld_engine_t *engine, mem_state_t state)
+lst_change (wld_t *sim, const wld_engine_t *engine, membership_state_t state)
 {
   for (uint32_t i = 0; i < sim->view_count; i++)
     {
@@ -148,18 +149,18 @@
 lst_arrive (wld_t *sim, wld_view_t *view, void *data)
 {
   change_t *change = data;
-  mem_list_delta (view->members, sim->now_us, &change->listed, 1, 0);
+  membership_apply_list_changes (view->members, sim->now_us, &change->listed, 1, 0);
   g_free (change);
   lst_rebuild (sim, view);
 }
 
 void
-lst_hear (wld_t *sim, wld_daemon_t *daemon, const mem_word_t *report)
+lst_hear (wld_t *sim, wld_daemon_t *daemon, const membership_report_t *report)
 {
-  if (!mem_hear (daemon->view->members, sim->now_us, report))
+  if (!membership_apply_report (daemon->view->members, sim->now_us, report))
     return;
   remember_report (sim, daemon, report);
-  if (report->state != MEM_LIVE)
+  if (report->state != MEMBERSHIP_LIVE)
     load_samples_forget (daemon->mean, report->host_hash);
   lst_rebuild (sim, daemon->view);
 }
--- a/bench/world_parts.h
+++ b/bench/world_parts.h
@@ -31,7 +31,7 @@
  */
 typedef struct
 {
-  mem_t *members;
+  membership_t *members;
   rendezvous_engine_t *engines;
   candidates_engine_t *details;
   uint32_t count;
@@ -53,7 +53,7 @@
   wld_view_t *view;
   load_samples_t *mean;
   wld_engine_t *engine;
-  mem_word_t reports[WLD_WORDS];
+  membership_report_t reports[WLD_WORDS];
   uint64_t reports_heard_us[WLD_WORDS];
   uint32_t next_report;
 } wld_daemon_t;
@@ -68,9 +68,9 @@
 {
   wld_daemon_t daemon;
   load_samples_t samples;
-  hlt_t *health;
+  health_t *health;
   forwarding_budget_t budget;
-  uwy_t *in_flight;
+  in_flight_counts_t *in_flight;
   uint64_t now_us;
 } wld_router_t;
 
@@ -228,11 +228,11 @@
 void lst_open (wld_t *sim, wld_view_t *view);
 void lst_close (wld_view_t *view);
 /** lst_change() - changes the platform's list, which arrives at each view after the view's lag */
-void lst_change (wld_t *sim, const wld_engine_t *engine, mem_state_t state);
+void lst_change (wld_t *sim, const wld_engine_t *engine, membership_state_t state);
 /** lst_arrive() - applies a change of the list to a view; frees @change */
 void lst_arrive (wld_t *sim, wld_view_t *view, void *change);
 /** lst_hear() - a daemon receives a membership report */
-void lst_hear (wld_t *sim, wld_daemon_t *daemon, const mem_word_t *report);
+void lst_hear (wld_t *sim, wld_daemon_t *daemon, const membership_report_t *report);
 /** lst_rebuild() - updates the engines of a view after a change of its members */
 void lst_rebuild (wld_t *sim, wld_view_t *view);
 /** lst_is_live() - whether an engine is live in @view, a wld_view_t */
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -10,7 +10,7 @@
 is_usable (uint64_t engine_hash, void *context)
 {
   const wld_router_t *router = context;
-  return !hlt_skipped (router->health, router->now_us, engine_hash);
+  return !health_is_skipped (router->health, router->now_us, engine_hash);
 }
 
 static void
@@ -201,19 +201,19 @@
   call->hops++;
   if (engine->present && engine->reachable && !engine->blocked_for_routers)
     {
-      hlt_success (router->health, engine->hash);
+      health_record_success (router->health, engine->hash);
       call->request.may_wait = step->may_wait;
       call->request.referred = step->referred;
       attach_samples (sim, router, engine);
-      uwy_begin (router->in_flight, engine->hash);
+      in_flight_begin (router->in_flight, engine->hash);
       if (eng_offer (sim, engine, call, &decision))
         return true;
-      uwy_end (router->in_flight, engine->hash);
+      in_flight_end (router->in_flight, engine->hash);
       learn_load (sim, router, engine);
       outcome = refusal_outcome (&decision);
     }
   else
-    hlt_failure (router->health, sim->now_us, engine->hash);
+    health_record_failure (router->health, sim->now_us, engine->hash);
   *step = forwarding_attempt_ended (&call->forwarding, sim->now_us, &router->budget, &outcome);
   return false;
 }
@@ -267,8 +267,8 @@
 void
 rtr_open (wld_t *sim, wld_router_t *router, uint32_t index)
 {
-  router->health = hlt_new ();
-  router->in_flight = uwy_new ();
+  router->health = health_new ();
+  router->in_flight = in_flight_new ();
   router->daemon.mean = &router->samples;
   router->daemon.view = &sim->views[(sim->engine_count + index) % sim->view_count];
   load_samples_init (&router->samples, sim->options.seed * 31 + index);
@@ -278,8 +278,8 @@
 void
 rtr_close (wld_router_t *router)
 {
-  hlt_free (router->health);
-  uwy_free (router->in_flight);
+  health_free (router->health);
+  in_flight_free (router->in_flight);
 }
 
 void
@@ -303,7 +303,7 @@
   const forwarding_outcome_t outcome = refusal_outcome (decision);
   if (wld_measured (sim))
     sim->figures->refusals[decision->reason]++;
-  uwy_end (call->router->in_flight, call->forwarding.last_engine);
+  in_flight_end (call->router->in_flight, call->forwarding.last_engine);
   run_attempts (
       sim, call,
       forwarding_attempt_ended (&call->forwarding, sim->now_us, &call->router->budget, &outcome));
@@ -315,7 +315,7 @@
   const forwarding_outcome_t outcome = { .lost = true,
                                          .verdict = VERDICT_MAY_HAVE_RUN,
                                          .reason = VERDICT_REASON_CUT };
-  uwy_end (call->router->in_flight, call->forwarding.last_engine);
+  in_flight_end (call->router->in_flight, call->forwarding.last_engine);
   if (call->first_token_us != 0 && call->first_token_us <= sim->now_us)
     forwarding_response_begun (&call->forwarding);
   run_attempts (
@@ -327,7 +327,7 @@
 rtr_answered (wld_t *sim, wld_flight_t *call)
 {
   const forwarding_outcome_t outcome = { .answered = true, .verdict = VERDICT_RAN };
-  uwy_end (call->router->in_flight, call->forwarding.last_engine);
+  in_flight_end (call->router->in_flight, call->forwarding.last_engine);
   forwarding_attempt_ended (&call->forwarding, sim->now_us, &call->router->budget, &outcome);
   learn_load (sim, call->router, call->engine);
   const admission_request_t *request = &call->request;
--- a/ctl/ask.c
+++ b/ctl/ask.c
@@ -81,10 +81,10 @@
 static char *
 format_call_seal (const ask_call_t *call, const char *target, const char *fleet_key)
 {
-  ord_t order = { .host = call->name, .method = call->method, .target = target };
-  char seal[ORD_SEAL_BYTES];
+  sealed_call_t order = { .host = call->name, .method = call->method, .target = target };
+  char seal[CALL_SEAL_BYTES];
 
-  ord_seal (&order, fleet_key, seal);
+  call_seal_compute (&order, fleet_key, seal);
   return g_strdup (seal);
 }
 
@@ -219,7 +219,7 @@
 GArray *
 ask_hosts (ctl_t *ctl, plt_outcome_t *outcome)
 {
-  hosts_wait_t wait = { .hosts = g_array_new (FALSE, TRUE, sizeof (mem_listed_t)) };
+  hosts_wait_t wait = { .hosts = g_array_new (FALSE, TRUE, sizeof (membership_list_entry_t)) };
 
   ctl->plt->hosts (ctl->plt, 0, on_hosts, &wait);
   ctl_run_until (ctl, &wait.done);
@@ -227,12 +227,12 @@
   return wait.hosts;
 }
 
-const mem_listed_t *
+const membership_list_entry_t *
 ask_host_named (const GArray *hosts, const char *name)
 {
   for (guint i = 0; i < hosts->len; i++)
     {
-      const mem_listed_t *host = &g_array_index (hosts, mem_listed_t, i);
+      const membership_list_entry_t *host = &g_array_index (hosts, membership_list_entry_t, i);
 
       if (strcmp (host->name, name) == 0)
         return host;
--- a/ctl/ask.h
+++ b/ctl/ask.h
@@ -68,10 +68,10 @@
  * ask_hosts() - fetch the platform's host list
  * @outcome: receives the outcome of the fetch
  *
- * Return: an array of mem_listed_t to be freed, empty when the list can't be fetched
+ * Return: an array of membership_list_entry_t to be freed, empty when the list can't be fetched
  */
 GArray *ask_hosts (ctl_t *ctl, plt_outcome_t *outcome);
 /** ask_host_named() - find a host by name. Return: its entry in @hosts, or NULL */
-const mem_listed_t *ask_host_named (const GArray *hosts, const char *name);
+const membership_list_entry_t *ask_host_named (const GArray *hosts, const char *name);
 
 #endif
--- a/ctl/cmd_order.c
+++ b/ctl/cmd_order.c
@@ -9,7 +9,7 @@
 {
   plt_outcome_t outcome;
   GArray *hosts;
-  const mem_listed_t *host;
+  const membership_list_entry_t *host;
   ctl_exit_t code = CTL_OK;
 
   if ((ctl->options.given & OPT_DAEMON) != 0)
--- a/ctl/cmd_publish.c
+++ b/ctl/cmd_publish.c
@@ -116,9 +116,9 @@
     for (uint32_t engine = 0; engine < manifest->services[i].engine_count; engine++)
       {
         const char *name = manifest->services[i].engines[engine];
-        const mem_listed_t *host = ask_host_named (hosts, name);
+        const membership_list_entry_t *host = ask_host_named (hosts, name);
 
-        if (host != NULL && !host->router && host->state != MEM_GONE)
+        if (host != NULL && !host->router && host->state != MEMBERSHIP_GONE)
           continue;
         ctl_complain (CTL_OK, "services.%s.engines[%u]: the platform lists no engine host \"%s\"",
                       manifest->services[i].name, engine, name);
--- a/ctl/cmd_status.c
+++ b/ctl/cmd_status.c
@@ -28,10 +28,10 @@
 
   for (guint i = 0; i < hosts->len; i++)
     {
-      const mem_listed_t *host = &g_array_index (hosts, mem_listed_t, i);
+      const membership_list_entry_t *host = &g_array_index (hosts, membership_list_entry_t, i);
       ask_call_t call = make_status_call (&host->http, host->name);
 
-      if (host->state != MEM_GONE)
+      if (host->state != MEMBERSHIP_GONE)
         g_array_append_val (calls, call);
     }
   return calls;
--- a/src/connection/platform.c
+++ b/src/connection/platform.c
@@ -79,7 +79,7 @@
   if (outcome == PLT_OK && !pla_hosts (&answer, text, text_bytes))
     outcome = PLT_UNKNOWN;
   answer.outcome = outcome;
-  mem_listed_t *hosts = (mem_listed_t *)answer.hosts;
+  membership_list_entry_t *hosts = (membership_list_entry_t *)answer.hosts;
   call->hosts_done (&answer, call->context);
   g_free (hosts);
 }
--- a/src/connection/platform.h
+++ b/src/connection/platform.h
@@ -83,7 +83,7 @@
   plt_outcome_t outcome;
   bool full;
   uint64_t revision;
-  const mem_listed_t *hosts;
+  const membership_list_entry_t *hosts;
   uint32_t host_count;
 } plt_hosts_t;
 typedef void (*plt_hosts_done_t) (const plt_hosts_t *hosts, void *context);
--- a/src/connection/platform_answer.c
+++ b/src/connection/platform_answer.c
@@ -31,15 +31,15 @@
 }
 
 static bool
-get_state (const json_t *object, mem_state_t *state)
+get_state (const json_t *object, membership_state_t *state)
 {
   const char *text = json_string_value (json_object_get (object, "state"));
   if (g_strcmp0 (text, "live") == 0)
-    *state = MEM_LIVE;
+    *state = MEMBERSHIP_LIVE;
   else if (g_strcmp0 (text, "leaving") == 0)
-    *state = MEM_LEAVING;
+    *state = MEMBERSHIP_LEAVING;
   else if (g_strcmp0 (text, "gone") == 0)
-    *state = MEM_GONE;
+    *state = MEMBERSHIP_GONE;
   else
     return false;
   return true;
@@ -54,7 +54,7 @@
 }
 
 static bool
-get_host (const json_t *object, mem_listed_t *host)
+get_host (const json_t *object, membership_list_entry_t *host)
 {
   return get_name (object, "name", host->name) && get_role (object, &host->router) &&
          get_name (object, "data_center", host->data_center) &&
@@ -139,7 +139,7 @@
   bool valid = json_is_array (list) && json_is_boolean (full) && count <= PLA_HOSTS_LIMIT;
   memset (out, 0, sizeof *out);
   valid = valid && get_u64 (json, "revision", &out->revision);
-  mem_listed_t *hosts = g_new0 (mem_listed_t, valid ? count + 1 : 1);
+  membership_list_entry_t *hosts = g_new0 (membership_list_entry_t, valid ? count + 1 : 1);
   for (size_t i = 0; valid && i < count; i++)
     valid = get_host (json_array_get (list, i), &hosts[i]);
   out->outcome = PLT_OK;
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -31,7 +31,7 @@
 /* libtirpc defines these as macros, which would replace the functions of request/policy/member.h.
  */
 #undef mem_alloc
-#undef mem_free
+#undef membership_free
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -53,9 +53,9 @@
   ctrl->own_hash = rendezvous_hash_name (dmn->set.name);
   ctrl->rand = g_rand_new_with_seed ((guint32)(ctrl->own_hash ^ dmn->incarnation));
   ctrl->calls = g_ptr_array_new_with_free_func (g_free);
-  ctrl->mem = mem_new ();
-  ctrl->list.own_state = MEM_GONE;
-  ctrl->list.leaving = lvn_new ();
+  ctrl->membership = membership_new ();
+  ctrl->list.own_state = MEMBERSHIP_GONE;
+  ctrl->list.leaving = leave_notice_new ();
   ctrl->hcl = hcl_new (base, HTTP_IDLE_CONNECTIONS, HTTP_IDLE_TIMEOUT_MS);
   ctrl_members_init (ctrl);
   ctrl_manifest_init (ctrl);
@@ -98,8 +98,8 @@
   ctrl_talk_clear (ctrl);
   ctrl_manifest_clear (ctrl);
   ctrl_members_clear (ctrl);
-  mem_free (ctrl->mem);
-  lvn_free (ctrl->list.leaving);
+  membership_free (ctrl->membership);
+  leave_notice_free (ctrl->list.leaving);
   g_rand_free (ctrl->rand);
   g_free (ctrl);
 }
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -16,7 +16,7 @@
 
 /**
  * struct ctrl_stream - one claims stream
- * @clm: replays the stream's records and holds its claims
+ * @claim_stream: replays the stream's records and holds its claims
  * @read_call, @append_call: the read and the append in flight, or NULL
  * @timer: fires when the next append is due, as the tick alone would delay claims beyond their
  *         append interval
@@ -30,7 +30,7 @@
 {
   ctrl_t *ctrl;
   char *name;
-  clm_t *clm;
+  claim_stream_t *claim_stream;
   ctrl_op_t *read_call;
   ctrl_op_t *append_call;
   struct event *timer;
@@ -53,37 +53,37 @@
   if (stream->append_call != NULL)
     stream->append_call->abandoned = true;
   event_free (stream->timer);
-  clm_free (stream->clm);
+  claim_free (stream->claim_stream);
   g_free (stream->batch);
   g_free (stream->name);
   g_free (stream);
 }
 
 static const char *
-verdict_name (clm_verdict_t verdict)
+verdict_name (claim_verdict_t verdict)
 {
   switch (verdict)
     {
-    case CLM_GRANTED:
+    case CLAIM_GRANTED:
       return "granted";
-    case CLM_HELD:
+    case CLAIM_HELD:
       return "held";
-    case CLM_DONE:
+    case CLAIM_DONE:
       return "done";
-    case CLM_KEY_REUSED:
+    case CLAIM_KEY_REUSED:
       return "key_reused";
-    case CLM_TOO_LATE:
+    case CLAIM_EXPIRED:
       return "too_late";
-    case CLM_LOG_DOWN:
+    case CLAIM_LOG_DOWN:
       return "log_down";
-    case CLM_PENDING:
+    case CLAIM_PENDING:
       break;
     }
   return "pending";
 }
 
 static void
-send_result (ctrl_t *ctrl, const char *stream, const clm_result_t *result)
+send_result (ctrl_t *ctrl, const char *stream, const claim_result_t *result)
 {
   const char *verdict = verdict_name (result->verdict);
   char name[64];
@@ -99,8 +99,8 @@
 static void
 send_results (ctrl_stream_t *stream)
 {
-  clm_result_t result;
-  while (clm_result (stream->clm, ctrl_now_us (stream->ctrl), &result))
+  claim_result_t result;
+  while (claim_take_result (stream->claim_stream, ctrl_now_us (stream->ctrl), &result))
     send_result (stream->ctrl, stream->name, &result);
 }
 
@@ -109,17 +109,18 @@
 {
   uint64_t now_us = ctrl_now_us (stream->ctrl);
   uint64_t wall_ms = clk_wall_ms (&stream->ctrl->dmn->clk);
-  clm_t *clm = stream->clm;
-  if (!stream->begun || read->first_offset > clm_next_offset (clm))
-    clm_begin (clm, read->first_offset);
+  claim_stream_t *claim_stream = stream->claim_stream;
+  if (!stream->begun || read->first_offset > claim_next_offset (claim_stream))
+    claim_set_first_offset (claim_stream, read->first_offset);
   stream->begun = true;
   for (uint32_t i = 0; i < read->record_count; i++)
     {
       const plt_record_t *record = &read->records[i];
-      clm_feed (clm, now_us, wall_ms, record->offset, record->data, record->data_bytes);
+      claim_apply_record (claim_stream, now_us, wall_ms, record->offset, record->data,
+                          record->data_bytes);
     }
-  if (clm_next_offset (clm) >= read->end_offset)
-    clm_read_to (clm, now_us, read->end_offset);
+  if (claim_next_offset (claim_stream) >= read->end_offset)
+    claim_read_to_end (claim_stream, now_us, read->end_offset);
 }
 
 static void
@@ -129,7 +130,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, ctrl->claims.streams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    clm_log_down (((ctrl_stream_t *)value)->clm, ctrl_now_us (ctrl));
+    claim_read_failed (((ctrl_stream_t *)value)->claim_stream, ctrl_now_us (ctrl));
 }
 
 static void
@@ -195,14 +196,14 @@
   switch (outcome)
     {
     case PLT_OK:
-      clm_appended (stream->clm, ctrl_now_us (ctrl), offset);
+      claim_append_succeeded (stream->claim_stream, ctrl_now_us (ctrl), offset);
       break;
     case PLT_REFUSED:
-      clm_append_refused (stream->clm, ctrl_now_us (ctrl));
+      claim_append_refused (stream->claim_stream, ctrl_now_us (ctrl));
       break;
     case PLT_UNKNOWN:
     case PLT_EXPIRED: /* occurs for reads only */
-      clm_append_lost (stream->clm, ctrl_now_us (ctrl));
+      claim_append_lost (stream->claim_stream, ctrl_now_us (ctrl));
       break;
     }
   count_append (ctrl, outcome);
@@ -217,7 +218,7 @@
   uint64_t now_us = ctrl_now_us (ctrl);
   if (stream->append_call != NULL)
     return;
-  stream->batch = clm_batch (stream->clm, now_us, clk_wall_ms (&ctrl->dmn->clk));
+  stream->batch = claim_next_batch (stream->claim_stream, now_us, clk_wall_ms (&ctrl->dmn->clk));
   if (stream->batch == NULL)
     return;
   stream->append_call = ctrl_op_new (ctrl);
@@ -232,20 +233,20 @@
   ctrl_t *ctrl = stream->ctrl;
   if (stream->read_call != NULL || ctrl_now_us (ctrl) < stream->read_due_us)
     return;
-  if (!clm_wants_read (stream->clm))
+  if (!claim_needs_read (stream->claim_stream))
     return;
   stream->read_call = ctrl_op_new (ctrl);
   stream->read_call->stream = stream;
   /* The first read of a stream returns at once, as no claim can be granted before it. */
-  ctrl->plt->read (ctrl->plt, stream->name, clm_next_offset (stream->clm), READ_MAX_RECORDS,
-                   stream->begun ? READ_WAIT_MS : 0, on_read, stream->read_call);
+  ctrl->plt->read (ctrl->plt, stream->name, claim_next_offset (stream->claim_stream),
+                   READ_MAX_RECORDS, stream->begun ? READ_WAIT_MS : 0, on_read, stream->read_call);
 }
 
 static void
 update_timer (ctrl_stream_t *stream)
 {
   uint64_t now_us = ctrl_now_us (stream->ctrl);
-  uint64_t due_us = clm_due_us (stream->clm);
+  uint64_t due_us = claim_append_due_us (stream->claim_stream);
   if (due_us == UINT64_MAX || due_us <= now_us)
     {
       event_del (stream->timer);
@@ -281,8 +282,8 @@
 is_idle (const ctrl_stream_t *stream, uint64_t idle_us)
 {
   uint64_t now_us = ctrl_now_us (stream->ctrl);
-  return stream->read_call == NULL && stream->append_call == NULL && !clm_wants (stream->clm) &&
-         now_us - stream->used_us >= idle_us;
+  return stream->read_call == NULL && stream->append_call == NULL &&
+         !claim_has_work (stream->claim_stream) && now_us - stream->used_us >= idle_us;
 }
 
 static gboolean
@@ -336,7 +337,7 @@
       stream->ctrl = ctrl;
       stream->name = g_strdup (name);
       stream->timer = evtimer_new (ctrl->base, on_timer, stream);
-      stream->clm = clm_new ((uint64_t)ctrl->dmn->set.claim_horizon_s * CLK_US_PER_S);
+      stream->claim_stream = claim_new ((uint64_t)ctrl->dmn->set.claim_horizon_s * CLK_US_PER_S);
       g_hash_table_insert (ctrl->claims.streams, stream->name, stream);
       log_event (LOG_LEVEL_INFO, "claims_opened", "stream", name, NULL);
     }
@@ -379,9 +380,9 @@
 static void
 refuse_claim (ctrl_t *ctrl, const msg_claim_t *message)
 {
-  clm_result_t result = {
+  claim_result_t result = {
     .claim_id = { message->claim_id[0], message->claim_id[1] },
-    .verdict = CLM_LOG_DOWN,
+    .verdict = CLAIM_LOG_DOWN,
     .owner = message->owner,
   };
   send_result (ctrl, message->stream, &result);
@@ -395,7 +396,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, ctrl->claims.streams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    keys += clm_key_count (((const ctrl_stream_t *)value)->clm);
+    keys += claim_key_count (((const ctrl_stream_t *)value)->claim_stream);
   ctrl_gauge (ctrl, "medlarplank_claim_keys", "Idempotency keys remembered", keys);
   ctrl_gauge (ctrl, "medlarplank_claim_streams", "Claims streams open",
               g_hash_table_size (ctrl->claims.streams));
@@ -445,8 +446,8 @@
       refuse_claim (ctrl, message);
       return;
     }
-  clm_request (stream->clm, ctrl_now_us (ctrl), message->claim_id, &message->key,
-               message->expiry_us, message->owner);
+  claim_request (stream->claim_stream, ctrl_now_us (ctrl), message->claim_id, &message->key,
+                 message->expiry_us, message->owner);
   send_results (stream);
   advance_stream (stream);
 }
@@ -458,9 +459,9 @@
   if (stream == NULL)
     return; /* the key stays claimed; repeated requests are told that it may have run */
   if (message->ran)
-    clm_done (stream->clm, message->claim_id, &message->key, message->status);
+    claim_finish (stream->claim_stream, message->claim_id, &message->key, message->status);
   else
-    clm_release (stream->clm, message->claim_id, &message->key);
+    claim_release (stream->claim_stream, message->claim_id, &message->key);
   advance_stream (stream);
 }
 
@@ -473,7 +474,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const ctrl_stream_t *stream = value;
-      if (stream->append_call != NULL || clm_wants (stream->clm))
+      if (stream->append_call != NULL || claim_has_work (stream->claim_stream))
         return false;
     }
   return true;
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -10,9 +10,9 @@
 
 /* Return: false when the state is not a valid one. */
 static bool
-decode_report (const xch_word *report, mem_word_t *out)
+decode_report (const xch_word *report, membership_report_t *out)
 {
-  if (report->state > MEM_GONE)
+  if (report->state > MEMBERSHIP_GONE)
     return false;
   out->host_hash = report->host_hash;
   out->incarnation = report->incarnation;
@@ -38,16 +38,16 @@
 }
 
 static void
-apply_report_on_self (ctrl_t *ctrl, const mem_word_t *report, uint64_t list_revision)
+apply_report_on_self (ctrl_t *ctrl, const membership_report_t *report, uint64_t list_revision)
 {
   if (report->incarnation == CTRL_ANY_INCARNATION)
     {
-      if (report->state == MEM_LEAVING)
+      if (report->state == MEMBERSHIP_LEAVING)
         ctrl_list_heard_leaving (ctrl, list_revision);
     }
   else if (report->incarnation > ctrl->dmn->incarnation)
     report_name_conflict (ctrl, report->incarnation);
-  else if (report->incarnation == ctrl->dmn->incarnation && report->state != MEM_LIVE)
+  else if (report->incarnation == ctrl->dmn->incarnation && report->state != MEMBERSHIP_LIVE)
     ctrl_stop_leave (ctrl, "peer");
 }
 
@@ -55,12 +55,12 @@
  * of, because it has just started, is no news to others; passing that on would repeat the reports
  * of all hosts for minutes. */
 static bool
-apply_report (ctrl_t *ctrl, const mem_word_t *report)
+apply_report (ctrl_t *ctrl, const membership_report_t *report)
 {
-  mem_word_t last;
-  bool known = mem_word (ctrl->mem, report->host_hash, &last);
-  bool changed = mem_hear (ctrl->mem, ctrl_now_us (ctrl), report);
-  bool news = changed && (known || report->state != MEM_LIVE);
+  membership_report_t last;
+  bool known = membership_last_report (ctrl->membership, report->host_hash, &last);
+  bool changed = membership_apply_report (ctrl->membership, ctrl_now_us (ctrl), report);
+  bool news = changed && (known || report->state != MEMBERSHIP_LIVE);
   if (news)
     rmr_add_word (&ctrl->talk.rumours, report);
   return news;
@@ -69,7 +69,7 @@
 static bool
 receive_report (ctrl_t *ctrl, const xch_word *received, uint64_t list_revision)
 {
-  mem_word_t report;
+  membership_report_t report;
   if (!decode_report (received, &report))
     return false;
   if (report.host_hash != ctrl->own_hash)
@@ -86,7 +86,7 @@
   load_samples_t *table = ctrl_talk_table (ctrl, received->service_hash);
   if (age_us > LIM_SAMPLE_AGE_US || age_us > now_us || table == NULL ||
       received->engine_hash == ctrl->own_hash ||
-      mem_find_hash (ctrl->peers.members, received->engine_hash) == NULL)
+      membership_find_by_hash (ctrl->peers.members, received->engine_hash) == NULL)
     return false;
   out->engine_hash = received->engine_hash;
   out->service_hash = received->service_hash;
@@ -122,7 +122,7 @@
   for (uint32_t i = 0; i < message->marks.marks_len; i++)
     {
       const xch_mark *received = &message->marks.marks_val[i];
-      sus_mark_t mark = {
+      suspect_mark_t mark = {
         .fingerprint = received->fingerprint,
         .engines = { received->engines[0], received->engines[1] },
         .age_ms = received->age_ms,
@@ -148,16 +148,16 @@
 
 /* Whether the sender is a listed host and this is the newest message received from it. */
 static bool
-is_newer_message (ctrl_t *ctrl, const mem_word_t *sender)
+is_newer_message (ctrl_t *ctrl, const membership_report_t *sender)
 {
   if (ctrl->peers.members == NULL || sender->host_hash == ctrl->own_hash ||
-      mem_find_hash (ctrl->peers.members, sender->host_hash) == NULL)
+      membership_find_by_hash (ctrl->peers.members, sender->host_hash) == NULL)
     {
       cnt_add (ctrl->talk.unlisted, 1);
       return false;
     }
-  mem_word_t last;
-  if (!mem_word (ctrl->mem, sender->host_hash, &last))
+  membership_report_t last;
+  if (!membership_last_report (ctrl->membership, sender->host_hash, &last))
     return true;
   bool newer = sender->incarnation > last.incarnation ||
                (sender->incarnation == last.incarnation && sender->sequence > last.sequence);
@@ -167,7 +167,7 @@
 }
 
 static void
-apply_message (ctrl_t *ctrl, const mem_word_t *sender, const xch_message *message)
+apply_message (ctrl_t *ctrl, const membership_report_t *sender, const xch_message *message)
 {
   ctrl->talk.last_received_us = ctrl_now_us (ctrl);
   bool news = apply_report (ctrl, sender);
@@ -185,10 +185,11 @@
 /* A message of an older incarnation is still answered: the reply tells that process that it was
  * replaced. */
 static bool
-is_older_incarnation (const ctrl_t *ctrl, const mem_word_t *sender)
+is_older_incarnation (const ctrl_t *ctrl, const membership_report_t *sender)
 {
-  mem_word_t last;
-  return mem_word (ctrl->mem, sender->host_hash, &last) && sender->incarnation < last.incarnation;
+  membership_report_t last;
+  return membership_last_report (ctrl->membership, sender->host_hash, &last) &&
+         sender->incarnation < last.incarnation;
 }
 
 static uint64_t *
@@ -235,7 +236,7 @@
 ctrl_talk_heard (const xch_message *message, bool is_reply, void *context)
 {
   ctrl_t *ctrl = context;
-  mem_word_t sender;
+  membership_report_t sender;
   uint64_t woke_us = ctrl->fresh.pse.woke_us;
   ctrl_fresh_check (ctrl);
   /* It was in the socket buffer during the pause, so its age is unknown. */
@@ -254,7 +255,7 @@
 {
   ctrl_t *ctrl = context;
   ctrl_fresh_check (ctrl);
-  const mem_host_t *host = ctrl_peer_near (ctrl);
+  const membership_host_t *host = ctrl_peer_near (ctrl);
   if (host == NULL)
     return false;
   ctrl->talk.callee_hash = host->hash;
@@ -263,7 +264,7 @@
 }
 
 void
-ctrl_talk_call (ctrl_t *ctrl, const mem_host_t *host)
+ctrl_talk_call (ctrl_t *ctrl, const membership_host_t *host)
 {
   ctrl->talk.callee_hash = host->hash;
   exc_now (ctrl->exc, &host->exchange);
@@ -287,8 +288,8 @@
 void
 ctrl_talk_own_word (ctrl_t *ctrl)
 {
-  mem_word_t report = ctrl_talk_word (ctrl);
-  mem_hear (ctrl->mem, ctrl_now_us (ctrl), &report);
+  membership_report_t report = ctrl_talk_word (ctrl);
+  membership_apply_report (ctrl->membership, ctrl_now_us (ctrl), &report);
   ctrl_members_flush (ctrl);
 }
 
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -79,7 +79,7 @@
 }
 
 void
-ctrl_fetch_start (ctrl_t *ctrl, const mem_host_t *host)
+ctrl_fetch_start (ctrl_t *ctrl, const membership_host_t *host)
 {
   ctrl_fetch_t *fetch = &ctrl->fetch;
   uint64_t now_us = ctrl_now_us (ctrl);
@@ -90,10 +90,10 @@
   fetch->seal[0] = '\0';
   g_strlcpy (fetch->host, host->name, sizeof fetch->host);
   asl_nonce (fetch->nonce);
-  ord_t order = { .host = host->name, .method = "GET", .target = MSY_PATH };
-  char seal[ORD_SEAL_BYTES];
-  ord_seal (&order, ctrl->dmn->set.fleet_key, seal);
-  hcl_header_t headers[] = { { ASL_NONCE_HEADER, fetch->nonce }, { ORD_SEAL_HEADER, seal } };
+  sealed_call_t order = { .host = host->name, .method = "GET", .target = MSY_PATH };
+  char seal[CALL_SEAL_BYTES];
+  call_seal_compute (&order, ctrl->dmn->set.fleet_key, seal);
+  hcl_header_t headers[] = { { ASL_NONCE_HEADER, fetch->nonce }, { CALL_SEAL_HEADER, seal } };
   hcl_options_t options = {
     .address = &host->http,
     .method = "GET",
--- a/src/process/control_fill.c
+++ b/src/process/control_fill.c
@@ -10,7 +10,7 @@
 #define SAMPLE_BYTES 32
 
 static xch_word
-encode_report (const mem_word_t *report)
+encode_report (const membership_report_t *report)
 {
   xch_word out = {
     .host_hash = report->host_hash,
@@ -91,7 +91,7 @@
   const man_t *man = rep_manifest (ctrl->manifest.rep);
   if (man == NULL || ctrl->peers.members == NULL)
     return NULL;
-  const mem_host_t *host = mem_find_hash (ctrl->peers.members, host_hash);
+  const membership_host_t *host = membership_find_by_hash (ctrl->peers.members, host_hash);
   return host != NULL && !host->router ? man_service_of_engine (man, host->name) : NULL;
 }
 
@@ -137,21 +137,25 @@
  * Return: false when there is nothing to report
  */
 static bool
-report_on_receiver (const ctrl_t *ctrl, uint64_t host_hash, uint64_t incarnation, mem_word_t *out)
+report_on_receiver (const ctrl_t *ctrl,
+                    uint64_t host_hash,
+                    uint64_t incarnation,
+                    membership_report_t *out)
 {
-  mem_word_t last;
-  switch (mem_leave (ctrl->mem, host_hash, incarnation))
+  membership_report_t last;
+  switch (membership_find_leave (ctrl->membership, host_hash, incarnation))
     {
-    case MEM_LEAVE_INCARNATION:
-      *out = (mem_word_t){ host_hash, incarnation, 0, MEM_LEAVING };
+    case MEMBERSHIP_LEAVE_INCARNATION:
+      *out = (membership_report_t){ host_hash, incarnation, 0, MEMBERSHIP_LEAVING };
       return true;
-    case MEM_LEAVE_LISTED:
-      *out = (mem_word_t){ host_hash, CTRL_ANY_INCARNATION, 0, MEM_LEAVING };
+    case MEMBERSHIP_LEAVE_LISTED:
+      *out = (membership_report_t){ host_hash, CTRL_ANY_INCARNATION, 0, MEMBERSHIP_LEAVING };
       return true;
-    case MEM_LEAVE_NONE:
+    case MEMBERSHIP_LEAVE_NONE:
       break;
     }
-  if (!mem_word (ctrl->mem, host_hash, &last) || last.incarnation <= incarnation)
+  if (!membership_last_report (ctrl->membership, host_hash, &last) ||
+      last.incarnation <= incarnation)
     return false;
   *out = last;
   return true;
@@ -162,14 +166,14 @@
 static void
 fill_reports (ctrl_t *ctrl, xch_message *message, const xch_word *to)
 {
-  mem_word_t reports[XCH_WORDS];
+  membership_report_t reports[XCH_WORDS];
   uint32_t count = 0;
-  mem_word_t last = { 0 };
+  membership_report_t last = { 0 };
   uint64_t receiver_hash = to != NULL ? to->host_hash : ctrl->talk.callee_hash;
   if (to != NULL)
     last.incarnation = to->incarnation;
   else
-    mem_word (ctrl->mem, receiver_hash, &last);
+    membership_last_report (ctrl->membership, receiver_hash, &last);
   if (report_on_receiver (ctrl, receiver_hash, last.incarnation, &reports[0]))
     count = 1;
   count += rmr_take_words (&ctrl->talk.rumours, reports + count, XCH_WORDS - count);
@@ -181,7 +185,7 @@
 static void
 fill_marks (ctrl_t *ctrl, xch_message *message, uint64_t now_us)
 {
-  sus_mark_t marks[XCH_MARKS];
+  suspect_mark_t marks[XCH_MARKS];
   uint32_t count = rmr_take_marks (&ctrl->talk.rumours, now_us, marks, XCH_MARKS);
   for (uint32_t i = 0; i < count; i++)
     {
@@ -194,14 +198,14 @@
   message->marks.marks_len = count;
 }
 
-mem_word_t
+membership_report_t
 ctrl_talk_word (ctrl_t *ctrl)
 {
-  mem_word_t report = {
+  membership_report_t report = {
     .host_hash = ctrl->own_hash,
     .incarnation = ctrl->dmn->incarnation,
     .sequence = ++ctrl->talk.sequence,
-    .state = ctrl->stop.leaving ? MEM_LEAVING : MEM_LIVE,
+    .state = ctrl->stop.leaving ? MEMBERSHIP_LEAVING : MEMBERSHIP_LIVE,
   };
   return report;
 }
@@ -217,7 +221,7 @@
 {
   ctrl_t *ctrl = context;
   uint64_t now_us = ctrl_now_us (ctrl);
-  mem_word_t own = ctrl_talk_word (ctrl);
+  membership_report_t own = ctrl_talk_word (ctrl);
   message->sender = encode_report (&own);
   message->manifest_version = ctrl_manifest_version (ctrl);
   message->manifest_offset = rep_next_offset (ctrl->manifest.rep);
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -17,12 +17,12 @@
  * it. The daemon then stays stale, and so takes no work, until the list has it as live. When the
  * list turns to leaving later, this process is meant and has to leave. */
 static void
-apply_own_state (ctrl_t *ctrl, mem_state_t state)
+apply_own_state (ctrl_t *ctrl, membership_state_t state)
 {
   ctrl_list_t *list = &ctrl->list;
   bool turned = state != list->own_state;
   list->own_state = state;
-  if (state != MEM_LEAVING)
+  if (state != MEMBERSHIP_LEAVING)
     {
       list->own_unclear = false;
       return;
@@ -38,7 +38,7 @@
     }
 }
 
-static const mem_listed_t *
+static const membership_list_entry_t *
 find_own_entry (const ctrl_t *ctrl, const plt_hosts_t *hosts)
 {
   for (uint32_t i = 0; i < hosts->host_count; i++)
@@ -63,11 +63,12 @@
     return;
   for (uint32_t i = 0; i < hosts->host_count; i++)
     {
-      const mem_listed_t *host = &hosts->hosts[i];
+      const membership_list_entry_t *host = &hosts->hosts[i];
       uint64_t hash = rendezvous_hash_name (host->name);
-      if (host->state == MEM_LEAVING && hash != ctrl->own_hash &&
-          strcmp (host->data_center, data_center) == 0 && mem_awaits_leave (ctrl->mem, hash))
-        lvn_add (ctrl->list.leaving, ctrl_now_us (ctrl), hash);
+      if (host->state == MEMBERSHIP_LEAVING && hash != ctrl->own_hash &&
+          strcmp (host->data_center, data_center) == 0 &&
+          membership_leave_unconfirmed (ctrl->membership, hash))
+        leave_notice_add (ctrl->list.leaving, ctrl_now_us (ctrl), hash);
     }
 }
 
@@ -77,16 +78,18 @@
   ctrl_list_t *list = &ctrl->list;
   uint64_t now_us = ctrl_now_us (ctrl);
   if (hosts->full)
-    mem_list_full (ctrl->mem, now_us, hosts->hosts, hosts->host_count, hosts->revision);
+    membership_apply_list (ctrl->membership, now_us, hosts->hosts, hosts->host_count,
+                           hosts->revision);
   else
-    mem_list_delta (ctrl->mem, now_us, hosts->hosts, hosts->host_count, hosts->revision);
-  const mem_listed_t *own = find_own_entry (ctrl, hosts);
+    membership_apply_list_changes (ctrl->membership, now_us, hosts->hosts, hosts->host_count,
+                                   hosts->revision);
+  const membership_list_entry_t *own = find_own_entry (ctrl, hosts);
   if (own != NULL)
     apply_own_state (ctrl, own->state);
   else if (hosts->full)
-    apply_own_state (ctrl, MEM_GONE);
+    apply_own_state (ctrl, MEMBERSHIP_GONE);
   list->revision = hosts->revision;
-  if (list->own_state == MEM_LIVE)
+  if (list->own_state == MEMBERSHIP_LIVE)
     list->own_live_revision = hosts->revision;
   list->read_once = true;
   note_leaving_hosts (ctrl, hosts);
@@ -203,14 +206,15 @@
 ctrl_list_tell (ctrl_t *ctrl)
 {
   uint64_t hash;
-  for (uint32_t i = 0;
-       i < LEAVING_CALLS_PER_TICK && lvn_next (ctrl->list.leaving, ctrl_now_us (ctrl), &hash); i++)
+  for (uint32_t i = 0; i < LEAVING_CALLS_PER_TICK &&
+                       leave_notice_next (ctrl->list.leaving, ctrl_now_us (ctrl), &hash);
+       i++)
     {
-      const mem_host_t *host =
-          ctrl->peers.members != NULL ? mem_find_hash (ctrl->peers.members, hash) : NULL;
-      if (host == NULL || !mem_awaits_leave (ctrl->mem, hash))
+      const membership_host_t *host =
+          ctrl->peers.members != NULL ? membership_find_by_hash (ctrl->peers.members, hash) : NULL;
+      if (host == NULL || !membership_leave_unconfirmed (ctrl->membership, hash))
         {
-          lvn_remove (ctrl->list.leaving, hash);
+          leave_notice_remove (ctrl->list.leaving, hash);
           continue;
         }
       log_event (LOG_LEVEL_NOTICE, "leaving_host_told", "name", host->name, "incarnation",
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -140,12 +140,13 @@
                    may_wait ? LONG_POLL_MS : 0, on_read, poll->call);
 }
 
-static const mem_host_t *
+static const membership_host_t *
 find_fetch_peer (ctrl_t *ctrl)
 {
   if (ctrl->peers.members == NULL)
     return NULL;
-  const mem_host_t *host = mem_find_hash (ctrl->peers.members, ctrl->manifest.peer_hash);
+  const membership_host_t *host =
+      membership_find_by_hash (ctrl->peers.members, ctrl->manifest.peer_hash);
   return host != NULL ? host : ctrl_peer_any (ctrl);
 }
 
@@ -164,7 +165,7 @@
       out_of_sync && (manifest->peer_version != 0 || ctrl_manifest_version (ctrl) != 0);
   if (!behind && !needs_state)
     return;
-  const mem_host_t *host = find_fetch_peer (ctrl);
+  const membership_host_t *host = find_fetch_peer (ctrl);
   if (host != NULL)
     ctrl_fetch_start (ctrl, host);
 }
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -16,22 +16,22 @@
 #define FOLLOWER_SEED UINT64_C (0x9e3779b97f4a7c15)
 
 static const char *
-state_name (mem_state_t state)
+state_name (membership_state_t state)
 {
   switch (state)
     {
-    case MEM_LIVE:
+    case MEMBERSHIP_LIVE:
       return "live";
-    case MEM_LEAVING:
+    case MEMBERSHIP_LEAVING:
       return "leaving";
-    case MEM_GONE:
+    case MEMBERSHIP_GONE:
       break;
     }
   return "gone";
 }
 
 static void
-log_change (const mem_host_t *host, mem_state_t state, uint64_t now_us)
+log_change (const membership_host_t *host, membership_state_t state, uint64_t now_us)
 {
   uint64_t settles_us = host->settled_us > now_us ? host->settled_us - now_us : 0;
   log_event (LOG_LEVEL_INFO, "member_changed", "name", host->name, "state", state_name (state),
@@ -40,20 +40,22 @@
 }
 
 static bool
-is_same_for_log (const mem_host_t *a, const mem_host_t *b)
+is_same_for_log (const membership_host_t *a, const membership_host_t *b)
 {
   return a->state == b->state && a->incarnation == b->incarnation && a->settled_us == b->settled_us;
 }
 
 /* Return: the number of hosts that differ; the first of them are logged. */
 static uint32_t
-log_differences (const mem_snapshot_t *before, const mem_snapshot_t *after, uint64_t now_us)
+log_differences (const membership_snapshot_t *before,
+                 const membership_snapshot_t *after,
+                 uint64_t now_us)
 {
   uint32_t changes = 0;
   for (uint32_t i = 0; i < after->host_count; i++)
     {
-      const mem_host_t *host = &after->hosts[i];
-      const mem_host_t *old = mem_find_hash (before, host->hash);
+      const membership_host_t *host = &after->hosts[i];
+      const membership_host_t *old = membership_find_by_hash (before, host->hash);
       if (old != NULL && is_same_for_log (old, host))
         continue;
       if (changes++ < MAX_LOGGED_CHANGES)
@@ -61,17 +63,19 @@
     }
   for (uint32_t i = 0; i < before->host_count; i++)
     {
-      const mem_host_t *old = &before->hosts[i];
-      if (mem_find_hash (after, old->hash) != NULL)
+      const membership_host_t *old = &before->hosts[i];
+      if (membership_find_by_hash (after, old->hash) != NULL)
         continue;
       if (changes++ < MAX_LOGGED_CHANGES)
-        log_change (old, MEM_GONE, now_us);
+        log_change (old, MEMBERSHIP_GONE, now_us);
     }
   return changes;
 }
 
 static void
-log_members (const mem_snapshot_t *before, const mem_snapshot_t *after, uint64_t now_us)
+log_members (const membership_snapshot_t *before,
+             const membership_snapshot_t *after,
+             uint64_t now_us)
 {
   uint32_t changes = before != NULL ? log_differences (before, after, now_us) : after->host_count;
   if (changes == 0)
@@ -81,11 +85,11 @@
 }
 
 static void
-update_gauges (ctrl_t *ctrl, const mem_snapshot_t *members)
+update_gauges (ctrl_t *ctrl, const membership_snapshot_t *members)
 {
   uint64_t leaving = 0;
   for (uint32_t i = 0; i < members->host_count; i++)
-    leaving += members->hosts[i].state == MEM_LEAVING;
+    leaving += members->hosts[i].state == MEMBERSHIP_LEAVING;
   ctrl_gauge (ctrl, "medlarplank_hosts", "Hosts known, routers and sidecars", members->host_count);
   ctrl_gauge (ctrl, "medlarplank_hosts_leaving", "Hosts known that are leaving", leaving);
 }
@@ -101,16 +105,16 @@
  * All daemons with the same list agree on them. A daemon that isn't listed yet is a follower too,
  * as no peer may know it and send it news. */
 static bool
-is_follower (const ctrl_t *ctrl, const mem_snapshot_t *members)
+is_follower (const ctrl_t *ctrl, const membership_snapshot_t *members)
 {
-  const mem_host_t *own = mem_find_hash (members, ctrl->own_hash);
+  const membership_host_t *own = membership_find_by_hash (members, ctrl->own_hash);
   if (own == NULL)
     return true;
   uint32_t higher_scores = 0;
   for (uint32_t i = 0; i < members->host_count; i++)
     {
-      const mem_host_t *host = &members->hosts[i];
-      if (host->state != MEM_LIVE || g_strcmp0 (host->data_center, own->data_center) != 0)
+      const membership_host_t *host = &members->hosts[i];
+      if (host->state != MEMBERSHIP_LIVE || g_strcmp0 (host->data_center, own->data_center) != 0)
         continue;
       higher_scores += follower_score (host->hash) > follower_score (own->hash);
     }
@@ -124,7 +128,7 @@
   return man != NULL ? man_service_of_engine (man, name) : NULL;
 }
 
-static const mem_host_t *
+static const membership_host_t *
 pick_random (ctrl_t *ctrl, const GArray *indices)
 {
   if (indices->len == 0)
@@ -148,7 +152,7 @@
 {
   ctrl_peers_t *peers = &ctrl->peers;
   if (peers->members != NULL)
-    mem_snapshot_unref (peers->members);
+    membership_snapshot_unref (peers->members);
   g_array_free (peers->all, TRUE);
   g_array_free (peers->sidecars, TRUE);
   g_array_free (peers->same_service, TRUE);
@@ -167,8 +171,9 @@
   const man_service_t *own = find_service (ctrl, set->name);
   for (uint32_t i = 0; i < peers->members->host_count; i++)
     {
-      const mem_host_t *host = &peers->members->hosts[i];
-      if (host->hash == ctrl->own_hash || host->state != MEM_LIVE || host->exchange.port == 0)
+      const membership_host_t *host = &peers->members->hosts[i];
+      if (host->hash == ctrl->own_hash || host->state != MEMBERSHIP_LIVE ||
+          host->exchange.port == 0)
         continue;
       g_array_append_val (peers->all, i);
       if (host->router)
@@ -187,8 +192,8 @@
 static bool
 is_due (const ctrl_t *ctrl)
 {
-  const mem_snapshot_t *members = ctrl->peers.members;
-  if (!ctrl->list.read_once || !mem_changed (ctrl->mem))
+  const membership_snapshot_t *members = ctrl->peers.members;
+  if (!ctrl->list.read_once || !membership_has_changed (ctrl->membership))
     return false;
   if (members == NULL)
     return true;
@@ -196,7 +201,7 @@
   uint64_t urgent_us = (uint64_t)members->host_count * URGENT_WAIT_US_PER_HOST;
   /* Delayed changes are checked on the tick, so a shorter delay has no use: in a small fleet urgent
    * changes are sent at once. */
-  if (mem_urgent (ctrl->mem))
+  if (membership_has_urgent_change (ctrl->membership))
     return urgent_us < PSE_TICK_MS * CLK_US_PER_MS || waited_us >= urgent_us;
   return waited_us >= MAX (WAIT_MIN_US, (uint64_t)members->host_count * WAIT_US_PER_HOST);
 }
@@ -205,17 +210,17 @@
 send_members (ctrl_t *ctrl)
 {
   ctrl->peers.sent_us = ctrl_now_us (ctrl);
-  mem_snapshot_t *after = mem_snapshot (ctrl->mem);
+  membership_snapshot_t *after = membership_take_snapshot (ctrl->membership);
   log_members (ctrl->peers.members, after, ctrl_now_us (ctrl));
   if (ctrl->peers.members != NULL)
-    mem_snapshot_unref (ctrl->peers.members);
+    membership_snapshot_unref (ctrl->peers.members);
   ctrl->peers.members = after;
   update_gauges (ctrl, after);
   ctrl_count (ctrl, "medlarplank_members_told_total",
               "Times that the members were told to the data task");
   ctrl_peers_rebuild (ctrl);
   msg_members_t *message = msg_new (MSG_MEMBERS);
-  message->members = mem_snapshot_ref (after);
+  message->members = membership_snapshot_ref (after);
   ctrl_send (ctrl, message);
 }
 
@@ -229,11 +234,11 @@
 void
 ctrl_members_flush_now (ctrl_t *ctrl)
 {
-  if (ctrl->list.read_once && mem_changed (ctrl->mem))
+  if (ctrl->list.read_once && membership_has_changed (ctrl->membership))
     send_members (ctrl);
 }
 
-const mem_host_t *
+const membership_host_t *
 ctrl_peer_any (ctrl_t *ctrl)
 {
   return pick_random (ctrl, ctrl->peers.all);
@@ -241,10 +246,10 @@
 
 /* Routers call sidecars, which know loads. Sidecars call those of their own service to estimate its
  * mean load, and as often any peer, so that versions and state reports reach all hosts. */
-const mem_host_t *
+const membership_host_t *
 ctrl_peer_near (ctrl_t *ctrl)
 {
-  const mem_host_t *host = NULL;
+  const membership_host_t *host = NULL;
   if (ctrl->dmn->set.role == SET_ROLE_ROUTER)
     host = pick_random (ctrl, ctrl->peers.sidecars);
   else if (g_rand_boolean (ctrl->rand))
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -64,7 +64,7 @@
  * @peer_revision: the highest that a peer has announced since the last successful read
  * @read_once: a list has been applied
  * @empty: the last read returned a list without any host, which was ignored
- * @own_state: of this host according to the list; MEM_GONE when it isn't listed
+ * @own_state: of this host according to the list; MEMBERSHIP_GONE when it isn't listed
  * @own_unclear: the list has said "leaving" since before this process started, which may refer to
  *               the previous process on this host
  * @own_live_revision: of the last list read that had this host as live, 0 when none had
@@ -78,10 +78,10 @@
   uint64_t peer_revision;
   bool read_once;
   bool empty;
-  mem_state_t own_state;
+  membership_state_t own_state;
   bool own_unclear;
   uint64_t own_live_revision;
-  lvn_t *leaving;
+  leave_notices_t *leaving;
 } ctrl_list_t;
 
 /**
@@ -96,7 +96,7 @@
  */
 typedef struct
 {
-  mem_snapshot_t *members;
+  membership_snapshot_t *members;
   GArray *all;
   GArray *sidecars;
   GArray *same_service;
@@ -256,7 +256,7 @@
   plt_t *plt;
   hcl_t *hcl;
   exc_t *exc;
-  mem_t *mem;
+  membership_t *membership;
   uint64_t own_hash;
   GPtrArray *calls;
   bool closing;
@@ -327,9 +327,9 @@
 /** ctrl_peers_rebuild() - recompute the peers after the members or manifest changed */
 void ctrl_peers_rebuild (ctrl_t *ctrl);
 /** ctrl_peer_any() - a random peer, or NULL */
-const mem_host_t *ctrl_peer_any (ctrl_t *ctrl);
+const membership_host_t *ctrl_peer_any (ctrl_t *ctrl);
 /** ctrl_peer_near() - a random peer, preferably one with samples of use here, or NULL */
-const mem_host_t *ctrl_peer_near (ctrl_t *ctrl);
+const membership_host_t *ctrl_peer_near (ctrl_t *ctrl);
 
 /* Manifest stream */
 void ctrl_manifest_init (ctrl_t *ctrl);
@@ -349,7 +349,7 @@
  *
  * Does nothing while a fetch runs, and until about a second after the last one was started.
  */
-void ctrl_fetch_start (ctrl_t *ctrl, const mem_host_t *host);
+void ctrl_fetch_start (ctrl_t *ctrl, const membership_host_t *host);
 void ctrl_fetch_clear (ctrl_t *ctrl);
 
 /* Outgoing messages of the exchange */
@@ -359,7 +359,7 @@
  */
 void ctrl_talk_fill (xch_message *message, const xch_word *to, void *context);
 /** ctrl_talk_word() - a report of this daemon's state, with a new sequence */
-mem_word_t ctrl_talk_word (ctrl_t *ctrl);
+membership_report_t ctrl_talk_word (ctrl_t *ctrl);
 /** ctrl_talk_table() - load samples of a service, NULL for one out of force */
 load_samples_t *ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash);
 
@@ -371,7 +371,7 @@
 /** ctrl_talk_pick() - the peer of the next periodic call. Return: false for none */
 bool ctrl_talk_pick (set_address_t *peer, void *context);
 /** ctrl_talk_call() - call a host now, if the byte budget allows it */
-void ctrl_talk_call (ctrl_t *ctrl, const mem_host_t *host);
+void ctrl_talk_call (ctrl_t *ctrl, const membership_host_t *host);
 /** ctrl_talk_tell() - call up to @count different random peers now */
 void ctrl_talk_tell (ctrl_t *ctrl, uint32_t count);
 /** ctrl_talk_own_word() - apply a state report of this daemon to its own members */
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -58,14 +58,14 @@
   char seal[ASL_SEAL_BYTES];
   char age[AGE_BYTES];
   bool fetching_all;
-  sak_refusal_t refusal;
+  bootstrap_refusal_t refusal;
   set_address_t referral;
-  sak_server_t server;
+  bootstrap_server_t server;
   answer_cache_t cached;
 };
 
 static const char *const refusal_names[] = {
-  [SAK_BUSY] = "busy", [SAK_COLD] = "cold", [SAK_LARGE] = "large"
+  [BOOTSTRAP_BUSY] = "busy", [BOOTSTRAP_EMPTY] = "cold", [BOOTSTRAP_TOO_LARGE] = "large"
 };
 
 /* The authentication code also covers the age header; @age is empty where there is none. */
@@ -92,7 +92,7 @@
 
   for (uint32_t i = 0; refusal && i < G_N_ELEMENTS (refusal_names); i++)
     if (strcmp (refusal, refusal_names[i]) == 0)
-      fetch->refusal = (sak_refusal_t)i;
+      fetch->refusal = (bootstrap_refusal_t)i;
   if (referral && !set_parse_address (referral, &fetch->referral, NULL))
     fetch->referral.port = 0;
 }
@@ -140,7 +140,7 @@
   make_seal (fetch, fetch->nonce, fetch->age, body, bytes, expected_seal);
   g_ascii_string_to_unsigned (fetch->age, 10, 0, UINT32_MAX, &age_ms, NULL);
   result.store_age_ms = (uint32_t)age_ms;
-  if (fetch->fetching_all && fetch->refusal != SAK_SILENT)
+  if (fetch->fetching_all && fetch->refusal != BOOTSTRAP_NO_ANSWER)
     result.reason = refusal_names[fetch->refusal];
   else if (!end->whole)
     result.reason = verdict_reason_to_string (end->reason);
@@ -192,7 +192,7 @@
   asl_nonce (fetch->nonce);
   fetch->seal[0] = '\0';
   fetch->age[0] = '\0';
-  fetch->refusal = SAK_SILENT;
+  fetch->refusal = BOOTSTRAP_NO_ANSWER;
   fetch->referral.port = 0;
   fetch->peer = *peer;
   fetch->body = evbuffer_new ();
@@ -287,13 +287,13 @@
 }
 
 static void
-refuse (gft_t *fetch, hsv_call_t *call, sak_refusal_t refusal, const set_address_t *peer)
+refuse (gft_t *fetch, hsv_call_t *call, bootstrap_refusal_t refusal, const set_address_t *peer)
 {
   set_address_t referral = *peer;
 
-  sak_helper (&fetch->server, g_random_int (), &referral);
+  bootstrap_server_pick_referral (&fetch->server, g_random_int (), &referral);
   hsv_add_header (call, REFUSAL_HEADER, refusal_names[refusal]);
-  if (refusal == SAK_BUSY && referral.port != 0)
+  if (refusal == BOOTSTRAP_BUSY && referral.port != 0)
     {
       g_autofree char *text = set_address_text (&referral);
 
@@ -313,20 +313,20 @@
 
   if (!state->complete)
     {
-      refuse (fetch, call, SAK_COLD, &state->referral);
+      refuse (fetch, call, BOOTSTRAP_EMPTY, &state->referral);
       return false;
     }
   if (state->too_large)
     {
-      refuse (fetch, call, SAK_LARGE, &state->referral);
+      refuse (fetch, call, BOOTSTRAP_TOO_LARGE, &state->referral);
       return false;
     }
-  if (!sak_may_serve (&fetch->server, now_us))
+  if (!bootstrap_server_may_serve (&fetch->server, now_us))
     {
-      refuse (fetch, call, SAK_BUSY, &state->referral);
+      refuse (fetch, call, BOOTSTRAP_BUSY, &state->referral);
       return false;
     }
-  sak_served (&fetch->server, now_us, requester);
+  bootstrap_server_add_served (&fetch->server, now_us, requester);
   return true;
 }
 
--- a/src/process/gateway_fetch.h
+++ b/src/process/gateway_fetch.h
@@ -37,7 +37,7 @@
   size_t body_bytes;
   uint32_t store_age_ms;
   const char *reason;
-  sak_refusal_t refusal;
+  bootstrap_refusal_t refusal;
   set_address_t referral;
 } gft_end_t;
 
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -111,7 +111,7 @@
 static void
 fill_marks (gpr_t *peers, xch_message *message)
 {
-  sus_mark_t marks[XCH_MARKS];
+  suspect_mark_t marks[XCH_MARKS];
   uint32_t count = rmr_take_marks (&peers->gossip, now_us (peers), marks, XCH_MARKS);
 
   G_STATIC_ASSERT (sizeof message->marks.marks_val->engines == sizeof marks->engines);
@@ -132,7 +132,7 @@
   for (uint32_t i = 0; i < message->marks.marks_len; i++)
     {
       const xch_mark *received = &message->marks.marks_val[i];
-      sus_mark_t mark = { .fingerprint = received->fingerprint, .age_ms = received->age_ms };
+      suspect_mark_t mark = { .fingerprint = received->fingerprint, .age_ms = received->age_ms };
 
       memcpy (mark.engines, received->engines, sizeof mark.engines);
       if (rmr_add_mark (&peers->gossip, now_us (peers), &mark))
@@ -437,7 +437,7 @@
 }
 
 void
-gpr_add_suspect (gpr_t *peers, const sus_mark_t *mark)
+gpr_add_suspect (gpr_t *peers, const suspect_mark_t *mark)
 {
   rmr_add_mark (&peers->gossip, now_us (peers), mark);
   gpr_tell_news (peers);
--- a/src/process/gateway_peers.h
+++ b/src/process/gateway_peers.h
@@ -74,7 +74,7 @@
   uint64_t incarnation;
   gpr_known_t (*get_progress) (void *context);
   void (*on_progress) (const gpr_known_t *theirs, const set_address_t *control, void *context);
-  void (*on_suspect) (const sus_mark_t *mark, void *context);
+  void (*on_suspect) (const suspect_mark_t *mark, void *context);
   void (*on_load) (const load_report_t *item, void *context);
   void *context;
 } gpr_options_t;
@@ -90,7 +90,7 @@
 void gpr_put (gpr_t *peers, const char *name, const char *entry);
 /** gpr_add_suspect() - reports a request that crashes its engines to peers, to some of them at
  * once */
-void gpr_add_suspect (gpr_t *peers, const sus_mark_t *mark);
+void gpr_add_suspect (gpr_t *peers, const suspect_mark_t *mark);
 /** gpr_add_load() - adds a high load that an engine reported here to the next messages to peers */
 void gpr_add_load (gpr_t *peers, const load_report_t *item);
 /** gpr_tell_news() - sends %GPR_NEWS_TELLS peers a message in the next turn of the event loop,
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -265,7 +265,7 @@
 }
 
 static void
-on_peer_suspect (const sus_mark_t *mark, void *context)
+on_peer_suspect (const suspect_mark_t *mark, void *context)
 {
   gwp_t *process = context;
 
@@ -291,7 +291,7 @@
 }
 
 static void
-on_own_suspect (const sus_mark_t *mark, void *context)
+on_own_suspect (const suspect_mark_t *mark, void *context)
 {
   gwp_t *process = context;
 
--- a/src/process/gateway_start.c
+++ b/src/process/gateway_start.c
@@ -14,7 +14,7 @@
 struct gsa
 {
   gsa_options_t options;
-  sak_t policy;
+  bootstrap_t policy;
   bool started;
   bool reading;
   set_address_t referral;
@@ -90,8 +90,8 @@
   start->options = *options;
   start->rand = g_rand_new_with_seed ((guint32)options->seed);
   start->next_seed = g_rand_int (start->rand);
-  sak_init (&start->policy, now_us (start), set->first_start,
-            set->seed_count > 0 && !is_own_address_a_seed (set));
+  bootstrap_init (&start->policy, now_us (start), set->first_start,
+                  set->seed_count > 0 && !is_own_address_a_seed (set));
   return start;
 }
 
@@ -114,14 +114,15 @@
       finish (start, "store");
       return;
     }
-  if (!start->reading && sak_reads (&start->policy, now_us (start)))
+  if (!start->reading && bootstrap_should_read_store (&start->policy, now_us (start)))
     {
       start->reading = true;
       options->read_store (options->context);
     }
   if (start->reading && !options->is_store_down (options->context))
     return;
-  if (sak_asks (&start->policy, now_us (start)) && !options->is_fetching (options->context))
+  if (bootstrap_may_ask_peer (&start->policy, now_us (start)) &&
+      !options->is_fetching (options->context))
     ask_next_peer (start);
 }
 
@@ -133,11 +134,11 @@
 }
 
 void
-gsa_refused (gsa_t *start, sak_refusal_t refusal, const set_address_t *referral)
+gsa_refused (gsa_t *start, bootstrap_refusal_t refusal, const set_address_t *referral)
 {
   start->referral = *referral;
-  sak_refused (&start->policy, now_us (start), refusal, referral->port != 0,
-               (uint32_t)g_rand_int_range (start->rand, 0, 1000));
+  bootstrap_peer_refused (&start->policy, now_us (start), refusal, referral->port != 0,
+                          (uint32_t)g_rand_int_range (start->rand, 0, 1000));
 }
 
 bool
--- a/src/process/gateway_start.h
+++ b/src/process/gateway_start.h
@@ -50,7 +50,7 @@
 /** gsa_answered() - a peer's full copy has been applied, which ends the start */
 void gsa_answered (gsa_t *start);
 /** gsa_refused() - the fetch brought no full copy; @referral is asked next, port 0 for none */
-void gsa_refused (gsa_t *start, sak_refusal_t refusal, const set_address_t *referral);
+void gsa_refused (gsa_t *start, bootstrap_refusal_t refusal, const set_address_t *referral);
 /** gsa_is_starting() - whether a stream has not been loaded yet */
 bool gsa_is_starting (const gsa_t *start);
 
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -46,13 +46,13 @@
   kvw_t *views[STREAM_COUNT];
   sfl_t *followers[STREAM_COUNT];
   gft_t *fetch;
-  rdu_t policies[STREAM_COUNT];
+  read_policy_t policies[STREAM_COUNT];
   gsa_t *start;
   bool fetching_all;
   bool fetching[STREAM_COUNT];
   set_address_t ahead_control;
   uint64_t next_fetch_us;
-  otg_t outage;
+  store_outage_t outage;
   bool store_lost;
   bool applying_copy;
   bool copy_unsettled;
@@ -73,7 +73,7 @@
 mark_caught_up (gst_t *store, uint32_t stream)
 {
   if (!store->applying_copy)
-    rdu_caught_up (&store->policies[stream], false);
+    read_policy_caught_up (&store->policies[stream], false);
 }
 
 static void
@@ -92,7 +92,7 @@
 static uint64_t
 min_outage_us (const gst_t *store)
 {
-  return otg_least_us (store->options.set->renewal_ms);
+  return store_outage_min_us (store->options.set->renewal_ms);
 }
 
 /* Each stream has its own connection; a good answer on any of them shows that the store is up. */
@@ -100,7 +100,8 @@
 record_store_contact (gst_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    otg_heard (&store->outage, sfl_heard_us (store->followers[i]), min_outage_us (store));
+    store_outage_record_contact (&store->outage, sfl_heard_us (store->followers[i]),
+                                 min_outage_us (store));
 }
 
 /*
@@ -114,9 +115,10 @@
   bool unsure = store->applying_copy ? store->copy_unsettled
                                      : sfl_is_catching_up (store->followers[STREAM_ENGINES]);
 
-  uint64_t outage_end_us = otg_until_us (&store->outage, now_us (store), min_outage_us (store));
+  uint64_t outage_end_us =
+      store_outage_end_us (&store->outage, now_us (store), min_outage_us (store));
 
-  return rdu_may_have_lapsed (outage_end_us, unsure, now_us (store));
+  return read_policy_may_have_lapsed (outage_end_us, unsure, now_us (store));
 }
 
 static void
@@ -152,23 +154,23 @@
   return kvw_get (store->views[STREAM_ROUTERS], store->options.set->name, &bytes, &offset) != NULL;
 }
 
-static rdu_view_t
+static read_policy_view_t
 policy_view (const gst_t *store, uint32_t stream)
 {
   const sfl_t *follower = store->followers[stream];
   uint32_t gateways_before = gpr_before (store->peers);
 
-  return (rdu_view_t){ .close = gateways_before < GPR_TAILS && has_own_entry (store),
-                       .listed = sfl_has_listed (follower),
-                       .lost = store->store_lost || sfl_is_failing (follower),
-                       .alone = gpr_is_alone (store->peers),
-                       .before = gateways_before,
-                       .count = gpr_count (store->peers),
-                       .own_us = sfl_heard_us (follower),
-                       .tried_us = sfl_tried_us (follower) };
+  return (read_policy_view_t){ .close = gateways_before < GPR_TAILS && has_own_entry (store),
+                               .listed = sfl_has_listed (follower),
+                               .lost = store->store_lost || sfl_is_failing (follower),
+                               .alone = gpr_is_alone (store->peers),
+                               .before = gateways_before,
+                               .count = gpr_count (store->peers),
+                               .own_us = sfl_heard_us (follower),
+                               .tried_us = sfl_tried_us (follower) };
 }
 
-static rdu_stream_t
+static read_policy_stream_t
 policy_stream (const gst_t *store, uint32_t stream)
 {
   const set_t *set = store->options.set;
@@ -176,18 +178,19 @@
   uint32_t percent = routing ? GST_ROUTING_BEHIND_PERCENT : GST_ENGINES_BEHIND_PERCENT;
   uint64_t bound_us = (uint64_t)(routing ? set->version_ms : set->drain_ms) * CLK_US_PER_MS;
 
-  return (rdu_stream_t){ .patience_us = bound_us * percent / 100, .bound_us = bound_us };
+  return (read_policy_stream_t){ .patience_us = bound_us * percent / 100, .bound_us = bound_us };
 }
 
 static void
 update_reading (gst_t *store, uint32_t stream)
 {
-  rdu_stream_t limits = policy_stream (store, stream);
-  rdu_view_t view = policy_view (store, stream);
-  rdu_read_t action = rdu_read (&store->policies[stream], &limits, &view, now_us (store));
+  read_policy_stream_t limits = policy_stream (store, stream);
+  read_policy_view_t view = policy_view (store, stream);
+  read_policy_action_t action =
+      read_policy_decide (&store->policies[stream], &limits, &view, now_us (store));
 
-  sfl_set_resting (store->followers[stream], action != RDU_FOLLOW);
-  if (action == RDU_READ)
+  sfl_set_resting (store->followers[stream], action != READ_POLICY_FOLLOW);
+  if (action == READ_POLICY_READ_ONCE)
     sfl_read_soon (store->followers[stream]);
 }
 
@@ -244,9 +247,9 @@
 static uint64_t
 stream_current_us (const gst_t *store, uint32_t stream)
 {
-  rdu_view_t view = policy_view (store, stream);
+  read_policy_view_t view = policy_view (store, stream);
 
-  return rdu_known_us (&store->policies[stream], &view);
+  return read_policy_current_as_of_us (&store->policies[stream], &view);
 }
 
 /* Time up to which routing rules and engines are current; 0 for never. */
@@ -277,7 +280,7 @@
 }
 
 static void
-on_peer_suspect (const sus_mark_t *mark, void *context)
+on_peer_suspect (const suspect_mark_t *mark, void *context)
 {
   gst_t *store = context;
 
@@ -308,7 +311,7 @@
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     if (vsh_is_large (answer, stream_names[i]))
       {
-        rdu_is_large (&store->policies[i]);
+        read_policy_fetch_too_large (&store->policies[i]);
         store->fetching[i] = false;
       }
 }
@@ -355,9 +358,9 @@
       if (!store->fetching[i])
         continue;
       if (applied)
-        rdu_caught_up (&store->policies[i], true);
+        read_policy_caught_up (&store->policies[i], true);
       else
-        rdu_give_up (&store->policies[i]);
+        read_policy_fetch_failed (&store->policies[i]);
     }
 }
 
@@ -393,7 +396,7 @@
     {
       uint64_t next = sfl_next (store->followers[i]);
 
-      rdu_heard (&store->policies[i], at_us, next, next, at_us - age_us);
+      read_policy_apply_peer (&store->policies[i], at_us, next, next, at_us - age_us);
     }
 }
 
@@ -478,10 +481,10 @@
 static bool
 should_fetch (const gst_t *store, uint32_t stream)
 {
-  rdu_stream_t limits = policy_stream (store, stream);
-  rdu_view_t view = policy_view (store, stream);
+  read_policy_stream_t limits = policy_stream (store, stream);
+  read_policy_view_t view = policy_view (store, stream);
 
-  return rdu_asks_peer (&store->policies[stream], &limits, &view, now_us (store));
+  return read_policy_should_ask_peer (&store->policies[stream], &limits, &view, now_us (store));
 }
 
 /* The gateway registry is short, so every fetch includes it. */
@@ -565,13 +568,13 @@
   uint64_t age_us = (uint64_t)theirs->store_age_ms * CLK_US_PER_MS;
   uint64_t store_us = age_us < at_us ? at_us - age_us : 0;
 
-  otg_heard (&store->outage, store_us, min_outage_us (store));
-  rdu_heard (&store->policies[STREAM_ROUTING], at_us, theirs->routing_next, ours.routing_next,
-             store_us);
-  rdu_heard (&store->policies[STREAM_ENGINES], at_us, theirs->engines_next, ours.engines_next,
-             store_us);
-  rdu_heard (&store->policies[STREAM_ROUTERS], at_us, theirs->routers_next, ours.routers_next,
-             store_us);
+  store_outage_record_contact (&store->outage, store_us, min_outage_us (store));
+  read_policy_apply_peer (&store->policies[STREAM_ROUTING], at_us, theirs->routing_next,
+                          ours.routing_next, store_us);
+  read_policy_apply_peer (&store->policies[STREAM_ENGINES], at_us, theirs->engines_next,
+                          ours.engines_next, store_us);
+  read_policy_apply_peer (&store->policies[STREAM_ROUTERS], at_us, theirs->routers_next,
+                          ours.routers_next, store_us);
   if (theirs->routing_next > ours.routing_next || theirs->engines_next > ours.engines_next ||
       theirs->routers_next > ours.routers_next)
     store->ahead_control = *control;
@@ -735,7 +738,7 @@
 }
 
 void
-gst_add_suspect (gst_t *store, const sus_mark_t *mark)
+gst_add_suspect (gst_t *store, const suspect_mark_t *mark)
 {
   gpr_add_suspect (store->peers, mark);
 }
--- a/src/process/gateway_store.h
+++ b/src/process/gateway_store.h
@@ -86,7 +86,7 @@
                      bool may_have_lapsed,
                      void *context);
   void (*on_status) (void *context);
-  void (*on_suspect) (const sus_mark_t *mark, void *context);
+  void (*on_suspect) (const suspect_mark_t *mark, void *context);
   void (*on_load) (const load_report_t *item, void *context);
   void *context;
 } gst_options_t;
@@ -115,7 +115,7 @@
 /** gst_tell_news() - sends some peers a message at once, since new records were read */
 void gst_tell_news (gst_t *store);
 /** gst_add_suspect() - reports a request that crashes its engines to peers */
-void gst_add_suspect (gst_t *store, const sus_mark_t *mark);
+void gst_add_suspect (gst_t *store, const suspect_mark_t *mark);
 /** gst_add_load() - reports a high load of an engine to peers */
 void gst_add_load (gst_t *store, const load_report_t *item);
 /** gst_answer() - answers a peer that fetches records. @settled: whether no removed engine entry
--- a/src/process/rumour.c
+++ b/src/process/rumour.c
@@ -36,7 +36,7 @@
 }
 
 static bool
-mark_has_engine (const sus_mark_t *mark, uint64_t engine_hash)
+mark_has_engine (const suspect_mark_t *mark, uint64_t engine_hash)
 {
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
     {
@@ -48,7 +48,7 @@
 
 /* Adds the engines of @other to @mark. Return: whether one was new */
 static bool
-merge_engines (sus_mark_t *mark, const sus_mark_t *other)
+merge_engines (suspect_mark_t *mark, const suspect_mark_t *other)
 {
   bool added = false;
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
@@ -104,7 +104,7 @@
 }
 
 void
-rmr_add_word (rmr_t *gossip, const mem_word_t *report)
+rmr_add_word (rmr_t *gossip, const membership_report_t *report)
 {
   rmr_word_t *slot = find_report_slot (gossip, report->host_hash);
   slot->report = *report;
@@ -113,12 +113,12 @@
 
 /* Return: whether @mark is new; it is not when the request was cleared later than it */
 static bool
-update_mark (rmr_mark_t *slot, const sus_mark_t *mark, uint64_t created_us)
+update_mark (rmr_mark_t *slot, const suspect_mark_t *mark, uint64_t created_us)
 {
   bool known = slot->mark.fingerprint == mark->fingerprint;
-  bool cleared = known && sus_is_cleared (&slot->mark);
+  bool cleared = known && suspect_mark_is_cleared (&slot->mark);
 
-  if (sus_is_cleared (mark))
+  if (suspect_mark_is_cleared (mark))
     {
       if (cleared)
         return false;
@@ -134,7 +134,7 @@
 }
 
 bool
-rmr_add_mark (rmr_t *gossip, uint64_t now_us, const sus_mark_t *mark)
+rmr_add_mark (rmr_t *gossip, uint64_t now_us, const suspect_mark_t *mark)
 {
   uint64_t age_us = (uint64_t)mark->age_ms * CLK_US_PER_MS;
   if (age_us > RMR_MARK_AGE_US)
@@ -149,7 +149,7 @@
 }
 
 uint32_t
-rmr_take_words (rmr_t *gossip, mem_word_t *out, uint32_t want)
+rmr_take_words (rmr_t *gossip, membership_report_t *out, uint32_t want)
 {
   bool taken[RMR_SLOTS] = { false };
   uint32_t count = 0;
@@ -166,7 +166,7 @@
 }
 
 uint32_t
-rmr_take_marks (rmr_t *gossip, uint64_t now_us, sus_mark_t *out, uint32_t want)
+rmr_take_marks (rmr_t *gossip, uint64_t now_us, suspect_mark_t *out, uint32_t want)
 {
   bool taken[RMR_SLOTS] = { false };
   uint32_t count = 0;
--- a/src/process/rumour.h
+++ b/src/process/rumour.h
@@ -25,7 +25,7 @@
 /** struct rmr_word - a report and how many more messages are to carry it */
 typedef struct
 {
-  mem_word_t report;
+  membership_report_t report;
   uint32_t sends_left;
 } rmr_word_t;
 
@@ -33,7 +33,7 @@
  * messages are to carry it */
 typedef struct
 {
-  sus_mark_t mark;
+  suspect_mark_t mark;
   uint64_t created_us;
   uint32_t sends_left;
 } rmr_mark_t;
@@ -47,18 +47,19 @@
 
 void rmr_init (rmr_t *gossip);
 /** rmr_add_word() - adds a report, in place of an earlier one of the same host */
-void rmr_add_word (rmr_t *gossip, const mem_word_t *report);
+void rmr_add_word (rmr_t *gossip, const membership_report_t *report);
 /**
  * rmr_add_mark() - adds a mark; a request's marks are merged. One that tells that the request was
- * served (sus_is_cleared()) replaces marks of crashes, and earlier crashes are ignored from then on
+ * served (suspect_mark_is_cleared()) replaces marks of crashes, and earlier crashes are ignored
+ * from then on
  *
  * Return: whether the mark was new
  */
-bool rmr_add_mark (rmr_t *gossip, uint64_t now_us, const sus_mark_t *mark);
+bool rmr_add_mark (rmr_t *gossip, uint64_t now_us, const suspect_mark_t *mark);
 /** rmr_take_words() - gets up to @want reports for a message, those sent least often first, and
  * counts them as sent. Return: how many */
-uint32_t rmr_take_words (rmr_t *gossip, mem_word_t *out, uint32_t want);
+uint32_t rmr_take_words (rmr_t *gossip, membership_report_t *out, uint32_t want);
 /** rmr_take_marks() - likewise for marks, each with its age at @now_us */
-uint32_t rmr_take_marks (rmr_t *gossip, uint64_t now_us, sus_mark_t *out, uint32_t want);
+uint32_t rmr_take_marks (rmr_t *gossip, uint64_t now_us, suspect_mark_t *out, uint32_t want);
 
 #endif
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -103,13 +103,13 @@
 {
   uint64_t now_us = gwy_now_us (gwy);
   crash_watch_loss_t loss;
-  sus_mark_t mark;
+  suspect_mark_t mark;
 
   while (crash_watch_take (&gwy->crashes, now_us, &loss))
     {
       if (recent_answers_contain (gwy->served, now_us, loss.fingerprint) ||
-          !sus_add (gwy->suspects, now_us, loss.fingerprint, loss.engine_hash) ||
-          !sus_get (gwy->suspects, now_us, loss.fingerprint, &mark))
+          !suspect_add_crash (gwy->suspects, now_us, loss.fingerprint, loss.engine_hash) ||
+          !suspect_get_mark (gwy->suspects, now_us, loss.fingerprint, &mark))
         continue;
       log_event (LOG_LEVEL_WARNING, "suspect", "fingerprint", LOG_HEX (loss.fingerprint), "engine",
                  LOG_HEX (loss.engine_hash), "age_ms",
@@ -135,7 +135,7 @@
 static void
 announce_cleared (gwy_t *gwy, uint64_t fingerprint)
 {
-  sus_mark_t cleared = { .fingerprint = fingerprint };
+  suspect_mark_t cleared = { .fingerprint = fingerprint };
 
   log_event (LOG_LEVEL_INFO, "cleared", "fingerprint", LOG_HEX (fingerprint), NULL);
   gwy->options.suspected (&cleared, gwy->options.context);
@@ -151,12 +151,13 @@
 }
 
 void
-gwy_heard_suspect (gwy_t *gwy, const sus_mark_t *mark)
+gwy_heard_suspect (gwy_t *gwy, const suspect_mark_t *mark)
 {
   uint64_t now_us = gwy_now_us (gwy);
 
-  if (sus_is_cleared (mark) || !recent_answers_contain (gwy->served, now_us, mark->fingerprint))
-    sus_merge (gwy->suspects, now_us, mark);
+  if (suspect_mark_is_cleared (mark) ||
+      !recent_answers_contain (gwy->served, now_us, mark->fingerprint))
+    suspect_merge_mark (gwy->suspects, now_us, mark);
   else
     announce_cleared (gwy, mark->fingerprint);
 }
@@ -167,7 +168,7 @@
 gwy_served (gwy_t *gwy, uint64_t fingerprint)
 {
   recent_answers_add (gwy->served, gwy_now_us (gwy), fingerprint);
-  if (sus_clear (gwy->suspects, fingerprint))
+  if (suspect_clear (gwy->suspects, fingerprint))
     announce_cleared (gwy, fingerprint);
 }
 
@@ -199,7 +200,7 @@
   gwy->name_hash = XXH64 (set->name, strlen (set->name), 0);
   gwy->started_us = gwy_now_us (gwy);
   gwy->routers = 1;
-  gwy->suspects = sus_new (GWY_SUSPECTS, GWY_SUSPECT_US);
+  gwy->suspects = suspect_new (GWY_SUSPECTS, GWY_SUSPECT_US);
   gwy->served = recent_answers_new (GWY_PROVEN, GWY_PROVEN_US);
   gwy->cache_warm = recent_answers_new (GWY_WARM, GWY_WARM_US);
   gwy->services = g_hash_table_new_full (NULL, NULL, NULL, service_free);
@@ -252,7 +253,7 @@
   event_free (gwy->tick_timer);
   recent_answers_free (gwy->served);
   recent_answers_free (gwy->cache_warm);
-  sus_free (gwy->suspects);
+  suspect_free (gwy->suspects);
   g_hash_table_destroy (gwy->services);
   g_hash_table_destroy (gwy->calls);
   if (gwy->table)
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -46,7 +46,7 @@
   engines_t *engines;
   const fmt_t *format;
   retry_budget_options_t retries;
-  void (*suspected) (const sus_mark_t *mark, void *context);
+  void (*suspected) (const suspect_mark_t *mark, void *context);
   void (*high_load) (const load_report_t *item, void *context);
   void *context;
 } gwy_options_t;
@@ -70,7 +70,7 @@
 void gwy_heard_load (gwy_t *gwy, const load_report_t *item);
 /** gwy_heard_suspect() - takes over another gateway's mark of a request that crashes engines, or
  * the clearing of one */
-void gwy_heard_suspect (gwy_t *gwy, const sus_mark_t *mark);
+void gwy_heard_suspect (gwy_t *gwy, const suspect_mark_t *mark);
 /** gwy_engine_restarted() - the engine @hash at @address was replaced by a new process with its id:
  * the requests that ran there are lost */
 void gwy_engine_restarted (gwy_t *gwy, uint64_t hash, const set_address_t *address);
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -41,8 +41,9 @@
 {
   gwy_t *gwy = call->gwy;
 
-  return sus_count (gwy->suspects) > 0 &&
-         sus_check (gwy->suspects, gwy_now_us (gwy), gwy_call_fingerprint (call), 0) == SUS_FINAL;
+  return suspect_count (gwy->suspects) > 0 &&
+         suspect_check (gwy->suspects, gwy_now_us (gwy), gwy_call_fingerprint (call), 0) ==
+             SUSPECT_REFUSED;
 }
 
 /* Without Retry-After: another attempt would crash one more engine, with all requests there. */
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -122,7 +122,7 @@
   GHashTable *services;   /* interned name -> gwy_service_t */
   GHashTable *calls;      /* set of gwy_call_t */
   crash_watch_t crashes;
-  sus_t *suspects;              /* requests that are suspected of crashing engines */
+  suspects_t *suspects;         /* requests that are suspected of crashing engines */
   recent_answers_t *served;     /* fingerprints of requests that were served lately */
   recent_answers_t *cache_warm; /* prompts and engines that read their shared parts lately */
   gwy_usual_t route_stats[GWY_ROUTES];
--- a/src/request/messages.c
+++ b/src/request/messages.c
@@ -24,7 +24,7 @@
   msg_members_t *members = (msg_members_t *)message;
 
   if (members->members != NULL)
-    mem_snapshot_unref (members->members);
+    membership_snapshot_unref (members->members);
   g_free (members);
 }
 
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -49,7 +49,7 @@
 typedef struct
 {
   mbx_message_t head;
-  mem_snapshot_t *members;
+  membership_snapshot_t *members;
 } msg_members_t;
 
 /** struct msg_samples - loads of engines; the control task has converted the ages that peers send
@@ -66,7 +66,7 @@
 {
   mbx_message_t head;
   uint32_t count;
-  sus_mark_t marks[MSG_MARKS_MAX];
+  suspect_mark_t marks[MSG_MARKS_MAX];
 } msg_marks_t;
 
 /**
@@ -80,7 +80,7 @@
   mbx_message_t head;
   char stream[160];
   uint64_t claim_id[2];
-  clm_key_t key;
+  claim_key_t key;
   uint64_t expiry_us;
   void *owner;
 } msg_claim_t;
@@ -88,7 +88,7 @@
 typedef struct
 {
   mbx_message_t head;
-  clm_result_t result;
+  claim_result_t result;
 } msg_claim_result_t;
 
 /**
@@ -100,7 +100,7 @@
   mbx_message_t head;
   char stream[160];
   uint64_t claim_id[2];
-  clm_key_t key;
+  claim_key_t key;
   bool ran;
   uint32_t status;
 } msg_claim_end_t;
--- a/src/request/ops.c
+++ b/src/request/ops.c
@@ -74,8 +74,8 @@
 set_members (ops_t *data_task, msg_members_t *message)
 {
   if (data_task->members != NULL)
-    mem_snapshot_unref (data_task->members);
-  data_task->members = mem_snapshot_ref (message->members);
+    membership_snapshot_unref (data_task->members);
+  data_task->members = membership_snapshot_ref (message->members);
 }
 
 static void
@@ -147,7 +147,7 @@
   if (data_task->man != NULL)
     man_unref (data_task->man);
   if (data_task->members != NULL)
-    mem_snapshot_unref (data_task->members);
+    membership_snapshot_unref (data_task->members);
   dcn_ring_free (data_task->decisions);
   g_free (data_task);
 }
@@ -182,7 +182,7 @@
   return data_task->man;
 }
 
-mem_snapshot_t *
+membership_snapshot_t *
 ops_members (const ops_t *data_task)
 {
   return data_task->members;
--- a/src/request/ops.h
+++ b/src/request/ops.h
@@ -68,7 +68,7 @@
 /** ops_man() - the manifest in force, borrowed; NULL before the first one */
 man_t *ops_man (const ops_t *data_task);
 /** ops_members() - the list of hosts in force, borrowed; NULL before the first one */
-mem_snapshot_t *ops_members (const ops_t *data_task);
+membership_snapshot_t *ops_members (const ops_t *data_task);
 dcn_ring_t *ops_decisions (ops_t *data_task);
 uint64_t ops_now_us (const ops_t *data_task);
 /** ops_stale() - whether the process was paused and has not yet received everything that it missed;
--- a/src/request/ops_private.h
+++ b/src/request/ops_private.h
@@ -31,7 +31,7 @@
   hsv_t *hsv;
   man_t *man;
   uint64_t man_next_offset;
-  mem_snapshot_t *members;
+  membership_snapshot_t *members;
   dcn_ring_t *decisions;
   pse_t pse;
   bool draining;
--- a/src/request/ops_serve.c
+++ b/src/request/ops_serve.c
@@ -148,10 +148,12 @@
 has_valid_seal (ops_t *data_task, hsv_call_t *call)
 {
   const set_t *set = &data_task->options.dmn->set;
-  ord_t order = { .host = set->name, .method = hsv_method (call), .target = hsv_target (call) };
+  sealed_call_t order = { .host = set->name,
+                          .method = hsv_method (call),
+                          .target = hsv_target (call) };
 
   order.body = hsv_body (call, &order.body_bytes);
-  return ord_check (&order, set->fleet_key, hsv_header (call, ORD_SEAL_HEADER));
+  return call_seal_verify (&order, set->fleet_key, hsv_header (call, CALL_SEAL_HEADER));
 }
 
 static bool
--- a/src/request/policy/admit.c
+++ b/src/request/policy/admit.c
@@ -124,8 +124,8 @@
   admission->options = *options;
   admission->queue = fair_queue_new (LIM_QUEUE_TOTAL);
   fair_queue_set_credit (admission->queue, (uint64_t)options->slots * ADMISSION_CREDIT_MS);
-  admission->directory = dir_new (LIM_DIRECTORY_ENTRIES);
-  admission->suspects = sus_new (LIM_SUSPECTS, ADMISSION_SUSPECT_LIFETIME_US);
+  admission->directory = chat_directory_new (LIM_DIRECTORY_ENTRIES);
+  admission->suspects = suspect_new (LIM_SUSPECTS, ADMISSION_SUSPECT_LIFETIME_US);
   admission->rng = options->seed | 1;
   load_samples_init (&admission->mean, options->seed);
   return admission;
@@ -137,8 +137,8 @@
   if (admission == NULL)
     return;
   fair_queue_free (admission->queue);
-  dir_free (admission->directory);
-  sus_free (admission->suspects);
+  chat_directory_free (admission->directory);
+  suspect_free (admission->suspects);
   g_free (admission);
 }
 
@@ -271,7 +271,8 @@
 void
 admission_note_crash (admission_t *admission, uint64_t now_us, const admission_request_t *request)
 {
-  sus_add (admission->suspects, now_us, request->fingerprint, admission->options.engine_hash);
+  suspect_add_crash (admission->suspects, now_us, request->fingerprint,
+                     admission->options.engine_hash);
 }
 
 /*
@@ -292,7 +293,7 @@
                                  uint64_t chat_hash,
                                  uint64_t engine_hash)
 {
-  dir_put (admission->directory, now_us, chat_hash, engine_hash);
+  chat_directory_put (admission->directory, now_us, chat_hash, engine_hash);
 }
 
 load_sample_t
@@ -312,13 +313,13 @@
   return &admission->mean;
 }
 
-sus_t *
+suspects_t *
 admission_suspects (admission_t *admission)
 {
   return admission->suspects;
 }
 
-dir_t *
+chat_directory_t *
 admission_directory (admission_t *admission)
 {
   return admission->directory;
--- a/src/request/policy/admit.h
+++ b/src/request/policy/admit.h
@@ -215,9 +215,9 @@
 /** admission_mean() - Return: load samples of the other engines; the caller adds them */
 load_samples_t *admission_mean (admission_t *admission);
 /** admission_suspects() - Return: requests suspected of crashes */
-sus_t *admission_suspects (admission_t *admission);
+suspects_t *admission_suspects (admission_t *admission);
 /** admission_directory() - Return: engines on which chats were served last */
-dir_t *admission_directory (admission_t *admission);
+chat_directory_t *admission_directory (admission_t *admission);
 /** admission_load() - Return: running requests */
 uint32_t admission_load (const admission_t *admission);
 /** admission_waiting() - Return: queued requests */
--- a/src/request/policy/admit_private.h
+++ b/src/request/policy/admit_private.h
@@ -36,8 +36,8 @@
 {
   admission_options_t options;
   fair_queue_t *queue;
-  dir_t *directory;
-  sus_t *suspects;
+  chat_directory_t *directory;
+  suspects_t *suspects;
   load_samples_t mean;
   completion_rate_t completions;
   load_drift_t drift;
--- a/src/request/policy/admit_refuse.c
+++ b/src/request/policy/admit_refuse.c
@@ -57,13 +57,14 @@
                           uint64_t bound_milli,
                           admission_decision_t *decision)
 {
-  const sus_verdict_t verdict =
-      sus_check (admission->suspects, now_us, request->fingerprint, admission->options.engine_hash);
-  if (verdict == SUS_CLEAR)
+  const suspect_verdict_t verdict = suspect_check (
+      admission->suspects, now_us, request->fingerprint, admission->options.engine_hash);
+  if (verdict == SUSPECT_ALLOWED)
     return false;
-  *decision = admission_make_decision (
-      admission, ADMISSION_REJECT,
-      verdict == SUS_FINAL ? VERDICT_REASON_SUSPECT : VERDICT_REASON_SUSPECT_HERE, bound_milli);
+  *decision = admission_make_decision (admission, ADMISSION_REJECT,
+                                       verdict == SUSPECT_REFUSED ? VERDICT_REASON_SUSPECT
+                                                                  : VERDICT_REASON_SUSPECT_HERE,
+                                       bound_milli);
   return true;
 }
 
--- a/src/request/policy/admit_warm.c
+++ b/src/request/policy/admit_warm.c
@@ -65,9 +65,9 @@
                        const admission_request_t *request)
 {
   const uint64_t own = admission->options.engine_hash;
-  dir_entry_t entry;
-  if (dir_get (admission->directory, now_us, referral_lifetime_us (admission), request->chat_hash,
-               &entry))
+  chat_directory_entry_t entry;
+  if (chat_directory_get (admission->directory, now_us, referral_lifetime_us (admission),
+                          request->chat_hash, &entry))
     return entry.engine_hash != own ? entry.engine_hash : 0;
   if (is_at_home (admission, request) && is_new (admission, now_us) && request->former_hash != own)
     return request->former_hash;
@@ -80,10 +80,10 @@
 static bool
 should_send_back (const admission_t *admission, uint64_t now_us, const admission_request_t *request)
 {
-  dir_entry_t entry;
+  chat_directory_entry_t entry;
   return is_from_new_home (admission, request) &&
-         !dir_get (admission->directory, now_us, referral_lifetime_us (admission),
-                   request->chat_hash, &entry);
+         !chat_directory_get (admission->directory, now_us, referral_lifetime_us (admission),
+                              request->chat_hash, &entry);
 }
 
 bool
@@ -112,5 +112,6 @@
 admission_note_cached (admission_t *admission, uint64_t now_us, const admission_request_t *request)
 {
   if (request->has_chat && admission->options.policy == ADMISSION_POLICY_FULL)
-    dir_put (admission->directory, now_us, request->chat_hash, admission->options.engine_hash);
+    chat_directory_put (admission->directory, now_us, request->chat_hash,
+                        admission->options.engine_hash);
 }
--- a/src/request/policy/attempt.h
+++ b/src/request/policy/attempt.h
@@ -22,8 +22,9 @@
 #define FORWARDING_BUDGET_MAX_MILLI 10000 /* capacity of the budget: ten retries */
 #define FORWARDING_BUDGET_GAIN_MILLI 100  /* a tenth of a retry for each successful request */
 #define FORWARDING_RESERVE_MAX_MILLI 1000 /* reserve of a client account: one retry */
-#define FORWARDING_RESERVES_MAX 256 /* client accounts whose reserve may be used at the same time  \
-                                     */
+#define FORWARDING_RESERVES_MAX                                                                    \
+  256 /* client accounts whose reserve may be used at the same time                                \
+       */
 
 /**
  * struct forwarding_reserve - reserve of a client account that has used it
--- a/src/request/policy/choose.c
+++ b/src/request/policy/choose.c
@@ -73,7 +73,8 @@
 static uint32_t
 estimated_load (const candidates_query_t *query, const load_sample_t *sample, uint64_t engine_hash)
 {
-  const uint32_t own = query->under_way != NULL ? uwy_count (query->under_way, engine_hash) : 0;
+  const uint32_t own =
+      query->under_way != NULL ? in_flight_count (query->under_way, engine_hash) : 0;
   return sample == NULL ? own : MAX (own, sample->load + sample->waiting);
 }
 
--- a/src/request/policy/choose.h
+++ b/src/request/policy/choose.h
@@ -24,7 +24,7 @@
 #include <stdint.h>
 
 /**
- * struct candidates_engine - times of an engine, as in mem_host_t
+ * struct candidates_engine - times of an engine, as in membership_host_t
  * @joined_us: when it joined
  * @settled_us: from when on it can be the home of chats
  */
@@ -65,7 +65,7 @@
   uint64_t cache_lifetime_us;
   uint64_t tie;
   const load_samples_t *samples;
-  const uwy_t *under_way;
+  const in_flight_counts_t *under_way;
   bool (*is_usable) (uint64_t engine_hash, void *context);
   void *context;
 } candidates_query_t;
--- a/src/request/policy/claim.c
+++ b/src/request/policy/claim.c
@@ -30,7 +30,7 @@
 typedef struct
 {
   uint64_t claim_id[2];
-  clm_key_t key;
+  claim_key_t key;
   uint64_t expiry_us;
   uint64_t send_by_us;
   uint64_t give_up_us;
@@ -42,22 +42,22 @@
  * its append was in flight or lost */
 typedef struct
 {
-  clr_t fields;
+  claim_entry_t fields;
   bool read_back;
 } queued_entry_t;
 
-/** struct pending_result - a result that clm_result() has not taken yet */
+/** struct pending_result - a result that claim_take_result() has not taken yet */
 typedef struct
 {
-  clm_result_t result;
-  clm_key_t key;
+  claim_result_t result;
+  claim_key_t key;
   uint64_t expiry_us;
 } pending_result_t;
 
-struct clm
+struct claim_stream
 {
-  cky_t *keys;
-  cpc_t pace;
+  claim_keys_t *keys;
+  claim_pace_t pace;
   GHashTable *pending; /* claim id -> pending_claim_t */
   GQueue queue;        /* queued_entry_t to be appended, oldest first */
   GQueue batch; /* queued_entry_t of the append in flight, or of a lost one until it is looked up */
@@ -88,13 +88,16 @@
 }
 
 static void
-advance_clock (clm_t *clm, uint64_t now_us)
+advance_clock (claim_stream_t *claim_stream, uint64_t now_us)
 {
-  clm->now_us = MAX (clm->now_us, now_us);
+  claim_stream->now_us = MAX (claim_stream->now_us, now_us);
 }
 
 static void
-add_result (clm_t *clm, const pending_claim_t *claim, clm_verdict_t verdict, uint32_t status)
+add_result (claim_stream_t *claim_stream,
+            const pending_claim_t *claim,
+            claim_verdict_t verdict,
+            uint32_t status)
 {
   pending_result_t *pending_result = g_new0 (pending_result_t, 1);
   memcpy (pending_result->result.claim_id, claim->claim_id, sizeof claim->claim_id);
@@ -103,41 +106,41 @@
   pending_result->result.owner = claim->owner;
   pending_result->key = claim->key;
   pending_result->expiry_us = claim->expiry_us;
-  g_queue_push_tail (&clm->results, pending_result);
+  g_queue_push_tail (&claim_stream->results, pending_result);
 }
 
 /* pop_queue() and push_queue_front() maintain the count of done entries, which may be deferred. */
 static queued_entry_t *
-pop_queue (clm_t *clm)
+pop_queue (claim_stream_t *claim_stream)
 {
-  queued_entry_t *entry = g_queue_pop_head (&clm->queue);
-  if (entry != NULL && entry->fields.kind == CLR_DONE)
-    clm->deferred_count--;
+  queued_entry_t *entry = g_queue_pop_head (&claim_stream->queue);
+  if (entry != NULL && entry->fields.kind == CLAIM_ENTRY_DONE)
+    claim_stream->deferred_count--;
   return entry;
 }
 
 static void
-count_deferred (clm_t *clm)
+count_deferred (claim_stream_t *claim_stream)
 {
-  if (clm->deferred_count++ == 0)
-    clm->deferred_since_us = clm->now_us;
+  if (claim_stream->deferred_count++ == 0)
+    claim_stream->deferred_since_us = claim_stream->now_us;
 }
 
 static void
-push_queue_front (clm_t *clm, queued_entry_t *entry)
+push_queue_front (claim_stream_t *claim_stream, queued_entry_t *entry)
 {
-  if (entry->fields.kind == CLR_DONE)
-    count_deferred (clm);
-  g_queue_push_head (&clm->queue, entry);
+  if (entry->fields.kind == CLAIM_ENTRY_DONE)
+    count_deferred (claim_stream);
+  g_queue_push_head (&claim_stream->queue, entry);
 }
 
 static queued_entry_t *
-find_queued_outcome (clm_t *clm, const uint64_t claim_id[2])
+find_queued_outcome (claim_stream_t *claim_stream, const uint64_t claim_id[2])
 {
-  for (GList *link = clm->queue.head; link != NULL; link = link->next)
+  for (GList *link = claim_stream->queue.head; link != NULL; link = link->next)
     {
       queued_entry_t *entry = link->data;
-      if (entry->fields.kind != CLR_CLAIM && id_equal (entry->fields.claim_id, claim_id))
+      if (entry->fields.kind != CLAIM_ENTRY_CLAIM && id_equal (entry->fields.claim_id, claim_id))
         return entry;
     }
   return NULL;
@@ -146,245 +149,251 @@
 /* Drops the entry when the queue is full. A claim then ends at its expiry. Without its release or
  * done entry a key stays held, and resends are told that the request may have run. */
 static void
-enqueue (
-    clm_t *clm, clr_kind_t kind, const uint64_t claim_id[2], const clm_key_t *key, uint32_t status)
+enqueue (claim_stream_t *claim_stream,
+         claim_entry_kind_t kind,
+         const uint64_t claim_id[2],
+         const claim_key_t *key,
+         uint32_t status)
 {
-  if (clm->queue.length >= LIM_CLAIM_QUEUE)
+  if (claim_stream->queue.length >= LIM_CLAIM_QUEUE)
     return;
   queued_entry_t *entry = g_new0 (queued_entry_t, 1);
   entry->fields.kind = kind;
   memcpy (entry->fields.claim_id, claim_id, sizeof entry->fields.claim_id);
   entry->fields.key = *key;
   entry->fields.status = status;
-  if (kind == CLR_DONE)
-    count_deferred (clm);
-  g_queue_push_tail (&clm->queue, entry);
+  if (kind == CLAIM_ENTRY_DONE)
+    count_deferred (claim_stream);
+  g_queue_push_tail (&claim_stream->queue, entry);
 }
 
 static void
-enqueue_release (clm_t *clm, const uint64_t claim_id[2], const clm_key_t *key)
+enqueue_release (claim_stream_t *claim_stream, const uint64_t claim_id[2], const claim_key_t *key)
 {
-  if (find_queued_outcome (clm, claim_id) == NULL)
-    enqueue (clm, CLR_RELEASE, claim_id, key, 0);
+  if (find_queued_outcome (claim_stream, claim_id) == NULL)
+    enqueue (claim_stream, CLAIM_ENTRY_RELEASE, claim_id, key, 0);
 }
 
 /* A claim that was sent may be in the log or reach it later: without a release it would hold the
  * key although nobody uses it. It was never granted, so its request never ran. */
 static void
-give_up (clm_t *clm, const pending_claim_t *claim)
+give_up (claim_stream_t *claim_stream, const pending_claim_t *claim)
 {
-  add_result (clm, claim, CLM_LOG_DOWN, 0);
+  add_result (claim_stream, claim, CLAIM_LOG_DOWN, 0);
   if (claim->sent_count > 0)
-    enqueue_release (clm, claim->claim_id, &claim->key);
+    enqueue_release (claim_stream, claim->claim_id, &claim->key);
 }
 
 static void
-give_up_expired (clm_t *clm)
+give_up_expired (claim_stream_t *claim_stream)
 {
-  if (clm->now_us < clm->next_give_up_us)
+  if (claim_stream->now_us < claim_stream->next_give_up_us)
     return;
-  clm->next_give_up_us = UINT64_MAX;
+  claim_stream->next_give_up_us = UINT64_MAX;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, clm->pending);
+  g_hash_table_iter_init (&iter, claim_stream->pending);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       pending_claim_t *claim = value;
-      if (clm->now_us < claim->give_up_us)
+      if (claim_stream->now_us < claim->give_up_us)
         {
-          clm->next_give_up_us = MIN (clm->next_give_up_us, claim->give_up_us);
+          claim_stream->next_give_up_us = MIN (claim_stream->next_give_up_us, claim->give_up_us);
           continue;
         }
-      give_up (clm, claim);
+      give_up (claim_stream, claim);
       g_hash_table_iter_remove (&iter);
     }
 }
 
 static void
-limit_wait (clm_t *clm, pending_claim_t *claim, uint64_t give_up_us)
+limit_wait (claim_stream_t *claim_stream, pending_claim_t *claim, uint64_t give_up_us)
 {
   claim->give_up_us = MIN (claim->give_up_us, give_up_us);
-  clm->next_give_up_us = MIN (clm->next_give_up_us, claim->give_up_us);
+  claim_stream->next_give_up_us = MIN (claim_stream->next_give_up_us, claim->give_up_us);
 }
 
 static void
-apply_claim (clm_t *clm, const clr_t *entry)
+apply_claim (claim_stream_t *claim_stream, const claim_entry_t *entry)
 {
-  cky_verdict_t decision = cky_claim (clm->keys, entry);
-  pending_claim_t *claim = g_hash_table_lookup (clm->pending, entry->claim_id);
+  claim_keys_verdict_t decision = claim_keys_claim (claim_stream->keys, entry);
+  pending_claim_t *claim = g_hash_table_lookup (claim_stream->pending, entry->claim_id);
   if (claim == NULL)
     return;
-  add_result (clm, claim, decision.verdict, decision.status);
+  add_result (claim_stream, claim, decision.verdict, decision.status);
   /* Another copy of the claim may reach the log later. The release voids it, so that it can't take
    * the key once that is free. */
-  if (decision.verdict != CLM_GRANTED && claim->sent_count > 1)
-    enqueue_release (clm, claim->claim_id, &claim->key);
-  g_hash_table_remove (clm->pending, entry->claim_id);
+  if (decision.verdict != CLAIM_GRANTED && claim->sent_count > 1)
+    enqueue_release (claim_stream, claim->claim_id, &claim->key);
+  g_hash_table_remove (claim_stream->pending, entry->claim_id);
 }
 
 static void
-mark_read_back (clm_t *clm, const clr_t *entry)
+mark_read_back (claim_stream_t *claim_stream, const claim_entry_t *entry)
 {
-  for (GList *link = clm->batch.head; link != NULL; link = link->next)
+  for (GList *link = claim_stream->batch.head; link != NULL; link = link->next)
     {
       queued_entry_t *queued = link->data;
       if (queued->fields.kind != entry->kind ||
           !id_equal (queued->fields.claim_id, entry->claim_id))
         continue;
       queued->read_back = true;
-      if (clm->append_lost)
-        clm->log_down = false; /* the lost append took effect: the log works */
+      if (claim_stream->append_lost)
+        claim_stream->log_down = false; /* the lost append took effect: the log works */
     }
 }
 
 static void
-apply_entry (clm_t *clm, const clr_t *entry)
+apply_entry (claim_stream_t *claim_stream, const claim_entry_t *entry)
 {
-  mark_read_back (clm, entry);
+  mark_read_back (claim_stream, entry);
   switch (entry->kind)
     {
-    case CLR_CLAIM:
-      apply_claim (clm, entry);
+    case CLAIM_ENTRY_CLAIM:
+      apply_claim (claim_stream, entry);
       break;
-    case CLR_RELEASE:
-      cky_release (clm->keys, entry);
+    case CLAIM_ENTRY_RELEASE:
+      claim_keys_release (claim_stream->keys, entry);
       break;
-    case CLR_DONE:
-      cky_done (clm->keys, entry);
+    case CLAIM_ENTRY_DONE:
+      claim_keys_finish (claim_stream->keys, entry);
       break;
     }
 }
 
 static void
-requeue_lost (clm_t *clm)
+requeue_lost (claim_stream_t *claim_stream)
 {
   queued_entry_t *entry;
-  while ((entry = g_queue_pop_tail (&clm->batch)) != NULL)
+  while ((entry = g_queue_pop_tail (&claim_stream->batch)) != NULL)
     if (entry->read_back)
       g_free (entry);
     else
-      push_queue_front (clm, entry);
-  clm->append_lost = false;
+      push_queue_front (claim_stream, entry);
+  claim_stream->append_lost = false;
 }
 
 static bool
-all_read_back (const clm_t *clm)
+all_read_back (const claim_stream_t *claim_stream)
 {
-  for (const GList *link = clm->batch.head; link != NULL; link = link->next)
+  for (const GList *link = claim_stream->batch.head; link != NULL; link = link->next)
     if (!((const queued_entry_t *)link->data)->read_back)
       return false;
   return true;
 }
 
 static bool
-is_wanted (clm_t *clm, const queued_entry_t *entry)
+is_wanted (claim_stream_t *claim_stream, const queued_entry_t *entry)
 {
-  return entry->fields.kind != CLR_CLAIM ||
-         g_hash_table_contains (clm->pending, entry->fields.claim_id);
+  return entry->fields.kind != CLAIM_ENTRY_CLAIM ||
+         g_hash_table_contains (claim_stream->pending, entry->fields.claim_id);
 }
 
 static void
-fill_batch (clm_t *clm)
+fill_batch (claim_stream_t *claim_stream)
 {
-  while (clm->batch.length < LIM_CLAIM_ENTRIES && clm->queue.length > 0)
+  while (claim_stream->batch.length < LIM_CLAIM_ENTRIES && claim_stream->queue.length > 0)
     {
-      queued_entry_t *entry = pop_queue (clm);
-      if (!is_wanted (clm, entry))
+      queued_entry_t *entry = pop_queue (claim_stream);
+      if (!is_wanted (claim_stream, entry))
         {
           g_free (entry);
           continue;
         }
-      if (entry->fields.kind == CLR_CLAIM)
+      if (entry->fields.kind == CLAIM_ENTRY_CLAIM)
         {
-          pending_claim_t *claim = g_hash_table_lookup (clm->pending, entry->fields.claim_id);
+          pending_claim_t *claim =
+              g_hash_table_lookup (claim_stream->pending, entry->fields.claim_id);
           claim->sent_count++;
         }
-      g_queue_push_tail (&clm->batch, entry);
+      g_queue_push_tail (&claim_stream->batch, entry);
     }
 }
 
 /* The append had no effect: its entries return to the queue as if they had not been sent. */
 static void
-undo_batch (clm_t *clm)
+undo_batch (claim_stream_t *claim_stream)
 {
   queued_entry_t *entry;
-  while ((entry = g_queue_pop_tail (&clm->batch)) != NULL)
+  while ((entry = g_queue_pop_tail (&claim_stream->batch)) != NULL)
     {
-      pending_claim_t *claim = g_hash_table_lookup (clm->pending, entry->fields.claim_id);
-      if (entry->fields.kind == CLR_CLAIM && claim != NULL)
+      pending_claim_t *claim = g_hash_table_lookup (claim_stream->pending, entry->fields.claim_id);
+      if (entry->fields.kind == CLAIM_ENTRY_CLAIM && claim != NULL)
         claim->sent_count--;
-      push_queue_front (clm, entry);
+      push_queue_front (claim_stream, entry);
     }
 }
 
 static void
-set_log_down (clm_t *clm)
+set_log_down (claim_stream_t *claim_stream)
 {
-  clm->log_down = true;
-  clm->down_since_us = clm->now_us;
+  claim_stream->log_down = true;
+  claim_stream->down_since_us = claim_stream->now_us;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, clm->pending);
+  g_hash_table_iter_init (&iter, claim_stream->pending);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       pending_claim_t *claim = value;
-      limit_wait (clm, claim, claim->sent_count == 0 ? 0 : clm->now_us + LOST_APPEND_WAIT_US);
+      limit_wait (claim_stream, claim,
+                  claim->sent_count == 0 ? 0 : claim_stream->now_us + LOST_APPEND_WAIT_US);
     }
 }
 
 static uint64_t
-expected_answer_us (const clm_t *clm)
+expected_answer_us (const claim_stream_t *claim_stream)
 {
-  uint32_t batches = clm->queue.length / LIM_CLAIM_ENTRIES + (clm->batch.length > 0 ? 1 : 0);
-  return cpc_expected_us (&clm->pace, clm->now_us, batches);
+  uint32_t batches =
+      claim_stream->queue.length / LIM_CLAIM_ENTRIES + (claim_stream->batch.length > 0 ? 1 : 0);
+  return claim_pace_expected_answer_us (&claim_stream->pace, claim_stream->now_us, batches);
 }
 
 /* Ends the wait of claims that can't be appended in time. */
 static void
-limit_wait_of_late_claims (clm_t *clm)
+limit_wait_of_late_claims (claim_stream_t *claim_stream)
 {
-  uint64_t next_us = cpc_expected_us (&clm->pace, clm->now_us, 0);
+  uint64_t next_us = claim_pace_expected_answer_us (&claim_stream->pace, claim_stream->now_us, 0);
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, clm->pending);
+  g_hash_table_iter_init (&iter, claim_stream->pending);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       pending_claim_t *claim = value;
       if (claim->sent_count == 0 && claim->send_by_us <= next_us)
-        limit_wait (clm, claim, 0);
+        limit_wait (claim_stream, claim, 0);
     }
 }
 
-clm_t *
-clm_new (uint64_t horizon_us)
+claim_stream_t *
+claim_new (uint64_t horizon_us)
 {
-  clm_t *clm = g_new0 (clm_t, 1);
-  clm->keys = cky_new ((uint32_t)(horizon_us / CLK_US_PER_S));
-  clm->pending = g_hash_table_new_full (id_hash, id_equal, NULL, g_free);
-  clm->horizon_us = horizon_us;
-  clm->next_give_up_us = UINT64_MAX;
-  cpc_init (&clm->pace);
-  return clm;
+  claim_stream_t *claim_stream = g_new0 (claim_stream_t, 1);
+  claim_stream->keys = claim_keys_new ((uint32_t)(horizon_us / CLK_US_PER_S));
+  claim_stream->pending = g_hash_table_new_full (id_hash, id_equal, NULL, g_free);
+  claim_stream->horizon_us = horizon_us;
+  claim_stream->next_give_up_us = UINT64_MAX;
+  claim_pace_init (&claim_stream->pace);
+  return claim_stream;
 }
 
 void
-clm_free (clm_t *clm)
+claim_free (claim_stream_t *claim_stream)
 {
-  if (clm == NULL)
+  if (claim_stream == NULL)
     return;
-  cky_free (clm->keys);
-  g_hash_table_destroy (clm->pending);
-  g_queue_clear_full (&clm->queue, g_free);
-  g_queue_clear_full (&clm->batch, g_free);
-  g_queue_clear_full (&clm->results, g_free);
-  g_free (clm);
+  claim_keys_free (claim_stream->keys);
+  g_hash_table_destroy (claim_stream->pending);
+  g_queue_clear_full (&claim_stream->queue, g_free);
+  g_queue_clear_full (&claim_stream->batch, g_free);
+  g_queue_clear_full (&claim_stream->results, g_free);
+  g_free (claim_stream);
 }
 
 static bool
-has_queued_outcomes (const clm_t *clm)
+has_queued_outcomes (const claim_stream_t *claim_stream)
 {
-  for (const GList *link = clm->queue.head; link != NULL; link = link->next)
-    if (((const queued_entry_t *)link->data)->fields.kind != CLR_CLAIM)
+  for (const GList *link = claim_stream->queue.head; link != NULL; link = link->next)
+    if (((const queued_entry_t *)link->data)->fields.kind != CLAIM_ENTRY_CLAIM)
       return true;
   return false;
 }
@@ -393,221 +402,230 @@
  * The entries of lost appends, among them the releases of claims that were given up, are appended
  * again and so show when the log is back. Without such entries one claim per interval does. */
 static bool
-may_accept (const clm_t *clm, const pending_claim_t *claim)
+may_accept (const claim_stream_t *claim_stream, const pending_claim_t *claim)
 {
-  if (g_hash_table_size (clm->pending) >= LIM_CLAIMS_WAITING)
+  if (g_hash_table_size (claim_stream->pending) >= LIM_CLAIMS_WAITING)
     return false;
-  if (clm->queue.length >= LIM_CLAIM_QUEUE)
+  if (claim_stream->queue.length >= LIM_CLAIM_QUEUE)
     return false;
-  if (expected_answer_us (clm) >= claim->send_by_us)
+  if (expected_answer_us (claim_stream) >= claim->send_by_us)
     return false;
-  if (!clm->log_down)
+  if (!claim_stream->log_down)
     return true;
-  if (clm->batch.length > 0 || has_queued_outcomes (clm))
+  if (claim_stream->batch.length > 0 || has_queued_outcomes (claim_stream))
     return false;
-  uint64_t probe_us = MAX (clm->down_since_us + PROBE_INTERVAL_US, clm->pace.due_us);
-  return g_hash_table_size (clm->pending) == 0 && clm->now_us >= probe_us;
+  uint64_t probe_us =
+      MAX (claim_stream->down_since_us + PROBE_INTERVAL_US, claim_stream->pace.due_us);
+  return g_hash_table_size (claim_stream->pending) == 0 && claim_stream->now_us >= probe_us;
 }
 
 void
-clm_request (clm_t *clm,
-             uint64_t now_us,
-             const uint64_t claim_id[2],
-             const clm_key_t *key,
-             uint64_t expiry_us,
-             void *owner)
-{
-  advance_clock (clm, now_us);
-  cpc_stir (&clm->pace, claim_id[0] ^ claim_id[1]);
+claim_request (claim_stream_t *claim_stream,
+               uint64_t now_us,
+               const uint64_t claim_id[2],
+               const claim_key_t *key,
+               uint64_t expiry_us,
+               void *owner)
+{
+  advance_clock (claim_stream, now_us);
+  claim_pace_add_entropy (&claim_stream->pace, claim_id[0] ^ claim_id[1]);
   pending_claim_t claim = { .key = *key, .owner = owner };
   memcpy (claim.claim_id, claim_id, sizeof claim.claim_id);
   /* The request must not start when its key may have been forgotten already. */
-  claim.expiry_us = MIN (expiry_us, now_us + clm->horizon_us / 2);
+  claim.expiry_us = MIN (expiry_us, now_us + claim_stream->horizon_us / 2);
   claim.send_by_us = MIN (claim.expiry_us, now_us + LIM_CLAIM_WAIT_US);
   claim.give_up_us = claim.expiry_us;
-  cky_verdict_t known = cky_known (clm->keys, key);
-  if (known.verdict != CLM_PENDING)
-    add_result (clm, &claim, known.verdict, known.status);
-  else if (g_hash_table_contains (clm->pending, claim_id))
-    add_result (clm, &claim, CLM_HELD, 0);
-  else if (!may_accept (clm, &claim))
-    add_result (clm, &claim, CLM_LOG_DOWN, 0);
+  claim_keys_verdict_t known = claim_keys_check_finished (claim_stream->keys, key);
+  if (known.verdict != CLAIM_PENDING)
+    add_result (claim_stream, &claim, known.verdict, known.status);
+  else if (g_hash_table_contains (claim_stream->pending, claim_id))
+    add_result (claim_stream, &claim, CLAIM_HELD, 0);
+  else if (!may_accept (claim_stream, &claim))
+    add_result (claim_stream, &claim, CLAIM_LOG_DOWN, 0);
   else
     {
       pending_claim_t *added = g_memdup2 (&claim, sizeof claim);
-      g_hash_table_insert (clm->pending, added->claim_id, added);
-      limit_wait (clm, added, added->expiry_us);
-      enqueue (clm, CLR_CLAIM, claim_id, key, 0);
+      g_hash_table_insert (claim_stream->pending, added->claim_id, added);
+      limit_wait (claim_stream, added, added->expiry_us);
+      enqueue (claim_stream, CLAIM_ENTRY_CLAIM, claim_id, key, 0);
     }
 }
 
 void
-clm_release (clm_t *clm, const uint64_t claim_id[2], const clm_key_t *key)
+claim_release (claim_stream_t *claim_stream, const uint64_t claim_id[2], const claim_key_t *key)
 {
-  pending_claim_t *claim = g_hash_table_lookup (clm->pending, claim_id);
+  pending_claim_t *claim = g_hash_table_lookup (claim_stream->pending, claim_id);
   bool never_sent = claim != NULL && claim->sent_count == 0;
-  g_hash_table_remove (clm->pending, claim_id);
+  g_hash_table_remove (claim_stream->pending, claim_id);
   if (!never_sent)
-    enqueue_release (clm, claim_id, key);
+    enqueue_release (claim_stream, claim_id, key);
 }
 
 void
-clm_done (clm_t *clm, const uint64_t claim_id[2], const clm_key_t *key, uint32_t status)
+claim_finish (claim_stream_t *claim_stream,
+              const uint64_t claim_id[2],
+              const claim_key_t *key,
+              uint32_t status)
 {
-  queued_entry_t *entry = find_queued_outcome (clm, claim_id);
+  queued_entry_t *entry = find_queued_outcome (claim_stream, claim_id);
   if (entry == NULL)
     {
-      enqueue (clm, CLR_DONE, claim_id, key, status);
+      enqueue (claim_stream, CLAIM_ENTRY_DONE, claim_id, key, status);
       return;
     }
-  if (entry->fields.kind != CLR_DONE)
-    count_deferred (clm);
-  entry->fields.kind = CLR_DONE;
+  if (entry->fields.kind != CLAIM_ENTRY_DONE)
+    count_deferred (claim_stream);
+  entry->fields.kind = CLAIM_ENTRY_DONE;
   entry->fields.status = status;
 }
 
 char *
-clm_batch (clm_t *clm, uint64_t now_us, uint64_t wall_ms)
+claim_next_batch (claim_stream_t *claim_stream, uint64_t now_us, uint64_t wall_ms)
 {
-  advance_clock (clm, now_us);
-  give_up_expired (clm);
-  if (clm->now_us < clm_due_us (clm))
+  advance_clock (claim_stream, now_us);
+  give_up_expired (claim_stream);
+  if (claim_stream->now_us < claim_append_due_us (claim_stream))
     return NULL;
-  fill_batch (clm);
-  if (clm->batch.length == 0)
+  fill_batch (claim_stream);
+  if (claim_stream->batch.length == 0)
     return NULL;
-  cpc_started (&clm->pace, clm->now_us);
-  clr_t records[LIM_CLAIM_ENTRIES];
+  claim_pace_append_started (&claim_stream->pace, claim_stream->now_us);
+  claim_entry_t records[LIM_CLAIM_ENTRIES];
   uint32_t count = 0;
-  for (GList *link = clm->batch.head; link != NULL; link = link->next)
+  for (GList *link = claim_stream->batch.head; link != NULL; link = link->next)
     {
       queued_entry_t *entry = link->data;
       entry->fields.wall_ms = wall_ms;
       records[count++] = entry->fields;
     }
-  return clr_write (records, count);
+  return claim_record_format (records, count);
 }
 
 void
-clm_appended (clm_t *clm, uint64_t now_us, uint64_t offset)
+claim_append_succeeded (claim_stream_t *claim_stream, uint64_t now_us, uint64_t offset)
 {
   (void)offset; /* claims are granted when they are read back */
-  advance_clock (clm, now_us);
-  cpc_taken (&clm->pace, clm->now_us);
-  g_queue_clear_full (&clm->batch, g_free);
-  clm->append_lost = false;
-  clm->log_down = false;
+  advance_clock (claim_stream, now_us);
+  claim_pace_append_succeeded (&claim_stream->pace, claim_stream->now_us);
+  g_queue_clear_full (&claim_stream->batch, g_free);
+  claim_stream->append_lost = false;
+  claim_stream->log_down = false;
 }
 
 void
-clm_append_lost (clm_t *clm, uint64_t now_us)
+claim_append_lost (claim_stream_t *claim_stream, uint64_t now_us)
 {
-  advance_clock (clm, now_us);
-  if (all_read_back (clm))
+  advance_clock (claim_stream, now_us);
+  if (all_read_back (claim_stream))
     {
-      clm_appended (clm, now_us, clm->next_offset); /* only the answer was lost */
+      claim_append_succeeded (claim_stream, now_us,
+                              claim_stream->next_offset); /* only the answer was lost */
       return;
     }
-  cpc_lost (&clm->pace, clm->now_us);
-  clm->append_lost = true;
-  clm->reads_after_loss = 0;
-  set_log_down (clm);
+  claim_pace_append_lost (&claim_stream->pace, claim_stream->now_us);
+  claim_stream->append_lost = true;
+  claim_stream->reads_after_loss = 0;
+  set_log_down (claim_stream);
 }
 
 void
-clm_append_refused (clm_t *clm, uint64_t now_us)
+claim_append_refused (claim_stream_t *claim_stream, uint64_t now_us)
 {
-  advance_clock (clm, now_us);
-  cpc_refused (&clm->pace, clm->now_us);
-  undo_batch (clm);
-  if (clm->pace.refusals >= REFUSALS_MAX)
-    set_log_down (clm);
+  advance_clock (claim_stream, now_us);
+  claim_pace_append_refused (&claim_stream->pace, claim_stream->now_us);
+  undo_batch (claim_stream);
+  if (claim_stream->pace.refusals >= REFUSALS_MAX)
+    set_log_down (claim_stream);
   else
-    limit_wait_of_late_claims (clm);
+    limit_wait_of_late_claims (claim_stream);
 }
 
 void
-clm_log_down (clm_t *clm, uint64_t now_us)
+claim_read_failed (claim_stream_t *claim_stream, uint64_t now_us)
 {
-  advance_clock (clm, now_us);
-  set_log_down (clm);
+  advance_clock (claim_stream, now_us);
+  set_log_down (claim_stream);
 }
 
 void
-clm_begin (clm_t *clm, uint64_t first_offset)
+claim_set_first_offset (claim_stream_t *claim_stream, uint64_t first_offset)
 {
-  clm->next_offset = MAX (clm->next_offset, first_offset);
+  claim_stream->next_offset = MAX (claim_stream->next_offset, first_offset);
 }
 
 void
-clm_feed (clm_t *clm,
-          uint64_t now_us,
-          uint64_t wall_ms,
-          uint64_t offset,
-          const char *data,
-          size_t data_bytes)
-{
-  advance_clock (clm, now_us);
-  cky_set_wall (clm->keys, wall_ms);
-  if (offset < clm->next_offset)
+claim_apply_record (claim_stream_t *claim_stream,
+                    uint64_t now_us,
+                    uint64_t wall_ms,
+                    uint64_t offset,
+                    const char *data,
+                    size_t data_bytes)
+{
+  advance_clock (claim_stream, now_us);
+  claim_keys_set_wall_clock (claim_stream->keys, wall_ms);
+  if (offset < claim_stream->next_offset)
     return;
-  clm->next_offset = offset + 1;
-  GArray *entries = clr_read (data, data_bytes, &clm->malformed_count);
+  claim_stream->next_offset = offset + 1;
+  GArray *entries = claim_record_parse (data, data_bytes, &claim_stream->malformed_count);
   for (guint i = 0; i < entries->len; i++)
-    apply_entry (clm, &g_array_index (entries, clr_t, i));
+    apply_entry (claim_stream, &g_array_index (entries, claim_entry_t, i));
   g_array_free (entries, TRUE);
-  if (clm->append_lost && all_read_back (clm))
-    requeue_lost (clm);
+  if (claim_stream->append_lost && all_read_back (claim_stream))
+    requeue_lost (claim_stream);
 }
 
 void
-clm_read_to (clm_t *clm, uint64_t now_us, uint64_t end_offset)
+claim_read_to_end (claim_stream_t *claim_stream, uint64_t now_us, uint64_t end_offset)
 {
-  advance_clock (clm, now_us);
-  clm->next_offset = MAX (clm->next_offset, end_offset);
-  if (clm->append_lost && ++clm->reads_after_loss >= READS_AFTER_LOSS)
-    requeue_lost (clm);
+  advance_clock (claim_stream, now_us);
+  claim_stream->next_offset = MAX (claim_stream->next_offset, end_offset);
+  if (claim_stream->append_lost && ++claim_stream->reads_after_loss >= READS_AFTER_LOSS)
+    requeue_lost (claim_stream);
 }
 
 uint64_t
-clm_next_offset (const clm_t *clm)
+claim_next_offset (const claim_stream_t *claim_stream)
 {
-  return clm->next_offset;
+  return claim_stream->next_offset;
 }
 
 bool
-clm_wants (const clm_t *clm)
+claim_has_work (const claim_stream_t *claim_stream)
 {
-  return g_hash_table_size (clm->pending) > 0 || clm->queue.length > 0 || clm->batch.length > 0;
+  return g_hash_table_size (claim_stream->pending) > 0 || claim_stream->queue.length > 0 ||
+         claim_stream->batch.length > 0;
 }
 
 bool
-clm_wants_read (const clm_t *clm)
+claim_needs_read (const claim_stream_t *claim_stream)
 {
-  return g_hash_table_size (clm->pending) > 0 || clm->append_lost;
+  return g_hash_table_size (claim_stream->pending) > 0 || claim_stream->append_lost;
 }
 
 uint64_t
-clm_due_us (const clm_t *clm)
+claim_append_due_us (const claim_stream_t *claim_stream)
 {
-  if (clm->queue.length == 0 || clm->batch.length > 0)
+  if (claim_stream->queue.length == 0 || claim_stream->batch.length > 0)
     return UINT64_MAX;
-  bool defer = clm->deferred_count == clm->queue.length && clm->deferred_count < LIM_CLAIM_ENTRIES;
-  return MAX (clm->pace.due_us, defer ? clm->deferred_since_us + LIM_CLAIM_HOLD_US : 0);
+  bool defer = claim_stream->deferred_count == claim_stream->queue.length &&
+               claim_stream->deferred_count < LIM_CLAIM_ENTRIES;
+  return MAX (claim_stream->pace.due_us,
+              defer ? claim_stream->deferred_since_us + LIM_CLAIM_HOLD_US : 0);
 }
 
 bool
-clm_result (clm_t *clm, uint64_t now_us, clm_result_t *result)
+claim_take_result (claim_stream_t *claim_stream, uint64_t now_us, claim_result_t *result)
 {
-  advance_clock (clm, now_us);
-  give_up_expired (clm);
-  pending_result_t *pending_result = g_queue_pop_head (&clm->results);
+  advance_clock (claim_stream, now_us);
+  give_up_expired (claim_stream);
+  pending_result_t *pending_result = g_queue_pop_head (&claim_stream->results);
   if (pending_result == NULL)
     return false;
-  if (pending_result->result.verdict == CLM_GRANTED && clm->now_us >= pending_result->expiry_us)
+  if (pending_result->result.verdict == CLAIM_GRANTED &&
+      claim_stream->now_us >= pending_result->expiry_us)
     {
-      pending_result->result.verdict = CLM_TOO_LATE;
-      enqueue_release (clm, pending_result->result.claim_id, &pending_result->key);
+      pending_result->result.verdict = CLAIM_EXPIRED;
+      enqueue_release (claim_stream, pending_result->result.claim_id, &pending_result->key);
     }
   *result = pending_result->result;
   g_free (pending_result);
@@ -615,19 +633,19 @@
 }
 
 uint32_t
-clm_key_count (const clm_t *clm)
+claim_key_count (const claim_stream_t *claim_stream)
 {
-  return cky_count (clm->keys);
+  return claim_keys_count (claim_stream->keys);
 }
 
 uint64_t
-clm_memory_bytes (const clm_t *clm)
+claim_memory_bytes (const claim_stream_t *claim_stream)
 {
-  return cky_bytes (clm->keys);
+  return claim_keys_memory_bytes (claim_stream->keys);
 }
 
 uint64_t
-clm_broken_count (const clm_t *clm)
+claim_malformed_count (const claim_stream_t *claim_stream)
 {
-  return clm->malformed_count;
+  return claim_stream->malformed_count;
 }
--- a/src/request/policy/claim_pace.c
+++ b/src/request/policy/claim_pace.c
@@ -17,14 +17,14 @@
 
 /* Return: @wait_us times 3/4 to 5/4, so that daemons refused together don't retry together */
 static uint64_t
-add_jitter (cpc_t *pace, uint64_t wait_us)
+add_jitter (claim_pace_t *pace, uint64_t wait_us)
 {
   pace->jitter_seed = XXH3_64bits (&pace->jitter_seed, sizeof pace->jitter_seed);
   return wait_us * 3 / 4 + wait_us / 2 * (pace->jitter_seed >> 48) / (1 << 16);
 }
 
 static uint64_t
-backoff_us (const cpc_t *pace)
+backoff_us (const claim_pace_t *pace)
 {
   g_assert (pace->failures > 0);
   const uint32_t doublings = MIN (pace->failures - 1, 16);
@@ -32,33 +32,33 @@
 }
 
 static void
-back_off (cpc_t *pace, uint64_t now_us)
+back_off (claim_pace_t *pace, uint64_t now_us)
 {
   pace->failures++;
   pace->due_us = now_us + add_jitter (pace, MAX (backoff_us (pace), pace->interval_us));
 }
 
 void
-cpc_init (cpc_t *pace)
+claim_pace_init (claim_pace_t *pace)
 {
   memset (pace, 0, sizeof *pace);
   pace->interval_us = LIM_CLAIM_INTERVAL_MIN_US;
 }
 
 void
-cpc_stir (cpc_t *pace, uint64_t entropy)
+claim_pace_add_entropy (claim_pace_t *pace, uint64_t entropy)
 {
   pace->jitter_seed += entropy;
 }
 
 void
-cpc_started (cpc_t *pace, uint64_t now_us)
+claim_pace_append_started (claim_pace_t *pace, uint64_t now_us)
 {
   pace->started_us = now_us;
 }
 
 void
-cpc_taken (cpc_t *pace, uint64_t now_us)
+claim_pace_append_succeeded (claim_pace_t *pace, uint64_t now_us)
 {
   uint64_t round_trip_us = now_us - pace->started_us;
   pace->round_trip_us = pace->round_trip_us == 0
@@ -73,7 +73,7 @@
 }
 
 void
-cpc_refused (cpc_t *pace, uint64_t now_us)
+claim_pace_append_refused (claim_pace_t *pace, uint64_t now_us)
 {
   pace->refusals++;
   pace->interval_us =
@@ -82,14 +82,14 @@
 }
 
 void
-cpc_lost (cpc_t *pace, uint64_t now_us)
+claim_pace_append_lost (claim_pace_t *pace, uint64_t now_us)
 {
   pace->refusals = 0;
   back_off (pace, now_us);
 }
 
 uint64_t
-cpc_expected_us (const cpc_t *pace, uint64_t now_us, uint32_t batches)
+claim_pace_expected_answer_us (const claim_pace_t *pace, uint64_t now_us, uint32_t batches)
 {
   return MAX (pace->due_us, now_us) + batches * pace->interval_us + pace->round_trip_us;
 }
--- a/src/request/policy/claim_pace.h
+++ b/src/request/policy/claim_pace.h
@@ -16,7 +16,7 @@
 #include <stdint.h>
 
 /**
- * struct cpc - state of one stream
+ * struct claim_pace - state of one stream
  * @interval_us: minimum time between the starts of two appends
  * @started_us: when the last append started
  * @due_us: when the next append may start
@@ -34,23 +34,24 @@
   uint64_t jitter_seed;
   uint32_t failures;
   uint32_t refusals;
-} cpc_t;
+} claim_pace_t;
 
-/** cpc_init() - begins with the shortest interval */
-void cpc_init (cpc_t *pace);
-/** cpc_stir() - adds a value that differs between daemons, for the jitter */
-void cpc_stir (cpc_t *pace, uint64_t entropy);
-/** cpc_started() - an append starts */
-void cpc_started (cpc_t *pace, uint64_t now_us);
-/** cpc_taken() - the append succeeded */
-void cpc_taken (cpc_t *pace, uint64_t now_us);
-/** cpc_refused() - the log refused the append because it gets too many */
-void cpc_refused (cpc_t *pace, uint64_t now_us);
-/** cpc_lost() - the append got no answer: the log is down or slow, which says nothing about the
- * rate */
-void cpc_lost (cpc_t *pace, uint64_t now_us);
-/** cpc_expected_us() - Return: expected time of the answer to an append that @batches others
- * precede */
-uint64_t cpc_expected_us (const cpc_t *pace, uint64_t now_us, uint32_t batches);
+/** claim_pace_init() - begins with the shortest interval */
+void claim_pace_init (claim_pace_t *pace);
+/** claim_pace_add_entropy() - adds a value that differs between daemons, for the jitter */
+void claim_pace_add_entropy (claim_pace_t *pace, uint64_t entropy);
+/** claim_pace_append_started() - an append starts */
+void claim_pace_append_started (claim_pace_t *pace, uint64_t now_us);
+/** claim_pace_append_succeeded() - the append succeeded */
+void claim_pace_append_succeeded (claim_pace_t *pace, uint64_t now_us);
+/** claim_pace_append_refused() - the log refused the append because it gets too many */
+void claim_pace_append_refused (claim_pace_t *pace, uint64_t now_us);
+/** claim_pace_append_lost() - the append got no answer: the log is down or slow, which says nothing
+ * about the rate */
+void claim_pace_append_lost (claim_pace_t *pace, uint64_t now_us);
+/** claim_pace_expected_answer_us() - Return: expected time of the answer to an append that @batches
+ * others precede */
+uint64_t
+claim_pace_expected_answer_us (const claim_pace_t *pace, uint64_t now_us, uint32_t batches);
 
 #endif
--- a/src/request/policy/claim_record.c
+++ b/src/request/policy/claim_record.c
@@ -18,20 +18,20 @@
 }
 
 static json_t *
-make_entry_json (const clr_t *entry)
+make_entry_json (const claim_entry_t *entry)
 {
   static const char *const names[] = { "c", "r", "d" };
   json_t *object = json_object ();
   set_hex_128 (object, names[entry->kind], entry->claim_id);
   set_hex_128 (object, "k", entry->key.key_hash);
-  if (entry->kind == CLR_CLAIM)
+  if (entry->kind == CLAIM_ENTRY_CLAIM)
     {
       char body[HEX_64_BYTES];
       g_snprintf (body, sizeof body, "%016" PRIx64, entry->key.body_hash);
       json_object_set_new (object, "b", json_string (body));
       json_object_set_new (object, "t", json_integer ((json_int_t)entry->wall_ms));
     }
-  if (entry->kind == CLR_DONE)
+  if (entry->kind == CLAIM_ENTRY_DONE)
     json_object_set_new (object, "s", json_integer (entry->status));
   return object;
 }
@@ -57,7 +57,7 @@
 }
 
 static bool
-parse_entry (const json_t *object, clr_t *entry)
+parse_entry (const json_t *object, claim_entry_t *entry)
 {
   json_int_t integer = 0;
   memset (entry, 0, sizeof *entry);
@@ -65,7 +65,7 @@
     return false;
   if (get_hex (object, "c", entry->claim_id, 2))
     {
-      entry->kind = CLR_CLAIM;
+      entry->kind = CLAIM_ENTRY_CLAIM;
       bool complete = get_hex (object, "b", &entry->key.body_hash, 1) &&
                       get_integer (object, "t", (json_int_t)1000 * UINT32_MAX, &integer);
       entry->wall_ms = (uint64_t)integer;
@@ -73,10 +73,10 @@
     }
   if (get_hex (object, "r", entry->claim_id, 2))
     {
-      entry->kind = CLR_RELEASE;
+      entry->kind = CLAIM_ENTRY_RELEASE;
       return true;
     }
-  entry->kind = CLR_DONE;
+  entry->kind = CLAIM_ENTRY_DONE;
   bool complete =
       get_hex (object, "d", entry->claim_id, 2) && get_integer (object, "s", UINT16_MAX, &integer);
   entry->status = (uint32_t)integer;
@@ -84,7 +84,7 @@
 }
 
 char *
-clr_write (const clr_t *entries, uint32_t count)
+claim_record_format (const claim_entry_t *entries, uint32_t count)
 {
   json_t *array = json_array ();
   for (uint32_t i = 0; i < count; i++)
@@ -97,9 +97,9 @@
 }
 
 GArray *
-clr_read (const char *data, size_t data_bytes, uint64_t *malformed)
+claim_record_parse (const char *data, size_t data_bytes, uint64_t *malformed)
 {
-  GArray *entries = g_array_new (FALSE, FALSE, sizeof (clr_t));
+  GArray *entries = g_array_new (FALSE, FALSE, sizeof (claim_entry_t));
   json_t *array = json_loadb (data, data_bytes, JSON_REJECT_DUPLICATES, NULL);
   if (!json_is_array (array))
     ++*malformed;
@@ -107,7 +107,7 @@
   json_t *object;
   json_array_foreach (array, index, object)
     {
-      clr_t entry;
+      claim_entry_t entry;
       if (parse_entry (object, &entry))
         g_array_append_val (entries, entry);
       else
--- a/src/request/policy/claim_record.h
+++ b/src/request/policy/claim_record.h
@@ -14,13 +14,13 @@
 /** enum claim_entry_kind - claim.h says what each kind of entry means */
 typedef enum
 {
-  CLR_CLAIM,
-  CLR_RELEASE,
-  CLR_DONE
-} clr_kind_t;
+  CLAIM_ENTRY_CLAIM,
+  CLAIM_ENTRY_RELEASE,
+  CLAIM_ENTRY_DONE
+} claim_entry_kind_t;
 
 /**
- * struct clr - one entry
+ * struct claim_entry - one entry
  * @key: without its body_hash in release and done entries
  * @wall_ms: wall time of the append, in claims only
  * @status: HTTP status, in done entries only
@@ -28,21 +28,21 @@
 typedef struct
 {
   uint64_t claim_id[2];
-  clm_key_t key;
+  claim_key_t key;
   uint64_t wall_ms;
   uint32_t status;
-  clr_kind_t kind;
-} clr_t;
+  claim_entry_kind_t kind;
+} claim_entry_t;
 
-/** clr_write() - Return: one record of all @entries, as text to be freed by g_free() */
-char *clr_write (const clr_t *entries, uint32_t count);
+/** claim_record_format() - Return: one record of all @entries, as text to be freed by g_free() */
+char *claim_record_format (const claim_entry_t *entries, uint32_t count);
 /**
- * clr_read() - parses a record
+ * claim_record_parse() - parses a record
  * @malformed: incremented for each malformed entry, which is skipped; a record that is not a JSON
  *   array counts as one
  *
- * Return: the well-formed entries, as a new array of clr_t
+ * Return: the well-formed entries, as a new array of claim_entry_t
  */
-GArray *clr_read (const char *data, size_t data_bytes, uint64_t *malformed);
+GArray *claim_record_parse (const char *data, size_t data_bytes, uint64_t *malformed);
 
 #endif
--- a/src/request/policy/digest.c
+++ b/src/request/policy/digest.c
@@ -26,7 +26,7 @@
 }
 
 uint64_t
-dgs_body (const char *method, const char *target, const void *body, size_t body_bytes)
+digest_request (const char *method, const char *target, const void *body, size_t body_bytes)
 {
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
   uint64_t out[2];
@@ -40,7 +40,7 @@
 }
 
 uint64_t
-dgs_fingerprint (const char *account, uint64_t body_hash)
+digest_fingerprint (const char *account, uint64_t body_hash)
 {
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
   uint64_t big_endian = GUINT64_TO_BE (body_hash);
@@ -53,7 +53,7 @@
 }
 
 void
-dgs_key (const char *account, const char *key, uint64_t out[2])
+digest_idempotency_key (const char *account, const char *key, uint64_t out[2])
 {
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
 
--- a/src/request/policy/digest.h
+++ b/src/request/policy/digest.h
@@ -11,12 +11,14 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** dgs_body() - digest of method, target and body; routers and sidecars compute the same */
-uint64_t dgs_body (const char *method, const char *target, const void *body, size_t body_bytes);
-/** dgs_fingerprint() - digest of account and body, under which suspect.h keeps a request's crashes;
- * @body_hash is the result of dgs_body() */
-uint64_t dgs_fingerprint (const char *account, uint64_t body_hash);
-/** dgs_key() - digest of an account's idempotency key; @out is never all zero */
-void dgs_key (const char *account, const char *key, uint64_t out[2]);
+/** digest_request() - digest of method, target and body; routers and sidecars compute the same */
+uint64_t
+digest_request (const char *method, const char *target, const void *body, size_t body_bytes);
+/** digest_fingerprint() - digest of account and body, under which suspect.h keeps a request's
+ * crashes;
+ * @body_hash is the result of digest_request() */
+uint64_t digest_fingerprint (const char *account, uint64_t body_hash);
+/** digest_idempotency_key() - digest of an account's idempotency key; @out is never all zero */
+void digest_idempotency_key (const char *account, const char *key, uint64_t out[2]);
 
 #endif
--- a/src/request/policy/directory.c
+++ b/src/request/policy/directory.c
@@ -6,7 +6,7 @@
 
 struct chat_directory
 {
-  dir_entry_t *entries;
+  chat_directory_entry_t *entries;
   uint32_t bucket_mask;
   uint32_t count;
 };
@@ -20,17 +20,17 @@
   return buckets;
 }
 
-static dir_entry_t *
-bucket_of (const dir_t *directory, uint64_t chat_hash)
+static chat_directory_entry_t *
+bucket_of (const chat_directory_t *directory, uint64_t chat_hash)
 {
   const uint32_t bucket = (uint32_t)(chat_hash >> 32) & directory->bucket_mask;
   return &directory->entries[(size_t)bucket * BUCKET_ENTRIES];
 }
 
-static dir_entry_t *
-find (const dir_t *directory, uint64_t chat_hash)
+static chat_directory_entry_t *
+find (const chat_directory_t *directory, uint64_t chat_hash)
 {
-  dir_entry_t *bucket = bucket_of (directory, chat_hash);
+  chat_directory_entry_t *bucket = bucket_of (directory, chat_hash);
   for (uint32_t i = 0; i < BUCKET_ENTRIES; i++)
     if (bucket[i].chat_hash == chat_hash)
       return &bucket[i];
@@ -38,11 +38,11 @@
 }
 
 /* Return: the entry of the chat's bucket to be replaced, an unused one if there is one */
-static dir_entry_t *
-replaceable_entry (const dir_t *directory, uint64_t chat_hash)
+static chat_directory_entry_t *
+replaceable_entry (const chat_directory_t *directory, uint64_t chat_hash)
 {
-  dir_entry_t *bucket = bucket_of (directory, chat_hash);
-  dir_entry_t *chosen = &bucket[0];
+  chat_directory_entry_t *bucket = bucket_of (directory, chat_hash);
+  chat_directory_entry_t *chosen = &bucket[0];
   for (uint32_t i = 0; i < BUCKET_ENTRIES; i++)
     {
       if (bucket[i].chat_hash == 0)
@@ -53,18 +53,18 @@
   return chosen;
 }
 
-dir_t *
-dir_new (uint32_t entry_limit)
+chat_directory_t *
+chat_directory_new (uint32_t entry_limit)
 {
-  dir_t *directory = g_new0 (dir_t, 1);
+  chat_directory_t *directory = g_new0 (chat_directory_t, 1);
   const uint32_t buckets = bucket_count_for (entry_limit);
-  directory->entries = g_new0 (dir_entry_t, (size_t)buckets * BUCKET_ENTRIES);
+  directory->entries = g_new0 (chat_directory_entry_t, (size_t)buckets * BUCKET_ENTRIES);
   directory->bucket_mask = buckets - 1;
   return directory;
 }
 
 void
-dir_free (dir_t *directory)
+chat_directory_free (chat_directory_t *directory)
 {
   if (directory == NULL)
     return;
@@ -73,28 +73,33 @@
 }
 
 void
-dir_put (dir_t *directory, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash)
+chat_directory_put (chat_directory_t *directory,
+                    uint64_t now_us,
+                    uint64_t chat_hash,
+                    uint64_t engine_hash)
 {
   if (chat_hash == 0)
     return;
-  dir_entry_t *entry = find (directory, chat_hash);
+  chat_directory_entry_t *entry = find (directory, chat_hash);
   if (entry == NULL)
     entry = replaceable_entry (directory, chat_hash);
   if (entry->chat_hash == 0)
     directory->count++;
-  *entry = (dir_entry_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .served_us = now_us };
+  *entry = (chat_directory_entry_t){ .chat_hash = chat_hash,
+                                     .engine_hash = engine_hash,
+                                     .served_us = now_us };
 }
 
 bool
-dir_get (const dir_t *directory,
-         uint64_t now_us,
-         uint64_t lifetime_us,
-         uint64_t chat_hash,
-         dir_entry_t *out)
+chat_directory_get (const chat_directory_t *directory,
+                    uint64_t now_us,
+                    uint64_t lifetime_us,
+                    uint64_t chat_hash,
+                    chat_directory_entry_t *out)
 {
   if (chat_hash == 0)
     return false;
-  const dir_entry_t *entry = find (directory, chat_hash);
+  const chat_directory_entry_t *entry = find (directory, chat_hash);
   if (entry == NULL)
     return false;
   /* The sum "served_us + lifetime_us" would overflow for an infinite lifetime. */
@@ -105,21 +110,21 @@
 }
 
 void
-dir_forget (dir_t *directory, uint64_t chat_hash)
+chat_directory_forget (chat_directory_t *directory, uint64_t chat_hash)
 {
   if (chat_hash == 0)
     return;
-  dir_entry_t *entry = find (directory, chat_hash);
+  chat_directory_entry_t *entry = find (directory, chat_hash);
   if (entry == NULL)
     return;
-  *entry = (dir_entry_t){ 0 };
+  *entry = (chat_directory_entry_t){ 0 };
   directory->count--;
 }
 
 void
-dir_each (const dir_t *directory,
-          void (*visit) (const dir_entry_t *entry, void *context),
-          void *context)
+chat_directory_for_each (const chat_directory_t *directory,
+                         void (*visit) (const chat_directory_entry_t *entry, void *context),
+                         void *context)
 {
   const size_t limit = ((size_t)directory->bucket_mask + 1) * BUCKET_ENTRIES;
   for (size_t i = 0; i < limit; i++)
@@ -128,7 +133,7 @@
 }
 
 uint32_t
-dir_count (const dir_t *directory)
+chat_directory_count (const chat_directory_t *directory)
 {
   return directory->count;
 }
--- a/src/request/policy/directory.h
+++ b/src/request/policy/directory.h
@@ -22,28 +22,33 @@
   uint64_t chat_hash;
   uint64_t engine_hash;
   uint64_t served_us;
-} dir_entry_t;
+} chat_directory_entry_t;
 
-typedef struct chat_directory dir_t;
+typedef struct chat_directory chat_directory_t;
 
-/** dir_new() - Return: an empty directory for at least @entry_limit chats */
-dir_t *dir_new (uint32_t entry_limit);
-void dir_free (dir_t *directory);
-/** dir_put() - @engine_hash served the chat at @now_us; a @chat_hash of 0 is ignored */
-void dir_put (dir_t *directory, uint64_t now_us, uint64_t chat_hash, uint64_t engine_hash);
-/** dir_get() - gets the entry of a chat. Return: false when there is none, or one older than
+/** chat_directory_new() - Return: an empty directory for at least @entry_limit chats */
+chat_directory_t *chat_directory_new (uint32_t entry_limit);
+void chat_directory_free (chat_directory_t *directory);
+/** chat_directory_put() - @engine_hash served the chat at @now_us; a @chat_hash of 0 is ignored */
+void chat_directory_put (chat_directory_t *directory,
+                         uint64_t now_us,
+                         uint64_t chat_hash,
+                         uint64_t engine_hash);
+/** chat_directory_get() - gets the entry of a chat. Return: false when there is none, or one older
+ * than
  * @lifetime_us */
-bool dir_get (const dir_t *directory,
-              uint64_t now_us,
-              uint64_t lifetime_us,
-              uint64_t chat_hash,
-              dir_entry_t *out);
-void dir_forget (dir_t *directory, uint64_t chat_hash);
-/** dir_each() - calls @visit for each entry; a leaving sidecar so hands its entries over */
-void dir_each (const dir_t *directory,
-               void (*visit) (const dir_entry_t *entry, void *context),
-               void *context);
-/** dir_count() - Return: number of chats in the directory */
-uint32_t dir_count (const dir_t *directory);
+bool chat_directory_get (const chat_directory_t *directory,
+                         uint64_t now_us,
+                         uint64_t lifetime_us,
+                         uint64_t chat_hash,
+                         chat_directory_entry_t *out);
+void chat_directory_forget (chat_directory_t *directory, uint64_t chat_hash);
+/** chat_directory_for_each() - calls @visit for each entry; a leaving sidecar so hands its entries
+ * over */
+void chat_directory_for_each (const chat_directory_t *directory,
+                              void (*visit) (const chat_directory_entry_t *entry, void *context),
+                              void *context);
+/** chat_directory_count() - Return: number of chats in the directory */
+uint32_t chat_directory_count (const chat_directory_t *directory);
 
 #endif
--- a/src/request/policy/health.c
+++ b/src/request/policy/health.c
@@ -17,80 +17,80 @@
   bool probing;
 } entry_t;
 
-struct hlt
+struct health
 {
   GHashTable *entries; /* host hash -> entry_t */
 };
 
 static entry_t *
-find (const hlt_t *hlt, uint64_t host_hash)
+find (const health_t *health, uint64_t host_hash)
 {
-  return g_hash_table_lookup (hlt->entries, &host_hash);
+  return g_hash_table_lookup (health->entries, &host_hash);
 }
 
 static entry_t *
-find_or_add (hlt_t *hlt, uint64_t host_hash)
+find_or_add (health_t *health, uint64_t host_hash)
 {
-  entry_t *entry = find (hlt, host_hash);
+  entry_t *entry = find (health, host_hash);
   if (entry != NULL)
     return entry;
   uint64_t *key = g_new (uint64_t, 1);
   *key = host_hash;
   entry = g_new0 (entry_t, 1);
-  g_hash_table_insert (hlt->entries, key, entry);
+  g_hash_table_insert (health->entries, key, entry);
   return entry;
 }
 
 static bool
 is_down (const entry_t *entry)
 {
-  return entry != NULL && entry->failures >= HLT_FAILURES;
+  return entry != NULL && entry->failures >= HEALTH_FAILURES_MAX;
 }
 
-hlt_t *
-hlt_new (void)
+health_t *
+health_new (void)
 {
-  hlt_t *hlt = g_new0 (hlt_t, 1);
-  hlt->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  return hlt;
+  health_t *health = g_new0 (health_t, 1);
+  health->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  return health;
 }
 
 void
-hlt_free (hlt_t *hlt)
+health_free (health_t *health)
 {
-  if (hlt == NULL)
+  if (health == NULL)
     return;
-  g_hash_table_destroy (hlt->entries);
-  g_free (hlt);
+  g_hash_table_destroy (health->entries);
+  g_free (health);
 }
 
 void
-hlt_success (hlt_t *hlt, uint64_t host_hash)
+health_record_success (health_t *health, uint64_t host_hash)
 {
-  g_hash_table_remove (hlt->entries, &host_hash);
+  g_hash_table_remove (health->entries, &host_hash);
 }
 
 void
-hlt_failure (hlt_t *hlt, uint64_t now_us, uint64_t host_hash)
+health_record_failure (health_t *health, uint64_t now_us, uint64_t host_hash)
 {
-  entry_t *entry = find_or_add (hlt, host_hash);
+  entry_t *entry = find_or_add (health, host_hash);
   entry->failures++;
-  if (entry->failures < HLT_FAILURES)
+  if (entry->failures < HEALTH_FAILURES_MAX)
     return;
   /* Requests that were in flight together fail together, so only a failed probe doubles the
    * back-off. */
-  if (entry->failures > HLT_FAILURES && !entry->probing)
+  if (entry->failures > HEALTH_FAILURES_MAX && !entry->probing)
     return;
   entry->probing = false;
-  entry->backoff_us = entry->backoff_us == 0 ? HLT_BACKOFF_MIN_US : entry->backoff_us * 2;
-  entry->backoff_us = MIN (entry->backoff_us, HLT_BACKOFF_MAX_US);
+  entry->backoff_us = entry->backoff_us == 0 ? HEALTH_BACKOFF_MIN_US : entry->backoff_us * 2;
+  entry->backoff_us = MIN (entry->backoff_us, HEALTH_BACKOFF_MAX_US);
   entry->next_probe_us = now_us + entry->backoff_us;
 }
 
 bool
-hlt_usable (hlt_t *hlt, uint64_t now_us, uint64_t host_hash)
+health_begin_attempt (health_t *health, uint64_t now_us, uint64_t host_hash)
 {
-  entry_t *entry = find (hlt, host_hash);
+  entry_t *entry = find (health, host_hash);
   if (!is_down (entry))
     return true;
   if (now_us < entry->next_probe_us)
@@ -102,23 +102,23 @@
 }
 
 bool
-hlt_skipped (const hlt_t *hlt, uint64_t now_us, uint64_t host_hash)
+health_is_skipped (const health_t *health, uint64_t now_us, uint64_t host_hash)
 {
-  const entry_t *entry = find (hlt, host_hash);
+  const entry_t *entry = find (health, host_hash);
   return is_down (entry) && now_us < entry->next_probe_us;
 }
 
 bool
-hlt_distrust (const hlt_t *hlt, const uint64_t *host_hashes, uint32_t count)
+health_most_are_down (const health_t *health, const uint64_t *host_hashes, uint32_t count)
 {
   uint32_t down_count = 0;
   for (uint32_t i = 0; i < count; i++)
-    down_count += is_down (find (hlt, host_hashes[i]));
+    down_count += is_down (find (health, host_hashes[i]));
   return down_count * 2 > count;
 }
 
 void
-hlt_forget (hlt_t *hlt, uint64_t host_hash)
+health_forget (health_t *health, uint64_t host_hash)
 {
-  g_hash_table_remove (hlt->entries, &host_hash);
+  g_hash_table_remove (health->entries, &host_hash);
 }
--- a/src/request/policy/leave_notice.c
+++ b/src/request/policy/leave_notice.c
@@ -14,84 +14,84 @@
   uint64_t retry_us;
 } notice_t;
 
-struct lvn
+struct leave_notices
 {
   GArray *notices; /* notice_t */
 };
 
 static notice_t *
-notice_at (const lvn_t *lvn, guint index)
+notice_at (const leave_notices_t *leave_notices, guint index)
 {
-  return &g_array_index (lvn->notices, notice_t, index);
+  return &g_array_index (leave_notices->notices, notice_t, index);
 }
 
 /* Return: index of the host, or the number of notices when there is none for it */
 static guint
-find (const lvn_t *lvn, uint64_t host_hash)
+find (const leave_notices_t *leave_notices, uint64_t host_hash)
 {
   guint i = 0;
-  while (i < lvn->notices->len && notice_at (lvn, i)->host_hash != host_hash)
+  while (i < leave_notices->notices->len && notice_at (leave_notices, i)->host_hash != host_hash)
     i++;
   return i;
 }
 
 static notice_t *
-find_earliest (const lvn_t *lvn)
+find_earliest (const leave_notices_t *leave_notices)
 {
   notice_t *earliest = NULL;
-  for (guint i = 0; i < lvn->notices->len; i++)
+  for (guint i = 0; i < leave_notices->notices->len; i++)
     {
-      if (earliest == NULL || notice_at (lvn, i)->due_us < earliest->due_us)
-        earliest = notice_at (lvn, i);
+      if (earliest == NULL || notice_at (leave_notices, i)->due_us < earliest->due_us)
+        earliest = notice_at (leave_notices, i);
     }
   return earliest;
 }
 
-lvn_t *
-lvn_new (void)
+leave_notices_t *
+leave_notice_new (void)
 {
-  lvn_t *lvn = g_new (lvn_t, 1);
-  lvn->notices = g_array_new (FALSE, FALSE, sizeof (notice_t));
-  return lvn;
+  leave_notices_t *leave_notices = g_new (leave_notices_t, 1);
+  leave_notices->notices = g_array_new (FALSE, FALSE, sizeof (notice_t));
+  return leave_notices;
 }
 
 void
-lvn_free (lvn_t *lvn)
+leave_notice_free (leave_notices_t *leave_notices)
 {
-  g_array_free (lvn->notices, TRUE);
-  g_free (lvn);
+  g_array_free (leave_notices->notices, TRUE);
+  g_free (leave_notices);
 }
 
 void
-lvn_add (lvn_t *lvn, uint64_t now_us, uint64_t host_hash)
+leave_notice_add (leave_notices_t *leave_notices, uint64_t now_us, uint64_t host_hash)
 {
-  notice_t notice = { host_hash, now_us, LVN_FIRST_WAIT_US };
-  if (find (lvn, host_hash) == lvn->notices->len)
-    g_array_append_val (lvn->notices, notice);
+  notice_t notice = { host_hash, now_us, LEAVE_NOTICE_RETRY_MIN_US };
+  if (find (leave_notices, host_hash) == leave_notices->notices->len)
+    g_array_append_val (leave_notices->notices, notice);
 }
 
 void
-lvn_remove (lvn_t *lvn, uint64_t host_hash)
+leave_notice_remove (leave_notices_t *leave_notices, uint64_t host_hash)
 {
-  guint index = find (lvn, host_hash);
-  if (index < lvn->notices->len)
-    g_array_remove_index_fast (lvn->notices, index);
+  guint index = find (leave_notices, host_hash);
+  if (index < leave_notices->notices->len)
+    g_array_remove_index_fast (leave_notices->notices, index);
 }
 
 bool
-lvn_next (lvn_t *lvn, uint64_t now_us, uint64_t *host_hash)
+leave_notice_next (leave_notices_t *leave_notices, uint64_t now_us, uint64_t *host_hash)
 {
-  notice_t *notice = find_earliest (lvn);
+  notice_t *notice = find_earliest (leave_notices);
   if (notice == NULL || notice->due_us > now_us)
     return false;
   *host_hash = notice->host_hash;
   notice->due_us = now_us + notice->retry_us;
-  notice->retry_us = MIN (notice->retry_us * 2, LVN_WAIT_MAX_US);
+  notice->retry_us = MIN (notice->retry_us * 2, LEAVE_NOTICE_RETRY_MAX_US);
   return true;
 }
 
 uint32_t
-lvn_count (const lvn_t *lvn)
+leave_notice_count (const leave_notices_t *leave_notices)
 {
-  return lvn->notices->len;
+  return leave_notices->notices->len;
 }
--- a/src/request/policy/leave_notice.h
+++ b/src/request/policy/leave_notice.h
@@ -13,24 +13,26 @@
 #include <stdint.h>
 
 /* Time from the first call of a host to the second; it doubles with each call. */
-#define LVN_FIRST_WAIT_US (UINT64_C (200) * 1000)
-#define LVN_WAIT_MAX_US (UINT64_C (2000) * 1000)
+#define LEAVE_NOTICE_RETRY_MIN_US (UINT64_C (200) * 1000)
+#define LEAVE_NOTICE_RETRY_MAX_US (UINT64_C (2000) * 1000)
 
-typedef struct lvn lvn_t;
+typedef struct leave_notices leave_notices_t;
 
-lvn_t *lvn_new (void);
-void lvn_free (lvn_t *lvn);
-/** lvn_add() - the list has the host as leaving; no change for one that was added before */
-void lvn_add (lvn_t *lvn, uint64_t now_us, uint64_t host_hash);
-/** lvn_remove() - the host has reported that it leaves, or doesn't have to leave any more */
-void lvn_remove (lvn_t *lvn, uint64_t host_hash);
+leave_notices_t *leave_notice_new (void);
+void leave_notice_free (leave_notices_t *leave_notices);
+/** leave_notice_add() - the list has the host as leaving; no change for one that was added before
+ */
+void leave_notice_add (leave_notices_t *leave_notices, uint64_t now_us, uint64_t host_hash);
+/** leave_notice_remove() - the host has reported that it leaves, or doesn't have to leave any more
+ */
+void leave_notice_remove (leave_notices_t *leave_notices, uint64_t host_hash);
 /**
- * lvn_next() - takes the host that is to be called now, the one that has been due longest
+ * leave_notice_next() - takes the host that is to be called now, the one that has been due longest
  *
  * Return: false when none is due
  */
-bool lvn_next (lvn_t *lvn, uint64_t now_us, uint64_t *host_hash);
-/** lvn_count() - Return: number of hosts that are still to be told */
-uint32_t lvn_count (const lvn_t *lvn);
+bool leave_notice_next (leave_notices_t *leave_notices, uint64_t now_us, uint64_t *host_hash);
+/** leave_notice_count() - Return: number of hosts that are still to be told */
+uint32_t leave_notice_count (const leave_notices_t *leave_notices);
 
 #endif
--- a/src/request/policy/member.c
+++ b/src/request/policy/member.c
@@ -23,13 +23,13 @@
  */
 typedef struct
 {
-  mem_host_t published;
+  membership_host_t published;
   bool listed;
-  mem_state_t list_state;
+  membership_state_t list_state;
   bool list_says_leaving;
   uint64_t leaving_incarnation;
   bool has_report;
-  mem_word_t report;
+  membership_report_t report;
   uint64_t up_since_us;
   uint64_t gone_us;
   uint32_t flaps;
@@ -37,10 +37,10 @@
   uint64_t list_round;
 } member_t;
 
-struct mem
+struct membership
 {
   GHashTable *entries; /* host hash -> member_t */
-  mem_snapshot_t *snapshot;
+  membership_snapshot_t *snapshot;
   uint64_t list_revision;
   uint64_t list_round; /* counts complete lists, to find the hosts that the last one omits */
   bool has_list;
@@ -49,80 +49,80 @@
 };
 
 static void
-mark_changed (mem_t *mem)
+mark_changed (membership_t *membership)
 {
-  mem->changed = true;
-  mem->urgent = true;
+  membership->changed = true;
+  membership->urgent = true;
 }
 
 static member_t *
-find (const mem_t *mem, uint64_t host_hash)
+find (const membership_t *membership, uint64_t host_hash)
 {
-  return g_hash_table_lookup (mem->entries, &host_hash);
+  return g_hash_table_lookup (membership->entries, &host_hash);
 }
 
 /* A host is leaving as soon as the list or its own report says so. */
-static mem_state_t
+static membership_state_t
 effective_state (const member_t *entry)
 {
   if (!entry->listed)
-    return MEM_GONE;
-  mem_state_t state = entry->list_says_leaving ? MEM_LEAVING : MEM_LIVE;
+    return MEMBERSHIP_GONE;
+  membership_state_t state = entry->list_says_leaving ? MEMBERSHIP_LEAVING : MEMBERSHIP_LIVE;
   if (entry->has_report)
     state = MAX (state, entry->report.state);
   return state;
 }
 
 static bool
-update_state (mem_t *mem, member_t *entry)
+update_state (membership_t *membership, member_t *entry)
 {
-  mem_state_t state = effective_state (entry);
+  membership_state_t state = effective_state (entry);
   if (state == entry->published.state)
     return false;
   entry->published.state = state;
-  mark_changed (mem);
+  mark_changed (membership);
   return true;
 }
 
 static uint64_t
 damping_us (uint32_t flaps)
 {
-  uint64_t wait_us = MEM_DAMPING_MIN_US;
-  for (uint32_t i = 1; i < flaps && wait_us < MEM_DAMPING_MAX_US; i++)
+  uint64_t wait_us = MEMBERSHIP_DAMPING_MIN_US;
+  for (uint32_t i = 1; i < flaps && wait_us < MEMBERSHIP_DAMPING_MAX_US; i++)
     wait_us *= 2;
-  return MIN (wait_us, MEM_DAMPING_MAX_US);
+  return MIN (wait_us, MEMBERSHIP_DAMPING_MAX_US);
 }
 
-/* Removes one flap for each %MEM_LONG_UPTIME_US of uptime. Return: the uptime */
+/* Removes one flap for each %MEMBERSHIP_LONG_UPTIME_US of uptime. Return: the uptime */
 static uint64_t
 reduce_flaps (member_t *entry, uint64_t end_us)
 {
   uint64_t uptime_us = end_us - MIN (end_us, entry->up_since_us);
-  uint64_t removed = uptime_us / MEM_LONG_UPTIME_US;
+  uint64_t removed = uptime_us / MEMBERSHIP_LONG_UPTIME_US;
   entry->flaps -= (uint32_t)MIN (removed, entry->flaps);
   return uptime_us;
 }
 
 static void
-count_flap (mem_t *mem, member_t *entry, uint64_t now_us)
+count_flap (membership_t *membership, member_t *entry, uint64_t now_us)
 {
   uint32_t flaps_max = 16; /* more don't lengthen the damping, and would take hours to remove */
   entry->flaps = MIN (entry->flaps + 1, flaps_max);
   entry->published.settled_us = now_us + damping_us (entry->flaps);
-  mark_changed (mem);
+  mark_changed (membership);
 }
 
 static member_t *
-add_entry (mem_t *mem, const mem_listed_t *listed, uint64_t hash)
+add_entry (membership_t *membership, const membership_list_entry_t *listed, uint64_t hash)
 {
   uint64_t *key = g_new (uint64_t, 1);
   *key = hash;
   member_t *entry = g_new0 (member_t, 1);
   g_strlcpy (entry->published.name, listed->name, sizeof entry->published.name);
   entry->published.hash = hash;
-  entry->published.state = MEM_GONE;
-  entry->list_state = MEM_GONE;
-  g_hash_table_insert (mem->entries, key, entry);
+  entry->published.state = MEMBERSHIP_GONE;
+  entry->list_state = MEMBERSHIP_GONE;
+  g_hash_table_insert (membership->entries, key, entry);
   return entry;
 }
 
@@ -133,9 +133,9 @@
 }
 
 static void
-update_location (mem_t *mem, member_t *entry, const mem_listed_t *listed)
+update_location (membership_t *membership, member_t *entry, const membership_list_entry_t *listed)
 {
-  mem_host_t *published = &entry->published;
+  membership_host_t *published = &entry->published;
   bool same = published->router == listed->router &&
               same_address (&published->http, &listed->http) &&
               same_address (&published->exchange, &listed->exchange) &&
@@ -148,37 +148,37 @@
   published->exchange = listed->exchange;
   g_strlcpy (published->data_center, listed->data_center, sizeof published->data_center);
   g_strlcpy (published->region, listed->region, sizeof published->region);
-  mark_changed (mem);
+  mark_changed (membership);
 }
 
 static void
-add_to_list (mem_t *mem, member_t *entry, uint64_t now_us)
+add_to_list (membership_t *membership, member_t *entry, uint64_t now_us)
 {
   bool returned = entry->gone_us != 0;
   entry->listed = true;
   entry->up_since_us = now_us;
   /* Hosts of the first list may be older than this daemon and don't count as new. */
-  entry->published.joined_us = mem->has_list ? now_us : 0;
+  entry->published.joined_us = membership->has_list ? now_us : 0;
   if (returned)
     {
       entry->restart_expected = true;
-      count_flap (mem, entry, now_us);
+      count_flap (membership, entry, now_us);
     }
 }
 
 static void
-remove_from_list (mem_t *mem, member_t *entry, uint64_t now_us)
+remove_from_list (membership_t *membership, member_t *entry, uint64_t now_us)
 {
   if (!entry->listed)
     return;
   reduce_flaps (entry, now_us);
   entry->listed = false;
-  entry->list_state = MEM_GONE;
+  entry->list_state = MEMBERSHIP_GONE;
   entry->gone_us = now_us;
   /* Without an incarnation the list's "leaving" can't be told from one of the next start. */
   if (entry->leaving_incarnation == 0)
     entry->list_says_leaving = false;
-  update_state (mem, entry);
+  update_state (membership, entry);
 }
 
 /*
@@ -187,13 +187,13 @@
  * the list says live again of a host that is leaving.
  */
 static void
-update_list_state (member_t *entry, mem_state_t state)
+update_list_state (member_t *entry, membership_state_t state)
 {
   bool has_changed = state != entry->list_state;
   entry->list_state = state;
   if (!has_changed)
     return;
-  if (state == MEM_LEAVING)
+  if (state == MEMBERSHIP_LEAVING)
     {
       entry->list_says_leaving = true;
       entry->leaving_incarnation = entry->has_report ? entry->report.incarnation : 0;
@@ -205,58 +205,58 @@
 }
 
 static void
-apply_list_entry (mem_t *mem, uint64_t now_us, const mem_listed_t *listed)
+apply_list_entry (membership_t *membership, uint64_t now_us, const membership_list_entry_t *listed)
 {
   uint64_t hash = rendezvous_hash_name (listed->name);
-  member_t *entry = find (mem, hash);
-  if (listed->state == MEM_GONE)
+  member_t *entry = find (membership, hash);
+  if (listed->state == MEMBERSHIP_GONE)
     {
       if (entry != NULL)
-        remove_from_list (mem, entry, now_us);
+        remove_from_list (membership, entry, now_us);
       return;
     }
   if (entry == NULL)
-    entry = add_entry (mem, listed, hash);
-  entry->list_round = mem->list_round;
-  update_location (mem, entry, listed);
+    entry = add_entry (membership, listed, hash);
+  entry->list_round = membership->list_round;
+  update_location (membership, entry, listed);
   if (!entry->listed)
-    add_to_list (mem, entry, now_us);
+    add_to_list (membership, entry, now_us);
   update_list_state (entry, listed->state);
-  update_state (mem, entry);
+  update_state (membership, entry);
 }
 
 static void
-remove_expired (mem_t *mem, uint64_t now_us)
+remove_expired (membership_t *membership, uint64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mem->entries);
+  g_hash_table_iter_init (&iter, membership->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const member_t *entry = value;
-      if (!entry->listed && entry->gone_us + MEM_REMEMBERED_US < now_us)
+      if (!entry->listed && entry->gone_us + MEMBERSHIP_RETENTION_US < now_us)
         g_hash_table_iter_remove (&iter);
     }
 }
 
 /* A new incarnation: what the list said about the previous one no longer holds. */
 static void
-apply_restart (mem_t *mem, member_t *entry, uint64_t now_us)
+apply_restart (membership_t *membership, member_t *entry, uint64_t now_us)
 {
   if (entry->leaving_incarnation != 0)
     entry->list_says_leaving = false;
   entry->published.incarnation = entry->report.incarnation;
-  mem->changed = true;
+  membership->changed = true;
   if (entry->restart_expected || !entry->listed)
     return;
   uint64_t uptime_us = reduce_flaps (entry, now_us);
   entry->up_since_us = now_us;
-  if (uptime_us < MEM_LONG_UPTIME_US)
-    count_flap (mem, entry, now_us);
+  if (uptime_us < MEMBERSHIP_LONG_UPTIME_US)
+    count_flap (membership, entry, now_us);
 }
 
 static bool
-is_newer (const mem_word_t *report, const mem_word_t *last)
+is_newer (const membership_report_t *report, const membership_report_t *last)
 {
   if (report->incarnation != last->incarnation)
     return report->incarnation > last->incarnation;
@@ -266,34 +266,34 @@
 static int
 compare_names (const void *a, const void *b)
 {
-  return strcmp (((const mem_host_t *)a)->name, ((const mem_host_t *)b)->name);
+  return strcmp (((const membership_host_t *)a)->name, ((const membership_host_t *)b)->name);
 }
 
 static int
 compare_hashes (const void *a, const void *b, void *context)
 {
-  const mem_host_t *hosts = context;
+  const membership_host_t *hosts = context;
   uint64_t x = hosts[*(const uint32_t *)a].hash;
   uint64_t y = hosts[*(const uint32_t *)b].hash;
   return (x > y) - (x < y);
 }
 
-static mem_snapshot_t *
-make_snapshot (const mem_t *mem)
+static membership_snapshot_t *
+make_snapshot (const membership_t *membership)
 {
-  mem_snapshot_t *snapshot = g_new0 (mem_snapshot_t, 1);
+  membership_snapshot_t *snapshot = g_new0 (membership_snapshot_t, 1);
   g_atomic_ref_count_init (&snapshot->refs);
-  uint32_t room = g_hash_table_size (mem->entries);
-  snapshot->hosts = g_new (mem_host_t, room);
+  uint32_t room = g_hash_table_size (membership->entries);
+  snapshot->hosts = g_new (membership_host_t, room);
   snapshot->by_hash = g_new (uint32_t, room);
-  snapshot->list_revision = mem->list_revision;
+  snapshot->list_revision = membership->list_revision;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mem->entries);
+  g_hash_table_iter_init (&iter, membership->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const member_t *entry = value;
-      if (entry->published.state != MEM_GONE)
+      if (entry->published.state != MEMBERSHIP_GONE)
         snapshot->hosts[snapshot->host_count++] = entry->published;
     }
   uint32_t count = snapshot->host_count;
@@ -307,69 +307,77 @@
   return snapshot;
 }
 
-mem_t *
-mem_new (void)
+membership_t *
+membership_new (void)
 {
-  mem_t *mem = g_new0 (mem_t, 1);
-  mem->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  mark_changed (mem);
-  return mem;
+  membership_t *membership = g_new0 (membership_t, 1);
+  membership->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  mark_changed (membership);
+  return membership;
 }
 
 void
-mem_free (mem_t *mem)
+membership_free (membership_t *membership)
 {
-  if (mem == NULL)
+  if (membership == NULL)
     return;
-  g_hash_table_destroy (mem->entries);
-  if (mem->snapshot != NULL)
-    mem_snapshot_unref (mem->snapshot);
-  g_free (mem);
+  g_hash_table_destroy (membership->entries);
+  if (membership->snapshot != NULL)
+    membership_snapshot_unref (membership->snapshot);
+  g_free (membership);
 }
 
 void
-mem_list_full (
-    mem_t *mem, uint64_t now_us, const mem_listed_t *listed, uint32_t count, uint64_t revision)
+membership_apply_list (membership_t *membership,
+                       uint64_t now_us,
+                       const membership_list_entry_t *listed,
+                       uint32_t count,
+                       uint64_t revision)
 {
-  mem->list_round++;
+  membership->list_round++;
   for (uint32_t i = 0; i < count; i++)
-    apply_list_entry (mem, now_us, &listed[i]);
+    apply_list_entry (membership, now_us, &listed[i]);
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mem->entries);
+  g_hash_table_iter_init (&iter, membership->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       member_t *entry = value;
-      if (entry->list_round != mem->list_round)
-        remove_from_list (mem, entry, now_us);
+      if (entry->list_round != membership->list_round)
+        remove_from_list (membership, entry, now_us);
     }
-  remove_expired (mem, now_us);
-  mem->list_revision = revision;
-  mem->has_list = true;
+  remove_expired (membership, now_us);
+  membership->list_revision = revision;
+  membership->has_list = true;
 }
 
 void
-mem_list_delta (
-    mem_t *mem, uint64_t now_us, const mem_listed_t *listed, uint32_t count, uint64_t revision)
+membership_apply_list_changes (membership_t *membership,
+                               uint64_t now_us,
+                               const membership_list_entry_t *listed,
+                               uint32_t count,
+                               uint64_t revision)
 {
   for (uint32_t i = 0; i < count; i++)
-    apply_list_entry (mem, now_us, &listed[i]);
-  remove_expired (mem, now_us);
-  mem->list_revision = revision;
-  mem->has_list = true;
+    apply_list_entry (membership, now_us, &listed[i]);
+  remove_expired (membership, now_us);
+  membership->list_revision = revision;
+  membership->has_list = true;
 }
 
 bool
-mem_hear (mem_t *mem, uint64_t now_us, const mem_word_t *report)
+membership_apply_report (membership_t *membership,
+                         uint64_t now_us,
+                         const membership_report_t *report)
 {
-  member_t *entry = find (mem, report->host_hash);
+  member_t *entry = find (membership, report->host_hash);
   if (entry == NULL)
     return false;
   if (entry->has_report && !is_newer (report, &entry->report))
     return false;
   bool is_first = !entry->has_report;
   bool restarted = !is_first && report->incarnation != entry->report.incarnation;
-  mem_state_t state = report->state;
+  membership_state_t state = report->state;
   /* Within an incarnation a host never returns to an earlier state, whatever it reports. */
   if (!is_first && !restarted)
     state = MAX (state, entry->report.state);
@@ -380,71 +388,74 @@
   if (is_first)
     {
       entry->published.incarnation = report->incarnation;
-      mem->changed = true;
+      membership->changed = true;
     }
   if (restarted)
-    apply_restart (mem, entry, now_us);
+    apply_restart (membership, entry, now_us);
   entry->restart_expected = false;
-  update_state (mem, entry);
+  update_state (membership, entry);
   return is_news;
 }
 
 bool
-mem_word (const mem_t *mem, uint64_t host_hash, mem_word_t *report)
+membership_last_report (const membership_t *membership,
+                        uint64_t host_hash,
+                        membership_report_t *report)
 {
-  const member_t *entry = find (mem, host_hash);
+  const member_t *entry = find (membership, host_hash);
   if (entry == NULL || !entry->has_report)
     return false;
   *report = entry->report;
   return true;
 }
 
-mem_leave_t
-mem_leave (const mem_t *mem, uint64_t host_hash, uint64_t incarnation)
+membership_leave_t
+membership_find_leave (const membership_t *membership, uint64_t host_hash, uint64_t incarnation)
 {
-  const member_t *entry = find (mem, host_hash);
+  const member_t *entry = find (membership, host_hash);
   if (entry == NULL)
-    return MEM_LEAVE_NONE;
+    return MEMBERSHIP_LEAVE_NONE;
   if (entry->list_says_leaving && entry->leaving_incarnation == incarnation)
-    return MEM_LEAVE_INCARNATION;
+    return MEMBERSHIP_LEAVE_INCARNATION;
   if (entry->has_report && entry->report.incarnation == incarnation &&
-      entry->report.state != MEM_LIVE)
-    return MEM_LEAVE_INCARNATION;
+      entry->report.state != MEMBERSHIP_LIVE)
+    return MEMBERSHIP_LEAVE_INCARNATION;
   bool any_incarnation = entry->list_says_leaving && entry->leaving_incarnation == 0;
-  return any_incarnation && entry->list_state == MEM_LEAVING ? MEM_LEAVE_LISTED : MEM_LEAVE_NONE;
+  return any_incarnation && entry->list_state == MEMBERSHIP_LEAVING ? MEMBERSHIP_LEAVE_LISTED
+                                                                    : MEMBERSHIP_LEAVE_NONE;
 }
 
 bool
-mem_awaits_leave (const mem_t *mem, uint64_t host_hash)
+membership_leave_unconfirmed (const membership_t *membership, uint64_t host_hash)
 {
-  const member_t *entry = find (mem, host_hash);
+  const member_t *entry = find (membership, host_hash);
   if (entry == NULL || !entry->listed || !entry->list_says_leaving)
     return false;
-  return !entry->has_report || entry->report.state == MEM_LIVE;
+  return !entry->has_report || entry->report.state == MEMBERSHIP_LIVE;
 }
 
 bool
-mem_changed (const mem_t *mem)
+membership_has_changed (const membership_t *membership)
 {
-  return mem->changed;
+  return membership->changed;
 }
 
 bool
-mem_urgent (const mem_t *mem)
+membership_has_urgent_change (const membership_t *membership)
 {
-  return mem->urgent;
+  return membership->urgent;
 }
 
-mem_snapshot_t *
-mem_snapshot (mem_t *mem)
+membership_snapshot_t *
+membership_take_snapshot (membership_t *membership)
 {
-  if (mem->changed || mem->snapshot == NULL)
+  if (membership->changed || membership->snapshot == NULL)
     {
-      if (mem->snapshot != NULL)
-        mem_snapshot_unref (mem->snapshot);
-      mem->snapshot = make_snapshot (mem);
-      mem->changed = false;
-      mem->urgent = false;
+      if (membership->snapshot != NULL)
+        membership_snapshot_unref (membership->snapshot);
+      membership->snapshot = make_snapshot (membership);
+      membership->changed = false;
+      membership->urgent = false;
     }
-  return mem_snapshot_ref (mem->snapshot);
+  return membership_snapshot_ref (membership->snapshot);
 }
--- a/src/request/policy/member_snapshot.c
+++ b/src/request/policy/member_snapshot.c
@@ -2,15 +2,15 @@
 
 #include <string.h>
 
-mem_snapshot_t *
-mem_snapshot_ref (mem_snapshot_t *snapshot)
+membership_snapshot_t *
+membership_snapshot_ref (membership_snapshot_t *snapshot)
 {
   g_atomic_ref_count_inc (&snapshot->refs);
   return snapshot;
 }
 
 void
-mem_snapshot_unref (mem_snapshot_t *snapshot)
+membership_snapshot_unref (membership_snapshot_t *snapshot)
 {
   if (!g_atomic_ref_count_dec (&snapshot->refs))
     return;
@@ -19,8 +19,8 @@
   g_free (snapshot);
 }
 
-const mem_host_t *
-mem_find (const mem_snapshot_t *snapshot, const char *name)
+const membership_host_t *
+membership_find (const membership_snapshot_t *snapshot, const char *name)
 {
   uint32_t low = 0;
   uint32_t high = snapshot->host_count;
@@ -38,15 +38,15 @@
   return NULL;
 }
 
-const mem_host_t *
-mem_find_hash (const mem_snapshot_t *snapshot, uint64_t hash)
+const membership_host_t *
+membership_find_by_hash (const membership_snapshot_t *snapshot, uint64_t hash)
 {
   uint32_t low = 0;
   uint32_t high = snapshot->host_count;
   while (low < high)
     {
       uint32_t middle = low + (high - low) / 2;
-      const mem_host_t *host = &snapshot->hosts[snapshot->by_hash[middle]];
+      const membership_host_t *host = &snapshot->hosts[snapshot->by_hash[middle]];
       if (host->hash == hash)
         return host;
       if (host->hash < hash)
--- a/src/request/policy/order.h
+++ b/src/request/policy/order.h
@@ -16,12 +16,12 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define ORD_SEAL_HEADER "X-Medlarplank-Seal"
+#define CALL_SEAL_HEADER "X-Medlarplank-Seal"
 /* 64 hexadecimal digits and the final NUL */
-#define ORD_SEAL_BYTES 65
+#define CALL_SEAL_BYTES 65
 
 /**
- * struct ord - the call that a seal is for
+ * struct sealed_call - the call that a seal is for
  * @host: name of the called daemon
  * @method: HTTP method
  * @target: path and query
@@ -33,12 +33,13 @@
   const char *target;
   const void *body;
   size_t body_bytes;
-} ord_t;
+} sealed_call_t;
 
-/** ord_seal() - computes the seal of a call */
-void ord_seal (const ord_t *call, const char *fleet_key, char out[ORD_SEAL_BYTES]);
-/** ord_check() - whether @seal is the seal of the call; false for NULL. Takes the same time
+/** call_seal_compute() - computes the seal of a call */
+void
+call_seal_compute (const sealed_call_t *call, const char *fleet_key, char out[CALL_SEAL_BYTES]);
+/** call_seal_verify() - whether @seal is the seal of the call; false for NULL. Takes the same time
  * wherever a wrong seal differs */
-bool ord_check (const ord_t *call, const char *fleet_key, const char *seal);
+bool call_seal_verify (const sealed_call_t *call, const char *fleet_key, const char *seal);
 
 #endif
--- a/src/request/policy/outage.h
+++ b/src/request/policy/outage.h
@@ -23,10 +23,10 @@
  * be up to one interval older than the outage: so after two intervals without an answer. Engines
  * don't renew at exact intervals, so a span that is shorter by this part counts too.
  */
-#define OTG_LEAST_PART 8
+#define STORE_OUTAGE_TOLERANCE_DIVISOR 8
 
 /**
- * struct otg - all zero at the start
+ * struct store_outage - all zero at the start
  * @last_contact_us: the latest moment at which the store answered
  * @begin_us: begin of the last outage; 0 for none
  * @end_us: end of the last outage; 0 for none
@@ -36,18 +36,21 @@
   uint64_t last_contact_us;
   uint64_t begin_us;
   uint64_t end_us;
-} otg_t;
+} store_outage_t;
 
-/** otg_least_us() - the shortest outage in which entries lapse that are renewed each @renewal_ms */
-uint64_t otg_least_us (uint32_t renewal_ms);
-/** otg_heard() - the store answered at @at_us; @least_us is the result of otg_least_us() */
-void otg_heard (otg_t *otg, uint64_t at_us, uint64_t least_us);
+/** store_outage_min_us() - the shortest outage in which entries lapse that are renewed each
+ * @renewal_ms */
+uint64_t store_outage_min_us (uint32_t renewal_ms);
+/** store_outage_record_contact() - the store answered at @at_us; @least_us is the result of
+ * store_outage_min_us() */
+void store_outage_record_contact (store_outage_t *store_outage, uint64_t at_us, uint64_t least_us);
 /**
- * otg_until_us() - Return: the end of the last outage, @now_us during one, 0 for none
+ * store_outage_end_us() - Return: the end of the last outage, @now_us during one, 0 for none
  *
  * An outage counts while it lasts: a peer's copy of the registry may come before any report that
  * the store is back.
  */
-uint64_t otg_until_us (const otg_t *otg, uint64_t now_us, uint64_t least_us);
+uint64_t
+store_outage_end_us (const store_outage_t *store_outage, uint64_t now_us, uint64_t least_us);
 
 #endif
