--- a/src/request/policy/read_duty.c
+++ b/src/request/policy/read_duty.c
@@ -6,57 +6,61 @@
  * records.
  */
 void
-rdu_heard (rdu_t *rdu, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us)
+read_policy_apply_peer (
+    read_policy_t *read_policy, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us)
 {
   if (theirs == ours)
-    rdu->current_as_of_us = MAX (rdu->current_as_of_us, store_us);
+    read_policy->current_as_of_us = MAX (read_policy->current_as_of_us, store_us);
   if (theirs <= ours)
     return;
-  rdu->ahead_as_of_us = MAX (rdu->ahead_as_of_us, store_us);
-  if (rdu->behind_since_us == 0)
-    rdu->behind_since_us = now_us;
+  read_policy->ahead_as_of_us = MAX (read_policy->ahead_as_of_us, store_us);
+  if (read_policy->behind_since_us == 0)
+    read_policy->behind_since_us = now_us;
 }
 
 /* While new records come quickly, peers always have a higher offset and never the same one. So what
  * the peer confirms counts once its copy has been applied. */
 void
-rdu_caught_up (rdu_t *rdu, bool of_peer)
+read_policy_caught_up (read_policy_t *read_policy, bool of_peer)
 {
   if (of_peer)
-    rdu->current_as_of_us = MAX (rdu->current_as_of_us, rdu->ahead_as_of_us);
-  rdu_give_up (rdu);
+    read_policy->current_as_of_us =
+        MAX (read_policy->current_as_of_us, read_policy->ahead_as_of_us);
+  read_policy_fetch_failed (read_policy);
 }
 
 void
-rdu_give_up (rdu_t *rdu)
+read_policy_fetch_failed (read_policy_t *read_policy)
 {
-  rdu->behind_since_us = 0;
-  rdu->ahead_as_of_us = 0;
-  rdu->large = false;
+  read_policy->behind_since_us = 0;
+  read_policy->ahead_as_of_us = 0;
+  read_policy->large = false;
 }
 
 void
-rdu_is_large (rdu_t *rdu)
+read_policy_fetch_too_large (read_policy_t *read_policy)
 {
-  rdu->large = true;
+  read_policy->large = true;
 }
 
 uint64_t
-rdu_known_us (const rdu_t *rdu, const rdu_view_t *view)
+read_policy_current_as_of_us (const read_policy_t *read_policy, const read_policy_view_t *view)
 {
-  return MAX (rdu->current_as_of_us, view->own_us);
+  return MAX (read_policy->current_as_of_us, view->own_us);
 }
 
 /* Return: until when the copy counts as current; 0 when it never did */
 static uint64_t
-current_until_us (const rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view)
+current_until_us (const read_policy_t *read_policy,
+                  const read_policy_stream_t *stream,
+                  const read_policy_view_t *view)
 {
-  uint64_t known_us = rdu_known_us (rdu, view);
-  uint64_t max_us = RDU_VOUCHED_US;
+  uint64_t known_us = read_policy_current_as_of_us (read_policy, view);
+  uint64_t max_us = READ_POLICY_FRESH_US;
 
   if (stream->bound_us > 0)
-    max_us = MIN (max_us, stream->bound_us * RDU_VOUCHED_MOST_PERCENT / 100);
-  max_us = MAX (max_us, stream->bound_us * RDU_VOUCHED_PERCENT / 100);
+    max_us = MIN (max_us, stream->bound_us * READ_POLICY_FRESH_MAX_PERCENT / 100);
+  max_us = MAX (max_us, stream->bound_us * READ_POLICY_FRESH_PERCENT / 100);
 
   return known_us != 0 ? known_us + max_us : 0;
 }
@@ -64,10 +68,10 @@
 /* Whether it is this gateway's turn to read, when no peer has confirmed its copy since @since_us.
  */
 static bool
-has_turn (const rdu_view_t *view, uint64_t since_us, uint64_t now_us)
+has_turn (const read_policy_view_t *view, uint64_t since_us, uint64_t now_us)
 {
-  uint64_t first_turn_us = since_us + view->before * RDU_TURN_US;
-  uint64_t round_us = MAX (view->count * RDU_TURN_US, RDU_ROUND_MIN_US);
+  uint64_t first_turn_us = since_us + view->before * READ_POLICY_TURN_US;
+  uint64_t round_us = MAX (view->count * READ_POLICY_TURN_US, READ_POLICY_ROUND_MIN_US);
 
   if (view->tried_us < since_us)
     return now_us >= first_turn_us;
@@ -75,16 +79,17 @@
 }
 
 static bool
-has_been_behind_for (const rdu_t *rdu, uint64_t now_us, uint64_t limit_us)
+has_been_behind_for (const read_policy_t *read_policy, uint64_t now_us, uint64_t limit_us)
 {
-  return rdu->behind_since_us != 0 && now_us >= rdu->behind_since_us + limit_us;
+  return read_policy->behind_since_us != 0 && now_us >= read_policy->behind_since_us + limit_us;
 }
 
 /* Whether the store answered this gateway in its turn, and no peer confirms its copy yet. */
 static bool
-is_acting_follower (const rdu_t *rdu, const rdu_view_t *view)
+is_acting_follower (const read_policy_t *read_policy, const read_policy_view_t *view)
 {
-  return rdu->reading_since_us != 0 && view->own_us >= rdu->reading_since_us && !view->lost;
+  return read_policy->reading_since_us != 0 && view->own_us >= read_policy->reading_since_us &&
+         !view->lost;
 }
 
 /*
@@ -93,47 +98,52 @@
  * exceed their bound. So it acts as a follower until a peer has a later answer of the store than
  * its own.
  */
-rdu_read_t
-rdu_read (rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view, uint64_t now_us)
+read_policy_action_t
+read_policy_decide (read_policy_t *read_policy,
+                    const read_policy_stream_t *stream,
+                    const read_policy_view_t *view,
+                    uint64_t now_us)
 {
-  uint64_t until_us = current_until_us (rdu, stream, view);
+  uint64_t until_us = current_until_us (read_policy, stream, view);
 
   if (view->close || !view->listed)
-    return RDU_FOLLOW;
-  if (rdu->current_as_of_us > MAX (view->own_us, rdu->reading_since_us))
-    rdu->reading_since_us = 0;
-  if (is_acting_follower (rdu, view))
-    return RDU_FOLLOW;
+    return READ_POLICY_FOLLOW;
+  if (read_policy->current_as_of_us > MAX (view->own_us, read_policy->reading_since_us))
+    read_policy->reading_since_us = 0;
+  if (is_acting_follower (read_policy, view))
+    return READ_POLICY_FOLLOW;
   if (now_us >= until_us && view->alone)
-    return RDU_FOLLOW;
+    return READ_POLICY_FOLLOW;
   if (now_us >= until_us && !has_turn (view, until_us, now_us))
-    return RDU_REST;
+    return READ_POLICY_WAIT;
   if (now_us >= until_us)
     {
-      rdu->reading_since_us = rdu->reading_since_us != 0 ? rdu->reading_since_us : now_us;
-      return RDU_READ;
+      read_policy->reading_since_us =
+          read_policy->reading_since_us != 0 ? read_policy->reading_since_us : now_us;
+      return READ_POLICY_READ_ONCE;
     }
-  return has_been_behind_for (rdu, now_us, rdu->large ? 0 : stream->patience_us) ? RDU_READ
-                                                                                 : RDU_REST;
+  return has_been_behind_for (read_policy, now_us, read_policy->large ? 0 : stream->patience_us)
+             ? READ_POLICY_READ_ONCE
+             : READ_POLICY_WAIT;
 }
 
 bool
-rdu_asks_peer (const rdu_t *rdu,
-               const rdu_stream_t *stream,
-               const rdu_view_t *view,
-               uint64_t now_us)
+read_policy_should_ask_peer (const read_policy_t *read_policy,
+                             const read_policy_stream_t *stream,
+                             const read_policy_view_t *view,
+                             uint64_t now_us)
 {
   uint64_t patience_us = view->close ? stream->patience_us : 0;
 
-  if (rdu->large)
+  if (read_policy->large)
     patience_us = stream->patience_us;
   if (view->lost)
-    patience_us = MIN (patience_us, RDU_ASK_LOST_US);
-  return has_been_behind_for (rdu, now_us, patience_us);
+    patience_us = MIN (patience_us, READ_POLICY_ASK_PEER_US);
+  return has_been_behind_for (read_policy, now_us, patience_us);
 }
 
 bool
-rdu_may_have_lapsed (uint64_t out_until_us, bool unsure, uint64_t now_us)
+read_policy_may_have_lapsed (uint64_t out_until_us, bool unsure, uint64_t now_us)
 {
-  return unsure && out_until_us != 0 && now_us < out_until_us + RDU_LAPSE_US;
+  return unsure && out_until_us != 0 && now_us < out_until_us + READ_POLICY_LAPSE_US;
 }
--- a/src/request/policy/read_duty.h
+++ b/src/request/policy/read_duty.h
@@ -23,34 +23,34 @@
  * known to all of 30 gateways within another second, so 2 s is the shortest time that isn't
  * exceeded in normal operation. The loss of three followers delays new records by 2 s.
  */
-#define RDU_VOUCHED_US (UINT64_C (2000) * 1000)
-/* For a stream whose new records may take longer it is this share of struct rdu_stream.bound_us:
- * a store's answer takes longer to become known to a hundred gateways, and all those that don't
- * know of it would read at once. */
-#define RDU_VOUCHED_PERCENT 60
+#define READ_POLICY_FRESH_US (UINT64_C (2000) * 1000)
+/* For a stream whose new records may take longer it is this share of struct
+ * read_policy_stream.bound_us: a store's answer takes longer to become known to a hundred gateways,
+ * and all those that don't know of it would read at once. */
+#define READ_POLICY_FRESH_PERCENT 60
 /* At most this share of the bound: the rest is for the next reader's turn, its read, and the time
  * until the others know of it. */
-#define RDU_VOUCHED_MOST_PERCENT 75
+#define READ_POLICY_FRESH_MAX_PERCENT 75
 /* While this gateway can't read the store it waits this long before it asks a peer for the new
  * records: a read that is being repeated may still bring them. */
-#define RDU_ASK_LOST_US (UINT64_C (150) * 1000)
+#define READ_POLICY_ASK_PEER_US (UINT64_C (150) * 1000)
 
 /** enum read_policy_action - what to do at the store now */
 typedef enum
 {
-  RDU_REST,   /* read nothing */
-  RDU_FOLLOW, /* read continuously, with calls that wait for new records */
-  RDU_READ    /* read once, with a call that does not wait */
-} rdu_read_t;
+  READ_POLICY_WAIT,     /* read nothing */
+  READ_POLICY_FOLLOW,   /* read continuously, with calls that wait for new records */
+  READ_POLICY_READ_ONCE /* read once, with a call that does not wait */
+} read_policy_action_t;
 
 /*
  * When no peer confirms the copy any more, the followers are down or the store is unavailable. If
  * all other gateways read at once and repeated that during the outage, the calls would grow with
- * their number. So they read in turn, one each %RDU_TURN_US and each once in a round, until the
- * others know of an answer.
+ * their number. So they read in turn, one each %READ_POLICY_TURN_US and each once in a round, until
+ * the others know of an answer.
  */
-#define RDU_TURN_US (UINT64_C (50) * 1000)
-#define RDU_ROUND_MIN_US (UINT64_C (800) * 1000)
+#define READ_POLICY_TURN_US (UINT64_C (50) * 1000)
+#define READ_POLICY_ROUND_MIN_US (UINT64_C (800) * 1000)
 
 /*
  * For this long after the store's return a missing entry may have lapsed during the outage: engines
@@ -59,10 +59,10 @@
  * another 2.5 s, here and at all peers that copy it, and the engine would get requests 3.0 to 3.3 s
  * after it left, where 3 s is allowed.
  */
-#define RDU_LAPSE_US (UINT64_C (3000) * 1000)
+#define READ_POLICY_LAPSE_US (UINT64_C (3000) * 1000)
 
 /**
- * struct rdu_stream - properties of a stream that don't change
+ * struct read_policy_stream - properties of a stream that don't change
  * @patience_us: how long the usual source of new records is waited for before the other one is
  * tried too; the usual source is the store for followers, and a peer for the others
  * @bound_us: time within which a record of the stream must be in force at every gateway
@@ -71,10 +71,10 @@
 {
   uint64_t patience_us;
   uint64_t bound_us;
-} rdu_stream_t;
+} read_policy_stream_t;
 
 /**
- * struct rdu_view - the state of a gateway and a stream at the moment of a decision
+ * struct read_policy_view - the state of a gateway and a stream at the moment of a decision
  * @close: the gateway is a follower
  * @listed: it has a complete copy of the stream, from the store or from a peer
  * @lost: its last call to the store failed
@@ -94,10 +94,10 @@
   uint32_t count;
   uint64_t own_us;
   uint64_t tried_us;
-} rdu_view_t;
+} read_policy_view_t;
 
 /**
- * struct rdu - state of one stream; all zero at the start
+ * struct read_policy - state of one stream; all zero at the start
  * @current_as_of_us: when the store answered the peer that confirmed this gateway's copy, or the
  *   one from which that peer has it; 0 for never
  * @behind_since_us: since when a peer has had a higher offset; 0 when none has
@@ -114,39 +114,47 @@
   uint64_t ahead_as_of_us;
   uint64_t reading_since_us;
   bool large;
-} rdu_t;
+} read_policy_t;
 
 /**
- * rdu_heard() - applies a peer's message
+ * read_policy_apply_peer() - applies a peer's message
  * @theirs: offset up to which the peer has the stream
  * @ours: offset up to which this gateway has it
  * @store_us: when the store answered the peer, or the one from which it has the records; 0 when
  * that is not known
  */
-void rdu_heard (rdu_t *rdu, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us);
-/** rdu_caught_up() - the new records came; @of_peer: from the peer, all that it had */
-void rdu_caught_up (rdu_t *rdu, bool of_peer);
-/** rdu_give_up() - the fetch from the peer failed; its next message starts another */
-void rdu_give_up (rdu_t *rdu);
-/** rdu_is_large() - the peer declined the fetch: the new records are to be read from the store */
-void rdu_is_large (rdu_t *rdu);
-/** rdu_known_us() - time up to which this gateway has all new records of the store; 0 for never */
-uint64_t rdu_known_us (const rdu_t *rdu, const rdu_view_t *view);
-/** rdu_read() - decides what to read from the store now */
-rdu_read_t
-rdu_read (rdu_t *rdu, const rdu_stream_t *stream, const rdu_view_t *view, uint64_t now_us);
-/** rdu_asks_peer() - whether to fetch the new records now from the peer that has a higher offset */
-bool rdu_asks_peer (const rdu_t *rdu,
-                    const rdu_stream_t *stream,
-                    const rdu_view_t *view,
-                    uint64_t now_us);
+void read_policy_apply_peer (
+    read_policy_t *read_policy, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us);
+/** read_policy_caught_up() - the new records came; @of_peer: from the peer, all that it had */
+void read_policy_caught_up (read_policy_t *read_policy, bool of_peer);
+/** read_policy_fetch_failed() - the fetch from the peer failed; its next message starts another */
+void read_policy_fetch_failed (read_policy_t *read_policy);
+/** read_policy_fetch_too_large() - the peer declined the fetch: the new records are to be read from
+ * the store */
+void read_policy_fetch_too_large (read_policy_t *read_policy);
+/** read_policy_current_as_of_us() - time up to which this gateway has all new records of the store;
+ * 0 for never */
+uint64_t read_policy_current_as_of_us (const read_policy_t *read_policy,
+                                       const read_policy_view_t *view);
+/** read_policy_decide() - decides what to read from the store now */
+read_policy_action_t read_policy_decide (read_policy_t *read_policy,
+                                         const read_policy_stream_t *stream,
+                                         const read_policy_view_t *view,
+                                         uint64_t now_us);
+/** read_policy_should_ask_peer() - whether to fetch the new records now from the peer that has a
+ * higher offset */
+bool read_policy_should_ask_peer (const read_policy_t *read_policy,
+                                  const read_policy_stream_t *stream,
+                                  const read_policy_view_t *view,
+                                  uint64_t now_us);
 
 /**
- * rdu_may_have_lapsed() - whether an entry that is found missing now may have lapsed in an outage
- * @out_until_us: end of the store's last outage, see otg_until_us(); 0 for none
+ * read_policy_may_have_lapsed() - whether an entry that is found missing now may have lapsed in an
+ * outage
+ * @out_until_us: end of the store's last outage, see store_outage_end_us(); 0 for none
  * @unsure: the entry was dropped while this gateway could not read the store, or the peer that
  *   reports it is not sure either
  */
-bool rdu_may_have_lapsed (uint64_t out_until_us, bool unsure, uint64_t now_us);
+bool read_policy_may_have_lapsed (uint64_t out_until_us, bool unsure, uint64_t now_us);
 
 #endif
--- a/src/request/policy/start_ask.c
+++ b/src/request/policy/start_ask.c
@@ -3,69 +3,81 @@
 #include <glib.h>
 
 void
-sak_init (sak_t *sak, uint64_t now_us, bool first_start, bool can_ask)
+bootstrap_init (bootstrap_t *bootstrap, uint64_t now_us, bool first_start, bool can_ask)
 {
-  *sak = (sak_t){ .first_start = first_start,
-                  .read_store = !can_ask,
-                  .deadline_us = now_us + (first_start ? SAK_FIRST_PATIENCE_US : SAK_PATIENCE_US),
-                  .next_us = now_us,
-                  .wait_us = SAK_WAIT_MIN_US };
+  *bootstrap = (bootstrap_t){
+    .first_start = first_start,
+    .read_store = !can_ask,
+    .deadline_us = now_us + (first_start ? BOOTSTRAP_FIRST_START_TIMEOUT_US : BOOTSTRAP_TIMEOUT_US),
+    .next_us = now_us,
+    .wait_us = BOOTSTRAP_RETRY_MIN_US
+  };
 }
 
 bool
-sak_reads (const sak_t *sak, uint64_t now_us)
+bootstrap_should_read_store (const bootstrap_t *bootstrap, uint64_t now_us)
 {
-  return sak->read_store || now_us >= sak->deadline_us;
+  return bootstrap->read_store || now_us >= bootstrap->deadline_us;
 }
 
 bool
-sak_asks (const sak_t *sak, uint64_t now_us)
+bootstrap_may_ask_peer (const bootstrap_t *bootstrap, uint64_t now_us)
 {
-  return now_us >= sak->next_us;
+  return now_us >= bootstrap->next_us;
 }
 
 static void
-schedule_next_question (sak_t *sak, uint64_t now_us, uint32_t spread_milli)
+schedule_next_question (bootstrap_t *bootstrap, uint64_t now_us, uint32_t spread_milli)
 {
-  sak->next_us = now_us + sak->wait_us / 2 + sak->wait_us * spread_milli / 1000;
-  sak->wait_us = MIN (sak->wait_us * 2, SAK_WAIT_MAX_US);
+  bootstrap->next_us = now_us + bootstrap->wait_us / 2 + bootstrap->wait_us * spread_milli / 1000;
+  bootstrap->wait_us = MIN (bootstrap->wait_us * 2, BOOTSTRAP_RETRY_MAX_US);
 }
 
 void
-sak_refused (
-    sak_t *sak, uint64_t now_us, sak_refusal_t refusal, bool elsewhere, uint32_t spread_milli)
+bootstrap_peer_refused (bootstrap_t *bootstrap,
+                        uint64_t now_us,
+                        bootstrap_refusal_t refusal,
+                        bool elsewhere,
+                        uint32_t spread_milli)
 {
-  sak->unanswered = refusal == SAK_SILENT ? sak->unanswered + 1 : 0;
-  if (refusal == SAK_LARGE)
-    sak->read_store = true;
-  if (!sak->first_start && (refusal == SAK_COLD || sak->unanswered >= SAK_SILENT_MOST))
-    sak->read_store = true;
+  bootstrap->unanswered = refusal == BOOTSTRAP_NO_ANSWER ? bootstrap->unanswered + 1 : 0;
+  if (refusal == BOOTSTRAP_TOO_LARGE)
+    bootstrap->read_store = true;
+  if (!bootstrap->first_start &&
+      (refusal == BOOTSTRAP_EMPTY || bootstrap->unanswered >= BOOTSTRAP_UNANSWERED_MAX))
+    bootstrap->read_store = true;
   if (elsewhere)
-    sak->next_us = now_us + SAK_WAIT_MIN_US * spread_milli / 1000;
-  else if (refusal != SAK_SILENT || sak->first_start || sak_reads (sak, now_us))
-    schedule_next_question (sak, now_us, spread_milli);
+    bootstrap->next_us = now_us + BOOTSTRAP_RETRY_MIN_US * spread_milli / 1000;
+  else if (refusal != BOOTSTRAP_NO_ANSWER || bootstrap->first_start ||
+           bootstrap_should_read_store (bootstrap, now_us))
+    schedule_next_question (bootstrap, now_us, spread_milli);
 }
 
 bool
-sak_may_serve (const sak_server_t *server, uint64_t now_us)
+bootstrap_server_may_serve (const bootstrap_server_t *server, uint64_t now_us)
 {
-  uint32_t oldest = server->served % SAK_SERVED_AT_ONCE;
+  uint32_t oldest = server->served % BOOTSTRAP_CONCURRENT_MAX;
 
-  return server->served < SAK_SERVED_AT_ONCE || now_us >= server->served_us[oldest] + SAK_SERVE_US;
+  return server->served < BOOTSTRAP_CONCURRENT_MAX ||
+         now_us >= server->served_us[oldest] + BOOTSTRAP_TRANSFER_US;
 }
 
 void
-sak_served (sak_server_t *server, uint64_t now_us, const set_address_t *asker)
+bootstrap_server_add_served (bootstrap_server_t *server,
+                             uint64_t now_us,
+                             const set_address_t *asker)
 {
-  server->served_us[server->served % SAK_SERVED_AT_ONCE] = now_us;
-  server->referrals[server->served % SAK_HELPERS] = *asker;
+  server->served_us[server->served % BOOTSTRAP_CONCURRENT_MAX] = now_us;
+  server->referrals[server->served % BOOTSTRAP_REFERRALS] = *asker;
   server->served++;
 }
 
 bool
-sak_helper (const sak_server_t *server, uint32_t draw, set_address_t *referral)
+bootstrap_server_pick_referral (const bootstrap_server_t *server,
+                                uint32_t draw,
+                                set_address_t *referral)
 {
-  uint32_t count = MIN (server->served, SAK_HELPERS);
+  uint32_t count = MIN (server->served, BOOTSTRAP_REFERRALS);
 
   if (count == 0)
     return false;
--- a/src/request/policy/suspect.c
+++ b/src/request/policy/suspect.c
@@ -8,10 +8,10 @@
   uint64_t fingerprint;
   uint64_t engines[LIM_SUSPECT_CRASHES];
   uint64_t crashed_us; /* time of the last crash */
-  GList link;          /* in sus.by_crash_time */
+  GList link;          /* in suspects.by_crash_time */
 } entry_t;
 
-struct sus
+struct suspects
 {
   GHashTable *entries;  /* fingerprint -> entry_t */
   GQueue by_crash_time; /* newest first */
@@ -20,58 +20,58 @@
 };
 
 static bool
-is_expired (const sus_t *sus, uint64_t now_us, const entry_t *entry)
+is_expired (const suspects_t *suspects, uint64_t now_us, const entry_t *entry)
 {
-  return now_us > entry->crashed_us + sus->lifetime_us;
+  return now_us > entry->crashed_us + suspects->lifetime_us;
 }
 
 static void
-remove_entry (sus_t *sus, entry_t *entry)
+remove_entry (suspects_t *suspects, entry_t *entry)
 {
-  g_queue_unlink (&sus->by_crash_time, &entry->link);
-  g_hash_table_remove (sus->entries, &entry->fingerprint);
+  g_queue_unlink (&suspects->by_crash_time, &entry->link);
+  g_hash_table_remove (suspects->entries, &entry->fingerprint);
 }
 
 static void
-remove_expired (sus_t *sus, uint64_t now_us)
+remove_expired (suspects_t *suspects, uint64_t now_us)
 {
   for (;;)
     {
-      entry_t *oldest = g_queue_peek_tail (&sus->by_crash_time);
-      if (oldest == NULL || !is_expired (sus, now_us, oldest))
+      entry_t *oldest = g_queue_peek_tail (&suspects->by_crash_time);
+      if (oldest == NULL || !is_expired (suspects, now_us, oldest))
         return;
-      remove_entry (sus, oldest);
+      remove_entry (suspects, oldest);
     }
 }
 
 static entry_t *
-find (const sus_t *sus, uint64_t now_us, uint64_t fingerprint)
+find (const suspects_t *suspects, uint64_t now_us, uint64_t fingerprint)
 {
-  entry_t *entry = g_hash_table_lookup (sus->entries, &fingerprint);
-  return entry != NULL && !is_expired (sus, now_us, entry) ? entry : NULL;
+  entry_t *entry = g_hash_table_lookup (suspects->entries, &fingerprint);
+  return entry != NULL && !is_expired (suspects, now_us, entry) ? entry : NULL;
 }
 
 /* Marks of peers may come late, so the place in the order is searched for, from the newest on. */
 static void
-link_by_time (sus_t *sus, entry_t *entry)
+link_by_time (suspects_t *suspects, entry_t *entry)
 {
-  GList *at = sus->by_crash_time.head;
+  GList *at = suspects->by_crash_time.head;
   while (at != NULL && ((entry_t *)at->data)->crashed_us > entry->crashed_us)
     at = at->next;
-  g_queue_insert_before_link (&sus->by_crash_time, at, &entry->link);
+  g_queue_insert_before_link (&suspects->by_crash_time, at, &entry->link);
 }
 
 static entry_t *
-add_entry (sus_t *sus, uint64_t fingerprint, uint64_t crashed_us)
+add_entry (suspects_t *suspects, uint64_t fingerprint, uint64_t crashed_us)
 {
-  while (g_hash_table_size (sus->entries) >= sus->limit)
-    remove_entry (sus, g_queue_peek_tail (&sus->by_crash_time));
+  while (g_hash_table_size (suspects->entries) >= suspects->limit)
+    remove_entry (suspects, g_queue_peek_tail (&suspects->by_crash_time));
   entry_t *entry = g_new0 (entry_t, 1);
   entry->fingerprint = fingerprint;
   entry->crashed_us = crashed_us;
   entry->link.data = entry;
-  g_hash_table_insert (sus->entries, &entry->fingerprint, entry);
-  link_by_time (sus, entry);
+  g_hash_table_insert (suspects->entries, &entry->fingerprint, entry);
+  link_by_time (suspects, entry);
   return entry;
 }
 
@@ -99,13 +99,13 @@
 }
 
 static bool
-update_crash_time (sus_t *sus, entry_t *entry, uint64_t crashed_us)
+update_crash_time (suspects_t *suspects, entry_t *entry, uint64_t crashed_us)
 {
   if (crashed_us <= entry->crashed_us)
     return false;
   entry->crashed_us = crashed_us;
-  g_queue_unlink (&sus->by_crash_time, &entry->link);
-  link_by_time (sus, entry);
+  g_queue_unlink (&suspects->by_crash_time, &entry->link);
+  link_by_time (suspects, entry);
   return true;
 }
 
@@ -115,85 +115,91 @@
   return !has_engine (entry->engines, 0);
 }
 
-static sus_mark_t
+static suspect_mark_t
 make_mark (const entry_t *entry, uint64_t now_us)
 {
   const uint64_t age_us = now_us > entry->crashed_us ? now_us - entry->crashed_us : 0;
-  sus_mark_t mark = { .fingerprint = entry->fingerprint, .age_ms = (uint32_t)(age_us / 1000) };
+  suspect_mark_t mark = { .fingerprint = entry->fingerprint, .age_ms = (uint32_t)(age_us / 1000) };
   memcpy (mark.engines, entry->engines, sizeof mark.engines);
   return mark;
 }
 
-sus_t *
-sus_new (uint32_t limit, uint64_t lifetime_us)
+suspects_t *
+suspect_new (uint32_t limit, uint64_t lifetime_us)
 {
   g_assert (limit > 0);
-  sus_t *sus = g_new0 (sus_t, 1);
-  sus->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  g_queue_init (&sus->by_crash_time);
-  sus->limit = limit;
-  sus->lifetime_us = lifetime_us;
-  return sus;
+  suspects_t *suspects = g_new0 (suspects_t, 1);
+  suspects->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  g_queue_init (&suspects->by_crash_time);
+  suspects->limit = limit;
+  suspects->lifetime_us = lifetime_us;
+  return suspects;
 }
 
 void
-sus_free (sus_t *sus)
+suspect_free (suspects_t *suspects)
 {
-  if (sus == NULL)
+  if (suspects == NULL)
     return;
-  g_hash_table_destroy (sus->entries);
-  g_free (sus);
+  g_hash_table_destroy (suspects->entries);
+  g_free (suspects);
 }
 
-sus_verdict_t
-sus_check (sus_t *sus, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash)
+suspect_verdict_t
+suspect_check (suspects_t *suspects, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash)
 {
-  const entry_t *entry = find (sus, now_us, fingerprint);
+  const entry_t *entry = find (suspects, now_us, fingerprint);
   if (entry == NULL)
-    return SUS_CLEAR;
+    return SUSPECT_ALLOWED;
   if (is_final (entry))
-    return SUS_FINAL;
-  return has_engine (entry->engines, engine_hash) ? SUS_NOT_HERE : SUS_CLEAR;
+    return SUSPECT_REFUSED;
+  return has_engine (entry->engines, engine_hash) ? SUSPECT_OTHER_ENGINE : SUSPECT_ALLOWED;
 }
 
 bool
-sus_add (sus_t *sus, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash)
+suspect_add_crash (suspects_t *suspects,
+                   uint64_t now_us,
+                   uint64_t fingerprint,
+                   uint64_t engine_hash)
 {
-  remove_expired (sus, now_us);
-  entry_t *entry = find (sus, now_us, fingerprint);
+  remove_expired (suspects, now_us);
+  entry_t *entry = find (suspects, now_us, fingerprint);
   if (entry == NULL)
-    entry = add_entry (sus, fingerprint, now_us);
-  update_crash_time (sus, entry, now_us);
+    entry = add_entry (suspects, fingerprint, now_us);
+  update_crash_time (suspects, entry, now_us);
   return add_engine (entry, engine_hash);
 }
 
 bool
-sus_merge (sus_t *sus, uint64_t now_us, const sus_mark_t *mark)
+suspect_merge_mark (suspects_t *suspects, uint64_t now_us, const suspect_mark_t *mark)
 {
   const uint64_t age_us = (uint64_t)mark->age_ms * 1000;
-  if (age_us > sus->lifetime_us)
+  if (age_us > suspects->lifetime_us)
     return false;
-  if (sus_is_cleared (mark))
-    return sus_clear (sus, mark->fingerprint);
-  remove_expired (sus, now_us);
+  if (suspect_mark_is_cleared (mark))
+    return suspect_clear (suspects, mark->fingerprint);
+  remove_expired (suspects, now_us);
   const uint64_t crashed_us = now_us > age_us ? now_us - age_us : 0;
-  entry_t *entry = find (sus, now_us, mark->fingerprint);
+  entry_t *entry = find (suspects, now_us, mark->fingerprint);
   if (entry == NULL)
-    entry = add_entry (sus, mark->fingerprint, crashed_us);
+    entry = add_entry (suspects, mark->fingerprint, crashed_us);
   bool changed = false;
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
     changed |= add_engine (entry, mark->engines[i]);
   /* A later time alone is not taken over: ages are rounded when marks are sent, so two daemons that
    * send each other the same mark would renew it without end. */
   if (changed)
-    update_crash_time (sus, entry, crashed_us);
+    update_crash_time (suspects, entry, crashed_us);
   return changed;
 }
 
 bool
-sus_get (const sus_t *sus, uint64_t now_us, uint64_t fingerprint, sus_mark_t *out)
+suspect_get_mark (const suspects_t *suspects,
+                  uint64_t now_us,
+                  uint64_t fingerprint,
+                  suspect_mark_t *out)
 {
-  const entry_t *entry = find (sus, now_us, fingerprint);
+  const entry_t *entry = find (suspects, now_us, fingerprint);
   if (entry == NULL)
     return false;
   *out = make_mark (entry, now_us);
@@ -201,13 +207,16 @@
 }
 
 uint32_t
-sus_recent (const sus_t *sus, uint64_t now_us, sus_mark_t *out, uint32_t want)
+suspect_recent_marks (const suspects_t *suspects,
+                      uint64_t now_us,
+                      suspect_mark_t *out,
+                      uint32_t want)
 {
   uint32_t found = 0;
-  for (const GList *at = sus->by_crash_time.head; at != NULL && found < want; at = at->next)
+  for (const GList *at = suspects->by_crash_time.head; at != NULL && found < want; at = at->next)
     {
       const entry_t *entry = at->data;
-      if (is_expired (sus, now_us, entry))
+      if (is_expired (suspects, now_us, entry))
         break;
       out[found++] = make_mark (entry, now_us);
     }
@@ -215,17 +224,17 @@
 }
 
 bool
-sus_clear (sus_t *sus, uint64_t fingerprint)
+suspect_clear (suspects_t *suspects, uint64_t fingerprint)
 {
-  entry_t *entry = g_hash_table_lookup (sus->entries, &fingerprint);
+  entry_t *entry = g_hash_table_lookup (suspects->entries, &fingerprint);
 
   if (entry)
-    remove_entry (sus, entry);
+    remove_entry (suspects, entry);
   return entry != NULL;
 }
 
 bool
-sus_is_cleared (const sus_mark_t *mark)
+suspect_mark_is_cleared (const suspect_mark_t *mark)
 {
   for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
     if (mark->engines[i] != 0)
@@ -234,7 +243,7 @@
 }
 
 uint32_t
-sus_count (const sus_t *sus)
+suspect_count (const suspects_t *suspects)
 {
-  return g_hash_table_size (sus->entries);
+  return g_hash_table_size (suspects->entries);
 }
--- a/src/request/policy/suspect.h
+++ b/src/request/policy/suspect.h
@@ -14,7 +14,7 @@
 #include <stdint.h>
 
 /**
- * struct sus_mark - the crashes of one request, as daemons tell them to each other
+ * struct suspect_mark - the crashes of one request, as daemons tell them to each other
  * @engines: hashes of the engines that crashed; 0 for an unused slot. All 0 means that the request
  *   was served and is not suspect any more
  * @age_ms: time since the last crash
@@ -24,43 +24,56 @@
   uint64_t fingerprint;
   uint64_t engines[LIM_SUSPECT_CRASHES];
   uint32_t age_ms;
-} sus_mark_t;
+} suspect_mark_t;
 
 /** enum suspect_verdict - whether a request may run on an engine */
 typedef enum
 {
-  SUS_CLEAR,    /* it may run */
-  SUS_NOT_HERE, /* this engine crashed during it: another engine may try */
-  SUS_FINAL     /* it has crashed as many engines as it may: none may try */
-} sus_verdict_t;
+  SUSPECT_ALLOWED,      /* it may run */
+  SUSPECT_OTHER_ENGINE, /* this engine crashed during it: another engine may try */
+  SUSPECT_REFUSED       /* it has crashed as many engines as it may: none may try */
+} suspect_verdict_t;
 
-typedef struct sus sus_t;
+typedef struct suspects suspects_t;
 
 /**
- * sus_new() - Return: an empty set
+ * suspect_new() - Return: an empty set
  * @limit: the most fingerprints that are kept; the one with the oldest crash is dropped for another
  * @lifetime_us: a fingerprint is dropped this long after its last crash
  */
-sus_t *sus_new (uint32_t limit, uint64_t lifetime_us);
-void sus_free (sus_t *sus);
-/** sus_check() - whether the request @fingerprint may run on the engine @engine_hash */
-sus_verdict_t sus_check (sus_t *sus, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash);
-/** sus_add() - the engine @engine_hash crashed during the request. Return: whether this was new */
-bool sus_add (sus_t *sus, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash);
-/** sus_merge() - applies a mark of a peer; one without engines clears the request. Return: whether
- * it changed anything */
-bool sus_merge (sus_t *sus, uint64_t now_us, const sus_mark_t *mark);
-/** sus_get() - gets the mark of a request. Return: false when it is not suspect */
-bool sus_get (const sus_t *sus, uint64_t now_us, uint64_t fingerprint, sus_mark_t *out);
-/** sus_clear() - the request was served, so it crashes no engine. Return: whether it was suspect */
-bool sus_clear (sus_t *sus, uint64_t fingerprint);
-/** sus_is_cleared() - whether @mark names no engine, which says that its request was served */
-bool sus_is_cleared (const sus_mark_t *mark);
-/** sus_count() - Return: number of fingerprints, of which some may have expired
+suspects_t *suspect_new (uint32_t limit, uint64_t lifetime_us);
+void suspect_free (suspects_t *suspects);
+/** suspect_check() - whether the request @fingerprint may run on the engine @engine_hash */
+suspect_verdict_t
+suspect_check (suspects_t *suspects, uint64_t now_us, uint64_t fingerprint, uint64_t engine_hash);
+/** suspect_add_crash() - the engine @engine_hash crashed during the request. Return: whether this
+ * was new */
+bool suspect_add_crash (suspects_t *suspects,
+                        uint64_t now_us,
+                        uint64_t fingerprint,
+                        uint64_t engine_hash);
+/** suspect_merge_mark() - applies a mark of a peer; one without engines clears the request. Return:
+ * whether it changed anything */
+bool suspect_merge_mark (suspects_t *suspects, uint64_t now_us, const suspect_mark_t *mark);
+/** suspect_get_mark() - gets the mark of a request. Return: false when it is not suspect */
+bool suspect_get_mark (const suspects_t *suspects,
+                       uint64_t now_us,
+                       uint64_t fingerprint,
+                       suspect_mark_t *out);
+/** suspect_clear() - the request was served, so it crashes no engine. Return: whether it was
+ * suspect */
+bool suspect_clear (suspects_t *suspects, uint64_t fingerprint);
+/** suspect_mark_is_cleared() - whether @mark names no engine, which says that its request was
+ * served */
+bool suspect_mark_is_cleared (const suspect_mark_t *mark);
+/** suspect_count() - Return: number of fingerprints, of which some may have expired
  */
-uint32_t sus_count (const sus_t *sus);
-/** sus_recent() - gets up to @want marks, latest crash first. Return: their number
+uint32_t suspect_count (const suspects_t *suspects);
+/** suspect_recent_marks() - gets up to @want marks, latest crash first. Return: their number
  */
-uint32_t sus_recent (const sus_t *sus, uint64_t now_us, sus_mark_t *out, uint32_t want);
+uint32_t suspect_recent_marks (const suspects_t *suspects,
+                               uint64_t now_us,
+                               suspect_mark_t *out,
+                               uint32_t want);
 
 #endif
--- a/src/request/policy/under_way.h
+++ b/src/request/policy/under_way.h
@@ -9,15 +9,16 @@
 
 #include <stdint.h>
 
-typedef struct uwy uwy_t;
+typedef struct in_flight_counts in_flight_counts_t;
 
-uwy_t *uwy_new (void);
-void uwy_free (uwy_t *uwy);
-/** uwy_begin() - a request is sent to the engine */
-void uwy_begin (uwy_t *uwy, uint64_t engine_hash);
-/** uwy_end() - a request that was sent to the engine has ended; one call for each uwy_begin() */
-void uwy_end (uwy_t *uwy, uint64_t engine_hash);
-/** uwy_count() - Return: number of requests at the engine */
-uint32_t uwy_count (const uwy_t *uwy, uint64_t engine_hash);
+in_flight_counts_t *in_flight_new (void);
+void in_flight_free (in_flight_counts_t *in_flight_counts);
+/** in_flight_begin() - a request is sent to the engine */
+void in_flight_begin (in_flight_counts_t *in_flight_counts, uint64_t engine_hash);
+/** in_flight_end() - a request that was sent to the engine has ended; one call for each
+ * in_flight_begin() */
+void in_flight_end (in_flight_counts_t *in_flight_counts, uint64_t engine_hash);
+/** in_flight_count() - Return: number of requests at the engine */
+uint32_t in_flight_count (const in_flight_counts_t *in_flight_counts, uint64_t engine_hash);
 
 #endif
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -61,10 +61,10 @@
 static gboolean
 is_not_member (gpointer key, gpointer value, gpointer context)
 {
-  const mem_snapshot_t *members = context;
+  const membership_snapshot_t *members = context;
 
   (void)value;
-  return mem_find_hash (members, *(uint64_t *)key) == NULL;
+  return membership_find_by_hash (members, *(uint64_t *)key) == NULL;
 }
 
 /* update_members() - drops what is known of hosts that are no longer members, and the health of
@@ -72,7 +72,7 @@
 static void
 update_members (rtr_t *router)
 {
-  mem_snapshot_t *members = ops_members (router->ops);
+  membership_snapshot_t *members = ops_members (router->ops);
 
   if (members == NULL)
     return;
@@ -169,7 +169,7 @@
   if (incarnation <= known)
     return;
   if (known != 0)
-    hlt_forget (router->health, engine_hash);
+    health_forget (router->health, engine_hash);
   g_hash_table_replace (router->incarnations, g_memdup2 (&engine_hash, sizeof engine_hash),
                         g_memdup2 (&incarnation, sizeof incarnation));
 }
@@ -198,7 +198,7 @@
       return NULL;
     }
   router->http_client = hcl_new (base, RTR_IDLE_CONNECTIONS, RTR_IDLE_TIMEOUT_MS);
-  router->health = hlt_new ();
+  router->health = health_new ();
   forwarding_budget_init (&router->retry_budget);
   router->incarnations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   router->loads = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
@@ -206,9 +206,9 @@
       g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, (GDestroyNotify)rtr_watch_free);
   router->served_hints = g_new0 (rtr_told_t, RTR_TOLD_ENTRIES);
   router->answered_requests = recent_answers_new (RTR_PROVEN_ENTRIES, RTR_PROVEN_US);
-  router->requests_in_flight = uwy_new ();
+  router->requests_in_flight = in_flight_new ();
   bdg_init (&router->control_budget, daemon->set.control_budget_bytes, clk_now_us (&daemon->clk));
-  router->suspects = sus_new (LIM_SUSPECTS, RTR_SUSPECT_US);
+  router->suspects = suspect_new (LIM_SUSPECTS, RTR_SUSPECT_US);
   g_queue_init (&router->calls);
   /* The name is included because two routers may start in the same millisecond, and must not use
    * the same attempt ids. */
@@ -233,14 +233,14 @@
   g_hash_table_destroy (router->host_probes);
   ops_free (router->ops);
   hcl_free (router->http_client);
-  hlt_free (router->health);
+  health_free (router->health);
   rtr_place_clear (router);
   g_hash_table_destroy (router->incarnations);
   g_hash_table_destroy (router->loads);
   g_free (router->served_hints);
   recent_answers_free (router->answered_requests);
-  uwy_free (router->requests_in_flight);
-  sus_free (router->suspects);
+  in_flight_free (router->requests_in_flight);
+  suspect_free (router->suspects);
   g_free (router);
 }
 
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -122,7 +122,7 @@
     return true;
   if (key[0] == '\0' || strlen (key) >= LIM_KEY_BYTES)
     return reject (rejection, 400, "bad_key", KEY_HEADER " is empty or too long");
-  dgs_key (call->account->name, key, call->hop.key_hash);
+  digest_idempotency_key (call->account->name, key, call->hop.key_hash);
   return true;
 }
 
@@ -169,8 +169,8 @@
   g_strlcpy (hop->account, call->account->name, sizeof hop->account);
   g_strlcpy (hop->class_name, call->request_class->name, sizeof hop->class_name);
   hop->version = call->manifest->version;
-  hop->body_hash = dgs_body (call->method, call->target, call->body, call->body_bytes);
-  hop->fingerprint = dgs_fingerprint (hop->account, hop->body_hash);
+  hop->body_hash = digest_request (call->method, call->target, call->body, call->body_bytes);
+  hop->fingerprint = digest_fingerprint (hop->account, hop->body_hash);
   call->placement_hash = placement_hash (call);
   rtr_place_find (call, chat->opening != NULL && !chat->returning);
   if (hop->key_hash[1] != 0)
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -5,7 +5,7 @@
 static void
 append_host_name (char *out, const rtr_t *router, uint64_t engine_hash)
 {
-  const mem_host_t *host = mem_find_hash (ops_members (router->ops), engine_hash);
+  const membership_host_t *host = membership_find_by_hash (ops_members (router->ops), engine_hash);
 
   if (host == NULL)
     return;
@@ -22,7 +22,7 @@
                verdict_reason_t reason)
 {
   const rtr_t *router = call->router;
-  const mem_host_t *host = mem_find_hash (ops_members (router->ops), engine_hash);
+  const membership_host_t *host = membership_find_by_hash (ops_members (router->ops), engine_hash);
   dcn_t decision = { .request = { call->request_id[0], call->request_id[1] | call->attempts.hops },
                      .wall_ms = clk_wall_ms (&router->daemon->clk),
                      .chat_hash = call->hop.chat_hash,
@@ -101,7 +101,7 @@
 static bool
 send_hop (rtr_call_t *call, const forwarding_step_t *step)
 {
-  const mem_host_t *host = rtr_host (call->router, step->engine_hash);
+  const membership_host_t *host = rtr_host (call->router, step->engine_hash);
 
   if (host == NULL)
     return false;
@@ -117,7 +117,8 @@
 static bool
 send_revoke (rtr_call_t *call, const forwarding_step_t *step)
 {
-  const mem_host_t *host = mem_find_hash (ops_members (call->router->ops), step->engine_hash);
+  const membership_host_t *host =
+      membership_find_by_hash (ops_members (call->router->ops), step->engine_hash);
 
   if (host == NULL)
     return false;
@@ -175,8 +176,8 @@
   rtr_t *router = call->router;
 
   recent_answers_remove (router->answered_requests, call->hop.fingerprint);
-  sus_add (router->suspects, ops_now_us (router->ops), call->hop.fingerprint,
-           call->attempts.last_engine);
+  suspect_add_crash (router->suspects, ops_now_us (router->ops), call->hop.fingerprint,
+                     call->attempts.last_engine);
 }
 
 void
@@ -216,8 +217,9 @@
 void
 rtr_call_start (rtr_call_t *call)
 {
-  sus_mark_t mark;
-  bool suspect = sus_get (call->router->suspects, call->arrived_us, call->hop.fingerprint, &mark);
+  suspect_mark_t mark;
+  bool suspect =
+      suspect_get_mark (call->router->suspects, call->arrived_us, call->hop.fingerprint, &mark);
   forwarding_options_t options = { .idempotent = call->hop.idempotent,
                                    .account_hash = rendezvous_hash_name (call->hop.account),
                                    .deadline_us = call->deadline_us,
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -57,7 +57,7 @@
       uint64_t hash = rendezvous_hash_name (g_strstrip (parts[i]));
 
       if (rtr_host (router, hash) == NULL ||
-          hlt_skipped (router->health, ops_now_us (router->ops), hash))
+          health_is_skipped (router->health, ops_now_us (router->ops), hash))
         continue;
       answer->referrals[answer->referral_count++] = hash;
     }
@@ -124,7 +124,7 @@
   const char *engine = evhttp_find_header (headers, HOP_ENGINE_HEADER);
 
   read_answer (call, status, headers);
-  hlt_success (call->router->health, call->attempts.last_engine);
+  health_record_success (call->router->health, call->attempts.last_engine);
   if (!call->answer.from_engine)
     return true;
   rly_head (&call->relay, call->outbound, status, headers);
@@ -161,7 +161,8 @@
   /* The engine's answer has begun, so the request ran and there is nothing to revoke. */
   if (answer->from_engine)
     return (forwarding_outcome_t){ .verdict = VERDICT_RAN, .reason = reason };
-  hlt_failure (call->router->health, ops_now_us (call->router->ops), call->attempts.last_engine);
+  health_record_failure (call->router->health, ops_now_us (call->router->ops),
+                         call->attempts.last_engine);
   return (forwarding_outcome_t){ .verdict = verdict,
                                  .reason = reason,
                                  .lost = verdict != VERDICT_NOT_RUN };
@@ -185,7 +186,7 @@
   rtr_call_t *call = context;
   forwarding_outcome_t outcome;
 
-  uwy_end (call->router->requests_in_flight, call->attempts.last_engine);
+  in_flight_end (call->router->requests_in_flight, call->attempts.last_engine);
   call->outbound = NULL;
   call->relay.from = NULL;
   event_del (call->timer);
@@ -204,7 +205,7 @@
   if (call->outbound != NULL)
     {
       hcl_cancel (call->outbound);
-      uwy_end (call->router->requests_in_flight, call->attempts.last_engine);
+      in_flight_end (call->router->requests_in_flight, call->attempts.last_engine);
     }
   call->outbound = NULL;
   call->relay.from = NULL;
@@ -297,7 +298,7 @@
 }
 
 void
-rtr_hop_send (rtr_call_t *call, const mem_host_t *host)
+rtr_hop_send (rtr_call_t *call, const membership_host_t *host)
 {
   rtr_t *router = call->router;
   uint64_t now_us = ops_now_us (router->ops);
@@ -328,9 +329,10 @@
   call->sent_us = now_us;
   call->sent_address = host->http;
   call->sent_incarnation = rtr_incarnation (router, host->hash);
-  hlt_usable (router->health, now_us, host->hash); /* uses up the one trial of a skipped host */
+  health_begin_attempt (router->health, now_us,
+                        host->hash); /* uses up the one trial of a skipped host */
   cnt_add (router->hops, 1);
   set_hop_timer (call);
-  uwy_begin (router->requests_in_flight, host->hash);
+  in_flight_begin (router->requests_in_flight, host->hash);
   call->outbound = hcl_start (router->http_client, &options);
 }
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -10,9 +10,9 @@
 } health_query_t;
 
 static bool
-is_candidate (const mem_host_t *host)
+is_candidate (const membership_host_t *host)
 {
-  return !host->router && host->state == MEM_LIVE;
+  return !host->router && host->state == MEMBERSHIP_LIVE;
 }
 
 static void
@@ -30,7 +30,7 @@
 }
 
 static void
-engines_add (rtr_engines_t *engines, const mem_host_t *host)
+engines_add (rtr_engines_t *engines, const membership_host_t *host)
 {
   uint32_t index = engines->count++;
 
@@ -60,7 +60,7 @@
 {
   const health_query_t *health_query = context;
 
-  return !hlt_skipped (health_query->router->health, health_query->now_us, engine_hash);
+  return !health_is_skipped (health_query->router->health, health_query->now_us, engine_hash);
 }
 
 /* pool_of() - the pool of a request's service, or NULL when the service is no longer in force
@@ -128,7 +128,7 @@
 rtr_place_rebuild (rtr_t *router)
 {
   const man_t *manifest = ops_man (router->ops);
-  const mem_snapshot_t *members = ops_members (router->ops);
+  const membership_snapshot_t *members = ops_members (router->ops);
 
   rtr_place_clear (router);
   if (manifest == NULL || members == NULL)
@@ -136,7 +136,7 @@
   init_pools (router, manifest, members->host_count);
   for (uint32_t i = 0; i < members->host_count; i++)
     {
-      const mem_host_t *host = &members->hosts[i];
+      const membership_host_t *host = &members->hosts[i];
       const man_service_t *service = man_service_of_engine (manifest, host->name);
       rtr_pool_t *pool;
       bool in_own_region = strcmp (host->region, router->daemon->set.region) == 0;
@@ -149,11 +149,12 @@
     }
 }
 
-const mem_host_t *
+const membership_host_t *
 rtr_host (const rtr_t *router, uint64_t engine_hash)
 {
-  const mem_snapshot_t *members = ops_members (router->ops);
-  const mem_host_t *host = members != NULL ? mem_find_hash (members, engine_hash) : NULL;
+  const membership_snapshot_t *members = ops_members (router->ops);
+  const membership_host_t *host =
+      members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
 
   return host != NULL && is_candidate (host) ? host : NULL;
 }
@@ -197,8 +198,8 @@
   memset (&call->placement, 0, sizeof call->placement);
   if (pool == NULL)
     return;
-  if (hlt_distrust (router->health, pool->hashes,
-                    pool->own_region.count + pool->other_regions.count))
+  if (health_most_are_down (router->health, pool->hashes,
+                            pool->own_region.count + pool->other_regions.count))
     query.is_usable = NULL;
   call->placement = choose (&query, pool);
   if (call->placement.candidate_count > 0 || query.is_usable == NULL)
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -70,7 +70,7 @@
  * struct rtr_pool - the engines of one service, for one version and one list of members
  * @own_region: those in the router's region
  * @other_regions: those in other regions, used when the own region has too few
- * @hashes: name hashes of all of them, for hlt_distrust()
+ * @hashes: name hashes of all of them, for health_most_are_down()
  */
 typedef struct
 {
@@ -134,7 +134,7 @@
   struct event_base *base;
   ops_t *ops;
   hcl_t *http_client;
-  hlt_t *health;
+  health_t *health;
   forwarding_budget_t retry_budget;
   rtr_pool_t *pools;
   uint32_t pool_count;
@@ -144,8 +144,8 @@
   rtr_told_t *served_hints;
   bdg_t control_budget;
   recent_answers_t *answered_requests;
-  sus_t *suspects;
-  uwy_t *requests_in_flight;
+  suspects_t *suspects;
+  in_flight_counts_t *requests_in_flight;
   GQueue calls;
   uint64_t request_id_high;
   uint64_t request_id_low;
@@ -245,7 +245,7 @@
 /** rtr_place_samples() - merges load samples that the control task received */
 void rtr_place_samples (rtr_t *router, const msg_samples_t *message);
 /** rtr_host() - the live sidecar host with this hash, or NULL */
-const mem_host_t *rtr_host (const rtr_t *router, uint64_t engine_hash);
+const membership_host_t *rtr_host (const rtr_t *router, uint64_t engine_hash);
 
 /** rtr_accept() - validates a caller's request, and starts or refuses it */
 void rtr_accept (hsv_call_t *inbound, void *context);
@@ -268,7 +268,7 @@
 flt_t rtr_call_fault (const rtr_call_t *call, verdict_t verdict, verdict_reason_t reason);
 
 /** rtr_hop_send() - sends the request to the sidecar of a host */
-void rtr_hop_send (rtr_call_t *call, const mem_host_t *host);
+void rtr_hop_send (rtr_call_t *call, const membership_host_t *host);
 /** rtr_hop_timer() - libevent callback for the timer of a call */
 void rtr_hop_timer (evutil_socket_t fd, short what, void *context);
 /** rtr_hop_drop() - cancels the current hop, if any, without an outcome */
@@ -284,7 +284,7 @@
 void rtr_watch_quiet (rtr_call_t *call);
 void rtr_watch_free (rtr_watch_t *host_probe);
 /** rtr_revoke() - revokes the last attempt at its sidecar; the answer decides the next step */
-void rtr_revoke (rtr_call_t *call, const mem_host_t *host);
+void rtr_revoke (rtr_call_t *call, const membership_host_t *host);
 /** rtr_revoke_unheard() - revokes the last attempt and ignores the answer */
 void rtr_revoke_unheard (rtr_call_t *call);
 /**
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -9,17 +9,17 @@
 
 static hcl_call_t *
 post_order (rtr_t *router,
-            const mem_host_t *host,
+            const membership_host_t *host,
             const set_address_t *address,
             const char *target,
             const hcl_options_t *handlers)
 {
-  char seal[ORD_SEAL_BYTES];
-  hcl_header_t header = { .name = ORD_SEAL_HEADER, .value = seal };
+  char seal[CALL_SEAL_BYTES];
+  hcl_header_t header = { .name = CALL_SEAL_HEADER, .value = seal };
   hcl_options_t options = *handlers;
 
-  ord_seal (&(ord_t){ .host = host->name, .method = "POST", .target = target },
-            router->daemon->set.fleet_key, seal);
+  call_seal_compute (&(sealed_call_t){ .host = host->name, .method = "POST", .target = target },
+                     router->daemon->set.fleet_key, seal);
   options.address = address;
   options.method = "POST";
   options.target = target;
@@ -104,7 +104,7 @@
 }
 
 void
-rtr_revoke (rtr_call_t *call, const mem_host_t *host)
+rtr_revoke (rtr_call_t *call, const membership_host_t *host)
 {
   hcl_options_t handlers = { .timeout_us = RTR_REVOKE_TIMEOUT_US,
                              .on_head = on_revoke_head,
@@ -122,8 +122,8 @@
 void
 rtr_revoke_unheard (rtr_call_t *call)
 {
-  const mem_host_t *host =
-      mem_find_hash (ops_members (call->router->ops), call->attempts.last_engine);
+  const membership_host_t *host =
+      membership_find_by_hash (ops_members (call->router->ops), call->attempts.last_engine);
   char target[TARGET_BYTES];
 
   if (host == NULL)
@@ -140,7 +140,7 @@
   uint64_t chat_hash = call->hop.chat_hash;
   uint64_t now_us = ops_now_us (router->ops);
   rtr_told_t *hint = &router->served_hints[chat_hash % RTR_TOLD_ENTRIES];
-  const mem_host_t *home = rtr_host (router, call->hop.home_hash);
+  const membership_host_t *home = rtr_host (router, call->hop.home_hash);
   bool already_sent = hint->chat_hash == chat_hash && hint->engine_hash == engine_hash &&
                       now_us < hint->sent_us + RTR_TOLD_US;
   char target[TARGET_BYTES];
--- a/src/request/router/router_watch.c
+++ b/src/request/router/router_watch.c
@@ -91,7 +91,7 @@
    * while it finishes its requests, and a process that ended has closed its connections already. */
   if (end->reason != VERDICT_REASON_TIMEOUT)
     return;
-  hlt_failure (router->health, ops_now_us (router->ops), host_probe->host_hash);
+  health_record_failure (router->health, ops_now_us (router->ops), host_probe->host_hash);
   fail_waiting_calls (host_probe);
 }
 
@@ -117,7 +117,8 @@
   rtr_t *router = call->router;
   uint64_t now_us = ops_now_us (router->ops);
   rtr_watch_t *host_probe = find_or_add (router, call->attempts.last_engine);
-  const mem_host_t *host = mem_find_hash (ops_members (router->ops), call->attempts.last_engine);
+  const membership_host_t *host =
+      membership_find_by_hash (ops_members (router->ops), call->attempts.last_engine);
   hcl_options_t options = { .method = "GET",
                             .target = PROBE_TARGET,
                             .timeout_us = RTR_PROBE_TIMEOUT_US,
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -44,25 +44,27 @@
   json_object_set_new (
       out, "bound_milli",
       json_integer ((json_int_t)admission_bound_milli (sidecar->admission, now_us)));
-  json_object_set_new (out, "directory",
-                       json_integer (dir_count (admission_directory (sidecar->admission))));
+  json_object_set_new (
+      out, "directory",
+      json_integer (chat_directory_count (admission_directory (sidecar->admission))));
 }
 
 static bool
 is_live (uint64_t engine_hash, void *context)
 {
   const sdc_t *sidecar = context;
-  const mem_snapshot_t *members = ops_members (sidecar->ops);
-  const mem_host_t *host = members != NULL ? mem_find_hash (members, engine_hash) : NULL;
+  const membership_snapshot_t *members = ops_members (sidecar->ops);
+  const membership_host_t *host =
+      members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
 
-  return host != NULL && !host->router && host->state == MEM_LIVE;
+  return host != NULL && !host->router && host->state == MEMBERSHIP_LIVE;
 }
 
 static void
 list_other_engines (sdc_t *sidecar)
 {
   const man_t *manifest = ops_man (sidecar->ops);
-  const mem_snapshot_t *members = ops_members (sidecar->ops);
+  const membership_snapshot_t *members = ops_members (sidecar->ops);
 
   g_clear_pointer (&sidecar->other_engines, g_free);
   sidecar->other_engine_count = 0;
@@ -71,9 +73,9 @@
   sidecar->other_engines = g_new0 (rendezvous_engine_t, members->host_count);
   for (uint32_t i = 0; i < members->host_count; i++)
     {
-      const mem_host_t *host = &members->hosts[i];
+      const membership_host_t *host = &members->hosts[i];
 
-      if (host->hash == sidecar->own_hash || host->router || host->state != MEM_LIVE ||
+      if (host->hash == sidecar->own_hash || host->router || host->state != MEMBERSHIP_LIVE ||
           man_service_of_engine (manifest, host->name) != sidecar->service)
         continue;
       sidecar->other_engines[sidecar->other_engine_count++] =
@@ -105,10 +107,11 @@
 static bool
 is_leaving (const sdc_t *sidecar)
 {
-  const mem_snapshot_t *members = ops_members (sidecar->ops);
-  const mem_host_t *own = members != NULL ? mem_find_hash (members, sidecar->own_hash) : NULL;
+  const membership_snapshot_t *members = ops_members (sidecar->ops);
+  const membership_host_t *own =
+      members != NULL ? membership_find_by_hash (members, sidecar->own_hash) : NULL;
 
-  return ops_draining (sidecar->ops) || (own != NULL && own->state != MEM_LIVE);
+  return ops_draining (sidecar->ops) || (own != NULL && own->state != MEMBERSHIP_LIVE);
 }
 
 bool
@@ -235,8 +238,8 @@
 merge_crash_marks (sdc_t *sidecar, const msg_marks_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
-    sus_merge (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
-               &message->marks[i]);
+    suspect_merge_mark (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
+                        &message->marks[i]);
 }
 
 static void
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -116,7 +116,8 @@
   const char *body = hsv_body (inbound, &body_bytes);
 
   if (outcome == HOP_OK &&
-      hop->body_hash != dgs_body (hsv_method (inbound), hsv_target (inbound), body, body_bytes))
+      hop->body_hash !=
+          digest_request (hsv_method (inbound), hsv_target (inbound), body, body_bytes))
     outcome = HOP_BAD_SEAL; /* the seal belongs to another request */
   if (outcome == HOP_OK)
     return true;
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -91,12 +91,12 @@
 static void
 add_referrals (sdc_call_t *call, const admission_decision_t *decision)
 {
-  const mem_snapshot_t *members = ops_members (call->sidecar->ops);
+  const membership_snapshot_t *members = ops_members (call->sidecar->ops);
   GString *names = g_string_new (NULL);
 
   for (uint32_t i = 0; members != NULL && i < decision->referral_count; i++)
     {
-      const mem_host_t *host = mem_find_hash (members, decision->referrals[i]);
+      const membership_host_t *host = membership_find_by_hash (members, decision->referrals[i]);
 
       if (host != NULL)
         g_string_append_printf (names, "%s%s", names->len > 0 ? "," : "", host->name);
@@ -245,25 +245,26 @@
 must_quarantine (sdc_call_t *call)
 {
   sdc_t *sidecar = call->sidecar;
-  sus_t *suspects = admission_suspects (sidecar->admission);
+  suspects_t *suspects = admission_suspects (sidecar->admission);
   uint64_t now_us = ops_now_us (sidecar->ops);
-  sus_mark_t mark = { .fingerprint = call->hop.fingerprint };
+  suspect_mark_t mark = { .fingerprint = call->hop.fingerprint };
 
   if (call->hop.crashed[0] != 0)
     {
       memcpy (mark.engines, call->hop.crashed, sizeof mark.engines);
-      sus_merge (suspects, now_us, &mark);
+      suspect_merge_mark (suspects, now_us, &mark);
       for (uint32_t i = 0; i < G_N_ELEMENTS (mark.engines); i++)
         if (mark.engines[i] != 0)
           admission_forget_engine (sidecar->admission, mark.engines[i]);
     }
-  if (!call->suspect && sus_get (suspects, now_us, call->hop.fingerprint, &mark))
+  if (!call->suspect && suspect_get_mark (suspects, now_us, call->hop.fingerprint, &mark))
     {
       call->suspect = true;
       sidecar->suspect_calls++;
     }
   return call->suspect && sidecar->suspect_calls > 1 &&
-         sus_check (suspects, now_us, call->hop.fingerprint, sidecar->own_hash) == SUS_CLEAR;
+         suspect_check (suspects, now_us, call->hop.fingerprint, sidecar->own_hash) ==
+             SUSPECT_ALLOWED;
 }
 
 /* suspect_reason() - why this engine must not run a request that crashed engines, or
@@ -273,14 +274,14 @@
 {
   const sdc_t *sidecar = call->sidecar;
 
-  switch (sus_check (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
-                     call->hop.fingerprint, sidecar->own_hash))
+  switch (suspect_check (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
+                         call->hop.fingerprint, sidecar->own_hash))
     {
-    case SUS_FINAL:
+    case SUSPECT_REFUSED:
       return VERDICT_REASON_SUSPECT;
-    case SUS_NOT_HERE:
+    case SUSPECT_OTHER_ENGINE:
       return VERDICT_REASON_SUSPECT_HERE;
-    case SUS_CLEAR:
+    case SUSPECT_ALLOWED:
       break;
     }
   return VERDICT_REASON_NONE;
--- a/src/request/sidecar/sidecar_claim.c
+++ b/src/request/sidecar/sidecar_claim.c
@@ -5,11 +5,11 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-static clm_key_t
+static claim_key_t
 claim_key (const hop_t *hop)
 {
-  return (clm_key_t){ .key_hash = { hop->key_hash[0], hop->key_hash[1] },
-                      .body_hash = hop->body_hash };
+  return (claim_key_t){ .key_hash = { hop->key_hash[0], hop->key_hash[1] },
+                        .body_hash = hop->body_hash };
 }
 
 /* format_claim_stream() - names the log stream that holds the claims of a key
@@ -95,7 +95,7 @@
 }
 
 void
-sdc_claim_result (sdc_t *sidecar, const clm_result_t *result)
+sdc_claim_result (sdc_t *sidecar, const claim_result_t *result)
 {
   sdc_call_t *call = g_hash_table_lookup (sidecar->calls, result->claim_id);
 
@@ -103,23 +103,23 @@
     return;
   switch (result->verdict)
     {
-    case CLM_GRANTED:
+    case CLAIM_GRANTED:
       on_claim_granted (call);
       break;
-    case CLM_DONE:
+    case CLAIM_DONE:
       sdc_call_give_back (call, VERDICT_REASON_CLAIMED, VERDICT_RAN);
       break;
-    case CLM_KEY_REUSED:
+    case CLAIM_KEY_REUSED:
       sdc_call_give_back (call, VERDICT_REASON_KEY_REUSED, VERDICT_NOT_RUN);
       break;
-    case CLM_TOO_LATE:
+    case CLAIM_EXPIRED:
       sdc_call_give_back (call, VERDICT_REASON_DEADLINE, VERDICT_NOT_RUN);
       break;
-    case CLM_LOG_DOWN:
+    case CLAIM_LOG_DOWN:
       sdc_call_give_back (call, VERDICT_REASON_LOG_DOWN, VERDICT_NOT_RUN);
       break;
-    case CLM_HELD:
-    case CLM_PENDING:
+    case CLAIM_HELD:
+    case CLAIM_PENDING:
       sdc_call_give_back (call, VERDICT_REASON_CLAIMED, VERDICT_MAY_HAVE_RUN);
       break;
     }
--- a/src/request/sidecar/sidecar_leave.c
+++ b/src/request/sidecar/sidecar_leave.c
@@ -39,12 +39,12 @@
 }
 
 static void
-send_batch (sdc_t *sidecar, const mem_host_t *host, const json_t *entries)
+send_batch (sdc_t *sidecar, const membership_host_t *host, const json_t *entries)
 {
   batch_request_t *request = g_new0 (batch_request_t, 1);
   char *text = json_dumps (entries, JSON_COMPACT);
-  char seal[ORD_SEAL_BYTES];
-  hcl_header_t header = { .name = ORD_SEAL_HEADER, .value = seal };
+  char seal[CALL_SEAL_BYTES];
+  hcl_header_t header = { .name = CALL_SEAL_HEADER, .value = seal };
   hcl_options_t options = { .address = &host->http,
                             .method = "POST",
                             .target = HOP_DIRECTORY_PATH,
@@ -58,12 +58,12 @@
   free (text);
   options.body = request->body;
   options.body_bytes = strlen (request->body);
-  ord_seal (&(ord_t){ .host = host->name,
-                      .method = "POST",
-                      .target = HOP_DIRECTORY_PATH,
-                      .body = request->body,
-                      .body_bytes = options.body_bytes },
-            sidecar->daemon->set.fleet_key, seal);
+  call_seal_compute (&(sealed_call_t){ .host = host->name,
+                                       .method = "POST",
+                                       .target = HOP_DIRECTORY_PATH,
+                                       .body = request->body,
+                                       .body_bytes = options.body_bytes },
+                     sidecar->daemon->set.fleet_key, seal);
   ops_count_control (sidecar->ops, OPS_CALL_BYTES + (uint32_t)options.body_bytes);
   hcl_start (sidecar->http_client, &options);
 }
@@ -85,7 +85,7 @@
  *
  * That is the highest-ranked of the remaining engines, by the ranking that routers use. */
 static void
-add_entry (const dir_entry_t *entry, void *context)
+add_entry (const chat_directory_entry_t *entry, void *context)
 {
   handover_t *handover = context;
   sdc_t *sidecar = handover->sidecar;
@@ -109,7 +109,7 @@
 void
 sdc_leave (sdc_t *sidecar)
 {
-  const mem_snapshot_t *members = ops_members (sidecar->ops);
+  const membership_snapshot_t *members = ops_members (sidecar->ops);
   handover_t handover = { .sidecar = sidecar };
 
   if (sidecar->directory_handed_over || sidecar->service == NULL || members == NULL ||
@@ -117,10 +117,10 @@
     return;
   sidecar->directory_handed_over = true;
   handover.batch_by_host = g_new0 (json_t *, members->host_count);
-  dir_each (admission_directory (sidecar->admission), add_entry, &handover);
+  chat_directory_for_each (admission_directory (sidecar->admission), add_entry, &handover);
   for (uint32_t i = 0; i < members->host_count; i++)
     flush_batch (&handover, i);
   g_free (handover.batch_by_host);
   log_event (LOG_LEVEL_NOTICE, "directory_handed_over", "entries",
-             LOG_U64 (dir_count (admission_directory (sidecar->admission))), NULL);
+             LOG_U64 (chat_directory_count (admission_directory (sidecar->admission))), NULL);
 }
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -248,7 +248,7 @@
 /** sdc_claim_start() - requests the claim of an admitted request's idempotency key */
 void sdc_claim_start (sdc_call_t *call);
 /** sdc_claim_result() - starts or refuses the request that waits for this claim */
-void sdc_claim_result (sdc_t *sidecar, const clm_result_t *result);
+void sdc_claim_result (sdc_t *sidecar, const claim_result_t *result);
 /**
  * sdc_claim_end() - reports how the claimed attempt ended; does nothing without an open claim
  * @ran: whether the engine ran the request; if not, the claim is released
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -36,8 +36,8 @@
   msg_marks_t *message = msg_new (MSG_NEW_MARK);
 
   message->count = 1;
-  if (sus_get (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops), fingerprint,
-               &message->marks[0]))
+  if (suspect_get_mark (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
+                        fingerprint, &message->marks[0]))
     mbx_send (sidecar->daemon->to_control, &message->head);
   else
     message->head.free (&message->head);
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -9,12 +9,12 @@
 #define TICK_US (PSE_TICK_MS * CLK_US_PER_MS)
 
 static void
-record_members (rig_received_t *received, const mem_snapshot_t *members)
+record_members (rig_received_t *received, const membership_snapshot_t *members)
 {
   received->snapshot_count++;
   received->host_count = members->host_count;
-  const mem_host_t *peer = mem_find (members, "peer");
-  received->peer_state = peer != NULL ? peer->state : MEM_GONE;
+  const membership_host_t *peer = membership_find (members, "peer");
+  received->peer_state = peer != NULL ? peer->state : MEMBERSHIP_GONE;
 }
 
 static void
@@ -174,9 +174,9 @@
 void
 rig_add_hosts (fkp_t *platform)
 {
-  fkp_host (platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LIVE);
-  fkp_host (platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEM_LIVE);
-  fkp_host (platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEM_LIVE);
+  fkp_host (platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LIVE);
+  fkp_host (platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEMBERSHIP_LIVE);
+  fkp_host (platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEMBERSHIP_LIVE);
 }
 
 void
--- a/tests/control_rig.h
+++ b/tests/control_rig.h
@@ -23,7 +23,7 @@
  * struct rig_received - what the data task was sent: the latest values, and counts
  * @snapshot_count: member snapshots
  * @host_count: hosts in the last snapshot
- * @peer_state: of the host "peer" in the last snapshot, MEM_GONE when it isn't in it
+ * @peer_state: of the host "peer" in the last snapshot, MEMBERSHIP_GONE when it isn't in it
  * @fresh: the last MSG_FRESHNESS said that the daemon is fresh
  * @fresh_count, @stale_count: messages that said so, and that said the opposite
  */
@@ -33,7 +33,7 @@
   uint32_t version_count;
   uint32_t snapshot_count;
   uint32_t host_count;
-  mem_state_t peer_state;
+  membership_state_t peer_state;
   bool fresh;
   uint64_t fresh_at_us;
   uint32_t fresh_count;
@@ -43,7 +43,7 @@
   load_sample_t sample;
   uint32_t mark_count;
   uint32_t claim_result_count;
-  clm_result_t claim_result;
+  claim_result_t claim_result;
 } rig_received_t;
 
 typedef struct
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -235,15 +235,19 @@
 }
 
 void
-fkp_host (
-    fkp_t *fake, const char *name, bool router, const char *ip, uint16_t port, mem_state_t state)
+fkp_host (fkp_t *fake,
+          const char *name,
+          bool router,
+          const char *ip,
+          uint16_t port,
+          membership_state_t state)
 {
   uint32_t i = 0;
   while (i < fake->host_count && strcmp (fake->hosts[i].name, name) != 0)
     i++;
   g_assert (i < G_N_ELEMENTS (fake->hosts));
   fake->host_count = MAX (fake->host_count, i + 1);
-  mem_listed_t *host = &fake->hosts[i];
+  membership_list_entry_t *host = &fake->hosts[i];
   g_strlcpy (host->name, name, sizeof host->name);
   g_strlcpy (host->data_center, "hall", sizeof host->data_center);
   g_strlcpy (host->region, "town", sizeof host->region);
--- a/tests/fake_platform.h
+++ b/tests/fake_platform.h
@@ -44,7 +44,7 @@
   GHashTable *streams; /* stream name -> GPtrArray of char *, indexed by offset */
   uint64_t first_offset;
   GQueue calls;
-  mem_listed_t hosts[FKP_HOSTS];
+  membership_list_entry_t hosts[FKP_HOSTS];
   uint32_t host_count;
   uint64_t revision;
   uint32_t reads;
@@ -68,7 +68,7 @@
                bool router,
                const char *ip,
                uint16_t port,
-               mem_state_t state);
+               membership_state_t state);
 /** fkp_answer() - answers the calls so far, except reads that still wait for a record. Return: how
  * many calls were answered */
 uint32_t fkp_answer (fkp_t *platform);
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -248,14 +248,14 @@
 
   memcpy (answer->result.claim_id, claim->claim_id, sizeof claim->claim_id);
   if (testbed->log_down)
-    answer->result.verdict = CLM_LOG_DOWN;
+    answer->result.verdict = CLAIM_LOG_DOWN;
   else if (state != NULL)
-    answer->result.verdict = (clm_verdict_t)GPOINTER_TO_UINT (state);
+    answer->result.verdict = (claim_verdict_t)GPOINTER_TO_UINT (state);
   else
     {
-      answer->result.verdict = CLM_GRANTED;
+      answer->result.verdict = CLAIM_GRANTED;
       g_hash_table_insert (testbed->claims, g_memdup2 (&claim->key.key_hash[0], sizeof (uint64_t)),
-                           GUINT_TO_POINTER (CLM_HELD));
+                           GUINT_TO_POINTER (CLAIM_HELD));
     }
   mbx_send (node->daemon.to_data, &answer->head);
 }
@@ -288,7 +288,7 @@
 
   if (end->ran)
     g_hash_table_insert (claims, g_memdup2 (&end->key.key_hash[0], sizeof (uint64_t)),
-                         GUINT_TO_POINTER (CLM_DONE));
+                         GUINT_TO_POINTER (CLAIM_DONE));
   else
     g_hash_table_remove (claims, &end->key.key_hash[0]);
 }
@@ -332,7 +332,7 @@
 {
   msg_members_t *members = msg_new (MSG_MEMBERS);
 
-  members->members = mem_snapshot_ref (&testbed->members);
+  members->members = membership_snapshot_ref (&testbed->members);
   mbx_send (node->daemon.to_data, &members->head);
 }
 
@@ -364,7 +364,7 @@
 }
 
 void
-pfl_set_state (pfl_t *testbed, uint32_t host, mem_state_t state)
+pfl_set_state (pfl_t *testbed, uint32_t host, membership_state_t state)
 {
   testbed->hosts[host].state = state;
   send_members (testbed, &testbed->router);
@@ -422,7 +422,7 @@
 static int
 compare_hashes (gconstpointer left, gconstpointer right, gpointer context)
 {
-  const mem_host_t *hosts = context;
+  const membership_host_t *hosts = context;
   uint64_t a = hosts[*(const uint32_t *)left].hash;
   uint64_t b = hosts[*(const uint32_t *)right].hash;
 
@@ -436,7 +436,7 @@
 
   for (uint32_t i = 0; i <= PFL_SIDECARS; i++)
     {
-      mem_host_t *host = &testbed->hosts[i];
+      membership_host_t *host = &testbed->hosts[i];
 
       host->router = i == PFL_SIDECARS;
       g_snprintf (host->name, sizeof host->name, "%s%u", host->router ? "r" : "e", i);
@@ -447,8 +447,9 @@
       order[i] = i;
     }
   g_qsort_with_data (order, PFL_SIDECARS + 1, sizeof order[0], compare_hashes, testbed->hosts);
-  testbed->members =
-      (mem_snapshot_t){ .hosts = testbed->hosts, .by_hash = order, .host_count = PFL_SIDECARS + 1 };
+  testbed->members = (membership_snapshot_t){ .hosts = testbed->hosts,
+                                              .by_hash = order,
+                                              .host_count = PFL_SIDECARS + 1 };
   g_atomic_ref_count_init (&testbed->members.refs);
 }
 
--- a/tests/path_fleet.h
+++ b/tests/path_fleet.h
@@ -96,7 +96,7 @@
  * @hosts: the sidecars' hosts, then the router's
  * @http_client: sends the callers' requests
  * @counters: counters of the fake engines' HTTP servers
- * @claims: key hash -> clm_verdict_t that the next claim of the key gets
+ * @claims: key hash -> claim_verdict_t that the next claim of the key gets
  * @log_down: claims are refused as if the log could not be reached
  * @hold_claims: a claim is held until pfl_judge()
  * @held_claim_node: the sidecar whose claim is held, or NULL
@@ -106,8 +106,8 @@
 {
   struct event_base *base;
   man_t *manifest;
-  mem_snapshot_t members;
-  mem_host_t hosts[PFL_SIDECARS + 1];
+  membership_snapshot_t members;
+  membership_host_t hosts[PFL_SIDECARS + 1];
   pfl_daemon_t router;
   pfl_daemon_t sidecars[PFL_SIDECARS];
   pfl_engine_t engines[PFL_SIDECARS];
@@ -184,7 +184,7 @@
 /** pfl_engine_named() - index of the engine that the answer's header names */
 uint32_t pfl_engine_named (const pfl_answer_t *answer);
 /** pfl_set_state() - changes the state of a host, and sends the members to all daemons */
-void pfl_set_state (pfl_t *testbed, uint32_t host, mem_state_t state);
+void pfl_set_state (pfl_t *testbed, uint32_t host, membership_state_t state);
 /** pfl_runs() - requests that the engines received in total */
 uint32_t pfl_runs (const pfl_t *testbed);
 /** pfl_set_all() - sets the mode of all engines */
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -501,7 +501,7 @@
   CU_ASSERT_EQUAL (offer (rig, crashing).reason, VERDICT_REASON_SUSPECT_HERE);
   admission_set_engine_up (rig->admission, true);
   CU_ASSERT_EQUAL (offer (rig, crashing).reason, VERDICT_REASON_SUSPECT_HERE);
-  sus_add (admission_suspects (rig->admission), rig->now_us, crashing->fingerprint, 13);
+  suspect_add_crash (admission_suspects (rig->admission), rig->now_us, crashing->fingerprint, 13);
   const admission_decision_t decision = offer (rig, crashing);
   CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_SUSPECT);
   CU_ASSERT_EQUAL (decision.retry_after_ms, 0);
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -17,13 +17,13 @@
 #define WALL_BASE_MS UINT64_C (1700000000000)
 #define EXPIRY_US (2 * (uint64_t)CLK_US_PER_S)
 
-static const clm_key_t key_a = { { 1, 2 }, 3 };
-static const clm_key_t key_b = { { 5, 5 }, 5 };
+static const claim_key_t key_a = { { 1, 2 }, 3 };
+static const claim_key_t key_b = { { 5, 5 }, 5 };
 
 /** struct single - a single reader and the end of its log */
 typedef struct
 {
-  clm_t *clm;
+  claim_stream_t *claim_stream;
   uint64_t now_us;
   uint64_t offset;
 } single_t;
@@ -37,60 +37,63 @@
 static single_t
 single_init (void)
 {
-  single_t single = { .clm = clm_new (HORIZON_US), .now_us = 1000 };
-  clm_begin (single.clm, 0);
+  single_t single = { .claim_stream = claim_new (HORIZON_US), .now_us = 1000 };
+  claim_set_first_offset (single.claim_stream, 0);
   return single;
 }
 
 static void
 single_clear (single_t *single)
 {
-  clm_free (single->clm);
+  claim_free (single->claim_stream);
 }
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (single_t, single_clear)
 
 static void
-request_claim (single_t *single, uint64_t id, const clm_key_t *key)
+request_claim (single_t *single, uint64_t id, const claim_key_t *key)
 {
   uint64_t claim_id[2] = { 7, id };
-  clm_request (single->clm, single->now_us, claim_id, key, single->now_us + EXPIRY_US, NULL);
+  claim_request (single->claim_stream, single->now_us, claim_id, key, single->now_us + EXPIRY_US,
+                 NULL);
 }
 
 static char *
 next_batch (single_t *single)
 {
-  return clm_batch (single->clm, single->now_us, wall_ms (single));
+  return claim_next_batch (single->claim_stream, single->now_us, wall_ms (single));
 }
 
 static void
 apply_record (single_t *single, const char *text)
 {
-  clm_feed (single->clm, single->now_us, wall_ms (single), single->offset++, text, strlen (text));
+  claim_apply_record (single->claim_stream, single->now_us, wall_ms (single), single->offset++,
+                      text, strlen (text));
 }
 
 /* Waits until an append is due, lets it succeed and reads it back. */
 static void
 append_and_read (single_t *single)
 {
-  CU_ASSERT_NOT_EQUAL_FATAL (clm_due_us (single->clm), UINT64_MAX);
-  single->now_us = MAX (single->now_us, clm_due_us (single->clm));
+  CU_ASSERT_NOT_EQUAL_FATAL (claim_append_due_us (single->claim_stream), UINT64_MAX);
+  single->now_us = MAX (single->now_us, claim_append_due_us (single->claim_stream));
   g_autofree char *text = next_batch (single);
   CU_ASSERT_PTR_NOT_NULL_FATAL (text);
-  clm_appended (single->clm, single->now_us, single->offset);
+  claim_append_succeeded (single->claim_stream, single->now_us, single->offset);
   apply_record (single, text);
 }
 
-static clm_verdict_t
+static claim_verdict_t
 next_verdict (single_t *single)
 {
-  clm_result_t result;
-  return clm_result (single->clm, single->now_us, &result) ? result.verdict : CLM_PENDING;
+  claim_result_t result;
+  return claim_take_result (single->claim_stream, single->now_us, &result) ? result.verdict
+                                                                           : CLAIM_PENDING;
 }
 
 /* Claims the key and checks the result. */
 static void
-check_claim (single_t *single, uint64_t id, const clm_key_t *key, clm_verdict_t verdict)
+check_claim (single_t *single, uint64_t id, const claim_key_t *key, claim_verdict_t verdict)
 {
   request_claim (single, id, key);
   append_and_read (single);
@@ -101,35 +104,36 @@
 test_first_claim_is_granted (void)
 {
   g_auto (single_t) single = single_init ();
-  clm_key_t other_body = { { 1, 2 }, 4 };
+  claim_key_t other_body = { { 1, 2 }, 4 };
   request_claim (&single, 1, &key_a);
   request_claim (&single, 2, &key_a);
   request_claim (&single, 3, &other_body);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
   append_and_read (&single);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_HELD);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_KEY_REUSED);
-  CU_ASSERT_FALSE (clm_wants (single.clm));
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_HELD);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_KEY_REUSED);
+  CU_ASSERT_FALSE (claim_has_work (single.claim_stream));
 }
 
 static void
 test_done_and_released (void)
 {
   g_auto (single_t) single = single_init ();
-  clm_result_t result;
+  claim_result_t result;
   uint64_t first[2] = { 7, 1 };
   uint64_t second[2] = { 7, 2 };
-  check_claim (&single, 1, &key_a, CLM_GRANTED);
-  clm_release (single.clm, first, &key_a);
+  check_claim (&single, 1, &key_a, CLAIM_GRANTED);
+  claim_release (single.claim_stream, first, &key_a);
   append_and_read (&single);
-  check_claim (&single, 2, &key_a, CLM_GRANTED);
-  clm_done (single.clm, second, &key_a, 201);
-  clm_release (single.clm, second, &key_a); /* must not free the key, as the request ran */
+  check_claim (&single, 2, &key_a, CLAIM_GRANTED);
+  claim_finish (single.claim_stream, second, &key_a, 201);
+  claim_release (single.claim_stream, second,
+                 &key_a); /* must not free the key, as the request ran */
   append_and_read (&single);
   request_claim (&single, 3, &key_a);
-  CU_ASSERT_TRUE_FATAL (clm_result (single.clm, single.now_us, &result));
-  CU_ASSERT_EQUAL (result.verdict, CLM_DONE);
+  CU_ASSERT_TRUE_FATAL (claim_take_result (single.claim_stream, single.now_us, &result));
+  CU_ASSERT_EQUAL (result.verdict, CLAIM_DONE);
   CU_ASSERT_EQUAL (result.status, 201);
 }
 
@@ -141,14 +145,14 @@
   g_auto (single_t) single = single_init ();
   request_claim (&single, 1, &key_a);
   g_autofree char *text = next_batch (&single);
-  clm_append_lost (single.clm, single.now_us);
+  claim_append_lost (single.claim_stream, single.now_us);
   single.now_us += CLK_US_PER_S / 2;
   CU_ASSERT_PTR_NULL (next_batch (&single));
   apply_record (&single, text);
-  clm_read_to (single.clm, single.now_us, single.offset);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  claim_read_to_end (single.claim_stream, single.now_us, single.offset);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
   CU_ASSERT_PTR_NULL (next_batch (&single));
-  CU_ASSERT_FALSE (clm_wants (single.clm));
+  CU_ASSERT_FALSE (claim_has_work (single.claim_stream));
 }
 
 /* The record is read back before its append counts as lost. That shows that the log works, so the
@@ -160,10 +164,10 @@
   request_claim (&single, 1, &key_a);
   g_autofree char *text = next_batch (&single);
   apply_record (&single, text);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
-  clm_append_lost (single.clm, single.now_us);
-  CU_ASSERT_FALSE (clm_wants (single.clm));
-  check_claim (&single, 2, &key_b, CLM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
+  claim_append_lost (single.claim_stream, single.now_us);
+  CU_ASSERT_FALSE (claim_has_work (single.claim_stream));
+  check_claim (&single, 2, &key_b, CLAIM_GRANTED);
 }
 
 /* The append had no effect. It is repeated with the same claim id, but only when a read that began
@@ -174,13 +178,13 @@
   g_auto (single_t) single = single_init ();
   request_claim (&single, 1, &key_a);
   g_free (next_batch (&single));
-  clm_append_lost (single.clm, single.now_us);
+  claim_append_lost (single.claim_stream, single.now_us);
   single.now_us += CLK_US_PER_S / 2;
-  clm_read_to (single.clm, single.now_us, single.offset);
+  claim_read_to_end (single.claim_stream, single.now_us, single.offset);
   CU_ASSERT_PTR_NULL (next_batch (&single));
-  clm_read_to (single.clm, single.now_us, single.offset);
+  claim_read_to_end (single.claim_stream, single.now_us, single.offset);
   append_and_read (&single);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
 }
 
 /* An append seems lost and is repeated, its claim is released, and then the first copy reaches the
@@ -193,16 +197,16 @@
   uint64_t claim_id[2] = { 7, 1 };
   request_claim (&single, 1, &key_a);
   g_autofree char *late = next_batch (&single);
-  clm_append_lost (single.clm, single.now_us);
+  claim_append_lost (single.claim_stream, single.now_us);
   single.now_us += CLK_US_PER_S / 2;
-  clm_read_to (single.clm, single.now_us, single.offset);
-  clm_read_to (single.clm, single.now_us, single.offset);
+  claim_read_to_end (single.claim_stream, single.now_us, single.offset);
+  claim_read_to_end (single.claim_stream, single.now_us, single.offset);
   append_and_read (&single);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
-  clm_release (single.clm, claim_id, &key_a);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
+  claim_release (single.claim_stream, claim_id, &key_a);
   append_and_read (&single);
   apply_record (&single, late);
-  check_claim (&single, 2, &key_a, CLM_GRANTED);
+  check_claim (&single, 2, &key_a, CLAIM_GRANTED);
 }
 
 /* The log is unavailable. New claims are refused at once and not at their deadline. The claim that
@@ -214,22 +218,22 @@
   request_claim (&single, 1, &key_a);
   g_autofree char *late = next_batch (&single);
   request_claim (&single, 2, &key_b); /* queued behind the append in flight */
-  clm_append_lost (single.clm, single.now_us);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  claim_append_lost (single.claim_stream, single.now_us);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   request_claim (&single, 3, &key_b);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
   single.now_us += CLK_US_PER_S;
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   request_claim (&single, 4,
                  &key_a); /* refused at once too: the release of the first claim tries the log */
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
-  clm_read_to (single.clm, single.now_us, single.offset);
-  clm_read_to (single.clm, single.now_us, single.offset);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
+  claim_read_to_end (single.claim_stream, single.now_us, single.offset);
+  claim_read_to_end (single.claim_stream, single.now_us, single.offset);
   append_and_read (&single);
-  check_claim (&single, 5, &key_a, CLM_GRANTED);
+  check_claim (&single, 5, &key_a, CLAIM_GRANTED);
   apply_record (&single, late);
-  check_claim (&single, 6, &key_b, CLM_GRANTED);
+  check_claim (&single, 6, &key_b, CLAIM_GRANTED);
 }
 
 /* The process is suspended between the append and its read, until after the claim's expiry. The
@@ -240,11 +244,11 @@
   g_auto (single_t) single = single_init ();
   request_claim (&single, 1, &key_a);
   g_autofree char *text = next_batch (&single);
-  clm_appended (single.clm, single.now_us, single.offset);
+  claim_append_succeeded (single.claim_stream, single.now_us, single.offset);
   single.now_us += EXPIRY_US;
   apply_record (&single, text);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_TOO_LATE);
-  check_claim (&single, 2, &key_a, CLM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_EXPIRED);
+  check_claim (&single, 2, &key_a, CLAIM_GRANTED);
 }
 
 /* The log refuses an append because it gets too many. The client must not be told that its request
@@ -256,17 +260,17 @@
   g_auto (single_t) single = single_init ();
   request_claim (&single, 1, &key_a);
   g_autofree char *first = next_batch (&single);
-  clm_append_refused (single.clm, single.now_us);
+  claim_append_refused (single.claim_stream, single.now_us);
   CU_ASSERT_PTR_NULL (next_batch (&single));
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
-  single.now_us = clm_due_us (single.clm);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
+  single.now_us = claim_append_due_us (single.claim_stream);
   g_autofree char *second = next_batch (&single);
   CU_ASSERT_PTR_NOT_NULL_FATAL (second);
   CU_ASSERT_NSTRING_EQUAL (first, second, strcspn (first, "t")); /* except the time */
-  clm_appended (single.clm, single.now_us, single.offset);
+  claim_append_succeeded (single.claim_stream, single.now_us, single.offset);
   apply_record (&single, second);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
-  CU_ASSERT_EQUAL (clm_due_us (single.clm), UINT64_MAX);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
+  CU_ASSERT_EQUAL (claim_append_due_us (single.claim_stream), UINT64_MAX);
 }
 
 /* The log refuses an append, and the next one is due after the deadline of some claims. Those are
@@ -277,19 +281,19 @@
   g_auto (single_t) single = single_init ();
   uint64_t short_deadline[2] = { 7, 1 };
   uint64_t late_short_deadline[2] = { 7, 2 };
-  clm_request (single.clm, single.now_us, short_deadline, &key_a,
-               single.now_us + 50 * CLK_US_PER_MS, NULL);
+  claim_request (single.claim_stream, single.now_us, short_deadline, &key_a,
+                 single.now_us + 50 * CLK_US_PER_MS, NULL);
   request_claim (&single, 3, &key_b);
   g_free (next_batch (&single));
-  clm_append_refused (single.clm, single.now_us);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
-  clm_request (single.clm, single.now_us, late_short_deadline, &key_a,
-               single.now_us + 50 * CLK_US_PER_MS, NULL);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  claim_append_refused (single.claim_stream, single.now_us);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
+  claim_request (single.claim_stream, single.now_us, late_short_deadline, &key_a,
+                 single.now_us + 50 * CLK_US_PER_MS, NULL);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   append_and_read (&single);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
 }
 
 /* The log keeps refusing appends. A pending claim is refused after a few attempts and later ones
@@ -300,13 +304,13 @@
   g_auto (single_t) single = single_init ();
   uint32_t tries = 0;
   request_claim (&single, 1, &key_a);
-  while (next_verdict (&single) == CLM_PENDING)
+  while (next_verdict (&single) == CLAIM_PENDING)
     {
-      single.now_us = clm_due_us (single.clm);
+      single.now_us = claim_append_due_us (single.claim_stream);
       char *text = next_batch (&single);
       CU_ASSERT_PTR_NOT_NULL_FATAL (text);
       g_free (text);
-      clm_append_refused (single.clm, single.now_us);
+      claim_append_refused (single.claim_stream, single.now_us);
       tries++;
     }
   CU_ASSERT_TRUE (tries <= 5);
@@ -321,16 +325,16 @@
       if (text != NULL)
         {
           tries++;
-          clm_append_refused (single.clm, single.now_us);
+          claim_append_refused (single.claim_stream, single.now_us);
         }
       g_free (text);
-      CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
-      CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+      CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
+      CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
     }
   CU_ASSERT_TRUE (tries >= 5 && tries <= 15);
   single.now_us += 5 * CLK_US_PER_S;
-  check_claim (&single, 3, &key_a, CLM_GRANTED);
-  check_claim (&single, 4, &key_a, CLM_HELD);
+  check_claim (&single, 3, &key_a, CLAIM_GRANTED);
+  check_claim (&single, 4, &key_a, CLAIM_HELD);
 }
 
 /* A read fails: claims that aren't sent yet are refused at once, although no append has failed. */
@@ -338,11 +342,11 @@
 test_reading_fails (void)
 {
   g_auto (single_t) single = single_init ();
-  check_claim (&single, 1, &key_a, CLM_GRANTED);
+  check_claim (&single, 1, &key_a, CLAIM_GRANTED);
   request_claim (&single, 2, &key_b); /* queued until the interval is over */
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
-  clm_log_down (single.clm, single.now_us);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_LOG_DOWN);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
+  claim_read_failed (single.claim_stream, single.now_us);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   single.now_us += CLK_US_PER_S;
   CU_ASSERT_PTR_NULL (next_batch (&single));
 }
@@ -354,7 +358,7 @@
   bool found = text != NULL && strstr (text, kind) != NULL;
   if (text != NULL)
     {
-      clm_appended (single->clm, single->now_us, single->offset);
+      claim_append_succeeded (single->claim_stream, single->now_us, single->offset);
       apply_record (single, text);
     }
   g_free (text);
@@ -371,27 +375,27 @@
   g_auto (single_t) single = single_init ();
   uint64_t first[2] = { 7, 1 };
   uint64_t second[2] = { 7, 2 };
-  check_claim (&single, 1, &key_a, CLM_GRANTED);
+  check_claim (&single, 1, &key_a, CLAIM_GRANTED);
   single.now_us += CLK_US_PER_S / 5;
-  clm_done (single.clm, first, &key_a, 200);
-  CU_ASSERT_TRUE (clm_wants (single.clm));
-  CU_ASSERT_FALSE (clm_wants_read (single.clm));
+  claim_finish (single.claim_stream, first, &key_a, 200);
+  CU_ASSERT_TRUE (claim_has_work (single.claim_stream));
+  CU_ASSERT_FALSE (claim_needs_read (single.claim_stream));
   CU_ASSERT_FALSE (batch_has (&single, "\"d\""));
   request_claim (&single, 2, &key_b);
   CU_ASSERT_TRUE (batch_has (&single, "\"d\""));
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
   single.now_us += CLK_US_PER_S / 5;
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_PENDING);
-  clm_done (single.clm, second, &key_b, 200);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
+  claim_finish (single.claim_stream, second, &key_b, 200);
   CU_ASSERT_FALSE (batch_has (&single, "\"d\""));
   single.now_us += 2 * CLK_US_PER_S;
   CU_ASSERT_TRUE (batch_has (&single, "\"d\""));
-  request_claim (&single, 3, &(clm_key_t){ { 6, 6 }, 6 });
+  request_claim (&single, 3, &(claim_key_t){ { 6, 6 }, 6 });
   single.now_us += CLK_US_PER_S / 5;
   append_and_read (&single);
-  CU_ASSERT_EQUAL (next_verdict (&single), CLM_GRANTED);
+  CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
   single.now_us += CLK_US_PER_S / 5;
-  clm_release (single.clm, (uint64_t[]){ 7, 3 }, &(clm_key_t){ { 6, 6 }, 6 });
+  claim_release (single.claim_stream, (uint64_t[]){ 7, 3 }, &(claim_key_t){ { 6, 6 }, 6 });
   CU_ASSERT_TRUE (batch_has (&single, "\"r\""));
 }
 
@@ -404,8 +408,8 @@
   };
   for (uint32_t i = 0; i < G_N_ELEMENTS (malformed); i++)
     apply_record (&single, malformed[i]);
-  CU_ASSERT_EQUAL (clm_broken_count (single.clm), G_N_ELEMENTS (malformed));
-  check_claim (&single, 1, &key_a, CLM_GRANTED);
+  CU_ASSERT_EQUAL (claim_malformed_count (single.claim_stream), G_N_ELEMENTS (malformed));
+  check_claim (&single, 1, &key_a, CLAIM_GRANTED);
 }
 
 /* Keys are forgotten a horizon after their claim, and their memory is freed. */
@@ -416,15 +420,15 @@
   uint64_t most_bytes = 0;
   for (uint32_t i = 0; i < 40000; i++)
     {
-      clm_key_t key = { { i, 9 }, 1 };
-      check_claim (&single, i, &key, CLM_GRANTED);
+      claim_key_t key = { { i, 9 }, 1 };
+      check_claim (&single, i, &key, CLAIM_GRANTED);
       single.now_us += HORIZON_US / 1000;
-      most_bytes = MAX (most_bytes, clm_memory_bytes (single.clm));
+      most_bytes = MAX (most_bytes, claim_memory_bytes (single.claim_stream));
     }
-  CU_ASSERT_TRUE (clm_key_count (single.clm) <= 4000);
+  CU_ASSERT_TRUE (claim_key_count (single.claim_stream) <= 4000);
   CU_ASSERT_TRUE (most_bytes <= 1500 * 24); /* 1,000 keys within the horizon */
-  clm_key_t oldest = { { 0, 9 }, 1 };
-  check_claim (&single, 1, &oldest, CLM_GRANTED);
+  claim_key_t oldest = { { 0, 9 }, 1 };
+  check_claim (&single, 1, &oldest, CLAIM_GRANTED);
 }
 
 /* ---- several readers over one log ---- */
@@ -445,7 +449,7 @@
 
 typedef struct
 {
-  clm_t *clm;
+  claim_stream_t *claim_stream;
   GArray *grants;
   char *append; /* in flight */
   uint64_t append_due_us;
@@ -515,7 +519,7 @@
 reader_start (simulation_t *simulation, reader_t *reader)
 {
   memset (reader, 0, sizeof *reader);
-  reader->clm = clm_new (HORIZON_US);
+  reader->claim_stream = claim_new (HORIZON_US);
   reader->grants = g_array_new (FALSE, FALSE, sizeof (grant_t));
   reader->skew_ms =
       simulation->faults ? (int64_t)random_us (simulation, 4 * CLK_US_PER_MS) - 2000 : 0;
@@ -524,7 +528,7 @@
 static void
 reader_stop (reader_t *reader)
 {
-  clm_free (reader->clm);
+  claim_free (reader->claim_stream);
   g_array_free (reader->grants, TRUE);
   g_free (reader->append);
 }
@@ -568,11 +572,11 @@
   /* Each key is claimed during two periods and again when it is about to be forgotten. */
   uint64_t period = simulation->now_us / KEY_PERIOD_US + (chance (simulation, 50) ? 1 : 0);
   uint32_t key = (uint32_t)(period % KEYS);
-  clm_key_t claim_key = { { key, 77 }, 5 };
+  claim_key_t claim_key = { { key, 77 }, 5 };
   uint64_t claim_id[2] = { 1, simulation->next_id++ };
   uint64_t expiry_us = simulation->now_us + EXPIRY_US;
-  clm_request (reader->clm, simulation->now_us, claim_id, &claim_key, expiry_us,
-               GUINT_TO_POINTER (key));
+  claim_request (reader->claim_stream, simulation->now_us, claim_id, &claim_key, expiry_us,
+                 GUINT_TO_POINTER (key));
   simulation->requested++;
 }
 
@@ -581,8 +585,8 @@
 {
   if (reader->append == NULL)
     {
-      reader->append =
-          clm_batch (reader->clm, simulation->now_us, reader_wall_ms (simulation, reader));
+      reader->append = claim_next_batch (reader->claim_stream, simulation->now_us,
+                                         reader_wall_ms (simulation, reader));
       reader->append_due_us = simulation->now_us + random_us (simulation, CLK_US_PER_S / 10);
       return;
     }
@@ -590,7 +594,7 @@
     return;
   if (simulation->faults && chance (simulation, 20))
     {
-      clm_append_refused (reader->clm, simulation->now_us);
+      claim_append_refused (reader->claim_stream, simulation->now_us);
       g_clear_pointer (&reader->append, g_free);
       return;
     }
@@ -600,9 +604,9 @@
   else if (chance (simulation, 50))
     append_later (simulation, reader->append);
   if (lost)
-    clm_append_lost (reader->clm, simulation->now_us);
+    claim_append_lost (reader->claim_stream, simulation->now_us);
   else
-    clm_appended (reader->clm, simulation->now_us, simulation->log->len - 1);
+    claim_append_succeeded (reader->claim_stream, simulation->now_us, simulation->log->len - 1);
   g_clear_pointer (&reader->append, g_free);
 }
 
@@ -620,25 +624,25 @@
   reader->read_sent = false;
   if (simulation->faults && chance (simulation, 20))
     return;
-  clm_begin (reader->clm, reader->read_first);
+  claim_set_first_offset (reader->claim_stream, reader->read_first);
   uint64_t wall = reader_wall_ms (simulation, reader);
-  for (uint64_t at = clm_next_offset (reader->clm); at < reader->read_end; at++)
+  for (uint64_t at = claim_next_offset (reader->claim_stream); at < reader->read_end; at++)
     {
       if (simulation->faults && chance (simulation, 5))
         return; /* a page that ends early */
       const char *text = g_array_index (simulation->log, logged_t, at).text;
-      clm_feed (reader->clm, simulation->now_us, wall, at, text, strlen (text));
+      claim_apply_record (reader->claim_stream, simulation->now_us, wall, at, text, strlen (text));
     }
-  clm_read_to (reader->clm, simulation->now_us, reader->read_end);
+  claim_read_to_end (reader->claim_stream, simulation->now_us, reader->read_end);
 }
 
 static void
 run_request (simulation_t *simulation, reader_t *reader, const grant_t *grant)
 {
-  clm_key_t claim_key = { { grant->key, 77 }, 5 };
+  claim_key_t claim_key = { { grant->key, 77 }, 5 };
   if (simulation->now_us >= grant->expiry_us)
     {
-      clm_release (reader->clm, grant->claim_id, &claim_key);
+      claim_release (reader->claim_stream, grant->claim_id, &claim_key);
       return;
     }
   uint64_t last_us = simulation->last_run_us[grant->key];
@@ -649,27 +653,27 @@
   simulation->last_run_us[grant->key] = simulation->now_us;
   simulation->runs++;
   if (chance (simulation, 70))
-    clm_done (reader->clm, grant->claim_id, &claim_key, 200);
+    claim_finish (reader->claim_stream, grant->claim_id, &claim_key, 200);
 }
 
 static void
 step_results (simulation_t *simulation, reader_t *reader)
 {
-  clm_result_t result;
-  while (clm_result (reader->clm, simulation->now_us, &result))
+  claim_result_t result;
+  while (claim_take_result (reader->claim_stream, simulation->now_us, &result))
     {
       simulation->decided++;
-      if (result.verdict != CLM_GRANTED)
+      if (result.verdict != CLAIM_GRANTED)
         continue;
       grant_t grant = { { result.claim_id[0], result.claim_id[1] },
                         GPOINTER_TO_UINT (result.owner),
                         simulation->now_us +
                             random_us (simulation, simulation->faults ? 3 * CLK_US_PER_S : 1000),
                         simulation->now_us + CLK_US_PER_S };
-      clm_key_t claim_key = { { grant.key, 77 }, 5 };
+      claim_key_t claim_key = { { grant.key, 77 }, 5 };
       if (simulation->faults && chance (simulation, 30))
-        clm_release (reader->clm, grant.claim_id,
-                     &claim_key); /* the engine refused the request, so it did not run */
+        claim_release (reader->claim_stream, grant.claim_id,
+                       &claim_key); /* the engine refused the request, so it did not run */
       else
         g_array_append_val (reader->grants, grant);
     }
@@ -783,7 +787,7 @@
       CU_ASSERT_EQUAL (simulation.decided, simulation.requested);
       CU_ASSERT_EQUAL (simulation.runs, 2);
       for (uint32_t i = 0; i < READERS; i++)
-        CU_ASSERT_FALSE (clm_wants (simulation.readers[i].clm));
+        CU_ASSERT_FALSE (claim_has_work (simulation.readers[i].claim_stream));
       simulation_free (&simulation);
     }
 }
--- a/tests/test_claim_pace.c
+++ b/tests/test_claim_pace.c
@@ -15,7 +15,7 @@
 
 typedef struct
 {
-  cpc_t paces[DAEMONS];
+  claim_pace_t paces[DAEMONS];
   uint32_t succeeded[DAEMONS];
   uint64_t refused;
   uint64_t now_us;
@@ -28,8 +28,8 @@
   memset (fleet, 0, sizeof *fleet);
   for (uint32_t i = 0; i < DAEMONS; i++)
     {
-      cpc_init (&fleet->paces[i]);
-      cpc_stir (&fleet->paces[i], i);
+      claim_pace_init (&fleet->paces[i]);
+      claim_pace_add_entropy (&fleet->paces[i], i);
     }
 }
 
@@ -45,19 +45,19 @@
       fleet->allowance = MIN (fleet->allowance + APPENDS_PER_S / 1000, APPENDS_PER_S);
       for (uint32_t i = 0; i < DAEMONS; i++)
         {
-          cpc_t *pace = &fleet->paces[i];
+          claim_pace_t *pace = &fleet->paces[i];
           if (fleet->now_us < pace->due_us)
             continue;
-          cpc_started (pace, fleet->now_us);
+          claim_pace_append_started (pace, fleet->now_us);
           if (fleet->allowance < 1)
             {
-              cpc_refused (pace, fleet->now_us);
+              claim_pace_append_refused (pace, fleet->now_us);
               fleet->refused++;
               continue;
             }
           fleet->allowance -= 1;
           fleet->succeeded[i]++;
-          cpc_taken (pace, fleet->now_us);
+          claim_pace_append_succeeded (pace, fleet->now_us);
         }
     }
 }
@@ -93,17 +93,17 @@
 static void
 test_interval_recovers_after_refusals (void)
 {
-  cpc_t pace;
-  cpc_init (&pace);
+  claim_pace_t pace;
+  claim_pace_init (&pace);
   uint64_t now_us = 0;
   for (uint32_t i = 0; i < 10; i++)
-    cpc_refused (&pace, now_us = pace.due_us);
+    claim_pace_append_refused (&pace, now_us = pace.due_us);
   CU_ASSERT_EQUAL (pace.interval_us, LIM_CLAIM_INTERVAL_MAX_US);
   CU_ASSERT_TRUE (pace.due_us - now_us <= LIM_CLAIM_BACKOFF_US * 5 / 4);
   for (now_us = pace.due_us; now_us < 300 * (uint64_t)CLK_US_PER_S; now_us = pace.due_us)
     {
-      cpc_started (&pace, now_us);
-      cpc_taken (&pace, now_us);
+      claim_pace_append_started (&pace, now_us);
+      claim_pace_append_succeeded (&pace, now_us);
     }
   CU_ASSERT_EQUAL (pace.interval_us, LIM_CLAIM_INTERVAL_MIN_US);
 }
@@ -113,14 +113,14 @@
 static void
 test_outage_keeps_interval (void)
 {
-  cpc_t pace;
-  cpc_init (&pace);
+  claim_pace_t pace;
+  claim_pace_init (&pace);
   uint64_t now_us = 0;
   for (uint32_t i = 0; i < 10; i++)
-    cpc_lost (&pace, now_us = pace.due_us);
+    claim_pace_append_lost (&pace, now_us = pace.due_us);
   CU_ASSERT_TRUE (pace.due_us - now_us >= LIM_CLAIM_BACKOFF_US * 3 / 4);
-  cpc_started (&pace, pace.due_us);
-  cpc_taken (&pace, pace.due_us);
+  claim_pace_append_started (&pace, pace.due_us);
+  claim_pace_append_succeeded (&pace, pace.due_us);
   CU_ASSERT_TRUE (pace.due_us - pace.started_us <= LIM_CLAIM_INTERVAL_MIN_US * 5 / 4);
 }
 
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -162,12 +162,13 @@
   rig_start (&peer);
   TICK_UNTIL (&peer, peer.received.fresh);
   exc_now (own.ctrl->exc, &peer.dmn.set.exchange);
-  mem_word_t word = { 0 };
+  membership_report_t word = { 0 };
   gint64 end_us = g_get_monotonic_time () + RIG_DEADLINE_S * G_USEC_PER_SEC;
-  while (!mem_word (peer.ctrl->mem, own.ctrl->own_hash, &word) && g_get_monotonic_time () < end_us)
+  while (!membership_last_report (peer.ctrl->membership, own.ctrl->own_hash, &word) &&
+         g_get_monotonic_time () < end_us)
     event_base_loop (base, EVLOOP_ONCE);
   CU_ASSERT_EQUAL (word.incarnation, 50);
-  fkp_host (&peer.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LEAVING);
+  fkp_host (&peer.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
   rig_ticks (&peer, 20);
   own.platform.read_down = true;
   own.platform.list_down = true;
@@ -189,14 +190,14 @@
 {
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LEAVING);
+  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.drain_count > 0);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LIVE);
+  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LIVE);
   rig_ticks (&rig, 30);
   CU_ASSERT_EQUAL (rig.received.drain_count, 1);
   rig_message_t out;
   ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
-  CU_ASSERT_EQUAL (out.message.sender.state, MEM_LEAVING);
+  CU_ASSERT_EQUAL (out.message.sender.state, MEMBERSHIP_LEAVING);
   rig_send_flag (&rig, MSG_DRAINED);
   rig_ticks (&rig, 30);
   CU_ASSERT_FALSE (rig.ctrl->stop.done);
@@ -214,15 +215,15 @@
   rig_t rig;
   rig_set_up (&rig, base, "own", RIG_PORT);
   rig_add_hosts (&rig.platform);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LEAVING);
+  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
   rig_publish_version (&rig.platform, 0);
   rig_start (&rig);
   rig_ticks (&rig, 30);
   CU_ASSERT_EQUAL (rig.received.fresh_count, 0);
   CU_ASSERT_EQUAL (rig.received.drain_count, 0);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LIVE);
+  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LIVE);
   TICK_UNTIL (&rig, rig.received.fresh);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEM_LEAVING);
+  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.drain_count == 1);
   rig_tear_down (&rig);
   event_base_free (base);
@@ -284,7 +285,7 @@
       char name[16];
       g_snprintf (name, sizeof name, "other-%u", i);
       fkp_host (&rig->platform, name, false, rig_loopback_ip (), (uint16_t)(RIG_PORT + 10 + i),
-                MEM_LIVE);
+                MEMBERSHIP_LIVE);
       g_strlcpy (rig->platform.hosts[rig->platform.host_count - 1].data_center, "other",
                  LIM_NAME_BYTES);
     }
@@ -301,7 +302,7 @@
       char name[16];
       g_snprintf (name, sizeof name, "crowd-%u", i);
       fkp_host (&rig->platform, name, false, rig_loopback_ip (), (uint16_t)(RIG_PORT + 10 + i),
-                MEM_LIVE);
+                MEMBERSHIP_LIVE);
     }
   rig_ticks (rig, 20);
   CU_ASSERT_FALSE (rig->ctrl->peers.is_follower);
@@ -325,12 +326,12 @@
   uint32_t lists = rig.platform.lists;
   rig_ticks (&rig, 25);
   CU_ASSERT_EQUAL (rig.platform.lists, lists);
-  fkp_host (&rig.platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEM_LEAVING);
+  fkp_host (&rig.platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEMBERSHIP_LEAVING);
   rig_compose (&incoming, "peer", sequence++)->list_revision = revision + 1;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   rig_tick (&rig);
   CU_ASSERT_EQUAL (rig.platform.lists, lists + 1);
-  CU_ASSERT_EQUAL (mem_find (rig.ctrl->peers.members, "third")->state, MEM_LEAVING);
+  CU_ASSERT_EQUAL (membership_find (rig.ctrl->peers.members, "third")->state, MEMBERSHIP_LEAVING);
   for (uint32_t i = 0; i < 20; i++)
     {
       rig_compose (&incoming, "peer", sequence++)->list_revision = revision + 100;
@@ -369,16 +370,16 @@
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   rig_ticks (&rig, 20);
   uint64_t before = cnt_value (sent);
-  fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEM_LEAVING);
-  TICK_UNTIL (&rig, rig.received.peer_state == MEM_LEAVING);
+  fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEMBERSHIP_LEAVING);
+  TICK_UNTIL (&rig, rig.received.peer_state == MEMBERSHIP_LEAVING);
   CU_ASSERT_EQUAL (cnt_value (sent), before + 1);
   rig_ticks (&rig, 30);
   CU_ASSERT_EQUAL (cnt_value (sent), before + 5);
   rig_message_t incoming;
-  rig_compose (&incoming, "peer", 1)->sender.state = MEM_LEAVING;
+  rig_compose (&incoming, "peer", 1)->sender.state = MEMBERSHIP_LEAVING;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   rig_ticks (&rig, 20);
-  CU_ASSERT_EQUAL (lvn_count (rig.ctrl->list.leaving), 0);
+  CU_ASSERT_EQUAL (leave_notice_count (rig.ctrl->list.leaving), 0);
   before = cnt_value (sent);
   rig_ticks (&rig, 50);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
--- a/tests/test_control_claims.c
+++ b/tests/test_control_claims.c
@@ -18,7 +18,7 @@
 
 /* Requests a claim and checks its verdict, which must be the result number @results. */
 static void
-expect_verdict (rig_t *rig, uint64_t id, uint64_t key, uint32_t results, clm_verdict_t verdict)
+expect_verdict (rig_t *rig, uint64_t id, uint64_t key, uint32_t results, claim_verdict_t verdict)
 {
   rig_deliver (rig, new_claim (rig, id, key));
   TICK_UNTIL (rig, rig->received.claim_result_count == results);
@@ -30,9 +30,9 @@
 {
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
-  expect_verdict (&rig, 1, 100, 1, CLM_GRANTED);
+  expect_verdict (&rig, 1, 100, 1, CLAIM_GRANTED);
   CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
-  expect_verdict (&rig, 2, 100, 2, CLM_HELD);
+  expect_verdict (&rig, 2, 100, 2, CLAIM_HELD);
   msg_claim_end_t *end = msg_new (MSG_CLAIM_END);
   g_strlcpy (end->stream, STREAM, sizeof end->stream);
   end->claim_id[0] = 1;
@@ -43,7 +43,7 @@
   end->status = 201;
   rig_deliver (&rig, end);
   TICK_UNTIL (&rig, ctrl_claims_idle (rig.ctrl));
-  expect_verdict (&rig, 3, 100, 3, CLM_DONE);
+  expect_verdict (&rig, 3, 100, 3, CLAIM_DONE);
   CU_ASSERT_EQUAL (rig.received.claim_result.status, 201);
 }
 
@@ -63,7 +63,7 @@
   rig_publish_version (&rig.platform, 0);
   fkp_put (&rig.platform, STREAM, fkp_record (&other.platform, STREAM, 0));
   rig_start (&rig);
-  expect_verdict (&rig, 2, 100, 1, CLM_HELD);
+  expect_verdict (&rig, 2, 100, 1, CLAIM_HELD);
   rig_tear_down (&rig);
   rig_tear_down (&other);
   event_base_free (base);
@@ -79,17 +79,17 @@
   rig_init (&rig);
   rig.platform.read_down = true;
   rig.platform.append_down = true;
-  expect_verdict (&rig, 1, 100, 1, CLM_LOG_DOWN);
+  expect_verdict (&rig, 1, 100, 1, CLAIM_LOG_DOWN);
   for (uint32_t id = 2; id < 20; id++)
     {
       rig_deliver (&rig, new_claim (&rig, id, 100 + id));
       CU_ASSERT_EQUAL (rig.received.claim_result_count, id);
-      CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLM_LOG_DOWN);
+      CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLAIM_LOG_DOWN);
     }
   rig.platform.read_down = false;
   rig.platform.append_down = false;
   rig_ticks (&rig, 15);
-  expect_verdict (&rig, 50, 500, 20, CLM_GRANTED);
+  expect_verdict (&rig, 50, 500, 20, CLAIM_GRANTED);
 }
 
 /* An idle daemon detects the outage by its read of the manifest stream. Then the first claim must
@@ -103,12 +103,12 @@
   rig_ticks (&rig, 2);
   rig_deliver (&rig, new_claim (&rig, 1, 100));
   CU_ASSERT_EQUAL (rig.received.claim_result_count, 1);
-  CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLM_LOG_DOWN);
+  CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLAIM_LOG_DOWN);
   CU_ASSERT_EQUAL (rig.platform.appends, 0);
   rig.ctrl->manifest.poll.due_us = UINT64_MAX; /* this read would detect the recovery, too */
   rig.platform.read_down = false;
   rig_ticks (&rig, 15);
-  expect_verdict (&rig, 2, 100, 2, CLM_GRANTED);
+  expect_verdict (&rig, 2, 100, 2, CLAIM_GRANTED);
 }
 
 /* The answer to an append is lost, but the append took effect. The claim must be found in the log
@@ -119,7 +119,7 @@
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
   rig.platform.append_lost = true;
-  expect_verdict (&rig, 1, 100, 1, CLM_GRANTED);
+  expect_verdict (&rig, 1, 100, 1, CLAIM_GRANTED);
   rig_ticks (&rig, 10);
   CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
 }
@@ -139,7 +139,7 @@
   CU_ASSERT_EQUAL (rig.received.claim_result_count, 0);
   rig.platform.append_refused = false;
   TICK_UNTIL (&rig, rig.received.claim_result_count == 2);
-  CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLM_GRANTED);
+  CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLAIM_GRANTED);
   rig_ticks (&rig, 10);
   CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
 }
@@ -160,7 +160,7 @@
       rig_tick (&rig);
     }
   CU_ASSERT_EQUAL (g_hash_table_size (rig.ctrl->claims.streams), 0);
-  expect_verdict (&rig, 2, 100, 2, CLM_HELD);
+  expect_verdict (&rig, 2, 100, 2, CLAIM_HELD);
 }
 
 /* A signal arrives while the end of a claim is still to be appended. If the process ended now the
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -115,10 +115,10 @@
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 1);
   rig_ticks (&rig, 11);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 2);
-  rig_compose (&incoming, "peer", 3)->sender.state = MEM_LEAVING;
+  rig_compose (&incoming, "peer", 3)->sender.state = MEMBERSHIP_LEAVING;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   rig_run_pending (&rig);
-  CU_ASSERT_EQUAL (rig.received.peer_state, MEM_LEAVING);
+  CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
 }
 
 /*
@@ -139,7 +139,8 @@
     {
       char name[16];
       g_snprintf (name, sizeof name, "h%u", i);
-      fkp_host (&rig.platform, name, false, rig_loopback_ip (), (uint16_t)(RIG_PORT + i), MEM_LIVE);
+      fkp_host (&rig.platform, name, false, rig_loopback_ip (), (uint16_t)(RIG_PORT + i),
+                MEMBERSHIP_LIVE);
     }
   rig_publish_version (&rig.platform, 0);
   rig_start (&rig);
@@ -150,23 +151,23 @@
     {
       char name[16];
       g_snprintf (name, sizeof name, "h%u", i);
-      rig_compose (&incoming, name, 1)->sender.state = MEM_LEAVING;
+      rig_compose (&incoming, name, 1)->sender.state = MEMBERSHIP_LEAVING;
       ctrl_talk_heard (&incoming.message, false, rig.ctrl);
     }
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 1);
-  rig_compose (&incoming, "peer", 1)->sender.state = MEM_LEAVING;
+  rig_compose (&incoming, "peer", 1)->sender.state = MEMBERSHIP_LEAVING;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   rig_ticks (&rig, 3);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 2);
-  CU_ASSERT_EQUAL (rig.received.peer_state, MEM_LEAVING);
+  CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
   rig.platform.read_stuck = true;
   clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
-  fkp_host (&rig.platform, "h303", false, rig_loopback_ip (), RIG_PORT + 303, MEM_LEAVING);
+  fkp_host (&rig.platform, "h303", false, rig_loopback_ip (), RIG_PORT + 303, MEMBERSHIP_LEAVING);
   ctrl_turn (rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 3);
-  rig_compose (&incoming, "third", 1)->sender.state = MEM_LEAVING;
+  rig_compose (&incoming, "third", 1)->sender.state = MEMBERSHIP_LEAVING;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   rig.platform.read_stuck = false;
   rig_run_pending (&rig);
@@ -185,21 +186,21 @@
   g_auto (rig_t) rig = { 0 };
   rig_message_t incoming;
   rig_init (&rig);
-  fkp_host (&rig.platform, "fourth", false, rig_loopback_ip (), RIG_PORT + 3, MEM_LIVE);
+  fkp_host (&rig.platform, "fourth", false, rig_loopback_ip (), RIG_PORT + 3, MEMBERSHIP_LIVE);
   rig_ticks (&rig, 20);
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   uint64_t before = cnt_value (sent);
   ctrl_talk_heard (rig_compose (&incoming, "peer", 1), false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
-  rig_compose (&incoming, "peer", 2)->sender.state = MEM_LEAVING;
+  rig_compose (&incoming, "peer", 2)->sender.state = MEMBERSHIP_LEAVING;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   CU_ASSERT_TRUE (cnt_value (sent) > before);
   before = cnt_value (sent);
-  rig_compose (&incoming, "peer", 3)->sender.state = MEM_LEAVING;
+  rig_compose (&incoming, "peer", 3)->sender.state = MEMBERSHIP_LEAVING;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
   exc_charge (rig.ctrl->exc, rig.dmn.set.control_budget_bytes / 2);
-  rig_compose (&incoming, "third", 1)->sender.state = MEM_LEAVING;
+  rig_compose (&incoming, "third", 1)->sender.state = MEMBERSHIP_LEAVING;
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
 }
@@ -213,7 +214,7 @@
   rig_message_t incoming;
   rig_init (&rig);
   rig_compose (&incoming, "peer", 1);
-  incoming.words[0] = (xch_word){ rig.ctrl->own_hash, 51, 1, MEM_LEAVING };
+  incoming.words[0] = (xch_word){ rig.ctrl->own_hash, 51, 1, MEMBERSHIP_LEAVING };
   incoming.message.words.words_len = 1;
   ctrl_talk_heard (&incoming.message, true, rig.ctrl);
   rig_run_pending (&rig);
@@ -283,13 +284,13 @@
   rig_init (&rig);
   rig_message_t incoming;
   rig_compose (&incoming, "third", 1);
-  incoming.words[0] = (xch_word){ rendezvous_hash_name ("peer"), 7, 3, MEM_LEAVING };
+  incoming.words[0] = (xch_word){ rendezvous_hash_name ("peer"), 7, 3, MEMBERSHIP_LEAVING };
   incoming.message.words.words_len = 1;
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   uint64_t before = cnt_value (sent);
   ctrl_talk_heard (&incoming.message, false, rig.ctrl);
   rig_run_pending (&rig);
-  CU_ASSERT_EQUAL (rig.received.peer_state, MEM_LEAVING);
+  CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
   /* The calls made at once count towards the number of sends. */
   uint64_t sent_count = cnt_value (sent) - before;
   CU_ASSERT_TRUE (sent_count > 0);
@@ -320,14 +321,14 @@
   rig_message_t incoming, out;
   uint64_t hash = rendezvous_hash_name ("peer");
   rig_init (&rig);
-  fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEM_LEAVING);
-  TICK_UNTIL (&rig, rig.received.peer_state == MEM_LEAVING);
+  fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEMBERSHIP_LEAVING);
+  TICK_UNTIL (&rig, rig.received.peer_state == MEMBERSHIP_LEAVING);
   rig_compose (&incoming, "peer", 1);
   CU_ASSERT_TRUE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
   ctrl_talk_fill (rig_compose (&out, "x", 1), &incoming.message.sender, rig.ctrl);
   CU_ASSERT_EQUAL_FATAL (out.message.words.words_len, 1);
   CU_ASSERT_EQUAL (out.words[0].host_hash, hash);
-  CU_ASSERT_EQUAL (out.words[0].state, MEM_LEAVING);
+  CU_ASSERT_EQUAL (out.words[0].state, MEMBERSHIP_LEAVING);
   CU_ASSERT_EQUAL (out.message.list_revision, rig.platform.revision);
   rig.ctrl->talk.callee_hash = hash;
   ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
@@ -346,7 +347,8 @@
   for (uint32_t newer = 0; newer < 2; newer++)
     {
       rig_compose (&incoming, "peer", 1 + newer)->list_revision = rig.platform.revision + newer;
-      incoming.words[0] = (xch_word){ rig.ctrl->own_hash, CTRL_ANY_INCARNATION, 0, MEM_LEAVING };
+      incoming.words[0] =
+          (xch_word){ rig.ctrl->own_hash, CTRL_ANY_INCARNATION, 0, MEMBERSHIP_LEAVING };
       incoming.message.words.words_len = 1;
       CU_ASSERT_TRUE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
       rig_run_pending (&rig);
@@ -368,9 +370,9 @@
 on_version_call (hsv_call_t *call, void *context)
 {
   version_server_t *server = context;
-  ord_t order = { "peer", hsv_method (call), hsv_target (call), NULL, 0 };
+  sealed_call_t order = { "peer", hsv_method (call), hsv_target (call), NULL, 0 };
   CU_ASSERT_STRING_EQUAL (hsv_path (call), MSY_PATH);
-  CU_ASSERT_TRUE (ord_check (&order, RIG_KEY, hsv_header (call, ORD_SEAL_HEADER)));
+  CU_ASSERT_TRUE (call_seal_verify (&order, RIG_KEY, hsv_header (call, CALL_SEAL_HEADER)));
   char seal[ASL_SEAL_BYTES];
   char *body =
       msy_write (server->fleet_key, hsv_header (call, ASL_NONCE_HEADER), server->man, 9, seal);
--- a/tests/test_leave_notice.c
+++ b/tests/test_leave_notice.c
@@ -7,7 +7,7 @@
 #include <glib.h>
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (lvn_t, lvn_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (leave_notices_t, leave_notice_free)
 
 #define TICK_US (UINT64_C (100) * CLK_US_PER_MS)
 #define EXCHANGE_TICKS 3   /* between two reports of the host */
@@ -27,44 +27,44 @@
 {
   GRand *rand;
   uint32_t count;
-  mem_t **memberships;
-  lvn_t *notices[NOTIFIERS];
+  membership_t **memberships;
+  leave_notices_t *notices[NOTIFIERS];
   bool is_told;
   uint64_t notice_due_us;
   uint32_t calls;
 } fleet_t;
 
-static mem_listed_t
-list_entry (mem_state_t state)
+static membership_list_entry_t
+list_entry (membership_state_t state)
 {
-  mem_listed_t host = { .name = "h", .state = state };
+  membership_list_entry_t host = { .name = "h", .state = state };
   return host;
 }
 
 static void
 fleet_init (fleet_t *fleet, uint32_t count, uint32_t seed)
 {
-  mem_listed_t host = list_entry (MEM_LIVE);
+  membership_list_entry_t host = list_entry (MEMBERSHIP_LIVE);
   memset (fleet, 0, sizeof *fleet);
   fleet->rand = g_rand_new_with_seed (seed);
   fleet->count = count;
-  fleet->memberships = g_new (mem_t *, count);
+  fleet->memberships = g_new (membership_t *, count);
   for (uint32_t i = 0; i < count; i++)
     {
-      fleet->memberships[i] = mem_new ();
-      mem_list_full (fleet->memberships[i], 0, &host, 1, 1);
+      fleet->memberships[i] = membership_new ();
+      membership_apply_list (fleet->memberships[i], 0, &host, 1, 1);
     }
   for (uint32_t i = 0; i < NOTIFIERS; i++)
-    fleet->notices[i] = lvn_new ();
+    fleet->notices[i] = leave_notice_new ();
 }
 
 static void
 fleet_clear (fleet_t *fleet)
 {
   for (uint32_t i = 0; i < fleet->count; i++)
-    mem_free (fleet->memberships[i]);
+    membership_free (fleet->memberships[i]);
   for (uint32_t i = 0; i < NOTIFIERS; i++)
-    lvn_free (fleet->notices[i]);
+    leave_notice_free (fleet->notices[i]);
   g_free (fleet->memberships);
   g_rand_free (fleet->rand);
 }
@@ -80,8 +80,8 @@
 send_notice (fleet_t *fleet, uint64_t now_us, uint32_t index)
 {
   uint64_t delay_us = (uint64_t)g_rand_int_range (fleet->rand, 0, DELAY_MAX_TICKS) * TICK_US;
-  if (mem_leave (fleet->memberships[index], rendezvous_hash_name ("h"), INCARNATION) ==
-      MEM_LEAVE_NONE)
+  if (membership_find_leave (fleet->memberships[index], rendezvous_hash_name ("h"), INCARNATION) ==
+      MEMBERSHIP_LEAVE_NONE)
     return;
   if (!message_is_lost (fleet) &&
       (fleet->notice_due_us == 0 || now_us + delay_us < fleet->notice_due_us))
@@ -94,11 +94,11 @@
 exchange_with_peer (fleet_t *fleet, uint64_t now_us, uint32_t sequence)
 {
   uint32_t index = (uint32_t)g_rand_int_range (fleet->rand, 0, (gint32)fleet->count);
-  mem_state_t state = fleet->is_told ? MEM_LEAVING : MEM_LIVE;
-  mem_word_t report = { rendezvous_hash_name ("h"), INCARNATION, sequence, state };
+  membership_state_t state = fleet->is_told ? MEMBERSHIP_LEAVING : MEMBERSHIP_LIVE;
+  membership_report_t report = { rendezvous_hash_name ("h"), INCARNATION, sequence, state };
   if (message_is_lost (fleet))
     return;
-  mem_hear (fleet->memberships[index], now_us, &report);
+  membership_apply_report (fleet->memberships[index], now_us, &report);
   send_notice (fleet, now_us, index);
 }
 
@@ -106,19 +106,19 @@
 send_due_notices (fleet_t *fleet, uint64_t now_us, uint32_t index)
 {
   uint64_t hash;
-  while (lvn_next (fleet->notices[index], now_us, &hash))
+  while (leave_notice_next (fleet->notices[index], now_us, &hash))
     {
-      mem_word_t report = { hash, INCARNATION, UINT32_MAX, MEM_LEAVING };
-      if (!mem_awaits_leave (fleet->memberships[index], hash))
+      membership_report_t report = { hash, INCARNATION, UINT32_MAX, MEMBERSHIP_LEAVING };
+      if (!membership_leave_unconfirmed (fleet->memberships[index], hash))
         {
-          lvn_remove (fleet->notices[index], hash);
+          leave_notice_remove (fleet->notices[index], hash);
           continue;
         }
       fleet->calls++;
       send_notice (fleet, now_us, index);
       /* The host's answer contains its report. */
       if (fleet->is_told && !message_is_lost (fleet))
-        mem_hear (fleet->memberships[index], now_us, &report);
+        membership_apply_report (fleet->memberships[index], now_us, &report);
     }
 }
 
@@ -127,15 +127,15 @@
 tick_fleet (fleet_t *fleet, uint64_t tick)
 {
   uint64_t now_us = tick * TICK_US;
-  mem_listed_t leaving = list_entry (MEM_LEAVING);
+  membership_list_entry_t leaving = list_entry (MEMBERSHIP_LEAVING);
   for (uint32_t i = 0; i < fleet->count; i++)
     {
       uint64_t read_tick = i < NOTIFIERS ? 1 : 1 + (uint64_t)i * LIST_TICKS / fleet->count;
       if (read_tick != tick)
         continue;
-      mem_list_full (fleet->memberships[i], now_us, &leaving, 1, 2);
+      membership_apply_list (fleet->memberships[i], now_us, &leaving, 1, 2);
       if (i < NOTIFIERS)
-        lvn_add (fleet->notices[i], now_us, rendezvous_hash_name ("h"));
+        leave_notice_add (fleet->notices[i], now_us, rendezvous_hash_name ("h"));
     }
   for (uint32_t i = 0; i < NOTIFIERS; i++)
     send_due_notices (fleet, now_us, i);
@@ -163,7 +163,7 @@
       for (; tick <= 10 * BOUND_TICKS; tick++)
         tick_fleet (&fleet, tick);
       for (uint32_t j = 0; j < NOTIFIERS; j++)
-        CU_ASSERT_EQUAL (lvn_count (fleet.notices[j]), 0);
+        CU_ASSERT_EQUAL (leave_notice_count (fleet.notices[j]), 0);
       CU_ASSERT_TRUE (fleet.calls <= NOTIFIERS * 20);
       fleet_clear (&fleet);
     }
@@ -174,23 +174,23 @@
 static void
 test_hosts_due_longest_come_first (void)
 {
-  g_autoptr (lvn_t) lvn = lvn_new ();
+  g_autoptr (leave_notices_t) leave_notices = leave_notice_new ();
   uint64_t hash;
   uint32_t called = 0;
   for (uint64_t i = 1; i <= 300; i++)
-    lvn_add (lvn, 0, i);
+    leave_notice_add (leave_notices, 0, i);
   for (uint64_t tick_fleet = 1; tick_fleet <= 75; tick_fleet++)
-    for (uint32_t i = 0; i < 4 && lvn_next (lvn, tick_fleet, &hash); i++)
+    for (uint32_t i = 0; i < 4 && leave_notice_next (leave_notices, tick_fleet, &hash); i++)
       {
         called++;
         CU_ASSERT_EQUAL (hash, called);
       }
   CU_ASSERT_EQUAL (called, 300);
-  CU_ASSERT_FALSE (lvn_next (lvn, 76, &hash));
-  CU_ASSERT_TRUE (lvn_next (lvn, 1 + LVN_FIRST_WAIT_US, &hash));
+  CU_ASSERT_FALSE (leave_notice_next (leave_notices, 76, &hash));
+  CU_ASSERT_TRUE (leave_notice_next (leave_notices, 1 + LEAVE_NOTICE_RETRY_MIN_US, &hash));
   CU_ASSERT_EQUAL (hash, 1);
-  lvn_add (lvn, 2 + LVN_FIRST_WAIT_US, 1);
-  CU_ASSERT_EQUAL (lvn_count (lvn), 300);
+  leave_notice_add (leave_notices, 2 + LEAVE_NOTICE_RETRY_MIN_US, 1);
+  CU_ASSERT_EQUAL (leave_notice_count (leave_notices), 300);
 }
 
 int
--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -12,19 +12,19 @@
 static uint64_t
 min_us (void)
 {
-  return otg_least_us (RENEWAL_MS);
+  return store_outage_min_us (RENEWAL_MS);
 }
 
 /* Return: the state after the contacts were reported in the order of @order */
-static otg_t
+static store_outage_t
 apply_in_order (const uint64_t *contacts, const uint32_t *order)
 {
-  otg_t otg = { 0 };
+  store_outage_t store_outage = { 0 };
 
-  otg_heard (&otg, US_PER_S, min_us ());
+  store_outage_record_contact (&store_outage, US_PER_S, min_us ());
   for (uint32_t i = 0; i < CONTACTS; i++)
-    otg_heard (&otg, contacts[order[i]], min_us ());
-  return otg;
+    store_outage_record_contact (&store_outage, contacts[order[i]], min_us ());
+  return store_outage;
 }
 
 /* The next permutation by Heap's algorithm. Return: false after the last one */
@@ -54,9 +54,9 @@
 
   do
     {
-      otg_t otg = apply_in_order (contacts, order);
+      store_outage_t store_outage = apply_in_order (contacts, order);
 
-      CU_ASSERT_EQUAL (otg.end_us, end_us);
+      CU_ASSERT_EQUAL (store_outage.end_us, end_us);
       orders++;
     }
   while (next_order (order, state));
@@ -91,15 +91,17 @@
 static void
 test_shortest_outage_depends_on_the_renewals (void)
 {
-  otg_t otg = { 0 };
-
-  CU_ASSERT_EQUAL (otg_least_us (1200), 2100 * US_PER_MS);
-  CU_ASSERT_EQUAL (otg_least_us (400), 700 * US_PER_MS);
-  otg_heard (&otg, US_PER_S, otg_least_us (400));
-  otg_heard (&otg, US_PER_S + 699 * US_PER_MS, otg_least_us (400));
-  CU_ASSERT_EQUAL (otg.end_us, 0);
-  otg_heard (&otg, US_PER_S + 1399 * US_PER_MS, otg_least_us (400));
-  CU_ASSERT_EQUAL (otg.end_us, US_PER_S + 1399 * US_PER_MS);
+  store_outage_t store_outage = { 0 };
+
+  CU_ASSERT_EQUAL (store_outage_min_us (1200), 2100 * US_PER_MS);
+  CU_ASSERT_EQUAL (store_outage_min_us (400), 700 * US_PER_MS);
+  store_outage_record_contact (&store_outage, US_PER_S, store_outage_min_us (400));
+  store_outage_record_contact (&store_outage, US_PER_S + 699 * US_PER_MS,
+                               store_outage_min_us (400));
+  CU_ASSERT_EQUAL (store_outage.end_us, 0);
+  store_outage_record_contact (&store_outage, US_PER_S + 1399 * US_PER_MS,
+                               store_outage_min_us (400));
+  CU_ASSERT_EQUAL (store_outage.end_us, US_PER_S + 1399 * US_PER_MS);
 }
 
 /* What looked like one outage were two shorter silences with an answer between them. Of two outages
@@ -107,19 +109,19 @@
 static void
 test_late_report_shortens_an_outage (void)
 {
-  otg_t otg = { 0 };
-
-  otg_heard (&otg, 1 * US_PER_S, min_us ());
-  otg_heard (&otg, 7 * US_PER_S, min_us ());
-  otg_heard (&otg, 3 * US_PER_S, min_us ());
-  CU_ASSERT_EQUAL (otg.begin_us, 3 * US_PER_S);
-  CU_ASSERT_EQUAL (otg.end_us, 7 * US_PER_S);
-  otg_heard (&otg, 6 * US_PER_S, min_us ());
-  CU_ASSERT_EQUAL (otg.end_us, 6 * US_PER_S);
-  otg_heard (&otg, 4 * US_PER_S + 500 * US_PER_MS, min_us ());
-  CU_ASSERT_EQUAL (otg.end_us, 0);
-  otg_heard (&otg, 12 * US_PER_S, min_us ());
-  CU_ASSERT_EQUAL (otg.end_us, 12 * US_PER_S);
+  store_outage_t store_outage = { 0 };
+
+  store_outage_record_contact (&store_outage, 1 * US_PER_S, min_us ());
+  store_outage_record_contact (&store_outage, 7 * US_PER_S, min_us ());
+  store_outage_record_contact (&store_outage, 3 * US_PER_S, min_us ());
+  CU_ASSERT_EQUAL (store_outage.begin_us, 3 * US_PER_S);
+  CU_ASSERT_EQUAL (store_outage.end_us, 7 * US_PER_S);
+  store_outage_record_contact (&store_outage, 6 * US_PER_S, min_us ());
+  CU_ASSERT_EQUAL (store_outage.end_us, 6 * US_PER_S);
+  store_outage_record_contact (&store_outage, 4 * US_PER_S + 500 * US_PER_MS, min_us ());
+  CU_ASSERT_EQUAL (store_outage.end_us, 0);
+  store_outage_record_contact (&store_outage, 12 * US_PER_S, min_us ());
+  CU_ASSERT_EQUAL (store_outage.end_us, 12 * US_PER_S);
 }
 
 /* Guards against half a second without any engine. A peer that can read the store again reports
@@ -128,14 +130,15 @@
 static void
 test_outage_counts_while_it_lasts (void)
 {
-  otg_t otg = { 0 };
-
-  CU_ASSERT_EQUAL (otg_until_us (&otg, 9 * US_PER_S, min_us ()), 0);
-  otg_heard (&otg, US_PER_S, min_us ());
-  CU_ASSERT_EQUAL (otg_until_us (&otg, US_PER_S + min_us () - 1, min_us ()), 0);
-  CU_ASSERT_EQUAL (otg_until_us (&otg, US_PER_S + min_us (), min_us ()), US_PER_S + min_us ());
-  otg_heard (&otg, 9 * US_PER_S, min_us ());
-  CU_ASSERT_EQUAL (otg_until_us (&otg, 10 * US_PER_S, min_us ()), 9 * US_PER_S);
+  store_outage_t store_outage = { 0 };
+
+  CU_ASSERT_EQUAL (store_outage_end_us (&store_outage, 9 * US_PER_S, min_us ()), 0);
+  store_outage_record_contact (&store_outage, US_PER_S, min_us ());
+  CU_ASSERT_EQUAL (store_outage_end_us (&store_outage, US_PER_S + min_us () - 1, min_us ()), 0);
+  CU_ASSERT_EQUAL (store_outage_end_us (&store_outage, US_PER_S + min_us (), min_us ()),
+                   US_PER_S + min_us ());
+  store_outage_record_contact (&store_outage, 9 * US_PER_S, min_us ());
+  CU_ASSERT_EQUAL (store_outage_end_us (&store_outage, 10 * US_PER_S, min_us ()), 9 * US_PER_S);
 }
 
 int
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -399,7 +399,7 @@
   gpointer state;
 
   g_hash_table_iter_init (&iter, testbed->claims);
-  return g_hash_table_iter_next (&iter, NULL, &state) && GPOINTER_TO_UINT (state) == CLM_DONE;
+  return g_hash_table_iter_next (&iter, NULL, &state) && GPOINTER_TO_UINT (state) == CLAIM_DONE;
 }
 
 /* A caller disconnects while its non-idempotent request runs, and sends it again with the same
@@ -593,8 +593,8 @@
 {
   static const char TARGET[] = HOP_REVOKE_PATH "?attempt=000000000000000a000000000000000b&age_ms=5";
   g_autoptr (pfl_t) testbed = pfl_new ();
-  char seal[ORD_SEAL_BYTES];
-  hcl_header_t seal_header = { .name = ORD_SEAL_HEADER, .value = seal };
+  char seal[CALL_SEAL_BYTES];
+  hcl_header_t seal_header = { .name = CALL_SEAL_HEADER, .value = seal };
   hop_t hop = { .attempt = { 0xa, 0xb },
                 .service = "pool",
                 .account = "first",
@@ -603,11 +603,12 @@
   hop_header_t written[HOP_HEADERS];
   hcl_header_t headers[HOP_HEADERS];
 
-  hop.body_hash = dgs_body ("POST", "/book", "", 0);
+  hop.body_hash = digest_request ("POST", "/book", "", 0);
   uint32_t count = hop_write (&hop, PFL_FLEET_KEY, written);
   for (uint32_t i = 0; i < count; i++)
     headers[i] = (hcl_header_t){ .name = written[i].name, .value = written[i].value };
-  ord_seal (&(ord_t){ .host = "e0", .method = "POST", .target = TARGET }, PFL_FLEET_KEY, seal);
+  call_seal_compute (&(sealed_call_t){ .host = "e0", .method = "POST", .target = TARGET },
+                     PFL_FLEET_KEY, seal);
   CU_ASSERT_EQUAL (call_sidecar (testbed, &seal_header, 1, TARGET), 200);
   CU_ASSERT_EQUAL (call_sidecar (testbed, headers, count, "/book"), 503);
   CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
--- a/tests/test_path_chats.c
+++ b/tests/test_path_chats.c
@@ -95,11 +95,11 @@
       uint32_t home = ask_engine (testbed, chat);
       uint32_t other = serve_elsewhere (testbed, chat, home);
       hint_wait.hints_before = count_hints (testbed);
-      pfl_set_state (testbed, home, MEM_LEAVING);
+      pfl_set_state (testbed, home, MEMBERSHIP_LEAVING);
       CU_ASSERT_TRUE (pfl_until (testbed, hint_received, &hint_wait));
       CU_ASSERT_EQUAL (ask_engine (testbed, chat), other);
       CU_ASSERT_EQUAL (ask_engine (testbed, chat), other);
-      pfl_set_state (testbed, home, MEM_LIVE);
+      pfl_set_state (testbed, home, MEMBERSHIP_LIVE);
     }
 }
 
--- a/tests/test_path_copies.c
+++ b/tests/test_path_copies.c
@@ -30,7 +30,7 @@
 static void
 a_queued_copy_is_checked_again_before_it_runs (void)
 {
-  uint64_t fingerprint = dgs_fingerprint ("first", dgs_body ("GET", LOOK.path, NULL, 0));
+  uint64_t fingerprint = digest_fingerprint ("first", digest_request ("GET", LOOK.path, NULL, 0));
   g_autoptr (pfl_t) testbed = pfl_new ();
   pfl_crowd_t burst = { .testbed = testbed };
 
@@ -41,7 +41,7 @@
       msg_marks_t *marks = msg_new (MSG_MARKS);
 
       marks->count = 1;
-      marks->marks[0] = (sus_mark_t){ .fingerprint = fingerprint, .engines = { 71, 72 } };
+      marks->marks[0] = (suspect_mark_t){ .fingerprint = fingerprint, .engines = { 71, 72 } };
       mbx_send (testbed->sidecars[i].daemon.to_data, &marks->head);
     }
   CU_ASSERT_TRUE (pfl_until (testbed, pfl_rest_waits, &burst));
--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -21,7 +21,7 @@
 typedef struct
 {
   hsv_t *server;
-  mem_host_t *moved_host;
+  membership_host_t *moved_host;
   set_address_t new_address;
   const char *verdict;
   const char *incarnation;
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -218,31 +218,31 @@
   rendezvous_engine_t engines[ENGINES];
   const candidates_engine_t details[ENGINES] = { 0 };
   load_samples_t samples;
-  uwy_t *uwy = uwy_new ();
+  in_flight_counts_t *in_flight_counts = in_flight_new ();
   load_samples_init (&samples, 1);
   candidates_query_t query = init_query (engines, details);
   query.samples = &samples;
-  query.under_way = uwy;
+  query.under_way = in_flight_counts;
   const candidates_t plain = candidates_choose (&query);
   query.tie = 1;
   CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[1]);
   query.tie = 0;
-  uwy_begin (uwy, plain.candidates[0]);
-  uwy_begin (uwy, plain.candidates[0]);
+  in_flight_begin (in_flight_counts, plain.candidates[0]);
+  in_flight_begin (in_flight_counts, plain.candidates[0]);
   CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[1]);
-  uwy_end (uwy, plain.candidates[0]);
-  uwy_end (uwy, plain.candidates[0]);
-  CU_ASSERT_EQUAL (uwy_count (uwy, plain.candidates[0]), 0);
+  in_flight_end (in_flight_counts, plain.candidates[0]);
+  in_flight_end (in_flight_counts, plain.candidates[0]);
+  CU_ASSERT_EQUAL (in_flight_count (in_flight_counts, plain.candidates[0]), 0);
   CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[0]);
   const load_sample_t busy = { .engine_hash = plain.candidates[1], .load = 5, .taken_us = 900 };
   load_samples_add (&samples, &busy);
-  uwy_begin (uwy, plain.candidates[0]);
+  in_flight_begin (in_flight_counts, plain.candidates[0]);
   /* There is no sample of the first, so the two are compared by the router's own requests. */
   CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[1]);
   const load_sample_t idle = { .engine_hash = plain.candidates[0], .taken_us = 900 };
   load_samples_add (&samples, &idle);
   CU_ASSERT_EQUAL (candidates_choose (&query).candidates[0], plain.candidates[0]);
-  uwy_free (uwy);
+  in_flight_free (in_flight_counts);
 }
 
 static void
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -325,9 +325,9 @@
   CU_ASSERT_FALSE (pla_hosts (&hosts, long_name->str, long_name->len));
   g_string_free (long_name, TRUE);
   CU_ASSERT_TRUE_FATAL (pla_hosts (&hosts, good, strlen (good)));
-  CU_ASSERT_EQUAL (hosts.hosts[0].state, MEM_LEAVING);
+  CU_ASSERT_EQUAL (hosts.hosts[0].state, MEMBERSHIP_LEAVING);
   CU_ASSERT_EQUAL (hosts.hosts[0].exchange.port, 82);
-  g_free ((mem_listed_t *)hosts.hosts);
+  g_free ((membership_list_entry_t *)hosts.hosts);
 }
 
 int
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -558,14 +558,14 @@
 test_messages_drop_references (void)
 {
   man_t man = { 0 };
-  mem_snapshot_t members = { 0 };
+  membership_snapshot_t members = { 0 };
   msg_version_t *version = msg_new (MSG_VERSION);
   msg_members_t *view = msg_new (MSG_MEMBERS);
 
   g_atomic_ref_count_init (&man.refs);
   g_atomic_ref_count_init (&members.refs);
   version->man = man_ref (&man);
-  view->members = mem_snapshot_ref (&members);
+  view->members = membership_snapshot_ref (&members);
   CU_ASSERT_FALSE (g_atomic_ref_count_compare (&man.refs, 1));
   version->head.free (&version->head);
   view->head.free (&view->head);
--- a/tests/test_read_duty.c
+++ b/tests/test_read_duty.c
@@ -10,30 +10,32 @@
 #define START_US (UINT64_C (100) * CLK_US_PER_S)
 #define PATIENCE_US (UINT64_C (800) * CLK_US_PER_MS)
 
-static const rdu_stream_t engines_stream = { .patience_us = PATIENCE_US };
-static const rdu_view_t follower = { .close = true, .listed = true };
-static const rdu_view_t other = { .listed = true };
-static const rdu_view_t other_alone = { .listed = true, .alone = true };
-static const rdu_view_t follower_lost = { .close = true, .listed = true, .lost = true };
+static const read_policy_stream_t engines_stream = { .patience_us = PATIENCE_US };
+static const read_policy_view_t follower = { .close = true, .listed = true };
+static const read_policy_view_t other = { .listed = true };
+static const read_policy_view_t other_alone = { .listed = true, .alone = true };
+static const read_policy_view_t follower_lost = { .close = true, .listed = true, .lost = true };
 
 /* Return: the state after a peer with the same offset had an answer of the store at @store_us */
-static rdu_t
+static read_policy_t
 confirmed_at (uint64_t store_us)
 {
-  rdu_t rdu = { 0 };
+  read_policy_t read_policy = { 0 };
 
-  rdu_heard (&rdu, store_us, 7, 7, store_us);
-  return rdu;
+  read_policy_apply_peer (&read_policy, store_us, 7, 7, store_us);
+  return read_policy;
 }
 
 static void
 test_only_followers_read (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
+  read_policy_t read_policy = confirmed_at (START_US);
 
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &follower, START_US), RDU_FOLLOW);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US), RDU_REST);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US));
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &follower, START_US),
+                   READ_POLICY_FOLLOW);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other, START_US),
+                   READ_POLICY_WAIT);
+  CU_ASSERT (!read_policy_should_ask_peer (&read_policy, &engines_stream, &other, START_US));
 }
 
 /*
@@ -44,18 +46,28 @@
 static void
 test_gateway_reads_when_no_peer_confirms_its_copy (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
-
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + RDU_VOUCHED_US - 1),
-                   RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other_alone, START_US + RDU_VOUCHED_US - 1),
-                   RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + RDU_VOUCHED_US), RDU_READ);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other_alone, START_US + RDU_VOUCHED_US),
-                   RDU_FOLLOW);
-  CU_ASSERT_EQUAL (rdu_read (&(rdu_t){ 0 }, &engines_stream, &other, START_US), RDU_READ);
-  CU_ASSERT_EQUAL (rdu_read (&(rdu_t){ 0 }, &engines_stream, &other_alone, START_US), RDU_FOLLOW);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &(rdu_view_t){ 0 }, START_US), RDU_FOLLOW);
+  read_policy_t read_policy = confirmed_at (START_US);
+
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other,
+                                       START_US + READ_POLICY_FRESH_US - 1),
+                   READ_POLICY_WAIT);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other_alone,
+                                       START_US + READ_POLICY_FRESH_US - 1),
+                   READ_POLICY_WAIT);
+  CU_ASSERT_EQUAL (
+      read_policy_decide (&read_policy, &engines_stream, &other, START_US + READ_POLICY_FRESH_US),
+      READ_POLICY_READ_ONCE);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other_alone,
+                                       START_US + READ_POLICY_FRESH_US),
+                   READ_POLICY_FOLLOW);
+  CU_ASSERT_EQUAL (read_policy_decide (&(read_policy_t){ 0 }, &engines_stream, &other, START_US),
+                   READ_POLICY_READ_ONCE);
+  CU_ASSERT_EQUAL (
+      read_policy_decide (&(read_policy_t){ 0 }, &engines_stream, &other_alone, START_US),
+      READ_POLICY_FOLLOW);
+  CU_ASSERT_EQUAL (
+      read_policy_decide (&read_policy, &engines_stream, &(read_policy_view_t){ 0 }, START_US),
+      READ_POLICY_FOLLOW);
 }
 
 /* Guards against an engine's leaving, or a new version, that is known later than its bound after
@@ -67,12 +79,14 @@
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (bounds_s); i++)
     {
-      rdu_t rdu = confirmed_at (START_US);
+      read_policy_t read_policy = confirmed_at (START_US);
       uint64_t bound_us = (uint64_t)bounds_s[i] * CLK_US_PER_S;
-      rdu_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = bound_us };
-      rdu_view_t next = { .listed = true, .before = 4, .count = 5 };
+      read_policy_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = bound_us };
+      read_policy_view_t next = { .listed = true, .before = 4, .count = 5 };
 
-      CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &next, START_US + bound_us * 85 / 100), RDU_READ);
+      CU_ASSERT_EQUAL (
+          read_policy_decide (&read_policy, &stream, &next, START_US + bound_us * 85 / 100),
+          READ_POLICY_READ_ONCE);
     }
 }
 
@@ -80,23 +94,27 @@
 static void
 test_acting_follower_reads_until_a_peer_confirms (void)
 {
-  static const rdu_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = 2 * CLK_US_PER_S };
-  rdu_t rdu = confirmed_at (START_US);
+  static const read_policy_stream_t stream = { .patience_us = PATIENCE_US,
+                                               .bound_us = 2 * CLK_US_PER_S };
+  read_policy_t read_policy = confirmed_at (START_US);
   uint64_t now_us = START_US + 2 * CLK_US_PER_S;
-  rdu_view_t view = other;
+  read_policy_view_t view = other;
 
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us), RDU_READ);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us),
+                   READ_POLICY_READ_ONCE);
   view.own_us = view.tried_us = now_us;
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us + 1), RDU_FOLLOW);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 1),
+                   READ_POLICY_FOLLOW);
   view.lost = true;
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us + 2), RDU_REST);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 2), READ_POLICY_WAIT);
   view.lost = false;
-  rdu_heard (&rdu, now_us, 7, 7, now_us - 1);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us + 3), RDU_FOLLOW);
-  rdu_heard (&rdu, now_us + 4, 7, 7, now_us + 4);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us + 5), RDU_REST);
+  read_policy_apply_peer (&read_policy, now_us, 7, 7, now_us - 1);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 3),
+                   READ_POLICY_FOLLOW);
+  read_policy_apply_peer (&read_policy, now_us + 4, 7, 7, now_us + 4);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 5), READ_POLICY_WAIT);
   view.own_us = now_us + 6;
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &stream, &view, now_us + 7), RDU_REST);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 7), READ_POLICY_WAIT);
 }
 
 /* Guards against a hundred gateways that read at once although three of them follow the store,
@@ -104,18 +122,18 @@
 static void
 test_copy_stays_current_longer_with_a_longer_bound (void)
 {
-  rdu_stream_t slow = { .patience_us = PATIENCE_US, .bound_us = 4 * CLK_US_PER_S };
-  uint64_t end_us = START_US + slow.bound_us * RDU_VOUCHED_PERCENT / 100;
-  rdu_t rdu = confirmed_at (START_US);
+  read_policy_stream_t slow = { .patience_us = PATIENCE_US, .bound_us = 4 * CLK_US_PER_S };
+  uint64_t end_us = START_US + slow.bound_us * READ_POLICY_FRESH_PERCENT / 100;
+  read_policy_t read_policy = confirmed_at (START_US);
 
-  CU_ASSERT (end_us > START_US + RDU_VOUCHED_US);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us - 1), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us), RDU_READ);
+  CU_ASSERT (end_us > START_US + READ_POLICY_FRESH_US);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &slow, &other, end_us - 1), READ_POLICY_WAIT);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &slow, &other, end_us), READ_POLICY_READ_ONCE);
   slow.bound_us = CLK_US_PER_S;
-  end_us = START_US + slow.bound_us * RDU_VOUCHED_MOST_PERCENT / 100;
-  rdu = confirmed_at (START_US);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us - 1), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &slow, &other, end_us), RDU_READ);
+  end_us = START_US + slow.bound_us * READ_POLICY_FRESH_MAX_PERCENT / 100;
+  read_policy = confirmed_at (START_US);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &slow, &other, end_us - 1), READ_POLICY_WAIT);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &slow, &other, end_us), READ_POLICY_READ_ONCE);
 }
 
 /* The store has just answered a peer that has a lower offset than this gateway. That answer may be
@@ -124,10 +142,10 @@
 static void
 test_peer_with_lower_offset_confirms_nothing (void)
 {
-  rdu_t rdu = { 0 };
+  read_policy_t read_policy = { 0 };
 
-  rdu_heard (&rdu, START_US, 6, 7, START_US);
-  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &other), 0);
+  read_policy_apply_peer (&read_policy, START_US, 6, 7, START_US);
+  CU_ASSERT_EQUAL (read_policy_current_as_of_us (&read_policy, &other), 0);
 }
 
 /* Guards against calls to the store that grow with the gateways, when each reads the new records
@@ -136,26 +154,34 @@
 static void
 test_new_records_are_fetched_from_a_peer (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
-
-  rdu_heard (&rdu, START_US, 8, 7, START_US);
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &other, START_US));
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + PATIENCE_US - 1), RDU_REST);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &follower, START_US));
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &follower, START_US), RDU_FOLLOW);
+  read_policy_t read_policy = confirmed_at (START_US);
+
+  read_policy_apply_peer (&read_policy, START_US, 8, 7, START_US);
+  CU_ASSERT (read_policy_should_ask_peer (&read_policy, &engines_stream, &other, START_US));
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other, START_US),
+                   READ_POLICY_WAIT);
+  CU_ASSERT_EQUAL (
+      read_policy_decide (&read_policy, &engines_stream, &other, START_US + PATIENCE_US - 1),
+      READ_POLICY_WAIT);
+  CU_ASSERT (!read_policy_should_ask_peer (&read_policy, &engines_stream, &follower, START_US));
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &follower, START_US),
+                   READ_POLICY_FOLLOW);
 }
 
 /* The usual source of new records doesn't bring them: the other one is tried too. */
 static void
 test_other_source_is_tried_after_the_patience (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
-
-  rdu_heard (&rdu, START_US, 8, 7, START_US);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US + PATIENCE_US), RDU_READ);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &follower, START_US + PATIENCE_US - 1));
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &follower, START_US + PATIENCE_US));
+  read_policy_t read_policy = confirmed_at (START_US);
+
+  read_policy_apply_peer (&read_policy, START_US, 8, 7, START_US);
+  CU_ASSERT_EQUAL (
+      read_policy_decide (&read_policy, &engines_stream, &other, START_US + PATIENCE_US),
+      READ_POLICY_READ_ONCE);
+  CU_ASSERT (!read_policy_should_ask_peer (&read_policy, &engines_stream, &follower,
+                                           START_US + PATIENCE_US - 1));
+  CU_ASSERT (read_policy_should_ask_peer (&read_policy, &engines_stream, &follower,
+                                          START_US + PATIENCE_US));
 }
 
 /* A follower can't reach the store: it fetches the new records from a peer long before the end of
@@ -163,12 +189,13 @@
 static void
 test_follower_without_store_asks_a_peer_soon (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
+  read_policy_t read_policy = confirmed_at (START_US);
 
-  rdu_heard (&rdu, START_US, 8, 7, START_US);
-  CU_ASSERT (
-      !rdu_asks_peer (&rdu, &engines_stream, &follower_lost, START_US + RDU_ASK_LOST_US - 1));
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &follower_lost, START_US + RDU_ASK_LOST_US));
+  read_policy_apply_peer (&read_policy, START_US, 8, 7, START_US);
+  CU_ASSERT (!read_policy_should_ask_peer (&read_policy, &engines_stream, &follower_lost,
+                                           START_US + READ_POLICY_ASK_PEER_US - 1));
+  CU_ASSERT (read_policy_should_ask_peer (&read_policy, &engines_stream, &follower_lost,
+                                          START_US + READ_POLICY_ASK_PEER_US));
 }
 
 /*
@@ -179,43 +206,49 @@
 static void
 test_fetched_copy_counts_as_confirmed (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
-  uint64_t later_us = START_US + 2 * RDU_VOUCHED_US;
-
-  rdu_heard (&rdu, later_us, 8, 7, later_us - 1);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, later_us), RDU_READ);
-  rdu_caught_up (&rdu, true);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, later_us), RDU_REST);
-  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &other), later_us - 1);
+  read_policy_t read_policy = confirmed_at (START_US);
+  uint64_t later_us = START_US + 2 * READ_POLICY_FRESH_US;
+
+  read_policy_apply_peer (&read_policy, later_us, 8, 7, later_us - 1);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other, later_us),
+                   READ_POLICY_READ_ONCE);
+  read_policy_caught_up (&read_policy, true);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other, later_us),
+                   READ_POLICY_WAIT);
+  CU_ASSERT_EQUAL (read_policy_current_as_of_us (&read_policy, &other), later_us - 1);
 }
 
 /* The fetch failed: it confirms nothing, and the peer's next message starts another fetch. */
 static void
 test_failed_fetch_confirms_nothing (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
-
-  rdu_heard (&rdu, START_US + 1, 8, 7, START_US + 1);
-  rdu_give_up (&rdu);
-  CU_ASSERT_EQUAL (rdu_known_us (&rdu, &other), START_US);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US + 1));
-  rdu_heard (&rdu, START_US + 2, 8, 7, START_US + 2);
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &other, START_US + 2));
+  read_policy_t read_policy = confirmed_at (START_US);
+
+  read_policy_apply_peer (&read_policy, START_US + 1, 8, 7, START_US + 1);
+  read_policy_fetch_failed (&read_policy);
+  CU_ASSERT_EQUAL (read_policy_current_as_of_us (&read_policy, &other), START_US);
+  CU_ASSERT (!read_policy_should_ask_peer (&read_policy, &engines_stream, &other, START_US + 1));
+  read_policy_apply_peer (&read_policy, START_US + 2, 8, 7, START_US + 2);
+  CU_ASSERT (read_policy_should_ask_peer (&read_policy, &engines_stream, &other, START_US + 2));
 }
 
 /* Guards against a version that comes too late because it is large and the store doesn't answer. */
 static void
 test_large_records_are_asked_of_a_peer_after_the_patience (void)
 {
-  rdu_t rdu = confirmed_at (START_US);
-
-  rdu_heard (&rdu, START_US, 8, 7, START_US);
-  rdu_is_large (&rdu);
-  CU_ASSERT_EQUAL (rdu_read (&rdu, &engines_stream, &other, START_US), RDU_READ);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US + PATIENCE_US - 1));
-  CU_ASSERT (rdu_asks_peer (&rdu, &engines_stream, &other, START_US + PATIENCE_US));
-  rdu_caught_up (&rdu, false);
-  CU_ASSERT (!rdu_asks_peer (&rdu, &engines_stream, &other, START_US + PATIENCE_US));
+  read_policy_t read_policy = confirmed_at (START_US);
+
+  read_policy_apply_peer (&read_policy, START_US, 8, 7, START_US);
+  read_policy_fetch_too_large (&read_policy);
+  CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &engines_stream, &other, START_US),
+                   READ_POLICY_READ_ONCE);
+  CU_ASSERT (!read_policy_should_ask_peer (&read_policy, &engines_stream, &other,
+                                           START_US + PATIENCE_US - 1));
+  CU_ASSERT (
+      read_policy_should_ask_peer (&read_policy, &engines_stream, &other, START_US + PATIENCE_US));
+  read_policy_caught_up (&read_policy, false);
+  CU_ASSERT (
+      !read_policy_should_ask_peer (&read_policy, &engines_stream, &other, START_US + PATIENCE_US));
 }
 
 #define TICK_US (UINT64_C (100) * CLK_US_PER_MS)
@@ -226,18 +259,18 @@
 static uint32_t
 reads_in_outage (uint32_t gateways)
 {
-  g_autofree rdu_t *policies = g_new0 (rdu_t, gateways);
-  g_autofree rdu_view_t *views = g_new0 (rdu_view_t, gateways);
+  g_autofree read_policy_t *policies = g_new0 (read_policy_t, gateways);
+  g_autofree read_policy_view_t *views = g_new0 (read_policy_view_t, gateways);
   uint32_t reads = 0;
 
   for (uint32_t i = 0; i < gateways; i++)
     {
       policies[i] = confirmed_at (START_US);
-      views[i] = (rdu_view_t){ .listed = true, .before = i, .count = gateways };
+      views[i] = (read_policy_view_t){ .listed = true, .before = i, .count = gateways };
     }
   for (uint64_t at_us = START_US; at_us < START_US + OUTAGE_US; at_us += TICK_US)
     for (uint32_t i = 0; i < gateways; i++)
-      if (rdu_read (&policies[i], &engines_stream, &views[i], at_us) != RDU_REST)
+      if (read_policy_decide (&policies[i], &engines_stream, &views[i], at_us) != READ_POLICY_WAIT)
         {
           views[i].tried_us = at_us;
           reads++;
@@ -250,7 +283,7 @@
 static void
 test_reads_in_an_outage_do_not_grow_with_the_gateways (void)
 {
-  uint32_t most = (uint32_t)((OUTAGE_US - RDU_VOUCHED_US) / RDU_TURN_US);
+  uint32_t most = (uint32_t)((OUTAGE_US - READ_POLICY_FRESH_US) / READ_POLICY_TURN_US);
 
   for (uint32_t gateways = 5; gateways <= 5 * 352; gateways *= 4)
     CU_ASSERT (reads_in_outage (gateways) <= most + gateways / 100);
@@ -266,11 +299,11 @@
 static void
 test_entries_lapse_only_around_an_outage (void)
 {
-  CU_ASSERT (rdu_may_have_lapsed (START_US, true, START_US + RDU_LAPSE_US - 1));
-  CU_ASSERT (!rdu_may_have_lapsed (START_US, true, START_US + RDU_LAPSE_US));
-  CU_ASSERT (!rdu_may_have_lapsed (START_US, false, START_US));
-  CU_ASSERT (!rdu_may_have_lapsed (0, true, START_US));
-  CU_ASSERT (!rdu_may_have_lapsed (START_US, true, START_US + 4500 * CLK_US_PER_MS));
+  CU_ASSERT (read_policy_may_have_lapsed (START_US, true, START_US + READ_POLICY_LAPSE_US - 1));
+  CU_ASSERT (!read_policy_may_have_lapsed (START_US, true, START_US + READ_POLICY_LAPSE_US));
+  CU_ASSERT (!read_policy_may_have_lapsed (START_US, false, START_US));
+  CU_ASSERT (!read_policy_may_have_lapsed (0, true, START_US));
+  CU_ASSERT (!read_policy_may_have_lapsed (START_US, true, START_US + 4500 * CLK_US_PER_MS));
 }
 
 int
--- a/tests/test_request_parts.c
+++ b/tests/test_request_parts.c
@@ -79,13 +79,13 @@
   uint64_t a[2];
   uint64_t b[2];
 
-  dgs_key ("tuul", "order-1", a);
-  dgs_key ("jogak", "order-1", b);
+  digest_idempotency_key ("tuul", "order-1", a);
+  digest_idempotency_key ("jogak", "order-1", b);
   CU_ASSERT_NOT_EQUAL (a[0], b[0]);
-  dgs_key ("tuu", "lorder-1", b);
+  digest_idempotency_key ("tuu", "lorder-1", b);
   CU_ASSERT_NOT_EQUAL (a[0], b[0]);
-  CU_ASSERT_NOT_EQUAL (dgs_body ("GET", "/a", "b", 1), dgs_body ("GET", "/ab", "", 0));
-  CU_ASSERT_NOT_EQUAL (dgs_fingerprint ("tuul", 1), dgs_fingerprint ("jogak", 1));
+  CU_ASSERT_NOT_EQUAL (digest_request ("GET", "/a", "b", 1), digest_request ("GET", "/ab", "", 0));
+  CU_ASSERT_NOT_EQUAL (digest_fingerprint ("tuul", 1), digest_fingerprint ("jogak", 1));
 }
 
 static void
@@ -122,19 +122,21 @@
 static void
 seals_orders (void)
 {
-  ord_t order = { .host = "h", .method = "POST", .target = "/t", .body = "b", .body_bytes = 1 };
-  ord_t other = order;
-  char seal[ORD_SEAL_BYTES];
-
-  ord_seal (&order, "key", seal);
-  CU_ASSERT_TRUE (ord_check (&order, "key", seal));
-  CU_ASSERT_FALSE (ord_check (&order, "another", seal));
-  CU_ASSERT_FALSE (ord_check (&order, "key", NULL));
+  sealed_call_t order = {
+    .host = "h", .method = "POST", .target = "/t", .body = "b", .body_bytes = 1
+  };
+  sealed_call_t other = order;
+  char seal[CALL_SEAL_BYTES];
+
+  call_seal_compute (&order, "key", seal);
+  CU_ASSERT_TRUE (call_seal_verify (&order, "key", seal));
+  CU_ASSERT_FALSE (call_seal_verify (&order, "another", seal));
+  CU_ASSERT_FALSE (call_seal_verify (&order, "key", NULL));
   other.host = "i";
-  CU_ASSERT_FALSE (ord_check (&other, "key", seal));
+  CU_ASSERT_FALSE (call_seal_verify (&other, "key", seal));
   other = order;
   other.body = "c";
-  CU_ASSERT_FALSE (ord_check (&other, "key", seal));
+  CU_ASSERT_FALSE (call_seal_verify (&other, "key", seal));
 }
 
 static void
--- a/tests/test_rumour.c
+++ b/tests/test_rumour.c
@@ -4,17 +4,17 @@
 
 #define NOW_US (UINT64_C (1000) * CLK_US_PER_S)
 
-static mem_word_t
+static membership_report_t
 make_report (uint64_t host_hash, uint32_t sequence)
 {
-  mem_word_t result = { host_hash, 1, sequence, MEM_LEAVING };
+  membership_report_t result = { host_hash, 1, sequence, MEMBERSHIP_LEAVING };
   return result;
 }
 
-static sus_mark_t
+static suspect_mark_t
 make_mark (uint64_t fingerprint, uint64_t first, uint64_t second)
 {
-  sus_mark_t result = { fingerprint, { first, second }, 0 };
+  suspect_mark_t result = { fingerprint, { first, second }, 0 };
   return result;
 }
 
@@ -28,12 +28,12 @@
   rmr_init (&gossip);
   for (uint64_t host = 1; host <= 10; host++)
     {
-      mem_word_t report = make_report (host, 1);
+      membership_report_t report = make_report (host, 1);
       rmr_add_word (&gossip, &report);
     }
   for (uint32_t i = 0; i < 10 * RMR_SENDS; i++)
     {
-      mem_word_t out[4];
+      membership_report_t out[4];
       uint32_t count = rmr_take_words (&gossip, out, 4);
       for (uint32_t j = 0; j < count; j++)
         sent[out[j].host_hash]++;
@@ -50,11 +50,11 @@
 {
   rmr_t gossip;
   rmr_init (&gossip);
-  mem_word_t report = make_report (1, 1);
+  membership_report_t report = make_report (1, 1);
   rmr_add_word (&gossip, &report);
   report.sequence = 2;
   rmr_add_word (&gossip, &report);
-  mem_word_t out[4];
+  membership_report_t out[4];
   CU_ASSERT_EQUAL (rmr_take_words (&gossip, out, 4), 1);
   CU_ASSERT_EQUAL (out[0].sequence, 2);
 }
@@ -63,17 +63,17 @@
 test_full_table_drops_most_sent_report (void)
 {
   rmr_t gossip;
-  mem_word_t out[1];
+  membership_report_t out[1];
   rmr_init (&gossip);
-  mem_word_t old = make_report (1000, 1);
+  membership_report_t old = make_report (1000, 1);
   rmr_add_word (&gossip, &old);
   rmr_take_words (&gossip, out, 1);
   for (uint64_t host = 1; host <= RMR_SLOTS; host++)
     {
-      mem_word_t report = make_report (host, 1);
+      membership_report_t report = make_report (host, 1);
       rmr_add_word (&gossip, &report);
     }
-  mem_word_t all[RMR_SLOTS];
+  membership_report_t all[RMR_SLOTS];
   CU_ASSERT_EQUAL (rmr_take_words (&gossip, all, RMR_SLOTS), RMR_SLOTS);
   for (uint32_t i = 0; i < RMR_SLOTS; i++)
     CU_ASSERT_NOT_EQUAL (all[i].host_hash, 1000);
@@ -86,20 +86,20 @@
 {
   rmr_t gossip;
   rmr_init (&gossip);
-  sus_mark_t first = make_mark (9, 1, 0);
-  sus_mark_t second = make_mark (9, 2, 0);
-  sus_mark_t both = make_mark (9, 2, 1);
+  suspect_mark_t first = make_mark (9, 1, 0);
+  suspect_mark_t second = make_mark (9, 2, 0);
+  suspect_mark_t both = make_mark (9, 2, 1);
   CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US, &first));
   CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US, &first));
   CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US, &second));
   CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US, &both));
-  sus_mark_t out[2];
+  suspect_mark_t out[2];
   CU_ASSERT_EQUAL (rmr_take_marks (&gossip, NOW_US + CLK_US_PER_S, out, 2), 1);
   CU_ASSERT_EQUAL (out[0].engines[0], 1);
   CU_ASSERT_EQUAL (out[0].engines[1], 2);
   CU_ASSERT_EQUAL (out[0].age_ms, 1000);
   CU_ASSERT_EQUAL (rmr_take_marks (&gossip, NOW_US + RMR_MARK_AGE_US + 1, out, 2), 0);
-  sus_mark_t old = make_mark (10, 1, 0);
+  suspect_mark_t old = make_mark (10, 1, 0);
   old.age_ms = (uint32_t)(RMR_MARK_AGE_US / CLK_US_PER_MS) + 1;
   CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US, &old));
 }
@@ -110,9 +110,9 @@
 test_cleared_mark_stays_cleared (void)
 {
   rmr_t gossip;
-  sus_mark_t crash = make_mark (9, 1, 0);
-  sus_mark_t served = make_mark (9, 0, 0);
-  sus_mark_t out[2];
+  suspect_mark_t crash = make_mark (9, 1, 0);
+  suspect_mark_t served = make_mark (9, 0, 0);
+  suspect_mark_t out[2];
 
   rmr_init (&gossip);
   CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US, &crash));
@@ -121,7 +121,7 @@
   crash.age_ms = 2000;
   CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US + 2 * CLK_US_PER_S, &crash));
   CU_ASSERT_EQUAL (rmr_take_marks (&gossip, NOW_US + 2 * CLK_US_PER_S, out, 2), 1);
-  CU_ASSERT (sus_is_cleared (&out[0]));
+  CU_ASSERT (suspect_mark_is_cleared (&out[0]));
   crash.age_ms = 0;
   CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US + 3 * CLK_US_PER_S, &crash));
 }
--- a/tests/test_start_ask.c
+++ b/tests/test_start_ask.c
@@ -11,88 +11,90 @@
 #define TICK_US (UINT64_C (10) * CLK_US_PER_MS)
 #define SEEDS 3
 
-static sak_t
+static bootstrap_t
 started (bool first_start)
 {
-  sak_t sak;
+  bootstrap_t bootstrap;
 
-  sak_init (&sak, START_US, first_start, true);
-  return sak;
+  bootstrap_init (&bootstrap, START_US, first_start, true);
+  return bootstrap;
 }
 
 static bool
-asks_peer (const sak_t *sak, uint64_t now_us)
+asks_peer (const bootstrap_t *bootstrap, uint64_t now_us)
 {
-  return sak_asks (sak, now_us) && !sak_reads (sak, now_us);
+  return bootstrap_may_ask_peer (bootstrap, now_us) &&
+         !bootstrap_should_read_store (bootstrap, now_us);
 }
 
 static void
 test_seeds_read_the_store (void)
 {
-  sak_t sak;
+  bootstrap_t bootstrap;
 
-  sak_init (&sak, START_US, true, false);
-  CU_ASSERT (sak_reads (&sak, START_US));
-  sak = started (true);
-  CU_ASSERT (asks_peer (&sak, START_US));
+  bootstrap_init (&bootstrap, START_US, true, false);
+  CU_ASSERT (bootstrap_should_read_store (&bootstrap, START_US));
+  bootstrap = started (true);
+  CU_ASSERT (asks_peer (&bootstrap, START_US));
 }
 
 /* Guards against requests that wait for a gateway which waits for peers that have nothing. */
 static void
 test_empty_peer_is_not_waited_for_while_requests_wait (void)
 {
-  sak_t sak = started (false);
-
-  sak_refused (&sak, START_US, SAK_COLD, false, 500);
-  CU_ASSERT (sak_reads (&sak, START_US));
-  sak = started (true);
-  sak_refused (&sak, START_US, SAK_COLD, false, 500);
-  CU_ASSERT (!sak_asks (&sak, START_US) && !sak_reads (&sak, START_US));
-  CU_ASSERT (asks_peer (&sak, START_US + 2 * SAK_WAIT_MIN_US));
+  bootstrap_t bootstrap = started (false);
+
+  bootstrap_peer_refused (&bootstrap, START_US, BOOTSTRAP_EMPTY, false, 500);
+  CU_ASSERT (bootstrap_should_read_store (&bootstrap, START_US));
+  bootstrap = started (true);
+  bootstrap_peer_refused (&bootstrap, START_US, BOOTSTRAP_EMPTY, false, 500);
+  CU_ASSERT (!bootstrap_may_ask_peer (&bootstrap, START_US) &&
+             !bootstrap_should_read_store (&bootstrap, START_US));
+  CU_ASSERT (asks_peer (&bootstrap, START_US + 2 * BOOTSTRAP_RETRY_MIN_US));
 }
 
 /* Guards against starting gateways that fill the links of their peers when the content is large. */
 static void
 test_large_answer_is_left_to_the_store (void)
 {
-  sak_t sak = started (true);
+  bootstrap_t bootstrap = started (true);
 
-  sak_refused (&sak, START_US, SAK_LARGE, false, 500);
-  CU_ASSERT (sak_reads (&sak, START_US));
+  bootstrap_peer_refused (&bootstrap, START_US, BOOTSTRAP_TOO_LARGE, false, 500);
+  CU_ASSERT (bootstrap_should_read_store (&bootstrap, START_US));
 }
 
 /* Guards against a gateway that never starts because the peers named to it are gone. */
 static void
 test_store_is_read_after_the_timeout (void)
 {
-  sak_t sak = started (false);
+  bootstrap_t bootstrap = started (false);
 
-  for (uint32_t i = 0; i < SAK_SILENT_MOST; i++)
+  for (uint32_t i = 0; i < BOOTSTRAP_UNANSWERED_MAX; i++)
     {
-      CU_ASSERT (asks_peer (&sak, START_US));
-      sak_refused (&sak, START_US, SAK_SILENT, false, 500);
+      CU_ASSERT (asks_peer (&bootstrap, START_US));
+      bootstrap_peer_refused (&bootstrap, START_US, BOOTSTRAP_NO_ANSWER, false, 500);
     }
-  CU_ASSERT (sak_reads (&sak, START_US));
-  sak = started (false);
-  CU_ASSERT (sak_reads (&sak, START_US + SAK_PATIENCE_US));
-  sak = started (true);
-  CU_ASSERT (asks_peer (&sak, START_US + SAK_FIRST_PATIENCE_US - 1));
-  CU_ASSERT (sak_reads (&sak, START_US + SAK_FIRST_PATIENCE_US));
+  CU_ASSERT (bootstrap_should_read_store (&bootstrap, START_US));
+  bootstrap = started (false);
+  CU_ASSERT (bootstrap_should_read_store (&bootstrap, START_US + BOOTSTRAP_TIMEOUT_US));
+  bootstrap = started (true);
+  CU_ASSERT (asks_peer (&bootstrap, START_US + BOOTSTRAP_FIRST_START_TIMEOUT_US - 1));
+  CU_ASSERT (bootstrap_should_read_store (&bootstrap, START_US + BOOTSTRAP_FIRST_START_TIMEOUT_US));
 }
 
 /* Guards against peers that are asked without a pause while neither they nor the store answer. */
 static void
 test_questions_are_paced_while_the_store_fails (void)
 {
-  sak_t sak = started (false);
-  uint64_t at_us = START_US + SAK_PATIENCE_US;
+  bootstrap_t bootstrap = started (false);
+  uint64_t at_us = START_US + BOOTSTRAP_TIMEOUT_US;
   uint32_t questions = 0;
 
   for (; at_us < START_US + 10 * CLK_US_PER_S; at_us += TICK_US)
-    if (sak_asks (&sak, at_us))
+    if (bootstrap_may_ask_peer (&bootstrap, at_us))
       {
         questions++;
-        sak_refused (&sak, at_us, SAK_SILENT, false, 500);
+        bootstrap_peer_refused (&bootstrap, at_us, BOOTSTRAP_NO_ANSWER, false, 500);
       }
   CU_ASSERT (questions >= 20 && questions <= 40);
 }
@@ -100,19 +102,19 @@
 static void
 test_number_served_at_once_is_limited (void)
 {
-  sak_server_t server = { 0 };
+  bootstrap_server_t server = { 0 };
   set_address_t asker = { "127.0.0.1", 7 };
   set_address_t referral;
 
-  CU_ASSERT (!sak_helper (&server, 5, &referral));
-  for (uint32_t i = 0; i < SAK_SERVED_AT_ONCE; i++)
+  CU_ASSERT (!bootstrap_server_pick_referral (&server, 5, &referral));
+  for (uint32_t i = 0; i < BOOTSTRAP_CONCURRENT_MAX; i++)
     {
-      CU_ASSERT (sak_may_serve (&server, START_US));
-      sak_served (&server, START_US, &asker);
+      CU_ASSERT (bootstrap_server_may_serve (&server, START_US));
+      bootstrap_server_add_served (&server, START_US, &asker);
     }
-  CU_ASSERT (!sak_may_serve (&server, START_US + SAK_SERVE_US - 1));
-  CU_ASSERT (sak_may_serve (&server, START_US + SAK_SERVE_US));
-  CU_ASSERT (sak_helper (&server, 5, &referral));
+  CU_ASSERT (!bootstrap_server_may_serve (&server, START_US + BOOTSTRAP_TRANSFER_US - 1));
+  CU_ASSERT (bootstrap_server_may_serve (&server, START_US + BOOTSTRAP_TRANSFER_US));
+  CU_ASSERT (bootstrap_server_pick_referral (&server, 5, &referral));
   CU_ASSERT_EQUAL (referral.port, 7);
 }
 
@@ -123,8 +125,8 @@
  */
 typedef struct
 {
-  sak_t sak;
-  sak_server_t server;
+  bootstrap_t bootstrap;
+  bootstrap_server_t server;
   bool has_content;
   uint64_t content_due_us;
   uint32_t next_peer;
@@ -144,23 +146,25 @@
       own->has_content = own->has_content || now_us >= own->content_due_us;
       return;
     }
-  if (sak_reads (&own->sak, now_us))
+  if (bootstrap_should_read_store (&own->bootstrap, now_us))
     {
       (*reads)++;
       own->content_due_us = now_us + 5 * TICK_US;
       return;
     }
-  if (!sak_asks (&own->sak, now_us))
+  if (!bootstrap_may_ask_peer (&own->bootstrap, now_us))
     return;
-  if (peer->has_content && sak_may_serve (&peer->server, now_us))
+  if (peer->has_content && bootstrap_server_may_serve (&peer->server, now_us))
     {
-      sak_served (&peer->server, now_us, &asker);
-      own->content_due_us = now_us + SAK_SERVE_US / 2;
+      bootstrap_server_add_served (&peer->server, now_us, &asker);
+      own->content_due_us = now_us + BOOTSTRAP_TRANSFER_US / 2;
       return;
     }
-  bool elsewhere = peer->has_content && sak_helper (&peer->server, g_rand_int (rand), &referral);
+  bool elsewhere = peer->has_content &&
+                   bootstrap_server_pick_referral (&peer->server, g_rand_int (rand), &referral);
   own->next_peer = elsewhere ? referral.port : (uint32_t)g_rand_int_range (rand, 0, SEEDS);
-  sak_refused (&own->sak, now_us, peer->has_content ? SAK_BUSY : SAK_COLD, elsewhere, spread);
+  bootstrap_peer_refused (&own->bootstrap, now_us,
+                          peer->has_content ? BOOTSTRAP_BUSY : BOOTSTRAP_EMPTY, elsewhere, spread);
 }
 
 /* Guards against calls to the store that grow with the gateways at the first start of a fleet. */
@@ -178,10 +182,11 @@
 
       for (uint32_t j = 0; j < sizes[i]; j++)
         {
-          sak_init (&fleet[j].sak, START_US, true, j >= SEEDS);
+          bootstrap_init (&fleet[j].bootstrap, START_US, true, j >= SEEDS);
           fleet[j].next_peer = (uint32_t)g_rand_int_range (rand, 0, SEEDS);
         }
-      for (uint64_t at_us = START_US; at_us <= START_US + SAK_FIRST_PATIENCE_US; at_us += TICK_US)
+      for (uint64_t at_us = START_US; at_us <= START_US + BOOTSTRAP_FIRST_START_TIMEOUT_US;
+           at_us += TICK_US)
         for (uint32_t j = 0; j < sizes[i]; j++)
           step (fleet, j, at_us, rand, &reads);
       for (uint32_t j = 0; j < sizes[i]; j++)
