--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -342,7 +342,7 @@
   hop_t hop = {
     .attempt = { 1, 2 }, .service = "service-1", .account = "account-1", .class_name = "chat"
   };
-  hop_header_t headers[HOP_HEADERS];
+  hop_header_t headers[HOP_HEADER_COUNT];
   const uint32_t rounds = 20000;
   uint64_t start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -181,7 +181,7 @@
       run->options.seed++;
       run_begin (run, 0);
       flt_node_t *node = &run->flt->nodes[TEST_SIDECAR];
-      msg_marks_t marks = { .count = 1 };
+      message_crash_marks_t marks = { .count = 1 };
       marks.marks[0] = (suspect_mark_t){ FINGERPRINT, { node->ctrl->own_hash, 0 }, 0 };
       uint64_t start_us = run->flt->now_us;
       flt_wait_for (run->flt, has_mark, NULL);
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -7,7 +7,7 @@
 #define TICK_US (25 * CLK_US_PER_MS)
 #define TIMEOUT_CHECK_TICKS 4 /* ticks between two checks for attempts without a response */
 /* Of the slots of a service in use, in thousandths, from which it counts as full; equal to
- * GWY_FULL_MILLI. */
+ * GATEWAY_NEARLY_FULL_MILLI. */
 #define FULL_MILLI 900
 /* Bounds of the time after which a client sends a rejected request again. */
 #define CLIENT_RETRY_MIN_US (100 * CLK_US_PER_MS)
--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -75,13 +75,13 @@
 static double
 members_cost_us (flt_t *fleet, void (*handler) (mbx_message_t *message, void *context), void *task)
 {
-  msg_version_t *version = msg_new (MSG_VERSION);
+  message_version_t *version = message_new (MESSAGE_VERSION);
   version->man = man_ref (fleet->man);
   deliver (version, handler, task);
   uint64_t start_us = 0;
   for (uint32_t i = 0; i <= REPEATS; i++)
     {
-      msg_members_t *members = msg_new (MSG_MEMBERS);
+      message_members_t *members = message_new (MESSAGE_MEMBERS);
       members->members = membership_snapshot_ref (fleet->members);
       deliver (members, handler, task);
       if (i == 0)
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -172,8 +172,9 @@
 static void
 attach_samples (wld_t *sim, wld_router_t *router, wld_engine_t *engine)
 {
-  load_sample_t samples[HOP_SAMPLES];
-  const uint32_t count = load_samples_pick (&router->samples, sim->now_us, samples, HOP_SAMPLES);
+  load_sample_t samples[HOP_SAMPLES_MAX];
+  const uint32_t count =
+      load_samples_pick (&router->samples, sim->now_us, samples, HOP_SAMPLES_MAX);
   for (uint32_t i = 0; i < count; i++)
     if (samples[i].engine_hash != engine->hash)
       load_samples_add (engine->daemon.mean, &samples[i]);
--- a/src/base/mailbox.h
+++ b/src/base/mailbox.h
@@ -15,7 +15,7 @@
 
 /**
  * struct mbx_message - header of every message; the first member of the message's own struct
- * @kind: a msg_kind_t
+ * @kind: a message_kind_t
  * @free: frees the whole message with the references that it holds
  */
 typedef struct mbx_message mbx_message_t;
--- a/src/base/pause.c
+++ b/src/base/pause.c
@@ -10,7 +10,7 @@
   uint64_t gap_us = (uint64_t)exchange_interval_ms * CLK_US_PER_MS * PSE_INTERVALS;
   pse->last_us = now_us;
   pse->gap_us = MAX (gap_us, PSE_GAP_MIN_US);
-  /* No message was sent before the start, so the first MSG_FRESHNESS counts whenever it was
+  /* No message was sent before the start, so the first MESSAGE_FRESHNESS counts whenever it was
    * checked. */
   pse->woke_us = 0;
   pse->settled_us = 0;
--- a/src/base/pause.h
+++ b/src/base/pause.h
@@ -8,9 +8,10 @@
  *
  * Each task has one pse_t. It calls pse_check() first in every event handler, and on a timer of
  * %PSE_TICK_MS so that an idle task is not taken for a paused one. A task that was paused is stale
- * until it receives a MSG_FRESHNESS whose check took place after the task resumed. One from before
- * the pause may still be in the mailbox, and does not count. The data task reports its pause to the
- * control task by MSG_WOKE, since the control task may not have been paused itself.
+ * until it receives a MESSAGE_FRESHNESS whose check took place after the task resumed. One from
+ * before the pause may still be in the mailbox, and does not count. The data task reports its pause
+ * to the control task by MESSAGE_PAUSE_DETECTED, since the control task may not have been paused
+ * itself.
  *
  * Requests that were in the task's sockets when it resumed may have arrived at any time during the
  * pause. Their callers may long since have been told that the request may have run, so that running
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -124,29 +124,29 @@
   ctrl_fresh_check (ctrl);
   switch (message->kind)
     {
-    case MSG_CLAIM:
-      ctrl_claims_ask (ctrl, (const msg_claim_t *)message);
+    case MESSAGE_CLAIM:
+      ctrl_claims_ask (ctrl, (const message_claim_t *)message);
       break;
-    case MSG_CLAIM_END:
-      ctrl_claims_end (ctrl, (const msg_claim_end_t *)message);
+    case MESSAGE_CLAIM_END:
+      ctrl_claims_end (ctrl, (const message_claim_end_t *)message);
       break;
-    case MSG_OWN_SAMPLE:
-      ctrl_talk_own_sample (ctrl, (const msg_samples_t *)message);
+    case MESSAGE_OWN_LOAD_SAMPLE:
+      ctrl_talk_own_sample (ctrl, (const message_load_samples_t *)message);
       break;
-    case MSG_NEW_MARK:
-      ctrl_talk_own_marks (ctrl, (const msg_marks_t *)message);
+    case MESSAGE_NEW_CRASH_MARK:
+      ctrl_talk_own_marks (ctrl, (const message_crash_marks_t *)message);
       break;
-    case MSG_LEAVE:
+    case MESSAGE_LEAVE_ORDERED:
       ctrl_stop_leave (ctrl, "order");
       break;
-    case MSG_DRAIN:
+    case MESSAGE_DRAIN:
       ctrl_stop_signal (ctrl);
       break;
-    case MSG_DRAINED:
+    case MESSAGE_DRAINED:
       ctrl_stop_drained (ctrl);
       break;
-    case MSG_WOKE:
-      ctrl_fresh_woke (ctrl, ((const msg_flag_t *)message)->at_us);
+    case MESSAGE_PAUSE_DETECTED:
+      ctrl_fresh_woke (ctrl, ((const message_flag_t *)message)->at_us);
       break;
     default:
       g_assert_not_reached ();
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -6,10 +6,10 @@
  * informed through the data task's mailbox. It also detects pauses of the process and runs the
  * shutdown.
  *
- * Shutdown: main sends MSG_DRAIN to the control task, once. The control task forwards it to the
- * data task, waits for MSG_DRAINED, appends the claims that are still pending, and then ends its
- * own loop with event_base_loopexit (base, NULL). Only then does main end the data task's loop and
- * the process.
+ * Shutdown: main sends MESSAGE_DRAIN to the control task, once. The control task forwards it to the
+ * data task, waits for MESSAGE_DRAINED, appends the claims that are still pending, and then ends
+ * its own loop with event_base_loopexit (base, NULL). Only then does main end the data task's loop
+ * and the process.
  */
 #ifndef PROCESS_CONTROL_H
 #define PROCESS_CONTROL_H
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -91,7 +91,7 @@
   ctrl_count (ctrl, name, "Claims of idempotency keys answered");
   log_event (LOG_LEVEL_INFO, "claim", "verdict", verdict, "stream", stream, "claim_high",
              LOG_HEX (result->claim_id[0]), "claim_low", LOG_HEX (result->claim_id[1]), NULL);
-  msg_claim_result_t *message = msg_new (MSG_CLAIM_RESULT);
+  message_claim_result_t *message = message_new (MESSAGE_CLAIM_RESULT);
   message->result = *result;
   ctrl_send (ctrl, message);
 }
@@ -378,7 +378,7 @@
 }
 
 static void
-refuse_claim (ctrl_t *ctrl, const msg_claim_t *message)
+refuse_claim (ctrl_t *ctrl, const message_claim_t *message)
 {
   claim_result_t result = {
     .claim_id = { message->claim_id[0], message->claim_id[1] },
@@ -437,7 +437,7 @@
 }
 
 void
-ctrl_claims_ask (ctrl_t *ctrl, const msg_claim_t *message)
+ctrl_claims_ask (ctrl_t *ctrl, const message_claim_t *message)
 {
   ctrl->claims.requested_us = ctrl_now_us (ctrl);
   ctrl_stream_t *stream = ctrl->claims.down ? NULL : open_stream (ctrl, message->stream);
@@ -453,7 +453,7 @@
 }
 
 void
-ctrl_claims_end (ctrl_t *ctrl, const msg_claim_end_t *message)
+ctrl_claims_end (ctrl_t *ctrl, const message_claim_end_t *message)
 {
   ctrl_stream_t *stream = open_stream (ctrl, message->stream);
   if (stream == NULL)
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -102,7 +102,7 @@
 receive_samples (ctrl_t *ctrl, const xch_message *message)
 {
   uint64_t now_us = ctrl_now_us (ctrl);
-  msg_samples_t *samples = msg_new (MSG_SAMPLES);
+  message_load_samples_t *samples = message_new (MESSAGE_LOAD_SAMPLES);
   for (uint32_t i = 0; i < message->samples.samples_len; i++)
     {
       if (accept_sample (ctrl, now_us, &message->samples.samples_val[i],
@@ -118,7 +118,7 @@
 static bool
 receive_marks (ctrl_t *ctrl, const xch_message *message)
 {
-  msg_marks_t *marks = msg_new (MSG_MARKS);
+  message_crash_marks_t *marks = message_new (MESSAGE_CRASH_MARKS);
   for (uint32_t i = 0; i < message->marks.marks_len; i++)
     {
       const xch_mark *received = &message->marks.marks_val[i];
@@ -311,7 +311,7 @@
 }
 
 void
-ctrl_talk_own_sample (ctrl_t *ctrl, const msg_samples_t *message)
+ctrl_talk_own_sample (ctrl_t *ctrl, const message_load_samples_t *message)
 {
   if (message->count == 0)
     return;
@@ -320,7 +320,7 @@
 }
 
 void
-ctrl_talk_own_marks (ctrl_t *ctrl, const msg_marks_t *message)
+ctrl_talk_own_marks (ctrl_t *ctrl, const message_crash_marks_t *message)
 {
   bool news = false;
   for (uint32_t i = 0; i < message->count; i++)
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -27,7 +27,7 @@
 static void
 send_freshness (ctrl_t *ctrl, bool on)
 {
-  msg_flag_t *flag = msg_new (MSG_FRESHNESS);
+  message_flag_t *flag = message_new (MESSAGE_FRESHNESS);
   flag->on = on;
   flag->at_us = ctrl->fresh.pse.woke_us;
   ctrl_send (ctrl, flag);
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -274,7 +274,7 @@
   if (ctrl->peers.is_follower)
     ctrl_talk_tell (ctrl, MIN (VERSION_CALLS_MAX, ctrl->peers.all->len / PEERS_PER_VERSION_CALL));
   ctrl_talk_version (ctrl);
-  msg_version_t *message = msg_new (MSG_VERSION);
+  message_version_t *message = message_new (MESSAGE_VERSION);
   message->man = man_ref (man);
   message->next_offset = rep_next_offset (manifest->rep);
   ctrl_send (ctrl, message);
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -219,7 +219,7 @@
   ctrl_count (ctrl, "medlarplank_members_told_total",
               "Times that the members were told to the data task");
   ctrl_peers_rebuild (ctrl);
-  msg_members_t *message = msg_new (MSG_MEMBERS);
+  message_members_t *message = message_new (MESSAGE_MEMBERS);
   message->members = membership_snapshot_ref (after);
   ctrl_send (ctrl, message);
 }
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -321,7 +321,7 @@
 /**
  * ctrl_members_flush_now() - send changed members without collecting more
  *
- * They have to reach the data task before MSG_FRESHNESS does.
+ * They have to reach the data task before MESSAGE_FRESHNESS does.
  */
 void ctrl_members_flush_now (ctrl_t *ctrl);
 /** ctrl_peers_rebuild() - recompute the peers after the members or manifest changed */
@@ -379,9 +379,9 @@
 /** ctrl_talk_version() - keep samples of just the services in force */
 void ctrl_talk_version (ctrl_t *ctrl);
 /** ctrl_talk_own_sample() - the data task measured the load of this daemon's engine */
-void ctrl_talk_own_sample (ctrl_t *ctrl, const msg_samples_t *message);
+void ctrl_talk_own_sample (ctrl_t *ctrl, const message_load_samples_t *message);
 /** ctrl_talk_own_marks() - pass on marks of suspect requests that the data task made */
-void ctrl_talk_own_marks (ctrl_t *ctrl, const msg_marks_t *message);
+void ctrl_talk_own_marks (ctrl_t *ctrl, const message_crash_marks_t *message);
 
 /* Freshness after a start or a pause */
 void ctrl_fresh_init (ctrl_t *ctrl);
@@ -403,10 +403,10 @@
 void ctrl_claims_clear (ctrl_t *ctrl);
 /** ctrl_claims_turn() - advance all streams, close idle ones and probe a log that is down */
 void ctrl_claims_turn (ctrl_t *ctrl);
-/** ctrl_claims_ask() - claim an idempotency key; answered by MSG_CLAIM_RESULT */
-void ctrl_claims_ask (ctrl_t *ctrl, const msg_claim_t *message);
+/** ctrl_claims_ask() - claim an idempotency key; answered by MESSAGE_CLAIM_RESULT */
+void ctrl_claims_ask (ctrl_t *ctrl, const message_claim_t *message);
 /** ctrl_claims_end() - record that a claimed request has ended, or did not run */
-void ctrl_claims_end (ctrl_t *ctrl, const msg_claim_end_t *message);
+void ctrl_claims_end (ctrl_t *ctrl, const message_claim_end_t *message);
 /** ctrl_claims_note_log() - a read of the same log succeeded or failed */
 void ctrl_claims_note_log (ctrl_t *ctrl, bool works);
 /** ctrl_claims_idle() - whether nothing is left to append */
--- a/src/process/control_stop.c
+++ b/src/process/control_stop.c
@@ -13,7 +13,7 @@
 static void
 drain_data_task (ctrl_t *ctrl)
 {
-  msg_flag_t *drain = msg_new (MSG_DRAIN);
+  message_flag_t *drain = message_new (MESSAGE_DRAIN);
   drain->on = true;
   ctrl_send (ctrl, drain);
 }
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -32,7 +32,7 @@
 {
   gwp_options_t options;
   engines_t *engines;
-  gwy_t *gateway;
+  gateway_task_t *gateway;
   gst_t *store;
   hsv_t *ready_listener;
   hsv_t *control_listener;
@@ -71,7 +71,7 @@
       (!gwp_is_ready (process) && now_us (process) < process->accept_by_us))
     return;
   process->accept_by_us = 0;
-  gwy_release (process->gateway);
+  gateway_resume_accept (process->gateway);
 }
 
 static void
@@ -114,7 +114,7 @@
       if (process->table)
         rte_unref (process->table);
       process->table = rte_ref (table);
-      gwy_set_table (process->gateway, table);
+      gateway_set_routing_table (process->gateway, table);
       cnt_set_value (process->version_gauge, rte_version (table));
       gst_tell_news (process->store);
     }
@@ -133,7 +133,7 @@
              LOG_U64 (engines_count_in_data_center (process->engines, data_center)), NULL);
   cnt_set_value (process->drained_count, engines_count_drained_data_centers (process->engines));
   gst_tell_news (process->store);
-  gwy_engines_changed (process->gateway);
+  gateway_engines_changed (process->gateway);
 }
 
 static void
@@ -159,7 +159,7 @@
   update_engine_counts (process);
   log_engine (process, id, "gone", offset);
   gst_tell_news (process->store);
-  gwy_engines_changed (process->gateway);
+  gateway_engines_changed (process->gateway);
 }
 
 /* The entry may come from another writer. The engine is removed, since the store no longer confirms
@@ -212,14 +212,14 @@
   if (previous.state != ENGINE_GONE && engine->hash != previous.hash)
     {
       log_engine (process, id, "restarted", offset);
-      gwy_engine_restarted (process->gateway, previous.hash, &previous.address);
+      gateway_engine_restarted (process->gateway, previous.hash, &previous.address);
       previous.state = ENGINE_GONE;
     }
   if (engine->entry.state == previous.state)
     return;
   log_engine (process, id, engine->entry.state == ENGINE_READY ? "ready" : "leaving", offset);
   gst_tell_news (process->store);
-  gwy_engines_changed (process->gateway);
+  gateway_engines_changed (process->gateway);
 }
 
 /*
@@ -260,7 +260,7 @@
   if (process->store && gst_has_engines (process->store))
     engines_set_complete (process->engines);
   if (process->gateway)
-    gwy_set_certain (process->gateway, gst_is_certain (process->store));
+    gateway_set_config_current (process->gateway, gst_is_certain (process->store));
   log_readiness (process);
 }
 
@@ -270,7 +270,7 @@
   gwp_t *process = context;
 
   if (process->gateway)
-    gwy_heard_suspect (process->gateway, mark);
+    gateway_handle_peer_suspect (process->gateway, mark);
 }
 
 static void
@@ -279,7 +279,7 @@
   gwp_t *process = context;
 
   if (process->gateway)
-    gwy_heard_load (process->gateway, item);
+    gateway_handle_peer_load (process->gateway, item);
 }
 
 static void
@@ -328,8 +328,8 @@
   since_ms = (now_us (process) - process->stop_us) / CLK_US_PER_MS;
   if (since_ms < GWP_LISTEN_ON_MS)
     return;
-  gwy_stop (process->gateway);
-  if (gwy_busy (process->gateway) > 0 &&
+  gateway_stop (process->gateway);
+  if (gateway_busy_count (process->gateway) > 0 &&
       since_ms + GWP_EXIT_MARGIN_MS < process->options.set->grace_ms)
     return;
   event_base_loopexit (process->options.base, NULL);
@@ -361,10 +361,10 @@
   remove_expired (process);
   accept_when_ready (process);
   gst_turn (process->store);
-  gwy_set_certain (process->gateway, gst_is_certain (process->store));
+  gateway_set_config_current (process->gateway, gst_is_certain (process->store));
   cnt_set_value (process->gateway_count, gst_known_routers (process->store));
-  gwy_set_routers (process->gateway, gst_routers (process->store),
-                   gst_known_routers (process->store));
+  gateway_set_routers (process->gateway, gst_routers (process->store),
+                       gst_known_routers (process->store));
   stop_when_due (process);
   log_flush ();
 }
@@ -425,23 +425,23 @@
   const set_t *set = process->options.set;
 
   process->gateway =
-      gwy_new (&(gwy_options_t){ .base = process->options.base,
-                                 .clk = process->options.clk,
-                                 .counters = process->options.counters,
-                                 .set = set,
-                                 .engines = process->engines,
-                                 .format = process->options.format,
-                                 .suspected = on_own_suspect,
-                                 .high_load = on_own_load,
-                                 .context = process,
-                                 .retries = { .ratio_milli = set->retry_ratio_milli,
-                                              .slack = set->retry_slack_milli / 1000,
-                                              .window_us = (uint64_t)set->retry_window_ms *
-                                                           CLK_US_PER_MS } },
-               error);
+      gateway_new (&(gateway_options_t){ .base = process->options.base,
+                                         .clk = process->options.clk,
+                                         .counters = process->options.counters,
+                                         .set = set,
+                                         .engines = process->engines,
+                                         .format = process->options.format,
+                                         .suspected = on_own_suspect,
+                                         .high_load = on_own_load,
+                                         .context = process,
+                                         .retries = { .ratio_milli = set->retry_ratio_milli,
+                                                      .slack = set->retry_slack_milli / 1000,
+                                                      .window_us = (uint64_t)set->retry_window_ms *
+                                                                   CLK_US_PER_MS } },
+                   error);
   if (process->gateway)
     {
-      gwy_hold (process->gateway);
+      gateway_pause_accept (process->gateway);
       process->accept_by_us = now_us (process) + (uint64_t)GWP_HOLD_MS * CLK_US_PER_MS;
     }
   if (process->gateway)
@@ -507,7 +507,7 @@
   if (process->store)
     gst_free (process->store);
   if (process->gateway)
-    gwy_free (process->gateway);
+    gateway_free (process->gateway);
   if (process->ready_listener)
     hsv_free (process->ready_listener);
   if (process->control_listener)
@@ -526,12 +526,12 @@
   if (process->stop_us != 0)
     return;
   process->stop_us = now_us (process);
-  gwy_say_close (process->gateway);
+  gateway_announce_close (process->gateway);
   log_readiness (process);
 }
 
 uint16_t
 gwp_port (const gwp_t *process)
 {
-  return gwy_port (process->gateway);
+  return gateway_port (process->gateway);
 }
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -61,7 +61,7 @@
   cnt_set_t *counters;
   const set_t *set;
   plt_t *plt;
-  const fmt_t *format;
+  const format_t *format;
   gwp_readers_t readers;
   uint64_t incarnation;
 } gwp_options_t;
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -91,7 +91,7 @@
 on_stop_signal (evutil_socket_t number, short events, void *context)
 {
   member_process_t *process = context;
-  msg_flag_t *drain;
+  message_flag_t *drain;
 
   (void)events;
   log_event (LOG_LEVEL_NOTICE, "stop_signal", "signal", LOG_U64 ((uint64_t)number), "first",
@@ -99,7 +99,7 @@
   if (process->draining)
     return;
   process->draining = true;
-  drain = msg_new (MSG_DRAIN);
+  drain = message_new (MESSAGE_DRAIN);
   drain->on = true;
   mbx_send (process->daemon.to_control, &drain->head);
 }
--- a/src/request/fault.c
+++ b/src/request/fault.c
@@ -64,7 +64,7 @@
 }
 
 int
-flt_status (verdict_reason_t reason, verdict_t verdict)
+error_reply_status (verdict_reason_t reason, verdict_t verdict)
 {
   switch (reason)
     {
@@ -85,9 +85,10 @@
 }
 
 char *
-flt_body (const flt_t *fault)
+error_reply_body (const flt_t *fault)
 {
-  int status = fault->status != 0 ? fault->status : flt_status (fault->reason, fault->verdict);
+  int status =
+      fault->status != 0 ? fault->status : error_reply_status (fault->reason, fault->verdict);
   const char *code = fault->code != NULL ? fault->code : verdict_reason_to_string (fault->reason);
   const char *message = fault->message != NULL ? fault->message : message_of (fault->reason);
   json_t *json = json_pack ("{s:{s:s,s:s,s:s,s:s,s:s*}}", "error", "message", message, "type",
@@ -102,15 +103,16 @@
 }
 
 void
-flt_reply (hsv_call_t *call, const flt_t *fault)
+error_reply_send (hsv_call_t *call, const flt_t *fault)
 {
-  int status = fault->status != 0 ? fault->status : flt_status (fault->reason, fault->verdict);
-  char *body = flt_body (fault);
+  int status =
+      fault->status != 0 ? fault->status : error_reply_status (fault->reason, fault->verdict);
+  char *body = error_reply_body (fault);
   char seconds[16];
 
   hsv_add_header (call, VERDICT_HEADER, verdict_to_string (fault->verdict));
   if (fault->request != NULL)
-    hsv_add_header (call, FLT_REQUEST_HEADER, fault->request);
+    hsv_add_header (call, ERROR_REPLY_REQUEST_HEADER, fault->request);
   if (fault->retry_after_ms != 0)
     {
       if (fault->exact_retry)
@@ -125,9 +127,9 @@
 }
 
 void
-flt_bad_request (hsv_call_t *call, int status, const char *code, const char *message)
+error_reply_reject (hsv_call_t *call, int status, const char *code, const char *message)
 {
-  flt_reply (
+  error_reply_send (
       call,
       &(flt_t){ .status = status, .code = code, .message = message, .verdict = VERDICT_NOT_RUN });
 }
--- a/src/request/fault.h
+++ b/src/request/fault.h
@@ -10,7 +10,7 @@
 #include "connection/http_server.h"
 #include "request/policy/verdict.h"
 
-#define FLT_REQUEST_HEADER "X-Medlarplank-Request" /* the attempt id */
+#define ERROR_REPLY_REQUEST_HEADER "X-Medlarplank-Request" /* the attempt id */
 
 /**
  * struct flt - one error response
@@ -36,14 +36,14 @@
   const char *request;
 } flt_t;
 
-/** flt_reply() - sends the error response, which ends the call */
-void flt_reply (hsv_call_t *call, const flt_t *fault);
-/** flt_bad_request() - rejects a request that is itself wrong, before anything was forwarded; ends
- * the call */
-void flt_bad_request (hsv_call_t *call, int status, const char *code, const char *message);
-/** flt_body() - the JSON body of the error; the caller frees it with g_free() */
-char *flt_body (const flt_t *fault);
-/** flt_status() - the HTTP status for a reason and a verdict */
-int flt_status (verdict_reason_t reason, verdict_t verdict);
+/** error_reply_send() - sends the error response, which ends the call */
+void error_reply_send (hsv_call_t *call, const flt_t *fault);
+/** error_reply_reject() - rejects a request that is itself wrong, before anything was forwarded;
+ * ends the call */
+void error_reply_reject (hsv_call_t *call, int status, const char *code, const char *message);
+/** error_reply_body() - the JSON body of the error; the caller frees it with g_free() */
+char *error_reply_body (const flt_t *fault);
+/** error_reply_status() - the HTTP status for a reason and a verdict */
+int error_reply_status (verdict_reason_t reason, verdict_t verdict);
 
 #endif
--- a/src/request/gateway/event_split.c
+++ b/src/request/gateway/event_split.c
@@ -6,15 +6,15 @@
 #include <string.h>
 
 void
-evs_init (evs_t *evs)
+event_splitter_init (event_splitter_t *splitter)
 {
-  *evs = (evs_t){ .partial = evbuffer_new () };
+  *splitter = (event_splitter_t){ .partial = evbuffer_new () };
 }
 
 void
-evs_clear (evs_t *evs)
+event_splitter_clear (event_splitter_t *splitter)
 {
-  evbuffer_free (evs->partial);
+  evbuffer_free (splitter->partial);
 }
 
 /* Return: length of the first event, with the empty line that ends it; 0 when it is not whole */
@@ -65,59 +65,59 @@
 
 /* Records the event. Return: false if it was forwarded before, from the stream that broke off. */
 static bool
-accept_event (evs_t *evs, const char *text, size_t bytes)
+accept_event (event_splitter_t *splitter, const char *text, size_t bytes)
 {
   uint64_t id;
 
   if (parse_event_id (text, bytes, &id))
     {
-      if (evs->resumed && evs->has_id && id <= evs->last_id)
+      if (splitter->resumed && splitter->has_id && id <= splitter->last_id)
         return false;
-      evs->last_id = id;
-      evs->has_id = true;
+      splitter->last_id = id;
+      splitter->has_id = true;
     }
-  evs->count++;
+  splitter->count++;
   return true;
 }
 
 void
-evs_feed (evs_t *evs, struct evbuffer *in, struct evbuffer *out)
+event_splitter_feed (event_splitter_t *splitter, struct evbuffer *in, struct evbuffer *out)
 {
-  evbuffer_add_buffer (evs->partial, in);
-  while (!evs->broken)
+  evbuffer_add_buffer (splitter->partial, in);
+  while (!splitter->broken)
     {
-      size_t have = evbuffer_get_length (evs->partial);
-      const char *text = have > 0 ? (const char *)evbuffer_pullup (evs->partial, -1) : "";
+      size_t have = evbuffer_get_length (splitter->partial);
+      const char *text = have > 0 ? (const char *)evbuffer_pullup (splitter->partial, -1) : "";
       size_t bytes = first_event_bytes (text, have);
 
       if (bytes == 0)
         {
-          evs->broken = have > EVS_EVENT_LIMIT_BYTES;
+          splitter->broken = have > EVENT_SPLITTER_LIMIT_BYTES;
           return;
         }
-      if (accept_event (evs, text, bytes))
-        evbuffer_remove_buffer (evs->partial, out, bytes);
+      if (accept_event (splitter, text, bytes))
+        evbuffer_remove_buffer (splitter->partial, out, bytes);
       else
-        evbuffer_drain (evs->partial, bytes);
+        evbuffer_drain (splitter->partial, bytes);
     }
 }
 
 bool
-evs_is_between (const evs_t *evs)
+event_splitter_is_between (const event_splitter_t *splitter)
 {
-  return evbuffer_get_length (evs->partial) == 0;
+  return evbuffer_get_length (splitter->partial) == 0;
 }
 
 void
-evs_restart (evs_t *evs)
+event_splitter_restart (event_splitter_t *splitter)
 {
-  evbuffer_drain (evs->partial, evbuffer_get_length (evs->partial));
-  evs->broken = false;
+  evbuffer_drain (splitter->partial, evbuffer_get_length (splitter->partial));
+  splitter->broken = false;
 }
 
 void
-evs_resume (evs_t *evs)
+event_splitter_resume (event_splitter_t *splitter)
 {
-  evs_restart (evs);
-  evs->resumed = true;
+  event_splitter_restart (splitter);
+  splitter->resumed = true;
 }
--- a/src/request/gateway/event_split.h
+++ b/src/request/gateway/event_split.h
@@ -11,15 +11,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define EVS_EVENT_LIMIT_BYTES (1024 * 1024) /* a longer event makes the stream invalid */
+#define EVENT_SPLITTER_LIMIT_BYTES (1024 * 1024) /* a longer event makes the stream invalid */
 
 /**
- * struct evs - state of one stream of events
+ * struct splitter - state of one stream of events
  * @partial: what has come of an event that has not ended yet
  * @last_id: id of the last event that had one; valid when @has_id is set
  * @count: number of whole events that were forwarded
  * @resumed: the stream was resumed: events up to @last_id are dropped
- * @broken: an event exceeded %EVS_EVENT_LIMIT_BYTES; nothing more is forwarded
+ * @broken: an event exceeded %EVENT_SPLITTER_LIMIT_BYTES; nothing more is forwarded
  */
 typedef struct
 {
@@ -29,19 +29,21 @@
   bool has_id;
   bool resumed;
   bool broken;
-} evs_t;
+} event_splitter_t;
 
-void evs_init (evs_t *evs);
-void evs_clear (evs_t *evs);
-/** evs_feed() - appends @in, which it drains, to the stream, and moves the events that are whole by
- * now to @out */
-void evs_feed (evs_t *evs, struct evbuffer *in, struct evbuffer *out);
-/** evs_is_between() - whether the stream stands between two events, with no partial one */
-bool evs_is_between (const evs_t *evs);
-/** evs_restart() - prepares for a new stream from another engine: drops the partial event */
-void evs_restart (evs_t *evs);
-/** evs_resume() - prepares for a stream that continues after @last_id: drops the partial event, and
- * events of the new stream that were forwarded already */
-void evs_resume (evs_t *evs);
+void event_splitter_init (event_splitter_t *splitter);
+void event_splitter_clear (event_splitter_t *splitter);
+/** event_splitter_feed() - appends @in, which it drains, to the stream, and moves the events that
+ * are whole by now to @out */
+void event_splitter_feed (event_splitter_t *splitter, struct evbuffer *in, struct evbuffer *out);
+/** event_splitter_is_between() - whether the stream stands between two events, with no partial one
+ */
+bool event_splitter_is_between (const event_splitter_t *splitter);
+/** event_splitter_restart() - prepares for a new stream from another engine: drops the partial
+ * event */
+void event_splitter_restart (event_splitter_t *splitter);
+/** event_splitter_resume() - prepares for a stream that continues after @last_id: drops the partial
+ * event, and events of the new stream that were forwarded already */
+void event_splitter_resume (event_splitter_t *splitter);
 
 #endif
--- a/src/request/gateway/format.h
+++ b/src/request/gateway/format.h
@@ -14,19 +14,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define FMT_PARTS 16 /* of a longer prompt the first parts and the last one are kept */
-#define FMT_ID_BYTES 128
-#define FMT_REST_MOST_MS (24 * 3600 * 1000) /* a longer backoff is taken for a mistake */
+#define FORMAT_PROMPT_PARTS_MAX                                                                    \
+  16 /* of a longer prompt the first parts and the last one are kept */
+#define FORMAT_ID_BYTES 128
+#define FORMAT_BACKOFF_MAX_MS (24 * 3600 * 1000) /* a longer backoff is taken for a mistake */
 
-/** struct fmt_part - a part of a prompt; parts with the same hash have the same tokens */
+/** struct format_prompt_part - a part of a prompt; parts with the same hash have the same tokens */
 typedef struct
 {
   uint64_t hash;
   uint32_t tokens;
-} fmt_part_t;
+} format_prompt_part_t;
 
 /**
- * struct fmt_request - the headers of a client's request; texts are borrowed from the headers
+ * struct format_request - the headers of a client's request; texts are borrowed from the headers
  * @id: id of this attempt of the client, or NULL
  * @key: API key of the client account, or NULL
  * @deadline_ms: how long the client waits; 0 when it doesn't say
@@ -42,14 +43,14 @@
   uint32_t deadline_ms;
   uint32_t prompt_tokens;
   uint32_t output_tokens;
-  fmt_part_t parts[FMT_PARTS];
+  format_prompt_part_t parts[FORMAT_PROMPT_PARTS_MAX];
   uint32_t part_count;
   bool resumes;
   uint64_t last_event;
-} fmt_request_t;
+} format_request_t;
 
 /**
- * struct fmt_hop - what the gateway tells an engine with a request
+ * struct format_upstream_request - what the gateway tells an engine with a request
  * @engine_id: the engine that is meant; another one at the same address must refuse the request
  * @account: name of the client account; NULL on a route that needs no key
  * @cache_source: engine to copy missing parts of the prompt from, out of its cache; NULL for none
@@ -66,59 +67,62 @@
   uint32_t priority;
   bool resumes;
   uint64_t last_event;
-} fmt_hop_t;
+} format_upstream_request_t;
 
 /**
- * struct fmt_answer - what the headers of an engine's response say
+ * struct format_response - what the headers of an engine's response say
  * @crossed: the response belongs to another request
  * @not_run: the engine states that it did not run the request
- * @is_other: the response is from another engine than the one that the request named
- * @genuine: the response carries the engine's signature
+ * @is_other_engine: the response is from another engine than the one that the request named
+ * @has_signature: the response carries the engine's signature
  * @has_load: @load is valid
  * @idle_ms: how long the engine keeps an idle connection open; 0 when it doesn't say
  * @leaving: the engine that the request named says that it leaves and takes no new requests
- * @rest_ms: the engine refused the request and asks for no further ones for this time; 0 when it
+ * @backoff_ms: the engine refused the request and asks for no further ones for this time; 0 when it
  *   doesn't say
  */
 typedef struct
 {
   bool crossed;
   bool not_run;
-  bool is_other;
-  bool genuine;
+  bool is_other_engine;
+  bool has_signature;
   bool has_load;
   engine_load_t load;
   uint32_t idle_ms;
   bool leaving;
-  uint32_t rest_ms;
-} fmt_answer_t;
+  uint32_t backoff_ms;
+} format_response_t;
 
-/** struct fmt_text - buffers for the header values that fmt_t.write() formats */
+/** struct format_buffers - buffers for the header values that format_t.write() formats */
 typedef struct
 {
   char left_ms[16];
   char last_event[24];
   char priority[12];
   char cache_source[64];
-} fmt_text_t;
+} format_buffers_t;
 
 /**
- * struct fmt - the operations of an adapter
+ * struct format - the operations of an adapter
  * @read: parses a client's request headers. Return: NULL, or an error message for the client
  * @write: appends the request headers for an engine to @out, an array of hcl_header_t: those of the
  *   gateway, and the client's headers that are forwarded. @out borrows from @text and @headers
  * @answer: parses an engine's response headers; @id is the id of the request, or NULL
- * @passes_back: whether a response header is forwarded to the client
+ * @is_returned: whether a response header is forwarded to the client
  */
 typedef struct
 {
-  const char *(*read) (fmt_request_t *out, const struct evkeyvalq *headers);
-  void (*write) (const fmt_hop_t *hop,
+  const char *(*read) (format_request_t *out, const struct evkeyvalq *headers);
+  void (*write) (const format_upstream_request_t *hop,
                  const struct evkeyvalq *headers,
                  GArray *out,
-                 fmt_text_t *text);
-  void (*answer) (fmt_answer_t *out, int status, const struct evkeyvalq *headers, const char *id);
-  bool (*passes_back) (const char *name);
-} fmt_t;
+                 format_buffers_t *text);
+  void (*answer) (format_response_t *out,
+                  int status,
+                  const struct evkeyvalq *headers,
+                  const char *id);
+  bool (*is_returned) (const char *name);
+} format_t;
 
 #endif
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -20,16 +20,16 @@
 
 #include <event2/event.h>
 
-typedef struct gwy gwy_t;
+typedef struct gateway gateway_task_t;
 
 /* An engine keeps the shared parts of a prompt in its cache for longer than this, unless the cache
  * is overfull. */
-#define GWY_WARM_US (UINT64_C (10) * CLK_US_PER_S)
+#define GATEWAY_CACHE_WARM_US (UINT64_C (10) * CLK_US_PER_S)
 
 /**
- * struct gwy_options - options of gwy_new(); the pointers are borrowed
+ * struct gateway_options - options of gateway_new(); the pointers are borrowed
  * @set: settings of the process
- * @engines: engines of all services; the owner reports changes by gwy_engines_changed()
+ * @engines: engines of all services; the owner reports changes by gateway_engines_changed()
  * @format: adapter for the headers of clients and engines
  * @retries: limit of the retries that all gateways may send
  * @suspected: called with the mark of a request that is suspected of crashing engines, or that is
@@ -44,50 +44,54 @@
   cnt_set_t *counters;
   const set_t *set;
   engines_t *engines;
-  const fmt_t *format;
+  const format_t *format;
   retry_budget_options_t retries;
   void (*suspected) (const suspect_mark_t *mark, void *context);
   void (*high_load) (const load_report_t *item, void *context);
   void *context;
-} gwy_options_t;
+} gateway_options_t;
 
-gwy_t *gwy_new (const gwy_options_t *options, GError **error);
-/** gwy_free() - cancels the requests in flight, as if their clients had disconnected */
-void gwy_free (gwy_t *gwy);
-/** gwy_set_table() - puts a version of the routing table in force; takes a reference */
-void gwy_set_table (gwy_t *gwy, rte_t *table);
-/** gwy_set_certain() - sets whether the version in force is known to be the newest one. While it is
- * not, unknown routes and keys get 503, as a newer version may have them */
-void gwy_set_certain (gwy_t *gwy, bool certain);
+gateway_task_t *gateway_new (const gateway_options_t *options, GError **error);
+/** gateway_free() - cancels the requests in flight, as if their clients had disconnected */
+void gateway_free (gateway_task_t *gateway);
+/** gateway_set_routing_table() - puts a version of the routing table in force; takes a reference */
+void gateway_set_routing_table (gateway_task_t *gateway, rte_t *table);
+/** gateway_set_config_current() - sets whether the version in force is known to be the newest one.
+ * While it is not, unknown routes and keys get 503, as a newer version may have them */
+void gateway_set_config_current (gateway_task_t *gateway, bool certain);
 /**
- * gwy_set_routers() - sets how many gateways share the engines
+ * gateway_set_routers() - sets how many gateways share the engines
  * @routers: gateways that work now
  * @known: gateways that share the retry budget and may send to the engines, including those that
  *   were not heard from lately; 0 while their number is not known
  */
-void gwy_set_routers (gwy_t *gwy, uint32_t routers, uint32_t known);
-/** gwy_heard_load() - takes over a high load that an engine reported to another gateway */
-void gwy_heard_load (gwy_t *gwy, const load_report_t *item);
-/** gwy_heard_suspect() - takes over another gateway's mark of a request that crashes engines, or
- * the clearing of one */
-void gwy_heard_suspect (gwy_t *gwy, const suspect_mark_t *mark);
-/** gwy_engine_restarted() - the engine @hash at @address was replaced by a new process with its id:
- * the requests that ran there are lost */
-void gwy_engine_restarted (gwy_t *gwy, uint64_t hash, const set_address_t *address);
-/** gwy_engines_changed() - the set of engines changed; sends queued requests for which there is
+void gateway_set_routers (gateway_task_t *gateway, uint32_t routers, uint32_t known);
+/** gateway_handle_peer_load() - takes over a high load that an engine reported to another gateway
+ */
+void gateway_handle_peer_load (gateway_task_t *gateway, const load_report_t *item);
+/** gateway_handle_peer_suspect() - takes over another gateway's mark of a request that crashes
+ * engines, or the clearing of one */
+void gateway_handle_peer_suspect (gateway_task_t *gateway, const suspect_mark_t *mark);
+/** gateway_engine_restarted() - the engine @hash at @address was replaced by a new process with its
+ * id: the requests that ran there are lost */
+void
+gateway_engine_restarted (gateway_task_t *gateway, uint64_t hash, const set_address_t *address);
+/** gateway_engines_changed() - the set of engines changed; sends queued requests for which there is
  * room now */
-void gwy_engines_changed (gwy_t *gwy);
-/** gwy_hold() - accepts no connections until gwy_release(); clients that connect have to wait */
-void gwy_hold (gwy_t *gwy);
-void gwy_release (gwy_t *gwy);
-/** gwy_say_close() - begins a stop: from now on responses carry "Connection: close" */
-void gwy_say_close (gwy_t *gwy);
-/** gwy_stop() - accepts no further connections and requests */
-void gwy_stop (gwy_t *gwy);
-/** gwy_busy() - number of connections and requests that are not finished; 0 when a stop is complete
+void gateway_engines_changed (gateway_task_t *gateway);
+/** gateway_pause_accept() - accepts no connections until gateway_resume_accept(); clients that
+ * connect have to wait */
+void gateway_pause_accept (gateway_task_t *gateway);
+void gateway_resume_accept (gateway_task_t *gateway);
+/** gateway_announce_close() - begins a stop: from now on responses carry "Connection: close" */
+void gateway_announce_close (gateway_task_t *gateway);
+/** gateway_stop() - accepts no further connections and requests */
+void gateway_stop (gateway_task_t *gateway);
+/** gateway_busy_count() - number of connections and requests that are not finished; 0 when a stop
+ * is complete
  */
-uint32_t gwy_busy (const gwy_t *gwy);
-/** gwy_port() - port of the listener for clients */
-uint16_t gwy_port (const gwy_t *gwy);
+uint32_t gateway_busy_count (const gateway_task_t *gateway);
+/** gateway_port() - port of the listener for clients */
+uint16_t gateway_port (const gateway_task_t *gateway);
 
 #endif
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -4,13 +4,16 @@
 #include "base/log.h"
 
 static void
-reject (gwy_t *gwy, hsv_call_t *client, const fmt_request_t *request, const flt_t *fault)
+reject (gateway_task_t *gateway,
+        hsv_call_t *client,
+        const format_request_t *request,
+        const flt_t *fault)
 {
   log_event (LOG_LEVEL_NOTICE, "reject", "id", request->id, "status",
              LOG_U64 ((uint64_t)fault->status), "code", fault->code, "version",
-             LOG_U64 (gwy->table ? rte_version (gwy->table) : 0), NULL);
+             LOG_U64 (gateway->table ? rte_version (gateway->table) : 0), NULL);
   log_flush ();
-  flt_reply (client, fault);
+  error_reply_send (client, fault);
 }
 
 /*
@@ -19,42 +22,45 @@
  * deny that the route or key exists.
  */
 static void
-reject_unknown (
-    gwy_t *gwy, hsv_call_t *client, const fmt_request_t *request, int status, const char *code)
+reject_unknown (gateway_task_t *gateway,
+                hsv_call_t *client,
+                const format_request_t *request,
+                int status,
+                const char *code)
 {
-  bool is_current = gwy->config_current && gwy->table;
+  bool is_current = gateway->config_current && gateway->table;
 
-  cnt_add (gwy->refused, 1);
-  reject (gwy, client, request,
+  cnt_add (gateway->refused, 1);
+  reject (gateway, client, request,
           &(flt_t){ .status = is_current ? status : 503,
                     .code = is_current ? code : "configuration_uncertain",
                     .message = is_current
                                    ? "no such route, or no such key"
                                    : "this router does not know the newest configuration yet",
                     .verdict = VERDICT_NOT_RUN,
-                    .retry_after_ms = is_current ? 0 : GWY_RETRY_MIN_MS,
+                    .retry_after_ms = is_current ? 0 : GATEWAY_RETRY_MIN_MS,
                     .exact_retry = true });
 }
 
 static bool
-is_known_to_crash (const gwy_call_t *call)
+is_known_to_crash (const gateway_call_t *call)
 {
-  gwy_t *gwy = call->gwy;
+  gateway_task_t *gateway = call->gateway;
 
-  return suspect_count (gwy->suspects) > 0 &&
-         suspect_check (gwy->suspects, gwy_now_us (gwy), gwy_call_fingerprint (call), 0) ==
-             SUSPECT_REFUSED;
+  return suspect_count (gateway->suspects) > 0 &&
+         suspect_check (gateway->suspects, gateway_now_us (gateway),
+                        gateway_call_fingerprint (call), 0) == SUSPECT_REFUSED;
 }
 
 /* Without Retry-After: another attempt would crash one more engine, with all requests there. */
 static void
-reject_suspect (gwy_call_t *call)
+reject_suspect (gateway_call_t *call)
 {
-  cnt_add (call->gwy->refused, 1);
-  gwy_call_log_failure (call, "refuse", "final", VERDICT_REASON_SUSPECT);
-  flt_reply (call->client,
-             &(flt_t){ .reason = VERDICT_REASON_SUSPECT, .verdict = VERDICT_NOT_RUN });
-  gwy_call_free (call);
+  cnt_add (call->gateway->refused, 1);
+  gateway_call_log_failure (call, "refuse", "final", VERDICT_REASON_SUSPECT);
+  error_reply_send (call->client,
+                    &(flt_t){ .reason = VERDICT_REASON_SUSPECT, .verdict = VERDICT_NOT_RUN });
+  gateway_call_free (call);
 }
 
 /*
@@ -63,58 +69,59 @@
  * off when the process ends, as a stream of four seconds was; any other gateway can serve it.
  */
 static void
-reject_while_stopping (gwy_t *gwy, hsv_call_t *client, const fmt_request_t *request)
+reject_while_stopping (gateway_task_t *gateway, hsv_call_t *client, const format_request_t *request)
 {
-  cnt_add (gwy->refused, 1);
-  reject (gwy, client, request,
+  cnt_add (gateway->refused, 1);
+  reject (gateway, client, request,
           &(flt_t){ .status = 503,
                     .code = "stopping",
                     .message = "this router stops",
                     .verdict = VERDICT_NOT_RUN,
-                    .retry_after_ms = GWY_RETRY_MIN_MS,
+                    .retry_after_ms = GATEWAY_RETRY_MIN_MS,
                     .exact_retry = true });
 }
 
 void
-gwy_accept (hsv_call_t *client, void *context)
+gateway_accept (hsv_call_t *client, void *context)
 {
-  gwy_t *gwy = context;
+  gateway_task_t *gateway = context;
   const rte_route_t *route;
   const rte_account_t *account = NULL;
-  fmt_request_t request;
-  const char *problem = gwy->options.format->read (&request, hsv_headers (client));
-  gwy_call_t *call;
+  format_request_t request;
+  const char *problem = gateway->options.format->read (&request, hsv_headers (client));
+  gateway_call_t *call;
 
   if (problem)
     {
-      reject (gwy, client, &request,
+      reject (gateway, client, &request,
               &(flt_t){ .status = 400, .code = "bad_request", .message = problem });
       return;
     }
-  if (gwy->stopping)
+  if (gateway->stopping)
     {
-      reject_while_stopping (gwy, client, &request);
+      reject_while_stopping (gateway, client, &request);
       return;
     }
-  route =
-      gwy->table ? rte_find (gwy->table, hsv_header (client, "Host"), hsv_target (client)) : NULL;
+  route = gateway->table
+              ? rte_find (gateway->table, hsv_header (client, "Host"), hsv_target (client))
+              : NULL;
   if (!route)
     {
-      reject_unknown (gwy, client, &request, 404, "unknown_route");
+      reject_unknown (gateway, client, &request, 404, "unknown_route");
       return;
     }
-  if (rte_needs_key (gwy->table, route))
+  if (rte_needs_key (gateway->table, route))
     {
-      account = request.key ? rte_account (gwy->table, request.key) : NULL;
+      account = request.key ? rte_account (gateway->table, request.key) : NULL;
       if (!account)
         {
-          reject_unknown (gwy, client, &request, 401, "unknown_key");
+          reject_unknown (gateway, client, &request, 401, "unknown_key");
           return;
         }
     }
-  call = gwy_call_new (gwy, client, route, account, &request);
+  call = gateway_call_new (gateway, client, route, account, &request);
   if (is_known_to_crash (call))
     reject_suspect (call);
   else
-    gwy_call_place (call);
+    gateway_call_place (call);
 }
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -11,11 +11,11 @@
  * saves most work when it is cached. The last part belongs to the request alone, so it counts only
  * when there is no other.
  */
-static const fmt_part_t *
-find_affinity_part (const fmt_request_t *request)
+static const format_prompt_part_t *
+find_affinity_part (const format_request_t *request)
 {
   uint32_t shared = request->part_count > 1 ? request->part_count - 1 : request->part_count;
-  const fmt_part_t *best = NULL;
+  const format_prompt_part_t *best = NULL;
 
   for (uint32_t i = 0; i < shared; i++)
     if (!best || request->parts[i].tokens >= best->tokens)
@@ -24,9 +24,10 @@
 }
 
 static void
-set_affinity (gwy_call_t *call)
+set_affinity (gateway_call_t *call)
 {
-  const fmt_part_t *part = call->route->sticky ? find_affinity_part (&call->request) : NULL;
+  const format_prompt_part_t *part =
+      call->route->sticky ? find_affinity_part (&call->request) : NULL;
 
   call->affinity = part ? part->hash : 0;
   call->affinity_tokens = part ? part->tokens : 0;
@@ -35,7 +36,7 @@
 /* The hash covers all shared parts in their order, since a cached part can be used only after the
  * same parts before it. */
 static uint64_t
-hash_shared_parts (const fmt_request_t *request)
+hash_shared_parts (const format_request_t *request)
 {
   uint64_t hash = 0;
 
@@ -45,7 +46,7 @@
 }
 
 static uint64_t
-compute_deadline_us (const rte_route_t *route, const fmt_request_t *request, uint64_t now_us)
+compute_deadline_us (const rte_route_t *route, const format_request_t *request, uint64_t now_us)
 {
   uint32_t limit_ms = route->timeout_ms;
 
@@ -55,73 +56,73 @@
 }
 
 static bool
-is_repeatable (const gwy_call_t *call)
+is_repeatable (const gateway_call_t *call)
 {
   return call->route->kind == RTE_IDEMPOTENT || call->course.rules.resumable;
 }
 
 static void
-count_failure (const gwy_call_t *call)
+count_failure (const gateway_call_t *call)
 {
-  cnt_add (call->gwy->failed, 1);
-  lat_add (call->service->failure_histogram, gwy_now_us (call->gwy) - call->arrived_us);
+  cnt_add (call->gateway->failed, 1);
+  lat_add (call->service->failure_histogram, gateway_now_us (call->gateway) - call->arrived_us);
 }
 
 static void
-end_failed (gwy_call_t *call, verdict_reason_t reason)
+end_failed (gateway_call_t *call, verdict_reason_t reason)
 {
   bool in_time = reason != VERDICT_REASON_TIMEOUT && reason != VERDICT_REASON_DEADLINE;
 
   count_failure (call);
-  gwy_call_log_failure (call, "end", "failed", reason);
-  flt_reply (call->client,
-             &(flt_t){ .reason = in_time ? VERDICT_REASON_CUT : VERDICT_REASON_TIMEOUT,
-                       .verdict = VERDICT_MAY_HAVE_RUN });
-  gwy_call_free (call);
+  gateway_call_log_failure (call, "end", "failed", reason);
+  error_reply_send (call->client,
+                    &(flt_t){ .reason = in_time ? VERDICT_REASON_CUT : VERDICT_REASON_TIMEOUT,
+                              .verdict = VERDICT_MAY_HAVE_RUN });
+  gateway_call_free (call);
 }
 
 static void
-end_cut (gwy_call_t *call, verdict_reason_t reason)
+end_cut (gateway_call_t *call, verdict_reason_t reason)
 {
   count_failure (call);
-  gwy_call_log_failure (call, "end", "cut", reason);
-  rly_cut (&call->rly, &(flt_t){ .reason = VERDICT_REASON_CUT });
-  gwy_call_free (call);
+  gateway_call_log_failure (call, "end", "cut", reason);
+  relay_abort (&call->relay, &(flt_t){ .reason = VERDICT_REASON_CUT });
+  gateway_call_free (call);
 }
 
 static void
 on_deadline (evutil_socket_t fd, short what, void *context)
 {
-  gwy_call_t *call = context;
+  gateway_call_t *call = context;
 
   (void)fd;
   (void)what;
   if (call->queue_item.waiting)
     {
-      gwy_wait_remove (call);
-      gwy_call_give_up (call, VERDICT_REASON_DEADLINE, GWY_RETRY_MIN_MS);
+      gateway_queue_remove (call);
+      gateway_call_fail (call, VERDICT_REASON_DEADLINE, GATEWAY_RETRY_MIN_MS);
       return;
     }
-  gwy_hop_drop (call);
+  gateway_hop_cancel (call);
   if (call->client && call->failure_buffered)
     {
-      gwy_call_whole (call);
+      gateway_call_complete (call);
       return;
     }
-  gwy_call_log_failure (call, "end", "timeout", VERDICT_REASON_TIMEOUT);
+  gateway_call_log_failure (call, "end", "timeout", VERDICT_REASON_TIMEOUT);
   count_failure (call);
   if (!call->client)
-    gwy_call_free (call);
-  else if (call->rly.begun)
+    gateway_call_free (call);
+  else if (call->relay.begun)
     {
-      rly_cut (&call->rly, &(flt_t){ .reason = VERDICT_REASON_TIMEOUT });
-      gwy_call_free (call);
+      relay_abort (&call->relay, &(flt_t){ .reason = VERDICT_REASON_TIMEOUT });
+      gateway_call_free (call);
     }
   else
     {
-      flt_reply (call->client,
-                 &(flt_t){ .reason = VERDICT_REASON_TIMEOUT, .verdict = VERDICT_MAY_HAVE_RUN });
-      gwy_call_free (call);
+      error_reply_send (call->client, &(flt_t){ .reason = VERDICT_REASON_TIMEOUT,
+                                                .verdict = VERDICT_MAY_HAVE_RUN });
+      gateway_call_free (call);
     }
 }
 
@@ -130,33 +131,34 @@
 static void
 on_client_gone (void *context)
 {
-  gwy_call_t *call = context;
+  gateway_call_t *call = context;
 
-  cnt_add (call->gwy->gone, 1);
+  cnt_add (call->gateway->gone, 1);
   call->client = NULL;
-  rly_gone (&call->rly);
-  gwy_call_log (call, "gone", call->queue_item.waiting ? "waiting" : "sent", VERDICT_REASON_NONE);
+  relay_client_gone (&call->relay);
+  gateway_call_log (call, "gone", call->queue_item.waiting ? "waiting" : "sent",
+                    VERDICT_REASON_NONE);
   if (call->upstream && call->route->kind == RTE_NON_IDEMPOTENT)
     return;
-  gwy_wait_remove (call);
-  gwy_hop_drop (call);
-  gwy_call_free (call);
+  gateway_queue_remove (call);
+  gateway_hop_cancel (call);
+  gateway_call_free (call);
 }
 
 static void
-start_deadline_timer (gwy_call_t *call)
+start_deadline_timer (gateway_call_t *call)
 {
   uint64_t left_us = call->deadline_us - call->arrived_us;
   struct timeval wait = { (time_t)(left_us / CLK_US_PER_S), (suseconds_t)(left_us % CLK_US_PER_S) };
 
-  call->timer = evtimer_new (call->gwy->options.base, on_deadline, call);
+  call->timer = evtimer_new (call->gateway->options.base, on_deadline, call);
   event_add (call->timer, &wait);
 }
 
 static wait_queue_item_t
-make_queue_item (gwy_call_t *call)
+make_queue_item (gateway_call_t *call)
 {
-  gwy_usual_t *stats = gwy_usual (call->gwy, call->route);
+  gateway_route_stats_t *stats = gateway_route_stats (call->gateway, call->route);
   uint64_t age_us =
       first_attempt_age_us (&stats->first_ask, call->arrived_us, call->request.deadline_ms);
   uint64_t aim_us = (uint64_t)call->route->aim_ms * CLK_US_PER_MS;
@@ -176,72 +178,72 @@
                                     .owner = call } };
 }
 
-gwy_call_t *
-gwy_call_new (gwy_t *gwy,
-              hsv_call_t *client,
-              const rte_route_t *route,
-              const rte_account_t *account,
-              const fmt_request_t *request)
+gateway_call_t *
+gateway_call_new (gateway_task_t *gateway,
+                  hsv_call_t *client,
+                  const rte_route_t *route,
+                  const rte_account_t *account,
+                  const format_request_t *request)
 {
-  gwy_call_t *call = g_new0 (gwy_call_t, 1);
+  gateway_call_t *call = g_new0 (gateway_call_t, 1);
   bool is_stream = route->kind == RTE_STREAM;
   uint64_t target_hash;
 
-  call->gwy = gwy;
+  call->gateway = gateway;
   call->client = client;
-  call->table = rte_ref (gwy->table);
+  call->table = rte_ref (gateway->table);
   call->route = route;
   call->account = account;
   call->request = *request;
   g_strlcpy (call->id, request->id ? request->id : "", sizeof call->id);
-  call->arrived_us = gwy_now_us (gwy);
+  call->arrived_us = gateway_now_us (gateway);
   call->deadline_us = compute_deadline_us (route, request, call->arrived_us);
   call->queue_item = make_queue_item (call);
   set_affinity (call);
   call->shared_parts = hash_shared_parts (request);
-  target_hash = XXH64 (call->id, strlen (call->id), gwy->next_call_number++);
-  call->service = gwy_service (gwy, rte_target (route, target_hash));
+  target_hash = XXH64 (call->id, strlen (call->id), gateway->next_call_number++);
+  call->service = gateway_service (gateway, rte_target (route, target_hash));
   call->body = hsv_take_body (client, &call->body_bytes);
   retry_plan_init (&call->course,
                    &(retry_plan_rules_t){ .idempotent = route->kind == RTE_IDEMPOTENT,
                                           .resumable = is_stream && route->resumable,
                                           .attempts = route->attempts });
-  evs_init (&call->evs);
-  rly_init (&call->rly, client);
-  call->rly.passes_back = gwy->options.format->passes_back;
+  event_splitter_init (&call->splitter);
+  relay_init (&call->relay, client);
+  call->relay.is_returned = gateway->options.format->is_returned;
   if (request->resumes)
     {
-      call->evs.has_id = true;
-      call->evs.last_id = request->last_event;
+      call->splitter.has_id = true;
+      call->splitter.last_id = request->last_event;
     }
-  g_hash_table_add (gwy->calls, call);
-  retry_budget_count_request (&call->service->retries, &gwy->options.retries, call->arrived_us);
+  g_hash_table_add (gateway->calls, call);
+  retry_budget_count_request (&call->service->retries, &gateway->options.retries, call->arrived_us);
   hsv_on_gone (client, on_client_gone, call);
   start_deadline_timer (call);
   return call;
 }
 
 void
-gwy_call_free (gwy_call_t *call)
+gateway_call_free (gateway_call_t *call)
 {
   g_assert (!call->upstream && !call->queue_item.waiting);
-  g_hash_table_remove (call->gwy->calls, call);
+  g_hash_table_remove (call->gateway->calls, call);
   event_free (call->timer);
-  evs_clear (&call->evs);
-  rly_clear (&call->rly);
+  event_splitter_clear (&call->splitter);
+  relay_clear (&call->relay);
   g_free (call->body);
   rte_unref (call->table);
   g_free (call);
 }
 
 static void
-log_call (const gwy_call_t *call,
+log_call (const gateway_call_t *call,
           log_level_t level,
           const char *event,
           const char *outcome,
           verdict_reason_t reason)
 {
-  uint64_t now_us = gwy_now_us (call->gwy);
+  uint64_t now_us = gateway_now_us (call->gateway);
 
   log_event (
       level, event, "id", call->id, "route", call->route->name, "version",
@@ -257,10 +259,10 @@
 }
 
 void
-gwy_call_log (const gwy_call_t *call,
-              const char *event,
-              const char *outcome,
-              verdict_reason_t reason)
+gateway_call_log (const gateway_call_t *call,
+                  const char *event,
+                  const char *outcome,
+                  verdict_reason_t reason)
 {
   log_call (call, LOG_LEVEL_INFO, event, outcome, reason);
 }
@@ -268,17 +270,17 @@
 /* The log is flushed before the response is sent, so that the line exists even if the process is
  * killed right after. */
 void
-gwy_call_log_failure (const gwy_call_t *call,
-                      const char *event,
-                      const char *outcome,
-                      verdict_reason_t reason)
+gateway_call_log_failure (const gateway_call_t *call,
+                          const char *event,
+                          const char *outcome,
+                          verdict_reason_t reason)
 {
   log_call (call, LOG_LEVEL_NOTICE, event, outcome, reason);
   log_flush ();
 }
 
 static region_filter_t
-bound_regions (const gwy_call_t *call)
+bound_regions (const gateway_call_t *call)
 {
   char **by_account = call->account ? call->account->regions : NULL;
 
@@ -287,22 +289,22 @@
 }
 
 engine_choice_t
-gwy_call_choose (const gwy_call_t *call)
+gateway_call_choose_engine (const gateway_call_t *call)
 {
-  const gwy_t *gwy = call->gwy;
-  const gwy_service_t *service = call->service;
-  const rte_service_t *rules = rte_service (gwy->table, service->name);
-  uint64_t now_us = gwy_now_us (gwy);
+  const gateway_task_t *gateway = call->gateway;
+  const gateway_service_t *service = call->service;
+  const rte_service_t *rules = rte_service (gateway->table, service->name);
+  uint64_t now_us = gateway_now_us (gateway);
 
   return engine_choice_make (
-      engines_of_service (gwy->options.engines, service->name), now_us,
+      engines_of_service (gateway->options.engines, service->name), now_us,
       &(engine_choice_request_t){
           .affinity = call->affinity,
           .affinity_tokens = call->affinity_tokens,
-          .data_center = gwy->options.set->data_center,
-          .repeatable = retry_plan_may_move (&call->course, call->rly.begun),
-          .gateways = gwy->routers,
-          .gateway_hash = gwy->name_hash,
+          .data_center = gateway->options.set->data_center,
+          .repeatable = retry_plan_may_move (&call->course, call->relay.begun),
+          .gateways = gateway->routers,
+          .gateway_hash = gateway->name_hash,
           .run_us = wait_queue_run_us (service->queue),
           .head_us = wait_queue_head_us (service->queue),
           .utilization_milli = load_gauge_utilization_milli (&service->load_gauge, now_us),
@@ -310,126 +312,126 @@
           .late = call->queue_item.waiting && call->queue_item.late,
           .cold_per_s = rules ? rules->cold_per_s : 0,
           .cold_start_us = rules ? rules->cold_start_us : 0,
-          .known_gateways = gwy->known_routers,
+          .known_gateways = gateway->known_routers,
           .homes = bound_regions (call),
-          .drain_us = (uint64_t)gwy->options.set->center_drain_ms * CLK_US_PER_MS,
+          .drain_us = (uint64_t)gateway->options.set->center_drain_ms * CLK_US_PER_MS,
           .tried = call->tried,
           .tried_count = call->tried_count });
 }
 
 void
-gwy_call_no_engine (gwy_call_t *call, const engine_choice_t *choice)
+gateway_call_fail_no_engine (gateway_call_t *call, const engine_choice_t *choice)
 {
-  gwy_call_give_up (call, choice->drained ? VERDICT_REASON_LEAVING : VERDICT_REASON_NO_ENGINE,
-                    choice->drained ? GWY_RETRY_DRAINED_MS : GWY_RETRY_MIN_MS);
+  gateway_call_fail (call, choice->drained ? VERDICT_REASON_LEAVING : VERDICT_REASON_NO_ENGINE,
+                     choice->drained ? GATEWAY_RETRY_DRAINED_MS : GATEWAY_RETRY_MIN_MS);
 }
 
 void
-gwy_call_place (gwy_call_t *call)
+gateway_call_place (gateway_call_t *call)
 {
   engine_choice_t choice;
 
   /* A new request must not overtake those in the queue. */
   if (wait_queue_count_in_time (call->service->queue) > 0 && call->hops == 0)
     {
-      gwy_wait_push (call);
+      gateway_queue_push (call);
       return;
     }
-  choice = gwy_call_choose (call);
+  choice = gateway_call_choose_engine (call);
   if (choice.action == ENGINE_CHOICE_SEND)
-    gwy_hop_send (call, &choice);
+    gateway_hop_send (call, &choice);
   else if (choice.action == ENGINE_CHOICE_WAIT)
-    gwy_wait_push (call);
+    gateway_queue_push (call);
   else if (choice.rest_us > 0)
-    gwy_wait_for_rest (call, choice.rest_us);
+    gateway_queue_for_backoff (call, choice.rest_us);
   else
-    gwy_call_no_engine (call, &choice);
+    gateway_call_fail_no_engine (call, &choice);
 }
 
 uint64_t
-gwy_call_retry_wait_us (const gwy_call_t *call)
+gateway_call_retry_wait_us (const gateway_call_t *call)
 {
-  gwy_t *gwy = call->gwy;
+  gateway_task_t *gateway = call->gateway;
 
-  return retry_budget_wait_us (&call->service->retries, &gwy->options.retries, gwy_now_us (gwy),
-                               gwy->known_routers);
+  return retry_budget_wait_us (&call->service->retries, &gateway->options.retries,
+                               gateway_now_us (gateway), gateway->known_routers);
 }
 
 static bool
 may_retry (void *context)
 {
-  return gwy_call_retry_wait_us (context) == 0;
+  return gateway_call_retry_wait_us (context) == 0;
 }
 
 /* The log line tells the state of this gateway's share of the retry budget. */
 static void
-log_retry (const gwy_call_t *call, const char *outcome, verdict_reason_t reason)
+log_retry (const gateway_call_t *call, const char *outcome, verdict_reason_t reason)
 {
-  const gwy_t *gwy = call->gwy;
+  const gateway_task_t *gateway = call->gateway;
   const retry_budget_t *retries = &call->service->retries;
-  uint64_t now_us = gwy_now_us (gwy);
-  uint64_t allowed_milli =
-      retry_budget_allowed_milli (retries, &gwy->options.retries, now_us, gwy->known_routers);
+  uint64_t now_us = gateway_now_us (gateway);
+  uint64_t allowed_milli = retry_budget_allowed_milli (retries, &gateway->options.retries, now_us,
+                                                       gateway->known_routers);
 
   log_event (LOG_LEVEL_INFO, "retry", "id", call->id, "service", call->service->name, "outcome",
              outcome, "reason", verdict_reason_to_string (reason), "hops", LOG_U64 (call->hops),
              "spent", LOG_U64 (retry_budget_retries (retries)), "allowed_milli",
-             LOG_U64 (allowed_milli), "gateways", LOG_U64 (gwy->known_routers), "started_ms_ago",
-             LOG_U64 ((now_us - gwy->started_us) / CLK_US_PER_MS), "ms",
+             LOG_U64 (allowed_milli), "gateways", LOG_U64 (gateway->known_routers),
+             "started_ms_ago", LOG_U64 ((now_us - gateway->started_us) / CLK_US_PER_MS), "ms",
              LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), NULL);
 }
 
 static void
-prepare_retry (gwy_call_t *call, bool resume, verdict_reason_t reason)
+prepare_retry (gateway_call_t *call, bool resume, verdict_reason_t reason)
 {
   log_retry (call, resume ? "resume" : "again", reason);
-  cnt_add (resume ? call->gwy->resumed : call->gwy->retried, 1);
+  cnt_add (resume ? call->gateway->resumed : call->gateway->retried, 1);
   call->resuming = resume;
   if (resume)
-    evs_resume (&call->evs);
+    event_splitter_resume (&call->splitter);
   else
-    evs_restart (&call->evs);
+    event_splitter_restart (&call->splitter);
 }
 
 static void
-retry (gwy_call_t *call, bool resume, verdict_reason_t reason)
+retry (gateway_call_t *call, bool resume, verdict_reason_t reason)
 {
   prepare_retry (call, resume, reason);
-  gwy_call_place (call);
+  gateway_call_place (call);
 }
 
 void
-gwy_call_outcome (gwy_call_t *call, retry_plan_outcome_t outcome, verdict_reason_t reason)
+gateway_call_hop_ended (gateway_call_t *call, retry_plan_outcome_t outcome, verdict_reason_t reason)
 {
-  uint64_t now_us = gwy_now_us (call->gwy);
+  uint64_t now_us = gateway_now_us (call->gateway);
   uint64_t left_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
 
   if (!call->client)
     {
-      gwy_call_free (call);
+      gateway_call_free (call);
       return;
     }
   call->failure_buffered = call->failure_buffered || outcome == RETRY_PLAN_OUTCOME_FAILED;
   switch (retry_plan_next (&call->course, outcome, left_us, may_retry, call))
     {
     case RETRY_PLAN_STEP_RESEND:
-      retry (call, call->rly.begun, reason);
+      retry (call, call->relay.begun, reason);
       return;
     case RETRY_PLAN_STEP_RESUME:
       retry (call, true, reason);
       return;
     case RETRY_PLAN_STEP_WAIT:
-      prepare_retry (call, call->rly.begun, reason);
-      gwy_wait_for_retry (call);
+      prepare_retry (call, call->relay.begun, reason);
+      gateway_queue_for_retry (call);
       return;
     case RETRY_PLAN_STEP_PASS_ON:
-      gwy_call_whole (call);
+      gateway_call_complete (call);
       return;
     case RETRY_PLAN_STEP_REJECT:
-      gwy_call_give_up (call, reason, GWY_RETRY_MIN_MS);
+      gateway_call_fail (call, reason, GATEWAY_RETRY_MIN_MS);
       return;
     case RETRY_PLAN_STEP_FAIL:
-      gwy_call_give_up (call, reason, GWY_RETRY_MIN_MS);
+      gateway_call_fail (call, reason, GATEWAY_RETRY_MIN_MS);
       return;
     case RETRY_PLAN_STEP_CUT_OFF:
       end_cut (call, reason);
@@ -446,9 +448,9 @@
 /* Computed for each response, so the hash has to be cheap. Its seed is the fleet key, a secret that
  * all gateways share, so that no client can craft a request with the hash of another one. */
 uint64_t
-gwy_call_fingerprint (const gwy_call_t *call)
+gateway_call_fingerprint (const gateway_call_t *call)
 {
-  uint64_t hash = hash_text (0, call->gwy->options.set->fleet_key);
+  uint64_t hash = hash_text (0, call->gateway->options.set->fleet_key);
 
   hash = hash_text (hash, call->account ? call->account->name : "");
   hash = hash_text (hash, hsv_method (call->client));
@@ -457,25 +459,25 @@
 }
 
 void
-gwy_call_whole (gwy_call_t *call)
+gateway_call_complete (gateway_call_t *call)
 {
   if (call->client)
-    gwy_served (call->gwy, gwy_call_fingerprint (call));
-  cnt_add (call->gwy->answered, 1);
-  lat_add (call->service->answer_histogram, gwy_now_us (call->gwy) - call->arrived_us);
-  gwy_call_log (call, "end", "answered", VERDICT_REASON_NONE);
-  rly_whole (&call->rly);
-  gwy_call_free (call);
+    gateway_note_served (call->gateway, gateway_call_fingerprint (call));
+  cnt_add (call->gateway->answered, 1);
+  lat_add (call->service->answer_histogram, gateway_now_us (call->gateway) - call->arrived_us);
+  gateway_call_log (call, "end", "answered", VERDICT_REASON_NONE);
+  relay_finish (&call->relay);
+  gateway_call_free (call);
 }
 
 /* The log line tells on what the refusal was based: the state of the queue and of the retry budget.
  */
 static void
-log_refusal (const gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
+log_refusal (const gateway_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
 {
   const wait_queue_t *queue = call->service->queue;
-  uint64_t now_us = gwy_now_us (call->gwy);
-  uint64_t retry_wait_us = gwy_call_retry_wait_us (call);
+  uint64_t now_us = gateway_now_us (call->gateway);
+  uint64_t retry_wait_us = gateway_call_retry_wait_us (call);
 
   log_event (LOG_LEVEL_NOTICE, "refuse", "id", call->id, "route", call->route->name, "version",
              LOG_U64 (rte_version (call->table)), "outcome",
@@ -494,31 +496,31 @@
 }
 
 static void
-refuse (gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
+refuse (gateway_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
 {
-  uint32_t wait_ms = CLAMP (retry_after_ms, GWY_RETRY_MIN_MS, GWY_RETRY_MAX_MS);
+  uint32_t wait_ms = CLAMP (retry_after_ms, GATEWAY_RETRY_MIN_MS, GATEWAY_RETRY_MAX_MS);
 
-  cnt_add (call->gwy->refused, 1);
-  lat_add (call->service->failure_histogram, gwy_now_us (call->gwy) - call->arrived_us);
+  cnt_add (call->gateway->refused, 1);
+  lat_add (call->service->failure_histogram, gateway_now_us (call->gateway) - call->arrived_us);
   log_refusal (call, reason, wait_ms);
-  flt_reply (call->client, &(flt_t){ .status = 503,
-                                     .reason = reason,
-                                     .verdict = VERDICT_NOT_RUN,
-                                     .retry_after_ms = wait_ms,
-                                     .exact_retry = true });
-  gwy_call_free (call);
+  error_reply_send (call->client, &(flt_t){ .status = 503,
+                                            .reason = reason,
+                                            .verdict = VERDICT_NOT_RUN,
+                                            .retry_after_ms = wait_ms,
+                                            .exact_retry = true });
+  gateway_call_free (call);
 }
 
 /* 503 states that the request has not run and never will, so it must not be sent when an earlier
  * hop may have run. The error response of an engine, if there is one, tells the client more than
  * 502. */
 void
-gwy_call_give_up (gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
+gateway_call_fail (gateway_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
 {
-  if (call->rly.begun)
+  if (call->relay.begun)
     end_cut (call, reason);
   else if (call->failure_buffered)
-    gwy_call_whole (call);
+    gateway_call_complete (call);
   else if (call->course.ran > 0)
     end_failed (call, reason);
   else
--- a/src/request/gateway/gateway_hop.c
+++ b/src/request/gateway/gateway_hop.c
@@ -19,7 +19,7 @@
 }
 
 static void
-release_engine (gwy_call_t *call)
+release_engine (gateway_call_t *call)
 {
   engine_t *engine = call->engine;
 
@@ -32,43 +32,43 @@
 }
 
 void
-gwy_hop_drop (gwy_call_t *call)
+gateway_hop_cancel (gateway_call_t *call)
 {
   if (!call->upstream)
     return;
   hcl_cancel (call->upstream);
-  call->rly.from = NULL; /* the relay must not pause a call that is freed */
+  call->relay.from = NULL; /* the relay must not pause a call that is freed */
   release_engine (call);
 }
 
 /* Whether the response continues a stream of events that was resumed. */
 static bool
-can_forward_stream (const gwy_call_t *call, int status, const struct evkeyvalq *headers)
+can_forward_stream (const gateway_call_t *call, int status, const struct evkeyvalq *headers)
 {
   return status == 200 && is_event_stream (headers) && !call->response.not_run;
 }
 
 static uint64_t
-cache_warm_key (const gwy_call_t *call, const engine_t *engine)
+cache_warm_key (const gateway_call_t *call, const engine_t *engine)
 {
   return call->shared_parts ^ engine->hash;
 }
 
 static void
-announce_high_load (const gwy_call_t *call, uint64_t now_us)
+announce_high_load (const gateway_call_t *call, uint64_t now_us)
 {
-  const gwy_t *gwy = call->gwy;
+  const gateway_task_t *gateway = call->gateway;
   load_report_t item = { .engine_hash = call->engine->hash,
                          .load = call->response.load.running + call->response.load.waiting,
                          .told_us = now_us };
 
   if (load_reports_is_high (item.load, call->service->mean_milli, ENGINE_CHOICE_OVERLOAD_FACTOR,
                             ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI))
-    gwy->options.high_load (&item, gwy->options.context);
+    gateway->options.high_load (&item, gateway->options.context);
 }
 
 static void
-record_load (gwy_call_t *call, uint64_t now_us)
+record_load (gateway_call_t *call, uint64_t now_us)
 {
   const engine_load_t *load = &call->response.load;
 
@@ -81,35 +81,35 @@
 /* An engine repeats in each response that it leaves; the first notice is logged at a level that is
  * always written. */
 static void
-record_engine_notice (const gwy_call_t *call, uint64_t now_us)
+record_engine_notice (const gateway_call_t *call, uint64_t now_us)
 {
-  const fmt_answer_t *response = &call->response;
-  bool is_news =
-      response->leaving && engines_note_leaving (call->gwy->options.engines, now_us, call->engine);
+  const format_response_t *response = &call->response;
+  bool is_news = response->leaving &&
+                 engines_note_leaving (call->gateway->options.engines, now_us, call->engine);
 
-  if (!response->leaving && response->rest_ms == 0)
+  if (!response->leaving && response->backoff_ms == 0)
     return;
-  if (response->rest_ms > 0)
-    engines_note_backoff (call->gwy->options.engines, now_us, call->engine,
-                          (uint64_t)response->rest_ms * CLK_US_PER_MS);
+  if (response->backoff_ms > 0)
+    engines_note_backoff (call->gateway->options.engines, now_us, call->engine,
+                          (uint64_t)response->backoff_ms * CLK_US_PER_MS);
   log_event (is_news ? LOG_LEVEL_NOTICE : LOG_LEVEL_INFO, "engine_says", "id", call->id, "engine",
              call->engine->entry.id, "leaving", response->leaving ? "yes" : "no", "rest_ms",
-             LOG_U64 (response->rest_ms), NULL);
+             LOG_U64 (response->backoff_ms), NULL);
 }
 
 static void
-record_head (gwy_call_t *call, int status)
+record_head (gateway_call_t *call, int status)
 {
-  uint64_t now_us = gwy_now_us (call->gwy);
+  uint64_t now_us = gateway_now_us (call->gateway);
 
   call->head_us = now_us;
   call->last_byte_us = now_us;
-  call->events_before_head = call->evs.count;
+  call->events_before_head = call->splitter.count;
   call->engine->heard_us = now_us;
   if (!call->response.not_run)
     wait_queue_note_head (call->service->queue, now_us - call->sent_us);
   if (status == 200)
-    recent_answers_add (call->gwy->cache_warm, now_us, cache_warm_key (call, call->engine));
+    recent_answers_add (call->gateway->cache_warm, now_us, cache_warm_key (call, call->engine));
   lat_add (call->service->head_histogram, now_us - call->sent_us);
   if (call->response.idle_ms > 0)
     call->engine->idle_ms = call->response.idle_ms;
@@ -123,15 +123,15 @@
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  gwy_call_t *call = context;
+  gateway_call_t *call = context;
 
-  call->gwy->options.format->answer (&call->response, status, headers,
-                                     call->id[0] != '\0' ? call->id : NULL);
+  call->gateway->options.format->answer (&call->response, status, headers,
+                                         call->id[0] != '\0' ? call->id : NULL);
   if (call->response.crossed)
     return false;
   call->has_head = true;
   record_head (call, status);
-  call->rly.from = call->upstream;
+  call->relay.from = call->upstream;
   if (call->resuming)
     return can_forward_stream (call, status, headers) || call->response.not_run;
   if (call->response.not_run)
@@ -139,33 +139,33 @@
   call->status = status;
   call->streaming = is_event_stream (headers) && status == 200;
   call->failure_buffered = false;
-  rly_head (&call->rly, call->upstream, status, headers);
-  call->rly.events = false; /* no error event may be added to an engine's events */
+  relay_start (&call->relay, call->upstream, status, headers);
+  call->relay.events = false; /* no error event may be added to an engine's events */
   /* An error is buffered, as another engine may serve the request; and so is a response without a
    * length, as only its end shows that it is complete. */
   if (!call->streaming &&
       (status >= STATUS_SERVER_ERROR || !evhttp_find_header (headers, "Content-Length")))
-    call->rly.holding = true;
+    call->relay.holding = true;
   return true;
 }
 
 static void
-forward_events (gwy_call_t *call, struct evbuffer *data)
+forward_events (gateway_call_t *call, struct evbuffer *data)
 {
   struct evbuffer *whole = evbuffer_new ();
 
-  evs_feed (&call->evs, data, whole);
+  event_splitter_feed (&call->splitter, data, whole);
   if (evbuffer_get_length (whole) > 0)
-    rly_data (&call->rly, whole);
+    relay_forward (&call->relay, whole);
   evbuffer_free (whole);
 }
 
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  gwy_call_t *call = context;
+  gateway_call_t *call = context;
 
-  call->last_byte_us = gwy_now_us (call->gwy);
+  call->last_byte_us = gateway_now_us (call->gateway);
   if (call->engine)
     call->engine->heard_us = call->last_byte_us;
   if (!call->client || call->response.not_run)
@@ -173,38 +173,38 @@
   else if (call->streaming)
     forward_events (call, data);
   else
-    rly_data (&call->rly, data);
+    relay_forward (&call->relay, data);
 }
 
 /* Each route has its own: a time that is usual on one is slow on another of the same service. */
 static median_latency_t *
-select_pace (const gwy_call_t *call)
+select_pace (const gateway_call_t *call)
 {
-  gwy_usual_t *stats = gwy_usual (call->gwy, call->route);
+  gateway_route_stats_t *stats = gateway_route_stats (call->gateway, call->route);
 
   return call->streaming ? &stats->event_pace : &stats->answer_pace;
 }
 
 static void
-record_run_time (gwy_call_t *call, uint64_t run_us)
+record_run_time (gateway_call_t *call, uint64_t run_us)
 {
-  gwy_usual_t *stats = gwy_usual (call->gwy, call->route);
+  gateway_route_stats_t *stats = gateway_route_stats (call->gateway, call->route);
 
   if (stats->run_us == 0)
     stats->run_us = run_us;
-  stats->run_us = (stats->run_us * (GWY_RUN_GAIN - 1) + run_us) / GWY_RUN_GAIN;
+  stats->run_us = (stats->run_us * (GATEWAY_RUN_SMOOTHING - 1) + run_us) / GATEWAY_RUN_SMOOTHING;
   wait_queue_note_run (call->service->queue, &call->queue_item, run_us);
 }
 
 /* A response that its client reads slowly tells nothing about the engine, and the time of an event
  * can be measured only from the event before it. */
 static void
-record_pace (gwy_call_t *call, uint64_t now_us)
+record_pace (gateway_call_t *call, uint64_t now_us)
 {
-  uint64_t events = call->evs.count - call->events_before_head;
+  uint64_t events = call->splitter.count - call->events_before_head;
   uint64_t took_us;
 
-  if (rly_held_up (&call->rly) || call->client_was_slow || (call->streaming && events < 2))
+  if (relay_was_blocked (&call->relay) || call->client_was_slow || (call->streaming && events < 2))
     return;
   took_us = call->streaming ? (now_us - call->head_us) / (events - 1) : now_us - call->sent_us;
   engine_note_latency (call->engine, now_us, median_latency_add (select_pace (call), took_us));
@@ -213,9 +213,9 @@
 /* Refusals are left out. They take a millisecond, so a service whose engines refuse many requests
  * would seem to free its slots at once, and requests would be queued for them in vain. */
 static void
-record_times (gwy_call_t *call)
+record_times (gateway_call_t *call)
 {
-  uint64_t now_us = gwy_now_us (call->gwy);
+  uint64_t now_us = gateway_now_us (call->gateway);
 
   if (call->response.not_run)
     return;
@@ -230,25 +230,25 @@
  * refused while other engines were free.
  */
 static void
-record_refusal (gwy_call_t *call, engine_t *engine)
+record_refusal (gateway_call_t *call, engine_t *engine)
 {
-  if (call->response.is_other)
+  if (call->response.is_other_engine)
     engine_note_displaced (engine);
-  if (call->response.is_other || call->tried_count == 0)
+  if (call->response.is_other_engine || call->tried_count == 0)
     return;
   /* A full engine stays a candidate: if it were excluded, a request whose service has only this
    * engine would be refused though it had to wait for mere milliseconds. */
-  engine_note_full (engine, gwy_now_us (call->gwy));
+  engine_note_full (engine, gateway_now_us (call->gateway));
   call->tried_count--;
 }
 
 static void
-finish_refused (gwy_call_t *call)
+finish_refused (gateway_call_t *call)
 {
-  if (call->response.is_other)
-    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_NOT_RUN, VERDICT_REASON_NO_ENGINE);
+  if (call->response.is_other_engine)
+    gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_NOT_RUN, VERDICT_REASON_NO_ENGINE);
   else
-    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_FULL, VERDICT_REASON_OVER_BOUND);
+    gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_FULL, VERDICT_REASON_OVER_BOUND);
 }
 
 static bool
@@ -258,55 +258,56 @@
 }
 
 static void
-finish_complete (gwy_call_t *call)
+finish_complete (gateway_call_t *call)
 {
   if (call->response.not_run)
     finish_refused (call);
-  else if (call->streaming && !evs_is_between (&call->evs))
-    gwy_call_outcome (call,
-                      call->rly.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN,
-                      VERDICT_REASON_CUT);
+  else if (call->streaming && !event_splitter_is_between (&call->splitter))
+    gateway_call_hop_ended (
+        call, call->relay.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN,
+        VERDICT_REASON_CUT);
   else if (call->status >= STATUS_SERVER_ERROR && call->client)
-    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_FAILED, VERDICT_REASON_NONE);
+    gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_FAILED, VERDICT_REASON_NONE);
   else
-    gwy_call_whole (call);
+    gateway_call_complete (call);
 }
 
 static void
-finish_broken (gwy_call_t *call, const hcl_end_t *end)
+finish_broken (gateway_call_t *call, const hcl_end_t *end)
 {
   bool refused = call->has_head && call->response.not_run;
 
   if (refused)
     finish_refused (call);
   else if (end->verdict == VERDICT_NOT_RUN)
-    gwy_call_outcome (call,
-                      is_unsent (end) ? RETRY_PLAN_OUTCOME_UNSENT : RETRY_PLAN_OUTCOME_NOT_RUN,
-                      end->reason);
-  else if (call->rly.begun)
-    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_BROKE_OFF, end->reason);
+    gateway_call_hop_ended (
+        call, is_unsent (end) ? RETRY_PLAN_OUTCOME_UNSENT : RETRY_PLAN_OUTCOME_NOT_RUN,
+        end->reason);
+  else if (call->relay.begun)
+    gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_BROKE_OFF, end->reason);
   else
-    gwy_call_outcome (call, RETRY_PLAN_OUTCOME_UNKNOWN, end->reason);
+    gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_UNKNOWN, end->reason);
 }
 
 /* A connection that broke may mean that the engine crashed; a refused connection shows that it is
  * down. */
 static void
-record_crash (gwy_call_t *call, const hcl_end_t *end)
+record_crash (gateway_call_t *call, const hcl_end_t *end)
 {
-  gwy_t *gwy = call->gwy;
-  uint64_t now_us = gwy_now_us (gwy);
+  gateway_task_t *gateway = call->gateway;
+  uint64_t now_us = gateway_now_us (gateway);
 
   if (is_unsent (end))
-    crash_watch_note_down (&gwy->crashes, now_us, call->engine->hash);
+    crash_watch_note_down (&gateway->crashes, now_us, call->engine->hash);
   else if (end->reason == VERDICT_REASON_CUT && call->client && !call->response.crossed)
-    crash_watch_note_loss (&gwy->crashes, now_us, call->engine->hash, gwy_call_fingerprint (call));
+    crash_watch_note_loss (&gateway->crashes, now_us, call->engine->hash,
+                           gateway_call_fingerprint (call));
 }
 
 static void
-record_engine_failure (gwy_call_t *call, const hcl_end_t *end)
+record_engine_failure (gateway_call_t *call, const hcl_end_t *end)
 {
-  uint64_t now_us = gwy_now_us (call->gwy);
+  uint64_t now_us = gateway_now_us (call->gateway);
 
   if (is_unsent (end))
     engine_note_unreachable (call->engine, now_us);
@@ -317,10 +318,10 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  gwy_call_t *call = context;
-  gwy_service_t *service = call->service;
+  gateway_call_t *call = context;
+  gateway_service_t *service = call->service;
 
-  call->rly.from = NULL;
+  call->relay.from = NULL;
   if (end->whole)
     record_times (call);
   else if (!call->has_head || !call->response.not_run)
@@ -330,22 +331,22 @@
   if (!end->whole)
     record_crash (call, end);
   if (!end->whole)
-    gwy_call_log (call, "hop_lost", verdict_to_string (end->verdict), end->reason);
+    gateway_call_log (call, "hop_lost", verdict_to_string (end->verdict), end->reason);
   release_engine (call);
   if (end->whole)
     finish_complete (call);
   else
     finish_broken (call, end);
-  gwy_wait_pump (service);
+  gateway_queue_dispatch (service);
 }
 
 static void
-give_up_hop (gwy_call_t *call, const char *why, verdict_reason_t reason)
+give_up_hop (gateway_call_t *call, const char *why, verdict_reason_t reason)
 {
-  gwy_call_log (call, "hop_lost", why, reason);
-  gwy_hop_drop (call);
-  gwy_call_outcome (
-      call, call->rly.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN, reason);
+  gateway_call_log (call, "hop_lost", why, reason);
+  gateway_hop_cancel (call);
+  gateway_call_hop_ended (
+      call, call->relay.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN, reason);
 }
 
 /*
@@ -354,9 +355,9 @@
  * the engine stops working on it if it is still alive.
  */
 void
-gwy_hop_watch (gwy_call_t *call)
+gateway_hop_check_silence (gateway_call_t *call)
 {
-  uint64_t now_us = gwy_now_us (call->gwy);
+  uint64_t now_us = gateway_now_us (call->gateway);
   hop_timeout_t hop_timeout = {
     .sent_us = call->sent_us,
     .heard_us = call->last_byte_us,
@@ -365,17 +366,18 @@
     .usual_us = wait_queue_head_us (call->service->queue),
     .time_us = call->deadline_us - MIN (call->sent_us, call->deadline_us),
     .gap_us = (uint64_t)call->route->gap_ms * CLK_US_PER_MS,
-    .full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >= GWY_FULL_MILLI
+    .full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >=
+            GATEWAY_NEARLY_FULL_MILLI
   };
 
   if (!call->upstream || !call->client)
     return;
-  if (rly_held_up (&call->rly))
+  if (relay_was_blocked (&call->relay))
     {
       call->client_was_slow = true;
       return;
     }
-  if (!retry_plan_may_move (&call->course, call->rly.begun) ||
+  if (!retry_plan_may_move (&call->course, call->relay.begun) ||
       !hop_timeout_has_expired (&hop_timeout, now_us))
     return;
   engine_note_failure (call->engine, now_us);
@@ -383,7 +385,7 @@
 }
 
 void
-gwy_hop_restarted (gwy_call_t *call, uint64_t hash)
+gateway_hop_engine_restarted (gateway_call_t *call, uint64_t hash)
 {
   if (call->upstream && call->engine->hash == hash)
     give_up_hop (call, "restarted", VERDICT_REASON_CUT);
@@ -391,13 +393,13 @@
 
 /* Return: how long a connection that is reused may have been idle, 0 for no limit */
 static uint64_t
-reuse_idle_limit_us (const gwy_call_t *call)
+reuse_idle_limit_us (const gateway_call_t *call)
 {
-  uint64_t stated_us = (uint64_t)call->engine->idle_ms * CLK_US_PER_MS / GWY_FRESH_DIVISOR;
+  uint64_t stated_us = (uint64_t)call->engine->idle_ms * CLK_US_PER_MS / GATEWAY_REUSE_IDLE_DIVISOR;
 
   if (call->route->kind == RTE_IDEMPOTENT || call->course.rules.resumable)
     return 0;
-  return stated_us > 0 ? MIN (stated_us, GWY_FRESH_US) : GWY_FRESH_US;
+  return stated_us > 0 ? MIN (stated_us, GATEWAY_REUSE_IDLE_MAX_US) : GATEWAY_REUSE_IDLE_MAX_US;
 }
 
 /*
@@ -405,9 +407,9 @@
  * from would make the request wait if that source has become unreachable since.
  */
 static void
-drop_needless_source (const gwy_call_t *call, engine_choice_t *choice)
+drop_needless_source (const gateway_call_t *call, engine_choice_t *choice)
 {
-  if (recent_answers_contain (call->gwy->cache_warm, gwy_now_us (call->gwy),
+  if (recent_answers_contain (call->gateway->cache_warm, gateway_now_us (call->gateway),
                               cache_warm_key (call, choice->engine)))
     choice->source = NULL;
 }
@@ -415,25 +417,26 @@
 /* The priority of the account counts first; that of the route orders requests of accounts with
  * equal priority. */
 static uint32_t
-compute_priority (const gwy_call_t *call)
+compute_priority (const gateway_call_t *call)
 {
   uint32_t own = call->route->priority;
   uint32_t first = call->account && call->account->has_priority ? call->account->priority : own;
 
-  return MIN (first, GWY_PRIORITIES - 1) * GWY_PRIORITIES + MIN (own, GWY_PRIORITIES - 1);
+  return MIN (first, GATEWAY_PRIORITIES - 1) * GATEWAY_PRIORITIES +
+         MIN (own, GATEWAY_PRIORITIES - 1);
 }
 
 static void
-begin_hop (gwy_call_t *call, const engine_choice_t *choice)
+begin_hop (gateway_call_t *call, const engine_choice_t *choice)
 {
-  uint64_t now_us = gwy_now_us (call->gwy);
+  uint64_t now_us = gateway_now_us (call->gateway);
 
   call->engine = choice->engine;
-  call->tried[call->tried_count % GWY_TRIED] = choice->engine->hash;
-  call->tried_count = MIN (call->tried_count + 1, GWY_TRIED);
+  call->tried[call->tried_count % GATEWAY_TRIED_MAX] = choice->engine->hash;
+  call->tried_count = MIN (call->tried_count + 1, GATEWAY_TRIED_MAX);
   call->hops++;
   if (retry_plan_note_send (&call->course))
-    retry_budget_count_retry (&call->service->retries, &call->gwy->options.retries, now_us);
+    retry_budget_count_retry (&call->service->retries, &call->gateway->options.retries, now_us);
   call->sent_us = now_us;
   call->has_head = false;
   call->client_was_slow = false;
@@ -446,7 +449,7 @@
 }
 
 static void
-log_place (const gwy_call_t *call, const engine_choice_t *choice)
+log_place (const gateway_call_t *call, const engine_choice_t *choice)
 {
   const engine_t *engine = choice->engine;
   bool of_peer = engine->peer_report_us > engine->told_us;
@@ -464,28 +467,29 @@
 }
 
 void
-gwy_hop_send (gwy_call_t *call, engine_choice_t *choice)
+gateway_hop_send (gateway_call_t *call, engine_choice_t *choice)
 {
   g_autoptr (GArray) headers = g_array_new (FALSE, FALSE, sizeof (hcl_header_t));
-  fmt_text_t text;
-  fmt_hop_t hop;
+  format_buffers_t text;
+  format_upstream_request_t hop;
 
   drop_needless_source (call, choice);
   call->service->mean_milli = choice->mean_milli;
-  hop = (fmt_hop_t){ .engine_id = choice->engine->entry.id,
-                     .account = call->account ? call->account->name : NULL,
-                     .cache_source = choice->source ? &choice->source->entry.address : NULL,
-                     .priority = compute_priority (call),
-                     .resumes = call->resuming,
-                     .last_event = call->evs.last_id };
+  hop = (format_upstream_request_t){ .engine_id = choice->engine->entry.id,
+                                     .account = call->account ? call->account->name : NULL,
+                                     .cache_source =
+                                         choice->source ? &choice->source->entry.address : NULL,
+                                     .priority = compute_priority (call),
+                                     .resumes = call->resuming,
+                                     .last_event = call->splitter.last_id };
   begin_hop (call, choice);
   if (call->hops == 1)
     lat_add (call->service->wait_histogram, call->sent_us - call->arrived_us);
   log_place (call, choice);
   hop.left_ms =
       (uint32_t)((call->deadline_us - MIN (call->sent_us, call->deadline_us)) / CLK_US_PER_MS);
-  call->gwy->options.format->write (&hop, hsv_headers (call->client), headers, &text);
-  call->upstream = hcl_start (call->gwy->upstreams,
+  call->gateway->options.format->write (&hop, hsv_headers (call->client), headers, &text);
+  call->upstream = hcl_start (call->gateway->upstreams,
                               &(hcl_options_t){ .address = &choice->engine->entry.address,
                                                 .method = hsv_method (call->client),
                                                 .target = hsv_target (call->client),
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -25,45 +25,51 @@
 #include "request/relay.h"
 #include "request/policy/spread.h"
 
-#define GWY_TRIED 8             /* engines of one request that are remembered and not asked again */
-#define GWY_IDLE_CONNECTIONS 64 /* idle connections to engines that are kept */
-#define GWY_IDLE_TIMEOUT_MS 10000
+#define GATEWAY_TRIED_MAX 8 /* engines of one request that are remembered and not asked again */
+#define GATEWAY_IDLE_CONNECTIONS_MAX 64 /* idle connections to engines that are kept */
+#define GATEWAY_IDLE_TIMEOUT_MS 10000
 /* An engine accepts a connection within milliseconds. An unreachable one doesn't respond at all,
  * and a lost SYN is sent again only after a second: by then another engine could have responded. */
-#define GWY_CONNECT_MS 250
+#define GATEWAY_CONNECT_TIMEOUT_MS 250
 /* A request that must not be repeated reuses an idle connection only while the engine certainly
  * keeps it open: if the engine closed it at that moment, nobody could tell whether the request ran.
  */
-#define GWY_FRESH_US (1000 * 1000)
-#define GWY_FRESH_DIVISOR 4 /* reuse within this part of the idle time that the engine states */
+#define GATEWAY_REUSE_IDLE_MAX_US (1000 * 1000)
+#define GATEWAY_REUSE_IDLE_DIVISOR                                                                 \
+  4 /* reuse within this part of the idle time that the engine states */
 /* Bounds of Retry-After. A retry sooner than the minimum would find the same queue. */
-#define GWY_RETRY_MIN_MS 100
-#define GWY_RETRY_MAX_MS 8000
+#define GATEWAY_RETRY_MIN_MS 100
+#define GATEWAY_RETRY_MAX_MS 8000
 /* Retry-After while the data centres of all engines are drained: operators need seconds to change
  * that. */
-#define GWY_RETRY_DRAINED_MS 2000
-#define GWY_SUSPECTS 256
-#define GWY_SUSPECT_US (UINT64_C (60) * CLK_US_PER_S) /* its client has sent it again by then */
+#define GATEWAY_RETRY_DRAINED_MS 2000
+#define GATEWAY_SUSPECTS_MAX 256
+#define GATEWAY_SUSPECT_TTL_US                                                                     \
+  (UINT64_C (60) * CLK_US_PER_S) /* its client has sent it again by then */
 /* Many clients send the same status check, so one of them is likely to run at any engine that
  * crashes. After two such crashes the check would be refused to all clients as one that crashes
  * engines. A request that was served within this time is therefore not marked. One that really
  * crashes every engine isn't served meanwhile, and is marked again after this time. */
-#define GWY_PROVEN 4096
-#define GWY_PROVEN_US (UINT64_C (10) * CLK_US_PER_S)
-#define GWY_WARM 4096       /* pairs of prompt and engine whose cache has the shared parts */
-#define GWY_FULL_MILLI 900  /* share of slots in use, in thousandths, from which requests queue */
-#define GWY_WATCH_TICKS 4   /* ticks between two searches for hops whose engine is silent */
-#define GWY_WAIT_TICK_MS 25 /* queued requests are checked this often, and after all events */
+#define GATEWAY_SERVED_MAX 4096
+#define GATEWAY_SERVED_TTL_US (UINT64_C (10) * CLK_US_PER_S)
+#define GATEWAY_CACHE_WARM_MAX                                                                     \
+  4096 /* pairs of prompt and engine whose cache has the shared parts */
+#define GATEWAY_NEARLY_FULL_MILLI                                                                  \
+  900                         /* share of slots in use, in thousandths, from which requests queue */
+#define GATEWAY_WATCH_TICKS 4 /* ticks between two searches for hops whose engine is silent */
+#define GATEWAY_TICK_MS 25    /* queued requests are checked this often, and after all events */
 /* Levels of priority of an account, and of a route. Engines distinguish ten in all, so the pairs of
  * both must be no more than that. */
-#define GWY_PRIORITIES 3
+#define GATEWAY_PRIORITIES 3
 /* Slots of a table of route statistics; of two routes with the same slot the later is kept. */
-#define GWY_ROUTES 256
-#define GWY_RUN_GAIN 16   /* smoothing of a route's run times: about the last sixteen count */
-#define GWY_HISTOGRAMS 64 /* services with histograms of their own; all further ones share one */
+#define GATEWAY_ROUTE_STATS_SLOTS 256
+#define GATEWAY_RUN_SMOOTHING                                                                      \
+  16 /* smoothing of a route's run times: about the last sixteen count */
+#define GATEWAY_HISTOGRAM_SERVICES_MAX                                                             \
+  64 /* services with histograms of their own; all further ones share one */
 
 /**
- * struct gwy_service - state of one service
+ * struct gateway_service - state of one service
  * @name: interned string
  * @queue: requests that wait while all engines are full
  * @load_gauge: load of all its engines together
@@ -77,7 +83,7 @@
  */
 typedef struct
 {
-  gwy_t *gwy;
+  gateway_task_t *gateway;
   const char *name;
   wait_queue_t *queue;
   load_gauge_t load_gauge;
@@ -88,10 +94,10 @@
   lat_t *head_histogram;
   lat_t *answer_histogram;
   lat_t *failure_histogram;
-} gwy_service_t;
+} gateway_service_t;
 
 /**
- * struct gwy_usual - usual times on one route
+ * struct gateway_route_stats - usual times on one route
  * @route_hash: hash of the name of the route
  * @event_pace: time from one event of a stream to the next
  * @answer_pace: time of a response that is not a stream
@@ -105,11 +111,11 @@
   median_latency_t answer_pace;
   first_attempt_t first_ask;
   uint64_t run_us;
-} gwy_usual_t;
+} gateway_route_stats_t;
 
-struct gwy
+struct gateway
 {
-  gwy_options_t options;
+  gateway_options_t options;
   uint64_t name_hash; /* of the name of this gateway */
   hsv_t *listener;
   hcl_t *upstreams; /* connections to engines */
@@ -117,15 +123,15 @@
   bool config_current; /* @table is known to be the newest version */
   bool stopping;       /* no connections and requests are accepted any more */
   uint64_t started_us;
-  uint32_t routers;       /* see gwy_set_routers() */
+  uint32_t routers;       /* see gateway_set_routers() */
   uint32_t known_routers; /* likewise, also those not heard from lately */
-  GHashTable *services;   /* interned name -> gwy_service_t */
-  GHashTable *calls;      /* set of gwy_call_t */
+  GHashTable *services;   /* interned name -> gateway_service_t */
+  GHashTable *calls;      /* set of gateway_call_t */
   crash_watch_t crashes;
   suspects_t *suspects;         /* requests that are suspected of crashing engines */
   recent_answers_t *served;     /* fingerprints of requests that were served lately */
   recent_answers_t *cache_warm; /* prompts and engines that read their shared parts lately */
-  gwy_usual_t route_stats[GWY_ROUTES];
+  gateway_route_stats_t route_stats[GATEWAY_ROUTE_STATS_SLOTS];
   uint32_t ticks;
   struct event *tick_timer;
   uint64_t next_call_number;
@@ -139,7 +145,7 @@
 };
 
 /**
- * struct gwy_call - a client's request, from its arrival to the end of its response
+ * struct gateway_call - a client's request, from its arrival to the end of its response
  * @client: call of the listener; NULL once the client has gone
  * @upstream: call of the HTTP client for the current hop, or NULL
  * @table: routing table by which the request is handled
@@ -168,29 +174,29 @@
  */
 typedef struct
 {
-  gwy_t *gwy;
+  gateway_task_t *gateway;
   hsv_call_t *client;
   hcl_call_t *upstream;
   rte_t *table;
   const rte_route_t *route;
   const rte_account_t *account;
-  gwy_service_t *service;
-  fmt_request_t request;
-  char id[FMT_ID_BYTES];
+  gateway_service_t *service;
+  format_request_t request;
+  char id[FORMAT_ID_BYTES];
   wait_queue_item_t queue_item;
   retry_plan_t course;
-  evs_t evs;
-  rly_t rly;
+  event_splitter_t splitter;
+  relay_t relay;
   char *body;
   size_t body_bytes;
   engine_t *engine;
-  uint64_t tried[GWY_TRIED];
+  uint64_t tried[GATEWAY_TRIED_MAX];
   uint32_t tried_count;
   uint32_t hops;
   uint64_t affinity;
   uint32_t affinity_tokens;
   uint64_t shared_parts;
-  fmt_answer_t response;
+  format_response_t response;
   int status;
   bool has_head;
   bool streaming;
@@ -204,83 +210,89 @@
   bool client_was_slow;
   bool failure_buffered;
   struct event *timer;
-} gwy_call_t;
+} gateway_call_t;
 
-/** gwy_service() - the state of a service, made when it is not there yet; @name is interned */
-gwy_service_t *gwy_service (gwy_t *gwy, const char *name);
-/** gwy_usual() - the statistics of a route */
-gwy_usual_t *gwy_usual (gwy_t *gwy, const rte_route_t *route);
-uint64_t gwy_now_us (const gwy_t *gwy);
-/** gwy_served() - an engine served the request with this fingerprint: clears it of the suspicion of
- * crashing engines, here and at the other gateways */
-void gwy_served (gwy_t *gwy, uint64_t fingerprint);
+/** gateway_service() - the state of a service, made when it is not there yet; @name is interned */
+gateway_service_t *gateway_service (gateway_task_t *gateway, const char *name);
+/** gateway_route_stats() - the statistics of a route */
+gateway_route_stats_t *gateway_route_stats (gateway_task_t *gateway, const rte_route_t *route);
+uint64_t gateway_now_us (const gateway_task_t *gateway);
+/** gateway_note_served() - an engine served the request with this fingerprint: clears it of the
+ * suspicion of crashing engines, here and at the other gateways */
+void gateway_note_served (gateway_task_t *gateway, uint64_t fingerprint);
 
-/** gwy_accept() - checks a client's request, and rejects it or starts a call */
-void gwy_accept (hsv_call_t *client, void *context);
+/** gateway_accept() - checks a client's request, and rejects it or starts a call */
+void gateway_accept (hsv_call_t *client, void *context);
 
-/** gwy_call_new() - a call for a request that was accepted; starts its deadline timer */
-gwy_call_t *gwy_call_new (gwy_t *gwy,
-                          hsv_call_t *client,
-                          const rte_route_t *route,
-                          const rte_account_t *account,
-                          const fmt_request_t *request);
-void gwy_call_free (gwy_call_t *call);
-/** gwy_call_fingerprint() - hash by which all gateways know a request that crashes engines; valid
- * only while the client is connected */
-uint64_t gwy_call_fingerprint (const gwy_call_t *call);
-/** gwy_call_place() - sends the request to an engine, queues it, or refuses it */
-void gwy_call_place (gwy_call_t *call);
-/** gwy_call_choose() - the engine to which the request would be sent now */
-engine_choice_t gwy_call_choose (const gwy_call_t *call);
-/** gwy_call_outcome() - a hop ended with @outcome; takes the next step, which may free the call */
-void gwy_call_outcome (gwy_call_t *call, retry_plan_outcome_t outcome, verdict_reason_t reason);
-/** gwy_call_retry_wait_us() - time until the retry budget allows a retry if no request comes
+/** gateway_call_new() - a call for a request that was accepted; starts its deadline timer */
+gateway_call_t *gateway_call_new (gateway_task_t *gateway,
+                                  hsv_call_t *client,
+                                  const rte_route_t *route,
+                                  const rte_account_t *account,
+                                  const format_request_t *request);
+void gateway_call_free (gateway_call_t *call);
+/** gateway_call_fingerprint() - hash by which all gateways know a request that crashes engines;
+ * valid only while the client is connected */
+uint64_t gateway_call_fingerprint (const gateway_call_t *call);
+/** gateway_call_place() - sends the request to an engine, queues it, or refuses it */
+void gateway_call_place (gateway_call_t *call);
+/** gateway_call_choose_engine() - the engine to which the request would be sent now */
+engine_choice_t gateway_call_choose_engine (const gateway_call_t *call);
+/** gateway_call_hop_ended() - a hop ended with @outcome; takes the next step, which may free the
+ * call */
+void gateway_call_hop_ended (gateway_call_t *call,
+                             retry_plan_outcome_t outcome,
+                             verdict_reason_t reason);
+/** gateway_call_retry_wait_us() - time until the retry budget allows a retry if no request comes
  * meanwhile; 0 if it allows one now */
-uint64_t gwy_call_retry_wait_us (const gwy_call_t *call);
-/** gwy_call_whole() - ends the call with a complete response; frees it */
-void gwy_call_whole (gwy_call_t *call);
-/** gwy_call_give_up() - ends the call without another hop: by 503 if the request ran nowhere,
+uint64_t gateway_call_retry_wait_us (const gateway_call_t *call);
+/** gateway_call_complete() - ends the call with a complete response; frees it */
+void gateway_call_complete (gateway_call_t *call);
+/** gateway_call_fail() - ends the call without another hop: by 503 if the request ran nowhere,
  * otherwise by an error which says that it may have run; frees it */
-void gwy_call_give_up (gwy_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms);
-/** gwy_call_no_engine() - ends the call because @choice found no engine to ask; frees it */
-void gwy_call_no_engine (gwy_call_t *call, const engine_choice_t *choice);
-/** gwy_call_log() - logs one decision on the request */
-void gwy_call_log (const gwy_call_t *call,
-                   const char *event,
-                   const char *outcome,
-                   verdict_reason_t reason);
-/** gwy_call_log_failure() - likewise, for a refusal or failure that the client gets; the line is
- * written before the response */
-void gwy_call_log_failure (const gwy_call_t *call,
-                           const char *event,
-                           const char *outcome,
-                           verdict_reason_t reason);
+void gateway_call_fail (gateway_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms);
+/** gateway_call_fail_no_engine() - ends the call because @choice found no engine to ask; frees it
+ */
+void gateway_call_fail_no_engine (gateway_call_t *call, const engine_choice_t *choice);
+/** gateway_call_log() - logs one decision on the request */
+void gateway_call_log (const gateway_call_t *call,
+                       const char *event,
+                       const char *outcome,
+                       verdict_reason_t reason);
+/** gateway_call_log_failure() - likewise, for a refusal or failure that the client gets; the line
+ * is written before the response */
+void gateway_call_log_failure (const gateway_call_t *call,
+                               const char *event,
+                               const char *outcome,
+                               verdict_reason_t reason);
 
-/** gwy_hop_send() - sends the request to the engine of @choice; clears its cache source where none
- * is needed */
-void gwy_hop_send (gwy_call_t *call, engine_choice_t *choice);
-/** gwy_hop_watch() - gives the current hop up if its engine is silent for too long and the request
- * may go to another one */
-void gwy_hop_watch (gwy_call_t *call);
-/** gwy_hop_restarted() - gives the current hop up if it went to the engine @hash, which has gone */
-void gwy_hop_restarted (gwy_call_t *call, uint64_t hash);
-/** gwy_hop_drop() - cancels the current hop, if any, without an outcome */
-void gwy_hop_drop (gwy_call_t *call);
+/** gateway_hop_send() - sends the request to the engine of @choice; clears its cache source where
+ * none is needed */
+void gateway_hop_send (gateway_call_t *call, engine_choice_t *choice);
+/** gateway_hop_check_silence() - gives the current hop up if its engine is silent for too long and
+ * the request may go to another one */
+void gateway_hop_check_silence (gateway_call_t *call);
+/** gateway_hop_engine_restarted() - gives the current hop up if it went to the engine @hash, which
+ * has gone */
+void gateway_hop_engine_restarted (gateway_call_t *call, uint64_t hash);
+/** gateway_hop_cancel() - cancels the current hop, if any, without an outcome */
+void gateway_hop_cancel (gateway_call_t *call);
 
-/** gwy_wait_push() - all engines are full: queues the request, or refuses it */
-void gwy_wait_push (gwy_call_t *call);
-/** gwy_wait_for_retry() - a full engine refused the request and the retry budget is used up: queues
- * it until a retry is allowed, or refuses it */
-void gwy_wait_for_retry (gwy_call_t *call);
-/** gwy_wait_for_rest() - all engines that are left asked for no requests for a time, which ends
- * first after @rest_us: queues the request until then, or refuses it */
-void gwy_wait_for_rest (gwy_call_t *call, uint64_t rest_us);
-/** gwy_wait_remove() - takes the request out of the queue, if it is queued */
-void gwy_wait_remove (gwy_call_t *call);
-/** gwy_wait_pump() - sends queued requests of @service as far as its engines have room */
-void gwy_wait_pump (gwy_service_t *service);
-/** gwy_wait_expire() - refuses the queued requests of @service that can't start in time; frees them
+/** gateway_queue_push() - all engines are full: queues the request, or refuses it */
+void gateway_queue_push (gateway_call_t *call);
+/** gateway_queue_for_retry() - a full engine refused the request and the retry budget is used up:
+ * queues it until a retry is allowed, or refuses it */
+void gateway_queue_for_retry (gateway_call_t *call);
+/** gateway_queue_for_backoff() - all engines that are left asked for no requests for a time, which
+ * ends first after @rest_us: queues the request until then, or refuses it */
+void gateway_queue_for_backoff (gateway_call_t *call, uint64_t rest_us);
+/** gateway_queue_remove() - takes the request out of the queue, if it is queued */
+void gateway_queue_remove (gateway_call_t *call);
+/** gateway_queue_dispatch() - sends queued requests of @service as far as its engines have room */
+void gateway_queue_dispatch (gateway_service_t *service);
+/** gateway_queue_expire() - refuses the queued requests of @service that can't start in time; frees
+ * them
  */
-void gwy_wait_expire (gwy_service_t *service);
+void gateway_queue_expire (gateway_service_t *service);
 
 #endif
--- a/src/request/headers.c
+++ b/src/request/headers.c
@@ -48,19 +48,19 @@
 static bool
 is_connection_or_fleet_header (const char *name)
 {
-  return g_ascii_strncasecmp (name, HDR_FLEET_PREFIX, strlen (HDR_FLEET_PREFIX)) == 0 ||
+  return g_ascii_strncasecmp (name, HEADER_FLEET_PREFIX, strlen (HEADER_FLEET_PREFIX)) == 0 ||
          is_listed (CONNECTION_HEADERS, G_N_ELEMENTS (CONNECTION_HEADERS), name);
 }
 
 bool
-hdr_is_of_connection (const char *name)
+header_is_hop_by_hop (const char *name)
 {
   return g_ascii_strcasecmp (name, "Host") != 0 &&
          is_listed (CONNECTION_HEADERS, G_N_ELEMENTS (CONNECTION_HEADERS), name);
 }
 
 bool
-hdr_passes_on (const char *name)
+header_is_forwarded (const char *name)
 {
   return !is_connection_or_fleet_header (name) &&
          !is_listed (RESERVED_REQUEST_HEADERS, G_N_ELEMENTS (RESERVED_REQUEST_HEADERS), name) &&
@@ -68,20 +68,20 @@
 }
 
 bool
-hdr_passes_back (const char *name)
+header_is_returned (const char *name)
 {
   return !is_connection_or_fleet_header (name) &&
          !is_listed (DROPPED_RESPONSE_HEADERS, G_N_ELEMENTS (DROPPED_RESPONSE_HEADERS), name);
 }
 
 uint32_t
-hdr_collect (struct evkeyvalq *headers, hcl_header_t *out, uint32_t limit)
+header_collect_forwarded (struct evkeyvalq *headers, hcl_header_t *out, uint32_t limit)
 {
   const struct evkeyval *header;
   uint32_t count = 0;
 
   for (header = headers->tqh_first; header != NULL; header = header->next.tqe_next)
-    if (count < limit && hdr_passes_on (header->key))
+    if (count < limit && header_is_forwarded (header->key))
       out[count++] = (hcl_header_t){ .name = header->key, .value = header->value };
   return count;
 }
--- a/src/request/headers.h
+++ b/src/request/headers.h
@@ -14,17 +14,17 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define HDR_FLEET_PREFIX "X-Medlarplank-" /* of the headers between daemons */
+#define HEADER_FLEET_PREFIX "X-Medlarplank-" /* of the headers between daemons */
 
-/** hdr_is_of_connection() - whether a header applies to its connection alone (hop-by-hop), and is
+/** header_is_hop_by_hop() - whether a header applies to its connection alone (hop-by-hop), and is
  * written anew on the next one */
-bool hdr_is_of_connection (const char *name);
-/** hdr_passes_on() - whether a request header is forwarded to the engine */
-bool hdr_passes_on (const char *name);
-/** hdr_passes_back() - whether a response header is forwarded to the client */
-bool hdr_passes_back (const char *name);
-/** hdr_collect() - puts those of the request's headers that are forwarded into @out, which borrows
- * their text; at most @limit. Return: the number of headers in @out */
-uint32_t hdr_collect (struct evkeyvalq *headers, hcl_header_t *out, uint32_t limit);
+bool header_is_hop_by_hop (const char *name);
+/** header_is_forwarded() - whether a request header is forwarded to the engine */
+bool header_is_forwarded (const char *name);
+/** header_is_returned() - whether a response header is forwarded to the client */
+bool header_is_returned (const char *name);
+/** header_collect_forwarded() - puts those of the request's headers that are forwarded into @out,
+ * which borrows their text; at most @limit. Return: the number of headers in @out */
+uint32_t header_collect_forwarded (struct evkeyvalq *headers, hcl_header_t *out, uint32_t limit);
 
 #endif
--- a/src/request/hop.c
+++ b/src/request/hop.c
@@ -40,10 +40,10 @@
 
 /* A value holds three pairs, the hashes, the names, the samples and the numbers, each with its
  * separator. */
-G_STATIC_ASSERT (3 * 33 + 5 * 17 + 3 * LIM_NAME_BYTES + HOP_SAMPLES * SAMPLE_BYTES +
+G_STATIC_ASSERT (3 * 33 + 5 * 17 + 3 * LIM_NAME_BYTES + HOP_SAMPLES_MAX * SAMPLE_BYTES +
                      5 * (DGT_U64_BYTES + 1) <
                  HOP_VALUE_BYTES);
-G_STATIC_ASSERT (HOP_HEADERS *(sizeof (hop_header_t) + 4) <= HOP_HEADERS_BYTES);
+G_STATIC_ASSERT (HOP_HEADER_COUNT *(sizeof (hop_header_t) + 4) <= HOP_HEADERS_MAX_BYTES);
 G_STATIC_ASSERT (LIM_SUSPECT_CRASHES == 2); /* they are written as a pair */
 
 #define FLAG_HAS_CHAT (1U << 0)
@@ -88,7 +88,7 @@
 static bool
 parse_pair (const char *text, uint64_t out[2])
 {
-  return text[0] == '\0' || hop_attempt_parse (text, out);
+  return text[0] == '\0' || hop_parse_attempt (text, out);
 }
 
 static bool
@@ -145,10 +145,10 @@
 static bool
 parse_samples (char *text, hop_t *hop)
 {
-  char *parts[HOP_SAMPLES];
-  uint32_t count = text[0] != '\0' ? split_fields (text, ',', parts, HOP_SAMPLES) : 0;
+  char *parts[HOP_SAMPLES_MAX];
+  uint32_t count = text[0] != '\0' ? split_fields (text, ',', parts, HOP_SAMPLES_MAX) : 0;
 
-  if (count > HOP_SAMPLES)
+  if (count > HOP_SAMPLES_MAX)
     return false;
   for (uint32_t i = 0; i < count; i++)
     if (!parse_sample (parts[i], &hop->samples[i]))
@@ -174,7 +174,7 @@
 static bool
 parse_all (hop_t *hop, char *const values[FIELD_COUNT])
 {
-  return hop_attempt_parse (values[FIELD_ATTEMPT], hop->attempt) &&
+  return hop_parse_attempt (values[FIELD_ATTEMPT], hop->attempt) &&
          parse_name (values[FIELD_SERVICE], hop->service) &&
          parse_name (values[FIELD_ACCOUNT], hop->account) &&
          parse_name (values[FIELD_CLASS], hop->class_name) &&
@@ -289,7 +289,7 @@
 }
 
 uint32_t
-hop_write (const hop_t *hop, const char *fleet_key, hop_header_t out[HOP_HEADERS])
+hop_write (const hop_t *hop, const char *fleet_key, hop_header_t out[HOP_HEADER_COUNT])
 {
   char *end = out[0].value;
 
@@ -303,10 +303,10 @@
   g_strlcpy (out[0].name, HOP_HEADER, sizeof out[0].name);
   g_strlcpy (out[1].name, HOP_SEAL_HEADER, sizeof out[1].name);
   compute_seal (fleet_key, out[0].value, out[1].value);
-  return HOP_HEADERS;
+  return HOP_HEADER_COUNT;
 }
 
-hop_outcome_t
+hop_read_result_t
 hop_read (hop_t *hop, const char *fleet_key, struct evkeyvalq *headers)
 {
   const char *value = evhttp_find_header (headers, HOP_HEADER);
@@ -323,19 +323,19 @@
   memset (hop, 0, sizeof *hop);
   if (g_strlcpy (text, value, sizeof text) >= sizeof text ||
       split_fields (text, SEPARATOR, fields, FIELD_COUNT) != FIELD_COUNT)
-    return HOP_BROKEN;
-  return parse_all (hop, fields) ? HOP_OK : HOP_BROKEN;
+    return HOP_MALFORMED;
+  return parse_all (hop, fields) ? HOP_OK : HOP_MALFORMED;
 }
 
 void
-hop_load_write (const hop_sample_t *sample, char out[48])
+hop_format_load (const hop_sample_t *sample, char out[48])
 {
   snprintf (out, 48, "%" PRIu32 "/%" PRIu32 "/%" PRIu32, sample->load, sample->waiting,
             sample->cost);
 }
 
 bool
-hop_load_read (const char *text, hop_sample_t *sample)
+hop_parse_load (const char *text, hop_sample_t *sample)
 {
   g_auto (GStrv) parts = g_strsplit (text != NULL ? text : "", "/", 4);
 
@@ -344,20 +344,20 @@
 }
 
 void
-hop_attempt_text (const uint64_t attempt[2], char out[33])
+hop_format_attempt (const uint64_t attempt[2], char out[33])
 {
   *dgt_hex (dgt_hex (out, attempt[0]), attempt[1]) = '\0';
 }
 
 bool
-hop_attempt_parse (const char *text, uint64_t attempt[2])
+hop_parse_attempt (const char *text, uint64_t attempt[2])
 {
   return strlen (text) == 2 * DGT_HEX_BYTES && dgt_parse_hex (text, &attempt[0]) &&
          dgt_parse_hex (text + DGT_HEX_BYTES, &attempt[1]);
 }
 
 unsigned int
-hop_attempt_hash (const void *attempt)
+hop_hash_attempt (const void *attempt)
 {
   const uint64_t *id = attempt;
 
@@ -365,7 +365,7 @@
 }
 
 int
-hop_attempt_equal (const void *left, const void *right)
+hop_equal_attempt (const void *left, const void *right)
 {
   return memcmp (left, right, 2 * sizeof (uint64_t)) == 0;
 }
--- a/src/request/hop.h
+++ b/src/request/hop.h
@@ -7,8 +7,8 @@
  * reading and searching many headers costs more than everything that a sidecar decides.
  *
  * A refusal is 503 (409 for claims, 422 for final ones) with VERDICT_HEADER, HOP_REASON_HEADER,
- * HOP_TRY_HEADER (host names, comma-separated) and Retry-After; its body is the error response for
- * the client.
+ * HOP_ALTERNATIVES_HEADER (host names, comma-separated) and Retry-After; its body is the error
+ * response for the client.
  */
 #ifndef REQUEST_HOP_H
 #define REQUEST_HOP_H
@@ -25,12 +25,12 @@
 #define HOP_HEADER "X-Medlarplank-Hop"       /* all of hop_t, separated by semicolons */
 #define HOP_SEAL_HEADER "X-Medlarplank-Seal" /* HMAC of HOP_HEADER */
 #define HOP_REASON_HEADER "X-Medlarplank-Reason"
-#define HOP_TRY_HEADER "X-Medlarplank-Try"
+#define HOP_ALTERNATIVES_HEADER "X-Medlarplank-Try"
 #define HOP_ENGINE_HEADER "X-Medlarplank-Engine"           /* the engine that responded */
 #define HOP_INCARNATION_HEADER "X-Medlarplank-Incarnation" /* of the sidecar process */
 #define HOP_RETRY_AFTER_HEADER "X-Medlarplank-Retry-After-Ms"
 #define HOP_LOAD_HEADER "X-Medlarplank-Load" /* of the engine that responded: LOAD/WAITING/COST */
-#define HOP_CACHED_HEADER                                                                          \
+#define HOP_CACHED_TOKENS_HEADER                                                                   \
   "X-Cached-Tokens"                       /* from the engine: prompt tokens found in its cache     \
                                            */
 #define HOP_PRIORITY_HEADER "X-Priority"  /* to the engine */
@@ -42,8 +42,8 @@
   "/medlarplank/served" /* POST ?chat=HEX&engine=HEX: tells the chat's home who served it */
 #define HOP_DIRECTORY_PATH "/medlarplank/directory" /* POST: hand-over of a leaving sidecar */
 
-#define HOP_SAMPLES 6
-#define HOP_SAMPLE_BYTES                                                                           \
+#define HOP_SAMPLES_MAX 6
+#define HOP_SAMPLE_TYPICAL_BYTES                                                                   \
   36 /* of one sample in the header, typically; used for traffic estimates                         \
       */
 /**
@@ -96,7 +96,7 @@
   uint64_t body_hash;
   uint64_t crashed[LIM_SUSPECT_CRASHES];
   uint64_t version;
-  hop_sample_t samples[HOP_SAMPLES];
+  hop_sample_t samples[HOP_SAMPLES_MAX];
   uint32_t sample_count;
   uint32_t deadline_ms;
   uint32_t prompt_tokens;
@@ -107,8 +107,8 @@
   bool idempotent;
 } hop_t;
 
-#define HOP_HEADERS 2          /* HOP_HEADER and HOP_SEAL_HEADER */
-#define HOP_HEADERS_BYTES 4096 /* limit for both, with names, values and framing */
+#define HOP_HEADER_COUNT 2         /* HOP_HEADER and HOP_SEAL_HEADER */
+#define HOP_HEADERS_MAX_BYTES 4096 /* limit for both, with names, values and framing */
 #define HOP_VALUE_BYTES 1024
 typedef struct
 {
@@ -118,27 +118,27 @@
 
 /** hop_write() - writes the headers of @hop, with the seal. Return: the number of headers in @out
  */
-uint32_t hop_write (const hop_t *hop, const char *fleet_key, hop_header_t out[HOP_HEADERS]);
+uint32_t hop_write (const hop_t *hop, const char *fleet_key, hop_header_t out[HOP_HEADER_COUNT]);
 typedef enum
 {
   HOP_OK,
-  HOP_BROKEN,  /* sealed by this fleet, but not readable by this version */
-  HOP_BAD_SEAL /* header or seal missing, or sealed with another key */
-} hop_outcome_t;
+  HOP_MALFORMED, /* sealed by this fleet, but not readable by this version */
+  HOP_BAD_SEAL   /* header or seal missing, or sealed with another key */
+} hop_read_result_t;
 /** hop_read() - checks the seal and parses the headers into @hop, which is valid after HOP_OK */
-hop_outcome_t hop_read (hop_t *hop, const char *fleet_key, struct evkeyvalq *headers);
-/** hop_load_write() - writes the value of HOP_LOAD_HEADER */
-void hop_load_write (const hop_sample_t *sample, char out[48]);
-/** hop_load_read() - parses HOP_LOAD_HEADER into all fields but the engine and the age. Return:
+hop_read_result_t hop_read (hop_t *hop, const char *fleet_key, struct evkeyvalq *headers);
+/** hop_format_load() - writes the value of HOP_LOAD_HEADER */
+void hop_format_load (const hop_sample_t *sample, char out[48]);
+/** hop_parse_load() - parses HOP_LOAD_HEADER into all fields but the engine and the age. Return:
  * false for a malformed or missing value */
-bool hop_load_read (const char *text, hop_sample_t *sample);
-/** hop_attempt_text() - writes an attempt id as 32 hexadecimal digits */
-void hop_attempt_text (const uint64_t attempt[2], char out[33]);
-/** hop_attempt_parse() - reads an attempt id. Return: false if @text is not 32 hexadecimal digits
+bool hop_parse_load (const char *text, hop_sample_t *sample);
+/** hop_format_attempt() - writes an attempt id as 32 hexadecimal digits */
+void hop_format_attempt (const uint64_t attempt[2], char out[33]);
+/** hop_parse_attempt() - reads an attempt id. Return: false if @text is not 32 hexadecimal digits
  */
-bool hop_attempt_parse (const char *text, uint64_t attempt[2]);
-/** hop_attempt_hash() - with hop_attempt_equal(), for a GHashTable whose keys are attempt ids */
-unsigned int hop_attempt_hash (const void *attempt);
-int hop_attempt_equal (const void *left, const void *right);
+bool hop_parse_attempt (const char *text, uint64_t attempt[2]);
+/** hop_hash_attempt() - with hop_equal_attempt(), for a GHashTable whose keys are attempt ids */
+unsigned int hop_hash_attempt (const void *attempt);
+int hop_equal_attempt (const void *left, const void *right);
 
 #endif
--- a/src/request/messages.c
+++ b/src/request/messages.c
@@ -11,7 +11,7 @@
 static void
 free_version (mbx_message_t *message)
 {
-  msg_version_t *version = (msg_version_t *)message;
+  message_version_t *version = (message_version_t *)message;
 
   if (version->man != NULL)
     man_unref (version->man);
@@ -21,7 +21,7 @@
 static void
 free_members (mbx_message_t *message)
 {
-  msg_members_t *members = (msg_members_t *)message;
+  message_members_t *members = (message_members_t *)message;
 
   if (members->members != NULL)
     membership_snapshot_unref (members->members);
@@ -29,46 +29,46 @@
 }
 
 static size_t
-message_bytes (msg_kind_t kind)
+message_bytes (message_kind_t kind)
 {
   switch (kind)
     {
-    case MSG_VERSION:
-      return sizeof (msg_version_t);
-    case MSG_MEMBERS:
-      return sizeof (msg_members_t);
-    case MSG_SAMPLES:
-    case MSG_OWN_SAMPLE:
-      return sizeof (msg_samples_t);
-    case MSG_MARKS:
-    case MSG_NEW_MARK:
-      return sizeof (msg_marks_t);
-    case MSG_CLAIM:
-      return sizeof (msg_claim_t);
-    case MSG_CLAIM_RESULT:
-      return sizeof (msg_claim_result_t);
-    case MSG_CLAIM_END:
-      return sizeof (msg_claim_end_t);
-    case MSG_FRESHNESS:
-    case MSG_DRAIN:
-    case MSG_LEAVE:
-    case MSG_DRAINED:
-    case MSG_WOKE:
-      return sizeof (msg_flag_t);
+    case MESSAGE_VERSION:
+      return sizeof (message_version_t);
+    case MESSAGE_MEMBERS:
+      return sizeof (message_members_t);
+    case MESSAGE_LOAD_SAMPLES:
+    case MESSAGE_OWN_LOAD_SAMPLE:
+      return sizeof (message_load_samples_t);
+    case MESSAGE_CRASH_MARKS:
+    case MESSAGE_NEW_CRASH_MARK:
+      return sizeof (message_crash_marks_t);
+    case MESSAGE_CLAIM:
+      return sizeof (message_claim_t);
+    case MESSAGE_CLAIM_RESULT:
+      return sizeof (message_claim_result_t);
+    case MESSAGE_CLAIM_END:
+      return sizeof (message_claim_end_t);
+    case MESSAGE_FRESHNESS:
+    case MESSAGE_DRAIN:
+    case MESSAGE_LEAVE_ORDERED:
+    case MESSAGE_DRAINED:
+    case MESSAGE_PAUSE_DETECTED:
+      return sizeof (message_flag_t);
     }
   g_assert_not_reached ();
 }
 
 void *
-msg_new (msg_kind_t kind)
+message_new (message_kind_t kind)
 {
   mbx_message_t *message = g_malloc0 (message_bytes (kind));
 
   message->kind = kind;
   message->free = free_plain;
-  if (kind == MSG_VERSION)
+  if (kind == MESSAGE_VERSION)
     message->free = free_version;
-  if (kind == MSG_MEMBERS)
+  if (kind == MESSAGE_MEMBERS)
     message->free = free_members;
   return message;
 }
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -2,7 +2,7 @@
  * DOC: messages
  *
  * The messages between the control task and the data task of a daemon. Each struct starts with an
- * mbx_message_t. msg_new() allocates one; its free callback drops the references that it holds.
+ * mbx_message_t. message_new() allocates one; its free callback drops the references that it holds.
  */
 #ifndef REQUEST_MESSAGES_H
 #define REQUEST_MESSAGES_H
@@ -17,26 +17,29 @@
 typedef enum
 {
   /* control task to data task */
-  MSG_VERSION,      /* msg_version_t: a manifest that is in force from now on */
-  MSG_MEMBERS,      /* msg_members_t: a new list of hosts */
-  MSG_SAMPLES,      /* msg_samples_t: loads of engines, received from a peer */
-  MSG_MARKS,        /* msg_marks_t: crash marks received from a peer */
-  MSG_CLAIM_RESULT, /* msg_claim_result_t: the answer to a MSG_CLAIM */
-  MSG_FRESHNESS,    /* msg_flag_t: off after a pause, on when the daemon's knowledge is current
-                       again; pse_fresh() decides from @at_us whether that holds (base/pause.h) */
-  MSG_DRAIN,        /* msg_flag_t: stop gracefully */
+  MESSAGE_VERSION,      /* message_version_t: a manifest that is in force from now on */
+  MESSAGE_MEMBERS,      /* message_members_t: a new list of hosts */
+  MESSAGE_LOAD_SAMPLES, /* message_load_samples_t: loads of engines, received from a peer */
+  MESSAGE_CRASH_MARKS,  /* message_crash_marks_t: crash marks received from a peer */
+  MESSAGE_CLAIM_RESULT, /* message_claim_result_t: the answer to a MESSAGE_CLAIM */
+  MESSAGE_FRESHNESS, /* message_flag_t: off after a pause, on when the daemon's knowledge is current
+                    again; pse_fresh() decides from @at_us whether that holds (base/pause.h) */
+  MESSAGE_DRAIN,     /* message_flag_t: stop gracefully */
   /* data task to control task */
-  MSG_CLAIM,      /* msg_claim_t: claim an idempotency key */
-  MSG_CLAIM_END,  /* msg_claim_end_t: the request of a claim has ended */
-  MSG_OWN_SAMPLE, /* msg_samples_t with one sample: the load of the sidecar's engine */
-  MSG_NEW_MARK,   /* msg_marks_t: a request that crashed the engine of this sidecar */
-  MSG_LEAVE,      /* msg_flag_t: an operator ordered this daemon to leave */
-  MSG_DRAINED,    /* msg_flag_t: the graceful stop is done, no request is in flight */
-  MSG_WOKE        /* msg_flag_t: the data task detected a pause of the process at @at_us */
-} msg_kind_t;
+  MESSAGE_CLAIM,           /* message_claim_t: claim an idempotency key */
+  MESSAGE_CLAIM_END,       /* message_claim_end_t: the request of a claim has ended */
+  MESSAGE_OWN_LOAD_SAMPLE, /* message_load_samples_t with one sample: the load of the sidecar's
+                              engine */
+  MESSAGE_NEW_CRASH_MARK,  /* message_crash_marks_t: a request that crashed the engine of this
+                              sidecar */
+  MESSAGE_LEAVE_ORDERED,   /* message_flag_t: an operator ordered this daemon to leave */
+  MESSAGE_DRAINED,         /* message_flag_t: the graceful stop is done, no request is in flight */
+  MESSAGE_PAUSE_DETECTED /* message_flag_t: the data task detected a pause of the process at @at_us
+                          */
+} message_kind_t;
 
 /**
- * struct msg_version - a manifest in force
+ * struct message_version - a manifest in force
  * @next_offset: offset in the manifest stream after the record of @man
  */
 typedef struct
@@ -44,33 +47,33 @@
   mbx_message_t head;
   man_t *man;
   uint64_t next_offset;
-} msg_version_t;
+} message_version_t;
 
 typedef struct
 {
   mbx_message_t head;
   membership_snapshot_t *members;
-} msg_members_t;
+} message_members_t;
 
-/** struct msg_samples - loads of engines; the control task has converted the ages that peers send
- * to @taken_us on the clock of this process */
+/** struct message_load_samples - loads of engines; the control task has converted the ages that
+ * peers send to @taken_us on the clock of this process */
 typedef struct
 {
   mbx_message_t head;
   uint32_t count;
   load_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
-} msg_samples_t;
+} message_load_samples_t;
 
-#define MSG_MARKS_MAX 4
+#define MESSAGE_CRASH_MARKS_MAX 4
 typedef struct
 {
   mbx_message_t head;
   uint32_t count;
-  suspect_mark_t marks[MSG_MARKS_MAX];
-} msg_marks_t;
+  suspect_mark_t marks[MESSAGE_CRASH_MARKS_MAX];
+} message_crash_marks_t;
 
 /**
- * struct msg_claim - claim of an idempotency key
+ * struct message_claim - claim of an idempotency key
  * @stream: claims stream of the platform's log
  * @expiry_us: time after which the request may not start any more
  * @owner: returned in the result
@@ -83,16 +86,16 @@
   claim_key_t key;
   uint64_t expiry_us;
   void *owner;
-} msg_claim_t;
+} message_claim_t;
 
 typedef struct
 {
   mbx_message_t head;
   claim_result_t result;
-} msg_claim_result_t;
+} message_claim_result_t;
 
 /**
- * struct msg_claim_end - end of the request of a claim
+ * struct message_claim_end - end of the request of a claim
  * @ran: the request ran and ended with HTTP status @status; otherwise the claim is released
  */
 typedef struct
@@ -103,21 +106,21 @@
   claim_key_t key;
   bool ran;
   uint32_t status;
-} msg_claim_end_t;
+} message_claim_end_t;
 
 /**
- * struct msg_flag - a state that goes on or off
- * @at_us: for MSG_FRESHNESS the time since which everything was received again, for MSG_WOKE the
- * time at which the task woke
+ * struct message_flag - a state that goes on or off
+ * @at_us: for MESSAGE_FRESHNESS the time since which everything was received again, for
+ * MESSAGE_PAUSE_DETECTED the time at which the task woke
  */
 typedef struct
 {
   mbx_message_t head;
   bool on;
   uint64_t at_us;
-} msg_flag_t;
+} message_flag_t;
 
-/** msg_new() - allocates a zeroed message with the struct that belongs to @kind */
-void *msg_new (msg_kind_t kind);
+/** message_new() - allocates a zeroed message with the struct that belongs to @kind */
+void *message_new (message_kind_t kind);
 
 #endif
--- a/src/request/ops.c
+++ b/src/request/ops.c
@@ -15,13 +15,13 @@
 {
   (void)fd;
   (void)what;
-  ops_stale (context);
+  data_task_is_stale (context);
 }
 
 static void
-send_flag (ops_t *data_task, msg_kind_t kind, uint64_t at_us)
+send_flag (data_task_t *data_task, message_kind_t kind, uint64_t at_us)
 {
-  msg_flag_t *flag = msg_new (kind);
+  message_flag_t *flag = message_new (kind);
 
   flag->on = true;
   flag->at_us = at_us;
@@ -31,11 +31,11 @@
 static void
 on_drain_poll (evutil_socket_t fd, short what, void *context)
 {
-  ops_t *data_task = context;
+  data_task_t *data_task = context;
 
   (void)fd;
   (void)what;
-  if (ops_now_us (data_task) < data_task->linger_until_us)
+  if (data_task_now_us (data_task) < data_task->linger_until_us)
     return;
   if (data_task->listening)
     {
@@ -47,22 +47,22 @@
     return;
   data_task->drained = true;
   event_del (data_task->drain_poll);
-  send_flag (data_task, MSG_DRAINED, ops_now_us (data_task));
+  send_flag (data_task, MESSAGE_DRAINED, data_task_now_us (data_task));
 }
 
 static void
-start_drain (ops_t *data_task)
+start_drain (data_task_t *data_task)
 {
   if (data_task->draining)
     return;
   data_task->draining = true;
-  data_task->linger_until_us = ops_now_us (data_task) + OPS_LINGER_MS * CLK_US_PER_MS;
+  data_task->linger_until_us = data_task_now_us (data_task) + DATA_TASK_LINGER_MS * CLK_US_PER_MS;
   data_task->options.stopping (data_task->options.context);
   event_add (data_task->drain_poll, &DRAIN_POLL_INTERVAL);
 }
 
 static void
-set_version (ops_t *data_task, msg_version_t *message)
+set_version (data_task_t *data_task, message_version_t *message)
 {
   if (data_task->man != NULL)
     man_unref (data_task->man);
@@ -71,7 +71,7 @@
 }
 
 static void
-set_members (ops_t *data_task, msg_members_t *message)
+set_members (data_task_t *data_task, message_members_t *message)
 {
   if (data_task->members != NULL)
     membership_snapshot_unref (data_task->members);
@@ -79,7 +79,7 @@
 }
 
 static void
-set_freshness (ops_t *data_task, const msg_flag_t *flag)
+set_freshness (data_task_t *data_task, const message_flag_t *flag)
 {
   if (flag->on)
     pse_fresh (&data_task->pse, flag->at_us);
@@ -90,7 +90,7 @@
 /* The limits of a sidecar leave room for the headers that a router adds: a request that is just
  * within the limits of the router must not be rejected by the sidecar. */
 static hsv_options_t
-listener_options (ops_t *data_task)
+listener_options (data_task_t *data_task)
 {
   const set_t *set = &data_task->options.dmn->set;
   bool sidecar = set->role == SET_ROLE_SIDECAR;
@@ -100,29 +100,29 @@
                           .listen = set->listen,
                           .body_limit_bytes = set->body_limit_bytes,
                           .header_limit_bytes =
-                              set->header_limit_bytes + (sidecar ? HOP_HEADERS_BYTES : 0),
+                              set->header_limit_bytes + (sidecar ? HOP_HEADERS_MAX_BYTES : 0),
                           .header_limit_count =
-                              set->header_limit_count + (sidecar ? HOP_HEADERS : 0),
+                              set->header_limit_count + (sidecar ? HOP_HEADER_COUNT : 0),
                           .connection_limit = set->connection_limit,
                           .idle_timeout_ms = set->idle_timeout_ms,
-                          .on_call = ops_serve,
+                          .on_call = data_task_serve,
                           .context = data_task };
 }
 
-ops_t *
-ops_new (const ops_options_t *options, GError **error)
+data_task_t *
+data_task_new (const data_task_options_t *options, GError **error)
 {
-  ops_t *data_task = g_new0 (ops_t, 1);
+  data_task_t *data_task = g_new0 (data_task_t, 1);
   hsv_options_t listen;
 
   data_task->options = *options;
-  data_task->decisions = dcn_ring_new (DCN_KEPT);
-  pse_init (&data_task->pse, ops_now_us (data_task), options->dmn->set.exchange_interval_ms);
+  data_task->decisions = decision_ring_new (DECISION_RING_CAPACITY);
+  pse_init (&data_task->pse, data_task_now_us (data_task), options->dmn->set.exchange_interval_ms);
   listen = listener_options (data_task);
   data_task->hsv = hsv_new (&listen, error);
   if (data_task->hsv == NULL)
     {
-      dcn_ring_free (data_task->decisions);
+      decision_ring_free (data_task->decisions);
       g_free (data_task);
       return NULL;
     }
@@ -137,7 +137,7 @@
 }
 
 void
-ops_free (ops_t *data_task)
+data_task_free (data_task_t *data_task)
 {
   if (data_task == NULL)
     return;
@@ -148,25 +148,25 @@
     man_unref (data_task->man);
   if (data_task->members != NULL)
     membership_snapshot_unref (data_task->members);
-  dcn_ring_free (data_task->decisions);
+  decision_ring_free (data_task->decisions);
   g_free (data_task);
 }
 
 bool
-ops_message (ops_t *data_task, mbx_message_t *message)
+data_task_handle_message (data_task_t *data_task, mbx_message_t *message)
 {
-  switch ((msg_kind_t)message->kind)
+  switch ((message_kind_t)message->kind)
     {
-    case MSG_VERSION:
-      set_version (data_task, (msg_version_t *)message);
+    case MESSAGE_VERSION:
+      set_version (data_task, (message_version_t *)message);
       break;
-    case MSG_MEMBERS:
-      set_members (data_task, (msg_members_t *)message);
+    case MESSAGE_MEMBERS:
+      set_members (data_task, (message_members_t *)message);
       break;
-    case MSG_FRESHNESS:
-      set_freshness (data_task, (msg_flag_t *)message);
+    case MESSAGE_FRESHNESS:
+      set_freshness (data_task, (message_flag_t *)message);
       break;
-    case MSG_DRAIN:
+    case MESSAGE_DRAIN:
       start_drain (data_task);
       return true;
     default:
@@ -177,55 +177,56 @@
 }
 
 man_t *
-ops_man (const ops_t *data_task)
+data_task_manifest (const data_task_t *data_task)
 {
   return data_task->man;
 }
 
 membership_snapshot_t *
-ops_members (const ops_t *data_task)
+data_task_members (const data_task_t *data_task)
 {
   return data_task->members;
 }
 
-dcn_ring_t *
-ops_decisions (ops_t *data_task)
+decision_ring_t *
+data_task_decisions (data_task_t *data_task)
 {
   return data_task->decisions;
 }
 
 uint64_t
-ops_now_us (const ops_t *data_task)
+data_task_now_us (const data_task_t *data_task)
 {
   return clk_now_us (&data_task->options.dmn->clk);
 }
 
 bool
-ops_stale (ops_t *data_task)
+data_task_is_stale (data_task_t *data_task)
 {
-  if (pse_check (&data_task->pse, ops_now_us (data_task)))
+  if (pse_check (&data_task->pse, data_task_now_us (data_task)))
     {
       log_event (LOG_LEVEL_WARNING, "woke", "task", "data", NULL);
-      send_flag (data_task, MSG_WOKE, data_task->pse.woke_us);
+      send_flag (data_task, MESSAGE_PAUSE_DETECTED, data_task->pse.woke_us);
       data_task->options.changed (data_task->options.context);
     }
-  return pse_stale (&data_task->pse) || pse_settling (&data_task->pse, ops_now_us (data_task));
+  return pse_stale (&data_task->pse) ||
+         pse_settling (&data_task->pse, data_task_now_us (data_task));
 }
 
 bool
-ops_draining (const ops_t *data_task)
+data_task_is_draining (const data_task_t *data_task)
 {
   return data_task->draining;
 }
 
 void
-ops_count_control (ops_t *data_task, uint32_t bytes)
+data_task_count_control_bytes (data_task_t *data_task, uint32_t bytes)
 {
   cnt_add (data_task->control_bytes, bytes);
 }
 
 const man_account_t *
-ops_account (const ops_t *data_task, hsv_call_t *call)
+data_task_find_account (const data_task_t *data_task, hsv_call_t *call)
 {
   static const char BEARER[] = "Bearer ";
   const char *authorization = hsv_header (call, "Authorization");
--- a/src/request/ops.h
+++ b/src/request/ops.h
@@ -24,19 +24,19 @@
 
 #include <jansson.h>
 
-#define OPS_PREFIX "/medlarplank/"
+#define DATA_TASK_ADMIN_PREFIX "/medlarplank/"
 /* A host that stops keeps its listener open for this long, so that daemons that don't know of the
  * stop yet get a response and not a refused connection. */
-#define OPS_LINGER_MS 1000
+#define DATA_TASK_LINGER_MS 1000
 /* Estimated size of a sealed call without its body, or of its response. */
-#define OPS_CALL_BYTES 300
+#define DATA_TASK_CALL_OVERHEAD_BYTES 300
 
 /**
- * struct ops_options - options of ops_new()
+ * struct data_task_options - options of data_task_new()
  * @dmn: settings, clock, counters and mailboxes of the daemon; borrowed
  * @on_call: handles a request whose path is not one for operators
- * @on_sealed: handles a call below OPS_PREFIX whose path is not handled here, after its seal was
- * checked. Return: whether it responded
+ * @on_sealed: handles a call below DATA_TASK_ADMIN_PREFIX whose path is not handled here, after its
+ * seal was checked. Return: whether it responded
  * @ready: whether the role is ready; version, members, pause and stop are checked here
  * @in_flight: number of requests, besides the listener's calls, that a graceful stop waits for
  * @status: adds the role's fields to the status document
@@ -56,31 +56,33 @@
   void (*changed) (void *context);
   void (*stopping) (void *context);
   void *context;
-} ops_options_t;
+} data_task_options_t;
 
-typedef struct data_task ops_t;
+typedef struct data_task data_task_t;
 
-ops_t *ops_new (const ops_options_t *options, GError **error);
-void ops_free (ops_t *data_task);
-/** ops_message() - handles a message of the control task. Return: false if it is for the role */
-bool ops_message (ops_t *data_task, mbx_message_t *message);
+data_task_t *data_task_new (const data_task_options_t *options, GError **error);
+void data_task_free (data_task_t *data_task);
+/** data_task_handle_message() - handles a message of the control task. Return: false if it is for
+ * the role */
+bool data_task_handle_message (data_task_t *data_task, mbx_message_t *message);
 
-/** ops_man() - the manifest in force, borrowed; NULL before the first one */
-man_t *ops_man (const ops_t *data_task);
-/** ops_members() - the list of hosts in force, borrowed; NULL before the first one */
-membership_snapshot_t *ops_members (const ops_t *data_task);
-dcn_ring_t *ops_decisions (ops_t *data_task);
-uint64_t ops_now_us (const ops_t *data_task);
-/** ops_stale() - whether the process was paused and has not yet received everything that it missed;
- * no new work may start then. The result holds for the current event only. */
-bool ops_stale (ops_t *data_task);
-/** ops_draining() - whether a graceful stop began */
-bool ops_draining (const ops_t *data_task);
-/** ops_count_control() - adds an estimate of control traffic that the data task sent (hints,
- * revokes, probes, loads) to the counter of the control task. Its budget doesn't limit this traffic
+/** data_task_manifest() - the manifest in force, borrowed; NULL before the first one */
+man_t *data_task_manifest (const data_task_t *data_task);
+/** data_task_members() - the list of hosts in force, borrowed; NULL before the first one */
+membership_snapshot_t *data_task_members (const data_task_t *data_task);
+decision_ring_t *data_task_decisions (data_task_t *data_task);
+uint64_t data_task_now_us (const data_task_t *data_task);
+/** data_task_is_stale() - whether the process was paused and has not yet received everything that
+ * it missed; no new work may start then. The result holds for the current event only. */
+bool data_task_is_stale (data_task_t *data_task);
+/** data_task_is_draining() - whether a graceful stop began */
+bool data_task_is_draining (const data_task_t *data_task);
+/** data_task_count_control_bytes() - adds an estimate of control traffic that the data task sent
+ * (hints, revokes, probes, loads) to the counter of the control task. Its budget doesn't limit this
+ * traffic
  */
-void ops_count_control (ops_t *data_task, uint32_t bytes);
-/** ops_account() - the client account whose key the call carries, or NULL */
-const man_account_t *ops_account (const ops_t *data_task, hsv_call_t *call);
+void data_task_count_control_bytes (data_task_t *data_task, uint32_t bytes);
+/** data_task_find_account() - the client account whose key the call carries, or NULL */
+const man_account_t *data_task_find_account (const data_task_t *data_task, hsv_call_t *call);
 
 #endif
--- a/src/request/ops_private.h
+++ b/src/request/ops_private.h
@@ -27,12 +27,12 @@
  */
 struct data_task
 {
-  ops_options_t options;
+  data_task_options_t options;
   hsv_t *hsv;
   man_t *man;
   uint64_t man_next_offset;
   membership_snapshot_t *members;
-  dcn_ring_t *decisions;
+  decision_ring_t *decisions;
   pse_t pse;
   bool draining;
   bool listening;
@@ -43,7 +43,7 @@
   cnt_t *control_bytes;
 };
 
-/** ops_serve() - handles one call to the listener */
-void ops_serve (hsv_call_t *call, void *context);
+/** data_task_serve() - handles one call to the listener */
+void data_task_serve (hsv_call_t *call, void *context);
 
 #endif
--- a/src/request/ops_serve.c
+++ b/src/request/ops_serve.c
@@ -11,10 +11,10 @@
 #include <string.h>
 
 static bool
-is_ready (ops_t *data_task)
+is_ready (data_task_t *data_task)
 {
   return data_task->man != NULL && data_task->members != NULL && !data_task->draining &&
-         !ops_stale (data_task) && data_task->options.ready (data_task->options.context);
+         !data_task_is_stale (data_task) && data_task->options.ready (data_task->options.context);
 }
 
 static void
@@ -28,7 +28,7 @@
 }
 
 static void
-serve_metrics (ops_t *data_task, hsv_call_t *call)
+serve_metrics (data_task_t *data_task, hsv_call_t *call)
 {
   GString *out = g_string_new (NULL);
 
@@ -38,7 +38,7 @@
 }
 
 static void
-serve_status (ops_t *data_task, hsv_call_t *call)
+serve_status (data_task_t *data_task, hsv_call_t *call)
 {
   const dmn_t *dmn = data_task->options.dmn;
   uint64_t version = data_task->man != NULL ? data_task->man->version : 0;
@@ -47,18 +47,18 @@
                             dmn->set.role == SET_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
                             (json_int_t)dmn->incarnation, "version", (json_int_t)version, "hosts",
                             (int)hosts, "ready", (int)is_ready (data_task), "draining",
-                            (int)data_task->draining, "stale", (int)ops_stale (data_task));
+                            (int)data_task->draining, "stale", (int)data_task_is_stale (data_task));
 
   data_task->options.status (json, data_task->options.context);
   reply_json (call, json);
 }
 
 static void
-serve_manifest (ops_t *data_task, hsv_call_t *call)
+serve_manifest (data_task_t *data_task, hsv_call_t *call)
 {
   if (data_task->man == NULL)
     {
-      flt_bad_request (call, 503, "no_version", "no version of the manifest is known here");
+      error_reply_reject (call, 503, "no_version", "no version of the manifest is known here");
       return;
     }
   char seal[ASL_SEAL_BYTES];
@@ -86,39 +86,39 @@
 }
 
 static void
-serve_explain (ops_t *data_task, hsv_call_t *call, bool sealed)
+serve_explain (data_task_t *data_task, hsv_call_t *call, bool sealed)
 {
   const char *text = hsv_query (call, "request");
-  const man_account_t *account = ops_account (data_task, call);
+  const man_account_t *account = data_task_find_account (data_task, call);
   uint64_t request[2];
   json_t *decisions;
 
   if (!sealed && account == NULL)
     {
-      flt_bad_request (call, 401, "unauthorized", "the key of a client account is needed");
+      error_reply_reject (call, 401, "unauthorized", "the key of a client account is needed");
       return;
     }
-  if (text == NULL || !hop_attempt_parse (text, request))
+  if (text == NULL || !hop_parse_attempt (text, request))
     {
-      flt_bad_request (call, 400, "bad_request", "request=ID is missing or not an id");
+      error_reply_reject (call, 400, "bad_request", "request=ID is missing or not an id");
       return;
     }
-  decisions = dcn_explain (data_task->decisions, request);
+  decisions = decision_ring_find (data_task->decisions, request);
   if (!sealed)
     decisions = filter_by_account (decisions, account);
   if (json_array_size (decisions) == 0)
     {
       json_decref (decisions);
-      flt_bad_request (call, 404, "not_found", "the request is not known here, or not any more");
+      error_reply_reject (call, 404, "not_found", "the request is not known here, or not any more");
       return;
     }
   reply_json (call, json_pack ("{s:s,s:o}", "request", text, "decisions", decisions));
 }
 
 static void
-serve_drain (ops_t *data_task, hsv_call_t *call)
+serve_drain (data_task_t *data_task, hsv_call_t *call)
 {
-  msg_flag_t *leave = msg_new (MSG_LEAVE);
+  message_flag_t *leave = message_new (MESSAGE_LEAVE_ORDERED);
 
   leave->on = true;
   mbx_send (data_task->options.dmn->to_control, &leave->head);
@@ -127,7 +127,7 @@
 }
 
 static bool
-serve_unsealed (ops_t *data_task, hsv_call_t *call, const char *path)
+serve_unsealed (data_task_t *data_task, hsv_call_t *call, const char *path)
 {
   if (strcmp (path, "/livez") == 0)
     hsv_reply_text (call, 200, "text/plain", "ok\n");
@@ -136,7 +136,7 @@
                     is_ready (data_task) ? "ready\n" : "not ready\n");
   else if (strcmp (path, "/metrics") == 0)
     serve_metrics (data_task, call);
-  else if (strcmp (path, OPS_PREFIX "status") == 0)
+  else if (strcmp (path, DATA_TASK_ADMIN_PREFIX "status") == 0)
     serve_status (data_task, call);
   else
     return false;
@@ -145,7 +145,7 @@
 
 /* Whether the call was sealed with the fleet key, by another daemon or by the command-line tool. */
 static bool
-has_valid_seal (ops_t *data_task, hsv_call_t *call)
+has_valid_seal (data_task_t *data_task, hsv_call_t *call)
 {
   const set_t *set = &data_task->options.dmn->set;
   sealed_call_t order = { .host = set->name,
@@ -157,7 +157,7 @@
 }
 
 static bool
-has_valid_drain_seal (ops_t *data_task, hsv_call_t *call)
+has_valid_drain_seal (data_task_t *data_task, hsv_call_t *call)
 {
   const dmn_t *dmn = data_task->options.dmn;
   const char *text = hsv_query (call, "time");
@@ -170,32 +170,34 @@
 }
 
 static void
-serve_sealed (ops_t *data_task, hsv_call_t *call, const char *path)
+serve_sealed (data_task_t *data_task, hsv_call_t *call, const char *path)
 {
-  bool drain = strcmp (path, OPS_PREFIX "drain") == 0 && strcmp (hsv_method (call), "POST") == 0;
+  bool drain =
+      strcmp (path, DATA_TASK_ADMIN_PREFIX "drain") == 0 && strcmp (hsv_method (call), "POST") == 0;
   bool sealed = drain ? has_valid_drain_seal (data_task, call) : has_valid_seal (data_task, call);
 
-  if (strcmp (path, OPS_PREFIX "explain") == 0)
+  if (strcmp (path, DATA_TASK_ADMIN_PREFIX "explain") == 0)
     serve_explain (data_task, call, sealed);
   else if (!sealed)
-    flt_bad_request (call, 403, "forbidden", "this path is for the fleet's own daemons and tool");
-  else if (strcmp (path, OPS_PREFIX "manifest") == 0)
+    error_reply_reject (call, 403, "forbidden",
+                        "this path is for the fleet's own daemons and tool");
+  else if (strcmp (path, DATA_TASK_ADMIN_PREFIX "manifest") == 0)
     serve_manifest (data_task, call);
   else if (drain)
     serve_drain (data_task, call);
   else if (!data_task->options.on_sealed (call, path, data_task->options.context))
-    flt_bad_request (call, 404, "not_found", "no such path");
+    error_reply_reject (call, 404, "not_found", "no such path");
 }
 
 void
-ops_serve (hsv_call_t *call, void *context)
+data_task_serve (hsv_call_t *call, void *context)
 {
-  ops_t *data_task = context;
+  data_task_t *data_task = context;
   const char *path = hsv_path (call);
 
   if (serve_unsealed (data_task, call, path))
     return;
-  if (g_str_has_prefix (path, OPS_PREFIX))
+  if (g_str_has_prefix (path, DATA_TASK_ADMIN_PREFIX))
     serve_sealed (data_task, call, path);
   else
     data_task->options.on_call (call, data_task->options.context);
--- a/src/request/relay.c
+++ b/src/request/relay.c
@@ -25,46 +25,46 @@
   if (has_no_body (status))
     return true;
   return length != NULL &&
-         g_ascii_string_to_unsigned (length, 10, 0, RLY_HELD_LIMIT_BYTES, &value, NULL);
+         g_ascii_string_to_unsigned (length, 10, 0, RELAY_BUFFER_LIMIT_BYTES, &value, NULL);
 }
 
 /* The response to HEAD has no body, so its Content-Length is copied; for all others the listener
  * writes its own. */
 static void
-copy_head_length (rly_t *rly, struct evkeyvalq *headers)
+copy_head_length (relay_t *relay, struct evkeyvalq *headers)
 {
   const char *length = evhttp_find_header (headers, "Content-Length");
 
-  if (length != NULL && rly->to != NULL && strcmp (hsv_method (rly->to), "HEAD") == 0)
-    evhttp_add_header (&rly->headers, "Content-Length", length);
+  if (length != NULL && relay->to != NULL && strcmp (hsv_method (relay->to), "HEAD") == 0)
+    evhttp_add_header (&relay->headers, "Content-Length", length);
 }
 
 static void
 on_room (void *context)
 {
-  rly_t *rly = context;
+  relay_t *relay = context;
 
-  rly->full = false;
-  if (rly->from != NULL)
-    hcl_pause (rly->from, false);
+  relay->full = false;
+  if (relay->from != NULL)
+    hcl_pause (relay->from, false);
 }
 
 static void
-send_headers (rly_t *rly)
+send_headers (relay_t *relay)
 {
   const struct evkeyval *header;
 
-  for (header = rly->headers.tqh_first; header != NULL; header = header->next.tqe_next)
-    hsv_add_header (rly->to, header->key, header->value);
+  for (header = relay->headers.tqh_first; header != NULL; header = header->next.tqe_next)
+    hsv_add_header (relay->to, header->key, header->value);
 }
 
 static void
-begin_streaming (rly_t *rly)
+begin_streaming (relay_t *relay)
 {
-  rly->begun = true;
-  send_headers (rly);
-  hsv_on_room (rly->to, on_room, rly);
-  hsv_begin (rly->to, rly->status);
+  relay->begun = true;
+  send_headers (relay);
+  hsv_on_room (relay->to, on_room, relay);
+  hsv_begin (relay->to, relay->status);
 }
 
 /* Whether the data ends with the empty line that ends an event. An error event may be added only
@@ -86,105 +86,105 @@
 }
 
 static void
-stream_part (rly_t *rly, struct evbuffer *data)
+stream_part (relay_t *relay, struct evbuffer *data)
 {
-  rly->at_event_end = rly->events && ends_event (data);
-  if (!rly->begun)
-    begin_streaming (rly);
-  rly->full = !hsv_part (rly->to, data);
-  rly->was_blocked |= rly->full;
-  if (rly->full && rly->from != NULL)
-    hcl_pause (rly->from, true);
+  relay->at_event_end = relay->events && ends_event (data);
+  if (!relay->begun)
+    begin_streaming (relay);
+  relay->full = !hsv_part (relay->to, data);
+  relay->was_blocked |= relay->full;
+  if (relay->full && relay->from != NULL)
+    hcl_pause (relay->from, true);
 }
 
 void
-rly_init (rly_t *rly, hsv_call_t *to)
+relay_init (relay_t *relay, hsv_call_t *to)
 {
-  memset (rly, 0, sizeof *rly);
-  rly->to = to;
-  rly->passes_back = hdr_passes_back;
-  rly->held = evbuffer_new ();
-  TAILQ_INIT (&rly->headers);
+  memset (relay, 0, sizeof *relay);
+  relay->to = to;
+  relay->is_returned = header_is_returned;
+  relay->held = evbuffer_new ();
+  TAILQ_INIT (&relay->headers);
 }
 
 void
-rly_clear (rly_t *rly)
+relay_clear (relay_t *relay)
 {
-  evbuffer_free (rly->held);
-  evhttp_clear_headers (&rly->headers);
+  evbuffer_free (relay->held);
+  evhttp_clear_headers (&relay->headers);
 }
 
 void
-rly_head (rly_t *rly, hcl_call_t *from, int status, struct evkeyvalq *headers)
+relay_start (relay_t *relay, hcl_call_t *from, int status, struct evkeyvalq *headers)
 {
   const struct evkeyval *header;
   const char *type = evhttp_find_header (headers, "Content-Type");
 
-  g_assert (!rly->begun);
-  evbuffer_drain (rly->held, evbuffer_get_length (rly->held));
-  evhttp_clear_headers (&rly->headers);
-  rly->from = from;
-  rly->status = status;
-  rly->holding = is_buffered (status, headers);
-  rly->events =
+  g_assert (!relay->begun);
+  evbuffer_drain (relay->held, evbuffer_get_length (relay->held));
+  evhttp_clear_headers (&relay->headers);
+  relay->from = from;
+  relay->status = status;
+  relay->holding = is_buffered (status, headers);
+  relay->events =
       type != NULL && g_ascii_strncasecmp (type, EVENT_STREAM, strlen (EVENT_STREAM)) == 0;
   for (header = headers->tqh_first; header != NULL; header = header->next.tqe_next)
-    if (rly->passes_back (header->key))
-      evhttp_add_header (&rly->headers, header->key, header->value);
-  copy_head_length (rly, headers);
+    if (relay->is_returned (header->key))
+      evhttp_add_header (&relay->headers, header->key, header->value);
+  copy_head_length (relay, headers);
 }
 
 void
-rly_add_header (rly_t *rly, const char *name, const char *value)
+relay_add_header (relay_t *relay, const char *name, const char *value)
 {
-  evhttp_add_header (&rly->headers, name, value);
+  evhttp_add_header (&relay->headers, name, value);
 }
 
 void
-rly_data (rly_t *rly, struct evbuffer *data)
+relay_forward (relay_t *relay, struct evbuffer *data)
 {
-  if (rly->to == NULL)
+  if (relay->to == NULL)
     evbuffer_drain (data, evbuffer_get_length (data));
-  else if (rly->holding)
-    evbuffer_add_buffer (rly->held, data);
+  else if (relay->holding)
+    evbuffer_add_buffer (relay->held, data);
   else
-    stream_part (rly, data);
+    stream_part (relay, data);
 }
 
 void
-rly_whole (rly_t *rly)
+relay_finish (relay_t *relay)
 {
-  hsv_call_t *to = rly->to;
-  size_t held_bytes = evbuffer_get_length (rly->held);
+  hsv_call_t *to = relay->to;
+  size_t held_bytes = evbuffer_get_length (relay->held);
 
-  rly->from = NULL;
+  relay->from = NULL;
   if (to == NULL)
     return;
-  if (!rly->begun && !rly->holding)
-    begin_streaming (rly);
-  if (!rly->begun)
-    send_headers (rly);
-  rly->to = NULL;
-  if (rly->begun)
+  if (!relay->begun && !relay->holding)
+    begin_streaming (relay);
+  if (!relay->begun)
+    send_headers (relay);
+  relay->to = NULL;
+  if (relay->begun)
     hsv_end (to);
   else
-    hsv_reply (to, rly->status, evbuffer_pullup (rly->held, -1), held_bytes);
+    hsv_reply (to, relay->status, evbuffer_pullup (relay->held, -1), held_bytes);
 }
 
 void
-rly_cut (rly_t *rly, const flt_t *fault)
+relay_abort (relay_t *relay, const flt_t *fault)
 {
-  hsv_call_t *to = rly->to;
+  hsv_call_t *to = relay->to;
 
-  g_assert (rly->begun);
-  rly->from = NULL;
-  rly->to = NULL;
+  g_assert (relay->begun);
+  relay->from = NULL;
+  relay->to = NULL;
   if (to == NULL)
     return;
-  if (rly->events && rly->at_event_end)
+  if (relay->events && relay->at_event_end)
     {
       struct evbuffer *part = evbuffer_new ();
-      char *body = flt_body (fault);
+      char *body = error_reply_body (fault);
 
       evbuffer_add_printf (part, "event: error\ndata: %s\n\n", body);
       hsv_part (to, part);
@@ -195,19 +195,19 @@
 }
 
 bool
-rly_held_up (rly_t *rly)
+relay_was_blocked (relay_t *relay)
 {
-  bool held_up = rly->full || rly->was_blocked;
+  bool held_up = relay->full || relay->was_blocked;
 
-  rly->was_blocked = rly->full;
+  relay->was_blocked = relay->full;
   return held_up;
 }
 
 void
-rly_gone (rly_t *rly)
+relay_client_gone (relay_t *relay)
 {
-  rly->to = NULL;
-  rly->full = false;
-  if (rly->from != NULL)
-    hcl_pause (rly->from, false);
+  relay->to = NULL;
+  relay->full = false;
+  if (relay->from != NULL)
+    hcl_pause (relay->from, false);
 }
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -18,18 +18,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RLY_HELD_LIMIT_BYTES (64 * 1024) /* longest response that is buffered */
+#define RELAY_BUFFER_LIMIT_BYTES (64 * 1024) /* longest response that is buffered */
 
 /**
- * struct rly - state of one response; embedded in the call that owns it
+ * struct relay - state of one response; embedded in the call that owns it
  * @to: call of the listener; NULL when the client has gone: the response is then read and dropped
  * @from: call of the HTTP client; NULL when it has ended
  * @held: body of a response that is buffered
- * @passes_back: which headers are forwarded; hdr_passes_back() unless the owner sets another
- * @holding: the response is buffered until it is complete; the owner may set it after rly_head()
+ * @is_returned: which headers are forwarded; header_is_returned() unless the owner sets another
+ * @holding: the response is buffered until it is complete; the owner may set it after relay_start()
  * @begun: the first byte was sent to @to
  * @full: the send buffer of @to is full, and @from is paused
- * @was_blocked: @full was set since the last call of rly_held_up()
+ * @was_blocked: @full was set since the last call of relay_was_blocked()
  * @events: the response is a stream of server-sent events
  * @at_event_end: the last byte that was forwarded ended an event
  */
@@ -40,33 +40,33 @@
   struct evbuffer *held;
   struct evkeyvalq headers;
   int status;
-  bool (*passes_back) (const char *name);
+  bool (*is_returned) (const char *name);
   bool holding;
   bool begun;
   bool full;
   bool was_blocked;
   bool events;
   bool at_event_end;
-} rly_t;
+} relay_t;
 
-void rly_init (rly_t *rly, hsv_call_t *to);
-void rly_clear (rly_t *rly);
-/** rly_head() - starts a response, whose head came from @from; drops what an earlier attempt left
- * in the buffer */
-void rly_head (rly_t *rly, hcl_call_t *from, int status, struct evkeyvalq *headers);
-/** rly_add_header() - adds a header of the fleet itself to the response; after rly_head() */
-void rly_add_header (rly_t *rly, const char *name, const char *value);
-/** rly_data() - forwards, buffers or drops a part of the body; drains @data */
-void rly_data (rly_t *rly, struct evbuffer *data);
-/** rly_whole() - ends the listener's call with a complete response */
-void rly_whole (rly_t *rly);
-/** rly_cut() - ends the listener's call after a response that broke off when a part of it had been
- * sent: cuts the connection, in an event stream after an error event */
-void rly_cut (rly_t *rly, const flt_t *fault);
-/** rly_held_up() - whether a slow client blocked the response since the last call of this function:
- * a gap in the response is then not the sender's fault */
-bool rly_held_up (rly_t *rly);
-/** rly_gone() - the listener's call ended because the client has gone */
-void rly_gone (rly_t *rly);
+void relay_init (relay_t *relay, hsv_call_t *to);
+void relay_clear (relay_t *relay);
+/** relay_start() - starts a response, whose head came from @from; drops what an earlier attempt
+ * left in the buffer */
+void relay_start (relay_t *relay, hcl_call_t *from, int status, struct evkeyvalq *headers);
+/** relay_add_header() - adds a header of the fleet itself to the response; after relay_start() */
+void relay_add_header (relay_t *relay, const char *name, const char *value);
+/** relay_forward() - forwards, buffers or drops a part of the body; drains @data */
+void relay_forward (relay_t *relay, struct evbuffer *data);
+/** relay_finish() - ends the listener's call with a complete response */
+void relay_finish (relay_t *relay);
+/** relay_abort() - ends the listener's call after a response that broke off when a part of it had
+ * been sent: cuts the connection, in an event stream after an error event */
+void relay_abort (relay_t *relay, const flt_t *fault);
+/** relay_was_blocked() - whether a slow client blocked the response since the last call of this
+ * function: a gap in the response is then not the sender's fault */
+bool relay_was_blocked (relay_t *relay);
+/** relay_client_gone() - the listener's call ended because the client has gone */
+void relay_client_gone (relay_t *relay);
 
 #endif
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -29,7 +29,7 @@
 {
   const rtr_t *router = context;
   json_t *services = json_object ();
-  const man_t *manifest = ops_man (router->ops);
+  const man_t *manifest = data_task_manifest (router->ops);
 
   for (uint32_t i = 0; i < router->pool_count; i++)
     json_object_set_new (
@@ -72,7 +72,7 @@
 static void
 update_members (rtr_t *router)
 {
-  membership_snapshot_t *members = ops_members (router->ops);
+  membership_snapshot_t *members = data_task_members (router->ops);
 
   if (members == NULL)
     return;
@@ -98,7 +98,7 @@
 static void
 update_load_tables (rtr_t *router)
 {
-  man_t *manifest = ops_man (router->ops);
+  man_t *manifest = data_task_manifest (router->ops);
 
   if (manifest == NULL)
     return;
@@ -178,20 +178,20 @@
 rtr_new (dmn_t *daemon, struct event_base *base, GError **error)
 {
   rtr_t *router = g_new0 (rtr_t, 1);
-  ops_options_t options = { .dmn = daemon,
-                            .base = base,
-                            .on_call = rtr_accept,
-                            .on_sealed = on_sealed,
-                            .ready = is_ready,
-                            .in_flight = count_in_flight,
-                            .status = add_status,
-                            .changed = on_configuration_changed,
-                            .stopping = on_stopping,
-                            .context = router };
+  data_task_options_t options = { .dmn = daemon,
+                                  .base = base,
+                                  .on_call = rtr_accept,
+                                  .on_sealed = on_sealed,
+                                  .ready = is_ready,
+                                  .in_flight = count_in_flight,
+                                  .status = add_status,
+                                  .changed = on_configuration_changed,
+                                  .stopping = on_stopping,
+                                  .context = router };
 
   router->daemon = daemon;
   router->base = base;
-  router->ops = ops_new (&options, error);
+  router->ops = data_task_new (&options, error);
   if (router->ops == NULL)
     {
       g_free (router);
@@ -231,7 +231,7 @@
       rtr_call_free (call);
     }
   g_hash_table_destroy (router->host_probes);
-  ops_free (router->ops);
+  data_task_free (router->ops);
   hcl_free (router->http_client);
   health_free (router->health);
   rtr_place_clear (router);
@@ -249,6 +249,6 @@
 {
   rtr_t *router = context;
 
-  if (!ops_message (router->ops, message) && message->kind == MSG_SAMPLES)
-    rtr_place_samples (router, (msg_samples_t *)message);
+  if (!data_task_handle_message (router->ops, message) && message->kind == MESSAGE_LOAD_SAMPLES)
+    rtr_place_samples (router, (message_load_samples_t *)message);
 }
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -186,7 +186,7 @@
   uint32_t limit = call->router->daemon->set.header_limit_count;
 
   call->headers = g_new0 (hcl_header_t, limit);
-  call->header_count = hdr_collect (hsv_headers (call->inbound), call->headers, limit);
+  call->header_count = header_collect_forwarded (hsv_headers (call->inbound), call->headers, limit);
   /* Copied, because a non-idempotent request continues after its caller disconnects. */
   for (uint32_t i = 0; i < call->header_count; i++)
     {
@@ -201,7 +201,7 @@
   cbd_t chat = { 0 };
   bool valid;
 
-  call->account = ops_account (call->router->ops, call->inbound);
+  call->account = data_task_find_account (call->router->ops, call->inbound);
   if (call->account == NULL)
     return reject (rejection, 401, "unauthorized", "the key of a client account is needed");
   valid = check_target (call, rejection) && read_body (call, &chat, rejection) &&
@@ -225,16 +225,16 @@
   call->inbound = inbound;
   call->link.data = call;
   g_queue_push_tail_link (&router->calls, &call->link);
-  call->manifest = man_ref (ops_man (router->ops));
+  call->manifest = man_ref (data_task_manifest (router->ops));
   call->method = g_strdup (hsv_method (inbound));
   call->target = g_strdup (hsv_target (inbound));
-  call->arrived_us = ops_now_us (router->ops);
+  call->arrived_us = data_task_now_us (router->ops);
   call->timer = evtimer_new (router->base, rtr_hop_timer, call);
   router->request_id_low += 0x100; /* the lowest byte is the number of the hop */
   call->request_id[0] = router->request_id_high;
   call->request_id[1] = router->request_id_low;
-  hop_attempt_text (call->request_id, call->request_text);
-  rly_init (&call->relay, inbound);
+  hop_format_attempt (call->request_id, call->request_text);
+  relay_init (&call->relay, inbound);
   return call;
 }
 
@@ -245,11 +245,12 @@
   rejection_t rejection;
   rtr_call_t *call;
 
-  if (ops_stale (router->ops) || ops_man (router->ops) == NULL || ops_members (router->ops) == NULL)
+  if (data_task_is_stale (router->ops) || data_task_manifest (router->ops) == NULL ||
+      data_task_members (router->ops) == NULL)
     {
-      flt_reply (inbound, &(flt_t){ .verdict = VERDICT_NOT_RUN,
-                                    .reason = VERDICT_REASON_STALE,
-                                    .retry_after_ms = STALE_RETRY_AFTER_MS });
+      error_reply_send (inbound, &(flt_t){ .verdict = VERDICT_NOT_RUN,
+                                           .reason = VERDICT_REASON_STALE,
+                                           .retry_after_ms = STALE_RETRY_AFTER_MS });
       return;
     }
   call = call_new (router, inbound);
@@ -258,6 +259,6 @@
       rtr_call_start (call);
       return;
     }
-  flt_bad_request (inbound, rejection.status, rejection.code, rejection.message);
+  error_reply_reject (inbound, rejection.status, rejection.code, rejection.message);
   rtr_call_free (call);
 }
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -5,13 +5,14 @@
 static void
 append_host_name (char *out, const rtr_t *router, uint64_t engine_hash)
 {
-  const membership_host_t *host = membership_find_by_hash (ops_members (router->ops), engine_hash);
+  const membership_host_t *host =
+      membership_find_by_hash (data_task_members (router->ops), engine_hash);
 
   if (host == NULL)
     return;
   if (out[0] != '\0')
-    g_strlcat (out, ",", DCN_CANDIDATES_BYTES);
-  g_strlcat (out, host->name, DCN_CANDIDATES_BYTES);
+    g_strlcat (out, ",", DECISION_CANDIDATES_BYTES);
+  g_strlcat (out, host->name, DECISION_CANDIDATES_BYTES);
 }
 
 void
@@ -22,15 +23,17 @@
                verdict_reason_t reason)
 {
   const rtr_t *router = call->router;
-  const membership_host_t *host = membership_find_by_hash (ops_members (router->ops), engine_hash);
-  dcn_t decision = { .request = { call->request_id[0], call->request_id[1] | call->attempts.hops },
-                     .wall_ms = clk_wall_ms (&router->daemon->clk),
-                     .chat_hash = call->hop.chat_hash,
-                     .action = action,
-                     .verdict = verdict,
-                     .reason = reason,
-                     .hop = call->attempts.hops,
-                     .wait_us = ops_now_us (router->ops) - call->arrived_us };
+  const membership_host_t *host =
+      membership_find_by_hash (data_task_members (router->ops), engine_hash);
+  decision_t decision = { .request = { call->request_id[0],
+                                       call->request_id[1] | call->attempts.hops },
+                          .wall_ms = clk_wall_ms (&router->daemon->clk),
+                          .chat_hash = call->hop.chat_hash,
+                          .action = action,
+                          .verdict = verdict,
+                          .reason = reason,
+                          .hop = call->attempts.hops,
+                          .wait_us = data_task_now_us (router->ops) - call->arrived_us };
 
   g_strlcpy (decision.account, call->hop.account, sizeof decision.account);
   g_strlcpy (decision.service, call->hop.service, sizeof decision.service);
@@ -38,7 +41,7 @@
   g_strlcpy (decision.chosen, host != NULL ? host->name : "", sizeof decision.chosen);
   for (uint32_t i = 0; i < call->placement.candidate_count; i++)
     append_host_name (decision.candidates, router, call->placement.candidates[i]);
-  dcn_note (ops_decisions (router->ops), "route", &decision);
+  decision_ring_record (data_task_decisions (router->ops), "route", &decision);
 }
 
 flt_t
@@ -61,7 +64,7 @@
       g_free ((char *)call->headers[i].value);
     }
   g_free (call->headers);
-  rly_clear (&call->relay);
+  relay_clear (&call->relay);
   g_queue_unlink (&call->router->calls, &call->link);
   man_unref (call->manifest);
   g_free (call->method);
@@ -79,9 +82,9 @@
   rtr_call_note (call, "give_up", call->attempts.last_engine, step->verdict, step->reason);
   cnt_add (call->router->ended[step->verdict], 1);
   if (call->relay.begun)
-    rly_cut (&call->relay, &fault);
+    relay_abort (&call->relay, &fault);
   else if (call->inbound != NULL)
-    flt_reply (call->inbound, &fault);
+    error_reply_send (call->inbound, &fault);
   rtr_call_free (call);
 }
 
@@ -90,10 +93,10 @@
 {
   rtr_call_note (call, "answer", call->attempts.last_engine, VERDICT_RAN, VERDICT_REASON_NONE);
   cnt_add (call->router->ended[VERDICT_RAN], 1);
-  recent_answers_add (call->router->answered_requests, ops_now_us (call->router->ops),
+  recent_answers_add (call->router->answered_requests, data_task_now_us (call->router->ops),
                       call->hop.fingerprint);
   rtr_tell_served (call, call->attempts.last_engine);
-  rly_whole (&call->relay);
+  relay_finish (&call->relay);
   rtr_call_free (call);
 }
 
@@ -118,7 +121,7 @@
 send_revoke (rtr_call_t *call, const forwarding_step_t *step)
 {
   const membership_host_t *host =
-      membership_find_by_hash (ops_members (call->router->ops), step->engine_hash);
+      membership_find_by_hash (data_task_members (call->router->ops), step->engine_hash);
 
   if (host == NULL)
     return false;
@@ -137,7 +140,7 @@
 
   for (;;)
     {
-      uint64_t now_us = ops_now_us (call->router->ops);
+      uint64_t now_us = data_task_now_us (call->router->ops);
 
       switch (step.action)
         {
@@ -176,7 +179,7 @@
   rtr_t *router = call->router;
 
   recent_answers_remove (router->answered_requests, call->hop.fingerprint);
-  suspect_add_crash (router->suspects, ops_now_us (router->ops), call->hop.fingerprint,
+  suspect_add_crash (router->suspects, data_task_now_us (router->ops), call->hop.fingerprint,
                      call->attempts.last_engine);
 }
 
@@ -192,8 +195,8 @@
   if (outcome->reason == VERDICT_REASON_ENGINE_CRASHED ||
       outcome->reason == VERDICT_REASON_SUSPECT_HERE)
     record_crash (call);
-  step = forwarding_attempt_ended (&call->attempts, ops_now_us (router->ops), &router->retry_budget,
-                                   outcome);
+  step = forwarding_attempt_ended (&call->attempts, data_task_now_us (router->ops),
+                                   &router->retry_budget, outcome);
   cnt_add (router->retries, call->attempts.retries - retries);
   rtr_call_step (call, step);
 }
@@ -205,7 +208,7 @@
 
   call->inbound = NULL;
   call->caller_gone = true;
-  rly_gone (&call->relay);
+  relay_client_gone (&call->relay);
   rtr_call_note (call, "caller_gone", call->attempts.last_engine, VERDICT_MAY_HAVE_RUN,
                  VERDICT_REASON_CUT);
   /* A non-idempotent request that may have started is left running. If it were interrupted half
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -18,7 +18,7 @@
 static void
 set_hop_timer (rtr_call_t *call)
 {
-  uint64_t now_us = ops_now_us (call->router->ops);
+  uint64_t now_us = data_task_now_us (call->router->ops);
   uint64_t give_up_us = call->deadline_us + RTR_DEADLINE_GRACE_US;
 
   set_timer (call, now_us < give_up_us ? MIN (give_up_us - now_us, RTR_QUIET_US) : 0);
@@ -57,7 +57,7 @@
       uint64_t hash = rendezvous_hash_name (g_strstrip (parts[i]));
 
       if (rtr_host (router, hash) == NULL ||
-          health_is_skipped (router->health, ops_now_us (router->ops), hash))
+          health_is_skipped (router->health, data_task_now_us (router->ops), hash))
         continue;
       answer->referrals[answer->referral_count++] = hash;
     }
@@ -77,14 +77,14 @@
 {
   rtr_t *router = call->router;
   rtr_loads_t *loads = g_hash_table_lookup (router->loads, &call->service->hash);
-  uint64_t now_us = ops_now_us (router->ops);
+  uint64_t now_us = data_task_now_us (router->ops);
   hop_sample_t load;
 
   if (loads == NULL)
     return;
   if (is_capacity_refusal (call->answer.reason))
     loads->capacity_refused_us = now_us;
-  if (!hop_load_read (text, &load))
+  if (!hop_parse_load (text, &load))
     {
       load_samples_forget (&loads->table,
                            call->attempts.last_engine); /* it accepts no requests now */
@@ -112,7 +112,7 @@
   answer->reason = reason != NULL ? verdict_reason_from_string (reason) : VERDICT_REASON_NONE;
   answer->retry_after_ms = parse_u32 (evhttp_find_header (headers, HOP_RETRY_AFTER_HEADER));
   record_load (call, evhttp_find_header (headers, HOP_LOAD_HEADER));
-  read_referrals (call, evhttp_find_header (headers, HOP_TRY_HEADER));
+  read_referrals (call, evhttp_find_header (headers, HOP_ALTERNATIVES_HEADER));
   rtr_learn_incarnation (call->router, call->attempts.last_engine,
                          parse_u64 (evhttp_find_header (headers, HOP_INCARNATION_HEADER)));
 }
@@ -127,11 +127,11 @@
   health_record_success (call->router->health, call->attempts.last_engine);
   if (!call->answer.from_engine)
     return true;
-  rly_head (&call->relay, call->outbound, status, headers);
-  rly_add_header (&call->relay, FLT_REQUEST_HEADER, call->request_text);
-  rly_add_header (&call->relay, VERDICT_HEADER, verdict_to_string (VERDICT_RAN));
+  relay_start (&call->relay, call->outbound, status, headers);
+  relay_add_header (&call->relay, ERROR_REPLY_REQUEST_HEADER, call->request_text);
+  relay_add_header (&call->relay, VERDICT_HEADER, verdict_to_string (VERDICT_RAN));
   if (engine != NULL)
-    rly_add_header (&call->relay, HOP_ENGINE_HEADER, engine);
+    relay_add_header (&call->relay, HOP_ENGINE_HEADER, engine);
   set_timer (call, RTR_STALL_US);
   return true;
 }
@@ -146,7 +146,7 @@
       evbuffer_drain (data, evbuffer_get_length (data));
       return;
     }
-  rly_data (&call->relay, data);
+  relay_forward (&call->relay, data);
   if (call->relay.begun && !call->attempts.answer_begun)
     forwarding_response_begun (&call->attempts);
   set_timer (call, RTR_STALL_US);
@@ -161,7 +161,7 @@
   /* The engine's answer has begun, so the request ran and there is nothing to revoke. */
   if (answer->from_engine)
     return (forwarding_outcome_t){ .verdict = VERDICT_RAN, .reason = reason };
-  health_record_failure (call->router->health, ops_now_us (call->router->ops),
+  health_record_failure (call->router->health, data_task_now_us (call->router->ops),
                          call->attempts.last_engine);
   return (forwarding_outcome_t){ .verdict = verdict,
                                  .reason = reason,
@@ -224,7 +224,7 @@
   if (call->outbound == NULL)
     return;
   if (!call->answer.received &&
-      ops_now_us (call->router->ops) < call->deadline_us + RTR_DEADLINE_GRACE_US)
+      data_task_now_us (call->router->ops) < call->deadline_us + RTR_DEADLINE_GRACE_US)
     {
       rtr_watch_quiet (call);
       set_hop_timer (call);
@@ -232,7 +232,7 @@
     }
   /* A slow caller is not a stalled answer; the listener has a timeout of its own for callers that
    * read nothing. */
-  if (call->relay.begun && rly_held_up (&call->relay))
+  if (call->relay.begun && relay_was_blocked (&call->relay))
     {
       set_timer (call, RTR_STALL_US);
       return;
@@ -263,17 +263,18 @@
 fill_samples (rtr_call_t *call, uint64_t now_us)
 {
   rtr_loads_t *loads = g_hash_table_lookup (call->router->loads, &call->service->hash);
-  load_sample_t picked[HOP_SAMPLES] = { 0 };
+  load_sample_t picked[HOP_SAMPLES_MAX] = { 0 };
   hop_t *hop = &call->hop;
 
   hop->sample_count = 0;
   if (loads != NULL && should_send_samples (call, loads, now_us))
-    hop->sample_count = load_samples_pick (&loads->table, now_us, picked, HOP_SAMPLES);
+    hop->sample_count = load_samples_pick (&loads->table, now_us, picked, HOP_SAMPLES_MAX);
   /* In an overload every request takes four hops; without a limit, their load samples would be a
    * hundred times all other control traffic. The exchange carries the loads too, only later. */
-  if (!bdg_take (&call->router->control_budget, now_us, hop->sample_count * HOP_SAMPLE_BYTES))
+  if (!bdg_take (&call->router->control_budget, now_us,
+                 hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES))
     hop->sample_count = 0;
-  ops_count_control (call->router->ops, hop->sample_count * HOP_SAMPLE_BYTES);
+  data_task_count_control_bytes (call->router->ops, hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES);
   for (uint32_t i = 0; i < hop->sample_count; i++)
     hop->samples[i] =
         (hop_sample_t){ .engine_hash = picked[i].engine_hash,
@@ -291,7 +292,7 @@
 
   hop->attempt[0] = call->request_id[0];
   hop->attempt[1] = call->request_id[1] | call->attempts.hops;
-  hop_attempt_text (hop->attempt, call->attempt_text);
+  hop_format_attempt (hop->attempt, call->attempt_text);
   hop->deadline_ms = (uint32_t)MAX (left_us / CLK_US_PER_MS, 1);
   memcpy (hop->crashed, call->attempts.crashed, sizeof hop->crashed);
   fill_samples (call, now_us);
@@ -301,9 +302,9 @@
 rtr_hop_send (rtr_call_t *call, const membership_host_t *host)
 {
   rtr_t *router = call->router;
-  uint64_t now_us = ops_now_us (router->ops);
-  g_autofree hcl_header_t *headers = g_new (hcl_header_t, call->header_count + HOP_HEADERS);
-  hop_header_t hop_headers[HOP_HEADERS];
+  uint64_t now_us = data_task_now_us (router->ops);
+  g_autofree hcl_header_t *headers = g_new (hcl_header_t, call->header_count + HOP_HEADER_COUNT);
+  hop_header_t hop_headers[HOP_HEADER_COUNT];
   hcl_options_t options = { .address = &host->http,
                             .method = call->method,
                             .target = call->target,
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -69,7 +69,7 @@
 static const rtr_pool_t *
 pool_of (const rtr_t *router, const man_t *manifest, const man_service_t *service)
 {
-  const man_t *in_force = ops_man (router->ops);
+  const man_t *in_force = data_task_manifest (router->ops);
 
   if (router->pools == NULL)
     return NULL;
@@ -127,8 +127,8 @@
 void
 rtr_place_rebuild (rtr_t *router)
 {
-  const man_t *manifest = ops_man (router->ops);
-  const membership_snapshot_t *members = ops_members (router->ops);
+  const man_t *manifest = data_task_manifest (router->ops);
+  const membership_snapshot_t *members = data_task_members (router->ops);
 
   rtr_place_clear (router);
   if (manifest == NULL || members == NULL)
@@ -152,7 +152,7 @@
 const membership_host_t *
 rtr_host (const rtr_t *router, uint64_t engine_hash)
 {
-  const membership_snapshot_t *members = ops_members (router->ops);
+  const membership_snapshot_t *members = data_task_members (router->ops);
   const membership_host_t *host =
       members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
 
@@ -160,7 +160,7 @@
 }
 
 void
-rtr_place_samples (rtr_t *router, const msg_samples_t *message)
+rtr_place_samples (rtr_t *router, const message_load_samples_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
@@ -180,7 +180,7 @@
   const man_service_t *service = call->service;
   const rtr_pool_t *pool = pool_of (router, call->manifest, service);
   const rtr_loads_t *loads = g_hash_table_lookup (router->loads, &service->hash);
-  health_query_t health_query = { .router = router, .now_us = ops_now_us (router->ops) };
+  health_query_t health_query = { .router = router, .now_us = data_task_now_us (router->ops) };
   candidates_query_t query = {
     .now_us = health_query.now_us,
     .service_hash = service->hash,
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -132,7 +132,7 @@
 {
   dmn_t *daemon;
   struct event_base *base;
-  ops_t *ops;
+  data_task_t *ops;
   hcl_t *http_client;
   health_t *health;
   forwarding_budget_t retry_budget;
@@ -210,7 +210,7 @@
   hop_t hop;
   candidates_t placement;
   forwarding_t attempts;
-  rly_t relay;
+  relay_t relay;
   rtr_answer_t answer;
   char *method;
   char *target;
@@ -243,7 +243,7 @@
  */
 void rtr_place_find (rtr_call_t *call, bool first_turn);
 /** rtr_place_samples() - merges load samples that the control task received */
-void rtr_place_samples (rtr_t *router, const msg_samples_t *message);
+void rtr_place_samples (rtr_t *router, const message_load_samples_t *message);
 /** rtr_host() - the live sidecar host with this hash, or NULL */
 const membership_host_t *rtr_host (const rtr_t *router, uint64_t engine_hash);
 
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -25,7 +25,7 @@
   options.target = target;
   options.headers = &header;
   options.header_count = 1;
-  ops_count_control (router->ops, OPS_CALL_BYTES);
+  data_task_count_control_bytes (router->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
   return hcl_start (router->http_client, &options);
 }
 
@@ -81,7 +81,7 @@
   forwarding_step_t step;
 
   call->revoke_request = NULL;
-  step = forwarding_revoked (&call->attempts, ops_now_us (router->ops), &router->retry_budget,
+  step = forwarding_revoked (&call->attempts, data_task_now_us (router->ops), &router->retry_budget,
                              verdict);
   cnt_add (router->retries, call->attempts.retries - retries);
   rtr_call_step (call, step);
@@ -97,7 +97,7 @@
 static void
 revoke_target (const rtr_call_t *call, char out[TARGET_BYTES])
 {
-  uint64_t age_us = ops_now_us (call->router->ops) - call->sent_us;
+  uint64_t age_us = data_task_now_us (call->router->ops) - call->sent_us;
 
   g_snprintf (out, TARGET_BYTES, "%s?attempt=%s&age_ms=%" PRIu64, HOP_REVOKE_PATH,
               call->attempt_text, age_us / CLK_US_PER_MS + 1);
@@ -123,7 +123,7 @@
 rtr_revoke_unheard (rtr_call_t *call)
 {
   const membership_host_t *host =
-      membership_find_by_hash (ops_members (call->router->ops), call->attempts.last_engine);
+      membership_find_by_hash (data_task_members (call->router->ops), call->attempts.last_engine);
   char target[TARGET_BYTES];
 
   if (host == NULL)
@@ -138,7 +138,7 @@
 {
   rtr_t *router = call->router;
   uint64_t chat_hash = call->hop.chat_hash;
-  uint64_t now_us = ops_now_us (router->ops);
+  uint64_t now_us = data_task_now_us (router->ops);
   rtr_told_t *hint = &router->served_hints[chat_hash % RTR_TOLD_ENTRIES];
   const membership_host_t *home = rtr_host (router, call->hop.home_hash);
   bool already_sent = hint->chat_hash == chat_hash && hint->engine_hash == engine_hash &&
@@ -157,7 +157,8 @@
   /* In a surge most chats are served by engines other than their homes, and hints were 10,000 of
    * the 21,000 bytes a second that a router sent. Without a hint the home does not refer the chat
    * to the engine that has it cached; that costs less than exceeding the control budget. */
-  if (already_sent || home == NULL || !bdg_take (&router->control_budget, now_us, OPS_CALL_BYTES))
+  if (already_sent || home == NULL ||
+      !bdg_take (&router->control_budget, now_us, DATA_TASK_CALL_OVERHEAD_BYTES))
     return;
   *hint = (rtr_told_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .sent_us = now_us };
   g_snprintf (target, sizeof target, "%s?chat=%016" PRIx64 "&engine=%016" PRIx64, HOP_SERVED_PATH,
--- a/src/request/router/router_watch.c
+++ b/src/request/router/router_watch.c
@@ -84,14 +84,14 @@
   host_probe->request = NULL;
   if (end->whole)
     {
-      host_probe->last_heard_us = ops_now_us (router->ops);
+      host_probe->last_heard_us = data_task_now_us (router->ops);
       return;
     }
   /* Only a timeout shows that the host is frozen. A host that stops gracefully refuses connections
    * while it finishes its requests, and a process that ended has closed its connections already. */
   if (end->reason != VERDICT_REASON_TIMEOUT)
     return;
-  health_record_failure (router->health, ops_now_us (router->ops), host_probe->host_hash);
+  health_record_failure (router->health, data_task_now_us (router->ops), host_probe->host_hash);
   fail_waiting_calls (host_probe);
 }
 
@@ -108,17 +108,17 @@
 void
 rtr_watch_heard (rtr_t *router, uint64_t host_hash)
 {
-  find_or_add (router, host_hash)->last_heard_us = ops_now_us (router->ops);
+  find_or_add (router, host_hash)->last_heard_us = data_task_now_us (router->ops);
 }
 
 void
 rtr_watch_quiet (rtr_call_t *call)
 {
   rtr_t *router = call->router;
-  uint64_t now_us = ops_now_us (router->ops);
+  uint64_t now_us = data_task_now_us (router->ops);
   rtr_watch_t *host_probe = find_or_add (router, call->attempts.last_engine);
   const membership_host_t *host =
-      membership_find_by_hash (ops_members (router->ops), call->attempts.last_engine);
+      membership_find_by_hash (data_task_members (router->ops), call->attempts.last_engine);
   hcl_options_t options = { .method = "GET",
                             .target = PROBE_TARGET,
                             .timeout_us = RTR_PROBE_TIMEOUT_US,
@@ -132,6 +132,6 @@
   options.address = &host->http;
   host_probe->probe_started_us = now_us;
   cnt_add (router->probes, 1);
-  ops_count_control (router->ops, OPS_CALL_BYTES);
+  data_task_count_control_bytes (router->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
   host_probe->request = hcl_start (router->http_client, &options);
 }
--- a/src/request/sidecar/history.c
+++ b/src/request/sidecar/history.c
@@ -38,7 +38,7 @@
 ring_init (ring_t *ring, uint32_t limit)
 {
   ring->entries = g_new0 (entry_t, limit);
-  ring->by_attempt = g_hash_table_new (hop_attempt_hash, hop_attempt_equal);
+  ring->by_attempt = g_hash_table_new (hop_hash_attempt, hop_equal_attempt);
   ring->limit = limit;
 }
 
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -30,7 +30,7 @@
 add_status (json_t *out, void *context)
 {
   const sdc_t *sidecar = context;
-  uint64_t now_us = ops_now_us (sidecar->ops);
+  uint64_t now_us = data_task_now_us (sidecar->ops);
   load_sample_t own = admission_sample (sidecar->admission, now_us);
   load_samples_estimate_t mean = load_samples_estimate_mean (
       admission_mean (sidecar->admission), now_us, &own, sidecar->other_engine_count + 1);
@@ -53,7 +53,7 @@
 is_live (uint64_t engine_hash, void *context)
 {
   const sdc_t *sidecar = context;
-  const membership_snapshot_t *members = ops_members (sidecar->ops);
+  const membership_snapshot_t *members = data_task_members (sidecar->ops);
   const membership_host_t *host =
       members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
 
@@ -63,8 +63,8 @@
 static void
 list_other_engines (sdc_t *sidecar)
 {
-  const man_t *manifest = ops_man (sidecar->ops);
-  const membership_snapshot_t *members = ops_members (sidecar->ops);
+  const man_t *manifest = data_task_manifest (sidecar->ops);
+  const membership_snapshot_t *members = data_task_members (sidecar->ops);
 
   g_clear_pointer (&sidecar->other_engines, g_free);
   sidecar->other_engine_count = 0;
@@ -107,18 +107,18 @@
 static bool
 is_leaving (const sdc_t *sidecar)
 {
-  const membership_snapshot_t *members = ops_members (sidecar->ops);
+  const membership_snapshot_t *members = data_task_members (sidecar->ops);
   const membership_host_t *own =
       members != NULL ? membership_find_by_hash (members, sidecar->own_hash) : NULL;
 
-  return ops_draining (sidecar->ops) || (own != NULL && own->state != MEMBERSHIP_LIVE);
+  return data_task_is_draining (sidecar->ops) || (own != NULL && own->state != MEMBERSHIP_LIVE);
 }
 
 bool
 sdc_takes_work (const sdc_t *sidecar)
 {
   return sidecar->service != NULL && sidecar->engine_up && !is_leaving (sidecar) &&
-         !ops_stale (sidecar->ops);
+         !data_task_is_stale (sidecar->ops);
 }
 
 verdict_reason_t
@@ -126,7 +126,7 @@
 {
   const sdc_t *sidecar = call->sidecar;
 
-  if (ops_stale (sidecar->ops))
+  if (data_task_is_stale (sidecar->ops))
     return VERDICT_REASON_STALE;
   if (is_leaving (sidecar))
     return VERDICT_REASON_LEAVING;
@@ -139,7 +139,7 @@
 sdc_left_lately (const sdc_t *sidecar)
 {
   return sidecar->leaving_since_us != 0 &&
-         ops_now_us (sidecar->ops) - sidecar->leaving_since_us < LIM_LEAVING_GRACE_US;
+         data_task_now_us (sidecar->ops) - sidecar->leaving_since_us < LIM_LEAVING_GRACE_US;
 }
 
 static void
@@ -148,14 +148,14 @@
   if (!is_leaving (sidecar))
     sidecar->leaving_since_us = 0;
   else if (sidecar->leaving_since_us == 0)
-    sidecar->leaving_since_us = ops_now_us (sidecar->ops);
+    sidecar->leaving_since_us = data_task_now_us (sidecar->ops);
 }
 
 static void
 on_configuration_changed (void *context)
 {
   sdc_t *sidecar = context;
-  const man_t *manifest = ops_man (sidecar->ops);
+  const man_t *manifest = data_task_manifest (sidecar->ops);
   admission_options_t options;
 
   sidecar->service =
@@ -185,13 +185,13 @@
 static void
 report_load (sdc_t *sidecar)
 {
-  msg_samples_t *message;
+  message_load_samples_t *message;
 
   if (!sdc_takes_work (sidecar))
     return;
-  message = msg_new (MSG_OWN_SAMPLE);
+  message = message_new (MESSAGE_OWN_LOAD_SAMPLE);
   message->count = 1;
-  message->samples[0] = admission_sample (sidecar->admission, ops_now_us (sidecar->ops));
+  message->samples[0] = admission_sample (sidecar->admission, data_task_now_us (sidecar->ops));
   sidecar->reported_sample = message->samples[0];
   mbx_send (sidecar->daemon->to_control, &message->head);
 }
@@ -215,13 +215,13 @@
   (void)what;
   sdc_pump (sidecar);
   cnt_set_value (sidecar->bound_milli,
-                 admission_bound_milli (sidecar->admission, ops_now_us (sidecar->ops)));
+                 admission_bound_milli (sidecar->admission, data_task_now_us (sidecar->ops)));
   if (load_change >= REPORT_LOAD_CHANGE || load_change <= -REPORT_LOAD_CHANGE)
     report_load (sidecar);
 }
 
 static void
-merge_samples (sdc_t *sidecar, const msg_samples_t *message)
+merge_samples (sdc_t *sidecar, const message_load_samples_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
@@ -235,10 +235,10 @@
 }
 
 static void
-merge_crash_marks (sdc_t *sidecar, const msg_marks_t *message)
+merge_crash_marks (sdc_t *sidecar, const message_crash_marks_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
-    suspect_merge_mark (admission_suspects (sidecar->admission), ops_now_us (sidecar->ops),
+    suspect_merge_mark (admission_suspects (sidecar->admission), data_task_now_us (sidecar->ops),
                         &message->marks[i]);
 }
 
@@ -281,22 +281,22 @@
 sdc_new (dmn_t *daemon, struct event_base *base, GError **error)
 {
   sdc_t *sidecar = g_new0 (sdc_t, 1);
-  ops_options_t options = { .dmn = daemon,
-                            .base = base,
-                            .on_call = sdc_accept,
-                            .on_sealed = sdc_order,
-                            .ready = is_ready,
-                            .in_flight = count_in_flight,
-                            .status = add_status,
-                            .changed = on_configuration_changed,
-                            .stopping = on_stopping,
-                            .context = sidecar };
+  data_task_options_t options = { .dmn = daemon,
+                                  .base = base,
+                                  .on_call = sdc_accept,
+                                  .on_sealed = sdc_order,
+                                  .ready = is_ready,
+                                  .in_flight = count_in_flight,
+                                  .status = add_status,
+                                  .changed = on_configuration_changed,
+                                  .stopping = on_stopping,
+                                  .context = sidecar };
   admission_options_t first;
 
   sidecar->daemon = daemon;
   sidecar->base = base;
   sidecar->own_hash = rendezvous_hash_name (daemon->set.name);
-  sidecar->ops = ops_new (&options, error);
+  sidecar->ops = data_task_new (&options, error);
   if (sidecar->ops == NULL)
     {
       g_free (sidecar);
@@ -305,10 +305,10 @@
   first = admission_options (sidecar);
   sidecar->admission = admission_new (&first);
   admission_set_engine_up (sidecar->admission, false);
-  admission_set_joined (sidecar->admission, ops_now_us (sidecar->ops));
+  admission_set_joined (sidecar->admission, data_task_now_us (sidecar->ops));
   sidecar->history = hst_new (LIM_REVOKED);
   sidecar->http_client = hcl_new (base, SDC_IDLE_CONNECTIONS, SDC_IDLE_TIMEOUT_MS);
-  sidecar->calls = g_hash_table_new (hop_attempt_hash, hop_attempt_equal);
+  sidecar->calls = g_hash_table_new (hop_hash_attempt, hop_equal_attempt);
   snprintf (sidecar->incarnation_text, sizeof sidecar->incarnation_text, "%" PRIu64,
             daemon->incarnation);
   make_counters (sidecar);
@@ -339,7 +339,7 @@
   event_free (sidecar->probe_timer);
   event_free (sidecar->tick_timer);
   event_free (sidecar->report_timer);
-  ops_free (sidecar->ops);
+  data_task_free (sidecar->ops);
   hcl_free (sidecar->http_client);
   admission_free (sidecar->admission);
   hst_free (sidecar->history);
@@ -353,18 +353,18 @@
 {
   sdc_t *sidecar = context;
 
-  if (ops_message (sidecar->ops, message))
+  if (data_task_handle_message (sidecar->ops, message))
     return;
-  switch ((msg_kind_t)message->kind)
+  switch ((message_kind_t)message->kind)
     {
-    case MSG_SAMPLES:
-      merge_samples (sidecar, (msg_samples_t *)message);
+    case MESSAGE_LOAD_SAMPLES:
+      merge_samples (sidecar, (message_load_samples_t *)message);
       break;
-    case MSG_MARKS:
-      merge_crash_marks (sidecar, (msg_marks_t *)message);
+    case MESSAGE_CRASH_MARKS:
+      merge_crash_marks (sidecar, (message_crash_marks_t *)message);
       break;
-    case MSG_CLAIM_RESULT:
-      sdc_claim_result (sidecar, &((msg_claim_result_t *)message)->result);
+    case MESSAGE_CLAIM_RESULT:
+      sdc_claim_result (sidecar, &((message_claim_result_t *)message)->result);
       break;
     default:
       break;
