--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -104,18 +104,18 @@
   g_strlcpy (router->set.listen.ip, "127.0.0.1", sizeof router->set.listen.ip);
   sidecar->set.listen = router->set.listen;
   sidecar->set.engine = router->set.listen;
-  rtr_t *rtr = rtr_new (router, fleet->base, NULL);
-  sdc_t *sdc = sdc_new (sidecar, fleet->base, NULL);
+  router_t *rtr = router_new (router, fleet->base, NULL);
+  sidecar_t *sdc = sidecar_new (sidecar, fleet->base, NULL);
   if (rtr == NULL || sdc == NULL)
     {
       fprintf (stderr, "bench_spread: no port\n");
       exit (1);
     }
   run_print (run, "members told to a router's data task", "us",
-             members_cost_us (fleet, rtr_message, rtr));
+             members_cost_us (fleet, router_handle_message, rtr));
   run_print (run, "members told to a sidecar's data task", "us",
-             members_cost_us (fleet, sdc_message, sdc));
-  rtr_free (rtr);
-  sdc_free (sdc);
+             members_cost_us (fleet, sidecar_handle_message, sdc));
+  router_free (rtr);
+  sidecar_free (sdc);
   run_end (run);
 }
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -46,8 +46,8 @@
   lfl_t *flusher;
   struct event_base *data_base;
   ctrl_t *control_task;
-  rtr_t *router;
-  sdc_t *sidecar;
+  router_t *router;
+  sidecar_t *sidecar;
   struct event *on_sigterm;
   struct event *on_sigint;
   bool draining;
@@ -77,9 +77,9 @@
   member_process_t *process = context;
 
   if (process->router != NULL)
-    rtr_message (message, process->router);
+    router_handle_message (message, process->router);
   else
-    sdc_message (message, process->sidecar);
+    sidecar_handle_message (message, process->sidecar);
 }
 
 /*
@@ -176,9 +176,9 @@
   if (process->control_task == NULL)
     return false;
   if (daemon->set.role == SET_ROLE_ROUTER)
-    process->router = rtr_new (daemon, process->data_base, error);
+    process->router = router_new (daemon, process->data_base, error);
   else
-    process->sidecar = sdc_new (daemon, process->data_base, error);
+    process->sidecar = sidecar_new (daemon, process->data_base, error);
   return process->router != NULL || process->sidecar != NULL;
 }
 
@@ -187,9 +187,9 @@
 close_process (member_process_t *process)
 {
   if (process->router != NULL)
-    rtr_free (process->router);
+    router_free (process->router);
   if (process->sidecar != NULL)
-    sdc_free (process->sidecar);
+    sidecar_free (process->sidecar);
   if (process->control_task != NULL)
     ctrl_free (process->control_task);
   mbx_free (process->daemon.to_data);
--- a/src/request/router/chat_body.c
+++ b/src/request/router/chat_body.c
@@ -26,7 +26,7 @@
         }
       else if (c == '"')
         in_string = true;
-      else if ((c == '[' || c == '{') && ++depth > CBD_DEPTH)
+      else if ((c == '[' || c == '{') && ++depth > CHAT_BODY_MAX_DEPTH)
         return true;
       else if ((c == ']' || c == '}') && depth > 0)
         depth--;
@@ -45,7 +45,7 @@
 /* read_opening() - collects the messages up to and including the first user message, which stay the
  * same in all later requests of the chat */
 static void
-read_opening (cbd_t *chat, const json_t *messages)
+read_opening (chat_body_t *chat, const json_t *messages)
 {
   GString *text = g_string_new (NULL);
   size_t index;
@@ -82,7 +82,7 @@
 }
 
 static const char *
-read_fields (cbd_t *chat, const json_t *json)
+read_fields (chat_body_t *chat, const json_t *json)
 {
   const char *model = json_string_value (json_object_get (json, "model"));
   const json_t *messages = json_object_get (json, "messages");
@@ -102,7 +102,7 @@
 }
 
 const char *
-cbd_parse (cbd_t *chat, const char *body, size_t body_bytes)
+chat_body_parse (chat_body_t *chat, const char *body, size_t body_bytes)
 {
   json_error_t error;
   json_t *json;
@@ -120,7 +120,7 @@
 }
 
 void
-cbd_clear (cbd_t *chat)
+chat_body_clear (chat_body_t *chat)
 {
   g_free (chat->opening);
   chat->opening = NULL;
--- a/src/request/router/chat_body.h
+++ b/src/request/router/chat_body.h
@@ -13,12 +13,13 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CBD_PATH "/v1/chat/completions"
+#define CHAT_BODY_PATH "/v1/chat/completions"
 /* Nesting depth of the JSON body; the parser recurses once for each level. */
-#define CBD_DEPTH 32
+#define CHAT_BODY_MAX_DEPTH 32
 
 /**
- * struct cbd - fields of a chat completion request; filled by cbd_parse(), freed by cbd_clear()
+ * struct chat_body - fields of a chat completion request; filled by chat_body_parse(), freed by
+ * chat_body_clear()
  * @opening: contents of the messages up to and including the first user message, each as JSON on a
  *   line of its own; NULL if the body could not be parsed
  * @opening_bytes: length of @opening without the final NUL
@@ -33,15 +34,15 @@
   uint32_t opening_bytes;
   uint32_t max_tokens;
   bool returning;
-} cbd_t;
+} chat_body_t;
 
 /**
- * cbd_parse() - parses the body of a chat completion request
+ * chat_body_parse() - parses the body of a chat completion request
  *
- * Return: NULL, or an error message for the caller; cbd_clear() is to be called either way
+ * Return: NULL, or an error message for the caller; chat_body_clear() is to be called either way
  */
-const char *cbd_parse (cbd_t *chat, const char *body, size_t body_bytes);
-/** cbd_clear() - frees what @chat owns; a zeroed struct is allowed */
-void cbd_clear (cbd_t *chat);
+const char *chat_body_parse (chat_body_t *chat, const char *body, size_t body_bytes);
+/** chat_body_clear() - frees what @chat owns; a zeroed struct is allowed */
+void chat_body_clear (chat_body_t *chat);
 
 #endif
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -7,7 +7,7 @@
 static bool
 is_ready (void *context)
 {
-  const rtr_t *router = context;
+  const router_t *router = context;
 
   /* The first member list read from the platform may be empty. */
   for (uint32_t i = 0; i < router->pool_count; i++)
@@ -19,7 +19,7 @@
 static uint32_t
 count_in_flight (void *context)
 {
-  const rtr_t *router = context;
+  const router_t *router = context;
 
   return router->calls.length;
 }
@@ -27,7 +27,7 @@
 static void
 add_status (json_t *out, void *context)
 {
-  const rtr_t *router = context;
+  const router_t *router = context;
   json_t *services = json_object ();
   const man_t *manifest = data_task_manifest (router->ops);
 
@@ -53,7 +53,7 @@
 static void
 on_stopping (void *context)
 {
-  const rtr_t *router = context;
+  const router_t *router = context;
 
   log_event (LOG_LEVEL_NOTICE, "stopping", "in_flight", LOG_U64 (router->calls.length), NULL);
 }
@@ -70,14 +70,14 @@
 /* update_members() - drops what is known of hosts that are no longer members, and the health of
  * those that restarted */
 static void
-update_members (rtr_t *router)
+update_members (router_t *router)
 {
   membership_snapshot_t *members = data_task_members (router->ops);
 
   if (members == NULL)
     return;
   for (uint32_t i = 0; i < members->host_count; i++)
-    rtr_learn_incarnation (router, members->hosts[i].hash, members->hosts[i].incarnation);
+    router_record_incarnation (router, members->hosts[i].hash, members->hosts[i].incarnation);
   g_hash_table_foreach_remove (router->incarnations, is_not_member, members);
   g_hash_table_foreach_remove (router->host_probes, is_not_member, members);
 }
@@ -96,7 +96,7 @@
 
 /* update_load_tables() - keeps one table for each service in force, and no others */
 static void
-update_load_tables (rtr_t *router)
+update_load_tables (router_t *router)
 {
   man_t *manifest = data_task_manifest (router->ops);
 
@@ -106,11 +106,11 @@
   for (uint32_t i = 0; i < manifest->service_count; i++)
     {
       uint64_t hash = manifest->services[i].hash;
-      rtr_loads_t *loads;
+      router_loads_t *loads;
 
       if (g_hash_table_contains (router->loads, &hash))
         continue;
-      loads = g_new0 (rtr_loads_t, 1);
+      loads = g_new0 (router_loads_t, 1);
       load_samples_init (&loads->table, router->request_id_high + i);
       g_hash_table_insert (router->loads, g_memdup2 (&hash, sizeof hash), loads);
     }
@@ -119,15 +119,15 @@
 static void
 on_configuration_changed (void *context)
 {
-  rtr_t *router = context;
+  router_t *router = context;
 
   update_members (router);
   update_load_tables (router);
-  rtr_place_rebuild (router);
+  router_pools_rebuild (router);
 }
 
 static void
-make_counters (rtr_t *router)
+make_counters (router_t *router)
 {
   cnt_set_t *set = router->daemon->counters;
   char name[128];
@@ -154,7 +154,7 @@
 }
 
 uint64_t
-rtr_incarnation (const rtr_t *router, uint64_t engine_hash)
+router_known_incarnation (const router_t *router, uint64_t engine_hash)
 {
   const uint64_t *known = g_hash_table_lookup (router->incarnations, &engine_hash);
 
@@ -162,9 +162,9 @@
 }
 
 void
-rtr_learn_incarnation (rtr_t *router, uint64_t engine_hash, uint64_t incarnation)
+router_record_incarnation (router_t *router, uint64_t engine_hash, uint64_t incarnation)
 {
-  uint64_t known = rtr_incarnation (router, engine_hash);
+  uint64_t known = router_known_incarnation (router, engine_hash);
 
   if (incarnation <= known)
     return;
@@ -174,13 +174,13 @@
                         g_memdup2 (&incarnation, sizeof incarnation));
 }
 
-rtr_t *
-rtr_new (dmn_t *daemon, struct event_base *base, GError **error)
+router_t *
+router_new (dmn_t *daemon, struct event_base *base, GError **error)
 {
-  rtr_t *router = g_new0 (rtr_t, 1);
+  router_t *router = g_new0 (router_t, 1);
   data_task_options_t options = { .dmn = daemon,
                                   .base = base,
-                                  .on_call = rtr_accept,
+                                  .on_call = router_accept,
                                   .on_sealed = on_sealed,
                                   .ready = is_ready,
                                   .in_flight = count_in_flight,
@@ -197,18 +197,18 @@
       g_free (router);
       return NULL;
     }
-  router->http_client = hcl_new (base, RTR_IDLE_CONNECTIONS, RTR_IDLE_TIMEOUT_MS);
+  router->http_client = hcl_new (base, ROUTER_IDLE_CONNECTIONS, ROUTER_IDLE_TIMEOUT_MS);
   router->health = health_new ();
   forwarding_budget_init (&router->retry_budget);
   router->incarnations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   router->loads = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  router->host_probes =
-      g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, (GDestroyNotify)rtr_watch_free);
-  router->served_hints = g_new0 (rtr_told_t, RTR_TOLD_ENTRIES);
-  router->answered_requests = recent_answers_new (RTR_PROVEN_ENTRIES, RTR_PROVEN_US);
+  router->host_probes = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
+                                               (GDestroyNotify)router_host_probe_free);
+  router->served_hints = g_new0 (router_hint_t, ROUTER_HINT_ENTRIES);
+  router->answered_requests = recent_answers_new (ROUTER_ANSWERED_ENTRIES, ROUTER_ANSWERED_TTL_US);
   router->requests_in_flight = in_flight_new ();
   bdg_init (&router->control_budget, daemon->set.control_budget_bytes, clk_now_us (&daemon->clk));
-  router->suspects = suspect_new (LIM_SUSPECTS, RTR_SUSPECT_US);
+  router->suspects = suspect_new (LIM_SUSPECTS, ROUTER_SUSPECT_TTL_US);
   g_queue_init (&router->calls);
   /* The name is included because two routers may start in the same millisecond, and must not use
    * the same attempt ids. */
@@ -218,23 +218,23 @@
 }
 
 void
-rtr_free (rtr_t *router)
+router_free (router_t *router)
 {
   if (router == NULL)
     return;
   while (router->calls.head != NULL)
     {
-      rtr_call_t *call = router->calls.head->data;
+      router_call_t *call = router->calls.head->data;
 
       if (call->inbound != NULL)
         hsv_abort (call->inbound);
-      rtr_call_free (call);
+      router_call_free (call);
     }
   g_hash_table_destroy (router->host_probes);
   data_task_free (router->ops);
   hcl_free (router->http_client);
   health_free (router->health);
-  rtr_place_clear (router);
+  router_pools_clear (router);
   g_hash_table_destroy (router->incarnations);
   g_hash_table_destroy (router->loads);
   g_free (router->served_hints);
@@ -245,10 +245,10 @@
 }
 
 void
-rtr_message (mbx_message_t *message, void *context)
+router_handle_message (mbx_message_t *message, void *context)
 {
-  rtr_t *router = context;
+  router_t *router = context;
 
   if (!data_task_handle_message (router->ops, message) && message->kind == MESSAGE_LOAD_SAMPLES)
-    rtr_place_samples (router, (message_load_samples_t *)message);
+    router_merge_samples (router, (message_load_samples_t *)message);
 }
--- a/src/request/router/router.h
+++ b/src/request/router/router.h
@@ -9,13 +9,13 @@
 
 #include "base/daemon.h"
 
-typedef struct router rtr_t;
+typedef struct router router_t;
 
-/** rtr_new() - Return: NULL with @error set when the HTTP listener cannot be opened */
-rtr_t *rtr_new (dmn_t *daemon, struct event_base *base, GError **error);
-/** rtr_free() - aborts all requests in flight; NULL is allowed */
-void rtr_free (rtr_t *router);
-/** rtr_message() - handler of the data task's mailbox; @context is the rtr_t */
-void rtr_message (mbx_message_t *message, void *context);
+/** router_new() - Return: NULL with @error set when the HTTP listener cannot be opened */
+router_t *router_new (dmn_t *daemon, struct event_base *base, GError **error);
+/** router_free() - aborts all requests in flight; NULL is allowed */
+void router_free (router_t *router);
+/** router_handle_message() - handler of the data task's mailbox; @context is the router_t */
+void router_handle_message (mbx_message_t *message, void *context);
 
 #endif
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -32,14 +32,14 @@
 }
 
 static bool
-read_body (rtr_call_t *call, cbd_t *chat, rejection_t *rejection)
+read_body (router_call_t *call, chat_body_t *chat, rejection_t *rejection)
 {
   const char *fault;
 
   call->body = hsv_take_body (call->inbound, &call->body_bytes);
-  if (strcmp (call->method, "POST") != 0 || strcmp (hsv_path (call->inbound), CBD_PATH) != 0)
+  if (strcmp (call->method, "POST") != 0 || strcmp (hsv_path (call->inbound), CHAT_BODY_PATH) != 0)
     return true;
-  fault = cbd_parse (chat, call->body, call->body_bytes);
+  fault = chat_body_parse (chat, call->body, call->body_bytes);
   return fault == NULL || reject (rejection, 400, "bad_body", fault);
 }
 
@@ -49,14 +49,14 @@
  * request, while the engine ran the non-idempotent "/book" twice, or served a path that has no
  * route. */
 static bool
-check_target (const rtr_call_t *call, rejection_t *rejection)
+check_target (const router_call_t *call, rejection_t *rejection)
 {
-  return tgt_is_plain (call->target) ||
+  return request_target_is_unambiguous (call->target) ||
          reject (rejection, 400, "bad_target", "the path can be read in more than one way");
 }
 
 static bool
-find_route (rtr_call_t *call, const cbd_t *chat, rejection_t *rejection)
+find_route (router_call_t *call, const chat_body_t *chat, rejection_t *rejection)
 {
   const char *model = chat->model[0] != '\0' ? chat->model : NULL;
   const char *class_name = hsv_header (call->inbound, CLASS_HEADER);
@@ -76,7 +76,7 @@
 }
 
 static bool
-read_deadline (rtr_call_t *call, rejection_t *rejection)
+read_deadline (router_call_t *call, rejection_t *rejection)
 {
   const char *text = hsv_header (call->inbound, DEADLINE_HEADER);
   guint64 deadline_ms = call->request_class->deadline_ms;
@@ -93,7 +93,7 @@
 }
 
 static bool
-read_chat (rtr_call_t *call, const cbd_t *chat, rejection_t *rejection)
+read_chat (router_call_t *call, const chat_body_t *chat, rejection_t *rejection)
 {
   const char *id = hsv_header (call->inbound, CHAT_HEADER);
 
@@ -114,7 +114,7 @@
 }
 
 static bool
-read_key (rtr_call_t *call, rejection_t *rejection)
+read_key (router_call_t *call, rejection_t *rejection)
 {
   const char *key = hsv_header (call->inbound, KEY_HEADER);
 
@@ -127,7 +127,7 @@
 }
 
 static void
-estimate_tokens (rtr_call_t *call, const cbd_t *chat)
+estimate_tokens (router_call_t *call, const chat_body_t *chat)
 {
   uint32_t expected = call->request_class->expected_tokens;
 
@@ -142,7 +142,7 @@
  * it is sent again it reaches the sidecars that know whether it crashed an engine. An idempotent
  * request that was answered recently is placed at random, so that repetitions use all engines. */
 static uint64_t
-placement_hash (const rtr_call_t *call)
+placement_hash (const router_call_t *call)
 {
   char shard[32];
 
@@ -161,7 +161,7 @@
 }
 
 static void
-fill_hop (rtr_call_t *call, const cbd_t *chat)
+fill_hop (router_call_t *call, const chat_body_t *chat)
 {
   hop_t *hop = &call->hop;
 
@@ -172,7 +172,7 @@
   hop->body_hash = digest_request (call->method, call->target, call->body, call->body_bytes);
   hop->fingerprint = digest_fingerprint (hop->account, hop->body_hash);
   call->placement_hash = placement_hash (call);
-  rtr_place_find (call, chat->opening != NULL && !chat->returning);
+  router_find_candidates (call, chat->opening != NULL && !chat->returning);
   if (hop->key_hash[1] != 0)
     hop->has_chat = false;
   hop->home_hash = call->placement.home_hash;
@@ -181,7 +181,7 @@
 }
 
 static void
-copy_headers (rtr_call_t *call)
+copy_headers (router_call_t *call)
 {
   uint32_t limit = call->router->daemon->set.header_limit_count;
 
@@ -196,9 +196,9 @@
 }
 
 static bool
-validate (rtr_call_t *call, rejection_t *rejection)
+validate (router_call_t *call, rejection_t *rejection)
 {
-  cbd_t chat = { 0 };
+  chat_body_t chat = { 0 };
   bool valid;
 
   call->account = data_task_find_account (call->router->ops, call->inbound);
@@ -212,14 +212,14 @@
       fill_hop (call, &chat);
       copy_headers (call);
     }
-  cbd_clear (&chat);
+  chat_body_clear (&chat);
   return valid;
 }
 
-static rtr_call_t *
-call_new (rtr_t *router, hsv_call_t *inbound)
+static router_call_t *
+call_new (router_t *router, hsv_call_t *inbound)
 {
-  rtr_call_t *call = g_new0 (rtr_call_t, 1);
+  router_call_t *call = g_new0 (router_call_t, 1);
 
   call->router = router;
   call->inbound = inbound;
@@ -229,7 +229,7 @@
   call->method = g_strdup (hsv_method (inbound));
   call->target = g_strdup (hsv_target (inbound));
   call->arrived_us = data_task_now_us (router->ops);
-  call->timer = evtimer_new (router->base, rtr_hop_timer, call);
+  call->timer = evtimer_new (router->base, router_hop_on_timer, call);
   router->request_id_low += 0x100; /* the lowest byte is the number of the hop */
   call->request_id[0] = router->request_id_high;
   call->request_id[1] = router->request_id_low;
@@ -239,11 +239,11 @@
 }
 
 void
-rtr_accept (hsv_call_t *inbound, void *context)
+router_accept (hsv_call_t *inbound, void *context)
 {
-  rtr_t *router = context;
+  router_t *router = context;
   rejection_t rejection;
-  rtr_call_t *call;
+  router_call_t *call;
 
   if (data_task_is_stale (router->ops) || data_task_manifest (router->ops) == NULL ||
       data_task_members (router->ops) == NULL)
@@ -256,9 +256,9 @@
   call = call_new (router, inbound);
   if (validate (call, &rejection))
     {
-      rtr_call_start (call);
+      router_call_start (call);
       return;
     }
   error_reply_reject (inbound, rejection.status, rejection.code, rejection.message);
-  rtr_call_free (call);
+  router_call_free (call);
 }
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 static void
-append_host_name (char *out, const rtr_t *router, uint64_t engine_hash)
+append_host_name (char *out, const router_t *router, uint64_t engine_hash)
 {
   const membership_host_t *host =
       membership_find_by_hash (data_task_members (router->ops), engine_hash);
@@ -16,13 +16,13 @@
 }
 
 void
-rtr_call_note (rtr_call_t *call,
-               const char *action,
-               uint64_t engine_hash,
-               verdict_t verdict,
-               verdict_reason_t reason)
+router_call_log_decision (router_call_t *call,
+                          const char *action,
+                          uint64_t engine_hash,
+                          verdict_t verdict,
+                          verdict_reason_t reason)
 {
-  const rtr_t *router = call->router;
+  const router_t *router = call->router;
   const membership_host_t *host =
       membership_find_by_hash (data_task_members (router->ops), engine_hash);
   decision_t decision = { .request = { call->request_id[0],
@@ -45,15 +45,15 @@
 }
 
 flt_t
-rtr_call_fault (const rtr_call_t *call, verdict_t verdict, verdict_reason_t reason)
+router_call_fault (const router_call_t *call, verdict_t verdict, verdict_reason_t reason)
 {
   return (flt_t){ .verdict = verdict, .reason = reason, .request = call->request_text };
 }
 
 void
-rtr_call_free (rtr_call_t *call)
+router_call_free (router_call_t *call)
 {
-  rtr_hop_drop (call);
+  router_hop_cancel (call);
   if (call->revoke_request != NULL)
     hcl_cancel (call->revoke_request);
   if (call->timer != NULL)
@@ -74,65 +74,68 @@
 }
 
 static void
-give_up (rtr_call_t *call, const forwarding_step_t *step)
+give_up (router_call_t *call, const forwarding_step_t *step)
 {
-  flt_t fault = rtr_call_fault (call, step->verdict, step->reason);
+  flt_t fault = router_call_fault (call, step->verdict, step->reason);
 
   fault.retry_after_ms = step->retry_after_ms;
-  rtr_call_note (call, "give_up", call->attempts.last_engine, step->verdict, step->reason);
+  router_call_log_decision (call, "give_up", call->attempts.last_engine, step->verdict,
+                            step->reason);
   cnt_add (call->router->ended[step->verdict], 1);
   if (call->relay.begun)
     relay_abort (&call->relay, &fault);
   else if (call->inbound != NULL)
     error_reply_send (call->inbound, &fault);
-  rtr_call_free (call);
+  router_call_free (call);
 }
 
 static void
-finish (rtr_call_t *call)
+finish (router_call_t *call)
 {
-  rtr_call_note (call, "answer", call->attempts.last_engine, VERDICT_RAN, VERDICT_REASON_NONE);
+  router_call_log_decision (call, "answer", call->attempts.last_engine, VERDICT_RAN,
+                            VERDICT_REASON_NONE);
   cnt_add (call->router->ended[VERDICT_RAN], 1);
   recent_answers_add (call->router->answered_requests, data_task_now_us (call->router->ops),
                       call->hop.fingerprint);
-  rtr_tell_served (call, call->attempts.last_engine);
+  router_send_served_hint (call, call->attempts.last_engine);
   relay_finish (&call->relay);
-  rtr_call_free (call);
+  router_call_free (call);
 }
 
 /* send_hop() - Return: false when the host is no longer a live member */
 static bool
-send_hop (rtr_call_t *call, const forwarding_step_t *step)
+send_hop (router_call_t *call, const forwarding_step_t *step)
 {
-  const membership_host_t *host = rtr_host (call->router, step->engine_hash);
+  const membership_host_t *host = router_find_host (call->router, step->engine_hash);
 
   if (host == NULL)
     return false;
   call->hop.may_wait = step->may_wait;
   call->hop.referred = step->referred;
-  rtr_call_note (call, "send", step->engine_hash, VERDICT_NOT_RUN,
-                 call->attempts.hops > 1 ? call->attempts.last_reason : VERDICT_REASON_NONE);
-  rtr_hop_send (call, host);
+  router_call_log_decision (call, "send", step->engine_hash, VERDICT_NOT_RUN,
+                            call->attempts.hops > 1 ? call->attempts.last_reason
+                                                    : VERDICT_REASON_NONE);
+  router_hop_send (call, host);
   return true;
 }
 
 /* send_revoke() - Return: false when the host is no longer a member */
 static bool
-send_revoke (rtr_call_t *call, const forwarding_step_t *step)
+send_revoke (router_call_t *call, const forwarding_step_t *step)
 {
   const membership_host_t *host =
       membership_find_by_hash (data_task_members (call->router->ops), step->engine_hash);
 
   if (host == NULL)
     return false;
-  rtr_call_note (call, "revoke", step->engine_hash, VERDICT_MAY_HAVE_RUN,
-                 call->attempts.last_reason);
-  rtr_revoke (call, host);
+  router_call_log_decision (call, "revoke", step->engine_hash, VERDICT_MAY_HAVE_RUN,
+                            call->attempts.last_reason);
+  router_revoke (call, host);
   return true;
 }
 
 void
-rtr_call_step (rtr_call_t *call, forwarding_step_t step)
+router_call_take_step (router_call_t *call, forwarding_step_t step)
 {
   static const forwarding_outcome_t UNKNOWN_HOST = { .verdict = VERDICT_NOT_RUN,
                                                      .reason = VERDICT_REASON_CONNECT };
@@ -147,7 +150,7 @@
         case FORWARDING_SEND:
           if (call->caller_gone)
             {
-              rtr_call_free (call);
+              router_call_free (call);
               return;
             }
           if (send_hop (call, &step))
@@ -174,9 +177,9 @@
  * The caller may send the request again at once, and it may be placed on another engine whose
  * sidecar has not heard of the crash yet. The router passes on what it has recorded here. */
 static void
-record_crash (rtr_call_t *call)
+record_crash (router_call_t *call)
 {
-  rtr_t *router = call->router;
+  router_t *router = call->router;
 
   recent_answers_remove (router->answered_requests, call->hop.fingerprint);
   suspect_add_crash (router->suspects, data_task_now_us (router->ops), call->hop.fingerprint,
@@ -184,9 +187,9 @@
 }
 
 void
-rtr_call_ended (rtr_call_t *call, const forwarding_outcome_t *outcome)
+router_call_handle_outcome (router_call_t *call, const forwarding_outcome_t *outcome)
 {
-  rtr_t *router = call->router;
+  router_t *router = call->router;
   uint32_t retries = call->attempts.retries;
   forwarding_step_t step;
 
@@ -198,27 +201,27 @@
   step = forwarding_attempt_ended (&call->attempts, data_task_now_us (router->ops),
                                    &router->retry_budget, outcome);
   cnt_add (router->retries, call->attempts.retries - retries);
-  rtr_call_step (call, step);
+  router_call_take_step (call, step);
 }
 
 void
-rtr_call_gone (void *context)
+router_call_on_disconnect (void *context)
 {
-  rtr_call_t *call = context;
+  router_call_t *call = context;
 
   call->inbound = NULL;
   call->caller_gone = true;
   relay_client_gone (&call->relay);
-  rtr_call_note (call, "caller_gone", call->attempts.last_engine, VERDICT_MAY_HAVE_RUN,
-                 VERDICT_REASON_CUT);
+  router_call_log_decision (call, "caller_gone", call->attempts.last_engine, VERDICT_MAY_HAVE_RUN,
+                            VERDICT_REASON_CUT);
   /* A non-idempotent request that may have started is left running. If it were interrupted half
    * way, the caller could not know its outcome, nor send it again. */
   if (call->hop.idempotent || call->outbound == NULL)
-    rtr_call_free (call);
+    router_call_free (call);
 }
 
 void
-rtr_call_start (rtr_call_t *call)
+router_call_start (router_call_t *call)
 {
   suspect_mark_t mark;
   bool suspect =
@@ -230,6 +233,6 @@
                                    .candidate_count = call->placement.candidate_count,
                                    .crashed = suspect ? mark.engines : NULL };
 
-  hsv_on_gone (call->inbound, rtr_call_gone, call);
-  rtr_call_step (call, forwarding_begin (&call->attempts, call->arrived_us, &options));
+  hsv_on_gone (call->inbound, router_call_on_disconnect, call);
+  router_call_take_step (call, forwarding_begin (&call->attempts, call->arrived_us, &options));
 }
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static void
-set_timer (rtr_call_t *call, uint64_t delay_us)
+set_timer (router_call_t *call, uint64_t delay_us)
 {
   struct timeval delay = { .tv_sec = (time_t)(delay_us / CLK_US_PER_S),
                            .tv_usec = (suseconds_t)(delay_us % CLK_US_PER_S) };
@@ -16,12 +16,12 @@
 
 /* set_hop_timer() - sets the timer to the deadline, or to an earlier check for a frozen host */
 static void
-set_hop_timer (rtr_call_t *call)
+set_hop_timer (router_call_t *call)
 {
   uint64_t now_us = data_task_now_us (call->router->ops);
-  uint64_t give_up_us = call->deadline_us + RTR_DEADLINE_GRACE_US;
+  uint64_t give_up_us = call->deadline_us + ROUTER_DEADLINE_GRACE_US;
 
-  set_timer (call, now_us < give_up_us ? MIN (give_up_us - now_us, RTR_QUIET_US) : 0);
+  set_timer (call, now_us < give_up_us ? MIN (give_up_us - now_us, ROUTER_HOST_PROBE_DELAY_US) : 0);
 }
 
 static uint32_t
@@ -46,17 +46,17 @@
 
 /* read_referrals() - stores the referrals to hosts that are live and not skipped by this router */
 static void
-read_referrals (rtr_call_t *call, const char *names)
+read_referrals (router_call_t *call, const char *names)
 {
-  rtr_answer_t *answer = &call->answer;
-  const rtr_t *router = call->router;
+  router_answer_t *answer = &call->answer;
+  const router_t *router = call->router;
   g_auto (GStrv) parts = names != NULL ? g_strsplit (names, ",", LIM_REFERRALS + 1) : NULL;
 
   for (uint32_t i = 0; parts != NULL && parts[i] != NULL && i < LIM_REFERRALS; i++)
     {
       uint64_t hash = rendezvous_hash_name (g_strstrip (parts[i]));
 
-      if (rtr_host (router, hash) == NULL ||
+      if (router_find_host (router, hash) == NULL ||
           health_is_skipped (router->health, data_task_now_us (router->ops), hash))
         continue;
       answer->referrals[answer->referral_count++] = hash;
@@ -73,10 +73,10 @@
 
 /* record_load() - stores the load of the engine that answered, to be sent with later hops */
 static void
-record_load (rtr_call_t *call, const char *text)
+record_load (router_call_t *call, const char *text)
 {
-  rtr_t *router = call->router;
-  rtr_loads_t *loads = g_hash_table_lookup (router->loads, &call->service->hash);
+  router_t *router = call->router;
+  router_loads_t *loads = g_hash_table_lookup (router->loads, &call->service->hash);
   uint64_t now_us = data_task_now_us (router->ops);
   hop_sample_t load;
 
@@ -99,13 +99,13 @@
 }
 
 static void
-read_answer (rtr_call_t *call, int status, struct evkeyvalq *headers)
+read_answer (router_call_t *call, int status, struct evkeyvalq *headers)
 {
   const char *reason = evhttp_find_header (headers, HOP_REASON_HEADER);
-  rtr_answer_t *answer = &call->answer;
+  router_answer_t *answer = &call->answer;
 
   answer->received = true;
-  rtr_watch_heard (call->router, call->attempts.last_engine);
+  router_host_probe_record_answer (call->router, call->attempts.last_engine);
   answer->status = status;
   answer->verdict = verdict_from_string (evhttp_find_header (headers, VERDICT_HEADER));
   answer->from_engine = answer->verdict == VERDICT_RAN && reason == NULL;
@@ -113,14 +113,14 @@
   answer->retry_after_ms = parse_u32 (evhttp_find_header (headers, HOP_RETRY_AFTER_HEADER));
   record_load (call, evhttp_find_header (headers, HOP_LOAD_HEADER));
   read_referrals (call, evhttp_find_header (headers, HOP_ALTERNATIVES_HEADER));
-  rtr_learn_incarnation (call->router, call->attempts.last_engine,
-                         parse_u64 (evhttp_find_header (headers, HOP_INCARNATION_HEADER)));
+  router_record_incarnation (call->router, call->attempts.last_engine,
+                             parse_u64 (evhttp_find_header (headers, HOP_INCARNATION_HEADER)));
 }
 
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  rtr_call_t *call = context;
+  router_call_t *call = context;
   const char *engine = evhttp_find_header (headers, HOP_ENGINE_HEADER);
 
   read_answer (call, status, headers);
@@ -132,14 +132,14 @@
   relay_add_header (&call->relay, VERDICT_HEADER, verdict_to_string (VERDICT_RAN));
   if (engine != NULL)
     relay_add_header (&call->relay, HOP_ENGINE_HEADER, engine);
-  set_timer (call, RTR_STALL_US);
+  set_timer (call, ROUTER_STALL_TIMEOUT_US);
   return true;
 }
 
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  rtr_call_t *call = context;
+  router_call_t *call = context;
 
   if (!call->answer.from_engine)
     {
@@ -149,14 +149,14 @@
   relay_forward (&call->relay, data);
   if (call->relay.begun && !call->attempts.answer_begun)
     forwarding_response_begun (&call->attempts);
-  set_timer (call, RTR_STALL_US);
+  set_timer (call, ROUTER_STALL_TIMEOUT_US);
 }
 
 /* lost_outcome() - the outcome of a hop that broke off */
 static forwarding_outcome_t
-lost_outcome (rtr_call_t *call, verdict_t verdict, verdict_reason_t reason)
+lost_outcome (router_call_t *call, verdict_t verdict, verdict_reason_t reason)
 {
-  const rtr_answer_t *answer = &call->answer;
+  const router_answer_t *answer = &call->answer;
 
   /* The engine's answer has begun, so the request ran and there is nothing to revoke. */
   if (answer->from_engine)
@@ -169,9 +169,9 @@
 }
 
 static forwarding_outcome_t
-refusal_outcome (const rtr_call_t *call)
+refusal_outcome (const router_call_t *call)
 {
-  const rtr_answer_t *answer = &call->answer;
+  const router_answer_t *answer = &call->answer;
 
   return (forwarding_outcome_t){ .verdict = answer->verdict,
                                  .reason = answer->reason,
@@ -183,7 +183,7 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  rtr_call_t *call = context;
+  router_call_t *call = context;
   forwarding_outcome_t outcome;
 
   in_flight_end (call->router->requests_in_flight, call->attempts.last_engine);
@@ -196,11 +196,11 @@
     outcome = (forwarding_outcome_t){ .answered = true, .verdict = VERDICT_RAN };
   else
     outcome = lost_outcome (call, end->verdict, end->reason);
-  rtr_call_ended (call, &outcome);
+  router_call_handle_outcome (call, &outcome);
 }
 
 void
-rtr_hop_drop (rtr_call_t *call)
+router_hop_cancel (router_call_t *call)
 {
   if (call->outbound != NULL)
     {
@@ -214,9 +214,9 @@
 }
 
 void
-rtr_hop_timer (evutil_socket_t fd, short what, void *context)
+router_hop_on_timer (evutil_socket_t fd, short what, void *context)
 {
-  rtr_call_t *call = context;
+  router_call_t *call = context;
   forwarding_outcome_t outcome;
 
   (void)fd;
@@ -224,9 +224,9 @@
   if (call->outbound == NULL)
     return;
   if (!call->answer.received &&
-      data_task_now_us (call->router->ops) < call->deadline_us + RTR_DEADLINE_GRACE_US)
+      data_task_now_us (call->router->ops) < call->deadline_us + ROUTER_DEADLINE_GRACE_US)
     {
-      rtr_watch_quiet (call);
+      router_host_probe_check (call);
       set_hop_timer (call);
       return;
     }
@@ -234,16 +234,16 @@
    * read nothing. */
   if (call->relay.begun && relay_was_blocked (&call->relay))
     {
-      set_timer (call, RTR_STALL_US);
+      set_timer (call, ROUTER_STALL_TIMEOUT_US);
       return;
     }
   /* The request may still be in the sidecar's queue, or in a socket buffer if the sidecar is
    * frozen. It is revoked, since its answer would come too late. */
   if (!call->answer.received)
-    rtr_revoke_unheard (call);
+    router_revoke_and_forget (call);
   outcome = lost_outcome (call, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_TIMEOUT);
-  rtr_hop_drop (call);
-  rtr_call_ended (call, &outcome);
+  router_hop_cancel (call);
+  router_call_handle_outcome (call, &outcome);
 }
 
 /* should_send_samples() - whether a hop carries load samples
@@ -253,16 +253,16 @@
  * sidecar should know. Refusals for other reasons, such as an account's share, say nothing about
  * the mean load. */
 static bool
-should_send_samples (const rtr_call_t *call, const rtr_loads_t *loads, uint64_t now_us)
+should_send_samples (const router_call_t *call, const router_loads_t *loads, uint64_t now_us)
 {
   return (call->attempts.hops > 1 && call->attempts.last_reason == VERDICT_REASON_OVER_BOUND) ||
-         now_us < loads->capacity_refused_us + RTR_BURST_US;
+         now_us < loads->capacity_refused_us + ROUTER_BURST_US;
 }
 
 static void
-fill_samples (rtr_call_t *call, uint64_t now_us)
+fill_samples (router_call_t *call, uint64_t now_us)
 {
-  rtr_loads_t *loads = g_hash_table_lookup (call->router->loads, &call->service->hash);
+  router_loads_t *loads = g_hash_table_lookup (call->router->loads, &call->service->hash);
   load_sample_t picked[HOP_SAMPLES_MAX] = { 0 };
   hop_t *hop = &call->hop;
 
@@ -285,7 +285,7 @@
 }
 
 static void
-fill_attempt (rtr_call_t *call, uint64_t now_us)
+fill_attempt (router_call_t *call, uint64_t now_us)
 {
   hop_t *hop = &call->hop;
   uint64_t left_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
@@ -299,9 +299,9 @@
 }
 
 void
-rtr_hop_send (rtr_call_t *call, const membership_host_t *host)
+router_hop_send (router_call_t *call, const membership_host_t *host)
 {
-  rtr_t *router = call->router;
+  router_t *router = call->router;
   uint64_t now_us = data_task_now_us (router->ops);
   g_autofree hcl_header_t *headers = g_new (hcl_header_t, call->header_count + HOP_HEADER_COUNT);
   hop_header_t hop_headers[HOP_HEADER_COUNT];
@@ -329,7 +329,7 @@
   memset (&call->answer, 0, sizeof call->answer);
   call->sent_us = now_us;
   call->sent_address = host->http;
-  call->sent_incarnation = rtr_incarnation (router, host->hash);
+  call->sent_incarnation = router_known_incarnation (router, host->hash);
   health_begin_attempt (router->health, now_us,
                         host->hash); /* uses up the one trial of a skipped host */
   cnt_add (router->hops, 1);
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -5,7 +5,7 @@
 /** struct health_query - context of is_usable(), which candidates_choose() calls for each host */
 typedef struct
 {
-  const rtr_t *router;
+  const router_t *router;
   uint64_t now_us;
 } health_query_t;
 
@@ -16,21 +16,21 @@
 }
 
 static void
-engines_init (rtr_engines_t *engines, uint32_t max_count)
+engines_init (router_engines_t *engines, uint32_t max_count)
 {
   engines->engines = g_new0 (rendezvous_engine_t, max_count);
   engines->details = g_new0 (candidates_engine_t, max_count);
 }
 
 static void
-engines_clear (rtr_engines_t *engines)
+engines_clear (router_engines_t *engines)
 {
   g_free (engines->engines);
   g_free (engines->details);
 }
 
 static void
-engines_add (rtr_engines_t *engines, const membership_host_t *host)
+engines_add (router_engines_t *engines, const membership_host_t *host)
 {
   uint32_t index = engines->count++;
 
@@ -41,10 +41,10 @@
 }
 
 static void
-init_pools (rtr_t *router, const man_t *manifest, uint32_t host_count)
+init_pools (router_t *router, const man_t *manifest, uint32_t host_count)
 {
   router->pool_count = manifest->service_count;
-  router->pools = g_new0 (rtr_pool_t, manifest->service_count);
+  router->pools = g_new0 (router_pool_t, manifest->service_count);
   for (uint32_t i = 0; i < manifest->service_count; i++)
     {
       uint32_t max_count = MIN (manifest->services[i].engine_count, host_count);
@@ -66,8 +66,8 @@
 /* pool_of() - the pool of a request's service, or NULL when the service is no longer in force
  *
  * A request keeps the version that it arrived under, but pools belong to the version in force. */
-static const rtr_pool_t *
-pool_of (const rtr_t *router, const man_t *manifest, const man_service_t *service)
+static const router_pool_t *
+pool_of (const router_t *router, const man_t *manifest, const man_service_t *service)
 {
   const man_t *in_force = data_task_manifest (router->ops);
 
@@ -89,7 +89,7 @@
 }
 
 static candidates_t
-choose (candidates_query_t *query, const rtr_pool_t *pool)
+choose (candidates_query_t *query, const router_pool_t *pool)
 {
   candidates_t placement;
   candidates_t other_regions;
@@ -111,7 +111,7 @@
 }
 
 void
-rtr_place_clear (rtr_t *router)
+router_pools_clear (router_t *router)
 {
   for (uint32_t i = 0; i < router->pool_count; i++)
     {
@@ -125,12 +125,12 @@
 }
 
 void
-rtr_place_rebuild (rtr_t *router)
+router_pools_rebuild (router_t *router)
 {
   const man_t *manifest = data_task_manifest (router->ops);
   const membership_snapshot_t *members = data_task_members (router->ops);
 
-  rtr_place_clear (router);
+  router_pools_clear (router);
   if (manifest == NULL || members == NULL)
     return;
   init_pools (router, manifest, members->host_count);
@@ -138,7 +138,7 @@
     {
       const membership_host_t *host = &members->hosts[i];
       const man_service_t *service = man_service_of_engine (manifest, host->name);
-      rtr_pool_t *pool;
+      router_pool_t *pool;
       bool in_own_region = strcmp (host->region, router->daemon->set.region) == 0;
 
       if (service == NULL || !is_candidate (host))
@@ -150,7 +150,7 @@
 }
 
 const membership_host_t *
-rtr_host (const rtr_t *router, uint64_t engine_hash)
+router_find_host (const router_t *router, uint64_t engine_hash)
 {
   const membership_snapshot_t *members = data_task_members (router->ops);
   const membership_host_t *host =
@@ -160,12 +160,12 @@
 }
 
 void
-rtr_place_samples (rtr_t *router, const message_load_samples_t *message)
+router_merge_samples (router_t *router, const message_load_samples_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
       const load_sample_t *sample = &message->samples[i];
-      rtr_loads_t *loads = g_hash_table_lookup (router->loads, &sample->service_hash);
+      router_loads_t *loads = g_hash_table_lookup (router->loads, &sample->service_hash);
 
       /* Services that are not in force here have no table. */
       if (loads != NULL)
@@ -174,12 +174,12 @@
 }
 
 void
-rtr_place_find (rtr_call_t *call, bool first_turn)
+router_find_candidates (router_call_t *call, bool first_turn)
 {
-  rtr_t *router = call->router;
+  router_t *router = call->router;
   const man_service_t *service = call->service;
-  const rtr_pool_t *pool = pool_of (router, call->manifest, service);
-  const rtr_loads_t *loads = g_hash_table_lookup (router->loads, &service->hash);
+  const router_pool_t *pool = pool_of (router, call->manifest, service);
+  const router_loads_t *loads = g_hash_table_lookup (router->loads, &service->hash);
   health_query_t health_query = { .router = router, .now_us = data_task_now_us (router->ops) };
   candidates_query_t query = {
     .now_us = health_query.now_us,
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -2,10 +2,10 @@
  * DOC: router_private
  *
  * Declarations shared by the files of the router's data task: router.c (set-up and configuration),
- * router_place.c (engine pools and candidates), router_accept.c (reads and validates a caller's
- * request), router_call.c (the steps of a request up to its end), router_hop.c (the HTTP exchange
- * with one sidecar), router_watch.c (health checks of hosts that have not answered for a while),
- * router_tell.c (revokes and cache hints to sidecars).
+ * router_candidates.c (engine pools and candidates), router_accept.c (reads and validates a
+ * caller's request), router_call.c (the steps of a request up to its end), router_hop.c (the HTTP
+ * exchange with one sidecar), router_host_probe.c (health checks of hosts that have not answered
+ * for a while), router_notify.c (revokes and cache hints to sidecars).
  *
  * A hop is one exchange with one sidecar. Each hop of a request is an attempt with an id of its
  * own, by which the router can revoke it.
@@ -29,34 +29,34 @@
 
 #include <event2/event.h>
 
-#define RTR_IDLE_CONNECTIONS 64   /* idle keep-alive connections to each sidecar */
-#define RTR_IDLE_TIMEOUT_MS 20000 /* shorter than the idle timeout of a sidecar's listener */
-#define RTR_REVOKE_TIMEOUT_US (1000 * 1000)
+#define ROUTER_IDLE_CONNECTIONS 64   /* idle keep-alive connections to each sidecar */
+#define ROUTER_IDLE_TIMEOUT_MS 20000 /* shorter than the idle timeout of a sidecar's listener */
+#define ROUTER_REVOKE_TIMEOUT_US (1000 * 1000)
 /* Timeout of notifications whose answer is ignored */
-#define RTR_TELL_TIMEOUT_US (1000 * 1000)
+#define ROUTER_NOTIFY_TIMEOUT_US (1000 * 1000)
 /* How long past the deadline the router waits for a sidecar. At the deadline the sidecar itself
  * answers, and it knows whether the request ran. */
-#define RTR_DEADLINE_GRACE_US (250 * 1000)
+#define ROUTER_DEADLINE_GRACE_US (250 * 1000)
 /* After this long without an answer the router checks whether the host runs at all. A frozen host
  * keeps its sockets open, and would delay each request up to its deadline. */
-#define RTR_QUIET_US (500 * 1000)
-#define RTR_PROBE_TIMEOUT_US (500 * 1000)
+#define ROUTER_HOST_PROBE_DELAY_US (500 * 1000)
+#define ROUTER_HOST_PROBE_TIMEOUT_US (500 * 1000)
 /* An answer that sends no data for this long is cancelled. */
-#define RTR_STALL_US (60 * 1000 * 1000)
+#define ROUTER_STALL_TIMEOUT_US (60 * 1000 * 1000)
 /* Requests that were answered recently, and for how long that counts */
-#define RTR_PROVEN_ENTRIES 4096
-#define RTR_PROVEN_US (2 * 1000 * 1000)
+#define ROUTER_ANSWERED_ENTRIES 4096
+#define ROUTER_ANSWERED_TTL_US (2 * 1000 * 1000)
 /* How long a request is remembered to have crashed an engine */
-#define RTR_SUSPECT_US (30 * 60 * (uint64_t)CLK_US_PER_S)
+#define ROUTER_SUSPECT_TTL_US (30 * 60 * (uint64_t)CLK_US_PER_S)
 /* For this long after an engine refused a request for lack of capacity, first hops carry load
  * samples, too: the mean load is changing. */
-#define RTR_BURST_US (100 * 1000)
+#define ROUTER_BURST_US (100 * 1000)
 /* Hints that were sent to the homes of chats, and how long one is not sent again */
-#define RTR_TOLD_ENTRIES 8192
-#define RTR_TOLD_US (60 * 1000 * 1000)
+#define ROUTER_HINT_ENTRIES 8192
+#define ROUTER_HINT_TTL_US (60 * 1000 * 1000)
 
 /**
- * struct rtr_engines - engines of a service, in the form that candidates_choose() takes
+ * struct router_engines - engines of a service, in the form that candidates_choose() takes
  * @details: more about the engine at the same index of @engines
  */
 typedef struct
@@ -64,33 +64,33 @@
   rendezvous_engine_t *engines;
   candidates_engine_t *details;
   uint32_t count;
-} rtr_engines_t;
+} router_engines_t;
 
 /**
- * struct rtr_pool - the engines of one service, for one version and one list of members
+ * struct router_pool - the engines of one service, for one version and one list of members
  * @own_region: those in the router's region
  * @other_regions: those in other regions, used when the own region has too few
  * @hashes: name hashes of all of them, for health_most_are_down()
  */
 typedef struct
 {
-  rtr_engines_t own_region;
-  rtr_engines_t other_regions;
+  router_engines_t own_region;
+  router_engines_t other_regions;
   uint64_t *hashes;
-} rtr_pool_t;
+} router_pool_t;
 
 /**
- * struct rtr_loads - load samples of one service
+ * struct router_loads - load samples of one service
  * @capacity_refused_us: when an engine last refused a request for lack of capacity
  */
 typedef struct
 {
   load_samples_t table;
   uint64_t capacity_refused_us;
-} rtr_loads_t;
+} router_loads_t;
 
 /**
- * struct rtr_told - the last hint that the home of a chat got
+ * struct router_hint - the last hint that the home of a chat got
  * @engine_hash: the engine that the hint named
  * @sent_us: when it was sent; 0 when it no longer holds
  */
@@ -99,25 +99,25 @@
   uint64_t chat_hash;
   uint64_t engine_hash;
   uint64_t sent_us;
-} rtr_told_t;
+} router_hint_t;
 
-typedef struct router_host_probe rtr_watch_t;
+typedef struct router_host_probe router_host_probe_t;
 
 /**
  * struct router - the data task of a router
  * @health: failures of hosts, as seen by this router's own requests
  * @retry_budget: retries that are allowed now
  * @pools: by index of the service in the version in force
- * @loads: service hash -> rtr_loads_t
+ * @loads: service hash -> router_loads_t
  * @incarnations: engine hash -> uint64_t, the newest incarnation that was heard of
- * @host_probes: host hash -> rtr_watch_t
- * @served_hints: hash table of RTR_TOLD_ENTRIES hints, one for each slot
+ * @host_probes: host hash -> router_host_probe_t
+ * @served_hints: hash table of ROUTER_HINT_ENTRIES hints, one for each slot
  * @control_budget: bytes a second for load samples on hops and for hints
  * @answered_requests: fingerprints of requests that were answered recently
  * @suspects: requests that crashed engines as this router saw it, ahead of the marks that sidecars
  *   exchange
  * @requests_in_flight: this router's own requests at each engine
- * @calls: list of rtr_call_t
+ * @calls: list of router_call_t
  * @request_id_high: upper half of all request ids
  * @request_id_low: lower half of the latest request id
  * @hops: counter of requests sent to sidecars
@@ -136,12 +136,12 @@
   hcl_t *http_client;
   health_t *health;
   forwarding_budget_t retry_budget;
-  rtr_pool_t *pools;
+  router_pool_t *pools;
   uint32_t pool_count;
   GHashTable *loads;
   GHashTable *incarnations;
   GHashTable *host_probes;
-  rtr_told_t *served_hints;
+  router_hint_t *served_hints;
   bdg_t control_budget;
   recent_answers_t *answered_requests;
   suspects_t *suspects;
@@ -159,7 +159,7 @@
 };
 
 /**
- * struct rtr_answer - status and headers of a sidecar's answer to the current hop
+ * struct router_answer - status and headers of a sidecar's answer to the current hop
  * @received: status and headers have arrived
  * @from_engine: the engine's answer; otherwise a refusal of the sidecar
  * @referrals: hashes of the engines that the sidecar suggests instead
@@ -174,10 +174,10 @@
   uint32_t retry_after_ms;
   uint64_t referrals[LIM_REFERRALS];
   uint32_t referral_count;
-} rtr_answer_t;
+} router_answer_t;
 
 /**
- * struct rtr_call - a caller's request
+ * struct router_call - a caller's request
  * @inbound: the caller's HTTP request; NULL once it is answered or the caller has disconnected
  * @outbound: the HTTP exchange of the current hop, or NULL
  * @revoke_request: the revoke in flight whose answer decides the next step, or NULL
@@ -198,7 +198,7 @@
  */
 typedef struct
 {
-  rtr_t *router;
+  router_t *router;
   GList link;
   hsv_call_t *inbound;
   hcl_call_t *outbound;
@@ -211,7 +211,7 @@
   candidates_t placement;
   forwarding_t attempts;
   relay_t relay;
-  rtr_answer_t answer;
+  router_answer_t answer;
   char *method;
   char *target;
   char *body;
@@ -231,74 +231,77 @@
   bool timed_out;
   bool caller_gone;
   struct event *timer;
-} rtr_call_t;
+} router_call_t;
 
-/** rtr_place_rebuild() - rebuilds the pools after a change of the version or the members */
-void rtr_place_rebuild (rtr_t *router);
-/** rtr_place_clear() - frees the pools */
-void rtr_place_clear (rtr_t *router);
+/** router_pools_rebuild() - rebuilds the pools after a change of the version or the members */
+void router_pools_rebuild (router_t *router);
+/** router_pools_clear() - frees the pools */
+void router_pools_clear (router_t *router);
 /**
- * rtr_place_find() - fills @call->placement with the candidates of a request
+ * router_find_candidates() - fills @call->placement with the candidates of a request
  * @first_turn: the request is the first message of its chat
  */
-void rtr_place_find (rtr_call_t *call, bool first_turn);
-/** rtr_place_samples() - merges load samples that the control task received */
-void rtr_place_samples (rtr_t *router, const message_load_samples_t *message);
-/** rtr_host() - the live sidecar host with this hash, or NULL */
-const membership_host_t *rtr_host (const rtr_t *router, uint64_t engine_hash);
+void router_find_candidates (router_call_t *call, bool first_turn);
+/** router_merge_samples() - merges load samples that the control task received */
+void router_merge_samples (router_t *router, const message_load_samples_t *message);
+/** router_find_host() - the live sidecar host with this hash, or NULL */
+const membership_host_t *router_find_host (const router_t *router, uint64_t engine_hash);
 
-/** rtr_accept() - validates a caller's request, and starts or refuses it */
-void rtr_accept (hsv_call_t *inbound, void *context);
-/** rtr_call_start() - takes the first step of a validated request */
-void rtr_call_start (rtr_call_t *call);
-void rtr_call_free (rtr_call_t *call);
-/** rtr_call_gone() - the caller disconnected */
-void rtr_call_gone (void *context);
-/** rtr_call_step() - carries out @step and those that follow; may free the call */
-void rtr_call_step (rtr_call_t *call, forwarding_step_t step);
-/** rtr_call_ended() - takes the next step after the outcome of a hop; may free the call */
-void rtr_call_ended (rtr_call_t *call, const forwarding_outcome_t *outcome);
-/** rtr_call_note() - records a decision in the log and for /medlarplank/explain */
-void rtr_call_note (rtr_call_t *call,
-                    const char *action,
-                    uint64_t engine_hash,
-                    verdict_t verdict,
-                    verdict_reason_t reason);
-/** rtr_call_fault() - the error answer for the caller */
-flt_t rtr_call_fault (const rtr_call_t *call, verdict_t verdict, verdict_reason_t reason);
+/** router_accept() - validates a caller's request, and starts or refuses it */
+void router_accept (hsv_call_t *inbound, void *context);
+/** router_call_start() - takes the first step of a validated request */
+void router_call_start (router_call_t *call);
+void router_call_free (router_call_t *call);
+/** router_call_on_disconnect() - the caller disconnected */
+void router_call_on_disconnect (void *context);
+/** router_call_take_step() - carries out @step and those that follow; may free the call */
+void router_call_take_step (router_call_t *call, forwarding_step_t step);
+/** router_call_handle_outcome() - takes the next step after the outcome of a hop; may free the call
+ */
+void router_call_handle_outcome (router_call_t *call, const forwarding_outcome_t *outcome);
+/** router_call_log_decision() - records a decision in the log and for /medlarplank/explain */
+void router_call_log_decision (router_call_t *call,
+                               const char *action,
+                               uint64_t engine_hash,
+                               verdict_t verdict,
+                               verdict_reason_t reason);
+/** router_call_fault() - the error answer for the caller */
+flt_t router_call_fault (const router_call_t *call, verdict_t verdict, verdict_reason_t reason);
 
-/** rtr_hop_send() - sends the request to the sidecar of a host */
-void rtr_hop_send (rtr_call_t *call, const membership_host_t *host);
-/** rtr_hop_timer() - libevent callback for the timer of a call */
-void rtr_hop_timer (evutil_socket_t fd, short what, void *context);
-/** rtr_hop_drop() - cancels the current hop, if any, without an outcome */
-void rtr_hop_drop (rtr_call_t *call);
-/** rtr_watch_heard() - records that the host answered, so it is not frozen */
-void rtr_watch_heard (rtr_t *router, uint64_t host_hash);
+/** router_hop_send() - sends the request to the sidecar of a host */
+void router_hop_send (router_call_t *call, const membership_host_t *host);
+/** router_hop_on_timer() - libevent callback for the timer of a call */
+void router_hop_on_timer (evutil_socket_t fd, short what, void *context);
+/** router_hop_cancel() - cancels the current hop, if any, without an outcome */
+void router_hop_cancel (router_call_t *call);
+/** router_host_probe_record_answer() - records that the host answered, so it is not frozen */
+void router_host_probe_record_answer (router_t *router, uint64_t host_hash);
 /**
- * rtr_watch_quiet() - checks a host that has not answered the request for a while
+ * router_host_probe_check() - checks a host that has not answered the request for a while
  *
  * No check is made when the host answered another request recently or a check is under way. If the
  * check times out, all idempotent requests that wait for the host are sent to other engines.
  */
-void rtr_watch_quiet (rtr_call_t *call);
-void rtr_watch_free (rtr_watch_t *host_probe);
-/** rtr_revoke() - revokes the last attempt at its sidecar; the answer decides the next step */
-void rtr_revoke (rtr_call_t *call, const membership_host_t *host);
-/** rtr_revoke_unheard() - revokes the last attempt and ignores the answer */
-void rtr_revoke_unheard (rtr_call_t *call);
+void router_host_probe_check (router_call_t *call);
+void router_host_probe_free (router_host_probe_t *host_probe);
+/** router_revoke() - revokes the last attempt at its sidecar; the answer decides the next step */
+void router_revoke (router_call_t *call, const membership_host_t *host);
+/** router_revoke_and_forget() - revokes the last attempt and ignores the answer */
+void router_revoke_and_forget (router_call_t *call);
 /**
- * rtr_tell_served() - sends a hint that an engine other than the chat's home served the chat
+ * router_send_served_hint() - sends a hint that an engine other than the chat's home served the
+ * chat
  *
  * The home is the engine that ranks first for the chat; with the hint, its sidecar refers the next
  * request of the chat to the engine that has the context in its cache. Nothing is sent when the
  * home served the chat itself, when it got the same hint recently, or when the control budget is
  * used up.
  */
-void rtr_tell_served (rtr_call_t *call, uint64_t engine_hash);
-/** rtr_incarnation() - the newest known incarnation of a sidecar, 0 when unknown */
-uint64_t rtr_incarnation (const rtr_t *router, uint64_t engine_hash);
-/** rtr_learn_incarnation() - records an incarnation; a newer one resets the health of the host */
-void rtr_learn_incarnation (rtr_t *router, uint64_t engine_hash, uint64_t incarnation);
+void router_send_served_hint (router_call_t *call, uint64_t engine_hash);
+/** router_known_incarnation() - the newest known incarnation of a sidecar, 0 when unknown */
+uint64_t router_known_incarnation (const router_t *router, uint64_t engine_hash);
+/** router_record_incarnation() - records an incarnation; a newer one resets the health of the host
+ */
+void router_record_incarnation (router_t *router, uint64_t engine_hash, uint64_t incarnation);
 
 #endif
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -8,7 +8,7 @@
 #define TARGET_BYTES 160
 
 static hcl_call_t *
-post_order (rtr_t *router,
+post_order (router_t *router,
             const membership_host_t *host,
             const set_address_t *address,
             const char *target,
@@ -52,7 +52,7 @@
   (void)context;
 }
 
-static const hcl_options_t IGNORE_ANSWER = { .timeout_us = RTR_TELL_TIMEOUT_US,
+static const hcl_options_t IGNORE_ANSWER = { .timeout_us = ROUTER_NOTIFY_TIMEOUT_US,
                                              .on_head = ignore_head,
                                              .on_data = discard_data,
                                              .on_end = ignore_end };
@@ -60,7 +60,7 @@
 static bool
 on_revoke_head (int status, struct evkeyvalq *headers, void *context)
 {
-  rtr_call_t *call = context;
+  router_call_t *call = context;
   const char *incarnation = evhttp_find_header (headers, HOP_INCARNATION_HEADER);
   uint64_t answered = incarnation != NULL ? g_ascii_strtoull (incarnation, NULL, 10) : 0;
 
@@ -74,8 +74,8 @@
 static void
 on_revoke_end (const hcl_end_t *end, void *context)
 {
-  rtr_call_t *call = context;
-  rtr_t *router = call->router;
+  router_call_t *call = context;
+  router_t *router = call->router;
   verdict_t verdict = end->whole ? call->revoke_verdict : VERDICT_MAY_HAVE_RUN;
   uint32_t retries = call->attempts.retries;
   forwarding_step_t step;
@@ -84,7 +84,7 @@
   step = forwarding_revoked (&call->attempts, data_task_now_us (router->ops), &router->retry_budget,
                              verdict);
   cnt_add (router->retries, call->attempts.retries - retries);
-  rtr_call_step (call, step);
+  router_call_take_step (call, step);
 }
 
 /* revoke_target() - formats the request target of a revoke
@@ -95,7 +95,7 @@
  * accepted because its incarnation matches, and the request could run twice. At the old address, a
  * predecessor that still listens answers with another incarnation, which is not accepted. */
 static void
-revoke_target (const rtr_call_t *call, char out[TARGET_BYTES])
+revoke_target (const router_call_t *call, char out[TARGET_BYTES])
 {
   uint64_t age_us = data_task_now_us (call->router->ops) - call->sent_us;
 
@@ -104,9 +104,9 @@
 }
 
 void
-rtr_revoke (rtr_call_t *call, const membership_host_t *host)
+router_revoke (router_call_t *call, const membership_host_t *host)
 {
-  hcl_options_t handlers = { .timeout_us = RTR_REVOKE_TIMEOUT_US,
+  hcl_options_t handlers = { .timeout_us = ROUTER_REVOKE_TIMEOUT_US,
                              .on_head = on_revoke_head,
                              .on_data = discard_data,
                              .on_end = on_revoke_end,
@@ -120,7 +120,7 @@
 }
 
 void
-rtr_revoke_unheard (rtr_call_t *call)
+router_revoke_and_forget (router_call_t *call)
 {
   const membership_host_t *host =
       membership_find_by_hash (data_task_members (call->router->ops), call->attempts.last_engine);
@@ -134,15 +134,15 @@
 }
 
 void
-rtr_tell_served (rtr_call_t *call, uint64_t engine_hash)
+router_send_served_hint (router_call_t *call, uint64_t engine_hash)
 {
-  rtr_t *router = call->router;
+  router_t *router = call->router;
   uint64_t chat_hash = call->hop.chat_hash;
   uint64_t now_us = data_task_now_us (router->ops);
-  rtr_told_t *hint = &router->served_hints[chat_hash % RTR_TOLD_ENTRIES];
-  const membership_host_t *home = rtr_host (router, call->hop.home_hash);
+  router_hint_t *hint = &router->served_hints[chat_hash % ROUTER_HINT_ENTRIES];
+  const membership_host_t *home = router_find_host (router, call->hop.home_hash);
   bool already_sent = hint->chat_hash == chat_hash && hint->engine_hash == engine_hash &&
-                      now_us < hint->sent_us + RTR_TOLD_US;
+                      now_us < hint->sent_us + ROUTER_HINT_TTL_US;
   char target[TARGET_BYTES];
 
   if (!call->hop.has_chat)
@@ -160,7 +160,7 @@
   if (already_sent || home == NULL ||
       !bdg_take (&router->control_budget, now_us, DATA_TASK_CALL_OVERHEAD_BYTES))
     return;
-  *hint = (rtr_told_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .sent_us = now_us };
+  *hint = (router_hint_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .sent_us = now_us };
   g_snprintf (target, sizeof target, "%s?chat=%016" PRIx64 "&engine=%016" PRIx64, HOP_SERVED_PATH,
               chat_hash, engine_hash);
   cnt_add (router->served_hints_sent, 1);
--- a/src/request/router/router_watch.c
+++ b/src/request/router/router_watch.c
@@ -12,21 +12,21 @@
  */
 struct router_host_probe
 {
-  rtr_t *router;
+  router_t *router;
   uint64_t host_hash;
   uint64_t last_heard_us;
   uint64_t probe_started_us;
   hcl_call_t *request;
 };
 
-static rtr_watch_t *
-find_or_add (rtr_t *router, uint64_t host_hash)
+static router_host_probe_t *
+find_or_add (router_t *router, uint64_t host_hash)
 {
-  rtr_watch_t *host_probe = g_hash_table_lookup (router->host_probes, &host_hash);
+  router_host_probe_t *host_probe = g_hash_table_lookup (router->host_probes, &host_hash);
 
   if (host_probe != NULL)
     return host_probe;
-  host_probe = g_new0 (rtr_watch_t, 1);
+  host_probe = g_new0 (router_host_probe_t, 1);
   host_probe->router = router;
   host_probe->host_hash = host_hash;
   g_hash_table_insert (router->host_probes, &host_probe->host_hash, host_probe);
@@ -38,7 +38,7 @@
  * A non-idempotent request keeps waiting, since it must not run twice. If its host resumes before
  * the deadline, the sidecar refuses the request as not run. */
 static bool
-waits_for_host (const rtr_watch_t *host_probe, const rtr_call_t *call)
+waits_for_host (const router_host_probe_t *host_probe, const router_call_t *call)
 {
   return call->outbound != NULL && !call->answer.received && call->hop.idempotent &&
          call->attempts.last_engine == host_probe->host_hash &&
@@ -46,12 +46,12 @@
 }
 
 static void
-fail_waiting_calls (rtr_watch_t *host_probe)
+fail_waiting_calls (router_host_probe_t *host_probe)
 {
   static const forwarding_outcome_t HOST_FROZEN = { .verdict = VERDICT_MAY_HAVE_RUN,
                                                     .reason = VERDICT_REASON_TIMEOUT };
   GQueue waiting_calls = G_QUEUE_INIT;
-  rtr_call_t *call;
+  router_call_t *call;
 
   for (GList *link = host_probe->router->calls.head; link != NULL; link = link->next)
     if (waits_for_host (host_probe, link->data))
@@ -60,9 +60,9 @@
              LOG_U64 (waiting_calls.length), NULL);
   while ((call = g_queue_pop_head (&waiting_calls)) != NULL)
     {
-      rtr_revoke_unheard (call);
-      rtr_hop_drop (call);
-      rtr_call_ended (call, &HOST_FROZEN);
+      router_revoke_and_forget (call);
+      router_hop_cancel (call);
+      router_call_handle_outcome (call, &HOST_FROZEN);
     }
 }
 
@@ -78,8 +78,8 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  rtr_watch_t *host_probe = context;
-  rtr_t *router = host_probe->router;
+  router_host_probe_t *host_probe = context;
+  router_t *router = host_probe->router;
 
   host_probe->request = NULL;
   if (end->whole)
@@ -96,7 +96,7 @@
 }
 
 void
-rtr_watch_free (rtr_watch_t *host_probe)
+router_host_probe_free (router_host_probe_t *host_probe)
 {
   if (host_probe->request != NULL)
     hcl_cancel (host_probe->request);
@@ -106,28 +106,28 @@
 /* Hosts that answer other requests need no health checks. In a surge, when requests wait for long
  * at all hosts, the health checks took 8,300 bytes a second of a router. */
 void
-rtr_watch_heard (rtr_t *router, uint64_t host_hash)
+router_host_probe_record_answer (router_t *router, uint64_t host_hash)
 {
   find_or_add (router, host_hash)->last_heard_us = data_task_now_us (router->ops);
 }
 
 void
-rtr_watch_quiet (rtr_call_t *call)
+router_host_probe_check (router_call_t *call)
 {
-  rtr_t *router = call->router;
+  router_t *router = call->router;
   uint64_t now_us = data_task_now_us (router->ops);
-  rtr_watch_t *host_probe = find_or_add (router, call->attempts.last_engine);
+  router_host_probe_t *host_probe = find_or_add (router, call->attempts.last_engine);
   const membership_host_t *host =
       membership_find_by_hash (data_task_members (router->ops), call->attempts.last_engine);
   hcl_options_t options = { .method = "GET",
                             .target = PROBE_TARGET,
-                            .timeout_us = RTR_PROBE_TIMEOUT_US,
+                            .timeout_us = ROUTER_HOST_PROBE_TIMEOUT_US,
                             .on_head = on_head,
                             .on_end = on_end,
                             .context = host_probe };
 
   if (host == NULL || host_probe->request != NULL ||
-      now_us < host_probe->last_heard_us + RTR_QUIET_US)
+      now_us < host_probe->last_heard_us + ROUTER_HOST_PROBE_DELAY_US)
     return;
   options.address = &host->http;
   host_probe->probe_started_us = now_us;
--- a/src/request/router/target.c
+++ b/src/request/router/target.c
@@ -42,7 +42,7 @@
 }
 
 bool
-tgt_is_plain (const char *target)
+request_target_is_unambiguous (const char *target)
 {
   const char *end = target + strcspn (target, "?");
   const char *segment = target;
--- a/src/request/router/target.h
+++ b/src/request/router/target.h
@@ -11,12 +11,13 @@
 #include <stdbool.h>
 
 /**
- * tgt_is_plain() - whether the path of a request target can be read in one way only
+ * request_target_is_unambiguous() - whether the path of a request target can be read in one way
+ * only
  *
  * Refused are: empty segments except a last one, "." and ".." segments, path parameters, a
  * backslash, a fragment, escapes that are not valid, and escapes of unreserved characters, of
  * control characters, of a slash, a backslash or a semicolon.
  */
-bool tgt_is_plain (const char *target);
+bool request_target_is_unambiguous (const char *target);
 
 #endif
--- a/src/request/sidecar/history.c
+++ b/src/request/sidecar/history.c
@@ -78,18 +78,19 @@
 }
 
 static void
-expire_revoked (hst_t *history, uint64_t now_us)
+expire_revoked (history_t *history, uint64_t now_us)
 {
   ring_t *ring = &history->revoked;
 
-  while (ring->count > 0 && ring->entries[ring->oldest].recorded_us + HST_BAR_US <= now_us)
+  while (ring->count > 0 &&
+         ring->entries[ring->oldest].recorded_us + HISTORY_REVOKED_TTL_US <= now_us)
     ring_remove_oldest (ring);
 }
 
-hst_t *
-hst_new (uint32_t limit)
+history_t *
+history_new (uint32_t limit)
 {
-  hst_t *history = g_new0 (hst_t, 1);
+  history_t *history = g_new0 (history_t, 1);
 
   ring_init (&history->ended, limit);
   ring_init (&history->revoked, limit);
@@ -97,7 +98,7 @@
 }
 
 void
-hst_free (hst_t *history)
+history_free (history_t *history)
 {
   if (history == NULL)
     return;
@@ -107,7 +108,7 @@
 }
 
 void
-hst_ended (hst_t *history, uint64_t now_us, const uint64_t attempt[2], verdict_t verdict)
+history_record (history_t *history, uint64_t now_us, const uint64_t attempt[2], verdict_t verdict)
 {
   ring_t *ring = &history->ended;
 
@@ -122,39 +123,43 @@
   ring_add (ring, now_us, attempt, verdict);
 }
 
-hst_state_t
-hst_find (const hst_t *history, uint64_t now_us, const uint64_t attempt[2], verdict_t *verdict)
+history_state_t
+history_find (const history_t *history,
+              uint64_t now_us,
+              const uint64_t attempt[2],
+              verdict_t *verdict)
 {
   const entry_t *entry = ring_find (&history->ended, attempt);
 
   if (entry != NULL)
     {
       *verdict = entry->verdict;
-      return HST_ENDED;
+      return HISTORY_ENDED;
     }
   entry = ring_find (&history->revoked, attempt);
-  return entry != NULL && now_us < entry->recorded_us + HST_BAR_US ? HST_BARRED : HST_UNKNOWN;
+  return entry != NULL && now_us < entry->recorded_us + HISTORY_REVOKED_TTL_US ? HISTORY_REVOKED
+                                                                               : HISTORY_UNKNOWN;
 }
 
 verdict_t
-hst_revoke (hst_t *history, uint64_t now_us, const uint64_t attempt[2], uint64_t age_us)
+history_revoke (history_t *history, uint64_t now_us, const uint64_t attempt[2], uint64_t age_us)
 {
   verdict_t verdict;
 
   expire_revoked (history, now_us);
-  switch (hst_find (history, now_us, attempt, &verdict))
+  switch (history_find (history, now_us, attempt, &verdict))
     {
-    case HST_ENDED:
+    case HISTORY_ENDED:
       return verdict;
-    case HST_BARRED:
+    case HISTORY_REVOKED:
       return VERDICT_NOT_RUN;
-    case HST_UNKNOWN:
+    case HISTORY_UNKNOWN:
       break;
     }
   /* An attempt that ended and was evicted looks like one that never arrived; a verdict of "not run"
    * would make the router run it a second time. An attempt sent after the last evicted one ended
    * cannot have been evicted itself, since an attempt ends after it is sent. */
-  if (history->has_evicted && history->latest_evicted_us + age_us + HST_AGE_MARGIN_US >= now_us)
+  if (history->has_evicted && history->latest_evicted_us + age_us + HISTORY_AGE_MARGIN_US >= now_us)
     return VERDICT_MAY_HAVE_RUN;
   if (history->revoked.count == history->revoked.limit)
     return VERDICT_MAY_HAVE_RUN;
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -13,7 +13,7 @@
 static bool
 is_ready (void *context)
 {
-  const sdc_t *sidecar = context;
+  const sidecar_t *sidecar = context;
 
   return sidecar->engine_up && sidecar->service != NULL;
 }
@@ -21,7 +21,7 @@
 static uint32_t
 count_in_flight (void *context)
 {
-  const sdc_t *sidecar = context;
+  const sidecar_t *sidecar = context;
 
   return g_hash_table_size (sidecar->calls);
 }
@@ -29,7 +29,7 @@
 static void
 add_status (json_t *out, void *context)
 {
-  const sdc_t *sidecar = context;
+  const sidecar_t *sidecar = context;
   uint64_t now_us = data_task_now_us (sidecar->ops);
   load_sample_t own = admission_sample (sidecar->admission, now_us);
   load_samples_estimate_t mean = load_samples_estimate_mean (
@@ -52,7 +52,7 @@
 static bool
 is_live (uint64_t engine_hash, void *context)
 {
-  const sdc_t *sidecar = context;
+  const sidecar_t *sidecar = context;
   const membership_snapshot_t *members = data_task_members (sidecar->ops);
   const membership_host_t *host =
       members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
@@ -61,7 +61,7 @@
 }
 
 static void
-list_other_engines (sdc_t *sidecar)
+list_other_engines (sidecar_t *sidecar)
 {
   const man_t *manifest = data_task_manifest (sidecar->ops);
   const membership_snapshot_t *members = data_task_members (sidecar->ops);
@@ -84,7 +84,7 @@
 }
 
 static admission_options_t
-admission_options (sdc_t *sidecar)
+admission_options (sidecar_t *sidecar)
 {
   admission_options_t options = { .engine_hash = sidecar->own_hash,
                                   .seed = sidecar->own_hash ^ sidecar->daemon->incarnation,
@@ -105,7 +105,7 @@
 }
 
 static bool
-is_leaving (const sdc_t *sidecar)
+is_leaving (const sidecar_t *sidecar)
 {
   const membership_snapshot_t *members = data_task_members (sidecar->ops);
   const membership_host_t *own =
@@ -115,16 +115,16 @@
 }
 
 bool
-sdc_takes_work (const sdc_t *sidecar)
+sidecar_accepts_requests (const sidecar_t *sidecar)
 {
   return sidecar->service != NULL && sidecar->engine_up && !is_leaving (sidecar) &&
          !data_task_is_stale (sidecar->ops);
 }
 
 verdict_reason_t
-sdc_closed (const sdc_call_t *call)
+sidecar_unavailable_reason (const sidecar_call_t *call)
 {
-  const sdc_t *sidecar = call->sidecar;
+  const sidecar_t *sidecar = call->sidecar;
 
   if (data_task_is_stale (sidecar->ops))
     return VERDICT_REASON_STALE;
@@ -136,14 +136,14 @@
 }
 
 bool
-sdc_left_lately (const sdc_t *sidecar)
+sidecar_in_leaving_grace (const sidecar_t *sidecar)
 {
   return sidecar->leaving_since_us != 0 &&
          data_task_now_us (sidecar->ops) - sidecar->leaving_since_us < LIM_LEAVING_GRACE_US;
 }
 
 static void
-update_leaving_since (sdc_t *sidecar)
+update_leaving_since (sidecar_t *sidecar)
 {
   if (!is_leaving (sidecar))
     sidecar->leaving_since_us = 0;
@@ -154,7 +154,7 @@
 static void
 on_configuration_changed (void *context)
 {
-  sdc_t *sidecar = context;
+  sidecar_t *sidecar = context;
   const man_t *manifest = data_task_manifest (sidecar->ops);
   admission_options_t options;
 
@@ -166,16 +166,16 @@
   update_leaving_since (sidecar);
   admission_set_leaving (sidecar->admission, is_leaving (sidecar));
   if (is_leaving (sidecar))
-    sdc_leave (sidecar);
+    sidecar_hand_over_directory (sidecar);
   else
     sidecar->directory_handed_over = false;
-  sdc_pump (sidecar);
+  sidecar_process_queue (sidecar);
 }
 
 static void
 on_stopping (void *context)
 {
-  sdc_t *sidecar = context;
+  sidecar_t *sidecar = context;
 
   log_event (LOG_LEVEL_NOTICE, "stopping", "in_flight",
              LOG_U64 (g_hash_table_size (sidecar->calls)), NULL);
@@ -183,11 +183,11 @@
 }
 
 static void
-report_load (sdc_t *sidecar)
+report_load (sidecar_t *sidecar)
 {
   message_load_samples_t *message;
 
-  if (!sdc_takes_work (sidecar))
+  if (!sidecar_accepts_requests (sidecar))
     return;
   message = message_new (MESSAGE_OWN_LOAD_SAMPLE);
   message->count = 1;
@@ -207,13 +207,13 @@
 static void
 on_tick (evutil_socket_t fd, short what, void *context)
 {
-  sdc_t *sidecar = context;
+  sidecar_t *sidecar = context;
   int64_t load_change =
       (int64_t)admission_load (sidecar->admission) - (int64_t)sidecar->reported_sample.load;
 
   (void)fd;
   (void)what;
-  sdc_pump (sidecar);
+  sidecar_process_queue (sidecar);
   cnt_set_value (sidecar->bound_milli,
                  admission_bound_milli (sidecar->admission, data_task_now_us (sidecar->ops)));
   if (load_change >= REPORT_LOAD_CHANGE || load_change <= -REPORT_LOAD_CHANGE)
@@ -221,7 +221,7 @@
 }
 
 static void
-merge_samples (sdc_t *sidecar, const message_load_samples_t *message)
+merge_samples (sidecar_t *sidecar, const message_load_samples_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
     {
@@ -231,11 +231,11 @@
           sample->engine_hash != sidecar->own_hash)
         load_samples_add (admission_mean (sidecar->admission), sample);
     }
-  sdc_pump (sidecar);
+  sidecar_process_queue (sidecar);
 }
 
 static void
-merge_crash_marks (sdc_t *sidecar, const message_crash_marks_t *message)
+merge_crash_marks (sidecar_t *sidecar, const message_crash_marks_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
     suspect_merge_mark (admission_suspects (sidecar->admission), data_task_now_us (sidecar->ops),
@@ -243,7 +243,7 @@
 }
 
 static void
-make_counters (sdc_t *sidecar)
+make_counters (sidecar_t *sidecar)
 {
   cnt_set_t *set = sidecar->daemon->counters;
   char name[128];
@@ -253,7 +253,7 @@
   sidecar->waited = cnt_get (set, "medlarplank_queued_total", "Requests that had to wait here.");
   sidecar->crashes = cnt_get (set, "medlarplank_engine_crashes_total", "Crashes of the engine.");
   sidecar->directory_notes =
-      cnt_get (set, SDC_NOTES_COUNTER, "Chats told to be warm on another engine.");
+      cnt_get (set, SIDECAR_DIRECTORY_NOTES_COUNTER, "Chats told to be warm on another engine.");
   sidecar->load = cnt_get (set, "medlarplank_load", "Requests that the engine runs now.");
   sidecar->waiting = cnt_get (set, "medlarplank_waiting", "Requests that wait here now.");
   sidecar->bound_milli =
@@ -267,7 +267,7 @@
 }
 
 static struct event *
-start_timer (sdc_t *sidecar, uint32_t interval_ms, event_callback_fn callback)
+start_timer (sidecar_t *sidecar, uint32_t interval_ms, event_callback_fn callback)
 {
   struct event *event = event_new (sidecar->base, -1, EV_PERSIST, callback, sidecar);
   struct timeval interval = { .tv_sec = interval_ms / 1000,
@@ -277,14 +277,14 @@
   return event;
 }
 
-sdc_t *
-sdc_new (dmn_t *daemon, struct event_base *base, GError **error)
+sidecar_t *
+sidecar_new (dmn_t *daemon, struct event_base *base, GError **error)
 {
-  sdc_t *sidecar = g_new0 (sdc_t, 1);
+  sidecar_t *sidecar = g_new0 (sidecar_t, 1);
   data_task_options_t options = { .dmn = daemon,
                                   .base = base,
-                                  .on_call = sdc_accept,
-                                  .on_sealed = sdc_order,
+                                  .on_call = sidecar_accept,
+                                  .on_sealed = sidecar_handle_peer_request,
                                   .ready = is_ready,
                                   .in_flight = count_in_flight,
                                   .status = add_status,
@@ -306,21 +306,21 @@
   sidecar->admission = admission_new (&first);
   admission_set_engine_up (sidecar->admission, false);
   admission_set_joined (sidecar->admission, data_task_now_us (sidecar->ops));
-  sidecar->history = hst_new (LIM_REVOKED);
-  sidecar->http_client = hcl_new (base, SDC_IDLE_CONNECTIONS, SDC_IDLE_TIMEOUT_MS);
+  sidecar->history = history_new (LIM_REVOKED);
+  sidecar->http_client = hcl_new (base, SIDECAR_IDLE_CONNECTIONS, SIDECAR_IDLE_TIMEOUT_MS);
   sidecar->calls = g_hash_table_new (hop_hash_attempt, hop_equal_attempt);
   snprintf (sidecar->incarnation_text, sizeof sidecar->incarnation_text, "%" PRIu64,
             daemon->incarnation);
   make_counters (sidecar);
-  sidecar->probe_timer = evtimer_new (base, sdc_probe_timer, sidecar);
-  sidecar->tick_timer = start_timer (sidecar, SDC_TICK_MS, on_tick);
+  sidecar->probe_timer = evtimer_new (base, sidecar_probe_on_timer, sidecar);
+  sidecar->tick_timer = start_timer (sidecar, SIDECAR_QUEUE_CHECK_MS, on_tick);
   sidecar->report_timer = start_timer (sidecar, daemon->set.exchange_interval_ms, on_report);
-  sdc_probe_now (sidecar);
+  sidecar_probe_start (sidecar);
   return sidecar;
 }
 
 void
-sdc_free (sdc_t *sidecar)
+sidecar_free (sidecar_t *sidecar)
 {
   GList *calls;
 
@@ -329,11 +329,11 @@
   calls = g_hash_table_get_values (sidecar->calls);
   for (GList *link = calls; link != NULL; link = link->next)
     {
-      sdc_call_t *call = link->data;
+      sidecar_call_t *call = link->data;
 
       if (call->inbound != NULL)
         hsv_abort (call->inbound);
-      sdc_call_free (call);
+      sidecar_call_free (call);
     }
   g_list_free (calls);
   event_free (sidecar->probe_timer);
@@ -342,16 +342,16 @@
   data_task_free (sidecar->ops);
   hcl_free (sidecar->http_client);
   admission_free (sidecar->admission);
-  hst_free (sidecar->history);
+  history_free (sidecar->history);
   g_hash_table_destroy (sidecar->calls);
   g_free (sidecar->other_engines);
   g_free (sidecar);
 }
 
 void
-sdc_message (mbx_message_t *message, void *context)
+sidecar_handle_message (mbx_message_t *message, void *context)
 {
-  sdc_t *sidecar = context;
+  sidecar_t *sidecar = context;
 
   if (data_task_handle_message (sidecar->ops, message))
     return;
@@ -364,7 +364,7 @@
       merge_crash_marks (sidecar, (message_crash_marks_t *)message);
       break;
     case MESSAGE_CLAIM_RESULT:
-      sdc_claim_result (sidecar, &((message_claim_result_t *)message)->result);
+      sidecar_claim_handle_result (sidecar, &((message_claim_result_t *)message)->result);
       break;
     default:
       break;
--- a/src/request/sidecar/sidecar.h
+++ b/src/request/sidecar/sidecar.h
@@ -9,13 +9,13 @@
 
 #include "base/daemon.h"
 
-typedef struct sidecar sdc_t;
+typedef struct sidecar sidecar_t;
 
-/** sdc_new() - Return: NULL with @error set when the HTTP listener cannot be opened */
-sdc_t *sdc_new (dmn_t *daemon, struct event_base *base, GError **error);
-/** sdc_free() - aborts all requests in flight; NULL is allowed */
-void sdc_free (sdc_t *sidecar);
-/** sdc_message() - handler of the data task's mailbox; @context is the sdc_t */
-void sdc_message (mbx_message_t *message, void *context);
+/** sidecar_new() - Return: NULL with @error set when the HTTP listener cannot be opened */
+sidecar_t *sidecar_new (dmn_t *daemon, struct event_base *base, GError **error);
+/** sidecar_free() - aborts all requests in flight; NULL is allowed */
+void sidecar_free (sidecar_t *sidecar);
+/** sidecar_handle_message() - handler of the data task's mailbox; @context is the sidecar_t */
+void sidecar_handle_message (mbx_message_t *message, void *context);
 
 #endif
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -12,7 +12,7 @@
  * An account or class that is missing from the version in force here was added or removed by
  * another version, which the router has. Default values apply until both have the same version. */
 static void
-fill_request (sdc_call_t *call)
+fill_request (sidecar_call_t *call)
 {
   const hop_t *hop = &call->hop;
   const man_account_t *account = man_account_named (call->manifest, hop->account);
@@ -39,7 +39,7 @@
 }
 
 static void
-merge_samples (sdc_t *sidecar, const hop_t *hop)
+merge_samples (sidecar_t *sidecar, const hop_t *hop)
 {
   uint64_t now_us = data_task_now_us (sidecar->ops);
 
@@ -61,7 +61,7 @@
 }
 
 static void
-copy_request (sdc_call_t *call)
+copy_request (sidecar_call_t *call)
 {
   uint32_t limit = call->sidecar->daemon->set.header_limit_count;
 
@@ -78,10 +78,10 @@
     }
 }
 
-static sdc_call_t *
-call_new (sdc_t *sidecar, hsv_call_t *inbound, const hop_t *hop)
+static sidecar_call_t *
+call_new (sidecar_t *sidecar, hsv_call_t *inbound, const hop_t *hop)
 {
-  sdc_call_t *call = g_new0 (sdc_call_t, 1);
+  sidecar_call_t *call = g_new0 (sidecar_call_t, 1);
 
   call->sidecar = sidecar;
   call->inbound = inbound;
@@ -89,7 +89,7 @@
   call->manifest = man_ref (data_task_manifest (sidecar->ops));
   call->arrived_us = data_task_now_us (sidecar->ops);
   call->deadline_us = call->arrived_us + (uint64_t)hop->deadline_ms * CLK_US_PER_MS;
-  call->timer = evtimer_new (sidecar->base, sdc_engine_timer, call);
+  call->timer = evtimer_new (sidecar->base, sidecar_engine_on_timer, call);
   hop_format_attempt (hop->attempt, call->attempt_text);
   relay_init (&call->relay, inbound);
   fill_request (call);
@@ -98,18 +98,21 @@
   return call;
 }
 
-/* refuse_without_call() - refuses a request before an sdc_call_t is created for it */
+/* refuse_without_call() - refuses a request before an sidecar_call_t is created for it */
 static void
-refuse_without_call (sdc_t *sidecar, hsv_call_t *inbound, const char *attempt, const flt_t *fault)
+refuse_without_call (sidecar_t *sidecar,
+                     hsv_call_t *inbound,
+                     const char *attempt,
+                     const flt_t *fault)
 {
-  sdc_identify (sidecar, inbound, attempt);
+  sidecar_add_headers (sidecar, inbound, attempt);
   if (fault->reason != VERDICT_REASON_NONE)
     hsv_add_header (inbound, HOP_REASON_HEADER, verdict_reason_to_string (fault->reason));
   error_reply_send (inbound, fault);
 }
 
 static bool
-read_hop_headers (sdc_t *sidecar, hsv_call_t *inbound, hop_t *hop)
+read_hop_headers (sidecar_t *sidecar, hsv_call_t *inbound, hop_t *hop)
 {
   hop_read_result_t outcome = hop_read (hop, sidecar->daemon->set.fleet_key, hsv_headers (inbound));
   size_t body_bytes;
@@ -131,16 +134,16 @@
 /* refuse_used_attempt() - an attempt id is valid for one request only. Return: whether the request
  * was refused */
 static bool
-refuse_used_attempt (sdc_t *sidecar, hsv_call_t *inbound, const hop_t *hop, const char *attempt)
+refuse_used_attempt (sidecar_t *sidecar, hsv_call_t *inbound, const hop_t *hop, const char *attempt)
 {
   flt_t fault = { .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_REVOKED };
   verdict_t ended;
-  hst_state_t state =
-      hst_find (sidecar->history, data_task_now_us (sidecar->ops), hop->attempt, &ended);
+  history_state_t state =
+      history_find (sidecar->history, data_task_now_us (sidecar->ops), hop->attempt, &ended);
 
-  if (state == HST_UNKNOWN && !g_hash_table_contains (sidecar->calls, hop->attempt))
+  if (state == HISTORY_UNKNOWN && !g_hash_table_contains (sidecar->calls, hop->attempt))
     return false;
-  if (state != HST_BARRED)
+  if (state != HISTORY_REVOKED)
     {
       fault.verdict = VERDICT_MAY_HAVE_RUN;
       fault.status = 409;
@@ -151,7 +154,7 @@
 
 /* refusal_reason() - why a request is refused before admission, or VERDICT_REASON_NONE */
 static verdict_reason_t
-refusal_reason (sdc_t *sidecar, const hop_t *hop)
+refusal_reason (sidecar_t *sidecar, const hop_t *hop)
 {
   if (data_task_is_stale (sidecar->ops) || data_task_manifest (sidecar->ops) == NULL)
     return VERDICT_REASON_STALE;
@@ -161,9 +164,9 @@
 }
 
 void
-sdc_accept (hsv_call_t *inbound, void *context)
+sidecar_accept (hsv_call_t *inbound, void *context)
 {
-  sdc_t *sidecar = context;
+  sidecar_t *sidecar = context;
   char attempt[33];
   verdict_reason_t reason;
   hop_t hop;
@@ -176,7 +179,8 @@
   reason = refusal_reason (sidecar, &hop);
   if (reason != VERDICT_REASON_NONE)
     {
-      hst_ended (sidecar->history, data_task_now_us (sidecar->ops), hop.attempt, VERDICT_NOT_RUN);
+      history_record (sidecar->history, data_task_now_us (sidecar->ops), hop.attempt,
+                      VERDICT_NOT_RUN);
       cnt_add (sidecar->refusals[reason], 1);
       refuse_without_call (sidecar, inbound, attempt,
                            &(flt_t){ .verdict = VERDICT_NOT_RUN, .reason = reason });
@@ -184,6 +188,7 @@
     }
   merge_samples (sidecar, &hop);
   if (hop.sample_count > 0)
-    sdc_pump (sidecar); /* the load bound may have risen for requests that are queued already */
-  sdc_call_offer (call_new (sidecar, inbound, &hop));
+    sidecar_process_queue (
+        sidecar); /* the load bound may have risen for requests that are queued already */
+  sidecar_call_admit (call_new (sidecar, inbound, &hop));
 }
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 void
-sdc_call_note (const sdc_call_t *call,
-               const char *action,
-               verdict_t verdict,
-               verdict_reason_t reason)
+sidecar_call_log_decision (const sidecar_call_t *call,
+                           const char *action,
+                           verdict_t verdict,
+                           verdict_reason_t reason)
 {
-  const sdc_t *sidecar = call->sidecar;
+  const sidecar_t *sidecar = call->sidecar;
   decision_t decision = { .request = { call->hop.attempt[0], call->hop.attempt[1] },
                           .wall_ms = clk_wall_ms (&sidecar->daemon->clk),
                           .chat_hash = call->hop.chat_hash,
@@ -33,13 +33,13 @@
 }
 
 bool
-sdc_load_text (const sdc_t *sidecar, char out[48])
+sidecar_format_load (const sidecar_t *sidecar, char out[48])
 {
   load_sample_t own = admission_sample (sidecar->admission, data_task_now_us (sidecar->ops));
 
   /* An engine that accepts no requests is left out of the mean load. Counted as idle, it would
    * lower the load bound of the engines that have to take over its share. */
-  if (!sdc_takes_work (sidecar))
+  if (!sidecar_accepts_requests (sidecar))
     return false;
   hop_format_load (&(hop_sample_t){ .load = own.load, .waiting = own.waiting, .cost = own.cost },
                    out);
@@ -47,11 +47,11 @@
 }
 
 void
-sdc_identify (const sdc_t *sidecar, hsv_call_t *inbound, const char *attempt_text)
+sidecar_add_headers (const sidecar_t *sidecar, hsv_call_t *inbound, const char *attempt_text)
 {
   char load[48];
 
-  if (sdc_load_text (sidecar, load))
+  if (sidecar_format_load (sidecar, load))
     hsv_add_header (inbound, HOP_LOAD_HEADER, load);
   hsv_add_header (inbound, HOP_ATTEMPT_HEADER, attempt_text);
   hsv_add_header (inbound, HOP_ENGINE_HEADER, sidecar->daemon->set.name);
@@ -59,7 +59,7 @@
 }
 
 void
-sdc_call_free (sdc_call_t *call)
+sidecar_call_free (sidecar_call_t *call)
 {
   if (call->outbound != NULL)
     hcl_cancel (call->outbound);
@@ -83,14 +83,14 @@
 
 /* record_outcome() - remembers the verdict for a router that asks for it later */
 static void
-record_outcome (sdc_call_t *call, verdict_t verdict)
+record_outcome (sidecar_call_t *call, verdict_t verdict)
 {
-  hst_ended (call->sidecar->history, data_task_now_us (call->sidecar->ops), call->hop.attempt,
-             verdict);
+  history_record (call->sidecar->history, data_task_now_us (call->sidecar->ops), call->hop.attempt,
+                  verdict);
 }
 
 static void
-add_referrals (sdc_call_t *call, const admission_decision_t *decision)
+add_referrals (sidecar_call_t *call, const admission_decision_t *decision)
 {
   const membership_snapshot_t *members = data_task_members (call->sidecar->ops);
   GString *names = g_string_new (NULL);
@@ -108,11 +108,11 @@
 }
 
 static void
-reply_refusal (sdc_call_t *call, const admission_decision_t *decision, verdict_t verdict)
+reply_refusal (sidecar_call_t *call, const admission_decision_t *decision, verdict_t verdict)
 {
   char retry[16];
 
-  sdc_identify (call->sidecar, call->inbound, call->attempt_text);
+  sidecar_add_headers (call->sidecar, call->inbound, call->attempt_text);
   hsv_add_header (call->inbound, HOP_REASON_HEADER, verdict_reason_to_string (decision->reason));
   add_referrals (call, decision);
   if (decision->retry_after_ms != 0)
@@ -128,39 +128,39 @@
 }
 
 static void
-refuse_call (sdc_call_t *call, const admission_decision_t *decision, verdict_t verdict)
+refuse_call (sidecar_call_t *call, const admission_decision_t *decision, verdict_t verdict)
 {
-  sdc_call_note (call, "refuse", verdict, decision->reason);
+  sidecar_call_log_decision (call, "refuse", verdict, decision->reason);
   cnt_add (call->sidecar->refusals[decision->reason], 1);
   /* @verdict is about the idempotency key, which another attempt may have claimed; this attempt
    * itself did not run. */
   record_outcome (call, VERDICT_NOT_RUN);
   if (call->inbound != NULL)
     reply_refusal (call, decision, verdict);
-  sdc_call_free (call);
+  sidecar_call_free (call);
 }
 
 void
-sdc_call_refuse (sdc_call_t *call, const admission_decision_t *decision)
+sidecar_call_refuse (sidecar_call_t *call, const admission_decision_t *decision)
 {
   refuse_call (call, decision, VERDICT_NOT_RUN);
 }
 
 void
-sdc_call_give_back (sdc_call_t *call, verdict_reason_t reason, verdict_t verdict)
+sidecar_call_refuse_admitted (sidecar_call_t *call, verdict_reason_t reason, verdict_t verdict)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
 
   admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request, false);
   refuse_call (call, &(admission_decision_t){ .reason = reason }, verdict);
 }
 
 void
-sdc_call_fail (sdc_call_t *call, verdict_reason_t reason)
+sidecar_call_fail (sidecar_call_t *call, verdict_reason_t reason)
 {
   admission_decision_t decision = { .reason = reason };
 
-  sdc_call_note (call, "fail", VERDICT_MAY_HAVE_RUN, reason);
+  sidecar_call_log_decision (call, "fail", VERDICT_MAY_HAVE_RUN, reason);
   cnt_add (call->sidecar->refusals[reason], 1);
   record_outcome (call, VERDICT_MAY_HAVE_RUN);
   if (call->relay.begun)
@@ -168,73 +168,73 @@
   else if (call->inbound != NULL)
     reply_refusal (call, &decision, VERDICT_MAY_HAVE_RUN);
   call->inbound = NULL;
-  sdc_call_free (call);
+  sidecar_call_free (call);
 }
 
 void
-sdc_call_unheard (sdc_call_t *call, verdict_reason_t reason)
+sidecar_call_answer_and_continue (sidecar_call_t *call, verdict_reason_t reason)
 {
   if (call->inbound != NULL)
     reply_refusal (call, &(admission_decision_t){ .reason = reason }, VERDICT_MAY_HAVE_RUN);
 }
 
 void
-sdc_call_answered (sdc_call_t *call)
+sidecar_call_complete (sidecar_call_t *call)
 {
-  sdc_call_note (call, "answer", VERDICT_RAN, VERDICT_REASON_NONE);
+  sidecar_call_log_decision (call, "answer", VERDICT_RAN, VERDICT_REASON_NONE);
   record_outcome (call, VERDICT_RAN);
   relay_finish (&call->relay);
   call->inbound = NULL;
-  sdc_call_free (call);
+  sidecar_call_free (call);
 }
 
 verdict_t
-sdc_call_drop (sdc_call_t *call)
+sidecar_call_cancel (sidecar_call_t *call)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
   uint64_t now_us = data_task_now_us (sidecar->ops);
   verdict_t verdict = VERDICT_NOT_RUN;
 
   switch (call->state)
     {
-    case SDC_ARRIVED:
+    case SIDECAR_CALL_ARRIVED:
       break;
-    case SDC_WAITING:
+    case SIDECAR_CALL_QUEUED:
       admission_cancel (sidecar->admission, &call->request);
       break;
-    case SDC_CLAIMING:
+    case SIDECAR_CALL_CLAIMING:
       admission_finish (sidecar->admission, now_us, &call->request, false);
-      sdc_claim_end (call, false, 0);
+      sidecar_claim_end (call, false, 0);
       break;
-    case SDC_RUNNING:
+    case SIDECAR_CALL_RUNNING:
       if (!call->hop.idempotent)
         return VERDICT_MAY_HAVE_RUN; /* must not be interrupted half way, so it runs to its end */
       admission_finish (sidecar->admission, now_us, &call->request, false);
       verdict = VERDICT_MAY_HAVE_RUN;
       break;
-    case SDC_CUT:
+    case SIDECAR_CALL_INTERRUPTED:
       return VERDICT_MAY_HAVE_RUN; /* the result of the health check ends it */
     }
-  sdc_call_note (call, "drop", verdict, VERDICT_REASON_REVOKED);
+  sidecar_call_log_decision (call, "drop", verdict, VERDICT_REASON_REVOKED);
   record_outcome (call, verdict);
   if (call->inbound != NULL && !call->relay.begun)
     reply_refusal (call, &(admission_decision_t){ .reason = VERDICT_REASON_REVOKED }, verdict);
   else if (call->inbound != NULL)
     relay_abort (&call->relay, &(flt_t){ .verdict = verdict, .reason = VERDICT_REASON_REVOKED });
-  sdc_call_free (call);
+  sidecar_call_free (call);
   return verdict;
 }
 
 static void
 on_router_disconnect (void *context)
 {
-  sdc_call_t *call = context;
-  sdc_t *sidecar = call->sidecar;
+  sidecar_call_t *call = context;
+  sidecar_t *sidecar = call->sidecar;
 
   call->inbound = NULL;
   relay_client_gone (&call->relay);
-  sdc_call_drop (call);
-  sdc_pump (sidecar);
+  sidecar_call_cancel (call);
+  sidecar_process_queue (sidecar);
 }
 
 /* must_quarantine() - whether a request that is marked for a crash must not run beside another one
@@ -243,9 +243,9 @@
  * them shared the next engine, a second crash would have both refused permanently, also the one
  * that did not cause it. */
 static bool
-must_quarantine (sdc_call_t *call)
+must_quarantine (sidecar_call_t *call)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
   suspects_t *suspects = admission_suspects (sidecar->admission);
   uint64_t now_us = data_task_now_us (sidecar->ops);
   suspect_mark_t mark = { .fingerprint = call->hop.fingerprint };
@@ -271,9 +271,9 @@
 /* suspect_reason() - why this engine must not run a request that crashed engines, or
  * VERDICT_REASON_NONE */
 static verdict_reason_t
-suspect_reason (const sdc_call_t *call)
+suspect_reason (const sidecar_call_t *call)
 {
-  const sdc_t *sidecar = call->sidecar;
+  const sidecar_t *sidecar = call->sidecar;
 
   switch (suspect_check (admission_suspects (sidecar->admission), data_task_now_us (sidecar->ops),
                          call->hop.fingerprint, sidecar->own_hash))
@@ -294,9 +294,9 @@
  * While the request was queued, its engine may have been moved to another service, or a copy of the
  * request may have crashed an engine. */
 static verdict_reason_t
-dispatch_refusal_reason (sdc_call_t *call)
+dispatch_refusal_reason (sidecar_call_t *call)
 {
-  verdict_reason_t reason = sdc_closed (call);
+  verdict_reason_t reason = sidecar_unavailable_reason (call);
 
   if (reason == VERDICT_REASON_NONE)
     reason = suspect_reason (call);
@@ -307,20 +307,20 @@
 
 /* dispatch() - claims the idempotency key of an admitted request, or sends it to the engine */
 static void
-dispatch (sdc_call_t *call)
+dispatch (sidecar_call_t *call)
 {
   verdict_reason_t reason = dispatch_refusal_reason (call);
 
   if (reason != VERDICT_REASON_NONE)
     {
-      sdc_call_give_back (call, reason, VERDICT_NOT_RUN);
+      sidecar_call_refuse_admitted (call, reason, VERDICT_NOT_RUN);
       return;
     }
-  call->state = SDC_RUNNING;
+  call->state = SIDECAR_CALL_RUNNING;
   if (call->hop.key_hash[1] != 0)
-    sdc_claim_start (call);
+    sidecar_claim_start (call);
   else
-    sdc_engine_start (call);
+    sidecar_engine_send (call);
 }
 
 /* reject_queued() - refuses a queued request
@@ -328,19 +328,19 @@
  * If a copy of the request crashed the engine meanwhile, that reason replaces admission's own: the
  * router counts an engine crash only when the reason of the refusal names it. */
 static void
-reject_queued (sdc_call_t *call, admission_decision_t *decision)
+reject_queued (sidecar_call_t *call, admission_decision_t *decision)
 {
   verdict_reason_t reason = suspect_reason (call);
 
   if (reason != VERDICT_REASON_NONE)
     *decision = (admission_decision_t){ .reason = reason };
-  sdc_call_refuse (call, decision);
+  sidecar_call_refuse (call, decision);
 }
 
 void
-sdc_call_offer (sdc_call_t *call)
+sidecar_call_admit (sidecar_call_t *call)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
   admission_decision_t decision = { .action = ADMISSION_REJECT,
                                     .reason = VERDICT_REASON_QUARANTINE };
 
@@ -355,18 +355,18 @@
       dispatch (call);
       break;
     case ADMISSION_WAIT:
-      call->state = SDC_WAITING;
+      call->state = SIDECAR_CALL_QUEUED;
       cnt_add (sidecar->waited, 1);
-      sdc_call_note (call, "wait", VERDICT_NOT_RUN, decision.reason);
+      sidecar_call_log_decision (call, "wait", VERDICT_NOT_RUN, decision.reason);
       break;
     case ADMISSION_REJECT:
-      sdc_call_refuse (call, &decision);
+      sidecar_call_refuse (call, &decision);
       break;
     }
 }
 
 void
-sdc_pump (sdc_t *sidecar)
+sidecar_process_queue (sidecar_t *sidecar)
 {
   admission_decision_t decision;
   admission_request_t *request;
@@ -374,9 +374,9 @@
   admission_set_stale (sidecar->admission, data_task_is_stale (sidecar->ops));
   while ((request = admission_next_rejected (sidecar->admission, data_task_now_us (sidecar->ops),
                                              &decision)) != NULL)
-    reject_queued ((sdc_call_t *)request, &decision);
+    reject_queued ((sidecar_call_t *)request, &decision);
   while ((request = admission_next (sidecar->admission, data_task_now_us (sidecar->ops))) != NULL)
-    dispatch ((sdc_call_t *)request);
+    dispatch ((sidecar_call_t *)request);
   cnt_set_value (sidecar->load, admission_load (sidecar->admission));
   cnt_set_value (sidecar->waiting, admission_waiting (sidecar->admission));
 }
--- a/src/request/sidecar/sidecar_claim.c
+++ b/src/request/sidecar/sidecar_claim.c
@@ -17,7 +17,7 @@
  * Every sidecar of the service must compute the same stream: claims of one key in two streams would
  * both be granted. */
 static void
-format_claim_stream (const sdc_call_t *call, char *out, size_t out_bytes)
+format_claim_stream (const sidecar_call_t *call, char *out, size_t out_bytes)
 {
   const man_service_t *service = man_service_named (call->manifest, call->hop.service);
   uint32_t shards = service != NULL ? MAX (service->claim_shards, 1) : 1;
@@ -27,7 +27,7 @@
 }
 
 void
-sdc_claim_start (sdc_call_t *call)
+sidecar_claim_start (sidecar_call_t *call)
 {
   message_claim_t *message = message_new (MESSAGE_CLAIM);
 
@@ -36,14 +36,14 @@
   message->claim_id[1] = call->hop.attempt[1];
   message->key = claim_key (&call->hop);
   message->expiry_us = call->deadline_us;
-  call->state = SDC_CLAIMING;
+  call->state = SIDECAR_CALL_CLAIMING;
   call->claim_open = true;
-  sdc_call_note (call, "claim", VERDICT_NOT_RUN, VERDICT_REASON_NONE);
+  sidecar_call_log_decision (call, "claim", VERDICT_NOT_RUN, VERDICT_REASON_NONE);
   mbx_send (call->sidecar->daemon->to_control, &message->head);
 }
 
 void
-sdc_claim_end (sdc_call_t *call, bool ran, uint32_t status)
+sidecar_claim_end (sidecar_call_t *call, bool ran, uint32_t status)
 {
   message_claim_end_t *message;
 
@@ -69,11 +69,11 @@
  * the claim would be released by a log record that can arrive after the claim of the next sidecar,
  * and in a planned stop the caller of a request that did not run would be told "may have run". */
 static verdict_reason_t
-start_refusal_reason (const sdc_call_t *call)
+start_refusal_reason (const sidecar_call_t *call)
 {
-  verdict_reason_t reason = sdc_closed (call);
+  verdict_reason_t reason = sidecar_unavailable_reason (call);
 
-  if (reason == VERDICT_REASON_LEAVING && sdc_left_lately (call->sidecar))
+  if (reason == VERDICT_REASON_LEAVING && sidecar_in_leaving_grace (call->sidecar))
     reason = VERDICT_REASON_NONE;
   if (reason == VERDICT_REASON_NONE && data_task_now_us (call->sidecar->ops) >= call->deadline_us)
     reason = VERDICT_REASON_DEADLINE;
@@ -81,25 +81,25 @@
 }
 
 static void
-on_claim_granted (sdc_call_t *call)
+on_claim_granted (sidecar_call_t *call)
 {
   verdict_reason_t reason = start_refusal_reason (call);
 
   if (reason == VERDICT_REASON_NONE)
     {
-      sdc_engine_start (call);
+      sidecar_engine_send (call);
       return;
     }
-  sdc_claim_end (call, false, 0);
-  sdc_call_give_back (call, reason, VERDICT_NOT_RUN);
+  sidecar_claim_end (call, false, 0);
+  sidecar_call_refuse_admitted (call, reason, VERDICT_NOT_RUN);
 }
 
 void
-sdc_claim_result (sdc_t *sidecar, const claim_result_t *result)
+sidecar_claim_handle_result (sidecar_t *sidecar, const claim_result_t *result)
 {
-  sdc_call_t *call = g_hash_table_lookup (sidecar->calls, result->claim_id);
+  sidecar_call_t *call = g_hash_table_lookup (sidecar->calls, result->claim_id);
 
-  if (call == NULL || call->state != SDC_CLAIMING)
+  if (call == NULL || call->state != SIDECAR_CALL_CLAIMING)
     return;
   switch (result->verdict)
     {
@@ -107,21 +107,21 @@
       on_claim_granted (call);
       break;
     case CLAIM_DONE:
-      sdc_call_give_back (call, VERDICT_REASON_CLAIMED, VERDICT_RAN);
+      sidecar_call_refuse_admitted (call, VERDICT_REASON_CLAIMED, VERDICT_RAN);
       break;
     case CLAIM_KEY_REUSED:
-      sdc_call_give_back (call, VERDICT_REASON_KEY_REUSED, VERDICT_NOT_RUN);
+      sidecar_call_refuse_admitted (call, VERDICT_REASON_KEY_REUSED, VERDICT_NOT_RUN);
       break;
     case CLAIM_EXPIRED:
-      sdc_call_give_back (call, VERDICT_REASON_DEADLINE, VERDICT_NOT_RUN);
+      sidecar_call_refuse_admitted (call, VERDICT_REASON_DEADLINE, VERDICT_NOT_RUN);
       break;
     case CLAIM_LOG_DOWN:
-      sdc_call_give_back (call, VERDICT_REASON_LOG_DOWN, VERDICT_NOT_RUN);
+      sidecar_call_refuse_admitted (call, VERDICT_REASON_LOG_DOWN, VERDICT_NOT_RUN);
       break;
     case CLAIM_HELD:
     case CLAIM_PENDING:
-      sdc_call_give_back (call, VERDICT_REASON_CLAIMED, VERDICT_MAY_HAVE_RUN);
+      sidecar_call_refuse_admitted (call, VERDICT_REASON_CLAIMED, VERDICT_MAY_HAVE_RUN);
       break;
     }
-  sdc_pump (sidecar);
+  sidecar_process_queue (sidecar);
 }
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -8,7 +8,7 @@
 #define ADDED_HEADERS 3
 
 static void
-set_timer (sdc_call_t *call, uint64_t delay_us)
+set_timer (sidecar_call_t *call, uint64_t delay_us)
 {
   struct timeval delay = { .tv_sec = (time_t)(delay_us / CLK_US_PER_S),
                            .tv_usec = (suseconds_t)(delay_us % CLK_US_PER_S) };
@@ -17,18 +17,18 @@
 }
 
 static void
-add_load_header (sdc_call_t *call)
+add_load_header (sidecar_call_t *call)
 {
   char load[48];
 
-  if (sdc_load_text (call->sidecar, load))
+  if (sidecar_format_load (call->sidecar, load))
     relay_add_header (&call->relay, HOP_LOAD_HEADER, load);
 }
 
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  sdc_call_t *call = context;
+  sidecar_call_t *call = context;
   const char *echoed = evhttp_find_header (headers, HOP_REQUEST_HEADER);
 
   /* An engine that mixes up its answers would send one caller the answer to another's request. */
@@ -47,43 +47,43 @@
   if (!call->relay.holding)
     add_load_header (call);
   relay_add_header (&call->relay, VERDICT_HEADER, verdict_to_string (VERDICT_RAN));
-  set_timer (call, SDC_STALL_US);
+  set_timer (call, SIDECAR_STALL_TIMEOUT_US);
   return true;
 }
 
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  sdc_call_t *call = context;
+  sidecar_call_t *call = context;
 
   relay_forward (&call->relay, data);
-  set_timer (call, SDC_STALL_US);
+  set_timer (call, SIDECAR_STALL_TIMEOUT_US);
 }
 
 static void
-on_answer_complete (sdc_call_t *call, int status)
+on_answer_complete (sidecar_call_t *call, int status)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
   bool fills_cache =
       sidecar->service != NULL && sidecar->service->kind == MAN_KIND_MODEL && status == 200;
 
   admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request,
                     fills_cache);
-  sdc_claim_end (call, true, (uint32_t)status);
+  sidecar_claim_end (call, true, (uint32_t)status);
   if (!call->relay.begun)
     add_load_header (call); /* the load without this request, which has ended */
-  sdc_call_answered (call);
+  sidecar_call_complete (call);
 }
 
 /* on_engine_unreachable() - no connection to the engine, so no byte of the request was sent */
 static void
-on_engine_unreachable (sdc_call_t *call)
+on_engine_unreachable (sidecar_call_t *call)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
 
-  sdc_claim_end (call, false, 0);
-  sdc_call_give_back (call, VERDICT_REASON_NO_ENGINE, VERDICT_NOT_RUN);
-  sdc_probe_now (sidecar);
+  sidecar_claim_end (call, false, 0);
+  sidecar_call_refuse_admitted (call, VERDICT_REASON_NO_ENGINE, VERDICT_NOT_RUN);
+  sidecar_probe_start (sidecar);
 }
 
 /* on_answer_interrupted() - the engine closed the connection before the end of its answer
@@ -92,11 +92,11 @@
  * and whether the request is marked as suspect. An answer that was already being relayed is broken
  * off at once, and only the mark waits for the health check. */
 static void
-on_answer_interrupted (sdc_call_t *call)
+on_answer_interrupted (sidecar_call_t *call)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
 
-  call->state = SDC_CUT;
+  call->state = SIDECAR_CALL_INTERRUPTED;
   call->interrupted_us = data_task_now_us (sidecar->ops);
   if (call->relay.begun)
     {
@@ -105,14 +105,14 @@
                                            .request = call->attempt_text });
       call->inbound = NULL;
     }
-  sdc_probe_now (sidecar);
+  sidecar_probe_start (sidecar);
 }
 
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  sdc_call_t *call = context;
-  sdc_t *sidecar = call->sidecar;
+  sidecar_call_t *call = context;
+  sidecar_t *sidecar = call->sidecar;
 
   call->outbound = NULL;
   call->relay.from = NULL;
@@ -124,18 +124,18 @@
   else if (call->answer_mismatch)
     {
       admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request, false);
-      sdc_call_fail (call, VERDICT_REASON_CROSSED);
+      sidecar_call_fail (call, VERDICT_REASON_CROSSED);
     }
   else
     on_answer_interrupted (call);
-  sdc_pump (sidecar);
+  sidecar_process_queue (sidecar);
 }
 
 void
-sdc_engine_timer (evutil_socket_t fd, short what, void *context)
+sidecar_engine_on_timer (evutil_socket_t fd, short what, void *context)
 {
-  sdc_call_t *call = context;
-  sdc_t *sidecar = call->sidecar;
+  sidecar_call_t *call = context;
+  sidecar_t *sidecar = call->sidecar;
 
   (void)fd;
   (void)what;
@@ -143,7 +143,7 @@
     return;
   if (call->relay.begun && relay_was_blocked (&call->relay))
     {
-      set_timer (call, SDC_STALL_US);
+      set_timer (call, SIDECAR_STALL_TIMEOUT_US);
       return;
     }
   if (!call->hop.idempotent && !call->head_received && !call->timeout_reported)
@@ -151,20 +151,20 @@
       /* The caller is told now that the request may have run. The engine is not interrupted: after
        * a partial run the outcome would be unknown and the request could not be sent again. */
       call->timeout_reported = true;
-      sdc_call_note (call, "late", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_TIMEOUT);
-      sdc_call_unheard (call, VERDICT_REASON_TIMEOUT);
-      set_timer (call, SDC_STALL_US);
+      sidecar_call_log_decision (call, "late", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_TIMEOUT);
+      sidecar_call_answer_and_continue (call, VERDICT_REASON_TIMEOUT);
+      set_timer (call, SIDECAR_STALL_TIMEOUT_US);
       return;
     }
   admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request, false);
-  sdc_call_fail (call, VERDICT_REASON_TIMEOUT);
-  sdc_pump (sidecar);
+  sidecar_call_fail (call, VERDICT_REASON_TIMEOUT);
+  sidecar_process_queue (sidecar);
 }
 
 void
-sdc_engine_start (sdc_call_t *call)
+sidecar_engine_send (sidecar_call_t *call)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
   uint64_t now_us = data_task_now_us (sidecar->ops);
   uint64_t remaining_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
   char priority[16];
@@ -187,9 +187,9 @@
   added[0] = (hcl_header_t){ .name = HOP_REQUEST_HEADER, .value = call->attempt_text };
   added[1] = (hcl_header_t){ .name = HOP_PRIORITY_HEADER, .value = priority };
   added[2] = (hcl_header_t){ .name = HOP_ACCOUNT_HEADER, .value = call->hop.account };
-  call->state = SDC_RUNNING;
+  call->state = SIDECAR_CALL_RUNNING;
   cnt_add (sidecar->dispatched, 1);
-  sdc_call_note (call, "dispatch", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_NONE);
+  sidecar_call_log_decision (call, "dispatch", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_NONE);
   set_timer (call, MAX (remaining_us, CLK_US_PER_MS));
   call->outbound = hcl_start (sidecar->http_client, &options);
 }
--- a/src/request/sidecar/sidecar_leave.c
+++ b/src/request/sidecar/sidecar_leave.c
@@ -13,11 +13,12 @@
  * struct handover - a hand-over of the directory
  * @batch_by_host: JSON array of entries for each host, by the host's index in the members; NULL
  *   when there are none
- * @batch_count: batches that were complete so far; those beyond SDC_BATCHES are not sent
+ * @batch_count: batches that were complete so far; those beyond SIDECAR_HANDOVER_MAX_BATCHES are
+ * not sent
  */
 typedef struct
 {
-  sdc_t *sidecar;
+  sidecar_t *sidecar;
   json_t **batch_by_host;
   uint32_t batch_count;
 } handover_t;
@@ -39,7 +40,7 @@
 }
 
 static void
-send_batch (sdc_t *sidecar, const membership_host_t *host, const json_t *entries)
+send_batch (sidecar_t *sidecar, const membership_host_t *host, const json_t *entries)
 {
   batch_request_t *request = g_new0 (batch_request_t, 1);
   char *text = json_dumps (entries, JSON_COMPACT);
@@ -76,7 +77,7 @@
 
   if (entries == NULL)
     return;
-  if (handover->batch_count++ < SDC_BATCHES)
+  if (handover->batch_count++ < SIDECAR_HANDOVER_MAX_BATCHES)
     send_batch (handover->sidecar, &data_task_members (handover->sidecar->ops)->hosts[index],
                 entries);
   json_decref (entries);
@@ -90,7 +91,7 @@
 add_entry (const chat_directory_entry_t *entry, void *context)
 {
   handover_t *handover = context;
-  sdc_t *sidecar = handover->sidecar;
+  sidecar_t *sidecar = handover->sidecar;
   uint32_t index;
   char chat[17];
   char engine[17];
@@ -104,12 +105,12 @@
   g_snprintf (chat, sizeof chat, "%016" PRIx64, entry->chat_hash);
   g_snprintf (engine, sizeof engine, "%016" PRIx64, entry->engine_hash);
   json_array_append_new (handover->batch_by_host[index], json_pack ("[ss]", chat, engine));
-  if (json_array_size (handover->batch_by_host[index]) == SDC_BATCH_ENTRIES)
+  if (json_array_size (handover->batch_by_host[index]) == SIDECAR_HANDOVER_BATCH_ENTRIES)
     flush_batch (handover, index);
 }
 
 void
-sdc_leave (sdc_t *sidecar)
+sidecar_hand_over_directory (sidecar_t *sidecar)
 {
   const membership_snapshot_t *members = data_task_members (sidecar->ops);
   handover_t handover = { .sidecar = sidecar };
--- a/src/request/sidecar/sidecar_orders.c
+++ b/src/request/sidecar/sidecar_orders.c
@@ -18,17 +18,17 @@
 
 /* revoke_attempt() - Return: whether the attempt ran; after VERDICT_NOT_RUN it never runs here */
 static verdict_t
-revoke_attempt (sdc_t *sidecar, const uint64_t attempt[2], uint64_t age_us)
+revoke_attempt (sidecar_t *sidecar, const uint64_t attempt[2], uint64_t age_us)
 {
-  sdc_call_t *call = g_hash_table_lookup (sidecar->calls, attempt);
+  sidecar_call_t *call = g_hash_table_lookup (sidecar->calls, attempt);
 
   if (call == NULL)
-    return hst_revoke (sidecar->history, data_task_now_us (sidecar->ops), attempt, age_us);
-  return sdc_call_drop (call);
+    return history_revoke (sidecar->history, data_task_now_us (sidecar->ops), attempt, age_us);
+  return sidecar_call_cancel (call);
 }
 
 static void
-serve_revoke (sdc_t *sidecar, hsv_call_t *inbound)
+serve_revoke (sidecar_t *sidecar, hsv_call_t *inbound)
 {
   const char *text = hsv_query (inbound, "attempt");
   const char *age = hsv_query (inbound, "age_ms");
@@ -43,14 +43,14 @@
       return;
     }
   verdict = revoke_attempt (sidecar, attempt, age_ms * CLK_US_PER_MS);
-  sdc_identify (sidecar, inbound, text);
+  sidecar_add_headers (sidecar, inbound, text);
   hsv_add_header (inbound, VERDICT_HEADER, verdict_to_string (verdict));
   hsv_reply_text (inbound, 200, "text/plain", verdict_to_string (verdict));
-  sdc_pump (sidecar);
+  sidecar_process_queue (sidecar);
 }
 
 static void
-serve_served (sdc_t *sidecar, hsv_call_t *inbound)
+serve_served (sidecar_t *sidecar, hsv_call_t *inbound)
 {
   uint64_t chat;
   uint64_t engine;
@@ -70,7 +70,7 @@
 /* store_entries() - stores [[chat, engine], ...], both hashes in hex, in the directory. Return: how
  * many were stored */
 static uint32_t
-store_entries (sdc_t *sidecar, const json_t *entries)
+store_entries (sidecar_t *sidecar, const json_t *entries)
 {
   uint32_t stored = 0;
   size_t index;
@@ -81,7 +81,7 @@
       uint64_t chat;
       uint64_t engine;
 
-      if (index == SDC_BATCH_ENTRIES)
+      if (index == SIDECAR_HANDOVER_BATCH_ENTRIES)
         break;
       if (!parse_hash (json_string_value (json_array_get (entry, 0)), &chat) ||
           !parse_hash (json_string_value (json_array_get (entry, 1)), &engine))
@@ -95,7 +95,7 @@
 }
 
 static void
-serve_directory (sdc_t *sidecar, hsv_call_t *inbound)
+serve_directory (sidecar_t *sidecar, hsv_call_t *inbound)
 {
   size_t body_bytes;
   const char *body = hsv_body (inbound, &body_bytes);
@@ -115,9 +115,9 @@
 }
 
 bool
-sdc_order (hsv_call_t *inbound, const char *path, void *context)
+sidecar_handle_peer_request (hsv_call_t *inbound, const char *path, void *context)
 {
-  sdc_t *sidecar = context;
+  sidecar_t *sidecar = context;
 
   if (strcmp (hsv_method (inbound), "POST") != 0)
     return false;
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -6,18 +6,19 @@
 #define PROBE_TARGET "/health"
 
 static void
-schedule_probe (sdc_t *sidecar)
+schedule_probe (sidecar_t *sidecar)
 {
   struct timeval delay = { .tv_usec = 0 };
 
-  sidecar->probe_delay_ms = CLAMP (sidecar->probe_delay_ms * 2, SDC_PROBE_MIN_MS, SDC_PROBE_MAX_MS);
+  sidecar->probe_delay_ms =
+      CLAMP (sidecar->probe_delay_ms * 2, SIDECAR_PROBE_MIN_MS, SIDECAR_PROBE_MAX_MS);
   delay.tv_sec = sidecar->probe_delay_ms / 1000;
   delay.tv_usec = (suseconds_t)(sidecar->probe_delay_ms % 1000) * 1000;
   event_add (sidecar->probe_timer, &delay);
 }
 
 static void
-set_engine_up (sdc_t *sidecar, bool up)
+set_engine_up (sidecar_t *sidecar, bool up)
 {
   if (up)
     sidecar->probe_delay_ms = 0;
@@ -31,7 +32,7 @@
 
 /* publish_crash_mark() - has the control task distribute the mark of a request to other sidecars */
 static void
-publish_crash_mark (sdc_t *sidecar, uint64_t fingerprint)
+publish_crash_mark (sidecar_t *sidecar, uint64_t fingerprint)
 {
   message_crash_marks_t *message = message_new (MESSAGE_NEW_CRASH_MARK);
 
@@ -49,9 +50,9 @@
  * the crash. If only the most likely one were marked, the cause could be another one that goes on
  * to crash a third engine. A mark only restricts which engine a request is sent to next. */
 static void
-end_interrupted_call (sdc_call_t *call, bool crashed)
+end_interrupted_call (sidecar_call_t *call, bool crashed)
 {
-  sdc_t *sidecar = call->sidecar;
+  sidecar_t *sidecar = call->sidecar;
   uint64_t now_us = data_task_now_us (sidecar->ops);
 
   if (crashed)
@@ -60,7 +61,7 @@
       publish_crash_mark (sidecar, call->hop.fingerprint);
     }
   admission_finish (sidecar->admission, now_us, &call->request, false);
-  sdc_call_fail (call, crashed ? VERDICT_REASON_ENGINE_CRASHED : VERDICT_REASON_CUT);
+  sidecar_call_fail (call, crashed ? VERDICT_REASON_ENGINE_CRASHED : VERDICT_REASON_CUT);
 }
 
 /* end_interrupted_calls() - ends the calls that were interrupted before the health check began
@@ -68,7 +69,7 @@
  * The result of the health check says nothing about calls that were interrupted later. Return:
  * whether there are such calls. */
 static bool
-end_interrupted_calls (sdc_t *sidecar, bool crashed)
+end_interrupted_calls (sidecar_t *sidecar, bool crashed)
 {
   g_autoptr (GList) calls = g_hash_table_get_values (sidecar->calls);
   uint32_t ended = 0;
@@ -76,9 +77,9 @@
 
   for (GList *link = calls; link != NULL; link = link->next)
     {
-      sdc_call_t *call = link->data;
+      sidecar_call_t *call = link->data;
 
-      if (call->state != SDC_CUT)
+      if (call->state != SIDECAR_CALL_INTERRUPTED)
         continue;
       if (call->interrupted_us > sidecar->probe_started_us)
         {
@@ -122,33 +123,33 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  sdc_t *sidecar = context;
+  sidecar_t *sidecar = context;
   bool disconnected =
       !end->whole && (end->reason == VERDICT_REASON_CUT || end->reason == VERDICT_REASON_CROSSED);
   bool crashed = !end->whole && end->reason == VERDICT_REASON_CONNECT;
 
   sidecar->probe = NULL;
   sidecar->probe_disconnects = disconnected ? sidecar->probe_disconnects + 1 : 0;
-  if (disconnected && sidecar->probe_disconnects < SDC_PROBE_CUTS)
+  if (disconnected && sidecar->probe_disconnects < SIDECAR_PROBE_MAX_DISCONNECTS)
     {
       schedule_probe (sidecar);
       return;
     }
   set_engine_up (sidecar, end->whole);
   if (end_interrupted_calls (sidecar, crashed || disconnected))
-    sdc_probe_now (sidecar);
+    sidecar_probe_start (sidecar);
   else if (!end->whole)
     schedule_probe (sidecar);
-  sdc_pump (sidecar);
+  sidecar_process_queue (sidecar);
 }
 
 void
-sdc_probe_now (sdc_t *sidecar)
+sidecar_probe_start (sidecar_t *sidecar)
 {
   hcl_options_t options = { .address = &sidecar->daemon->set.engine,
                             .method = "GET",
                             .target = PROBE_TARGET,
-                            .timeout_us = SDC_PROBE_TIMEOUT_US,
+                            .timeout_us = SIDECAR_PROBE_TIMEOUT_US,
                             .answer_limit_bytes = 64 * 1024,
                             .on_head = on_head,
                             .on_data = on_data,
@@ -163,9 +164,9 @@
 }
 
 void
-sdc_probe_timer (evutil_socket_t fd, short what, void *context)
+sidecar_probe_on_timer (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
-  sdc_probe_now (context);
+  sidecar_probe_start (context);
 }
--- a/tests/path_crowd.c
+++ b/tests/path_crowd.c
@@ -1,47 +1,48 @@
 #include "path_crowd.h"
 
 uint32_t
-pfl_held (const pfl_t *testbed)
+testbed_count_held (const testbed_t *testbed)
 {
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     count += testbed->engines[i].held_requests->len;
   return count;
 }
 
 uint32_t
-pfl_open (const pfl_crowd_t *burst)
+testbed_burst_count_open (const testbed_burst_t *burst)
 {
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < PFL_CROWD; i++)
+  for (uint32_t i = 0; i < TESTBED_BURST_REQUESTS; i++)
     count += !burst->answers[i].done;
   return count;
 }
 
 uint64_t
-pfl_waiting (const pfl_daemon_t *sidecar)
+testbed_count_queued (const testbed_node_t *sidecar)
 {
   return cnt_value (cnt_get (sidecar->daemon.counters, "medlarplank_waiting", ""));
 }
 
 bool
-pfl_rest_waits (void *context)
+testbed_burst_is_queued (void *context)
 {
-  const pfl_crowd_t *burst = context;
+  const testbed_burst_t *burst = context;
   uint64_t waiting = 0;
 
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    waiting += pfl_waiting (&burst->testbed->sidecars[i]);
-  return waiting > 0 && pfl_open (burst) == pfl_runs (burst->testbed) + waiting;
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
+    waiting += testbed_count_queued (&burst->testbed->sidecars[i]);
+  return waiting > 0 &&
+         testbed_burst_count_open (burst) == testbed_count_received (burst->testbed) + waiting;
 }
 
 bool
-pfl_start_crowd (pfl_crowd_t *burst, const pfl_request_t *request)
+testbed_burst_start (testbed_burst_t *burst, const testbed_request_t *request)
 {
-  pfl_set_all (burst->testbed, PFL_HANG);
-  for (uint32_t i = 0; i < PFL_CROWD; i++)
-    pfl_send (burst->testbed, request, &burst->answers[i]);
-  return pfl_until (burst->testbed, pfl_rest_waits, burst);
+  testbed_set_mode (burst->testbed, TESTBED_HOLD);
+  for (uint32_t i = 0; i < TESTBED_BURST_REQUESTS; i++)
+    testbed_send (burst->testbed, request, &burst->answers[i]);
+  return testbed_wait_until (burst->testbed, testbed_burst_is_queued, burst);
 }
--- a/tests/path_crowd.h
+++ b/tests/path_crowd.h
@@ -1,5 +1,5 @@
 /**
- * DOC: path_crowd
+ * DOC: testbed_burst
  *
  * Sends more requests than the engines take at once, so that the sidecars queue some of them.
  */
@@ -8,31 +8,31 @@
 
 #include "path_fleet.h"
 
-#define PFL_CROWD 60 /* requests; the engines take fewer at once */
+#define TESTBED_BURST_REQUESTS 60 /* requests; the engines take fewer at once */
 
-/** struct pfl_crowd - answers to requests that were sent at once */
+/** struct testbed_burst - answers to requests that were sent at once */
 typedef struct
 {
-  pfl_t *testbed;
-  pfl_answer_t answers[PFL_CROWD];
-} pfl_crowd_t;
+  testbed_t *testbed;
+  testbed_answer_t answers[TESTBED_BURST_REQUESTS];
+} testbed_burst_t;
 
-/** pfl_held() - number of requests that the engines hold */
-uint32_t pfl_held (const pfl_t *testbed);
+/** testbed_count_held() - number of requests that the engines hold */
+uint32_t testbed_count_held (const testbed_t *testbed);
 /**
- * pfl_start_crowd() - sends copies of @request to engines in mode PFL_HANG
+ * testbed_burst_start() - sends copies of @request to engines in mode TESTBED_HOLD
  *
  * Return: true once each copy is held by an engine, queued or answered; false after ten seconds
  */
-bool pfl_start_crowd (pfl_crowd_t *burst, const pfl_request_t *request);
-/** pfl_open() - number of requests that are not answered yet */
-uint32_t pfl_open (const pfl_crowd_t *burst);
-/** pfl_waiting() - number of requests that are queued at a sidecar */
-uint64_t pfl_waiting (const pfl_daemon_t *sidecar);
+bool testbed_burst_start (testbed_burst_t *burst, const testbed_request_t *request);
+/** testbed_burst_count_open() - number of requests that are not answered yet */
+uint32_t testbed_burst_count_open (const testbed_burst_t *burst);
+/** testbed_count_queued() - number of requests that are queued at a sidecar */
+uint64_t testbed_count_queued (const testbed_node_t *sidecar);
 /**
- * pfl_rest_waits() - condition for pfl_until(): some requests are queued, and all that are neither
- * queued nor answered were received by an engine; @context is a pfl_crowd_t
+ * testbed_burst_is_queued() - condition for testbed_wait_until(): some requests are queued, and all
+ * that are neither queued nor answered were received by an engine; @context is a testbed_burst_t
  */
-bool pfl_rest_waits (void *context);
+bool testbed_burst_is_queued (void *context);
 
 #endif
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -28,7 +28,7 @@
     "{\"path\":\"/look*\",\"service\":\"pool\",\"class\":\"short\",\"idempotent\":true}]}";
 
 set_address_t
-pfl_address (uint32_t last)
+testbed_address (uint32_t last)
 {
   set_address_t address = { .port = HOST_PORT };
   int pid = getpid ();
@@ -41,7 +41,7 @@
 static man_t *
 make_manifest (void)
 {
-  g_autofree char *first = g_compute_checksum_for_string (G_CHECKSUM_SHA256, PFL_KEY, -1);
+  g_autofree char *first = g_compute_checksum_for_string (G_CHECKSUM_SHA256, TESTBED_API_KEY, -1);
   g_autofree char *second = g_compute_checksum_for_string (G_CHECKSUM_SHA256, "another key", -1);
   g_autofree char *template = g_strdup_printf ("%s", MANIFEST);
   g_auto (GStrv) parts = g_strsplit (template, "%s", 3);
@@ -58,7 +58,7 @@
 /* Fake engines */
 
 static void
-answer_call (pfl_engine_t *engine, hsv_call_t *call)
+answer_call (testbed_engine_t *engine, hsv_call_t *call)
 {
   const char *id = hsv_header (call, "X-Request-Id");
   size_t body_bytes;
@@ -73,7 +73,7 @@
 static void
 on_held_request_cancelled (void *context)
 {
-  pfl_engine_t *engine = context;
+  testbed_engine_t *engine = context;
 
   engine->cancelled_count++;
   g_ptr_array_set_size (engine->held_requests, 0);
@@ -97,26 +97,26 @@
 static void
 continue_long_answer (void *context)
 {
-  pfl_engine_t *engine = context;
+  testbed_engine_t *engine = context;
   struct evbuffer *part = evbuffer_new ();
   bool room = true;
 
-  while (room && engine->long_answer_bytes < PFL_LONG_BYTES)
+  while (room && engine->long_answer_bytes < TESTBED_LONG_ANSWER_BYTES)
     {
-      char letters[PFL_PART_BYTES];
+      char letters[TESTBED_PART_BYTES];
 
-      memset (letters, 'a' + engine->long_answer_bytes / PFL_PART_BYTES % 26, sizeof letters);
+      memset (letters, 'a' + engine->long_answer_bytes / TESTBED_PART_BYTES % 26, sizeof letters);
       evbuffer_add (part, letters, sizeof letters);
       engine->long_answer_bytes += sizeof letters;
       room = hsv_part (engine->long_call, part);
     }
-  if (engine->long_answer_bytes == PFL_LONG_BYTES)
+  if (engine->long_answer_bytes == TESTBED_LONG_ANSWER_BYTES)
     hsv_end (engine->long_call);
   evbuffer_free (part);
 }
 
 static void
-start_long_answer (pfl_engine_t *engine, hsv_call_t *call)
+start_long_answer (testbed_engine_t *engine, hsv_call_t *call)
 {
   engine->long_call = call;
   engine->long_answer_bytes = 0;
@@ -126,7 +126,7 @@
 }
 
 void
-pfl_crash (pfl_engine_t *engine)
+testbed_crash (testbed_engine_t *engine)
 {
   g_ptr_array_set_size (engine->held_requests, 0);
   g_clear_pointer (&engine->server, hsv_free);
@@ -137,13 +137,13 @@
 {
   (void)fd;
   (void)what;
-  pfl_crash (context);
+  testbed_crash (context);
 }
 
 static void
 on_disconnect_timer (evutil_socket_t fd, short what, void *context)
 {
-  pfl_engine_t *engine = context;
+  testbed_engine_t *engine = context;
 
   (void)fd;
   (void)what;
@@ -163,7 +163,7 @@
 {
   static const struct timeval NOW = { 0 };
   static const struct timeval SOON = { .tv_usec = 20000 };
-  pfl_engine_t *engine = context;
+  testbed_engine_t *engine = context;
 
   if (strcmp (hsv_path (call), "/health") == 0)
     {
@@ -174,36 +174,36 @@
   engine->request_count++;
   switch (engine->mode)
     {
-    case PFL_ANSWER:
+    case TESTBED_ANSWER:
       answer_call (engine, call);
       break;
-    case PFL_HANG:
+    case TESTBED_HOLD:
       g_ptr_array_add (engine->held_requests, call);
       hsv_on_gone (call, on_held_request_cancelled, engine);
       break;
-    case PFL_CUT:
+    case TESTBED_DISCONNECT:
       hsv_abort (call);
       break;
-    case PFL_CUT_LATE:
+    case TESTBED_DISCONNECT_MID_STREAM:
       start_stream (call);
       engine->disconnect_call = call;
       event_add (engine->disconnect_timer, &SOON);
       break;
-    case PFL_LONG:
+    case TESTBED_LONG_ANSWER:
       start_long_answer (engine, call);
       break;
-    case PFL_CROSSED:
+    case TESTBED_WRONG_ID:
       hsv_add_header (call, "X-Request-Id", "00000000000000000000000000000000");
       hsv_reply_text (call, 200, "text/plain", "of somebody else");
       break;
-    case PFL_CRASH:
+    case TESTBED_CRASH:
       event_add (engine->crash_timer, &NOW);
       break;
     }
 }
 
 void
-pfl_start_engine (pfl_engine_t *engine)
+testbed_start_engine (testbed_engine_t *engine)
 {
   hsv_options_t options = { .base = engine->testbed->base,
                             .counters = engine->testbed->counters,
@@ -223,7 +223,7 @@
 }
 
 void
-pfl_release (pfl_engine_t *engine)
+testbed_release (testbed_engine_t *engine)
 {
   for (guint i = 0; i < engine->held_requests->len; i++)
     answer_call (engine, engine->held_requests->pdata[i]);
@@ -231,18 +231,18 @@
 }
 
 void
-pfl_set_all (pfl_t *testbed, pfl_mode_t mode)
+testbed_set_mode (testbed_t *testbed, testbed_mode_t mode)
 {
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     testbed->engines[i].mode = mode;
 }
 
 /* Replacement of the control tasks */
 
 static void
-decide_claim (pfl_daemon_t *node, const message_claim_t *claim)
+decide_claim (testbed_node_t *node, const message_claim_t *claim)
 {
-  pfl_t *testbed = node->testbed;
+  testbed_t *testbed = node->testbed;
   message_claim_result_t *answer = message_new (MESSAGE_CLAIM_RESULT);
   gpointer state = g_hash_table_lookup (testbed->claims, &claim->key.key_hash[0]);
 
@@ -261,9 +261,9 @@
 }
 
 static void
-handle_claim (pfl_daemon_t *node, const message_claim_t *claim)
+handle_claim (testbed_node_t *node, const message_claim_t *claim)
 {
-  pfl_t *testbed = node->testbed;
+  testbed_t *testbed = node->testbed;
 
   if (!testbed->hold_claims)
     {
@@ -275,14 +275,14 @@
 }
 
 void
-pfl_judge (pfl_t *testbed)
+testbed_decide_claim (testbed_t *testbed)
 {
   testbed->hold_claims = false;
   decide_claim (testbed->held_claim_node, &testbed->held_claim);
 }
 
 static void
-handle_claim_end (pfl_daemon_t *node, const message_claim_end_t *end)
+handle_claim_end (testbed_node_t *node, const message_claim_end_t *end)
 {
   GHashTable *claims = node->testbed->claims;
 
@@ -296,7 +296,7 @@
 static void
 on_control (mbx_message_t *message, void *context)
 {
-  pfl_daemon_t *node = context;
+  testbed_node_t *node = context;
 
   switch (message->kind)
     {
@@ -318,7 +318,7 @@
 }
 
 void
-pfl_flag (pfl_daemon_t *node, message_kind_t kind, bool on)
+testbed_send_flag (testbed_node_t *node, message_kind_t kind, bool on)
 {
   message_flag_t *flag = message_new (kind);
 
@@ -328,7 +328,7 @@
 }
 
 static void
-send_members (pfl_t *testbed, pfl_daemon_t *node)
+send_members (testbed_t *testbed, testbed_node_t *node)
 {
   message_members_t *members = message_new (MESSAGE_MEMBERS);
 
@@ -337,7 +337,7 @@
 }
 
 static void
-send_version (pfl_daemon_t *node)
+send_version (testbed_node_t *node)
 {
   message_version_t *version = message_new (MESSAGE_VERSION);
 
@@ -346,34 +346,34 @@
 }
 
 void
-pfl_set_man (pfl_t *testbed, man_t *manifest)
+testbed_set_manifest (testbed_t *testbed, man_t *manifest)
 {
   man_unref (testbed->manifest);
   testbed->manifest = manifest;
   send_version (&testbed->router);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     send_version (&testbed->sidecars[i]);
 }
 
 static void
-send_initial_state (pfl_daemon_t *node)
+send_initial_state (testbed_node_t *node)
 {
   send_version (node);
   send_members (node->testbed, node);
-  pfl_flag (node, MESSAGE_FRESHNESS, true);
+  testbed_send_flag (node, MESSAGE_FRESHNESS, true);
 }
 
 void
-pfl_set_state (pfl_t *testbed, uint32_t host, membership_state_t state)
+testbed_set_host_state (testbed_t *testbed, uint32_t host, membership_state_t state)
 {
   testbed->hosts[host].state = state;
   send_members (testbed, &testbed->router);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     send_members (testbed, &testbed->sidecars[i]);
 }
 
 static void
-start_daemon (pfl_t *testbed, pfl_daemon_t *node, uint32_t host, const set_address_t *engine)
+start_daemon (testbed_t *testbed, testbed_node_t *node, uint32_t host, const set_address_t *engine)
 {
   set_t *set = &node->daemon.set;
   GError *error = NULL;
@@ -383,7 +383,7 @@
   set->role = router ? SET_ROLE_ROUTER : SET_ROLE_SIDECAR;
   g_strlcpy (set->name, testbed->hosts[host].name, sizeof set->name);
   g_strlcpy (set->region, "r", sizeof set->region);
-  g_strlcpy (set->fleet_key, PFL_FLEET_KEY, sizeof set->fleet_key);
+  g_strlcpy (set->fleet_key, TESTBED_FLEET_KEY, sizeof set->fleet_key);
   set->listen = testbed->hosts[host].http;
   if (engine != NULL)
     set->engine = *engine;
@@ -399,21 +399,22 @@
   node->daemon.incarnation = testbed->hosts[host].incarnation;
   node->daemon.to_control = mbx_new (testbed->base, on_control, node);
   if (router)
-    node->router_task = rtr_new (&node->daemon, testbed->base, &error);
+    node->router_task = router_new (&node->daemon, testbed->base, &error);
   else
-    node->sidecar_task = sdc_new (&node->daemon, testbed->base, &error);
+    node->sidecar_task = sidecar_new (&node->daemon, testbed->base, &error);
   if (error != NULL)
     g_error ("%s", error->message);
-  node->daemon.to_data = mbx_new (testbed->base, router ? rtr_message : sdc_message,
-                                  router ? (void *)node->router_task : (void *)node->sidecar_task);
+  node->daemon.to_data =
+      mbx_new (testbed->base, router ? router_handle_message : sidecar_handle_message,
+               router ? (void *)node->router_task : (void *)node->sidecar_task);
   send_initial_state (node);
 }
 
 static void
-stop_daemon (pfl_daemon_t *node)
+stop_daemon (testbed_node_t *node)
 {
-  rtr_free (node->router_task);
-  sdc_free (node->sidecar_task);
+  router_free (node->router_task);
+  sidecar_free (node->sidecar_task);
   mbx_free (node->daemon.to_data);
   mbx_free (node->daemon.to_control);
   cnt_set_free (node->daemon.counters);
@@ -430,31 +431,31 @@
 }
 
 static void
-make_members (pfl_t *testbed)
+make_members (testbed_t *testbed)
 {
-  uint32_t *order = g_new (uint32_t, PFL_SIDECARS + 1);
+  uint32_t *order = g_new (uint32_t, TESTBED_SIDECARS + 1);
 
-  for (uint32_t i = 0; i <= PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i <= TESTBED_SIDECARS; i++)
     {
       membership_host_t *host = &testbed->hosts[i];
 
-      host->router = i == PFL_SIDECARS;
+      host->router = i == TESTBED_SIDECARS;
       g_snprintf (host->name, sizeof host->name, "%s%u", host->router ? "r" : "e", i);
       host->hash = rendezvous_hash_name (host->name);
       g_strlcpy (host->region, "r", sizeof host->region);
-      host->http = pfl_address (i + 1);
+      host->http = testbed_address (i + 1);
       host->incarnation = 1000 + i;
       order[i] = i;
     }
-  g_qsort_with_data (order, PFL_SIDECARS + 1, sizeof order[0], compare_hashes, testbed->hosts);
+  g_qsort_with_data (order, TESTBED_SIDECARS + 1, sizeof order[0], compare_hashes, testbed->hosts);
   testbed->members = (membership_snapshot_t){ .hosts = testbed->hosts,
                                               .by_hash = order,
-                                              .host_count = PFL_SIDECARS + 1 };
+                                              .host_count = TESTBED_SIDECARS + 1 };
   g_atomic_ref_count_init (&testbed->members.refs);
 }
 
 static void
-run_loop_once (pfl_t *testbed)
+run_loop_once (testbed_t *testbed)
 {
   event_base_loop (testbed->base, EVLOOP_ONCE);
 }
@@ -468,7 +469,7 @@
 }
 
 bool
-pfl_until (pfl_t *testbed, bool (*done) (void *context), void *context)
+testbed_wait_until (testbed_t *testbed, bool (*done) (void *context), void *context)
 {
   static const struct timeval STEP = { .tv_usec = 5000 };
   struct event *wake = event_new (testbed->base, -1, EV_PERSIST, on_wake, NULL);
@@ -485,19 +486,19 @@
 static bool
 is_ready (void *context)
 {
-  pfl_answer_t answer;
+  testbed_answer_t answer;
   bool ready;
 
-  pfl_ask (context, &(pfl_request_t){ .path = "/look" }, &answer);
+  testbed_ask (context, &(testbed_request_t){ .path = "/look" }, &answer);
   ready = answer.status == 200;
-  pfl_answer_clear (&answer);
+  testbed_answer_clear (&answer);
   return ready;
 }
 
-pfl_t *
-pfl_new (void)
+testbed_t *
+testbed_new (void)
 {
-  pfl_t *testbed = g_new0 (pfl_t, 1);
+  testbed_t *testbed = g_new0 (testbed_t, 1);
 
   testbed->base = event_base_new ();
   testbed->counters = cnt_set_new ();
@@ -505,33 +506,33 @@
   testbed->http_client = hcl_new (testbed->base, 4, 10000);
   testbed->claims = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   make_members (testbed);
-  start_daemon (testbed, &testbed->router, PFL_SIDECARS, NULL);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  start_daemon (testbed, &testbed->router, TESTBED_SIDECARS, NULL);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     {
-      pfl_engine_t *engine = &testbed->engines[i];
+      testbed_engine_t *engine = &testbed->engines[i];
 
       engine->testbed = testbed;
-      engine->address = pfl_address (100 + i);
+      engine->address = testbed_address (100 + i);
       engine->held_requests = g_ptr_array_new ();
       engine->crash_timer = evtimer_new (testbed->base, on_crash_timer, engine);
       engine->disconnect_timer = evtimer_new (testbed->base, on_disconnect_timer, engine);
-      pfl_start_engine (engine);
+      testbed_start_engine (engine);
       start_daemon (testbed, &testbed->sidecars[i], i, &engine->address);
     }
-  g_assert (pfl_until (testbed, is_ready, testbed));
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  g_assert (testbed_wait_until (testbed, is_ready, testbed));
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     testbed->engines[i].request_count = 0;
   return testbed;
 }
 
 void
-pfl_free (pfl_t *testbed)
+testbed_free (testbed_t *testbed)
 {
   hcl_free (testbed->http_client);
   stop_daemon (&testbed->router);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     {
-      pfl_engine_t *engine = &testbed->engines[i];
+      testbed_engine_t *engine = &testbed->engines[i];
 
       stop_daemon (&testbed->sidecars[i]);
       if (engine->server != NULL)
@@ -549,12 +550,12 @@
 }
 
 evutil_socket_t
-pfl_black_hole (set_address_t *address)
+testbed_open_black_hole (set_address_t *address)
 {
   evutil_socket_t fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   struct sockaddr_in name = { .sin_family = AF_INET, .sin_port = htons (HOST_PORT) };
 
-  *address = pfl_address (90);
+  *address = testbed_address (90);
   inet_pton (AF_INET, address->ip, &name.sin_addr);
   g_assert (bind (fd, (struct sockaddr *)&name, sizeof name) == 0 && listen (fd, 16) == 0);
   return fd;
@@ -573,7 +574,7 @@
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  pfl_answer_t *answer = context;
+  testbed_answer_t *answer = context;
 
   answer->status = status;
   copy_header (headers, VERDICT_HEADER, answer->verdict, sizeof answer->verdict);
@@ -586,7 +587,7 @@
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  pfl_answer_t *answer = context;
+  testbed_answer_t *answer = context;
   size_t bytes = evbuffer_get_length (data);
 
   g_string_append_len (answer->body, (const char *)evbuffer_pullup (data, -1), (gssize)bytes);
@@ -598,7 +599,7 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  pfl_answer_t *answer = context;
+  testbed_answer_t *answer = context;
 
   answer->done = true;
   answer->call = NULL;
@@ -615,11 +616,11 @@
 }
 
 void
-pfl_send (pfl_t *testbed, const pfl_request_t *request, pfl_answer_t *answer)
+testbed_send (testbed_t *testbed, const testbed_request_t *request, testbed_answer_t *answer)
 {
   hcl_header_t headers[8];
   uint32_t count = 0;
-  hcl_options_t options = { .address = &testbed->hosts[PFL_SIDECARS].http,
+  hcl_options_t options = { .address = &testbed->hosts[TESTBED_SIDECARS].http,
                             .method = request->body != NULL ? "POST" : "GET",
                             .target = request->path,
                             .headers = headers,
@@ -633,7 +634,7 @@
   memset (answer, 0, sizeof *answer);
   answer->body = g_string_new (NULL);
   count = add_header (headers, count, "X-Api-Key",
-                      request->api_key != NULL ? request->api_key : PFL_KEY);
+                      request->api_key != NULL ? request->api_key : TESTBED_API_KEY);
   count = add_header (headers, count, "X-Medlarplank-Home", "forged");
   count = add_header (headers, count, "X-Chat-Id", request->chat);
   count = add_header (headers, count, "X-Class", request->class_name);
@@ -644,22 +645,22 @@
 }
 
 bool
-pfl_done (void *context)
+testbed_is_done (void *context)
 {
-  const pfl_answer_t *answer = context;
+  const testbed_answer_t *answer = context;
 
   return answer->done;
 }
 
 void
-pfl_ask (pfl_t *testbed, const pfl_request_t *request, pfl_answer_t *answer)
+testbed_ask (testbed_t *testbed, const testbed_request_t *request, testbed_answer_t *answer)
 {
-  pfl_send (testbed, request, answer);
-  pfl_until (testbed, pfl_done, answer);
+  testbed_send (testbed, request, answer);
+  testbed_wait_until (testbed, testbed_is_done, answer);
 }
 
 void
-pfl_answer_clear (pfl_answer_t *answer)
+testbed_answer_clear (testbed_answer_t *answer)
 {
   if (answer->call != NULL)
     hcl_cancel (answer->call);
@@ -668,27 +669,27 @@
 }
 
 uint32_t
-pfl_ask_engine (pfl_t *testbed, const pfl_request_t *request)
+testbed_ask_engine (testbed_t *testbed, const testbed_request_t *request)
 {
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_ask (testbed, request, &answer);
-  return pfl_engine_named (&answer);
+  testbed_ask (testbed, request, &answer);
+  return testbed_engine_index (&answer);
 }
 
 uint32_t
-pfl_engine_named (const pfl_answer_t *answer)
+testbed_engine_index (const testbed_answer_t *answer)
 {
   g_assert (answer->engine[0] == 'e');
   return (uint32_t)(answer->engine[1] - '0');
 }
 
 uint32_t
-pfl_runs (const pfl_t *testbed)
+testbed_count_received (const testbed_t *testbed)
 {
   uint32_t runs = 0;
 
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     runs += testbed->engines[i].request_count;
   return runs;
 }
--- a/tests/test_history.c
+++ b/tests/test_history.c
@@ -3,24 +3,24 @@
 
 #include <glib.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (hst_t, hst_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (history_t, history_free)
 
 #define NOW_US (UINT64_C (1000) * 1000 * 1000)
 
 static void
 records_the_outcome_of_attempts (void)
 {
-  g_autoptr (hst_t) history = hst_new (8);
+  g_autoptr (history_t) history = history_new (8);
   uint64_t ran[2] = { 1, 1 };
   uint64_t refused[2] = { 1, 2 };
   verdict_t verdict = VERDICT_MAY_HAVE_RUN;
 
-  hst_ended (history, NOW_US, ran, VERDICT_RAN);
-  hst_ended (history, NOW_US, refused, VERDICT_NOT_RUN);
-  CU_ASSERT_EQUAL (hst_find (history, NOW_US, refused, &verdict), HST_ENDED);
+  history_record (history, NOW_US, ran, VERDICT_RAN);
+  history_record (history, NOW_US, refused, VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (history_find (history, NOW_US, refused, &verdict), HISTORY_ENDED);
   CU_ASSERT_EQUAL (verdict, VERDICT_NOT_RUN);
-  CU_ASSERT_EQUAL (hst_revoke (history, NOW_US, ran, 0), VERDICT_RAN);
-  CU_ASSERT_EQUAL (hst_revoke (history, NOW_US, refused, 0), VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (history_revoke (history, NOW_US, ran, 0), VERDICT_RAN);
+  CU_ASSERT_EQUAL (history_revoke (history, NOW_US, refused, 0), VERDICT_NOT_RUN);
 }
 
 /* A router loses its connection while the request is in transit, and revokes the attempt. The
@@ -29,14 +29,15 @@
 static void
 refuses_an_attempt_that_arrives_after_its_revoke (void)
 {
-  g_autoptr (hst_t) history = hst_new (8);
+  g_autoptr (history_t) history = history_new (8);
   uint64_t attempt[2] = { 1, 1 };
   verdict_t verdict;
 
-  CU_ASSERT_EQUAL (hst_find (history, NOW_US, attempt, &verdict), HST_UNKNOWN);
-  CU_ASSERT_EQUAL (hst_revoke (history, NOW_US, attempt, 0), VERDICT_NOT_RUN);
-  CU_ASSERT_EQUAL (hst_find (history, NOW_US + 1, attempt, &verdict), HST_BARRED);
-  CU_ASSERT_EQUAL (hst_find (history, NOW_US + HST_BAR_US, attempt, &verdict), HST_UNKNOWN);
+  CU_ASSERT_EQUAL (history_find (history, NOW_US, attempt, &verdict), HISTORY_UNKNOWN);
+  CU_ASSERT_EQUAL (history_revoke (history, NOW_US, attempt, 0), VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (history_find (history, NOW_US + 1, attempt, &verdict), HISTORY_REVOKED);
+  CU_ASSERT_EQUAL (history_find (history, NOW_US + HISTORY_REVOKED_TTL_US, attempt, &verdict),
+                   HISTORY_UNKNOWN);
 }
 
 /* A non-idempotent request ran, its answer was lost, and its entry was evicted by the attempts that
@@ -44,19 +45,19 @@
 static void
 answers_may_have_run_for_an_evicted_attempt (void)
 {
-  g_autoptr (hst_t) history = hst_new (4);
+  g_autoptr (history_t) history = history_new (4);
   uint64_t ran[2] = { 1, 0 };
   uint64_t younger[2] = { 2, 0 };
   uint64_t sent_us = NOW_US - 1;
 
-  hst_ended (history, NOW_US, ran, VERDICT_RAN);
+  history_record (history, NOW_US, ran, VERDICT_RAN);
   for (uint64_t i = 1; i <= 4; i++)
-    hst_ended (history, NOW_US + i, (uint64_t[2]){ 1, i }, VERDICT_RAN);
+    history_record (history, NOW_US + i, (uint64_t[2]){ 1, i }, VERDICT_RAN);
 
-  uint64_t now_us = NOW_US + HST_AGE_MARGIN_US + 10;
+  uint64_t now_us = NOW_US + HISTORY_AGE_MARGIN_US + 10;
 
-  CU_ASSERT_EQUAL (hst_revoke (history, now_us, ran, now_us - sent_us), VERDICT_MAY_HAVE_RUN);
-  CU_ASSERT_EQUAL (hst_revoke (history, now_us, younger, 5), VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (history_revoke (history, now_us, ran, now_us - sent_us), VERDICT_MAY_HAVE_RUN);
+  CU_ASSERT_EQUAL (history_revoke (history, now_us, younger, 5), VERDICT_NOT_RUN);
 }
 
 /* More attempts are revoked than the table holds. An entry that has not expired must not be evicted
@@ -64,15 +65,18 @@
 static void
 keeps_revoked_attempts_when_full (void)
 {
-  g_autoptr (hst_t) history = hst_new (4);
+  g_autoptr (history_t) history = history_new (4);
   verdict_t verdict;
 
   for (uint64_t i = 0; i < 4; i++)
-    CU_ASSERT_EQUAL (hst_revoke (history, NOW_US, (uint64_t[2]){ 1, i }, 0), VERDICT_NOT_RUN);
-  CU_ASSERT_EQUAL (hst_revoke (history, NOW_US, (uint64_t[2]){ 1, 4 }, 0), VERDICT_MAY_HAVE_RUN);
-  CU_ASSERT_EQUAL (hst_find (history, NOW_US, (uint64_t[2]){ 1, 0 }, &verdict), HST_BARRED);
-  CU_ASSERT_EQUAL (hst_revoke (history, NOW_US + HST_BAR_US, (uint64_t[2]){ 1, 4 }, 0),
-                   VERDICT_NOT_RUN);
+    CU_ASSERT_EQUAL (history_revoke (history, NOW_US, (uint64_t[2]){ 1, i }, 0), VERDICT_NOT_RUN);
+  CU_ASSERT_EQUAL (history_revoke (history, NOW_US, (uint64_t[2]){ 1, 4 }, 0),
+                   VERDICT_MAY_HAVE_RUN);
+  CU_ASSERT_EQUAL (history_find (history, NOW_US, (uint64_t[2]){ 1, 0 }, &verdict),
+                   HISTORY_REVOKED);
+  CU_ASSERT_EQUAL (
+      history_revoke (history, NOW_US + HISTORY_REVOKED_TTL_US, (uint64_t[2]){ 1, 4 }, 0),
+      VERDICT_NOT_RUN);
 }
 
 int
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -9,18 +9,18 @@
 
 #define CHAT_BODY "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}"
 
-static const pfl_request_t LOOK = { .path = "/look" };
-static const pfl_request_t BOOK = { .path = "/book", .body = "lot 7" };
-static const pfl_request_t CHAT = { .path = "/v1/chat/completions",
-                                    .body = CHAT_BODY,
-                                    .chat = "c1" };
+static const testbed_request_t LOOK = { .path = "/look" };
+static const testbed_request_t BOOK = { .path = "/book", .body = "lot 7" };
+static const testbed_request_t CHAT = { .path = "/v1/chat/completions",
+                                        .body = CHAT_BODY,
+                                        .chat = "c1" };
 
 static void
-ask_status (pfl_t *testbed, const pfl_request_t *request, int status, const char *verdict)
+ask_status (testbed_t *testbed, const testbed_request_t *request, int status, const char *verdict)
 {
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_ask (testbed, request, &answer);
+  testbed_ask (testbed, request, &answer);
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.status, status);
   CU_ASSERT_STRING_EQUAL (answer.verdict, verdict);
@@ -29,37 +29,39 @@
 static void
 relays_the_answer (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_answer_t answer;
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_answer_t answer;
 
-  pfl_ask (testbed, &CHAT, &answer);
+  testbed_ask (testbed, &CHAT, &answer);
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_STRING_EQUAL (answer.body->str, "ran:" CHAT_BODY);
   CU_ASSERT_STRING_EQUAL (answer.verdict, "ran");
   CU_ASSERT_EQUAL (strlen (answer.request_id), 32);
-  uint32_t engine = pfl_engine_named (&answer);
+  uint32_t engine = testbed_engine_index (&answer);
   CU_ASSERT_EQUAL (testbed->engines[engine].request_count, 1);
   CU_ASSERT_FALSE (testbed->engines[engine].received_secret_header);
-  pfl_answer_clear (&answer);
+  testbed_answer_clear (&answer);
   for (uint32_t i = 0; i < 5; i++)
     {
-      CU_ASSERT_EQUAL (pfl_ask_engine (testbed, &CHAT), engine);
+      CU_ASSERT_EQUAL (testbed_ask_engine (testbed, &CHAT), engine);
     }
 }
 
 static void
 refuses_invalid_requests (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
-  ask_status (testbed, &(pfl_request_t){ .path = "/look", .api_key = "nobody" }, 401, "not_run");
-  ask_status (testbed, &(pfl_request_t){ .path = "/none" }, 404, "not_run");
-  ask_status (testbed, &(pfl_request_t){ .path = "/look", .class_name = "none" }, 400, "not_run");
-  ask_status (testbed, &(pfl_request_t){ .path = "/look", .deadline_ms = "0" }, 400, "not_run");
-  ask_status (testbed, &(pfl_request_t){ .path = "/v1/chat/completions", .body = "{" }, 400,
+  ask_status (testbed, &(testbed_request_t){ .path = "/look", .api_key = "nobody" }, 401,
               "not_run");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  ask_status (testbed, &(testbed_request_t){ .path = "/none" }, 404, "not_run");
+  ask_status (testbed, &(testbed_request_t){ .path = "/look", .class_name = "none" }, 400,
+              "not_run");
+  ask_status (testbed, &(testbed_request_t){ .path = "/look", .deadline_ms = "0" }, 400, "not_run");
+  ask_status (testbed, &(testbed_request_t){ .path = "/v1/chat/completions", .body = "{" }, 400,
+              "not_run");
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
 }
 
 /* The host of a chat's home begins to leave while the router still has it as live. Its sidecar
@@ -68,27 +70,27 @@
 static void
 tries_another_host_when_one_is_leaving (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  uint32_t home = pfl_ask_engine (testbed, &CHAT);
-  pfl_flag (&testbed->sidecars[home], MESSAGE_DRAIN, true);
-  pfl_ask (testbed, &CHAT, &answer);
+  uint32_t home = testbed_ask_engine (testbed, &CHAT);
+  testbed_send_flag (&testbed->sidecars[home], MESSAGE_DRAIN, true);
+  testbed_ask (testbed, &CHAT, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT_NOT_EQUAL (pfl_engine_named (&answer), home);
+  CU_ASSERT_NOT_EQUAL (testbed_engine_index (&answer), home);
   CU_ASSERT_EQUAL (testbed->engines[home].request_count, 1);
 }
 
 static bool
 one_request_held (void *context)
 {
-  return pfl_held (context) == 1;
+  return testbed_count_held (context) == 1;
 }
 
-static pfl_engine_t *
-holding_engine (pfl_t *testbed)
+static testbed_engine_t *
+holding_engine (testbed_t *testbed)
 {
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     if (testbed->engines[i].held_requests->len > 0)
       return &testbed->engines[i];
   return NULL;
@@ -100,7 +102,7 @@
 static bool
 burst_is_held (void *context)
 {
-  return pfl_held (context) == BURST_REQUESTS;
+  return testbed_count_held (context) == BURST_REQUESTS;
 }
 
 /* A burst of half the service's capacity arrives while the service is idle, and the sidecars get no
@@ -110,28 +112,30 @@
 static void
 spreads_a_burst_over_all_engines (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_answer_t answers[BURST_REQUESTS];
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_answer_t answers[BURST_REQUESTS];
   char chats[BURST_REQUESTS][8];
 
-  pfl_set_all (testbed, PFL_HANG);
+  testbed_set_mode (testbed, TESTBED_HOLD);
   for (uint32_t i = 0; i < BURST_REQUESTS; i++)
     {
       g_snprintf (chats[i], sizeof chats[i], "b%u", i);
-      pfl_send (testbed, &(pfl_request_t){ .path = CHAT.path, .body = CHAT.body, .chat = chats[i] },
-                &answers[i]);
+      testbed_send (testbed,
+                    &(testbed_request_t){ .path = CHAT.path, .body = CHAT.body, .chat = chats[i] },
+                    &answers[i]);
     }
-  CU_ASSERT_TRUE (pfl_until (testbed, burst_is_held, testbed));
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, burst_is_held, testbed));
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     {
-      CU_ASSERT_TRUE (testbed->engines[i].held_requests->len <= 2 * BURST_REQUESTS / PFL_SIDECARS);
-      pfl_release (&testbed->engines[i]);
+      CU_ASSERT_TRUE (testbed->engines[i].held_requests->len <=
+                      2 * BURST_REQUESTS / TESTBED_SIDECARS);
+      testbed_release (&testbed->engines[i]);
     }
   for (uint32_t i = 0; i < BURST_REQUESTS; i++)
     {
-      CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answers[i]));
+      CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answers[i]));
       CU_ASSERT_EQUAL (answers[i].status, 200);
-      pfl_answer_clear (&answers[i]);
+      testbed_answer_clear (&answers[i]);
     }
 }
 
@@ -141,20 +145,20 @@
 static void
 load_samples_stay_within_the_control_budget (void)
 {
-  static const pfl_request_t SOON = { .path = "/look", .deadline_ms = "300" };
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  static const testbed_request_t SOON = { .path = "/look", .deadline_ms = "300" };
+  g_autoptr (testbed_t) testbed = testbed_new ();
   cnt_t *sent =
       cnt_get (testbed->router.daemon.counters, "medlarplank_control_bytes_sent_total", "");
   uint64_t start_us = clk_now_us (&testbed->router.daemon.clk);
-  pfl_answer_t answers[OVERLOAD_REQUESTS];
+  testbed_answer_t answers[OVERLOAD_REQUESTS];
 
-  pfl_set_all (testbed, PFL_HANG);
+  testbed_set_mode (testbed, TESTBED_HOLD);
   for (uint32_t i = 0; i < OVERLOAD_REQUESTS; i++)
-    pfl_send (testbed, &SOON, &answers[i]);
+    testbed_send (testbed, &SOON, &answers[i]);
   for (uint32_t i = 0; i < OVERLOAD_REQUESTS; i++)
     {
-      CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answers[i]));
-      pfl_answer_clear (&answers[i]);
+      CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answers[i]));
+      testbed_answer_clear (&answers[i]);
     }
   uint64_t elapsed_us = clk_now_us (&testbed->router.daemon.clk) - start_us;
   CU_ASSERT_TRUE (cnt_value (sent) > 0);
@@ -164,7 +168,7 @@
 static bool
 is_drained (void *context)
 {
-  const pfl_daemon_t *node = context;
+  const testbed_node_t *node = context;
 
   return node->drained;
 }
@@ -174,9 +178,9 @@
 static bool
 listener_is_closed (void *context)
 {
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_ask (context, &(pfl_request_t){ .path = "/livez" }, &answer);
+  testbed_ask (context, &(testbed_request_t){ .path = "/livez" }, &answer);
   bool closed = !answer.end.whole && answer.end.reason == VERDICT_REASON_CONNECT;
   return closed;
 }
@@ -186,25 +190,25 @@
 static void
 stops_gracefully (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
-
-  pfl_set_all (testbed, PFL_HANG);
-  pfl_send (testbed, &CHAT, &answer);
-  CU_ASSERT_TRUE (pfl_until (testbed, one_request_held, testbed));
-  pfl_engine_t *engine = holding_engine (testbed);
-  pfl_daemon_t *sidecar = &testbed->sidecars[engine - testbed->engines];
-  pfl_flag (sidecar, MESSAGE_DRAIN, true);
-  pfl_flag (&testbed->router, MESSAGE_DRAIN, true);
-  CU_ASSERT_TRUE (pfl_until (testbed, listener_is_closed, testbed));
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
+
+  testbed_set_mode (testbed, TESTBED_HOLD);
+  testbed_send (testbed, &CHAT, &answer);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, one_request_held, testbed));
+  testbed_engine_t *engine = holding_engine (testbed);
+  testbed_node_t *sidecar = &testbed->sidecars[engine - testbed->engines];
+  testbed_send_flag (sidecar, MESSAGE_DRAIN, true);
+  testbed_send_flag (&testbed->router, MESSAGE_DRAIN, true);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, listener_is_closed, testbed));
   CU_ASSERT_FALSE (sidecar->drained);
   CU_ASSERT_FALSE (testbed->router.drained);
-  pfl_release (engine);
-  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
+  testbed_release (engine);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
   CU_ASSERT_TRUE (answer.end.whole);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT_TRUE (pfl_until (testbed, is_drained, sidecar));
-  CU_ASSERT_TRUE (pfl_until (testbed, is_drained, &testbed->router));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, is_drained, sidecar));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, is_drained, &testbed->router));
 }
 
 /* The engines close the connection instead of answering, but still pass health checks. A
@@ -213,14 +217,14 @@
 static void
 retries_only_idempotent_requests (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
-  pfl_set_all (testbed, PFL_CUT);
+  testbed_set_mode (testbed, TESTBED_DISCONNECT);
   ask_status (testbed, &BOOK, 502, "may_have_run");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
   CU_ASSERT_EQUAL (testbed->crash_mark_count, 0);
   ask_status (testbed, &LOOK, 502, "may_have_run");
-  CU_ASSERT_TRUE (pfl_runs (testbed) > 2);
+  CU_ASSERT_TRUE (testbed_count_received (testbed) > 2);
 }
 
 /* An engine answers with the id of another request. The answer belongs to another caller, so not a
@@ -228,11 +232,11 @@
 static void
 never_relays_an_answer_with_another_id (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_set_all (testbed, PFL_CROSSED);
-  pfl_ask (testbed, &BOOK, &answer);
+  testbed_set_mode (testbed, TESTBED_WRONG_ID);
+  testbed_ask (testbed, &BOOK, &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
   CU_ASSERT_PTR_NULL (strstr (answer.body->str, "somebody"));
   CU_ASSERT_PTR_NOT_NULL (strstr (answer.body->str, "\"crossed\""));
@@ -243,14 +247,14 @@
 static void
 never_completes_an_interrupted_stream (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_set_all (testbed, PFL_CUT_LATE);
-  pfl_ask (testbed, &CHAT, &answer);
+  testbed_set_mode (testbed, TESTBED_DISCONNECT_MID_STREAM);
+  testbed_ask (testbed, &CHAT, &answer);
   CU_ASSERT_TRUE (answer.done);
   CU_ASSERT_FALSE (answer.end.whole);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
 }
 
 /* A request crashes each engine that runs it. After two engines it is refused permanently, and so
@@ -258,19 +262,19 @@
 static void
 a_crashing_request_costs_at_most_two_engines (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_answer_t answer;
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_answer_t answer;
 
-  pfl_set_all (testbed, PFL_CRASH);
+  testbed_set_mode (testbed, TESTBED_CRASH);
   for (uint32_t i = 0; i < 3; i++)
     {
-      pfl_ask (testbed, &CHAT, &answer);
+      testbed_ask (testbed, &CHAT, &answer);
       CU_ASSERT_EQUAL (answer.status, 422);
       CU_ASSERT_STRING_EQUAL (answer.retry_after, "");
       CU_ASSERT_PTR_NOT_NULL (strstr (answer.body->str, "\"suspect\""));
-      pfl_answer_clear (&answer);
+      testbed_answer_clear (&answer);
     }
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 2);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 2);
   CU_ASSERT_EQUAL (testbed->crash_mark_count, 2);
 }
 
@@ -279,14 +283,14 @@
 static void
 resends_cost_at_most_two_engines (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
-  pfl_set_all (testbed, PFL_CRASH);
+  testbed_set_mode (testbed, TESTBED_CRASH);
   ask_status (testbed, &BOOK, 502, "may_have_run");
   ask_status (testbed, &BOOK, 422, "may_have_run");
   ask_status (testbed, &BOOK, 422, "not_run");
   ask_status (testbed, &BOOK, 422, "not_run");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 2);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 2);
 }
 
 #define PARALLEL_REQUESTS 6
@@ -294,13 +298,13 @@
 static bool
 parallel_requests_held (void *context)
 {
-  return pfl_held (context) == PARALLEL_REQUESTS;
+  return testbed_count_held (context) == PARALLEL_REQUESTS;
 }
 
 typedef struct
 {
-  const pfl_t *testbed;
-  uint32_t held_before[PFL_SIDECARS];
+  const testbed_t *testbed;
+  uint32_t held_before[TESTBED_SIDECARS];
 } retried_t;
 
 static bool
@@ -319,26 +323,27 @@
 static void
 runs_suspect_requests_on_separate_engines (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   retried_t retried = { .testbed = testbed };
-  pfl_answer_t answers[PARALLEL_REQUESTS];
+  testbed_answer_t answers[PARALLEL_REQUESTS];
   char chats[PARALLEL_REQUESTS][8];
 
-  pfl_set_all (testbed, PFL_HANG);
+  testbed_set_mode (testbed, TESTBED_HOLD);
   for (uint32_t i = 0; i < PARALLEL_REQUESTS; i++)
     {
       g_snprintf (chats[i], sizeof chats[i], "q%u", i);
-      pfl_send (testbed, &(pfl_request_t){ .path = CHAT.path, .body = CHAT.body, .chat = chats[i] },
-                &answers[i]);
+      testbed_send (testbed,
+                    &(testbed_request_t){ .path = CHAT.path, .body = CHAT.body, .chat = chats[i] },
+                    &answers[i]);
     }
-  CU_ASSERT_TRUE (pfl_until (testbed, parallel_requests_held, testbed));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, parallel_requests_held, testbed));
   CU_ASSERT_TRUE (testbed->engines[0].held_requests->len >= 2);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     retried.held_before[i] = testbed->engines[i].held_requests->len;
-  pfl_crash (&testbed->engines[0]);
-  CU_ASSERT_TRUE (pfl_until (testbed, one_retried_on_each, &retried));
+  testbed_crash (&testbed->engines[0]);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, one_retried_on_each, &retried));
   for (uint32_t i = 0; i < PARALLEL_REQUESTS; i++)
-    pfl_answer_clear (&answers[i]);
+    testbed_answer_clear (&answers[i]);
 }
 
 /* An idempotent request was answered, so its repetitions are placed at random; then it crashes each
@@ -348,30 +353,30 @@
 static void
 an_answered_request_costs_at_most_two_engines (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
   for (uint32_t i = 0; i < 5; i++)
     ask_status (testbed, &LOOK, 200, "ran");
-  uint32_t answered = pfl_runs (testbed);
-  pfl_set_all (testbed, PFL_CRASH);
+  uint32_t answered = testbed_count_received (testbed);
+  testbed_set_mode (testbed, TESTBED_CRASH);
   for (uint32_t i = 0; i < 4; i++)
     {
-      pfl_answer_t answer;
+      testbed_answer_t answer;
 
-      pfl_ask (testbed, &LOOK, &answer);
+      testbed_ask (testbed, &LOOK, &answer);
       CU_ASSERT_EQUAL (answer.status, 422);
-      pfl_answer_clear (&answer);
+      testbed_answer_clear (&answer);
     }
-  CU_ASSERT_EQUAL (pfl_runs (testbed) - answered, 2);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed) - answered, 2);
 }
 
 static bool
 one_request_cancelled (void *context)
 {
-  const pfl_t *testbed = context;
+  const testbed_t *testbed = context;
   uint32_t cancelled = 0;
 
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     cancelled += testbed->engines[i].cancelled_count;
   return cancelled == 1;
 }
@@ -381,20 +386,20 @@
 static void
 cancels_an_idempotent_request_when_its_caller_disconnects (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_answer_t answer;
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_answer_t answer;
 
-  pfl_set_all (testbed, PFL_HANG);
-  pfl_send (testbed, &CHAT, &answer);
-  CU_ASSERT_TRUE (pfl_until (testbed, one_request_held, testbed));
-  pfl_answer_clear (&answer);
-  CU_ASSERT_TRUE (pfl_until (testbed, one_request_cancelled, testbed));
+  testbed_set_mode (testbed, TESTBED_HOLD);
+  testbed_send (testbed, &CHAT, &answer);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, one_request_held, testbed));
+  testbed_answer_clear (&answer);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, one_request_cancelled, testbed));
 }
 
 static bool
 claim_is_done (void *context)
 {
-  const pfl_t *testbed = context;
+  const testbed_t *testbed = context;
   GHashTableIter iter;
   gpointer state;
 
@@ -408,21 +413,21 @@
 static void
 a_non_idempotent_request_outlives_its_caller (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_answer_t answer;
-  pfl_request_t keyed = BOOK;
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_answer_t answer;
+  testbed_request_t keyed = BOOK;
 
   keyed.idempotency_key = "order-7";
-  pfl_set_all (testbed, PFL_HANG);
-  pfl_send (testbed, &keyed, &answer);
-  CU_ASSERT_TRUE (pfl_until (testbed, one_request_held, testbed));
-  pfl_answer_clear (&answer);
+  testbed_set_mode (testbed, TESTBED_HOLD);
+  testbed_send (testbed, &keyed, &answer);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, one_request_held, testbed));
+  testbed_answer_clear (&answer);
   ask_status (testbed, &keyed, 409, "may_have_run");
   CU_ASSERT_FALSE (one_request_cancelled (testbed));
-  pfl_release (holding_engine (testbed));
-  CU_ASSERT_TRUE (pfl_until (testbed, claim_is_done, testbed));
+  testbed_release (holding_engine (testbed));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, claim_is_done, testbed));
   ask_status (testbed, &keyed, 409, "ran");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
 }
 
 /* The platform's log is down. A request with an idempotency key cannot be claimed and is refused as
@@ -430,18 +435,18 @@
 static void
 refuses_idempotency_keys_while_the_log_is_down (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_answer_t answer;
-  pfl_request_t keyed = BOOK;
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_answer_t answer;
+  testbed_request_t keyed = BOOK;
 
   testbed->log_down = true;
   keyed.idempotency_key = "order-8";
-  pfl_ask (testbed, &keyed, &answer);
+  testbed_ask (testbed, &keyed, &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT_STRING_EQUAL (answer.verdict, "not_run");
   CU_ASSERT_STRING_NOT_EQUAL (answer.retry_after, "");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
-  pfl_answer_clear (&answer);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
+  testbed_answer_clear (&answer);
   ask_status (testbed, &BOOK, 200, "ran");
   ask_status (testbed, &LOOK, 200, "ran");
 }
@@ -451,13 +456,13 @@
 static void
 answers_at_the_deadline (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_request_t soon = BOOK;
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_request_t soon = BOOK;
 
-  pfl_set_all (testbed, PFL_HANG);
+  testbed_set_mode (testbed, TESTBED_HOLD);
   soon.deadline_ms = "150";
   ask_status (testbed, &soon, 504, "may_have_run");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
 }
 
 /* A client repeats the same idempotent request, such as a status check. If requests were placed by
@@ -465,11 +470,11 @@
 static void
 spreads_a_repeated_request_over_all_engines (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
   for (uint32_t i = 0; i < 60; i++)
     ask_status (testbed, &LOOK, 200, "ran");
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     CU_ASSERT_TRUE (testbed->engines[i].request_count >= 8);
 }
 
@@ -480,23 +485,23 @@
 static void
 avoids_a_frozen_host (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_answer_t answer;
-  pfl_request_t soon = BOOK;
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_answer_t answer;
+  testbed_request_t soon = BOOK;
   set_address_t black_hole;
 
-  uint32_t home = pfl_ask_engine (testbed, &CHAT);
-  evutil_socket_t listener = pfl_black_hole (&black_hole);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  uint32_t home = testbed_ask_engine (testbed, &CHAT);
+  evutil_socket_t listener = testbed_open_black_hole (&black_hole);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     if (i == home)
       testbed->hosts[i].http = black_hole;
   uint64_t start_us = clk_now_us (&testbed->router.daemon.clk);
-  pfl_ask (testbed, &CHAT, &answer);
+  testbed_ask (testbed, &CHAT, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT_NOT_EQUAL (pfl_engine_named (&answer), home);
+  CU_ASSERT_NOT_EQUAL (testbed_engine_index (&answer), home);
   CU_ASSERT_TRUE (clk_now_us (&testbed->router.daemon.clk) - start_us < 2 * CLK_US_PER_S);
-  pfl_answer_clear (&answer);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  testbed_answer_clear (&answer);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     testbed->hosts[i].http = black_hole;
   soon.deadline_ms = "1200";
   ask_status (testbed, &soon, 504, "may_have_run");
@@ -506,9 +511,9 @@
 static bool
 sidecars_refuse (void *context)
 {
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_ask (context, &LOOK, &answer);
+  testbed_ask (context, &LOOK, &answer);
   bool refused = answer.status == 503;
   return refused;
 }
@@ -518,16 +523,16 @@
 static void
 refuses_requests_after_a_pause (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_flag (&testbed->sidecars[i], MESSAGE_FRESHNESS, false);
-  CU_ASSERT_TRUE (pfl_until (testbed, sidecars_refuse, testbed));
-  uint32_t runs = pfl_runs (testbed);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
+    testbed_send_flag (&testbed->sidecars[i], MESSAGE_FRESHNESS, false);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, sidecars_refuse, testbed));
+  uint32_t runs = testbed_count_received (testbed);
   ask_status (testbed, &BOOK, 503, "not_run");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), runs);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_flag (&testbed->sidecars[i], MESSAGE_FRESHNESS, true);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), runs);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
+    testbed_send_flag (&testbed->sidecars[i], MESSAGE_FRESHNESS, true);
   ask_status (testbed, &BOOK, 200, "ran");
 }
 
@@ -553,7 +558,7 @@
 }
 
 static int
-call_sidecar (pfl_t *testbed, const hcl_header_t *headers, uint32_t count, const char *target)
+call_sidecar (testbed_t *testbed, const hcl_header_t *headers, uint32_t count, const char *target)
 {
   int status = 0;
   hcl_options_t options = { .address = &testbed->hosts[0].http,
@@ -566,7 +571,7 @@
                             .context = &status };
 
   hcl_start (testbed->http_client, &options);
-  CU_ASSERT_TRUE (pfl_until (testbed, has_status, &status));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, has_status, &status));
   return status;
 }
 
@@ -577,13 +582,13 @@
 {
   static const hcl_header_t FORGED[] = { { "X-Medlarplank-Seal", "00" },
                                          { "X-Medlarplank-Account", "first" } };
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
   CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, "/look"), 403);
   CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, HOP_REVOKE_PATH "?attempt=1"), 403);
   CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, "/medlarplank/drain?time=1"), 403);
   CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, "/medlarplank/manifest"), 403);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
 }
 
 /* A router revoked an attempt before it arrived, and after "not run" tried another engine. If the
@@ -592,7 +597,7 @@
 refuses_a_revoked_attempt (void)
 {
   static const char TARGET[] = HOP_REVOKE_PATH "?attempt=000000000000000a000000000000000b&age_ms=5";
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   char seal[CALL_SEAL_BYTES];
   hcl_header_t seal_header = { .name = CALL_SEAL_HEADER, .value = seal };
   hop_t hop = { .attempt = { 0xa, 0xb },
@@ -604,14 +609,14 @@
   hcl_header_t headers[HOP_HEADER_COUNT];
 
   hop.body_hash = digest_request ("POST", "/book", "", 0);
-  uint32_t count = hop_write (&hop, PFL_FLEET_KEY, written);
+  uint32_t count = hop_write (&hop, TESTBED_FLEET_KEY, written);
   for (uint32_t i = 0; i < count; i++)
     headers[i] = (hcl_header_t){ .name = written[i].name, .value = written[i].value };
   call_seal_compute (&(sealed_call_t){ .host = "e0", .method = "POST", .target = TARGET },
-                     PFL_FLEET_KEY, seal);
+                     TESTBED_FLEET_KEY, seal);
   CU_ASSERT_EQUAL (call_sidecar (testbed, &seal_header, 1, TARGET), 200);
   CU_ASSERT_EQUAL (call_sidecar (testbed, headers, count, "/book"), 503);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
 }
 
 int
--- a/tests/test_path_answers.c
+++ b/tests/test_path_answers.c
@@ -19,12 +19,13 @@
 static void
 relays_the_length_of_a_head_answer (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
-  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[PFL_SIDECARS].http);
-  raw_send (raw, "HEAD /look HTTP/1.1\r\nX-Api-Key: " PFL_KEY "\r\n\r\n"
-                 "POST /look HTTP/1.1\r\nX-Api-Key: " PFL_KEY "\r\nContent-Length: 4\r\n\r\nnext");
-  CU_ASSERT_TRUE (pfl_until (testbed, got_next_answer, raw));
+  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[TESTBED_SIDECARS].http);
+  raw_send (raw, "HEAD /look HTTP/1.1\r\nX-Api-Key: " TESTBED_API_KEY "\r\n\r\n"
+                 "POST /look HTTP/1.1\r\nX-Api-Key: " TESTBED_API_KEY
+                 "\r\nContent-Length: 4\r\n\r\nnext");
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, got_next_answer, raw));
   CU_ASSERT_TRUE (g_str_has_prefix (raw->got->str, "HTTP/1.1 200 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "Content-Length: 4\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\nHTTP/1.1 200 "));
@@ -35,25 +36,25 @@
 static bool
 caller_buffer_is_full (void *context)
 {
-  const pfl_t *testbed = context;
-  const rtr_call_t *call = g_queue_peek_head (&testbed->router.router_task->calls);
+  const testbed_t *testbed = context;
+  const router_call_t *call = g_queue_peek_head (&testbed->router.router_task->calls);
 
   return call != NULL && call->relay.full;
 }
 
 static void
-fire_stall_timers (pfl_t *testbed)
+fire_stall_timers (testbed_t *testbed)
 {
   gpointer call = g_queue_peek_head (&testbed->router.router_task->calls);
   GHashTableIter iter;
 
   if (call != NULL)
-    rtr_hop_timer (-1, EV_TIMEOUT, call);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+    router_hop_on_timer (-1, EV_TIMEOUT, call);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     {
       g_hash_table_iter_init (&iter, testbed->sidecars[i].sidecar_task->calls);
-      if (g_hash_table_iter_next (&iter, NULL, &call) && ((sdc_call_t *)call)->relay.full)
-        sdc_engine_timer (-1, EV_TIMEOUT, call);
+      if (g_hash_table_iter_next (&iter, NULL, &call) && ((sidecar_call_t *)call)->relay.full)
+        sidecar_engine_on_timer (-1, EV_TIMEOUT, call);
     }
 }
 
@@ -63,20 +64,20 @@
 static void
 waits_for_a_slow_caller (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_set_all (testbed, PFL_LONG);
-  pfl_send (testbed, &(pfl_request_t){ .path = "/look" }, &answer);
+  testbed_set_mode (testbed, TESTBED_LONG_ANSWER);
+  testbed_send (testbed, &(testbed_request_t){ .path = "/look" }, &answer);
   answer.stop_reading = true;
-  CU_ASSERT_TRUE (pfl_until (testbed, caller_buffer_is_full, testbed));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, caller_buffer_is_full, testbed));
   fire_stall_timers (testbed);
   answer.stop_reading = false;
   hcl_pause (answer.call, false);
   fire_stall_timers (testbed);
-  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
   CU_ASSERT_TRUE (answer.end.whole);
-  CU_ASSERT_EQUAL (answer.body->len, PFL_LONG_BYTES);
+  CU_ASSERT_EQUAL (answer.body->len, TESTBED_LONG_ANSWER_BYTES);
 }
 
 /* An engine's stream breaks off between two events. The caller must get exactly one error event
@@ -84,11 +85,11 @@
 static void
 an_interrupted_stream_ends_with_an_error_event (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_set_all (testbed, PFL_CUT_LATE);
-  pfl_ask (testbed, &(pfl_request_t){ .path = "/look" }, &answer);
+  testbed_set_mode (testbed, TESTBED_DISCONNECT_MID_STREAM);
+  testbed_ask (testbed, &(testbed_request_t){ .path = "/look" }, &answer);
   CU_ASSERT_TRUE (answer.done);
   CU_ASSERT_FALSE (answer.end.whole);
   CU_ASSERT_TRUE (g_str_has_prefix (answer.body->str, "data: one\n\nevent: error\ndata: {"));
--- a/tests/test_path_chats.c
+++ b/tests/test_path_chats.c
@@ -8,30 +8,30 @@
 
 #define CHAT_BODY "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}"
 
-static pfl_request_t
+static testbed_request_t
 chat_request (const char *chat)
 {
-  return (pfl_request_t){ .path = "/v1/chat/completions", .body = CHAT_BODY, .chat = chat };
+  return (testbed_request_t){ .path = "/v1/chat/completions", .body = CHAT_BODY, .chat = chat };
 }
 
 static uint32_t
-ask_engine (pfl_t *testbed, const char *chat)
+ask_engine (testbed_t *testbed, const char *chat)
 {
-  pfl_request_t request = chat_request (chat);
-  g_auto (pfl_answer_t) answer = { 0 };
+  testbed_request_t request = chat_request (chat);
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_ask (testbed, &request, &answer);
+  testbed_ask (testbed, &request, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  uint32_t engine = pfl_engine_named (&answer);
+  uint32_t engine = testbed_engine_index (&answer);
   return engine;
 }
 
 static uint64_t
-count_hints (const pfl_t *testbed)
+count_hints (const testbed_t *testbed)
 {
   uint64_t sum = 0;
 
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     sum += cnt_value (
         cnt_get (testbed->sidecars[i].daemon.counters, "medlarplank_directory_notes_total", ""));
   return sum;
@@ -39,7 +39,7 @@
 
 typedef struct
 {
-  const pfl_t *testbed;
+  const testbed_t *testbed;
   uint64_t hints_before;
 } hint_wait_t;
 
@@ -54,15 +54,15 @@
 /* serve_elsewhere() - sends a request of @chat while its home refuses requests. Return: the engine
  * that served it */
 static uint32_t
-serve_elsewhere (pfl_t *testbed, const char *chat, uint32_t home)
+serve_elsewhere (testbed_t *testbed, const char *chat, uint32_t home)
 {
   hint_wait_t hint_wait = { .testbed = testbed, .hints_before = count_hints (testbed) };
 
-  pfl_flag (&testbed->sidecars[home], MESSAGE_FRESHNESS, false);
+  testbed_send_flag (&testbed->sidecars[home], MESSAGE_FRESHNESS, false);
   uint32_t other = ask_engine (testbed, chat);
   CU_ASSERT_NOT_EQUAL (other, home);
-  CU_ASSERT_TRUE (pfl_until (testbed, hint_received, &hint_wait));
-  pfl_flag (&testbed->sidecars[home], MESSAGE_FRESHNESS, true);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, hint_received, &hint_wait));
+  testbed_send_flag (&testbed->sidecars[home], MESSAGE_FRESHNESS, true);
   return other;
 }
 
@@ -71,7 +71,7 @@
 static void
 a_chat_returns_to_the_engine_that_served_it (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
   uint32_t home = ask_engine (testbed, "c1");
   uint32_t other = serve_elsewhere (testbed, "c1", home);
@@ -84,7 +84,7 @@
 static void
 a_leaving_sidecar_hands_over_its_directory (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   char chat[16];
 
   for (uint32_t i = 0; i < 6; i++)
@@ -95,11 +95,11 @@
       uint32_t home = ask_engine (testbed, chat);
       uint32_t other = serve_elsewhere (testbed, chat, home);
       hint_wait.hints_before = count_hints (testbed);
-      pfl_set_state (testbed, home, MEMBERSHIP_LEAVING);
-      CU_ASSERT_TRUE (pfl_until (testbed, hint_received, &hint_wait));
+      testbed_set_host_state (testbed, home, MEMBERSHIP_LEAVING);
+      CU_ASSERT_TRUE (testbed_wait_until (testbed, hint_received, &hint_wait));
       CU_ASSERT_EQUAL (ask_engine (testbed, chat), other);
       CU_ASSERT_EQUAL (ask_engine (testbed, chat), other);
-      pfl_set_state (testbed, home, MEMBERSHIP_LIVE);
+      testbed_set_host_state (testbed, home, MEMBERSHIP_LIVE);
     }
 }
 
@@ -112,14 +112,14 @@
 static void
 hints_stay_within_the_control_budget (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   dmn_t *daemon = &testbed->router.daemon;
   cnt_t *hints = cnt_get (daemon->counters, "medlarplank_served_hints_total", "");
   uint64_t began_us = clk_now_us (&daemon->clk);
   uint64_t allowed_bytes;
   char chat[16];
 
-  pfl_flag (&testbed->sidecars[0], MESSAGE_FRESHNESS, false);
+  testbed_send_flag (&testbed->sidecars[0], MESSAGE_FRESHNESS, false);
   for (uint32_t i = 0; i < 60; i++)
     {
       g_snprintf (chat, sizeof chat, "s%u", i);
@@ -136,16 +136,16 @@
 static void
 streams_a_long_answer (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
-  pfl_request_t request = chat_request ("long");
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
+  testbed_request_t request = chat_request ("long");
 
-  pfl_set_all (testbed, PFL_LONG);
-  pfl_ask (testbed, &request, &answer);
+  testbed_set_mode (testbed, TESTBED_LONG_ANSWER);
+  testbed_ask (testbed, &request, &answer);
   CU_ASSERT_TRUE (answer.end.whole);
-  CU_ASSERT_EQUAL (answer.body->len, PFL_LONG_BYTES);
+  CU_ASSERT_EQUAL (answer.body->len, TESTBED_LONG_ANSWER_BYTES);
   for (size_t i = 0; i < answer.body->len; i += 1000)
-    if (answer.body->str[i] != (char)('a' + i / PFL_PART_BYTES % 26))
+    if (answer.body->str[i] != (char)('a' + i / TESTBED_PART_BYTES % 26))
       {
         CU_FAIL ("a part is out of order");
         break;
--- a/tests/test_path_closed.c
+++ b/tests/test_path_closed.c
@@ -3,19 +3,21 @@
 
 #include <string.h>
 
-static const pfl_request_t BOOK = { .path = "/book", .body = "lot 7", .idempotency_key = "key 1" };
-static const pfl_request_t LOOK = { .path = "/look" };
+static const testbed_request_t BOOK = { .path = "/book",
+                                        .body = "lot 7",
+                                        .idempotency_key = "key 1" };
+static const testbed_request_t LOOK = { .path = "/look" };
 
 static bool
 claim_held (void *context)
 {
-  const pfl_t *testbed = context;
+  const testbed_t *testbed = context;
 
   return testbed->held_claim_node != NULL;
 }
 
 static uint32_t
-sidecar_index (const pfl_t *testbed, const pfl_daemon_t *node)
+sidecar_index (const testbed_t *testbed, const testbed_node_t *node)
 {
   return (uint32_t)(node - testbed->sidecars);
 }
@@ -25,7 +27,7 @@
 /** struct run_until - context of time_reached(); @until_us: how long to run the daemons */
 typedef struct
 {
-  const pfl_t *testbed;
+  const testbed_t *testbed;
   uint64_t until_us;
 } run_until_t;
 
@@ -44,19 +46,19 @@
 static void
 a_claim_granted_at_the_start_of_a_stop_runs (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
 
   testbed->hold_claims = true;
-  pfl_send (testbed, &BOOK, &answer);
-  CU_ASSERT_TRUE_FATAL (pfl_until (testbed, claim_held, testbed));
+  testbed_send (testbed, &BOOK, &answer);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_until (testbed, claim_held, testbed));
   uint32_t leaving = sidecar_index (testbed, testbed->held_claim_node);
-  pfl_flag (&testbed->sidecars[leaving], MESSAGE_DRAIN, true);
-  pfl_judge (testbed);
-  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
+  testbed_send_flag (&testbed->sidecars[leaving], MESSAGE_DRAIN, true);
+  testbed_decide_claim (testbed);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_EQUAL (testbed->engines[leaving].request_count, 1);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
 }
 
 /* The host begins to leave while an admitted non-idempotent request waits for its claim, and a slow
@@ -65,23 +67,23 @@
 static void
 a_claim_granted_late_does_not_run_on_a_leaving_host (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_auto (testbed_answer_t) answer = { 0 };
   run_until_t run_until;
 
   testbed->hold_claims = true;
-  pfl_send (testbed, &BOOK, &answer);
-  CU_ASSERT_TRUE_FATAL (pfl_until (testbed, claim_held, testbed));
+  testbed_send (testbed, &BOOK, &answer);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_until (testbed, claim_held, testbed));
   uint32_t leaving = sidecar_index (testbed, testbed->held_claim_node);
-  pfl_flag (&testbed->sidecars[leaving], MESSAGE_DRAIN, true);
+  testbed_send_flag (&testbed->sidecars[leaving], MESSAGE_DRAIN, true);
   run_until = (run_until_t){ testbed, clk_now_us (&testbed->router.daemon.clk) +
                                           LIM_LEAVING_GRACE_US + GRACE_SLACK_US };
-  CU_ASSERT_TRUE (pfl_until (testbed, time_reached, &run_until));
-  pfl_judge (testbed);
-  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &answer));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, time_reached, &run_until));
+  testbed_decide_claim (testbed);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_EQUAL (testbed->engines[leaving].request_count, 0);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
 }
 
 #define MOVED_ENGINES_PATCH                                                                        \
@@ -89,7 +91,7 @@
   "\"desk\":{\"kind\":\"plain\",\"engines\":[\"e0\",\"e1\",\"e2\"]}}}"
 
 static man_t *
-moved_manifest (const pfl_t *testbed)
+moved_manifest (const testbed_t *testbed)
 {
   json_t *patch = json_loads (MOVED_ENGINES_PATCH, 0, NULL);
   man_t *manifest = man_patch (testbed->manifest, patch, NULL);
@@ -103,9 +105,9 @@
 static bool
 queued_requests_refused (void *context)
 {
-  const pfl_crowd_t *burst = context;
+  const testbed_burst_t *burst = context;
 
-  return pfl_open (burst) == pfl_runs (burst->testbed);
+  return testbed_burst_count_open (burst) == testbed_count_received (burst->testbed);
 }
 
 /* Requests are queued at the sidecars when a new version moves their engines to another service.
@@ -114,19 +116,19 @@
 static void
 an_engine_moved_to_another_service_refuses_queued_requests (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_crowd_t burst = { .testbed = testbed };
-
-  CU_ASSERT_TRUE (pfl_start_crowd (&burst, &LOOK));
-  uint32_t runs = pfl_runs (testbed);
-  pfl_set_man (testbed, moved_manifest (testbed));
-  CU_ASSERT_TRUE (pfl_until (testbed, queued_requests_refused, &burst));
-  CU_ASSERT_EQUAL (pfl_runs (testbed), runs);
-  for (uint32_t i = 0; i < PFL_CROWD; i++)
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_burst_t burst = { .testbed = testbed };
+
+  CU_ASSERT_TRUE (testbed_burst_start (&burst, &LOOK));
+  uint32_t runs = testbed_count_received (testbed);
+  testbed_set_manifest (testbed, moved_manifest (testbed));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, queued_requests_refused, &burst));
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), runs);
+  for (uint32_t i = 0; i < TESTBED_BURST_REQUESTS; i++)
     {
       if (burst.answers[i].done)
         CU_ASSERT_STRING_EQUAL (burst.answers[i].verdict, "not_run");
-      pfl_answer_clear (&burst.answers[i]);
+      testbed_answer_clear (&burst.answers[i]);
     }
 }
 
--- a/tests/test_path_copies.c
+++ b/tests/test_path_copies.c
@@ -5,20 +5,20 @@
 
 #include <string.h>
 
-static const pfl_request_t LOOK = { .path = "/look" };
+static const testbed_request_t LOOK = { .path = "/look" };
 
 static bool
 all_done (void *context)
 {
-  return pfl_open (context) == 0;
+  return testbed_burst_count_open (context) == 0;
 }
 
 static uint32_t
-count_answers (const pfl_crowd_t *burst, int status, const char *verdict)
+count_answers (const testbed_burst_t *burst, int status, const char *verdict)
 {
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < PFL_CROWD; i++)
+  for (uint32_t i = 0; i < TESTBED_BURST_REQUESTS; i++)
     count += burst->answers[i].status == status && strcmp (burst->answers[i].verdict, verdict) == 0;
   return count;
 }
@@ -31,12 +31,12 @@
 a_queued_copy_is_checked_again_before_it_runs (void)
 {
   uint64_t fingerprint = digest_fingerprint ("first", digest_request ("GET", LOOK.path, NULL, 0));
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_crowd_t burst = { .testbed = testbed };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_burst_t burst = { .testbed = testbed };
 
-  CU_ASSERT_TRUE (pfl_start_crowd (&burst, &LOOK));
-  uint32_t runs = pfl_runs (testbed);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  CU_ASSERT_TRUE (testbed_burst_start (&burst, &LOOK));
+  uint32_t runs = testbed_count_received (testbed);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     {
       message_crash_marks_t *marks = message_new (MESSAGE_CRASH_MARKS);
 
@@ -44,19 +44,19 @@
       marks->marks[0] = (suspect_mark_t){ .fingerprint = fingerprint, .engines = { 71, 72 } };
       mbx_send (testbed->sidecars[i].daemon.to_data, &marks->head);
     }
-  CU_ASSERT_TRUE (pfl_until (testbed, pfl_rest_waits, &burst));
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_release (&testbed->engines[i]);
-  CU_ASSERT_TRUE (pfl_until (testbed, all_done, &burst));
-  CU_ASSERT_EQUAL (pfl_runs (testbed), runs);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_burst_is_queued, &burst));
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
+    testbed_release (&testbed->engines[i]);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, all_done, &burst));
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), runs);
   CU_ASSERT_EQUAL (count_answers (&burst, 200, "ran"), runs);
   CU_ASSERT_TRUE (count_answers (&burst, 422, "not_run") > 0);
-  for (uint32_t i = 0; i < PFL_CROWD; i++)
-    pfl_answer_clear (&burst.answers[i]);
+  for (uint32_t i = 0; i < TESTBED_BURST_REQUESTS; i++)
+    testbed_answer_clear (&burst.answers[i]);
 }
 
 static uint64_t
-refusals (pfl_daemon_t *sidecar, const char *reason)
+refusals (testbed_node_t *sidecar, const char *reason)
 {
   g_autofree char *name = g_strdup_printf ("medlarplank_refusals_total{reason=\"%s\"}", reason);
 
@@ -66,7 +66,7 @@
 static bool
 queue_is_empty (void *context)
 {
-  return pfl_waiting (context) == 0;
+  return testbed_count_queued (context) == 0;
 }
 
 /* An engine crashes while copies of one request run on it and others are queued for it. The queued
@@ -76,20 +76,20 @@
 static void
 a_queued_copy_reports_the_crash_of_its_engine (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  pfl_crowd_t burst = { .testbed = testbed };
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  testbed_burst_t burst = { .testbed = testbed };
   uint32_t crashed = 0;
 
-  CU_ASSERT_TRUE (pfl_start_crowd (&burst, &LOOK));
-  while (pfl_waiting (&testbed->sidecars[crashed]) == 0)
+  CU_ASSERT_TRUE (testbed_burst_start (&burst, &LOOK));
+  while (testbed_count_queued (&testbed->sidecars[crashed]) == 0)
     crashed++;
-  uint64_t waited = pfl_waiting (&testbed->sidecars[crashed]);
-  pfl_crash (&testbed->engines[crashed]);
-  CU_ASSERT_TRUE (pfl_until (testbed, queue_is_empty, &testbed->sidecars[crashed]));
+  uint64_t waited = testbed_count_queued (&testbed->sidecars[crashed]);
+  testbed_crash (&testbed->engines[crashed]);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, queue_is_empty, &testbed->sidecars[crashed]));
   CU_ASSERT_TRUE (refusals (&testbed->sidecars[crashed], "suspect_here") >= waited);
   CU_ASSERT_EQUAL (refusals (&testbed->sidecars[crashed], "no_engine"), 0);
-  for (uint32_t i = 0; i < PFL_CROWD; i++)
-    pfl_answer_clear (&burst.answers[i]);
+  for (uint32_t i = 0; i < TESTBED_BURST_REQUESTS; i++)
+    testbed_answer_clear (&burst.answers[i]);
 }
 
 int
--- a/tests/test_path_hostile.c
+++ b/tests/test_path_hostile.c
@@ -16,20 +16,20 @@
 /* send_raw() - sends bytes to the router. Return: the status of the answer, 0 when the connection
  * was closed without one */
 static int
-send_raw (pfl_t *testbed, const char *text)
+send_raw (testbed_t *testbed, const char *text)
 {
-  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[PFL_SIDECARS].http);
+  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[TESTBED_SIDECARS].http);
   int status = 0;
 
   raw_send (raw, text);
-  CU_ASSERT_TRUE (pfl_until (testbed, answered, raw));
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, answered, raw));
   sscanf (raw->got->str, "HTTP/1.1 %d", &status);
   raw_free (raw);
   return status;
 }
 
 static uint64_t
-count_hops (const pfl_t *testbed)
+count_hops (const testbed_t *testbed)
 {
   return cnt_value (cnt_get (testbed->router.daemon.counters, "medlarplank_hops_total", ""));
 }
@@ -41,19 +41,19 @@
 a_control_character_does_not_mark_hosts_as_failed (void)
 {
   static const char *const VALUES[] = { "\x01", "a\x7f", "a\x1b[0m" };
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
   uint64_t before = count_hops (testbed);
   for (uint32_t i = 0; i < G_N_ELEMENTS (VALUES); i++)
     {
       g_autofree char *text = g_strdup_printf (
-          "GET /look HTTP/1.1\r\nHost: h\r\nX-Api-Key: " PFL_KEY "\r\nX-Note: %s\r\n\r\n",
+          "GET /look HTTP/1.1\r\nHost: h\r\nX-Api-Key: " TESTBED_API_KEY "\r\nX-Note: %s\r\n\r\n",
           VALUES[i]);
 
       CU_ASSERT_EQUAL (send_raw (testbed, text), 400);
     }
   CU_ASSERT_EQUAL (count_hops (testbed), before);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
 }
 
 /* A caller's headers are just within the router's limits, in their most compact form. With the
@@ -62,8 +62,9 @@
 static void
 the_largest_headers_do_not_mark_hosts_as_failed (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
-  g_autoptr (GString) text = g_string_new ("GET /look HTTP/1.1\r\nX-Api-Key:" PFL_KEY "\r\n");
+  g_autoptr (testbed_t) testbed = testbed_new ();
+  g_autoptr (GString) text =
+      g_string_new ("GET /look HTTP/1.1\r\nX-Api-Key:" TESTBED_API_KEY "\r\n");
 
   for (uint32_t i = 0; i < 9; i++)
     {
@@ -74,7 +75,7 @@
     }
   g_string_append (text, "\r\n");
   CU_ASSERT_EQUAL (send_raw (testbed, text->str), 200);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
 }
 
 /* "/book" is not idempotent, and the wildcard route "/look*" is. A path that matches the wildcard,
@@ -84,16 +85,16 @@
 {
   static const char *const TARGETS[] = { "/look/../book", "/look/%2e%2e/book", "/look//book",
                                          "/look;/book", "/look%2f..%2fbook" };
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (TARGETS); i++)
     {
       g_autofree char *text = g_strdup_printf (
-          "GET %s HTTP/1.1\r\nHost: h\r\nX-Api-Key: " PFL_KEY "\r\n\r\n", TARGETS[i]);
+          "GET %s HTTP/1.1\r\nHost: h\r\nX-Api-Key: " TESTBED_API_KEY "\r\n\r\n", TARGETS[i]);
 
       CU_ASSERT_EQUAL (send_raw (testbed, text), 400);
     }
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
 }
 
 int
