--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-static const pfl_request_t BOOK = { .path = "/book", .body = "lot 7" };
-static const pfl_request_t LOOK = { .path = "/look" };
+static const testbed_request_t BOOK = { .path = "/book", .body = "lot 7" };
+static const testbed_request_t LOOK = { .path = "/look" };
 
 /**
  * struct fake - a fake sidecar that closes the connection on each request, and answers revokes
@@ -49,11 +49,11 @@
 }
 
 static void
-listen_as (pfl_t *testbed, fake_t *fake, uint32_t last)
+listen_as (testbed_t *testbed, fake_t *fake, uint32_t last)
 {
   hsv_options_t options = { .base = testbed->base,
                             .counters = testbed->counters,
-                            .listen = pfl_address (last),
+                            .listen = testbed_address (last),
                             .body_limit_bytes = 1 << 20,
                             .header_limit_bytes = 1 << 16,
                             .header_limit_count = 100,
@@ -68,23 +68,23 @@
 /* replace_first_sidecar() - replaces the sidecar that the router tries first for BOOK by the fake.
  * Return: its index */
 static uint32_t
-replace_first_sidecar (pfl_t *testbed, fake_t *fake)
+replace_first_sidecar (testbed_t *testbed, fake_t *fake)
 {
 
-  uint32_t first = pfl_ask_engine (testbed, &BOOK);
+  uint32_t first = testbed_ask_engine (testbed, &BOOK);
   listen_as (testbed, fake, 60);
-  testbed->hosts[first].http = pfl_address (60);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  testbed->hosts[first].http = testbed_address (60);
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     testbed->engines[i].request_count = 0;
   return first;
 }
 
 static void
-ask_status (pfl_t *testbed, const pfl_request_t *request, int status, const char *verdict)
+ask_status (testbed_t *testbed, const testbed_request_t *request, int status, const char *verdict)
 {
-  g_auto (pfl_answer_t) answer = { 0 };
+  g_auto (testbed_answer_t) answer = { 0 };
 
-  pfl_ask (testbed, request, &answer);
+  testbed_ask (testbed, request, &answer);
   CU_ASSERT_EQUAL (answer.status, status);
   CU_ASSERT_STRING_EQUAL (answer.verdict, verdict);
 }
@@ -94,7 +94,7 @@
 static void
 tries_another_engine_after_not_run (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   fake_t fake = { .verdict = "not_run" };
   char incarnation[16];
 
@@ -104,7 +104,7 @@
   ask_status (testbed, &BOOK, 200, "ran");
   CU_ASSERT_EQUAL (fake.requests, 1);
   CU_ASSERT_EQUAL (fake.revokes, 1);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
   hsv_free (fake.server);
 }
 
@@ -113,13 +113,13 @@
 static void
 ignores_the_verdict_of_a_restarted_sidecar (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   fake_t fake = { .verdict = "not_run", .incarnation = "999999" };
 
   replace_first_sidecar (testbed, &fake);
   ask_status (testbed, &BOOK, 502, "may_have_run");
   CU_ASSERT_EQUAL (fake.revokes, 1);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
   hsv_free (fake.server);
 }
 
@@ -131,7 +131,7 @@
 static void
 revokes_at_the_address_of_the_hop (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   fake_t predecessor = { .verdict = "may_have_run", .incarnation = "7" };
   fake_t successor = { .verdict = "not_run" };
   char incarnation[16];
@@ -141,12 +141,12 @@
   successor.incarnation = incarnation;
   listen_as (testbed, &successor, 61);
   predecessor.moved_host = &testbed->hosts[first];
-  predecessor.new_address = pfl_address (61);
+  predecessor.new_address = testbed_address (61);
   ask_status (testbed, &BOOK, 502, "may_have_run");
   CU_ASSERT_EQUAL (predecessor.requests, 1);
   CU_ASSERT_EQUAL (predecessor.revokes, 1);
   CU_ASSERT_EQUAL (successor.revokes, 0);
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
   hsv_free (predecessor.server);
   hsv_free (successor.server);
 }
@@ -156,7 +156,7 @@
 static void
 after_may_have_run_retries_only_idempotent_requests (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   fake_t fake = { .verdict = "may_have_run" };
   char incarnation[16];
 
@@ -164,9 +164,9 @@
   g_snprintf (incarnation, sizeof incarnation, "%u", 1000 + first);
   fake.incarnation = incarnation;
   ask_status (testbed, &BOOK, 502, "may_have_run");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 0);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
   ask_status (testbed, &LOOK, 200, "ran");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 1);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
   hsv_free (fake.server);
 }
 
@@ -175,22 +175,22 @@
 static void
 skips_a_host_that_refuses_connections (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   fake_t fake = { 0 };
 
   replace_first_sidecar (testbed, &fake);
   hsv_free (fake.server);
   for (uint32_t i = 0; i < 5; i++)
     ask_status (testbed, &BOOK, 200, "ran");
-  CU_ASSERT_EQUAL (pfl_runs (testbed), 5);
+  CU_ASSERT_EQUAL (testbed_count_received (testbed), 5);
 }
 
 static bool
 any_request_held (void *context)
 {
-  const pfl_t *testbed = context;
+  const testbed_t *testbed = context;
 
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     if (testbed->engines[i].held_requests->len > 0)
       return true;
   return false;
@@ -205,27 +205,27 @@
 static void
 checks_no_host_that_answers_other_requests (void)
 {
-  g_autoptr (pfl_t) testbed = pfl_new ();
+  g_autoptr (testbed_t) testbed = testbed_new ();
   dmn_t *daemon = &testbed->router.daemon;
   cnt_t *probes = cnt_get (daemon->counters, "medlarplank_probes_total", "");
-  pfl_request_t request = {
+  testbed_request_t request = {
     .path = "/v1/chat/completions",
     .body = "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}",
     .chat = "one chat"
   };
-  g_auto (pfl_answer_t) slow = { 0 };
-  uint64_t until_us = clk_now_us (&daemon->clk) + 3 * RTR_QUIET_US;
+  g_auto (testbed_answer_t) slow = { 0 };
+  uint64_t until_us = clk_now_us (&daemon->clk) + 3 * ROUTER_HOST_PROBE_DELAY_US;
 
-  pfl_set_all (testbed, PFL_HANG);
-  pfl_send (testbed, &request, &slow);
-  CU_ASSERT_TRUE (pfl_until (testbed, any_request_held, testbed));
-  pfl_set_all (testbed, PFL_ANSWER);
+  testbed_set_mode (testbed, TESTBED_HOLD);
+  testbed_send (testbed, &request, &slow);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, any_request_held, testbed));
+  testbed_set_mode (testbed, TESTBED_ANSWER);
   while (clk_now_us (&daemon->clk) < until_us)
     ask_status (testbed, &request, 200, "ran");
   CU_ASSERT_EQUAL (cnt_value (probes), 0);
-  for (uint32_t i = 0; i < PFL_SIDECARS; i++)
-    pfl_release (&testbed->engines[i]);
-  CU_ASSERT_TRUE (pfl_until (testbed, pfl_done, &slow));
+  for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
+    testbed_release (&testbed->engines[i]);
+  CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &slow));
 }
 
 int
--- a/tests/test_request_parts.c
+++ b/tests/test_request_parts.c
@@ -10,9 +10,9 @@
 #include <string.h>
 
 static const char *
-parse (cbd_t *cbd, const char *text)
+parse (chat_body_t *chat_body, const char *text)
 {
-  return cbd_parse (cbd, text, strlen (text));
+  return chat_body_parse (chat_body, text, strlen (text));
 }
 
 static void
@@ -26,8 +26,8 @@
                               "{\"role\":\"user\",\"content\":\"hello\"},"
                               "{\"role\":\"assistant\",\"content\":\"hi\"},"
                               "{\"role\":\"user\",\"content\":\"more\"}]}";
-  cbd_t first;
-  cbd_t later;
+  chat_body_t first;
+  chat_body_t later;
 
   CU_ASSERT_PTR_NULL (parse (&first, FIRST));
   CU_ASSERT_PTR_NULL (parse (&later, LATER));
@@ -36,8 +36,8 @@
   CU_ASSERT_FALSE (first.returning);
   CU_ASSERT_TRUE (later.returning);
   CU_ASSERT_STRING_EQUAL (first.opening, later.opening);
-  cbd_clear (&first);
-  cbd_clear (&later);
+  chat_body_clear (&first);
+  chat_body_clear (&later);
 }
 
 static void
@@ -49,10 +49,10 @@
                                            "{\"model\":1,\"messages\":[{}]}",
                                            "{\"model\":\"m\",\"messages\":[]}",
                                            "{\"model\":\"m\",\"model\":\"n\",\"messages\":[{}]}" };
-  cbd_t cbd;
+  chat_body_t chat_body;
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (MALFORMED); i++)
-    CU_ASSERT_PTR_NOT_NULL (parse (&cbd, MALFORMED[i]));
+    CU_ASSERT_PTR_NOT_NULL (parse (&chat_body, MALFORMED[i]));
 }
 
 /* The JSON parser recurses for each bracket, so a body of brackets alone could exhaust the stack.
@@ -64,11 +64,11 @@
   g_autofree char *text = g_strnfill (1000, '[');
   g_autofree char *fine = g_strdup_printf (
       "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"\\\"%s\"}]}", text);
-  cbd_t cbd;
+  chat_body_t chat_body;
 
-  CU_ASSERT_STRING_EQUAL (parse (&cbd, deep), "the body is nested too deeply");
-  CU_ASSERT_PTR_NULL (parse (&cbd, fine));
-  cbd_clear (&cbd);
+  CU_ASSERT_STRING_EQUAL (parse (&chat_body, deep), "the body is nested too deeply");
+  CU_ASSERT_PTR_NULL (parse (&chat_body, fine));
+  chat_body_clear (&chat_body);
 }
 
 /* Guards against client accounts that share a claim or a crash mark: two accounts use the same
--- a/tests/test_target.c
+++ b/tests/test_target.c
@@ -20,7 +20,7 @@
   };
 
   for (guint i = 0; i < G_N_ELEMENTS (UNAMBIGUOUS); i++)
-    CU_ASSERT_TRUE (tgt_is_plain (UNAMBIGUOUS[i]));
+    CU_ASSERT_TRUE (request_target_is_unambiguous (UNAMBIGUOUS[i]));
 }
 
 static void
@@ -34,7 +34,7 @@
   };
 
   for (guint i = 0; i < G_N_ELEMENTS (AMBIGUOUS); i++)
-    CU_ASSERT_FALSE (tgt_is_plain (AMBIGUOUS[i]));
+    CU_ASSERT_FALSE (request_target_is_unambiguous (AMBIGUOUS[i]));
 }
 
 int
