--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -166,7 +166,7 @@
       uint64_t start_us = run->flt->now_us;
       flt_wait_for (run->flt, has_leaving, &leaving_node->ctrl->own_hash);
       flt_enter (leaving_node);
-      ctrl_stop_leave (leaving_node->ctrl, "bench");
+      control_stop_start_leaving (leaving_node->ctrl, "bench");
       flt_run (run->flt, HORIZON_US / 2, true);
       run_print_heard (run, "leaving, routers", start_us, run_is_router, NULL);
       run_end (run);
@@ -186,7 +186,7 @@
       uint64_t start_us = run->flt->now_us;
       flt_wait_for (run->flt, has_mark, NULL);
       flt_enter (node);
-      ctrl_talk_own_marks (node->ctrl, &marks);
+      control_exchange_add_own_marks (node->ctrl, &marks);
       flt_run (run->flt, HORIZON_US / 2, true);
       run_print_heard (run, "mark, sidecars of the service", start_us, is_of_service,
                        &node->service);
@@ -249,7 +249,7 @@
   for (uint32_t i = evacuation.data_center; i < evacuation.watched; i += FLT_DATA_CENTERS)
     {
       flt_enter (&run->flt->nodes[i]);
-      ctrl_stop_leave (run->flt->nodes[i].ctrl, "bench");
+      control_stop_start_leaving (run->flt->nodes[i].ctrl, "bench");
     }
   for (uint32_t i = 0; i < G_N_ELEMENTS (after_s); i++)
     {
--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -26,7 +26,7 @@
   message.manifest_version = node->flt->man->version;
   flt_enter (node);
   node->ctrl->list.read_once = true;
-  ctrl_talk_heard (&message, true, node->ctrl);
+  control_exchange_receive (&message, true, node->ctrl);
 }
 
 void
--- a/bench/spread/exchange.c
+++ b/bench/spread/exchange.c
@@ -99,7 +99,7 @@
 exc_t *
 exc_new (const exc_options_t *options, GError **error)
 {
-  const ctrl_t *ctrl = options->context;
+  const control_t *ctrl = options->context;
   exc_t *exc = g_new0 (exc_t, 1);
   (void)error;
   exc->options = *options;
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -155,7 +155,7 @@
   node->dmn.incarnation = 1;
   node->dmn.counters = fleet->counters;
   node->dmn.to_data = fleet->mailbox;
-  node->ctrl = ctrl_new_on (&node->dmn, fleet->base, &fleet->plt, NULL);
+  node->ctrl = control_new_with_platform (&node->dmn, fleet->base, &fleet->plt, NULL);
   event_del (node->ctrl->tick); /* the timer follows real time; FLT_TICK replaces it */
   membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed,
                          fleet->options.watched, 1);
@@ -169,7 +169,7 @@
 {
   if (!is_engine (node->flt, node->index))
     return;
-  ctrl_talk_t *talk = &node->ctrl->talk;
+  control_exchange_t *talk = &node->ctrl->talk;
   talk->has_own_sample = true;
   talk->own_sample = (load_sample_t){
     .engine_hash = node->ctrl->own_hash,
@@ -194,7 +194,7 @@
       break;
     case FLT_TICK:
       update_own_load (node);
-      ctrl_turn (node->ctrl);
+      control_tick (node->ctrl);
       evt_add (&fleet->events, fleet->now_us + TICK_US, FLT_TICK, node->index, NULL);
       break;
     case FLT_DATAGRAM:
@@ -268,7 +268,7 @@
     g_free (event.data);
   evt_clear (&fleet->events);
   for (uint32_t i = 0; i < fleet->count; i++)
-    ctrl_free (fleet->nodes[i].ctrl);
+    control_free (fleet->nodes[i].ctrl);
   g_free (fleet->nodes);
   g_free (fleet->listed);
   membership_snapshot_unref (fleet->members);
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -65,7 +65,7 @@
 {
   dmn_t dmn;
   flt_t *flt;
-  ctrl_t *ctrl;
+  control_t *ctrl;
   uint32_t index;
   uint32_t data_center;
   uint32_t service;
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -25,14 +25,14 @@
 {
   plt_read_done_t read;
   plt_hosts_done_t hosts;
-  ctrl_op_t *op;
+  control_call_t *op;
   uint64_t from_offset;
   uint64_t until_us;
   bool partitioned;
 } request_t;
 
 static flt_node_t *
-node_of (const ctrl_op_t *op)
+node_of (const control_call_t *op)
 {
   return (flt_node_t *)op->ctrl->dmn;
 }
@@ -155,13 +155,13 @@
 static void
 update_members (flt_node_t *node)
 {
-  ctrl_peers_t *peers = &node->ctrl->peers;
+  control_peers_t *peers = &node->ctrl->peers;
   if (peers->members == node->flt->members)
     return;
   if (peers->members != NULL)
     membership_snapshot_unref (peers->members);
   peers->members = membership_snapshot_ref (node->flt->members);
-  ctrl_peers_rebuild (node->ctrl);
+  control_peers_rebuild (node->ctrl);
 }
 
 void
@@ -185,14 +185,14 @@
 }
 
 void
-ctrl_fetch_start (ctrl_t *ctrl, const membership_host_t *host)
+control_fetch_start (control_t *ctrl, const membership_host_t *host)
 {
   flt_node_t *node = (flt_node_t *)ctrl->dmn;
   flt_t *fleet = node->flt;
   if (ctrl->fetch.call != NULL || fleet->now_us < ctrl->fetch.next_us)
     return;
-  ctrl->fetch.next_us = fleet->now_us + ctrl_jitter (ctrl, FETCH_INTERVAL_US);
-  exc_charge (ctrl->exc, CTRL_REQUEST_BYTES);
+  ctrl->fetch.next_us = fleet->now_us + control_add_jitter (ctrl, FETCH_INTERVAL_US);
+  exc_charge (ctrl->exc, CONTROL_REQUEST_BYTES);
   fleet->counts.fetches++;
   uint64_t *peer = g_new (uint64_t, 1);
   *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].dmn.set.exchange.port);
@@ -200,7 +200,7 @@
 }
 
 void
-ctrl_fetch_clear (ctrl_t *ctrl)
+control_fetch_clear (control_t *ctrl)
 {
   (void)ctrl;
 }
@@ -214,8 +214,8 @@
   if (reached && rep_ready (source) &&
       rep_adopt (node->ctrl->manifest.rep, rep_manifest (source), rep_next_offset (source)))
     {
-      ctrl_manifest_flush (node->ctrl);
-      ctrl_fresh_flush (node->ctrl);
+      control_manifest_send_if_changed (node->ctrl);
+      control_freshness_send_if_fresh (node->ctrl);
     }
   g_free (data);
 }
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -19,11 +19,11 @@
 {
   (void)socket;
   (void)what;
-  ctrl_turn (context);
+  control_tick (context);
 }
 
 static exc_t *
-open_exchange (ctrl_t *ctrl, GError **error)
+open_exchange (control_t *ctrl, GError **error)
 {
   const set_t *set = &ctrl->dmn->set;
   exc_options_t options = {
@@ -35,18 +35,18 @@
     .interval_ms = set->exchange_interval_ms,
     .budget_bytes = set->control_budget_bytes,
     .seed = ctrl->own_hash ^ ctrl->dmn->incarnation,
-    .fill = ctrl_talk_fill,
-    .heard = ctrl_talk_heard,
-    .pick = ctrl_talk_pick,
+    .fill = control_exchange_compose,
+    .heard = control_exchange_receive,
+    .pick = control_exchange_pick_peer,
     .context = ctrl,
   };
   return exc_new (&options, error);
 }
 
-ctrl_t *
-ctrl_new_on (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error)
+control_t *
+control_new_with_platform (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error)
 {
-  ctrl_t *ctrl = g_new0 (ctrl_t, 1);
+  control_t *ctrl = g_new0 (control_t, 1);
   ctrl->dmn = dmn;
   ctrl->base = base;
   ctrl->plt = plt;
@@ -57,47 +57,47 @@
   ctrl->list.own_state = MEMBERSHIP_GONE;
   ctrl->list.leaving = leave_notice_new ();
   ctrl->hcl = hcl_new (base, HTTP_IDLE_CONNECTIONS, HTTP_IDLE_TIMEOUT_MS);
-  ctrl_members_init (ctrl);
-  ctrl_manifest_init (ctrl);
-  ctrl_talk_init (ctrl);
-  ctrl_fresh_init (ctrl);
-  ctrl_claims_init (ctrl);
+  control_members_init (ctrl);
+  control_manifest_init (ctrl);
+  control_exchange_init (ctrl);
+  control_freshness_init (ctrl);
+  control_claims_init (ctrl);
   ctrl->exc = open_exchange (ctrl, error);
   if (ctrl->exc == NULL)
     {
-      ctrl_free (ctrl);
+      control_free (ctrl);
       return NULL;
     }
   ctrl->tick = event_new (base, -1, EV_PERSIST, on_tick, ctrl);
   event_add (ctrl->tick, &tick_interval);
-  ctrl_turn (ctrl);
+  control_tick (ctrl);
   return ctrl;
 }
 
-ctrl_t *
-ctrl_new (dmn_t *dmn, struct event_base *base, GError **error)
+control_t *
+control_new (dmn_t *dmn, struct event_base *base, GError **error)
 {
   plt_t *plt = plt_http_new (base, &dmn->set.platform, dmn->set.name);
-  return ctrl_new_on (dmn, base, plt, error);
+  return control_new_with_platform (dmn, base, plt, error);
 }
 
 void
-ctrl_free (ctrl_t *ctrl)
+control_free (control_t *ctrl)
 {
   if (ctrl == NULL)
     return;
   ctrl->closing = true;
   if (ctrl->tick != NULL)
     event_free (ctrl->tick);
-  ctrl_fetch_clear (ctrl);
-  ctrl_claims_clear (ctrl);
+  control_fetch_clear (ctrl);
+  control_claims_clear (ctrl);
   ctrl->plt->free (ctrl->plt);
   g_ptr_array_free (ctrl->calls, TRUE);
   exc_free (ctrl->exc);
   hcl_free (ctrl->hcl);
-  ctrl_talk_clear (ctrl);
-  ctrl_manifest_clear (ctrl);
-  ctrl_members_clear (ctrl);
+  control_exchange_clear (ctrl);
+  control_manifest_clear (ctrl);
+  control_members_clear (ctrl);
   membership_free (ctrl->membership);
   leave_notice_free (ctrl->list.leaving);
   g_rand_free (ctrl->rand);
@@ -105,48 +105,48 @@
 }
 
 void
-ctrl_turn (ctrl_t *ctrl)
+control_tick (control_t *ctrl)
 {
   log_flush ();
-  ctrl_fresh_check (ctrl);
-  ctrl_list_turn (ctrl);
-  ctrl_list_tell (ctrl);
-  ctrl_members_flush (ctrl);
-  ctrl_manifest_turn (ctrl);
-  ctrl_claims_turn (ctrl);
-  ctrl_stop_turn (ctrl);
+  control_freshness_check_pause (ctrl);
+  control_list_tick (ctrl);
+  control_list_notify_leaving (ctrl);
+  control_members_send_if_due (ctrl);
+  control_manifest_tick (ctrl);
+  control_claims_tick (ctrl);
+  control_stop_tick (ctrl);
 }
 
 void
-ctrl_message (mbx_message_t *message, void *context)
+control_handle_message (mbx_message_t *message, void *context)
 {
-  ctrl_t *ctrl = context;
-  ctrl_fresh_check (ctrl);
+  control_t *ctrl = context;
+  control_freshness_check_pause (ctrl);
   switch (message->kind)
     {
     case MESSAGE_CLAIM:
-      ctrl_claims_ask (ctrl, (const message_claim_t *)message);
+      control_claims_request (ctrl, (const message_claim_t *)message);
       break;
     case MESSAGE_CLAIM_END:
-      ctrl_claims_end (ctrl, (const message_claim_end_t *)message);
+      control_claims_finish (ctrl, (const message_claim_end_t *)message);
       break;
     case MESSAGE_OWN_LOAD_SAMPLE:
-      ctrl_talk_own_sample (ctrl, (const message_load_samples_t *)message);
+      control_exchange_set_own_sample (ctrl, (const message_load_samples_t *)message);
       break;
     case MESSAGE_NEW_CRASH_MARK:
-      ctrl_talk_own_marks (ctrl, (const message_crash_marks_t *)message);
+      control_exchange_add_own_marks (ctrl, (const message_crash_marks_t *)message);
       break;
     case MESSAGE_LEAVE_ORDERED:
-      ctrl_stop_leave (ctrl, "order");
+      control_stop_start_leaving (ctrl, "order");
       break;
     case MESSAGE_DRAIN:
-      ctrl_stop_signal (ctrl);
+      control_stop_on_signal (ctrl);
       break;
     case MESSAGE_DRAINED:
-      ctrl_stop_drained (ctrl);
+      control_stop_note_drained (ctrl);
       break;
     case MESSAGE_PAUSE_DETECTED:
-      ctrl_fresh_woke (ctrl, ((const message_flag_t *)message)->at_us);
+      control_freshness_note_pause (ctrl, ((const message_flag_t *)message)->at_us);
       break;
     default:
       g_assert_not_reached ();
@@ -154,31 +154,31 @@
 }
 
 uint64_t
-ctrl_now_us (const ctrl_t *ctrl)
+control_now_us (const control_t *ctrl)
 {
   return clk_now_us (&ctrl->dmn->clk);
 }
 
 void
-ctrl_send (ctrl_t *ctrl, void *message)
+control_send_to_data (control_t *ctrl, void *message)
 {
   mbx_send (ctrl->dmn->to_data, message);
 }
 
 void
-ctrl_count (ctrl_t *ctrl, const char *name, const char *help)
+control_count_event (control_t *ctrl, const char *name, const char *help)
 {
   cnt_add (cnt_get (ctrl->dmn->counters, name, help), 1);
 }
 
 void
-ctrl_gauge (ctrl_t *ctrl, const char *name, const char *help, uint64_t value)
+control_set_gauge (control_t *ctrl, const char *name, const char *help, uint64_t value)
 {
   cnt_set_value (cnt_get (ctrl->dmn->counters, name, help), value);
 }
 
 uint64_t
-ctrl_jitter (ctrl_t *ctrl, uint64_t wait_us)
+control_add_jitter (control_t *ctrl, uint64_t wait_us)
 {
   return (uint64_t)((double)wait_us * g_rand_double_range (ctrl->rand, 0.75, 1.25));
 }
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -16,16 +16,16 @@
 
 #include "base/daemon.h"
 
-typedef struct control ctrl_t;
+typedef struct control control_t;
 
 /**
- * ctrl_new() - start the control task on @base, with the platform of the settings
+ * control_new() - start the control task on @base, with the platform of the settings
  *
  * Return: NULL with @error set when the socket of the exchange can't be opened
  */
-ctrl_t *ctrl_new (dmn_t *dmn, struct event_base *base, GError **error);
-void ctrl_free (ctrl_t *ctrl);
-/** ctrl_message() - handler of the control task's mailbox; @context is the ctrl_t */
-void ctrl_message (mbx_message_t *message, void *context);
+control_t *control_new (dmn_t *dmn, struct event_base *base, GError **error);
+void control_free (control_t *ctrl);
+/** control_handle_message() - handler of the control task's mailbox; @context is the control_t */
+void control_handle_message (mbx_message_t *message, void *context);
 
 #endif
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -15,7 +15,7 @@
 #define STREAM_IDLE_US (UINT64_C (600) * CLK_US_PER_S)
 
 /**
- * struct ctrl_stream - one claims stream
+ * struct control_claims_stream - one claims stream
  * @claim_stream: replays the stream's records and holds its claims
  * @read_call, @append_call: the read and the append in flight, or NULL
  * @timer: fires when the next append is due, as the tick alone would delay claims beyond their
@@ -26,13 +26,13 @@
  * @used_us: when a claim was last requested or ended
  * @begun: the stream's first retained offset is known
  */
-struct ctrl_stream
+struct control_claims_stream
 {
-  ctrl_t *ctrl;
+  control_t *ctrl;
   char *name;
   claim_stream_t *claim_stream;
-  ctrl_op_t *read_call;
-  ctrl_op_t *append_call;
+  control_call_t *read_call;
+  control_call_t *append_call;
   struct event *timer;
   char *batch;
   uint64_t read_due_us;
@@ -41,12 +41,12 @@
   bool begun;
 };
 
-static void advance_stream (ctrl_stream_t *stream);
+static void advance_stream (control_claims_stream_t *stream);
 
 static void
 stream_free (gpointer data)
 {
-  ctrl_stream_t *stream = data;
+  control_claims_stream_t *stream = data;
   /* The results of calls in flight arrive after this and must not access the stream. */
   if (stream->read_call != NULL)
     stream->read_call->abandoned = true;
@@ -83,31 +83,31 @@
 }
 
 static void
-send_result (ctrl_t *ctrl, const char *stream, const claim_result_t *result)
+send_result (control_t *ctrl, const char *stream, const claim_result_t *result)
 {
   const char *verdict = verdict_name (result->verdict);
   char name[64];
   g_snprintf (name, sizeof name, "medlarplank_claims_total{verdict=\"%s\"}", verdict);
-  ctrl_count (ctrl, name, "Claims of idempotency keys answered");
+  control_count_event (ctrl, name, "Claims of idempotency keys answered");
   log_event (LOG_LEVEL_INFO, "claim", "verdict", verdict, "stream", stream, "claim_high",
              LOG_HEX (result->claim_id[0]), "claim_low", LOG_HEX (result->claim_id[1]), NULL);
   message_claim_result_t *message = message_new (MESSAGE_CLAIM_RESULT);
   message->result = *result;
-  ctrl_send (ctrl, message);
+  control_send_to_data (ctrl, message);
 }
 
 static void
-send_results (ctrl_stream_t *stream)
+send_results (control_claims_stream_t *stream)
 {
   claim_result_t result;
-  while (claim_take_result (stream->claim_stream, ctrl_now_us (stream->ctrl), &result))
+  while (claim_take_result (stream->claim_stream, control_now_us (stream->ctrl), &result))
     send_result (stream->ctrl, stream->name, &result);
 }
 
 static void
-apply_records (ctrl_stream_t *stream, const plt_read_t *read)
+apply_records (control_claims_stream_t *stream, const plt_read_t *read)
 {
-  uint64_t now_us = ctrl_now_us (stream->ctrl);
+  uint64_t now_us = control_now_us (stream->ctrl);
   uint64_t wall_ms = clk_wall_ms (&stream->ctrl->dmn->clk);
   claim_stream_t *claim_stream = stream->claim_stream;
   if (!stream->begun || read->first_offset > claim_next_offset (claim_stream))
@@ -124,24 +124,24 @@
 }
 
 static void
-mark_streams_down (ctrl_t *ctrl)
+mark_streams_down (control_t *ctrl)
 {
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, ctrl->claims.streams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    claim_read_failed (((ctrl_stream_t *)value)->claim_stream, ctrl_now_us (ctrl));
+    claim_read_failed (((control_claims_stream_t *)value)->claim_stream, control_now_us (ctrl));
 }
 
 static void
-set_log_available (ctrl_t *ctrl, bool works)
+set_log_available (control_t *ctrl, bool works)
 {
-  ctrl_claims_t *claims = &ctrl->claims;
+  control_claims_t *claims = &ctrl->claims;
   if (claims->down == !works)
     return;
   claims->down = !works;
   claims->probe_wait_us = PROBE_MIN_US;
-  claims->probe_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, PROBE_MIN_US);
+  claims->probe_us = control_now_us (ctrl) + control_add_jitter (ctrl, PROBE_MIN_US);
   if (!works)
     mark_streams_down (ctrl);
   log_event (works ? LOG_LEVEL_NOTICE : LOG_LEVEL_WARNING, works ? "platform_back" : "platform_out",
@@ -151,10 +151,10 @@
 static void
 on_read (const plt_read_t *read, void *context)
 {
-  ctrl_op_t *call = context;
-  ctrl_t *ctrl = call->ctrl;
-  ctrl_stream_t *stream = call->stream;
-  if (!ctrl_op_end (call))
+  control_call_t *call = context;
+  control_t *ctrl = call->ctrl;
+  control_claims_stream_t *stream = call->stream;
+  if (!control_call_end (call))
     return;
   stream->read_call = NULL;
   set_log_available (ctrl, read->outcome == PLT_OK);
@@ -166,44 +166,44 @@
   else
     {
       stream->backoff_us = CLAMP (stream->backoff_us * 2, RETRY_MIN_US, RETRY_MAX_US);
-      stream->read_due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, stream->backoff_us);
+      stream->read_due_us = control_now_us (ctrl) + control_add_jitter (ctrl, stream->backoff_us);
     }
   send_results (stream);
   advance_stream (stream);
 }
 
 static void
-count_append (ctrl_t *ctrl, plt_outcome_t outcome)
+count_append (control_t *ctrl, plt_outcome_t outcome)
 {
   static const char *const outcomes[] = { "taken", "refused", "unknown" };
   char name[64];
   g_assert ((size_t)outcome < G_N_ELEMENTS (outcomes));
   g_snprintf (name, sizeof name, "medlarplank_claim_appends_total{outcome=\"%s\"}",
               outcomes[outcome]);
-  ctrl_count (ctrl, name, "Appends to claims streams");
+  control_count_event (ctrl, name, "Appends to claims streams");
 }
 
 static void
 on_append (plt_outcome_t outcome, uint64_t offset, void *context)
 {
-  ctrl_op_t *call = context;
-  ctrl_t *ctrl = call->ctrl;
-  ctrl_stream_t *stream = call->stream;
-  if (!ctrl_op_end (call))
+  control_call_t *call = context;
+  control_t *ctrl = call->ctrl;
+  control_claims_stream_t *stream = call->stream;
+  if (!control_call_end (call))
     return;
   stream->append_call = NULL;
   g_clear_pointer (&stream->batch, g_free);
   switch (outcome)
     {
     case PLT_OK:
-      claim_append_succeeded (stream->claim_stream, ctrl_now_us (ctrl), offset);
+      claim_append_succeeded (stream->claim_stream, control_now_us (ctrl), offset);
       break;
     case PLT_REFUSED:
-      claim_append_refused (stream->claim_stream, ctrl_now_us (ctrl));
+      claim_append_refused (stream->claim_stream, control_now_us (ctrl));
       break;
     case PLT_UNKNOWN:
     case PLT_EXPIRED: /* occurs for reads only */
-      claim_append_lost (stream->claim_stream, ctrl_now_us (ctrl));
+      claim_append_lost (stream->claim_stream, control_now_us (ctrl));
       break;
     }
   count_append (ctrl, outcome);
@@ -212,30 +212,30 @@
 }
 
 static void
-start_append (ctrl_stream_t *stream)
+start_append (control_claims_stream_t *stream)
 {
-  ctrl_t *ctrl = stream->ctrl;
-  uint64_t now_us = ctrl_now_us (ctrl);
+  control_t *ctrl = stream->ctrl;
+  uint64_t now_us = control_now_us (ctrl);
   if (stream->append_call != NULL)
     return;
   stream->batch = claim_next_batch (stream->claim_stream, now_us, clk_wall_ms (&ctrl->dmn->clk));
   if (stream->batch == NULL)
     return;
-  stream->append_call = ctrl_op_new (ctrl);
+  stream->append_call = control_call_new (ctrl);
   stream->append_call->stream = stream;
   ctrl->plt->append (ctrl->plt, stream->name, stream->batch, strlen (stream->batch), on_append,
                      stream->append_call);
 }
 
 static void
-start_read (ctrl_stream_t *stream)
+start_read (control_claims_stream_t *stream)
 {
-  ctrl_t *ctrl = stream->ctrl;
-  if (stream->read_call != NULL || ctrl_now_us (ctrl) < stream->read_due_us)
+  control_t *ctrl = stream->ctrl;
+  if (stream->read_call != NULL || control_now_us (ctrl) < stream->read_due_us)
     return;
   if (!claim_needs_read (stream->claim_stream))
     return;
-  stream->read_call = ctrl_op_new (ctrl);
+  stream->read_call = control_call_new (ctrl);
   stream->read_call->stream = stream;
   /* The first read of a stream returns at once, as no claim can be granted before it. */
   ctrl->plt->read (ctrl->plt, stream->name, claim_next_offset (stream->claim_stream),
@@ -243,9 +243,9 @@
 }
 
 static void
-update_timer (ctrl_stream_t *stream)
+update_timer (control_claims_stream_t *stream)
 {
-  uint64_t now_us = ctrl_now_us (stream->ctrl);
+  uint64_t now_us = control_now_us (stream->ctrl);
   uint64_t due_us = claim_append_due_us (stream->claim_stream);
   if (due_us == UINT64_MAX || due_us <= now_us)
     {
@@ -260,7 +260,7 @@
 /* A stream has at most one append and one read in flight; claims that arrive meanwhile go with the
  * next append. */
 static void
-advance_stream (ctrl_stream_t *stream)
+advance_stream (control_claims_stream_t *stream)
 {
   start_append (stream);
   start_read (stream);
@@ -270,18 +270,18 @@
 static void
 on_timer (evutil_socket_t socket, short what, void *context)
 {
-  ctrl_stream_t *stream = context;
+  control_claims_stream_t *stream = context;
   (void)socket;
   (void)what;
-  ctrl_fresh_check (stream->ctrl);
+  control_freshness_check_pause (stream->ctrl);
   send_results (stream);
   advance_stream (stream);
 }
 
 static bool
-is_idle (const ctrl_stream_t *stream, uint64_t idle_us)
+is_idle (const control_claims_stream_t *stream, uint64_t idle_us)
 {
-  uint64_t now_us = ctrl_now_us (stream->ctrl);
+  uint64_t now_us = control_now_us (stream->ctrl);
   return stream->read_call == NULL && stream->append_call == NULL &&
          !claim_has_work (stream->claim_stream) && now_us - stream->used_us >= idle_us;
 }
@@ -289,7 +289,7 @@
 static gboolean
 close_if_idle (gpointer key, gpointer value, gpointer data)
 {
-  const ctrl_stream_t *stream = value;
+  const control_claims_stream_t *stream = value;
   (void)key;
   (void)data;
   if (!is_idle (stream, STREAM_IDLE_US))
@@ -298,16 +298,16 @@
   return TRUE;
 }
 
-static ctrl_stream_t *
-find_longest_idle (const ctrl_t *ctrl)
+static control_claims_stream_t *
+find_longest_idle (const control_t *ctrl)
 {
-  ctrl_stream_t *oldest = NULL;
+  control_claims_stream_t *oldest = NULL;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, ctrl->claims.streams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      ctrl_stream_t *stream = value;
+      control_claims_stream_t *stream = value;
       if (is_idle (stream, 0) && (oldest == NULL || stream->used_us < oldest->used_us))
         oldest = stream;
     }
@@ -315,11 +315,11 @@
 }
 
 static bool
-evict_idle_stream (ctrl_t *ctrl)
+evict_idle_stream (control_t *ctrl)
 {
   if (g_hash_table_size (ctrl->claims.streams) < MAX_OPEN_STREAMS)
     return true;
-  ctrl_stream_t *oldest = find_longest_idle (ctrl);
+  control_claims_stream_t *oldest = find_longest_idle (ctrl);
   if (oldest == NULL)
     return false;
   g_hash_table_remove (ctrl->claims.streams, oldest->name);
@@ -327,13 +327,13 @@
 }
 
 /* Return: NULL when the limit of open streams is reached and all are busy. */
-static ctrl_stream_t *
-open_stream (ctrl_t *ctrl, const char *name)
+static control_claims_stream_t *
+open_stream (control_t *ctrl, const char *name)
 {
-  ctrl_stream_t *stream = g_hash_table_lookup (ctrl->claims.streams, name);
+  control_claims_stream_t *stream = g_hash_table_lookup (ctrl->claims.streams, name);
   if (stream == NULL && evict_idle_stream (ctrl))
     {
-      stream = g_new0 (ctrl_stream_t, 1);
+      stream = g_new0 (control_claims_stream_t, 1);
       stream->ctrl = ctrl;
       stream->name = g_strdup (name);
       stream->timer = evtimer_new (ctrl->base, on_timer, stream);
@@ -342,16 +342,16 @@
       log_event (LOG_LEVEL_INFO, "claims_opened", "stream", name, NULL);
     }
   if (stream != NULL)
-    stream->used_us = ctrl_now_us (ctrl);
+    stream->used_us = control_now_us (ctrl);
   return stream;
 }
 
 static void
 on_probe (const plt_read_t *read, void *context)
 {
-  ctrl_op_t *call = context;
-  ctrl_t *ctrl = call->ctrl;
-  if (!ctrl_op_end (call))
+  control_call_t *call = context;
+  control_t *ctrl = call->ctrl;
+  if (!control_call_end (call))
     return;
   ctrl->claims.probe_call = NULL;
   set_log_available (ctrl, read->outcome == PLT_OK);
@@ -361,24 +361,24 @@
  * recovery. Only daemons with recent claim requests probe the log, at a growing interval, so that a
  * recovering log isn't flooded with probes. */
 static void
-probe_log (ctrl_t *ctrl)
+probe_log (control_t *ctrl)
 {
-  ctrl_claims_t *claims = &ctrl->claims;
-  uint64_t now_us = ctrl_now_us (ctrl);
+  control_claims_t *claims = &ctrl->claims;
+  uint64_t now_us = control_now_us (ctrl);
   if (!claims->down || claims->probe_call != NULL || now_us < claims->probe_us)
     return;
   if (claims->requested_us == 0 || now_us - claims->requested_us > PROBE_AFTER_CLAIM_US)
     return;
   claims->probe_wait_us = MIN (claims->probe_wait_us * 2, PROBE_MAX_US);
-  claims->probe_us = now_us + ctrl_jitter (ctrl, claims->probe_wait_us);
-  claims->probe_call = ctrl_op_new (ctrl);
-  exc_charge (ctrl->exc, CTRL_REQUEST_BYTES);
+  claims->probe_us = now_us + control_add_jitter (ctrl, claims->probe_wait_us);
+  claims->probe_call = control_call_new (ctrl);
+  exc_charge (ctrl->exc, CONTROL_REQUEST_BYTES);
   uint64_t from_offset = rep_next_offset (ctrl->manifest.rep);
   ctrl->plt->read (ctrl->plt, REP_STREAM, from_offset, 1, 0, on_probe, claims->probe_call);
 }
 
 static void
-refuse_claim (ctrl_t *ctrl, const message_claim_t *message)
+refuse_claim (control_t *ctrl, const message_claim_t *message)
 {
   claim_result_t result = {
     .claim_id = { message->claim_id[0], message->claim_id[1] },
@@ -389,33 +389,33 @@
 }
 
 static void
-update_gauges (ctrl_t *ctrl)
+update_gauges (control_t *ctrl)
 {
   uint64_t keys = 0;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, ctrl->claims.streams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    keys += claim_key_count (((const ctrl_stream_t *)value)->claim_stream);
-  ctrl_gauge (ctrl, "medlarplank_claim_keys", "Idempotency keys remembered", keys);
-  ctrl_gauge (ctrl, "medlarplank_claim_streams", "Claims streams open",
-              g_hash_table_size (ctrl->claims.streams));
+    keys += claim_key_count (((const control_claims_stream_t *)value)->claim_stream);
+  control_set_gauge (ctrl, "medlarplank_claim_keys", "Idempotency keys remembered", keys);
+  control_set_gauge (ctrl, "medlarplank_claim_streams", "Claims streams open",
+                     g_hash_table_size (ctrl->claims.streams));
 }
 
 void
-ctrl_claims_init (ctrl_t *ctrl)
+control_claims_init (control_t *ctrl)
 {
   ctrl->claims.streams = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, stream_free);
 }
 
 void
-ctrl_claims_clear (ctrl_t *ctrl)
+control_claims_clear (control_t *ctrl)
 {
   g_hash_table_destroy (ctrl->claims.streams);
 }
 
 void
-ctrl_claims_turn (ctrl_t *ctrl)
+control_claims_tick (control_t *ctrl)
 {
   GHashTableIter iter;
   gpointer value;
@@ -431,31 +431,31 @@
 }
 
 void
-ctrl_claims_note_log (ctrl_t *ctrl, bool works)
+control_claims_note_log_read (control_t *ctrl, bool works)
 {
   set_log_available (ctrl, works);
 }
 
 void
-ctrl_claims_ask (ctrl_t *ctrl, const message_claim_t *message)
+control_claims_request (control_t *ctrl, const message_claim_t *message)
 {
-  ctrl->claims.requested_us = ctrl_now_us (ctrl);
-  ctrl_stream_t *stream = ctrl->claims.down ? NULL : open_stream (ctrl, message->stream);
+  ctrl->claims.requested_us = control_now_us (ctrl);
+  control_claims_stream_t *stream = ctrl->claims.down ? NULL : open_stream (ctrl, message->stream);
   if (stream == NULL)
     {
       refuse_claim (ctrl, message);
       return;
     }
-  claim_request (stream->claim_stream, ctrl_now_us (ctrl), message->claim_id, &message->key,
+  claim_request (stream->claim_stream, control_now_us (ctrl), message->claim_id, &message->key,
                  message->expiry_us, message->owner);
   send_results (stream);
   advance_stream (stream);
 }
 
 void
-ctrl_claims_end (ctrl_t *ctrl, const message_claim_end_t *message)
+control_claims_finish (control_t *ctrl, const message_claim_end_t *message)
 {
-  ctrl_stream_t *stream = open_stream (ctrl, message->stream);
+  control_claims_stream_t *stream = open_stream (ctrl, message->stream);
   if (stream == NULL)
     return; /* the key stays claimed; repeated requests are told that it may have run */
   if (message->ran)
@@ -466,14 +466,14 @@
 }
 
 bool
-ctrl_claims_idle (const ctrl_t *ctrl)
+control_claims_is_idle (const control_t *ctrl)
 {
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, ctrl->claims.streams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const ctrl_stream_t *stream = value;
+      const control_claims_stream_t *stream = value;
       if (stream->append_call != NULL || claim_has_work (stream->claim_stream))
         return false;
     }
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -25,11 +25,11 @@
  * then the later process has the lower incarnation, and peers ignore its messages. Only an operator
  * can resolve this. */
 static void
-report_name_conflict (ctrl_t *ctrl, uint64_t other_incarnation)
+report_name_conflict (control_t *ctrl, uint64_t other_incarnation)
 {
-  uint64_t now_us = ctrl_now_us (ctrl);
-  ctrl_count (ctrl, "medlarplank_incarnation_conflicts_total",
-              "Times a later incarnation of this host's own name was heard");
+  uint64_t now_us = control_now_us (ctrl);
+  control_count_event (ctrl, "medlarplank_incarnation_conflicts_total",
+                       "Times a later incarnation of this host's own name was heard");
   if (ctrl->conflict_logged_us != 0 && now_us - ctrl->conflict_logged_us < CONFLICT_LOG_INTERVAL_US)
     return;
   ctrl->conflict_logged_us = now_us;
@@ -38,28 +38,28 @@
 }
 
 static void
-apply_report_on_self (ctrl_t *ctrl, const membership_report_t *report, uint64_t list_revision)
+apply_report_on_self (control_t *ctrl, const membership_report_t *report, uint64_t list_revision)
 {
-  if (report->incarnation == CTRL_ANY_INCARNATION)
+  if (report->incarnation == CONTROL_ANY_INCARNATION)
     {
       if (report->state == MEMBERSHIP_LEAVING)
-        ctrl_list_heard_leaving (ctrl, list_revision);
+        control_list_note_own_leaving (ctrl, list_revision);
     }
   else if (report->incarnation > ctrl->dmn->incarnation)
     report_name_conflict (ctrl, report->incarnation);
   else if (report->incarnation == ctrl->dmn->incarnation && report->state != MEMBERSHIP_LIVE)
-    ctrl_stop_leave (ctrl, "peer");
+    control_stop_start_leaving (ctrl, "peer");
 }
 
 /* Return: whether the report is to be passed on. A live host that only this daemon had not heard
  * of, because it has just started, is no news to others; passing that on would repeat the reports
  * of all hosts for minutes. */
 static bool
-apply_report (ctrl_t *ctrl, const membership_report_t *report)
+apply_report (control_t *ctrl, const membership_report_t *report)
 {
   membership_report_t last;
   bool known = membership_last_report (ctrl->membership, report->host_hash, &last);
-  bool changed = membership_apply_report (ctrl->membership, ctrl_now_us (ctrl), report);
+  bool changed = membership_apply_report (ctrl->membership, control_now_us (ctrl), report);
   bool news = changed && (known || report->state != MEMBERSHIP_LIVE);
   if (news)
     rmr_add_word (&ctrl->talk.rumours, report);
@@ -67,7 +67,7 @@
 }
 
 static bool
-receive_report (ctrl_t *ctrl, const xch_word *received, uint64_t list_revision)
+receive_report (control_t *ctrl, const xch_word *received, uint64_t list_revision)
 {
   membership_report_t report;
   if (!decode_report (received, &report))
@@ -80,10 +80,10 @@
 
 /* Return: false when the sample is too old, of an unknown service or host, or of the own engine. */
 static bool
-accept_sample (ctrl_t *ctrl, uint64_t now_us, const xch_sample *received, load_sample_t *out)
+accept_sample (control_t *ctrl, uint64_t now_us, const xch_sample *received, load_sample_t *out)
 {
   uint64_t age_us = (uint64_t)received->age_ms * CLK_US_PER_MS;
-  load_samples_t *table = ctrl_talk_table (ctrl, received->service_hash);
+  load_samples_t *table = control_exchange_find_samples (ctrl, received->service_hash);
   if (age_us > LIM_SAMPLE_AGE_US || age_us > now_us || table == NULL ||
       received->engine_hash == ctrl->own_hash ||
       membership_find_by_hash (ctrl->peers.members, received->engine_hash) == NULL)
@@ -99,9 +99,9 @@
 }
 
 static void
-receive_samples (ctrl_t *ctrl, const xch_message *message)
+receive_samples (control_t *ctrl, const xch_message *message)
 {
-  uint64_t now_us = ctrl_now_us (ctrl);
+  uint64_t now_us = control_now_us (ctrl);
   message_load_samples_t *samples = message_new (MESSAGE_LOAD_SAMPLES);
   for (uint32_t i = 0; i < message->samples.samples_len; i++)
     {
@@ -110,13 +110,13 @@
         samples->count++;
     }
   if (samples->count > 0)
-    ctrl_send (ctrl, samples);
+    control_send_to_data (ctrl, samples);
   else
     samples->head.free (&samples->head);
 }
 
 static bool
-receive_marks (ctrl_t *ctrl, const xch_message *message)
+receive_marks (control_t *ctrl, const xch_message *message)
 {
   message_crash_marks_t *marks = message_new (MESSAGE_CRASH_MARKS);
   for (uint32_t i = 0; i < message->marks.marks_len; i++)
@@ -127,12 +127,12 @@
         .engines = { received->engines[0], received->engines[1] },
         .age_ms = received->age_ms,
       };
-      if (rmr_add_mark (&ctrl->talk.rumours, ctrl_now_us (ctrl), &mark))
+      if (rmr_add_mark (&ctrl->talk.rumours, control_now_us (ctrl), &mark))
         marks->marks[marks->count++] = mark;
     }
   bool news = marks->count > 0;
   if (news)
-    ctrl_send (ctrl, marks);
+    control_send_to_data (ctrl, marks);
   else
     marks->head.free (&marks->head);
   return news;
@@ -140,15 +140,15 @@
 
 /* Only within the byte budget; when there is much news, the periodic messages carry it. */
 static void
-spread_news (ctrl_t *ctrl)
+spread_news (control_t *ctrl)
 {
   if (exc_has_spare (ctrl->exc))
-    ctrl_talk_tell (ctrl, NEWS_FANOUT);
+    control_exchange_call_random (ctrl, NEWS_FANOUT);
 }
 
 /* Whether the sender is a listed host and this is the newest message received from it. */
 static bool
-is_newer_message (ctrl_t *ctrl, const membership_report_t *sender)
+is_newer_message (control_t *ctrl, const membership_report_t *sender)
 {
   if (ctrl->peers.members == NULL || sender->host_hash == ctrl->own_hash ||
       membership_find_by_hash (ctrl->peers.members, sender->host_hash) == NULL)
@@ -167,17 +167,17 @@
 }
 
 static void
-apply_message (ctrl_t *ctrl, const membership_report_t *sender, const xch_message *message)
+apply_message (control_t *ctrl, const membership_report_t *sender, const xch_message *message)
 {
-  ctrl->talk.last_received_us = ctrl_now_us (ctrl);
+  ctrl->talk.last_received_us = control_now_us (ctrl);
   bool news = apply_report (ctrl, sender);
   for (uint32_t i = 0; i < message->words.words_len; i++)
     news = receive_report (ctrl, &message->words.words_val[i], message->list_revision) || news;
-  ctrl_members_flush (ctrl);
+  control_members_send_if_due (ctrl);
   receive_samples (ctrl, message);
   news = receive_marks (ctrl, message) || news;
-  ctrl_manifest_heard (ctrl, message->manifest_version, sender->host_hash);
-  ctrl_list_heard (ctrl, message->list_revision);
+  control_manifest_note_version (ctrl, message->manifest_version, sender->host_hash);
+  control_list_note_revision (ctrl, message->list_revision);
   if (news)
     spread_news (ctrl);
 }
@@ -185,7 +185,7 @@
 /* A message of an older incarnation is still answered: the reply tells that process that it was
  * replaced. */
 static bool
-is_older_incarnation (const ctrl_t *ctrl, const membership_report_t *sender)
+is_older_incarnation (const control_t *ctrl, const membership_report_t *sender)
 {
   membership_report_t last;
   return membership_last_report (ctrl->membership, sender->host_hash, &last) &&
@@ -214,9 +214,9 @@
 }
 
 void
-ctrl_talk_init (ctrl_t *ctrl)
+control_exchange_init (control_t *ctrl)
 {
-  ctrl_talk_t *exchange = &ctrl->talk;
+  control_exchange_t *exchange = &ctrl->talk;
   rmr_init (&exchange->rumours);
   exchange->samples = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   exchange->old_messages =
@@ -227,18 +227,18 @@
 }
 
 void
-ctrl_talk_clear (ctrl_t *ctrl)
+control_exchange_clear (control_t *ctrl)
 {
   g_hash_table_destroy (ctrl->talk.samples);
 }
 
 bool
-ctrl_talk_heard (const xch_message *message, bool is_reply, void *context)
+control_exchange_receive (const xch_message *message, bool is_reply, void *context)
 {
-  ctrl_t *ctrl = context;
+  control_t *ctrl = context;
   membership_report_t sender;
   uint64_t woke_us = ctrl->fresh.pse.woke_us;
-  ctrl_fresh_check (ctrl);
+  control_freshness_check_pause (ctrl);
   /* It was in the socket buffer during the pause, so its age is unknown. */
   if (ctrl->fresh.pse.woke_us != woke_us || !decode_report (&message->sender, &sender))
     return false;
@@ -246,16 +246,16 @@
     return is_older_incarnation (ctrl, &sender);
   apply_message (ctrl, &sender, message);
   if (is_reply)
-    ctrl_fresh_heard_reply (ctrl, message->manifest_version);
+    control_freshness_note_reply (ctrl, message->manifest_version);
   return true;
 }
 
 bool
-ctrl_talk_pick (set_address_t *peer, void *context)
+control_exchange_pick_peer (set_address_t *peer, void *context)
 {
-  ctrl_t *ctrl = context;
-  ctrl_fresh_check (ctrl);
-  const membership_host_t *host = ctrl_peer_near (ctrl);
+  control_t *ctrl = context;
+  control_freshness_check_pause (ctrl);
+  const membership_host_t *host = control_pick_useful_peer (ctrl);
   if (host == NULL)
     return false;
   ctrl->talk.callee_hash = host->hash;
@@ -264,14 +264,14 @@
 }
 
 void
-ctrl_talk_call (ctrl_t *ctrl, const membership_host_t *host)
+control_exchange_call (control_t *ctrl, const membership_host_t *host)
 {
   ctrl->talk.callee_hash = host->hash;
   exc_now (ctrl->exc, &host->exchange);
 }
 
 void
-ctrl_talk_tell (ctrl_t *ctrl, uint32_t count)
+control_exchange_call_random (control_t *ctrl, uint32_t count)
 {
   g_autoptr (GArray) peers = g_array_copy (ctrl->peers.all);
   count = MIN (count, peers->len);
@@ -281,20 +281,20 @@
       guint at = (guint)g_rand_int_range (ctrl->rand, 0, (gint32)peers->len);
       uint32_t index = g_array_index (peers, uint32_t, at);
       g_array_remove_index_fast (peers, at);
-      ctrl_talk_call (ctrl, &ctrl->peers.members->hosts[index]);
+      control_exchange_call (ctrl, &ctrl->peers.members->hosts[index]);
     }
 }
 
 void
-ctrl_talk_own_word (ctrl_t *ctrl)
+control_exchange_apply_own_report (control_t *ctrl)
 {
-  membership_report_t report = ctrl_talk_word (ctrl);
-  membership_apply_report (ctrl->membership, ctrl_now_us (ctrl), &report);
-  ctrl_members_flush (ctrl);
+  membership_report_t report = control_exchange_next_own_report (ctrl);
+  membership_apply_report (ctrl->membership, control_now_us (ctrl), &report);
+  control_members_send_if_due (ctrl);
 }
 
 void
-ctrl_talk_version (ctrl_t *ctrl)
+control_exchange_update_services (control_t *ctrl)
 {
   man_t *man = rep_manifest (ctrl->manifest.rep);
   GHashTable *tables = ctrl->talk.samples;
@@ -302,7 +302,7 @@
   for (uint32_t i = 0; i < man->service_count; i++)
     {
       uint64_t hash = man->services[i].hash;
-      if (ctrl_talk_table (ctrl, hash) != NULL)
+      if (control_exchange_find_samples (ctrl, hash) != NULL)
         continue;
       load_samples_t *table = g_new (load_samples_t, 1);
       load_samples_init (table, hash ^ ctrl->own_hash);
@@ -311,7 +311,7 @@
 }
 
 void
-ctrl_talk_own_sample (ctrl_t *ctrl, const message_load_samples_t *message)
+control_exchange_set_own_sample (control_t *ctrl, const message_load_samples_t *message)
 {
   if (message->count == 0)
     return;
@@ -320,11 +320,11 @@
 }
 
 void
-ctrl_talk_own_marks (ctrl_t *ctrl, const message_crash_marks_t *message)
+control_exchange_add_own_marks (control_t *ctrl, const message_crash_marks_t *message)
 {
   bool news = false;
   for (uint32_t i = 0; i < message->count; i++)
-    news = rmr_add_mark (&ctrl->talk.rumours, ctrl_now_us (ctrl), &message->marks[i]) || news;
+    news = rmr_add_mark (&ctrl->talk.rumours, control_now_us (ctrl), &message->marks[i]) || news;
   if (news)
     spread_news (ctrl);
 }
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -15,7 +15,7 @@
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  ctrl_t *ctrl = context;
+  control_t *ctrl = context;
   const char *seal = evhttp_find_header (headers, ASL_SEAL_HEADER);
   if (status != HTTP_STATUS_OK || seal == NULL)
     return false;
@@ -26,21 +26,21 @@
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  ctrl_t *ctrl = context;
+  control_t *ctrl = context;
   evbuffer_add_buffer (ctrl->fetch.body, data);
 }
 
 static void
-log_fetch_outcome (const ctrl_t *ctrl, const char *outcome, uint64_t version, const char *reason)
+log_fetch_outcome (const control_t *ctrl, const char *outcome, uint64_t version, const char *reason)
 {
   log_event (LOG_LEVEL_NOTICE, "manifest_from_peer", "host", ctrl->fetch.host, "outcome", outcome,
              "version", LOG_U64 (version), "reason", reason, NULL);
 }
 
 static void
-adopt_manifest (ctrl_t *ctrl)
+adopt_manifest (control_t *ctrl)
 {
-  ctrl_fetch_t *fetch = &ctrl->fetch;
+  control_fetch_t *fetch = &ctrl->fetch;
   GError *error = NULL;
   uint64_t next_offset = 0;
   size_t bytes = evbuffer_get_length (fetch->body);
@@ -58,18 +58,18 @@
   man_unref (man);
   if (!adopted)
     return;
-  ctrl_count (ctrl, "medlarplank_manifest_from_peer_total",
-              "Versions of the manifest taken from a peer");
-  ctrl_manifest_flush (ctrl);
-  ctrl_fresh_flush (ctrl);
+  control_count_event (ctrl, "medlarplank_manifest_from_peer_total",
+                       "Versions of the manifest taken from a peer");
+  control_manifest_send_if_changed (ctrl);
+  control_freshness_send_if_fresh (ctrl);
 }
 
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  ctrl_t *ctrl = context;
+  control_t *ctrl = context;
   ctrl->fetch.call = NULL;
-  ctrl_fresh_check (ctrl);
+  control_freshness_check_pause (ctrl);
   if (end->whole)
     adopt_manifest (ctrl);
   else
@@ -79,13 +79,13 @@
 }
 
 void
-ctrl_fetch_start (ctrl_t *ctrl, const membership_host_t *host)
+control_fetch_start (control_t *ctrl, const membership_host_t *host)
 {
-  ctrl_fetch_t *fetch = &ctrl->fetch;
-  uint64_t now_us = ctrl_now_us (ctrl);
+  control_fetch_t *fetch = &ctrl->fetch;
+  uint64_t now_us = control_now_us (ctrl);
   if (fetch->call != NULL || now_us < fetch->next_us)
     return;
-  fetch->next_us = now_us + ctrl_jitter (ctrl, FETCH_INTERVAL_US);
+  fetch->next_us = now_us + control_add_jitter (ctrl, FETCH_INTERVAL_US);
   fetch->body = evbuffer_new ();
   fetch->seal[0] = '\0';
   g_strlcpy (fetch->host, host->name, sizeof fetch->host);
@@ -107,12 +107,12 @@
     .on_end = on_end,
     .context = ctrl,
   };
-  exc_charge (ctrl->exc, CTRL_REQUEST_BYTES);
+  exc_charge (ctrl->exc, CONTROL_REQUEST_BYTES);
   fetch->call = hcl_start (ctrl->hcl, &options);
 }
 
 void
-ctrl_fetch_clear (ctrl_t *ctrl)
+control_fetch_clear (control_t *ctrl)
 {
   if (ctrl->fetch.call != NULL)
     hcl_cancel (ctrl->fetch.call);
--- a/src/process/control_fill.c
+++ b/src/process/control_fill.c
@@ -36,7 +36,7 @@
 /* The number of samples in a message, such that the regular traffic stays within nine tenths of the
  * byte budget. Fewer samples are better than a message that is held back. */
 static uint32_t
-samples_per_message (const ctrl_t *ctrl)
+samples_per_message (const control_t *ctrl)
 {
   const set_t *set = &ctrl->dmn->set;
   uint32_t platform_bytes = ctrl->peers.is_follower ? FOLLOW_BYTES_S : RECHECK_BYTES_S;
@@ -60,7 +60,7 @@
 }
 
 static load_samples_t *
-random_table (ctrl_t *ctrl)
+random_table (control_t *ctrl)
 {
   guint count = g_hash_table_size (ctrl->talk.samples);
   if (count == 0)
@@ -78,15 +78,15 @@
 }
 
 static bool
-has_fresh_own_sample (const ctrl_t *ctrl, uint64_t now_us)
+has_fresh_own_sample (const control_t *ctrl, uint64_t now_us)
 {
-  const ctrl_talk_t *exchange = &ctrl->talk;
+  const control_exchange_t *exchange = &ctrl->talk;
   return exchange->has_own_sample && exchange->own_sample.taken_us + LIM_SAMPLE_AGE_US >= now_us;
 }
 
 /* The service of a host that is a sidecar, NULL for others. */
 static const man_service_t *
-service_of_host (const ctrl_t *ctrl, uint64_t host_hash)
+service_of_host (const control_t *ctrl, uint64_t host_hash)
 {
   const man_t *man = rep_manifest (ctrl->manifest.rep);
   if (man == NULL || ctrl->peers.members == NULL)
@@ -98,11 +98,11 @@
 /* Routers need the samples of all services. A sidecar gives three quarters of @room to its own
  * service and a quarter to a random other one; a router picks two services at random. */
 static void
-put_samples_of_two_services (ctrl_t *ctrl, xch_message *message, uint64_t now_us, uint32_t room)
+put_samples_of_two_services (control_t *ctrl, xch_message *message, uint64_t now_us, uint32_t room)
 {
   load_samples_t *first = NULL;
   if (has_fresh_own_sample (ctrl, now_us))
-    first = ctrl_talk_table (ctrl, ctrl->talk.own_sample.service_hash);
+    first = control_exchange_find_samples (ctrl, ctrl->talk.own_sample.service_hash);
   else
     first = random_table (ctrl);
   if (first == NULL)
@@ -116,13 +116,14 @@
 /* A sidecar always sends the load of its own engine, which it knows best. The remaining samples are
  * those that the receiver uses: a sidecar uses those of its own service only. */
 static void
-fill_samples (ctrl_t *ctrl, xch_message *message, uint64_t now_us, uint64_t host_hash)
+fill_samples (control_t *ctrl, xch_message *message, uint64_t now_us, uint64_t host_hash)
 {
   uint32_t room = samples_per_message (ctrl);
   if (has_fresh_own_sample (ctrl, now_us))
     put_sample (message, now_us, &ctrl->talk.own_sample);
   const man_service_t *service = service_of_host (ctrl, host_hash);
-  load_samples_t *table = service != NULL ? ctrl_talk_table (ctrl, service->hash) : NULL;
+  load_samples_t *table =
+      service != NULL ? control_exchange_find_samples (ctrl, service->hash) : NULL;
   if (table != NULL)
     put_samples_of (message, now_us, table, room);
   else
@@ -137,7 +138,7 @@
  * Return: false when there is nothing to report
  */
 static bool
-report_on_receiver (const ctrl_t *ctrl,
+report_on_receiver (const control_t *ctrl,
                     uint64_t host_hash,
                     uint64_t incarnation,
                     membership_report_t *out)
@@ -149,7 +150,7 @@
       *out = (membership_report_t){ host_hash, incarnation, 0, MEMBERSHIP_LEAVING };
       return true;
     case MEMBERSHIP_LEAVE_LISTED:
-      *out = (membership_report_t){ host_hash, CTRL_ANY_INCARNATION, 0, MEMBERSHIP_LEAVING };
+      *out = (membership_report_t){ host_hash, CONTROL_ANY_INCARNATION, 0, MEMBERSHIP_LEAVING };
       return true;
     case MEMBERSHIP_LEAVE_NONE:
       break;
@@ -164,7 +165,7 @@
 /* In a call the report on the receiver is about its last known incarnation; in a reply, about the
  * one that called. */
 static void
-fill_reports (ctrl_t *ctrl, xch_message *message, const xch_word *to)
+fill_reports (control_t *ctrl, xch_message *message, const xch_word *to)
 {
   membership_report_t reports[XCH_WORDS];
   uint32_t count = 0;
@@ -183,7 +184,7 @@
 }
 
 static void
-fill_marks (ctrl_t *ctrl, xch_message *message, uint64_t now_us)
+fill_marks (control_t *ctrl, xch_message *message, uint64_t now_us)
 {
   suspect_mark_t marks[XCH_MARKS];
   uint32_t count = rmr_take_marks (&ctrl->talk.rumours, now_us, marks, XCH_MARKS);
@@ -199,7 +200,7 @@
 }
 
 membership_report_t
-ctrl_talk_word (ctrl_t *ctrl)
+control_exchange_next_own_report (control_t *ctrl)
 {
   membership_report_t report = {
     .host_hash = ctrl->own_hash,
@@ -211,19 +212,19 @@
 }
 
 load_samples_t *
-ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash)
+control_exchange_find_samples (const control_t *ctrl, uint64_t service_hash)
 {
   return g_hash_table_lookup (ctrl->talk.samples, &service_hash);
 }
 
 void
-ctrl_talk_fill (xch_message *message, const xch_word *to, void *context)
+control_exchange_compose (xch_message *message, const xch_word *to, void *context)
 {
-  ctrl_t *ctrl = context;
-  uint64_t now_us = ctrl_now_us (ctrl);
-  membership_report_t own = ctrl_talk_word (ctrl);
+  control_t *ctrl = context;
+  uint64_t now_us = control_now_us (ctrl);
+  membership_report_t own = control_exchange_next_own_report (ctrl);
   message->sender = encode_report (&own);
-  message->manifest_version = ctrl_manifest_version (ctrl);
+  message->manifest_version = control_manifest_version (ctrl);
   message->manifest_offset = rep_next_offset (ctrl->manifest.rep);
   message->list_revision = ctrl->list.revision;
   fill_samples (ctrl, message, now_us, to != NULL ? to->host_hash : ctrl->talk.callee_hash);
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -8,10 +8,10 @@
 
 /* Discards all confirmations and requests new ones. */
 static void
-restart_confirmation (ctrl_t *ctrl)
+restart_confirmation (control_t *ctrl)
 {
-  ctrl_fresh_t *fresh = &ctrl->fresh;
-  fresh->since_us = ctrl_now_us (ctrl);
+  control_freshness_t *fresh = &ctrl->fresh;
+  fresh->since_us = control_now_us (ctrl);
   fresh->list_ok = false;
   fresh->list_failed = false;
   fresh->log_ok = false;
@@ -19,23 +19,23 @@
   fresh->replies = 0;
   fresh->current_replies = 0;
   exc_flush (ctrl->exc);
-  ctrl_source_restart (ctrl, &ctrl->list.poll);
-  ctrl_source_restart (ctrl, &ctrl->manifest.poll);
-  ctrl_talk_tell (ctrl, PEERS_CALLED);
+  control_poll_restart (ctrl, &ctrl->list.poll);
+  control_poll_restart (ctrl, &ctrl->manifest.poll);
+  control_exchange_call_random (ctrl, PEERS_CALLED);
 }
 
 static void
-send_freshness (ctrl_t *ctrl, bool on)
+send_freshness (control_t *ctrl, bool on)
 {
   message_flag_t *flag = message_new (MESSAGE_FRESHNESS);
   flag->on = on;
   flag->at_us = ctrl->fresh.pse.woke_us;
-  ctrl_send (ctrl, flag);
+  control_send_to_data (ctrl, flag);
   cnt_set_value (ctrl->fresh.stale, !on);
 }
 
 static void
-handle_pause (ctrl_t *ctrl, const char *task)
+handle_pause (control_t *ctrl, const char *task)
 {
   cnt_add (ctrl->fresh.pauses, 1);
   log_event (LOG_LEVEL_WARNING, "woke_from_pause", "task", task, NULL);
@@ -45,7 +45,7 @@
 
 /* Without peers only the platform can confirm the state. */
 static uint32_t
-replies_needed (const ctrl_t *ctrl)
+replies_needed (const control_t *ctrl)
 {
   uint32_t peers = ctrl->peers.all->len;
   return CLAMP (peers, 1, MAX_REPLIES_NEEDED);
@@ -55,25 +55,25 @@
  * has read that this host leaves says so in its replies, so replies without it confirm that it
  * stays. */
 static bool
-own_state_known (const ctrl_t *ctrl)
+own_state_known (const control_t *ctrl)
 {
-  const ctrl_fresh_t *fresh = &ctrl->fresh;
+  const control_freshness_t *fresh = &ctrl->fresh;
   if (ctrl->list.own_unclear)
     return false;
   return fresh->list_ok || (fresh->list_failed && fresh->replies >= replies_needed (ctrl));
 }
 
 static bool
-version_known (const ctrl_t *ctrl)
+version_known (const control_t *ctrl)
 {
-  const ctrl_fresh_t *fresh = &ctrl->fresh;
+  const control_freshness_t *fresh = &ctrl->fresh;
   if (!rep_ready (ctrl->manifest.rep))
     return false;
   return fresh->log_ok || (fresh->log_failed && fresh->current_replies >= replies_needed (ctrl));
 }
 
 void
-ctrl_fresh_init (ctrl_t *ctrl)
+control_freshness_init (control_t *ctrl)
 {
   cnt_set_t *counters = ctrl->dmn->counters;
   ctrl->fresh.pauses = cnt_get (counters, "medlarplank_pauses_total",
@@ -82,78 +82,78 @@
                                "Whether the daemon has not heard all it needs since it started "
                                "or last woke");
   cnt_set_value (ctrl->fresh.stale, 1);
-  pse_init (&ctrl->fresh.pse, ctrl_now_us (ctrl), ctrl->dmn->set.exchange_interval_ms);
+  pse_init (&ctrl->fresh.pse, control_now_us (ctrl), ctrl->dmn->set.exchange_interval_ms);
 }
 
 void
-ctrl_fresh_check (ctrl_t *ctrl)
+control_freshness_check_pause (control_t *ctrl)
 {
-  if (pse_check (&ctrl->fresh.pse, ctrl_now_us (ctrl)))
+  if (pse_check (&ctrl->fresh.pse, control_now_us (ctrl)))
     handle_pause (ctrl, "control");
 }
 
 /* Whether the control task detected the same pause a moment ago and has requested everything since.
  * Requesting it again would use up the byte budget and keep the daemon stale for longer. */
 static bool
-is_same_pause (const ctrl_t *ctrl)
+is_same_pause (const control_t *ctrl)
 {
   uint64_t since_us = ctrl->fresh.since_us;
-  return since_us != 0 && ctrl_now_us (ctrl) - since_us < SAME_PAUSE_US;
+  return since_us != 0 && control_now_us (ctrl) - since_us < SAME_PAUSE_US;
 }
 
 void
-ctrl_fresh_woke (ctrl_t *ctrl, uint64_t woke_us)
+control_freshness_note_pause (control_t *ctrl, uint64_t woke_us)
 {
   if (!pse_wake (&ctrl->fresh.pse, woke_us))
     return;
   if (is_same_pause (ctrl))
-    ctrl_fresh_flush (ctrl);
+    control_freshness_send_if_fresh (ctrl);
   else
     handle_pause (ctrl, "data");
 }
 
 void
-ctrl_fresh_heard_list (ctrl_t *ctrl, uint64_t started_us, bool worked)
+control_freshness_note_list_read (control_t *ctrl, uint64_t started_us, bool worked)
 {
   if (started_us < ctrl->fresh.since_us)
     return;
   ctrl->fresh.list_ok = ctrl->fresh.list_ok || worked;
   ctrl->fresh.list_failed = ctrl->fresh.list_failed || !worked;
-  ctrl_fresh_flush (ctrl);
+  control_freshness_send_if_fresh (ctrl);
 }
 
 void
-ctrl_fresh_heard_log (ctrl_t *ctrl, uint64_t started_us, bool worked)
+control_freshness_note_log_read (control_t *ctrl, uint64_t started_us, bool worked)
 {
   if (started_us < ctrl->fresh.since_us)
     return;
   ctrl->fresh.log_ok = ctrl->fresh.log_ok || worked;
   ctrl->fresh.log_failed = ctrl->fresh.log_failed || !worked;
-  ctrl_fresh_flush (ctrl);
+  control_freshness_send_if_fresh (ctrl);
 }
 
 void
-ctrl_fresh_heard_reply (ctrl_t *ctrl, uint64_t version)
+control_freshness_note_reply (control_t *ctrl, uint64_t version)
 {
   ctrl->fresh.replies++;
-  if (version <= ctrl_manifest_version (ctrl))
+  if (version <= control_manifest_version (ctrl))
     ctrl->fresh.current_replies++;
   else
     ctrl->fresh.current_replies = 0;
-  ctrl_fresh_flush (ctrl);
+  control_freshness_send_if_fresh (ctrl);
 }
 
 void
-ctrl_fresh_flush (ctrl_t *ctrl)
+control_freshness_send_if_fresh (control_t *ctrl)
 {
   pse_t *pse = &ctrl->fresh.pse;
   if (!pse_stale (pse) || !own_state_known (ctrl) || !version_known (ctrl))
     return;
-  ctrl_members_flush_now (ctrl);
-  ctrl_manifest_flush (ctrl);
+  control_members_send_now (ctrl);
+  control_manifest_send_if_changed (ctrl);
   pse_fresh (pse, pse->woke_us);
   log_event (LOG_LEVEL_NOTICE, "fresh", "list", ctrl->fresh.list_ok ? "platform" : "peers",
-             "version", LOG_U64 (ctrl_manifest_version (ctrl)), "version_by",
+             "version", LOG_U64 (control_manifest_version (ctrl)), "version_by",
              ctrl->fresh.log_ok ? "platform" : "peers", NULL);
   send_freshness (ctrl, true);
 }
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -17,9 +17,9 @@
  * it. The daemon then stays stale, and so takes no work, until the list has it as live. When the
  * list turns to leaving later, this process is meant and has to leave. */
 static void
-apply_own_state (ctrl_t *ctrl, membership_state_t state)
+apply_own_state (control_t *ctrl, membership_state_t state)
 {
-  ctrl_list_t *list = &ctrl->list;
+  control_list_t *list = &ctrl->list;
   bool turned = state != list->own_state;
   list->own_state = state;
   if (state != MEMBERSHIP_LEAVING)
@@ -34,12 +34,12 @@
     }
   else if (turned)
     {
-      ctrl_stop_leave (ctrl, "list");
+      control_stop_start_leaving (ctrl, "list");
     }
 }
 
 static const membership_list_entry_t *
-find_own_entry (const ctrl_t *ctrl, const plt_hosts_t *hosts)
+find_own_entry (const control_t *ctrl, const plt_hosts_t *hosts)
 {
   for (uint32_t i = 0; i < hosts->host_count; i++)
     {
@@ -56,7 +56,7 @@
  * make.
  */
 static void
-note_leaving_hosts (ctrl_t *ctrl, const plt_hosts_t *hosts)
+note_leaving_hosts (control_t *ctrl, const plt_hosts_t *hosts)
 {
   const char *data_center = ctrl->dmn->set.data_center;
   if (!ctrl->peers.is_follower)
@@ -68,15 +68,15 @@
       if (host->state == MEMBERSHIP_LEAVING && hash != ctrl->own_hash &&
           strcmp (host->data_center, data_center) == 0 &&
           membership_leave_unconfirmed (ctrl->membership, hash))
-        leave_notice_add (ctrl->list.leaving, ctrl_now_us (ctrl), hash);
+        leave_notice_add (ctrl->list.leaving, control_now_us (ctrl), hash);
     }
 }
 
 static void
-apply_hosts (ctrl_t *ctrl, const plt_hosts_t *hosts)
+apply_hosts (control_t *ctrl, const plt_hosts_t *hosts)
 {
-  ctrl_list_t *list = &ctrl->list;
-  uint64_t now_us = ctrl_now_us (ctrl);
+  control_list_t *list = &ctrl->list;
+  uint64_t now_us = control_now_us (ctrl);
   if (hosts->full)
     membership_apply_list (ctrl->membership, now_us, hosts->hosts, hosts->host_count,
                            hosts->revision);
@@ -93,8 +93,8 @@
     list->own_live_revision = hosts->revision;
   list->read_once = true;
   note_leaving_hosts (ctrl, hosts);
-  ctrl_talk_own_word (ctrl);
-  ctrl_list_tell (ctrl);
+  control_exchange_apply_own_report (ctrl);
+  control_list_notify_leaving (ctrl);
 }
 
 /* A list store that was emptied or has just started returns no hosts. Applying that would stop the
@@ -106,7 +106,7 @@
 }
 
 static uint64_t
-poll_interval_us (const ctrl_t *ctrl)
+poll_interval_us (const control_t *ctrl)
 {
   return (uint64_t)ctrl->dmn->set.list_interval_ms * CLK_US_PER_MS;
 }
@@ -115,9 +115,9 @@
  * revisions, so it polls like a follower while it receives none of their messages, and while one
  * has announced a higher revision. */
 static uint64_t
-next_read_wait_us (const ctrl_t *ctrl)
+next_read_wait_us (const control_t *ctrl)
 {
-  bool silent = ctrl_now_us (ctrl) - ctrl->talk.last_received_us >= PEERS_SILENT_US;
+  bool silent = control_now_us (ctrl) - ctrl->talk.last_received_us >= PEERS_SILENT_US;
   bool behind = ctrl->list.peer_revision > ctrl->list.revision;
   if (ctrl->peers.is_follower || silent || behind)
     return poll_interval_us (ctrl);
@@ -125,9 +125,10 @@
 }
 
 static void
-accept_answer (ctrl_t *ctrl, const plt_hosts_t *hosts, uint64_t started_us)
+accept_answer (control_t *ctrl, const plt_hosts_t *hosts, uint64_t started_us)
 {
-  ctrl_source_worked (ctrl, &ctrl->list.poll, SOURCE, ctrl_jitter (ctrl, poll_interval_us (ctrl)));
+  control_poll_succeeded (ctrl, &ctrl->list.poll, SOURCE,
+                          control_add_jitter (ctrl, poll_interval_us (ctrl)));
   if (!is_credible (hosts))
     {
       if (!ctrl->list.empty)
@@ -137,52 +138,53 @@
     }
   ctrl->list.empty = false;
   apply_hosts (ctrl, hosts);
-  ctrl->list.poll.due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, next_read_wait_us (ctrl));
+  ctrl->list.poll.due_us =
+      control_now_us (ctrl) + control_add_jitter (ctrl, next_read_wait_us (ctrl));
   ctrl->list.peer_revision = 0;
-  ctrl_fresh_heard_list (ctrl, started_us, true);
+  control_freshness_note_list_read (ctrl, started_us, true);
 }
 
 static void
 on_hosts (const plt_hosts_t *hosts, void *context)
 {
-  ctrl_op_t *call = context;
-  ctrl_t *ctrl = call->ctrl;
+  control_call_t *call = context;
+  control_t *ctrl = call->ctrl;
   uint64_t started_us = call->started_us;
-  if (!ctrl_op_end (call))
+  if (!control_call_end (call))
     return;
   bool worked = hosts->outcome == PLT_OK;
-  ctrl_gauge (ctrl, "medlarplank_list_up", "Whether the last reading of the platform's list worked",
-              worked);
+  control_set_gauge (ctrl, "medlarplank_list_up",
+                     "Whether the last reading of the platform's list worked", worked);
   if (worked)
     {
       accept_answer (ctrl, hosts, started_us);
       return;
     }
-  ctrl_source_failed (ctrl, &ctrl->list.poll, SOURCE, poll_interval_us (ctrl));
-  ctrl_fresh_heard_list (ctrl, started_us, false);
+  control_poll_failed (ctrl, &ctrl->list.poll, SOURCE, poll_interval_us (ctrl));
+  control_freshness_note_list_read (ctrl, started_us, false);
 }
 
 void
-ctrl_list_turn (ctrl_t *ctrl)
+control_list_tick (control_t *ctrl)
 {
-  ctrl_source_t *poll = &ctrl->list.poll;
-  uint64_t now_us = ctrl_now_us (ctrl);
+  control_poll_t *poll = &ctrl->list.poll;
+  uint64_t now_us = control_now_us (ctrl);
   bool silent = now_us - ctrl->talk.last_received_us >= PEERS_SILENT_US && !poll->down &&
                 now_us - ctrl->list.last_read_us >= poll_interval_us (ctrl);
   if (poll->call != NULL || (now_us < poll->due_us && !silent))
     return;
-  poll->call = ctrl_op_new (ctrl);
+  poll->call = control_call_new (ctrl);
   ctrl->list.last_read_us = now_us;
-  exc_charge (ctrl->exc, CTRL_LIST_BYTES);
+  exc_charge (ctrl->exc, CONTROL_LIST_READ_BYTES);
   ctrl->plt->hosts (ctrl->plt, ctrl->list.revision, on_hosts, poll->call);
 }
 
 /* Not more often than the polling interval: while a data centre drops out, the list changes all the
  * time. */
 void
-ctrl_list_heard (ctrl_t *ctrl, uint64_t revision)
+control_list_note_revision (control_t *ctrl, uint64_t revision)
 {
-  ctrl_list_t *list = &ctrl->list;
+  control_list_t *list = &ctrl->list;
   if (revision <= list->revision)
     return;
   list->peer_revision = MAX (list->peer_revision, revision);
@@ -195,19 +197,19 @@
  * counts as if it had been read here. Without a list that had this process as live, the previous
  * process on the host may be meant. */
 void
-ctrl_list_heard_leaving (ctrl_t *ctrl, uint64_t revision)
+control_list_note_own_leaving (control_t *ctrl, uint64_t revision)
 {
-  const ctrl_list_t *list = &ctrl->list;
+  const control_list_t *list = &ctrl->list;
   if (list->own_live_revision != 0 && revision > list->own_live_revision)
-    ctrl_stop_leave (ctrl, "list of a peer");
+    control_stop_start_leaving (ctrl, "list of a peer");
 }
 
 void
-ctrl_list_tell (ctrl_t *ctrl)
+control_list_notify_leaving (control_t *ctrl)
 {
   uint64_t hash;
   for (uint32_t i = 0; i < LEAVING_CALLS_PER_TICK &&
-                       leave_notice_next (ctrl->list.leaving, ctrl_now_us (ctrl), &hash);
+                       leave_notice_next (ctrl->list.leaving, control_now_us (ctrl), &hash);
        i++)
     {
       const membership_host_t *host =
@@ -219,6 +221,6 @@
         }
       log_event (LOG_LEVEL_NOTICE, "leaving_host_told", "name", host->name, "incarnation",
                  LOG_U64 (host->incarnation), "revision", LOG_U64 (ctrl->list.revision), NULL);
-      ctrl_talk_call (ctrl, host);
+      control_exchange_call (ctrl, host);
     }
 }
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -60,33 +60,33 @@
 }
 
 static void
-apply_record (ctrl_t *ctrl, const plt_record_t *record)
+apply_record (control_t *ctrl, const plt_record_t *record)
 {
-  ctrl_manifest_t *manifest = &ctrl->manifest;
+  control_manifest_t *manifest = &ctrl->manifest;
   rep_judgement_t judgement =
       rep_feed (manifest->rep, record->offset, record->data, record->data_bytes);
   log_verdict (&judgement, record->offset);
   if (judgement.verdict == REP_CHECKPOINT_SEEN || judgement.verdict == REP_CHECKPOINT_USED)
-    manifest->checkpoint_seen_us = ctrl_now_us (ctrl);
+    manifest->checkpoint_seen_us = control_now_us (ctrl);
   if (judgement.verdict == REP_STALE_BASE || judgement.verdict == REP_INVALID)
-    ctrl_count (ctrl, "medlarplank_manifest_refused_total",
-                "Records of the manifest stream that were refused");
+    control_count_event (ctrl, "medlarplank_manifest_refused_total",
+                         "Records of the manifest stream that were refused");
 }
 
 /* Return: the delay until the next read. */
 static uint64_t
-next_read_wait_us (ctrl_t *ctrl, const plt_read_t *read, uint64_t next_before)
+next_read_wait_us (control_t *ctrl, const plt_read_t *read, uint64_t next_before)
 {
   uint64_t next_offset = rep_next_offset (ctrl->manifest.rep);
   if (next_offset < read->end_offset)
     return next_offset != next_before ? 0 : NO_PROGRESS_WAIT_US;
   if (ctrl->peers.is_follower)
     return 0;
-  return ctrl_jitter (ctrl, RECHECK_US);
+  return control_add_jitter (ctrl, RECHECK_US);
 }
 
 static void
-apply_records (ctrl_t *ctrl, const plt_read_t *read, uint64_t started_us)
+apply_records (control_t *ctrl, const plt_read_t *read, uint64_t started_us)
 {
   rep_t *rep = ctrl->manifest.rep;
   uint64_t next_before = rep_next_offset (rep);
@@ -98,115 +98,118 @@
   for (uint32_t i = 0; i < read->record_count; i++)
     apply_record (ctrl, &read->records[i]);
   uint64_t wait_us = next_read_wait_us (ctrl, read, next_before);
-  ctrl_source_worked (ctrl, &ctrl->manifest.poll, SOURCE, wait_us);
-  ctrl_manifest_flush (ctrl);
+  control_poll_succeeded (ctrl, &ctrl->manifest.poll, SOURCE, wait_us);
+  control_manifest_send_if_changed (ctrl);
   if (rep_next_offset (rep) >= read->end_offset)
-    ctrl_fresh_heard_log (ctrl, started_us, true);
+    control_freshness_note_log_read (ctrl, started_us, true);
 }
 
 static void
 on_read (const plt_read_t *read, void *context)
 {
-  ctrl_op_t *call = context;
-  ctrl_t *ctrl = call->ctrl;
+  control_call_t *call = context;
+  control_t *ctrl = call->ctrl;
   uint64_t started_us = call->started_us;
-  if (!ctrl_op_end (call))
+  if (!control_call_end (call))
     return;
   bool worked = read->outcome == PLT_OK;
-  ctrl_claims_note_log (ctrl, worked);
+  control_claims_note_log_read (ctrl, worked);
   if (worked)
     {
       apply_records (ctrl, read, started_us);
     }
   else
     {
-      ctrl_source_failed (ctrl, &ctrl->manifest.poll, SOURCE, RETRY_US);
-      ctrl_fresh_heard_log (ctrl, started_us, false);
+      control_poll_failed (ctrl, &ctrl->manifest.poll, SOURCE, RETRY_US);
+      control_freshness_note_log_read (ctrl, started_us, false);
     }
-  ctrl_gauge (ctrl, "medlarplank_log_up", "Whether the last reading of the log worked", worked);
+  control_set_gauge (ctrl, "medlarplank_log_up", "Whether the last reading of the log worked",
+                     worked);
 }
 
 /* The first read after a start or a pause returns at once, as the daemon is stale until then. */
 static void
-start_read (ctrl_t *ctrl)
+start_read (control_t *ctrl)
 {
-  ctrl_source_t *poll = &ctrl->manifest.poll;
-  if (poll->call != NULL || ctrl_now_us (ctrl) < poll->due_us)
+  control_poll_t *poll = &ctrl->manifest.poll;
+  if (poll->call != NULL || control_now_us (ctrl) < poll->due_us)
     return;
   bool may_wait = ctrl->peers.is_follower && ctrl->fresh.log_ok && !poll->down;
-  poll->call = ctrl_op_new (ctrl);
-  exc_charge (ctrl->exc, CTRL_READ_BYTES);
+  poll->call = control_call_new (ctrl);
+  exc_charge (ctrl->exc, CONTROL_LOG_READ_BYTES);
   ctrl->plt->read (ctrl->plt, REP_STREAM, rep_next_offset (ctrl->manifest.rep), READ_MAX_RECORDS,
                    may_wait ? LONG_POLL_MS : 0, on_read, poll->call);
 }
 
 static const membership_host_t *
-find_fetch_peer (ctrl_t *ctrl)
+find_fetch_peer (control_t *ctrl)
 {
   if (ctrl->peers.members == NULL)
     return NULL;
   const membership_host_t *host =
       membership_find_by_hash (ctrl->peers.members, ctrl->manifest.peer_hash);
-  return host != NULL ? host : ctrl_peer_any (ctrl);
+  return host != NULL ? host : control_pick_any_peer (ctrl);
 }
 
 /* A daemon also fetches from a peer when it can't follow the log: it was behind for longer than
  * records are retained, or has found no checkpoint that it may trust. */
 static void
-catch_up_from_peer (ctrl_t *ctrl)
+catch_up_from_peer (control_t *ctrl)
 {
-  ctrl_manifest_t *manifest = &ctrl->manifest;
-  uint64_t now_us = ctrl_now_us (ctrl);
+  control_manifest_t *manifest = &ctrl->manifest;
+  uint64_t now_us = control_now_us (ctrl);
   uint64_t fetch_after_us = manifest->poll.down ? FETCH_AFTER_LOG_DOWN_US : FETCH_AFTER_LOG_SLOW_US;
   bool behind =
       manifest->behind_since_us != 0 && now_us - manifest->behind_since_us >= fetch_after_us;
   bool out_of_sync = !rep_ready (manifest->rep) && (manifest->poll.down || ctrl->fresh.log_ok);
   bool needs_state =
-      out_of_sync && (manifest->peer_version != 0 || ctrl_manifest_version (ctrl) != 0);
+      out_of_sync && (manifest->peer_version != 0 || control_manifest_version (ctrl) != 0);
   if (!behind && !needs_state)
     return;
   const membership_host_t *host = find_fetch_peer (ctrl);
   if (host != NULL)
-    ctrl_fetch_start (ctrl, host);
+    control_fetch_start (ctrl, host);
 }
 
 static void
 on_checkpoint (plt_outcome_t outcome, uint64_t offset, void *context)
 {
-  ctrl_op_t *call = context;
-  ctrl_t *ctrl = call->ctrl;
-  bool wanted = ctrl_op_end (call);
+  control_call_t *call = context;
+  control_t *ctrl = call->ctrl;
+  bool wanted = control_call_end (call);
   if (!wanted)
     return;
-  ctrl_manifest_t *manifest = &ctrl->manifest;
+  control_manifest_t *manifest = &ctrl->manifest;
   manifest->checkpoint_call = NULL;
   g_clear_pointer (&manifest->checkpoint, g_free);
   log_event (LOG_LEVEL_INFO, "checkpoint", "outcome", outcome == PLT_OK ? "appended" : "failed",
-             "offset", LOG_U64 (offset), "version", LOG_U64 (ctrl_manifest_version (ctrl)), NULL);
+             "offset", LOG_U64 (offset), "version", LOG_U64 (control_manifest_version (ctrl)),
+             NULL);
   if (outcome == PLT_OK)
-    ctrl_count (ctrl, "medlarplank_checkpoints_total", "Checkpoints of the manifest appended");
+    control_count_event (ctrl, "medlarplank_checkpoints_total",
+                         "Checkpoints of the manifest appended");
 }
 
 static bool
-is_checkpoint_due (ctrl_t *ctrl)
+is_checkpoint_due (control_t *ctrl)
 {
-  const ctrl_manifest_t *manifest = &ctrl->manifest;
+  const control_manifest_t *manifest = &ctrl->manifest;
   if (!ctrl->peers.is_follower || manifest->poll.down || !rep_ready (manifest->rep))
     return false;
   if (rep_checkpoint_due (manifest->rep, CHECKPOINT_RECORDS))
     return true;
   uint64_t retention_us = (uint64_t)ctrl->dmn->set.log_retention_s * CLK_US_PER_S;
-  uint64_t age_us = ctrl_now_us (ctrl) - manifest->checkpoint_seen_us;
+  uint64_t age_us = control_now_us (ctrl) - manifest->checkpoint_seen_us;
   return age_us > retention_us / CHECKPOINTS_PER_RETENTION;
 }
 
 /* Waits a random time, so that usually only one of the daemons that find a checkpoint due appends
  * it. */
 static void
-append_checkpoint_if_due (ctrl_t *ctrl)
+append_checkpoint_if_due (control_t *ctrl)
 {
-  ctrl_manifest_t *manifest = &ctrl->manifest;
-  uint64_t now_us = ctrl_now_us (ctrl);
+  control_manifest_t *manifest = &ctrl->manifest;
+  uint64_t now_us = control_now_us (ctrl);
   if (manifest->checkpoint_call != NULL)
     return;
   if (!is_checkpoint_due (ctrl))
@@ -228,38 +231,38 @@
   if (manifest->checkpoint == NULL)
     return;
   size_t bytes = strlen (manifest->checkpoint);
-  manifest->checkpoint_call = ctrl_op_new (ctrl);
-  exc_charge (ctrl->exc, (uint32_t)bytes + CTRL_REQUEST_BYTES);
+  manifest->checkpoint_call = control_call_new (ctrl);
+  exc_charge (ctrl->exc, (uint32_t)bytes + CONTROL_REQUEST_BYTES);
   ctrl->plt->append (ctrl->plt, REP_STREAM, manifest->checkpoint, bytes, on_checkpoint,
                      manifest->checkpoint_call);
 }
 
 void
-ctrl_manifest_init (ctrl_t *ctrl)
+control_manifest_init (control_t *ctrl)
 {
   ctrl->manifest.rep = rep_new ();
-  ctrl->manifest.checkpoint_seen_us = ctrl_now_us (ctrl);
+  ctrl->manifest.checkpoint_seen_us = control_now_us (ctrl);
 }
 
 void
-ctrl_manifest_clear (ctrl_t *ctrl)
+control_manifest_clear (control_t *ctrl)
 {
   g_free (ctrl->manifest.checkpoint);
   rep_free (ctrl->manifest.rep);
 }
 
 uint64_t
-ctrl_manifest_version (const ctrl_t *ctrl)
+control_manifest_version (const control_t *ctrl)
 {
   const man_t *man = rep_manifest (ctrl->manifest.rep);
   return man != NULL ? man->version : 0;
 }
 
 void
-ctrl_manifest_flush (ctrl_t *ctrl)
+control_manifest_send_if_changed (control_t *ctrl)
 {
-  ctrl_manifest_t *manifest = &ctrl->manifest;
-  uint64_t version = ctrl_manifest_version (ctrl);
+  control_manifest_t *manifest = &ctrl->manifest;
+  uint64_t version = control_manifest_version (ctrl);
   if (version >= manifest->peer_version)
     manifest->behind_since_us = 0;
   if (!rep_ready (manifest->rep) || version <= manifest->sent_version)
@@ -267,24 +270,25 @@
   man_t *man = rep_manifest (manifest->rep);
   log_event (LOG_LEVEL_NOTICE, "version_in_force", "version", LOG_U64 (version), "digest",
              man->digest, "before", LOG_U64 (manifest->sent_version), NULL);
-  ctrl_gauge (ctrl, "medlarplank_manifest_version", "Version of the manifest in force here",
-              version);
+  control_set_gauge (ctrl, "medlarplank_manifest_version", "Version of the manifest in force here",
+                     version);
   manifest->sent_version = version;
-  ctrl_peers_rebuild (ctrl);
+  control_peers_rebuild (ctrl);
   if (ctrl->peers.is_follower)
-    ctrl_talk_tell (ctrl, MIN (VERSION_CALLS_MAX, ctrl->peers.all->len / PEERS_PER_VERSION_CALL));
-  ctrl_talk_version (ctrl);
+    control_exchange_call_random (
+        ctrl, MIN (VERSION_CALLS_MAX, ctrl->peers.all->len / PEERS_PER_VERSION_CALL));
+  control_exchange_update_services (ctrl);
   message_version_t *message = message_new (MESSAGE_VERSION);
   message->man = man_ref (man);
   message->next_offset = rep_next_offset (manifest->rep);
-  ctrl_send (ctrl, message);
+  control_send_to_data (ctrl, message);
 }
 
 void
-ctrl_manifest_heard (ctrl_t *ctrl, uint64_t version, uint64_t host_hash)
+control_manifest_note_version (control_t *ctrl, uint64_t version, uint64_t host_hash)
 {
-  ctrl_manifest_t *manifest = &ctrl->manifest;
-  if (version <= ctrl_manifest_version (ctrl) || version < manifest->peer_version)
+  control_manifest_t *manifest = &ctrl->manifest;
+  if (version <= control_manifest_version (ctrl) || version < manifest->peer_version)
     return;
   manifest->peer_version = version;
   manifest->peer_hash = host_hash;
@@ -292,13 +296,13 @@
    * brings each a patch, where peers would send each the whole manifest. */
   bool first = manifest->behind_since_us == 0;
   if (first)
-    manifest->behind_since_us = ctrl_now_us (ctrl);
+    manifest->behind_since_us = control_now_us (ctrl);
   if (first || !manifest->poll.down)
     manifest->poll.due_us = 0;
 }
 
 void
-ctrl_manifest_turn (ctrl_t *ctrl)
+control_manifest_tick (control_t *ctrl)
 {
   start_read (ctrl);
   catch_up_from_peer (ctrl);
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -85,13 +85,14 @@
 }
 
 static void
-update_gauges (ctrl_t *ctrl, const membership_snapshot_t *members)
+update_gauges (control_t *ctrl, const membership_snapshot_t *members)
 {
   uint64_t leaving = 0;
   for (uint32_t i = 0; i < members->host_count; i++)
     leaving += members->hosts[i].state == MEMBERSHIP_LEAVING;
-  ctrl_gauge (ctrl, "medlarplank_hosts", "Hosts known, routers and sidecars", members->host_count);
-  ctrl_gauge (ctrl, "medlarplank_hosts_leaving", "Hosts known that are leaving", leaving);
+  control_set_gauge (ctrl, "medlarplank_hosts", "Hosts known, routers and sidecars",
+                     members->host_count);
+  control_set_gauge (ctrl, "medlarplank_hosts_leaving", "Hosts known that are leaving", leaving);
 }
 
 static uint64_t
@@ -105,7 +106,7 @@
  * All daemons with the same list agree on them. A daemon that isn't listed yet is a follower too,
  * as no peer may know it and send it news. */
 static bool
-is_follower (const ctrl_t *ctrl, const membership_snapshot_t *members)
+is_follower (const control_t *ctrl, const membership_snapshot_t *members)
 {
   const membership_host_t *own = membership_find_by_hash (members, ctrl->own_hash);
   if (own == NULL)
@@ -122,14 +123,14 @@
 }
 
 static const man_service_t *
-find_service (const ctrl_t *ctrl, const char *name)
+find_service (const control_t *ctrl, const char *name)
 {
   const man_t *man = rep_manifest (ctrl->manifest.rep);
   return man != NULL ? man_service_of_engine (man, name) : NULL;
 }
 
 static const membership_host_t *
-pick_random (ctrl_t *ctrl, const GArray *indices)
+pick_random (control_t *ctrl, const GArray *indices)
 {
   if (indices->len == 0)
     return NULL;
@@ -138,9 +139,9 @@
 }
 
 void
-ctrl_members_init (ctrl_t *ctrl)
+control_members_init (control_t *ctrl)
 {
-  ctrl_peers_t *peers = &ctrl->peers;
+  control_peers_t *peers = &ctrl->peers;
   peers->all = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   peers->sidecars = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   peers->same_service = g_array_new (FALSE, FALSE, sizeof (uint32_t));
@@ -148,9 +149,9 @@
 }
 
 void
-ctrl_members_clear (ctrl_t *ctrl)
+control_members_clear (control_t *ctrl)
 {
-  ctrl_peers_t *peers = &ctrl->peers;
+  control_peers_t *peers = &ctrl->peers;
   if (peers->members != NULL)
     membership_snapshot_unref (peers->members);
   g_array_free (peers->all, TRUE);
@@ -159,9 +160,9 @@
 }
 
 void
-ctrl_peers_rebuild (ctrl_t *ctrl)
+control_peers_rebuild (control_t *ctrl)
 {
-  ctrl_peers_t *peers = &ctrl->peers;
+  control_peers_t *peers = &ctrl->peers;
   if (peers->members == NULL)
     return;
   g_array_set_size (peers->all, 0);
@@ -190,14 +191,14 @@
  * hundreds of changes arrive one by one. A daemon that starts receives each host's first message;
  * their incarnations alone are not urgent. */
 static bool
-is_due (const ctrl_t *ctrl)
+is_due (const control_t *ctrl)
 {
   const membership_snapshot_t *members = ctrl->peers.members;
   if (!ctrl->list.read_once || !membership_has_changed (ctrl->membership))
     return false;
   if (members == NULL)
     return true;
-  uint64_t waited_us = ctrl_now_us (ctrl) - ctrl->peers.sent_us;
+  uint64_t waited_us = control_now_us (ctrl) - ctrl->peers.sent_us;
   uint64_t urgent_us = (uint64_t)members->host_count * URGENT_WAIT_US_PER_HOST;
   /* Delayed changes are checked on the tick, so a shorter delay has no use: in a small fleet urgent
    * changes are sent at once. */
@@ -207,39 +208,39 @@
 }
 
 static void
-send_members (ctrl_t *ctrl)
+send_members (control_t *ctrl)
 {
-  ctrl->peers.sent_us = ctrl_now_us (ctrl);
+  ctrl->peers.sent_us = control_now_us (ctrl);
   membership_snapshot_t *after = membership_take_snapshot (ctrl->membership);
-  log_members (ctrl->peers.members, after, ctrl_now_us (ctrl));
+  log_members (ctrl->peers.members, after, control_now_us (ctrl));
   if (ctrl->peers.members != NULL)
     membership_snapshot_unref (ctrl->peers.members);
   ctrl->peers.members = after;
   update_gauges (ctrl, after);
-  ctrl_count (ctrl, "medlarplank_members_told_total",
-              "Times that the members were told to the data task");
-  ctrl_peers_rebuild (ctrl);
+  control_count_event (ctrl, "medlarplank_members_told_total",
+                       "Times that the members were told to the data task");
+  control_peers_rebuild (ctrl);
   message_members_t *message = message_new (MESSAGE_MEMBERS);
   message->members = membership_snapshot_ref (after);
-  ctrl_send (ctrl, message);
+  control_send_to_data (ctrl, message);
 }
 
 void
-ctrl_members_flush (ctrl_t *ctrl)
+control_members_send_if_due (control_t *ctrl)
 {
   if (is_due (ctrl))
     send_members (ctrl);
 }
 
 void
-ctrl_members_flush_now (ctrl_t *ctrl)
+control_members_send_now (control_t *ctrl)
 {
   if (ctrl->list.read_once && membership_has_changed (ctrl->membership))
     send_members (ctrl);
 }
 
 const membership_host_t *
-ctrl_peer_any (ctrl_t *ctrl)
+control_pick_any_peer (control_t *ctrl)
 {
   return pick_random (ctrl, ctrl->peers.all);
 }
@@ -247,12 +248,12 @@
 /* Routers call sidecars, which know loads. Sidecars call those of their own service to estimate its
  * mean load, and as often any peer, so that versions and state reports reach all hosts. */
 const membership_host_t *
-ctrl_peer_near (ctrl_t *ctrl)
+control_pick_useful_peer (control_t *ctrl)
 {
   const membership_host_t *host = NULL;
   if (ctrl->dmn->set.role == SET_ROLE_ROUTER)
     host = pick_random (ctrl, ctrl->peers.sidecars);
   else if (g_rand_boolean (ctrl->rand))
     host = pick_random (ctrl, ctrl->peers.same_service);
-  return host != NULL ? host : ctrl_peer_any (ctrl);
+  return host != NULL ? host : control_pick_any_peer (ctrl);
 }
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -20,30 +20,30 @@
 #include "version/manifest_sync.h"
 #include "version/replay.h"
 
-#define CTRL_BACKOFF_MAX_US (UINT64_C (10) * CLK_US_PER_S)
+#define CONTROL_BACKOFF_MAX_US (UINT64_C (10) * CLK_US_PER_S)
 /* Estimated traffic of a platform call, charged to the control byte budget; with the headers of TCP
  * and IP. See docs/measurements/control.md. */
-#define CTRL_LIST_BYTES 220    /* reading the host list, on a connection that is kept open */
-#define CTRL_READ_BYTES 330    /* a long-polling read of the log */
-#define CTRL_REQUEST_BYTES 300 /* any other request */
+#define CONTROL_LIST_READ_BYTES 220 /* reading the host list, on a connection that is kept open */
+#define CONTROL_LOG_READ_BYTES 330  /* a long-polling read of the log */
+#define CONTROL_REQUEST_BYTES 300   /* any other request */
 
 /**
- * struct ctrl_op - a call to the platform that has not completed
+ * struct control_call - a call to the platform that has not completed
  * @abandoned: the result is to be ignored
  * @started_us: when the call was made; its result says nothing about changes before that
  * @stream: the claims stream that the call belongs to, or NULL
  */
-typedef struct ctrl_stream ctrl_stream_t;
+typedef struct control_claims_stream control_claims_stream_t;
 typedef struct
 {
-  ctrl_t *ctrl;
+  control_t *ctrl;
   bool abandoned;
   uint64_t started_us;
-  ctrl_stream_t *stream;
-} ctrl_op_t;
+  control_claims_stream_t *stream;
+} control_call_t;
 
 /**
- * struct ctrl_source - polling state of the host list or of the manifest stream
+ * struct control_poll - polling state of the host list or of the manifest stream
  * @call: the read in flight, or NULL
  * @due_us: when to read next
  * @backoff_us: current retry delay, 0 while reads succeed
@@ -51,14 +51,14 @@
  */
 typedef struct
 {
-  ctrl_op_t *call;
+  control_call_t *call;
   uint64_t due_us;
   uint64_t backoff_us;
   bool down;
-} ctrl_source_t;
+} control_poll_t;
 
 /**
- * struct ctrl_list - the platform's list of hosts
+ * struct control_list - the platform's list of hosts
  * @revision: of the last list that was applied
  * @last_read_us: when the last read was started
  * @peer_revision: the highest that a peer has announced since the last successful read
@@ -72,7 +72,7 @@
  */
 typedef struct
 {
-  ctrl_source_t poll;
+  control_poll_t poll;
   uint64_t revision;
   uint64_t last_read_us;
   uint64_t peer_revision;
@@ -82,10 +82,10 @@
   bool own_unclear;
   uint64_t own_live_revision;
   leave_notices_t *leaving;
-} ctrl_list_t;
+} control_list_t;
 
 /**
- * struct ctrl_peers - the members, and the hosts to exchange with as indices into @members
+ * struct control_peers - the members, and the hosts to exchange with as indices into @members
  * @members: the snapshot that was last sent to the data task, NULL before the first
  * @all: live hosts that have an exchange address
  * @sidecars: those of @all that are sidecars
@@ -102,10 +102,10 @@
   GArray *same_service;
   uint64_t sent_us;
   bool is_follower;
-} ctrl_peers_t;
+} control_peers_t;
 
 /**
- * struct ctrl_manifest - the manifest stream
+ * struct control_manifest - the manifest stream
  * @rep: replays the stream and holds the version in force
  * @sent_version: the last version sent to the data task
  * @peer_version: the highest that a peer has announced, last by the host @peer_hash
@@ -117,19 +117,19 @@
 typedef struct
 {
   rep_t *rep;
-  ctrl_source_t poll;
+  control_poll_t poll;
   uint64_t sent_version;
   uint64_t peer_version;
   uint64_t peer_hash;
   uint64_t behind_since_us;
-  ctrl_op_t *checkpoint_call;
+  control_call_t *checkpoint_call;
   char *checkpoint;
   uint64_t checkpoint_due_us;
   uint64_t checkpoint_seen_us;
-} ctrl_manifest_t;
+} control_manifest_t;
 
 /**
- * struct ctrl_fetch - fetches the manifest in force from a peer over HTTP; one fetch at a time
+ * struct control_fetch - fetches the manifest in force from a peer over HTTP; one fetch at a time
  * @call: the call in flight, or NULL
  * @body: what has been received of the answer
  * @nonce: sent with the call; the peer's seal covers it
@@ -145,10 +145,10 @@
   char seal[ASL_SEAL_BYTES];
   char host[LIM_NAME_BYTES];
   uint64_t next_us;
-} ctrl_fetch_t;
+} control_fetch_t;
 
 /**
- * struct ctrl_talk - state of the exchange with other daemons
+ * struct control_exchange - state of the exchange with other daemons
  * @last_received_us: when a message of a listed peer was last accepted
  * @callee_hash: the host that the next call goes to
  * @sequence: of the last message sent
@@ -169,10 +169,11 @@
   GHashTable *samples;
   cnt_t *old_messages;
   cnt_t *unlisted;
-} ctrl_talk_t;
+} control_exchange_t;
 
 /**
- * struct ctrl_fresh - what has been confirmed since the daemon started or last woke from a pause
+ * struct control_freshness - what has been confirmed since the daemon started or last woke from a
+ * pause
  *
  * After a pause the host may be leaving and the manifest may have been replaced. The daemon is
  * stale, and the data task accepts no work, until both have been confirmed by the platform or, when
@@ -196,11 +197,11 @@
   uint32_t current_replies;
   cnt_t *pauses;
   cnt_t *stale;
-} ctrl_fresh_t;
+} control_freshness_t;
 
 /**
- * struct ctrl_claims - the open claims streams
- * @streams: name -> ctrl_stream_t
+ * struct control_claims - the open claims streams
+ * @streams: name -> control_claims_stream_t
  * @down: the last read of the log failed; claims are refused at once
  * @requested_us: when the data task last requested a claim
  * @probe_us: when to probe the log next while it is down
@@ -214,11 +215,11 @@
   uint64_t requested_us;
   uint64_t probe_us;
   uint64_t probe_wait_us;
-  ctrl_op_t *probe_call;
-} ctrl_claims_t;
+  control_call_t *probe_call;
+} control_claims_t;
 
 /**
- * struct ctrl_stop - progress of leaving and of the shutdown
+ * struct control_stop - progress of leaving and of the shutdown
  * @leaving: this daemon accepts no new work and announces that it leaves
  * @by_signal: the process ends once the data task is drained
  * @drained: the data task has finished its requests, at @drained_us
@@ -233,12 +234,12 @@
   bool done;
   uint64_t drained_us;
   uint32_t calls_left;
-} ctrl_stop_t;
+} control_stop_t;
 
 /* In a state report that is sent to the host it is about: the host list says that the host leaves,
  * whichever incarnation runs there. The host compares the revision of the sender's list with its
  * own to decide whether its current process is meant. */
-#define CTRL_ANY_INCARNATION 0
+#define CONTROL_ANY_INCARNATION 0
 
 /**
  * struct control - the control task
@@ -260,165 +261,168 @@
   uint64_t own_hash;
   GPtrArray *calls;
   bool closing;
-  ctrl_list_t list;
-  ctrl_peers_t peers;
-  ctrl_manifest_t manifest;
-  ctrl_fetch_t fetch;
-  ctrl_talk_t talk;
-  ctrl_fresh_t fresh;
-  ctrl_claims_t claims;
-  ctrl_stop_t stop;
+  control_list_t list;
+  control_peers_t peers;
+  control_manifest_t manifest;
+  control_fetch_t fetch;
+  control_exchange_t talk;
+  control_freshness_t fresh;
+  control_claims_t claims;
+  control_stop_t stop;
   uint64_t conflict_logged_us;
 };
 
 /* General */
-/** ctrl_new_on() - as ctrl_new(), with @plt, which is freed with the task */
-ctrl_t *ctrl_new_on (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error);
-/** ctrl_turn() - the periodic work, called every %PSE_TICK_MS */
-void ctrl_turn (ctrl_t *ctrl);
-uint64_t ctrl_now_us (const ctrl_t *ctrl);
-/** ctrl_send() - send a message to the data task, which frees it */
-void ctrl_send (ctrl_t *ctrl, void *message);
-/** ctrl_count() - add 1 to the counter @name, registered with @help at the first call */
-void ctrl_count (ctrl_t *ctrl, const char *name, const char *help);
-/** ctrl_gauge() - set the gauge @name, registered with @help at the first call */
-void ctrl_gauge (ctrl_t *ctrl, const char *name, const char *help, uint64_t value);
-/** ctrl_jitter() - @wait_us times a random factor from 3/4 to 5/4 */
-uint64_t ctrl_jitter (ctrl_t *ctrl, uint64_t wait_us);
+/** control_new_with_platform() - as control_new(), with @plt, which is freed with the task */
+control_t *
+control_new_with_platform (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error);
+/** control_tick() - the periodic work, called every %PSE_TICK_MS */
+void control_tick (control_t *ctrl);
+uint64_t control_now_us (const control_t *ctrl);
+/** control_send_to_data() - send a message to the data task, which frees it */
+void control_send_to_data (control_t *ctrl, void *message);
+/** control_count_event() - add 1 to the counter @name, registered with @help at the first call */
+void control_count_event (control_t *ctrl, const char *name, const char *help);
+/** control_set_gauge() - set the gauge @name, registered with @help at the first call */
+void control_set_gauge (control_t *ctrl, const char *name, const char *help, uint64_t value);
+/** control_add_jitter() - @wait_us times a random factor from 3/4 to 5/4 */
+uint64_t control_add_jitter (control_t *ctrl, uint64_t wait_us);
 
 /* Platform calls and polling */
-/** ctrl_op_new() - register a platform call that is about to be made */
-ctrl_op_t *ctrl_op_new (ctrl_t *ctrl);
-/** ctrl_op_end() - free a completed call. Return: whether its result is to be used */
-bool ctrl_op_end (ctrl_op_t *call);
-/** ctrl_source_worked() - a read succeeded; the next is due after @wait_us */
-void ctrl_source_worked (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t wait_us);
-/** ctrl_source_failed() - a read failed; retries after @first_us, doubling, with jitter */
-void ctrl_source_failed (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t first_us);
-/** ctrl_source_restart() - abandon the read in flight and make a new one due at once */
-void ctrl_source_restart (ctrl_t *ctrl, ctrl_source_t *poll);
+/** control_call_new() - register a platform call that is about to be made */
+control_call_t *control_call_new (control_t *ctrl);
+/** control_call_end() - free a completed call. Return: whether its result is to be used */
+bool control_call_end (control_call_t *call);
+/** control_poll_succeeded() - a read succeeded; the next is due after @wait_us */
+void
+control_poll_succeeded (control_t *ctrl, control_poll_t *poll, const char *name, uint64_t wait_us);
+/** control_poll_failed() - a read failed; retries after @first_us, doubling, with jitter */
+void
+control_poll_failed (control_t *ctrl, control_poll_t *poll, const char *name, uint64_t first_us);
+/** control_poll_restart() - abandon the read in flight and make a new one due at once */
+void control_poll_restart (control_t *ctrl, control_poll_t *poll);
 
 /* Host list */
-/** ctrl_list_turn() - read the host list if it is due */
-void ctrl_list_turn (ctrl_t *ctrl);
-/** ctrl_list_heard() - a peer announced that it has read the list up to @revision */
-void ctrl_list_heard (ctrl_t *ctrl, uint64_t revision);
-/** ctrl_list_heard_leaving() - by a peer's list at @revision this host leaves */
-void ctrl_list_heard_leaving (ctrl_t *ctrl, uint64_t revision);
-/** ctrl_list_tell() - call hosts that are listed as leaving and due for a call */
-void ctrl_list_tell (ctrl_t *ctrl);
+/** control_list_tick() - read the host list if it is due */
+void control_list_tick (control_t *ctrl);
+/** control_list_note_revision() - a peer announced that it has read the list up to @revision */
+void control_list_note_revision (control_t *ctrl, uint64_t revision);
+/** control_list_note_own_leaving() - by a peer's list at @revision this host leaves */
+void control_list_note_own_leaving (control_t *ctrl, uint64_t revision);
+/** control_list_notify_leaving() - call hosts that are listed as leaving and due for a call */
+void control_list_notify_leaving (control_t *ctrl);
 
 /* Members and peers */
-void ctrl_members_init (ctrl_t *ctrl);
-void ctrl_members_clear (ctrl_t *ctrl);
+void control_members_init (control_t *ctrl);
+void control_members_clear (control_t *ctrl);
 /**
- * ctrl_members_flush() - send the members to the data task if they have changed
+ * control_members_send_if_due() - send the members to the data task if they have changed
  *
  * The first change is sent at once. Those soon after the last snapshot are collected for a time
  * that grows with the number of hosts, as a snapshot costs time for each host.
  */
-void ctrl_members_flush (ctrl_t *ctrl);
+void control_members_send_if_due (control_t *ctrl);
 /**
- * ctrl_members_flush_now() - send changed members without collecting more
+ * control_members_send_now() - send changed members without collecting more
  *
  * They have to reach the data task before MESSAGE_FRESHNESS does.
  */
-void ctrl_members_flush_now (ctrl_t *ctrl);
-/** ctrl_peers_rebuild() - recompute the peers after the members or manifest changed */
-void ctrl_peers_rebuild (ctrl_t *ctrl);
-/** ctrl_peer_any() - a random peer, or NULL */
-const membership_host_t *ctrl_peer_any (ctrl_t *ctrl);
-/** ctrl_peer_near() - a random peer, preferably one with samples of use here, or NULL */
-const membership_host_t *ctrl_peer_near (ctrl_t *ctrl);
+void control_members_send_now (control_t *ctrl);
+/** control_peers_rebuild() - recompute the peers after the members or manifest changed */
+void control_peers_rebuild (control_t *ctrl);
+/** control_pick_any_peer() - a random peer, or NULL */
+const membership_host_t *control_pick_any_peer (control_t *ctrl);
+/** control_pick_useful_peer() - a random peer, preferably one with samples of use here, or NULL */
+const membership_host_t *control_pick_useful_peer (control_t *ctrl);
 
 /* Manifest stream */
-void ctrl_manifest_init (ctrl_t *ctrl);
-void ctrl_manifest_clear (ctrl_t *ctrl);
-/** ctrl_manifest_turn() - read the log, fetch, or append a checkpoint, as each is due */
-void ctrl_manifest_turn (ctrl_t *ctrl);
-/** ctrl_manifest_flush() - send a new version in force to the data task */
-void ctrl_manifest_flush (ctrl_t *ctrl);
-/** ctrl_manifest_heard() - the peer @host_hash has @version in force */
-void ctrl_manifest_heard (ctrl_t *ctrl, uint64_t version, uint64_t host_hash);
-/** ctrl_manifest_version() - the version in force, 0 when there is none */
-uint64_t ctrl_manifest_version (const ctrl_t *ctrl);
+void control_manifest_init (control_t *ctrl);
+void control_manifest_clear (control_t *ctrl);
+/** control_manifest_tick() - read the log, fetch, or append a checkpoint, as each is due */
+void control_manifest_tick (control_t *ctrl);
+/** control_manifest_send_if_changed() - send a new version in force to the data task */
+void control_manifest_send_if_changed (control_t *ctrl);
+/** control_manifest_note_version() - the peer @host_hash has @version in force */
+void control_manifest_note_version (control_t *ctrl, uint64_t version, uint64_t host_hash);
+/** control_manifest_version() - the version in force, 0 when there is none */
+uint64_t control_manifest_version (const control_t *ctrl);
 
 /* Fetch of the manifest from a peer */
 /**
- * ctrl_fetch_start() - fetch the manifest in force from @host
+ * control_fetch_start() - fetch the manifest in force from @host
  *
  * Does nothing while a fetch runs, and until about a second after the last one was started.
  */
-void ctrl_fetch_start (ctrl_t *ctrl, const membership_host_t *host);
-void ctrl_fetch_clear (ctrl_t *ctrl);
+void control_fetch_start (control_t *ctrl, const membership_host_t *host);
+void control_fetch_clear (control_t *ctrl);
 
 /* Outgoing messages of the exchange */
 /**
- * ctrl_talk_fill() - compose a message
+ * control_exchange_compose() - compose a message
  * @to: the sender that is replied to, or NULL for a call to the host @callee_hash
  */
-void ctrl_talk_fill (xch_message *message, const xch_word *to, void *context);
-/** ctrl_talk_word() - a report of this daemon's state, with a new sequence */
-membership_report_t ctrl_talk_word (ctrl_t *ctrl);
-/** ctrl_talk_table() - load samples of a service, NULL for one out of force */
-load_samples_t *ctrl_talk_table (const ctrl_t *ctrl, uint64_t service_hash);
+void control_exchange_compose (xch_message *message, const xch_word *to, void *context);
+/** control_exchange_next_own_report() - a report of this daemon's state, with a new sequence */
+membership_report_t control_exchange_next_own_report (control_t *ctrl);
+/** control_exchange_find_samples() - load samples of a service, NULL for one out of force */
+load_samples_t *control_exchange_find_samples (const control_t *ctrl, uint64_t service_hash);
 
 /* Exchange with peers */
-void ctrl_talk_init (ctrl_t *ctrl);
-void ctrl_talk_clear (ctrl_t *ctrl);
-/** ctrl_talk_heard() - process a received message. Return: whether to reply to it */
-bool ctrl_talk_heard (const xch_message *message, bool is_reply, void *context);
-/** ctrl_talk_pick() - the peer of the next periodic call. Return: false for none */
-bool ctrl_talk_pick (set_address_t *peer, void *context);
-/** ctrl_talk_call() - call a host now, if the byte budget allows it */
-void ctrl_talk_call (ctrl_t *ctrl, const membership_host_t *host);
-/** ctrl_talk_tell() - call up to @count different random peers now */
-void ctrl_talk_tell (ctrl_t *ctrl, uint32_t count);
-/** ctrl_talk_own_word() - apply a state report of this daemon to its own members */
-void ctrl_talk_own_word (ctrl_t *ctrl);
-/** ctrl_talk_version() - keep samples of just the services in force */
-void ctrl_talk_version (ctrl_t *ctrl);
-/** ctrl_talk_own_sample() - the data task measured the load of this daemon's engine */
-void ctrl_talk_own_sample (ctrl_t *ctrl, const message_load_samples_t *message);
-/** ctrl_talk_own_marks() - pass on marks of suspect requests that the data task made */
-void ctrl_talk_own_marks (ctrl_t *ctrl, const message_crash_marks_t *message);
+void control_exchange_init (control_t *ctrl);
+void control_exchange_clear (control_t *ctrl);
+/** control_exchange_receive() - process a received message. Return: whether to reply to it */
+bool control_exchange_receive (const xch_message *message, bool is_reply, void *context);
+/** control_exchange_pick_peer() - the peer of the next periodic call. Return: false for none */
+bool control_exchange_pick_peer (set_address_t *peer, void *context);
+/** control_exchange_call() - call a host now, if the byte budget allows it */
+void control_exchange_call (control_t *ctrl, const membership_host_t *host);
+/** control_exchange_call_random() - call up to @count different random peers now */
+void control_exchange_call_random (control_t *ctrl, uint32_t count);
+/** control_exchange_apply_own_report() - apply a state report of this daemon to its own members */
+void control_exchange_apply_own_report (control_t *ctrl);
+/** control_exchange_update_services() - keep samples of just the services in force */
+void control_exchange_update_services (control_t *ctrl);
+/** control_exchange_set_own_sample() - the data task measured the load of this daemon's engine */
+void control_exchange_set_own_sample (control_t *ctrl, const message_load_samples_t *message);
+/** control_exchange_add_own_marks() - pass on marks of suspect requests that the data task made */
+void control_exchange_add_own_marks (control_t *ctrl, const message_crash_marks_t *message);
 
 /* Freshness after a start or a pause */
-void ctrl_fresh_init (ctrl_t *ctrl);
-/** ctrl_fresh_check() - detect a pause; called first in each event handler */
-void ctrl_fresh_check (ctrl_t *ctrl);
-/** ctrl_fresh_woke() - the data task detected a pause that ended at @woke_us */
-void ctrl_fresh_woke (ctrl_t *ctrl, uint64_t woke_us);
-/** ctrl_fresh_heard_list() - a read of the list, begun at @started_us, has ended */
-void ctrl_fresh_heard_list (ctrl_t *ctrl, uint64_t started_us, bool worked);
-/** ctrl_fresh_heard_log() - a read of the log, begun at @started_us, has ended */
-void ctrl_fresh_heard_log (ctrl_t *ctrl, uint64_t started_us, bool worked);
-/** ctrl_fresh_heard_reply() - a reply of a peer with @version in force was applied */
-void ctrl_fresh_heard_reply (ctrl_t *ctrl, uint64_t version);
-/** ctrl_fresh_flush() - tell the data task once all is confirmed */
-void ctrl_fresh_flush (ctrl_t *ctrl);
+void control_freshness_init (control_t *ctrl);
+/** control_freshness_check_pause() - detect a pause; called first in each event handler */
+void control_freshness_check_pause (control_t *ctrl);
+/** control_freshness_note_pause() - the data task detected a pause that ended at @woke_us */
+void control_freshness_note_pause (control_t *ctrl, uint64_t woke_us);
+/** control_freshness_note_list_read() - a read of the list, begun at @started_us, has ended */
+void control_freshness_note_list_read (control_t *ctrl, uint64_t started_us, bool worked);
+/** control_freshness_note_log_read() - a read of the log, begun at @started_us, has ended */
+void control_freshness_note_log_read (control_t *ctrl, uint64_t started_us, bool worked);
+/** control_freshness_note_reply() - a reply of a peer with @version in force was applied */
+void control_freshness_note_reply (control_t *ctrl, uint64_t version);
+/** control_freshness_send_if_fresh() - tell the data task once all is confirmed */
+void control_freshness_send_if_fresh (control_t *ctrl);
 
 /* Claims of idempotency keys */
-void ctrl_claims_init (ctrl_t *ctrl);
-void ctrl_claims_clear (ctrl_t *ctrl);
-/** ctrl_claims_turn() - advance all streams, close idle ones and probe a log that is down */
-void ctrl_claims_turn (ctrl_t *ctrl);
-/** ctrl_claims_ask() - claim an idempotency key; answered by MESSAGE_CLAIM_RESULT */
-void ctrl_claims_ask (ctrl_t *ctrl, const message_claim_t *message);
-/** ctrl_claims_end() - record that a claimed request has ended, or did not run */
-void ctrl_claims_end (ctrl_t *ctrl, const message_claim_end_t *message);
-/** ctrl_claims_note_log() - a read of the same log succeeded or failed */
-void ctrl_claims_note_log (ctrl_t *ctrl, bool works);
-/** ctrl_claims_idle() - whether nothing is left to append */
-bool ctrl_claims_idle (const ctrl_t *ctrl);
+void control_claims_init (control_t *ctrl);
+void control_claims_clear (control_t *ctrl);
+/** control_claims_tick() - advance all streams, close idle ones and probe a log that is down */
+void control_claims_tick (control_t *ctrl);
+/** control_claims_request() - claim an idempotency key; answered by MESSAGE_CLAIM_RESULT */
+void control_claims_request (control_t *ctrl, const message_claim_t *message);
+/** control_claims_finish() - record that a claimed request has ended, or did not run */
+void control_claims_finish (control_t *ctrl, const message_claim_end_t *message);
+/** control_claims_note_log_read() - a read of the same log succeeded or failed */
+void control_claims_note_log_read (control_t *ctrl, bool works);
+/** control_claims_is_idle() - whether nothing is left to append */
+bool control_claims_is_idle (const control_t *ctrl);
 
 /* Leaving and shutdown */
-/** ctrl_stop_leave() - drain the data task and notify peers; @why is logged */
-void ctrl_stop_leave (ctrl_t *ctrl, const char *why);
-/** ctrl_stop_signal() - leave, and end the process once drained */
-void ctrl_stop_signal (ctrl_t *ctrl);
-/** ctrl_stop_drained() - the data task has no requests left */
-void ctrl_stop_drained (ctrl_t *ctrl);
-void ctrl_stop_turn (ctrl_t *ctrl);
+/** control_stop_start_leaving() - drain the data task and notify peers; @why is logged */
+void control_stop_start_leaving (control_t *ctrl, const char *why);
+/** control_stop_on_signal() - leave, and end the process once drained */
+void control_stop_on_signal (control_t *ctrl);
+/** control_stop_note_drained() - the data task has no requests left */
+void control_stop_note_drained (control_t *ctrl);
+void control_stop_tick (control_t *ctrl);
 
 #endif
--- a/src/process/control_source.c
+++ b/src/process/control_source.c
@@ -2,56 +2,56 @@
 
 #include "base/log.h"
 
-ctrl_op_t *
-ctrl_op_new (ctrl_t *ctrl)
+control_call_t *
+control_call_new (control_t *ctrl)
 {
-  ctrl_op_t *call = g_new0 (ctrl_op_t, 1);
+  control_call_t *call = g_new0 (control_call_t, 1);
   call->ctrl = ctrl;
-  call->started_us = ctrl_now_us (ctrl);
+  call->started_us = control_now_us (ctrl);
   g_ptr_array_add (ctrl->calls, call);
   return call;
 }
 
 bool
-ctrl_op_end (ctrl_op_t *call)
+control_call_end (control_call_t *call)
 {
-  ctrl_t *ctrl = call->ctrl;
+  control_t *ctrl = call->ctrl;
   if (!ctrl->closing)
-    ctrl_fresh_check (ctrl);
+    control_freshness_check_pause (ctrl);
   bool wanted = !call->abandoned && !ctrl->closing;
   g_ptr_array_remove_fast (ctrl->calls, call);
   return wanted;
 }
 
 void
-ctrl_source_worked (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t wait_us)
+control_poll_succeeded (control_t *ctrl, control_poll_t *poll, const char *name, uint64_t wait_us)
 {
   if (poll->down)
     log_event (LOG_LEVEL_NOTICE, "platform_back", "source", name, NULL);
   poll->call = NULL;
   poll->down = false;
   poll->backoff_us = 0;
-  poll->due_us = ctrl_now_us (ctrl) + wait_us;
+  poll->due_us = control_now_us (ctrl) + wait_us;
 }
 
 void
-ctrl_source_failed (ctrl_t *ctrl, ctrl_source_t *poll, const char *name, uint64_t first_us)
+control_poll_failed (control_t *ctrl, control_poll_t *poll, const char *name, uint64_t first_us)
 {
   if (!poll->down)
     log_event (LOG_LEVEL_WARNING, "platform_out", "source", name, NULL);
   poll->call = NULL;
   poll->down = true;
   poll->backoff_us = poll->backoff_us == 0 ? first_us : poll->backoff_us * 2;
-  poll->backoff_us = MIN (poll->backoff_us, CTRL_BACKOFF_MAX_US);
-  poll->due_us = ctrl_now_us (ctrl) + ctrl_jitter (ctrl, poll->backoff_us);
+  poll->backoff_us = MIN (poll->backoff_us, CONTROL_BACKOFF_MAX_US);
+  poll->due_us = control_now_us (ctrl) + control_add_jitter (ctrl, poll->backoff_us);
 }
 
 void
-ctrl_source_restart (ctrl_t *ctrl, ctrl_source_t *poll)
+control_poll_restart (control_t *ctrl, control_poll_t *poll)
 {
   if (poll->call != NULL)
     poll->call->abandoned = true;
   poll->call = NULL;
   poll->backoff_us = 0;
-  poll->due_us = ctrl_now_us (ctrl);
+  poll->due_us = control_now_us (ctrl);
 }
--- a/src/process/control_stop.c
+++ b/src/process/control_stop.c
@@ -11,71 +11,71 @@
 #define CLAIMS_WAIT_MAX_US (2 * CLK_US_PER_S)
 
 static void
-drain_data_task (ctrl_t *ctrl)
+drain_data_task (control_t *ctrl)
 {
   message_flag_t *drain = message_new (MESSAGE_DRAIN);
   drain->on = true;
-  ctrl_send (ctrl, drain);
+  control_send_to_data (ctrl, drain);
 }
 
 static void
-exit_loop (ctrl_t *ctrl)
+exit_loop (control_t *ctrl)
 {
   ctrl->stop.done = true;
   log_event (LOG_LEVEL_NOTICE, "drained", "claims",
-             ctrl_claims_idle (ctrl) ? "complete" : "cut off", NULL);
+             control_claims_is_idle (ctrl) ? "complete" : "cut off", NULL);
   event_base_loopexit (ctrl->base, NULL);
 }
 
 static void
-exit_loop_if_drained (ctrl_t *ctrl)
+exit_loop_if_drained (control_t *ctrl)
 {
-  ctrl_stop_t *stop = &ctrl->stop;
+  control_stop_t *stop = &ctrl->stop;
   if (stop->done || !stop->by_signal || !stop->drained)
     return;
-  bool waited = ctrl_now_us (ctrl) - stop->drained_us >= CLAIMS_WAIT_MAX_US;
-  if (waited || ctrl_claims_idle (ctrl))
+  bool waited = control_now_us (ctrl) - stop->drained_us >= CLAIMS_WAIT_MAX_US;
+  if (waited || control_claims_is_idle (ctrl))
     exit_loop (ctrl);
 }
 
 void
-ctrl_stop_leave (ctrl_t *ctrl, const char *why)
+control_stop_start_leaving (control_t *ctrl, const char *why)
 {
-  ctrl_stop_t *stop = &ctrl->stop;
+  control_stop_t *stop = &ctrl->stop;
   if (stop->leaving)
     return;
   stop->leaving = true;
   log_event (LOG_LEVEL_NOTICE, "leaving", "why", why, NULL);
-  ctrl_gauge (ctrl, "medlarplank_leaving", "Whether this daemon is leaving", 1);
+  control_set_gauge (ctrl, "medlarplank_leaving", "Whether this daemon is leaving", 1);
   drain_data_task (ctrl);
-  ctrl_talk_own_word (ctrl);
-  ctrl_talk_tell (ctrl, CALLS_AT_ONCE);
+  control_exchange_apply_own_report (ctrl);
+  control_exchange_call_random (ctrl, CALLS_AT_ONCE);
   stop->calls_left = CALLS_LATER;
 }
 
 void
-ctrl_stop_signal (ctrl_t *ctrl)
+control_stop_on_signal (control_t *ctrl)
 {
   ctrl->stop.by_signal = true;
-  ctrl_stop_leave (ctrl, "signal");
+  control_stop_start_leaving (ctrl, "signal");
   exit_loop_if_drained (ctrl);
 }
 
 void
-ctrl_stop_drained (ctrl_t *ctrl)
+control_stop_note_drained (control_t *ctrl)
 {
   ctrl->stop.drained = true;
-  ctrl->stop.drained_us = ctrl_now_us (ctrl);
+  ctrl->stop.drained_us = control_now_us (ctrl);
   exit_loop_if_drained (ctrl);
 }
 
 void
-ctrl_stop_turn (ctrl_t *ctrl)
+control_stop_tick (control_t *ctrl)
 {
   if (ctrl->stop.calls_left > 0)
     {
       ctrl->stop.calls_left--;
-      ctrl_talk_tell (ctrl, 1);
+      control_exchange_call_random (ctrl, 1);
     }
   exit_loop_if_drained (ctrl);
 }
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -45,7 +45,7 @@
   struct event_base *control_base;
   lfl_t *flusher;
   struct event_base *data_base;
-  ctrl_t *control_task;
+  control_t *control_task;
   router_t *router;
   sidecar_t *sidecar;
   struct event *on_sigterm;
@@ -68,7 +68,7 @@
 {
   member_process_t *process = context;
 
-  ctrl_message (message, process->control_task);
+  control_handle_message (message, process->control_task);
 }
 
 static void
@@ -172,7 +172,7 @@
 
   process->on_sigterm = watch_signal (process, SIGTERM);
   process->on_sigint = watch_signal (process, SIGINT);
-  process->control_task = ctrl_new (daemon, process->control_base, error);
+  process->control_task = control_new (daemon, process->control_base, error);
   if (process->control_task == NULL)
     return false;
   if (daemon->set.role == SET_ROLE_ROUTER)
@@ -191,7 +191,7 @@
   if (process->sidecar != NULL)
     sidecar_free (process->sidecar);
   if (process->control_task != NULL)
-    ctrl_free (process->control_task);
+    control_free (process->control_task);
   mbx_free (process->daemon.to_data);
   mbx_free (process->daemon.to_control);
   event_free (process->on_sigterm);
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -128,14 +128,14 @@
 void
 rig_start (rig_t *rig)
 {
-  rig->ctrl = ctrl_new_on (&rig->dmn, rig->base, &rig->platform.plt, NULL);
+  rig->ctrl = control_new_with_platform (&rig->dmn, rig->base, &rig->platform.plt, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (rig->ctrl);
 }
 
 void
 rig_tear_down (rig_t *rig)
 {
-  ctrl_free (rig->ctrl);
+  control_free (rig->ctrl);
   CU_ASSERT_TRUE (rig->platform.freed);
   mbx_free (rig->dmn.to_data);
   mbx_free (rig->dmn.to_control);
@@ -160,7 +160,7 @@
 {
   clk_advance (&rig->dmn.clk, TICK_US);
   rig->platform.now_ms += PSE_TICK_MS;
-  ctrl_turn (rig->ctrl);
+  control_tick (rig->ctrl);
   rig_run_pending (rig);
 }
 
@@ -210,7 +210,7 @@
 rig_deliver (rig_t *rig, void *message)
 {
   mbx_message_t *head = message;
-  ctrl_message (head, rig->ctrl);
+  control_handle_message (head, rig->ctrl);
   head->free (head);
   rig_run_pending (rig);
 }
--- a/tests/control_rig.h
+++ b/tests/control_rig.h
@@ -51,7 +51,7 @@
   struct event_base *base;
   dmn_t dmn;
   fkp_t platform;
-  ctrl_t *ctrl;
+  control_t *ctrl;
   rig_received_t received;
   bool owns_base;
 } rig_t;
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -58,7 +58,7 @@
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
   clk_advance (&rig.dmn.clk, 2 * CLK_US_PER_S);
-  ctrl_turn (rig.ctrl); /* reads the host list */
+  control_tick (rig.ctrl); /* reads the host list */
   clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
   rig_publish_version (&rig.platform, 1); /* completes the long-polling read of the log */
   CU_ASSERT_EQUAL (fkp_answer (&rig.platform), 2);
@@ -127,21 +127,21 @@
   clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
   rig_message_t incoming;
   rig_compose (&incoming, "peer", 1)->manifest_version = 1;
-  CU_ASSERT_FALSE (ctrl_talk_heard (&incoming.message, true, rig.ctrl));
+  CU_ASSERT_FALSE (control_exchange_receive (&incoming.message, true, rig.ctrl));
   rig_ticks (&rig, 30);
   CU_ASSERT_FALSE (rig.received.fresh);
   rig_compose (&incoming, "peer", 2)->manifest_version = 1;
-  ctrl_talk_heard (&incoming.message, true, rig.ctrl);
+  control_exchange_receive (&incoming.message, true, rig.ctrl);
   rig_compose (&incoming, "third", 1)->manifest_version = 2;
-  ctrl_talk_heard (&incoming.message, true, rig.ctrl);
+  control_exchange_receive (&incoming.message, true, rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_FALSE (rig.received.fresh);
   rig.ctrl->fetch.next_us = UINT64_MAX; /* no peer serves the version in this test */
   rig.ctrl->manifest.peer_version = 0;
   rig_compose (&incoming, "peer", 3)->manifest_version = 1;
-  ctrl_talk_heard (&incoming.message, true, rig.ctrl);
+  control_exchange_receive (&incoming.message, true, rig.ctrl);
   rig_compose (&incoming, "third", 2)->manifest_version = 1;
-  ctrl_talk_heard (&incoming.message, true, rig.ctrl);
+  control_exchange_receive (&incoming.message, true, rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_TRUE (rig.received.fresh);
 }
@@ -173,7 +173,7 @@
   own.platform.read_down = true;
   own.platform.list_down = true;
   clk_advance (&own.dmn.clk, RIG_PAUSE_US);
-  ctrl_turn (own.ctrl);
+  control_tick (own.ctrl);
   while (own.received.drain_count == 0 && g_get_monotonic_time () < end_us)
     event_base_loop (base, EVLOOP_ONCE);
   CU_ASSERT_EQUAL (own.received.drain_count, 1);
@@ -196,7 +196,7 @@
   rig_ticks (&rig, 30);
   CU_ASSERT_EQUAL (rig.received.drain_count, 1);
   rig_message_t out;
-  ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
+  control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
   CU_ASSERT_EQUAL (out.message.sender.state, MEMBERSHIP_LEAVING);
   rig_send_flag (&rig, MESSAGE_DRAINED);
   rig_ticks (&rig, 30);
@@ -321,21 +321,21 @@
   add_local_hosts (&rig);
   uint64_t revision = rig.platform.revision;
   rig_compose (&incoming, "peer", sequence++)->list_revision = revision;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_ticks (&rig, 20);
   uint32_t lists = rig.platform.lists;
   rig_ticks (&rig, 25);
   CU_ASSERT_EQUAL (rig.platform.lists, lists);
   fkp_host (&rig.platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEMBERSHIP_LEAVING);
   rig_compose (&incoming, "peer", sequence++)->list_revision = revision + 1;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_tick (&rig);
   CU_ASSERT_EQUAL (rig.platform.lists, lists + 1);
   CU_ASSERT_EQUAL (membership_find (rig.ctrl->peers.members, "third")->state, MEMBERSHIP_LEAVING);
   for (uint32_t i = 0; i < 20; i++)
     {
       rig_compose (&incoming, "peer", sequence++)->list_revision = revision + 100;
-      ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+      control_exchange_receive (&incoming.message, false, rig.ctrl);
       rig_tick (&rig);
     }
   CU_ASSERT_TRUE (rig.platform.lists - lists >= 2);
@@ -351,7 +351,7 @@
   rig_message_t incoming;
   rig_init (&rig);
   add_local_hosts (&rig);
-  ctrl_talk_heard (rig_compose (&incoming, "peer", 1), false, rig.ctrl);
+  control_exchange_receive (rig_compose (&incoming, "peer", 1), false, rig.ctrl);
   rig_ticks (&rig, 20);
   uint32_t lists = rig.platform.lists;
   rig_ticks (&rig, 100);
@@ -377,7 +377,7 @@
   CU_ASSERT_EQUAL (cnt_value (sent), before + 5);
   rig_message_t incoming;
   rig_compose (&incoming, "peer", 1)->sender.state = MEMBERSHIP_LEAVING;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_ticks (&rig, 20);
   CU_ASSERT_EQUAL (leave_notice_count (rig.ctrl->list.leaving), 0);
   before = cnt_value (sent);
--- a/tests/test_control_claims.c
+++ b/tests/test_control_claims.c
@@ -42,7 +42,7 @@
   end->ran = true;
   end->status = 201;
   rig_deliver (&rig, end);
-  TICK_UNTIL (&rig, ctrl_claims_idle (rig.ctrl));
+  TICK_UNTIL (&rig, control_claims_is_idle (rig.ctrl));
   expect_verdict (&rig, 3, 100, 3, CLAIM_DONE);
   CU_ASSERT_EQUAL (rig.received.claim_result.status, 201);
 }
@@ -186,7 +186,7 @@
   rig.platform.append_down = false;
   rig_ticks (&rig, 15);
   CU_ASSERT_TRUE (rig.ctrl->stop.done);
-  CU_ASSERT_TRUE (ctrl_claims_idle (rig.ctrl));
+  CU_ASSERT_TRUE (control_claims_is_idle (rig.ctrl));
 }
 
 int
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -31,7 +31,7 @@
   put_sample (&incoming, "no such host", 5, 0);
   incoming.marks[0] = (xch_mark){ 99, { 3, 0 }, 1000 };
   incoming.message.marks.marks_len = 1;
-  CU_ASSERT_TRUE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
+  CU_ASSERT_TRUE (control_exchange_receive (&incoming.message, false, rig.ctrl));
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.sample_count, 1);
   CU_ASSERT_EQUAL (rig.received.sample.load, 5);
@@ -44,7 +44,7 @@
   rig_deliver (&rig, own);
   clk_advance (&rig.dmn.clk, CLK_US_PER_S);
   rig_message_t out;
-  ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
+  control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
   CU_ASSERT_EQUAL (out.message.samples.samples_len, 2);
   CU_ASSERT_EQUAL (out.samples[0].load, 3);
   CU_ASSERT_EQUAL (out.samples[0].age_ms, 1000);
@@ -80,7 +80,7 @@
   for (uint32_t i = 0; i < 40; i++)
     {
       load_sample_t sample = { 100 + i, hashes[i % 2], 1, 0, 0, now_us };
-      load_samples_add (ctrl_talk_table (rig.ctrl, hashes[i % 2]), &sample);
+      load_samples_add (control_exchange_find_samples (rig.ctrl, hashes[i % 2]), &sample);
     }
   rig.ctrl->talk.has_own_sample = true;
   rig.ctrl->talk.own_sample = (load_sample_t){ rig.ctrl->own_hash, POOL_HASH, 3, 0, 0, now_us };
@@ -88,7 +88,7 @@
   for (uint32_t i = 0; i < 2; i++)
     {
       xch_word to = { .host_hash = rendezvous_hash_name (peers[i]) };
-      ctrl_talk_fill (rig_compose (&out, "x", 1), &to, rig.ctrl);
+      control_exchange_compose (rig_compose (&out, "x", 1), &to, rig.ctrl);
       CU_ASSERT_EQUAL (out.message.samples.samples_len, XCH_SAMPLES);
       CU_ASSERT_EQUAL (out.samples[0].engine_hash, rig.ctrl->own_hash);
       for (uint32_t j = 1; j < out.message.samples.samples_len; j++)
@@ -109,14 +109,14 @@
   for (uint32_t sequence = 1; sequence <= 2; sequence++)
     {
       rig_compose (&incoming, sequence == 1 ? "peer" : "third", sequence);
-      ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+      control_exchange_receive (&incoming.message, false, rig.ctrl);
     }
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 1);
   rig_ticks (&rig, 11);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 2);
   rig_compose (&incoming, "peer", 3)->sender.state = MEMBERSHIP_LEAVING;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
 }
@@ -152,23 +152,23 @@
       char name[16];
       g_snprintf (name, sizeof name, "h%u", i);
       rig_compose (&incoming, name, 1)->sender.state = MEMBERSHIP_LEAVING;
-      ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+      control_exchange_receive (&incoming.message, false, rig.ctrl);
     }
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 1);
   rig_compose (&incoming, "peer", 1)->sender.state = MEMBERSHIP_LEAVING;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_ticks (&rig, 3);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 2);
   CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
   rig.platform.read_stuck = true;
   clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
   fkp_host (&rig.platform, "h303", false, rig_loopback_ip (), RIG_PORT + 303, MEMBERSHIP_LEAVING);
-  ctrl_turn (rig.ctrl);
+  control_tick (rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 3);
   rig_compose (&incoming, "third", 1)->sender.state = MEMBERSHIP_LEAVING;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig.platform.read_stuck = false;
   rig_run_pending (&rig);
   CU_ASSERT_TRUE (rig.received.fresh);
@@ -190,18 +190,18 @@
   rig_ticks (&rig, 20);
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   uint64_t before = cnt_value (sent);
-  ctrl_talk_heard (rig_compose (&incoming, "peer", 1), false, rig.ctrl);
+  control_exchange_receive (rig_compose (&incoming, "peer", 1), false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
   rig_compose (&incoming, "peer", 2)->sender.state = MEMBERSHIP_LEAVING;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   CU_ASSERT_TRUE (cnt_value (sent) > before);
   before = cnt_value (sent);
   rig_compose (&incoming, "peer", 3)->sender.state = MEMBERSHIP_LEAVING;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
   exc_charge (rig.ctrl->exc, rig.dmn.set.control_budget_bytes / 2);
   rig_compose (&incoming, "third", 1)->sender.state = MEMBERSHIP_LEAVING;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
 }
 
@@ -216,7 +216,7 @@
   rig_compose (&incoming, "peer", 1);
   incoming.words[0] = (xch_word){ rig.ctrl->own_hash, 51, 1, MEMBERSHIP_LEAVING };
   incoming.message.words.words_len = 1;
-  ctrl_talk_heard (&incoming.message, true, rig.ctrl);
+  control_exchange_receive (&incoming.message, true, rig.ctrl);
   rig_run_pending (&rig);
   cnt_t *conflicts = cnt_get (rig.dmn.counters, "medlarplank_incarnation_conflicts_total", "");
   CU_ASSERT_EQUAL (cnt_value (conflicts), 1);
@@ -248,7 +248,7 @@
       rig.ctrl->talk.has_own_sample = true;
       rig.ctrl->talk.own_sample = table->samples[0];
       rig_message_t out;
-      ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
+      control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
       CU_ASSERT_EQUAL (out.message.samples.samples_len, wanted[i]);
       rig_tear_down (&rig);
     }
@@ -265,14 +265,14 @@
   rig_message_t incoming;
   rig_compose (&incoming, "peer", 5);
   put_sample (&incoming, "peer", 5, 0);
-  CU_ASSERT_TRUE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
-  CU_ASSERT_FALSE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
+  CU_ASSERT_TRUE (control_exchange_receive (&incoming.message, false, rig.ctrl));
+  CU_ASSERT_FALSE (control_exchange_receive (&incoming.message, false, rig.ctrl));
   incoming.message.sender.sequence = 4;
-  CU_ASSERT_FALSE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
+  CU_ASSERT_FALSE (control_exchange_receive (&incoming.message, false, rig.ctrl));
   rig_compose (&incoming, "stranger", 1);
-  CU_ASSERT_FALSE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
+  CU_ASSERT_FALSE (control_exchange_receive (&incoming.message, false, rig.ctrl));
   rig_compose (&incoming, "peer", 6)->sender.state = 77;
-  CU_ASSERT_FALSE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
+  CU_ASSERT_FALSE (control_exchange_receive (&incoming.message, false, rig.ctrl));
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.sample_count, 1);
 }
@@ -288,7 +288,7 @@
   incoming.message.words.words_len = 1;
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   uint64_t before = cnt_value (sent);
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
   /* The calls made at once count towards the number of sends. */
@@ -297,18 +297,18 @@
   for (uint32_t i = 0; i < 3 * RMR_SENDS; i++)
     {
       rig_message_t out;
-      ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
+      control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
       for (uint32_t j = 0; j < out.message.words.words_len; j++)
         sent_count += out.words[j].host_hash == rendezvous_hash_name ("peer");
     }
   CU_ASSERT_EQUAL (sent_count, RMR_SENDS);
   /* That "third" is live is news to this daemon only; a restart of it is news to all. */
   rig_message_t out;
-  ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
+  control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
   CU_ASSERT_EQUAL (out.message.words.words_len, 0);
   rig_compose (&incoming, "third", 1)->sender.incarnation = 8;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
-  ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
+  control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
   CU_ASSERT_EQUAL (out.message.words.words_len, 1);
 }
 
@@ -324,14 +324,14 @@
   fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.peer_state == MEMBERSHIP_LEAVING);
   rig_compose (&incoming, "peer", 1);
-  CU_ASSERT_TRUE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
-  ctrl_talk_fill (rig_compose (&out, "x", 1), &incoming.message.sender, rig.ctrl);
+  CU_ASSERT_TRUE (control_exchange_receive (&incoming.message, false, rig.ctrl));
+  control_exchange_compose (rig_compose (&out, "x", 1), &incoming.message.sender, rig.ctrl);
   CU_ASSERT_EQUAL_FATAL (out.message.words.words_len, 1);
   CU_ASSERT_EQUAL (out.words[0].host_hash, hash);
   CU_ASSERT_EQUAL (out.words[0].state, MEMBERSHIP_LEAVING);
   CU_ASSERT_EQUAL (out.message.list_revision, rig.platform.revision);
   rig.ctrl->talk.callee_hash = hash;
-  ctrl_talk_fill (rig_compose (&out, "x", 1), NULL, rig.ctrl);
+  control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
   CU_ASSERT_EQUAL_FATAL (out.message.words.words_len, 1);
   CU_ASSERT_EQUAL (out.words[0].host_hash, hash);
 }
@@ -348,9 +348,9 @@
     {
       rig_compose (&incoming, "peer", 1 + newer)->list_revision = rig.platform.revision + newer;
       incoming.words[0] =
-          (xch_word){ rig.ctrl->own_hash, CTRL_ANY_INCARNATION, 0, MEMBERSHIP_LEAVING };
+          (xch_word){ rig.ctrl->own_hash, CONTROL_ANY_INCARNATION, 0, MEMBERSHIP_LEAVING };
       incoming.message.words.words_len = 1;
-      CU_ASSERT_TRUE (ctrl_talk_heard (&incoming.message, false, rig.ctrl));
+      CU_ASSERT_TRUE (control_exchange_receive (&incoming.message, false, rig.ctrl));
       rig_run_pending (&rig);
       CU_ASSERT_EQUAL (rig.received.drain_count, newer);
     }
@@ -433,7 +433,7 @@
   rig_ticks (&rig, 3);
   rig_message_t incoming;
   rig_compose (&incoming, "peer", 1)->manifest_version = 2;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   gint64 end_us = g_get_monotonic_time () + RIG_DEADLINE_S * G_USEC_PER_SEC;
   while (server.served == 0 && g_get_monotonic_time () < end_us)
     rig_tick (&rig);
@@ -461,7 +461,7 @@
   start_version_server (&server, rig.base, &rig, 2);
   rig.platform.read_stuck = true;
   rig_compose (&incoming, "peer", 1)->manifest_version = 2;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_ticks (&rig, 14);
   CU_ASSERT_PTR_NULL (rig.ctrl->fetch.call);
   gint64 end_us = g_get_monotonic_time () + RIG_DEADLINE_S * G_USEC_PER_SEC;
@@ -486,11 +486,11 @@
   rig.platform.read_down = true;
   rig_ticks (&rig, 300);
   uint32_t reads = rig.platform.reads;
-  rig.ctrl->manifest.poll.due_us = clk_now_us (&rig.dmn.clk) + CTRL_BACKOFF_MAX_US;
+  rig.ctrl->manifest.poll.due_us = clk_now_us (&rig.dmn.clk) + CONTROL_BACKOFF_MAX_US;
   for (uint32_t i = 1; i <= 4; i++)
     {
       rig_compose (&incoming, "peer", i)->manifest_version = 2;
-      ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+      control_exchange_receive (&incoming.message, false, rig.ctrl);
       rig_tick (&rig);
     }
   CU_ASSERT_EQUAL (rig.platform.reads, reads + 1);
@@ -498,7 +498,7 @@
   rig.platform.read_down = false;
   rig_publish_version (&rig.platform, 1);
   rig_compose (&incoming, "peer", 9)->manifest_version = 2;
-  ctrl_talk_heard (&incoming.message, false, rig.ctrl);
+  control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_tick (&rig);
   CU_ASSERT_EQUAL (rig.received.version, 2);
   CU_ASSERT_PTR_NULL (rig.ctrl->fetch.call);
