--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -67,11 +67,11 @@
 static bool
 has_mark (const flt_node_t *node, void *context)
 {
-  const rmr_t *rumours = &node->ctrl->talk.rumours;
+  const gossip_t *gossip = &node->ctrl->talk.gossip;
   (void)context;
-  for (uint32_t i = 0; i < RMR_SLOTS; i++)
+  for (uint32_t i = 0; i < GOSSIP_SLOTS; i++)
     {
-      if (rumours->marks[i].mark.fingerprint == FINGERPRINT)
+      if (gossip->marks[i].mark.fingerprint == FINGERPRINT)
         return true;
     }
   return false;
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -62,7 +62,7 @@
   bool changed = membership_apply_report (ctrl->membership, control_now_us (ctrl), report);
   bool news = changed && (known || report->state != MEMBERSHIP_LIVE);
   if (news)
-    rmr_add_word (&ctrl->talk.rumours, report);
+    gossip_add_report (&ctrl->talk.gossip, report);
   return news;
 }
 
@@ -127,7 +127,7 @@
         .engines = { received->engines[0], received->engines[1] },
         .age_ms = received->age_ms,
       };
-      if (rmr_add_mark (&ctrl->talk.rumours, control_now_us (ctrl), &mark))
+      if (gossip_add_mark (&ctrl->talk.gossip, control_now_us (ctrl), &mark))
         marks->marks[marks->count++] = mark;
     }
   bool news = marks->count > 0;
@@ -217,7 +217,7 @@
 control_exchange_init (control_t *ctrl)
 {
   control_exchange_t *exchange = &ctrl->talk;
-  rmr_init (&exchange->rumours);
+  gossip_init (&exchange->gossip);
   exchange->samples = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   exchange->old_messages =
       cnt_get (ctrl->dmn->counters, "medlarplank_control_old_total",
@@ -324,7 +324,7 @@
 {
   bool news = false;
   for (uint32_t i = 0; i < message->count; i++)
-    news = rmr_add_mark (&ctrl->talk.rumours, control_now_us (ctrl), &message->marks[i]) || news;
+    news = gossip_add_mark (&ctrl->talk.gossip, control_now_us (ctrl), &message->marks[i]) || news;
   if (news)
     spread_news (ctrl);
 }
--- a/src/process/control_fill.c
+++ b/src/process/control_fill.c
@@ -177,7 +177,7 @@
     membership_last_report (ctrl->membership, receiver_hash, &last);
   if (report_on_receiver (ctrl, receiver_hash, last.incarnation, &reports[0]))
     count = 1;
-  count += rmr_take_words (&ctrl->talk.rumours, reports + count, XCH_WORDS - count);
+  count += gossip_take_reports (&ctrl->talk.gossip, reports + count, XCH_WORDS - count);
   for (uint32_t i = 0; i < count; i++)
     message->words.words_val[i] = encode_report (&reports[i]);
   message->words.words_len = count;
@@ -187,7 +187,7 @@
 fill_marks (control_t *ctrl, xch_message *message, uint64_t now_us)
 {
   suspect_mark_t marks[XCH_MARKS];
-  uint32_t count = rmr_take_marks (&ctrl->talk.rumours, now_us, marks, XCH_MARKS);
+  uint32_t count = gossip_take_marks (&ctrl->talk.gossip, now_us, marks, XCH_MARKS);
   for (uint32_t i = 0; i < count; i++)
     {
       xch_mark *out = &message->marks.marks_val[i];
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -152,7 +152,7 @@
  * @last_received_us: when a message of a listed peer was last accepted
  * @callee_hash: the host that the next call goes to
  * @sequence: of the last message sent
- * @rumours: state reports and marks that are still being passed on
+ * @gossip: state reports and marks that are still being passed on
  * @own_sample: load of this daemon's engine, valid if @has_own_sample
  * @samples: service hash -> load_samples_t, for the services of the manifest in force
  * @old_messages: counts messages with a sequence or incarnation that was superseded
@@ -163,7 +163,7 @@
   uint64_t last_received_us;
   uint64_t callee_hash;
   uint32_t sequence;
-  rmr_t rumours;
+  gossip_t gossip;
   bool has_own_sample;
   load_sample_t own_sample;
   GHashTable *samples;
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -11,11 +11,11 @@
 #define IDLE_TIMEOUT_MS 10000
 #define STATUS_OK 200
 #define STATUS_REFUSED 503
-/* Query parameters: the requester's control address, sent by gft_ask_all(); present when updates
- * of any size are wanted, sent by gft_ask(). */
+/* Query parameters: the requester's control address, sent by gateway_fetch_all(); present when
+ * updates of any size are wanted, sent by gateway_fetch_newer(). */
 #define CONTROL_QUERY "control"
 #define ANY_SIZE_QUERY "any_size"
-/* Headers of an answer to gft_ask_all(). */
+/* Headers of an answer to gateway_fetch_all(). */
 #define STORE_AGE_HEADER "X-Medlarplank-Store-Age-Ms"
 #define REFUSAL_HEADER "X-Medlarplank-Refusal"
 #define REFERRAL_HEADER "X-Medlarplank-Elsewhere"
@@ -31,25 +31,25 @@
  */
 typedef struct
 {
-  uint64_t from[GFT_STREAMS_MAX];
-  uint64_t next[GFT_STREAMS_MAX];
-  uint64_t revision[GFT_STREAMS_MAX];
+  uint64_t from[GATEWAY_FETCH_STREAMS_MAX];
+  uint64_t next[GATEWAY_FETCH_STREAMS_MAX];
+  uint64_t revision[GATEWAY_FETCH_STREAMS_MAX];
   bool settled;
   char *body;
 } answer_cache_t;
 
 /**
- * struct gft - requests to other gateways, and answers to theirs
+ * struct gateway_fetch - requests to other gateways, and answers to theirs
  * @call: the fetch in progress, NULL for none; the fields from @peer to @referral belong to it
  * @seal: authentication code of the answer
  * @age: age header of the answer, empty without one
- * @fetching_all: it is one of gft_ask_all()
+ * @fetching_all: it is one of gateway_fetch_all()
  * @server: limits how many starting gateways are served at once
  * @cached: the last answer to another gateway
  */
-struct gft
+struct gateway_fetch
 {
-  gft_options_t options;
+  gateway_fetch_options_t options;
   hcl_t *hcl;
   hcl_call_t *call;
   set_address_t peer;
@@ -70,7 +70,7 @@
 
 /* The authentication code also covers the age header; @age is empty where there is none. */
 static void
-make_seal (const gft_t *fetch,
+make_seal (const gateway_fetch_t *fetch,
            const char *nonce,
            const char *age,
            const char *body,
@@ -85,7 +85,7 @@
 /* Refusals are not authenticated: a forged one can only make this gateway ask another one, or read
  * the store. */
 static void
-read_refusal (gft_t *fetch, struct evkeyvalq *headers)
+read_refusal (gateway_fetch_t *fetch, struct evkeyvalq *headers)
 {
   const char *refusal = evhttp_find_header (headers, REFUSAL_HEADER);
   const char *referral = evhttp_find_header (headers, REFERRAL_HEADER);
@@ -100,7 +100,7 @@
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  gft_t *fetch = context;
+  gateway_fetch_t *fetch = context;
   const char *seal = evhttp_find_header (headers, ASL_SEAL_HEADER);
   const char *age = evhttp_find_header (headers, STORE_AGE_HEADER);
 
@@ -117,7 +117,7 @@
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  gft_t *fetch = context;
+  gateway_fetch_t *fetch = context;
 
   evbuffer_add_buffer (fetch->body, data);
 }
@@ -125,13 +125,13 @@
 static void
 on_end (const hcl_end_t *end, void *context)
 {
-  gft_t *fetch = context;
+  gateway_fetch_t *fetch = context;
   struct evbuffer *all_data = fetch->body;
   size_t bytes = evbuffer_get_length (all_data);
   const char *body = bytes > 0 ? (const char *)evbuffer_pullup (all_data, -1) : "";
-  gft_end_t result = { .peer = &fetch->peer,
-                       .refusal = fetch->refusal,
-                       .referral = fetch->referral };
+  gateway_fetch_result_t result = { .peer = &fetch->peer,
+                                    .refusal = fetch->refusal,
+                                    .referral = fetch->referral };
   uint64_t age_ms = UINT32_MAX;
   char expected_seal[ASL_SEAL_BYTES];
 
@@ -155,10 +155,10 @@
   evbuffer_free (all_data);
 }
 
-gft_t *
-gft_new (const gft_options_t *options)
+gateway_fetch_t *
+gateway_fetch_new (const gateway_fetch_options_t *options)
 {
-  gft_t *fetch = g_new0 (gft_t, 1);
+  gateway_fetch_t *fetch = g_new0 (gateway_fetch_t, 1);
 
   fetch->options = *options;
   fetch->hcl = hcl_new (options->base, IDLE_CONNECTIONS_MAX, IDLE_TIMEOUT_MS);
@@ -166,7 +166,7 @@
 }
 
 void
-gft_free (gft_t *fetch)
+gateway_fetch_free (gateway_fetch_t *fetch)
 {
   if (fetch->call)
     hcl_cancel (fetch->call);
@@ -178,13 +178,13 @@
 }
 
 bool
-gft_is_busy (const gft_t *fetch)
+gateway_fetch_is_busy (const gateway_fetch_t *fetch)
 {
   return fetch->call != NULL;
 }
 
 static void
-start_fetch (gft_t *fetch, const set_address_t *peer, const char *target)
+start_fetch (gateway_fetch_t *fetch, const set_address_t *peer, const char *target)
 {
   hcl_header_t header = { ASL_NONCE_HEADER, fetch->nonce };
 
@@ -196,26 +196,26 @@
   fetch->referral.port = 0;
   fetch->peer = *peer;
   fetch->body = evbuffer_new ();
-  fetch->call =
-      hcl_start (fetch->hcl, &(hcl_options_t){ .address = &fetch->peer,
-                                               .method = "GET",
-                                               .target = target,
-                                               .headers = &header,
-                                               .header_count = 1,
-                                               .timeout_us = GFT_TIMEOUT_MS * CLK_US_PER_MS,
-                                               .answer_limit_bytes = VSH_BYTES_LIMIT,
-                                               .on_head = on_head,
-                                               .on_data = on_data,
-                                               .on_end = on_end,
-                                               .context = fetch });
+  fetch->call = hcl_start (fetch->hcl,
+                           &(hcl_options_t){ .address = &fetch->peer,
+                                             .method = "GET",
+                                             .target = target,
+                                             .headers = &header,
+                                             .header_count = 1,
+                                             .timeout_us = GATEWAY_FETCH_TIMEOUT_MS * CLK_US_PER_MS,
+                                             .answer_limit_bytes = VSH_BYTES_LIMIT,
+                                             .on_head = on_head,
+                                             .on_data = on_data,
+                                             .on_end = on_end,
+                                             .context = fetch });
 }
 
 void
-gft_ask (gft_t *fetch,
-         const set_address_t *peer,
-         const vsh_stream_t *streams,
-         uint32_t count,
-         bool any_size)
+gateway_fetch_newer (gateway_fetch_t *fetch,
+                     const set_address_t *peer,
+                     const vsh_stream_t *streams,
+                     uint32_t count,
+                     bool any_size)
 {
   g_autofree char *stream_target = vsh_target (streams, count);
   g_autofree char *target =
@@ -226,7 +226,10 @@
 }
 
 void
-gft_ask_all (gft_t *fetch, const set_address_t *peer, const vsh_stream_t *streams, uint32_t count)
+gateway_fetch_all (gateway_fetch_t *fetch,
+                   const set_address_t *peer,
+                   const vsh_stream_t *streams,
+                   uint32_t count)
 {
   g_autofree char *stream_target = vsh_target (streams, count);
   g_autofree char *control = set_address_text (fetch->options.control_address);
@@ -265,8 +268,11 @@
 /* The last answer is reused if nothing in it changed: encoding a version of a thousand routes takes
  * milliseconds of a whole core. */
 static const char *
-encode_answer (
-    gft_t *fetch, const vsh_stream_t *streams, const uint64_t *from, uint32_t count, bool settled)
+encode_answer (gateway_fetch_t *fetch,
+               const vsh_stream_t *streams,
+               const uint64_t *from,
+               uint32_t count,
+               bool settled)
 {
   answer_cache_t wanted = { .settled = settled };
 
@@ -287,7 +293,10 @@
 }
 
 static void
-refuse (gft_t *fetch, hsv_call_t *call, bootstrap_refusal_t refusal, const set_address_t *peer)
+refuse (gateway_fetch_t *fetch,
+        hsv_call_t *call,
+        bootstrap_refusal_t refusal,
+        const set_address_t *peer)
 {
   set_address_t referral = *peer;
 
@@ -304,10 +313,10 @@
 
 /* Return: whether the starting gateway may be served; if not, the refusal has been sent */
 static bool
-accept_starting (gft_t *fetch,
+accept_starting (gateway_fetch_t *fetch,
                  hsv_call_t *call,
                  const set_address_t *requester,
-                 const gft_state_t *state)
+                 const gateway_fetch_responder_t *state)
 {
   uint64_t now_us = clk_now_us (fetch->options.clk);
 
@@ -331,23 +340,23 @@
 }
 
 bool
-gft_answer (gft_t *fetch,
-            hsv_call_t *call,
-            const vsh_stream_t *streams,
-            uint32_t count,
-            const gft_state_t *state)
+gateway_fetch_handle_request (gateway_fetch_t *fetch,
+                              hsv_call_t *call,
+                              const vsh_stream_t *streams,
+                              uint32_t count,
+                              const gateway_fetch_responder_t *state)
 {
   const char *nonce = hsv_header (call, ASL_NONCE_HEADER);
   const char *control = hsv_query (call, CONTROL_QUERY);
   bool any_size = control || hsv_query (call, ANY_SIZE_QUERY);
-  uint64_t from[GFT_STREAMS_MAX];
-  vsh_stream_t sent[GFT_STREAMS_MAX];
+  uint64_t from[GATEWAY_FETCH_STREAMS_MAX];
+  vsh_stream_t sent[GATEWAY_FETCH_STREAMS_MAX];
   char age[AGE_BYTES] = "";
   set_address_t requester;
   const char *body;
   char seal[ASL_SEAL_BYTES];
 
-  g_assert (count <= GFT_STREAMS_MAX);
+  g_assert (count <= GATEWAY_FETCH_STREAMS_MAX);
   if (strcmp (hsv_path (call), VSH_PATH) != 0)
     return false;
   if (!nonce || !parse_offsets (call, streams, count, from) ||
--- a/src/process/gateway_fetch.h
+++ b/src/process/gateway_fetch.h
@@ -16,17 +16,18 @@
 
 #include <event2/event.h>
 
-#define GFT_STREAMS_MAX 4
-#define GFT_TIMEOUT_MS 1000 /* a link of 10 Mbit/s transfers a version of 350 KB in 0.3 s */
+#define GATEWAY_FETCH_STREAMS_MAX 4
+#define GATEWAY_FETCH_TIMEOUT_MS                                                                   \
+  1000 /* a link of 10 Mbit/s transfers a version of 350 KB in 0.3 s */
 
 /**
- * struct gft_end - result of a fetch
+ * struct gateway_fetch_result - result of a fetch
  * @peer: control address of the gateway that was asked
  * @body: the answer, valid during the callback; NULL unless it is complete and authentic
  * @store_age_ms: time between the peer's last contact with the store and its answer; only for
- *   gft_ask_all(), else UINT32_MAX
+ *   gateway_fetch_all(), else UINT32_MAX
  * @reason: why there is no @body; NULL when there is one
- * @refusal: for gft_ask_all() without a @body, how the peer refused
+ * @refusal: for gateway_fetch_all() without a @body, how the peer refused
  * @referral: control address of a gateway that the refusing peer names instead; its port is 0 for
  *   none
  */
@@ -39,10 +40,10 @@
   const char *reason;
   bootstrap_refusal_t refusal;
   set_address_t referral;
-} gft_end_t;
+} gateway_fetch_result_t;
 
 /**
- * struct gft_state - state of the gateway that answers a request
+ * struct gateway_fetch_responder - state of the gateway that answers a request
  * @settled: whether no key that was removed lately may still be restored
  * @complete: whether all streams have been read here
  * @too_large: whether all records together exceed what may be sent to a starting gateway
@@ -56,10 +57,10 @@
   bool too_large;
   uint32_t store_age_ms;
   set_address_t referral;
-} gft_state_t;
+} gateway_fetch_responder_t;
 
 /**
- * struct gft_options - options of gft_new()
+ * struct gateway_fetch_options - options of gateway_fetch_new()
  * @control_address: where this gateway answers such requests itself
  * @on_finished: a fetch ended; the callback may start the next one
  */
@@ -69,40 +70,43 @@
   const clk_t *clk;
   const char *fleet_key;
   const set_address_t *control_address;
-  void (*on_finished) (const gft_end_t *result, void *context);
+  void (*on_finished) (const gateway_fetch_result_t *result, void *context);
   void *context;
-} gft_options_t;
+} gateway_fetch_options_t;
 
-typedef struct gft gft_t;
+typedef struct gateway_fetch gateway_fetch_t;
 
-gft_t *gft_new (const gft_options_t *options);
-/** gft_free() - cancels a fetch in progress, without a callback */
-void gft_free (gft_t *fetch);
-/** gft_is_busy() - whether a fetch is in progress */
-bool gft_is_busy (const gft_t *fetch);
+gateway_fetch_t *gateway_fetch_new (const gateway_fetch_options_t *options);
+/** gateway_fetch_free() - cancels a fetch in progress, without a callback */
+void gateway_fetch_free (gateway_fetch_t *fetch);
+/** gateway_fetch_is_busy() - whether a fetch is in progress */
+bool gateway_fetch_is_busy (const gateway_fetch_t *fetch);
 /**
- * gft_ask() - fetches the records that the gateway at @peer has beyond the next offset of each
- * stream; only when not busy
+ * gateway_fetch_newer() - fetches the records that the gateway at @peer has beyond the next offset
+ * of each stream; only when not busy
  * @any_size: also updates that are too large to be sent normally, since the store cannot be read
  */
-void gft_ask (gft_t *fetch,
-              const set_address_t *peer,
-              const vsh_stream_t *streams,
-              uint32_t count,
-              bool any_size);
-/** gft_ask_all() - fetches all records of the gateway at @peer, for a starting gateway; only when
- * not busy. A peer refuses it while it serves several others */
-void
-gft_ask_all (gft_t *fetch, const set_address_t *peer, const vsh_stream_t *streams, uint32_t count);
+void gateway_fetch_newer (gateway_fetch_t *fetch,
+                          const set_address_t *peer,
+                          const vsh_stream_t *streams,
+                          uint32_t count,
+                          bool any_size);
+/** gateway_fetch_all() - fetches all records of the gateway at @peer, for a starting gateway; only
+ * when not busy. A peer refuses it while it serves several others */
+void gateway_fetch_all (gateway_fetch_t *fetch,
+                        const set_address_t *peer,
+                        const vsh_stream_t *streams,
+                        uint32_t count);
 /**
- * gft_answer() - answers a request on the control listener
+ * gateway_fetch_handle_request() - answers a request on the control listener
  *
- * Return: false, without an answer, when the path is not that of gft_ask() and gft_ask_all()
+ * Return: false, without an answer, when the path is not that of gateway_fetch_newer() and
+ * gateway_fetch_all()
  */
-bool gft_answer (gft_t *fetch,
-                 hsv_call_t *call,
-                 const vsh_stream_t *streams,
-                 uint32_t count,
-                 const gft_state_t *state);
+bool gateway_fetch_handle_request (gateway_fetch_t *fetch,
+                                   hsv_call_t *call,
+                                   const vsh_stream_t *streams,
+                                   uint32_t count,
+                                   const gateway_fetch_responder_t *state);
 
 #endif
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -12,9 +12,9 @@
 /* A peer whose clock was set back restarts with a lower incarnation, which would look like that of
  * delayed messages. It is accepted once the peer has been silent for this long, when no message of
  * the previous incarnation can still arrive. */
-#define LOWER_INCARNATION_AFTER_US GPR_HEARD_US
+#define LOWER_INCARNATION_AFTER_US GATEWAY_PEERS_ALIVE_US
 
-#define RANK_SEED GPR_TAILS /* any value that is the same in all gateways */
+#define RANK_SEED GATEWAY_PEERS_FOLLOWERS /* any value that is the same in all gateways */
 
 /**
  * struct peer - another gateway
@@ -38,16 +38,16 @@
 } peer_t;
 
 /**
- * struct gpr - the peers of this gateway
+ * struct gateway_peers - the peers of this gateway
  * @news_timer: sends messages to some peers in the next turn of the event loop
  * @sequence: number of the last message sent
  * @heard_us: when the last message of any peer came
  * @gossip: marks of requests that crash engines, to be passed on
  * @loads: high loads of engines, to be passed on
  */
-struct gpr
+struct gateway_peers
 {
-  gpr_options_t options;
+  gateway_peers_options_t options;
   exc_t *exchange;
   struct event *news_timer;
   GPtrArray *list; /* peer_t */
@@ -55,7 +55,7 @@
   uint64_t own_hash;
   uint32_t sequence;
   uint64_t heard_us;
-  rmr_t gossip;
+  gossip_t gossip;
   load_reports_t loads;
 };
 
@@ -66,13 +66,13 @@
 }
 
 static uint64_t
-now_us (const gpr_t *peers)
+now_us (const gateway_peers_t *peers)
 {
   return clk_now_us (peers->options.clk);
 }
 
 static peer_t *
-find_by_hash (const gpr_t *peers, uint64_t hash)
+find_by_hash (const gateway_peers_t *peers, uint64_t hash)
 {
   for (guint i = 0; i < peers->list->len; i++)
     {
@@ -88,31 +88,32 @@
  * each of 31 gateways would take half of the others for dead, and twelve of them would follow the
  * store instead of three. */
 static uint64_t
-alive_timeout_us (const gpr_t *peers)
+alive_timeout_us (const gateway_peers_t *peers)
 {
   uint64_t interval_us = (uint64_t)peers->options.set->exchange_interval_ms * CLK_US_PER_MS;
 
-  return MAX (GPR_HEARD_US, interval_us * peers->list->len * GPR_HEARD_TURNS);
+  return MAX (GATEWAY_PEERS_ALIVE_US,
+              interval_us * peers->list->len * GATEWAY_PEERS_ALIVE_INTERVALS);
 }
 
 /* A peer that did not reply counts as dead until it is heard again, so that another gateway takes
  * over its role. A peer that was never heard counts as alive from its registry entry on, for as
  * long as it may take to be heard. */
 static bool
-is_alive (const gpr_t *peers, const peer_t *peer)
+is_alive (const gateway_peers_t *peers, const peer_t *peer)
 {
   uint64_t at_us = now_us (peers);
 
-  if (peer->unanswered_us != 0 && at_us - peer->unanswered_us >= GPR_ANSWER_US)
+  if (peer->unanswered_us != 0 && at_us - peer->unanswered_us >= GATEWAY_PEERS_REPLY_TIMEOUT_US)
     return false;
   return at_us - MAX (peer->heard_us, peer->known_us) < alive_timeout_us (peers);
 }
 
 static void
-fill_marks (gpr_t *peers, xch_message *message)
+fill_marks (gateway_peers_t *peers, xch_message *message)
 {
   suspect_mark_t marks[XCH_MARKS];
-  uint32_t count = rmr_take_marks (&peers->gossip, now_us (peers), marks, XCH_MARKS);
+  uint32_t count = gossip_take_marks (&peers->gossip, now_us (peers), marks, XCH_MARKS);
 
   G_STATIC_ASSERT (sizeof message->marks.marks_val->engines == sizeof marks->engines);
   for (uint32_t i = 0; i < count; i++)
@@ -127,7 +128,7 @@
 }
 
 static void
-read_marks (gpr_t *peers, const xch_message *message)
+read_marks (gateway_peers_t *peers, const xch_message *message)
 {
   for (uint32_t i = 0; i < message->marks.marks_len; i++)
     {
@@ -135,13 +136,13 @@
       suspect_mark_t mark = { .fingerprint = received->fingerprint, .age_ms = received->age_ms };
 
       memcpy (mark.engines, received->engines, sizeof mark.engines);
-      if (rmr_add_mark (&peers->gossip, now_us (peers), &mark))
+      if (gossip_add_mark (&peers->gossip, now_us (peers), &mark))
         peers->options.on_suspect (&mark, peers->options.context);
     }
 }
 
 static void
-fill_loads (gpr_t *peers, xch_message *message)
+fill_loads (gateway_peers_t *peers, xch_message *message)
 {
   load_report_t items[XCH_SAMPLES];
   uint32_t count = load_reports_latest (&peers->loads, now_us (peers), items, XCH_SAMPLES);
@@ -158,7 +159,7 @@
 }
 
 static void
-read_loads (gpr_t *peers, const xch_message *message)
+read_loads (gateway_peers_t *peers, const xch_message *message)
 {
   for (uint32_t i = 0; i < message->samples.samples_len; i++)
     {
@@ -176,8 +177,8 @@
 static void
 fill_message (xch_message *message, const xch_word *to, void *context)
 {
-  gpr_t *peers = context;
-  gpr_known_t progress = peers->options.get_progress (peers->options.context);
+  gateway_peers_t *peers = context;
+  gateway_peers_progress_t progress = peers->options.get_progress (peers->options.context);
 
   (void)to;
   message->sender.host_hash = peers->own_hash;
@@ -193,7 +194,7 @@
 
 /* Return: false for a message older than one received before */
 static bool
-record_message (gpr_t *peers, peer_t *peer, const xch_word *sender)
+record_message (gateway_peers_t *peers, peer_t *peer, const xch_word *sender)
 {
   if (sender->incarnation < peer->incarnation &&
       now_us (peers) - peer->heard_us < LOWER_INCARNATION_AFTER_US)
@@ -214,12 +215,12 @@
 static bool
 on_message (const xch_message *message, bool is_reply, void *context)
 {
-  gpr_t *peers = context;
+  gateway_peers_t *peers = context;
   peer_t *peer = find_by_hash (peers, message->sender.host_hash);
-  gpr_known_t theirs = { .routing_next = message->manifest_offset,
-                         .engines_next = message->list_revision,
-                         .routers_next = message->routers_offset,
-                         .store_age_ms = message->store_age_ms };
+  gateway_peers_progress_t theirs = { .routing_next = message->manifest_offset,
+                                      .engines_next = message->list_revision,
+                                      .routers_next = message->routers_offset,
+                                      .store_age_ms = message->store_age_ms };
 
   (void)is_reply;
   /* A gateway that has just started may not be known here yet. It gets a reply all the same;
@@ -242,13 +243,13 @@
 }
 
 static bool
-ranks_before (const gpr_t *peers, const peer_t *peer)
+ranks_before (const gateway_peers_t *peers, const peer_t *peer)
 {
   return is_alive (peers, peer) && rank_of (peer->hash) > rank_of (peers->own_hash);
 }
 
 static uint32_t
-count_ranked_before (const gpr_t *peers)
+count_ranked_before (const gateway_peers_t *peers)
 {
   uint32_t count = 0;
 
@@ -268,26 +269,26 @@
 
 /*
  * Peer that is one level nearer to the followers in a tree by rank, in which each node has
- * %GPR_FANOUT children; NULL for a follower itself. With random peers alone, the last contact with
- * the store was more than two seconds old at one in five of 103 gateways, which then read the store
- * themselves.
+ * %GATEWAY_PEERS_FANOUT children; NULL for a follower itself. With random peers alone, the last
+ * contact with the store was more than two seconds old at one in five of 103 gateways, which then
+ * read the store themselves.
  */
 static peer_t *
-nearer_peer (const gpr_t *peers)
+nearer_peer (const gateway_peers_t *peers)
 {
   g_autoptr (GPtrArray) before = g_ptr_array_new ();
 
   for (guint i = 0; i < peers->list->len; i++)
     if (ranks_before (peers, g_ptr_array_index (peers->list, i)))
       g_ptr_array_add (before, g_ptr_array_index (peers->list, i));
-  if (before->len < GPR_TAILS)
+  if (before->len < GATEWAY_PEERS_FOLLOWERS)
     return NULL;
   g_ptr_array_sort (before, compare_ranks);
-  return g_ptr_array_index (before, before->len / GPR_FANOUT);
+  return g_ptr_array_index (before, before->len / GATEWAY_PEERS_FANOUT);
 }
 
 static peer_t *
-random_peer (gpr_t *peers, bool alive_only)
+random_peer (gateway_peers_t *peers, bool alive_only)
 {
   guint count = peers->list->len;
   guint start;
@@ -306,7 +307,7 @@
 }
 
 static void
-record_call (gpr_t *peers, peer_t *peer)
+record_call (gateway_peers_t *peers, peer_t *peer)
 {
   if (peer->unanswered_us == 0)
     peer->unanswered_us = now_us (peers);
@@ -317,7 +318,7 @@
 static bool
 pick_destination (set_address_t *address, void *context)
 {
-  gpr_t *peers = context;
+  gateway_peers_t *peers = context;
   peer_t *peer = NULL;
 
   if (g_rand_boolean (peers->rand))
@@ -336,11 +337,11 @@
 static void
 on_news_timer (evutil_socket_t fd, short what, void *context)
 {
-  gpr_t *peers = context;
+  gateway_peers_t *peers = context;
 
   (void)fd;
   (void)what;
-  for (uint32_t i = 0; i < GPR_NEWS_TELLS; i++)
+  for (uint32_t i = 0; i < GATEWAY_PEERS_NEWS_FANOUT; i++)
     {
       const peer_t *peer = random_peer (peers, true);
 
@@ -349,16 +350,16 @@
     }
 }
 
-gpr_t *
-gpr_new (const gpr_options_t *options, GError **error)
+gateway_peers_t *
+gateway_peers_new (const gateway_peers_options_t *options, GError **error)
 {
-  gpr_t *peers = g_new0 (gpr_t, 1);
+  gateway_peers_t *peers = g_new0 (gateway_peers_t, 1);
   const set_t *set = options->set;
 
   peers->options = *options;
   peers->list = g_ptr_array_new_with_free_func (g_free);
   peers->own_hash = hash_of (set->name);
-  rmr_init (&peers->gossip);
+  gossip_init (&peers->gossip);
   peers->news_timer = evtimer_new (options->base, on_news_timer, peers);
   peers->rand = g_rand_new_with_seed ((guint32)(peers->own_hash ^ options->incarnation));
   peers->exchange = exc_new (&(exc_options_t){ .base = options->base,
@@ -376,12 +377,12 @@
                              error);
   if (peers->exchange)
     return peers;
-  gpr_free (peers);
+  gateway_peers_free (peers);
   return NULL;
 }
 
 void
-gpr_free (gpr_t *peers)
+gateway_peers_free (gateway_peers_t *peers)
 {
   if (peers->exchange)
     exc_free (peers->exchange);
@@ -394,7 +395,7 @@
 /* The entry does not contain the incarnation, which peers learn from messages. So it is the same at
  * each start, and a gateway that restarts causes no write and no new record for the others. */
 char *
-gpr_entry (const gpr_t *peers)
+gateway_peers_format_own_entry (const gateway_peers_t *peers)
 {
   g_autofree char *exchange = set_address_text (&peers->options.set->exchange);
   g_autofree char *control = set_address_text (&peers->options.set->control_listen);
@@ -416,7 +417,7 @@
 }
 
 void
-gpr_put (gpr_t *peers, const char *name, const char *entry)
+gateway_peers_put (gateway_peers_t *peers, const char *name, const char *entry)
 {
   peer_t *known = find_by_hash (peers, hash_of (name));
   peer_t peer = { .hash = hash_of (name), .known_us = now_us (peers) };
@@ -437,14 +438,14 @@
 }
 
 void
-gpr_add_suspect (gpr_t *peers, const suspect_mark_t *mark)
+gateway_peers_add_suspect (gateway_peers_t *peers, const suspect_mark_t *mark)
 {
-  rmr_add_mark (&peers->gossip, now_us (peers), mark);
-  gpr_tell_news (peers);
+  gossip_add_mark (&peers->gossip, now_us (peers), mark);
+  gateway_peers_send_news (peers);
 }
 
 void
-gpr_add_load (gpr_t *peers, const load_report_t *item)
+gateway_peers_add_load (gateway_peers_t *peers, const load_report_t *item)
 {
   load_reports_add (&peers->loads, now_us (peers), item);
 }
@@ -452,14 +453,14 @@
 /* One read can bring the entries of many engines. A message for each entry would use up the message
  * budget, so that later news was not sent for seconds; the timer combines them into one. */
 void
-gpr_tell_news (gpr_t *peers)
+gateway_peers_send_news (gateway_peers_t *peers)
 {
   if (!event_pending (peers->news_timer, EV_TIMEOUT, NULL))
     event_add (peers->news_timer, &(struct timeval){ 0, 0 });
 }
 
 static uint32_t
-count_alive (const gpr_t *peers)
+count_alive (const gateway_peers_t *peers)
 {
   uint32_t count = 0;
 
@@ -469,31 +470,31 @@
 }
 
 uint32_t
-gpr_count (const gpr_t *peers)
+gateway_peers_count_running (const gateway_peers_t *peers)
 {
   return 1 + MAX (count_alive (peers), (peers->list->len + 1) / 2);
 }
 
 uint32_t
-gpr_sharers (const gpr_t *peers, bool listed)
+gateway_peers_count_registered (const gateway_peers_t *peers, bool listed)
 {
   return retry_budget_sharers (listed, peers->list->len, count_alive (peers));
 }
 
 uint32_t
-gpr_before (const gpr_t *peers)
+gateway_peers_count_ranked_before (const gateway_peers_t *peers)
 {
   return count_ranked_before (peers);
 }
 
 bool
-gpr_is_alone (const gpr_t *peers)
+gateway_peers_is_isolated (const gateway_peers_t *peers)
 {
-  return now_us (peers) - peers->heard_us >= GPR_ALONE_US;
+  return now_us (peers) - peers->heard_us >= GATEWAY_PEERS_ISOLATED_US;
 }
 
 bool
-gpr_some (gpr_t *peers, set_address_t *control)
+gateway_peers_pick_control (gateway_peers_t *peers, set_address_t *control)
 {
   const peer_t *peer = random_peer (peers, true);
 
--- a/src/process/gateway_peers.h
+++ b/src/process/gateway_peers.h
@@ -24,26 +24,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define GPR_TAILS 3 /* followers of the store: two may be lost at once */
+#define GATEWAY_PEERS_FOLLOWERS 3 /* followers of the store: two may be lost at once */
 /* Gateways that contact the same gateway nearer to the store: 2 KB a second of replies. */
-#define GPR_FANOUT 8
+#define GATEWAY_PEERS_FANOUT 8
 /* Minimum time after its last message for which a peer counts as alive. */
-#define GPR_HEARD_US (UINT64_C (5000) * 1000)
+#define GATEWAY_PEERS_ALIVE_US (UINT64_C (5000) * 1000)
 /* Every message gets a reply, and one is sent in each interval of the exchange: a gateway that
  * hears no peer for this long is disconnected from them. */
-#define GPR_ALONE_US (UINT64_C (2000) * 1000)
+#define GATEWAY_PEERS_ISOLATED_US (UINT64_C (2000) * 1000)
 /* A peer also counts as alive for this many exchange intervals per known peer. In that time it is
  * heard four times on average, by its messages and by its replies to ours, so by calculation one
  * peer in fifty is missed. */
-#define GPR_HEARD_TURNS 2
+#define GATEWAY_PEERS_ALIVE_INTERVALS 2
 /* Reply timeout. A reply takes a few milliseconds, longer on a host short of processor time. */
-#define GPR_ANSWER_US (UINT64_C (1000) * 1000)
+#define GATEWAY_PEERS_REPLY_TIMEOUT_US (UINT64_C (1000) * 1000)
 /* Number of peers that get a message at once when the store has news; each of them does the same.
  * By calculation two of 31 gateways are left, which learn of it from their next regular message. */
-#define GPR_NEWS_TELLS 3
+#define GATEWAY_PEERS_NEWS_FANOUT 3
 
 /**
- * struct gpr_known - how far a gateway has read the store
+ * struct gateway_peers_progress - how far a gateway has read the store
  * @routing_next: next offset to read of the stream of routing rules
  * @engines_next: next offset to read of the engine registry
  * @routers_next: next offset to read of the gateway registry
@@ -55,10 +55,10 @@
   uint64_t engines_next;
   uint64_t routers_next;
   uint32_t store_age_ms;
-} gpr_known_t;
+} gateway_peers_progress_t;
 
 /**
- * struct gpr_options - options of gpr_new()
+ * struct gateway_peers_options - options of gateway_peers_new()
  * @incarnation: start time of this process, in milliseconds since 1970
  * @get_progress: returns how far this gateway has read the store
  * @on_progress: a peer reported its progress @theirs; @control is its control address
@@ -72,44 +72,50 @@
   cnt_set_t *counters;
   const set_t *set;
   uint64_t incarnation;
-  gpr_known_t (*get_progress) (void *context);
-  void (*on_progress) (const gpr_known_t *theirs, const set_address_t *control, void *context);
+  gateway_peers_progress_t (*get_progress) (void *context);
+  void (*on_progress) (const gateway_peers_progress_t *theirs,
+                       const set_address_t *control,
+                       void *context);
   void (*on_suspect) (const suspect_mark_t *mark, void *context);
   void (*on_load) (const load_report_t *item, void *context);
   void *context;
-} gpr_options_t;
+} gateway_peers_options_t;
 
-typedef struct gpr gpr_t;
+typedef struct gateway_peers gateway_peers_t;
 
-/** gpr_new() - opens the exchange. Return: NULL with @error when its address cannot be used */
-gpr_t *gpr_new (const gpr_options_t *options, GError **error);
-void gpr_free (gpr_t *peers);
-/** gpr_entry() - this gateway's entry for the gateway registry, to be freed by g_free() */
-char *gpr_entry (const gpr_t *peers);
-/** gpr_put() - applies an entry of the gateway registry; @entry is NULL when it was removed */
-void gpr_put (gpr_t *peers, const char *name, const char *entry);
-/** gpr_add_suspect() - reports a request that crashes its engines to peers, to some of them at
- * once */
-void gpr_add_suspect (gpr_t *peers, const suspect_mark_t *mark);
-/** gpr_add_load() - adds a high load that an engine reported here to the next messages to peers */
-void gpr_add_load (gpr_t *peers, const load_report_t *item);
-/** gpr_tell_news() - sends %GPR_NEWS_TELLS peers a message in the next turn of the event loop,
- * after all records of the current read have been applied */
-void gpr_tell_news (gpr_t *peers);
-/** gpr_count() - number of gateways that may be running, including this one: those that count as
- * alive, but at least half of the known ones, so that a disconnected gateway does not take over the
- * share of all the others */
-uint32_t gpr_count (const gpr_t *peers);
-/** gpr_sharers() - number of gateways in the gateway registry, running or not, including this one;
- * 0 unless the registry has been @listed */
-uint32_t gpr_sharers (const gpr_t *peers, bool listed);
-/** gpr_before() - number of live gateways that rank before this one; the first %GPR_TAILS follow
- * the store */
-uint32_t gpr_before (const gpr_t *peers);
-/** gpr_is_alone() - whether no peer was heard within %GPR_ALONE_US */
-bool gpr_is_alone (const gpr_t *peers);
-/** gpr_some() - gets the control address of a random peer, preferably a live one. Return: false
- * when no peer is known */
-bool gpr_some (gpr_t *peers, set_address_t *control);
+/** gateway_peers_new() - opens the exchange. Return: NULL with @error when its address cannot be
+ * used */
+gateway_peers_t *gateway_peers_new (const gateway_peers_options_t *options, GError **error);
+void gateway_peers_free (gateway_peers_t *peers);
+/** gateway_peers_format_own_entry() - this gateway's entry for the gateway registry, to be freed by
+ * g_free() */
+char *gateway_peers_format_own_entry (const gateway_peers_t *peers);
+/** gateway_peers_put() - applies an entry of the gateway registry; @entry is NULL when it was
+ * removed */
+void gateway_peers_put (gateway_peers_t *peers, const char *name, const char *entry);
+/** gateway_peers_add_suspect() - reports a request that crashes its engines to peers, to some of
+ * them at once */
+void gateway_peers_add_suspect (gateway_peers_t *peers, const suspect_mark_t *mark);
+/** gateway_peers_add_load() - adds a high load that an engine reported here to the next messages to
+ * peers */
+void gateway_peers_add_load (gateway_peers_t *peers, const load_report_t *item);
+/** gateway_peers_send_news() - sends %GATEWAY_PEERS_NEWS_FANOUT peers a message in the next turn of
+ * the event loop, after all records of the current read have been applied */
+void gateway_peers_send_news (gateway_peers_t *peers);
+/** gateway_peers_count_running() - number of gateways that may be running, including this one:
+ * those that count as alive, but at least half of the known ones, so that a disconnected gateway
+ * does not take over the share of all the others */
+uint32_t gateway_peers_count_running (const gateway_peers_t *peers);
+/** gateway_peers_count_registered() - number of gateways in the gateway registry, running or not,
+ * including this one; 0 unless the registry has been @listed */
+uint32_t gateway_peers_count_registered (const gateway_peers_t *peers, bool listed);
+/** gateway_peers_count_ranked_before() - number of live gateways that rank before this one; the
+ * first %GATEWAY_PEERS_FOLLOWERS follow the store */
+uint32_t gateway_peers_count_ranked_before (const gateway_peers_t *peers);
+/** gateway_peers_is_isolated() - whether no peer was heard within %GATEWAY_PEERS_ISOLATED_US */
+bool gateway_peers_is_isolated (const gateway_peers_t *peers);
+/** gateway_peers_pick_control() - gets the control address of a random peer, preferably a live one.
+ * Return: false when no peer is known */
+bool gateway_peers_pick_control (gateway_peers_t *peers, set_address_t *control);
 
 #endif
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -16,7 +16,7 @@
 #define STALL_MS 150 /* a tick that is later is logged: streamed events were delayed as long */
 
 /**
- * struct gwp - a gateway
+ * struct gateway_process - a gateway
  * @ready_listener: listener of readiness checks
  * @control_listener: listener of peers and of metrics requests
  * @table: routing rules in force, NULL for none
@@ -28,12 +28,12 @@
  * @was_ready: readiness that was logged last
  * @ticked_us: time of the last tick, 0 for none
  */
-struct gwp
+struct gateway_process
 {
-  gwp_options_t options;
+  gateway_process_options_t options;
   engines_t *engines;
   gateway_task_t *gateway;
-  gst_t *store;
+  gateway_store_t *store;
   hsv_t *ready_listener;
   hsv_t *control_listener;
   rte_t *table;
@@ -52,32 +52,32 @@
 };
 
 static uint64_t
-now_us (const gwp_t *process)
+now_us (const gateway_process_t *process)
 {
   return clk_now_us (process->options.clk);
 }
 
 bool
-gwp_is_ready (const gwp_t *process)
+gateway_process_is_ready (const gateway_process_t *process)
 {
-  return process->table && process->store && gst_has_routing (process->store) &&
-         gst_has_engines (process->store) && process->stop_us == 0;
+  return process->table && process->store && gateway_store_has_routing (process->store) &&
+         gateway_store_has_engines (process->store) && process->stop_us == 0;
 }
 
 static void
-accept_when_ready (gwp_t *process)
+accept_when_ready (gateway_process_t *process)
 {
   if (process->accept_by_us == 0 ||
-      (!gwp_is_ready (process) && now_us (process) < process->accept_by_us))
+      (!gateway_process_is_ready (process) && now_us (process) < process->accept_by_us))
     return;
   process->accept_by_us = 0;
   gateway_resume_accept (process->gateway);
 }
 
 static void
-log_readiness (gwp_t *process)
+log_readiness (gateway_process_t *process)
 {
-  bool ready = gwp_is_ready (process);
+  bool ready = gateway_process_is_ready (process);
 
   accept_when_ready (process);
 
@@ -93,7 +93,7 @@
 static void
 on_routing (const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
   uint64_t version_in_force = process->table ? rte_version (process->table) : 0;
   GError *error = NULL;
   rte_t *table;
@@ -116,7 +116,7 @@
       process->table = rte_ref (table);
       gateway_set_routing_table (process->gateway, table);
       cnt_set_value (process->version_gauge, rte_version (table));
-      gst_tell_news (process->store);
+      gateway_store_send_news (process->store);
     }
   rte_unref (table);
 }
@@ -124,7 +124,7 @@
 static void
 on_drain (const char *data_center, bool drained, uint64_t offset, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
 
   if (!engines_set_drained (process->engines, now_us (process), data_center, drained))
     return;
@@ -132,40 +132,40 @@
              drained ? "drained" : "taken_back", "offset", LOG_U64 (offset), "engines",
              LOG_U64 (engines_count_in_data_center (process->engines, data_center)), NULL);
   cnt_set_value (process->drained_count, engines_count_drained_data_centers (process->engines));
-  gst_tell_news (process->store);
+  gateway_store_send_news (process->store);
   gateway_engines_changed (process->gateway);
 }
 
 static void
-log_engine (const gwp_t *process, const char *id, const char *state, uint64_t offset)
+log_engine (const gateway_process_t *process, const char *id, const char *state, uint64_t offset)
 {
   log_event (LOG_LEVEL_NOTICE, "engine", "engine", id, "state", state, "offset", LOG_U64 (offset),
              "engines", LOG_U64 (engines_count (process->engines)), NULL);
 }
 
 static void
-update_engine_counts (gwp_t *process)
+update_engine_counts (gateway_process_t *process)
 {
   cnt_set_value (process->engine_count, engines_count (process->engines));
   cnt_set_value (process->lapsed_count, lapses_count (process->lapsed));
 }
 
 static void
-remove_engine (gwp_t *process, const char *id, uint64_t offset)
+remove_engine (gateway_process_t *process, const char *id, uint64_t offset)
 {
   if (!engines_find (process->engines, id))
     return;
   engines_remove (process->engines, id);
   update_engine_counts (process);
   log_engine (process, id, "gone", offset);
-  gst_tell_news (process->store);
+  gateway_store_send_news (process->store);
   gateway_engines_changed (process->gateway);
 }
 
 /* The entry may come from another writer. The engine is removed, since the store no longer confirms
  * its previous entry. */
 static void
-reject_entry (gwp_t *process, const char *id, uint64_t offset, GError *error)
+reject_entry (gateway_process_t *process, const char *id, uint64_t offset, GError *error)
 {
   log_event (LOG_LEVEL_ERROR, "engine_unreadable", "engine", id, "offset", LOG_U64 (offset),
              "error", error->message, NULL);
@@ -184,7 +184,7 @@
 } previous_entry_t;
 
 static previous_entry_t
-get_previous_entry (const gwp_t *process, const char *id)
+get_previous_entry (const gateway_process_t *process, const char *id)
 {
   const engine_t *engine = engines_find (process->engines, id);
 
@@ -194,7 +194,11 @@
 }
 
 static void
-put_engine (gwp_t *process, const char *id, const char *value, size_t value_bytes, uint64_t offset)
+put_engine (gateway_process_t *process,
+            const char *id,
+            const char *value,
+            size_t value_bytes,
+            uint64_t offset)
 {
   previous_entry_t previous = get_previous_entry (process, id);
   engine_entry_t entry;
@@ -218,7 +222,7 @@
   if (engine->entry.state == previous.state)
     return;
   log_engine (process, id, engine->entry.state == ENGINE_READY ? "ready" : "leaving", offset);
-  gst_tell_news (process->store);
+  gateway_store_send_news (process->store);
   gateway_engines_changed (process->gateway);
 }
 
@@ -236,8 +240,8 @@
            bool may_have_lapsed,
            void *context)
 {
-  gwp_t *process = context;
-  uint64_t due_us = now_us (process) + (uint64_t)GWP_LAPSE_MS * CLK_US_PER_MS;
+  gateway_process_t *process = context;
+  uint64_t due_us = now_us (process) + (uint64_t)GATEWAY_PROCESS_EXPIRED_ENGINE_MS * CLK_US_PER_MS;
 
   if (text)
     put_engine (process, id, text, text_bytes, offset);
@@ -255,19 +259,19 @@
 static void
 on_store_status (void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
 
-  if (process->store && gst_has_engines (process->store))
+  if (process->store && gateway_store_has_engines (process->store))
     engines_set_complete (process->engines);
   if (process->gateway)
-    gateway_set_config_current (process->gateway, gst_is_certain (process->store));
+    gateway_set_config_current (process->gateway, gateway_store_is_current (process->store));
   log_readiness (process);
 }
 
 static void
 on_peer_suspect (const suspect_mark_t *mark, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
 
   if (process->gateway)
     gateway_handle_peer_suspect (process->gateway, mark);
@@ -276,7 +280,7 @@
 static void
 on_peer_load (const load_report_t *item, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
 
   if (process->gateway)
     gateway_handle_peer_load (process->gateway, item);
@@ -285,29 +289,29 @@
 static void
 on_own_load (const load_report_t *item, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
 
-  gst_add_load (process->store, item);
+  gateway_store_add_load (process->store, item);
 }
 
 static void
 on_own_suspect (const suspect_mark_t *mark, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
 
-  gst_add_suspect (process->store, mark);
+  gateway_store_add_suspect (process->store, mark);
 }
 
 static uint64_t
 get_version (void *context)
 {
-  const gwp_t *process = context;
+  const gateway_process_t *process = context;
 
   return process->table ? rte_version (process->table) : 0;
 }
 
 static void
-remove_expired (gwp_t *process)
+remove_expired (gateway_process_t *process)
 {
   char *id;
 
@@ -319,18 +323,18 @@
 }
 
 static void
-stop_when_due (gwp_t *process)
+stop_when_due (gateway_process_t *process)
 {
   uint64_t since_ms;
 
   if (process->stop_us == 0)
     return;
   since_ms = (now_us (process) - process->stop_us) / CLK_US_PER_MS;
-  if (since_ms < GWP_LISTEN_ON_MS)
+  if (since_ms < GATEWAY_PROCESS_STOP_ACCEPT_MS)
     return;
   gateway_stop (process->gateway);
   if (gateway_busy_count (process->gateway) > 0 &&
-      since_ms + GWP_EXIT_MARGIN_MS < process->options.set->grace_ms)
+      since_ms + GATEWAY_PROCESS_EXIT_MARGIN_MS < process->options.set->grace_ms)
     return;
   event_base_loopexit (process->options.base, NULL);
 }
@@ -338,33 +342,33 @@
 /* A late tick is the first sign of a host that is slow, frozen or short of processor time; it shows
  * before requests are late. */
 static void
-check_stall (gwp_t *process)
+check_stall (gateway_process_t *process)
 {
   uint64_t at_us = now_us (process);
   uint64_t late_ms = process->ticked_us ? (at_us - process->ticked_us) / CLK_US_PER_MS : 0;
 
   process->ticked_us = at_us;
-  if (late_ms < GWP_TICK_MS + STALL_MS)
+  if (late_ms < GATEWAY_PROCESS_TICK_MS + STALL_MS)
     return;
   cnt_add (process->stall_count, 1);
-  log_event (LOG_LEVEL_WARNING, "stalled", "ms", LOG_U64 (late_ms - GWP_TICK_MS), NULL);
+  log_event (LOG_LEVEL_WARNING, "stalled", "ms", LOG_U64 (late_ms - GATEWAY_PROCESS_TICK_MS), NULL);
 }
 
 static void
 on_tick (evutil_socket_t fd, short what, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
 
   (void)fd;
   (void)what;
   check_stall (process);
   remove_expired (process);
   accept_when_ready (process);
-  gst_turn (process->store);
-  gateway_set_config_current (process->gateway, gst_is_certain (process->store));
-  cnt_set_value (process->gateway_count, gst_known_routers (process->store));
-  gateway_set_routers (process->gateway, gst_routers (process->store),
-                       gst_known_routers (process->store));
+  gateway_store_tick (process->store);
+  gateway_set_config_current (process->gateway, gateway_store_is_current (process->store));
+  cnt_set_value (process->gateway_count, gateway_store_count_registered (process->store));
+  gateway_set_routers (process->gateway, gateway_store_count_running (process->store),
+                       gateway_store_count_registered (process->store));
   stop_when_due (process);
   log_flush ();
 }
@@ -372,11 +376,11 @@
 static void
 on_ready_call (hsv_call_t *call, void *context)
 {
-  const gwp_t *process = context;
+  const gateway_process_t *process = context;
 
   if (strcmp (hsv_path (call), "/readyz") == 0)
-    hsv_reply_text (call, gwp_is_ready (process) ? 200 : 503, "text/plain",
-                    gwp_is_ready (process) ? "ready\n" : "not ready\n");
+    hsv_reply_text (call, gateway_process_is_ready (process) ? 200 : 503, "text/plain",
+                    gateway_process_is_ready (process) ? "ready\n" : "not ready\n");
   else
     hsv_reply_text (call, 404, "text/plain", "no such path\n");
 }
@@ -384,10 +388,10 @@
 static void
 on_control_call (hsv_call_t *call, void *context)
 {
-  gwp_t *process = context;
+  gateway_process_t *process = context;
   GString *text;
 
-  if (gst_answer (process->store, call, lapses_count (process->lapsed) == 0))
+  if (gateway_store_handle_request (process->store, call, lapses_count (process->lapsed) == 0))
     return;
   if (strcmp (hsv_path (call), "/metrics") != 0)
     {
@@ -401,7 +405,7 @@
 }
 
 static hsv_t *
-listen_admin (gwp_t *process,
+listen_admin (gateway_process_t *process,
               const set_address_t *address,
               void (*on_call) (hsv_call_t *, void *),
               GError **error)
@@ -420,7 +424,7 @@
 }
 
 static bool
-listen_all (gwp_t *process, GError **error)
+listen_all (gateway_process_t *process, GError **error)
 {
   const set_t *set = process->options.set;
 
@@ -442,7 +446,8 @@
   if (process->gateway)
     {
       gateway_pause_accept (process->gateway);
-      process->accept_by_us = now_us (process) + (uint64_t)GWP_HOLD_MS * CLK_US_PER_MS;
+      process->accept_by_us =
+          now_us (process) + (uint64_t)GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS * CLK_US_PER_MS;
     }
   if (process->gateway)
     process->ready_listener = listen_admin (process, &set->ready_listen, on_ready_call, error);
@@ -453,31 +458,32 @@
 }
 
 static bool
-open_store (gwp_t *process, GError **error)
-{
-  process->store = gst_new (&(gst_options_t){ .base = process->options.base,
-                                              .clk = process->options.clk,
-                                              .counters = process->options.counters,
-                                              .set = process->options.set,
-                                              .plt = process->options.plt,
-                                              .incarnation = process->options.incarnation,
-                                              .get_version = get_version,
-                                              .on_routing = on_routing,
-                                              .on_drain = on_drain,
-                                              .on_engine = on_engine,
-                                              .on_status = on_store_status,
-                                              .on_suspect = on_peer_suspect,
-                                              .on_load = on_peer_load,
-                                              .context = process },
-                            error);
+open_store (gateway_process_t *process, GError **error)
+{
+  process->store =
+      gateway_store_new (&(gateway_store_options_t){ .base = process->options.base,
+                                                     .clk = process->options.clk,
+                                                     .counters = process->options.counters,
+                                                     .set = process->options.set,
+                                                     .plt = process->options.plt,
+                                                     .incarnation = process->options.incarnation,
+                                                     .get_version = get_version,
+                                                     .on_routing = on_routing,
+                                                     .on_drain = on_drain,
+                                                     .on_engine = on_engine,
+                                                     .on_status = on_store_status,
+                                                     .on_suspect = on_peer_suspect,
+                                                     .on_load = on_peer_load,
+                                                     .context = process },
+                         error);
   return process->store != NULL;
 }
 
-gwp_t *
-gwp_new (const gwp_options_t *options, GError **error)
+gateway_process_t *
+gateway_process_new (const gateway_process_options_t *options, GError **error)
 {
-  gwp_t *process = g_new0 (gwp_t, 1);
-  struct timeval tick = { 0, GWP_TICK_MS * 1000 };
+  gateway_process_t *process = g_new0 (gateway_process_t, 1);
+  struct timeval tick = { 0, GATEWAY_PROCESS_TICK_MS * 1000 };
 
   process->options = *options;
   process->engines = engines_new ();
@@ -497,15 +503,15 @@
   event_add (process->tick, &tick);
   if (open_store (process, error) && listen_all (process, error))
     return process;
-  gwp_free (process);
+  gateway_process_free (process);
   return NULL;
 }
 
 void
-gwp_free (gwp_t *process)
+gateway_process_free (gateway_process_t *process)
 {
   if (process->store)
-    gst_free (process->store);
+    gateway_store_free (process->store);
   if (process->gateway)
     gateway_free (process->gateway);
   if (process->ready_listener)
@@ -521,7 +527,7 @@
 }
 
 void
-gwp_stop (gwp_t *process)
+gateway_process_stop (gateway_process_t *process)
 {
   if (process->stop_us != 0)
     return;
@@ -531,7 +537,7 @@
 }
 
 uint16_t
-gwp_port (const gwp_t *process)
+gateway_process_port (const gateway_process_t *process)
 {
   return gateway_port (process->gateway);
 }
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -23,21 +23,22 @@
  * gateway that has not loaded the routing rules yet, which takes 0.1 s. Of clients that have one
  * second left, the wait uses up less than a third of it.
  */
-#define GWP_HOLD_MS 300
-#define GWP_TICK_MS 100 /* interval of periodic work */
+#define GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS 300
+#define GATEWAY_PROCESS_TICK_MS 100 /* interval of periodic work */
 /* How long an engine is kept whose registry entry may have expired during an outage of the store: a
  * live engine has renewed its entry by then. */
-#define GWP_LAPSE_MS 2500
+#define GATEWAY_PROCESS_EXPIRED_ENGINE_MS 2500
 /*
  * How long a gateway accepts connections after a stop signal: the load balancer checks readiness
  * once a second and removes it after two failed checks. Idle connections are closed then, since a
  * request that arrives later than 3 s may not be finished when the process is killed.
  */
-#define GWP_LISTEN_ON_MS 2500
-#define GWP_EXIT_MARGIN_MS 250 /* the process exits this long before it would be killed */
+#define GATEWAY_PROCESS_STOP_ACCEPT_MS 2500
+#define GATEWAY_PROCESS_EXIT_MARGIN_MS                                                             \
+  250 /* the process exits this long before it would be killed */
 
 /**
- * struct gwp_readers - parsers of the store's records
+ * struct gateway_process_parsers - parsers of the store's records
  * @routing: parses routing rules; unchanged parts may be shared with @before, the table in force,
  *   which may be NULL. Returns a table, or NULL with @error
  * @engine: parses an engine entry into @out. Returns false with @error when it is invalid
@@ -47,10 +48,10 @@
   rte_t *(*routing) (const char *text, size_t text_bytes, const rte_t *before, GError **error);
   bool (*engine) (
       engine_entry_t *out, const char *id, const char *text, size_t text_bytes, GError **error);
-} gwp_readers_t;
+} gateway_process_parsers_t;
 
 /**
- * struct gwp_options - options of gwp_new()
+ * struct gateway_process_options - options of gateway_process_new()
  * @plt: client of the platform's store; owned by the new object
  * @incarnation: start time of this process, in milliseconds since 1970
  */
@@ -62,21 +63,24 @@
   const set_t *set;
   plt_t *plt;
   const format_t *format;
-  gwp_readers_t readers;
+  gateway_process_parsers_t readers;
   uint64_t incarnation;
-} gwp_options_t;
+} gateway_process_options_t;
 
-typedef struct gwp gwp_t;
+typedef struct gateway_process gateway_process_t;
 
-/** gwp_new() - opens all listeners. Return: NULL with @error when one cannot be opened */
-gwp_t *gwp_new (const gwp_options_t *options, GError **error);
-void gwp_free (gwp_t *process);
-/** gwp_stop() - begins a graceful stop; the event loop exits once all requests are answered, or
- * %GWP_EXIT_MARGIN_MS before the end of the grace time */
-void gwp_stop (gwp_t *process);
-/** gwp_is_ready() - whether the gateway has loaded routing rules and engines and is not stopping */
-bool gwp_is_ready (const gwp_t *process);
-/** gwp_port() - port of the listener for client requests, also one that the system chose */
-uint16_t gwp_port (const gwp_t *process);
+/** gateway_process_new() - opens all listeners. Return: NULL with @error when one cannot be opened
+ */
+gateway_process_t *gateway_process_new (const gateway_process_options_t *options, GError **error);
+void gateway_process_free (gateway_process_t *process);
+/** gateway_process_stop() - begins a graceful stop; the event loop exits once all requests are
+ * answered, or %GATEWAY_PROCESS_EXIT_MARGIN_MS before the end of the grace time */
+void gateway_process_stop (gateway_process_t *process);
+/** gateway_process_is_ready() - whether the gateway has loaded routing rules and engines and is not
+ * stopping */
+bool gateway_process_is_ready (const gateway_process_t *process);
+/** gateway_process_port() - port of the listener for client requests, also one that the system
+ * chose */
+uint16_t gateway_process_port (const gateway_process_t *process);
 
 #endif
--- a/src/process/gateway_start.c
+++ b/src/process/gateway_start.c
@@ -5,15 +5,15 @@
 #include <string.h>
 
 /**
- * struct gsa - the start of a gateway
+ * struct gateway_start - the start of a gateway
  * @started: all streams have been loaded
  * @reading: reading of the store has begun
  * @referral: gateway that the last refusal named, which is asked next; its port is 0 for none
  * @next_seed: index of the next seed to ask, modulo their number
  */
-struct gsa
+struct gateway_start
 {
-  gsa_options_t options;
+  gateway_start_options_t options;
   bootstrap_t policy;
   bool started;
   bool reading;
@@ -23,7 +23,7 @@
 };
 
 static uint64_t
-now_us (const gsa_t *start)
+now_us (const gateway_start_t *start)
 {
   return clk_now_us (start->options.clk);
 }
@@ -46,7 +46,7 @@
 
 /* The gateways that the seeds setting names may be down or removed, so they are asked in turn. */
 static bool
-pick_seed (gsa_t *start, set_address_t *control)
+pick_seed (gateway_start_t *start, set_address_t *control)
 {
   const set_t *set = start->options.set;
 
@@ -63,7 +63,7 @@
 }
 
 static void
-ask_next_peer (gsa_t *start)
+ask_next_peer (gateway_start_t *start)
 {
   set_address_t peer = start->referral;
 
@@ -75,16 +75,16 @@
 }
 
 static void
-finish (gsa_t *start, const char *source)
+finish (gateway_start_t *start, const char *source)
 {
   start->started = true;
   log_event (LOG_LEVEL_NOTICE, "started_from", "source", source, NULL);
 }
 
-gsa_t *
-gsa_new (const gsa_options_t *options)
+gateway_start_t *
+gateway_start_new (const gateway_start_options_t *options)
 {
-  gsa_t *start = g_new0 (gsa_t, 1);
+  gateway_start_t *start = g_new0 (gateway_start_t, 1);
   const set_t *set = options->set;
 
   start->options = *options;
@@ -96,16 +96,16 @@
 }
 
 void
-gsa_free (gsa_t *start)
+gateway_start_free (gateway_start_t *start)
 {
   g_rand_free (start->rand);
   g_free (start);
 }
 
 void
-gsa_turn (gsa_t *start)
+gateway_start_advance (gateway_start_t *start)
 {
-  const gsa_options_t *options = &start->options;
+  const gateway_start_options_t *options = &start->options;
 
   if (start->started)
     return;
@@ -127,14 +127,16 @@
 }
 
 void
-gsa_answered (gsa_t *start)
+gateway_start_fetch_applied (gateway_start_t *start)
 {
   if (!start->started)
     finish (start, "peer");
 }
 
 void
-gsa_refused (gsa_t *start, bootstrap_refusal_t refusal, const set_address_t *referral)
+gateway_start_fetch_failed (gateway_start_t *start,
+                            bootstrap_refusal_t refusal,
+                            const set_address_t *referral)
 {
   start->referral = *referral;
   bootstrap_peer_refused (&start->policy, now_us (start), refusal, referral->port != 0,
@@ -142,7 +144,7 @@
 }
 
 bool
-gsa_is_starting (const gsa_t *start)
+gateway_start_is_loading (const gateway_start_t *start)
 {
   return !start->started;
 }
--- a/src/process/gateway_start.h
+++ b/src/process/gateway_start.h
@@ -16,7 +16,7 @@
 #include <stdint.h>
 
 /**
- * struct gsa_options - options of gsa_new()
+ * struct gateway_start_options - options of gateway_start_new()
  * @seed: of the random numbers that spread the requests of gateways which start together
  * @has_all_streams: returns whether all streams have been loaded, from the store or a peer
  * @is_store_down: returns whether reads of the store fail
@@ -38,20 +38,23 @@
   bool (*pick_peer) (set_address_t *control, void *context);
   void (*fetch_all) (const set_address_t *control, void *context);
   void *context;
-} gsa_options_t;
+} gateway_start_options_t;
 
-typedef struct gsa gsa_t;
+typedef struct gateway_start gateway_start_t;
 
-gsa_t *gsa_new (const gsa_options_t *options);
-void gsa_free (gsa_t *start);
-/** gsa_turn() - reads the store or asks a peer if that is due; to be called about every 100 ms and
- * after each fetch */
-void gsa_turn (gsa_t *start);
-/** gsa_answered() - a peer's full copy has been applied, which ends the start */
-void gsa_answered (gsa_t *start);
-/** gsa_refused() - the fetch brought no full copy; @referral is asked next, port 0 for none */
-void gsa_refused (gsa_t *start, bootstrap_refusal_t refusal, const set_address_t *referral);
-/** gsa_is_starting() - whether a stream has not been loaded yet */
-bool gsa_is_starting (const gsa_t *start);
+gateway_start_t *gateway_start_new (const gateway_start_options_t *options);
+void gateway_start_free (gateway_start_t *start);
+/** gateway_start_advance() - reads the store or asks a peer if that is due; to be called about
+ * every 100 ms and after each fetch */
+void gateway_start_advance (gateway_start_t *start);
+/** gateway_start_fetch_applied() - a peer's full copy has been applied, which ends the start */
+void gateway_start_fetch_applied (gateway_start_t *start);
+/** gateway_start_fetch_failed() - the fetch brought no full copy; @referral is asked next, port 0
+ * for none */
+void gateway_start_fetch_failed (gateway_start_t *start,
+                                 bootstrap_refusal_t refusal,
+                                 const set_address_t *referral);
+/** gateway_start_is_loading() - whether a stream has not been loaded yet */
+bool gateway_start_is_loading (const gateway_start_t *start);
 
 #endif
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -24,7 +24,7 @@
                                                         PLT_STREAM_ROUTERS };
 
 /**
- * struct gst - a gateway's copy of the store
+ * struct gateway_store - a gateway's copy of the store
  * @policies: for each stream, whether to read it from the store or fetch it from peers
  * @start: decides how the copy is loaded at the start
  * @fetching_all: the fetch in progress is the full copy at the start
@@ -39,15 +39,15 @@
  * @entry_written: the gateway registry has this gateway's entry
  * @entry_retry_us: earliest time of the next attempt to write that entry
  */
-struct gst
+struct gateway_store
 {
-  gst_options_t options;
-  gpr_t *peers;
+  gateway_store_options_t options;
+  gateway_peers_t *peers;
   kvw_t *views[STREAM_COUNT];
   sfl_t *followers[STREAM_COUNT];
-  gft_t *fetch;
+  gateway_fetch_t *fetch;
   read_policy_t policies[STREAM_COUNT];
-  gsa_t *start;
+  gateway_start_t *start;
   bool fetching_all;
   bool fetching[STREAM_COUNT];
   set_address_t ahead_control;
@@ -63,14 +63,14 @@
 };
 
 static uint64_t
-now_us (const gst_t *store)
+now_us (const gateway_store_t *store)
 {
   return clk_now_us (store->options.clk);
 }
 
 /* Records of a peer's copy are accounted for once the whole copy has been applied. */
 static void
-mark_caught_up (gst_t *store, uint32_t stream)
+mark_caught_up (gateway_store_t *store, uint32_t stream)
 {
   if (!store->applying_copy)
     read_policy_caught_up (&store->policies[stream], false);
@@ -79,7 +79,7 @@
 static void
 on_routing (const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   mark_caught_up (store, STREAM_ROUTING);
   if (g_str_has_prefix (key, PLT_KEY_DRAIN_PREFIX))
@@ -90,14 +90,14 @@
 }
 
 static uint64_t
-min_outage_us (const gst_t *store)
+min_outage_us (const gateway_store_t *store)
 {
   return store_outage_min_us (store->options.set->renewal_ms);
 }
 
 /* Each stream has its own connection; a good answer on any of them shows that the store is up. */
 static void
-record_store_contact (gst_t *store)
+record_store_contact (gateway_store_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     store_outage_record_contact (&store->outage, sfl_heard_us (store->followers[i]),
@@ -110,7 +110,7 @@
  * their entries, so a removed entry means that its engine has left and must get no more requests.
  */
 static bool
-may_have_lapsed (const gst_t *store)
+may_have_lapsed (const gateway_store_t *store)
 {
   bool unsure = store->applying_copy ? store->copy_unsettled
                                      : sfl_is_catching_up (store->followers[STREAM_ENGINES]);
@@ -124,7 +124,7 @@
 static void
 on_engine (const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   record_store_contact (store);
   mark_caught_up (store, STREAM_ENGINES);
@@ -135,18 +135,18 @@
 static void
 on_router (const char *key, const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   (void)value_bytes;
   (void)offset;
   mark_caught_up (store, STREAM_ROUTERS);
-  gpr_put (store->peers, key, value);
+  gateway_peers_put (store->peers, key, value);
 }
 
 /* Until this gateway sees its own entry, entries of other gateways may be missing as well. Without
  * this check, all gateways of a fleet that starts at once would follow the store until then. */
 static bool
-has_own_entry (const gst_t *store)
+has_own_entry (const gateway_store_t *store)
 {
   size_t bytes;
   uint64_t offset;
@@ -155,34 +155,36 @@
 }
 
 static read_policy_view_t
-policy_view (const gst_t *store, uint32_t stream)
+policy_view (const gateway_store_t *store, uint32_t stream)
 {
   const sfl_t *follower = store->followers[stream];
-  uint32_t gateways_before = gpr_before (store->peers);
+  uint32_t gateways_before = gateway_peers_count_ranked_before (store->peers);
 
-  return (read_policy_view_t){ .close = gateways_before < GPR_TAILS && has_own_entry (store),
+  return (read_policy_view_t){ .close = gateways_before < GATEWAY_PEERS_FOLLOWERS &&
+                                        has_own_entry (store),
                                .listed = sfl_has_listed (follower),
                                .lost = store->store_lost || sfl_is_failing (follower),
-                               .alone = gpr_is_alone (store->peers),
+                               .alone = gateway_peers_is_isolated (store->peers),
                                .before = gateways_before,
-                               .count = gpr_count (store->peers),
+                               .count = gateway_peers_count_running (store->peers),
                                .own_us = sfl_heard_us (follower),
                                .tried_us = sfl_tried_us (follower) };
 }
 
 static read_policy_stream_t
-policy_stream (const gst_t *store, uint32_t stream)
+policy_stream (const gateway_store_t *store, uint32_t stream)
 {
   const set_t *set = store->options.set;
   bool routing = stream == STREAM_ROUTING;
-  uint32_t percent = routing ? GST_ROUTING_BEHIND_PERCENT : GST_ENGINES_BEHIND_PERCENT;
+  uint32_t percent =
+      routing ? GATEWAY_STORE_ROUTING_LAG_PERCENT : GATEWAY_STORE_ENGINES_LAG_PERCENT;
   uint64_t bound_us = (uint64_t)(routing ? set->version_ms : set->drain_ms) * CLK_US_PER_MS;
 
   return (read_policy_stream_t){ .patience_us = bound_us * percent / 100, .bound_us = bound_us };
 }
 
 static void
-update_reading (gst_t *store, uint32_t stream)
+update_reading (gateway_store_t *store, uint32_t stream)
 {
   read_policy_stream_t limits = policy_stream (store, stream);
   read_policy_view_t view = policy_view (store, stream);
@@ -197,7 +199,7 @@
 /* Once another stream has failed at the start, it waits until the routing rules can be read, so
  * that each attempt costs an unreachable store one call instead of three. */
 static void
-hold_until_routing_listed (gst_t *store, uint32_t stream, sfl_state_t state)
+hold_until_routing_listed (gateway_store_t *store, uint32_t stream, sfl_state_t state)
 {
   if (state == SFL_LOST && !sfl_has_listed (store->followers[stream]) &&
       !sfl_has_listed (store->followers[STREAM_ROUTING]))
@@ -205,7 +207,7 @@
 }
 
 static void
-begin_reading_all (gst_t *store)
+begin_reading_all (gateway_store_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     sfl_begin (store->followers[i]);
@@ -214,7 +216,7 @@
 static void
 on_routing_state (sfl_state_t state, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   if (state == SFL_LOST && !sfl_has_listed (store->followers[STREAM_ENGINES]))
     store->store_lost = true;
@@ -229,7 +231,7 @@
 static void
 on_engines_state (sfl_state_t state, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   store->store_lost = state == SFL_LOST;
   hold_until_routing_listed (store, STREAM_ENGINES, state);
@@ -245,7 +247,7 @@
 }
 
 static uint64_t
-stream_current_us (const gst_t *store, uint32_t stream)
+stream_current_us (const gateway_store_t *store, uint32_t stream)
 {
   read_policy_view_t view = policy_view (store, stream);
 
@@ -254,13 +256,13 @@
 
 /* Time up to which routing rules and engines are current; 0 for never. */
 static uint64_t
-current_as_of_us (const gst_t *store)
+current_as_of_us (const gateway_store_t *store)
 {
   return MIN (stream_current_us (store, STREAM_ROUTING), stream_current_us (store, STREAM_ENGINES));
 }
 
 static uint32_t
-store_age_ms (const gst_t *store)
+store_age_ms (const gateway_store_t *store)
 {
   uint64_t at_us = current_as_of_us (store);
   uint64_t age_ms = at_us ? (now_us (store) - at_us) / CLK_US_PER_MS : UINT32_MAX;
@@ -268,21 +270,21 @@
   return (uint32_t)MIN (age_ms, UINT32_MAX);
 }
 
-static gpr_known_t
+static gateway_peers_progress_t
 get_progress (void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
-  return (gpr_known_t){ .routing_next = sfl_next (store->followers[STREAM_ROUTING]),
-                        .engines_next = sfl_next (store->followers[STREAM_ENGINES]),
-                        .routers_next = sfl_next (store->followers[STREAM_ROUTERS]),
-                        .store_age_ms = store_age_ms (store) };
+  return (gateway_peers_progress_t){ .routing_next = sfl_next (store->followers[STREAM_ROUTING]),
+                                     .engines_next = sfl_next (store->followers[STREAM_ENGINES]),
+                                     .routers_next = sfl_next (store->followers[STREAM_ROUTERS]),
+                                     .store_age_ms = store_age_ms (store) };
 }
 
 static void
 on_peer_suspect (const suspect_mark_t *mark, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   store->options.on_suspect (mark, store->options.context);
 }
@@ -290,23 +292,24 @@
 static void
 on_peer_load (const load_report_t *item, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   store->options.on_load (item, store->options.context);
 }
 
 static void
-fill_streams (const gst_t *store, vsh_stream_t out[STREAM_COUNT])
+fill_streams (const gateway_store_t *store, vsh_stream_t out[STREAM_COUNT])
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    out[i] = (vsh_stream_t){ .name = stream_names[i],
-                             .view = store->views[i],
-                             .next = sfl_next (store->followers[i]),
-                             .most_bytes = i == STREAM_ROUTING ? GST_TOLD_BYTES : 0 };
+    out[i] =
+        (vsh_stream_t){ .name = stream_names[i],
+                        .view = store->views[i],
+                        .next = sfl_next (store->followers[i]),
+                        .most_bytes = i == STREAM_ROUTING ? GATEWAY_STORE_UPDATE_MAX_BYTES : 0 };
 }
 
 static void
-mark_too_large (gst_t *store, const vsh_answer_t *answer)
+mark_too_large (gateway_store_t *store, const vsh_answer_t *answer)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     if (vsh_is_large (answer, stream_names[i]))
@@ -317,7 +320,7 @@
 }
 
 static void
-apply_answer (gst_t *store, const vsh_answer_t *answer)
+apply_answer (gateway_store_t *store, const vsh_answer_t *answer)
 {
   vsh_stream_t streams[STREAM_COUNT];
 
@@ -334,7 +337,7 @@
 
 /* Return: why the answer was not applied, NULL when it was */
 static const char *
-apply_result (gst_t *store, const gft_end_t *result)
+apply_result (gateway_store_t *store, const gateway_fetch_result_t *result)
 {
   const char *reason = result->reason;
   vsh_answer_t answer;
@@ -351,7 +354,7 @@
 
 /* Streams that were not fetched are as far behind as before. */
 static void
-record_fetch_outcome (gst_t *store, bool applied)
+record_fetch_outcome (gateway_store_t *store, bool applied)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     {
@@ -365,7 +368,7 @@
 }
 
 static void
-log_fetch (const gst_t *store, const gft_end_t *result, const char *reason)
+log_fetch (const gateway_store_t *store, const gateway_fetch_result_t *result, const char *reason)
 {
   g_autofree char *peer = set_address_text (result->peer);
 
@@ -376,7 +379,7 @@
 }
 
 static bool
-has_listed_all (const gst_t *store)
+has_listed_all (const gateway_store_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     if (!sfl_has_listed (store->followers[i]))
@@ -387,7 +390,7 @@
 /* After a full copy this gateway is exactly as current as the peer was: its last contact with the
  * store is that of the peer. */
 static void
-record_full_copy (gst_t *store, uint32_t store_age_ms)
+record_full_copy (gateway_store_t *store, uint32_t store_age_ms)
 {
   uint64_t at_us = now_us (store);
   uint64_t age_us = (uint64_t)store_age_ms * CLK_US_PER_MS;
@@ -401,24 +404,24 @@
 }
 
 static void
-finish_start_fetch (gst_t *store, const gft_end_t *result, bool applied)
+finish_start_fetch (gateway_store_t *store, const gateway_fetch_result_t *result, bool applied)
 {
-  if (!gsa_is_starting (store->start))
+  if (!gateway_start_is_loading (store->start))
     return;
   if (applied && has_listed_all (store))
     {
       record_full_copy (store, result->store_age_ms);
-      gsa_answered (store->start);
+      gateway_start_fetch_applied (store->start);
     }
   else
-    gsa_refused (store->start, result->refusal, &result->referral);
-  gsa_turn (store->start);
+    gateway_start_fetch_failed (store->start, result->refusal, &result->referral);
+  gateway_start_advance (store->start);
 }
 
 static void
-on_fetched (const gft_end_t *result, void *context)
+on_fetched (const gateway_fetch_result_t *result, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
   const char *reason = apply_result (store, result);
 
   log_fetch (store, result, reason);
@@ -440,13 +443,13 @@
 static bool
 start_is_store_down (void *context)
 {
-  return ((const gst_t *)context)->store_lost;
+  return ((const gateway_store_t *)context)->store_lost;
 }
 
 static bool
 start_is_fetching (void *context)
 {
-  return gft_is_busy (((const gst_t *)context)->fetch);
+  return gateway_fetch_is_busy (((const gateway_store_t *)context)->fetch);
 }
 
 static void
@@ -458,28 +461,29 @@
 static bool
 start_pick_peer (set_address_t *control, void *context)
 {
-  return gpr_some (((gst_t *)context)->peers, control);
+  return gateway_peers_pick_control (((gateway_store_t *)context)->peers, control);
 }
 
 static void
 start_fetch_all (const set_address_t *control, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
   vsh_stream_t streams[STREAM_COUNT];
 
   fill_streams (store, streams);
   store->fetching_all = true;
-  gft_ask_all (store->fetch, control, streams, STREAM_COUNT);
+  gateway_fetch_all (store->fetch, control, streams, STREAM_COUNT);
 }
 
 static bool
-lacks_routing_or_engines (const gst_t *store)
+lacks_routing_or_engines (const gateway_store_t *store)
 {
-  return store->options.get_version (store->options.context) == 0 || !gst_has_engines (store);
+  return store->options.get_version (store->options.context) == 0 ||
+         !gateway_store_has_engines (store);
 }
 
 static bool
-should_fetch (const gst_t *store, uint32_t stream)
+should_fetch (const gateway_store_t *store, uint32_t stream)
 {
   read_policy_stream_t limits = policy_stream (store, stream);
   read_policy_view_t view = policy_view (store, stream);
@@ -489,7 +493,7 @@
 
 /* The gateway registry is short, so every fetch includes it. */
 static bool
-choose_fetched_streams (gst_t *store)
+choose_fetched_streams (gateway_store_t *store)
 {
   store->fetching[STREAM_ROUTING] = should_fetch (store, STREAM_ROUTING);
   store->fetching[STREAM_ENGINES] = should_fetch (store, STREAM_ENGINES);
@@ -499,26 +503,27 @@
 }
 
 static void
-fetch_if_due (gst_t *store)
+fetch_if_due (gateway_store_t *store)
 {
   vsh_stream_t streams[STREAM_COUNT];
 
-  if (gsa_is_starting (store->start) || gft_is_busy (store->fetch) ||
+  if (gateway_start_is_loading (store->start) || gateway_fetch_is_busy (store->fetch) ||
       now_us (store) < store->next_fetch_us || !choose_fetched_streams (store))
     return;
   fill_streams (store, streams);
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     if (!store->fetching[i])
       streams[i].next = UINT64_MAX; /* no record is newer, so none is sent */
-  store->next_fetch_us = now_us (store) + (uint64_t)GST_FETCH_PACE_MS * CLK_US_PER_MS;
-  gft_ask (store->fetch, &store->ahead_control, streams, STREAM_COUNT,
-           store->policies[STREAM_ROUTING].large || policy_view (store, STREAM_ROUTING).lost);
+  store->next_fetch_us = now_us (store) + (uint64_t)GATEWAY_STORE_FETCH_INTERVAL_MS * CLK_US_PER_MS;
+  gateway_fetch_newer (store->fetch, &store->ahead_control, streams, STREAM_COUNT,
+                       store->policies[STREAM_ROUTING].large ||
+                           policy_view (store, STREAM_ROUTING).lost);
 }
 
 static void
 on_put (plt_outcome_t outcome, uint64_t offset, void *context)
 {
-  gst_t *store = context;
+  gateway_store_t *store = context;
 
   store->entry_written = outcome == PLT_OK;
   log_event (LOG_LEVEL_NOTICE, "own_entry", "outcome", outcome == PLT_OK ? "written" : "not_known",
@@ -528,7 +533,7 @@
 /* Only the newest record of a key counts, so writing the entry again after a lost answer is
  * harmless. An entry that the registry already has is not written again. */
 static void
-write_own_entry (gst_t *store)
+write_own_entry (gateway_store_t *store)
 {
   g_autofree char *entry = NULL;
   const char *listed;
@@ -539,7 +544,7 @@
       !sfl_has_listed (store->followers[STREAM_ROUTERS]))
     return;
   store->entry_retry_us = now_us (store) + OWN_ENTRY_RETRY_US;
-  entry = gpr_entry (store->peers);
+  entry = gateway_peers_format_own_entry (store->peers);
   listed = kvw_get (store->views[STREAM_ROUTERS], store->options.set->name, &listed_bytes, &offset);
   if (listed && strcmp (listed, entry) == 0)
     store->entry_written = true;
@@ -552,7 +557,7 @@
 }
 
 static void
-update_streams (gst_t *store)
+update_streams (gateway_store_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     update_reading (store, i);
@@ -560,10 +565,12 @@
 }
 
 static void
-on_peer_progress (const gpr_known_t *theirs, const set_address_t *control, void *context)
+on_peer_progress (const gateway_peers_progress_t *theirs,
+                  const set_address_t *control,
+                  void *context)
 {
-  gst_t *store = context;
-  gpr_known_t ours = get_progress (store);
+  gateway_store_t *store = context;
+  gateway_peers_progress_t ours = get_progress (store);
   uint64_t at_us = now_us (store);
   uint64_t age_us = (uint64_t)theirs->store_age_ms * CLK_US_PER_MS;
   uint64_t store_us = age_us < at_us ? at_us - age_us : 0;
@@ -582,28 +589,28 @@
 }
 
 void
-gst_turn (gst_t *store)
+gateway_store_tick (gateway_store_t *store)
 {
   record_store_contact (store);
-  gsa_turn (store->start);
+  gateway_start_advance (store->start);
   update_streams (store);
   write_own_entry (store);
 }
 
 static uint32_t
-read_interval_ms (const gst_t *store, uint32_t stream)
+read_interval_ms (const gateway_store_t *store, uint32_t stream)
 {
   const set_t *set = store->options.set;
 
   if (stream == STREAM_ROUTING)
-    return set->version_ms * GST_ROUTING_PACE_PERCENT / 100;
+    return set->version_ms * GATEWAY_STORE_ROUTING_INTERVAL_PERCENT / 100;
   if (stream == STREAM_ENGINES)
-    return set->drain_ms * GST_ENGINES_PACE_PERCENT / 100;
-  return GST_ROUTERS_PACE_MS;
+    return set->drain_ms * GATEWAY_STORE_ENGINES_INTERVAL_PERCENT / 100;
+  return GATEWAY_STORE_ROUTERS_INTERVAL_MS;
 }
 
 static void
-follow_stream (gst_t *store,
+follow_stream (gateway_store_t *store,
                uint32_t stream,
                uint32_t wait_ms,
                kvw_changed_t changed,
@@ -628,15 +635,15 @@
 /* With a short renewal interval, entries expire in a short outage already; reads must wait less
  * than that, or such an outage would go unnoticed. */
 static uint32_t
-poll_wait_ms (const gst_t *store)
+poll_wait_ms (const gateway_store_t *store)
 {
-  return (uint32_t)MIN (GST_CLOSE_WAIT_MS, min_outage_us (store) / 2 / CLK_US_PER_MS);
+  return (uint32_t)MIN (GATEWAY_STORE_READ_WAIT_MS, min_outage_us (store) / 2 / CLK_US_PER_MS);
 }
 
-gst_t *
-gst_new (const gst_options_t *options, GError **error)
+gateway_store_t *
+gateway_store_new (const gateway_store_options_t *options, GError **error)
 {
-  gst_t *store = g_new0 (gst_t, 1);
+  gateway_store_t *store = g_new0 (gateway_store_t, 1);
 
   store->options = *options;
   store->fetch_count = cnt_get (options->counters, "medlarplank_views_from_peers_total",
@@ -644,125 +651,130 @@
   store->write_count =
       cnt_get_labelled (options->counters, "medlarplank_store_writes_total", "stream",
                         PLT_STREAM_ROUTERS, "Records written into the store");
-  store->fetch = gft_new (&(gft_options_t){ .base = options->base,
-                                            .clk = options->clk,
-                                            .fleet_key = options->set->fleet_key,
-                                            .control_address = &options->set->control_listen,
-                                            .on_finished = on_fetched,
-                                            .context = store });
-  store->start = gsa_new (&(gsa_options_t){ .clk = options->clk,
-                                            .set = options->set,
-                                            .seed = options->incarnation,
-                                            .has_all_streams = start_has_all_streams,
-                                            .is_store_down = start_is_store_down,
-                                            .is_fetching = start_is_fetching,
-                                            .read_store = start_read_store,
-                                            .pick_peer = start_pick_peer,
-                                            .fetch_all = start_fetch_all,
-                                            .context = store });
+  store->fetch = gateway_fetch_new (
+      &(gateway_fetch_options_t){ .base = options->base,
+                                  .clk = options->clk,
+                                  .fleet_key = options->set->fleet_key,
+                                  .control_address = &options->set->control_listen,
+                                  .on_finished = on_fetched,
+                                  .context = store });
+  store->start =
+      gateway_start_new (&(gateway_start_options_t){ .clk = options->clk,
+                                                     .set = options->set,
+                                                     .seed = options->incarnation,
+                                                     .has_all_streams = start_has_all_streams,
+                                                     .is_store_down = start_is_store_down,
+                                                     .is_fetching = start_is_fetching,
+                                                     .read_store = start_read_store,
+                                                     .pick_peer = start_pick_peer,
+                                                     .fetch_all = start_fetch_all,
+                                                     .context = store });
   follow_stream (store, STREAM_ROUTING, poll_wait_ms (store), on_routing, on_routing_state);
   follow_stream (store, STREAM_ENGINES, poll_wait_ms (store), on_engine, on_engines_state);
-  follow_stream (store, STREAM_ROUTERS, GST_ROUTERS_WAIT_MS, on_router, on_routers_state);
-  store->peers = gpr_new (&(gpr_options_t){ .base = options->base,
-                                            .clk = options->clk,
-                                            .counters = options->counters,
-                                            .set = options->set,
-                                            .incarnation = options->incarnation,
-                                            .get_progress = get_progress,
-                                            .on_progress = on_peer_progress,
-                                            .on_suspect = on_peer_suspect,
-                                            .on_load = on_peer_load,
-                                            .context = store },
-                          error);
+  follow_stream (store, STREAM_ROUTERS, GATEWAY_STORE_ROUTERS_READ_WAIT_MS, on_router,
+                 on_routers_state);
+  store->peers = gateway_peers_new (&(gateway_peers_options_t){ .base = options->base,
+                                                                .clk = options->clk,
+                                                                .counters = options->counters,
+                                                                .set = options->set,
+                                                                .incarnation = options->incarnation,
+                                                                .get_progress = get_progress,
+                                                                .on_progress = on_peer_progress,
+                                                                .on_suspect = on_peer_suspect,
+                                                                .on_load = on_peer_load,
+                                                                .context = store },
+                                    error);
   if (!store->peers)
     {
-      gst_free (store);
+      gateway_store_free (store);
       return NULL;
     }
-  gsa_turn (store->start);
+  gateway_start_advance (store->start);
   return store;
 }
 
 void
-gst_free (gst_t *store)
+gateway_store_free (gateway_store_t *store)
 {
   store->options.plt->free (store->options.plt);
-  gft_free (store->fetch);
+  gateway_fetch_free (store->fetch);
   if (store->peers)
-    gpr_free (store->peers);
+    gateway_peers_free (store->peers);
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     {
       sfl_free (store->followers[i]);
       kvw_free (store->views[i]);
     }
-  gsa_free (store->start);
+  gateway_start_free (store->start);
   g_free (store);
 }
 
 bool
-gst_has_routing (const gst_t *store)
+gateway_store_has_routing (const gateway_store_t *store)
 {
   return sfl_has_listed (store->followers[STREAM_ROUTING]);
 }
 
 uint32_t
-gst_known_routers (const gst_t *store)
+gateway_store_count_registered (const gateway_store_t *store)
 {
-  return gpr_sharers (store->peers, sfl_has_listed (store->followers[STREAM_ROUTERS]));
+  return gateway_peers_count_registered (store->peers,
+                                         sfl_has_listed (store->followers[STREAM_ROUTERS]));
 }
 
 bool
-gst_has_engines (const gst_t *store)
+gateway_store_has_engines (const gateway_store_t *store)
 {
   return sfl_has_listed (store->followers[STREAM_ENGINES]);
 }
 
 bool
-gst_is_certain (const gst_t *store)
+gateway_store_is_current (const gateway_store_t *store)
 {
   uint64_t at_us = current_as_of_us (store);
 
-  return at_us != 0 && now_us (store) - at_us < (uint64_t)GST_CERTAIN_MS * CLK_US_PER_MS;
+  return at_us != 0 && now_us (store) - at_us < (uint64_t)GATEWAY_STORE_CURRENT_MS * CLK_US_PER_MS;
 }
 
 uint32_t
-gst_routers (const gst_t *store)
+gateway_store_count_running (const gateway_store_t *store)
 {
-  return gpr_count (store->peers);
+  return gateway_peers_count_running (store->peers);
 }
 
 void
-gst_tell_news (gst_t *store)
+gateway_store_send_news (gateway_store_t *store)
 {
-  gpr_tell_news (store->peers);
+  gateway_peers_send_news (store->peers);
 }
 
 void
-gst_add_suspect (gst_t *store, const suspect_mark_t *mark)
+gateway_store_add_suspect (gateway_store_t *store, const suspect_mark_t *mark)
 {
-  gpr_add_suspect (store->peers, mark);
+  gateway_peers_add_suspect (store->peers, mark);
 }
 
 void
-gst_add_load (gst_t *store, const load_report_t *item)
+gateway_store_add_load (gateway_store_t *store, const load_report_t *item)
 {
-  gpr_add_load (store->peers, item);
+  gateway_peers_add_load (store->peers, item);
 }
 
 bool
-gst_answer (gst_t *store, hsv_call_t *call, bool settled)
+gateway_store_handle_request (gateway_store_t *store, hsv_call_t *call, bool settled)
 {
   vsh_stream_t streams[STREAM_COUNT];
   size_t bytes = 0;
-  gft_state_t state = { .settled = settled,
-                        .complete = has_listed_all (store) && !lacks_routing_or_engines (store) &&
-                                    sfl_next (store->followers[STREAM_ROUTERS]) > 0,
-                        .store_age_ms = store_age_ms (store) };
+  gateway_fetch_responder_t state = { .settled = settled,
+                                      .complete = has_listed_all (store) &&
+                                                  !lacks_routing_or_engines (store) &&
+                                                  sfl_next (store->followers[STREAM_ROUTERS]) > 0,
+                                      .store_age_ms = store_age_ms (store) };
 
-  gpr_some (store->peers, &state.referral);
+  gateway_peers_pick_control (store->peers, &state.referral);
   fill_streams (store, streams);
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     bytes += kvw_bytes_since (streams[i].view, 0);
-  state.too_large = bytes > GST_TOLD_ALL_BYTES;
-  return gft_answer (store->fetch, call, streams, STREAM_COUNT, &state);
+  state.too_large = bytes > GATEWAY_STORE_FULL_COPY_MAX_BYTES;
+  return gateway_fetch_handle_request (store->fetch, call, streams, STREAM_COUNT, &state);
 }
--- a/src/process/gateway_store.h
+++ b/src/process/gateway_store.h
@@ -24,37 +24,37 @@
  * the other gateways conclude that there is nothing new. Reads of the gateway registry are no such
  * sign, so they wait almost as long as the store allows.
  */
-#define GST_CLOSE_WAIT_MS 1000
-#define GST_ROUTERS_WAIT_MS 25000
+#define GATEWAY_STORE_READ_WAIT_MS 1000
+#define GATEWAY_STORE_ROUTERS_READ_WAIT_MS 25000
 /* Minimum interval between two reads of the gateway registry that bring records. Every gateway that
  * starts writes into it, and no gateway needs these records urgently. */
-#define GST_ROUTERS_PACE_MS 1000
+#define GATEWAY_STORE_ROUTERS_INTERVAL_MS 1000
 /*
  * Minimum interval between two reads that bring records, as a share of the time within which a
  * version (version-ms) or an engine entry (drain-ms) must take effect. Records that arrive in
  * between are read together. A version of 1,100 routes takes 0.1 s on a tenth of a core and 0.3 s
  * on a link of 10 Mbit/s; the rest of the time is left for a slow store.
  */
-#define GST_ROUTING_PACE_PERCENT 30
-#define GST_ENGINES_PACE_PERCENT 30
+#define GATEWAY_STORE_ROUTING_INTERVAL_PERCENT 30
+#define GATEWAY_STORE_ENGINES_INTERVAL_PERCENT 30
 /* The copy counts as current while the store, or a peer that had contact with it, was heard within
  * this time: longer than a follower's read wait plus two messages between peers. */
-#define GST_CERTAIN_MS 2500
+#define GATEWAY_STORE_CURRENT_MS 2500
 /* Followers read news from the store, the other gateways get it from peers. When news has not come
  * the usual way within this share of its time limit, the other way is tried too. */
-#define GST_ROUTING_BEHIND_PERCENT 30 /* of the time in which a version must be in force */
-#define GST_ENGINES_BEHIND_PERCENT 40 /* of the drain time */
+#define GATEWAY_STORE_ROUTING_LAG_PERCENT 30 /* of the time in which a version must be in force */
+#define GATEWAY_STORE_ENGINES_LAG_PERCENT 40 /* of the drain time */
 /* Larger routing updates are sent only to peers that cannot read the store. The others read them
  * there: the store has the bandwidth, while sending this much to three peers takes a link of
  * 20 Mbit/s 0.15 s. */
-#define GST_TOLD_BYTES (128 * 1024)
+#define GATEWAY_STORE_UPDATE_MAX_BYTES (128 * 1024)
 /* Limit of a full copy for a starting gateway. It is higher, since a registry of hundreds of
  * engines exceeds the limit above and only a few starting gateways are served at a time. */
-#define GST_TOLD_ALL_BYTES (384 * 1024)
-#define GST_FETCH_PACE_MS 300 /* minimum interval between two fetches from peers */
+#define GATEWAY_STORE_FULL_COPY_MAX_BYTES (384 * 1024)
+#define GATEWAY_STORE_FETCH_INTERVAL_MS 300 /* minimum interval between two fetches from peers */
 
 /**
- * struct gst_options - options of gst_new()
+ * struct gateway_store_options - options of gateway_store_new()
  * @plt: client of the store; owned by the new object
  * @incarnation: start time of this process, in milliseconds since 1970
  * @get_version: returns the version of the routing rules in force, 0 for none
@@ -89,37 +89,39 @@
   void (*on_suspect) (const suspect_mark_t *mark, void *context);
   void (*on_load) (const load_report_t *item, void *context);
   void *context;
-} gst_options_t;
+} gateway_store_options_t;
 
-typedef struct gst gst_t;
+typedef struct gateway_store gateway_store_t;
 
-/** gst_new() - opens the exchange with peers and starts loading. Return: NULL with @error when the
- * exchange cannot be opened; @plt is freed then too */
-gst_t *gst_new (const gst_options_t *options, GError **error);
-void gst_free (gst_t *store);
-/** gst_turn() - periodic work; to be called about every 100 ms */
-void gst_turn (gst_t *store);
-/** gst_has_routing() - whether the stream of routing rules has been loaded completely, from the
+/** gateway_store_new() - opens the exchange with peers and starts loading. Return: NULL with @error
+ * when the exchange cannot be opened; @plt is freed then too */
+gateway_store_t *gateway_store_new (const gateway_store_options_t *options, GError **error);
+void gateway_store_free (gateway_store_t *store);
+/** gateway_store_tick() - periodic work; to be called about every 100 ms */
+void gateway_store_tick (gateway_store_t *store);
+/** gateway_store_has_routing() - whether the stream of routing rules has been loaded completely,
+ * from the store or from a peer */
+bool gateway_store_has_routing (const gateway_store_t *store);
+/** gateway_store_has_engines() - whether the engine registry has been loaded completely, from the
  * store or from a peer */
-bool gst_has_routing (const gst_t *store);
-/** gst_has_engines() - whether the engine registry has been loaded completely, from the store or
- * from a peer */
-bool gst_has_engines (const gst_t *store);
-/** gst_is_certain() - whether routing rules and engines are current to within %GST_CERTAIN_MS */
-bool gst_is_certain (const gst_t *store);
-/** gst_routers() - number of gateways that may be running, including this one */
-uint32_t gst_routers (const gst_t *store);
-/** gst_known_routers() - number of gateways in the gateway registry, running or not, including this
- * one; 0 until the registry has been read */
-uint32_t gst_known_routers (const gst_t *store);
-/** gst_tell_news() - sends some peers a message at once, since new records were read */
-void gst_tell_news (gst_t *store);
-/** gst_add_suspect() - reports a request that crashes its engines to peers */
-void gst_add_suspect (gst_t *store, const suspect_mark_t *mark);
-/** gst_add_load() - reports a high load of an engine to peers */
-void gst_add_load (gst_t *store, const load_report_t *item);
-/** gst_answer() - answers a peer that fetches records. @settled: whether no removed engine entry
- * may still be restored. Return: false, without an answer, when the request has another path */
-bool gst_answer (gst_t *store, hsv_call_t *call, bool settled);
+bool gateway_store_has_engines (const gateway_store_t *store);
+/** gateway_store_is_current() - whether routing rules and engines are current to within
+ * %GATEWAY_STORE_CURRENT_MS */
+bool gateway_store_is_current (const gateway_store_t *store);
+/** gateway_store_count_running() - number of gateways that may be running, including this one */
+uint32_t gateway_store_count_running (const gateway_store_t *store);
+/** gateway_store_count_registered() - number of gateways in the gateway registry, running or not,
+ * including this one; 0 until the registry has been read */
+uint32_t gateway_store_count_registered (const gateway_store_t *store);
+/** gateway_store_send_news() - sends some peers a message at once, since new records were read */
+void gateway_store_send_news (gateway_store_t *store);
+/** gateway_store_add_suspect() - reports a request that crashes its engines to peers */
+void gateway_store_add_suspect (gateway_store_t *store, const suspect_mark_t *mark);
+/** gateway_store_add_load() - reports a high load of an engine to peers */
+void gateway_store_add_load (gateway_store_t *store, const load_report_t *item);
+/** gateway_store_handle_request() - answers a peer that fetches records. @settled: whether no
+ * removed engine entry may still be restored. Return: false, without an answer, when the request
+ * has another path */
+bool gateway_store_handle_request (gateway_store_t *store, hsv_call_t *call, bool settled);
 
 #endif
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -291,7 +291,7 @@
   cnt_set_t *counters;
   struct event_base *base;
   lfl_t *flusher;
-  gwp_t *process;
+  gateway_process_t *process;
   uint64_t incarnation;
   struct event *signals[GATEWAY_SIGNALS];
 } gateway_t;
@@ -303,7 +303,7 @@
 
   (void)events;
   log_event (LOG_LEVEL_NOTICE, "stop_signal", "signal", LOG_U64 ((uint64_t)number), NULL);
-  gwp_stop (gateway->process);
+  gateway_process_stop (gateway->process);
 }
 
 /* A gateway gets its settings as command-line flags, so there is nothing to reload; without this
@@ -371,15 +371,16 @@
   gateway.base = new_event_base ();
   watch_gateway_signals (&gateway);
   gateway.flusher = lfl_new (gateway.base);
-  gateway.process = gwp_new (
-      &(gwp_options_t){ .base = gateway.base,
-                        .clk = &gateway.clk,
-                        .counters = gateway.counters,
-                        .set = set,
-                        .plt = pst_new (gateway.base, &set->platform),
-                        .format = prf_format (),
-                        .readers = { .routing = prc_read_routing, .engine = prc_read_engine },
-                        .incarnation = gateway.incarnation },
+  gateway.process = gateway_process_new (
+      &(gateway_process_options_t){
+          .base = gateway.base,
+          .clk = &gateway.clk,
+          .counters = gateway.counters,
+          .set = set,
+          .plt = pst_new (gateway.base, &set->platform),
+          .format = prf_format (),
+          .readers = { .routing = prc_read_routing, .engine = prc_read_engine },
+          .incarnation = gateway.incarnation },
       &error);
   if (!gateway.process)
     {
@@ -390,7 +391,7 @@
     }
   run_gateway_loop (&gateway);
   ended_as_told = event_base_got_exit (gateway.base);
-  gwp_free (gateway.process);
+  gateway_process_free (gateway.process);
   close_gateway (&gateway);
   return ended_as_told ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/src/process/rumour.c
+++ b/src/process/rumour.c
@@ -5,13 +5,13 @@
 #include <glib.h>
 #include <string.h>
 
-static rmr_word_t *
-find_report_slot (rmr_t *gossip, uint64_t host_hash)
+static gossip_report_t *
+find_report_slot (gossip_t *gossip, uint64_t host_hash)
 {
-  rmr_word_t *most_sent = &gossip->reports[0];
-  for (uint32_t i = 0; i < RMR_SLOTS; i++)
+  gossip_report_t *most_sent = &gossip->reports[0];
+  for (uint32_t i = 0; i < GOSSIP_SLOTS; i++)
     {
-      rmr_word_t *slot = &gossip->reports[i];
+      gossip_report_t *slot = &gossip->reports[i];
       if (slot->report.host_hash == host_hash)
         return slot;
       if (slot->sends_left < most_sent->sends_left)
@@ -20,13 +20,13 @@
   return most_sent;
 }
 
-static rmr_mark_t *
-find_mark_slot (rmr_t *gossip, uint64_t fingerprint)
+static gossip_mark_t *
+find_mark_slot (gossip_t *gossip, uint64_t fingerprint)
 {
-  rmr_mark_t *most_sent = &gossip->marks[0];
-  for (uint32_t i = 0; i < RMR_SLOTS; i++)
+  gossip_mark_t *most_sent = &gossip->marks[0];
+  for (uint32_t i = 0; i < GOSSIP_SLOTS; i++)
     {
-      rmr_mark_t *slot = &gossip->marks[i];
+      gossip_mark_t *slot = &gossip->marks[i];
       if (slot->mark.fingerprint == fingerprint)
         return slot;
       if (slot->sends_left < most_sent->sends_left)
@@ -67,13 +67,13 @@
   return added;
 }
 
-static rmr_word_t *
-least_sent_report (rmr_t *gossip, const bool *taken)
+static gossip_report_t *
+least_sent_report (gossip_t *gossip, const bool *taken)
 {
-  rmr_word_t *best = NULL;
-  for (uint32_t i = 0; i < RMR_SLOTS; i++)
+  gossip_report_t *best = NULL;
+  for (uint32_t i = 0; i < GOSSIP_SLOTS; i++)
     {
-      rmr_word_t *slot = &gossip->reports[i];
+      gossip_report_t *slot = &gossip->reports[i];
       if (taken[i] || slot->sends_left == 0)
         continue;
       if (best == NULL || slot->sends_left > best->sends_left)
@@ -82,14 +82,14 @@
   return best;
 }
 
-static rmr_mark_t *
-least_sent_mark (rmr_t *gossip, uint64_t now_us, const bool *taken)
+static gossip_mark_t *
+least_sent_mark (gossip_t *gossip, uint64_t now_us, const bool *taken)
 {
-  rmr_mark_t *best = NULL;
-  for (uint32_t i = 0; i < RMR_SLOTS; i++)
+  gossip_mark_t *best = NULL;
+  for (uint32_t i = 0; i < GOSSIP_SLOTS; i++)
     {
-      rmr_mark_t *slot = &gossip->marks[i];
-      if (taken[i] || slot->sends_left == 0 || now_us - slot->created_us > RMR_MARK_AGE_US)
+      gossip_mark_t *slot = &gossip->marks[i];
+      if (taken[i] || slot->sends_left == 0 || now_us - slot->created_us > GOSSIP_MARK_MAX_AGE_US)
         continue;
       if (best == NULL || slot->sends_left > best->sends_left)
         best = slot;
@@ -98,22 +98,22 @@
 }
 
 void
-rmr_init (rmr_t *gossip)
+gossip_init (gossip_t *gossip)
 {
   memset (gossip, 0, sizeof *gossip);
 }
 
 void
-rmr_add_word (rmr_t *gossip, const membership_report_t *report)
+gossip_add_report (gossip_t *gossip, const membership_report_t *report)
 {
-  rmr_word_t *slot = find_report_slot (gossip, report->host_hash);
+  gossip_report_t *slot = find_report_slot (gossip, report->host_hash);
   slot->report = *report;
-  slot->sends_left = RMR_SENDS;
+  slot->sends_left = GOSSIP_SENDS;
 }
 
 /* Return: whether @mark is new; it is not when the request was cleared later than it */
 static bool
-update_mark (rmr_mark_t *slot, const suspect_mark_t *mark, uint64_t created_us)
+update_mark (gossip_mark_t *slot, const suspect_mark_t *mark, uint64_t created_us)
 {
   bool known = slot->mark.fingerprint == mark->fingerprint;
   bool cleared = known && suspect_mark_is_cleared (&slot->mark);
@@ -134,28 +134,28 @@
 }
 
 bool
-rmr_add_mark (rmr_t *gossip, uint64_t now_us, const suspect_mark_t *mark)
+gossip_add_mark (gossip_t *gossip, uint64_t now_us, const suspect_mark_t *mark)
 {
   uint64_t age_us = (uint64_t)mark->age_ms * CLK_US_PER_MS;
-  if (age_us > RMR_MARK_AGE_US)
+  if (age_us > GOSSIP_MARK_MAX_AGE_US)
     return false;
-  rmr_mark_t *slot = find_mark_slot (gossip, mark->fingerprint);
+  gossip_mark_t *slot = find_mark_slot (gossip, mark->fingerprint);
   uint64_t created_us = now_us - MIN (age_us, now_us);
   if (!update_mark (slot, mark, created_us))
     return false;
   slot->created_us = created_us;
-  slot->sends_left = RMR_SENDS;
+  slot->sends_left = GOSSIP_SENDS;
   return true;
 }
 
 uint32_t
-rmr_take_words (rmr_t *gossip, membership_report_t *out, uint32_t want)
+gossip_take_reports (gossip_t *gossip, membership_report_t *out, uint32_t want)
 {
-  bool taken[RMR_SLOTS] = { false };
+  bool taken[GOSSIP_SLOTS] = { false };
   uint32_t count = 0;
   while (count < want)
     {
-      rmr_word_t *slot = least_sent_report (gossip, taken);
+      gossip_report_t *slot = least_sent_report (gossip, taken);
       if (slot == NULL)
         break;
       taken[slot - gossip->reports] = true;
@@ -166,13 +166,13 @@
 }
 
 uint32_t
-rmr_take_marks (rmr_t *gossip, uint64_t now_us, suspect_mark_t *out, uint32_t want)
+gossip_take_marks (gossip_t *gossip, uint64_t now_us, suspect_mark_t *out, uint32_t want)
 {
-  bool taken[RMR_SLOTS] = { false };
+  bool taken[GOSSIP_SLOTS] = { false };
   uint32_t count = 0;
   while (count < want)
     {
-      rmr_mark_t *slot = least_sent_mark (gossip, now_us, taken);
+      gossip_mark_t *slot = least_sent_mark (gossip, now_us, taken);
       if (slot == NULL)
         break;
       taken[slot - gossip->marks] = true;
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -81,12 +81,12 @@
 }
 
 void
-rig_publish_version (fkp_t *platform, uint64_t base)
+rig_publish_version (fake_platform_t *platform, uint64_t base)
 {
   char id[16];
   g_snprintf (id, sizeof id, "id-%u", (unsigned)base);
   char *record = publish (id, base, (int)base + 1);
-  fkp_put (platform, REP_STREAM, record);
+  fake_platform_append (platform, REP_STREAM, record);
   g_free (record);
 }
 
@@ -104,7 +104,7 @@
 {
   memset (rig, 0, sizeof *rig);
   rig->base = base;
-  fkp_init (&rig->platform);
+  fake_platform_init (&rig->platform);
   set_t *set = &rig->dmn.set;
   set->role = SET_ROLE_SIDECAR;
   g_strlcpy (set->name, name, sizeof set->name);
@@ -140,7 +140,7 @@
   mbx_free (rig->dmn.to_data);
   mbx_free (rig->dmn.to_control);
   cnt_set_free (rig->dmn.counters);
-  fkp_clear (&rig->platform);
+  fake_platform_clear (&rig->platform);
 }
 
 void
@@ -148,7 +148,7 @@
 {
   for (uint32_t i = 0; i < 20; i++)
     {
-      uint32_t answered = fkp_answer (&rig->platform);
+      uint32_t answered = fake_platform_answer_calls (&rig->platform);
       event_base_loop (rig->base, EVLOOP_NONBLOCK);
       if (answered == 0)
         break;
@@ -172,11 +172,13 @@
 }
 
 void
-rig_add_hosts (fkp_t *platform)
+rig_add_hosts (fake_platform_t *platform)
 {
-  fkp_host (platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LIVE);
-  fkp_host (platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEMBERSHIP_LIVE);
-  fkp_host (platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEMBERSHIP_LIVE);
+  fake_platform_set_host (platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LIVE);
+  fake_platform_set_host (platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1,
+                          MEMBERSHIP_LIVE);
+  fake_platform_set_host (platform, "third", false, rig_loopback_ip (), RIG_PORT + 2,
+                          MEMBERSHIP_LIVE);
 }
 
 void
--- a/tests/control_rig.h
+++ b/tests/control_rig.h
@@ -50,7 +50,7 @@
 {
   struct event_base *base;
   dmn_t dmn;
-  fkp_t platform;
+  fake_platform_t platform;
   control_t *ctrl;
   rig_received_t received;
   bool owns_base;
@@ -78,9 +78,9 @@
 void rig_clear (rig_t *rig);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (rig_t, rig_clear)
 /** rig_add_hosts() - list "own", "peer" and "third" as live */
-void rig_add_hosts (fkp_t *platform);
+void rig_add_hosts (fake_platform_t *platform);
 /** rig_publish_version() - publish the version that follows @base */
-void rig_publish_version (fkp_t *platform, uint64_t base);
+void rig_publish_version (fake_platform_t *platform, uint64_t base);
 /** rig_run_pending() - answer platform calls and deliver messages without advancing the clock */
 void rig_run_pending (rig_t *rig);
 /** rig_tick() - advance the clock by one tick and run what is due */
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -33,7 +33,7 @@
 }
 
 static GPtrArray *
-get_stream (const fkp_t *fake, const char *name)
+get_stream (const fake_platform_t *fake, const char *name)
 {
   GPtrArray *records = g_hash_table_lookup (fake->streams, name);
   if (records == NULL)
@@ -52,7 +52,7 @@
              plt_appended_t done,
              void *context)
 {
-  fkp_t *fake = (fkp_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)plt;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_APPEND;
   call->stream = g_strdup (stream);
@@ -72,7 +72,7 @@
            plt_read_done_t done,
            void *context)
 {
-  fkp_t *fake = (fkp_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)plt;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_READ;
   call->stream = g_strdup (stream);
@@ -88,7 +88,7 @@
 static void
 fake_hosts (plt_t *plt, uint64_t revision, plt_hosts_done_t done, void *context)
 {
-  fkp_t *fake = (fkp_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)plt;
   (void)revision;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_HOSTS;
@@ -101,13 +101,13 @@
 static void
 fake_free (plt_t *plt)
 {
-  fkp_t *fake = (fkp_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)plt;
   g_queue_clear_full (&fake->calls, call_free);
   fake->freed = true;
 }
 
 static void
-answer_append (fkp_t *fake, const call_t *call)
+answer_append (fake_platform_t *fake, const call_t *call)
 {
   if (fake->append_down)
     {
@@ -126,7 +126,7 @@
 }
 
 static void
-answer_read (const fkp_t *fake, const call_t *call)
+answer_read (const fake_platform_t *fake, const call_t *call)
 {
   plt_read_t read = { .outcome = PLT_UNKNOWN };
   if (fake->read_down)
@@ -155,7 +155,7 @@
 }
 
 static void
-answer_hosts (const fkp_t *fake, const call_t *call)
+answer_hosts (const fake_platform_t *fake, const call_t *call)
 {
   plt_hosts_t hosts = { .outcome = PLT_UNKNOWN };
   if (!fake->list_down)
@@ -170,7 +170,7 @@
 }
 
 static void
-answer_call (fkp_t *fake, const call_t *call)
+answer_call (fake_platform_t *fake, const call_t *call)
 {
   switch (call->kind)
     {
@@ -187,7 +187,7 @@
 }
 
 static bool
-must_wait (const fkp_t *fake, const call_t *call)
+must_wait (const fake_platform_t *fake, const call_t *call)
 {
   if (call->kind == CALL_READ && fake->read_stuck)
     return true;
@@ -197,7 +197,7 @@
 }
 
 void
-fkp_init (fkp_t *fake)
+fake_platform_init (fake_platform_t *fake)
 {
   memset (fake, 0, sizeof *fake);
   fake->plt.append = fake_append;
@@ -210,37 +210,37 @@
 }
 
 void
-fkp_clear (fkp_t *fake)
+fake_platform_clear (fake_platform_t *fake)
 {
   g_queue_clear_full (&fake->calls, call_free);
   g_hash_table_destroy (fake->streams);
 }
 
 void
-fkp_put (fkp_t *fake, const char *stream, const char *record)
+fake_platform_append (fake_platform_t *fake, const char *stream, const char *record)
 {
   g_ptr_array_add (get_stream (fake, stream), g_strdup (record));
 }
 
 uint32_t
-fkp_length (const fkp_t *fake, const char *stream)
+fake_platform_record_count (const fake_platform_t *fake, const char *stream)
 {
   return get_stream (fake, stream)->len;
 }
 
 const char *
-fkp_record (const fkp_t *fake, const char *stream, uint32_t offset)
+fake_platform_record (const fake_platform_t *fake, const char *stream, uint32_t offset)
 {
   return g_ptr_array_index (get_stream (fake, stream), offset);
 }
 
 void
-fkp_host (fkp_t *fake,
-          const char *name,
-          bool router,
-          const char *ip,
-          uint16_t port,
-          membership_state_t state)
+fake_platform_set_host (fake_platform_t *fake,
+                        const char *name,
+                        bool router,
+                        const char *ip,
+                        uint16_t port,
+                        membership_state_t state)
 {
   uint32_t i = 0;
   while (i < fake->host_count && strcmp (fake->hosts[i].name, name) != 0)
@@ -260,7 +260,7 @@
 }
 
 uint32_t
-fkp_answer (fkp_t *fake)
+fake_platform_answer_calls (fake_platform_t *fake)
 {
   uint32_t count = 0;
   for (guint left = fake->calls.length; left > 0; left--)
--- a/tests/fake_platform.h
+++ b/tests/fake_platform.h
@@ -2,17 +2,18 @@
  * DOC: fake_platform
  *
  * An in-memory platform that implements the callbacks of connection/platform.h, for tests of its
- * clients. Calls are answered only by fkp_answer(), and can be made to fail or to lose the answer.
+ * clients. Calls are answered only by fake_platform_answer_calls(), and can be made to fail or to
+ * lose the answer.
  */
 #ifndef TESTS_FAKE_PLATFORM_H
 #define TESTS_FAKE_PLATFORM_H
 
 #include "connection/platform.h"
 
-#define FKP_HOSTS 2048
+#define FAKE_PLATFORM_HOSTS_MAX 2048
 
 /**
- * struct fkp - the fake platform
+ * struct fake_platform - the fake platform
  * @plt: the callbacks; must be the first field
  * @read_down: reads of streams fail
  * @read_stuck: reads of streams get no answer
@@ -44,33 +45,35 @@
   GHashTable *streams; /* stream name -> GPtrArray of char *, indexed by offset */
   uint64_t first_offset;
   GQueue calls;
-  membership_list_entry_t hosts[FKP_HOSTS];
+  membership_list_entry_t hosts[FAKE_PLATFORM_HOSTS_MAX];
   uint32_t host_count;
   uint64_t revision;
   uint32_t reads;
   uint32_t lists;
   uint32_t appends;
   bool freed;
-} fkp_t;
+} fake_platform_t;
 
-void fkp_init (fkp_t *platform);
-void fkp_clear (fkp_t *platform);
-/** fkp_put() - appends a record, as if another client had done so */
-void fkp_put (fkp_t *platform, const char *stream, const char *record);
-/** fkp_length() - number of records of the stream */
-uint32_t fkp_length (const fkp_t *platform, const char *stream);
-/** fkp_record() - the record at @offset, which must exist */
-const char *fkp_record (const fkp_t *platform, const char *stream, uint32_t offset);
-/** fkp_host() - adds a host to the list, or replaces its state and its addresses, which are all
+void fake_platform_init (fake_platform_t *platform);
+void fake_platform_clear (fake_platform_t *platform);
+/** fake_platform_append() - appends a record, as if another client had done so */
+void fake_platform_append (fake_platform_t *platform, const char *stream, const char *record);
+/** fake_platform_record_count() - number of records of the stream */
+uint32_t fake_platform_record_count (const fake_platform_t *platform, const char *stream);
+/** fake_platform_record() - the record at @offset, which must exist */
+const char *
+fake_platform_record (const fake_platform_t *platform, const char *stream, uint32_t offset);
+/** fake_platform_set_host() - adds a host to the list, or replaces its state and its addresses,
+ * which are all
  * @ip and @port */
-void fkp_host (fkp_t *platform,
-               const char *name,
-               bool router,
-               const char *ip,
-               uint16_t port,
-               membership_state_t state);
-/** fkp_answer() - answers the calls so far, except reads that still wait for a record. Return: how
- * many calls were answered */
-uint32_t fkp_answer (fkp_t *platform);
+void fake_platform_set_host (fake_platform_t *platform,
+                             const char *name,
+                             bool router,
+                             const char *ip,
+                             uint16_t port,
+                             membership_state_t state);
+/** fake_platform_answer_calls() - answers the calls so far, except reads that still wait for a
+ * record. Return: how many calls were answered */
+uint32_t fake_platform_answer_calls (fake_platform_t *platform);
 
 #endif
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -8,7 +8,7 @@
   char *value;
 } record_t;
 
-struct fks
+struct fake_store
 {
   struct event_base *base;
   GHashTable *streams; /* stream name -> GPtrArray of record_t, indexed by offset */
@@ -24,7 +24,7 @@
 
 typedef struct
 {
-  fks_front_t *client;
+  fake_store_client_t *client;
   call_kind_t kind;
   char *stream;
   char *key;
@@ -49,7 +49,7 @@
 }
 
 static GPtrArray *
-get_stream (const fks_t *store, const char *name)
+get_stream (const fake_store_t *store, const char *name)
 {
   GPtrArray *stream = g_hash_table_lookup (store->streams, name);
 
@@ -133,14 +133,14 @@
 static void
 answer_put (call_t *call)
 {
-  fks_front_t *client = call->client;
+  fake_store_client_t *client = call->client;
 
   if (client->down)
     {
       call->put (PLT_UNKNOWN, 0, call->context);
       return;
     }
-  fks_put (client->store, call->stream, call->key, call->value);
+  fake_store_put (client->store, call->stream, call->key, call->value);
   call->put (PLT_OK, get_stream (client->store, call->stream)->len - 1, call->context);
 }
 
@@ -163,7 +163,7 @@
 static call_t *
 call_new (plt_t *plt, call_kind_t kind, const char *stream, uint32_t wait_ms, void *context)
 {
-  fks_front_t *client = (fks_front_t *)plt;
+  fake_store_client_t *client = (fake_store_client_t *)plt;
   struct timeval wait = { wait_ms / 1000, wait_ms % 1000 * 1000 };
   call_t *call = g_new0 (call_t, 1);
 
@@ -187,7 +187,7 @@
              plt_read_done_t done,
              void *context)
 {
-  fks_front_t *client = (fks_front_t *)plt;
+  fake_store_client_t *client = (fake_store_client_t *)plt;
   bool has_answer =
       client->down || client->expired || get_stream (client->store, stream)->len > from_offset;
   call_t *call = call_new (plt, CALL_READ, stream, has_answer ? 0 : wait_ms, context);
@@ -224,7 +224,7 @@
 static void
 client_free (plt_t *plt)
 {
-  fks_front_t *client = (fks_front_t *)plt;
+  fake_store_client_t *client = (fake_store_client_t *)plt;
 
   while (!g_queue_is_empty (&client->pending))
     call_free (g_queue_peek_head (&client->pending));
@@ -232,10 +232,10 @@
   g_free (client);
 }
 
-fks_t *
-fks_new (struct event_base *base)
+fake_store_t *
+fake_store_new (struct event_base *base)
 {
-  fks_t *store = g_new0 (fks_t, 1);
+  fake_store_t *store = g_new0 (fake_store_t, 1);
 
   store->base = base;
   store->streams =
@@ -245,7 +245,7 @@
 }
 
 void
-fks_free (fks_t *store)
+fake_store_free (fake_store_t *store)
 {
   g_assert (store->clients->len == 0);
   g_ptr_array_free (store->clients, TRUE);
@@ -253,10 +253,10 @@
   g_free (store);
 }
 
-fks_front_t *
-fks_front (fks_t *store)
+fake_store_client_t *
+fake_store_client (fake_store_t *store)
 {
-  fks_front_t *client = g_new0 (fks_front_t, 1);
+  fake_store_client_t *client = g_new0 (fake_store_client_t, 1);
 
   client->store = store;
   client->plt = (plt_t){
@@ -268,7 +268,7 @@
 }
 
 static void
-answer_waiting_reads (const fks_front_t *client, const char *stream)
+answer_waiting_reads (const fake_store_client_t *client, const char *stream)
 {
   for (GList *link = client->pending.head; link; link = link->next)
     {
@@ -280,7 +280,7 @@
 }
 
 void
-fks_put (fks_t *store, const char *stream, const char *key, const char *value)
+fake_store_put (fake_store_t *store, const char *stream, const char *key, const char *value)
 {
   record_t *record = g_new0 (record_t, 1);
 
@@ -292,7 +292,7 @@
 }
 
 const char *
-fks_value (const fks_t *store, const char *stream, const char *key)
+fake_store_value (const fake_store_t *store, const char *stream, const char *key)
 {
   const GPtrArray *records = get_stream (store, stream);
 
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -11,10 +11,10 @@
 
 #include "connection/platform.h"
 
-typedef struct fks fks_t;
+typedef struct fake_store fake_store_t;
 
 /**
- * struct fks_front - one gateway's client of the store
+ * struct fake_store_client - one gateway's client of the store
  * @plt: the callbacks; must be the first field
  * @down: all calls fail
  * @expired: the next read fails because its records are no longer kept
@@ -24,21 +24,21 @@
 typedef struct
 {
   plt_t plt;
-  fks_t *store;
+  fake_store_t *store;
   bool down;
   bool expired;
   uint32_t calls;
   GQueue pending;
-} fks_front_t;
+} fake_store_client_t;
 
-fks_t *fks_new (struct event_base *base);
-void fks_free (fks_t *store);
-/** fks_front() - adds a client; the gateway that uses it frees it by plt_t.free() */
-fks_front_t *fks_front (fks_t *store);
-/** fks_put() - appends a record, and answers reads that wait for one; a NULL @value removes the
- * key */
-void fks_put (fks_t *store, const char *stream, const char *key, const char *value);
-/** fks_value() - the newest value of @key; NULL when it has none */
-const char *fks_value (const fks_t *store, const char *stream, const char *key);
+fake_store_t *fake_store_new (struct event_base *base);
+void fake_store_free (fake_store_t *store);
+/** fake_store_client() - adds a client; the gateway that uses it frees it by plt_t.free() */
+fake_store_client_t *fake_store_client (fake_store_t *store);
+/** fake_store_put() - appends a record, and answers reads that wait for one; a NULL @value removes
+ * the key */
+void fake_store_put (fake_store_t *store, const char *stream, const char *key, const char *value);
+/** fake_store_value() - the newest value of @key; NULL when it has none */
+const char *fake_store_value (const fake_store_t *store, const char *stream, const char *key);
 
 #endif
--- a/tests/gateway_rig.c
+++ b/tests/gateway_rig.c
@@ -26,7 +26,7 @@
                        "\"limits\":{\"max_body_bytes\":65536,\"max_header_bytes\":8192}}",
                        version, routes);
 
-  fks_put (rig->store, PLT_STREAM_ROUTING, "config", text);
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, "config", text);
 }
 
 static void
@@ -75,20 +75,21 @@
   GError *error = NULL;
 
   gateway->counters = cnt_set_new ();
-  gateway->front = fks_front (rig->store);
-  gateway->gwp = gwp_new (
-      &(gwp_options_t){ .base = rig->base,
-                        .clk = &rig->clk,
-                        .counters = gateway->counters,
-                        .set = set,
-                        .plt = &gateway->front->plt,
-                        .format = prf_format (),
-                        .readers = { .routing = prc_read_routing, .engine = prc_read_engine },
-                        .incarnation = ++rig->starts },
-      &error);
+  gateway->front = fake_store_client (rig->store);
+  gateway->gateway_process =
+      gateway_process_new (&(gateway_process_options_t){ .base = rig->base,
+                                                         .clk = &rig->clk,
+                                                         .counters = gateway->counters,
+                                                         .set = set,
+                                                         .plt = &gateway->front->plt,
+                                                         .format = prf_format (),
+                                                         .readers = { .routing = prc_read_routing,
+                                                                      .engine = prc_read_engine },
+                                                         .incarnation = ++rig->starts },
+                           &error);
   g_assert_no_error (error);
   gateway->address = raw_address ();
-  gateway->address.port = gwp_port (gateway->gwp);
+  gateway->address.port = gateway_process_port (gateway->gateway_process);
 }
 
 static bool
@@ -97,7 +98,7 @@
   const gateway_rig_t *rig = context;
 
   for (uint32_t i = 0; i < rig->gateway_count; i++)
-    if (!gwp_is_ready (rig->gateways[i].gwp))
+    if (!gateway_process_is_ready (rig->gateways[i].gateway_process))
       return false;
   return true;
 }
@@ -109,12 +110,12 @@
 
   rig->base = event_base_new ();
   clk_init_running (&rig->clk);
-  rig->store = fks_new (rig->base);
+  rig->store = fake_store_new (rig->base);
   rig->gateway_count = gateways;
   rig->seeded = seeded;
   gateway_rig_publish_config (rig, 1, "");
   if (seeded)
-    fks_put (rig->store, PLT_STREAM_ENGINES, "former", NULL);
+    fake_store_put (rig->store, PLT_STREAM_ENGINES, "former", NULL);
   for (uint32_t i = 0; i < gateways; i++)
     {
       fill_settings (rig, i);
@@ -140,7 +141,7 @@
 static void
 stop_gateway (gateway_rig_gateway_t *gateway)
 {
-  gwp_free (gateway->gwp);
+  gateway_process_free (gateway->gateway_process);
   cnt_set_free (gateway->counters);
 }
 
@@ -156,12 +157,12 @@
 {
   for (uint32_t i = 0; i < rig->gateway_count; i++)
     {
-      gwp_free (rig->gateways[i].gwp);
+      gateway_process_free (rig->gateways[i].gateway_process);
       cnt_set_free (rig->gateways[i].counters);
     }
   for (uint32_t i = 0; i < rig->engine_count; i++)
     raw_server_free (rig->engines[i]);
-  fks_free (rig->store);
+  fake_store_free (rig->store);
   event_base_free (rig->base);
   g_free (rig);
 }
@@ -185,7 +186,7 @@
   char id[8];
 
   g_snprintf (id, sizeof id, "e%u", engine);
-  fks_put (rig->store, PLT_STREAM_ENGINES, id, text);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, id, text);
 }
 
 raw_server_t *
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -26,8 +26,8 @@
 {
   set_t set;
   cnt_set_t *counters;
-  fks_front_t *front;
-  gwp_t *gwp;
+  fake_store_client_t *front;
+  gateway_process_t *gateway_process;
   set_address_t address;
 } gateway_rig_gateway_t;
 
@@ -42,7 +42,7 @@
 {
   struct event_base *base;
   clk_t clk;
-  fks_t *store;
+  fake_store_t *store;
   gateway_rig_gateway_t gateways[GATEWAY_RIG_GATEWAYS_MAX];
   uint32_t gateway_count;
   bool seeded;
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -61,7 +61,7 @@
   control_tick (rig.ctrl); /* reads the host list */
   clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
   rig_publish_version (&rig.platform, 1); /* completes the long-polling read of the log */
-  CU_ASSERT_EQUAL (fkp_answer (&rig.platform), 2);
+  CU_ASSERT_EQUAL (fake_platform_answer_calls (&rig.platform), 2);
   event_base_loop (rig.base, EVLOOP_NONBLOCK);
   CU_ASSERT_FALSE (rig.received.fresh);
   CU_ASSERT_EQUAL (rig.received.stale_count, 1);
@@ -168,7 +168,8 @@
          g_get_monotonic_time () < end_us)
     event_base_loop (base, EVLOOP_ONCE);
   CU_ASSERT_EQUAL (word.incarnation, 50);
-  fkp_host (&peer.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&peer.platform, "own", false, rig_loopback_ip (), RIG_PORT,
+                          MEMBERSHIP_LEAVING);
   rig_ticks (&peer, 20);
   own.platform.read_down = true;
   own.platform.list_down = true;
@@ -190,9 +191,11 @@
 {
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT,
+                          MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.drain_count > 0);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LIVE);
+  fake_platform_set_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT,
+                          MEMBERSHIP_LIVE);
   rig_ticks (&rig, 30);
   CU_ASSERT_EQUAL (rig.received.drain_count, 1);
   rig_message_t out;
@@ -215,15 +218,18 @@
   rig_t rig;
   rig_set_up (&rig, base, "own", RIG_PORT);
   rig_add_hosts (&rig.platform);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT,
+                          MEMBERSHIP_LEAVING);
   rig_publish_version (&rig.platform, 0);
   rig_start (&rig);
   rig_ticks (&rig, 30);
   CU_ASSERT_EQUAL (rig.received.fresh_count, 0);
   CU_ASSERT_EQUAL (rig.received.drain_count, 0);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LIVE);
+  fake_platform_set_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT,
+                          MEMBERSHIP_LIVE);
   TICK_UNTIL (&rig, rig.received.fresh);
-  fkp_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&rig.platform, "own", false, rig_loopback_ip (), RIG_PORT,
+                          MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.drain_count == 1);
   rig_tear_down (&rig);
   event_base_free (base);
@@ -264,13 +270,13 @@
   TICK_UNTIL (&rig, rig.platform.appends == 1);
   rig_ticks (&rig, 300);
   CU_ASSERT_EQUAL (rig.platform.appends, 1);
-  CU_ASSERT_EQUAL (fkp_length (&rig.platform, REP_STREAM), 71);
+  CU_ASSERT_EQUAL (fake_platform_record_count (&rig.platform, REP_STREAM), 71);
   /* Another daemon appends the next checkpoint first, so this one appends none. */
   for (uint32_t i = 70; i < 140; i++)
     rig_publish_version (&rig.platform, i);
   rig_tick (&rig);
   char *record = rep_checkpoint_record (rig.ctrl->manifest.rep);
-  fkp_put (&rig.platform, REP_STREAM, record);
+  fake_platform_append (&rig.platform, REP_STREAM, record);
   rig_ticks (&rig, 300);
   CU_ASSERT_EQUAL (rig.platform.appends, 1);
   g_free (record);
@@ -284,8 +290,8 @@
     {
       char name[16];
       g_snprintf (name, sizeof name, "other-%u", i);
-      fkp_host (&rig->platform, name, false, rig_loopback_ip (), (uint16_t)(RIG_PORT + 10 + i),
-                MEMBERSHIP_LIVE);
+      fake_platform_set_host (&rig->platform, name, false, rig_loopback_ip (),
+                              (uint16_t)(RIG_PORT + 10 + i), MEMBERSHIP_LIVE);
       g_strlcpy (rig->platform.hosts[rig->platform.host_count - 1].data_center, "other",
                  LIM_NAME_BYTES);
     }
@@ -301,8 +307,8 @@
     {
       char name[16];
       g_snprintf (name, sizeof name, "crowd-%u", i);
-      fkp_host (&rig->platform, name, false, rig_loopback_ip (), (uint16_t)(RIG_PORT + 10 + i),
-                MEMBERSHIP_LIVE);
+      fake_platform_set_host (&rig->platform, name, false, rig_loopback_ip (),
+                              (uint16_t)(RIG_PORT + 10 + i), MEMBERSHIP_LIVE);
     }
   rig_ticks (rig, 20);
   CU_ASSERT_FALSE (rig->ctrl->peers.is_follower);
@@ -326,7 +332,8 @@
   uint32_t lists = rig.platform.lists;
   rig_ticks (&rig, 25);
   CU_ASSERT_EQUAL (rig.platform.lists, lists);
-  fkp_host (&rig.platform, "third", false, rig_loopback_ip (), RIG_PORT + 2, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&rig.platform, "third", false, rig_loopback_ip (), RIG_PORT + 2,
+                          MEMBERSHIP_LEAVING);
   rig_compose (&incoming, "peer", sequence++)->list_revision = revision + 1;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_tick (&rig);
@@ -370,7 +377,8 @@
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   rig_ticks (&rig, 20);
   uint64_t before = cnt_value (sent);
-  fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1,
+                          MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.peer_state == MEMBERSHIP_LEAVING);
   CU_ASSERT_EQUAL (cnt_value (sent), before + 1);
   rig_ticks (&rig, 30);
--- a/tests/test_control_claims.c
+++ b/tests/test_control_claims.c
@@ -31,7 +31,7 @@
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
   expect_verdict (&rig, 1, 100, 1, CLAIM_GRANTED);
-  CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
+  CU_ASSERT_EQUAL (fake_platform_record_count (&rig.platform, STREAM), 1);
   expect_verdict (&rig, 2, 100, 2, CLAIM_HELD);
   message_claim_end_t *end = message_new (MESSAGE_CLAIM_END);
   g_strlcpy (end->stream, STREAM, sizeof end->stream);
@@ -61,7 +61,7 @@
   rig_set_up (&rig, base, "peer", RIG_PORT + 1);
   rig_add_hosts (&rig.platform);
   rig_publish_version (&rig.platform, 0);
-  fkp_put (&rig.platform, STREAM, fkp_record (&other.platform, STREAM, 0));
+  fake_platform_append (&rig.platform, STREAM, fake_platform_record (&other.platform, STREAM, 0));
   rig_start (&rig);
   expect_verdict (&rig, 2, 100, 1, CLAIM_HELD);
   rig_tear_down (&rig);
@@ -121,7 +121,7 @@
   rig.platform.append_lost = true;
   expect_verdict (&rig, 1, 100, 1, CLAIM_GRANTED);
   rig_ticks (&rig, 10);
-  CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
+  CU_ASSERT_EQUAL (fake_platform_record_count (&rig.platform, STREAM), 1);
 }
 
 /* The platform refuses appends above its rate limit, which certainly had no effect. Their claims
@@ -141,7 +141,7 @@
   TICK_UNTIL (&rig, rig.received.claim_result_count == 2);
   CU_ASSERT_EQUAL (rig.received.claim_result.verdict, CLAIM_GRANTED);
   rig_ticks (&rig, 10);
-  CU_ASSERT_EQUAL (fkp_length (&rig.platform, STREAM), 1);
+  CU_ASSERT_EQUAL (fake_platform_record_count (&rig.platform, STREAM), 1);
 }
 
 /* An idle stream is closed to free its keys. A later claim opens it again and must find the earlier
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -55,13 +55,13 @@
 }
 
 static void
-publish_two_services (fkp_t *platform)
+publish_two_services (fake_platform_t *platform)
 {
   json_t *patch = json_pack ("{s{s{s[ss]} s{ss s[s]}}}", "services", "pool", "engines", "own",
                              "third", "desk", "kind", "model", "engines", "peer");
   char *record = rep_publish_record ("two", 1, "ann", NULL, patch);
   json_decref (patch);
-  fkp_put (platform, REP_STREAM, record);
+  fake_platform_append (platform, REP_STREAM, record);
   g_free (record);
 }
 
@@ -135,12 +135,12 @@
   rig_message_t incoming;
   rig_set_up (&rig, base, "own", RIG_PORT);
   rig_add_hosts (&rig.platform);
-  for (uint32_t i = 3; i < FKP_HOSTS; i++)
+  for (uint32_t i = 3; i < FAKE_PLATFORM_HOSTS_MAX; i++)
     {
       char name[16];
       g_snprintf (name, sizeof name, "h%u", i);
-      fkp_host (&rig.platform, name, false, rig_loopback_ip (), (uint16_t)(RIG_PORT + i),
-                MEMBERSHIP_LIVE);
+      fake_platform_set_host (&rig.platform, name, false, rig_loopback_ip (),
+                              (uint16_t)(RIG_PORT + i), MEMBERSHIP_LIVE);
     }
   rig_publish_version (&rig.platform, 0);
   rig_start (&rig);
@@ -163,7 +163,8 @@
   CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
   rig.platform.read_stuck = true;
   clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
-  fkp_host (&rig.platform, "h303", false, rig_loopback_ip (), RIG_PORT + 303, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&rig.platform, "h303", false, rig_loopback_ip (), RIG_PORT + 303,
+                          MEMBERSHIP_LEAVING);
   control_tick (rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 3);
@@ -186,7 +187,8 @@
   g_auto (rig_t) rig = { 0 };
   rig_message_t incoming;
   rig_init (&rig);
-  fkp_host (&rig.platform, "fourth", false, rig_loopback_ip (), RIG_PORT + 3, MEMBERSHIP_LIVE);
+  fake_platform_set_host (&rig.platform, "fourth", false, rig_loopback_ip (), RIG_PORT + 3,
+                          MEMBERSHIP_LIVE);
   rig_ticks (&rig, 20);
   cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
   uint64_t before = cnt_value (sent);
@@ -294,14 +296,14 @@
   /* The calls made at once count towards the number of sends. */
   uint64_t sent_count = cnt_value (sent) - before;
   CU_ASSERT_TRUE (sent_count > 0);
-  for (uint32_t i = 0; i < 3 * RMR_SENDS; i++)
+  for (uint32_t i = 0; i < 3 * GOSSIP_SENDS; i++)
     {
       rig_message_t out;
       control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
       for (uint32_t j = 0; j < out.message.words.words_len; j++)
         sent_count += out.words[j].host_hash == rendezvous_hash_name ("peer");
     }
-  CU_ASSERT_EQUAL (sent_count, RMR_SENDS);
+  CU_ASSERT_EQUAL (sent_count, GOSSIP_SENDS);
   /* That "third" is live is news to this daemon only; a restart of it is news to all. */
   rig_message_t out;
   control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
@@ -321,7 +323,8 @@
   rig_message_t incoming, out;
   uint64_t hash = rendezvous_hash_name ("peer");
   rig_init (&rig);
-  fkp_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1, MEMBERSHIP_LEAVING);
+  fake_platform_set_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1,
+                          MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.peer_state == MEMBERSHIP_LEAVING);
   rig_compose (&incoming, "peer", 1);
   CU_ASSERT_TRUE (control_exchange_receive (&incoming.message, false, rig.ctrl));
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -617,7 +617,7 @@
                        "\"state\":\"%s\",\"born\":%s}",
                        address, state, born);
 
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e0", text);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", text);
 }
 
 /* Guards against a client that waits until its deadline for a request that is lost: its engine is
@@ -699,7 +699,7 @@
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e0", "{\"service\":\"pool\",\"slots\":\"8\"}");
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", "{\"service\":\"pool\",\"slots\":\"8\"}");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
   answered = rig->engines[0]->answered;
   for (uint32_t i = 0; i < 4; i++)
@@ -730,7 +730,7 @@
   CU_ASSERT (raw_run_until (rig->base, is_refused, rig));
   gateway_rig_register (rig, 0, "ready");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 0));
   expect (rig, "GET", "/look/", "", "503");
 }
@@ -748,7 +748,7 @@
   gateway_rig_register (rig, 0, "ready");
   raw_run_ms (rig->base, 50);
   expect (rig, "POST", "/book/", EMPTY_BODY, "503");
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 0));
   gateway_rig_register (rig, 0, "ready");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
@@ -835,7 +835,7 @@
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_version", 7));
   expect (rig, "GET", "/new/", "", "200");
   gateway_rig_publish_config (rig, 5, "");
-  fks_put (rig->store, PLT_STREAM_ROUTING, "config", "{broken");
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, "config", "{broken");
   gateway_rig_register (rig, 0, "ready");
   raw_run_ms (rig->base, 100);
   CU_ASSERT_EQUAL (gateway_rig_counter (rig, 0, "medlarplank_version"), 7);
@@ -881,7 +881,7 @@
   CU_ASSERT (raw_run_until (rig->base, second_heard_its_peer, rig));
   rig->gateways[1].front->down = true;
   gateway_rig_publish_config (rig, 9, "");
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
   CU_ASSERT (raw_run_until (rig->base, second_has_version, rig));
   CU_ASSERT (raw_run_until (rig->base, second_lost_engine, rig));
   CU_ASSERT (gateway_rig_counter (rig, 1, "medlarplank_views_from_peers_total") > 0);
@@ -913,13 +913,13 @@
   raw_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  fks_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 1));
   raw = gateway_rig_fetch (rig, "GET", "/look/", "");
   CU_ASSERT (contains (raw, "HTTP/1.1 503 ") && contains (raw, "Retry-After: 2"));
   raw_free (raw);
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 0);
-  fks_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 0));
   expect (rig, "GET", "/look/", "", "200");
 }
@@ -935,9 +935,9 @@
 
   CU_ASSERT (raw_run_until (rig->base, second_heard_its_peer, rig));
   rig->gateways[1].front->down = true;
-  fks_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
   CU_ASSERT (raw_run_until (rig->base, second_is_drained, rig));
-  fks_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
   CU_ASSERT (raw_run_until (rig->base, second_is_taken_back, rig));
 }
 
@@ -951,11 +951,11 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
 
-  fks_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
-  fks_put (rig->store, PLT_STREAM_ROUTING, PLT_KEY_DRAIN_PREFIX "hall-2", "{}");
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, PLT_KEY_DRAIN_PREFIX "hall-2", "{}");
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 2));
   rig->gateways[0].front->expired = true;
-  fks_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
+  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 1));
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_version", 1));
 }
@@ -1015,7 +1015,7 @@
     expect (rig, "GET", "/bound/", "", "500");
   CU_ASSERT_EQUAL (rig->engines[0]->answered + rig->engines[2]->answered, 0);
   CU_ASSERT_EQUAL (rig->engines[1]->answered, LOOKUPS);
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e1", NULL);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e1", NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 2));
   expect (rig, "GET", "/bound/", "", "503");
   expect (rig, "GET", "/look/", "", "200");
@@ -1081,12 +1081,12 @@
       rig->gateways[i].front->down = true;
     }
   raw_run_ms (rig->base, OUTAGE_MS);
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
   copies.before = copies_of_second (rig);
   rig->gateways[0].front->down = false;
   CU_ASSERT (raw_run_until (rig->base, second_took_a_copy, &copies));
-  raw_run_ms (rig->base, 4 * GWP_TICK_MS);
-  fks_put (rig->store, PLT_STREAM_ENGINES, "e1", NULL);
+  raw_run_ms (rig->base, 4 * GATEWAY_PROCESS_TICK_MS);
+  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e1", NULL);
   CU_ASSERT (second_has_three_engines (rig));
   CU_ASSERT (raw_run_until (rig->base, second_lost_some, rig));
   CU_ASSERT_EQUAL (gateway_rig_counter (rig, 1, "medlarplank_engines"), 2);
@@ -1097,7 +1097,7 @@
 {
   const gateway_rig_t *rig = context;
 
-  return gwp_is_ready (rig->gateways[0].gwp) &&
+  return gateway_process_is_ready (rig->gateways[0].gateway_process) &&
          gateway_rig_counter (rig, 0, "medlarplank_lapsed_engines") > 0;
 }
 
@@ -1113,7 +1113,7 @@
     {
       g_autofree char *id = g_strdup_printf ("e%u", i);
 
-      fks_put (rig->store, PLT_STREAM_ENGINES, id, NULL);
+      fake_store_put (rig->store, PLT_STREAM_ENGINES, id, NULL);
     }
   rig->gateways[0].front->down = false;
   CU_ASSERT (raw_run_until (rig->base, first_is_ready_with_lapses, rig));
@@ -1195,7 +1195,7 @@
 
   for (uint32_t i = 0; i < FLEET; i++)
     before[i] = rig->gateways[i].front->calls;
-  raw_run_ms (rig->base, GST_CLOSE_WAIT_MS + GST_CLOSE_WAIT_MS / 2);
+  raw_run_ms (rig->base, GATEWAY_STORE_READ_WAIT_MS + GATEWAY_STORE_READ_WAIT_MS / 2);
   for (uint32_t i = 0; i < FLEET; i++)
     {
       idle[i] = rig->gateways[i].front->calls == before[i];
@@ -1236,7 +1236,7 @@
 {
   GString *routes = g_string_new (NULL);
 
-  for (uint32_t i = 0; routes->len <= GST_TOLD_BYTES; i++)
+  for (uint32_t i = 0; routes->len <= GATEWAY_STORE_UPDATE_MAX_BYTES; i++)
     g_string_append_printf (routes,
                             ",{\"host\":\"h.example\",\"path_prefix\":\"/more%u/\",\"kind\":"
                             "\"idempotent\",\"service\":\"pool\",\"timeout_ms\":2000}",
@@ -1291,7 +1291,7 @@
   gateway_rig_restart (rig, 0);
   rig->gateways[0].front->down = true;
   raw = gateway_rig_send (rig, 0, "GET", "/look/x", "");
-  raw_run_ms (rig->base, GWP_HOLD_MS / 6);
+  raw_run_ms (rig->base, GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS / 6);
   CU_ASSERT (!has_status (raw));
   rig->gateways[0].front->down = false;
   CU_ASSERT (raw_run_until (rig->base, has_status, raw));
@@ -1330,10 +1330,10 @@
   gateway_rig_restart (rig, 1);
   rig->gateways[1].front->down = true;
   CU_ASSERT (raw_run_until (rig->base, second_has_engine, rig));
-  CU_ASSERT (gwp_is_ready (rig->gateways[1].gwp));
+  CU_ASSERT (gateway_process_is_ready (rig->gateways[1].gateway_process));
   rig->gateways[1].front->down = false;
   CU_ASSERT (raw_run_until (rig->base, both_know_each_other, rig));
-  raw_run_ms (rig->base, 4 * GWP_TICK_MS);
+  raw_run_ms (rig->base, 4 * GATEWAY_PROCESS_TICK_MS);
   CU_ASSERT_EQUAL (gateway_rig_counter (rig, 1, WRITES), 0);
 }
 
@@ -1375,7 +1375,7 @@
   CU_ASSERT (raw_run_until (rig->base, all_know_engines, rig));
   for (uint32_t i = 0; i < FLEET; i++)
     calls[i] = rig->gateways[i].front->calls;
-  raw_run_ms (rig->base, GST_CLOSE_WAIT_MS + GST_CLOSE_WAIT_MS / 2);
+  raw_run_ms (rig->base, GATEWAY_STORE_READ_WAIT_MS + GATEWAY_STORE_READ_WAIT_MS / 2);
   for (uint32_t i = 0; i < FLEET; i++)
     rig->gateways[i].front->down = rig->gateways[i].front->calls != calls[i];
   gateway_rig_publish_config (rig, 9, "");
@@ -1397,11 +1397,12 @@
   raw_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  gwp_stop (rig->gateways[0].gwp);
-  CU_ASSERT (!gwp_is_ready (rig->gateways[0].gwp));
+  gateway_process_stop (rig->gateways[0].gateway_process);
+  CU_ASSERT (!gateway_process_is_ready (rig->gateways[0].gateway_process));
   raw = gateway_rig_fetch (rig, "GET", "/look/", "");
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 ") && contains (raw, "Connection: close\r\n"));
-  clk_init_paused (&rig->clk, clk_now_us (&rig->clk) + GWP_LISTEN_ON_MS * CLK_US_PER_MS);
+  clk_init_paused (&rig->clk,
+                   clk_now_us (&rig->clk) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLK_US_PER_MS);
   CU_ASSERT (raw_run_until (rig->base, loop_ended, rig));
   raw_free (raw);
 }
@@ -1438,9 +1439,10 @@
   raw_t *raw = gateway_rig_send (rig, 0, "POST", "/talk/", EMPTY_BODY);
 
   CU_ASSERT (raw_run_until (rig->base, has_first_event, raw));
-  gwp_stop (rig->gateways[0].gwp);
-  clk_init_paused (&rig->clk, clk_now_us (&rig->clk) + GWP_LISTEN_ON_MS * CLK_US_PER_MS);
-  raw_run_ms (rig->base, 2 * GWP_TICK_MS);
+  gateway_process_stop (rig->gateways[0].gateway_process);
+  clk_init_paused (&rig->clk,
+                   clk_now_us (&rig->clk) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLK_US_PER_MS);
+  raw_run_ms (rig->base, 2 * GATEWAY_PROCESS_TICK_MS);
   raw_send (g_ptr_array_index (engine->conns, 0), STREAM_END);
   CU_ASSERT (raw_run_until (rig->base, has_stream_end, raw));
   raw_send (raw,
--- a/tests/test_rumour.c
+++ b/tests/test_rumour.c
@@ -18,23 +18,23 @@
   return result;
 }
 
-/* With more reports than fit into a message, each one is sent in turn, RMR_SENDS times and then no
- * more, so that messages do not carry old reports forever. */
+/* With more reports than fit into a message, each one is sent in turn, GOSSIP_SENDS times and then
+ * no more, so that messages do not carry old reports forever. */
 static void
 test_each_is_sent_a_bounded_number_of_times (void)
 {
-  rmr_t gossip;
+  gossip_t gossip;
   uint32_t sent[11] = { 0 };
-  rmr_init (&gossip);
+  gossip_init (&gossip);
   for (uint64_t host = 1; host <= 10; host++)
     {
       membership_report_t report = make_report (host, 1);
-      rmr_add_word (&gossip, &report);
+      gossip_add_report (&gossip, &report);
     }
-  for (uint32_t i = 0; i < 10 * RMR_SENDS; i++)
+  for (uint32_t i = 0; i < 10 * GOSSIP_SENDS; i++)
     {
       membership_report_t out[4];
-      uint32_t count = rmr_take_words (&gossip, out, 4);
+      uint32_t count = gossip_take_reports (&gossip, out, 4);
       for (uint32_t j = 0; j < count; j++)
         sent[out[j].host_hash]++;
       if (i == 2)
@@ -42,40 +42,40 @@
           CU_ASSERT_TRUE (sent[host] >= 1);
     }
   for (uint64_t host = 1; host <= 10; host++)
-    CU_ASSERT_EQUAL (sent[host], RMR_SENDS);
+    CU_ASSERT_EQUAL (sent[host], GOSSIP_SENDS);
 }
 
 static void
 test_newer_report_replaces_older (void)
 {
-  rmr_t gossip;
-  rmr_init (&gossip);
+  gossip_t gossip;
+  gossip_init (&gossip);
   membership_report_t report = make_report (1, 1);
-  rmr_add_word (&gossip, &report);
+  gossip_add_report (&gossip, &report);
   report.sequence = 2;
-  rmr_add_word (&gossip, &report);
+  gossip_add_report (&gossip, &report);
   membership_report_t out[4];
-  CU_ASSERT_EQUAL (rmr_take_words (&gossip, out, 4), 1);
+  CU_ASSERT_EQUAL (gossip_take_reports (&gossip, out, 4), 1);
   CU_ASSERT_EQUAL (out[0].sequence, 2);
 }
 
 static void
 test_full_table_drops_most_sent_report (void)
 {
-  rmr_t gossip;
+  gossip_t gossip;
   membership_report_t out[1];
-  rmr_init (&gossip);
+  gossip_init (&gossip);
   membership_report_t old = make_report (1000, 1);
-  rmr_add_word (&gossip, &old);
-  rmr_take_words (&gossip, out, 1);
-  for (uint64_t host = 1; host <= RMR_SLOTS; host++)
+  gossip_add_report (&gossip, &old);
+  gossip_take_reports (&gossip, out, 1);
+  for (uint64_t host = 1; host <= GOSSIP_SLOTS; host++)
     {
       membership_report_t report = make_report (host, 1);
-      rmr_add_word (&gossip, &report);
+      gossip_add_report (&gossip, &report);
     }
-  membership_report_t all[RMR_SLOTS];
-  CU_ASSERT_EQUAL (rmr_take_words (&gossip, all, RMR_SLOTS), RMR_SLOTS);
-  for (uint32_t i = 0; i < RMR_SLOTS; i++)
+  membership_report_t all[GOSSIP_SLOTS];
+  CU_ASSERT_EQUAL (gossip_take_reports (&gossip, all, GOSSIP_SLOTS), GOSSIP_SLOTS);
+  for (uint32_t i = 0; i < GOSSIP_SLOTS; i++)
     CU_ASSERT_NOT_EQUAL (all[i].host_hash, 1000);
 }
 
@@ -84,24 +84,24 @@
 static void
 test_marks_are_merged (void)
 {
-  rmr_t gossip;
-  rmr_init (&gossip);
+  gossip_t gossip;
+  gossip_init (&gossip);
   suspect_mark_t first = make_mark (9, 1, 0);
   suspect_mark_t second = make_mark (9, 2, 0);
   suspect_mark_t both = make_mark (9, 2, 1);
-  CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US, &first));
-  CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US, &first));
-  CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US, &second));
-  CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US, &both));
+  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US, &first));
+  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US, &first));
+  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US, &second));
+  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US, &both));
   suspect_mark_t out[2];
-  CU_ASSERT_EQUAL (rmr_take_marks (&gossip, NOW_US + CLK_US_PER_S, out, 2), 1);
+  CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + CLK_US_PER_S, out, 2), 1);
   CU_ASSERT_EQUAL (out[0].engines[0], 1);
   CU_ASSERT_EQUAL (out[0].engines[1], 2);
   CU_ASSERT_EQUAL (out[0].age_ms, 1000);
-  CU_ASSERT_EQUAL (rmr_take_marks (&gossip, NOW_US + RMR_MARK_AGE_US + 1, out, 2), 0);
+  CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + GOSSIP_MARK_MAX_AGE_US + 1, out, 2), 0);
   suspect_mark_t old = make_mark (10, 1, 0);
-  old.age_ms = (uint32_t)(RMR_MARK_AGE_US / CLK_US_PER_MS) + 1;
-  CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US, &old));
+  old.age_ms = (uint32_t)(GOSSIP_MARK_MAX_AGE_US / CLK_US_PER_MS) + 1;
+  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US, &old));
 }
 
 /* Daemons that have not heard yet that a request was served keep sending its mark. Such a mark is
@@ -109,21 +109,21 @@
 static void
 test_cleared_mark_stays_cleared (void)
 {
-  rmr_t gossip;
+  gossip_t gossip;
   suspect_mark_t crash = make_mark (9, 1, 0);
   suspect_mark_t served = make_mark (9, 0, 0);
   suspect_mark_t out[2];
 
-  rmr_init (&gossip);
-  CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US, &crash));
-  CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US + CLK_US_PER_S, &served));
-  CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US + CLK_US_PER_S, &served));
+  gossip_init (&gossip);
+  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US, &crash));
+  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US + CLK_US_PER_S, &served));
+  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US + CLK_US_PER_S, &served));
   crash.age_ms = 2000;
-  CU_ASSERT_FALSE (rmr_add_mark (&gossip, NOW_US + 2 * CLK_US_PER_S, &crash));
-  CU_ASSERT_EQUAL (rmr_take_marks (&gossip, NOW_US + 2 * CLK_US_PER_S, out, 2), 1);
+  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US + 2 * CLK_US_PER_S, &crash));
+  CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + 2 * CLK_US_PER_S, out, 2), 1);
   CU_ASSERT (suspect_mark_is_cleared (&out[0]));
   crash.age_ms = 0;
-  CU_ASSERT_TRUE (rmr_add_mark (&gossip, NOW_US + 3 * CLK_US_PER_S, &crash));
+  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US + 3 * CLK_US_PER_S, &crash));
 }
 
 int
