--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -106,7 +106,7 @@
   uint64_t heap = heap_bytes ();
   uint64_t start = cpu_ns ();
   GError *error = NULL;
-  man_t *man = man_parse (text, text_bytes, &error);
+  manifest_t *man = manifest_parse (text, text_bytes, &error);
   uint64_t parse_ns = cpu_ns () - start;
   if (man == NULL)
     {
@@ -120,14 +120,14 @@
 
   json_t *patch = json_pack ("{s:{s:{s:i}}}", "client_accounts", "account-1", "weight", 2000);
   start = cpu_ns ();
-  man_t *patched = man_patch (man, patch, &error);
+  manifest_t *patched = manifest_patch (man, patch, &error);
   print_row ("manifest patch of one account", size, "us", (double)(cpu_ns () - start) / 1000);
-  char *record = rep_publish_record ("0123456789abcdef", 1, "operator", NULL, patch);
+  char *record = replay_format_publish ("0123456789abcdef", 1, "operator", NULL, patch);
   print_row ("manifest patch record", size, "bytes", (double)strlen (record));
   g_free (record);
   json_decref (patch);
-  man_unref (patched);
-  man_unref (man);
+  manifest_unref (patched);
+  manifest_unref (man);
   free (text);
 }
 
--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -109,7 +109,7 @@
                            .returns = request->returned,
                            .fair = { .account_hash = request->account + 1, .owner = request } };
   retry_plan_init (&request->retry_plan,
-                   &(retry_plan_rules_t){ .idempotent = request->kind->kind == RTE_IDEMPOTENT,
+                   &(retry_plan_rules_t){ .idempotent = request->kind->kind == ROUTING_IDEMPOTENT,
                                           .resumable = request->kind->resumable,
                                           .attempts = request->kind->attempts });
   request->tried_count = 0;
--- a/bench/gateway/site.h
+++ b/bench/gateway/site.h
@@ -55,7 +55,7 @@
 {
   const char *name;
   uint32_t service;
-  rte_kind_t kind;
+  routing_kind_t kind;
   bool resumable;
   uint32_t attempts;
   uint32_t priority;
--- a/bench/gateway/site_file.c
+++ b/bench/gateway/site_file.c
@@ -47,18 +47,18 @@
   return (uint64_t)(parse_number (parser, object, name, required) * CLK_US_PER_MS);
 }
 
-static rte_kind_t
+static routing_kind_t
 parse_request_kind (parser_t *parser, const json_t *object)
 {
   const char *text = parse_text (parser, object, "kind");
 
   if (strcmp (text, "stream") == 0)
-    return RTE_STREAM;
+    return ROUTING_STREAM;
   if (strcmp (text, "idempotent") == 0)
-    return RTE_IDEMPOTENT;
+    return ROUTING_IDEMPOTENT;
   if (strcmp (text, "non_idempotent") != 0 && !parser->invalid)
     parser->invalid = "kind";
-  return RTE_NON_IDEMPOTENT;
+  return ROUTING_NON_IDEMPOTENT;
 }
 
 static sit_kind_t
--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -76,7 +76,7 @@
 members_cost_us (flt_t *fleet, void (*handler) (mbx_message_t *message, void *context), void *task)
 {
   message_version_t *version = message_new (MESSAGE_VERSION);
-  version->man = man_ref (fleet->man);
+  version->man = manifest_ref (fleet->man);
   deliver (version, handler, task);
   uint64_t start_us = 0;
   for (uint32_t i = 0; i <= REPEATS; i++)
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -88,7 +88,7 @@
   return all;
 }
 
-static man_t *
+static manifest_t *
 make_manifest (const flt_t *fleet)
 {
   char digest[65];
@@ -98,7 +98,7 @@
                  digest, "classes", "chat", "services", services_to_json (fleet), "routes", "path",
                  "/a", "service", "service-0", "class", "chat");
   GError *error = NULL;
-  man_t *man = man_from_json (json, &error);
+  manifest_t *man = manifest_from_json (json, &error);
   json_decref (json);
   if (man == NULL)
     g_error ("%s", error->message);
@@ -272,7 +272,7 @@
   g_free (fleet->nodes);
   g_free (fleet->listed);
   membership_snapshot_unref (fleet->members);
-  man_unref (fleet->man);
+  manifest_unref (fleet->man);
   membership_free (fleet->empty_members);
   mbx_free (fleet->mailbox);
   cnt_set_free (fleet->counters);
@@ -332,12 +332,12 @@
   json_t *patch = json_pack ("{s{s{si}}}", "client_accounts", "one", "weight",
                              (int)(1000 + fleet->man->version));
   GError *error = NULL;
-  man_t *man = man_patch (fleet->man, patch, &error);
+  manifest_t *man = manifest_patch (fleet->man, patch, &error);
   json_decref (patch);
   if (man == NULL)
     g_error ("%s", error->message);
   man->version = fleet->man->version + 1;
-  man_unref (fleet->man);
+  manifest_unref (fleet->man);
   fleet->man = man;
   fleet->log_end++;
 }
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -135,7 +135,7 @@
   uint64_t now_us;
   uint64_t random;
   evt_queue_t events;
-  man_t *man;
+  manifest_t *man;
   uint64_t log_end;
   membership_snapshot_t *members;
   membership_list_entry_t *listed;
--- a/bench/spread/means.c
+++ b/bench/spread/means.c
@@ -47,8 +47,9 @@
 add_estimate (
     estimate_error_t *error, const flt_node_t *node, uint32_t service, double mean, uint32_t count)
 {
-  const man_service_t *man_service = &rep_manifest (node->ctrl->manifest.rep)->services[service];
-  const load_samples_t *table = control_exchange_find_samples (node->ctrl, man_service->hash);
+  const manifest_service_t *manifest_service =
+      &replay_manifest (node->ctrl->manifest.replay)->services[service];
+  const load_samples_t *table = control_exchange_find_samples (node->ctrl, manifest_service->hash);
   const load_sample_t *own = run_is_router (node, NULL) ? NULL : &node->ctrl->talk.own_sample;
   load_samples_estimate_t estimate =
       load_samples_estimate_mean (table, node->flt->now_us, own, count);
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -113,9 +113,9 @@
 static void
 update_manifest (flt_node_t *node)
 {
-  rep_t *rep = node->ctrl->manifest.rep;
-  rep_begin (rep, 0);
-  rep_adopt (rep, node->flt->man, node->flt->log_end);
+  replay_t *replay = node->ctrl->manifest.replay;
+  replay_set_first_offset (replay, 0);
+  replay_adopt (replay, node->flt->man, node->flt->log_end);
 }
 
 void
@@ -209,10 +209,11 @@
 flt_fetch_end (flt_node_t *node, void *data)
 {
   const flt_node_t *peer = &node->flt->nodes[*(uint64_t *)data];
-  rep_t *source = peer->ctrl->manifest.rep;
+  replay_t *source = peer->ctrl->manifest.replay;
   bool reached = !peer->stopped && is_partitioned (peer) == is_partitioned (node);
-  if (reached && rep_ready (source) &&
-      rep_adopt (node->ctrl->manifest.rep, rep_manifest (source), rep_next_offset (source)))
+  if (reached && replay_is_ready (source) &&
+      replay_adopt (node->ctrl->manifest.replay, replay_manifest (source),
+                    replay_next_offset (source)))
     {
       control_manifest_send_if_changed (node->ctrl);
       control_freshness_send_if_fresh (node->ctrl);
--- a/ctl/cmd_manifest.c
+++ b/ctl/cmd_manifest.c
@@ -14,11 +14,11 @@
   g_autoptr (GError) error = NULL;
   g_autofree char *text = NULL;
   gsize text_bytes;
-  man_t *manifest;
+  manifest_t *manifest;
 
   if (!g_file_get_contents (file, &text, &text_bytes, &error))
     return ctl_complain (CTL_USAGE, "%s", error->message);
-  manifest = man_parse (text, text_bytes, &error);
+  manifest = manifest_parse (text, text_bytes, &error);
   if (manifest == NULL)
     return ctl_complain (CTL_USAGE, "%s: %s", file, error->message);
   if ((ctl->options.given & OPT_JSON) != 0)
@@ -27,25 +27,25 @@
     printf ("%s: %u client accounts, %u services, %u classes, %u routes, digest %s\n", file,
             manifest->account_count, manifest->service_count, manifest->class_count,
             manifest->route_count, manifest->digest);
-  man_unref (manifest);
+  manifest_unref (manifest);
   return CTL_OK;
 }
 
 static void
-print_version (const rep_t *replay)
+print_version (const replay_t *replay)
 {
-  const man_t *manifest = rep_manifest (replay);
+  const manifest_t *manifest = replay_manifest (replay);
 
   printf ("version %" PRIu64 " digest %s%s%s\n", manifest->version, manifest->digest,
-          rep_by (replay)[0] != '\0' ? " by " : "", rep_by (replay));
+          replay_publisher (replay)[0] != '\0' ? " by " : "", replay_publisher (replay));
 }
 
 static json_t *
-manifest_to_json (const rep_t *replay, bool with_manifest)
+manifest_to_json (const replay_t *replay, bool with_manifest)
 {
-  const man_t *manifest = rep_manifest (replay);
+  const manifest_t *manifest = replay_manifest (replay);
   json_t *json = json_pack ("{sI ss ss}", "version", (json_int_t)manifest->version, "digest",
-                            manifest->digest, "by", rep_by (replay));
+                            manifest->digest, "by", replay_publisher (replay));
 
   if (with_manifest)
     json_object_set (json, "manifest", manifest->json);
@@ -62,7 +62,7 @@
 }
 
 static void
-print_manifest (const ctl_t *ctl, const rep_t *replay)
+print_manifest (const ctl_t *ctl, const replay_t *replay)
 {
   bool only_version = (ctl->options.given & OPT_VERSION) != 0;
 
@@ -76,7 +76,7 @@
   else if (only_version)
     print_version (replay);
   else
-    print_json (rep_manifest (replay)->json, JSON_INDENT (2));
+    print_json (replay_manifest (replay)->json, JSON_INDENT (2));
 }
 
 ctl_exit_t
@@ -88,7 +88,7 @@
   (void)unused;
   fol_start (&reader, ctl);
   code = fol_catch_up (&reader);
-  if (code == CTL_OK && rep_unpublished (reader.replay))
+  if (code == CTL_OK && replay_is_unpublished (reader.replay))
     code = ctl_complain (CTL_FAILED, "no manifest was published yet");
   else if (code == CTL_OK)
     print_manifest (ctl, reader.replay);
@@ -97,16 +97,16 @@
 }
 
 static const char *
-verdict_text (rep_verdict_t verdict)
+verdict_text (replay_verdict_t verdict)
 {
   static const char *const VERDICT_TEXTS[] = {
-    [REP_ACCEPTED] = "accepted",
-    [REP_STALE_BASE] = "lost",
-    [REP_INVALID] = "invalid",
-    [REP_REPEATED] = "repeated",
-    [REP_CHECKPOINT_USED] = "checkpoint used",
-    [REP_CHECKPOINT_SEEN] = "checkpoint",
-    [REP_SKIPPED] = "skipped",
+    [REPLAY_ACCEPTED] = "accepted",
+    [REPLAY_STALE_BASE] = "lost",
+    [REPLAY_INVALID] = "invalid",
+    [REPLAY_REPEATED] = "repeated",
+    [REPLAY_CHECKPOINT_USED] = "checkpoint used",
+    [REPLAY_CHECKPOINT_SEEN] = "checkpoint",
+    [REPLAY_SKIPPED] = "skipped",
   };
 
   return VERDICT_TEXTS[verdict];
@@ -115,7 +115,7 @@
 /* The reason can quote text from the record, which any writer may have appended, so it is escaped.
  */
 static void
-print_result (const rep_judgement_t *result, uint64_t offset, void *context)
+print_result (const replay_result_t *result, uint64_t offset, void *context)
 {
   const ctl_t *ctl = context;
   g_autofree char *reason = g_strescape (result->reason, NULL);
@@ -142,7 +142,7 @@
   ctl_t *ctl = reader->ctl;
   bool answered = true;
 
-  if (!rep_unpublished (reader->replay))
+  if (!replay_is_unpublished (reader->replay))
     print_version (reader->replay);
   fflush (stdout);
   reader->on_result = print_result;
--- a/ctl/cmd_publish.c
+++ b/ctl/cmd_publish.c
@@ -22,11 +22,11 @@
   fol_t reader;
   bool patch;
   json_t *document;
-  man_t *manifest;
+  manifest_t *manifest;
   uint64_t base;
   char *id;
   bool has_result;
-  rep_judgement_t result;
+  replay_result_t result;
 } publish_t;
 
 #define FOLLOW_WAIT_MS 1000
@@ -56,14 +56,14 @@
 build_manifest (publish_t *publish, const char *file)
 {
   g_autoptr (GError) error = NULL;
-  man_t *current = rep_manifest (publish->reader.replay);
+  manifest_t *current = replay_manifest (publish->reader.replay);
 
   if (publish->patch && current == NULL)
     return ctl_complain (CTL_USAGE, "%s: there is no manifest to patch", file);
   if (publish->patch)
-    publish->manifest = man_patch (current, publish->document, &error);
+    publish->manifest = manifest_patch (current, publish->document, &error);
   else
-    publish->manifest = man_from_json (publish->document, &error);
+    publish->manifest = manifest_from_json (publish->document, &error);
   if (publish->manifest == NULL)
     return ctl_complain (CTL_USAGE, "%s: %s", file, error->message);
   return CTL_OK;
@@ -72,9 +72,9 @@
 static ctl_exit_t
 report_conflict (const publish_t *publish)
 {
-  const rep_t *replay = publish->reader.replay;
-  const man_t *manifest = rep_manifest (replay);
-  const char *by = rep_by (replay);
+  const replay_t *replay = publish->reader.replay;
+  const manifest_t *manifest = replay_manifest (replay);
+  const char *by = replay_publisher (replay);
 
   return ctl_complain (CTL_CONFLICT, "version %" PRIu64 "%s%s is in force; rebase",
                        manifest != NULL ? manifest->version : 0, by[0] != '\0' ? " by " : "", by);
@@ -84,7 +84,7 @@
 choose_base (publish_t *publish)
 {
   const opt_t *options = &publish->ctl->options;
-  const man_t *manifest = rep_manifest (publish->reader.replay);
+  const manifest_t *manifest = replay_manifest (publish->reader.replay);
   uint64_t in_force = manifest != NULL ? manifest->version : 0;
 
   publish->base = (options->given & OPT_BASE) != 0 ? options->base : in_force;
@@ -100,15 +100,15 @@
 check_transition (const publish_t *publish, const char *file)
 {
   g_autoptr (GError) error = NULL;
-  const man_t *current = rep_manifest (publish->reader.replay);
+  const manifest_t *current = replay_manifest (publish->reader.replay);
 
-  if (current == NULL || man_may_follow (current, publish->manifest, &error))
+  if (current == NULL || manifest_may_follow (current, publish->manifest, &error))
     return CTL_OK;
   return ctl_complain (CTL_USAGE, "%s: %s", file, error->message);
 }
 
 static uint32_t
-count_missing_engines (const man_t *manifest, const GArray *hosts)
+count_missing_engines (const manifest_t *manifest, const GArray *hosts)
 {
   uint32_t missing = 0;
 
@@ -151,12 +151,12 @@
 }
 
 static void
-on_result (const rep_judgement_t *result, uint64_t offset, void *context)
+on_result (const replay_result_t *result, uint64_t offset, void *context)
 {
   publish_t *publish = context;
 
   (void)offset;
-  if (publish->id == NULL || publish->has_result || result->verdict == REP_SKIPPED ||
+  if (publish->id == NULL || publish->has_result || result->verdict == REPLAY_SKIPPED ||
       strcmp (result->id, publish->id) != 0)
     return;
   publish->has_result = true;
@@ -183,12 +183,12 @@
 append_record (publish_t *publish)
 {
   plt_t *plt = publish->ctl->plt;
-  g_autofree char *record = rep_publish_record (
+  g_autofree char *record = replay_format_publish (
       publish->id, publish->base, publish->ctl->options.by,
       publish->patch ? NULL : publish->document, publish->patch ? publish->document : NULL);
   append_wait_t appended = { 0 };
 
-  plt->append (plt, REP_STREAM, record, strlen (record), on_appended, &appended);
+  plt->append (plt, REPLAY_STREAM, record, strlen (record), on_appended, &appended);
   ctl_run_until (publish->ctl, &appended.done);
   return appended.outcome;
 }
@@ -230,10 +230,10 @@
                          publish->id);
   switch (publish->result.verdict)
     {
-    case REP_ACCEPTED:
+    case REPLAY_ACCEPTED:
       print_accepted (publish);
       return CTL_OK;
-    case REP_STALE_BASE:
+    case REPLAY_STALE_BASE:
       return ctl_complain (CTL_CONFLICT, "%s", publish->result.reason);
     default:
       return ctl_complain (CTL_FAILED, "the manifest was rejected: %s", publish->result.reason);
@@ -285,7 +285,7 @@
   publish.reader.context = &publish;
   code = publish_file (&publish, file);
   fol_end (&publish.reader);
-  g_clear_pointer (&publish.manifest, man_unref);
+  g_clear_pointer (&publish.manifest, manifest_unref);
   json_decref (publish.document);
   g_free (publish.id);
   return code;
--- a/ctl/follow.c
+++ b/ctl/follow.c
@@ -13,18 +13,18 @@
 static void
 apply_records (fol_t *reader, const plt_read_t *read)
 {
-  rep_begin (reader->replay, read->first_offset);
-  rep_note_end (reader->replay, read->end_offset);
+  replay_set_first_offset (reader->replay, read->first_offset);
+  replay_set_end_offset (reader->replay, read->end_offset);
   for (uint32_t i = 0; i < read->record_count; i++)
     {
       const plt_record_t *record = &read->records[i];
-      rep_judgement_t result =
-          rep_feed (reader->replay, record->offset, record->data, record->data_bytes);
+      replay_result_t result =
+          replay_apply (reader->replay, record->offset, record->data, record->data_bytes);
 
       if (reader->on_result != NULL)
         reader->on_result (&result, record->offset, reader->context);
     }
-  reader->at_end = rep_next_offset (reader->replay) >= read->end_offset;
+  reader->at_end = replay_next_offset (reader->replay) >= read->end_offset;
 }
 
 static void
@@ -41,13 +41,13 @@
 void
 fol_start (fol_t *reader, ctl_t *ctl)
 {
-  *reader = (fol_t){ .ctl = ctl, .replay = rep_new () };
+  *reader = (fol_t){ .ctl = ctl, .replay = replay_new () };
 }
 
 void
 fol_end (fol_t *reader)
 {
-  g_clear_pointer (&reader->replay, rep_free);
+  g_clear_pointer (&reader->replay, replay_free);
 }
 
 plt_outcome_t
@@ -57,8 +57,8 @@
   plt_t *plt = reader->ctl->plt;
 
   reader->at_end = false;
-  plt->read (plt, REP_STREAM, rep_next_offset (reader->replay), READ_RECORDS, wait_ms, on_read,
-             &wait);
+  plt->read (plt, REPLAY_STREAM, replay_next_offset (reader->replay), READ_RECORDS, wait_ms,
+             on_read, &wait);
   ctl_run_until (reader->ctl, &wait.done);
   return reader->outcome;
 }
@@ -68,14 +68,14 @@
 {
   const json_t *offset = json_object_get (answer, "next_offset");
   const json_t *version = json_object_get (answer, "version");
-  man_t *manifest = man_from_json (json_object_get (answer, "manifest"), NULL);
+  manifest_t *manifest = manifest_from_json (json_object_get (answer, "manifest"), NULL);
   bool adopted;
 
   if (manifest == NULL)
     return false;
   manifest->version = (uint64_t)json_integer_value (version);
-  adopted = rep_adopt (reader->replay, manifest, (uint64_t)json_integer_value (offset));
-  man_unref (manifest);
+  adopted = replay_adopt (reader->replay, manifest, (uint64_t)json_integer_value (offset));
+  manifest_unref (manifest);
   return adopted;
 }
 
@@ -119,12 +119,12 @@
 {
   ctl_exit_t code = read_to_end (reader);
 
-  if (code != CTL_OK || rep_ready (reader->replay) || rep_unpublished (reader->replay))
+  if (code != CTL_OK || replay_is_ready (reader->replay) || replay_is_unpublished (reader->replay))
     return code;
   if (adopt_from_daemon (reader))
     {
       code = read_to_end (reader);
-      if (code != CTL_OK || rep_ready (reader->replay))
+      if (code != CTL_OK || replay_is_ready (reader->replay))
         return code;
     }
   return ctl_complain (CTL_FAILED,
--- a/ctl/follow.h
+++ b/ctl/follow.h
@@ -22,8 +22,8 @@
 typedef struct
 {
   ctl_t *ctl;
-  rep_t *replay;
-  void (*on_result) (const rep_judgement_t *result, uint64_t offset, void *context);
+  replay_t *replay;
+  void (*on_result) (const replay_result_t *result, uint64_t offset, void *context);
   void *context;
   bool at_end;
   plt_outcome_t outcome;
--- a/src/connection/stream_follow.c
+++ b/src/connection/stream_follow.c
@@ -127,8 +127,8 @@
 apply_records (sfl_t *sfl, const plt_record_t *records, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    kvw_apply (sfl->options.view, records[i].offset, records[i].key, records[i].data,
-               records[i].data_bytes);
+    keyed_view_apply (sfl->options.view, records[i].offset, records[i].key, records[i].data,
+                      records[i].data_bytes);
 }
 
 static void
@@ -145,7 +145,7 @@
   handle_success (sfl);
   if (!sfl->last_listed_key)
     {
-      kvw_list_begin (sfl->options.view);
+      keyed_view_list_begin (sfl->options.view);
       sfl->list_end_offset = newest->end_offset;
     }
   apply_records (sfl, newest->records, newest->record_count);
@@ -156,7 +156,7 @@
       schedule_in (sfl, 0);
       return;
     }
-  kvw_list_end (sfl->options.view, sfl->list_end_offset);
+  keyed_view_list_end (sfl->options.view, sfl->list_end_offset);
   sfl->listing = false;
   sfl->catching_up = false;
   sfl->has_listed = true;
--- a/src/connection/stream_follow.h
+++ b/src/connection/stream_follow.h
@@ -56,7 +56,7 @@
   cnt_set_t *counters;
   plt_t *plt;
   const char *stream;
-  kvw_t *view;
+  keyed_view_t *view;
   uint32_t wait_ms;
   uint32_t pace_ms;
   bool latest_only;
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -373,8 +373,8 @@
   claims->probe_us = now_us + control_add_jitter (ctrl, claims->probe_wait_us);
   claims->probe_call = control_call_new (ctrl);
   exc_charge (ctrl->exc, CONTROL_REQUEST_BYTES);
-  uint64_t from_offset = rep_next_offset (ctrl->manifest.rep);
-  ctrl->plt->read (ctrl->plt, REP_STREAM, from_offset, 1, 0, on_probe, claims->probe_call);
+  uint64_t from_offset = replay_next_offset (ctrl->manifest.replay);
+  ctrl->plt->read (ctrl->plt, REPLAY_STREAM, from_offset, 1, 0, on_probe, claims->probe_call);
 }
 
 static void
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -203,7 +203,7 @@
 static gboolean
 is_unknown_service (gpointer key, gpointer value, gpointer data)
 {
-  const man_t *man = data;
+  const manifest_t *man = data;
   (void)value;
   for (uint32_t i = 0; i < man->service_count; i++)
     {
@@ -296,7 +296,7 @@
 void
 control_exchange_update_services (control_t *ctrl)
 {
-  man_t *man = rep_manifest (ctrl->manifest.rep);
+  manifest_t *man = replay_manifest (ctrl->manifest.replay);
   GHashTable *tables = ctrl->talk.samples;
   g_hash_table_foreach_remove (tables, is_unknown_service, man);
   for (uint32_t i = 0; i < man->service_count; i++)
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -16,7 +16,7 @@
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
   control_t *ctrl = context;
-  const char *seal = evhttp_find_header (headers, ASL_SEAL_HEADER);
+  const char *seal = evhttp_find_header (headers, ANSWER_SEAL_HEADER);
   if (status != HTTP_STATUS_OK || seal == NULL)
     return false;
   g_strlcpy (ctrl->fetch.seal, seal, sizeof ctrl->fetch.seal);
@@ -45,17 +45,17 @@
   uint64_t next_offset = 0;
   size_t bytes = evbuffer_get_length (fetch->body);
   const char *body = (const char *)evbuffer_pullup (fetch->body, -1);
-  man_t *man = msy_read (ctrl->dmn->set.fleet_key, fetch->nonce, fetch->seal, body, bytes,
-                         &next_offset, &error);
+  manifest_t *man = manifest_sync_parse (ctrl->dmn->set.fleet_key, fetch->nonce, fetch->seal, body,
+                                         bytes, &next_offset, &error);
   if (man == NULL)
     {
       log_fetch_outcome (ctrl, "refused", 0, error->message);
       g_error_free (error);
       return;
     }
-  bool adopted = rep_adopt (ctrl->manifest.rep, man, next_offset);
+  bool adopted = replay_adopt (ctrl->manifest.replay, man, next_offset);
   log_fetch_outcome (ctrl, adopted ? "adopted" : "no_news", man->version, NULL);
-  man_unref (man);
+  manifest_unref (man);
   if (!adopted)
     return;
   control_count_event (ctrl, "medlarplank_manifest_from_peer_total",
@@ -89,15 +89,16 @@
   fetch->body = evbuffer_new ();
   fetch->seal[0] = '\0';
   g_strlcpy (fetch->host, host->name, sizeof fetch->host);
-  asl_nonce (fetch->nonce);
-  sealed_call_t order = { .host = host->name, .method = "GET", .target = MSY_PATH };
+  answer_seal_make_nonce (fetch->nonce);
+  sealed_call_t order = { .host = host->name, .method = "GET", .target = MANIFEST_SYNC_PATH };
   char seal[CALL_SEAL_BYTES];
   call_seal_compute (&order, ctrl->dmn->set.fleet_key, seal);
-  hcl_header_t headers[] = { { ASL_NONCE_HEADER, fetch->nonce }, { CALL_SEAL_HEADER, seal } };
+  hcl_header_t headers[] = { { ANSWER_SEAL_NONCE_HEADER, fetch->nonce },
+                             { CALL_SEAL_HEADER, seal } };
   hcl_options_t options = {
     .address = &host->http,
     .method = "GET",
-    .target = MSY_PATH,
+    .target = MANIFEST_SYNC_PATH,
     .headers = headers,
     .header_count = G_N_ELEMENTS (headers),
     .timeout_us = FETCH_TIMEOUT_US,
--- a/src/process/control_fill.c
+++ b/src/process/control_fill.c
@@ -85,14 +85,14 @@
 }
 
 /* The service of a host that is a sidecar, NULL for others. */
-static const man_service_t *
+static const manifest_service_t *
 service_of_host (const control_t *ctrl, uint64_t host_hash)
 {
-  const man_t *man = rep_manifest (ctrl->manifest.rep);
+  const manifest_t *man = replay_manifest (ctrl->manifest.replay);
   if (man == NULL || ctrl->peers.members == NULL)
     return NULL;
   const membership_host_t *host = membership_find_by_hash (ctrl->peers.members, host_hash);
-  return host != NULL && !host->router ? man_service_of_engine (man, host->name) : NULL;
+  return host != NULL && !host->router ? manifest_service_of_engine (man, host->name) : NULL;
 }
 
 /* Routers need the samples of all services. A sidecar gives three quarters of @room to its own
@@ -121,7 +121,7 @@
   uint32_t room = samples_per_message (ctrl);
   if (has_fresh_own_sample (ctrl, now_us))
     put_sample (message, now_us, &ctrl->talk.own_sample);
-  const man_service_t *service = service_of_host (ctrl, host_hash);
+  const manifest_service_t *service = service_of_host (ctrl, host_hash);
   load_samples_t *table =
       service != NULL ? control_exchange_find_samples (ctrl, service->hash) : NULL;
   if (table != NULL)
@@ -225,7 +225,7 @@
   membership_report_t own = control_exchange_next_own_report (ctrl);
   message->sender = encode_report (&own);
   message->manifest_version = control_manifest_version (ctrl);
-  message->manifest_offset = rep_next_offset (ctrl->manifest.rep);
+  message->manifest_offset = replay_next_offset (ctrl->manifest.replay);
   message->list_revision = ctrl->list.revision;
   fill_samples (ctrl, message, now_us, to != NULL ? to->host_hash : ctrl->talk.callee_hash);
   fill_reports (ctrl, message, to);
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -67,7 +67,7 @@
 version_known (const control_t *ctrl)
 {
   const control_freshness_t *fresh = &ctrl->fresh;
-  if (!rep_ready (ctrl->manifest.rep))
+  if (!replay_is_ready (ctrl->manifest.replay))
     return false;
   return fresh->log_ok || (fresh->log_failed && fresh->current_replies >= replies_needed (ctrl));
 }
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -27,48 +27,48 @@
 #define CHECKPOINTS_PER_RETENTION 4
 
 static const char *
-verdict_name (rep_verdict_t verdict)
+verdict_name (replay_verdict_t verdict)
 {
   switch (verdict)
     {
-    case REP_ACCEPTED:
+    case REPLAY_ACCEPTED:
       return "accepted";
-    case REP_STALE_BASE:
+    case REPLAY_STALE_BASE:
       return "stale_base";
-    case REP_INVALID:
+    case REPLAY_INVALID:
       return "invalid";
-    case REP_REPEATED:
+    case REPLAY_REPEATED:
       return "repeated";
-    case REP_CHECKPOINT_USED:
+    case REPLAY_CHECKPOINT_USED:
       return "checkpoint_used";
-    case REP_CHECKPOINT_SEEN:
+    case REPLAY_CHECKPOINT_SEEN:
       return "checkpoint_seen";
-    case REP_SKIPPED:
+    case REPLAY_SKIPPED:
       break;
     }
   return "skipped";
 }
 
 static void
-log_verdict (const rep_judgement_t *judgement, uint64_t offset)
+log_verdict (const replay_result_t *result, uint64_t offset)
 {
-  bool quiet = judgement->verdict == REP_SKIPPED || judgement->verdict == REP_CHECKPOINT_SEEN;
+  bool quiet = result->verdict == REPLAY_SKIPPED || result->verdict == REPLAY_CHECKPOINT_SEEN;
   log_event (quiet ? LOG_LEVEL_DEBUG : LOG_LEVEL_INFO, "manifest_record", "verdict",
-             verdict_name (judgement->verdict), "offset", LOG_U64 (offset), "id", judgement->id,
-             "version", LOG_U64 (judgement->version), "reason",
-             judgement->reason[0] != '\0' ? judgement->reason : NULL, NULL);
+             verdict_name (result->verdict), "offset", LOG_U64 (offset), "id", result->id,
+             "version", LOG_U64 (result->version), "reason",
+             result->reason[0] != '\0' ? result->reason : NULL, NULL);
 }
 
 static void
 apply_record (control_t *ctrl, const plt_record_t *record)
 {
   control_manifest_t *manifest = &ctrl->manifest;
-  rep_judgement_t judgement =
-      rep_feed (manifest->rep, record->offset, record->data, record->data_bytes);
-  log_verdict (&judgement, record->offset);
-  if (judgement.verdict == REP_CHECKPOINT_SEEN || judgement.verdict == REP_CHECKPOINT_USED)
+  replay_result_t result =
+      replay_apply (manifest->replay, record->offset, record->data, record->data_bytes);
+  log_verdict (&result, record->offset);
+  if (result.verdict == REPLAY_CHECKPOINT_SEEN || result.verdict == REPLAY_CHECKPOINT_USED)
     manifest->checkpoint_seen_us = control_now_us (ctrl);
-  if (judgement.verdict == REP_STALE_BASE || judgement.verdict == REP_INVALID)
+  if (result.verdict == REPLAY_STALE_BASE || result.verdict == REPLAY_INVALID)
     control_count_event (ctrl, "medlarplank_manifest_refused_total",
                          "Records of the manifest stream that were refused");
 }
@@ -77,7 +77,7 @@
 static uint64_t
 next_read_wait_us (control_t *ctrl, const plt_read_t *read, uint64_t next_before)
 {
-  uint64_t next_offset = rep_next_offset (ctrl->manifest.rep);
+  uint64_t next_offset = replay_next_offset (ctrl->manifest.replay);
   if (next_offset < read->end_offset)
     return next_offset != next_before ? 0 : NO_PROGRESS_WAIT_US;
   if (ctrl->peers.is_follower)
@@ -88,19 +88,19 @@
 static void
 apply_records (control_t *ctrl, const plt_read_t *read, uint64_t started_us)
 {
-  rep_t *rep = ctrl->manifest.rep;
-  uint64_t next_before = rep_next_offset (rep);
+  replay_t *replay = ctrl->manifest.replay;
+  uint64_t next_before = replay_next_offset (replay);
   if (read->end_offset < next_before)
     log_event (LOG_LEVEL_ERROR, "log_went_back", "end", LOG_U64 (read->end_offset), "read_to",
                LOG_U64 (next_before), NULL);
-  rep_begin (rep, read->first_offset);
-  rep_note_end (rep, read->end_offset);
+  replay_set_first_offset (replay, read->first_offset);
+  replay_set_end_offset (replay, read->end_offset);
   for (uint32_t i = 0; i < read->record_count; i++)
     apply_record (ctrl, &read->records[i]);
   uint64_t wait_us = next_read_wait_us (ctrl, read, next_before);
   control_poll_succeeded (ctrl, &ctrl->manifest.poll, SOURCE, wait_us);
   control_manifest_send_if_changed (ctrl);
-  if (rep_next_offset (rep) >= read->end_offset)
+  if (replay_next_offset (replay) >= read->end_offset)
     control_freshness_note_log_read (ctrl, started_us, true);
 }
 
@@ -137,8 +137,8 @@
   bool may_wait = ctrl->peers.is_follower && ctrl->fresh.log_ok && !poll->down;
   poll->call = control_call_new (ctrl);
   exc_charge (ctrl->exc, CONTROL_LOG_READ_BYTES);
-  ctrl->plt->read (ctrl->plt, REP_STREAM, rep_next_offset (ctrl->manifest.rep), READ_MAX_RECORDS,
-                   may_wait ? LONG_POLL_MS : 0, on_read, poll->call);
+  ctrl->plt->read (ctrl->plt, REPLAY_STREAM, replay_next_offset (ctrl->manifest.replay),
+                   READ_MAX_RECORDS, may_wait ? LONG_POLL_MS : 0, on_read, poll->call);
 }
 
 static const membership_host_t *
@@ -161,7 +161,8 @@
   uint64_t fetch_after_us = manifest->poll.down ? FETCH_AFTER_LOG_DOWN_US : FETCH_AFTER_LOG_SLOW_US;
   bool behind =
       manifest->behind_since_us != 0 && now_us - manifest->behind_since_us >= fetch_after_us;
-  bool out_of_sync = !rep_ready (manifest->rep) && (manifest->poll.down || ctrl->fresh.log_ok);
+  bool out_of_sync =
+      !replay_is_ready (manifest->replay) && (manifest->poll.down || ctrl->fresh.log_ok);
   bool needs_state =
       out_of_sync && (manifest->peer_version != 0 || control_manifest_version (ctrl) != 0);
   if (!behind && !needs_state)
@@ -194,9 +195,9 @@
 is_checkpoint_due (control_t *ctrl)
 {
   const control_manifest_t *manifest = &ctrl->manifest;
-  if (!ctrl->peers.is_follower || manifest->poll.down || !rep_ready (manifest->rep))
+  if (!ctrl->peers.is_follower || manifest->poll.down || !replay_is_ready (manifest->replay))
     return false;
-  if (rep_checkpoint_due (manifest->rep, CHECKPOINT_RECORDS))
+  if (replay_checkpoint_due (manifest->replay, CHECKPOINT_RECORDS))
     return true;
   uint64_t retention_us = (uint64_t)ctrl->dmn->set.log_retention_s * CLK_US_PER_S;
   uint64_t age_us = control_now_us (ctrl) - manifest->checkpoint_seen_us;
@@ -227,20 +228,20 @@
   /* No other checkpoint before this, even if the append fails or the checkpoint is not read back
    * yet. */
   manifest->checkpoint_due_us = now_us + 2 * CHECKPOINT_MAX_WAIT_S * CLK_US_PER_S;
-  manifest->checkpoint = rep_checkpoint_record (manifest->rep);
+  manifest->checkpoint = replay_format_checkpoint (manifest->replay);
   if (manifest->checkpoint == NULL)
     return;
   size_t bytes = strlen (manifest->checkpoint);
   manifest->checkpoint_call = control_call_new (ctrl);
   exc_charge (ctrl->exc, (uint32_t)bytes + CONTROL_REQUEST_BYTES);
-  ctrl->plt->append (ctrl->plt, REP_STREAM, manifest->checkpoint, bytes, on_checkpoint,
+  ctrl->plt->append (ctrl->plt, REPLAY_STREAM, manifest->checkpoint, bytes, on_checkpoint,
                      manifest->checkpoint_call);
 }
 
 void
 control_manifest_init (control_t *ctrl)
 {
-  ctrl->manifest.rep = rep_new ();
+  ctrl->manifest.replay = replay_new ();
   ctrl->manifest.checkpoint_seen_us = control_now_us (ctrl);
 }
 
@@ -248,13 +249,13 @@
 control_manifest_clear (control_t *ctrl)
 {
   g_free (ctrl->manifest.checkpoint);
-  rep_free (ctrl->manifest.rep);
+  replay_free (ctrl->manifest.replay);
 }
 
 uint64_t
 control_manifest_version (const control_t *ctrl)
 {
-  const man_t *man = rep_manifest (ctrl->manifest.rep);
+  const manifest_t *man = replay_manifest (ctrl->manifest.replay);
   return man != NULL ? man->version : 0;
 }
 
@@ -265,9 +266,9 @@
   uint64_t version = control_manifest_version (ctrl);
   if (version >= manifest->peer_version)
     manifest->behind_since_us = 0;
-  if (!rep_ready (manifest->rep) || version <= manifest->sent_version)
+  if (!replay_is_ready (manifest->replay) || version <= manifest->sent_version)
     return;
-  man_t *man = rep_manifest (manifest->rep);
+  manifest_t *man = replay_manifest (manifest->replay);
   log_event (LOG_LEVEL_NOTICE, "version_in_force", "version", LOG_U64 (version), "digest",
              man->digest, "before", LOG_U64 (manifest->sent_version), NULL);
   control_set_gauge (ctrl, "medlarplank_manifest_version", "Version of the manifest in force here",
@@ -279,8 +280,8 @@
         ctrl, MIN (VERSION_CALLS_MAX, ctrl->peers.all->len / PEERS_PER_VERSION_CALL));
   control_exchange_update_services (ctrl);
   message_version_t *message = message_new (MESSAGE_VERSION);
-  message->man = man_ref (man);
-  message->next_offset = rep_next_offset (manifest->rep);
+  message->man = manifest_ref (man);
+  message->next_offset = replay_next_offset (manifest->replay);
   control_send_to_data (ctrl, message);
 }
 
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -122,11 +122,11 @@
   return higher_scores < FOLLOWERS_PER_DATA_CENTER;
 }
 
-static const man_service_t *
+static const manifest_service_t *
 find_service (const control_t *ctrl, const char *name)
 {
-  const man_t *man = rep_manifest (ctrl->manifest.rep);
-  return man != NULL ? man_service_of_engine (man, name) : NULL;
+  const manifest_t *man = replay_manifest (ctrl->manifest.replay);
+  return man != NULL ? manifest_service_of_engine (man, name) : NULL;
 }
 
 static const membership_host_t *
@@ -169,7 +169,7 @@
   g_array_set_size (peers->sidecars, 0);
   g_array_set_size (peers->same_service, 0);
   const set_t *set = &ctrl->dmn->set;
-  const man_service_t *own = find_service (ctrl, set->name);
+  const manifest_service_t *own = find_service (ctrl, set->name);
   for (uint32_t i = 0; i < peers->members->host_count; i++)
     {
       const membership_host_t *host = &peers->members->hosts[i];
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -106,7 +106,7 @@
 
 /**
  * struct control_manifest - the manifest stream
- * @rep: replays the stream and holds the version in force
+ * @replay: replays the stream and holds the version in force
  * @sent_version: the last version sent to the data task
  * @peer_version: the highest that a peer has announced, last by the host @peer_hash
  * @behind_since_us: since when a peer has had a higher version, 0 when none has
@@ -116,7 +116,7 @@
  */
 typedef struct
 {
-  rep_t *rep;
+  replay_t *replay;
   control_poll_t poll;
   uint64_t sent_version;
   uint64_t peer_version;
@@ -141,8 +141,8 @@
 {
   hcl_call_t *call;
   struct evbuffer *body;
-  char nonce[ASL_NONCE_BYTES];
-  char seal[ASL_SEAL_BYTES];
+  char nonce[ANSWER_SEAL_NONCE_BYTES];
+  char seal[ANSWER_SEAL_BYTES];
   char host[LIM_NAME_BYTES];
   uint64_t next_us;
 } control_fetch_t;
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -54,8 +54,8 @@
   hcl_call_t *call;
   set_address_t peer;
   struct evbuffer *body;
-  char nonce[ASL_NONCE_BYTES];
-  char seal[ASL_SEAL_BYTES];
+  char nonce[ANSWER_SEAL_NONCE_BYTES];
+  char seal[ANSWER_SEAL_BYTES];
   char age[AGE_BYTES];
   bool fetching_all;
   bootstrap_refusal_t refusal;
@@ -75,11 +75,12 @@
            const char *age,
            const char *body,
            size_t body_bytes,
-           char out[ASL_SEAL_BYTES])
+           char out[ANSWER_SEAL_BYTES])
 {
   g_autofree char *nonce_and_age = g_strconcat (nonce, age, NULL);
 
-  asl_make (fetch->options.fleet_key, SEAL_PURPOSE, nonce_and_age, body, body_bytes, out);
+  answer_seal_compute (fetch->options.fleet_key, SEAL_PURPOSE, nonce_and_age, body, body_bytes,
+                       out);
 }
 
 /* Refusals are not authenticated: a forged one can only make this gateway ask another one, or read
@@ -101,7 +102,7 @@
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
   gateway_fetch_t *fetch = context;
-  const char *seal = evhttp_find_header (headers, ASL_SEAL_HEADER);
+  const char *seal = evhttp_find_header (headers, ANSWER_SEAL_HEADER);
   const char *age = evhttp_find_header (headers, STORE_AGE_HEADER);
 
   if (fetch->fetching_all && status == STATUS_REFUSED)
@@ -133,7 +134,7 @@
                                     .refusal = fetch->refusal,
                                     .referral = fetch->referral };
   uint64_t age_ms = UINT32_MAX;
-  char expected_seal[ASL_SEAL_BYTES];
+  char expected_seal[ANSWER_SEAL_BYTES];
 
   fetch->call = NULL;
   fetch->body = NULL;
@@ -144,7 +145,7 @@
     result.reason = refusal_names[fetch->refusal];
   else if (!end->whole)
     result.reason = verdict_reason_to_string (end->reason);
-  else if (!asl_same (fetch->seal, expected_seal))
+  else if (!answer_seal_equal (fetch->seal, expected_seal))
     result.reason = "seal";
   else
     {
@@ -186,10 +187,10 @@
 static void
 start_fetch (gateway_fetch_t *fetch, const set_address_t *peer, const char *target)
 {
-  hcl_header_t header = { ASL_NONCE_HEADER, fetch->nonce };
+  hcl_header_t header = { ANSWER_SEAL_NONCE_HEADER, fetch->nonce };
 
   g_assert (!fetch->call);
-  asl_nonce (fetch->nonce);
+  answer_seal_make_nonce (fetch->nonce);
   fetch->seal[0] = '\0';
   fetch->age[0] = '\0';
   fetch->refusal = BOOTSTRAP_NO_ANSWER;
@@ -203,7 +204,7 @@
                                              .headers = &header,
                                              .header_count = 1,
                                              .timeout_us = GATEWAY_FETCH_TIMEOUT_MS * CLK_US_PER_MS,
-                                             .answer_limit_bytes = VSH_BYTES_LIMIT,
+                                             .answer_limit_bytes = VIEW_SHARE_BYTES_MAX,
                                              .on_head = on_head,
                                              .on_data = on_data,
                                              .on_end = on_end,
@@ -213,11 +214,11 @@
 void
 gateway_fetch_newer (gateway_fetch_t *fetch,
                      const set_address_t *peer,
-                     const vsh_stream_t *streams,
+                     const view_share_stream_t *streams,
                      uint32_t count,
                      bool any_size)
 {
-  g_autofree char *stream_target = vsh_target (streams, count);
+  g_autofree char *stream_target = view_share_format_target (streams, count);
   g_autofree char *target =
       g_strconcat (stream_target, any_size ? "&" ANY_SIZE_QUERY "=1" : NULL, NULL);
 
@@ -228,10 +229,10 @@
 void
 gateway_fetch_all (gateway_fetch_t *fetch,
                    const set_address_t *peer,
-                   const vsh_stream_t *streams,
+                   const view_share_stream_t *streams,
                    uint32_t count)
 {
-  g_autofree char *stream_target = vsh_target (streams, count);
+  g_autofree char *stream_target = view_share_format_target (streams, count);
   g_autofree char *control = set_address_text (fetch->options.control_address);
   g_autofree char *target = g_strconcat (stream_target, "&" CONTROL_QUERY "=", control, NULL);
 
@@ -241,7 +242,7 @@
 
 /* Return: false when the request lacks the offset of a stream */
 static bool
-parse_offsets (hsv_call_t *call, const vsh_stream_t *streams, uint32_t count, uint64_t *from)
+parse_offsets (hsv_call_t *call, const view_share_stream_t *streams, uint32_t count, uint64_t *from)
 {
   for (uint32_t i = 0; i < count; i++)
     {
@@ -269,7 +270,7 @@
  * milliseconds of a whole core. */
 static const char *
 encode_answer (gateway_fetch_t *fetch,
-               const vsh_stream_t *streams,
+               const view_share_stream_t *streams,
                const uint64_t *from,
                uint32_t count,
                bool settled)
@@ -282,11 +283,11 @@
 
       wanted.from[i] = from[i];
       wanted.next[i] = lacks ? streams[i].next : 0;
-      wanted.revision[i] = lacks ? kvw_revision (streams[i].view) : 0;
+      wanted.revision[i] = lacks ? keyed_view_revision (streams[i].view) : 0;
     }
   if (matches_cache (&fetch->cached, &wanted, count))
     return fetch->cached.body;
-  wanted.body = vsh_write (streams, from, count, settled);
+  wanted.body = view_share_format (streams, from, count, settled);
   g_free (fetch->cached.body);
   fetch->cached = wanted;
   return wanted.body;
@@ -342,22 +343,22 @@
 bool
 gateway_fetch_handle_request (gateway_fetch_t *fetch,
                               hsv_call_t *call,
-                              const vsh_stream_t *streams,
+                              const view_share_stream_t *streams,
                               uint32_t count,
                               const gateway_fetch_responder_t *state)
 {
-  const char *nonce = hsv_header (call, ASL_NONCE_HEADER);
+  const char *nonce = hsv_header (call, ANSWER_SEAL_NONCE_HEADER);
   const char *control = hsv_query (call, CONTROL_QUERY);
   bool any_size = control || hsv_query (call, ANY_SIZE_QUERY);
   uint64_t from[GATEWAY_FETCH_STREAMS_MAX];
-  vsh_stream_t sent[GATEWAY_FETCH_STREAMS_MAX];
+  view_share_stream_t sent[GATEWAY_FETCH_STREAMS_MAX];
   char age[AGE_BYTES] = "";
   set_address_t requester;
   const char *body;
-  char seal[ASL_SEAL_BYTES];
+  char seal[ANSWER_SEAL_BYTES];
 
   g_assert (count <= GATEWAY_FETCH_STREAMS_MAX);
-  if (strcmp (hsv_path (call), VSH_PATH) != 0)
+  if (strcmp (hsv_path (call), VIEW_SHARE_PATH) != 0)
     return false;
   if (!nonce || !parse_offsets (call, streams, count, from) ||
       (control && !set_parse_address (control, &requester, NULL)))
@@ -379,7 +380,7 @@
       hsv_add_header (call, STORE_AGE_HEADER, age);
     }
   make_seal (fetch, nonce, age, body, strlen (body), seal);
-  hsv_add_header (call, ASL_SEAL_HEADER, seal);
+  hsv_add_header (call, ANSWER_SEAL_HEADER, seal);
   hsv_reply_text (call, STATUS_OK, "application/json", body);
   return true;
 }
--- a/src/process/gateway_fetch.h
+++ b/src/process/gateway_fetch.h
@@ -88,14 +88,14 @@
  */
 void gateway_fetch_newer (gateway_fetch_t *fetch,
                           const set_address_t *peer,
-                          const vsh_stream_t *streams,
+                          const view_share_stream_t *streams,
                           uint32_t count,
                           bool any_size);
 /** gateway_fetch_all() - fetches all records of the gateway at @peer, for a starting gateway; only
  * when not busy. A peer refuses it while it serves several others */
 void gateway_fetch_all (gateway_fetch_t *fetch,
                         const set_address_t *peer,
-                        const vsh_stream_t *streams,
+                        const view_share_stream_t *streams,
                         uint32_t count);
 /**
  * gateway_fetch_handle_request() - answers a request on the control listener
@@ -105,7 +105,7 @@
  */
 bool gateway_fetch_handle_request (gateway_fetch_t *fetch,
                                    hsv_call_t *call,
-                                   const vsh_stream_t *streams,
+                                   const view_share_stream_t *streams,
                                    uint32_t count,
                                    const gateway_fetch_responder_t *state);
 
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -36,7 +36,7 @@
   gateway_store_t *store;
   hsv_t *ready_listener;
   hsv_t *control_listener;
-  rte_t *table;
+  routing_t *table;
   lapses_t *lapsed;
   struct event *tick;
   uint64_t accept_by_us;
@@ -85,7 +85,7 @@
     return;
   process->was_ready = ready;
   log_event (LOG_LEVEL_NOTICE, ready ? "ready" : "not_ready", "version",
-             LOG_U64 (process->table ? rte_version (process->table) : 0), "engines",
+             LOG_U64 (process->table ? routing_version (process->table) : 0), "engines",
              LOG_U64 (engines_count (process->engines)), NULL);
 }
 
@@ -94,9 +94,9 @@
 on_routing (const char *value, size_t value_bytes, uint64_t offset, void *context)
 {
   gateway_process_t *process = context;
-  uint64_t version_in_force = process->table ? rte_version (process->table) : 0;
+  uint64_t version_in_force = process->table ? routing_version (process->table) : 0;
   GError *error = NULL;
-  rte_t *table;
+  routing_t *table;
 
   table = process->options.readers.routing (value, value_bytes, process->table, &error);
   if (!table)
@@ -106,19 +106,19 @@
       g_error_free (error);
       return;
     }
-  if (rte_version (table) > version_in_force)
+  if (routing_version (table) > version_in_force)
     {
-      log_event (LOG_LEVEL_NOTICE, "version", "version", LOG_U64 (rte_version (table)), "before",
-                 LOG_U64 (version_in_force), "routes", LOG_U64 (rte_route_count (table)), "offset",
-                 LOG_U64 (offset), NULL);
+      log_event (LOG_LEVEL_NOTICE, "version", "version", LOG_U64 (routing_version (table)),
+                 "before", LOG_U64 (version_in_force), "routes",
+                 LOG_U64 (routing_route_count (table)), "offset", LOG_U64 (offset), NULL);
       if (process->table)
-        rte_unref (process->table);
-      process->table = rte_ref (table);
+        routing_unref (process->table);
+      process->table = routing_ref (table);
       gateway_set_routing_table (process->gateway, table);
-      cnt_set_value (process->version_gauge, rte_version (table));
+      cnt_set_value (process->version_gauge, routing_version (table));
       gateway_store_send_news (process->store);
     }
-  rte_unref (table);
+  routing_unref (table);
 }
 
 static void
@@ -307,7 +307,7 @@
 {
   const gateway_process_t *process = context;
 
-  return process->table ? rte_version (process->table) : 0;
+  return process->table ? routing_version (process->table) : 0;
 }
 
 static void
@@ -519,7 +519,7 @@
   if (process->control_listener)
     hsv_free (process->control_listener);
   if (process->table)
-    rte_unref (process->table);
+    routing_unref (process->table);
   engines_free (process->engines);
   lapses_free (process->lapsed);
   event_free (process->tick);
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -45,7 +45,10 @@
  */
 typedef struct
 {
-  rte_t *(*routing) (const char *text, size_t text_bytes, const rte_t *before, GError **error);
+  routing_t *(*routing) (const char *text,
+                         size_t text_bytes,
+                         const routing_t *before,
+                         GError **error);
   bool (*engine) (
       engine_entry_t *out, const char *id, const char *text, size_t text_bytes, GError **error);
 } gateway_process_parsers_t;
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -43,7 +43,7 @@
 {
   gateway_store_options_t options;
   gateway_peers_t *peers;
-  kvw_t *views[STREAM_COUNT];
+  keyed_view_t *views[STREAM_COUNT];
   sfl_t *followers[STREAM_COUNT];
   gateway_fetch_t *fetch;
   read_policy_t policies[STREAM_COUNT];
@@ -151,7 +151,8 @@
   size_t bytes;
   uint64_t offset;
 
-  return kvw_get (store->views[STREAM_ROUTERS], store->options.set->name, &bytes, &offset) != NULL;
+  return keyed_view_get (store->views[STREAM_ROUTERS], store->options.set->name, &bytes, &offset) !=
+         NULL;
 }
 
 static read_policy_view_t
@@ -298,21 +299,21 @@
 }
 
 static void
-fill_streams (const gateway_store_t *store, vsh_stream_t out[STREAM_COUNT])
+fill_streams (const gateway_store_t *store, view_share_stream_t out[STREAM_COUNT])
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    out[i] =
-        (vsh_stream_t){ .name = stream_names[i],
-                        .view = store->views[i],
-                        .next = sfl_next (store->followers[i]),
-                        .most_bytes = i == STREAM_ROUTING ? GATEWAY_STORE_UPDATE_MAX_BYTES : 0 };
+    out[i] = (view_share_stream_t){ .name = stream_names[i],
+                                    .view = store->views[i],
+                                    .next = sfl_next (store->followers[i]),
+                                    .most_bytes =
+                                        i == STREAM_ROUTING ? GATEWAY_STORE_UPDATE_MAX_BYTES : 0 };
 }
 
 static void
-mark_too_large (gateway_store_t *store, const vsh_answer_t *answer)
+mark_too_large (gateway_store_t *store, const view_share_answer_t *answer)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    if (vsh_is_large (answer, stream_names[i]))
+    if (view_share_is_large (answer, stream_names[i]))
       {
         read_policy_fetch_too_large (&store->policies[i]);
         store->fetching[i] = false;
@@ -320,15 +321,15 @@
 }
 
 static void
-apply_answer (gateway_store_t *store, const vsh_answer_t *answer)
+apply_answer (gateway_store_t *store, const view_share_answer_t *answer)
 {
-  vsh_stream_t streams[STREAM_COUNT];
+  view_share_stream_t streams[STREAM_COUNT];
 
   fill_streams (store, streams);
   store->applying_copy = true;
   store->copy_unsettled = !answer->settled;
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    sfl_advance (store->followers[i], vsh_apply (answer, &streams[i]));
+    sfl_advance (store->followers[i], view_share_apply (answer, &streams[i]));
   store->applying_copy = false;
   mark_too_large (store, answer);
   cnt_add (store->fetch_count, 1);
@@ -340,15 +341,15 @@
 apply_result (gateway_store_t *store, const gateway_fetch_result_t *result)
 {
   const char *reason = result->reason;
-  vsh_answer_t answer;
+  view_share_answer_t answer;
 
   if (!result->body)
     return reason;
-  if (vsh_read (&answer, result->body, result->body_bytes))
+  if (view_share_parse (&answer, result->body, result->body_bytes))
     apply_answer (store, &answer);
   else
     reason = "unreadable";
-  vsh_clear (&answer);
+  view_share_clear (&answer);
   return reason;
 }
 
@@ -468,7 +469,7 @@
 start_fetch_all (const set_address_t *control, void *context)
 {
   gateway_store_t *store = context;
-  vsh_stream_t streams[STREAM_COUNT];
+  view_share_stream_t streams[STREAM_COUNT];
 
   fill_streams (store, streams);
   store->fetching_all = true;
@@ -505,7 +506,7 @@
 static void
 fetch_if_due (gateway_store_t *store)
 {
-  vsh_stream_t streams[STREAM_COUNT];
+  view_share_stream_t streams[STREAM_COUNT];
 
   if (gateway_start_is_loading (store->start) || gateway_fetch_is_busy (store->fetch) ||
       now_us (store) < store->next_fetch_us || !choose_fetched_streams (store))
@@ -545,7 +546,8 @@
     return;
   store->entry_retry_us = now_us (store) + OWN_ENTRY_RETRY_US;
   entry = gateway_peers_format_own_entry (store->peers);
-  listed = kvw_get (store->views[STREAM_ROUTERS], store->options.set->name, &listed_bytes, &offset);
+  listed = keyed_view_get (store->views[STREAM_ROUTERS], store->options.set->name, &listed_bytes,
+                           &offset);
   if (listed && strcmp (listed, entry) == 0)
     store->entry_written = true;
   else
@@ -613,10 +615,10 @@
 follow_stream (gateway_store_t *store,
                uint32_t stream,
                uint32_t wait_ms,
-               kvw_changed_t changed,
+               keyed_view_visit_t changed,
                void (*on_state) (sfl_state_t state, void *context))
 {
-  store->views[stream] = kvw_new (changed, store);
+  store->views[stream] = keyed_view_new (changed, store);
   store->followers[stream] = sfl_new (&(sfl_options_t){ .base = store->options.base,
                                                         .clk = store->options.clk,
                                                         .counters = store->options.counters,
@@ -703,7 +705,7 @@
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     {
       sfl_free (store->followers[i]);
-      kvw_free (store->views[i]);
+      keyed_view_free (store->views[i]);
     }
   gateway_start_free (store->start);
   g_free (store);
@@ -763,7 +765,7 @@
 bool
 gateway_store_handle_request (gateway_store_t *store, hsv_call_t *call, bool settled)
 {
-  vsh_stream_t streams[STREAM_COUNT];
+  view_share_stream_t streams[STREAM_COUNT];
   size_t bytes = 0;
   gateway_fetch_responder_t state = { .settled = settled,
                                       .complete = has_listed_all (store) &&
@@ -774,7 +776,7 @@
   gateway_peers_pick_control (store->peers, &state.referral);
   fill_streams (store, streams);
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    bytes += kvw_bytes_since (streams[i].view, 0);
+    bytes += keyed_view_bytes_since (streams[i].view, 0);
   state.too_large = bytes > GATEWAY_STORE_FULL_COPY_MAX_BYTES;
   return gateway_fetch_handle_request (store->fetch, call, streams, STREAM_COUNT, &state);
 }
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -64,7 +64,7 @@
 }
 
 gateway_route_stats_t *
-gateway_route_stats (gateway_task_t *gateway, const rte_route_t *route)
+gateway_route_stats (gateway_task_t *gateway, const routing_route_t *route)
 {
   uint64_t hash = XXH64 (route->name, strlen (route->name), 0);
   gateway_route_stats_t *usual = &gateway->route_stats[hash % GATEWAY_ROUTE_STATS_SLOTS];
@@ -259,18 +259,18 @@
   g_hash_table_destroy (gateway->services);
   g_hash_table_destroy (gateway->calls);
   if (gateway->table)
-    rte_unref (gateway->table);
+    routing_unref (gateway->table);
   g_free (gateway);
 }
 
 void
-gateway_set_routing_table (gateway_task_t *gateway, rte_t *table)
+gateway_set_routing_table (gateway_task_t *gateway, routing_t *table)
 {
-  const rte_limits_t *limits = rte_limits (table);
+  const routing_limits_t *limits = routing_limits (table);
 
   if (gateway->table)
-    rte_unref (gateway->table);
-  gateway->table = rte_ref (table);
+    routing_unref (gateway->table);
+  gateway->table = routing_ref (table);
   hsv_configure (gateway->listener, limits->body_bytes, limits->header_bytes,
                  limits->header_timeout_ms, limits->idle_timeout_ms);
 }
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -55,7 +55,7 @@
 /** gateway_free() - cancels the requests in flight, as if their clients had disconnected */
 void gateway_free (gateway_task_t *gateway);
 /** gateway_set_routing_table() - puts a version of the routing table in force; takes a reference */
-void gateway_set_routing_table (gateway_task_t *gateway, rte_t *table);
+void gateway_set_routing_table (gateway_task_t *gateway, routing_t *table);
 /** gateway_set_config_current() - sets whether the version in force is known to be the newest one.
  * While it is not, unknown routes and keys get 503, as a newer version may have them */
 void gateway_set_config_current (gateway_task_t *gateway, bool certain);
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -11,7 +11,7 @@
 {
   log_event (LOG_LEVEL_NOTICE, "reject", "id", request->id, "status",
              LOG_U64 ((uint64_t)fault->status), "code", fault->code, "version",
-             LOG_U64 (gateway->table ? rte_version (gateway->table) : 0), NULL);
+             LOG_U64 (gateway->table ? routing_version (gateway->table) : 0), NULL);
   log_flush ();
   error_reply_send (client, fault);
 }
@@ -85,8 +85,8 @@
 gateway_accept (hsv_call_t *client, void *context)
 {
   gateway_task_t *gateway = context;
-  const rte_route_t *route;
-  const rte_account_t *account = NULL;
+  const routing_route_t *route;
+  const routing_account_t *account = NULL;
   format_request_t request;
   const char *problem = gateway->options.format->read (&request, hsv_headers (client));
   gateway_call_t *call;
@@ -102,17 +102,17 @@
       reject_while_stopping (gateway, client, &request);
       return;
     }
-  route = gateway->table
-              ? rte_find (gateway->table, hsv_header (client, "Host"), hsv_target (client))
-              : NULL;
+  route = gateway->table ? routing_find_route (gateway->table, hsv_header (client, "Host"),
+                                               hsv_target (client))
+                         : NULL;
   if (!route)
     {
       reject_unknown (gateway, client, &request, 404, "unknown_route");
       return;
     }
-  if (rte_needs_key (gateway->table, route))
+  if (routing_needs_key (gateway->table, route))
     {
-      account = request.key ? rte_account (gateway->table, request.key) : NULL;
+      account = request.key ? routing_find_account (gateway->table, request.key) : NULL;
       if (!account)
         {
           reject_unknown (gateway, client, &request, 401, "unknown_key");
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -46,7 +46,7 @@
 }
 
 static uint64_t
-compute_deadline_us (const rte_route_t *route, const format_request_t *request, uint64_t now_us)
+compute_deadline_us (const routing_route_t *route, const format_request_t *request, uint64_t now_us)
 {
   uint32_t limit_ms = route->timeout_ms;
 
@@ -58,7 +58,7 @@
 static bool
 is_repeatable (const gateway_call_t *call)
 {
-  return call->route->kind == RTE_IDEMPOTENT || call->course.rules.resumable;
+  return call->route->kind == ROUTING_IDEMPOTENT || call->course.rules.resumable;
 }
 
 static void
@@ -138,7 +138,7 @@
   relay_client_gone (&call->relay);
   gateway_call_log (call, "gone", call->queue_item.waiting ? "waiting" : "sent",
                     VERDICT_REASON_NONE);
-  if (call->upstream && call->route->kind == RTE_NON_IDEMPOTENT)
+  if (call->upstream && call->route->kind == ROUTING_NON_IDEMPOTENT)
     return;
   gateway_queue_remove (call);
   gateway_hop_cancel (call);
@@ -181,17 +181,17 @@
 gateway_call_t *
 gateway_call_new (gateway_task_t *gateway,
                   hsv_call_t *client,
-                  const rte_route_t *route,
-                  const rte_account_t *account,
+                  const routing_route_t *route,
+                  const routing_account_t *account,
                   const format_request_t *request)
 {
   gateway_call_t *call = g_new0 (gateway_call_t, 1);
-  bool is_stream = route->kind == RTE_STREAM;
+  bool is_stream = route->kind == ROUTING_STREAM;
   uint64_t target_hash;
 
   call->gateway = gateway;
   call->client = client;
-  call->table = rte_ref (gateway->table);
+  call->table = routing_ref (gateway->table);
   call->route = route;
   call->account = account;
   call->request = *request;
@@ -202,10 +202,10 @@
   set_affinity (call);
   call->shared_parts = hash_shared_parts (request);
   target_hash = XXH64 (call->id, strlen (call->id), gateway->next_call_number++);
-  call->service = gateway_service (gateway, rte_target (route, target_hash));
+  call->service = gateway_service (gateway, routing_route_choose_service (route, target_hash));
   call->body = hsv_take_body (client, &call->body_bytes);
   retry_plan_init (&call->course,
-                   &(retry_plan_rules_t){ .idempotent = route->kind == RTE_IDEMPOTENT,
+                   &(retry_plan_rules_t){ .idempotent = route->kind == ROUTING_IDEMPOTENT,
                                           .resumable = is_stream && route->resumable,
                                           .attempts = route->attempts });
   event_splitter_init (&call->splitter);
@@ -232,7 +232,7 @@
   event_splitter_clear (&call->splitter);
   relay_clear (&call->relay);
   g_free (call->body);
-  rte_unref (call->table);
+  routing_unref (call->table);
   g_free (call);
 }
 
@@ -247,8 +247,8 @@
 
   log_event (
       level, event, "id", call->id, "route", call->route->name, "version",
-      LOG_U64 (rte_version (call->table)), "engine", call->engine ? call->engine->entry.id : NULL,
-      "outcome", outcome, "reason",
+      LOG_U64 (routing_version (call->table)), "engine",
+      call->engine ? call->engine->entry.id : NULL, "outcome", outcome, "reason",
       reason == VERDICT_REASON_NONE ? NULL : verdict_reason_to_string (reason), "hops",
       LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
       LOG_U64 (call->course.unsent), "status", LOG_U64 ((uint64_t)call->status), "head_ms",
@@ -293,7 +293,7 @@
 {
   const gateway_task_t *gateway = call->gateway;
   const gateway_service_t *service = call->service;
-  const rte_service_t *rules = rte_service (gateway->table, service->name);
+  const routing_service_t *rules = routing_find_service (gateway->table, service->name);
   uint64_t now_us = gateway_now_us (gateway);
 
   return engine_choice_make (
@@ -480,7 +480,7 @@
   uint64_t retry_wait_us = gateway_call_retry_wait_us (call);
 
   log_event (LOG_LEVEL_NOTICE, "refuse", "id", call->id, "route", call->route->name, "version",
-             LOG_U64 (rte_version (call->table)), "outcome",
+             LOG_U64 (routing_version (call->table)), "outcome",
              is_repeatable (call) ? "repeatable" : "not_run", "reason",
              verdict_reason_to_string (reason), "hops", LOG_U64 (call->hops), "full",
              LOG_U64 (call->course.full), "unsent", LOG_U64 (call->course.unsent), "retry_wait_ms",
--- a/src/request/gateway/gateway_hop.c
+++ b/src/request/gateway/gateway_hop.c
@@ -397,7 +397,7 @@
 {
   uint64_t stated_us = (uint64_t)call->engine->idle_ms * CLK_US_PER_MS / GATEWAY_REUSE_IDLE_DIVISOR;
 
-  if (call->route->kind == RTE_IDEMPOTENT || call->course.rules.resumable)
+  if (call->route->kind == ROUTING_IDEMPOTENT || call->course.rules.resumable)
     return 0;
   return stated_us > 0 ? MIN (stated_us, GATEWAY_REUSE_IDLE_MAX_US) : GATEWAY_REUSE_IDLE_MAX_US;
 }
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -119,7 +119,7 @@
   uint64_t name_hash; /* of the name of this gateway */
   hsv_t *listener;
   hcl_t *upstreams; /* connections to engines */
-  rte_t *table;
+  routing_t *table;
   bool config_current; /* @table is known to be the newest version */
   bool stopping;       /* no connections and requests are accepted any more */
   uint64_t started_us;
@@ -177,9 +177,9 @@
   gateway_task_t *gateway;
   hsv_call_t *client;
   hcl_call_t *upstream;
-  rte_t *table;
-  const rte_route_t *route;
-  const rte_account_t *account;
+  routing_t *table;
+  const routing_route_t *route;
+  const routing_account_t *account;
   gateway_service_t *service;
   format_request_t request;
   char id[FORMAT_ID_BYTES];
@@ -215,7 +215,7 @@
 /** gateway_service() - the state of a service, made when it is not there yet; @name is interned */
 gateway_service_t *gateway_service (gateway_task_t *gateway, const char *name);
 /** gateway_route_stats() - the statistics of a route */
-gateway_route_stats_t *gateway_route_stats (gateway_task_t *gateway, const rte_route_t *route);
+gateway_route_stats_t *gateway_route_stats (gateway_task_t *gateway, const routing_route_t *route);
 uint64_t gateway_now_us (const gateway_task_t *gateway);
 /** gateway_note_served() - an engine served the request with this fingerprint: clears it of the
  * suspicion of crashing engines, here and at the other gateways */
@@ -227,8 +227,8 @@
 /** gateway_call_new() - a call for a request that was accepted; starts its deadline timer */
 gateway_call_t *gateway_call_new (gateway_task_t *gateway,
                                   hsv_call_t *client,
-                                  const rte_route_t *route,
-                                  const rte_account_t *account,
+                                  const routing_route_t *route,
+                                  const routing_account_t *account,
                                   const format_request_t *request);
 void gateway_call_free (gateway_call_t *call);
 /** gateway_call_fingerprint() - hash by which all gateways know a request that crashes engines;
--- a/src/request/messages.c
+++ b/src/request/messages.c
@@ -14,7 +14,7 @@
   message_version_t *version = (message_version_t *)message;
 
   if (version->man != NULL)
-    man_unref (version->man);
+    manifest_unref (version->man);
   g_free (version);
 }
 
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -45,7 +45,7 @@
 typedef struct
 {
   mbx_message_t head;
-  man_t *man;
+  manifest_t *man;
   uint64_t next_offset;
 } message_version_t;
 
--- a/src/request/ops.c
+++ b/src/request/ops.c
@@ -65,8 +65,8 @@
 set_version (data_task_t *data_task, message_version_t *message)
 {
   if (data_task->man != NULL)
-    man_unref (data_task->man);
-  data_task->man = man_ref (message->man);
+    manifest_unref (data_task->man);
+  data_task->man = manifest_ref (message->man);
   data_task->man_next_offset = message->next_offset;
 }
 
@@ -145,7 +145,7 @@
   event_free (data_task->drain_poll);
   hsv_free (data_task->hsv);
   if (data_task->man != NULL)
-    man_unref (data_task->man);
+    manifest_unref (data_task->man);
   if (data_task->members != NULL)
     membership_snapshot_unref (data_task->members);
   decision_ring_free (data_task->decisions);
@@ -176,7 +176,7 @@
   return true;
 }
 
-man_t *
+manifest_t *
 data_task_manifest (const data_task_t *data_task)
 {
   return data_task->man;
@@ -225,7 +225,7 @@
   cnt_add (data_task->control_bytes, bytes);
 }
 
-const man_account_t *
+const manifest_account_t *
 data_task_find_account (const data_task_t *data_task, hsv_call_t *call)
 {
   static const char BEARER[] = "Bearer ";
@@ -236,5 +236,5 @@
     key = authorization + strlen (BEARER);
   if (key == NULL || data_task->man == NULL)
     return NULL;
-  return man_account_for_key (data_task->man, key);
+  return manifest_account_for_key (data_task->man, key);
 }
--- a/src/request/ops.h
+++ b/src/request/ops.h
@@ -67,7 +67,7 @@
 bool data_task_handle_message (data_task_t *data_task, mbx_message_t *message);
 
 /** data_task_manifest() - the manifest in force, borrowed; NULL before the first one */
-man_t *data_task_manifest (const data_task_t *data_task);
+manifest_t *data_task_manifest (const data_task_t *data_task);
 /** data_task_members() - the list of hosts in force, borrowed; NULL before the first one */
 membership_snapshot_t *data_task_members (const data_task_t *data_task);
 decision_ring_t *data_task_decisions (data_task_t *data_task);
@@ -83,6 +83,6 @@
  */
 void data_task_count_control_bytes (data_task_t *data_task, uint32_t bytes);
 /** data_task_find_account() - the client account whose key the call carries, or NULL */
-const man_account_t *data_task_find_account (const data_task_t *data_task, hsv_call_t *call);
+const manifest_account_t *data_task_find_account (const data_task_t *data_task, hsv_call_t *call);
 
 #endif
--- a/src/request/ops_private.h
+++ b/src/request/ops_private.h
@@ -29,7 +29,7 @@
 {
   data_task_options_t options;
   hsv_t *hsv;
-  man_t *man;
+  manifest_t *man;
   uint64_t man_next_offset;
   membership_snapshot_t *members;
   decision_ring_t *decisions;
--- a/src/request/ops_serve.c
+++ b/src/request/ops_serve.c
@@ -61,19 +61,19 @@
       error_reply_reject (call, 503, "no_version", "no version of the manifest is known here");
       return;
     }
-  char seal[ASL_SEAL_BYTES];
-  g_autofree char *body =
-      msy_write (data_task->options.dmn->set.fleet_key, hsv_header (call, ASL_NONCE_HEADER),
-                 data_task->man, data_task->man_next_offset, seal);
+  char seal[ANSWER_SEAL_BYTES];
+  g_autofree char *body = manifest_sync_format (data_task->options.dmn->set.fleet_key,
+                                                hsv_header (call, ANSWER_SEAL_NONCE_HEADER),
+                                                data_task->man, data_task->man_next_offset, seal);
 
   if (seal[0] != '\0')
-    hsv_add_header (call, ASL_SEAL_HEADER, seal);
+    hsv_add_header (call, ANSWER_SEAL_HEADER, seal);
   hsv_reply_text (call, 200, "application/json", body);
 }
 
 /* A client account may see only its own requests. */
 static json_t *
-filter_by_account (json_t *decisions, const man_account_t *account)
+filter_by_account (json_t *decisions, const manifest_account_t *account)
 {
   for (size_t i = json_array_size (decisions); i-- > 0;)
     {
@@ -89,7 +89,7 @@
 serve_explain (data_task_t *data_task, hsv_call_t *call, bool sealed)
 {
   const char *text = hsv_query (call, "request");
-  const man_account_t *account = data_task_find_account (data_task, call);
+  const manifest_account_t *account = data_task_find_account (data_task, call);
   uint64_t request[2];
   json_t *decisions;
 
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -29,7 +29,7 @@
 {
   const router_t *router = context;
   json_t *services = json_object ();
-  const man_t *manifest = data_task_manifest (router->ops);
+  const manifest_t *manifest = data_task_manifest (router->ops);
 
   for (uint32_t i = 0; i < router->pool_count; i++)
     json_object_set_new (
@@ -85,7 +85,7 @@
 static gboolean
 is_unused_service (gpointer key, gpointer value, gpointer context)
 {
-  const man_t *manifest = context;
+  const manifest_t *manifest = context;
 
   (void)value;
   for (uint32_t i = 0; i < manifest->service_count; i++)
@@ -98,7 +98,7 @@
 static void
 update_load_tables (router_t *router)
 {
-  man_t *manifest = data_task_manifest (router->ops);
+  manifest_t *manifest = data_task_manifest (router->ops);
 
   if (manifest == NULL)
     return;
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -60,8 +60,8 @@
 {
   const char *model = chat->model[0] != '\0' ? chat->model : NULL;
   const char *class_name = hsv_header (call->inbound, CLASS_HEADER);
-  const man_route_t *route =
-      man_route_for (call->manifest, call->method, hsv_path (call->inbound), model);
+  const manifest_route_t *route =
+      manifest_find_route (call->manifest, call->method, hsv_path (call->inbound), model);
 
   if (route == NULL)
     return reject (rejection, 404, "no_route", "no service is set up for this path and model");
@@ -70,7 +70,7 @@
   call->hop.idempotent = route->idempotent;
   if (class_name == NULL)
     return true;
-  call->request_class = man_class_named (call->manifest, class_name);
+  call->request_class = manifest_find_class (call->manifest, class_name);
   return call->request_class != NULL ||
          reject (rejection, 400, "unknown_class", CLASS_HEADER " names no class");
 }
@@ -225,7 +225,7 @@
   call->inbound = inbound;
   call->link.data = call;
   g_queue_push_tail_link (&router->calls, &call->link);
-  call->manifest = man_ref (data_task_manifest (router->ops));
+  call->manifest = manifest_ref (data_task_manifest (router->ops));
   call->method = g_strdup (hsv_method (inbound));
   call->target = g_strdup (hsv_target (inbound));
   call->arrived_us = data_task_now_us (router->ops);
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -66,7 +66,7 @@
   g_free (call->headers);
   relay_clear (&call->relay);
   g_queue_unlink (&call->router->calls, &call->link);
-  man_unref (call->manifest);
+  manifest_unref (call->manifest);
   g_free (call->method);
   g_free (call->target);
   g_free (call->body);
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -41,7 +41,7 @@
 }
 
 static void
-init_pools (router_t *router, const man_t *manifest, uint32_t host_count)
+init_pools (router_t *router, const manifest_t *manifest, uint32_t host_count)
 {
   router->pool_count = manifest->service_count;
   router->pools = g_new0 (router_pool_t, manifest->service_count);
@@ -67,14 +67,14 @@
  *
  * A request keeps the version that it arrived under, but pools belong to the version in force. */
 static const router_pool_t *
-pool_of (const router_t *router, const man_t *manifest, const man_service_t *service)
+pool_of (const router_t *router, const manifest_t *manifest, const manifest_service_t *service)
 {
-  const man_t *in_force = data_task_manifest (router->ops);
+  const manifest_t *in_force = data_task_manifest (router->ops);
 
   if (router->pools == NULL)
     return NULL;
   if (manifest != in_force)
-    service = man_service_named (in_force, service->name);
+    service = manifest_find_service (in_force, service->name);
   return service != NULL ? &router->pools[service - in_force->services] : NULL;
 }
 
@@ -127,7 +127,7 @@
 void
 router_pools_rebuild (router_t *router)
 {
-  const man_t *manifest = data_task_manifest (router->ops);
+  const manifest_t *manifest = data_task_manifest (router->ops);
   const membership_snapshot_t *members = data_task_members (router->ops);
 
   router_pools_clear (router);
@@ -137,7 +137,7 @@
   for (uint32_t i = 0; i < members->host_count; i++)
     {
       const membership_host_t *host = &members->hosts[i];
-      const man_service_t *service = man_service_of_engine (manifest, host->name);
+      const manifest_service_t *service = manifest_service_of_engine (manifest, host->name);
       router_pool_t *pool;
       bool in_own_region = strcmp (host->region, router->daemon->set.region) == 0;
 
@@ -177,7 +177,7 @@
 router_find_candidates (router_call_t *call, bool first_turn)
 {
   router_t *router = call->router;
-  const man_service_t *service = call->service;
+  const manifest_service_t *service = call->service;
   const router_pool_t *pool = pool_of (router, call->manifest, service);
   const router_loads_t *loads = g_hash_table_lookup (router->loads, &service->hash);
   health_query_t health_query = { .router = router, .now_us = data_task_now_us (router->ops) };
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -203,10 +203,10 @@
   hsv_call_t *inbound;
   hcl_call_t *outbound;
   hcl_call_t *revoke_request;
-  man_t *manifest;
-  const man_account_t *account;
-  const man_service_t *service;
-  const man_class_t *request_class;
+  manifest_t *manifest;
+  const manifest_account_t *account;
+  const manifest_service_t *service;
+  const manifest_class_t *request_class;
   hop_t hop;
   candidates_t placement;
   forwarding_t attempts;
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -63,7 +63,7 @@
 static void
 list_other_engines (sidecar_t *sidecar)
 {
-  const man_t *manifest = data_task_manifest (sidecar->ops);
+  const manifest_t *manifest = data_task_manifest (sidecar->ops);
   const membership_snapshot_t *members = data_task_members (sidecar->ops);
 
   g_clear_pointer (&sidecar->other_engines, g_free);
@@ -76,7 +76,7 @@
       const membership_host_t *host = &members->hosts[i];
 
       if (host->hash == sidecar->own_hash || host->router || host->state != MEMBERSHIP_LIVE ||
-          man_service_of_engine (manifest, host->name) != sidecar->service)
+          manifest_service_of_engine (manifest, host->name) != sidecar->service)
         continue;
       sidecar->other_engines[sidecar->other_engine_count++] =
           (rendezvous_engine_t){ .hash = host->hash, .index = i, .weight = 1.0F };
@@ -155,11 +155,11 @@
 on_configuration_changed (void *context)
 {
   sidecar_t *sidecar = context;
-  const man_t *manifest = data_task_manifest (sidecar->ops);
+  const manifest_t *manifest = data_task_manifest (sidecar->ops);
   admission_options_t options;
 
   sidecar->service =
-      manifest != NULL ? man_service_of_engine (manifest, sidecar->daemon->set.name) : NULL;
+      manifest != NULL ? manifest_service_of_engine (manifest, sidecar->daemon->set.name) : NULL;
   list_other_engines (sidecar);
   options = admission_options (sidecar);
   admission_configure (sidecar->admission, &options);
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -15,8 +15,8 @@
 fill_request (sidecar_call_t *call)
 {
   const hop_t *hop = &call->hop;
-  const man_account_t *account = man_account_named (call->manifest, hop->account);
-  const man_class_t *request_class = man_class_named (call->manifest, hop->class_name);
+  const manifest_account_t *account = manifest_find_account (call->manifest, hop->account);
+  const manifest_class_t *request_class = manifest_find_class (call->manifest, hop->class_name);
   admission_request_t *request = &call->request;
 
   request->item =
@@ -86,7 +86,7 @@
   call->sidecar = sidecar;
   call->inbound = inbound;
   call->hop = *hop;
-  call->manifest = man_ref (data_task_manifest (sidecar->ops));
+  call->manifest = manifest_ref (data_task_manifest (sidecar->ops));
   call->arrived_us = data_task_now_us (sidecar->ops);
   call->deadline_us = call->arrived_us + (uint64_t)hop->deadline_ms * CLK_US_PER_MS;
   call->timer = evtimer_new (sidecar->base, sidecar_engine_on_timer, call);
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -74,7 +74,7 @@
   g_free (call->headers);
   relay_clear (&call->relay);
   g_hash_table_remove (call->sidecar->calls, call->hop.attempt);
-  man_unref (call->manifest);
+  manifest_unref (call->manifest);
   g_free (call->method);
   g_free (call->target);
   g_free (call->body);
--- a/src/request/sidecar/sidecar_claim.c
+++ b/src/request/sidecar/sidecar_claim.c
@@ -19,7 +19,7 @@
 static void
 format_claim_stream (const sidecar_call_t *call, char *out, size_t out_bytes)
 {
-  const man_service_t *service = man_service_named (call->manifest, call->hop.service);
+  const manifest_service_t *service = manifest_find_service (call->manifest, call->hop.service);
   uint32_t shards = service != NULL ? MAX (service->claim_shards, 1) : 1;
 
   snprintf (out, out_bytes, "claims/%s/%" PRIu64, call->hop.service,
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -65,7 +65,7 @@
 {
   sidecar_t *sidecar = call->sidecar;
   bool fills_cache =
-      sidecar->service != NULL && sidecar->service->kind == MAN_KIND_MODEL && status == 200;
+      sidecar->service != NULL && sidecar->service->kind == MANIFEST_KIND_MODEL && status == 200;
 
   admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request,
                     fills_cache);
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -96,7 +96,7 @@
   admission_t *admission;
   history_t *history;
   uint64_t own_hash;
-  const man_service_t *service;
+  const manifest_service_t *service;
   rendezvous_engine_t *other_engines;
   uint32_t other_engine_count;
   GHashTable *calls;
@@ -146,7 +146,7 @@
   sidecar_call_state_t state;
   hsv_call_t *inbound;
   hcl_call_t *outbound;
-  man_t *manifest;
+  manifest_t *manifest;
   hop_t hop;
   relay_t relay;
   char *method;
--- a/src/version/judged.c
+++ b/src/version/judged.c
@@ -7,54 +7,54 @@
  * @next: index of the entry that is written next
  * @by_id: entry->id -> entry, into @entries
  */
-struct jdg
+struct history
 {
-  jdg_entry_t *entries;
+  publish_history_entry_t *entries;
   uint32_t limit;
   uint32_t next;
   GHashTable *by_id;
 };
 
-jdg_t *
-jdg_new (uint32_t limit)
+publish_history_t *
+publish_history_new (uint32_t limit)
 {
-  jdg_t *jdg = g_new0 (jdg_t, 1);
+  publish_history_t *history = g_new0 (publish_history_t, 1);
 
   g_assert (limit > 0);
-  jdg->entries = g_new0 (jdg_entry_t, limit);
-  jdg->limit = limit;
-  jdg->by_id = g_hash_table_new (g_str_hash, g_str_equal);
-  return jdg;
+  history->entries = g_new0 (publish_history_entry_t, limit);
+  history->limit = limit;
+  history->by_id = g_hash_table_new (g_str_hash, g_str_equal);
+  return history;
 }
 
 void
-jdg_free (jdg_t *jdg)
+publish_history_free (publish_history_t *history)
 {
-  if (jdg == NULL)
+  if (history == NULL)
     return;
-  g_hash_table_unref (jdg->by_id);
-  g_free (jdg->entries);
-  g_free (jdg);
+  g_hash_table_unref (history->by_id);
+  g_free (history->entries);
+  g_free (history);
 }
 
 void
-jdg_add (jdg_t *jdg, const char *id, bool accepted, uint64_t version)
+publish_history_add (publish_history_t *history, const char *id, bool accepted, uint64_t version)
 {
-  jdg_entry_t *entry = &jdg->entries[jdg->next];
+  publish_history_entry_t *entry = &history->entries[history->next];
 
-  if (jdg_find (jdg, id) != NULL)
+  if (publish_history_find (history, id) != NULL)
     return;
   if (entry->id[0] != '\0')
-    g_hash_table_remove (jdg->by_id, entry->id);
+    g_hash_table_remove (history->by_id, entry->id);
   g_strlcpy (entry->id, id, sizeof entry->id);
   entry->accepted = accepted;
   entry->version = version;
-  g_hash_table_insert (jdg->by_id, entry->id, entry);
-  jdg->next = (jdg->next + 1) % jdg->limit;
+  g_hash_table_insert (history->by_id, entry->id, entry);
+  history->next = (history->next + 1) % history->limit;
 }
 
-const jdg_entry_t *
-jdg_find (const jdg_t *jdg, const char *id)
+const publish_history_entry_t *
+publish_history_find (const publish_history_t *history, const char *id)
 {
-  return g_hash_table_lookup (jdg->by_id, id);
+  return g_hash_table_lookup (history->by_id, id);
 }
--- a/src/version/judged.h
+++ b/src/version/judged.h
@@ -14,10 +14,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef struct jdg jdg_t;
+typedef struct history publish_history_t;
 
 /**
- * struct jdg_entry - the outcome of one publish
+ * struct publish_history_entry - the outcome of one publish
  * @id: publish id
  * @accepted: whether the publish came into force
  * @version: version in force after it; of an accepted publish, the one that it created
@@ -27,14 +27,18 @@
   char id[LIM_NAME_BYTES];
   bool accepted;
   uint64_t version;
-} jdg_entry_t;
+} publish_history_entry_t;
 
-/** jdg_new() - an empty history of at most @limit entries */
-jdg_t *jdg_new (uint32_t limit);
-void jdg_free (jdg_t *jdg);
-/** jdg_add() - record the outcome of @id; has no effect when the history already holds @id */
-void jdg_add (jdg_t *jdg, const char *id, bool accepted, uint64_t version);
-/** jdg_find() - the entry of @id, or NULL; valid until the next jdg_add() */
-const jdg_entry_t *jdg_find (const jdg_t *jdg, const char *id);
+/** publish_history_new() - an empty history of at most @limit entries */
+publish_history_t *publish_history_new (uint32_t limit);
+void publish_history_free (publish_history_t *history);
+/** publish_history_add() - record the outcome of @id; has no effect when the history already holds
+ * @id */
+void
+publish_history_add (publish_history_t *history, const char *id, bool accepted, uint64_t version);
+/** publish_history_find() - the entry of @id, or NULL; valid until the next publish_history_add()
+ */
+const publish_history_entry_t *publish_history_find (const publish_history_t *history,
+                                                     const char *id);
 
 #endif
--- a/src/version/keyed_view.c
+++ b/src/version/keyed_view.c
@@ -17,9 +17,9 @@
   uint64_t list_number;
 } entry_t;
 
-struct kvw
+struct view
 {
-  kvw_changed_t changed;
+  keyed_view_visit_t changed;
   void *context;
   GHashTable *entries; /* key -> entry_t */
   uint64_t list_number;
@@ -36,22 +36,22 @@
   g_free (entry);
 }
 
-kvw_t *
-kvw_new (kvw_changed_t changed, void *context)
+keyed_view_t *
+keyed_view_new (keyed_view_visit_t changed, void *context)
 {
-  kvw_t *kvw = g_new0 (kvw_t, 1);
+  keyed_view_t *view = g_new0 (keyed_view_t, 1);
 
-  kvw->changed = changed;
-  kvw->context = context;
-  kvw->entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
-  return kvw;
+  view->changed = changed;
+  view->context = context;
+  view->entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
+  return view;
 }
 
 void
-kvw_free (kvw_t *kvw)
+keyed_view_free (keyed_view_t *view)
 {
-  g_hash_table_destroy (kvw->entries);
-  g_free (kvw);
+  g_hash_table_destroy (view->entries);
+  g_free (view);
 }
 
 static char *
@@ -74,59 +74,60 @@
 }
 
 bool
-kvw_apply (kvw_t *kvw, uint64_t offset, const char *key, const char *value, size_t value_bytes)
+keyed_view_apply (
+    keyed_view_t *view, uint64_t offset, const char *key, const char *value, size_t value_bytes)
 {
-  entry_t *entry = g_hash_table_lookup (kvw->entries, key);
+  entry_t *entry = g_hash_table_lookup (view->entries, key);
   bool exists = entry != NULL;
 
   if (!exists)
     {
       entry = g_new0 (entry_t, 1);
-      g_hash_table_insert (kvw->entries, g_strdup (key), entry);
+      g_hash_table_insert (view->entries, g_strdup (key), entry);
     }
-  entry->list_number = kvw->list_number;
+  entry->list_number = view->list_number;
   if (exists && entry->offset >= offset)
     return false;
   entry_set (entry, offset, value, value_bytes);
-  kvw->revision++;
-  kvw->changed (key, entry->value, entry->value_bytes, offset, kvw->context);
+  view->revision++;
+  view->changed (key, entry->value, entry->value_bytes, offset, view->context);
   return true;
 }
 
 void
-kvw_list_begin (kvw_t *kvw)
+keyed_view_list_begin (keyed_view_t *view)
 {
-  kvw->list_number++;
+  view->list_number++;
 }
 
 /* Also discards the tombstones from before the listing: readers continue from its end, so that no
  * older record follows. */
 void
-kvw_list_end (kvw_t *kvw, uint64_t end_offset)
+keyed_view_list_end (keyed_view_t *view, uint64_t end_offset)
 {
   GHashTableIter iter;
   gpointer key;
   gpointer value;
 
-  kvw->listed_offset = end_offset;
-  kvw->revision++;
-  g_hash_table_iter_init (&iter, kvw->entries);
+  view->listed_offset = end_offset;
+  view->revision++;
+  g_hash_table_iter_init (&iter, view->entries);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
       entry_t *entry = value;
 
-      if (entry->list_number == kvw->list_number || entry->offset >= end_offset)
+      if (entry->list_number == view->list_number || entry->offset >= end_offset)
         continue;
       if (entry->value)
-        kvw->changed (key, NULL, 0, end_offset, kvw->context);
+        view->changed (key, NULL, 0, end_offset, view->context);
       g_hash_table_iter_remove (&iter);
     }
 }
 
 const char *
-kvw_get (const kvw_t *kvw, const char *key, size_t *value_bytes, uint64_t *offset)
+keyed_view_get (const keyed_view_t *view, const char *key, size_t *value_bytes, uint64_t *offset)
 {
-  const entry_t *entry = g_hash_table_lookup (kvw->entries, key);
+  const entry_t *entry = g_hash_table_lookup (view->entries, key);
 
   if (!entry || !entry->value)
     return NULL;
@@ -136,25 +137,28 @@
 }
 
 uint64_t
-kvw_listed_offset (const kvw_t *kvw)
+keyed_view_listed_offset (const keyed_view_t *view)
 {
-  return kvw->listed_offset;
+  return view->listed_offset;
 }
 
 uint64_t
-kvw_revision (const kvw_t *kvw)
+keyed_view_revision (const keyed_view_t *view)
 {
-  return kvw->revision;
+  return view->revision;
 }
 
 void
-kvw_since (const kvw_t *kvw, uint64_t from_offset, kvw_changed_t visit, void *context)
+keyed_view_visit_since (const keyed_view_t *view,
+                        uint64_t from_offset,
+                        keyed_view_visit_t visit,
+                        void *context)
 {
   GHashTableIter iter;
   gpointer key;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, kvw->entries);
+  g_hash_table_iter_init (&iter, view->entries);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
       const entry_t *entry = value;
@@ -176,10 +180,10 @@
 }
 
 size_t
-kvw_bytes_since (const kvw_t *kvw, uint64_t from_offset)
+keyed_view_bytes_since (const keyed_view_t *view, uint64_t from_offset)
 {
   size_t bytes = 0;
 
-  kvw_since (kvw, from_offset, add_bytes, &bytes);
+  keyed_view_visit_since (view, from_offset, add_bytes, &bytes);
   return bytes;
 }
--- a/src/version/manifest.c
+++ b/src/version/manifest.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 GQuark
-man_error_quark (void)
+manifest_error_quark (void)
 {
   return g_quark_from_static_string ("manifest-error-quark");
 }
@@ -22,7 +22,8 @@
   *text_bytes = json_dumpb (json, NULL, 0, flags);
   if (*text_bytes == 0 || *text_bytes > LIM_MANIFEST_BYTES)
     {
-      mck_fail (error, MAN_ERROR_SYNTAX, "", NULL, "is larger than %d bytes", LIM_MANIFEST_BYTES);
+      json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "", NULL, "is larger than %d bytes",
+                        LIM_MANIFEST_BYTES);
       return NULL;
     }
   text = g_malloc (*text_bytes);
@@ -31,7 +32,7 @@
 }
 
 static bool
-set_digest (man_t *manifest, GError **error)
+set_digest (manifest_t *manifest, GError **error)
 {
   size_t text_bytes;
   g_autofree char *text = dump_canonical (manifest->json, &text_bytes, error);
@@ -91,7 +92,10 @@
 }
 
 static bool
-route_matches (const man_route_t *route, const char *method, const char *path, const char *model)
+route_matches (const manifest_route_t *route,
+               const char *method,
+               const char *path,
+               const char *model)
 {
   size_t length = strlen (route->path);
 
@@ -105,7 +109,7 @@
 }
 
 static void
-free_tables (man_t *manifest)
+free_tables (manifest_t *manifest)
 {
   for (uint32_t i = 0; i < manifest->service_count; i++)
     g_free (manifest->services[i].engines);
@@ -117,78 +121,80 @@
   g_clear_pointer (&manifest->service_by_engine, g_hash_table_unref);
 }
 
-man_t *
-man_from_json (json_t *json, GError **error)
+manifest_t *
+manifest_from_json (json_t *json, GError **error)
 {
-  man_t *manifest;
+  manifest_t *manifest;
 
-  if (!mck_depth (json, LIM_MANIFEST_DEPTH))
+  if (!json_reader_check_depth (json, LIM_MANIFEST_DEPTH))
     {
-      mck_fail (error, MAN_ERROR_SYNTAX, "", NULL, "is nested deeper than %d", LIM_MANIFEST_DEPTH);
+      json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "", NULL, "is nested deeper than %d",
+                        LIM_MANIFEST_DEPTH);
       return NULL;
     }
-  manifest = g_new0 (man_t, 1);
+  manifest = g_new0 (manifest_t, 1);
   g_atomic_ref_count_init (&manifest->refs);
   manifest->json = json_incref (json);
   manifest->account_by_digest = g_hash_table_new (g_str_hash, g_str_equal);
   manifest->service_by_engine = g_hash_table_new (g_str_hash, g_str_equal);
-  if (!mrd_read (manifest, error) || !set_digest (manifest, error))
-    g_clear_pointer (&manifest, man_unref);
+  if (!manifest_read_tables (manifest, error) || !set_digest (manifest, error))
+    g_clear_pointer (&manifest, manifest_unref);
   return manifest;
 }
 
-man_t *
-man_parse (const char *text, size_t text_bytes, GError **error)
+manifest_t *
+manifest_parse (const char *text, size_t text_bytes, GError **error)
 {
   json_error_t json_error;
   json_t *json;
-  man_t *manifest;
+  manifest_t *manifest;
 
   if (text_bytes > LIM_MANIFEST_BYTES)
     {
-      mck_fail (error, MAN_ERROR_SYNTAX, "", NULL, "is larger than %d bytes", LIM_MANIFEST_BYTES);
+      json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "", NULL, "is larger than %d bytes",
+                        LIM_MANIFEST_BYTES);
       return NULL;
     }
   json = json_loadb (text, text_bytes, JSON_REJECT_DUPLICATES, &json_error);
   if (json == NULL)
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_SYNTAX, "line %d, column %d: %s", json_error.line,
-                   json_error.column, json_error.text);
+      g_set_error (error, MANIFEST_ERROR, MANIFEST_ERROR_SYNTAX, "line %d, column %d: %s",
+                   json_error.line, json_error.column, json_error.text);
       return NULL;
     }
-  manifest = man_from_json (json, error);
+  manifest = manifest_from_json (json, error);
   json_decref (json);
   return manifest;
 }
 
-man_t *
-man_patch (const man_t *base, const json_t *patch, GError **error)
+manifest_t *
+manifest_patch (const manifest_t *base, const json_t *patch, GError **error)
 {
   json_t *json;
-  man_t *manifest;
+  manifest_t *manifest;
 
-  if (!json_is_object (patch) || !mck_depth (patch, LIM_MANIFEST_DEPTH))
+  if (!json_is_object (patch) || !json_reader_check_depth (patch, LIM_MANIFEST_DEPTH))
     {
-      mck_fail (error, MAN_ERROR_SYNTAX, "patch", NULL,
-                "is not an object that is nested at most %d deep", LIM_MANIFEST_DEPTH);
+      json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "patch", NULL,
+                        "is not an object that is nested at most %d deep", LIM_MANIFEST_DEPTH);
       return NULL;
     }
   json = merge_patch (base->json, patch);
-  manifest = man_from_json (json, error);
+  manifest = manifest_from_json (json, error);
   json_decref (json);
   return manifest;
 }
 
 bool
-man_may_follow (const man_t *manifest, const man_t *next, GError **error)
+manifest_may_follow (const manifest_t *manifest, const manifest_t *next, GError **error)
 {
   for (uint32_t i = 0; i < next->service_count; i++)
     {
-      const man_service_t *after = &next->services[i];
-      const man_service_t *before = man_service_named (manifest, after->name);
+      const manifest_service_t *after = &next->services[i];
+      const manifest_service_t *before = manifest_find_service (manifest, after->name);
       if (before == NULL || before->claim_shards == after->claim_shards)
         continue;
-      g_set_error (error, MAN_ERROR, MAN_ERROR_RANGE,
+      g_set_error (error, MANIFEST_ERROR, MANIFEST_ERROR_RANGE,
                    "services.%s.claim_shards: is %u and cannot become %u: existing claims of "
                    "idempotency keys would no longer be found",
                    after->name, before->claim_shards, after->claim_shards);
@@ -197,15 +203,15 @@
   return true;
 }
 
-man_t *
-man_ref (man_t *manifest)
+manifest_t *
+manifest_ref (manifest_t *manifest)
 {
   g_atomic_ref_count_inc (&manifest->refs);
   return manifest;
 }
 
 void
-man_unref (man_t *manifest)
+manifest_unref (manifest_t *manifest)
 {
   if (!g_atomic_ref_count_dec (&manifest->refs))
     return;
@@ -214,45 +220,48 @@
   g_free (manifest);
 }
 
-const man_account_t *
-man_account_for_key (const man_t *manifest, const char *key)
+const manifest_account_t *
+manifest_account_for_key (const manifest_t *manifest, const char *key)
 {
   g_autofree char *hex = g_compute_checksum_for_string (G_CHECKSUM_SHA256, key, -1);
 
   return g_hash_table_lookup (manifest->account_by_digest, hex);
 }
 
-const man_account_t *
-man_account_named (const man_t *manifest, const char *name)
+const manifest_account_t *
+manifest_find_account (const manifest_t *manifest, const char *name)
 {
-  G_STATIC_ASSERT (offsetof (man_account_t, name) == 0);
+  G_STATIC_ASSERT (offsetof (manifest_account_t, name) == 0);
   return find_by_name (name, manifest->accounts, manifest->account_count,
                        sizeof *manifest->accounts);
 }
 
-const man_service_t *
-man_service_named (const man_t *manifest, const char *name)
+const manifest_service_t *
+manifest_find_service (const manifest_t *manifest, const char *name)
 {
-  G_STATIC_ASSERT (offsetof (man_service_t, name) == 0);
+  G_STATIC_ASSERT (offsetof (manifest_service_t, name) == 0);
   return find_by_name (name, manifest->services, manifest->service_count,
                        sizeof *manifest->services);
 }
 
-const man_service_t *
-man_service_of_engine (const man_t *manifest, const char *engine)
+const manifest_service_t *
+manifest_service_of_engine (const manifest_t *manifest, const char *engine)
 {
   return g_hash_table_lookup (manifest->service_by_engine, engine);
 }
 
-const man_class_t *
-man_class_named (const man_t *manifest, const char *name)
+const manifest_class_t *
+manifest_find_class (const manifest_t *manifest, const char *name)
 {
-  G_STATIC_ASSERT (offsetof (man_class_t, name) == 0);
+  G_STATIC_ASSERT (offsetof (manifest_class_t, name) == 0);
   return find_by_name (name, manifest->classes, manifest->class_count, sizeof *manifest->classes);
 }
 
-const man_route_t *
-man_route_for (const man_t *manifest, const char *method, const char *path, const char *model)
+const manifest_route_t *
+manifest_find_route (const manifest_t *manifest,
+                     const char *method,
+                     const char *path,
+                     const char *model)
 {
   for (uint32_t i = 0; i < manifest->route_count; i++)
     if (route_matches (&manifest->routes[i], method, path, model))
--- a/src/version/manifest_read.c
+++ b/src/version/manifest_read.c
@@ -9,16 +9,16 @@
  * register. */
 #define HOST_NAME_CHARS "abcdefghijklmnopqrstuvwxyz0123456789.-"
 
-static const mck_range_t WEIGHT = { 1, 1000000, 1000 };
-static const mck_range_t QUEUE_LIMIT = { 1, LIM_QUEUE_TOTAL, LIM_QUEUE_PER_ACCOUNT };
-static const mck_range_t PRIORITY = { 0, 9, 5 };
-static const mck_range_t DEADLINE_MS = { 1, 3600 * 1000, 30 * 1000 };
-static const mck_range_t EXPECTED_TOKENS = { 0, 1000000, 256 };
-static const mck_range_t BOUND_PERCENT = { 100, 1000, 125 };
-static const mck_range_t SLOTS = { 1, 4096, 8 };
-static const mck_range_t CACHE_LIFETIME_MS = { 0, 24 * 3600 * 1000, 600 * 1000 };
-static const mck_range_t PREFILL_TOKENS_S = { 1, 10000000, 8000 };
-static const mck_range_t CLAIM_SHARDS = { 1, 64, 4 };
+static const json_reader_range_t WEIGHT = { 1, 1000000, 1000 };
+static const json_reader_range_t QUEUE_LIMIT = { 1, LIM_QUEUE_TOTAL, LIM_QUEUE_PER_ACCOUNT };
+static const json_reader_range_t PRIORITY = { 0, 9, 5 };
+static const json_reader_range_t DEADLINE_MS = { 1, 3600 * 1000, 30 * 1000 };
+static const json_reader_range_t EXPECTED_TOKENS = { 0, 1000000, 256 };
+static const json_reader_range_t BOUND_PERCENT = { 100, 1000, 125 };
+static const json_reader_range_t SLOTS = { 1, 4096, 8 };
+static const json_reader_range_t CACHE_LIFETIME_MS = { 0, 24 * 3600 * 1000, 600 * 1000 };
+static const json_reader_range_t PREFILL_TOKENS_S = { 1, 10000000, 8000 };
+static const json_reader_range_t CLAIM_SHARDS = { 1, 64, 4 };
 
 static const char *const DOCUMENT_KEYS[] = { "client_accounts", "classes", "services", "routes",
                                              NULL };
@@ -62,44 +62,47 @@
 }
 
 static bool
-read_account (man_t *manifest, man_account_t *account, const mck_t *mck, GError **error)
+read_account (manifest_t *manifest,
+              manifest_account_t *account,
+              const json_reader_t *reader,
+              GError **error)
 {
   const char *digest = NULL;
-  const man_account_t *other;
+  const manifest_account_t *other;
 
-  if (!mck_text (mck, "key_sha256", &digest, error) ||
-      !mck_u32 (mck, "weight", WEIGHT, &account->weight, error) ||
-      !mck_u32 (mck, "queue_limit", QUEUE_LIMIT, &account->queue_limit, error))
+  if (!json_reader_get_string (reader, "key_sha256", &digest, error) ||
+      !json_reader_get_u32 (reader, "weight", WEIGHT, &account->weight, error) ||
+      !json_reader_get_u32 (reader, "queue_limit", QUEUE_LIMIT, &account->queue_limit, error))
     return false;
   if (!is_sha256_hex (digest))
-    return mck_fail (error, MAN_ERROR_RANGE, mck->path, "key_sha256",
-                     "is not a SHA-256 in 64 lower-case hex digits");
+    return json_reader_fail (error, MANIFEST_ERROR_RANGE, reader->path, "key_sha256",
+                             "is not a SHA-256 in 64 lower-case hex digits");
   g_strlcpy (account->key_digest, digest, sizeof account->key_digest);
   other = g_hash_table_lookup (manifest->account_by_digest, digest);
   if (other != NULL)
-    return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, "key_sha256",
-                     "client account \"%s\" has the same key", other->name);
+    return json_reader_fail (error, MANIFEST_ERROR_REFERENCE, reader->path, "key_sha256",
+                             "client account \"%s\" has the same key", other->name);
   g_hash_table_insert (manifest->account_by_digest, account->key_digest, account);
   return true;
 }
 
 static bool
-read_accounts (man_t *manifest, json_t *object, GError **error)
+read_accounts (manifest_t *manifest, json_t *object, GError **error)
 {
   g_autofree const char **keys = sorted_keys (object);
 
-  manifest->accounts = g_new0 (man_account_t, json_object_size (object));
+  manifest->accounts = g_new0 (manifest_account_t, json_object_size (object));
   for (const char **key = keys; *key != NULL; key++)
     {
-      man_account_t *account = &manifest->accounts[manifest->account_count++];
-      mck_t mck = { 0 };
+      manifest_account_t *account = &manifest->accounts[manifest->account_count++];
+      json_reader_t reader = { 0 };
       bool ok;
 
-      ok = mck_name (*key, "client_accounts", *key, error) &&
-           mck_enter (&mck, json_object_get (object, *key), "client_accounts", *key, ACCOUNT_KEYS,
-                      error) &&
-           read_account (manifest, account, &mck, error);
-      mck_leave (&mck);
+      ok = json_reader_check_name (*key, "client_accounts", *key, error) &&
+           json_reader_init (&reader, json_object_get (object, *key), "client_accounts", *key,
+                             ACCOUNT_KEYS, error) &&
+           read_account (manifest, account, &reader, error);
+      json_reader_clear (&reader);
       if (!ok)
         return false;
       g_strlcpy (account->name, *key, sizeof account->name);
@@ -109,29 +112,31 @@
 }
 
 static bool
-read_class (man_class_t *class, const mck_t *mck, GError **error)
+read_class (manifest_class_t *class, const json_reader_t *reader, GError **error)
 {
-  return mck_u32 (mck, "priority", PRIORITY, &class->priority, error) &&
-         mck_u32 (mck, "deadline_ms", DEADLINE_MS, &class->deadline_ms, error) &&
-         mck_u32 (mck, "expected_tokens", EXPECTED_TOKENS, &class->expected_tokens, error);
+  return json_reader_get_u32 (reader, "priority", PRIORITY, &class->priority, error) &&
+         json_reader_get_u32 (reader, "deadline_ms", DEADLINE_MS, &class->deadline_ms, error) &&
+         json_reader_get_u32 (reader, "expected_tokens", EXPECTED_TOKENS, &class->expected_tokens,
+                              error);
 }
 
 static bool
-read_classes (man_t *manifest, json_t *object, GError **error)
+read_classes (manifest_t *manifest, json_t *object, GError **error)
 {
   g_autofree const char **keys = sorted_keys (object);
 
-  manifest->classes = g_new0 (man_class_t, json_object_size (object));
+  manifest->classes = g_new0 (manifest_class_t, json_object_size (object));
   for (const char **key = keys; *key != NULL; key++)
     {
-      man_class_t *class = &manifest->classes[manifest->class_count++];
-      mck_t mck = { 0 };
+      manifest_class_t *class = &manifest->classes[manifest->class_count++];
+      json_reader_t reader = { 0 };
       bool ok;
 
-      ok = mck_name (*key, "classes", *key, error) &&
-           mck_enter (&mck, json_object_get (object, *key), "classes", *key, CLASS_KEYS, error) &&
-           read_class (class, &mck, error);
-      mck_leave (&mck);
+      ok = json_reader_check_name (*key, "classes", *key, error) &&
+           json_reader_init (&reader, json_object_get (object, *key), "classes", *key, CLASS_KEYS,
+                             error) &&
+           read_class (class, &reader, error);
+      json_reader_clear (&reader);
       if (!ok)
         return false;
       g_strlcpy (class->name, *key, sizeof class->name);
@@ -140,42 +145,46 @@
 }
 
 static bool
-read_kind (man_service_t *service, const mck_t *mck, GError **error)
+read_kind (manifest_service_t *service, const json_reader_t *reader, GError **error)
 {
   const char *kind = NULL;
 
-  if (!mck_text (mck, "kind", &kind, error))
+  if (!json_reader_get_string (reader, "kind", &kind, error))
     return false;
   if (strcmp (kind, "model") == 0)
-    service->kind = MAN_KIND_MODEL;
+    service->kind = MANIFEST_KIND_MODEL;
   else if (strcmp (kind, "plain") == 0)
-    service->kind = MAN_KIND_PLAIN;
+    service->kind = MANIFEST_KIND_PLAIN;
   else
-    return mck_fail (error, MAN_ERROR_RANGE, mck->path, "kind",
-                     "is neither \"model\" nor \"plain\"");
+    return json_reader_fail (error, MANIFEST_ERROR_RANGE, reader->path, "kind",
+                             "is neither \"model\" nor \"plain\"");
   return true;
 }
 
 static bool
-read_engine (
-    man_t *manifest, man_service_t *service, const mck_t *mck, const json_t *json, GError **error)
+read_engine (manifest_t *manifest,
+             manifest_service_t *service,
+             const json_reader_t *reader,
+             const json_t *json,
+             GError **error)
 {
-  const man_service_t *other;
+  const manifest_service_t *other;
   g_autofree char *item_key = g_strdup_printf ("engines[%u]", service->engine_count);
   const char *name = json_string_value (json);
   char *stored = service->engines[service->engine_count];
 
   if (name == NULL)
-    return mck_fail (error, MAN_ERROR_TYPE, mck->path, item_key, "is not a string");
-  if (!mck_name (name, mck->path, item_key, error))
+    return json_reader_fail (error, MANIFEST_ERROR_TYPE, reader->path, item_key, "is not a string");
+  if (!json_reader_check_name (name, reader->path, item_key, error))
     return false;
   if (name[strspn (name, HOST_NAME_CHARS)] != '\0')
-    return mck_fail (error, MAN_ERROR_RANGE, mck->path, item_key,
-                     "no host can be named \"%s\": hosts have a-z, 0-9, '.' and '-'", name);
+    return json_reader_fail (error, MANIFEST_ERROR_RANGE, reader->path, item_key,
+                             "no host can be named \"%s\": hosts have a-z, 0-9, '.' and '-'", name);
   other = g_hash_table_lookup (manifest->service_by_engine, name);
   if (other != NULL)
-    return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, item_key,
-                     "engine \"%s\" is already listed in service \"%s\"", name, other->name);
+    return json_reader_fail (error, MANIFEST_ERROR_REFERENCE, reader->path, item_key,
+                             "engine \"%s\" is already listed in service \"%s\"", name,
+                             other->name);
   g_strlcpy (stored, name, LIM_NAME_BYTES);
   g_hash_table_insert (manifest->service_by_engine, stored, service);
   service->engine_count++;
@@ -183,54 +192,62 @@
 }
 
 static bool
-read_engines (man_t *manifest, man_service_t *service, const mck_t *mck, GError **error)
+read_engines (manifest_t *manifest,
+              manifest_service_t *service,
+              const json_reader_t *reader,
+              GError **error)
 {
   json_t *list;
   json_t *item;
   size_t index;
 
-  if (!mck_items (mck, "engines", &list, error))
+  if (!json_reader_get_array (reader, "engines", &list, error))
     return false;
   service->engines = g_malloc0_n (json_array_size (list), LIM_NAME_BYTES);
   json_array_foreach (list, index, item)
     {
-      if (!read_engine (manifest, service, mck, item, error))
+      if (!read_engine (manifest, service, reader, item, error))
         return false;
     }
   return true;
 }
 
 static bool
-read_service (man_t *manifest, man_service_t *service, const mck_t *mck, GError **error)
+read_service (manifest_t *manifest,
+              manifest_service_t *service,
+              const json_reader_t *reader,
+              GError **error)
 {
-  return read_kind (service, mck, error) && read_engines (manifest, service, mck, error) &&
-         mck_u32 (mck, "bound_percent", BOUND_PERCENT, &service->bound_percent, error) &&
-         mck_u32 (mck, "slots", SLOTS, &service->slots, error) &&
-         mck_u32 (mck, "cache_lifetime_ms", CACHE_LIFETIME_MS, &service->cache_lifetime_ms,
-                  error) &&
-         mck_u32 (mck, "prefill_tokens_s", PREFILL_TOKENS_S, &service->prefill_tokens_s, error) &&
-         mck_u32 (mck, "claim_shards", CLAIM_SHARDS, &service->claim_shards, error);
+  return read_kind (service, reader, error) && read_engines (manifest, service, reader, error) &&
+         json_reader_get_u32 (reader, "bound_percent", BOUND_PERCENT, &service->bound_percent,
+                              error) &&
+         json_reader_get_u32 (reader, "slots", SLOTS, &service->slots, error) &&
+         json_reader_get_u32 (reader, "cache_lifetime_ms", CACHE_LIFETIME_MS,
+                              &service->cache_lifetime_ms, error) &&
+         json_reader_get_u32 (reader, "prefill_tokens_s", PREFILL_TOKENS_S,
+                              &service->prefill_tokens_s, error) &&
+         json_reader_get_u32 (reader, "claim_shards", CLAIM_SHARDS, &service->claim_shards, error);
 }
 
 static bool
-read_services (man_t *manifest, json_t *object, GError **error)
+read_services (manifest_t *manifest, json_t *object, GError **error)
 {
   g_autofree const char **keys = sorted_keys (object);
 
-  manifest->services = g_new0 (man_service_t, json_object_size (object));
+  manifest->services = g_new0 (manifest_service_t, json_object_size (object));
   for (const char **key = keys; *key != NULL; key++)
     {
-      man_service_t *service = &manifest->services[manifest->service_count++];
-      mck_t mck = { 0 };
+      manifest_service_t *service = &manifest->services[manifest->service_count++];
+      json_reader_t reader = { 0 };
       bool ok;
 
       g_strlcpy (service->name, *key, sizeof service->name);
       service->hash = rendezvous_hash_name (*key);
-      ok =
-          mck_name (*key, "services", *key, error) &&
-          mck_enter (&mck, json_object_get (object, *key), "services", *key, SERVICE_KEYS, error) &&
-          read_service (manifest, service, &mck, error);
-      mck_leave (&mck);
+      ok = json_reader_check_name (*key, "services", *key, error) &&
+           json_reader_init (&reader, json_object_get (object, *key), "services", *key,
+                             SERVICE_KEYS, error) &&
+           read_service (manifest, service, &reader, error);
+      json_reader_clear (&reader);
       if (!ok)
         return false;
     }
@@ -238,27 +255,30 @@
 }
 
 static bool
-check_method (const man_route_t *route, const mck_t *mck, GError **error)
+check_method (const manifest_route_t *route, const json_reader_t *reader, GError **error)
 {
   for (const char *c = route->method; *c != '\0'; c++)
     if (!g_ascii_isupper (*c))
-      return mck_fail (error, MAN_ERROR_RANGE, mck->path, "method", "is not in upper-case letters");
+      return json_reader_fail (error, MANIFEST_ERROR_RANGE, reader->path, "method",
+                               "is not in upper-case letters");
   return true;
 }
 
 static bool
-check_path (const man_route_t *route, const mck_t *mck, GError **error)
+check_path (const manifest_route_t *route, const json_reader_t *reader, GError **error)
 {
   const char *star = strchr (route->path, '*');
 
   if (route->path[0] != '/')
-    return mck_fail (error, MAN_ERROR_RANGE, mck->path, "path", "does not start with '/'");
+    return json_reader_fail (error, MANIFEST_ERROR_RANGE, reader->path, "path",
+                             "does not start with '/'");
   if (star != NULL && star[1] != '\0')
-    return mck_fail (error, MAN_ERROR_RANGE, mck->path, "path", "has a '*' before its end");
+    return json_reader_fail (error, MANIFEST_ERROR_RANGE, reader->path, "path",
+                             "has a '*' before its end");
   for (const char *c = route->path; *c != '\0'; c++)
     if (!g_ascii_isgraph (*c) || *c == '?' || *c == '#')
-      return mck_fail (error, MAN_ERROR_RANGE, mck->path, "path",
-                       "has a character that is not allowed in a path");
+      return json_reader_fail (error, MANIFEST_ERROR_RANGE, reader->path, "path",
+                               "has a character that is not allowed in a path");
   return true;
 }
 
@@ -274,7 +294,7 @@
 
 /* Whether @early matches every request that @late matches. */
 static bool
-covers_route (const man_route_t *early, const man_route_t *late)
+covers_route (const manifest_route_t *early, const manifest_route_t *late)
 {
   return (early->method[0] == '\0' || strcmp (early->method, late->method) == 0) &&
          (early->model[0] == '\0' || strcmp (early->model, late->model) == 0) &&
@@ -282,71 +302,82 @@
 }
 
 static bool
-check_reachable (const man_t *manifest, const man_route_t *route, const mck_t *mck, GError **error)
+check_reachable (const manifest_t *manifest,
+                 const manifest_route_t *route,
+                 const json_reader_t *reader,
+                 GError **error)
 {
-  for (const man_route_t *early = manifest->routes; early < route; early++)
+  for (const manifest_route_t *early = manifest->routes; early < route; early++)
     if (covers_route (early, route))
-      return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, NULL,
-                       "never matches: routes[%d] matches the same requests first",
-                       (int)(early - manifest->routes));
+      return json_reader_fail (error, MANIFEST_ERROR_REFERENCE, reader->path, NULL,
+                               "never matches: routes[%d] matches the same requests first",
+                               (int)(early - manifest->routes));
   return true;
 }
 
 static bool
-read_references (const man_t *manifest, man_route_t *route, const mck_t *mck, GError **error)
+read_references (const manifest_t *manifest,
+                 manifest_route_t *route,
+                 const json_reader_t *reader,
+                 GError **error)
 {
   char name[LIM_NAME_BYTES];
-  const man_service_t *service;
-  const man_class_t *class;
+  const manifest_service_t *service;
+  const manifest_class_t *class;
 
-  if (!mck_copy (mck, "service", true, name, sizeof name, error))
+  if (!json_reader_copy_string (reader, "service", true, name, sizeof name, error))
     return false;
-  service = man_service_named (manifest, name);
+  service = manifest_find_service (manifest, name);
   if (service == NULL)
-    return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, "service", "no service is named \"%s\"",
-                     name);
-  if (!mck_copy (mck, "class", true, name, sizeof name, error))
+    return json_reader_fail (error, MANIFEST_ERROR_REFERENCE, reader->path, "service",
+                             "no service is named \"%s\"", name);
+  if (!json_reader_copy_string (reader, "class", true, name, sizeof name, error))
     return false;
-  class = man_class_named (manifest, name);
+  class = manifest_find_class (manifest, name);
   if (class == NULL)
-    return mck_fail (error, MAN_ERROR_REFERENCE, mck->path, "class", "no class is named \"%s\"",
-                     name);
+    return json_reader_fail (error, MANIFEST_ERROR_REFERENCE, reader->path, "class",
+                             "no class is named \"%s\"", name);
   route->service_index = (uint32_t)(service - manifest->services);
   route->class_index = (uint32_t)(class - manifest->classes);
   return true;
 }
 
 static bool
-read_route (const man_t *manifest, man_route_t *route, const mck_t *mck, GError **error)
+read_route (const manifest_t *manifest,
+            manifest_route_t *route,
+            const json_reader_t *reader,
+            GError **error)
 {
-  return mck_copy (mck, "method", false, route->method, sizeof route->method, error) &&
-         check_method (route, mck, error) &&
-         mck_copy (mck, "path", true, route->path, sizeof route->path, error) &&
-         check_path (route, mck, error) &&
-         mck_copy (mck, "model", false, route->model, sizeof route->model, error) &&
-         mck_bool (mck, "idempotent", &route->idempotent, error) &&
-         read_references (manifest, route, mck, error) &&
-         check_reachable (manifest, route, mck, error);
+  return json_reader_copy_string (reader, "method", false, route->method, sizeof route->method,
+                                  error) &&
+         check_method (route, reader, error) &&
+         json_reader_copy_string (reader, "path", true, route->path, sizeof route->path, error) &&
+         check_path (route, reader, error) &&
+         json_reader_copy_string (reader, "model", false, route->model, sizeof route->model,
+                                  error) &&
+         json_reader_get_bool (reader, "idempotent", &route->idempotent, error) &&
+         read_references (manifest, route, reader, error) &&
+         check_reachable (manifest, route, reader, error);
 }
 
 static bool
-read_routes (man_t *manifest, json_t *list, GError **error)
+read_routes (manifest_t *manifest, json_t *list, GError **error)
 {
   json_t *item;
   size_t index;
 
   if (json_array_size (list) > LIM_MANIFEST_ROUTES)
-    return mck_fail (error, MAN_ERROR_RANGE, "routes", NULL, "has more than %d items",
-                     LIM_MANIFEST_ROUTES);
-  manifest->routes = g_new0 (man_route_t, json_array_size (list));
+    return json_reader_fail (error, MANIFEST_ERROR_RANGE, "routes", NULL, "has more than %d items",
+                             LIM_MANIFEST_ROUTES);
+  manifest->routes = g_new0 (manifest_route_t, json_array_size (list));
   json_array_foreach (list, index, item)
     {
-      man_route_t *route = &manifest->routes[manifest->route_count++];
-      mck_t mck = { 0 };
-      bool ok = mck_enter_item (&mck, item, "routes", index, ROUTE_KEYS, error) &&
-                read_route (manifest, route, &mck, error);
+      manifest_route_t *route = &manifest->routes[manifest->route_count++];
+      json_reader_t reader = { 0 };
+      bool ok = json_reader_init_item (&reader, item, "routes", index, ROUTE_KEYS, error) &&
+                read_route (manifest, route, &reader, error);
 
-      mck_leave (&mck);
+      json_reader_clear (&reader);
       if (!ok)
         return false;
     }
@@ -354,22 +385,22 @@
 }
 
 bool
-mrd_read (man_t *manifest, GError **error)
+manifest_read_tables (manifest_t *manifest, GError **error)
 {
-  mck_t mck = { 0 };
+  json_reader_t reader = { 0 };
   json_t *accounts;
   json_t *classes;
   json_t *services;
   json_t *routes;
   bool ok;
 
-  ok = mck_enter (&mck, manifest->json, "", NULL, DOCUMENT_KEYS, error) &&
-       mck_members (&mck, "client_accounts", &accounts, error) &&
-       mck_members (&mck, "classes", &classes, error) &&
-       mck_members (&mck, "services", &services, error) &&
-       mck_items (&mck, "routes", &routes, error) && read_accounts (manifest, accounts, error) &&
-       read_classes (manifest, classes, error) && read_services (manifest, services, error) &&
-       read_routes (manifest, routes, error);
-  mck_leave (&mck);
+  ok = json_reader_init (&reader, manifest->json, "", NULL, DOCUMENT_KEYS, error) &&
+       json_reader_get_object (&reader, "client_accounts", &accounts, error) &&
+       json_reader_get_object (&reader, "classes", &classes, error) &&
+       json_reader_get_object (&reader, "services", &services, error) &&
+       json_reader_get_array (&reader, "routes", &routes, error) &&
+       read_accounts (manifest, accounts, error) && read_classes (manifest, classes, error) &&
+       read_services (manifest, services, error) && read_routes (manifest, routes, error);
+  json_reader_clear (&reader);
   return ok;
 }
--- a/src/version/manifest_read.h
+++ b/src/version/manifest_read.h
@@ -9,8 +9,8 @@
 
 #include "version/manifest.h"
 
-/** mrd_read() - read the tables from @manifest->json. Return: false with @error set; the tables may
- * then be partly filled */
-bool mrd_read (man_t *manifest, GError **error);
+/** manifest_read_tables() - read the tables from @manifest->json. Return: false with @error set;
+ * the tables may then be partly filled */
+bool manifest_read_tables (manifest_t *manifest, GError **error);
 
 #endif
--- a/src/version/manifest_sync.c
+++ b/src/version/manifest_sync.c
@@ -5,7 +5,7 @@
 
 #define SEAL_KIND "medlarplank manifest answer"
 
-static man_t *
+static manifest_t *
 read_fields (json_t *json, uint64_t *next_offset, GError **error)
 {
   json_int_t version = 0;
@@ -15,11 +15,11 @@
                               "manifest", &document);
   if (unpacked != 0 || version <= 0 || next <= 0)
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_MISSING,
+      g_set_error (error, MANIFEST_ERROR, MANIFEST_ERROR_MISSING,
                    "version, next_offset or manifest is missing or invalid");
       return NULL;
     }
-  man_t *manifest = man_from_json (document, error);
+  manifest_t *manifest = manifest_from_json (document, error);
   if (manifest == NULL)
     return NULL;
   manifest->version = (uint64_t)version;
@@ -28,11 +28,11 @@
 }
 
 char *
-msy_write (const char *fleet_key,
-           const char *nonce,
-           const man_t *manifest,
-           uint64_t next_offset,
-           char seal[ASL_SEAL_BYTES])
+manifest_sync_format (const char *fleet_key,
+                      const char *nonce,
+                      const manifest_t *manifest,
+                      uint64_t next_offset,
+                      char seal[ANSWER_SEAL_BYTES])
 {
   json_t *json = json_pack ("{s:I,s:I,s:O}", "version", (json_int_t)manifest->version,
                             "next_offset", (json_int_t)next_offset, "manifest", manifest->json);
@@ -42,33 +42,34 @@
   json_decref (json);
   seal[0] = '\0';
   if (nonce != NULL)
-    asl_make (fleet_key, SEAL_KIND, nonce, body, strlen (body), seal);
+    answer_seal_compute (fleet_key, SEAL_KIND, nonce, body, strlen (body), seal);
   return body;
 }
 
-man_t *
-msy_read (const char *fleet_key,
-          const char *nonce,
-          const char *seal,
-          const char *body,
-          size_t body_bytes,
-          uint64_t *next_offset,
-          GError **error)
+manifest_t *
+manifest_sync_parse (const char *fleet_key,
+                     const char *nonce,
+                     const char *seal,
+                     const char *body,
+                     size_t body_bytes,
+                     uint64_t *next_offset,
+                     GError **error)
 {
-  char expected[ASL_SEAL_BYTES];
-  asl_make (fleet_key, SEAL_KIND, nonce, body, body_bytes, expected);
-  if (seal == NULL || !asl_same (seal, expected))
+  char expected[ANSWER_SEAL_BYTES];
+  answer_seal_compute (fleet_key, SEAL_KIND, nonce, body, body_bytes, expected);
+  if (seal == NULL || !answer_seal_equal (seal, expected))
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_REFERENCE, "the seal does not match the response");
+      g_set_error (error, MANIFEST_ERROR, MANIFEST_ERROR_REFERENCE,
+                   "the seal does not match the response");
       return NULL;
     }
   json_t *json = json_loadb (body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
   if (json == NULL)
     {
-      g_set_error (error, MAN_ERROR, MAN_ERROR_SYNTAX, "the response is not JSON");
+      g_set_error (error, MANIFEST_ERROR, MANIFEST_ERROR_SYNTAX, "the response is not JSON");
       return NULL;
     }
-  man_t *manifest = read_fields (json, next_offset, error);
+  manifest_t *manifest = read_fields (json, next_offset, error);
   json_decref (json);
   return manifest;
 }
--- a/src/version/manifest_sync.h
+++ b/src/version/manifest_sync.h
@@ -2,8 +2,8 @@
  * DOC: manifest_sync
  *
  * Lets a daemon whose manifest is out of date fetch the version in force from a peer: formats and
- * parses the response to GET %MSY_PATH. An answer seal authenticates the response, so that an
- * attacker can neither forge a version nor replay the response with an old one.
+ * parses the response to GET %MANIFEST_SYNC_PATH. An answer seal authenticates the response, so
+ * that an attacker can neither forge a version nor replay the response with an old one.
  */
 #ifndef VERSION_MANIFEST_SYNC_H
 #define VERSION_MANIFEST_SYNC_H
@@ -16,34 +16,34 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define MSY_PATH "/medlarplank/manifest"
+#define MANIFEST_SYNC_PATH "/medlarplank/manifest"
 
 /**
- * msy_write() - format the body of the response; free it with g_free()
- * @nonce: value of ASL_NONCE_HEADER in the request; NULL when absent, then there is no seal
+ * manifest_sync_format() - format the body of the response; free it with g_free()
+ * @nonce: value of ANSWER_SEAL_NONCE_HEADER in the request; NULL when absent, then there is no seal
  * @manifest: the version in force after all records before @next_offset of the manifest stream
- * @seal: receives the value for ASL_SEAL_HEADER; "" without a nonce
+ * @seal: receives the value for ANSWER_SEAL_HEADER; "" without a nonce
  */
-char *msy_write (const char *fleet_key,
-                 const char *nonce,
-                 const man_t *manifest,
-                 uint64_t next_offset,
-                 char seal[ASL_SEAL_BYTES]);
+char *manifest_sync_format (const char *fleet_key,
+                            const char *nonce,
+                            const manifest_t *manifest,
+                            uint64_t next_offset,
+                            char seal[ANSWER_SEAL_BYTES]);
 
 /**
- * msy_read() - verify and parse a response
+ * manifest_sync_parse() - verify and parse a response
  * @nonce: the one sent with the request
- * @seal: value of ASL_SEAL_HEADER in the response; NULL when absent
+ * @seal: value of ANSWER_SEAL_HEADER in the response; NULL when absent
  * @next_offset: receives the offset of the first record after the manifest
  *
  * Return: the manifest with its version, or NULL with @error set
  */
-man_t *msy_read (const char *fleet_key,
-                 const char *nonce,
-                 const char *seal,
-                 const char *body,
-                 size_t body_bytes,
-                 uint64_t *next_offset,
-                 GError **error);
+manifest_t *manifest_sync_parse (const char *fleet_key,
+                                 const char *nonce,
+                                 const char *seal,
+                                 const char *body,
+                                 size_t body_bytes,
+                                 uint64_t *next_offset,
+                                 GError **error);
 
 #endif
--- a/src/version/record.c
+++ b/src/version/record.c
@@ -11,35 +11,35 @@
 static const char *const CHECKPOINT_KEYS[] = { "kind", "version", "as_of", "by", "manifest", NULL };
 
 static bool
-fail (rec_t *rec, const char *error_text)
+fail (manifest_record_t *record, const char *error_text)
 {
-  g_strlcpy (rec->error, error_text, sizeof rec->error);
+  g_strlcpy (record->error, error_text, sizeof record->error);
   return false;
 }
 
 static bool
-has_only_keys (rec_t *rec, const char *const *allowed)
+has_only_keys (manifest_record_t *record, const char *const *allowed)
 {
   const char *key;
   json_t *value;
 
-  json_object_foreach (rec->json, key, value)
+  json_object_foreach (record->json, key, value)
     {
       if (!g_strv_contains (allowed, key))
-        return fail (rec, "the record has an unknown key");
+        return fail (record, "the record has an unknown key");
     }
   return true;
 }
 
 static bool
-read_integer (rec_t *rec, const char *key, uint64_t *number)
+read_integer (manifest_record_t *record, const char *key, uint64_t *number)
 {
-  const json_t *json = json_object_get (rec->json, key);
+  const json_t *json = json_object_get (record->json, key);
   json_int_t value = json_integer_value (json);
 
   if (!json_is_integer (json) || value < 0 || value > INTEGER_MAX)
     {
-      g_snprintf (rec->error, sizeof rec->error, "%s: is not an integer in 0..2^53", key);
+      g_snprintf (record->error, sizeof record->error, "%s: is not an integer in 0..2^53", key);
       return false;
     }
   *number = (uint64_t)value;
@@ -56,16 +56,16 @@
 }
 
 static bool
-read_name (rec_t *rec, const char *key, bool required, char *out)
+read_name (manifest_record_t *record, const char *key, bool required, char *out)
 {
-  const json_t *json = json_object_get (rec->json, key);
+  const json_t *json = json_object_get (record->json, key);
   const char *text = json_string_value (json);
 
   if (json == NULL && !required)
     return true;
   if (text == NULL || !is_printable_name (text) || (required && text[0] == '\0'))
     {
-      g_snprintf (rec->error, sizeof rec->error,
+      g_snprintf (record->error, sizeof record->error,
                   "%s: is not printable ASCII text of at most %d bytes", key, LIM_NAME_BYTES - 1);
       return false;
     }
@@ -74,61 +74,64 @@
 }
 
 static bool
-read_publish (rec_t *rec)
+read_publish (manifest_record_t *record)
 {
-  if (!has_only_keys (rec, PUBLISH_KEYS) || !read_name (rec, "id", true, rec->id) ||
-      !read_integer (rec, "base", &rec->version) || !read_name (rec, "by", false, rec->publisher))
+  if (!has_only_keys (record, PUBLISH_KEYS) || !read_name (record, "id", true, record->id) ||
+      !read_integer (record, "base", &record->version) ||
+      !read_name (record, "by", false, record->publisher))
     return false;
-  rec->manifest = json_object_get (rec->json, "manifest");
-  rec->patch = json_object_get (rec->json, "patch");
-  if ((rec->manifest == NULL) == (rec->patch == NULL))
-    return fail (rec, "the record must have exactly one of manifest and patch");
-  rec->kind = REC_PUBLISH;
+  record->manifest = json_object_get (record->json, "manifest");
+  record->patch = json_object_get (record->json, "patch");
+  if ((record->manifest == NULL) == (record->patch == NULL))
+    return fail (record, "the record must have exactly one of manifest and patch");
+  record->kind = MANIFEST_RECORD_PUBLISH;
   return true;
 }
 
 static bool
-read_checkpoint (rec_t *rec)
+read_checkpoint (manifest_record_t *record)
 {
-  if (!has_only_keys (rec, CHECKPOINT_KEYS) || !read_integer (rec, "version", &rec->version) ||
-      !read_integer (rec, "as_of", &rec->as_of) || !read_name (rec, "by", false, rec->publisher))
+  if (!has_only_keys (record, CHECKPOINT_KEYS) ||
+      !read_integer (record, "version", &record->version) ||
+      !read_integer (record, "as_of", &record->as_of) ||
+      !read_name (record, "by", false, record->publisher))
     return false;
-  rec->manifest = json_object_get (rec->json, "manifest");
-  if (rec->manifest == NULL)
-    return fail (rec, "manifest: is missing");
-  rec->kind = REC_CHECKPOINT;
+  record->manifest = json_object_get (record->json, "manifest");
+  if (record->manifest == NULL)
+    return fail (record, "manifest: is missing");
+  record->kind = MANIFEST_RECORD_CHECKPOINT;
   return true;
 }
 
 void
-rec_read (rec_t *rec, const char *data, size_t data_bytes)
+manifest_record_parse (manifest_record_t *record, const char *data, size_t data_bytes)
 {
   json_error_t json_error;
   const char *kind;
 
-  *rec = (rec_t){ 0 };
+  *record = (manifest_record_t){ 0 };
   if (data_bytes > RECORD_BYTES_MAX)
     {
-      fail (rec, "the record is too large");
+      fail (record, "the record is too large");
       return;
     }
-  rec->json = json_loadb (data, data_bytes, JSON_REJECT_DUPLICATES, &json_error);
-  kind = json_string_value (json_object_get (rec->json, "kind"));
-  if (rec->json == NULL)
-    fail (rec, json_error.text);
+  record->json = json_loadb (data, data_bytes, JSON_REJECT_DUPLICATES, &json_error);
+  kind = json_string_value (json_object_get (record->json, "kind"));
+  if (record->json == NULL)
+    fail (record, json_error.text);
   else if (g_strcmp0 (kind, "publish") == 0)
-    read_publish (rec);
+    read_publish (record);
   else if (g_strcmp0 (kind, "checkpoint") == 0)
-    read_checkpoint (rec);
+    read_checkpoint (record);
   else
-    fail (rec, "kind: is neither \"publish\" nor \"checkpoint\"");
+    fail (record, "kind: is neither \"publish\" nor \"checkpoint\"");
 }
 
 void
-rec_clear (rec_t *rec)
+manifest_record_clear (manifest_record_t *record)
 {
-  json_decref (rec->json);
-  *rec = (rec_t){ 0 };
+  json_decref (record->json);
+  *record = (manifest_record_t){ 0 };
 }
 
 static char *
@@ -144,11 +147,11 @@
 }
 
 char *
-rec_publish (const char *id,
-             uint64_t base,
-             const char *publisher,
-             const json_t *manifest,
-             const json_t *patch)
+manifest_record_format_publish (const char *id,
+                                uint64_t base,
+                                const char *publisher,
+                                const json_t *manifest,
+                                const json_t *patch)
 {
   g_assert ((manifest == NULL) != (patch == NULL));
   return dump_and_unref (json_pack (
@@ -157,7 +160,10 @@
 }
 
 char *
-rec_checkpoint (uint64_t version, uint64_t as_of, const char *publisher, const json_t *manifest)
+manifest_record_format_checkpoint (uint64_t version,
+                                   uint64_t as_of,
+                                   const char *publisher,
+                                   const json_t *manifest)
 {
   return dump_and_unref (json_pack ("{ss sI sI ss sO}", "kind", "checkpoint", "version",
                                     (json_int_t)version, "as_of", (json_int_t)as_of, "by",
--- a/src/version/record.h
+++ b/src/version/record.h
@@ -17,13 +17,13 @@
 
 typedef enum
 {
-  REC_BROKEN, /* could not be parsed */
-  REC_PUBLISH,
-  REC_CHECKPOINT
-} rec_kind_t;
+  MANIFEST_RECORD_INVALID, /* could not be parsed */
+  MANIFEST_RECORD_PUBLISH,
+  MANIFEST_RECORD_CHECKPOINT
+} manifest_record_kind_t;
 
 /**
- * struct rec - one parsed record; each kind uses only some of the fields
+ * struct record - one parsed record; each kind uses only some of the fields
  * @id: id of a publish
  * @publisher: who published this version; "" when unknown
  * @version: of a publish, its base: the version that it was made from; of a checkpoint, its version
@@ -35,7 +35,7 @@
  */
 typedef struct
 {
-  rec_kind_t kind;
+  manifest_record_kind_t kind;
   char id[LIM_NAME_BYTES];
   char publisher[LIM_NAME_BYTES];
   uint64_t version;
@@ -44,21 +44,24 @@
   json_t *manifest;
   json_t *patch;
   char error[160];
-} rec_t;
+} manifest_record_t;
 
-/** rec_read() - parse a record; rec_clear() must follow, even when the record is invalid */
-void rec_read (rec_t *rec, const char *data, size_t data_bytes);
-void rec_clear (rec_t *rec);
+/** manifest_record_parse() - parse a record; manifest_record_clear() must follow, even when the
+ * record is invalid */
+void manifest_record_parse (manifest_record_t *record, const char *data, size_t data_bytes);
+void manifest_record_clear (manifest_record_t *record);
 
-/** rec_publish() - format a publish; exactly one of @manifest and @patch is NULL. Free the text
- * with g_free() */
-char *rec_publish (const char *id,
-                   uint64_t base,
-                   const char *publisher,
-                   const json_t *manifest,
-                   const json_t *patch);
-/** rec_checkpoint() - format a checkpoint. Free the text with g_free() */
-char *
-rec_checkpoint (uint64_t version, uint64_t as_of, const char *publisher, const json_t *manifest);
+/** manifest_record_format_publish() - format a publish; exactly one of @manifest and @patch is
+ * NULL. Free the text with g_free() */
+char *manifest_record_format_publish (const char *id,
+                                      uint64_t base,
+                                      const char *publisher,
+                                      const json_t *manifest,
+                                      const json_t *patch);
+/** manifest_record_format_checkpoint() - format a checkpoint. Free the text with g_free() */
+char *manifest_record_format_checkpoint (uint64_t version,
+                                         uint64_t as_of,
+                                         const char *publisher,
+                                         const json_t *manifest);
 
 #endif
--- a/src/version/replay.c
+++ b/src/version/replay.c
@@ -18,9 +18,9 @@
  * @publishes_since_checkpoint: publishes read after the newest checkpoint
  * @history: outcome of recent publishes
  */
-struct rep
+struct replay
 {
-  man_t *manifest;
+  manifest_t *manifest;
   char publisher[LIM_NAME_BYTES];
   uint64_t next_offset;
   bool has_state;
@@ -29,76 +29,76 @@
   uint64_t first_offset;
   uint64_t checkpoint_end;
   uint64_t publishes_since_checkpoint;
-  jdg_t *history;
+  publish_history_t *history;
 };
 
 static uint64_t
-current_version (const rep_t *rep)
+current_version (const replay_t *replay)
 {
-  return rep->manifest != NULL ? rep->manifest->version : 0;
+  return replay->manifest != NULL ? replay->manifest->version : 0;
 }
 
 /* Replaces the version in force; nothing else may set it. */
 static void
-set_manifest (rep_t *rep, man_t *manifest, const char *publisher)
+set_manifest (replay_t *replay, manifest_t *manifest, const char *publisher)
 {
-  g_assert (manifest->version >= current_version (rep));
-  g_clear_pointer (&rep->manifest, man_unref);
-  rep->manifest = manifest;
-  g_strlcpy (rep->publisher, publisher, sizeof rep->publisher);
+  g_assert (manifest->version >= current_version (replay));
+  g_clear_pointer (&replay->manifest, manifest_unref);
+  replay->manifest = manifest;
+  g_strlcpy (replay->publisher, publisher, sizeof replay->publisher);
 }
 
 static void
-update_caught_up (rep_t *rep)
+update_caught_up (replay_t *replay)
 {
-  if (rep->has_state && rep->next_offset >= rep->catch_up_offset)
-    rep->caught_up = true;
+  if (replay->has_state && replay->next_offset >= replay->catch_up_offset)
+    replay->caught_up = true;
 }
 
 static void
-enter_gap (rep_t *rep)
+enter_gap (replay_t *replay)
 {
-  rep->has_state = false;
-  rep->caught_up = false;
+  replay->has_state = false;
+  replay->caught_up = false;
 }
 
 /* Continues from the state of a checkpoint or a peer. Records from @next_offset on are processed,
  * some of them for a second time. */
 static void
-resume_from (rep_t *rep, man_t *manifest, const char *publisher, uint64_t next_offset)
+resume_from (replay_t *replay, manifest_t *manifest, const char *publisher, uint64_t next_offset)
 {
-  set_manifest (rep, manifest, publisher);
-  rep->catch_up_offset = MAX (rep->catch_up_offset, rep->next_offset);
-  rep->next_offset = next_offset;
-  rep->has_state = true;
-  rep->caught_up = false;
-  update_caught_up (rep);
+  set_manifest (replay, manifest, publisher);
+  replay->catch_up_offset = MAX (replay->catch_up_offset, replay->next_offset);
+  replay->next_offset = next_offset;
+  replay->has_state = true;
+  replay->caught_up = false;
+  update_caught_up (replay);
 }
 
 static void
-set_verdict (rep_judgement_t *result, rep_verdict_t verdict, const char *reason)
+set_verdict (replay_result_t *result, replay_verdict_t verdict, const char *reason)
 {
   result->verdict = verdict;
   g_strlcpy (result->reason, reason, sizeof result->reason);
 }
 
 static void
-reject_stale_base (const rep_t *rep, rep_judgement_t *result)
+reject_stale_base (const replay_t *replay, replay_result_t *result)
 {
-  result->verdict = REP_STALE_BASE;
-  if (rep->publisher[0] != '\0')
+  result->verdict = REPLAY_STALE_BASE;
+  if (replay->publisher[0] != '\0')
     g_snprintf (result->reason, sizeof result->reason,
-                "version %" G_GUINT64_FORMAT " by %s is in force; rebase", current_version (rep),
-                rep->publisher);
+                "version %" G_GUINT64_FORMAT " by %s is in force; rebase", current_version (replay),
+                replay->publisher);
   else
     g_snprintf (result->reason, sizeof result->reason,
-                "version %" G_GUINT64_FORMAT " is in force; rebase", current_version (rep));
+                "version %" G_GUINT64_FORMAT " is in force; rebase", current_version (replay));
 }
 
 static void
-reject_repeated (const jdg_entry_t *earlier, rep_judgement_t *result)
+reject_repeated (const publish_history_entry_t *earlier, replay_result_t *result)
 {
-  result->verdict = REP_REPEATED;
+  result->verdict = REPLAY_REPEATED;
   if (earlier->accepted)
     g_snprintf (result->reason, sizeof result->reason,
                 "it was accepted before as version %" G_GUINT64_FORMAT, earlier->version);
@@ -106,34 +106,35 @@
     g_snprintf (result->reason, sizeof result->reason, "it was refused before");
 }
 
-static man_t *
-build_manifest (const rep_t *rep, const rec_t *rec, GError **error)
+static manifest_t *
+build_manifest (const replay_t *replay, const manifest_record_t *record, GError **error)
 {
-  if (rec->manifest != NULL)
-    return man_from_json (rec->manifest, error);
-  if (rep->manifest != NULL)
-    return man_patch (rep->manifest, rec->patch, error);
-  g_set_error (error, MAN_ERROR, MAN_ERROR_REFERENCE, "patch: there is no manifest to patch");
+  if (record->manifest != NULL)
+    return manifest_from_json (record->manifest, error);
+  if (replay->manifest != NULL)
+    return manifest_patch (replay->manifest, record->patch, error);
+  g_set_error (error, MANIFEST_ERROR, MANIFEST_ERROR_REFERENCE,
+               "patch: there is no manifest to patch");
   return NULL;
 }
 
 static void
-apply_publish (rep_t *rep, const rec_t *rec, rep_judgement_t *result)
+apply_publish (replay_t *replay, const manifest_record_t *record, replay_result_t *result)
 {
   g_autoptr (GError) error = NULL;
-  man_t *manifest = build_manifest (rep, rec, &error);
+  manifest_t *manifest = build_manifest (replay, record, &error);
 
-  if (manifest != NULL && rep->manifest != NULL &&
-      !man_may_follow (rep->manifest, manifest, &error))
-    g_clear_pointer (&manifest, man_unref);
+  if (manifest != NULL && replay->manifest != NULL &&
+      !manifest_may_follow (replay->manifest, manifest, &error))
+    g_clear_pointer (&manifest, manifest_unref);
   if (manifest == NULL)
     {
-      set_verdict (result, REP_INVALID, error->message);
+      set_verdict (result, REPLAY_INVALID, error->message);
       return;
     }
-  manifest->version = rec->version + 1;
-  set_manifest (rep, manifest, rec->publisher);
-  result->verdict = REP_ACCEPTED;
+  manifest->version = record->version + 1;
+  set_manifest (replay, manifest, record->publisher);
+  result->verdict = REPLAY_ACCEPTED;
 }
 
 /*
@@ -144,24 +145,25 @@
  * another verdict.
  */
 static void
-process_publish (rep_t *rep, const rec_t *rec, rep_judgement_t *result)
+process_publish (replay_t *replay, const manifest_record_t *record, replay_result_t *result)
 {
-  const jdg_entry_t *earlier = jdg_find (rep->history, rec->id);
+  const publish_history_entry_t *earlier = publish_history_find (replay->history, record->id);
 
-  g_strlcpy (result->id, rec->id, sizeof result->id);
-  rep->publishes_since_checkpoint++;
-  if (!rep->has_state)
+  g_strlcpy (result->id, record->id, sizeof result->id);
+  replay->publishes_since_checkpoint++;
+  if (!replay->has_state)
     {
-      set_verdict (result, REP_SKIPPED, "the version in force before it is unknown");
+      set_verdict (result, REPLAY_SKIPPED, "the version in force before it is unknown");
       return;
     }
-  if (rec->version == current_version (rep))
-    apply_publish (rep, rec, result);
+  if (record->version == current_version (replay))
+    apply_publish (replay, record, result);
   else
-    reject_stale_base (rep, result);
-  if (result->verdict != REP_ACCEPTED && earlier != NULL)
+    reject_stale_base (replay, result);
+  if (result->verdict != REPLAY_ACCEPTED && earlier != NULL)
     reject_repeated (earlier, result);
-  jdg_add (rep->history, rec->id, result->verdict == REP_ACCEPTED, current_version (rep));
+  publish_history_add (replay->history, record->id, result->verdict == REPLAY_ACCEPTED,
+                       current_version (replay));
 }
 
 /*
@@ -170,25 +172,25 @@
  * replaying them yields the version in force, however old the checkpoint is.
  */
 static void
-use_checkpoint (rep_t *rep, const rec_t *rec, rep_judgement_t *result)
+use_checkpoint (replay_t *replay, const manifest_record_t *record, replay_result_t *result)
 {
   g_autoptr (GError) error = NULL;
-  man_t *manifest;
+  manifest_t *manifest;
 
-  if (rec->as_of + 1 < rep->first_offset)
+  if (record->as_of + 1 < replay->first_offset)
     {
-      set_verdict (result, REP_CHECKPOINT_SEEN, "records after it are no longer retained");
+      set_verdict (result, REPLAY_CHECKPOINT_SEEN, "records after it are no longer retained");
       return;
     }
-  manifest = man_from_json (rec->manifest, &error);
+  manifest = manifest_from_json (record->manifest, &error);
   if (manifest == NULL)
     {
-      set_verdict (result, REP_INVALID, error->message);
+      set_verdict (result, REPLAY_INVALID, error->message);
       return;
     }
-  manifest->version = rec->version;
-  resume_from (rep, manifest, rec->publisher, rec->as_of + 1);
-  result->verdict = REP_CHECKPOINT_USED;
+  manifest->version = record->version;
+  resume_from (replay, manifest, record->publisher, record->as_of + 1);
+  result->verdict = REPLAY_CHECKPOINT_USED;
 }
 
 /*
@@ -197,173 +199,176 @@
  * checked against the own version.
  */
 static bool
-is_consistent (const rep_t *rep, const rec_t *rec, uint64_t offset)
+is_consistent (const replay_t *replay, const manifest_record_t *record, uint64_t offset)
 {
-  if (rec->version == 0 || rec->as_of >= offset)
+  if (record->version == 0 || record->as_of >= offset)
     return false;
-  if (rep->has_state)
-    return rec->version <= current_version (rep);
-  return rec->as_of + 1 < rep->first_offset || rec->version >= current_version (rep);
+  if (replay->has_state)
+    return record->version <= current_version (replay);
+  return record->as_of + 1 < replay->first_offset || record->version >= current_version (replay);
 }
 
 static void
-process_checkpoint (rep_t *rep, const rec_t *rec, uint64_t offset, rep_judgement_t *result)
+process_checkpoint (replay_t *replay,
+                    const manifest_record_t *record,
+                    uint64_t offset,
+                    replay_result_t *result)
 {
-  if (!is_consistent (rep, rec, offset))
+  if (!is_consistent (replay, record, offset))
     {
-      set_verdict (result, REP_INVALID, "the checkpoint contradicts the log");
+      set_verdict (result, REPLAY_INVALID, "the checkpoint contradicts the log");
       return;
     }
-  if (rec->as_of + 1 > rep->checkpoint_end)
+  if (record->as_of + 1 > replay->checkpoint_end)
     {
-      rep->checkpoint_end = rec->as_of + 1;
-      rep->publishes_since_checkpoint = 0;
+      replay->checkpoint_end = record->as_of + 1;
+      replay->publishes_since_checkpoint = 0;
     }
-  if (rep->has_state)
-    result->verdict = REP_CHECKPOINT_SEEN;
+  if (replay->has_state)
+    result->verdict = REPLAY_CHECKPOINT_SEEN;
   else
-    use_checkpoint (rep, rec, result);
+    use_checkpoint (replay, record, result);
 }
 
-rep_t *
-rep_new (void)
+replay_t *
+replay_new (void)
 {
-  rep_t *rep = g_new0 (rep_t, 1);
+  replay_t *replay = g_new0 (replay_t, 1);
 
-  rep->history = jdg_new (LIM_PUBLISH_IDS);
-  return rep;
+  replay->history = publish_history_new (LIM_PUBLISH_IDS);
+  return replay;
 }
 
 void
-rep_free (rep_t *rep)
+replay_free (replay_t *replay)
 {
-  if (rep == NULL)
+  if (replay == NULL)
     return;
-  g_clear_pointer (&rep->manifest, man_unref);
-  jdg_free (rep->history);
-  g_free (rep);
+  g_clear_pointer (&replay->manifest, manifest_unref);
+  publish_history_free (replay->history);
+  g_free (replay);
 }
 
 void
-rep_begin (rep_t *rep, uint64_t first_offset)
+replay_set_first_offset (replay_t *replay, uint64_t first_offset)
 {
-  rep->first_offset = first_offset;
-  if (first_offset > rep->next_offset)
+  replay->first_offset = first_offset;
+  if (first_offset > replay->next_offset)
     {
-      enter_gap (rep);
-      rep->next_offset = first_offset;
+      enter_gap (replay);
+      replay->next_offset = first_offset;
     }
-  else if (first_offset == 0 && rep->next_offset == 0)
+  else if (first_offset == 0 && replay->next_offset == 0)
     {
-      rep->has_state = true;
+      replay->has_state = true;
     }
-  update_caught_up (rep);
+  update_caught_up (replay);
 }
 
 void
-rep_note_end (rep_t *rep, uint64_t end_offset)
+replay_set_end_offset (replay_t *replay, uint64_t end_offset)
 {
-  if (rep_ready (rep))
+  if (replay_is_ready (replay))
     return;
-  rep->caught_up = false;
-  rep->catch_up_offset = MAX (rep->catch_up_offset, end_offset);
-  update_caught_up (rep);
+  replay->caught_up = false;
+  replay->catch_up_offset = MAX (replay->catch_up_offset, end_offset);
+  update_caught_up (replay);
 }
 
-rep_judgement_t
-rep_feed (rep_t *rep, uint64_t offset, const char *data, size_t data_bytes)
+replay_result_t
+replay_apply (replay_t *replay, uint64_t offset, const char *data, size_t data_bytes)
 {
-  rep_judgement_t result = { .verdict = REP_SKIPPED };
-  rec_t rec;
+  replay_result_t result = { .verdict = REPLAY_SKIPPED };
+  manifest_record_t record;
 
-  result.version = current_version (rep);
-  if (offset != rep->next_offset)
+  result.version = current_version (replay);
+  if (offset != replay->next_offset)
     {
-      set_verdict (&result, REP_SKIPPED, "it is not the next record in the log");
+      set_verdict (&result, REPLAY_SKIPPED, "it is not the next record in the log");
       return result;
     }
-  rep->next_offset = offset + 1;
-  rec_read (&rec, data, data_bytes);
-  if (rec.kind == REC_PUBLISH)
-    process_publish (rep, &rec, &result);
-  else if (rec.kind == REC_CHECKPOINT)
-    process_checkpoint (rep, &rec, offset, &result);
+  replay->next_offset = offset + 1;
+  manifest_record_parse (&record, data, data_bytes);
+  if (record.kind == MANIFEST_RECORD_PUBLISH)
+    process_publish (replay, &record, &result);
+  else if (record.kind == MANIFEST_RECORD_CHECKPOINT)
+    process_checkpoint (replay, &record, offset, &result);
   else
-    set_verdict (&result, REP_INVALID, rec.error);
-  rec_clear (&rec);
-  update_caught_up (rep);
-  result.version = current_version (rep);
+    set_verdict (&result, REPLAY_INVALID, record.error);
+  manifest_record_clear (&record);
+  update_caught_up (replay);
+  result.version = current_version (replay);
   return result;
 }
 
 bool
-rep_adopt (rep_t *rep, man_t *manifest, uint64_t next_offset)
+replay_adopt (replay_t *replay, manifest_t *manifest, uint64_t next_offset)
 {
   bool is_newer =
-      rep->has_state ? next_offset > rep->next_offset : next_offset >= rep->first_offset;
+      replay->has_state ? next_offset > replay->next_offset : next_offset >= replay->first_offset;
 
   if (!is_newer || next_offset == 0 || manifest->version == 0 ||
-      manifest->version < current_version (rep))
+      manifest->version < current_version (replay))
     return false;
-  resume_from (rep, man_ref (manifest), "", next_offset);
+  resume_from (replay, manifest_ref (manifest), "", next_offset);
   return true;
 }
 
 bool
-rep_ready (const rep_t *rep)
+replay_is_ready (const replay_t *replay)
 {
-  return rep->caught_up && rep->manifest != NULL;
+  return replay->caught_up && replay->manifest != NULL;
 }
 
-man_t *
-rep_manifest (const rep_t *rep)
+manifest_t *
+replay_manifest (const replay_t *replay)
 {
-  return rep->manifest;
+  return replay->manifest;
 }
 
 uint64_t
-rep_next_offset (const rep_t *rep)
+replay_next_offset (const replay_t *replay)
 {
-  return rep->next_offset;
+  return replay->next_offset;
 }
 
 bool
-rep_unpublished (const rep_t *rep)
+replay_is_unpublished (const replay_t *replay)
 {
-  return rep->has_state && rep->caught_up && rep->manifest == NULL;
+  return replay->has_state && replay->caught_up && replay->manifest == NULL;
 }
 
 const char *
-rep_by (const rep_t *rep)
+replay_publisher (const replay_t *replay)
 {
-  return rep->publisher;
+  return replay->publisher;
 }
 
 bool
-rep_checkpoint_due (const rep_t *rep, uint64_t publishes_between)
+replay_checkpoint_due (const replay_t *replay, uint64_t publishes_between)
 {
-  if (!rep_ready (rep))
+  if (!replay_is_ready (replay))
     return false;
-  return rep->publishes_since_checkpoint >= publishes_between ||
-         rep->checkpoint_end < rep->first_offset;
+  return replay->publishes_since_checkpoint >= publishes_between ||
+         replay->checkpoint_end < replay->first_offset;
 }
 
 char *
-rep_checkpoint_record (const rep_t *rep)
+replay_format_checkpoint (const replay_t *replay)
 {
-  if (!rep_ready (rep))
+  if (!replay_is_ready (replay))
     return NULL;
-  g_assert (rep->next_offset > 0);
-  return rec_checkpoint (rep->manifest->version, rep->next_offset - 1, rep->publisher,
-                         rep->manifest->json);
+  g_assert (replay->next_offset > 0);
+  return manifest_record_format_checkpoint (replay->manifest->version, replay->next_offset - 1,
+                                            replay->publisher, replay->manifest->json);
 }
 
 char *
-rep_publish_record (const char *id,
-                    uint64_t base,
-                    const char *publisher,
-                    const json_t *manifest,
-                    const json_t *patch)
+replay_format_publish (const char *id,
+                       uint64_t base,
+                       const char *publisher,
+                       const json_t *manifest,
+                       const json_t *patch)
 {
-  return rec_publish (id, base, publisher, manifest, patch);
+  return manifest_record_format_publish (id, base, publisher, manifest, patch);
 }
--- a/src/version/routing.h
+++ b/src/version/routing.h
@@ -16,21 +16,21 @@
 
 typedef enum
 {
-  RTE_IDEMPOTENT,     /* may be executed more than once */
-  RTE_NON_IDEMPOTENT, /* must be executed at most once */
-  RTE_STREAM          /* an event stream; a retry must be able to resume it */
-} rte_kind_t;
+  ROUTING_IDEMPOTENT,     /* may be executed more than once */
+  ROUTING_NON_IDEMPOTENT, /* must be executed at most once */
+  ROUTING_STREAM          /* an event stream; a retry must be able to resume it */
+} routing_kind_t;
 
-/** struct rte_target - one service of a route; its share of the requests is @weight divided by the
- * sum of the weights of all targets */
+/** struct routing_route_choose_service - one service of a route; its share of the requests is
+ * @weight divided by the sum of the weights of all targets */
 typedef struct
 {
   const char *service; /* interned */
   uint32_t weight;
-} rte_target_t;
+} routing_target_t;
 
 /**
- * struct rte_route - a route
+ * struct routing_route - a route
  * @host: in lower case
  * @path_prefix: begins and ends with a slash
  * @timeout_ms: longest time that a client waits for a response
@@ -43,7 +43,7 @@
  * @sticky: requests with common prompt parts should go to the same engine
  * @resumable: a stream can be continued by another engine
  * @regions: regions whose engines may serve the route, terminated by NULL; NULL allows all
- * @source_hash: hash of the JSON text of the route, for rte_reuse_route(); 0 when there is none
+ * @source_hash: hash of the JSON text of the route, for routing_reuse_route(); 0 when there is none
  * @refs: reference count; each table that contains the route holds one reference
  * @lookup_key: @host followed by @path_prefix
  */
@@ -52,7 +52,7 @@
   char *name;
   char *host;
   char *path_prefix;
-  rte_kind_t kind;
+  routing_kind_t kind;
   uint32_t timeout_ms;
   uint32_t aim_ms;
   uint32_t attempts;
@@ -62,16 +62,16 @@
   bool is_public;
   bool sticky;
   bool resumable;
-  GArray *targets; /* rte_target_t, at least one */
+  GArray *targets; /* routing_target_t, at least one */
   char **regions;
   uint64_t source_hash;
   gint refs;
   char *lookup_key;
-} rte_route_t;
+} routing_route_t;
 
 /**
- * struct rte_account - a client account
- * @hash: hash of @name, set by rte_add_account()
+ * struct routing_find_account - a client account
+ * @hash: hash of @name, set by routing_add_account()
  * @priority: overrides the priority of the route when @has_priority is set
  * @regions: regions whose engines may serve the account, terminated by NULL; NULL allows all
  */
@@ -82,10 +82,10 @@
   uint32_t priority;
   bool has_priority;
   char **regions;
-} rte_account_t;
+} routing_account_t;
 
 /**
- * struct rte_service - configuration of a service
+ * struct routing_find_service - configuration of a service
  * @name: interned string
  * @cold_per_s: requests per second that a cold engine can handle; 0 when unknown
  * @cold_start_us: time after its start during which an engine counts as cold; 0 when it never does
@@ -95,10 +95,10 @@
   const char *name; /* interned */
   uint32_t cold_per_s;
   uint64_t cold_start_us;
-} rte_service_t;
+} routing_service_t;
 
 /**
- * struct rte_limits - limits on client requests; 0 keeps the value of the daemon's own setting
+ * struct routing_limits - limits on client requests; 0 keeps the value of the daemon's own setting
  * @header_bytes: maximum size of all headers of a request
  * @body_bytes: maximum size of a request body
  * @header_timeout_ms: longest time until all headers have arrived
@@ -110,71 +110,74 @@
   uint32_t body_bytes;
   uint32_t header_timeout_ms;
   uint32_t idle_timeout_ms;
-} rte_limits_t;
+} routing_limits_t;
 
-typedef struct rte rte_t;
+typedef struct routing routing_t;
 
-/** rte_new() - an empty table of @version, with one reference. Routes, accounts and services must
- * be added before it is shared */
-rte_t *rte_new (uint64_t version);
-rte_t *rte_ref (rte_t *rte);
-void rte_unref (rte_t *rte);
+/** routing_new() - an empty table of @version, with one reference. Routes, accounts and services
+ * must be added before it is shared */
+routing_t *routing_new (uint64_t version);
+routing_t *routing_ref (routing_t *routing);
+void routing_unref (routing_t *routing);
 
-/** rte_route_new() - a route without targets, with copies of the three strings; @host becomes lower
- * case */
-rte_route_t *rte_route_new (const char *name, const char *host, const char *path_prefix);
-/** rte_route_target() - add a service to the targets of @route */
-void rte_route_target (rte_route_t *route, const char *service, uint32_t weight);
-/** rte_route_unref() - release a reference to a route */
-void rte_route_unref (rte_route_t *route);
-/** rte_add_route() - add @route and take over its reference. Return: false with @error set, and the
- * reference released, when the route is invalid (such as a prefix without its slashes, or no
+/** routing_route_new() - a route without targets, with copies of the three strings; @host becomes
+ * lower case */
+routing_route_t *routing_route_new (const char *name, const char *host, const char *path_prefix);
+/** routing_route_add_target() - add a service to the targets of @route */
+void routing_route_add_target (routing_route_t *route, const char *service, uint32_t weight);
+/** routing_route_unref() - release a reference to a route */
+void routing_route_unref (routing_route_t *route);
+/** routing_add_route() - add @route and take over its reference. Return: false with @error set, and
+ * the reference released, when the route is invalid (such as a prefix without its slashes, or no
  * target) or has the same host and prefix as another one */
-bool rte_add_route (rte_t *rte, rte_route_t *route, GError **error);
-/** rte_reuse_route() - add the route of the table @before that was read from the same text, without
- * parsing it again. Return: false when there is none, or the table already has its host and prefix
+bool routing_add_route (routing_t *routing, routing_route_t *route, GError **error);
+/** routing_reuse_route() - add the route of the table @before that was read from the same text,
+ * without parsing it again. Return: false when there is none, or the table already has its host and
+ * prefix
  */
-bool rte_reuse_route (rte_t *rte, const rte_t *before, uint64_t source_hash);
-/** rte_add_account() - add a copy of @account with its API keys. Return: false with @error set when
- * the account exists, or one of the keys is already in use */
-bool rte_add_account (rte_t *rte,
-                      const rte_account_t *account,
-                      const char *const *keys,
-                      uint32_t key_count,
-                      GError **error);
-/** rte_add_service() - add a copy of @service, or replace the one of the same name */
-void rte_add_service (rte_t *rte, const rte_service_t *service);
-/** rte_service() - the service with the interned string @name; NULL when it is not configured */
-const rte_service_t *rte_service (const rte_t *rte, const char *name);
-/** rte_set_limits() - set the limits on client requests */
-void rte_set_limits (rte_t *rte, const rte_limits_t *limits);
-/** rte_require_keys() - require an API key on all routes that are not public */
-void rte_require_keys (rte_t *rte);
+bool routing_reuse_route (routing_t *routing, const routing_t *before, uint64_t source_hash);
+/** routing_add_account() - add a copy of @account with its API keys. Return: false with @error set
+ * when the account exists, or one of the keys is already in use */
+bool routing_add_account (routing_t *routing,
+                          const routing_account_t *account,
+                          const char *const *keys,
+                          uint32_t key_count,
+                          GError **error);
+/** routing_add_service() - add a copy of @service, or replace the one of the same name */
+void routing_add_service (routing_t *routing, const routing_service_t *service);
+/** routing_find_service() - the service with the interned string @name; NULL when it is not
+ * configured */
+const routing_service_t *routing_find_service (const routing_t *routing, const char *name);
+/** routing_set_limits() - set the limits on client requests */
+void routing_set_limits (routing_t *routing, const routing_limits_t *limits);
+/** routing_require_keys() - require an API key on all routes that are not public */
+void routing_require_keys (routing_t *routing);
 
-uint64_t rte_version (const rte_t *rte);
-uint32_t rte_route_count (const rte_t *rte);
-const rte_limits_t *rte_limits (const rte_t *rte);
-/** rte_needs_key() - whether requests on @route must have a valid API key */
-bool rte_needs_key (const rte_t *rte, const rte_route_t *route);
+uint64_t routing_version (const routing_t *routing);
+uint32_t routing_route_count (const routing_t *routing);
+const routing_limits_t *routing_limits (const routing_t *routing);
+/** routing_needs_key() - whether requests on @route must have a valid API key */
+bool routing_needs_key (const routing_t *routing, const routing_route_t *route);
 /**
- * rte_find() - the route with the longest path prefix that matches a request, or NULL
+ * routing_find_route() - the route with the longest path prefix that matches a request, or NULL
  * @host: value of the Host header, or NULL; port and letter case are ignored
  * @target: path and query
  */
-const rte_route_t *rte_find (const rte_t *rte, const char *host, const char *target);
-/** rte_account() - the account that owns the API key @key, or NULL */
-const rte_account_t *rte_account (const rte_t *rte, const char *key);
-/** rte_target() - choose a service by weight; deterministic in @selector, which is a hash or a
- * random number */
-const char *rte_target (const rte_route_t *route, uint64_t selector);
+const routing_route_t *
+routing_find_route (const routing_t *routing, const char *host, const char *target);
+/** routing_find_account() - the account that owns the API key @key, or NULL */
+const routing_account_t *routing_find_account (const routing_t *routing, const char *key);
+/** routing_route_choose_service() - choose a service by weight; deterministic in @selector, which
+ * is a hash or a random number */
+const char *routing_route_choose_service (const routing_route_t *route, uint64_t selector);
 
-#define RTE_ERROR (rte_error_quark ())
-GQuark rte_error_quark (void);
+#define ROUTING_ERROR (routing_error_quark ())
+GQuark routing_error_quark (void);
 typedef enum
 {
-  RTE_ERROR_ROUTE,   /* an invalid or duplicate route */
-  RTE_ERROR_ACCOUNT, /* an invalid or duplicate account, or a key in use */
-  RTE_ERROR_FORM     /* text that is not a routing configuration */
-} rte_error_t;
+  ROUTING_ERROR_ROUTE,   /* an invalid or duplicate route */
+  ROUTING_ERROR_ACCOUNT, /* an invalid or duplicate account, or a key in use */
+  ROUTING_ERROR_FORMAT   /* text that is not a routing configuration */
+} routing_error_t;
 
 #endif
--- a/src/version/view_share.c
+++ b/src/version/view_share.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 char *
-vsh_target (const vsh_stream_t *streams, uint32_t count)
+view_share_format_target (const view_share_stream_t *streams, uint32_t count)
 {
-  GString *target = g_string_new (VSH_PATH);
+  GString *target = g_string_new (VIEW_SHARE_PATH);
 
   for (uint32_t i = 0; i < count; i++)
     g_string_append_printf (target, "%c%s=%" PRIu64, i == 0 ? '?' : '&', streams[i].name,
@@ -32,22 +32,25 @@
  * than that listing gets all records as a new listing, so that it deletes those keys too.
  */
 static json_t *
-format_stream (const vsh_stream_t *stream, uint64_t from)
+format_stream (const view_share_stream_t *stream, uint64_t from)
 {
-  bool full_listing = from < kvw_listed_offset (stream->view);
+  bool full_listing = from < keyed_view_listed_offset (stream->view);
   json_t *records;
 
   if (stream->most_bytes != 0 &&
-      kvw_bytes_since (stream->view, full_listing ? 0 : from) > stream->most_bytes)
+      keyed_view_bytes_since (stream->view, full_listing ? 0 : from) > stream->most_bytes)
     return json_pack ("{s:b}", "large", 1);
   records = json_array ();
-  kvw_since (stream->view, full_listing ? 0 : from, add_record, records);
+  keyed_view_visit_since (stream->view, full_listing ? 0 : from, add_record, records);
   return json_pack ("{s:b, s:I, s:o}", "whole", full_listing, "next", (json_int_t)stream->next,
                     "records", records);
 }
 
 char *
-vsh_write (const vsh_stream_t *streams, const uint64_t *from, uint32_t count, bool settled)
+view_share_format (const view_share_stream_t *streams,
+                   const uint64_t *from,
+                   uint32_t count,
+                   bool settled)
 {
   json_t *json = json_pack ("{s:b}", "settled", settled);
   char *text;
@@ -64,7 +67,7 @@
 }
 
 bool
-vsh_read (vsh_answer_t *answer, const char *body, size_t body_bytes)
+view_share_parse (view_share_answer_t *answer, const char *body, size_t body_bytes)
 {
   const json_t *settled;
 
@@ -75,7 +78,7 @@
 }
 
 static bool
-apply_record (kvw_t *view, json_t *record)
+apply_record (keyed_view_t *view, json_t *record)
 {
   const char *key;
   json_int_t offset;
@@ -85,12 +88,13 @@
     return false;
   if (!json_is_string (value) && !json_is_null (value))
     return false;
-  kvw_apply (view, (uint64_t)offset, key, json_string_value (value), json_string_length (value));
+  keyed_view_apply (view, (uint64_t)offset, key, json_string_value (value),
+                    json_string_length (value));
   return true;
 }
 
 uint64_t
-vsh_apply (const vsh_answer_t *answer, const vsh_stream_t *stream)
+view_share_apply (const view_share_answer_t *answer, const view_share_stream_t *stream)
 {
   json_t *stream_json = json_object_get (answer->json, stream->name);
   json_int_t next = json_integer_value (json_object_get (stream_json, "next"));
@@ -100,23 +104,23 @@
   if (!json_is_array (records) || next <= 0)
     return 0;
   if (full_listing)
-    kvw_list_begin (stream->view);
+    keyed_view_list_begin (stream->view);
   for (size_t i = 0; i < json_array_size (records); i++)
     if (!apply_record (stream->view, json_array_get (records, i)))
       return 0;
   if (full_listing)
-    kvw_list_end (stream->view, (uint64_t)next);
+    keyed_view_list_end (stream->view, (uint64_t)next);
   return (uint64_t)next;
 }
 
 bool
-vsh_is_large (const vsh_answer_t *answer, const char *stream)
+view_share_is_large (const view_share_answer_t *answer, const char *stream)
 {
   return json_is_true (json_object_get (json_object_get (answer->json, stream), "large"));
 }
 
 void
-vsh_clear (vsh_answer_t *answer)
+view_share_clear (view_share_answer_t *answer)
 {
   json_decref (answer->json);
 }
--- a/src/version/view_share.h
+++ b/src/version/view_share.h
@@ -14,11 +14,11 @@
 #include <glib.h>
 #include <jansson.h>
 
-#define VSH_PATH "/medlarplank/view"
-#define VSH_BYTES_LIMIT (16 * 1024 * 1024) /* maximum size of a response body */
+#define VIEW_SHARE_PATH "/medlarplank/view"
+#define VIEW_SHARE_BYTES_MAX (16 * 1024 * 1024) /* maximum size of a response body */
 
 /**
- * struct vsh_stream - a stream and one gateway's view of it
+ * struct view_share_stream - a stream and one gateway's view of it
  * @name: static string; also the query parameter with the offset from which records are requested
  * @next: all records before this offset are included in @view
  * @most_bytes: maximum total size of the values in a response; the requester reads the store
@@ -27,23 +27,26 @@
 typedef struct
 {
   const char *name;
-  kvw_t *view;
+  keyed_view_t *view;
   uint64_t next;
   size_t most_bytes;
-} vsh_stream_t;
+} view_share_stream_t;
 
-/** vsh_target() - format the path and query of a request for all records that @streams lack; free
- * with g_free() */
-char *vsh_target (const vsh_stream_t *streams, uint32_t count);
+/** view_share_format_target() - format the path and query of a request for all records that
+ * @streams lack; free with g_free() */
+char *view_share_format_target (const view_share_stream_t *streams, uint32_t count);
 /**
- * vsh_write() - format the body of a response; free it with g_free()
+ * view_share_format() - format the body of a response; free it with g_free()
  * @from: per stream, the offset before which the requester has all records
  * @settled: whether recent deletions are confirmed, so that the requester may rely on them
  */
-char *vsh_write (const vsh_stream_t *streams, const uint64_t *from, uint32_t count, bool settled);
+char *view_share_format (const view_share_stream_t *streams,
+                         const uint64_t *from,
+                         uint32_t count,
+                         bool settled);
 
 /**
- * struct vsh_answer - a parsed response; release it with vsh_clear()
+ * struct view_share_answer - a parsed response; release it with view_share_clear()
  * @json: the body
  * @settled: whether the sender has confirmed its recent deletions
  */
@@ -51,18 +54,18 @@
 {
   json_t *json;
   bool settled;
-} vsh_answer_t;
+} view_share_answer_t;
 
-/** vsh_read() - parse a response; vsh_clear() must follow in any case. Return: false when @body was
- * not formatted by vsh_write() */
-bool vsh_read (vsh_answer_t *answer, const char *body, size_t body_bytes);
-/** vsh_apply() - apply the records of @stream in a response to its view. Return: the offset before
- * which the view is now complete; 0 when the response has no valid records of the stream */
-uint64_t vsh_apply (const vsh_answer_t *answer, const vsh_stream_t *stream);
-/** vsh_is_large() - whether the response lacks the records of @stream because they exceed the size
- * limit of the peer; the requester has to read them from the store */
-bool vsh_is_large (const vsh_answer_t *answer, const char *stream);
-/** vsh_clear() - release a parsed response */
-void vsh_clear (vsh_answer_t *answer);
+/** view_share_parse() - parse a response; view_share_clear() must follow in any case. Return: false
+ * when @body was not formatted by view_share_format() */
+bool view_share_parse (view_share_answer_t *answer, const char *body, size_t body_bytes);
+/** view_share_apply() - apply the records of @stream in a response to its view. Return: the offset
+ * before which the view is now complete; 0 when the response has no valid records of the stream */
+uint64_t view_share_apply (const view_share_answer_t *answer, const view_share_stream_t *stream);
+/** view_share_is_large() - whether the response lacks the records of @stream because they exceed
+ * the size limit of the peer; the requester has to read them from the store */
+bool view_share_is_large (const view_share_answer_t *answer, const char *stream);
+/** view_share_clear() - release a parsed response */
+void view_share_clear (view_share_answer_t *answer);
 
 #endif
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -75,7 +75,7 @@
       "{s{s{ss}} s{s{}} s{s{ss s[sss] si}} s[{ss ss ss}]}", "client_accounts", "east", "key_sha256",
       KEY_DIGEST, "classes", "short", "services", "pool", "kind", "model", "engines", "own", "peer",
       "third", "slots", slots, "routes", "path", "/a", "service", "pool", "class", "short");
-  char *record = rep_publish_record (id, base, "ann", manifest, NULL);
+  char *record = replay_format_publish (id, base, "ann", manifest, NULL);
   json_decref (manifest);
   return record;
 }
@@ -86,7 +86,7 @@
   char id[16];
   g_snprintf (id, sizeof id, "id-%u", (unsigned)base);
   char *record = publish (id, base, (int)base + 1);
-  fake_platform_append (platform, REP_STREAM, record);
+  fake_platform_append (platform, REPLAY_STREAM, record);
   g_free (record);
 }
 
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -38,7 +38,7 @@
   return address;
 }
 
-static man_t *
+static manifest_t *
 make_manifest (void)
 {
   g_autofree char *first = g_compute_checksum_for_string (G_CHECKSUM_SHA256, TESTBED_API_KEY, -1);
@@ -47,7 +47,7 @@
   g_auto (GStrv) parts = g_strsplit (template, "%s", 3);
   g_autofree char *text = g_strconcat (parts[0], first, parts[1], second, parts[2], NULL);
   GError *error = NULL;
-  man_t *manifest = man_parse (text, strlen (text), &error);
+  manifest_t *manifest = manifest_parse (text, strlen (text), &error);
 
   if (manifest == NULL)
     g_error ("%s", error->message);
@@ -341,14 +341,14 @@
 {
   message_version_t *version = message_new (MESSAGE_VERSION);
 
-  version->man = man_ref (node->testbed->manifest);
+  version->man = manifest_ref (node->testbed->manifest);
   mbx_send (node->daemon.to_data, &version->head);
 }
 
 void
-testbed_set_manifest (testbed_t *testbed, man_t *manifest)
+testbed_set_manifest (testbed_t *testbed, manifest_t *manifest)
 {
-  man_unref (testbed->manifest);
+  manifest_unref (testbed->manifest);
   testbed->manifest = manifest;
   send_version (&testbed->router);
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
@@ -542,7 +542,7 @@
       event_free (engine->disconnect_timer);
     }
   cnt_set_free (testbed->counters);
-  man_unref (testbed->manifest);
+  manifest_unref (testbed->manifest);
   g_free (testbed->members.by_hash);
   g_hash_table_destroy (testbed->claims);
   event_base_free (testbed->base);
--- a/tests/path_fleet.h
+++ b/tests/path_fleet.h
@@ -105,7 +105,7 @@
 struct testbed
 {
   struct event_base *base;
-  man_t *manifest;
+  manifest_t *manifest;
   membership_snapshot_t members;
   membership_host_t hosts[TESTBED_SIDECARS + 1];
   testbed_node_t router;
@@ -199,7 +199,7 @@
 void testbed_decide_claim (testbed_t *testbed);
 /** testbed_set_manifest() - puts another version in force at all daemons; takes over the reference
  */
-void testbed_set_manifest (testbed_t *testbed, man_t *manifest);
+void testbed_set_manifest (testbed_t *testbed, manifest_t *manifest);
 /**
  * testbed_open_black_hole() - opens a socket that accepts connections and never answers, like that
  * of a frozen process
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -270,13 +270,13 @@
   TICK_UNTIL (&rig, rig.platform.appends == 1);
   rig_ticks (&rig, 300);
   CU_ASSERT_EQUAL (rig.platform.appends, 1);
-  CU_ASSERT_EQUAL (fake_platform_record_count (&rig.platform, REP_STREAM), 71);
+  CU_ASSERT_EQUAL (fake_platform_record_count (&rig.platform, REPLAY_STREAM), 71);
   /* Another daemon appends the next checkpoint first, so this one appends none. */
   for (uint32_t i = 70; i < 140; i++)
     rig_publish_version (&rig.platform, i);
   rig_tick (&rig);
-  char *record = rep_checkpoint_record (rig.ctrl->manifest.rep);
-  fake_platform_append (&rig.platform, REP_STREAM, record);
+  char *record = replay_format_checkpoint (rig.ctrl->manifest.replay);
+  fake_platform_append (&rig.platform, REPLAY_STREAM, record);
   rig_ticks (&rig, 300);
   CU_ASSERT_EQUAL (rig.platform.appends, 1);
   g_free (record);
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -59,9 +59,9 @@
 {
   json_t *patch = json_pack ("{s{s{s[ss]} s{ss s[s]}}}", "services", "pool", "engines", "own",
                              "third", "desk", "kind", "model", "engines", "peer");
-  char *record = rep_publish_record ("two", 1, "ann", NULL, patch);
+  char *record = replay_format_publish ("two", 1, "ann", NULL, patch);
   json_decref (patch);
-  fake_platform_append (platform, REP_STREAM, record);
+  fake_platform_append (platform, REPLAY_STREAM, record);
   g_free (record);
 }
 
@@ -364,7 +364,7 @@
 {
   hsv_t *hsv;
   cnt_set_t *counters;
-  man_t *man;
+  manifest_t *man;
   const char *fleet_key;
   uint32_t served;
 } version_server_t;
@@ -374,12 +374,12 @@
 {
   version_server_t *server = context;
   sealed_call_t order = { "peer", hsv_method (call), hsv_target (call), NULL, 0 };
-  CU_ASSERT_STRING_EQUAL (hsv_path (call), MSY_PATH);
+  CU_ASSERT_STRING_EQUAL (hsv_path (call), MANIFEST_SYNC_PATH);
   CU_ASSERT_TRUE (call_seal_verify (&order, RIG_KEY, hsv_header (call, CALL_SEAL_HEADER)));
-  char seal[ASL_SEAL_BYTES];
-  char *body =
-      msy_write (server->fleet_key, hsv_header (call, ASL_NONCE_HEADER), server->man, 9, seal);
-  hsv_add_header (call, ASL_SEAL_HEADER, seal);
+  char seal[ANSWER_SEAL_BYTES];
+  char *body = manifest_sync_format (server->fleet_key, hsv_header (call, ANSWER_SEAL_NONCE_HEADER),
+                                     server->man, 9, seal);
+  hsv_add_header (call, ANSWER_SEAL_HEADER, seal);
   hsv_reply (call, 200, body, strlen (body));
   g_free (body);
   server->served++;
@@ -407,7 +407,7 @@
   server->fleet_key = RIG_KEY;
   server->counters = cnt_set_new ();
   options.counters = server->counters;
-  server->man = man_from_json (rep_manifest (rig->ctrl->manifest.rep)->json, NULL);
+  server->man = manifest_from_json (replay_manifest (rig->ctrl->manifest.replay)->json, NULL);
   server->man->version = version;
   server->hsv = hsv_new (&options, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (server->hsv);
@@ -418,7 +418,7 @@
 {
   hsv_free (server->hsv);
   cnt_set_free (server->counters);
-  man_unref (server->man);
+  manifest_unref (server->man);
 }
 
 /* The log goes down right after a version was published that one daemon has read and this one has
@@ -448,7 +448,7 @@
   while (rig.received.version != 2 && g_get_monotonic_time () < end_us)
     rig_tick (&rig);
   CU_ASSERT_EQUAL (rig.received.version, 2);
-  CU_ASSERT_EQUAL (rep_next_offset (rig.ctrl->manifest.rep), 9);
+  CU_ASSERT_EQUAL (replay_next_offset (rig.ctrl->manifest.replay), 9);
   stop_version_server (&server);
 }
 
--- a/tests/test_examples.c
+++ b/tests/test_examples.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (man_t, man_unref)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (manifest_t, manifest_unref)
 
-static man_t *
+static manifest_t *
 load (const char *name)
 {
   const char *source_dir = getenv ("MEDLARPLANK_SOURCE");
@@ -16,10 +16,10 @@
   g_autofree char *text = NULL;
   gsize text_bytes;
   GError *error = NULL;
-  man_t *manifest = NULL;
+  manifest_t *manifest = NULL;
 
   if (g_file_get_contents (path, &text, &text_bytes, &error))
-    manifest = man_parse (text, text_bytes, &error);
+    manifest = manifest_parse (text, text_bytes, &error);
   if (manifest == NULL)
     printf ("%s: %s\n", path, error->message);
   CU_ASSERT_PTR_NOT_NULL_FATAL (manifest);
@@ -27,21 +27,24 @@
 }
 
 static void
-expect_demo_keys (const man_t *manifest)
+expect_demo_keys (const manifest_t *manifest)
 {
   CU_ASSERT_EQUAL (manifest->account_count, 10);
   for (uint32_t i = 0; i < manifest->account_count; i++)
     {
       g_autofree char *key = g_strconcat ("demo-", manifest->accounts[i].name, NULL);
 
-      CU_ASSERT_PTR_EQUAL (man_account_for_key (manifest, key), &manifest->accounts[i]);
+      CU_ASSERT_PTR_EQUAL (manifest_account_for_key (manifest, key), &manifest->accounts[i]);
     }
 }
 
 static void
-expect_service (const man_t *manifest, const char *name, man_kind_t kind, uint32_t engines)
+expect_service (const manifest_t *manifest,
+                const char *name,
+                manifest_kind_t kind,
+                uint32_t engines)
 {
-  const man_service_t *service = man_service_named (manifest, name);
+  const manifest_service_t *service = manifest_find_service (manifest, name);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (service);
   CU_ASSERT_EQUAL (service->kind, kind);
@@ -49,14 +52,14 @@
 }
 
 static void
-expect_class (const man_t *manifest,
+expect_class (const manifest_t *manifest,
               const char *method,
               const char *path,
               const char *model,
               const char *class,
               bool idempotent)
 {
-  const man_route_t *route = man_route_for (manifest, method, path, model);
+  const manifest_route_t *route = manifest_find_route (manifest, method, path, model);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (route);
   CU_ASSERT_STRING_EQUAL (manifest->classes[route->class_index].name, class);
@@ -66,12 +69,12 @@
 static void
 test_tuul (void)
 {
-  g_autoptr (man_t) manifest = load ("tuul");
+  g_autoptr (manifest_t) manifest = load ("tuul");
   const char *chat = "/v1/chat/completions";
 
   expect_demo_keys (manifest);
-  expect_service (manifest, "medlar-pool", MAN_KIND_MODEL, 12);
-  expect_service (manifest, "claims-portal", MAN_KIND_PLAIN, 3);
+  expect_service (manifest, "medlar-pool", MANIFEST_KIND_MODEL, 12);
+  expect_service (manifest, "claims-portal", MANIFEST_KIND_PLAIN, 3);
   expect_class (manifest, "POST", chat, "claims-7b", "draft-reply", true);
   expect_class (manifest, "POST", chat, "claims-7b-appeals", "appeal-summary", true);
   expect_class (manifest, "POST", chat, "claims-7b-tags", "eligibility-tag", false);
@@ -82,12 +85,12 @@
 static void
 test_jogak (void)
 {
-  g_autoptr (man_t) manifest = load ("jogak");
+  g_autoptr (manifest_t) manifest = load ("jogak");
   const char *chat = "/v1/chat/completions";
 
   expect_demo_keys (manifest);
-  expect_service (manifest, "medlar-desk", MAN_KIND_MODEL, 12);
-  expect_service (manifest, "bale-ledger", MAN_KIND_PLAIN, 3);
+  expect_service (manifest, "medlar-desk", MANIFEST_KIND_MODEL, 12);
+  expect_service (manifest, "bale-ledger", MANIFEST_KIND_PLAIN, 3);
   expect_class (manifest, "POST", chat, "desk-13b", "pattern-question", true);
   expect_class (manifest, "POST", chat, "desk-13b-lots", "lot-history", true);
   expect_class (manifest, "POST", chat, "desk-13b-tags", "colour-tag", true);
--- a/tests/test_gateway_load.c
+++ b/tests/test_gateway_load.c
@@ -214,7 +214,7 @@
                  .services = { { "models", 1, 1, 0, false }, setup->service },
                  .kinds = { { .name = "look-up",
                               .service = 1,
-                              .kind = RTE_IDEMPOTENT,
+                              .kind = ROUTING_IDEMPOTENT,
                               .attempts = 2,
                               .rate_s = setup->rate_s,
                               .work_us = setup->work_us,
--- a/tests/test_keyed_view.c
+++ b/tests/test_keyed_view.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (kvw_t, kvw_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (keyed_view_t, keyed_view_free)
 
 /** struct changes - number of calls of the view's callback, and the arguments of the last one */
 typedef struct
@@ -29,17 +29,17 @@
 }
 
 static void
-apply (kvw_t *kvw, uint64_t offset, const char *key, const char *value)
+apply (keyed_view_t *view, uint64_t offset, const char *key, const char *value)
 {
-  kvw_apply (kvw, offset, key, value, value ? strlen (value) : 0);
+  keyed_view_apply (view, offset, key, value, value ? strlen (value) : 0);
 }
 
 static const char *
-get_value (const kvw_t *kvw, const char *key)
+get_value (const keyed_view_t *view, const char *key)
 {
   size_t bytes;
   uint64_t offset;
-  const char *value = kvw_get (kvw, key, &bytes, &offset);
+  const char *value = keyed_view_get (view, key, &bytes, &offset);
 
   return value ? value : "none";
 }
@@ -50,17 +50,17 @@
 test_older_records_change_nothing (void)
 {
   changes_t changes = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
+  g_autoptr (keyed_view_t) view = keyed_view_new (record_change, &changes);
 
-  apply (kvw, 5, "a", "new");
-  apply (kvw, 3, "a", "old");
-  apply (kvw, 5, "a", "again");
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "a"), "new");
+  apply (view, 5, "a", "new");
+  apply (view, 3, "a", "old");
+  apply (view, 5, "a", "again");
+  CU_ASSERT_STRING_EQUAL (get_value (view, "a"), "new");
   CU_ASSERT_EQUAL (changes.count, 1);
-  apply (kvw, 6, "a", NULL);
+  apply (view, 6, "a", NULL);
   CU_ASSERT_STRING_EQUAL (changes.value, "(deleted)");
-  apply (kvw, 5, "a", "new");
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "a"), "none");
+  apply (view, 5, "a", "new");
+  CU_ASSERT_STRING_EQUAL (get_value (view, "a"), "none");
   CU_ASSERT_EQUAL (changes.count, 2);
 }
 
@@ -70,25 +70,25 @@
 test_listing_deletes_missing_keys (void)
 {
   changes_t changes = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
+  g_autoptr (keyed_view_t) view = keyed_view_new (record_change, &changes);
 
-  apply (kvw, 1, "gone", "x");
-  apply (kvw, 2, "stays", "x");
-  apply (kvw, 12, "later", "x");
-  kvw_list_begin (kvw);
-  apply (kvw, 2, "stays", "x");
-  kvw_list_end (kvw, 10);
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "gone"), "none");
+  apply (view, 1, "gone", "x");
+  apply (view, 2, "stays", "x");
+  apply (view, 12, "later", "x");
+  keyed_view_list_begin (view);
+  apply (view, 2, "stays", "x");
+  keyed_view_list_end (view, 10);
+  CU_ASSERT_STRING_EQUAL (get_value (view, "gone"), "none");
   CU_ASSERT_STRING_EQUAL (changes.key, "gone");
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "stays"), "x");
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "later"), "x");
+  CU_ASSERT_STRING_EQUAL (get_value (view, "stays"), "x");
+  CU_ASSERT_STRING_EQUAL (get_value (view, "later"), "x");
 }
 
 /** struct pair - the views that two gateways have of one stream: [0] responds, [1] requests */
 typedef struct
 {
   changes_t changes[2];
-  kvw_t *view[2];
+  keyed_view_t *view[2];
 } pair_t;
 
 static void
@@ -96,14 +96,14 @@
 {
   memset (pair, 0, sizeof *pair);
   for (uint32_t i = 0; i < 2; i++)
-    pair->view[i] = kvw_new (record_change, &pair->changes[i]);
+    pair->view[i] = keyed_view_new (record_change, &pair->changes[i]);
 }
 
 static void
 pair_clear (pair_t *pair)
 {
-  kvw_free (pair->view[0]);
-  kvw_free (pair->view[1]);
+  keyed_view_free (pair->view[0]);
+  keyed_view_free (pair->view[1]);
 }
 
 /* Transfers records from the first view, complete before @next, to the second, complete before
@@ -112,16 +112,16 @@
 static uint64_t
 transfer (pair_t *pair, uint64_t next, uint64_t from)
 {
-  vsh_stream_t sender = { .name = "engines", .view = pair->view[0], .next = next };
-  vsh_stream_t receiver = { .name = "engines", .view = pair->view[1], .next = from };
-  g_autofree char *body = vsh_write (&sender, &from, 1, true);
-  vsh_answer_t answer;
+  view_share_stream_t sender = { .name = "engines", .view = pair->view[0], .next = next };
+  view_share_stream_t receiver = { .name = "engines", .view = pair->view[1], .next = from };
+  g_autofree char *body = view_share_format (&sender, &from, 1, true);
+  view_share_answer_t answer;
   uint64_t next_offset = 0;
 
-  CU_ASSERT (vsh_read (&answer, body, strlen (body)));
+  CU_ASSERT (view_share_parse (&answer, body, strlen (body)));
   CU_ASSERT (answer.settled);
-  next_offset = vsh_apply (&answer, &receiver);
-  vsh_clear (&answer);
+  next_offset = view_share_apply (&answer, &receiver);
+  view_share_clear (&answer);
   return next_offset;
 }
 
@@ -154,9 +154,9 @@
   apply (pair.view[1], 1, "a", "x");
   apply (pair.view[0], 2, "b", "y");
   apply (pair.view[0], 3, "a", NULL);
-  kvw_list_begin (pair.view[0]);
+  keyed_view_list_begin (pair.view[0]);
   apply (pair.view[0], 2, "b", "y");
-  kvw_list_end (pair.view[0], 4);
+  keyed_view_list_end (pair.view[0], 4);
   CU_ASSERT_EQUAL (transfer (&pair, 4, 2), 4);
   CU_ASSERT_STRING_EQUAL (get_value (pair.view[1], "a"), "none");
   CU_ASSERT_STRING_EQUAL (get_value (pair.view[1], "b"), "y");
@@ -190,38 +190,38 @@
     "{\"settled\":true,\"engines\":{\"whole\":false,\"records\":[]}}",
   };
   changes_t changes = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
-  vsh_stream_t stream = { .name = "engines", .view = kvw };
-  vsh_answer_t answer;
+  g_autoptr (keyed_view_t) view = keyed_view_new (record_change, &changes);
+  view_share_stream_t stream = { .name = "engines", .view = view };
+  view_share_answer_t answer;
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (bodies); i++)
     {
-      CU_ASSERT (!vsh_read (&answer, bodies[i], strlen (bodies[i])));
-      vsh_clear (&answer);
+      CU_ASSERT (!view_share_parse (&answer, bodies[i], strlen (bodies[i])));
+      view_share_clear (&answer);
     }
   for (uint32_t i = 0; i < G_N_ELEMENTS (invalid_streams); i++)
     {
-      CU_ASSERT (vsh_read (&answer, invalid_streams[i], strlen (invalid_streams[i])));
-      CU_ASSERT_EQUAL (vsh_apply (&answer, &stream), 0);
-      vsh_clear (&answer);
+      CU_ASSERT (view_share_parse (&answer, invalid_streams[i], strlen (invalid_streams[i])));
+      CU_ASSERT_EQUAL (view_share_apply (&answer, &stream), 0);
+      view_share_clear (&answer);
     }
 }
 
 static void
 test_seal_covers_nonce_kind_and_body (void)
 {
-  char seal[ASL_SEAL_BYTES];
-  char other[ASL_SEAL_BYTES];
+  char seal[ANSWER_SEAL_BYTES];
+  char other[ANSWER_SEAL_BYTES];
 
-  asl_make ("a key of the fleet", "view", "n1", "body", 4, seal);
-  CU_ASSERT (asl_same (seal, seal));
-  asl_make ("a key of the fleet", "view", "n2", "body", 4, other);
-  CU_ASSERT (!asl_same (other, seal));
-  asl_make ("a key of the fleet", "manifest", "n1", "body", 4, other);
-  CU_ASSERT (!asl_same (other, seal));
-  asl_make ("a key of the fleet", "view", "n1", "bodY", 4, other);
-  CU_ASSERT (!asl_same (other, seal));
-  CU_ASSERT (!asl_same ("", seal));
+  answer_seal_compute ("a key of the fleet", "view", "n1", "body", 4, seal);
+  CU_ASSERT (answer_seal_equal (seal, seal));
+  answer_seal_compute ("a key of the fleet", "view", "n2", "body", 4, other);
+  CU_ASSERT (!answer_seal_equal (other, seal));
+  answer_seal_compute ("a key of the fleet", "manifest", "n1", "body", 4, other);
+  CU_ASSERT (!answer_seal_equal (other, seal));
+  answer_seal_compute ("a key of the fleet", "view", "n1", "bodY", 4, other);
+  CU_ASSERT (!answer_seal_equal (other, seal));
+  CU_ASSERT (!answer_seal_equal ("", seal));
 }
 
 /* Guards against a deleted engine being restored by a listing from a peer that is older than the
@@ -230,20 +230,20 @@
 test_older_list_brings_nothing_back (void)
 {
   changes_t changes = { 0 };
-  g_autoptr (kvw_t) kvw = kvw_new (record_change, &changes);
+  g_autoptr (keyed_view_t) view = keyed_view_new (record_change, &changes);
 
-  apply (kvw, 4, "left", "ready");
-  kvw_list_begin (kvw);
-  apply (kvw, 8, "stays", "ready");
-  kvw_list_end (kvw, 10);
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "left"), "none");
-  kvw_list_begin (kvw);
-  apply (kvw, 4, "left", "ready");
-  apply (kvw, 8, "stays", "ready");
-  kvw_list_end (kvw, 9);
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "left"), "none");
-  CU_ASSERT_STRING_EQUAL (get_value (kvw, "stays"), "ready");
-  CU_ASSERT_EQUAL (kvw_listed_offset (kvw), 10);
+  apply (view, 4, "left", "ready");
+  keyed_view_list_begin (view);
+  apply (view, 8, "stays", "ready");
+  keyed_view_list_end (view, 10);
+  CU_ASSERT_STRING_EQUAL (get_value (view, "left"), "none");
+  keyed_view_list_begin (view);
+  apply (view, 4, "left", "ready");
+  apply (view, 8, "stays", "ready");
+  keyed_view_list_end (view, 9);
+  CU_ASSERT_STRING_EQUAL (get_value (view, "left"), "none");
+  CU_ASSERT_STRING_EQUAL (get_value (view, "stays"), "ready");
+  CU_ASSERT_EQUAL (keyed_view_listed_offset (view), 10);
 }
 
 int
--- a/tests/test_manifest_sync.c
+++ b/tests/test_manifest_sync.c
@@ -14,13 +14,13 @@
     "\"routes\":[{\"path\":\"/a\",\"service\":\"pool\",\"class\":\"short\"}]}";
 
 static char *
-format_response (const char *nonce, char seal[ASL_SEAL_BYTES])
+format_response (const char *nonce, char seal[ANSWER_SEAL_BYTES])
 {
-  man_t *manifest = man_parse (MANIFEST, strlen (MANIFEST), NULL);
+  manifest_t *manifest = manifest_parse (MANIFEST, strlen (MANIFEST), NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (manifest);
   manifest->version = 12;
-  char *body = msy_write (KEY, nonce, manifest, 34, seal);
-  man_unref (manifest);
+  char *body = manifest_sync_format (KEY, nonce, manifest, 34, seal);
+  manifest_unref (manifest);
   return body;
 }
 
@@ -30,7 +30,8 @@
 {
   uint64_t next_offset = 0;
   GError *error = NULL;
-  man_t *manifest = msy_read (key, nonce, seal, body, strlen (body), &next_offset, &error);
+  manifest_t *manifest =
+      manifest_sync_parse (key, nonce, seal, body, strlen (body), &next_offset, &error);
   if (manifest == NULL)
     {
       CU_ASSERT_PTR_NOT_NULL (error);
@@ -39,19 +40,19 @@
     }
   CU_ASSERT_EQUAL (next_offset, 34);
   uint64_t version = manifest->version;
-  man_unref (manifest);
+  manifest_unref (manifest);
   return version;
 }
 
 static void
 test_round_trip (void)
 {
-  char nonce[ASL_NONCE_BYTES];
-  char other[ASL_NONCE_BYTES];
-  char seal[ASL_SEAL_BYTES];
-  asl_nonce (nonce);
-  asl_nonce (other);
-  CU_ASSERT_EQUAL (strlen (nonce), ASL_NONCE_BYTES - 1);
+  char nonce[ANSWER_SEAL_NONCE_BYTES];
+  char other[ANSWER_SEAL_NONCE_BYTES];
+  char seal[ANSWER_SEAL_BYTES];
+  answer_seal_make_nonce (nonce);
+  answer_seal_make_nonce (other);
+  CU_ASSERT_EQUAL (strlen (nonce), ANSWER_SEAL_NONCE_BYTES - 1);
   CU_ASSERT_STRING_NOT_EQUAL (nonce, other);
   g_autofree char *body = format_response (nonce, seal);
   CU_ASSERT_EQUAL (parse_response (KEY, nonce, seal, body), 12);
@@ -62,11 +63,11 @@
 static void
 test_forged_responses_are_rejected (void)
 {
-  char nonce[ASL_NONCE_BYTES];
-  char other[ASL_NONCE_BYTES];
-  char seal[ASL_SEAL_BYTES];
-  asl_nonce (nonce);
-  asl_nonce (other);
+  char nonce[ANSWER_SEAL_NONCE_BYTES];
+  char other[ANSWER_SEAL_NONCE_BYTES];
+  char seal[ANSWER_SEAL_BYTES];
+  answer_seal_make_nonce (nonce);
+  answer_seal_make_nonce (other);
   char *body = format_response (nonce, seal);
   CU_ASSERT_EQUAL (parse_response (KEY, other, seal, body), 0);
   CU_ASSERT_EQUAL (parse_response ("another key of enough bytes", nonce, seal, body), 0);
--- a/tests/test_path_closed.c
+++ b/tests/test_path_closed.c
@@ -90,11 +90,11 @@
   "{\"services\":{\"pool\":{\"engines\":[\"e9\"]},"                                                \
   "\"desk\":{\"kind\":\"plain\",\"engines\":[\"e0\",\"e1\",\"e2\"]}}}"
 
-static man_t *
+static manifest_t *
 moved_manifest (const testbed_t *testbed)
 {
   json_t *patch = json_loads (MOVED_ENGINES_PATCH, 0, NULL);
-  man_t *manifest = man_patch (testbed->manifest, patch, NULL);
+  manifest_t *manifest = manifest_patch (testbed->manifest, patch, NULL);
 
   g_assert (manifest != NULL);
   manifest->version = testbed->manifest->version + 1;
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -557,14 +557,14 @@
 static void
 test_messages_drop_references (void)
 {
-  man_t man = { 0 };
+  manifest_t man = { 0 };
   membership_snapshot_t members = { 0 };
   message_version_t *version = message_new (MESSAGE_VERSION);
   message_members_t *view = message_new (MESSAGE_MEMBERS);
 
   g_atomic_ref_count_init (&man.refs);
   g_atomic_ref_count_init (&members.refs);
-  version->man = man_ref (&man);
+  version->man = manifest_ref (&man);
   view->members = membership_snapshot_ref (&members);
   CU_ASSERT_FALSE (g_atomic_ref_count_compare (&man.refs, 1));
   version->head.free (&version->head);
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (engines_t, engines_free)
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (rte_t, rte_unref)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (routing_t, routing_unref)
 
 #define NOW_US (UINT64_C (100) * 1000 * 1000)
 #define SEED 20261203
@@ -82,14 +82,14 @@
                                                                                  "\"b\",\"api_"
                                                                                  "keys\":[\"l\"]"
                                                                                  "}]}";
-  g_autoptr (rte_t) rte = prc_read_routing (text, strlen (text), NULL, NULL);
-
-  CU_ASSERT_PTR_NULL (rte_find (rte, "h", "/any/")->regions);
-  CU_ASSERT_STRING_EQUAL (rte_find (rte, "h", "/one/")->regions[1], "west");
-  CU_ASSERT_PTR_NULL (rte_find (rte, "h", "/none/")->regions[0]);
-  CU_ASSERT_PTR_NULL (rte_find (rte, "h", "/odd/")->regions[0]);
-  CU_ASSERT_STRING_EQUAL (rte_account (rte, "k")->regions[0], "south");
-  CU_ASSERT_PTR_NULL (rte_account (rte, "l")->regions);
+  g_autoptr (routing_t) routing = prc_read_routing (text, strlen (text), NULL, NULL);
+
+  CU_ASSERT_PTR_NULL (routing_find_route (routing, "h", "/any/")->regions);
+  CU_ASSERT_STRING_EQUAL (routing_find_route (routing, "h", "/one/")->regions[1], "west");
+  CU_ASSERT_PTR_NULL (routing_find_route (routing, "h", "/none/")->regions[0]);
+  CU_ASSERT_PTR_NULL (routing_find_route (routing, "h", "/odd/")->regions[0]);
+  CU_ASSERT_STRING_EQUAL (routing_find_account (routing, "k")->regions[0], "south");
+  CU_ASSERT_PTR_NULL (routing_find_account (routing, "l")->regions);
 }
 
 /* The region of one engine in four is unknown. */
