--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -6,7 +6,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (rep_t, rep_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (replay_t, replay_free)
 
 #define KEY "08a6bd4bf2a6c5b8e6b2a0a8f7a4a7b7fb0ee6d29a4a7fcc1c6e0b7b1a2f3c4d"
 
@@ -31,47 +31,47 @@
 {
   json_t *json = base == 0 ? make_manifest (slots) : make_patch (slots);
   char *text =
-      rep_publish_record (id, base, "ann", base == 0 ? json : NULL, base == 0 ? NULL : json);
+      replay_format_publish (id, base, "ann", base == 0 ? json : NULL, base == 0 ? NULL : json);
 
   json_decref (json);
   return text;
 }
 
-static rep_judgement_t
-feed (rep_t *rep, const char *text)
+static replay_result_t
+feed (replay_t *replay, const char *text)
 {
-  return rep_feed (rep, rep_next_offset (rep), text, strlen (text));
+  return replay_apply (replay, replay_next_offset (replay), text, strlen (text));
 }
 
-static rep_judgement_t
-feed_publish (rep_t *rep, const char *id, uint64_t base, uint32_t slots)
+static replay_result_t
+feed_publish (replay_t *replay, const char *id, uint64_t base, uint32_t slots)
 {
   g_autofree char *text = format_publish (id, base, slots);
 
-  return feed (rep, text);
+  return feed (replay, text);
 }
 
 static uint64_t
-version_of (const rep_t *rep)
+version_of (const replay_t *replay)
 {
-  return rep_manifest (rep) != NULL ? rep_manifest (rep)->version : 0;
+  return replay_manifest (replay) != NULL ? replay_manifest (replay)->version : 0;
 }
 
 static void
 test_publish_and_patch (void)
 {
-  g_autoptr (rep_t) rep = rep_new ();
-
-  rep_begin (rep, 0);
-  CU_ASSERT_FALSE (rep_ready (rep));
-  CU_ASSERT_TRUE (rep_unpublished (rep));
-  CU_ASSERT_EQUAL (feed_publish (rep, "a", 0, 4).verdict, REP_ACCEPTED);
-  CU_ASSERT_TRUE (rep_ready (rep));
-  CU_ASSERT_FALSE (rep_unpublished (rep));
-  CU_ASSERT_STRING_EQUAL (rep_by (rep), "ann");
-  CU_ASSERT_EQUAL (feed_publish (rep, "b", 1, 9).version, 2);
-  CU_ASSERT_EQUAL (rep_manifest (rep)->services[0].slots, 9);
-  CU_ASSERT_EQUAL (rep_next_offset (rep), 2);
+  g_autoptr (replay_t) replay = replay_new ();
+
+  replay_set_first_offset (replay, 0);
+  CU_ASSERT_FALSE (replay_is_ready (replay));
+  CU_ASSERT_TRUE (replay_is_unpublished (replay));
+  CU_ASSERT_EQUAL (feed_publish (replay, "a", 0, 4).verdict, REPLAY_ACCEPTED);
+  CU_ASSERT_TRUE (replay_is_ready (replay));
+  CU_ASSERT_FALSE (replay_is_unpublished (replay));
+  CU_ASSERT_STRING_EQUAL (replay_publisher (replay), "ann");
+  CU_ASSERT_EQUAL (feed_publish (replay, "b", 1, 9).version, 2);
+  CU_ASSERT_EQUAL (replay_manifest (replay)->services[0].slots, 9);
+  CU_ASSERT_EQUAL (replay_next_offset (replay), 2);
 }
 
 /*
@@ -82,17 +82,17 @@
 static void
 test_stale_base_is_rejected (void)
 {
-  g_autoptr (rep_t) rep = rep_new ();
-  rep_judgement_t result;
-
-  rep_begin (rep, 0);
-  feed_publish (rep, "a", 0, 4);
-  feed_publish (rep, "b", 1, 5);
-  result = feed_publish (rep, "c", 1, 6);
-  CU_ASSERT_EQUAL (result.verdict, REP_STALE_BASE);
+  g_autoptr (replay_t) replay = replay_new ();
+  replay_result_t result;
+
+  replay_set_first_offset (replay, 0);
+  feed_publish (replay, "a", 0, 4);
+  feed_publish (replay, "b", 1, 5);
+  result = feed_publish (replay, "c", 1, 6);
+  CU_ASSERT_EQUAL (result.verdict, REPLAY_STALE_BASE);
   CU_ASSERT_STRING_EQUAL (result.id, "c");
   CU_ASSERT_STRING_EQUAL (result.reason, "version 2 by ann is in force; rebase");
-  CU_ASSERT_EQUAL (rep_manifest (rep)->services[0].slots, 5);
+  CU_ASSERT_EQUAL (replay_manifest (replay)->services[0].slots, 5);
 }
 
 /*
@@ -102,18 +102,18 @@
 static void
 test_repeated_publish_is_rejected (void)
 {
-  g_autoptr (rep_t) rep = rep_new ();
-  rep_judgement_t result;
+  g_autoptr (replay_t) replay = replay_new ();
+  replay_result_t result;
 
-  rep_begin (rep, 0);
-  feed_publish (rep, "a", 0, 4);
-  result = feed_publish (rep, "a", 0, 4);
-  CU_ASSERT_EQUAL (result.verdict, REP_REPEATED);
+  replay_set_first_offset (replay, 0);
+  feed_publish (replay, "a", 0, 4);
+  result = feed_publish (replay, "a", 0, 4);
+  CU_ASSERT_EQUAL (result.verdict, REPLAY_REPEATED);
   CU_ASSERT_STRING_EQUAL (result.reason, "it was accepted before as version 1");
   CU_ASSERT_EQUAL (result.version, 1);
-  feed_publish (rep, "b", 0, 4);
-  result = feed_publish (rep, "b", 0, 4);
-  CU_ASSERT_EQUAL (result.verdict, REP_REPEATED);
+  feed_publish (replay, "b", 0, 4);
+  result = feed_publish (replay, "b", 0, 4);
+  CU_ASSERT_EQUAL (result.verdict, REPLAY_REPEATED);
   CU_ASSERT_STRING_EQUAL (result.reason, "it was refused before");
 }
 
@@ -125,17 +125,17 @@
 static void
 test_history_does_not_affect_verdict (void)
 {
-  g_autoptr (rep_t) early = rep_new ();
-  g_autoptr (rep_t) adopter = rep_new ();
+  g_autoptr (replay_t) early = replay_new ();
+  g_autoptr (replay_t) adopter = replay_new ();
 
-  rep_begin (early, 0);
+  replay_set_first_offset (early, 0);
   feed_publish (early, "a", 0, 4);
-  CU_ASSERT_EQUAL (feed_publish (early, "x", 2, 7).verdict, REP_STALE_BASE);
+  CU_ASSERT_EQUAL (feed_publish (early, "x", 2, 7).verdict, REPLAY_STALE_BASE);
   feed_publish (early, "b", 1, 5);
-  CU_ASSERT_TRUE (rep_adopt (adopter, rep_manifest (early), rep_next_offset (early)));
-  CU_ASSERT_EQUAL (feed_publish (early, "x", 2, 7).verdict, REP_ACCEPTED);
-  CU_ASSERT_EQUAL (feed_publish (adopter, "x", 2, 7).verdict, REP_ACCEPTED);
-  CU_ASSERT_STRING_EQUAL (rep_manifest (early)->digest, rep_manifest (adopter)->digest);
+  CU_ASSERT_TRUE (replay_adopt (adopter, replay_manifest (early), replay_next_offset (early)));
+  CU_ASSERT_EQUAL (feed_publish (early, "x", 2, 7).verdict, REPLAY_ACCEPTED);
+  CU_ASSERT_EQUAL (feed_publish (adopter, "x", 2, 7).verdict, REPLAY_ACCEPTED);
+  CU_ASSERT_STRING_EQUAL (replay_manifest (early)->digest, replay_manifest (adopter)->digest);
 }
 
 static void
@@ -159,19 +159,19 @@
     "{\"kind\":\"checkpoint\",\"version\":2,\"as_of\":0,\"manifest\":{}}",
     "{\"kind\":\"checkpoint\",\"version\":1,\"as_of\":99,\"manifest\":{}}",
   };
-  g_autoptr (rep_t) rep = rep_new ();
+  g_autoptr (replay_t) replay = replay_new ();
 
-  rep_begin (rep, 0);
-  feed_publish (rep, "a", 0, 4);
+  replay_set_first_offset (replay, 0);
+  feed_publish (replay, "a", 0, 4);
   for (size_t i = 0; i < G_N_ELEMENTS (INVALID); i++)
     {
-      rep_judgement_t result = feed (rep, INVALID[i]);
+      replay_result_t result = feed (replay, INVALID[i]);
 
-      CU_ASSERT_EQUAL (result.verdict, REP_INVALID);
+      CU_ASSERT_EQUAL (result.verdict, REPLAY_INVALID);
       CU_ASSERT_TRUE (result.reason[0] != '\0');
     }
-  CU_ASSERT_EQUAL (version_of (rep), 1);
-  CU_ASSERT_TRUE (rep_ready (rep));
+  CU_ASSERT_EQUAL (version_of (replay), 1);
+  CU_ASSERT_TRUE (replay_is_ready (replay));
 }
 
 /*
@@ -183,49 +183,49 @@
 static void
 test_stale_checkpoint (void)
 {
-  g_autoptr (rep_t) writer = rep_new ();
-  g_autoptr (rep_t) complete_reader = rep_new ();
-  g_autoptr (rep_t) incomplete_reader = rep_new ();
+  g_autoptr (replay_t) writer = replay_new ();
+  g_autoptr (replay_t) complete_reader = replay_new ();
+  g_autoptr (replay_t) incomplete_reader = replay_new ();
   g_autofree char *second = format_publish ("b", 1, 5);
   g_autofree char *third = format_publish ("c", 2, 6);
   g_autofree char *stale = NULL;
   g_autofree char *newer = NULL;
 
-  rep_begin (writer, 0);
+  replay_set_first_offset (writer, 0);
   feed_publish (writer, "a", 0, 4);
-  stale = rep_checkpoint_record (writer);                              /* as of 0 */
-  feed (writer, second);                                               /* at 1 */
-  newer = rep_checkpoint_record (writer);                              /* as of 1 */
-  feed (writer, third);                                                /* at 2 */
-  CU_ASSERT_EQUAL (feed (writer, stale).verdict, REP_CHECKPOINT_SEEN); /* at 3 */
+  stale = replay_format_checkpoint (writer);                              /* as of 0 */
+  feed (writer, second);                                                  /* at 1 */
+  newer = replay_format_checkpoint (writer);                              /* as of 1 */
+  feed (writer, third);                                                   /* at 2 */
+  CU_ASSERT_EQUAL (feed (writer, stale).verdict, REPLAY_CHECKPOINT_SEEN); /* at 3 */
   CU_ASSERT_EQUAL (version_of (writer), 3);
 
-  rep_begin (complete_reader, 1);
-  rep_note_end (complete_reader, 4);
-  CU_ASSERT_EQUAL (feed (complete_reader, second).verdict, REP_SKIPPED);
-  CU_ASSERT_EQUAL (feed (complete_reader, third).verdict, REP_SKIPPED);
-  CU_ASSERT_EQUAL (feed (complete_reader, stale).verdict, REP_CHECKPOINT_USED);
-  CU_ASSERT_FALSE (rep_ready (complete_reader));
-  CU_ASSERT_EQUAL (rep_next_offset (complete_reader), 1);
-  CU_ASSERT_EQUAL (feed (complete_reader, second).verdict, REP_ACCEPTED);
-  CU_ASSERT_EQUAL (feed (complete_reader, third).verdict, REP_ACCEPTED);
-  CU_ASSERT_FALSE (rep_ready (complete_reader));
-  CU_ASSERT_EQUAL (feed (complete_reader, stale).verdict, REP_CHECKPOINT_SEEN);
-  CU_ASSERT_TRUE (rep_ready (complete_reader));
+  replay_set_first_offset (complete_reader, 1);
+  replay_set_end_offset (complete_reader, 4);
+  CU_ASSERT_EQUAL (feed (complete_reader, second).verdict, REPLAY_SKIPPED);
+  CU_ASSERT_EQUAL (feed (complete_reader, third).verdict, REPLAY_SKIPPED);
+  CU_ASSERT_EQUAL (feed (complete_reader, stale).verdict, REPLAY_CHECKPOINT_USED);
+  CU_ASSERT_FALSE (replay_is_ready (complete_reader));
+  CU_ASSERT_EQUAL (replay_next_offset (complete_reader), 1);
+  CU_ASSERT_EQUAL (feed (complete_reader, second).verdict, REPLAY_ACCEPTED);
+  CU_ASSERT_EQUAL (feed (complete_reader, third).verdict, REPLAY_ACCEPTED);
+  CU_ASSERT_FALSE (replay_is_ready (complete_reader));
+  CU_ASSERT_EQUAL (feed (complete_reader, stale).verdict, REPLAY_CHECKPOINT_SEEN);
+  CU_ASSERT_TRUE (replay_is_ready (complete_reader));
   CU_ASSERT_EQUAL (version_of (complete_reader), 3);
 
-  rep_begin (incomplete_reader, 2);
-  rep_note_end (incomplete_reader, 5);
-  CU_ASSERT_EQUAL (feed (incomplete_reader, third).verdict, REP_SKIPPED);
-  CU_ASSERT_EQUAL (feed (incomplete_reader, stale).verdict, REP_CHECKPOINT_SEEN);
-  CU_ASSERT_FALSE (rep_ready (incomplete_reader));
-  CU_ASSERT_PTR_NULL (rep_manifest (incomplete_reader));
-  CU_ASSERT_EQUAL (feed (incomplete_reader, newer).verdict, REP_CHECKPOINT_USED); /* at 4 */
-  CU_ASSERT_EQUAL (rep_next_offset (incomplete_reader), 2);
-  CU_ASSERT_EQUAL (feed (incomplete_reader, third).verdict, REP_ACCEPTED);
+  replay_set_first_offset (incomplete_reader, 2);
+  replay_set_end_offset (incomplete_reader, 5);
+  CU_ASSERT_EQUAL (feed (incomplete_reader, third).verdict, REPLAY_SKIPPED);
+  CU_ASSERT_EQUAL (feed (incomplete_reader, stale).verdict, REPLAY_CHECKPOINT_SEEN);
+  CU_ASSERT_FALSE (replay_is_ready (incomplete_reader));
+  CU_ASSERT_PTR_NULL (replay_manifest (incomplete_reader));
+  CU_ASSERT_EQUAL (feed (incomplete_reader, newer).verdict, REPLAY_CHECKPOINT_USED); /* at 4 */
+  CU_ASSERT_EQUAL (replay_next_offset (incomplete_reader), 2);
+  CU_ASSERT_EQUAL (feed (incomplete_reader, third).verdict, REPLAY_ACCEPTED);
   feed (incomplete_reader, stale);
   feed (incomplete_reader, newer);
-  CU_ASSERT_TRUE (rep_ready (incomplete_reader));
+  CU_ASSERT_TRUE (replay_is_ready (incomplete_reader));
   CU_ASSERT_EQUAL (version_of (incomplete_reader), 3);
 }
 
@@ -237,92 +237,92 @@
 static void
 test_gap (void)
 {
-  g_autoptr (rep_t) rep = rep_new ();
-  g_autoptr (rep_t) other = rep_new ();
+  g_autoptr (replay_t) replay = replay_new ();
+  g_autoptr (replay_t) other = replay_new ();
   g_autofree char *checkpoint = NULL;
 
-  rep_begin (rep, 0);
-  feed_publish (rep, "a", 0, 4);
-  rep_begin (other, 0);
+  replay_set_first_offset (replay, 0);
+  feed_publish (replay, "a", 0, 4);
+  replay_set_first_offset (other, 0);
   feed_publish (other, "a", 0, 4);
   feed_publish (other, "b", 1, 5);
   feed_publish (other, "c", 1, 6);
-  checkpoint = rep_checkpoint_record (other); /* as of 2 */
-  rep_begin (rep, 3);
-  CU_ASSERT_FALSE (rep_ready (rep));
-  CU_ASSERT_EQUAL (version_of (rep), 1);
-  CU_ASSERT_EQUAL (feed_publish (rep, "d", 1, 7).verdict, REP_SKIPPED);  /* at 3 */
-  CU_ASSERT_EQUAL (feed (rep, checkpoint).verdict, REP_CHECKPOINT_USED); /* at 4 */
-  CU_ASSERT_EQUAL (rep_next_offset (rep), 3);
-  CU_ASSERT_FALSE (rep_ready (rep));
-  CU_ASSERT_EQUAL (feed_publish (rep, "d", 1, 7).verdict, REP_STALE_BASE);
-  CU_ASSERT_EQUAL (feed (rep, checkpoint).verdict, REP_CHECKPOINT_SEEN);
-  CU_ASSERT_TRUE (rep_ready (rep));
-  CU_ASSERT_EQUAL (version_of (rep), 2);
+  checkpoint = replay_format_checkpoint (other); /* as of 2 */
+  replay_set_first_offset (replay, 3);
+  CU_ASSERT_FALSE (replay_is_ready (replay));
+  CU_ASSERT_EQUAL (version_of (replay), 1);
+  CU_ASSERT_EQUAL (feed_publish (replay, "d", 1, 7).verdict, REPLAY_SKIPPED);  /* at 3 */
+  CU_ASSERT_EQUAL (feed (replay, checkpoint).verdict, REPLAY_CHECKPOINT_USED); /* at 4 */
+  CU_ASSERT_EQUAL (replay_next_offset (replay), 3);
+  CU_ASSERT_FALSE (replay_is_ready (replay));
+  CU_ASSERT_EQUAL (feed_publish (replay, "d", 1, 7).verdict, REPLAY_STALE_BASE);
+  CU_ASSERT_EQUAL (feed (replay, checkpoint).verdict, REPLAY_CHECKPOINT_SEEN);
+  CU_ASSERT_TRUE (replay_is_ready (replay));
+  CU_ASSERT_EQUAL (version_of (replay), 2);
 }
 
 static void
 test_adopt (void)
 {
-  g_autoptr (rep_t) peer = rep_new ();
-  g_autoptr (rep_t) rep = rep_new ();
-  man_t *first;
+  g_autoptr (replay_t) peer = replay_new ();
+  g_autoptr (replay_t) replay = replay_new ();
+  manifest_t *first;
 
-  rep_begin (peer, 0);
+  replay_set_first_offset (peer, 0);
   feed_publish (peer, "a", 0, 4);
-  first = man_ref (rep_manifest (peer));
+  first = manifest_ref (replay_manifest (peer));
   feed_publish (peer, "b", 1, 5);
-  CU_ASSERT_TRUE (rep_adopt (rep, rep_manifest (peer), 2));
-  CU_ASSERT_TRUE (rep_ready (rep));
-  CU_ASSERT_FALSE (rep_adopt (rep, first, 1));
-  CU_ASSERT_FALSE (rep_adopt (rep, first, 9));
-  rep_begin (rep, 1);
-  CU_ASSERT_EQUAL (rep_next_offset (rep), 2);
-  CU_ASSERT_EQUAL (feed_publish (rep, "c", 2, 6).version, 3);
-  rep_begin (rep, 7);
-  CU_ASSERT_FALSE (rep_ready (rep));
-  CU_ASSERT_FALSE (rep_adopt (rep, rep_manifest (rep), 6));
-  CU_ASSERT_TRUE (rep_adopt (rep, rep_manifest (rep), 7));
-  CU_ASSERT_TRUE (rep_ready (rep));
-  man_unref (first);
+  CU_ASSERT_TRUE (replay_adopt (replay, replay_manifest (peer), 2));
+  CU_ASSERT_TRUE (replay_is_ready (replay));
+  CU_ASSERT_FALSE (replay_adopt (replay, first, 1));
+  CU_ASSERT_FALSE (replay_adopt (replay, first, 9));
+  replay_set_first_offset (replay, 1);
+  CU_ASSERT_EQUAL (replay_next_offset (replay), 2);
+  CU_ASSERT_EQUAL (feed_publish (replay, "c", 2, 6).version, 3);
+  replay_set_first_offset (replay, 7);
+  CU_ASSERT_FALSE (replay_is_ready (replay));
+  CU_ASSERT_FALSE (replay_adopt (replay, replay_manifest (replay), 6));
+  CU_ASSERT_TRUE (replay_adopt (replay, replay_manifest (replay), 7));
+  CU_ASSERT_TRUE (replay_is_ready (replay));
+  manifest_unref (first);
 }
 
 static void
 test_checkpoint_due (void)
 {
-  g_autoptr (rep_t) rep = rep_new ();
+  g_autoptr (replay_t) replay = replay_new ();
   g_autofree char *checkpoint = NULL;
 
-  rep_begin (rep, 0);
-  CU_ASSERT_FALSE (rep_checkpoint_due (rep, 2));
-  CU_ASSERT_PTR_NULL (rep_checkpoint_record (rep));
-  feed_publish (rep, "a", 0, 4);
-  CU_ASSERT_FALSE (rep_checkpoint_due (rep, 2));
-  feed_publish (rep, "b", 1, 5);
-  CU_ASSERT_TRUE (rep_checkpoint_due (rep, 2));
-  checkpoint = rep_checkpoint_record (rep); /* as of 1 */
-  feed (rep, checkpoint);                   /* at 2 */
-  CU_ASSERT_FALSE (rep_checkpoint_due (rep, 1));
-  rep_begin (rep, 2);
-  CU_ASSERT_FALSE (rep_checkpoint_due (rep, 1));
-  rep_begin (rep, 3);
-  CU_ASSERT_TRUE (rep_checkpoint_due (rep, 1));
+  replay_set_first_offset (replay, 0);
+  CU_ASSERT_FALSE (replay_checkpoint_due (replay, 2));
+  CU_ASSERT_PTR_NULL (replay_format_checkpoint (replay));
+  feed_publish (replay, "a", 0, 4);
+  CU_ASSERT_FALSE (replay_checkpoint_due (replay, 2));
+  feed_publish (replay, "b", 1, 5);
+  CU_ASSERT_TRUE (replay_checkpoint_due (replay, 2));
+  checkpoint = replay_format_checkpoint (replay); /* as of 1 */
+  feed (replay, checkpoint);                      /* at 2 */
+  CU_ASSERT_FALSE (replay_checkpoint_due (replay, 1));
+  replay_set_first_offset (replay, 2);
+  CU_ASSERT_FALSE (replay_checkpoint_due (replay, 1));
+  replay_set_first_offset (replay, 3);
+  CU_ASSERT_TRUE (replay_checkpoint_due (replay, 1));
 }
 
 static void
 test_history_is_bounded (void)
 {
-  jdg_t *jdg = jdg_new (2);
-
-  jdg_add (jdg, "a", true, 1);
-  jdg_add (jdg, "b", false, 1);
-  jdg_add (jdg, "a", false, 9);
-  CU_ASSERT_EQUAL (jdg_find (jdg, "a")->version, 1);
-  jdg_add (jdg, "c", true, 2);
-  CU_ASSERT_PTR_NULL (jdg_find (jdg, "a"));
-  CU_ASSERT_PTR_NOT_NULL (jdg_find (jdg, "b"));
-  CU_ASSERT_TRUE (jdg_find (jdg, "c")->accepted);
-  jdg_free (jdg);
+  publish_history_t *history = publish_history_new (2);
+
+  publish_history_add (history, "a", true, 1);
+  publish_history_add (history, "b", false, 1);
+  publish_history_add (history, "a", false, 9);
+  CU_ASSERT_EQUAL (publish_history_find (history, "a")->version, 1);
+  publish_history_add (history, "c", true, 2);
+  CU_ASSERT_PTR_NULL (publish_history_find (history, "a"));
+  CU_ASSERT_PTR_NOT_NULL (publish_history_find (history, "b"));
+  CU_ASSERT_TRUE (publish_history_find (history, "c")->accepted);
+  publish_history_free (history);
 }
 
 /*
@@ -333,15 +333,15 @@
 static void
 test_claim_shards_cannot_change (void)
 {
-  g_autoptr (rep_t) rep = rep_new ();
+  g_autoptr (replay_t) replay = replay_new ();
   json_auto_t *shards = json_pack ("{s{s{si}}}", "services", "pool", "claim_shards", 32);
-  g_autofree char *text = rep_publish_record ("b", 1, "ann", NULL, shards);
-  rep_judgement_t result;
+  g_autofree char *text = replay_format_publish ("b", 1, "ann", NULL, shards);
+  replay_result_t result;
 
-  rep_begin (rep, 0);
-  feed_publish (rep, "a", 0, 4);
-  result = feed (rep, text);
-  CU_ASSERT_EQUAL (result.verdict, REP_INVALID);
+  replay_set_first_offset (replay, 0);
+  feed_publish (replay, "a", 0, 4);
+  result = feed (replay, text);
+  CU_ASSERT_EQUAL (result.verdict, REPLAY_INVALID);
   CU_ASSERT_PTR_NOT_NULL (strstr (result.reason, "services.pool.claim_shards"));
   CU_ASSERT_EQUAL (result.version, 1);
 }
--- a/tests/test_replay_property.c
+++ b/tests/test_replay_property.c
@@ -23,7 +23,7 @@
  * while the reader was not ready */
 typedef struct
 {
-  rep_t *rep;
+  replay_t *replay;
   uint64_t start_version;
   uint64_t last_version;
 } reader_t;
@@ -42,7 +42,7 @@
   uint64_t first_offset;
   uint64_t end_offset;
   uint32_t ids;
-  rep_t *reference;
+  replay_t *reference;
   reader_t readers[READERS];
   publisher_t publishers[PUBLISHERS];
   char *paused[PAUSED];
@@ -73,21 +73,21 @@
 static void
 append (run_t *run, const char *text)
 {
-  rep_judgement_t result;
+  replay_result_t result;
   uint64_t offset = run->end_offset;
-  const man_t *manifest;
+  const manifest_t *manifest;
 
   if (offset == RECORDS_MAX)
     return;
   run->records[offset] = g_strdup (text);
   run->end_offset++;
-  result = rep_feed (run->reference, offset, text, strlen (text));
-  manifest = rep_manifest (run->reference);
+  result = replay_apply (run->reference, offset, text, strlen (text));
+  manifest = replay_manifest (run->reference);
   run->versions[offset] = manifest != NULL ? manifest->version : 0;
   run->digests[offset] = g_strdup (manifest != NULL ? manifest->digest : "");
-  run->accepted += result.verdict == REP_ACCEPTED;
-  run->stale += result.verdict == REP_STALE_BASE;
-  run->repeated += result.verdict == REP_REPEATED;
+  run->accepted += result.verdict == REPLAY_ACCEPTED;
+  run->stale += result.verdict == REPLAY_STALE_BASE;
+  run->repeated += result.verdict == REPLAY_REPEATED;
 }
 
 static void
@@ -99,7 +99,7 @@
                 : json_pack ("{s{s{si}}}", "services", "pool", "slots", (int)choose (run, 5000));
 
   publisher->text =
-      rep_publish_record (id, base, id, base == 0 ? json : NULL, base == 0 ? NULL : json);
+      replay_format_publish (id, base, id, base == 0 ? json : NULL, base == 0 ? NULL : json);
   json_decref (json);
 }
 
@@ -109,15 +109,15 @@
 step_publisher (run_t *run)
 {
   publisher_t *publisher = &run->publishers[choose (run, PUBLISHERS)];
-  const rep_t *seen =
-      choose (run, 2) != 0 ? run->reference : run->readers[choose (run, READERS)].rep;
+  const replay_t *seen =
+      choose (run, 2) != 0 ? run->reference : run->readers[choose (run, READERS)].replay;
 
   if (publisher->text == NULL)
     {
       if (run->end_offset == 0)
         format_publish (run, publisher, 0);
-      else if (rep_ready (seen))
-        format_publish (run, publisher, rep_manifest (seen)->version);
+      else if (replay_is_ready (seen))
+        format_publish (run, publisher, replay_manifest (seen)->version);
       else
         format_publish (run, publisher, choose (run, 8));
       return;
@@ -132,11 +132,11 @@
 step_checkpoint (run_t *run)
 {
   char **paused = &run->paused[choose (run, PAUSED)];
-  const rep_t *writer = run->readers[choose (run, READERS)].rep;
+  const replay_t *writer = run->readers[choose (run, READERS)].replay;
 
   if (*paused == NULL)
     {
-      *paused = rep_checkpoint_record (writer);
+      *paused = replay_format_checkpoint (writer);
       return;
     }
   append (run, *paused);
@@ -155,13 +155,13 @@
 static void
 check_reader (run_t *run, reader_t *reader)
 {
-  const man_t *manifest = rep_manifest (reader->rep);
+  const manifest_t *manifest = replay_manifest (reader->replay);
   uint64_t version = manifest != NULL ? manifest->version : 0;
-  uint64_t next_offset = rep_next_offset (reader->rep);
+  uint64_t next_offset = replay_next_offset (reader->replay);
 
   CU_ASSERT_TRUE_FATAL (version >= reader->last_version);
   reader->last_version = version;
-  if (!rep_ready (reader->rep))
+  if (!replay_is_ready (reader->replay))
     return;
   CU_ASSERT_TRUE_FATAL (version >= reader->start_version);
   CU_ASSERT_EQUAL_FATAL (version, run->versions[next_offset - 1]);
@@ -174,19 +174,19 @@
 {
   uint64_t offset;
 
-  if (run->first_offset > rep_next_offset (reader->rep))
+  if (run->first_offset > replay_next_offset (reader->replay))
     run->gaps++;
-  if (!rep_ready (reader->rep) && run->end_offset > 0)
+  if (!replay_is_ready (reader->replay) && run->end_offset > 0)
     reader->start_version = run->versions[run->end_offset - 1];
-  rep_begin (reader->rep, run->first_offset);
-  rep_note_end (reader->rep, run->end_offset);
-  offset = rep_next_offset (reader->rep);
+  replay_set_first_offset (reader->replay, run->first_offset);
+  replay_set_end_offset (reader->replay, run->end_offset);
+  offset = replay_next_offset (reader->replay);
   for (; count > 0 && offset < run->end_offset; count--, offset++)
     {
-      rep_judgement_t result =
-          rep_feed (reader->rep, offset, run->records[offset], strlen (run->records[offset]));
+      replay_result_t result = replay_apply (reader->replay, offset, run->records[offset],
+                                             strlen (run->records[offset]));
 
-      run->checkpoints_used += result.verdict == REP_CHECKPOINT_USED;
+      run->checkpoints_used += result.verdict == REPLAY_CHECKPOINT_USED;
       check_reader (run, reader);
     }
   check_reader (run, reader);
@@ -197,18 +197,19 @@
 {
   reader_t *reader = &run->readers[choose (run, READERS)];
 
-  rep_free (reader->rep);
-  *reader = (reader_t){ .rep = rep_new () };
+  replay_free (reader->replay);
+  *reader = (reader_t){ .replay = replay_new () };
 }
 
 static void
 step_adopt (run_t *run)
 {
   reader_t *reader = &run->readers[choose (run, READERS)];
-  const rep_t *peer = run->readers[choose (run, READERS)].rep;
+  const replay_t *peer = run->readers[choose (run, READERS)].replay;
 
-  if (rep_ready (peer))
-    run->adopted += rep_adopt (reader->rep, rep_manifest (peer), rep_next_offset (peer));
+  if (replay_is_ready (peer))
+    run->adopted +=
+        replay_adopt (reader->replay, replay_manifest (peer), replay_next_offset (peer));
   check_reader (run, reader);
 }
 
@@ -235,7 +236,7 @@
 static void
 check_convergence (run_t *run)
 {
-  g_autofree char *checkpoint = rep_checkpoint_record (run->reference);
+  g_autofree char *checkpoint = replay_format_checkpoint (run->reference);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (checkpoint);
   append (run, checkpoint);
@@ -245,10 +246,10 @@
 
       read_some (run, reader, RECORDS_MAX);
       read_some (run, reader, RECORDS_MAX);
-      CU_ASSERT_TRUE (rep_ready (reader->rep));
-      CU_ASSERT_EQUAL (rep_next_offset (reader->rep), run->end_offset);
-      CU_ASSERT_STRING_EQUAL (rep_manifest (reader->rep)->digest,
-                              rep_manifest (run->reference)->digest);
+      CU_ASSERT_TRUE (replay_is_ready (reader->replay));
+      CU_ASSERT_EQUAL (replay_next_offset (reader->replay), run->end_offset);
+      CU_ASSERT_STRING_EQUAL (replay_manifest (reader->replay)->digest,
+                              replay_manifest (run->reference)->digest);
     }
 }
 
@@ -261,12 +262,12 @@
       g_free (run->digests[i]);
     }
   for (uint32_t i = 0; i < READERS; i++)
-    rep_free (run->readers[i].rep);
+    replay_free (run->readers[i].replay);
   for (uint32_t i = 0; i < PUBLISHERS; i++)
     g_free (run->publishers[i].text);
   for (uint32_t i = 0; i < PAUSED; i++)
     g_free (run->paused[i]);
-  rep_free (run->reference);
+  replay_free (run->reference);
   g_rand_free (run->rand);
   g_free (run);
 }
@@ -277,10 +278,10 @@
   run_t *run = g_new0 (run_t, 1);
 
   run->rand = g_rand_new_with_seed (seed);
-  run->reference = rep_new ();
-  rep_begin (run->reference, 0);
+  run->reference = replay_new ();
+  replay_set_first_offset (run->reference, 0);
   for (uint32_t i = 0; i < READERS; i++)
-    run->readers[i].rep = rep_new ();
+    run->readers[i].replay = replay_new ();
   return run;
 }
 
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -6,23 +6,23 @@
 
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (rte_t, rte_unref)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (routing_t, routing_unref)
 
-static rte_route_t *
+static routing_route_t *
 make_route (const char *prefix, const char *service)
 {
-  rte_route_t *route = rte_route_new (prefix, "Shop.example", prefix);
+  routing_route_t *route = routing_route_new (prefix, "Shop.example", prefix);
 
   route->timeout_ms = 1000;
   route->attempts = 1;
-  rte_route_target (route, service, 1);
+  routing_route_add_target (route, service, 1);
   return route;
 }
 
 static const char *
-find_prefix (const rte_t *rte, const char *host, const char *target)
+find_prefix (const routing_t *routing, const char *host, const char *target)
 {
-  const rte_route_t *route = rte_find (rte, host, target);
+  const routing_route_t *route = routing_find_route (routing, host, target);
 
   return route ? route->path_prefix : "none";
 }
@@ -30,19 +30,19 @@
 static void
 test_longest_prefix_wins (void)
 {
-  g_autoptr (rte_t) rte = rte_new (1);
-
-  CU_ASSERT (rte_add_route (rte, make_route ("/a/", "one"), NULL));
-  CU_ASSERT (rte_add_route (rte, make_route ("/a/b/", "two"), NULL));
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a/x"), "/a/");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a/b/x?y=/z/"), "/a/b/");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a/b"), "/a/");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/a"), "none");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "SHOP.example:8080", "/a/"), "/a/");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "other.example", "/a/"), "none");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "", "/a/"), "none");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, NULL, "/a/"), "none");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", "/b?x=/a/"), "none");
+  g_autoptr (routing_t) routing = routing_new (1);
+
+  CU_ASSERT (routing_add_route (routing, make_route ("/a/", "one"), NULL));
+  CU_ASSERT (routing_add_route (routing, make_route ("/a/b/", "two"), NULL));
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "shop.example", "/a/x"), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "shop.example", "/a/b/x?y=/z/"), "/a/b/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "shop.example", "/a/b"), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "shop.example", "/a"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "SHOP.example:8080", "/a/"), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "other.example", "/a/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "", "/a/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, NULL, "/a/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "shop.example", "/b?x=/a/"), "none");
 }
 
 /* Values that are not valid numbers count as unknown. A rate is rounded down, because a higher one
@@ -54,37 +54,37 @@
       "{\"version\":3,\"routes\":[],\"services\":[{\"name\":\"pool\",\"cold_start_s\":2.5,"
       "\"cold_per_s\":16.9},{\"name\":\"slow\",\"cold_per_s\":0.5},{\"name\":\"odd\",\"cold_start_"
       "s\":\"x\",\"cold_per_s\":-1}]}";
-  g_autoptr (rte_t) rte = prc_read_routing (text, strlen (text), NULL, NULL);
-  const rte_service_t *pool = rte_service (rte, g_intern_static_string ("pool"));
-  const rte_service_t *odd = rte_service (rte, g_intern_static_string ("odd"));
+  g_autoptr (routing_t) routing = prc_read_routing (text, strlen (text), NULL, NULL);
+  const routing_service_t *pool = routing_find_service (routing, g_intern_static_string ("pool"));
+  const routing_service_t *odd = routing_find_service (routing, g_intern_static_string ("odd"));
 
   CU_ASSERT_EQUAL (pool->cold_per_s, 16);
   CU_ASSERT_EQUAL (pool->cold_start_us, 2500 * 1000);
-  CU_ASSERT_EQUAL (rte_service (rte, g_intern_static_string ("slow"))->cold_per_s, 1);
+  CU_ASSERT_EQUAL (routing_find_service (routing, g_intern_static_string ("slow"))->cold_per_s, 1);
   CU_ASSERT_EQUAL (odd->cold_per_s, 0);
   CU_ASSERT_EQUAL (odd->cold_start_us, 0);
-  CU_ASSERT_PTR_NULL (rte_service (rte, g_intern_static_string ("none")));
+  CU_ASSERT_PTR_NULL (routing_find_service (routing, g_intern_static_string ("none")));
 }
 
 static void
 test_long_paths_do_not_overflow (void)
 {
-  g_autoptr (rte_t) rte = rte_new (1);
+  g_autoptr (routing_t) routing = routing_new (1);
   g_autofree char *tail = g_strnfill (100000, 'x');
   g_autofree char *target = g_strconcat ("/a/", tail, "/", NULL);
   g_autofree char *host = g_strnfill (5000, 'h');
 
-  CU_ASSERT (rte_add_route (rte, make_route ("/a/", "one"), NULL));
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, "shop.example", target), "/a/");
-  CU_ASSERT_STRING_EQUAL (find_prefix (rte, host, target), "none");
+  CU_ASSERT (routing_add_route (routing, make_route ("/a/", "one"), NULL));
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, "shop.example", target), "/a/");
+  CU_ASSERT_STRING_EQUAL (find_prefix (routing, host, target), "none");
 }
 
 static void
-expect_rejected (rte_t *rte, rte_route_t *route, const char *word)
+expect_rejected (routing_t *routing, routing_route_t *route, const char *word)
 {
   g_autoptr (GError) error = NULL;
 
-  CU_ASSERT (!rte_add_route (rte, route, &error));
+  CU_ASSERT (!routing_add_route (routing, route, &error));
   CU_ASSERT_PTR_NOT_NULL_FATAL (error);
   CU_ASSERT_PTR_NOT_NULL (strstr (error->message, word));
 }
@@ -92,45 +92,45 @@
 static void
 test_invalid_routes_are_rejected (void)
 {
-  g_autoptr (rte_t) rte = rte_new (1);
-  rte_route_t *route = make_route ("/b/", "one");
+  g_autoptr (routing_t) routing = routing_new (1);
+  routing_route_t *route = make_route ("/b/", "one");
 
-  CU_ASSERT (rte_add_route (rte, make_route ("/a/", "one"), NULL));
-  expect_rejected (rte, make_route ("/a/", "two"), "of another");
-  expect_rejected (rte, make_route ("/a", "two"), "slash");
+  CU_ASSERT (routing_add_route (routing, make_route ("/a/", "one"), NULL));
+  expect_rejected (routing, make_route ("/a/", "two"), "of another");
+  expect_rejected (routing, make_route ("/a", "two"), "slash");
   route->attempts = 0;
-  expect_rejected (rte, route, "attempts");
-  expect_rejected (rte, rte_route_new ("r", "h", "/c/"), "no service");
-  CU_ASSERT_EQUAL (rte_route_count (rte), 1);
+  expect_rejected (routing, route, "attempts");
+  expect_rejected (routing, routing_route_new ("r", "h", "/c/"), "no service");
+  CU_ASSERT_EQUAL (routing_route_count (routing), 1);
 }
 
 static void
 test_targets_are_chosen_by_weight (void)
 {
-  rte_route_t *route = rte_route_new ("r", "h", "/r/");
+  routing_route_t *route = routing_route_new ("r", "h", "/r/");
   uint32_t big_count = 0;
 
-  rte_route_target (route, "big", 90);
-  rte_route_target (route, "small", 10);
+  routing_route_add_target (route, "big", 90);
+  routing_route_add_target (route, "small", 10);
   for (uint64_t selector = 0; selector < 1000; selector++)
-    big_count += strcmp (rte_target (route, selector), "big") == 0 ? 1 : 0;
+    big_count += strcmp (routing_route_choose_service (route, selector), "big") == 0 ? 1 : 0;
   CU_ASSERT_EQUAL (big_count, 900);
-  rte_route_unref (route);
+  routing_route_unref (route);
 }
 
 static void
 test_keys_belong_to_one_account (void)
 {
-  g_autoptr (rte_t) rte = rte_new (1);
+  g_autoptr (routing_t) routing = routing_new (1);
   const char *keys[] = { "k1", "k2" };
-  rte_account_t account = { .name = "alpha" };
+  routing_account_t account = { .name = "alpha" };
 
-  CU_ASSERT (rte_add_account (rte, &account, keys, 2, NULL));
-  CU_ASSERT_STRING_EQUAL (rte_account (rte, "k2")->name, "alpha");
-  CU_ASSERT_PTR_NULL (rte_account (rte, "k3"));
-  CU_ASSERT (!rte_add_account (rte, &account, keys, 0, NULL));
+  CU_ASSERT (routing_add_account (routing, &account, keys, 2, NULL));
+  CU_ASSERT_STRING_EQUAL (routing_find_account (routing, "k2")->name, "alpha");
+  CU_ASSERT_PTR_NULL (routing_find_account (routing, "k3"));
+  CU_ASSERT (!routing_add_account (routing, &account, keys, 0, NULL));
   account.name = "beta";
-  CU_ASSERT (!rte_add_account (rte, &account, keys, 1, NULL));
+  CU_ASSERT (!routing_add_account (routing, &account, keys, 1, NULL));
 }
 
 #define ROUTE_A                                                                                    \
@@ -145,8 +145,8 @@
   "\"limits\":{\"max_body_bytes\":4096},\"tenants\":[{\"name\":\"one\",\"api_keys\":[\"key\"],"    \
   "\"priority\":1}],\"later\":[{}]"
 
-static rte_t *
-read_config (const char *text, const rte_t *before)
+static routing_t *
+read_config (const char *text, const routing_t *before)
 {
   return prc_read_routing (text, strlen (text), before, NULL);
 }
@@ -154,23 +154,23 @@
 static void
 test_configuration_is_read (void)
 {
-  g_autoptr (rte_t) rte = read_config (
+  g_autoptr (routing_t) routing = read_config (
       "{\"version\":7,\"routes\":[" ROUTE_A ", " ROUTE_B "]," LIMITS_AND_TENANTS "}", NULL);
-  const rte_route_t *route;
+  const routing_route_t *route;
 
-  CU_ASSERT_PTR_NOT_NULL_FATAL (rte);
-  CU_ASSERT_EQUAL (rte_version (rte), 7);
-  route = rte_find (rte, "h.example", "/a/1");
+  CU_ASSERT_PTR_NOT_NULL_FATAL (routing);
+  CU_ASSERT_EQUAL (routing_version (routing), 7);
+  route = routing_find_route (routing, "h.example", "/a/1");
   CU_ASSERT_PTR_NOT_NULL_FATAL (route);
-  CU_ASSERT_EQUAL (route->kind, RTE_STREAM);
+  CU_ASSERT_EQUAL (route->kind, ROUTING_STREAM);
   CU_ASSERT_EQUAL (route->timeout_ms, 15000);
   CU_ASSERT_EQUAL (route->gap_ms, 300);
   CU_ASSERT (route->resumable && route->sticky && !route->is_public);
-  CU_ASSERT (rte_needs_key (rte, route));
-  CU_ASSERT_STRING_EQUAL (rte_target (route, 95), "t");
-  CU_ASSERT (!rte_needs_key (rte, rte_find (rte, "h.example", "/b/")));
-  CU_ASSERT_EQUAL (rte_account (rte, "key")->priority, 1);
-  CU_ASSERT_EQUAL (rte_limits (rte)->body_bytes, 4096);
+  CU_ASSERT (routing_needs_key (routing, route));
+  CU_ASSERT_STRING_EQUAL (routing_route_choose_service (route, 95), "t");
+  CU_ASSERT (!routing_needs_key (routing, routing_find_route (routing, "h.example", "/b/")));
+  CU_ASSERT_EQUAL (routing_find_account (routing, "key")->priority, 1);
+  CU_ASSERT_EQUAL (routing_limits (routing)->body_bytes, 4096);
 }
 
 /* Unchanged routes must be shared between versions: parsing a thousand routes again for each
@@ -178,17 +178,18 @@
 static void
 test_unchanged_routes_are_shared (void)
 {
-  g_autoptr (rte_t) old = read_config (
+  g_autoptr (routing_t) old = read_config (
       "{\"version\":7,\"routes\":[" ROUTE_A "," ROUTE_B "]," LIMITS_AND_TENANTS "}", NULL);
-  g_autoptr (rte_t) new =
+  g_autoptr (routing_t) new =
       read_config ("{\"routes\":[{\"host\":\"h.example\",\"path_prefix\":\"/b/\","
                    "\"kind\":\"idempotent\",\"service\":\"s\"}," ROUTE_A "],\"version\":9}",
                    old);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (new);
-  CU_ASSERT_PTR_EQUAL (rte_find (new, "h.example", "/a/"), rte_find (old, "h.example", "/a/"));
-  CU_ASSERT_EQUAL (rte_find (new, "h.example", "/b/")->kind, RTE_IDEMPOTENT);
-  CU_ASSERT_EQUAL (rte_find (old, "h.example", "/b/")->kind, RTE_NON_IDEMPOTENT);
+  CU_ASSERT_PTR_EQUAL (routing_find_route (new, "h.example", "/a/"),
+                       routing_find_route (old, "h.example", "/a/"));
+  CU_ASSERT_EQUAL (routing_find_route (new, "h.example", "/b/")->kind, ROUTING_IDEMPOTENT);
+  CU_ASSERT_EQUAL (routing_find_route (old, "h.example", "/b/")->kind, ROUTING_NON_IDEMPOTENT);
 }
 
 static void
@@ -230,9 +231,9 @@
     {
       /* a block of minimal size, so that a sanitizer detects overruns */
       g_autofree char *truncated = g_memdup2 (text, bytes + 1);
-      rte_t *rte = prc_read_routing (truncated, bytes, NULL, NULL);
+      routing_t *routing = prc_read_routing (truncated, bytes, NULL, NULL);
 
-      CU_ASSERT_PTR_NULL (rte);
+      CU_ASSERT_PTR_NULL (routing);
     }
 }
 
--- a/tests/test_stream_follow.c
+++ b/tests/test_stream_follow.c
@@ -31,7 +31,7 @@
   clk_t clk;
   cnt_set_t *counters;
   store_t store;
-  kvw_t *view;
+  keyed_view_t *view;
   sfl_t *sfl;
 } fixture_t;
 
@@ -103,7 +103,7 @@
   clk_init_running (&fixture->clk);
   fixture->store.plt = (plt_t){ .read = on_read, .newest = on_newest };
   fixture->counters = cnt_set_new ();
-  fixture->view = kvw_new (ignore_change, fixture);
+  fixture->view = keyed_view_new (ignore_change, fixture);
   fixture->sfl = sfl_new (&(sfl_options_t){ .base = fixture->base,
                                             .clk = &fixture->clk,
                                             .counters = fixture->counters,
@@ -125,7 +125,7 @@
 fixture_free (fixture_t *fixture)
 {
   sfl_free (fixture->sfl);
-  kvw_free (fixture->view);
+  keyed_view_free (fixture->view);
   cnt_set_free (fixture->counters);
   event_base_free (fixture->base);
   g_free (fixture);
@@ -179,7 +179,7 @@
   size_t bytes;
   uint64_t offset = 0;
 
-  return kvw_get (fixture->view, key, &bytes, &offset) ? offset : 0;
+  return keyed_view_get (fixture->view, key, &bytes, &offset) ? offset : 0;
 }
 
 /*
--- a/tests/test_version_fuzz.c
+++ b/tests/test_version_fuzz.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (man_t, man_unref)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (manifest_t, manifest_unref)
 
 #define SEED 20240817
 #define MANIFEST_ROUNDS 3000
@@ -117,10 +117,10 @@
 
 /* Parsing the canonical form of an accepted manifest must yield the same digest. */
 static void
-expect_same_digest (const man_t *manifest)
+expect_same_digest (const manifest_t *manifest)
 {
   g_autofree char *text = json_dumps (manifest->json, JSON_SORT_KEYS | JSON_COMPACT);
-  g_autoptr (man_t) again = man_parse (text, strlen (text), NULL);
+  g_autoptr (manifest_t) again = manifest_parse (text, strlen (text), NULL);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (again);
   CU_ASSERT_STRING_EQUAL (again->digest, manifest->digest);
@@ -137,7 +137,7 @@
       size_t text_bytes;
       g_autofree char *text = mutate (&fuzz, &text_bytes);
       g_autoptr (GError) error = NULL;
-      g_autoptr (man_t) manifest = man_parse (text, text_bytes, &error);
+      g_autoptr (manifest_t) manifest = manifest_parse (text, text_bytes, &error);
 
       CU_ASSERT_TRUE ((manifest == NULL) == (error != NULL));
       if (error != NULL)
@@ -152,48 +152,48 @@
   free_fuzz (&fuzz);
 }
 
-static rep_t *
+static replay_t *
 new_reader (const fuzz_t *fuzz)
 {
-  rep_t *rep = rep_new ();
+  replay_t *replay = replay_new ();
 
-  rep_begin (rep, choose (fuzz, 3));
-  rep_note_end (rep, choose (fuzz, STREAM_RECORDS));
-  return rep;
+  replay_set_first_offset (replay, choose (fuzz, 3));
+  replay_set_end_offset (replay, choose (fuzz, STREAM_RECORDS));
+  return replay;
 }
 
 static void
 test_records (void)
 {
   fuzz_t fuzz = new_fuzz (RECORDS);
-  rep_t *rep = new_reader (&fuzz);
+  replay_t *replay = new_reader (&fuzz);
   uint64_t version = 0;
-  uint32_t verdicts[REP_SKIPPED + 1] = { 0 };
+  uint32_t verdicts[REPLAY_SKIPPED + 1] = { 0 };
 
   for (uint32_t round = 0; round < RECORD_ROUNDS; round++)
     {
       size_t text_bytes;
       g_autofree char *text = mutate (&fuzz, &text_bytes);
-      rep_judgement_t result = rep_feed (rep, rep_next_offset (rep), text, text_bytes);
+      replay_result_t result = replay_apply (replay, replay_next_offset (replay), text, text_bytes);
 
       verdicts[result.verdict]++;
       CU_ASSERT_TRUE_FATAL (result.version >= version);
       version = result.version;
       if (round % STREAM_RECORDS == STREAM_RECORDS - 1)
         {
-          rep_free (rep);
-          rep = new_reader (&fuzz);
+          replay_free (replay);
+          replay = new_reader (&fuzz);
           version = 0;
         }
     }
   printf ("seed %d:", SEED);
-  for (uint32_t verdict = 0; verdict <= REP_SKIPPED; verdict++)
+  for (uint32_t verdict = 0; verdict <= REPLAY_SKIPPED; verdict++)
     {
       printf (" %u", verdicts[verdict]);
       CU_ASSERT_TRUE (verdicts[verdict] > 0);
     }
   printf (" ");
-  rep_free (rep);
+  replay_free (replay);
   free_fuzz (&fuzz);
 }
 
