--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -197,21 +197,21 @@
   message.samples.samples_len = XCH_SAMPLES;
   message.samples.samples_val = samples;
   char datagram[LIM_DATAGRAM_BYTES];
-  size_t plain_bytes = wir_encode (datagram, sizeof datagram, fleet_key, 1, false, &message);
+  size_t plain_bytes = datagram_encode (datagram, sizeof datagram, fleet_key, 1, false, &message);
   print_row ("exchange datagram, eight samples", XCH_SAMPLES, "bytes",
              (double)plain_bytes + IP_UDP_HEADER_BYTES);
   message.words.words_len = XCH_WORDS;
   message.words.words_val = words;
   message.marks.marks_len = XCH_MARKS;
   message.marks.marks_val = marks;
-  size_t full_bytes = wir_encode (datagram, sizeof datagram, fleet_key, 1, false, &message);
+  size_t full_bytes = datagram_encode (datagram, sizeof datagram, fleet_key, 1, false, &message);
   print_row ("exchange datagram, all arrays full", XCH_SAMPLES, "bytes",
              (double)full_bytes + IP_UDP_HEADER_BYTES);
 
   const uint32_t rounds = 20000;
   uint64_t start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
-    wir_encode (datagram, sizeof datagram, fleet_key, i, false, &message);
+    datagram_encode (datagram, sizeof datagram, fleet_key, i, false, &message);
   print_row ("exchange encode and seal", XCH_SAMPLES, "ns", (double)(cpu_ns () - start) / rounds);
   start = cpu_ns ();
   for (uint32_t i = 0; i < rounds; i++)
@@ -219,12 +219,13 @@
       xch_message decoded = { 0 };
       uint32_t xid;
       bool is_reply;
-      if (wir_decode (datagram, full_bytes, fleet_key, &xid, &is_reply, &decoded) != WIR_OK)
+      if (datagram_decode (datagram, full_bytes, fleet_key, &xid, &is_reply, &decoded) !=
+          DATAGRAM_OK)
         {
           fprintf (stderr, "bench_capacity: a datagram of its own does not decode\n");
           exit (1);
         }
-      wir_free (&decoded);
+      datagram_free_message (&decoded);
     }
   print_row ("exchange check and decode", XCH_SAMPLES, "ns", (double)(cpu_ns () - start) / rounds);
 }
--- a/bench/spread/exchange.c
+++ b/bench/spread/exchange.c
@@ -19,11 +19,11 @@
   xch_mark marks[XCH_MARKS];
 } datagram_t;
 
-struct exc
+struct exchange
 {
-  exc_options_t options;
+  exchange_options_t options;
   flt_node_t *node;
-  bdg_t budget;
+  byte_budget_t budget;
   uint32_t overhead_bytes; /* of a datagram without its XDR body */
 };
 
@@ -39,8 +39,8 @@
 {
   char out[LIM_DATAGRAM_BYTES];
   xch_message message = { 0 };
-  size_t bytes = wir_encode (out, sizeof out, key, 1, false, &message);
-  return (uint32_t)bytes - body_bytes (&message) + BDG_HEADER_BYTES;
+  size_t bytes = datagram_encode (out, sizeof out, key, 1, false, &message);
+  return (uint32_t)bytes - body_bytes (&message) + BYTE_BUDGET_UDP_HEADER_BYTES;
 }
 
 static bool
@@ -52,11 +52,11 @@
 }
 
 static void
-deliver (exc_t *exc, flt_node_t *to, datagram_t *datagram)
+deliver (exchange_t *exchange, flt_node_t *to, datagram_t *datagram)
 {
-  flt_t *fleet = exc->node->flt;
+  flt_t *fleet = exchange->node->flt;
   bool lost = rnd_below (&fleet->random, 100) < fleet->options.lost_percent;
-  if (lost || to->stopped || is_partitioned (fleet, exc->node, to))
+  if (lost || to->stopped || is_partitioned (fleet, exchange->node, to))
     {
       g_free (datagram);
       return;
@@ -65,104 +65,105 @@
 }
 
 static void
-send_message (exc_t *exc, flt_node_t *to, bool is_reply, const xch_word *requester)
+send_message (exchange_t *exchange, flt_node_t *to, bool is_reply, const xch_word *requester)
 {
-  flt_t *fleet = exc->node->flt;
+  flt_t *fleet = exchange->node->flt;
   datagram_t *datagram = g_new0 (datagram_t, 1);
-  datagram->from = exc->node->index;
+  datagram->from = exchange->node->index;
   datagram->is_reply = is_reply;
   datagram->message.samples.samples_val = datagram->samples;
   datagram->message.words.words_val = datagram->words;
   datagram->message.marks.marks_val = datagram->marks;
-  exc->options.fill (&datagram->message, requester, exc->options.context);
-  uint32_t bytes = body_bytes (&datagram->message) + exc->overhead_bytes;
-  if (!bdg_take (&exc->budget, fleet->now_us, bytes))
+  exchange->options.fill (&datagram->message, requester, exchange->options.context);
+  uint32_t bytes = body_bytes (&datagram->message) + exchange->overhead_bytes;
+  if (!byte_budget_take (&exchange->budget, fleet->now_us, bytes))
     {
       fleet->counts.over_budget++;
       g_free (datagram);
       return;
     }
-  exc->node->sent++;
-  exc->node->sent_bytes += bytes;
+  exchange->node->sent++;
+  exchange->node->sent_bytes += bytes;
   fleet->counts.datagrams++;
   fleet->counts.exchange_bytes += bytes;
-  deliver (exc, to, datagram);
+  deliver (exchange, to, datagram);
 }
 
 static void
-send_request (exc_t *exc, const set_address_t *address)
+send_request (exchange_t *exchange, const set_address_t *address)
 {
-  flt_t *fleet = exc->node->flt;
-  send_message (exc, &fleet->nodes[address->port - PORT_BASE], false, NULL);
+  flt_t *fleet = exchange->node->flt;
+  send_message (exchange, &fleet->nodes[address->port - PORT_BASE], false, NULL);
 }
 
-exc_t *
-exc_new (const exc_options_t *options, GError **error)
+exchange_t *
+exchange_new (const exchange_options_t *options, GError **error)
 {
   const control_t *ctrl = options->context;
-  exc_t *exc = g_new0 (exc_t, 1);
+  exchange_t *exchange = g_new0 (exchange_t, 1);
   (void)error;
-  exc->options = *options;
-  exc->node = (flt_node_t *)ctrl->dmn;
-  bdg_init (&exc->budget, options->budget_bytes, exc->node->flt->now_us);
-  exc->overhead_bytes = measure_overhead (options->fleet_key);
-  return exc;
+  exchange->options = *options;
+  exchange->node = (flt_node_t *)ctrl->dmn;
+  byte_budget_init (&exchange->budget, options->budget_bytes, exchange->node->flt->now_us);
+  exchange->overhead_bytes = measure_overhead (options->fleet_key);
+  return exchange;
 }
 
 void
-exc_free (exc_t *exc)
+exchange_free (exchange_t *exchange)
 {
-  g_free (exc);
+  g_free (exchange);
 }
 
 void
-exc_now (exc_t *exc, const set_address_t *peer)
+exchange_send_now (exchange_t *exchange, const set_address_t *peer)
 {
-  send_request (exc, peer);
+  send_request (exchange, peer);
 }
 
 void
-exc_flush (exc_t *exc)
+exchange_discard_pending (exchange_t *exchange)
 {
-  (void)exc;
+  (void)exchange;
 }
 
 void
-exc_charge (exc_t *exc, uint32_t bytes)
+exchange_charge_budget (exchange_t *exchange, uint32_t bytes)
 {
-  bdg_charge (&exc->budget, exc->node->flt->now_us, bytes);
-  exc->node->flt->counts.charged_bytes += bytes;
+  byte_budget_charge (&exchange->budget, exchange->node->flt->now_us, bytes);
+  exchange->node->flt->counts.charged_bytes += bytes;
 }
 
 bool
-exc_has_spare (exc_t *exc)
+exchange_has_spare_budget (exchange_t *exchange)
 {
-  return bdg_has (&exc->budget, exc->node->flt->now_us, exc->options.budget_bytes / 4 * 3);
+  return byte_budget_has (&exchange->budget, exchange->node->flt->now_us,
+                          exchange->options.budget_bytes / 4 * 3);
 }
 
 set_address_t
-exc_address (const exc_t *exc)
+exchange_address (const exchange_t *exchange)
 {
-  return exc->options.listen;
+  return exchange->options.listen;
 }
 
 void
 flt_exchange_timer (flt_node_t *node)
 {
-  exc_t *exc = node->ctrl->exc;
+  exchange_t *exchange = node->ctrl->exchange;
   set_address_t peer;
-  if (exc->options.pick (&peer, exc->options.context))
-    send_request (exc, &peer);
+  if (exchange->options.pick (&peer, exchange->options.context))
+    send_request (exchange, &peer);
 }
 
 void
 flt_exchange_datagram (flt_node_t *node, void *data)
 {
   datagram_t *datagram = data;
-  exc_t *exc = node->ctrl->exc;
+  exchange_t *exchange = node->ctrl->exchange;
   bool wants_reply =
-      exc->options.heard (&datagram->message, datagram->is_reply, exc->options.context);
+      exchange->options.heard (&datagram->message, datagram->is_reply, exchange->options.context);
   if (wants_reply && !datagram->is_reply)
-    send_message (exc, &node->flt->nodes[datagram->from], true, &datagram->message.sender);
+    send_message (exchange, &node->flt->nodes[datagram->from], true, &datagram->message.sender);
   g_free (datagram);
 }
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -155,7 +155,7 @@
   node->dmn.incarnation = 1;
   node->dmn.counters = fleet->counters;
   node->dmn.to_data = fleet->mailbox;
-  node->ctrl = control_new_with_platform (&node->dmn, fleet->base, &fleet->plt, NULL);
+  node->ctrl = control_new_with_platform (&node->dmn, fleet->base, &fleet->platform, NULL);
   event_del (node->ctrl->tick); /* the timer follows real time; FLT_TICK replaces it */
   membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed,
                          fleet->options.watched, 1);
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -101,7 +101,7 @@
 
 /**
  * struct flt - the fleet
- * @plt: must be the first member: the fake platform casts a pointer to it to the fleet
+ * @platform: must be the first member: the fake platform casts a pointer to it to the fleet
  * @base: event loop of the control tasks; the simulation drives it
  * @counters: shared by all daemons
  * @mailbox: receives and drops messages to the data tasks
@@ -124,7 +124,7 @@
  */
 struct flt
 {
-  plt_t plt;
+  platform_t platform;
   flt_options_t options;
   struct event_base *base;
   cnt_set_t *counters;
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -23,8 +23,8 @@
  */
 typedef struct
 {
-  plt_read_done_t read;
-  plt_hosts_done_t hosts;
+  platform_read_done_t read;
+  platform_hosts_done_t hosts;
   control_call_t *op;
   uint64_t from_offset;
   uint64_t until_us;
@@ -55,14 +55,14 @@
 }
 
 static void
-fake_append (plt_t *plt,
+fake_append (platform_t *platform,
              const char *stream,
              const char *data,
              size_t data_bytes,
-             plt_appended_t done,
+             platform_append_done_t done,
              void *context)
 {
-  (void)plt;
+  (void)platform;
   (void)stream;
   (void)data;
   (void)data_bytes;
@@ -71,15 +71,15 @@
 }
 
 static void
-fake_read (plt_t *plt,
+fake_read (platform_t *platform,
            const char *stream,
            uint64_t from_offset,
            uint32_t max_records,
            uint32_t wait_ms,
-           plt_read_done_t done,
+           platform_read_done_t done,
            void *context)
 {
-  flt_t *fleet = (flt_t *)plt;
+  flt_t *fleet = (flt_t *)platform;
   (void)stream;
   (void)max_records;
   request_t *request = g_new0 (request_t, 1);
@@ -92,9 +92,9 @@
 }
 
 static void
-fake_hosts (plt_t *plt, uint64_t revision, plt_hosts_done_t done, void *context)
+fake_hosts (platform_t *platform, uint64_t revision, platform_hosts_done_t done, void *context)
 {
-  flt_t *fleet = (flt_t *)plt;
+  flt_t *fleet = (flt_t *)platform;
   request_t *request = g_new0 (request_t, 1);
   request->hosts = done;
   request->op = context;
@@ -104,9 +104,9 @@
 }
 
 static void
-fake_free (plt_t *plt)
+fake_free (platform_t *platform)
 {
-  (void)plt;
+  (void)platform;
 }
 
 /* Hands the manifest to the node directly: the fake log has no records. */
@@ -121,10 +121,10 @@
 void
 flt_platform_init (flt_t *fleet)
 {
-  fleet->plt.append = fake_append;
-  fleet->plt.read = fake_read;
-  fleet->plt.hosts = fake_hosts;
-  fleet->plt.free = fake_free;
+  fleet->platform.append = fake_append;
+  fleet->platform.read = fake_read;
+  fleet->platform.hosts = fake_hosts;
+  fleet->platform.free = fake_free;
 }
 
 void
@@ -138,11 +138,11 @@
       evt_add (&fleet->events, fleet->now_us + POLL_US, FLT_READ, node->index, request);
       return;
     }
-  plt_read_t read = { .outcome = PLT_UNKNOWN };
+  platform_read_t read = { .outcome = PLATFORM_UNKNOWN };
   if (!request->partitioned)
     {
       update_manifest (node);
-      read.outcome = PLT_OK;
+      read.outcome = PLATFORM_OK;
       read.next_offset = fleet->log_end;
       read.end_offset = fleet->log_end;
     }
@@ -169,10 +169,10 @@
 {
   flt_t *fleet = node->flt;
   request_t *request = data;
-  plt_hosts_t hosts = { .outcome = PLT_UNKNOWN };
+  platform_hosts_t hosts = { .outcome = PLATFORM_UNKNOWN };
   if (!request->partitioned)
     {
-      hosts.outcome = PLT_OK;
+      hosts.outcome = PLATFORM_OK;
       hosts.revision = fleet->list_revision;
       update_members (node);
     }
@@ -192,7 +192,7 @@
   if (ctrl->fetch.call != NULL || fleet->now_us < ctrl->fetch.next_us)
     return;
   ctrl->fetch.next_us = fleet->now_us + control_add_jitter (ctrl, FETCH_INTERVAL_US);
-  exc_charge (ctrl->exc, CONTROL_REQUEST_BYTES);
+  exchange_charge_budget (ctrl->exchange, CONTROL_REQUEST_BYTES);
   fleet->counts.fetches++;
   uint64_t *peer = g_new (uint64_t, 1);
   *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].dmn.set.exchange.port);
--- a/ctl/ask.c
+++ b/ctl/ask.c
@@ -27,7 +27,7 @@
   ask_call_t *call;
   char *target;
   char *seal;
-  hcl_header_t header;
+  http_client_header_t header;
 } pending_call_t;
 
 static void start_next (batch_t *batch);
@@ -54,7 +54,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   pending_call_t *pending = context;
   batch_t *batch = pending->batch;
@@ -96,10 +96,10 @@
   if (pending->call->seal == ASK_OPEN || fleet_key == NULL)
     return;
   if (pending->call->seal == ASK_DRAIN)
-    pending->seal = seal_make (fleet_key, SEAL_DRAIN, pending->call->name, time_s);
+    pending->seal = admin_seal_make (fleet_key, ADMIN_SEAL_DRAIN, pending->call->name, time_s);
   else
     pending->seal = format_call_seal (pending->call, pending->target, fleet_key);
-  pending->header = (hcl_header_t){ .name = SEAL_HEADER, .value = pending->seal };
+  pending->header = (http_client_header_t){ .name = ADMIN_SEAL_HEADER, .value = pending->seal };
 }
 
 static void
@@ -108,14 +108,15 @@
   ctl_t *ctl = pending->batch->ctl;
   ask_call_t *call = pending->call;
   uint64_t time_s = clk_wall_ms (&ctl->clk) / 1000;
-  hcl_options_t options = { .address = &call->address,
-                            .method = call->method,
-                            .timeout_us = (uint64_t)MAX (ctl_left_ms (ctl), 1) * CLK_US_PER_MS,
-                            .answer_limit_bytes = ASK_ANSWER_LIMIT_BYTES,
-                            .on_head = on_head,
-                            .on_data = on_data,
-                            .on_end = on_end,
-                            .context = pending };
+  http_client_options_t options = { .address = &call->address,
+                                    .method = call->method,
+                                    .timeout_us =
+                                        (uint64_t)MAX (ctl_left_ms (ctl), 1) * CLK_US_PER_MS,
+                                    .answer_limit_bytes = ASK_ANSWER_LIMIT_BYTES,
+                                    .on_head = on_head,
+                                    .on_data = on_data,
+                                    .on_end = on_end,
+                                    .context = pending };
 
   call->body = g_string_new (NULL);
   pending->target = format_target (call, time_s);
@@ -123,7 +124,7 @@
   options.target = pending->target;
   options.headers = &pending->header;
   options.header_count = pending->seal != NULL ? 1 : 0;
-  hcl_start (ctl->hcl, &options);
+  http_client_start_call (ctl->http_client, &options);
 }
 
 static void
@@ -201,27 +202,27 @@
 typedef struct
 {
   GArray *hosts;
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   bool done;
 } hosts_wait_t;
 
 static void
-on_hosts (const plt_hosts_t *hosts, void *context)
+on_hosts (const platform_hosts_t *hosts, void *context)
 {
   hosts_wait_t *wait = context;
 
   wait->outcome = hosts->outcome;
-  if (hosts->outcome == PLT_OK)
+  if (hosts->outcome == PLATFORM_OK)
     g_array_append_vals (wait->hosts, hosts->hosts, hosts->host_count);
   wait->done = true;
 }
 
 GArray *
-ask_hosts (ctl_t *ctl, plt_outcome_t *outcome)
+ask_hosts (ctl_t *ctl, platform_outcome_t *outcome)
 {
   hosts_wait_t wait = { .hosts = g_array_new (FALSE, TRUE, sizeof (membership_list_entry_t)) };
 
-  ctl->plt->hosts (ctl->plt, 0, on_hosts, &wait);
+  ctl->platform->hosts (ctl->platform, 0, on_hosts, &wait);
   ctl_run_until (ctl, &wait.done);
   *outcome = wait.outcome;
   return wait.hosts;
--- a/ctl/ask.h
+++ b/ctl/ask.h
@@ -70,7 +70,7 @@
  *
  * Return: an array of membership_list_entry_t to be freed, empty when the list can't be fetched
  */
-GArray *ask_hosts (ctl_t *ctl, plt_outcome_t *outcome);
+GArray *ask_hosts (ctl_t *ctl, platform_outcome_t *outcome);
 /** ask_host_named() - find a host by name. Return: its entry in @hosts, or NULL */
 const membership_list_entry_t *ask_host_named (const GArray *hosts, const char *name);
 
--- a/ctl/cmd_manifest.c
+++ b/ctl/cmd_manifest.c
@@ -151,7 +151,7 @@
     {
       bool was_answered = answered;
 
-      answered = fol_read (reader, MIN (WATCH_WAIT_MS, ctl_left_ms (ctl))) == PLT_OK;
+      answered = fol_read (reader, MIN (WATCH_WAIT_MS, ctl_left_ms (ctl))) == PLATFORM_OK;
       if (was_answered && !answered)
         ctl_complain (CTL_OK, "the platform does not answer; the manifest in force stays in force");
       if (!answered)
--- a/ctl/cmd_order.c
+++ b/ctl/cmd_order.c
@@ -7,7 +7,7 @@
 static ctl_exit_t
 find_address (ctl_t *ctl, const char *name, set_address_t *address)
 {
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   GArray *hosts;
   const membership_list_entry_t *host;
   ctl_exit_t code = CTL_OK;
@@ -17,11 +17,11 @@
       *address = ctl->options.daemon;
       return CTL_OK;
     }
-  if (ctl->plt == NULL)
+  if (ctl->platform == NULL)
     return ctl_complain (CTL_USAGE, "drain needs --platform or --daemon");
   hosts = ask_hosts (ctl, &outcome);
   host = ask_host_named (hosts, name);
-  if (outcome != PLT_OK)
+  if (outcome != PLATFORM_OK)
     code = ctl_complain (CTL_UNREACHABLE, "the platform's list of hosts can't be had");
   else if (host == NULL)
     code = ctl_complain (CTL_USAGE, "the platform lists no host \"%s\"", name);
--- a/ctl/cmd_publish.c
+++ b/ctl/cmd_publish.c
@@ -131,17 +131,17 @@
 check_engines_listed (const publish_t *publish)
 {
   const opt_t *options = &publish->ctl->options;
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   GArray *hosts;
   uint32_t missing = 0;
 
   if (!options->hosts_check)
     return CTL_OK;
   hosts = ask_hosts (publish->ctl, &outcome);
-  if (outcome == PLT_OK)
+  if (outcome == PLATFORM_OK)
     missing = count_missing_engines (publish->manifest, hosts);
   g_array_free (hosts, TRUE);
-  if (outcome != PLT_OK)
+  if (outcome != PLATFORM_OK)
     return ctl_complain (CTL_UNREACHABLE,
                          "the platform's list of hosts can't be had; nothing was published "
                          "(--hosts-check=no goes without it)");
@@ -165,12 +165,12 @@
 
 typedef struct
 {
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   bool done;
 } append_wait_t;
 
 static void
-on_appended (plt_outcome_t outcome, uint64_t offset, void *context)
+on_appended (platform_outcome_t outcome, uint64_t offset, void *context)
 {
   append_wait_t *appended = context;
 
@@ -179,16 +179,16 @@
   appended->done = true;
 }
 
-static plt_outcome_t
+static platform_outcome_t
 append_record (publish_t *publish)
 {
-  plt_t *plt = publish->ctl->plt;
+  platform_t *platform = publish->ctl->platform;
   g_autofree char *record = replay_format_publish (
       publish->id, publish->base, publish->ctl->options.by,
       publish->patch ? NULL : publish->document, publish->patch ? publish->document : NULL);
   append_wait_t appended = { 0 };
 
-  plt->append (plt, REPLAY_STREAM, record, strlen (record), on_appended, &appended);
+  platform->append (platform, REPLAY_STREAM, record, strlen (record), on_appended, &appended);
   ctl_run_until (publish->ctl, &appended.done);
   return appended.outcome;
 }
@@ -205,7 +205,7 @@
     {
       uint32_t wait_ms = MIN (FOLLOW_WAIT_MS, ctl_left_ms (publish->ctl));
 
-      if (fol_read (&publish->reader, wait_ms) != PLT_OK)
+      if (fol_read (&publish->reader, wait_ms) != PLATFORM_OK)
         ctl_pause (publish->ctl, RETRY_MS);
     }
 }
@@ -268,7 +268,7 @@
   if (code != CTL_OK)
     return code;
   publish->id = g_uuid_string_random ();
-  if (append_record (publish) == PLT_REFUSED)
+  if (append_record (publish) == PLATFORM_REFUSED)
     return ctl_complain (CTL_FAILED, "the platform did not take the record; nothing was published");
   wait_for_result (publish);
   return report_result (publish);
--- a/ctl/cmd_status.c
+++ b/ctl/cmd_status.c
@@ -169,7 +169,7 @@
 static ctl_exit_t
 make_calls (ctl_t *ctl, GArray **calls)
 {
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   GArray *hosts;
 
   if ((ctl->options.given & OPT_DAEMON) != 0)
@@ -180,13 +180,13 @@
       g_array_append_val (*calls, call);
       return CTL_OK;
     }
-  if (ctl->plt == NULL)
+  if (ctl->platform == NULL)
     return ctl_complain (CTL_USAGE, "status needs --platform or --daemon");
   hosts = ask_hosts (ctl, &outcome);
-  if (outcome == PLT_OK)
+  if (outcome == PLATFORM_OK)
     *calls = make_calls_for_hosts (hosts);
   g_array_free (hosts, TRUE);
-  if (outcome != PLT_OK)
+  if (outcome != PLATFORM_OK)
     return ctl_complain (CTL_UNREACHABLE,
                          "the platform's list of hosts can't be had; ask one with --daemon");
   return CTL_OK;
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -29,8 +29,8 @@
  * @options: the parsed command line
  * @clk: time source
  * @base: event loop
- * @plt: platform client, NULL when no platform was named
- * @hcl: HTTP client for calls to daemons
+ * @platform: platform client, NULL when no platform was named
+ * @http_client: HTTP client for calls to daemons
  * @deadline_us: time by which the whole command must end, on @clk
  */
 typedef struct
@@ -38,8 +38,8 @@
   opt_t options;
   clk_t clk;
   struct event_base *base;
-  plt_t *plt;
-  hcl_t *hcl;
+  platform_t *platform;
+  http_client_t *http_client;
   uint64_t deadline_us;
 } ctl_t;
 
--- a/ctl/follow.c
+++ b/ctl/follow.c
@@ -11,13 +11,13 @@
 } read_wait_t;
 
 static void
-apply_records (fol_t *reader, const plt_read_t *read)
+apply_records (fol_t *reader, const platform_read_t *read)
 {
   replay_set_first_offset (reader->replay, read->first_offset);
   replay_set_end_offset (reader->replay, read->end_offset);
   for (uint32_t i = 0; i < read->record_count; i++)
     {
-      const plt_record_t *record = &read->records[i];
+      const platform_record_t *record = &read->records[i];
       replay_result_t result =
           replay_apply (reader->replay, record->offset, record->data, record->data_bytes);
 
@@ -28,12 +28,12 @@
 }
 
 static void
-on_read (const plt_read_t *read, void *context)
+on_read (const platform_read_t *read, void *context)
 {
   read_wait_t *wait = context;
 
   wait->reader->outcome = read->outcome;
-  if (read->outcome == PLT_OK)
+  if (read->outcome == PLATFORM_OK)
     apply_records (wait->reader, read);
   wait->done = true;
 }
@@ -50,15 +50,15 @@
   g_clear_pointer (&reader->replay, replay_free);
 }
 
-plt_outcome_t
+platform_outcome_t
 fol_read (fol_t *reader, uint32_t wait_ms)
 {
   read_wait_t wait = { .reader = reader };
-  plt_t *plt = reader->ctl->plt;
+  platform_t *platform = reader->ctl->platform;
 
   reader->at_end = false;
-  plt->read (plt, REPLAY_STREAM, replay_next_offset (reader->replay), READ_RECORDS, wait_ms,
-             on_read, &wait);
+  platform->read (platform, REPLAY_STREAM, replay_next_offset (reader->replay), READ_RECORDS,
+                  wait_ms, on_read, &wait);
   ctl_run_until (reader->ctl, &wait.done);
   return reader->outcome;
 }
@@ -101,15 +101,15 @@
 {
   do
     {
-      if (fol_read (reader, 0) == PLT_REFUSED)
+      if (fol_read (reader, 0) == PLATFORM_REFUSED)
         return ctl_complain (CTL_FAILED, "the platform refused to read the manifest stream");
-      if (reader->outcome == PLT_UNKNOWN)
+      if (reader->outcome == PLATFORM_UNKNOWN)
         ctl_pause (reader->ctl, RETRY_MS);
       if (reader->at_end)
         return CTL_OK;
     }
   while (ctl_left_ms (reader->ctl) > 0);
-  if (reader->outcome == PLT_UNKNOWN)
+  if (reader->outcome == PLATFORM_UNKNOWN)
     return ctl_complain (CTL_UNREACHABLE, "the platform does not answer");
   return ctl_complain (CTL_FAILED, "the manifest stream was not read to its end in time");
 }
--- a/ctl/follow.h
+++ b/ctl/follow.h
@@ -26,7 +26,7 @@
   void (*on_result) (const replay_result_t *result, uint64_t offset, void *context);
   void *context;
   bool at_end;
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
 } fol_t;
 
 /** fol_start() - initialize a reader at the start of the stream */
@@ -34,7 +34,7 @@
 /** fol_end() - free what the reader holds */
 void fol_end (fol_t *reader);
 /** fol_read() - read once, waiting up to @wait_ms for new records. Return: its outcome */
-plt_outcome_t fol_read (fol_t *reader, uint32_t wait_ms);
+platform_outcome_t fol_read (fol_t *reader, uint32_t wait_ms);
 /**
  * fol_catch_up() - read to the end of the stream, with retries until the deadline
  *
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -129,13 +129,13 @@
   clk_init_running (&ctl.clk);
   ctl.deadline_us = clk_now_us (&ctl.clk) + (uint64_t)options->timeout_ms * CLK_US_PER_MS;
   ctl.base = event_base_new ();
-  ctl.hcl = hcl_new (ctl.base, 1, 1000);
+  ctl.http_client = http_client_new (ctl.base, 1, 1000);
   if ((options->given & OPT_PLATFORM) != 0)
-    ctl.plt = plt_http_new (ctl.base, &options->platform, NULL);
+    ctl.platform = platform_http_new (ctl.base, &options->platform, NULL);
   code = command->run (&ctl, argument_of (command, options));
-  if (ctl.plt != NULL)
-    ctl.plt->free (ctl.plt);
-  hcl_free (ctl.hcl);
+  if (ctl.platform != NULL)
+    ctl.platform->free (ctl.platform);
+  http_client_free (ctl.http_client);
   event_base_free (ctl.base);
   return code;
 }
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -106,7 +106,7 @@
   bool valid_key;
   char stamp[64];
   GString *body;
-  hcl_call_t *http_call;
+  http_client_call_t *http_call;
 } sok_call_t;
 
 /** Kinds of requests. Each has a route of its own. */
@@ -123,7 +123,7 @@
  * struct sok - state of one run of the test
  * @base: event loop
  * @rand: random generator, from the seed
- * @hcl: HTTP client of the test's requests
+ * @http_client: HTTP client of the test's requests
  * @dir: directory of logs and records
  * @ip_prefix: first three numbers of the run's addresses, "127.A.B"
  * @build: directory of the programs
@@ -148,7 +148,7 @@
 {
   struct event_base *base;
   GRand *rand;
-  hcl_t *hcl;
+  http_client_t *http_client;
   char *dir;
   char *ip_prefix;
   const char *build;
--- a/soak/soak_client.c
+++ b/soak/soak_client.c
@@ -44,7 +44,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   sok_call_t *call = context;
 
@@ -60,10 +60,10 @@
   set_address_t address = sok_address (soak, GATEWAY_IP_OCTET + gateway, GATEWAY_PORT);
   g_autofree char *path = version > 1 ? g_strdup_printf ("/v%u/", version) : g_strdup (paths[kind]);
   bool is_get = version > 1 || kind == SOK_LOOK;
-  hcl_header_t headers[] = { { "Host", "h.example" },
-                             { "X-Request-Id", NULL },
-                             { "X-Key", valid_key ? "key-1" : "key-of-nobody" },
-                             { "X-Deadline-Ms", DEADLINE_MS } };
+  http_client_header_t headers[] = { { "Host", "h.example" },
+                                     { "X-Request-Id", NULL },
+                                     { "X-Key", valid_key ? "key-1" : "key-of-nobody" },
+                                     { "X-Deadline-Ms", DEADLINE_MS } };
 
   call->soak = soak;
   call->id = g_strdup_printf ("s%" G_GUINT64_FORMAT "-%u", soak->seed, ++soak->next_id);
@@ -76,16 +76,17 @@
   call->body = g_string_new (NULL);
   headers[1].value = call->id;
   g_ptr_array_add (soak->calls, call);
-  call->http_call = hcl_start (soak->hcl, &(hcl_options_t){ .address = &address,
-                                                            .method = is_get ? "GET" : "POST",
-                                                            .target = path,
-                                                            .headers = headers,
-                                                            .header_count = G_N_ELEMENTS (headers),
-                                                            .timeout_us = CLIENT_TIMEOUT_US,
-                                                            .on_head = on_head,
-                                                            .on_data = on_data,
-                                                            .on_end = on_end,
-                                                            .context = call });
+  call->http_call = http_client_start_call (
+      soak->http_client, &(http_client_options_t){ .address = &address,
+                                                   .method = is_get ? "GET" : "POST",
+                                                   .target = path,
+                                                   .headers = headers,
+                                                   .header_count = G_N_ELEMENTS (headers),
+                                                   .timeout_us = CLIENT_TIMEOUT_US,
+                                                   .on_head = on_head,
+                                                   .on_data = on_data,
+                                                   .on_end = on_end,
+                                                   .context = call });
 }
 
 void
--- a/soak/soak_fleet.c
+++ b/soak/soak_fleet.c
@@ -267,7 +267,7 @@
 }
 
 static void
-on_store_reply (const pcl_answer_t *answer, void *context)
+on_store_reply (const platform_client_answer_t *answer, void *context)
 {
   *(int *)context = answer->status ? answer->status : -1;
 }
@@ -284,21 +284,21 @@
 call_store (sok_t *soak, const char *target, const char *body, size_t body_bytes)
 {
   set_address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
-  pcl_t *pcl = pcl_new (soak->base, &store, NULL);
+  platform_client_t *platform_client = platform_client_new (soak->base, &store, NULL);
   int status = 0;
 
-  pcl_start (pcl, &(pcl_request_t){ .method = "POST",
-                                    .target = target,
-                                    .body = body,
-                                    .body_bytes = body_bytes,
-                                    .timeout_ms = 1000,
-                                    .answer_limit_bytes = 65536,
-                                    .done = on_store_reply,
-                                    .dropped = on_dropped,
-                                    .context = &status });
+  platform_client_start (platform_client, &(platform_client_request_t){ .method = "POST",
+                                                                        .target = target,
+                                                                        .body = body,
+                                                                        .body_bytes = body_bytes,
+                                                                        .timeout_ms = 1000,
+                                                                        .answer_limit_bytes = 65536,
+                                                                        .done = on_store_reply,
+                                                                        .dropped = on_dropped,
+                                                                        .context = &status });
   while (status == 0)
     event_base_loop (soak->base, EVLOOP_ONCE);
-  pcl_free (pcl);
+  platform_client_free (platform_client);
   return status;
 }
 
--- a/soak/soak_main.c
+++ b/soak/soak_main.c
@@ -117,7 +117,7 @@
   soak->started_us = sok_now_us ();
   soak->rand = g_rand_new_with_seed ((guint32)soak->seed);
   soak->base = event_base_new ();
-  soak->hcl = hcl_new (soak->base, 8, 10000);
+  soak->http_client = http_client_new (soak->base, 8, 10000);
   soak->dir = g_dir_make_tmp ("medlarplank-soak-XXXXXX", NULL);
   soak->ip_prefix = g_strdup_printf ("127.%u.%u", (pid >> 8 & 0x7f) + 1, pid & 0xff);
   soak->calls = g_ptr_array_new_with_free_func (sok_call_free);
@@ -127,7 +127,7 @@
 static void
 clean_up_soak (sok_t *soak, bool keep)
 {
-  hcl_free (soak->hcl);
+  http_client_free (soak->http_client);
   sok_fleet_stop (soak);
   if (soak->failures > 0 || keep)
     printf ("logs and records are in %s\n", soak->dir);
--- a/src/connection/admin_seal.c
+++ b/src/connection/admin_seal.c
@@ -6,7 +6,7 @@
 #define HMAC_HEX_CHARS 64 /* SHA-256 in hex */
 
 char *
-seal_make (const char *fleet_key, const char *order, const char *host, uint64_t time_s)
+admin_seal_make (const char *fleet_key, const char *order, const char *host, uint64_t time_s)
 {
   g_autofree char *text =
       g_strdup_printf ("%s\n%s\n%" G_GUINT64_FORMAT, order, host, (guint64)time_s);
@@ -26,17 +26,18 @@
 }
 
 bool
-seal_check (const char *fleet_key,
-            const char *order,
-            const char *host,
-            uint64_t time_s,
-            uint64_t now_s,
-            const char *seal)
+admin_seal_check (const char *fleet_key,
+                  const char *order,
+                  const char *host,
+                  uint64_t time_s,
+                  uint64_t now_s,
+                  const char *seal)
 {
-  g_autofree char *expected = seal_make (fleet_key, order, host, time_s);
+  g_autofree char *expected = admin_seal_make (fleet_key, order, host, time_s);
   uint64_t difference_s = time_s > now_s ? time_s - now_s : now_s - time_s;
 
   if (seal == NULL || strlen (seal) != HMAC_HEX_CHARS)
     return false;
-  return equal_in_constant_time (seal, expected, HMAC_HEX_CHARS) && difference_s <= SEAL_WINDOW_S;
+  return equal_in_constant_time (seal, expected, HMAC_HEX_CHARS) &&
+         difference_s <= ADMIN_SEAL_WINDOW_S;
 }
--- a/src/connection/admin_seal.h
+++ b/src/connection/admin_seal.h
@@ -11,34 +11,34 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SEAL_HEADER "X-Medlarplank-Seal"
-#define SEAL_DRAIN "drain"
+#define ADMIN_SEAL_HEADER "X-Medlarplank-Seal"
+#define ADMIN_SEAL_DRAIN "drain"
 
 /* accepted difference between the sender's clock and the daemon's */
-#define SEAL_WINDOW_S 60
+#define ADMIN_SEAL_WINDOW_S 60
 
 /**
- * seal_make() - compute the seal of a command
- * @order: the command, for example %SEAL_DRAIN
+ * admin_seal_make() - compute the seal of a command
+ * @order: the command, for example %ADMIN_SEAL_DRAIN
  * @time_s: Unix time
  *
  * Return: the HMAC in lower-case hex, to be freed by g_free()
  */
-char *seal_make (const char *fleet_key, const char *order, const char *host, uint64_t time_s);
+char *admin_seal_make (const char *fleet_key, const char *order, const char *host, uint64_t time_s);
 
 /**
- * seal_check() - verify the seal of a command
+ * admin_seal_check() - verify the seal of a command
  *
  * Compares in constant time, so that an attacker can't find a valid seal byte by byte from response
  * times.
  *
- * Return: true when @seal is valid and @time_s is within %SEAL_WINDOW_S of @now_s
+ * Return: true when @seal is valid and @time_s is within %ADMIN_SEAL_WINDOW_S of @now_s
  */
-bool seal_check (const char *fleet_key,
-                 const char *order,
-                 const char *host,
-                 uint64_t time_s,
-                 uint64_t now_s,
-                 const char *seal);
+bool admin_seal_check (const char *fleet_key,
+                       const char *order,
+                       const char *host,
+                       uint64_t time_s,
+                       uint64_t now_s,
+                       const char *seal);
 
 #endif
--- a/src/connection/budget.c
+++ b/src/connection/budget.c
@@ -8,49 +8,51 @@
 #define REFILL_MAX_US (UINT64_C (10) * CLK_US_PER_S) /* after this time any bucket is full */
 
 static int64_t
-capacity_bytes (const bdg_t *bdg)
+capacity_bytes (const byte_budget_t *byte_budget)
 {
-  return MAX (bdg->rate_bytes, LIM_DATAGRAM_BYTES + BDG_HEADER_BYTES);
+  return MAX (byte_budget->rate_bytes, LIM_DATAGRAM_BYTES + BYTE_BUDGET_UDP_HEADER_BYTES);
 }
 
 static void
-refill (bdg_t *bdg, uint64_t now_us)
+refill (byte_budget_t *byte_budget, uint64_t now_us)
 {
-  uint64_t elapsed_us = MIN (now_us - bdg->filled_us, REFILL_MAX_US);
-  int64_t added_bytes = (int64_t)(elapsed_us * bdg->rate_bytes / CLK_US_PER_S);
+  uint64_t elapsed_us = MIN (now_us - byte_budget->filled_us, REFILL_MAX_US);
+  int64_t added_bytes = (int64_t)(elapsed_us * byte_budget->rate_bytes / CLK_US_PER_S);
   if (added_bytes == 0)
     return; /* keep filled_us, or frequent calls would lose the fraction of a byte each time */
-  bdg->tokens_bytes = MIN (bdg->tokens_bytes + added_bytes, capacity_bytes (bdg));
-  bdg->filled_us = now_us;
+  byte_budget->tokens_bytes =
+      MIN (byte_budget->tokens_bytes + added_bytes, capacity_bytes (byte_budget));
+  byte_budget->filled_us = now_us;
 }
 
 void
-bdg_init (bdg_t *bdg, uint32_t rate_bytes, uint64_t now_us)
+byte_budget_init (byte_budget_t *byte_budget, uint32_t rate_bytes, uint64_t now_us)
 {
-  bdg->rate_bytes = rate_bytes;
-  bdg->tokens_bytes = capacity_bytes (bdg);
-  bdg->filled_us = now_us;
+  byte_budget->rate_bytes = rate_bytes;
+  byte_budget->tokens_bytes = capacity_bytes (byte_budget);
+  byte_budget->filled_us = now_us;
 }
 
 bool
-bdg_has (bdg_t *bdg, uint64_t now_us, uint32_t bytes)
+byte_budget_has (byte_budget_t *byte_budget, uint64_t now_us, uint32_t bytes)
 {
-  refill (bdg, now_us);
-  return bdg->tokens_bytes >= (int64_t)bytes;
+  refill (byte_budget, now_us);
+  return byte_budget->tokens_bytes >= (int64_t)bytes;
 }
 
 bool
-bdg_take (bdg_t *bdg, uint64_t now_us, uint32_t bytes)
+byte_budget_take (byte_budget_t *byte_budget, uint64_t now_us, uint32_t bytes)
 {
-  if (!bdg_has (bdg, now_us, bytes))
+  if (!byte_budget_has (byte_budget, now_us, bytes))
     return false;
-  bdg->tokens_bytes -= bytes;
+  byte_budget->tokens_bytes -= bytes;
   return true;
 }
 
 void
-bdg_charge (bdg_t *bdg, uint64_t now_us, uint32_t bytes)
+byte_budget_charge (byte_budget_t *byte_budget, uint64_t now_us, uint32_t bytes)
 {
-  refill (bdg, now_us);
-  bdg->tokens_bytes = MAX (bdg->tokens_bytes - bytes, -(int64_t)bdg->rate_bytes);
+  refill (byte_budget, now_us);
+  byte_budget->tokens_bytes =
+      MAX (byte_budget->tokens_bytes - bytes, -(int64_t)byte_budget->rate_bytes);
 }
--- a/src/connection/budget.h
+++ b/src/connection/budget.h
@@ -11,12 +11,12 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define BDG_HEADER_BYTES 28 /* IPv4 and UDP headers, which count towards the budget */
+#define BYTE_BUDGET_UDP_HEADER_BYTES 28 /* IPv4 and UDP headers, which count towards the budget */
 
 /**
- * bdg_t - token bucket
+ * byte_budget_t - token bucket
  * @rate_bytes: bytes added per second
- * @tokens_bytes: bytes that may be sent now; negative after bdg_charge() beyond the budget
+ * @tokens_bytes: bytes that may be sent now; negative after byte_budget_charge() beyond the budget
  * @filled_us: time up to which tokens have been added
  */
 typedef struct
@@ -24,16 +24,16 @@
   uint32_t rate_bytes;
   int64_t tokens_bytes;
   uint64_t filled_us;
-} bdg_t;
+} byte_budget_t;
 
-/** bdg_init() - initialize a full bucket */
-void bdg_init (bdg_t *bdg, uint32_t rate_bytes, uint64_t now_us);
-/** bdg_take() - take @bytes. Return: false, with nothing taken, when fewer are left */
-bool bdg_take (bdg_t *bdg, uint64_t now_us, uint32_t bytes);
-/** bdg_charge() - take @bytes for traffic that is sent in any case. The bucket goes negative by at
- * most one second's worth, so that such traffic can't block the rest for long */
-void bdg_charge (bdg_t *bdg, uint64_t now_us, uint32_t bytes);
-/** bdg_has() - whether bdg_take() of @bytes would succeed */
-bool bdg_has (bdg_t *bdg, uint64_t now_us, uint32_t bytes);
+/** byte_budget_init() - initialize a full bucket */
+void byte_budget_init (byte_budget_t *byte_budget, uint32_t rate_bytes, uint64_t now_us);
+/** byte_budget_take() - take @bytes. Return: false, with nothing taken, when fewer are left */
+bool byte_budget_take (byte_budget_t *byte_budget, uint64_t now_us, uint32_t bytes);
+/** byte_budget_charge() - take @bytes for traffic that is sent in any case. The bucket goes
+ * negative by at most one second's worth, so that such traffic can't block the rest for long */
+void byte_budget_charge (byte_budget_t *byte_budget, uint64_t now_us, uint32_t bytes);
+/** byte_budget_has() - whether byte_budget_take() of @bytes would succeed */
+bool byte_budget_has (byte_budget_t *byte_budget, uint64_t now_us, uint32_t bytes);
 
 #endif
--- a/src/connection/endpoint.c
+++ b/src/connection/endpoint.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 bool
-edp_make (edp_t *endpoint, const set_address_t *address)
+endpoint_from_address (endpoint_t *endpoint, const set_address_t *address)
 {
   memset (endpoint, 0, sizeof *endpoint);
   struct sockaddr_in *v4 = (struct sockaddr_in *)&endpoint->address;
@@ -26,7 +26,7 @@
 }
 
 bool
-edp_same (const edp_t *a, const edp_t *b)
+endpoint_equal (const endpoint_t *a, const endpoint_t *b)
 {
   if (a->address.ss_family != b->address.ss_family)
     return false;
@@ -43,7 +43,7 @@
 }
 
 set_address_t
-edp_address (const edp_t *endpoint)
+endpoint_to_address (const endpoint_t *endpoint)
 {
   set_address_t address = { 0 };
   const struct sockaddr_in *v4 = (const struct sockaddr_in *)&endpoint->address;
--- a/src/connection/endpoint.h
+++ b/src/connection/endpoint.h
@@ -11,18 +11,18 @@
 #include <stdbool.h>
 #include <sys/socket.h>
 
-/** edp_t - a socket address and its length @bytes, as bind() and sendto() take it */
+/** endpoint_t - a socket address and its length @bytes, as bind() and sendto() take it */
 typedef struct
 {
   struct sockaddr_storage address;
   socklen_t bytes;
-} edp_t;
+} endpoint_t;
 
-/** edp_make() - convert an address. Return: false when @address is not an IP number */
-bool edp_make (edp_t *endpoint, const set_address_t *address);
-/** edp_same() - whether family, IP number and port are equal */
-bool edp_same (const edp_t *a, const edp_t *b);
-/** edp_address() - convert back to the form of the settings */
-set_address_t edp_address (const edp_t *endpoint);
+/** endpoint_from_address() - convert an address. Return: false when @address is not an IP number */
+bool endpoint_from_address (endpoint_t *endpoint, const set_address_t *address);
+/** endpoint_equal() - whether family, IP number and port are equal */
+bool endpoint_equal (const endpoint_t *a, const endpoint_t *b);
+/** endpoint_to_address() - convert back to the form of the settings */
+set_address_t endpoint_to_address (const endpoint_t *endpoint);
 
 #endif
--- a/src/connection/exchange.c
+++ b/src/connection/exchange.c
@@ -21,7 +21,7 @@
 {
   bool open;
   uint32_t xid;
-  edp_t peer;
+  endpoint_t peer;
 } pending_call_t;
 
 /** counters_t - counters of the control traffic */
@@ -38,9 +38,9 @@
   cnt_t *send_failed;
 } counters_t;
 
-struct exc
+struct exchange
 {
-  exc_options_t options;
+  exchange_options_t options;
   char *fleet_key;
   evutil_socket_t socket;
   struct event *readable;
@@ -49,56 +49,58 @@
   uint32_t next_xid;
   pending_call_t calls[PENDING_CALLS];
   uint32_t next_call;
-  bdg_t budget;
+  byte_budget_t budget;
   uint64_t held_back; /* datagrams not sent for lack of budget since @held_back_logged_us */
   uint64_t held_back_logged_us;
   counters_t counts;
 };
 
 static void
-note_held_back (exc_t *exc)
+note_held_back (exchange_t *exchange)
 {
-  uint64_t now_us = clk_now_us (exc->options.clk);
-  exc->held_back++;
-  cnt_add (exc->counts.over_budget, 1);
-  if (exc->held_back_logged_us != 0 && now_us - exc->held_back_logged_us < BUDGET_LOG_INTERVAL_US)
+  uint64_t now_us = clk_now_us (exchange->options.clk);
+  exchange->held_back++;
+  cnt_add (exchange->counts.over_budget, 1);
+  if (exchange->held_back_logged_us != 0 &&
+      now_us - exchange->held_back_logged_us < BUDGET_LOG_INTERVAL_US)
     return;
   log_event (LOG_LEVEL_WARNING, "control_budget_reached", "budget_bytes_s",
-             LOG_U64 (exc->options.budget_bytes), "datagrams_held_back", LOG_U64 (exc->held_back),
-             NULL);
-  exc->held_back_logged_us = now_us;
-  exc->held_back = 0;
+             LOG_U64 (exchange->options.budget_bytes), "datagrams_held_back",
+             LOG_U64 (exchange->held_back), NULL);
+  exchange->held_back_logged_us = now_us;
+  exchange->held_back = 0;
 }
 
 static bool
-take_budget (exc_t *exc, uint32_t bytes)
+take_budget (exchange_t *exchange, uint32_t bytes)
 {
-  if (bdg_take (&exc->budget, clk_now_us (exc->options.clk), bytes))
+  if (byte_budget_take (&exchange->budget, clk_now_us (exchange->options.clk), bytes))
     return true;
-  note_held_back (exc);
+  note_held_back (exchange);
   return false;
 }
 
 static bool
-send_bytes (exc_t *exc, const char *bytes, size_t count, const edp_t *peer)
+send_bytes (exchange_t *exchange, const char *bytes, size_t count, const endpoint_t *peer)
 {
-  uint32_t on_wire_bytes = (uint32_t)count + BDG_HEADER_BYTES;
-  if (!take_budget (exc, on_wire_bytes))
+  uint32_t on_wire_bytes = (uint32_t)count + BYTE_BUDGET_UDP_HEADER_BYTES;
+  if (!take_budget (exchange, on_wire_bytes))
     return false;
-  ssize_t sent =
-      sendto (exc->socket, bytes, count, 0, (const struct sockaddr *)&peer->address, peer->bytes);
+  ssize_t sent = sendto (exchange->socket, bytes, count, 0, (const struct sockaddr *)&peer->address,
+                         peer->bytes);
   if (sent < 0)
     {
-      cnt_add (exc->counts.send_failed, 1);
+      cnt_add (exchange->counts.send_failed, 1);
       return false;
     }
-  cnt_add (exc->counts.sent, 1);
-  cnt_add (exc->counts.bytes_sent, on_wire_bytes);
+  cnt_add (exchange->counts.sent, 1);
+  cnt_add (exchange->counts.bytes_sent, on_wire_bytes);
   return true;
 }
 
 static bool
-send_message (exc_t *exc, uint32_t xid, bool is_reply, const xch_word *to, const edp_t *peer)
+send_message (
+    exchange_t *exchange, uint32_t xid, bool is_reply, const xch_word *to, const endpoint_t *peer)
 {
   xch_sample samples[XCH_SAMPLES] = { 0 };
   xch_word words[XCH_WORDS] = { 0 };
@@ -107,35 +109,36 @@
   message.samples.samples_val = samples;
   message.words.words_val = words;
   message.marks.marks_val = marks;
-  exc->options.fill (&message, to, exc->options.context);
+  exchange->options.fill (&message, to, exchange->options.context);
   char datagram[LIM_DATAGRAM_BYTES];
-  size_t bytes = wir_encode (datagram, sizeof datagram, exc->fleet_key, xid, is_reply, &message);
+  size_t bytes =
+      datagram_encode (datagram, sizeof datagram, exchange->fleet_key, xid, is_reply, &message);
   g_assert (bytes != 0); /* a message with all arrays full fits into a datagram */
-  return send_bytes (exc, datagram, bytes, peer);
+  return send_bytes (exchange, datagram, bytes, peer);
 }
 
 static void
-start_call (exc_t *exc, const set_address_t *address)
+start_call (exchange_t *exchange, const set_address_t *address)
 {
-  edp_t peer;
-  if (!edp_make (&peer, address))
+  endpoint_t peer;
+  if (!endpoint_from_address (&peer, address))
     return;
-  uint32_t xid = exc->next_xid++;
-  if (!send_message (exc, xid, false, NULL, &peer))
+  uint32_t xid = exchange->next_xid++;
+  if (!send_message (exchange, xid, false, NULL, &peer))
     return;
-  pending_call_t *slot = &exc->calls[exc->next_call++ % PENDING_CALLS];
+  pending_call_t *slot = &exchange->calls[exchange->next_call++ % PENDING_CALLS];
   slot->open = true;
   slot->xid = xid;
   slot->peer = peer;
 }
 
 static bool
-close_call (exc_t *exc, uint32_t xid, const edp_t *peer)
+close_call (exchange_t *exchange, uint32_t xid, const endpoint_t *peer)
 {
   for (uint32_t i = 0; i < PENDING_CALLS; i++)
     {
-      pending_call_t *slot = &exc->calls[i];
-      if (!slot->open || slot->xid != xid || !edp_same (&slot->peer, peer))
+      pending_call_t *slot = &exchange->calls[i];
+      if (!slot->open || slot->xid != xid || !endpoint_equal (&slot->peer, peer))
         continue;
       slot->open = false;
       return true;
@@ -144,110 +147,117 @@
 }
 
 static void
-handle_message (
-    exc_t *exc, uint32_t xid, bool is_reply, const xch_message *message, const edp_t *peer)
+handle_message (exchange_t *exchange,
+                uint32_t xid,
+                bool is_reply,
+                const xch_message *message,
+                const endpoint_t *peer)
 {
-  if (is_reply && !close_call (exc, xid, peer))
+  if (is_reply && !close_call (exchange, xid, peer))
     {
-      cnt_add (exc->counts.unasked, 1);
+      cnt_add (exchange->counts.unasked, 1);
       return;
     }
-  bool answer = exc->options.heard (message, is_reply, exc->options.context);
+  bool answer = exchange->options.heard (message, is_reply, exchange->options.context);
   if (answer && !is_reply)
-    send_message (exc, xid, true, &message->sender, peer);
+    send_message (exchange, xid, true, &message->sender, peer);
 }
 
 static void
-handle_datagram (exc_t *exc, const char *datagram, size_t bytes, const edp_t *peer)
+handle_datagram (exchange_t *exchange, const char *datagram, size_t bytes, const endpoint_t *peer)
 {
-  cnt_add (exc->counts.received, 1);
-  cnt_add (exc->counts.bytes_received, bytes + BDG_HEADER_BYTES);
+  cnt_add (exchange->counts.received, 1);
+  cnt_add (exchange->counts.bytes_received, bytes + BYTE_BUDGET_UDP_HEADER_BYTES);
   uint32_t xid = 0;
   bool is_reply = false;
   xch_message message;
-  wir_outcome_t outcome = wir_decode (datagram, bytes, exc->fleet_key, &xid, &is_reply, &message);
+  datagram_outcome_t outcome =
+      datagram_decode (datagram, bytes, exchange->fleet_key, &xid, &is_reply, &message);
   switch (outcome)
     {
-    case WIR_OK:
-      handle_message (exc, xid, is_reply, &message, peer);
-      wir_free (&message);
+    case DATAGRAM_OK:
+      handle_message (exchange, xid, is_reply, &message, peer);
+      datagram_free_message (&message);
       break;
-    case WIR_BAD_AUTH:
-      cnt_add (exc->counts.bad_auth, 1);
+    case DATAGRAM_BAD_AUTH:
+      cnt_add (exchange->counts.bad_auth, 1);
       break;
-    case WIR_BROKEN:
-    case WIR_TOO_LARGE:
-      cnt_add (exc->counts.broken, 1);
+    case DATAGRAM_MALFORMED:
+    case DATAGRAM_TOO_LARGE:
+      cnt_add (exchange->counts.broken, 1);
       break;
     }
 }
 
 /* Reads one byte more than the maximum, so that an oversized datagram is detected. */
 static ssize_t
-receive (exc_t *exc, char datagram[LIM_DATAGRAM_BYTES + 1], edp_t *peer)
+receive (exchange_t *exchange, char datagram[LIM_DATAGRAM_BYTES + 1], endpoint_t *peer)
 {
   peer->bytes = sizeof peer->address;
-  return recvfrom (exc->socket, datagram, LIM_DATAGRAM_BYTES + 1, 0,
+  return recvfrom (exchange->socket, datagram, LIM_DATAGRAM_BYTES + 1, 0,
                    (struct sockaddr *)&peer->address, &peer->bytes);
 }
 
 static void
 on_readable (evutil_socket_t socket, short what, void *context)
 {
-  exc_t *exc = context;
+  exchange_t *exchange = context;
   (void)socket;
   (void)what;
   /* Bounded, so that a flood of datagrams does not delay the other events of the task. */
   for (uint32_t i = 0; i < READS_PER_EVENT_MAX; i++)
     {
       char datagram[LIM_DATAGRAM_BYTES + 1];
-      edp_t peer;
-      ssize_t bytes = receive (exc, datagram, &peer);
+      endpoint_t peer;
+      ssize_t bytes = receive (exchange, datagram, &peer);
       if (bytes < 0)
         return;
-      handle_datagram (exc, datagram, (size_t)bytes, &peer);
+      handle_datagram (exchange, datagram, (size_t)bytes, &peer);
     }
 }
 
 /* Waits 3/4 to 5/4 of the interval, so that daemons that started together don't stay in phase. */
 static void
-arm_timer (exc_t *exc)
+arm_timer (exchange_t *exchange)
 {
-  uint64_t interval_us = (uint64_t)exc->options.interval_ms * CLK_US_PER_MS;
-  uint64_t wait_us = (uint64_t)((double)interval_us * g_rand_double_range (exc->rand, 0.75, 1.25));
+  uint64_t interval_us = (uint64_t)exchange->options.interval_ms * CLK_US_PER_MS;
+  uint64_t wait_us =
+      (uint64_t)((double)interval_us * g_rand_double_range (exchange->rand, 0.75, 1.25));
   struct timeval wait = { (time_t)(wait_us / CLK_US_PER_S), (suseconds_t)(wait_us % CLK_US_PER_S) };
-  event_add (exc->timer, &wait);
+  event_add (exchange->timer, &wait);
 }
 
 static void
 on_timer (evutil_socket_t socket, short what, void *context)
 {
-  exc_t *exc = context;
+  exchange_t *exchange = context;
   (void)socket;
   (void)what;
   set_address_t peer;
-  if (exc->options.pick (&peer, exc->options.context))
-    start_call (exc, &peer);
-  arm_timer (exc);
+  if (exchange->options.pick (&peer, exchange->options.context))
+    start_call (exchange, &peer);
+  arm_timer (exchange);
 }
 
 static bool
-open_socket (exc_t *exc, GError **error)
+open_socket (exchange_t *exchange, GError **error)
 {
-  edp_t listen;
-  if (!edp_make (&listen, &exc->options.listen))
+  endpoint_t listen;
+  if (!endpoint_from_address (&listen, &exchange->options.listen))
     {
       g_set_error (error, G_FILE_ERROR, G_FILE_ERROR_INVAL,
                    "the exchange address is not an IP number");
       return false;
     }
-  exc->socket = socket (listen.address.ss_family, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  if (exc->socket >= 0 && bind (exc->socket, (struct sockaddr *)&listen.address, listen.bytes) == 0)
+  exchange->socket =
+      socket (listen.address.ss_family, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+  if (exchange->socket >= 0 &&
+      bind (exchange->socket, (struct sockaddr *)&listen.address, listen.bytes) == 0)
     return true;
   int code = errno;
   g_set_error (error, G_FILE_ERROR, g_file_error_from_errno (code),
-               "cannot bind the exchange socket to %s:%u: %s", exc->options.listen.ip,
-               exc->options.listen.port, g_strerror (code));
+               "cannot bind the exchange socket to %s:%u: %s", exchange->options.listen.ip,
+               exchange->options.listen.port, g_strerror (code));
   return false;
 }
 
@@ -276,81 +286,83 @@
                                  "Datagrams that the system did not send");
 }
 
-exc_t *
-exc_new (const exc_options_t *options, GError **error)
+exchange_t *
+exchange_new (const exchange_options_t *options, GError **error)
 {
-  exc_t *exc = g_new0 (exc_t, 1);
-  exc->options = *options;
-  exc->fleet_key = g_strdup (options->fleet_key);
-  exc->socket = -1;
-  exc->rand = g_rand_new_with_seed ((guint32)(options->seed ^ (options->seed >> 32)));
-  exc->next_xid = g_rand_int (exc->rand);
-  bdg_init (&exc->budget, options->budget_bytes, clk_now_us (options->clk));
-  get_counters (&exc->counts, options->counters);
-  if (!open_socket (exc, error))
+  exchange_t *exchange = g_new0 (exchange_t, 1);
+  exchange->options = *options;
+  exchange->fleet_key = g_strdup (options->fleet_key);
+  exchange->socket = -1;
+  exchange->rand = g_rand_new_with_seed ((guint32)(options->seed ^ (options->seed >> 32)));
+  exchange->next_xid = g_rand_int (exchange->rand);
+  byte_budget_init (&exchange->budget, options->budget_bytes, clk_now_us (options->clk));
+  get_counters (&exchange->counts, options->counters);
+  if (!open_socket (exchange, error))
     {
-      exc_free (exc);
+      exchange_free (exchange);
       return NULL;
     }
-  exc->readable = event_new (options->base, exc->socket, EV_READ | EV_PERSIST, on_readable, exc);
-  exc->timer = evtimer_new (options->base, on_timer, exc);
-  event_add (exc->readable, NULL);
-  arm_timer (exc);
-  return exc;
+  exchange->readable =
+      event_new (options->base, exchange->socket, EV_READ | EV_PERSIST, on_readable, exchange);
+  exchange->timer = evtimer_new (options->base, on_timer, exchange);
+  event_add (exchange->readable, NULL);
+  arm_timer (exchange);
+  return exchange;
 }
 
 void
-exc_free (exc_t *exc)
+exchange_free (exchange_t *exchange)
 {
-  if (exc == NULL)
+  if (exchange == NULL)
     return;
-  if (exc->readable != NULL)
-    event_free (exc->readable);
-  if (exc->timer != NULL)
-    event_free (exc->timer);
-  if (exc->socket >= 0)
-    close (exc->socket);
-  g_rand_free (exc->rand);
-  g_free (exc->fleet_key);
-  g_free (exc);
+  if (exchange->readable != NULL)
+    event_free (exchange->readable);
+  if (exchange->timer != NULL)
+    event_free (exchange->timer);
+  if (exchange->socket >= 0)
+    close (exchange->socket);
+  g_rand_free (exchange->rand);
+  g_free (exchange->fleet_key);
+  g_free (exchange);
 }
 
 void
-exc_now (exc_t *exc, const set_address_t *peer)
+exchange_send_now (exchange_t *exchange, const set_address_t *peer)
 {
-  start_call (exc, peer);
+  start_call (exchange, peer);
 }
 
 void
-exc_flush (exc_t *exc)
+exchange_discard_pending (exchange_t *exchange)
 {
   char datagram[LIM_DATAGRAM_BYTES + 1];
-  edp_t peer;
+  endpoint_t peer;
   /* Bounded in case of a flood; the limit is more than a socket buffer holds. */
-  for (uint32_t i = 0; i < DISCARD_READS_MAX && receive (exc, datagram, &peer) >= 0; i++)
-    cnt_add (exc->counts.received, 1);
-  memset (exc->calls, 0, sizeof exc->calls);
+  for (uint32_t i = 0; i < DISCARD_READS_MAX && receive (exchange, datagram, &peer) >= 0; i++)
+    cnt_add (exchange->counts.received, 1);
+  memset (exchange->calls, 0, sizeof exchange->calls);
 }
 
 void
-exc_charge (exc_t *exc, uint32_t bytes)
+exchange_charge_budget (exchange_t *exchange, uint32_t bytes)
 {
-  bdg_charge (&exc->budget, clk_now_us (exc->options.clk), bytes);
-  cnt_add (exc->counts.bytes_sent, bytes);
+  byte_budget_charge (&exchange->budget, clk_now_us (exchange->options.clk), bytes);
+  cnt_add (exchange->counts.bytes_sent, bytes);
 }
 
 bool
-exc_has_spare (exc_t *exc)
+exchange_has_spare_budget (exchange_t *exchange)
 {
-  return bdg_has (&exc->budget, clk_now_us (exc->options.clk), exc->options.budget_bytes / 4 * 3);
+  return byte_budget_has (&exchange->budget, clk_now_us (exchange->options.clk),
+                          exchange->options.budget_bytes / 4 * 3);
 }
 
 set_address_t
-exc_address (const exc_t *exc)
+exchange_address (const exchange_t *exchange)
 {
-  edp_t endpoint = { .bytes = sizeof endpoint.address };
+  endpoint_t endpoint = { .bytes = sizeof endpoint.address };
   set_address_t none = { 0 };
-  if (getsockname (exc->socket, (struct sockaddr *)&endpoint.address, &endpoint.bytes) != 0)
+  if (getsockname (exchange->socket, (struct sockaddr *)&endpoint.address, &endpoint.bytes) != 0)
     return none;
-  return edp_address (&endpoint);
+  return endpoint_to_address (&endpoint);
 }
--- a/src/connection/exchange.h
+++ b/src/connection/exchange.h
@@ -22,7 +22,7 @@
 #include <glib.h>
 
 /**
- * struct exc_options - options of exc_new()
+ * struct exchange_options - options of exchange_new()
  * @interval_ms: mean time between two calls; each one varies by a quarter
  * @budget_bytes: bytes per second that may be sent, UDP and IP headers included
  * @seed: for xids and the jitter of the interval
@@ -47,25 +47,28 @@
   bool (*heard) (const xch_message *message, bool is_reply, void *context);
   bool (*pick) (set_address_t *peer, void *context);
   void *context;
-} exc_options_t;
+} exchange_options_t;
 
-typedef struct exc exc_t;
+typedef struct exchange exchange_t;
 
-/** exc_new() - open the socket and start calling. Return: NULL with @error set when the address
- * can't be bound */
-exc_t *exc_new (const exc_options_t *options, GError **error);
-void exc_free (exc_t *exc);
-/** exc_now() - call @peer at once, within the budget; a leaving host announces itself this way */
-void exc_now (exc_t *exc, const set_address_t *peer);
-/** exc_flush() - discard received datagrams that have not been read and all outstanding calls. Used
- * after the process was suspended: what arrived meanwhile is outdated, and so are the ages in it */
-void exc_flush (exc_t *exc);
-/** exc_charge() - charge @bytes of other control traffic to the budget, which it shares */
-void exc_charge (exc_t *exc, uint32_t bytes);
-/** exc_has_spare() - whether three quarters of a second's budget are left, so that an additional
- * message delays none of the regular ones */
-bool exc_has_spare (exc_t *exc);
-/** exc_address() - the bound address, with the port that the kernel chose for port 0 */
-set_address_t exc_address (const exc_t *exc);
+/** exchange_new() - open the socket and start calling. Return: NULL with @error set when the
+ * address can't be bound */
+exchange_t *exchange_new (const exchange_options_t *options, GError **error);
+void exchange_free (exchange_t *exchange);
+/** exchange_send_now() - call @peer at once, within the budget; a leaving host announces itself
+ * this way */
+void exchange_send_now (exchange_t *exchange, const set_address_t *peer);
+/** exchange_discard_pending() - discard received datagrams that have not been read and all
+ * outstanding calls. Used after the process was suspended: what arrived meanwhile is outdated, and
+ * so are the ages in it */
+void exchange_discard_pending (exchange_t *exchange);
+/** exchange_charge_budget() - charge @bytes of other control traffic to the budget, which it shares
+ */
+void exchange_charge_budget (exchange_t *exchange, uint32_t bytes);
+/** exchange_has_spare_budget() - whether three quarters of a second's budget are left, so that an
+ * additional message delays none of the regular ones */
+bool exchange_has_spare_budget (exchange_t *exchange);
+/** exchange_address() - the bound address, with the port that the kernel chose for port 0 */
+set_address_t exchange_address (const exchange_t *exchange);
 
 #endif
--- a/src/connection/http_client.c
+++ b/src/connection/http_client.c
@@ -25,20 +25,21 @@
 }
 
 static bool
-are_valid_options (const hcl_options_t *options)
+are_valid_options (const http_client_options_t *options)
 {
-  if (!method_from_name (options->method) || !frm_target_ok (options->target))
+  if (!method_from_name (options->method) || !http_framing_is_valid_target (options->target))
     return false;
   for (uint32_t i = 0; i < options->header_count; i++)
-    if (!frm_name_ok (options->headers[i].name) || !frm_value_ok (options->headers[i].value))
+    if (!http_framing_is_valid_name (options->headers[i].name) ||
+        !http_framing_is_valid_value (options->headers[i].value))
       return false;
   return true;
 }
 
 static void
-call_free (hcl_call_t *call)
+call_free (http_client_call_t *call)
 {
-  g_hash_table_remove (call->hcl->calls, call);
+  g_hash_table_remove (call->http_client->calls, call);
   event_free (call->event);
   g_free (call->check_name);
   g_free (call->check_value);
@@ -47,9 +48,9 @@
 
 /* The call's event runs on_end later, since that callback may call any function of the client */
 static void
-end_call (hcl_call_t *call, bool whole, verdict_reason_t reason)
+end_call (http_client_call_t *call, bool whole, verdict_reason_t reason)
 {
-  hcl_conn_t *conn = call->conn;
+  http_client_conn_t *conn = call->conn;
 
   call->end.whole = whole;
   call->end.verdict = whole ? VERDICT_RAN : call->sent ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
@@ -61,13 +62,13 @@
     return;
   conn->call = NULL;
   if (whole)
-    hcl_conn_give (conn);
+    http_client_conn_release (conn);
   else
-    hcl_conn_close (conn);
+    http_client_conn_close (conn);
 }
 
 void
-hcl_call_unconnected (hcl_call_t *call)
+http_client_call_connect_failed (http_client_call_t *call)
 {
   end_call (call, false, VERDICT_REASON_CONNECT);
 }
@@ -75,10 +76,10 @@
 static void
 on_call_event (evutil_socket_t fd, short what, void *context)
 {
-  hcl_call_t *call = context;
-  void (*on_end) (const hcl_end_t *end, void *) = call->on_end;
+  http_client_call_t *call = context;
+  void (*on_end) (const http_client_result_t *end, void *) = call->on_end;
   void *on_end_context = call->context;
-  hcl_end_t end;
+  http_client_result_t end;
 
   (void)fd;
   (void)what;
@@ -93,23 +94,23 @@
 }
 
 static bool
-must_declare_length (const hcl_call_t *call, int status)
+must_declare_length (const http_client_call_t *call, int status)
 {
   return call->method != EVHTTP_REQ_HEAD && status != 204 && status != 304;
 }
 
 /* Return: VERDICT_REASON_NONE when the response may be passed on */
 static verdict_reason_t
-check_head (const hcl_call_t *call, int status, const struct evkeyvalq *headers)
+check_head (const http_client_call_t *call, int status, const struct evkeyvalq *headers)
 {
-  frm_t framing = frm_of (headers);
+  http_framing_t framing = http_framing_detect (headers);
   const char *value;
 
-  if (status < 200 || framing == FRM_BROKEN)
+  if (status < 200 || framing == HTTP_FRAMING_INVALID)
     return VERDICT_REASON_CUT;
   /* libevent treats the end of the connection as the end of such a response, so a truncated one
    * would look complete */
-  if (framing == FRM_NONE && must_declare_length (call, status) && !call->until_close)
+  if (framing == HTTP_FRAMING_NONE && must_declare_length (call, status) && !call->until_close)
     return VERDICT_REASON_CUT;
   if (!call->check_name)
     return VERDICT_REASON_NONE;
@@ -122,8 +123,8 @@
 static int
 on_head (struct evhttp_request *request, void *context)
 {
-  hcl_conn_t *conn = context;
-  hcl_call_t *call = conn->call;
+  http_client_conn_t *conn = context;
+  http_client_call_t *call = conn->call;
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
   int status = evhttp_request_get_response_code (request);
   verdict_reason_t reason;
@@ -156,8 +157,8 @@
 static void
 on_chunk (struct evhttp_request *request, void *context)
 {
-  hcl_conn_t *conn = context;
-  hcl_call_t *call = conn->call;
+  http_client_conn_t *conn = context;
+  http_client_call_t *call = conn->call;
 
   if (call && call->on_data)
     call->on_data (evhttp_request_get_input_buffer (request), call->context);
@@ -167,8 +168,8 @@
 static void
 on_done (struct evhttp_request *request, void *context)
 {
-  hcl_conn_t *conn = context;
-  hcl_call_t *call = conn->call;
+  http_client_conn_t *conn = context;
+  http_client_call_t *call = conn->call;
 
   if (!call)
     return;
@@ -199,7 +200,7 @@
 }
 
 static void
-add_headers (struct evkeyvalq *headers, const hcl_options_t *options)
+add_headers (struct evkeyvalq *headers, const http_client_options_t *options)
 {
   char digits[32];
 
@@ -213,7 +214,7 @@
 }
 
 static struct evhttp_request *
-make_request (hcl_conn_t *conn, const hcl_options_t *options)
+make_request (http_client_conn_t *conn, const http_client_options_t *options)
 {
   struct evhttp_request *request = evhttp_request_new (on_done, conn);
 
@@ -226,13 +227,13 @@
   return request;
 }
 
-static hcl_call_t *
-call_new (hcl_t *hcl, const hcl_options_t *options)
+static http_client_call_t *
+call_new (http_client_t *http_client, const http_client_options_t *options)
 {
-  hcl_call_t *call = g_new0 (hcl_call_t, 1);
+  http_client_call_t *call = g_new0 (http_client_call_t, 1);
 
-  call->hcl = hcl;
-  call->event = evtimer_new (hcl->base, on_call_event, call);
+  call->http_client = http_client;
+  call->event = evtimer_new (http_client->base, on_call_event, call);
   call->check_name = g_strdup (options->check_name);
   call->check_value = g_strdup (options->check_value);
   call->on_head = options->on_head;
@@ -241,15 +242,16 @@
   call->context = options->context;
   call->method = method_from_name (options->method);
   call->until_close = options->until_close;
-  g_hash_table_add (hcl->calls, call);
+  g_hash_table_add (http_client->calls, call);
   return call;
 }
 
 static void
-send_call (hcl_call_t *call, const hcl_options_t *options)
+send_call (http_client_call_t *call, const http_client_options_t *options)
 {
   uint64_t idle_limit_us = options->idle_limit_us ? options->idle_limit_us : UINT64_MAX;
-  hcl_conn_t *conn = hcl_conn_take (call->hcl, options->address, idle_limit_us);
+  http_client_conn_t *conn =
+      http_client_conn_acquire (call->http_client, options->address, idle_limit_us);
   struct evhttp_request *request = make_request (conn, options);
   ev_ssize_t limit = options->answer_limit_bytes ? (ev_ssize_t)options->answer_limit_bytes : -1;
 
@@ -259,12 +261,12 @@
   evhttp_make_request (conn->evcon, request, call->method, options->target);
 }
 
-hcl_call_t *
-hcl_start (hcl_t *hcl, const hcl_options_t *options)
+http_client_call_t *
+http_client_start_call (http_client_t *http_client, const http_client_options_t *options)
 {
   struct timeval timeout = { (time_t)(options->timeout_us / CLK_US_PER_S),
                              (suseconds_t)(options->timeout_us % CLK_US_PER_S) };
-  hcl_call_t *call = call_new (hcl, options);
+  http_client_call_t *call = call_new (http_client, options);
 
   if (!are_valid_options (options))
     {
@@ -278,20 +280,20 @@
 }
 
 void
-hcl_cancel (hcl_call_t *call)
+http_client_cancel_call (http_client_call_t *call)
 {
-  hcl_conn_t *conn = call->conn;
+  http_client_conn_t *conn = call->conn;
 
   if (conn)
     {
       conn->call = NULL;
-      hcl_conn_close (conn);
+      http_client_conn_close (conn);
     }
   call_free (call);
 }
 
 void
-hcl_pause (hcl_call_t *call, bool paused)
+http_client_set_paused (http_client_call_t *call, bool paused)
 {
   call->paused = paused;
   if (!call->conn || !call->head_received)
@@ -303,49 +305,50 @@
 }
 
 bool
-hcl_sent (const hcl_call_t *call)
+http_client_may_have_sent (const http_client_call_t *call)
 {
   return call->sent;
 }
 
-hcl_t *
-hcl_new (struct event_base *base, uint32_t idle_limit, uint32_t idle_timeout_ms)
+http_client_t *
+http_client_new (struct event_base *base, uint32_t idle_limit, uint32_t idle_timeout_ms)
 {
-  hcl_t *hcl = g_new0 (hcl_t, 1);
-
-  hcl->base = base;
-  hcl->idle_limit = idle_limit;
-  hcl->idle_timeout.tv_sec = idle_timeout_ms / 1000;
-  hcl->idle_timeout.tv_usec = idle_timeout_ms % 1000 * 1000;
-  hcl_set_connect_limit (hcl, LIM_HTTP_CONNECT_MS);
-  hcl->idle = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_queue_free);
-  hcl->conns = g_hash_table_new (NULL, NULL);
-  hcl->calls = g_hash_table_new (NULL, NULL);
-  return hcl;
+  http_client_t *http_client = g_new0 (http_client_t, 1);
+
+  http_client->base = base;
+  http_client->idle_limit = idle_limit;
+  http_client->idle_timeout.tv_sec = idle_timeout_ms / 1000;
+  http_client->idle_timeout.tv_usec = idle_timeout_ms % 1000 * 1000;
+  http_client_set_connect_timeout (http_client, LIM_HTTP_CONNECT_MS);
+  http_client->idle =
+      g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_queue_free);
+  http_client->conns = g_hash_table_new (NULL, NULL);
+  http_client->calls = g_hash_table_new (NULL, NULL);
+  return http_client;
 }
 
 void
-hcl_set_connect_limit (hcl_t *hcl, uint32_t limit_ms)
+http_client_set_connect_timeout (http_client_t *http_client, uint32_t limit_ms)
 {
-  hcl->connect_limit.tv_sec = limit_ms / 1000;
-  hcl->connect_limit.tv_usec = limit_ms % 1000 * 1000;
+  http_client->connect_limit.tv_sec = limit_ms / 1000;
+  http_client->connect_limit.tv_usec = limit_ms % 1000 * 1000;
 }
 
 void
-hcl_free (hcl_t *hcl)
+http_client_free (http_client_t *http_client)
 {
-  GList *calls = g_hash_table_get_keys (hcl->calls);
+  GList *calls = g_hash_table_get_keys (http_client->calls);
   GList *conns;
 
   for (GList *link = calls; link; link = link->next)
-    hcl_cancel (link->data);
+    http_client_cancel_call (link->data);
   g_list_free (calls);
-  conns = g_hash_table_get_keys (hcl->conns);
+  conns = g_hash_table_get_keys (http_client->conns);
   for (GList *link = conns; link; link = link->next)
-    hcl_conn_free (link->data);
+    http_client_conn_free (link->data);
   g_list_free (conns);
-  g_hash_table_destroy (hcl->idle);
-  g_hash_table_destroy (hcl->conns);
-  g_hash_table_destroy (hcl->calls);
-  g_free (hcl);
+  g_hash_table_destroy (http_client->idle);
+  g_hash_table_destroy (http_client->conns);
+  g_hash_table_destroy (http_client->calls);
+  g_free (http_client);
 }
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -18,18 +18,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef struct hcl hcl_t;           /* client of one task, with its connection pool */
-typedef struct hcl_call hcl_call_t; /* one request in flight */
+typedef struct http_client http_client_t; /* client of one task, with its connection pool */
+typedef struct http_client_call http_client_call_t; /* one request in flight */
 
-/** hcl_header_t - a request header */
+/** http_client_header_t - a request header */
 typedef struct
 {
   const char *name;
   const char *value;
-} hcl_header_t;
+} http_client_header_t;
 
 /**
- * struct hcl_end - result of a call
+ * struct http_client_result - result of a call
  * @whole: the response is complete, its length was declared, and header @check_name of the
  *   options, if set, had the value @check_value
  * @status: HTTP status; 0 when none was received
@@ -44,10 +44,10 @@
   int status;
   verdict_t verdict;
   verdict_reason_t reason;
-} hcl_end_t;
+} http_client_result_t;
 
 /**
- * struct hcl_options - parameters of a request
+ * struct http_client_options - parameters of a request
  * @method: GET, POST, HEAD, PUT, DELETE, OPTIONS or PATCH; the call fails as not run with
  *   another
  * @target: path and query, starting with a slash; the call fails as not run if a character is
@@ -55,9 +55,9 @@
  * @header_count: number of @headers; the call fails as not run if one has a control character.
  *   Content-Length, Transfer-Encoding, Connection and Expect are set by the client and ignored
  *   here. Host is added if missing
- * @body: must stay valid until @on_end is called or hcl_cancel() returns
+ * @body: must stay valid until @on_end is called or http_client_cancel_call() returns
  * @timeout_us: limit on the duration of the call, 0 for none. Connecting also has its own
- *   limit, %LIM_HTTP_CONNECT_MS or that of hcl_set_connect_limit()
+ *   limit, %LIM_HTTP_CONNECT_MS or that of http_client_set_connect_timeout()
  * @answer_limit_bytes: a response with a longer body counts as truncated; 0 for no limit
  * @until_close: accept a response without a declared length: it is complete when the peer
  *   closes the connection normally, and truncated when the peer resets it
@@ -76,7 +76,7 @@
   const set_address_t *address;
   const char *method;
   const char *target;
-  const hcl_header_t *headers;
+  const http_client_header_t *headers;
   uint32_t header_count;
   const void *body;
   size_t body_bytes;
@@ -88,29 +88,35 @@
   const char *check_value;
   bool (*on_head) (int status, struct evkeyvalq *headers, void *context);
   void (*on_data) (struct evbuffer *data, void *context);
-  void (*on_end) (const hcl_end_t *end, void *context);
+  void (*on_end) (const http_client_result_t *end, void *context);
   void *context;
-} hcl_options_t;
+} http_client_options_t;
 
-/** hcl_new() - create a client that keeps at most @idle_limit idle connections per address, each
- * for at most @idle_timeout_ms */
-hcl_t *hcl_new (struct event_base *base, uint32_t idle_limit, uint32_t idle_timeout_ms);
-/** hcl_set_connect_limit() - set the time limit for connecting of new connections, instead of
- * %LIM_HTTP_CONNECT_MS */
-void hcl_set_connect_limit (hcl_t *hcl, uint32_t limit_ms);
-/** hcl_free() - cancel all calls and free. Must not be called from within @on_head or @on_data */
-void hcl_free (hcl_t *hcl);
-/** hcl_start() - send a request. Return: the call, valid until @on_end is called or it is
- * cancelled; a request that can't be sent also ends by @on_end */
-hcl_call_t *hcl_start (hcl_t *hcl, const hcl_options_t *options);
-/** hcl_cancel() - close the call's connection and free the call; @on_end is not called */
-void hcl_cancel (hcl_call_t *call);
-/** hcl_pause() - stop or resume reading the response, for backpressure from a slow reader. Data
- * that has already been read is still passed on: at most one chunk or one read of the socket */
-void hcl_pause (hcl_call_t *call, bool paused);
-/** hcl_forget() - close the idle connections to @address, after the process there has ended */
-void hcl_forget (hcl_t *hcl, const set_address_t *address);
-/** hcl_sent() - whether any byte of the request may have been sent */
-bool hcl_sent (const hcl_call_t *call);
+/** http_client_new() - create a client that keeps at most @idle_limit idle connections per address,
+ * each for at most @idle_timeout_ms */
+http_client_t *
+http_client_new (struct event_base *base, uint32_t idle_limit, uint32_t idle_timeout_ms);
+/** http_client_set_connect_timeout() - set the time limit for connecting of new connections,
+ * instead of %LIM_HTTP_CONNECT_MS */
+void http_client_set_connect_timeout (http_client_t *http_client, uint32_t limit_ms);
+/** http_client_free() - cancel all calls and free. Must not be called from within @on_head or
+ * @on_data */
+void http_client_free (http_client_t *http_client);
+/** http_client_start_call() - send a request. Return: the call, valid until @on_end is called or it
+ * is cancelled; a request that can't be sent also ends by @on_end */
+http_client_call_t *http_client_start_call (http_client_t *http_client,
+                                            const http_client_options_t *options);
+/** http_client_cancel_call() - close the call's connection and free the call; @on_end is not called
+ */
+void http_client_cancel_call (http_client_call_t *call);
+/** http_client_set_paused() - stop or resume reading the response, for backpressure from a slow
+ * reader. Data that has already been read is still passed on: at most one chunk or one read of the
+ * socket */
+void http_client_set_paused (http_client_call_t *call, bool paused);
+/** http_client_close_idle() - close the idle connections to @address, after the process there has
+ * ended */
+void http_client_close_idle (http_client_t *http_client, const set_address_t *address);
+/** http_client_may_have_sent() - whether any byte of the request may have been sent */
+bool http_client_may_have_sent (const http_client_call_t *call);
 
 #endif
--- a/src/connection/http_client_internal.h
+++ b/src/connection/http_client_internal.h
@@ -3,9 +3,9 @@
  *
  * Declarations shared by the files of the HTTP client: the pool, its connections and their calls.
  *
- * Ownership: the context of libevent's callbacks is the connection (hcl_conn), never the call. A
- * call is unlinked from its connection when it ends, so later callbacks of libevent for it are
- * ignored. A connection is freed only by its own event, outside of libevent's callbacks.
+ * Ownership: the context of libevent's callbacks is the connection (http_client_conn), never the
+ * call. A call is unlinked from its connection when it ends, so later callbacks of libevent for it
+ * are ignored. A connection is freed only by its own event, outside of libevent's callbacks.
  */
 #ifndef CONNECTION_HTTP_CLIENT_INTERNAL_H
 #define CONNECTION_HTTP_CLIENT_INTERNAL_H
@@ -16,18 +16,19 @@
 #include <event2/http.h>
 #include <glib.h>
 
-typedef struct hcl_conn hcl_conn_t;
+typedef struct http_client_conn http_client_conn_t;
 
 /**
- * struct hcl - client of one task
+ * struct http_client - client of one task
  * @idle_limit: maximum number of idle connections per address
  * @idle_timeout: after which an idle connection is closed
  * @connect_limit: time limit for connecting
- * @idle: queue of idle connections for each address (key of hcl_conn), most recently used first
+ * @idle: queue of idle connections for each address (key of http_client_conn), most recently used
+ * first
  * @conns: set of all connections
  * @calls: set of all calls
  */
-struct hcl
+struct http_client
 {
   struct event_base *base;
   uint32_t idle_limit;
@@ -39,7 +40,7 @@
 };
 
 /**
- * struct hcl_conn - a connection to a peer
+ * struct http_client_conn - a connection to a peer
  * @key: "IP PORT" of the peer
  * @event: the connect timeout, later the idle timeout; also frees a closed connection
  * @call: the current call; NULL when idle
@@ -47,58 +48,62 @@
  * @connecting: not connected yet
  * @closed: must not be used again; @event is about to free it
  */
-struct hcl_conn
+struct http_client_conn
 {
-  hcl_t *hcl;
+  http_client_t *http_client;
   char *key;
   struct evhttp_connection *evcon;
   struct bufferevent *bev;
   struct event *event;
-  hcl_call_t *call;
+  http_client_call_t *call;
   int64_t idle_since_us;
   bool connecting;
   bool closed;
 };
 
 /**
- * struct hcl_call - one request in flight
+ * struct http_client_call - one request in flight
  * @conn: NULL after the call has ended
  * @event: the timeout; after the call has ended, delivers @end
  * @sent: a byte of the request may have been sent
  * @head_received: the head of the response was accepted and passed on
  * @paused: reading the response is stopped
  */
-struct hcl_call
+struct http_client_call
 {
-  hcl_t *hcl;
-  hcl_conn_t *conn;
+  http_client_t *http_client;
+  http_client_conn_t *conn;
   struct event *event;
   char *check_name;
   char *check_value;
   bool (*on_head) (int status, struct evkeyvalq *headers, void *context);
   void (*on_data) (struct evbuffer *data, void *context);
-  void (*on_end) (const hcl_end_t *end, void *context);
+  void (*on_end) (const http_client_result_t *end, void *context);
   void *context;
   enum evhttp_cmd_type method;
-  hcl_end_t end;
+  http_client_result_t end;
   bool sent;
   bool head_received;
   bool paused;
   bool until_close;
 };
 
-/** hcl_conn_take() - get an idle connection that the peer has not closed and that has been idle for
- * at most @idle_limit_us, or else a new one */
-hcl_conn_t *hcl_conn_take (hcl_t *hcl, const set_address_t *address, uint64_t idle_limit_us);
-/** hcl_conn_give() - return a connection to the pool, or close it if it can't be used again */
-void hcl_conn_give (hcl_conn_t *conn);
-/** hcl_conn_close() - stop using a connection; its event frees it, outside of libevent's callbacks
+/** http_client_conn_acquire() - get an idle connection that the peer has not closed and that has
+ * been idle for at most @idle_limit_us, or else a new one */
+http_client_conn_t *http_client_conn_acquire (http_client_t *http_client,
+                                              const set_address_t *address,
+                                              uint64_t idle_limit_us);
+/** http_client_conn_release() - return a connection to the pool, or close it if it can't be used
+ * again */
+void http_client_conn_release (http_client_conn_t *conn);
+/** http_client_conn_close() - stop using a connection; its event frees it, outside of libevent's
+ * callbacks
  */
-void hcl_conn_close (hcl_conn_t *conn);
-/** hcl_conn_free() - free a connection at once; only outside of libevent's callbacks */
-void hcl_conn_free (hcl_conn_t *conn);
+void http_client_conn_close (http_client_conn_t *conn);
+/** http_client_conn_free() - free a connection at once; only outside of libevent's callbacks */
+void http_client_conn_free (http_client_conn_t *conn);
 
-/** hcl_call_unconnected() - end a call whose connection was not established in time */
-void hcl_call_unconnected (hcl_call_t *call);
+/** http_client_call_connect_failed() - end a call whose connection was not established in time */
+void http_client_call_connect_failed (http_client_call_t *call);
 
 #endif
--- a/src/connection/http_client_pool.c
+++ b/src/connection/http_client_pool.c
@@ -15,23 +15,23 @@
 }
 
 static void
-remove_from_pool (hcl_conn_t *conn)
+remove_from_pool (http_client_conn_t *conn)
 {
-  GQueue *queue = g_hash_table_lookup (conn->hcl->idle, conn->key);
+  GQueue *queue = g_hash_table_lookup (conn->http_client->idle, conn->key);
 
   if (!queue)
     return;
   g_queue_remove (queue, conn);
   if (g_queue_is_empty (queue))
-    g_hash_table_remove (conn->hcl->idle, conn->key);
+    g_hash_table_remove (conn->http_client->idle, conn->key);
 }
 
 void
-hcl_conn_free (hcl_conn_t *conn)
+http_client_conn_free (http_client_conn_t *conn)
 {
   remove_from_pool (conn);
   conn->closed = true;
-  g_hash_table_remove (conn->hcl->conns, conn);
+  g_hash_table_remove (conn->http_client->conns, conn);
   evhttp_connection_set_closecb (conn->evcon, NULL, NULL);
   evhttp_connection_free (conn->evcon);
   event_free (conn->event);
@@ -43,18 +43,18 @@
 static void
 on_event (evutil_socket_t fd, short what, void *context)
 {
-  hcl_conn_t *conn = context;
+  http_client_conn_t *conn = context;
 
   (void)fd;
   (void)what;
   if (conn->call)
-    hcl_call_unconnected (conn->call);
-  hcl_conn_free (conn);
+    http_client_call_connect_failed (conn->call);
+  http_client_conn_free (conn);
 }
 
 /* A bufferevent freezes its output buffer against changes from outside, hence the unfreeze */
 static void
-discard_output (hcl_conn_t *conn)
+discard_output (http_client_conn_t *conn)
 {
   struct evbuffer *output = bufferevent_get_output (conn->bev);
 
@@ -64,7 +64,7 @@
 }
 
 void
-hcl_conn_close (hcl_conn_t *conn)
+http_client_conn_close (http_client_conn_t *conn)
 {
   remove_from_pool (conn);
   conn->closed = true;
@@ -78,12 +78,12 @@
 static void
 on_close (struct evhttp_connection *evcon, void *context)
 {
-  hcl_conn_t *conn = context;
+  http_client_conn_t *conn = context;
 
   (void)evcon;
   conn->closed = true;
   if (!conn->call)
-    hcl_conn_close (conn);
+    http_client_conn_close (conn);
 }
 
 /*
@@ -93,7 +93,7 @@
 static void
 on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *context)
 {
-  hcl_conn_t *conn = context;
+  http_client_conn_t *conn = context;
   evutil_socket_t fd = bufferevent_getfd (conn->bev);
 
   (void)buffer;
@@ -106,32 +106,32 @@
   if (info->n_added > 0 && conn->connecting)
     {
       conn->connecting = false;
-      sck_tune_client (fd);
+      socket_set_client_options (fd);
       event_del (conn->event);
     }
   if (info->n_deleted > 0 && conn->call && fd >= 0)
     conn->call->sent = true;
 }
 
-static hcl_conn_t *
-conn_new (hcl_t *hcl, const set_address_t *address)
+static http_client_conn_t *
+conn_new (http_client_t *http_client, const set_address_t *address)
 {
-  hcl_conn_t *conn = g_new0 (hcl_conn_t, 1);
+  http_client_conn_t *conn = g_new0 (http_client_conn_t, 1);
 
-  conn->hcl = hcl;
+  conn->http_client = http_client;
   conn->key = address_key (address);
   conn->connecting = true;
-  conn->evcon = evhttp_connection_base_new (hcl->base, NULL, address->ip, address->port);
+  conn->evcon = evhttp_connection_base_new (http_client->base, NULL, address->ip, address->port);
   g_assert (conn->evcon);
   conn->bev = evhttp_connection_get_bufferevent (conn->evcon);
-  conn->event = evtimer_new (hcl->base, on_event, conn);
-  event_add (conn->event, &hcl->connect_limit);
+  conn->event = evtimer_new (http_client->base, on_event, conn);
+  event_add (conn->event, &http_client->connect_limit);
   evhttp_connection_set_retries (conn->evcon, 0);
   evhttp_connection_set_timeout_tv (conn->evcon, &never_timeout);
   evhttp_connection_set_max_headers_size (conn->evcon, LIM_HTTP_ANSWER_HEADER_BYTES);
   evhttp_connection_set_closecb (conn->evcon, on_close, conn);
   evbuffer_add_cb (bufferevent_get_output (conn->bev), on_output, conn);
-  g_hash_table_add (hcl->conns, conn);
+  g_hash_table_add (http_client->conns, conn);
   return conn;
 }
 
@@ -141,7 +141,7 @@
  * may not have noticed either of them yet.
  */
 static bool
-has_nothing_to_read (const hcl_conn_t *conn)
+has_nothing_to_read (const http_client_conn_t *conn)
 {
   evutil_socket_t fd = bufferevent_getfd (conn->bev);
   char byte;
@@ -153,17 +153,19 @@
   return recv (fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
 
-hcl_conn_t *
-hcl_conn_take (hcl_t *hcl, const set_address_t *address, uint64_t idle_limit_us)
+http_client_conn_t *
+http_client_conn_acquire (http_client_t *http_client,
+                          const set_address_t *address,
+                          uint64_t idle_limit_us)
 {
   int64_t now_us = g_get_monotonic_time ();
   char *key = address_key (address);
   GQueue *queue;
-  hcl_conn_t *found = NULL;
+  http_client_conn_t *found = NULL;
 
-  while (!found && (queue = g_hash_table_lookup (hcl->idle, key)))
+  while (!found && (queue = g_hash_table_lookup (http_client->idle, key)))
     {
-      hcl_conn_t *conn = g_queue_peek_head (queue);
+      http_client_conn_t *conn = g_queue_peek_head (queue);
 
       /* the queue is ordered by last use, so all others have been idle for longer */
       if ((uint64_t)(now_us - conn->idle_since_us) > idle_limit_us)
@@ -173,43 +175,43 @@
       if (has_nothing_to_read (conn))
         found = conn;
       else
-        hcl_conn_close (conn);
+        http_client_conn_close (conn);
     }
   g_free (key);
-  return found ? found : conn_new (hcl, address);
+  return found ? found : conn_new (http_client, address);
 }
 
 void
-hcl_conn_give (hcl_conn_t *conn)
+http_client_conn_release (http_client_conn_t *conn)
 {
-  hcl_t *hcl = conn->hcl;
+  http_client_t *http_client = conn->http_client;
   GQueue *queue;
 
   if (conn->closed)
     {
-      hcl_conn_close (conn);
+      http_client_conn_close (conn);
       return;
     }
-  queue = g_hash_table_lookup (hcl->idle, conn->key);
+  queue = g_hash_table_lookup (http_client->idle, conn->key);
   if (!queue)
     {
       queue = g_queue_new ();
-      g_hash_table_insert (hcl->idle, g_strdup (conn->key), queue);
+      g_hash_table_insert (http_client->idle, g_strdup (conn->key), queue);
     }
   conn->idle_since_us = g_get_monotonic_time ();
   g_queue_push_head (queue, conn);
-  event_add (conn->event, &hcl->idle_timeout);
-  if (g_queue_get_length (queue) > hcl->idle_limit)
-    hcl_conn_close (g_queue_peek_tail (queue));
+  event_add (conn->event, &http_client->idle_timeout);
+  if (g_queue_get_length (queue) > http_client->idle_limit)
+    http_client_conn_close (g_queue_peek_tail (queue));
 }
 
 void
-hcl_forget (hcl_t *hcl, const set_address_t *address)
+http_client_close_idle (http_client_t *http_client, const set_address_t *address)
 {
   g_autofree char *key = address_key (address);
   GQueue *queue;
 
   /* closing the last connection removes the queue from the table */
-  while ((queue = g_hash_table_lookup (hcl->idle, key)))
-    hcl_conn_close (g_queue_peek_head (queue));
+  while ((queue = g_hash_table_lookup (http_client->idle, key)))
+    http_client_conn_close (g_queue_peek_head (queue));
 }
--- a/src/connection/http_error.c
+++ b/src/connection/http_error.c
@@ -19,7 +19,7 @@
 }
 
 char *
-err_body (const char *message, const char *type, const char *code, const char *verdict)
+http_error_body (const char *message, const char *type, const char *code, const char *verdict)
 {
   json_t *error = json_object ();
   json_t *root = json_object ();
--- a/src/connection/http_error.h
+++ b/src/connection/http_error.h
@@ -7,7 +7,7 @@
 #define CONNECTION_HTTP_ERROR_H
 
 /**
- * err_body() - format {"error": {"message": ..., "type": ..., "code": ..., "verdict": ...}}
+ * http_error_body() - format {"error": {"message": ..., "type": ..., "code": ..., "verdict": ...}}
  * @message: human-readable text
  * @type: class of the error, e.g. "invalid_request"
  * @code: machine-readable code, e.g. "body_too_large"; NULL becomes null
@@ -15,6 +15,7 @@
  *
  * Bytes that are not UTF-8 are replaced. Return: the body, to be freed by g_free().
  */
-char *err_body (const char *message, const char *type, const char *code, const char *verdict);
+char *
+http_error_body (const char *message, const char *type, const char *code, const char *verdict);
 
 #endif
--- a/src/connection/http_framing.c
+++ b/src/connection/http_framing.c
@@ -14,8 +14,8 @@
   return digits > 0 && digits <= LENGTH_DIGITS && value[digits] == '\0';
 }
 
-frm_t
-frm_of (const struct evkeyvalq *headers)
+http_framing_t
+http_framing_detect (const struct evkeyvalq *headers)
 {
   const struct evkeyval *header;
   bool invalid = false;
@@ -25,7 +25,7 @@
   for (header = headers->tqh_first; header; header = header->next.tqe_next)
     {
       /* libevent keeps the space in the name of "Content-Length : 5"; other parsers drop it */
-      invalid |= !frm_name_ok (header->key);
+      invalid |= !http_framing_is_valid_name (header->key);
       if (evutil_ascii_strcasecmp (header->key, "Content-Length") == 0)
         {
           length_count++;
@@ -38,14 +38,14 @@
         }
     }
   if (invalid || length_count + encoding_count > 1)
-    return FRM_BROKEN;
+    return HTTP_FRAMING_INVALID;
   if (encoding_count)
-    return FRM_CHUNKED;
-  return length_count ? FRM_LENGTH : FRM_NONE;
+    return HTTP_FRAMING_CHUNKED;
+  return length_count ? HTTP_FRAMING_LENGTH : HTTP_FRAMING_NONE;
 }
 
 uint64_t
-frm_length (const struct evkeyvalq *headers)
+http_framing_content_length (const struct evkeyvalq *headers)
 {
   const struct evkeyval *header;
 
@@ -56,7 +56,7 @@
 }
 
 bool
-frm_name_ok (const char *name)
+http_framing_is_valid_name (const char *name)
 {
   static const char punctuation[] = "!#$%&'*+-.^_`|~";
 
@@ -69,7 +69,7 @@
 }
 
 bool
-frm_value_ok (const char *value)
+http_framing_is_valid_value (const char *value)
 {
   for (; *value; value++)
     if ((g_ascii_iscntrl (*value) && *value != '\t'))
@@ -78,7 +78,7 @@
 }
 
 bool
-frm_target_ok (const char *target)
+http_framing_is_valid_target (const char *target)
 {
   if (*target != '/')
     return false;
--- a/src/connection/http_framing.h
+++ b/src/connection/http_framing.h
@@ -15,23 +15,25 @@
 
 typedef enum
 {
-  FRM_NONE,    /* neither Content-Length nor Transfer-Encoding */
-  FRM_LENGTH,  /* exactly one valid Content-Length */
-  FRM_CHUNKED, /* Transfer-Encoding: chunked */
-  FRM_BROKEN   /* duplicate, contradictory or unknown, or a header name is malformed */
-} frm_t;
+  HTTP_FRAMING_NONE,    /* neither Content-Length nor Transfer-Encoding */
+  HTTP_FRAMING_LENGTH,  /* exactly one valid Content-Length */
+  HTTP_FRAMING_CHUNKED, /* Transfer-Encoding: chunked */
+  HTTP_FRAMING_INVALID  /* duplicate, contradictory or unknown, or a header name is malformed */
+} http_framing_t;
 
-/** frm_of() - determine how the headers delimit the body */
-frm_t frm_of (const struct evkeyvalq *headers);
-/** frm_length() - the value of Content-Length, for headers of %FRM_LENGTH; 0 when there is none */
-uint64_t frm_length (const struct evkeyvalq *headers);
-/** frm_name_ok() - whether @name is a valid header name (a token of RFC 9110) */
-bool frm_name_ok (const char *name);
-/** frm_value_ok() - whether @value has no control character but tab: a line break would let it
- * inject headers */
-bool frm_value_ok (const char *value);
-/** frm_target_ok() - whether @target starts with a slash and consists of visible ASCII characters
+/** http_framing_detect() - determine how the headers delimit the body */
+http_framing_t http_framing_detect (const struct evkeyvalq *headers);
+/** http_framing_content_length() - the value of Content-Length, for headers of
+ * %HTTP_FRAMING_LENGTH; 0 when there is none */
+uint64_t http_framing_content_length (const struct evkeyvalq *headers);
+/** http_framing_is_valid_name() - whether @name is a valid header name (a token of RFC 9110) */
+bool http_framing_is_valid_name (const char *name);
+/** http_framing_is_valid_value() - whether @value has no control character but tab: a line break
+ * would let it inject headers */
+bool http_framing_is_valid_value (const char *value);
+/** http_framing_is_valid_target() - whether @target starts with a slash and consists of visible
+ * ASCII characters
  */
-bool frm_target_ok (const char *target);
+bool http_framing_is_valid_target (const char *target);
 
 #endif
--- a/src/connection/http_server.c
+++ b/src/connection/http_server.c
@@ -6,27 +6,29 @@
 #include <string.h>
 #include <sys/socket.h>
 
-static const char *const rejected_metric_names[HSV_REFUSED_COUNT] = {
-  [HSV_REFUSED_BODY] = "medlarplank_http_refused_total{reason=\"body\"}",
-  [HSV_REFUSED_HEADERS] = "medlarplank_http_refused_total{reason=\"headers\"}",
-  [HSV_REFUSED_CONNECTIONS] = "medlarplank_http_refused_total{reason=\"connections\"}",
-  [HSV_REFUSED_BAD] = "medlarplank_http_refused_total{reason=\"bad_request\"}",
-  [HSV_REFUSED_SLOW] = "medlarplank_http_refused_total{reason=\"slow\"}",
+static const char *const rejected_metric_names[HTTP_SERVER_REFUSED_COUNT] = {
+  [HTTP_SERVER_REFUSED_BODY] = "medlarplank_http_refused_total{reason=\"body\"}",
+  [HTTP_SERVER_REFUSED_HEADERS] = "medlarplank_http_refused_total{reason=\"headers\"}",
+  [HTTP_SERVER_REFUSED_CONNECTIONS] = "medlarplank_http_refused_total{reason=\"connections\"}",
+  [HTTP_SERVER_REFUSED_MALFORMED] = "medlarplank_http_refused_total{reason=\"bad_request\"}",
+  [HTTP_SERVER_REFUSED_SLOW] = "medlarplank_http_refused_total{reason=\"slow\"}",
 };
 
 static void
-get_counters (hsv_t *hsv)
+get_counters (http_server_t *http_server)
 {
-  cnt_set_t *set = hsv->options.counters;
+  cnt_set_t *set = http_server->options.counters;
 
-  hsv->connections = cnt_get (set, "medlarplank_http_connections", "Open connections of callers");
-  hsv->requests = cnt_get (set, "medlarplank_http_requests_total", "Whole requests of callers");
-  hsv->gone = cnt_get (set, "medlarplank_http_gone_total",
-                       "Requests whose caller closed before the answer");
-  hsv->bad_headers = cnt_get (set, "medlarplank_http_bad_headers_total",
-                              "Headers of answers left out for a control character");
-  for (int i = 0; i < HSV_REFUSED_COUNT; i++)
-    hsv->refused[i] =
+  http_server->connections =
+      cnt_get (set, "medlarplank_http_connections", "Open connections of callers");
+  http_server->requests =
+      cnt_get (set, "medlarplank_http_requests_total", "Whole requests of callers");
+  http_server->gone = cnt_get (set, "medlarplank_http_gone_total",
+                               "Requests whose caller closed before the answer");
+  http_server->bad_headers = cnt_get (set, "medlarplank_http_bad_headers_total",
+                                      "Headers of answers left out for a control character");
+  for (int i = 0; i < HTTP_SERVER_REFUSED_COUNT; i++)
+    http_server->refused[i] =
         cnt_get (set, rejected_metric_names[i], "Requests refused by the listener before they ran");
 }
 
@@ -55,18 +57,18 @@
 }
 
 static bool
-bind_listener (hsv_t *hsv, GError **error)
+bind_listener (http_server_t *http_server, GError **error)
 {
   unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
-  const set_address_t *address = &hsv->options.listen;
+  const set_address_t *address = &http_server->options.listen;
   struct evconnlistener *listener = NULL;
   struct sockaddr_storage storage;
   int bytes;
 
   errno = EINVAL;
   if (make_sockaddr (address, &storage, &bytes))
-    listener = evconnlistener_new_bind (hsv->options.base, NULL, NULL, flags, LIM_LISTEN_BACKLOG,
-                                        (struct sockaddr *)&storage, bytes);
+    listener = evconnlistener_new_bind (http_server->options.base, NULL, NULL, flags,
+                                        LIM_LISTEN_BACKLOG, (struct sockaddr *)&storage, bytes);
   if (!listener)
     {
       int error_number = errno;
@@ -77,8 +79,8 @@
       g_free (text);
       return false;
     }
-  sck_tune (evconnlistener_get_fd (listener)); /* inherited by the connections */
-  hsv->bound = evhttp_bind_listener (hsv->http, listener);
+  socket_set_options (evconnlistener_get_fd (listener)); /* inherited by the connections */
+  http_server->bound = evhttp_bind_listener (http_server->http, listener);
   return true;
 }
 
@@ -89,32 +91,32 @@
 }
 
 static void
-apply_limits (hsv_t *hsv)
+apply_limits (http_server_t *http_server)
 {
   uint16_t methods = EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD | EVHTTP_REQ_PUT |
                      EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS | EVHTTP_REQ_PATCH;
 
-  hsv->idle_timeout = timeval_from_ms (hsv->options.idle_timeout_ms);
-  if (hsv->options.request_timeout_ms == 0)
-    hsv->options.request_timeout_ms = LIM_HTTP_REQUEST_MS;
-  if (hsv->options.incomplete_limit_bytes == 0)
-    hsv->options.incomplete_limit_bytes = LIM_HTTP_COMING_BYTES;
-  hsv->request_timeout = timeval_from_ms (hsv->options.request_timeout_ms);
-  evhttp_set_allowed_methods (hsv->http, methods);
-  evhttp_set_max_headers_size (hsv->http, hsv->options.header_limit_bytes);
-  evhttp_set_max_body_size (hsv->http, hsv->options.body_limit_bytes);
-  evhttp_set_timeout_tv (hsv->http, &hsv->idle_timeout);
-  evhttp_set_default_content_type (hsv->http, NULL);
-  evhttp_set_bevcb (hsv->http, hsv_conn_make, hsv);
-  evhttp_set_gencb (hsv->http, hsv_conn_take, hsv);
+  http_server->idle_timeout = timeval_from_ms (http_server->options.idle_timeout_ms);
+  if (http_server->options.request_timeout_ms == 0)
+    http_server->options.request_timeout_ms = LIM_HTTP_REQUEST_MS;
+  if (http_server->options.incomplete_limit_bytes == 0)
+    http_server->options.incomplete_limit_bytes = LIM_HTTP_COMING_BYTES;
+  http_server->request_timeout = timeval_from_ms (http_server->options.request_timeout_ms);
+  evhttp_set_allowed_methods (http_server->http, methods);
+  evhttp_set_max_headers_size (http_server->http, http_server->options.header_limit_bytes);
+  evhttp_set_max_body_size (http_server->http, http_server->options.body_limit_bytes);
+  evhttp_set_timeout_tv (http_server->http, &http_server->idle_timeout);
+  evhttp_set_default_content_type (http_server->http, NULL);
+  evhttp_set_bevcb (http_server->http, http_server_conn_new, http_server);
+  evhttp_set_gencb (http_server->http, http_server_handle_request, http_server);
 }
 
 static void
-unlisten (hsv_t *hsv)
+unlisten (http_server_t *http_server)
 {
-  if (hsv->bound)
-    evhttp_del_accept_socket (hsv->http, hsv->bound);
-  hsv->bound = NULL;
+  if (http_server->bound)
+    evhttp_del_accept_socket (http_server->http, http_server->bound);
+  http_server->bound = NULL;
 }
 
 static void
@@ -128,76 +130,76 @@
 static void
 on_close_idle (evutil_socket_t fd, short what, void *context)
 {
-  hsv_t *hsv = context;
-  GList *conns = g_hash_table_get_values (hsv->conns);
+  http_server_t *http_server = context;
+  GList *conns = g_hash_table_get_values (http_server->conns);
 
   (void)fd;
   (void)what;
   for (GList *link = conns; link; link = link->next)
     {
-      hsv_conn_t *conn = link->data;
+      http_server_conn_t *conn = link->data;
 
-      if (hsv_conn_idle (conn))
+      if (http_server_conn_is_idle (conn))
         evhttp_connection_free (conn->evcon);
     }
   g_list_free (conns);
 }
 
-hsv_t *
-hsv_new (const hsv_options_t *options, GError **error)
+http_server_t *
+http_server_new (const http_server_options_t *options, GError **error)
 {
-  hsv_t *hsv = g_new0 (hsv_t, 1);
+  http_server_t *http_server = g_new0 (http_server_t, 1);
 
-  hsv->options = *options;
-  hsv->http = evhttp_new (options->base);
-  hsv->new_conns = g_hash_table_new (NULL, NULL);
-  hsv->conns = g_hash_table_new (NULL, NULL);
-  hsv->drains = g_hash_table_new (NULL, NULL);
-  hsv->unlisten = evtimer_new (options->base, on_unlisten, hsv);
-  hsv->close_idle = evtimer_new (options->base, on_close_idle, hsv);
-  get_counters (hsv);
-  apply_limits (hsv);
-  if (!bind_listener (hsv, error))
+  http_server->options = *options;
+  http_server->http = evhttp_new (options->base);
+  http_server->new_conns = g_hash_table_new (NULL, NULL);
+  http_server->conns = g_hash_table_new (NULL, NULL);
+  http_server->drains = g_hash_table_new (NULL, NULL);
+  http_server->unlisten = evtimer_new (options->base, on_unlisten, http_server);
+  http_server->close_idle = evtimer_new (options->base, on_close_idle, http_server);
+  get_counters (http_server);
+  apply_limits (http_server);
+  if (!bind_listener (http_server, error))
     {
-      hsv_free (hsv);
+      http_server_free (http_server);
       return NULL;
     }
-  return hsv;
+  return http_server;
 }
 
 void
-hsv_free (hsv_t *hsv)
+http_server_free (http_server_t *http_server)
 {
-  GList *new_conns = g_hash_table_get_values (hsv->new_conns);
+  GList *new_conns = g_hash_table_get_values (http_server->new_conns);
   GList *drains;
 
   for (GList *link = new_conns; link; link = link->next)
-    hsv_conn_adopt (link->data);
+    http_server_conn_attach (link->data);
   g_list_free (new_conns);
-  unlisten (hsv);
-  evhttp_free (hsv->http);
-  drains = g_hash_table_get_keys (hsv->drains);
+  unlisten (http_server);
+  evhttp_free (http_server->http);
+  drains = g_hash_table_get_keys (http_server->drains);
   for (GList *link = drains; link; link = link->next)
-    hsv_drain_free (link->data);
+    http_server_drain_free (link->data);
   g_list_free (drains);
-  event_free (hsv->unlisten);
-  event_free (hsv->close_idle);
-  g_hash_table_destroy (hsv->new_conns);
-  g_hash_table_destroy (hsv->conns);
-  g_hash_table_destroy (hsv->drains);
-  g_free (hsv);
+  event_free (http_server->unlisten);
+  event_free (http_server->close_idle);
+  g_hash_table_destroy (http_server->new_conns);
+  g_hash_table_destroy (http_server->conns);
+  g_hash_table_destroy (http_server->drains);
+  g_free (http_server);
 }
 
 uint16_t
-hsv_port (const hsv_t *hsv)
+http_server_port (const http_server_t *http_server)
 {
   struct sockaddr_storage storage;
   socklen_t bytes = sizeof storage;
   struct sockaddr *address = (struct sockaddr *)&storage;
 
-  if (!hsv->bound)
+  if (!http_server->bound)
     return 0;
-  if (getsockname (evhttp_bound_socket_get_fd (hsv->bound), address, &bytes) < 0)
+  if (getsockname (evhttp_bound_socket_get_fd (http_server->bound), address, &bytes) < 0)
     return 0;
   if (address->sa_family == AF_INET6)
     return ntohs (((struct sockaddr_in6 *)address)->sin6_port);
@@ -205,22 +207,22 @@
 }
 
 void
-hsv_linger (hsv_t *hsv)
+http_server_close_idle_later (http_server_t *http_server)
 {
   struct timeval close_idle = timeval_from_ms (LIM_HTTP_STOP_LINGER_MS);
 
-  if (!evtimer_pending (hsv->close_idle, NULL))
-    event_add (hsv->close_idle, &close_idle);
+  if (!evtimer_pending (http_server->close_idle, NULL))
+    event_add (http_server->close_idle, &close_idle);
 }
 
 void
-hsv_configure (hsv_t *hsv,
-               uint32_t body_limit_bytes,
-               uint32_t header_limit_bytes,
-               uint32_t request_timeout_ms,
-               uint32_t idle_timeout_ms)
+http_server_configure (http_server_t *http_server,
+                       uint32_t body_limit_bytes,
+                       uint32_t header_limit_bytes,
+                       uint32_t request_timeout_ms,
+                       uint32_t idle_timeout_ms)
 {
-  hsv_options_t *options = &hsv->options;
+  http_server_options_t *options = &http_server->options;
 
   options->body_limit_bytes = body_limit_bytes ? body_limit_bytes : options->body_limit_bytes;
   options->header_limit_bytes =
@@ -228,32 +230,32 @@
   options->request_timeout_ms =
       request_timeout_ms ? request_timeout_ms : options->request_timeout_ms;
   options->idle_timeout_ms = idle_timeout_ms ? idle_timeout_ms : options->idle_timeout_ms;
-  apply_limits (hsv);
+  apply_limits (http_server);
 }
 
 void
-hsv_say_close (hsv_t *hsv)
+http_server_announce_close (http_server_t *http_server)
 {
-  hsv->closing = true;
+  http_server->closing = true;
 }
 
 void
-hsv_stop (hsv_t *hsv)
+http_server_stop (http_server_t *http_server)
 {
   struct timeval at_once = { 0, 0 };
 
-  if (hsv->stopping)
+  if (http_server->stopping)
     return;
-  hsv->stopping = true;
-  hsv->closing = true;
-  event_add (hsv->unlisten, &at_once);
-  hsv_linger (hsv);
+  http_server->stopping = true;
+  http_server->closing = true;
+  event_add (http_server->unlisten, &at_once);
+  http_server_close_idle_later (http_server);
 }
 
 uint32_t
-hsv_busy (const hsv_t *hsv)
+http_server_busy_count (const http_server_t *http_server)
 {
-  if (!hsv->stopping)
-    return hsv->busy_count;
-  return hsv->open_count + (hsv->bound ? 1 : 0);
+  if (!http_server->stopping)
+    return http_server->busy_count;
+  return http_server->open_count + (http_server->bound ? 1 : 0);
 }
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -18,11 +18,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef struct hsv hsv_t;           /* a server: one listening socket and its connections */
-typedef struct hsv_call hsv_call_t; /* a request that has not been answered */
+typedef struct http_server http_server_t; /* a server: one listening socket and its connections */
+typedef struct http_server_call http_server_call_t; /* a request that has not been answered */
 
 /**
- * struct hsv_options - options of hsv_new()
+ * struct http_server_options - options of http_server_new()
  * @body_limit_bytes: a request with a longer body is rejected by 413
  * @header_limit_bytes: limit on request line and headers; a request over it is rejected by 431
  * @header_limit_count: a request with more headers is rejected by 431
@@ -50,87 +50,99 @@
   uint32_t idle_timeout_ms;
   uint32_t request_timeout_ms;
   uint32_t incomplete_limit_bytes;
-  void (*on_call) (hsv_call_t *call, void *context);
+  void (*on_call) (http_server_call_t *call, void *context);
   void *context;
-} hsv_options_t;
+} http_server_options_t;
 
-/** hsv_new() - start to listen. Return: NULL with @error set when the address can't be bound */
-hsv_t *hsv_new (const hsv_options_t *options, GError **error);
-/** hsv_free() - close all connections; pending calls end as if their client had disconnected. Must
- * not be called from within a callback of the server */
-void hsv_free (hsv_t *hsv);
-/** hsv_port() - the bound port, which the kernel chooses when @listen has port 0 */
-uint16_t hsv_port (const hsv_t *hsv);
-/** hsv_configure() - change the limits for new connections; 0 leaves a limit as it is */
-void hsv_configure (hsv_t *hsv,
-                    uint32_t body_limit_bytes,
-                    uint32_t header_limit_bytes,
-                    uint32_t request_timeout_ms,
-                    uint32_t idle_timeout_ms);
-/** hsv_say_close() - send "Connection: close" in all responses from now on, but keep listening: a
- * load balancer opens connections until it has noticed that the daemon is not ready */
-void hsv_say_close (hsv_t *hsv);
-/** hsv_hold() - accept no connection until hsv_release(); clients wait in the kernel's queue */
-void hsv_hold (hsv_t *hsv);
-/** hsv_release() - accept connections again after hsv_hold() */
-void hsv_release (hsv_t *hsv);
-/** hsv_stop() - stop listening and send "Connection: close" in all responses from now on.
+/** http_server_new() - start to listen. Return: NULL with @error set when the address can't be
+ * bound */
+http_server_t *http_server_new (const http_server_options_t *options, GError **error);
+/** http_server_free() - close all connections; pending calls end as if their client had
+ * disconnected. Must not be called from within a callback of the server */
+void http_server_free (http_server_t *http_server);
+/** http_server_port() - the bound port, which the kernel chooses when @listen has port 0 */
+uint16_t http_server_port (const http_server_t *http_server);
+/** http_server_configure() - change the limits for new connections; 0 leaves a limit as it is */
+void http_server_configure (http_server_t *http_server,
+                            uint32_t body_limit_bytes,
+                            uint32_t header_limit_bytes,
+                            uint32_t request_timeout_ms,
+                            uint32_t idle_timeout_ms);
+/** http_server_announce_close() - send "Connection: close" in all responses from now on, but keep
+ * listening: a load balancer opens connections until it has noticed that the daemon is not ready */
+void http_server_announce_close (http_server_t *http_server);
+/** http_server_pause_accepting() - accept no connection until http_server_resume_accepting();
+ * clients wait in the kernel's queue */
+void http_server_pause_accepting (http_server_t *http_server);
+/** http_server_resume_accepting() - accept connections again after http_server_pause_accepting() */
+void http_server_resume_accepting (http_server_t *http_server);
+/** http_server_stop() - stop listening and send "Connection: close" in all responses from now on.
  * Connections in the kernel's queue are still accepted. Idle ones are closed after
  * %LIM_HTTP_STOP_LINGER_MS, since a request may be on its way */
-void hsv_stop (hsv_t *hsv);
-/** hsv_busy() - number of calls that have not been answered or whose response has not been sent
- * completely. After hsv_stop(), the number of connections on which a request may still arrive is
- * included, and 0 is final */
-uint32_t hsv_busy (const hsv_t *hsv);
+void http_server_stop (http_server_t *http_server);
+/** http_server_busy_count() - number of calls that have not been answered or whose response has not
+ * been sent completely. After http_server_stop(), the number of connections on which a request may
+ * still arrive is included, and 0 is final */
+uint32_t http_server_busy_count (const http_server_t *http_server);
 
-/** hsv_method() - the request method in upper case */
-const char *hsv_method (const hsv_call_t *call);
-/** hsv_path() - the path without the query */
-const char *hsv_path (const hsv_call_t *call);
-/** hsv_target() - the request target as received: path and query */
-const char *hsv_target (const hsv_call_t *call);
-/** hsv_query() - the value of a query parameter, or NULL; valid until the call ends */
-const char *hsv_query (hsv_call_t *call, const char *name);
-/** hsv_header() - the value of a request header, or NULL */
-const char *hsv_header (const hsv_call_t *call, const char *name);
-/** hsv_headers() - all request headers */
-struct evkeyvalq *hsv_headers (const hsv_call_t *call);
-/** hsv_body() - the request body; not NUL-terminated; valid until the call is answered */
-const char *hsv_body (hsv_call_t *call, size_t *body_bytes);
-/** hsv_take_body() - remove the request body from the call. Return: the body, to be freed by
- * g_free(); NULL when it is empty */
-char *hsv_take_body (hsv_call_t *call, size_t *body_bytes);
+/** http_server_method() - the request method in upper case */
+const char *http_server_method (const http_server_call_t *call);
+/** http_server_path() - the path without the query */
+const char *http_server_path (const http_server_call_t *call);
+/** http_server_target() - the request target as received: path and query */
+const char *http_server_target (const http_server_call_t *call);
+/** http_server_query_value() - the value of a query parameter, or NULL; valid until the call ends
+ */
+const char *http_server_query_value (http_server_call_t *call, const char *name);
+/** http_server_request_header() - the value of a request header, or NULL */
+const char *http_server_request_header (const http_server_call_t *call, const char *name);
+/** http_server_request_headers() - all request headers */
+struct evkeyvalq *http_server_request_headers (const http_server_call_t *call);
+/** http_server_body() - the request body; not NUL-terminated; valid until the call is answered */
+const char *http_server_body (http_server_call_t *call, size_t *body_bytes);
+/** http_server_take_body() - remove the request body from the call. Return: the body, to be freed
+ * by g_free(); NULL when it is empty */
+char *http_server_take_body (http_server_call_t *call, size_t *body_bytes);
 
-/** hsv_on_gone() - set a callback for the case that, before hsv_reply() or hsv_end(), the client
- * closes its connection or its half of it, or accepts no bytes for the idle timeout. The call is
- * freed after @gone returns and must not be answered. Not called after hsv_abort() */
-void hsv_on_gone (hsv_call_t *call, void (*gone) (void *context), void *context);
-/** hsv_on_room() - set a callback for streamed responses, called after hsv_part() has returned
- * false once the queue has shrunk to less than half of %HSV_QUEUED_LIMIT_BYTES */
-void hsv_on_room (hsv_call_t *call, void (*room) (void *context), void *context);
+/** http_server_on_disconnect() - set a callback for the case that, before http_server_reply() or
+ * http_server_end_reply(), the client closes its connection or its half of it, or accepts no bytes
+ * for the idle timeout. The call is freed after @gone returns and must not be answered. Not called
+ * after http_server_abort() */
+void
+http_server_on_disconnect (http_server_call_t *call, void (*gone) (void *context), void *context);
+/** http_server_on_writable() - set a callback for streamed responses, called after
+ * http_server_send_part() has returned false once the queue has shrunk to less than half of
+ * %HTTP_SERVER_QUEUED_LIMIT_BYTES */
+void
+http_server_on_writable (http_server_call_t *call, void (*room) (void *context), void *context);
 
-/** hsv_add_header() - add a response header. One with a control character is dropped and counted.
- * Transfer-Encoding and Connection are set by the server and ignored here, except
+/** http_server_add_header() - add a response header. One with a control character is dropped and
+ * counted. Transfer-Encoding and Connection are set by the server and ignored here, except
  * "Connection: close" */
-void hsv_add_header (hsv_call_t *call, const char *name, const char *value);
-/** hsv_reply() - send a complete response and end the call. The response to HEAD has no body, but
- * the length of @body as Content-Length, unless one was added */
-void hsv_reply (hsv_call_t *call, int status, const void *body, size_t body_bytes);
-/** hsv_reply_text() - like hsv_reply(), for a NUL-terminated body with a content type */
-void hsv_reply_text (hsv_call_t *call, int status, const char *content_type, const char *text);
-/** hsv_begin() - start a response of unknown length: chunked, or for an HTTP/1.0 client ended by
- * closing the connection */
-void hsv_begin (hsv_call_t *call, int status);
-/** hsv_part() - send a part of a streamed response; empties @data. Return: false when more than
- * %HSV_QUEUED_LIMIT_BYTES are queued: wait for the callback of hsv_on_room() */
-bool hsv_part (hsv_call_t *call, struct evbuffer *data);
-/** hsv_end() - complete a streamed response and end the call */
-void hsv_end (hsv_call_t *call);
-/** hsv_abort() - end the call and close the connection in such a way that the client can't take the
- * part of the response that it has for the complete one */
-void hsv_abort (hsv_call_t *call);
+void http_server_add_header (http_server_call_t *call, const char *name, const char *value);
+/** http_server_reply() - send a complete response and end the call. The response to HEAD has no
+ * body, but the length of @body as Content-Length, unless one was added */
+void http_server_reply (http_server_call_t *call, int status, const void *body, size_t body_bytes);
+/** http_server_reply_text() - like http_server_reply(), for a NUL-terminated body with a content
+ * type */
+void http_server_reply_text (http_server_call_t *call,
+                             int status,
+                             const char *content_type,
+                             const char *text);
+/** http_server_begin_reply() - start a response of unknown length: chunked, or for an HTTP/1.0
+ * client ended by closing the connection */
+void http_server_begin_reply (http_server_call_t *call, int status);
+/** http_server_send_part() - send a part of a streamed response; empties @data. Return: false when
+ * more than %HTTP_SERVER_QUEUED_LIMIT_BYTES are queued: wait for the callback of
+ * http_server_on_writable() */
+bool http_server_send_part (http_server_call_t *call, struct evbuffer *data);
+/** http_server_end_reply() - complete a streamed response and end the call */
+void http_server_end_reply (http_server_call_t *call);
+/** http_server_abort() - end the call and close the connection in such a way that the client can't
+ * take the part of the response that it has for the complete one */
+void http_server_abort (http_server_call_t *call);
 
-#define HSV_QUEUED_LIMIT_BYTES                                                                     \
-  (256 * 1024) /* bytes queued for a client before hsv_part() says stop */
+#define HTTP_SERVER_QUEUED_LIMIT_BYTES                                                             \
+  (256 * 1024) /* bytes queued for a client before http_server_send_part() says stop */
 
 #endif
--- a/src/connection/http_server_call.c
+++ b/src/connection/http_server_call.c
@@ -4,10 +4,10 @@
 #include <event2/http_struct.h>
 #include <string.h>
 
-hsv_call_t *
-hsv_call_new (hsv_conn_t *conn, struct evhttp_request *request)
+http_server_call_t *
+http_server_call_new (http_server_conn_t *conn, struct evhttp_request *request)
 {
-  hsv_call_t *call = g_new0 (hsv_call_t, 1);
+  http_server_call_t *call = g_new0 (http_server_call_t, 1);
 
   call->conn = conn;
   call->request = request;
@@ -15,7 +15,7 @@
 }
 
 void
-hsv_call_free (hsv_call_t *call)
+http_server_call_free (http_server_call_t *call)
 {
   if (call->query_parsed)
     evhttp_clear_headers (&call->query);
@@ -26,20 +26,20 @@
 /* A disconnect of the client is no longer reported from here on. The connection still counts as
  * busy until the response has been sent */
 static void
-end_call (hsv_call_t *call)
+end_call (http_server_call_t *call)
 {
   call->conn->call = NULL;
-  hsv_call_free (call);
+  http_server_call_free (call);
 }
 
 static struct evkeyvalq *
-output_headers (const hsv_call_t *call)
+output_headers (const http_server_call_t *call)
 {
   return evhttp_request_get_output_headers (call->request);
 }
 
 static bool
-has_body (const hsv_call_t *call, int status)
+has_body (const http_server_call_t *call, int status)
 {
   if (evhttp_request_get_command (call->request) == EVHTTP_REQ_HEAD)
     return false;
@@ -47,20 +47,20 @@
 }
 
 static bool
-is_http_1_0 (const hsv_call_t *call)
+is_http_1_0 (const http_server_call_t *call)
 {
   return call->request->major < 1 || (call->request->major == 1 && call->request->minor < 1);
 }
 
 static void
-add_connection_close (const hsv_call_t *call)
+add_connection_close (const http_server_call_t *call)
 {
   evhttp_remove_header (output_headers (call), "Connection");
   evhttp_add_header (output_headers (call), "Connection", "close");
 }
 
 const char *
-hsv_method (const hsv_call_t *call)
+http_server_method (const http_server_call_t *call)
 {
   switch (evhttp_request_get_command (call->request))
     {
@@ -84,16 +84,16 @@
 }
 
 const char *
-hsv_target (const hsv_call_t *call)
+http_server_target (const http_server_call_t *call)
 {
   return evhttp_request_get_uri (call->request);
 }
 
 const char *
-hsv_path (const hsv_call_t *call)
+http_server_path (const http_server_call_t *call)
 {
-  hsv_call_t *mutable_call = (hsv_call_t *)call;
-  const char *target = hsv_target (call);
+  http_server_call_t *mutable_call = (http_server_call_t *)call;
+  const char *target = http_server_target (call);
 
   if (!mutable_call->path)
     mutable_call->path = g_strndup (target, strcspn (target, "?#"));
@@ -101,7 +101,7 @@
 }
 
 const char *
-hsv_query (hsv_call_t *call, const char *name)
+http_server_query_value (http_server_call_t *call, const char *name)
 {
   const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri (call->request);
   const char *text = evhttp_uri_get_query (uri);
@@ -117,19 +117,19 @@
 }
 
 const char *
-hsv_header (const hsv_call_t *call, const char *name)
+http_server_request_header (const http_server_call_t *call, const char *name)
 {
-  return evhttp_find_header (hsv_headers (call), name);
+  return evhttp_find_header (http_server_request_headers (call), name);
 }
 
 struct evkeyvalq *
-hsv_headers (const hsv_call_t *call)
+http_server_request_headers (const http_server_call_t *call)
 {
   return evhttp_request_get_input_headers (call->request);
 }
 
 const char *
-hsv_body (hsv_call_t *call, size_t *body_bytes)
+http_server_body (http_server_call_t *call, size_t *body_bytes)
 {
   struct evbuffer *body = evhttp_request_get_input_buffer (call->request);
 
@@ -140,7 +140,7 @@
 }
 
 char *
-hsv_take_body (hsv_call_t *call, size_t *body_bytes)
+http_server_take_body (http_server_call_t *call, size_t *body_bytes)
 {
   struct evbuffer *body = evhttp_request_get_input_buffer (call->request);
   char *taken;
@@ -154,25 +154,25 @@
 }
 
 void
-hsv_on_gone (hsv_call_t *call, void (*gone) (void *context), void *context)
+http_server_on_disconnect (http_server_call_t *call, void (*gone) (void *context), void *context)
 {
   call->gone = gone;
   call->gone_context = context;
 }
 
 void
-hsv_on_room (hsv_call_t *call, void (*room) (void *context), void *context)
+http_server_on_writable (http_server_call_t *call, void (*room) (void *context), void *context)
 {
   call->room = room;
   call->room_context = context;
 }
 
 void
-hsv_add_header (hsv_call_t *call, const char *name, const char *value)
+http_server_add_header (http_server_call_t *call, const char *name, const char *value)
 {
-  if (!frm_name_ok (name) || !frm_value_ok (value))
+  if (!http_framing_is_valid_name (name) || !http_framing_is_valid_value (value))
     {
-      cnt_add (call->conn->hsv->bad_headers, 1);
+      cnt_add (call->conn->http_server->bad_headers, 1);
       return;
     }
   if (g_ascii_strcasecmp (name, "Transfer-Encoding") == 0)
@@ -186,7 +186,7 @@
 /* Without a length on HTTP/1.0, or with a body where none is allowed, the client could not tell
  * where the next response starts */
 static void
-declare_length (hsv_call_t *call, int status, size_t body_bytes)
+declare_length (http_server_call_t *call, int status, size_t body_bytes)
 {
   bool is_head = evhttp_request_get_command (call->request) == EVHTTP_REQ_HEAD;
   bool is_declared = evhttp_find_header (output_headers (call), "Content-Length") != NULL;
@@ -203,7 +203,7 @@
 }
 
 void
-hsv_reply (hsv_call_t *call, int status, const void *body, size_t body_bytes)
+http_server_reply (http_server_call_t *call, int status, const void *body, size_t body_bytes)
 {
   struct evhttp_request *request = call->request;
   struct evbuffer *buffer = evbuffer_new ();
@@ -212,7 +212,7 @@
   declare_length (call, status, body_bytes);
   if (has_body (call, status))
     evbuffer_add (buffer, body, body_bytes);
-  if (call->conn->hsv->closing)
+  if (call->conn->http_server->closing)
     add_connection_close (call);
   end_call (call);
   evhttp_send_reply (request, status, NULL, buffer);
@@ -220,39 +220,42 @@
 }
 
 void
-hsv_reply_text (hsv_call_t *call, int status, const char *content_type, const char *text)
+http_server_reply_text (http_server_call_t *call,
+                        int status,
+                        const char *content_type,
+                        const char *text)
 {
-  hsv_add_header (call, "Content-Type", content_type);
-  hsv_reply (call, status, text, strlen (text));
+  http_server_add_header (call, "Content-Type", content_type);
+  http_server_reply (call, status, text, strlen (text));
 }
 
 void
-hsv_begin (hsv_call_t *call, int status)
+http_server_begin_reply (http_server_call_t *call, int status)
 {
   g_assert (!call->begun);
   call->begun = true;
   if (has_body (call, status))
     while (evhttp_remove_header (output_headers (call), "Content-Length") == 0)
       ;
-  if (call->conn->hsv->closing || is_http_1_0 (call))
+  if (call->conn->http_server->closing || is_http_1_0 (call))
     add_connection_close (call);
   evhttp_send_reply_start (call->request, status, NULL);
 }
 
 bool
-hsv_part (hsv_call_t *call, struct evbuffer *data)
+http_server_send_part (http_server_call_t *call, struct evbuffer *data)
 {
   struct evbuffer *output = bufferevent_get_output (call->conn->bev);
 
   g_assert (call->begun);
   evhttp_send_reply_chunk (call->request, data);
   evbuffer_drain (data, evbuffer_get_length (data)); /* not sent when no body is allowed */
-  call->full |= evbuffer_get_length (output) > HSV_QUEUED_LIMIT_BYTES;
+  call->full |= evbuffer_get_length (output) > HTTP_SERVER_QUEUED_LIMIT_BYTES;
   return !call->full;
 }
 
 void
-hsv_end (hsv_call_t *call)
+http_server_end_reply (http_server_call_t *call)
 {
   struct evhttp_request *request = call->request;
 
@@ -262,12 +265,12 @@
 }
 
 void
-hsv_abort (hsv_call_t *call)
+http_server_abort (http_server_call_t *call)
 {
-  hsv_conn_t *conn = call->conn;
+  http_server_conn_t *conn = call->conn;
 
   conn->closing = true;
   conn->close_by_reset = is_http_1_0 (call);
   end_call (call);
-  hsv_conn_soon (conn);
+  http_server_conn_defer (conn);
 }
--- a/src/connection/http_server_check.c
+++ b/src/connection/http_server_check.c
@@ -16,56 +16,57 @@
 typedef struct
 {
   int status;
-  hsv_refused_t refused;
+  http_server_refusal_t refused;
   const char *type;
   const char *code;
   const char *message;
 } rejection_t;
 
-static const rejection_t over_limit = { 503, HSV_REFUSED_CONNECTIONS, "overloaded",
+static const rejection_t over_limit = { 503, HTTP_SERVER_REFUSED_CONNECTIONS, "overloaded",
                                         "too_many_connections",
                                         "too many connections are open; try again later" };
 static const rejection_t too_many_incomplete = {
-  503, HSV_REFUSED_BODY, "overloaded", "too_many_bytes",
+  503, HTTP_SERVER_REFUSED_BODY, "overloaded", "too_many_bytes",
   "too many long requests come at once; try again later"
 };
-static const rejection_t bad_framing = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_framing",
+static const rejection_t bad_framing = { 400, HTTP_SERVER_REFUSED_MALFORMED, "invalid_request",
+                                         "bad_framing",
                                          "the length of the body is not declared soundly" };
-static const rejection_t bad_target = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_target",
-                                        "the request target is malformed" };
-static const rejection_t bad_request = { 400, HSV_REFUSED_BAD, "invalid_request", "bad_request",
-                                         "the request is malformed" };
-static const rejection_t bad_method = { 501, HSV_REFUSED_BAD, "invalid_request", "bad_method",
-                                        "the method is not supported" };
-static const rejection_t bad_expectation = { 417, HSV_REFUSED_BAD, "invalid_request",
+static const rejection_t bad_target = { 400, HTTP_SERVER_REFUSED_MALFORMED, "invalid_request",
+                                        "bad_target", "the request target is malformed" };
+static const rejection_t bad_request = { 400, HTTP_SERVER_REFUSED_MALFORMED, "invalid_request",
+                                         "bad_request", "the request is malformed" };
+static const rejection_t bad_method = { 501, HTTP_SERVER_REFUSED_MALFORMED, "invalid_request",
+                                        "bad_method", "the method is not supported" };
+static const rejection_t bad_expectation = { 417, HTTP_SERVER_REFUSED_MALFORMED, "invalid_request",
                                              "bad_expectation",
                                              "the expectation is not supported" };
-static const rejection_t large_headers = { 431, HSV_REFUSED_HEADERS, "invalid_request",
+static const rejection_t large_headers = { 431, HTTP_SERVER_REFUSED_HEADERS, "invalid_request",
                                            "headers_too_large",
                                            "the headers are too many or too large" };
-static const rejection_t large_body = { 413, HSV_REFUSED_BODY, "invalid_request", "body_too_large",
-                                        "the body is too large" };
-static const rejection_t internal = { 500, HSV_REFUSED_BAD, "internal", "internal",
+static const rejection_t large_body = { 413, HTTP_SERVER_REFUSED_BODY, "invalid_request",
+                                        "body_too_large", "the body is too large" };
+static const rejection_t internal = { 500, HTTP_SERVER_REFUSED_MALFORMED, "internal", "internal",
                                       "the request could not be read" };
 
 static char *
-rejection_body (hsv_t *hsv, const rejection_t *rejection)
+rejection_body (http_server_t *http_server, const rejection_t *rejection)
 {
-  cnt_add (hsv->refused[rejection->refused], 1);
-  return err_body (rejection->message, rejection->type, rejection->code,
-                   verdict_to_string (VERDICT_NOT_RUN));
+  cnt_add (http_server->refused[rejection->refused], 1);
+  return http_error_body (rejection->message, rejection->type, rejection->code,
+                          verdict_to_string (VERDICT_NOT_RUN));
 }
 
 static void
-reject (hsv_call_t *call, const rejection_t *rejection)
+reject (http_server_call_t *call, const rejection_t *rejection)
 {
-  char *body = rejection_body (call->conn->hsv, rejection);
+  char *body = rejection_body (call->conn->http_server, rejection);
 
   call->conn->drain_input = true;
-  hsv_conn_dup (call->conn);
-  hsv_add_header (call, "Connection", "close");
-  hsv_add_header (call, VERDICT_HEADER, verdict_to_string (VERDICT_NOT_RUN));
-  hsv_reply_text (call, rejection->status, "application/json", body);
+  http_server_conn_dup_fd (call->conn);
+  http_server_add_header (call, "Connection", "close");
+  http_server_add_header (call, VERDICT_HEADER, verdict_to_string (VERDICT_NOT_RUN));
+  http_server_reply_text (call, rejection->status, "application/json", body);
   g_free (body);
 }
 
@@ -81,13 +82,13 @@
 }
 
 static bool
-is_valid_target (const hsv_call_t *call)
+is_valid_target (const http_server_call_t *call)
 {
-  const char *target = hsv_target (call);
+  const char *target = http_server_target (call);
 
   if (strcmp (target, "*") == 0)
     return evhttp_request_get_command (call->request) == EVHTTP_REQ_OPTIONS;
-  return frm_target_ok (target);
+  return http_framing_is_valid_target (target);
 }
 
 /*
@@ -96,18 +97,18 @@
  * one client account's body would be executed as a request of their own.
  */
 static bool
-is_valid_framing (const hsv_call_t *call)
+is_valid_framing (const http_server_call_t *call)
 {
-  const struct evkeyvalq *headers = hsv_headers (call);
+  const struct evkeyvalq *headers = http_server_request_headers (call);
   struct evbuffer *body = evhttp_request_get_input_buffer (call->request);
 
-  switch (frm_of (headers))
+  switch (http_framing_detect (headers))
     {
-    case FRM_NONE:
+    case HTTP_FRAMING_NONE:
       return evbuffer_get_length (body) == 0;
-    case FRM_LENGTH:
-      return evbuffer_get_length (body) == frm_length (headers);
-    case FRM_CHUNKED:
+    case HTTP_FRAMING_LENGTH:
+      return evbuffer_get_length (body) == http_framing_content_length (headers);
+    case HTTP_FRAMING_CHUNKED:
       return call->request->chunked;
     default:
       return false;
@@ -117,18 +118,19 @@
 /* The HTTP client refuses to send a value with control characters. A daemon that passed the request
  * on would take this for an unreachable host, so one client could make it suspect all hosts. */
 static bool
-are_valid_values (const hsv_call_t *call)
+are_valid_values (const http_server_call_t *call)
 {
   const struct evkeyval *header;
 
-  for (header = hsv_headers (call)->tqh_first; header; header = header->next.tqe_next)
-    if (!frm_value_ok (header->value))
+  for (header = http_server_request_headers (call)->tqh_first; header;
+       header = header->next.tqe_next)
+    if (!http_framing_is_valid_value (header->value))
       return false;
   return true;
 }
 
 bool
-hsv_check (hsv_call_t *call)
+http_server_check_request (http_server_call_t *call)
 {
   const rejection_t *rejection = NULL;
 
@@ -136,7 +138,8 @@
     rejection = &over_limit;
   else if (!is_valid_framing (call))
     rejection = &bad_framing;
-  else if (header_count (hsv_headers (call)) > call->conn->hsv->options.header_limit_count)
+  else if (header_count (http_server_request_headers (call)) >
+           call->conn->http_server->options.header_limit_count)
     rejection = &large_headers;
   else if (!is_valid_target (call))
     rejection = &bad_target;
@@ -150,18 +153,18 @@
 /* libevent reports headers over the limit as a bad request. Detects them by the number of bytes
  * that it has consumed, plus those of a line without an end that it could not consume */
 static bool
-headers_over_limit (hsv_conn_t *conn)
+headers_over_limit (http_server_conn_t *conn)
 {
   struct evbuffer *input = bufferevent_get_input (conn->bev);
   uint64_t bytes = conn->read_bytes;
 
   if (evbuffer_search_eol (input, NULL, NULL, EVBUFFER_EOL_LF).pos < 0)
     bytes += evbuffer_get_length (input);
-  return bytes > conn->hsv->options.header_limit_bytes;
+  return bytes > conn->http_server->options.header_limit_bytes;
 }
 
 static const rejection_t *
-rejection_for_status (hsv_conn_t *conn, int status)
+rejection_for_status (http_server_conn_t *conn, int status)
 {
   switch (status)
     {
@@ -194,18 +197,18 @@
 /* Writes to the socket directly, since libevent is in the middle of reading and would not send. The
  * response is small enough for the empty send buffer of the socket. */
 void
-hsv_turn_away (hsv_conn_t *conn)
+http_server_reject_incomplete (http_server_conn_t *conn)
 {
-  g_autofree char *body = rejection_body (conn->hsv, &too_many_incomplete);
+  g_autofree char *body = rejection_body (conn->http_server, &too_many_incomplete);
   g_autofree char *page = format_response (&too_many_incomplete, body);
 
   conn->drain_input = true;
-  if (hsv_conn_dup (conn) >= 0)
+  if (http_server_conn_dup_fd (conn) >= 0)
     send (conn->dup_fd, page, strlen (page), MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
 void
-hsv_restyle (hsv_conn_t *conn)
+http_server_replace_error_page (http_server_conn_t *conn)
 {
   struct evbuffer *output = bufferevent_get_output (conn->bev);
   char head[sizeof "HTTP/1.1 400"] = "";
@@ -219,9 +222,9 @@
   if (status < 400)
     return;
   rejection = rejection_for_status (conn, status);
-  body = rejection_body (conn->hsv, rejection);
+  body = rejection_body (conn->http_server, rejection);
   conn->drain_input = true;
-  hsv_conn_dup (conn);
+  http_server_conn_dup_fd (conn);
   /* a bufferevent freezes its output buffer, of which nothing has been sent yet */
   evbuffer_unfreeze (output, 1);
   evbuffer_drain (output, evbuffer_get_length (output));
--- a/src/connection/http_server_conn.c
+++ b/src/connection/http_server_conn.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 evutil_socket_t
-hsv_conn_dup (hsv_conn_t *conn)
+http_server_conn_dup_fd (http_server_conn_t *conn)
 {
   if (conn->dup_fd < 0)
     conn->dup_fd = fcntl (bufferevent_getfd (conn->bev), F_DUPFD_CLOEXEC, 0);
@@ -16,14 +16,14 @@
 }
 
 static void
-set_accepting (hsv_t *hsv, bool accepting)
+set_accepting (http_server_t *http_server, bool accepting)
 {
   struct evconnlistener *listener;
 
-  if (!hsv->bound || hsv->paused == !accepting)
+  if (!http_server->bound || http_server->paused == !accepting)
     return;
-  hsv->paused = !accepting;
-  listener = evhttp_bound_socket_get_listener (hsv->bound);
+  http_server->paused = !accepting;
+  listener = evhttp_bound_socket_get_listener (http_server->bound);
   if (accepting)
     evconnlistener_enable (listener);
   else
@@ -31,36 +31,36 @@
 }
 
 void
-hsv_hold (hsv_t *hsv)
+http_server_pause_accepting (http_server_t *http_server)
 {
-  set_accepting (hsv, false);
+  set_accepting (http_server, false);
 }
 
 void
-hsv_release (hsv_t *hsv)
+http_server_resume_accepting (http_server_t *http_server)
 {
-  set_accepting (hsv, true);
+  set_accepting (http_server, true);
 }
 
 /* Updates the server's sum of incomplete requests too */
 static void
-set_incomplete_bytes (hsv_conn_t *conn, uint64_t incomplete_bytes)
+set_incomplete_bytes (http_server_conn_t *conn, uint64_t incomplete_bytes)
 {
-  conn->hsv->incomplete_bytes += incomplete_bytes - conn->incomplete_bytes;
+  conn->http_server->incomplete_bytes += incomplete_bytes - conn->incomplete_bytes;
   conn->incomplete_bytes = incomplete_bytes;
 }
 
-static hsv_conn_t *
-find_largest_incomplete (hsv_t *hsv)
+static http_server_conn_t *
+find_largest_incomplete (http_server_t *http_server)
 {
-  hsv_conn_t *largest = NULL;
+  http_server_conn_t *largest = NULL;
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, hsv->conns);
+  g_hash_table_iter_init (&iter, http_server->conns);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      hsv_conn_t *conn = value;
+      http_server_conn_t *conn = value;
 
       if (!conn->evicted && (!largest || conn->incomplete_bytes > largest->incomplete_bytes))
         largest = conn;
@@ -74,32 +74,32 @@
  * first, so that short requests of others are not affected.
  */
 static void
-evict_incomplete (hsv_t *hsv)
+evict_incomplete (http_server_t *http_server)
 {
-  hsv_conn_t *largest;
+  http_server_conn_t *largest;
 
-  while (hsv->incomplete_bytes > hsv->options.incomplete_limit_bytes &&
-         (largest = find_largest_incomplete (hsv)))
+  while (http_server->incomplete_bytes > http_server->options.incomplete_limit_bytes &&
+         (largest = find_largest_incomplete (http_server)))
     {
       largest->evicted = true;
       set_incomplete_bytes (largest, 0);
       bufferevent_disable (largest->bev, EV_READ);
-      hsv_conn_soon (largest);
+      http_server_conn_defer (largest);
     }
 }
 
 /* libevent may keep the bufferevent, so all callbacks with a pointer to @conn are removed from it
  */
 static void
-conn_free (hsv_conn_t *conn)
+conn_free (http_server_conn_t *conn)
 {
-  hsv_t *hsv = conn->hsv;
+  http_server_t *http_server = conn->http_server;
 
   if (conn->busy)
-    hsv->busy_count--;
+    http_server->busy_count--;
   set_incomplete_bytes (conn, 0);
-  hsv->open_count--;
-  cnt_add (hsv->connections, UINT64_MAX);
+  http_server->open_count--;
+  cnt_add (http_server->connections, UINT64_MAX);
   evbuffer_remove_cb_entry (bufferevent_get_input (conn->bev), conn->input_cb);
   evbuffer_remove_cb_entry (bufferevent_get_output (conn->bev), conn->output_cb);
   event_free (conn->deferred);
@@ -107,11 +107,11 @@
   if (conn->disconnect_watch)
     event_free (conn->disconnect_watch);
   if (conn->dup_fd >= 0 && conn->drain_input)
-    hsv_drain_start (hsv, conn->dup_fd);
+    http_server_drain_start (http_server, conn->dup_fd);
   else if (conn->dup_fd >= 0)
     evutil_closesocket (conn->dup_fd);
   g_free (conn);
-  set_accepting (hsv, true);
+  set_accepting (http_server, true);
 }
 
 /*
@@ -122,21 +122,21 @@
 static void
 on_close (struct evhttp_connection *evcon, void *context)
 {
-  hsv_conn_t *conn = context;
+  http_server_conn_t *conn = context;
   struct evhttp_request *request = conn->request;
-  hsv_call_t *call = conn->call;
-  hsv_t *hsv = conn->hsv;
+  http_server_call_t *call = conn->call;
+  http_server_t *http_server = conn->http_server;
 
-  g_hash_table_remove (hsv->conns, evcon);
+  g_hash_table_remove (http_server->conns, evcon);
   conn->call = NULL;
   if (request && evhttp_request_get_connection (request))
     request = NULL;
   if (call)
     {
-      cnt_add (hsv->gone, 1);
+      cnt_add (http_server->gone, 1);
       if (call->gone)
         call->gone (call->gone_context);
-      hsv_call_free (call);
+      http_server_call_free (call);
     }
   if (request)
     evhttp_request_free (request);
@@ -149,7 +149,7 @@
  * AF_UNSPEC sends the reset at once, before libevent shuts the socket down.
  */
 static void
-reset_socket (hsv_conn_t *conn)
+reset_socket (http_server_conn_t *conn)
 {
   struct sockaddr no_address = { .sa_family = AF_UNSPEC };
 
@@ -160,15 +160,15 @@
 static void
 on_deferred (evutil_socket_t fd, short what, void *context)
 {
-  hsv_conn_t *conn = context;
+  http_server_conn_t *conn = context;
 
   (void)fd;
   (void)what;
-  if (!conn->evcon && !hsv_conn_adopt (conn))
+  if (!conn->evcon && !http_server_conn_attach (conn))
     return;
   if (conn->evicted && !conn->busy)
     {
-      hsv_turn_away (conn);
+      http_server_reject_incomplete (conn);
       evhttp_connection_free (conn->evcon);
       return;
     }
@@ -185,7 +185,7 @@
   if (conn->check_error_page)
     {
       conn->check_error_page = false;
-      hsv_restyle (conn);
+      http_server_replace_error_page (conn);
     }
   if (conn->notify_writable)
     {
@@ -196,7 +196,7 @@
 }
 
 void
-hsv_conn_soon (hsv_conn_t *conn)
+http_server_conn_defer (http_server_conn_t *conn)
 {
   event_active (conn->deferred, EV_TIMEOUT, 0);
 }
@@ -206,25 +206,25 @@
 static void
 on_request_timeout (evutil_socket_t fd, short what, void *context)
 {
-  hsv_conn_t *conn = context;
+  http_server_conn_t *conn = context;
 
   (void)fd;
   (void)what;
-  cnt_add (conn->hsv->refused[HSV_REFUSED_SLOW], 1);
+  cnt_add (conn->http_server->refused[HTTP_SERVER_REFUSED_SLOW], 1);
   evhttp_connection_free (conn->evcon);
 }
 
 static void
-start_request_timer (hsv_conn_t *conn)
+start_request_timer (http_server_conn_t *conn)
 {
   if (!conn->busy && !evtimer_pending (conn->request_timer, NULL))
-    event_add (conn->request_timer, &conn->hsv->request_timeout);
+    event_add (conn->request_timer, &conn->http_server->request_timeout);
 }
 
 static void
 on_input (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *context)
 {
-  hsv_conn_t *conn = context;
+  http_server_conn_t *conn = context;
 
   (void)buffer;
   conn->read_bytes += info->n_deleted;
@@ -234,30 +234,30 @@
   if (conn->busy || conn->evicted)
     return;
   set_incomplete_bytes (conn, conn->incomplete_bytes + info->n_added);
-  if (conn->hsv->incomplete_bytes > conn->hsv->options.incomplete_limit_bytes)
-    evict_incomplete (conn->hsv);
+  if (conn->http_server->incomplete_bytes > conn->http_server->options.incomplete_limit_bytes)
+    evict_incomplete (conn->http_server);
 }
 
 /* Runs while libevent writes, so it only sets flags; on_deferred() does the work */
 static void
 on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *context)
 {
-  hsv_conn_t *conn = context;
-  bool half_empty = evbuffer_get_length (buffer) < HSV_QUEUED_LIMIT_BYTES / 2;
+  http_server_conn_t *conn = context;
+  bool half_empty = evbuffer_get_length (buffer) < HTTP_SERVER_QUEUED_LIMIT_BYTES / 2;
 
   if (conn->closing && info->n_deleted > 0 && evbuffer_get_length (buffer) == 0)
-    hsv_conn_soon (conn);
+    http_server_conn_defer (conn);
 
   if (info->n_added > 0 && !conn->busy && !conn->check_error_page)
     {
       conn->check_error_page = true;
-      hsv_conn_soon (conn);
+      http_server_conn_defer (conn);
     }
   if (info->n_deleted > 0 && half_empty && conn->call && conn->call->full)
     {
       conn->call->full = false;
       conn->notify_writable = true;
-      hsv_conn_soon (conn);
+      http_server_conn_defer (conn);
     }
 }
 
@@ -267,13 +267,13 @@
  * calls this in the same iteration of the event loop, before any event of the socket.
  */
 bool
-hsv_conn_adopt (hsv_conn_t *conn)
+http_server_conn_attach (http_server_conn_t *conn)
 {
   struct bufferevent *bev = conn->bev;
   void *evcon = NULL;
 
   bufferevent_getcb (bev, NULL, NULL, NULL, &evcon);
-  g_hash_table_remove (conn->hsv->new_conns, bev);
+  g_hash_table_remove (conn->http_server->new_conns, bev);
   if (!evcon)
     {
       conn_free (conn);
@@ -281,40 +281,42 @@
       return false;
     }
   conn->evcon = evcon;
-  g_hash_table_insert (conn->hsv->conns, evcon, conn);
+  g_hash_table_insert (conn->http_server->conns, evcon, conn);
   evhttp_connection_set_closecb (evcon, on_close, conn);
   bufferevent_decref (bev);
   return true;
 }
 
 struct bufferevent *
-hsv_conn_make (struct event_base *base, void *context)
+http_server_conn_new (struct event_base *base, void *context)
 {
-  hsv_t *hsv = context;
+  http_server_t *http_server = context;
   struct bufferevent *bev = bufferevent_socket_new (base, -1, 0);
-  hsv_conn_t *conn;
+  http_server_conn_t *conn;
   size_t input_limit_bytes;
 
   if (!bev)
     return NULL;
-  conn = g_new0 (hsv_conn_t, 1);
-  conn->hsv = hsv;
+  conn = g_new0 (http_server_conn_t, 1);
+  conn->http_server = http_server;
   conn->bev = bev;
   conn->dup_fd = -1;
   conn->deferred = event_new (base, -1, 0, on_deferred, conn);
   conn->request_timer = evtimer_new (base, on_request_timeout, conn);
   conn->input_cb = evbuffer_add_cb (bufferevent_get_input (bev), on_input, conn);
   conn->output_cb = evbuffer_add_cb (bufferevent_get_output (bev), on_output, conn);
-  conn->over_limit = ++hsv->open_count > hsv->options.connection_limit;
-  cnt_add (hsv->connections, 1);
+  conn->over_limit = ++http_server->open_count > http_server->options.connection_limit;
+  cnt_add (http_server->connections, 1);
   /* while a response is sent, libevent keeps reading without parsing: limit what it can buffer */
-  input_limit_bytes = (size_t)hsv->options.body_limit_bytes + hsv->options.header_limit_bytes;
+  input_limit_bytes =
+      (size_t)http_server->options.body_limit_bytes + http_server->options.header_limit_bytes;
   bufferevent_setwatermark (bev, EV_READ, 0, input_limit_bytes + 1024);
   bufferevent_incref (bev);
-  g_hash_table_insert (hsv->new_conns, bev, conn);
-  hsv_conn_soon (conn);
-  if (hsv->open_count >= (uint64_t)hsv->options.connection_limit + LIM_HTTP_OVER_LIMIT)
-    set_accepting (hsv, false);
+  g_hash_table_insert (http_server->new_conns, bev, conn);
+  http_server_conn_defer (conn);
+  if (http_server->open_count >=
+      (uint64_t)http_server->options.connection_limit + LIM_HTTP_OVER_LIMIT)
+    set_accepting (http_server, false);
   return bev;
 }
 
@@ -331,7 +333,7 @@
 static void
 on_socket_event (evutil_socket_t fd, short what, void *context)
 {
-  hsv_conn_t *conn = context;
+  http_server_conn_t *conn = context;
 
   (void)what;
   if (conn->busy && caller_closed (fd))
@@ -346,13 +348,13 @@
  * event for the close alone would fire endlessly after a reset.
  */
 static void
-watch_disconnect (hsv_conn_t *conn)
+watch_disconnect (http_server_conn_t *conn)
 {
   short events = EV_READ | EV_CLOSED | EV_ET | EV_PERSIST;
 
-  if (!conn->disconnect_watch && hsv_conn_dup (conn) >= 0)
+  if (!conn->disconnect_watch && http_server_conn_dup_fd (conn) >= 0)
     conn->disconnect_watch =
-        event_new (conn->hsv->options.base, conn->dup_fd, events, on_socket_event, conn);
+        event_new (conn->http_server->options.base, conn->dup_fd, events, on_socket_event, conn);
   if (conn->disconnect_watch)
     event_add (conn->disconnect_watch, NULL);
 }
@@ -360,30 +362,32 @@
 static void
 on_response_sent (struct evhttp_request *request, void *context)
 {
-  hsv_conn_t *conn = context;
+  http_server_conn_t *conn = context;
 
   (void)request;
   conn->request = NULL;
   conn->busy = false;
-  conn->hsv->busy_count--;
+  conn->http_server->busy_count--;
   conn->read_bytes = 0;
   set_incomplete_bytes (conn, evbuffer_get_length (bufferevent_get_input (conn->bev)));
   if (conn->disconnect_watch)
     event_del (conn->disconnect_watch);
-  bufferevent_set_timeouts (conn->bev, &conn->hsv->idle_timeout, &conn->hsv->idle_timeout);
+  bufferevent_set_timeouts (conn->bev, &conn->http_server->idle_timeout,
+                            &conn->http_server->idle_timeout);
   if (evbuffer_get_length (bufferevent_get_input (conn->bev)) > 0)
     start_request_timer (conn);
-  if (conn->hsv->stopping)
-    hsv_linger (conn->hsv); /* the response may have been sent without "Connection: close" */
+  if (conn->http_server->stopping)
+    http_server_close_idle_later (
+        conn->http_server); /* the response may have been sent without "Connection: close" */
 }
 
 void
-hsv_conn_take (struct evhttp_request *request, void *context)
+http_server_handle_request (struct evhttp_request *request, void *context)
 {
-  hsv_t *hsv = context;
+  http_server_t *http_server = context;
   struct evhttp_connection *evcon = evhttp_request_get_connection (request);
-  hsv_conn_t *conn = g_hash_table_lookup (hsv->conns, evcon);
-  hsv_call_t *call;
+  http_server_conn_t *conn = g_hash_table_lookup (http_server->conns, evcon);
+  http_server_call_t *call;
 
   if (!conn)
     {
@@ -394,24 +398,24 @@
   set_incomplete_bytes (conn, 0);
   conn->evicted = false; /* its rest arrived before it was rejected */
   conn->busy = true;
-  hsv->busy_count++;
-  cnt_add (hsv->requests, 1);
+  http_server->busy_count++;
+  cnt_add (http_server->requests, 1);
   conn->request = request;
   evhttp_request_set_on_complete_cb (request, on_response_sent, conn);
   /* libevent also reads while it writes: a client that waits for its response must not time out */
-  bufferevent_set_timeouts (conn->bev, NULL, &hsv->idle_timeout);
-  call = hsv_call_new (conn, request);
+  bufferevent_set_timeouts (conn->bev, NULL, &http_server->idle_timeout);
+  call = http_server_call_new (conn, request);
   conn->call = call;
-  if (hsv_check (call))
+  if (http_server_check_request (call))
     return;
-  hsv->options.on_call (call, hsv->options.context);
-  conn = g_hash_table_lookup (hsv->conns, evcon);
+  http_server->options.on_call (call, http_server->options.context);
+  conn = g_hash_table_lookup (http_server->conns, evcon);
   if (conn && conn->call)
     watch_disconnect (conn);
 }
 
 bool
-hsv_conn_idle (hsv_conn_t *conn)
+http_server_conn_is_idle (http_server_conn_t *conn)
 {
   int unread = 0;
 
--- a/src/connection/http_server_drain.c
+++ b/src/connection/http_server_drain.c
@@ -9,13 +9,13 @@
 #include <sys/socket.h>
 
 /**
- * struct hsv_drain - a socket whose input is discarded
+ * struct http_server_drain - a socket whose input is discarded
  * @timer: closes the socket after %LIM_HTTP_DRAIN_MS
  * @read_bytes: discarded so far
  */
-struct hsv_drain
+struct http_server_drain
 {
-  hsv_t *hsv;
+  http_server_t *http_server;
   evutil_socket_t fd;
   struct event *readable;
   struct event *timer;
@@ -23,9 +23,9 @@
 };
 
 void
-hsv_drain_free (hsv_drain_t *drain)
+http_server_drain_free (http_server_drain_t *drain)
 {
-  g_hash_table_remove (drain->hsv->drains, drain);
+  g_hash_table_remove (drain->http_server->drains, drain);
   event_free (drain->readable);
   event_free (drain->timer);
   evutil_closesocket (drain->fd);
@@ -35,7 +35,7 @@
 static void
 on_readable (evutil_socket_t fd, short what, void *context)
 {
-  hsv_drain_t *drain = context;
+  http_server_drain_t *drain = context;
   char bytes[16 * 1024];
   ssize_t count = recv (fd, bytes, sizeof bytes, MSG_DONTWAIT);
 
@@ -45,7 +45,7 @@
   if (count > 0)
     drain->read_bytes += (uint64_t)count;
   if (count <= 0 || drain->read_bytes > LIM_HTTP_DRAIN_BYTES)
-    hsv_drain_free (drain);
+    http_server_drain_free (drain);
 }
 
 static void
@@ -53,27 +53,27 @@
 {
   (void)fd;
   (void)what;
-  hsv_drain_free (context);
+  http_server_drain_free (context);
 }
 
 void
-hsv_drain_start (hsv_t *hsv, evutil_socket_t fd)
+http_server_drain_start (http_server_t *http_server, evutil_socket_t fd)
 {
-  struct event_base *base = hsv->options.base;
+  struct event_base *base = http_server->options.base;
   struct timeval limit = { LIM_HTTP_DRAIN_MS / 1000, 0 };
-  hsv_drain_t *drain;
+  http_server_drain_t *drain;
 
-  if (g_hash_table_size (hsv->drains) >= LIM_HTTP_DRAINS)
+  if (g_hash_table_size (http_server->drains) >= LIM_HTTP_DRAINS)
     {
       evutil_closesocket (fd);
       return;
     }
-  drain = g_new0 (hsv_drain_t, 1);
-  drain->hsv = hsv;
+  drain = g_new0 (http_server_drain_t, 1);
+  drain->http_server = http_server;
   drain->fd = fd;
   drain->readable = event_new (base, fd, EV_READ | EV_PERSIST, on_readable, drain);
   drain->timer = evtimer_new (base, on_timeout, drain);
   event_add (drain->readable, NULL);
   event_add (drain->timer, &limit);
-  g_hash_table_add (hsv->drains, drain);
+  g_hash_table_add (http_server->drains, drain);
 }
--- a/src/connection/platform.h
+++ b/src/connection/platform.h
@@ -19,14 +19,14 @@
 
 typedef enum
 {
-  PLT_OK,
-  PLT_REFUSED, /* failed, and certain to have had no effect */
-  PLT_UNKNOWN, /* unreachable, timed out or invalid response: may have had an effect */
-  PLT_EXPIRED  /* of a read: the requested records are no longer retained */
-} plt_outcome_t;
+  PLATFORM_OK,
+  PLATFORM_REFUSED, /* failed, and certain to have had no effect */
+  PLATFORM_UNKNOWN, /* unreachable, timed out or invalid response: may have had an effect */
+  PLATFORM_EXPIRED  /* of a read: the requested records are no longer retained */
+} platform_outcome_t;
 
 /**
- * struct plt_record - a record of a stream
+ * struct platform_record - a record of a stream
  * @key: key of the record in a keyed stream, otherwise NULL
  * @data: the value; NULL in a keyed stream when the record deletes its key
  */
@@ -36,71 +36,71 @@
   const char *key;
   const char *data;
   size_t data_bytes;
-} plt_record_t;
+} platform_record_t;
 
 /**
- * struct plt_read - result of a read; valid during the callback
+ * struct platform_read - result of a read; valid during the callback
  * @first_offset: offset of the oldest record that is still retained
  * @next_offset: offset to continue reading from
  * @end_offset: end of the stream at the time of the read
  */
 typedef struct
 {
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   uint64_t first_offset;
   uint64_t next_offset;
   uint64_t end_offset;
-  const plt_record_t *records;
+  const platform_record_t *records;
   uint32_t record_count;
-} plt_read_t;
+} platform_read_t;
 
-typedef void (*plt_appended_t) (plt_outcome_t outcome, uint64_t offset, void *context);
-typedef void (*plt_read_done_t) (const plt_read_t *read, void *context);
+typedef void (*platform_append_done_t) (platform_outcome_t outcome, uint64_t offset, void *context);
+typedef void (*platform_read_done_t) (const platform_read_t *read, void *context);
 
 /**
- * struct plt_newest - one page of the newest record of each key of a keyed stream; valid during the
- *   callback
+ * struct platform_newest - one page of the newest record of each key of a keyed stream; valid
+ * during the callback
  * @more: further keys follow the last one of @records
  * @end_offset: end of the stream when the page was created
  */
 typedef struct
 {
-  plt_outcome_t outcome;
-  const plt_record_t *records;
+  platform_outcome_t outcome;
+  const platform_record_t *records;
   uint32_t record_count;
   bool more;
   uint64_t end_offset;
-} plt_newest_t;
-typedef void (*plt_newest_done_t) (const plt_newest_t *newest, void *context);
+} platform_newest_t;
+typedef void (*platform_newest_done_t) (const platform_newest_t *newest, void *context);
 
 /**
- * struct plt_hosts - the list of hosts, or its changes; valid during the callback
+ * struct platform_hosts - the list of hosts, or its changes; valid during the callback
  * @full: @hosts is the complete list; otherwise the changes since the requested revision
  * @revision: revision of the list, to request the next changes from
  */
 typedef struct
 {
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   bool full;
   uint64_t revision;
   const membership_list_entry_t *hosts;
   uint32_t host_count;
-} plt_hosts_t;
-typedef void (*plt_hosts_done_t) (const plt_hosts_t *hosts, void *context);
+} platform_hosts_t;
+typedef void (*platform_hosts_done_t) (const platform_hosts_t *hosts, void *context);
 
 /* keyed streams */
-#define PLT_STREAM_ROUTING "routing" /* written by operators, with the keys below */
-#define PLT_STREAM_ENGINES "engines" /* entries of engines; the key is the engine's id */
-#define PLT_STREAM_ROUTERS "routers" /* addresses of routers; the key is the host's name */
+#define PLATFORM_STREAM_ROUTING "routing" /* written by operators, with the keys below */
+#define PLATFORM_STREAM_ENGINES "engines" /* entries of engines; the key is the engine's id */
+#define PLATFORM_STREAM_ROUTERS "routers" /* addresses of routers; the key is the host's name */
 
-/* keys of PLT_STREAM_ROUTING */
-#define PLT_KEY_CONFIG "config" /* the newest configuration */
-#define PLT_KEY_DRAIN_PREFIX                                                                       \
+/* keys of PLATFORM_STREAM_ROUTING */
+#define PLATFORM_KEY_CONFIG "config" /* the newest configuration */
+#define PLATFORM_KEY_DRAIN_PREFIX                                                                  \
   "drain/" /* followed by a data centre, drained while the key exists                              \
             */
 
 /**
- * struct plt - a platform
+ * struct platform - a platform
  * @append: appends a record to a stream; NULL for a platform with keyed streams only
  * @put: writes a record to a keyed stream, which replaces the newest one of @key; NULL for a
  *   platform without keyed streams
@@ -111,39 +111,45 @@
  *   which is NULL for the first page; NULL for a platform without keyed streams
  * @free: drops pending calls without a callback; must not be called from within a callback
  */
-typedef struct plt plt_t;
-struct plt
+typedef struct platform platform_t;
+struct platform
 {
-  void (*append) (plt_t *plt,
+  void (*append) (platform_t *platform,
                   const char *stream,
                   const char *data,
                   size_t data_bytes,
-                  plt_appended_t done,
+                  platform_append_done_t done,
                   void *context);
-  void (*read) (plt_t *plt,
+  void (*read) (platform_t *platform,
                 const char *stream,
                 uint64_t from_offset,
                 uint32_t max_records,
                 uint32_t wait_ms,
-                plt_read_done_t done,
+                platform_read_done_t done,
                 void *context);
-  void (*hosts) (plt_t *plt, uint64_t revision, plt_hosts_done_t done, void *context);
-  void (*newest) (
-      plt_t *plt, const char *stream, const char *after_key, plt_newest_done_t done, void *context);
-  void (*put) (plt_t *plt,
+  void (*hosts) (platform_t *platform,
+                 uint64_t revision,
+                 platform_hosts_done_t done,
+                 void *context);
+  void (*newest) (platform_t *platform,
+                  const char *stream,
+                  const char *after_key,
+                  platform_newest_done_t done,
+                  void *context);
+  void (*put) (platform_t *platform,
                const char *stream,
                const char *key,
                const char *data,
                size_t data_bytes,
-               plt_appended_t done,
+               platform_append_done_t done,
                void *context);
-  void (*free) (plt_t *plt);
+  void (*free) (platform_t *platform);
 };
 
-#define PLT_TIMEOUT_MS 2000 /* of a call, in addition to the wait of a read */
+#define PLATFORM_TIMEOUT_MS 2000 /* of a call, in addition to the wait of a read */
 
 /**
- * plt_http_new() - create an adapter for a platform with the following HTTP interface
+ * platform_http_new() - create an adapter for a platform with the following HTTP interface
  * @reader_name: value of the header X-Reader; NULL for none
  *
  *   POST /log/append?stream=S            body: the record -> {"offset":N}
@@ -152,11 +158,11 @@
  *   GET  /hosts?since=R -> {"revision":R,"full":true|false,"hosts":[{"name","role","data_center",
  *        "region","http":"IP:PORT","exchange":"IP:PORT","state":"live|leaving|gone"}]}
  * A 4xx response, a 503 with the header "X-Log-Effect: none", and an append of which nothing was
- * sent are %PLT_REFUSED. Everything else but a valid 200 is %PLT_UNKNOWN. The offsets of a stream
- * have no gaps: a response that skips one is treated as invalid, since its reader would never get
- * the missing record.
+ * sent are %PLATFORM_REFUSED. Everything else but a valid 200 is %PLATFORM_UNKNOWN. The offsets of
+ * a stream have no gaps: a response that skips one is treated as invalid, since its reader would
+ * never get the missing record.
  */
-plt_t *
-plt_http_new (struct event_base *base, const set_address_t *address, const char *reader_name);
+platform_t *
+platform_http_new (struct event_base *base, const set_address_t *address, const char *reader_name);
 
 #endif
--- a/src/connection/platform_answer.c
+++ b/src/connection/platform_answer.c
@@ -69,7 +69,7 @@
 }
 
 static bool
-get_record (const json_t *object, uint64_t offset, plt_record_t *record)
+get_record (const json_t *object, uint64_t offset, platform_record_t *record)
 {
   const json_t *data = json_object_get (object, "data");
   if (!get_u64 (object, "offset", &record->offset) || !json_is_string (data))
@@ -80,14 +80,14 @@
 }
 
 static bool
-get_records (pla_read_t *out, uint64_t from, uint32_t max_records)
+get_records (platform_answer_read_t *out, uint64_t from, uint32_t max_records)
 {
   const json_t *list = json_object_get (out->json, "records");
   uint64_t expected = MAX (from, out->read.first_offset);
   size_t count = json_array_size (list);
-  if (!json_is_array (list) || count > MIN (max_records, PLA_RECORDS_LIMIT))
+  if (!json_is_array (list) || count > MIN (max_records, PLATFORM_ANSWER_RECORDS_LIMIT))
     return false;
-  out->records = g_new0 (plt_record_t, count + 1);
+  out->records = g_new0 (platform_record_t, count + 1);
   for (size_t i = 0; i < count; i++)
     if (!get_record (json_array_get (list, i), expected++, &out->records[i]))
       return false;
@@ -97,7 +97,7 @@
 }
 
 bool
-pla_append (const char *text, size_t text_bytes, uint64_t *offset)
+platform_answer_parse_append (const char *text, size_t text_bytes, uint64_t *offset)
 {
   json_t *json = parse_json (text, text_bytes);
   bool valid = get_u64 (json, "offset", offset);
@@ -106,23 +106,27 @@
 }
 
 bool
-pla_read (pla_read_t *out, const char *text, size_t text_bytes, uint64_t from, uint32_t max_records)
+platform_answer_parse_read (platform_answer_read_t *out,
+                            const char *text,
+                            size_t text_bytes,
+                            uint64_t from,
+                            uint32_t max_records)
 {
   memset (out, 0, sizeof *out);
   out->json = parse_json (text, text_bytes);
-  out->read.outcome = PLT_OK;
+  out->read.outcome = PLATFORM_OK;
   bool valid = get_u64 (out->json, "first", &out->read.first_offset) &&
                get_u64 (out->json, "next", &out->read.next_offset) &&
                get_u64 (out->json, "end", &out->read.end_offset) &&
                out->read.first_offset <= out->read.end_offset &&
                get_records (out, from, max_records);
   if (!valid)
-    pla_read_clear (out);
+    platform_answer_read_clear (out);
   return valid;
 }
 
 void
-pla_read_clear (pla_read_t *out)
+platform_answer_read_clear (platform_answer_read_t *out)
 {
   g_free (out->records);
   json_decref (out->json);
@@ -130,19 +134,20 @@
 }
 
 bool
-pla_hosts (plt_hosts_t *out, const char *text, size_t text_bytes)
+platform_answer_parse_hosts (platform_hosts_t *out, const char *text, size_t text_bytes)
 {
   json_t *json = parse_json (text, text_bytes);
   const json_t *list = json_object_get (json, "hosts");
   const json_t *full = json_object_get (json, "full");
   size_t count = json_array_size (list);
-  bool valid = json_is_array (list) && json_is_boolean (full) && count <= PLA_HOSTS_LIMIT;
+  bool valid =
+      json_is_array (list) && json_is_boolean (full) && count <= PLATFORM_ANSWER_HOSTS_LIMIT;
   memset (out, 0, sizeof *out);
   valid = valid && get_u64 (json, "revision", &out->revision);
   membership_list_entry_t *hosts = g_new0 (membership_list_entry_t, valid ? count + 1 : 1);
   for (size_t i = 0; valid && i < count; i++)
     valid = get_host (json_array_get (list, i), &hosts[i]);
-  out->outcome = PLT_OK;
+  out->outcome = PLATFORM_OK;
   out->full = json_is_true (full);
   out->hosts = hosts;
   out->host_count = (uint32_t)count;
--- a/src/connection/platform_answer.h
+++ b/src/connection/platform_answer.h
@@ -11,33 +11,38 @@
 
 #include <jansson.h>
 
-#define PLA_RECORDS_LIMIT 10000 /* records of one read */
-#define PLA_HOSTS_LIMIT 65536   /* hosts of one list */
+#define PLATFORM_ANSWER_RECORDS_LIMIT 10000 /* records of one read */
+#define PLATFORM_ANSWER_HOSTS_LIMIT 65536   /* hosts of one list */
 
-/** pla_append() - parse the response to an append. Return: false when it is invalid */
-bool pla_append (const char *text, size_t text_bytes, uint64_t *offset);
+/** platform_answer_parse_append() - parse the response to an append. Return: false when it is
+ * invalid */
+bool platform_answer_parse_append (const char *text, size_t text_bytes, uint64_t *offset);
 
-/** pla_read_t - a parsed response to a read; @read points into @json and @records */
+/** platform_answer_read_t - a parsed response to a read; @read points into @json and @records */
 typedef struct
 {
-  plt_read_t read;
-  plt_record_t *records;
+  platform_read_t read;
+  platform_record_t *records;
   json_t *json;
-} pla_read_t;
+} platform_answer_read_t;
 
 /**
- * pla_read() - parse the response to a read
+ * platform_answer_parse_read() - parse the response to a read
  * @from: offset that was requested; the records must continue from it without gaps
  * @max_records: number of records that was requested
  *
- * Return: false when the response is invalid; when true, @out is to be cleared by pla_read_clear()
+ * Return: false when the response is invalid; when true, @out is to be cleared by
+ * platform_answer_read_clear()
  */
-bool pla_read (
-    pla_read_t *out, const char *text, size_t text_bytes, uint64_t from, uint32_t max_records);
-void pla_read_clear (pla_read_t *out);
-
-/** pla_hosts() - parse a list of hosts. Return: false when it is invalid; when true, @out.hosts is
- * to be freed by g_free() */
-bool pla_hosts (plt_hosts_t *out, const char *text, size_t text_bytes);
+bool platform_answer_parse_read (platform_answer_read_t *out,
+                                 const char *text,
+                                 size_t text_bytes,
+                                 uint64_t from,
+                                 uint32_t max_records);
+void platform_answer_read_clear (platform_answer_read_t *out);
+
+/** platform_answer_parse_hosts() - parse a list of hosts. Return: false when it is invalid; when
+ * true, @out.hosts is to be freed by g_free() */
+bool platform_answer_parse_hosts (platform_hosts_t *out, const char *text, size_t text_bytes);
 
 #endif
--- a/src/connection/platform_call.c
+++ b/src/connection/platform_call.c
@@ -8,9 +8,9 @@
 #define IDLE_CONNECTIONS_MAX 4
 #define IDLE_TIMEOUT_MS 30000
 
-struct pcl
+struct platform_client
 {
-  hcl_t *hcl;
+  http_client_t *http_client;
   set_address_t address;
   char reader_name[LIM_NAME_BYTES];
   GQueue calls; /* pending calls, of call_t */
@@ -18,16 +18,16 @@
 
 typedef struct
 {
-  pcl_t *pcl;
-  GList link; /* in pcl.calls */
-  hcl_call_t *call;
+  platform_client_t *platform_client;
+  GList link; /* in platform_client.calls */
+  http_client_call_t *call;
   char *target;
   char *body;
   struct evkeyvalq headers;
   struct evbuffer *answer;
   size_t answer_limit_bytes;
   bool too_large;
-  pcl_done_t done;
+  platform_client_done_t done;
   void (*dropped) (void *context);
   void *context;
 } call_t;
@@ -35,7 +35,7 @@
 static void
 call_free (call_t *call)
 {
-  g_queue_unlink (&call->pcl->calls, &call->link);
+  g_queue_unlink (&call->platform_client->calls, &call->link);
   evhttp_clear_headers (&call->headers);
   evbuffer_free (call->answer);
   g_free (call->target);
@@ -70,16 +70,16 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   call_t *call = context;
   bool complete = end->whole && !call->too_large;
   size_t body_bytes = complete ? evbuffer_get_length (call->answer) : 0;
-  pcl_answer_t answer = { .status = complete ? end->status : 0,
-                          .not_sent = !end->whole && end->verdict == VERDICT_NOT_RUN,
-                          .headers = &call->headers,
-                          .body = "",
-                          .body_bytes = body_bytes };
+  platform_client_answer_t answer = { .status = complete ? end->status : 0,
+                                      .not_sent = !end->whole && end->verdict == VERDICT_NOT_RUN,
+                                      .headers = &call->headers,
+                                      .body = "",
+                                      .body_bytes = body_bytes };
 
   if (body_bytes > 0)
     answer.body = (const char *)evbuffer_pullup (call->answer, -1);
@@ -89,13 +89,13 @@
 }
 
 void
-pcl_start (pcl_t *pcl, const pcl_request_t *request)
+platform_client_start (platform_client_t *platform_client, const platform_client_request_t *request)
 {
   call_t *call = g_new0 (call_t, 1);
-  hcl_header_t headers[2];
+  http_client_header_t headers[2];
   uint32_t header_count = 0;
 
-  call->pcl = pcl;
+  call->platform_client = platform_client;
   call->target = g_strdup (request->target);
   call->body = request->body_bytes > 0 ? g_memdup2 (request->body, request->body_bytes) : NULL;
   TAILQ_INIT (&call->headers);
@@ -105,52 +105,53 @@
   call->dropped = request->dropped;
   call->context = request->context;
   call->link.data = call;
-  g_queue_push_tail_link (&pcl->calls, &call->link);
-  if (pcl->reader_name[0] != '\0')
-    headers[header_count++] = (hcl_header_t){ "X-Reader", pcl->reader_name };
+  g_queue_push_tail_link (&platform_client->calls, &call->link);
+  if (platform_client->reader_name[0] != '\0')
+    headers[header_count++] = (http_client_header_t){ "X-Reader", platform_client->reader_name };
   if (request->content_type)
-    headers[header_count++] = (hcl_header_t){ "Content-Type", request->content_type };
-  call->call = hcl_start (
-      pcl->hcl, &(hcl_options_t){ .address = &pcl->address,
-                                  .method = request->method,
-                                  .target = call->target,
-                                  .headers = headers,
-                                  .header_count = header_count,
-                                  .body = call->body,
-                                  .body_bytes = request->body_bytes,
-                                  .timeout_us = (uint64_t)request->timeout_ms * CLK_US_PER_MS,
-                                  .answer_limit_bytes = (uint32_t)request->answer_limit_bytes,
-                                  .on_head = on_head,
-                                  .on_data = on_data,
-                                  .on_end = on_end,
-                                  .context = call });
+    headers[header_count++] = (http_client_header_t){ "Content-Type", request->content_type };
+  call->call = http_client_start_call (
+      platform_client->http_client,
+      &(http_client_options_t){ .address = &platform_client->address,
+                                .method = request->method,
+                                .target = call->target,
+                                .headers = headers,
+                                .header_count = header_count,
+                                .body = call->body,
+                                .body_bytes = request->body_bytes,
+                                .timeout_us = (uint64_t)request->timeout_ms * CLK_US_PER_MS,
+                                .answer_limit_bytes = (uint32_t)request->answer_limit_bytes,
+                                .on_head = on_head,
+                                .on_data = on_data,
+                                .on_end = on_end,
+                                .context = call });
 }
 
-pcl_t *
-pcl_new (struct event_base *base, const set_address_t *address, const char *reader_name)
+platform_client_t *
+platform_client_new (struct event_base *base, const set_address_t *address, const char *reader_name)
 {
-  pcl_t *pcl = g_new0 (pcl_t, 1);
+  platform_client_t *platform_client = g_new0 (platform_client_t, 1);
 
-  pcl->hcl = hcl_new (base, IDLE_CONNECTIONS_MAX, IDLE_TIMEOUT_MS);
-  pcl->address = *address;
+  platform_client->http_client = http_client_new (base, IDLE_CONNECTIONS_MAX, IDLE_TIMEOUT_MS);
+  platform_client->address = *address;
   if (reader_name)
-    g_strlcpy (pcl->reader_name, reader_name, sizeof pcl->reader_name);
-  g_queue_init (&pcl->calls);
-  return pcl;
+    g_strlcpy (platform_client->reader_name, reader_name, sizeof platform_client->reader_name);
+  g_queue_init (&platform_client->calls);
+  return platform_client;
 }
 
 void
-pcl_free (pcl_t *pcl)
+platform_client_free (platform_client_t *platform_client)
 {
-  while (!g_queue_is_empty (&pcl->calls))
+  while (!g_queue_is_empty (&platform_client->calls))
     {
-      call_t *call = g_queue_peek_head (&pcl->calls);
+      call_t *call = g_queue_peek_head (&platform_client->calls);
 
       if (call->call)
-        hcl_cancel (call->call);
+        http_client_cancel_call (call->call);
       call->dropped (call->context);
       call_free (call);
     }
-  hcl_free (pcl->hcl);
-  g_free (pcl);
+  http_client_free (platform_client->http_client);
+  g_free (platform_client);
 }
--- a/src/connection/platform_call.h
+++ b/src/connection/platform_call.h
@@ -11,10 +11,10 @@
 #include "connection/http_client.h"
 #include "base/settings.h"
 
-typedef struct pcl pcl_t;
+typedef struct platform_client platform_client_t;
 
 /**
- * struct pcl_answer - result of a call; valid until the callback returns
+ * struct platform_client_answer - result of a call; valid until the callback returns
  * @status: HTTP status; 0 when no complete response arrived
  * @not_sent: no byte of the request was sent, so the call had no effect
  * @body: not NUL-terminated
@@ -26,18 +26,19 @@
   struct evkeyvalq *headers;
   const char *body;
   size_t body_bytes;
-} pcl_answer_t;
+} platform_client_answer_t;
 
-/** pcl_done_t - receives the result of a call; must free @context if that is allocated */
-typedef void (*pcl_done_t) (const pcl_answer_t *answer, void *context);
+/** platform_client_done_t - receives the result of a call; must free @context if that is allocated
+ */
+typedef void (*platform_client_done_t) (const platform_client_answer_t *answer, void *context);
 
 /**
- * struct pcl_request - parameters of a call
+ * struct platform_client_request - parameters of a call
  * @target: path and query; copied, like @body
  * @content_type: NULL for none
  * @timeout_ms: limit on the duration of the call
  * @answer_limit_bytes: a longer response body counts as incomplete
- * @dropped: called instead of @done when pcl_free() drops the call
+ * @dropped: called instead of @done when platform_client_free() drops the call
  */
 typedef struct
 {
@@ -48,16 +49,21 @@
   const char *content_type;
   uint32_t timeout_ms;
   size_t answer_limit_bytes;
-  pcl_done_t done;
+  platform_client_done_t done;
   void (*dropped) (void *context);
   void *context;
-} pcl_request_t;
+} platform_client_request_t;
 
-/** pcl_new() - create a client; @reader_name is sent as the header X-Reader, NULL for none */
-pcl_t *pcl_new (struct event_base *base, const set_address_t *address, const char *reader_name);
-/** pcl_free() - drop all pending calls and free; must not be called from within a callback */
-void pcl_free (pcl_t *pcl);
-/** pcl_start() - send a request; its callback never runs from within this function */
-void pcl_start (pcl_t *pcl, const pcl_request_t *request);
+/** platform_client_new() - create a client; @reader_name is sent as the header X-Reader, NULL for
+ * none */
+platform_client_t *platform_client_new (struct event_base *base,
+                                        const set_address_t *address,
+                                        const char *reader_name);
+/** platform_client_free() - drop all pending calls and free; must not be called from within a
+ * callback */
+void platform_client_free (platform_client_t *platform_client);
+/** platform_client_start() - send a request; its callback never runs from within this function */
+void platform_client_start (platform_client_t *platform_client,
+                            const platform_client_request_t *request);
 
 #endif
--- a/src/connection/socket.c
+++ b/src/connection/socket.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 
 void
-sck_tune (int fd)
+socket_set_options (int fd)
 {
   int on = 1;
   int keepalive_idle_s = 1;
@@ -21,10 +21,10 @@
 }
 
 void
-sck_tune_client (int fd)
+socket_set_client_options (int fd)
 {
   int unacknowledged_ms = LIM_HTTP_DEAD_PEER_S * 1000;
 
-  sck_tune (fd);
+  socket_set_options (fd);
   setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
 }
--- a/src/connection/socket.h
+++ b/src/connection/socket.h
@@ -7,7 +7,8 @@
 #define CONNECTION_SOCKET_H
 
 /**
- * sck_tune() - set the options of a connection, or of a listener, whose connections inherit them
+ * socket_set_options() - set the options of a connection, or of a listener, whose connections
+ * inherit them
  *
  * Disables Nagle's algorithm: a streamed token must not wait until the one before it is
  * acknowledged. Enables keep-alive probes: a peer whose host or data centre has failed sends no
@@ -15,15 +16,15 @@
  * outstanding. A process that is only slow or suspended is not affected, since its kernel answers
  * the probes.
  */
-void sck_tune (int fd);
+void socket_set_options (int fd);
 
 /**
- * sck_tune_client() - set the options of a connection that sends requests
+ * socket_set_client_options() - set the options of a connection that sends requests
  *
- * Adds a limit on unacknowledged data (TCP_USER_TIMEOUT) to those of sck_tune(). It is not set
- * where responses are sent: there it would also cut a stream whose reader is slow, since the kernel
- * treats a closed receive window like missing acknowledgements.
+ * Adds a limit on unacknowledged data (TCP_USER_TIMEOUT) to those of socket_set_options(). It is
+ * not set where responses are sent: there it would also cut a stream whose reader is slow, since
+ * the kernel treats a closed receive window like missing acknowledgements.
  */
-void sck_tune_client (int fd);
+void socket_set_client_options (int fd);
 
 #endif
