--- a/src/connection/stream_follow.c
+++ b/src/connection/stream_follow.c
@@ -5,13 +5,13 @@
 #define RECORDS_PER_READ_MAX 10000
 
 /**
- * struct sfl - state of a follower
+ * struct follower - state of a follower
  * @timer: starts the next call; not pending while a call is, or while the follower rests
  * @call_pending: a call has not been answered
- * @resting: reads start only by sfl_read_soon()
+ * @resting: reads start only by stream_follower_read_soon()
  * @held: no call may start
  * @listing: the next call requests a page of the list
- * @has_listed: see sfl_has_listed()
+ * @has_listed: see stream_follower_has_listed()
  * @last_listed_key: last key of the previous page, NULL for the first page
  * @list_end_offset: end of the stream when the first page was made
  * @next_offset: offset to read from
@@ -21,9 +21,9 @@
  * @backoff_ms: 0 while calls succeed
  * @catching_up: set by the first failure, until all that was written meanwhile has been read
  */
-struct sfl
+struct follower
 {
-  sfl_options_t options;
+  stream_follower_options_t options;
   struct event *timer;
   GRand *rand;
   bool call_pending;
@@ -45,125 +45,128 @@
 };
 
 static void
-start_timer (sfl_t *sfl)
+start_timer (stream_follower_t *follower)
 {
-  uint64_t now_us = clk_now_us (sfl->options.clk);
-  uint64_t wait_us = sfl->due_us > now_us ? sfl->due_us - now_us : 0;
+  uint64_t now_us = clk_now_us (follower->options.clk);
+  uint64_t wait_us = follower->due_us > now_us ? follower->due_us - now_us : 0;
   struct timeval wait = { (time_t)(wait_us / CLK_US_PER_S), (suseconds_t)(wait_us % CLK_US_PER_S) };
 
-  event_add (sfl->timer, &wait);
+  event_add (follower->timer, &wait);
 }
 
 /* A list that has been started is completed even while the follower rests. */
 static void
-schedule_at (sfl_t *sfl, uint64_t due_us)
+schedule_at (stream_follower_t *follower, uint64_t due_us)
 {
-  sfl->due_us = due_us;
-  if (sfl->held)
+  follower->due_us = due_us;
+  if (follower->held)
     return;
-  if (!sfl->resting || sfl->listing || !sfl->has_listed)
-    start_timer (sfl);
+  if (!follower->resting || follower->listing || !follower->has_listed)
+    start_timer (follower);
 }
 
 static void
-schedule_in (sfl_t *sfl, uint64_t wait_us)
+schedule_in (stream_follower_t *follower, uint64_t wait_us)
 {
-  schedule_at (sfl, clk_now_us (sfl->options.clk) + wait_us);
+  schedule_at (follower, clk_now_us (follower->options.clk) + wait_us);
 }
 
 static void
-reset_listing (sfl_t *sfl)
+reset_listing (stream_follower_t *follower)
 {
-  g_clear_pointer (&sfl->last_listed_key, g_free);
-  sfl->listing = true;
+  g_clear_pointer (&follower->last_listed_key, g_free);
+  follower->listing = true;
 }
 
 static void
-log_dependency (const sfl_t *sfl, log_level_t level, const char *event)
+log_dependency (const stream_follower_t *follower, log_level_t level, const char *event)
 {
-  uint64_t now_us = clk_now_us (sfl->options.clk);
+  uint64_t now_us = clk_now_us (follower->options.clk);
 
-  log_event (level, event, "dependency", "store", "stream", sfl->options.stream, "unheard_ms",
-             LOG_U64 (sfl->last_answer_us ? (now_us - sfl->last_answer_us) / CLK_US_PER_MS : 0),
-             NULL);
+  log_event (
+      level, event, "dependency", "store", "stream", follower->options.stream, "unheard_ms",
+      LOG_U64 (follower->last_answer_us ? (now_us - follower->last_answer_us) / CLK_US_PER_MS : 0),
+      NULL);
 }
 
 static void
-handle_failure (sfl_t *sfl)
+handle_failure (stream_follower_t *follower)
 {
-  cnt_add (sfl->failure_count, 1);
-  if (sfl->backoff_ms == 0)
+  cnt_add (follower->failure_count, 1);
+  if (follower->backoff_ms == 0)
     {
-      log_dependency (sfl, LOG_LEVEL_WARNING, "dependency_lost");
-      sfl->catching_up = true;
-      sfl->options.told (SFL_LOST, sfl->options.context);
+      log_dependency (follower, LOG_LEVEL_WARNING, "dependency_lost");
+      follower->catching_up = true;
+      follower->options.told (STREAM_FOLLOWER_LOST, follower->options.context);
     }
-  if (sfl->listing)
-    reset_listing (sfl);
-  sfl->backoff_ms = MIN (MAX (sfl->backoff_ms * 2, SFL_BACKOFF_MIN_MS), SFL_BACKOFF_MAX_MS);
-  schedule_in (sfl, (uint64_t)sfl->backoff_ms * (uint32_t)g_rand_int_range (sfl->rand, 750, 1250));
+  if (follower->listing)
+    reset_listing (follower);
+  follower->backoff_ms = MIN (MAX (follower->backoff_ms * 2, STREAM_FOLLOWER_BACKOFF_MIN_MS),
+                              STREAM_FOLLOWER_BACKOFF_MAX_MS);
+  schedule_in (follower, (uint64_t)follower->backoff_ms *
+                             (uint32_t)g_rand_int_range (follower->rand, 750, 1250));
 }
 
 static void
-handle_success (sfl_t *sfl)
+handle_success (stream_follower_t *follower)
 {
-  if (sfl->backoff_ms > 0)
-    log_dependency (sfl, LOG_LEVEL_NOTICE, "dependency_regained");
-  sfl->last_answer_us = clk_now_us (sfl->options.clk);
-  if (sfl->backoff_ms == 0)
+  if (follower->backoff_ms > 0)
+    log_dependency (follower, LOG_LEVEL_NOTICE, "dependency_regained");
+  follower->last_answer_us = clk_now_us (follower->options.clk);
+  if (follower->backoff_ms == 0)
     return;
-  sfl->backoff_ms = 0;
-  sfl->options.told (SFL_REGAINED, sfl->options.context);
+  follower->backoff_ms = 0;
+  follower->options.told (STREAM_FOLLOWER_REGAINED, follower->options.context);
 }
 
 /* Measures the pace from the start of the last call, so that a slow response does not add to it. */
 static void
-schedule_next (sfl_t *sfl, uint64_t pace_us)
+schedule_next (stream_follower_t *follower, uint64_t pace_us)
 {
-  schedule_at (sfl, sfl->started_us + pace_us);
+  schedule_at (follower, follower->started_us + pace_us);
 }
 
 static void
-apply_records (sfl_t *sfl, const plt_record_t *records, uint32_t count)
+apply_records (stream_follower_t *follower, const platform_record_t *records, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    keyed_view_apply (sfl->options.view, records[i].offset, records[i].key, records[i].data,
+    keyed_view_apply (follower->options.view, records[i].offset, records[i].key, records[i].data,
                       records[i].data_bytes);
 }
 
 static void
-on_page (const plt_newest_t *newest, void *context)
+on_page (const platform_newest_t *newest, void *context)
 {
-  sfl_t *sfl = context;
+  stream_follower_t *follower = context;
 
-  sfl->call_pending = false;
-  if (newest->outcome != PLT_OK || (newest->more && newest->record_count == 0))
+  follower->call_pending = false;
+  if (newest->outcome != PLATFORM_OK || (newest->more && newest->record_count == 0))
     {
-      handle_failure (sfl);
+      handle_failure (follower);
       return;
     }
-  handle_success (sfl);
-  if (!sfl->last_listed_key)
+  handle_success (follower);
+  if (!follower->last_listed_key)
     {
-      keyed_view_list_begin (sfl->options.view);
-      sfl->list_end_offset = newest->end_offset;
+      keyed_view_list_begin (follower->options.view);
+      follower->list_end_offset = newest->end_offset;
     }
-  apply_records (sfl, newest->records, newest->record_count);
+  apply_records (follower, newest->records, newest->record_count);
   if (newest->more)
     {
-      g_free (sfl->last_listed_key);
-      sfl->last_listed_key = g_strdup (newest->records[newest->record_count - 1].key);
-      schedule_in (sfl, 0);
+      g_free (follower->last_listed_key);
+      follower->last_listed_key = g_strdup (newest->records[newest->record_count - 1].key);
+      schedule_in (follower, 0);
       return;
     }
-  keyed_view_list_end (sfl->options.view, sfl->list_end_offset);
-  sfl->listing = false;
-  sfl->catching_up = false;
-  sfl->has_listed = true;
-  sfl->next_offset = MAX (sfl->next_offset, sfl->list_end_offset);
-  g_clear_pointer (&sfl->last_listed_key, g_free);
-  sfl->options.told (SFL_LISTED, sfl->options.context);
-  schedule_in (sfl, (uint64_t)SFL_PACE_MIN_MS * CLK_US_PER_MS);
+  keyed_view_list_end (follower->options.view, follower->list_end_offset);
+  follower->listing = false;
+  follower->catching_up = false;
+  follower->has_listed = true;
+  follower->next_offset = MAX (follower->next_offset, follower->list_end_offset);
+  g_clear_pointer (&follower->last_listed_key, g_free);
+  follower->options.told (STREAM_FOLLOWER_LISTED, follower->options.context);
+  schedule_in (follower, (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLK_US_PER_MS);
 }
 
 /*
@@ -173,46 +176,46 @@
  * those in between may hold the newest one of another key.
  */
 static void
-list_newest (sfl_t *sfl)
+list_newest (stream_follower_t *follower)
 {
-  reset_listing (sfl);
-  sfl->due_us = clk_now_us (sfl->options.clk);
-  start_timer (sfl);
+  reset_listing (follower);
+  follower->due_us = clk_now_us (follower->options.clk);
+  start_timer (follower);
 }
 
 static void
-on_read (const plt_read_t *read, void *context)
+on_read (const platform_read_t *read, void *context)
 {
-  sfl_t *sfl = context;
-  uint64_t pace_us = (uint64_t)sfl->options.pace_ms * CLK_US_PER_MS;
+  stream_follower_t *follower = context;
+  uint64_t pace_us = (uint64_t)follower->options.pace_ms * CLK_US_PER_MS;
 
-  sfl->call_pending = false;
-  if (read->outcome == PLT_EXPIRED ||
-      (read->outcome == PLT_OK && read->first_offset > sfl->next_offset))
+  follower->call_pending = false;
+  if (read->outcome == PLATFORM_EXPIRED ||
+      (read->outcome == PLATFORM_OK && read->first_offset > follower->next_offset))
     {
-      log_event (LOG_LEVEL_NOTICE, "stream_expired", "stream", sfl->options.stream, "offset",
-                 LOG_U64 (sfl->next_offset), NULL);
-      reset_listing (sfl);
-      schedule_next (sfl, (uint64_t)SFL_PACE_MIN_MS * CLK_US_PER_MS);
+      log_event (LOG_LEVEL_NOTICE, "stream_expired", "stream", follower->options.stream, "offset",
+                 LOG_U64 (follower->next_offset), NULL);
+      reset_listing (follower);
+      schedule_next (follower, (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLK_US_PER_MS);
       return;
     }
-  if (read->outcome != PLT_OK)
+  if (read->outcome != PLATFORM_OK)
     {
-      handle_failure (sfl);
+      handle_failure (follower);
       return;
     }
-  handle_success (sfl);
-  apply_records (sfl, read->records, read->record_count);
-  sfl->next_offset = MAX (sfl->next_offset, read->next_offset);
-  sfl->catching_up = sfl->next_offset < read->end_offset && sfl->catching_up;
-  if (sfl->options.latest_only && sfl->next_offset + 1 < read->end_offset)
+  handle_success (follower);
+  apply_records (follower, read->records, read->record_count);
+  follower->next_offset = MAX (follower->next_offset, read->next_offset);
+  follower->catching_up = follower->next_offset < read->end_offset && follower->catching_up;
+  if (follower->options.latest_only && follower->next_offset + 1 < read->end_offset)
     {
-      list_newest (sfl);
+      list_newest (follower);
       return;
     }
-  if (read->record_count == 0 && !sfl->resting)
-    pace_us = (uint64_t)SFL_PACE_MIN_MS * CLK_US_PER_MS;
-  schedule_next (sfl, pace_us);
+  if (read->record_count == 0 && !follower->resting)
+    pace_us = (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLK_US_PER_MS;
+  schedule_next (follower, pace_us);
 }
 
 /*
@@ -226,156 +229,160 @@
  * of them read at the same time.
  */
 static uint32_t
-wait_ms (const sfl_t *sfl)
+wait_ms (const stream_follower_t *follower)
 {
-  uint32_t wait_ms = sfl->options.wait_ms;
-  uint64_t since_answer_ms = (clk_now_us (sfl->options.clk) - sfl->last_answer_us) / CLK_US_PER_MS;
-  uint64_t answer_interval_max_ms = wait_ms + wait_ms / SFL_SILENT_PART;
+  uint32_t wait_ms = follower->options.wait_ms;
+  uint64_t since_answer_ms =
+      (clk_now_us (follower->options.clk) - follower->last_answer_us) / CLK_US_PER_MS;
+  uint64_t answer_interval_max_ms = wait_ms + wait_ms / STREAM_FOLLOWER_WAIT_MARGIN_DIVISOR;
 
-  if (sfl->resting || sfl->backoff_ms > 0)
+  if (follower->resting || follower->backoff_ms > 0)
     return 0;
-  if (sfl->last_answer_us == 0)
+  if (follower->last_answer_us == 0)
     return wait_ms;
   return (uint32_t)MIN (wait_ms,
                         MAX (answer_interval_max_ms - MIN (since_answer_ms, answer_interval_max_ms),
-                             SFL_WAIT_MIN_MS));
+                             STREAM_FOLLOWER_WAIT_MIN_MS));
 }
 
 static void
 on_timer (evutil_socket_t fd, short what, void *context)
 {
-  sfl_t *sfl = context;
-  plt_t *plt = sfl->options.plt;
+  stream_follower_t *follower = context;
+  platform_t *platform = follower->options.platform;
 
   (void)fd;
   (void)what;
-  sfl->started_us = clk_now_us (sfl->options.clk);
-  sfl->call_pending = true;
-  cnt_add (sfl->listing ? sfl->list_count : sfl->read_count, 1);
-  if (sfl->listing)
-    plt->newest (plt, sfl->options.stream, sfl->last_listed_key, on_page, sfl);
+  follower->started_us = clk_now_us (follower->options.clk);
+  follower->call_pending = true;
+  cnt_add (follower->listing ? follower->list_count : follower->read_count, 1);
+  if (follower->listing)
+    platform->newest (platform, follower->options.stream, follower->last_listed_key, on_page,
+                      follower);
   else
-    plt->read (plt, sfl->options.stream, sfl->next_offset,
-               sfl->options.latest_only ? 1 : RECORDS_PER_READ_MAX, wait_ms (sfl), on_read, sfl);
+    platform->read (platform, follower->options.stream, follower->next_offset,
+                    follower->options.latest_only ? 1 : RECORDS_PER_READ_MAX, wait_ms (follower),
+                    on_read, follower);
 }
 
 static cnt_t *
-counter (const sfl_options_t *options, const char *name, const char *help)
+counter (const stream_follower_options_t *options, const char *name, const char *help)
 {
   return cnt_get_labelled (options->counters, name, "stream", options->stream, help);
 }
 
-sfl_t *
-sfl_new (const sfl_options_t *options)
+stream_follower_t *
+stream_follower_new (const stream_follower_options_t *options)
 {
-  sfl_t *sfl = g_new0 (sfl_t, 1);
+  stream_follower_t *follower = g_new0 (stream_follower_t, 1);
 
-  sfl->options = *options;
-  sfl->timer = evtimer_new (options->base, on_timer, sfl);
-  sfl->rand = g_rand_new_with_seed ((guint32)options->seed);
-  sfl->listing = true;
-  sfl->list_count =
+  follower->options = *options;
+  follower->timer = evtimer_new (options->base, on_timer, follower);
+  follower->rand = g_rand_new_with_seed ((guint32)options->seed);
+  follower->listing = true;
+  follower->list_count =
       counter (options, "medlarplank_store_lists_total", "Pages of newest records asked for");
-  sfl->read_count = counter (options, "medlarplank_store_reads_total", "Reads of the store");
-  sfl->failure_count = counter (options, "medlarplank_store_failures_total",
-                                "Pages and reads that the store did not answer");
-  sfl->held = options->held;
-  if (!sfl->held)
-    schedule_in (sfl, 0);
-  return sfl;
+  follower->read_count = counter (options, "medlarplank_store_reads_total", "Reads of the store");
+  follower->failure_count = counter (options, "medlarplank_store_failures_total",
+                                     "Pages and reads that the store did not answer");
+  follower->held = options->held;
+  if (!follower->held)
+    schedule_in (follower, 0);
+  return follower;
 }
 
 void
-sfl_hold (sfl_t *sfl)
+stream_follower_suspend (stream_follower_t *follower)
 {
-  sfl->held = true;
-  event_del (sfl->timer);
+  follower->held = true;
+  event_del (follower->timer);
 }
 
 void
-sfl_begin (sfl_t *sfl)
+stream_follower_resume (stream_follower_t *follower)
 {
-  if (!sfl->held)
+  if (!follower->held)
     return;
-  sfl->held = false;
-  if (!sfl->call_pending)
-    schedule_in (sfl, 0);
+  follower->held = false;
+  if (!follower->call_pending)
+    schedule_in (follower, 0);
 }
 
 void
-sfl_free (sfl_t *sfl)
+stream_follower_free (stream_follower_t *follower)
 {
-  event_free (sfl->timer);
-  g_rand_free (sfl->rand);
-  g_free (sfl->last_listed_key);
-  g_free (sfl);
+  event_free (follower->timer);
+  g_rand_free (follower->rand);
+  g_free (follower->last_listed_key);
+  g_free (follower);
 }
 
 uint64_t
-sfl_next (const sfl_t *sfl)
+stream_follower_next_offset (const stream_follower_t *follower)
 {
-  return sfl->next_offset;
+  return follower->next_offset;
 }
 
 /* The response to a pending list or read may hold older records, which the view ignores. */
 void
-sfl_advance (sfl_t *sfl, uint64_t next_offset)
+stream_follower_advance (stream_follower_t *follower, uint64_t next_offset)
 {
-  if (next_offset <= sfl->next_offset)
+  if (next_offset <= follower->next_offset)
     return;
-  sfl->next_offset = next_offset;
-  sfl->held = false;
-  sfl->listing = false;
-  sfl->has_listed = true;
+  follower->next_offset = next_offset;
+  follower->held = false;
+  follower->listing = false;
+  follower->has_listed = true;
 }
 
 static bool
-is_idle (const sfl_t *sfl)
+is_idle (const stream_follower_t *follower)
 {
-  return !sfl->held && !sfl->call_pending && !event_pending (sfl->timer, EV_TIMEOUT, NULL);
+  return !follower->held && !follower->call_pending &&
+         !event_pending (follower->timer, EV_TIMEOUT, NULL);
 }
 
 void
-sfl_set_resting (sfl_t *sfl, bool resting)
+stream_follower_set_on_demand (stream_follower_t *follower, bool resting)
 {
-  sfl->resting = resting;
-  if (!resting && is_idle (sfl))
-    start_timer (sfl);
+  follower->resting = resting;
+  if (!resting && is_idle (follower))
+    start_timer (follower);
 }
 
 void
-sfl_read_soon (sfl_t *sfl)
+stream_follower_read_soon (stream_follower_t *follower)
 {
-  if (is_idle (sfl))
-    start_timer (sfl);
+  if (is_idle (follower))
+    start_timer (follower);
 }
 
 bool
-sfl_has_listed (const sfl_t *sfl)
+stream_follower_has_listed (const stream_follower_t *follower)
 {
-  return sfl->has_listed;
+  return follower->has_listed;
 }
 
 bool
-sfl_is_failing (const sfl_t *sfl)
+stream_follower_is_failing (const stream_follower_t *follower)
 {
-  return sfl->backoff_ms > 0;
+  return follower->backoff_ms > 0;
 }
 
 bool
-sfl_is_catching_up (const sfl_t *sfl)
+stream_follower_is_catching_up (const stream_follower_t *follower)
 {
-  return sfl->catching_up;
+  return follower->catching_up;
 }
 
 uint64_t
-sfl_tried_us (const sfl_t *sfl)
+stream_follower_last_call_us (const stream_follower_t *follower)
 {
-  return sfl->started_us;
+  return follower->started_us;
 }
 
 uint64_t
-sfl_heard_us (const sfl_t *sfl)
+stream_follower_last_answer_us (const stream_follower_t *follower)
 {
-  return sfl->last_answer_us;
+  return follower->last_answer_us;
 }
--- a/src/connection/wire.c
+++ b/src/connection/wire.c
@@ -28,9 +28,9 @@
 }
 
 static void
-compute_hmac (const char *key, const void *datagram, size_t bytes, uint8_t out[WIR_HMAC_BYTES])
+compute_hmac (const char *key, const void *datagram, size_t bytes, uint8_t out[DATAGRAM_HMAC_BYTES])
 {
-  gsize out_bytes = WIR_HMAC_BYTES;
+  gsize out_bytes = DATAGRAM_HMAC_BYTES;
   GHmac *hmac = g_hmac_new (G_CHECKSUM_SHA256, (const guchar *)key, strlen (key));
   g_hmac_update (hmac, datagram, (gssize)bytes);
   g_hmac_get_digest (hmac, out, &out_bytes);
@@ -61,9 +61,9 @@
   call->cb_proc = XCH_SWAP;
   call->cb_cred.oa_flavor = AUTH_NONE;
   call->cb_cred.oa_base = header->credential;
-  call->cb_verf.oa_flavor = WIR_FLAVOR;
+  call->cb_verf.oa_flavor = DATAGRAM_VERIFIER_FLAVOR;
   call->cb_verf.oa_base = header->verifier;
-  call->cb_verf.oa_length = WIR_HMAC_BYTES;
+  call->cb_verf.oa_length = DATAGRAM_HMAC_BYTES;
 }
 
 static void
@@ -74,9 +74,9 @@
   header->rpc.rm_direction = REPLY;
   header->rpc.rm_reply.rp_stat = MSG_ACCEPTED;
   struct accepted_reply *reply = &header->rpc.acpted_rply;
-  reply->ar_verf.oa_flavor = WIR_FLAVOR;
+  reply->ar_verf.oa_flavor = DATAGRAM_VERIFIER_FLAVOR;
   reply->ar_verf.oa_base = header->verifier;
-  reply->ar_verf.oa_length = WIR_HMAC_BYTES;
+  reply->ar_verf.oa_length = DATAGRAM_HMAC_BYTES;
   reply->ar_stat = SUCCESS;
   reply->ar_results.proc = (xdrproc_t)xdr_no_results;
 }
@@ -88,13 +88,14 @@
   bool done = is_reply ? xdr_replymsg (xdr, &header->rpc) : xdr_callmsg (xdr, &header->rpc);
   if (!done)
     return 0;
-  return XDR_GETPOS (xdr) - WIR_HMAC_BYTES - (is_reply ? REPLY_TAIL_BYTES : 0);
+  return XDR_GETPOS (xdr) - DATAGRAM_HMAC_BYTES - (is_reply ? REPLY_TAIL_BYTES : 0);
 }
 
 static bool
 is_exchange_verifier (const struct opaque_auth *verifier)
 {
-  return verifier->oa_flavor == WIR_FLAVOR && verifier->oa_length == WIR_HMAC_BYTES;
+  return verifier->oa_flavor == DATAGRAM_VERIFIER_FLAVOR &&
+         verifier->oa_length == DATAGRAM_HMAC_BYTES;
 }
 
 static bool
@@ -125,8 +126,8 @@
 static bool
 check_hmac (uint8_t *datagram, size_t bytes, size_t hmac_at, const char *key)
 {
-  uint8_t claimed[WIR_HMAC_BYTES];
-  uint8_t expected[WIR_HMAC_BYTES];
+  uint8_t claimed[DATAGRAM_HMAC_BYTES];
+  uint8_t expected[DATAGRAM_HMAC_BYTES];
   memcpy (claimed, datagram + hmac_at, sizeof claimed);
   memset (datagram + hmac_at, 0, sizeof claimed);
   compute_hmac (key, datagram, bytes, expected);
@@ -139,12 +140,12 @@
   memset (message, 0, sizeof *message);
   if (xdr_xch_message (xdr, message) && XDR_GETPOS (xdr) == in_bytes)
     return true;
-  wir_free (message);
+  datagram_free_message (message);
   return false;
 }
 
 size_t
-wir_encode (
+datagram_encode (
     char *out, size_t out_bytes, const char *key, uint32_t xid, bool is_reply, xch_message *message)
 {
   uint32_t datagram[XDR_UNITS (LIM_DATAGRAM_BYTES)] = { 0 };
@@ -162,27 +163,27 @@
   XDR_DESTROY (&xdr);
   if (bytes == 0 || bytes > out_bytes)
     return 0;
-  uint8_t hmac[WIR_HMAC_BYTES];
+  uint8_t hmac[DATAGRAM_HMAC_BYTES];
   compute_hmac (key, datagram, bytes, hmac);
   memcpy ((uint8_t *)datagram + hmac_at, hmac, sizeof hmac);
   memcpy (out, datagram, bytes);
   return bytes;
 }
 
-wir_outcome_t
-wir_decode (const char *in,
-            size_t in_bytes,
-            const char *key,
-            uint32_t *xid,
-            bool *is_reply,
-            xch_message *message)
+datagram_outcome_t
+datagram_decode (const char *in,
+                 size_t in_bytes,
+                 const char *key,
+                 uint32_t *xid,
+                 bool *is_reply,
+                 xch_message *message)
 {
   uint32_t datagram[XDR_UNITS (LIM_DATAGRAM_BYTES)];
   memset (message, 0, sizeof *message);
   if (in_bytes > sizeof datagram)
-    return WIR_TOO_LARGE;
+    return DATAGRAM_TOO_LARGE;
   if (in_bytes < 2 * sizeof (uint32_t) || in_bytes % sizeof (uint32_t) != 0)
-    return WIR_BROKEN;
+    return DATAGRAM_MALFORMED;
   memcpy (datagram, in, in_bytes);
   *is_reply = g_ntohl (datagram[1]) == REPLY;
   rpc_header_t header;
@@ -193,13 +194,13 @@
     header_init_call (&header, 0);
   XDR xdr;
   xdrmem_create (&xdr, (char *)datagram, (u_int)in_bytes, XDR_DECODE);
-  wir_outcome_t outcome = WIR_BROKEN;
+  datagram_outcome_t outcome = DATAGRAM_MALFORMED;
   size_t hmac_at = xdr_header (&xdr, &header, *is_reply);
   if (hmac_at != 0 && is_exchange_header (&header, *is_reply))
     {
-      outcome = WIR_BAD_AUTH;
+      outcome = DATAGRAM_BAD_AUTH;
       if (check_hmac ((uint8_t *)datagram, in_bytes, hmac_at, key))
-        outcome = decode_message (&xdr, in_bytes, message) ? WIR_OK : WIR_BROKEN;
+        outcome = decode_message (&xdr, in_bytes, message) ? DATAGRAM_OK : DATAGRAM_MALFORMED;
     }
   *xid = header.rpc.rm_xid;
   XDR_DESTROY (&xdr);
@@ -207,7 +208,7 @@
 }
 
 void
-wir_free (xch_message *message)
+datagram_free_message (xch_message *message)
 {
   xdr_free ((xdrproc_t)xdr_xch_message, (char *)message);
   memset (message, 0, sizeof *message);
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -4,9 +4,10 @@
  * Encodes and decodes the datagrams of the exchange: ONC RPC call and reply headers, XDR bodies,
  * and an HMAC-SHA256 under the fleet key in the RPC verifier. Uses no sockets.
  *
- * The verifier (a call's cb_verf, an accepted reply's ar_verf) has the flavor %WIR_FLAVOR and the
- * HMAC as its body. The HMAC covers the whole datagram with the body of the verifier zeroed. That
- * includes xid, direction, program and procedure, so a call cannot be reflected as a reply.
+ * The verifier (a call's cb_verf, an accepted reply's ar_verf) has the flavor
+ * %DATAGRAM_VERIFIER_FLAVOR and the HMAC as its body. The HMAC covers the whole datagram with the
+ * body of the verifier zeroed. That includes xid, direction, program and procedure, so a call
+ * cannot be reflected as a reply.
  *
  * Replay protection. The HMAC does not distinguish a replayed datagram from a new one. A reply is
  * accepted only for an xid that is still outstanding and from the address that was called. A call
@@ -37,39 +38,40 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define WIR_FLAVOR 0x20004d50 /* auth flavor of the verifier; equal to the RPC program number */
-#define WIR_HMAC_BYTES 32
+#define DATAGRAM_VERIFIER_FLAVOR                                                                   \
+  0x20004d50 /* auth flavor of the verifier; equal to the RPC program number */
+#define DATAGRAM_HMAC_BYTES 32
 
 typedef enum
 {
-  WIR_OK,
-  WIR_BROKEN,   /* malformed, truncated, or of another RPC program or version */
-  WIR_BAD_AUTH, /* the HMAC does not match */
-  WIR_TOO_LARGE /* longer than %LIM_DATAGRAM_BYTES */
-} wir_outcome_t;
+  DATAGRAM_OK,
+  DATAGRAM_MALFORMED, /* malformed, truncated, or of another RPC program or version */
+  DATAGRAM_BAD_AUTH,  /* the HMAC does not match */
+  DATAGRAM_TOO_LARGE  /* longer than %LIM_DATAGRAM_BYTES */
+} datagram_outcome_t;
 
 /**
- * wir_encode() - encode and authenticate a call, or a reply when @is_reply is true
+ * datagram_encode() - encode and authenticate a call, or a reply when @is_reply is true
  * @key: the fleet key, NUL-terminated
  * @xid: RPC transaction id; a reply has that of its call
  *
  * Return: the number of bytes written to @out, 0 when the message does not fit
  */
-size_t wir_encode (char *out,
-                   size_t out_bytes,
-                   const char *key,
-                   uint32_t xid,
-                   bool is_reply,
-                   xch_message *message);
-/** wir_decode() - verify and decode a datagram. After %WIR_OK @message must be freed by wir_free();
- * after any other outcome it holds nothing */
-wir_outcome_t wir_decode (const char *in,
-                          size_t in_bytes,
-                          const char *key,
-                          uint32_t *xid,
-                          bool *is_reply,
-                          xch_message *message);
-/** wir_free() - free the arrays of a decoded message and zero it */
-void wir_free (xch_message *message);
+size_t datagram_encode (char *out,
+                        size_t out_bytes,
+                        const char *key,
+                        uint32_t xid,
+                        bool is_reply,
+                        xch_message *message);
+/** datagram_decode() - verify and decode a datagram. After %DATAGRAM_OK @message must be freed by
+ * datagram_free_message(); after any other outcome it holds nothing */
+datagram_outcome_t datagram_decode (const char *in,
+                                    size_t in_bytes,
+                                    const char *key,
+                                    uint32_t *xid,
+                                    bool *is_reply,
+                                    xch_message *message);
+/** datagram_free_message() - free the arrays of a decoded message and zero it */
+void datagram_free_message (xch_message *message);
 
 #endif
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -22,11 +22,11 @@
   control_tick (context);
 }
 
-static exc_t *
+static exchange_t *
 open_exchange (control_t *ctrl, GError **error)
 {
   const set_t *set = &ctrl->dmn->set;
-  exc_options_t options = {
+  exchange_options_t options = {
     .base = ctrl->base,
     .clk = &ctrl->dmn->clk,
     .counters = ctrl->dmn->counters,
@@ -40,30 +40,33 @@
     .pick = control_exchange_pick_peer,
     .context = ctrl,
   };
-  return exc_new (&options, error);
+  return exchange_new (&options, error);
 }
 
 control_t *
-control_new_with_platform (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error)
+control_new_with_platform (dmn_t *dmn,
+                           struct event_base *base,
+                           platform_t *platform,
+                           GError **error)
 {
   control_t *ctrl = g_new0 (control_t, 1);
   ctrl->dmn = dmn;
   ctrl->base = base;
-  ctrl->plt = plt;
+  ctrl->platform = platform;
   ctrl->own_hash = rendezvous_hash_name (dmn->set.name);
   ctrl->rand = g_rand_new_with_seed ((guint32)(ctrl->own_hash ^ dmn->incarnation));
   ctrl->calls = g_ptr_array_new_with_free_func (g_free);
   ctrl->membership = membership_new ();
   ctrl->list.own_state = MEMBERSHIP_GONE;
   ctrl->list.leaving = leave_notice_new ();
-  ctrl->hcl = hcl_new (base, HTTP_IDLE_CONNECTIONS, HTTP_IDLE_TIMEOUT_MS);
+  ctrl->http_client = http_client_new (base, HTTP_IDLE_CONNECTIONS, HTTP_IDLE_TIMEOUT_MS);
   control_members_init (ctrl);
   control_manifest_init (ctrl);
   control_exchange_init (ctrl);
   control_freshness_init (ctrl);
   control_claims_init (ctrl);
-  ctrl->exc = open_exchange (ctrl, error);
-  if (ctrl->exc == NULL)
+  ctrl->exchange = open_exchange (ctrl, error);
+  if (ctrl->exchange == NULL)
     {
       control_free (ctrl);
       return NULL;
@@ -77,8 +80,8 @@
 control_t *
 control_new (dmn_t *dmn, struct event_base *base, GError **error)
 {
-  plt_t *plt = plt_http_new (base, &dmn->set.platform, dmn->set.name);
-  return control_new_with_platform (dmn, base, plt, error);
+  platform_t *platform = platform_http_new (base, &dmn->set.platform, dmn->set.name);
+  return control_new_with_platform (dmn, base, platform, error);
 }
 
 void
@@ -91,10 +94,10 @@
     event_free (ctrl->tick);
   control_fetch_clear (ctrl);
   control_claims_clear (ctrl);
-  ctrl->plt->free (ctrl->plt);
+  ctrl->platform->free (ctrl->platform);
   g_ptr_array_free (ctrl->calls, TRUE);
-  exc_free (ctrl->exc);
-  hcl_free (ctrl->hcl);
+  exchange_free (ctrl->exchange);
+  http_client_free (ctrl->http_client);
   control_exchange_clear (ctrl);
   control_manifest_clear (ctrl);
   control_members_clear (ctrl);
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -105,7 +105,7 @@
 }
 
 static void
-apply_records (control_claims_stream_t *stream, const plt_read_t *read)
+apply_records (control_claims_stream_t *stream, const platform_read_t *read)
 {
   uint64_t now_us = control_now_us (stream->ctrl);
   uint64_t wall_ms = clk_wall_ms (&stream->ctrl->dmn->clk);
@@ -115,7 +115,7 @@
   stream->begun = true;
   for (uint32_t i = 0; i < read->record_count; i++)
     {
-      const plt_record_t *record = &read->records[i];
+      const platform_record_t *record = &read->records[i];
       claim_apply_record (claim_stream, now_us, wall_ms, record->offset, record->data,
                           record->data_bytes);
     }
@@ -149,7 +149,7 @@
 }
 
 static void
-on_read (const plt_read_t *read, void *context)
+on_read (const platform_read_t *read, void *context)
 {
   control_call_t *call = context;
   control_t *ctrl = call->ctrl;
@@ -157,8 +157,8 @@
   if (!control_call_end (call))
     return;
   stream->read_call = NULL;
-  set_log_available (ctrl, read->outcome == PLT_OK);
-  if (read->outcome == PLT_OK)
+  set_log_available (ctrl, read->outcome == PLATFORM_OK);
+  if (read->outcome == PLATFORM_OK)
     {
       stream->backoff_us = 0;
       apply_records (stream, read);
@@ -173,7 +173,7 @@
 }
 
 static void
-count_append (control_t *ctrl, plt_outcome_t outcome)
+count_append (control_t *ctrl, platform_outcome_t outcome)
 {
   static const char *const outcomes[] = { "taken", "refused", "unknown" };
   char name[64];
@@ -184,7 +184,7 @@
 }
 
 static void
-on_append (plt_outcome_t outcome, uint64_t offset, void *context)
+on_append (platform_outcome_t outcome, uint64_t offset, void *context)
 {
   control_call_t *call = context;
   control_t *ctrl = call->ctrl;
@@ -195,14 +195,14 @@
   g_clear_pointer (&stream->batch, g_free);
   switch (outcome)
     {
-    case PLT_OK:
+    case PLATFORM_OK:
       claim_append_succeeded (stream->claim_stream, control_now_us (ctrl), offset);
       break;
-    case PLT_REFUSED:
+    case PLATFORM_REFUSED:
       claim_append_refused (stream->claim_stream, control_now_us (ctrl));
       break;
-    case PLT_UNKNOWN:
-    case PLT_EXPIRED: /* occurs for reads only */
+    case PLATFORM_UNKNOWN:
+    case PLATFORM_EXPIRED: /* occurs for reads only */
       claim_append_lost (stream->claim_stream, control_now_us (ctrl));
       break;
     }
@@ -223,8 +223,8 @@
     return;
   stream->append_call = control_call_new (ctrl);
   stream->append_call->stream = stream;
-  ctrl->plt->append (ctrl->plt, stream->name, stream->batch, strlen (stream->batch), on_append,
-                     stream->append_call);
+  ctrl->platform->append (ctrl->platform, stream->name, stream->batch, strlen (stream->batch),
+                          on_append, stream->append_call);
 }
 
 static void
@@ -238,8 +238,9 @@
   stream->read_call = control_call_new (ctrl);
   stream->read_call->stream = stream;
   /* The first read of a stream returns at once, as no claim can be granted before it. */
-  ctrl->plt->read (ctrl->plt, stream->name, claim_next_offset (stream->claim_stream),
-                   READ_MAX_RECORDS, stream->begun ? READ_WAIT_MS : 0, on_read, stream->read_call);
+  ctrl->platform->read (ctrl->platform, stream->name, claim_next_offset (stream->claim_stream),
+                        READ_MAX_RECORDS, stream->begun ? READ_WAIT_MS : 0, on_read,
+                        stream->read_call);
 }
 
 static void
@@ -347,14 +348,14 @@
 }
 
 static void
-on_probe (const plt_read_t *read, void *context)
+on_probe (const platform_read_t *read, void *context)
 {
   control_call_t *call = context;
   control_t *ctrl = call->ctrl;
   if (!control_call_end (call))
     return;
   ctrl->claims.probe_call = NULL;
-  set_log_available (ctrl, read->outcome == PLT_OK);
+  set_log_available (ctrl, read->outcome == PLATFORM_OK);
 }
 
 /* While the log is down claims are refused without a call, so none of them would notice its
@@ -372,9 +373,10 @@
   claims->probe_wait_us = MIN (claims->probe_wait_us * 2, PROBE_MAX_US);
   claims->probe_us = now_us + control_add_jitter (ctrl, claims->probe_wait_us);
   claims->probe_call = control_call_new (ctrl);
-  exc_charge (ctrl->exc, CONTROL_REQUEST_BYTES);
+  exchange_charge_budget (ctrl->exchange, CONTROL_REQUEST_BYTES);
   uint64_t from_offset = replay_next_offset (ctrl->manifest.replay);
-  ctrl->plt->read (ctrl->plt, REPLAY_STREAM, from_offset, 1, 0, on_probe, claims->probe_call);
+  ctrl->platform->read (ctrl->platform, REPLAY_STREAM, from_offset, 1, 0, on_probe,
+                        claims->probe_call);
 }
 
 static void
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -142,7 +142,7 @@
 static void
 spread_news (control_t *ctrl)
 {
-  if (exc_has_spare (ctrl->exc))
+  if (exchange_has_spare_budget (ctrl->exchange))
     control_exchange_call_random (ctrl, NEWS_FANOUT);
 }
 
@@ -267,7 +267,7 @@
 control_exchange_call (control_t *ctrl, const membership_host_t *host)
 {
   ctrl->talk.callee_hash = host->hash;
-  exc_now (ctrl->exc, &host->exchange);
+  exchange_send_now (ctrl->exchange, &host->exchange);
 }
 
 void
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -65,7 +65,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   control_t *ctrl = context;
   ctrl->fetch.call = NULL;
@@ -93,9 +93,9 @@
   sealed_call_t order = { .host = host->name, .method = "GET", .target = MANIFEST_SYNC_PATH };
   char seal[CALL_SEAL_BYTES];
   call_seal_compute (&order, ctrl->dmn->set.fleet_key, seal);
-  hcl_header_t headers[] = { { ANSWER_SEAL_NONCE_HEADER, fetch->nonce },
-                             { CALL_SEAL_HEADER, seal } };
-  hcl_options_t options = {
+  http_client_header_t headers[] = { { ANSWER_SEAL_NONCE_HEADER, fetch->nonce },
+                                     { CALL_SEAL_HEADER, seal } };
+  http_client_options_t options = {
     .address = &host->http,
     .method = "GET",
     .target = MANIFEST_SYNC_PATH,
@@ -108,15 +108,15 @@
     .on_end = on_end,
     .context = ctrl,
   };
-  exc_charge (ctrl->exc, CONTROL_REQUEST_BYTES);
-  fetch->call = hcl_start (ctrl->hcl, &options);
+  exchange_charge_budget (ctrl->exchange, CONTROL_REQUEST_BYTES);
+  fetch->call = http_client_start_call (ctrl->http_client, &options);
 }
 
 void
 control_fetch_clear (control_t *ctrl)
 {
   if (ctrl->fetch.call != NULL)
-    hcl_cancel (ctrl->fetch.call);
+    http_client_cancel_call (ctrl->fetch.call);
   if (ctrl->fetch.body != NULL)
     evbuffer_free (ctrl->fetch.body);
 }
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -18,7 +18,7 @@
   fresh->log_failed = false;
   fresh->replies = 0;
   fresh->current_replies = 0;
-  exc_flush (ctrl->exc);
+  exchange_discard_pending (ctrl->exchange);
   control_poll_restart (ctrl, &ctrl->list.poll);
   control_poll_restart (ctrl, &ctrl->manifest.poll);
   control_exchange_call_random (ctrl, PEERS_CALLED);
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -39,7 +39,7 @@
 }
 
 static const membership_list_entry_t *
-find_own_entry (const control_t *ctrl, const plt_hosts_t *hosts)
+find_own_entry (const control_t *ctrl, const platform_hosts_t *hosts)
 {
   for (uint32_t i = 0; i < hosts->host_count; i++)
     {
@@ -56,7 +56,7 @@
  * make.
  */
 static void
-note_leaving_hosts (control_t *ctrl, const plt_hosts_t *hosts)
+note_leaving_hosts (control_t *ctrl, const platform_hosts_t *hosts)
 {
   const char *data_center = ctrl->dmn->set.data_center;
   if (!ctrl->peers.is_follower)
@@ -73,7 +73,7 @@
 }
 
 static void
-apply_hosts (control_t *ctrl, const plt_hosts_t *hosts)
+apply_hosts (control_t *ctrl, const platform_hosts_t *hosts)
 {
   control_list_t *list = &ctrl->list;
   uint64_t now_us = control_now_us (ctrl);
@@ -100,7 +100,7 @@
 /* A list store that was emptied or has just started returns no hosts. Applying that would stop the
  * whole fleet at once, or let a starting daemon become fresh without knowing any host. */
 static bool
-is_credible (const plt_hosts_t *hosts)
+is_credible (const platform_hosts_t *hosts)
 {
   return !hosts->full || hosts->host_count > 0;
 }
@@ -125,7 +125,7 @@
 }
 
 static void
-accept_answer (control_t *ctrl, const plt_hosts_t *hosts, uint64_t started_us)
+accept_answer (control_t *ctrl, const platform_hosts_t *hosts, uint64_t started_us)
 {
   control_poll_succeeded (ctrl, &ctrl->list.poll, SOURCE,
                           control_add_jitter (ctrl, poll_interval_us (ctrl)));
@@ -145,14 +145,14 @@
 }
 
 static void
-on_hosts (const plt_hosts_t *hosts, void *context)
+on_hosts (const platform_hosts_t *hosts, void *context)
 {
   control_call_t *call = context;
   control_t *ctrl = call->ctrl;
   uint64_t started_us = call->started_us;
   if (!control_call_end (call))
     return;
-  bool worked = hosts->outcome == PLT_OK;
+  bool worked = hosts->outcome == PLATFORM_OK;
   control_set_gauge (ctrl, "medlarplank_list_up",
                      "Whether the last reading of the platform's list worked", worked);
   if (worked)
@@ -175,8 +175,8 @@
     return;
   poll->call = control_call_new (ctrl);
   ctrl->list.last_read_us = now_us;
-  exc_charge (ctrl->exc, CONTROL_LIST_READ_BYTES);
-  ctrl->plt->hosts (ctrl->plt, ctrl->list.revision, on_hosts, poll->call);
+  exchange_charge_budget (ctrl->exchange, CONTROL_LIST_READ_BYTES);
+  ctrl->platform->hosts (ctrl->platform, ctrl->list.revision, on_hosts, poll->call);
 }
 
 /* Not more often than the polling interval: while a data centre drops out, the list changes all the
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -60,7 +60,7 @@
 }
 
 static void
-apply_record (control_t *ctrl, const plt_record_t *record)
+apply_record (control_t *ctrl, const platform_record_t *record)
 {
   control_manifest_t *manifest = &ctrl->manifest;
   replay_result_t result =
@@ -75,7 +75,7 @@
 
 /* Return: the delay until the next read. */
 static uint64_t
-next_read_wait_us (control_t *ctrl, const plt_read_t *read, uint64_t next_before)
+next_read_wait_us (control_t *ctrl, const platform_read_t *read, uint64_t next_before)
 {
   uint64_t next_offset = replay_next_offset (ctrl->manifest.replay);
   if (next_offset < read->end_offset)
@@ -86,7 +86,7 @@
 }
 
 static void
-apply_records (control_t *ctrl, const plt_read_t *read, uint64_t started_us)
+apply_records (control_t *ctrl, const platform_read_t *read, uint64_t started_us)
 {
   replay_t *replay = ctrl->manifest.replay;
   uint64_t next_before = replay_next_offset (replay);
@@ -105,14 +105,14 @@
 }
 
 static void
-on_read (const plt_read_t *read, void *context)
+on_read (const platform_read_t *read, void *context)
 {
   control_call_t *call = context;
   control_t *ctrl = call->ctrl;
   uint64_t started_us = call->started_us;
   if (!control_call_end (call))
     return;
-  bool worked = read->outcome == PLT_OK;
+  bool worked = read->outcome == PLATFORM_OK;
   control_claims_note_log_read (ctrl, worked);
   if (worked)
     {
@@ -136,9 +136,9 @@
     return;
   bool may_wait = ctrl->peers.is_follower && ctrl->fresh.log_ok && !poll->down;
   poll->call = control_call_new (ctrl);
-  exc_charge (ctrl->exc, CONTROL_LOG_READ_BYTES);
-  ctrl->plt->read (ctrl->plt, REPLAY_STREAM, replay_next_offset (ctrl->manifest.replay),
-                   READ_MAX_RECORDS, may_wait ? LONG_POLL_MS : 0, on_read, poll->call);
+  exchange_charge_budget (ctrl->exchange, CONTROL_LOG_READ_BYTES);
+  ctrl->platform->read (ctrl->platform, REPLAY_STREAM, replay_next_offset (ctrl->manifest.replay),
+                        READ_MAX_RECORDS, may_wait ? LONG_POLL_MS : 0, on_read, poll->call);
 }
 
 static const membership_host_t *
@@ -173,7 +173,7 @@
 }
 
 static void
-on_checkpoint (plt_outcome_t outcome, uint64_t offset, void *context)
+on_checkpoint (platform_outcome_t outcome, uint64_t offset, void *context)
 {
   control_call_t *call = context;
   control_t *ctrl = call->ctrl;
@@ -183,10 +183,10 @@
   control_manifest_t *manifest = &ctrl->manifest;
   manifest->checkpoint_call = NULL;
   g_clear_pointer (&manifest->checkpoint, g_free);
-  log_event (LOG_LEVEL_INFO, "checkpoint", "outcome", outcome == PLT_OK ? "appended" : "failed",
-             "offset", LOG_U64 (offset), "version", LOG_U64 (control_manifest_version (ctrl)),
-             NULL);
-  if (outcome == PLT_OK)
+  log_event (LOG_LEVEL_INFO, "checkpoint", "outcome",
+             outcome == PLATFORM_OK ? "appended" : "failed", "offset", LOG_U64 (offset), "version",
+             LOG_U64 (control_manifest_version (ctrl)), NULL);
+  if (outcome == PLATFORM_OK)
     control_count_event (ctrl, "medlarplank_checkpoints_total",
                          "Checkpoints of the manifest appended");
 }
@@ -233,9 +233,9 @@
     return;
   size_t bytes = strlen (manifest->checkpoint);
   manifest->checkpoint_call = control_call_new (ctrl);
-  exc_charge (ctrl->exc, (uint32_t)bytes + CONTROL_REQUEST_BYTES);
-  ctrl->plt->append (ctrl->plt, REPLAY_STREAM, manifest->checkpoint, bytes, on_checkpoint,
-                     manifest->checkpoint_call);
+  exchange_charge_budget (ctrl->exchange, (uint32_t)bytes + CONTROL_REQUEST_BYTES);
+  ctrl->platform->append (ctrl->platform, REPLAY_STREAM, manifest->checkpoint, bytes, on_checkpoint,
+                          manifest->checkpoint_call);
 }
 
 void
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -139,7 +139,7 @@
  */
 typedef struct
 {
-  hcl_call_t *call;
+  http_client_call_t *call;
   struct evbuffer *body;
   char nonce[ANSWER_SEAL_NONCE_BYTES];
   char seal[ANSWER_SEAL_BYTES];
@@ -254,9 +254,9 @@
   struct event_base *base;
   struct event *tick;
   GRand *rand;
-  plt_t *plt;
-  hcl_t *hcl;
-  exc_t *exc;
+  platform_t *platform;
+  http_client_t *http_client;
+  exchange_t *exchange;
   membership_t *membership;
   uint64_t own_hash;
   GPtrArray *calls;
@@ -273,9 +273,11 @@
 };
 
 /* General */
-/** control_new_with_platform() - as control_new(), with @plt, which is freed with the task */
-control_t *
-control_new_with_platform (dmn_t *dmn, struct event_base *base, plt_t *plt, GError **error);
+/** control_new_with_platform() - as control_new(), with @platform, which is freed with the task */
+control_t *control_new_with_platform (dmn_t *dmn,
+                                      struct event_base *base,
+                                      platform_t *platform,
+                                      GError **error);
 /** control_tick() - the periodic work, called every %PSE_TICK_MS */
 void control_tick (control_t *ctrl);
 uint64_t control_now_us (const control_t *ctrl);
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -50,8 +50,8 @@
 struct gateway_fetch
 {
   gateway_fetch_options_t options;
-  hcl_t *hcl;
-  hcl_call_t *call;
+  http_client_t *http_client;
+  http_client_call_t *call;
   set_address_t peer;
   struct evbuffer *body;
   char nonce[ANSWER_SEAL_NONCE_BYTES];
@@ -124,7 +124,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   gateway_fetch_t *fetch = context;
   struct evbuffer *all_data = fetch->body;
@@ -162,7 +162,7 @@
   gateway_fetch_t *fetch = g_new0 (gateway_fetch_t, 1);
 
   fetch->options = *options;
-  fetch->hcl = hcl_new (options->base, IDLE_CONNECTIONS_MAX, IDLE_TIMEOUT_MS);
+  fetch->http_client = http_client_new (options->base, IDLE_CONNECTIONS_MAX, IDLE_TIMEOUT_MS);
   return fetch;
 }
 
@@ -170,10 +170,10 @@
 gateway_fetch_free (gateway_fetch_t *fetch)
 {
   if (fetch->call)
-    hcl_cancel (fetch->call);
+    http_client_cancel_call (fetch->call);
   if (fetch->body)
     evbuffer_free (fetch->body);
-  hcl_free (fetch->hcl);
+  http_client_free (fetch->http_client);
   g_free (fetch->cached.body);
   g_free (fetch);
 }
@@ -187,7 +187,7 @@
 static void
 start_fetch (gateway_fetch_t *fetch, const set_address_t *peer, const char *target)
 {
-  hcl_header_t header = { ANSWER_SEAL_NONCE_HEADER, fetch->nonce };
+  http_client_header_t header = { ANSWER_SEAL_NONCE_HEADER, fetch->nonce };
 
   g_assert (!fetch->call);
   answer_seal_make_nonce (fetch->nonce);
@@ -197,18 +197,19 @@
   fetch->referral.port = 0;
   fetch->peer = *peer;
   fetch->body = evbuffer_new ();
-  fetch->call = hcl_start (fetch->hcl,
-                           &(hcl_options_t){ .address = &fetch->peer,
-                                             .method = "GET",
-                                             .target = target,
-                                             .headers = &header,
-                                             .header_count = 1,
-                                             .timeout_us = GATEWAY_FETCH_TIMEOUT_MS * CLK_US_PER_MS,
-                                             .answer_limit_bytes = VIEW_SHARE_BYTES_MAX,
-                                             .on_head = on_head,
-                                             .on_data = on_data,
-                                             .on_end = on_end,
-                                             .context = fetch });
+  fetch->call = http_client_start_call (
+      fetch->http_client,
+      &(http_client_options_t){ .address = &fetch->peer,
+                                .method = "GET",
+                                .target = target,
+                                .headers = &header,
+                                .header_count = 1,
+                                .timeout_us = GATEWAY_FETCH_TIMEOUT_MS * CLK_US_PER_MS,
+                                .answer_limit_bytes = VIEW_SHARE_BYTES_MAX,
+                                .on_head = on_head,
+                                .on_data = on_data,
+                                .on_end = on_end,
+                                .context = fetch });
 }
 
 void
@@ -242,11 +243,14 @@
 
 /* Return: false when the request lacks the offset of a stream */
 static bool
-parse_offsets (hsv_call_t *call, const view_share_stream_t *streams, uint32_t count, uint64_t *from)
+parse_offsets (http_server_call_t *call,
+               const view_share_stream_t *streams,
+               uint32_t count,
+               uint64_t *from)
 {
   for (uint32_t i = 0; i < count; i++)
     {
-      const char *text = hsv_query (call, streams[i].name);
+      const char *text = http_server_query_value (call, streams[i].name);
 
       if (!text || !g_ascii_string_to_unsigned (text, 10, 0, UINT64_MAX, &from[i], NULL))
         return false;
@@ -295,27 +299,27 @@
 
 static void
 refuse (gateway_fetch_t *fetch,
-        hsv_call_t *call,
+        http_server_call_t *call,
         bootstrap_refusal_t refusal,
         const set_address_t *peer)
 {
   set_address_t referral = *peer;
 
   bootstrap_server_pick_referral (&fetch->server, g_random_int (), &referral);
-  hsv_add_header (call, REFUSAL_HEADER, refusal_names[refusal]);
+  http_server_add_header (call, REFUSAL_HEADER, refusal_names[refusal]);
   if (refusal == BOOTSTRAP_BUSY && referral.port != 0)
     {
       g_autofree char *text = set_address_text (&referral);
 
-      hsv_add_header (call, REFERRAL_HEADER, text);
+      http_server_add_header (call, REFERRAL_HEADER, text);
     }
-  hsv_reply_text (call, STATUS_REFUSED, "text/plain", "not now\n");
+  http_server_reply_text (call, STATUS_REFUSED, "text/plain", "not now\n");
 }
 
 /* Return: whether the starting gateway may be served; if not, the refusal has been sent */
 static bool
 accept_starting (gateway_fetch_t *fetch,
-                 hsv_call_t *call,
+                 http_server_call_t *call,
                  const set_address_t *requester,
                  const gateway_fetch_responder_t *state)
 {
@@ -342,14 +346,14 @@
 
 bool
 gateway_fetch_handle_request (gateway_fetch_t *fetch,
-                              hsv_call_t *call,
+                              http_server_call_t *call,
                               const view_share_stream_t *streams,
                               uint32_t count,
                               const gateway_fetch_responder_t *state)
 {
-  const char *nonce = hsv_header (call, ANSWER_SEAL_NONCE_HEADER);
-  const char *control = hsv_query (call, CONTROL_QUERY);
-  bool any_size = control || hsv_query (call, ANY_SIZE_QUERY);
+  const char *nonce = http_server_request_header (call, ANSWER_SEAL_NONCE_HEADER);
+  const char *control = http_server_query_value (call, CONTROL_QUERY);
+  bool any_size = control || http_server_query_value (call, ANY_SIZE_QUERY);
   uint64_t from[GATEWAY_FETCH_STREAMS_MAX];
   view_share_stream_t sent[GATEWAY_FETCH_STREAMS_MAX];
   char age[AGE_BYTES] = "";
@@ -358,12 +362,13 @@
   char seal[ANSWER_SEAL_BYTES];
 
   g_assert (count <= GATEWAY_FETCH_STREAMS_MAX);
-  if (strcmp (hsv_path (call), VIEW_SHARE_PATH) != 0)
+  if (strcmp (http_server_path (call), VIEW_SHARE_PATH) != 0)
     return false;
   if (!nonce || !parse_offsets (call, streams, count, from) ||
       (control && !set_parse_address (control, &requester, NULL)))
     {
-      hsv_reply_text (call, 400, "text/plain", "from where on, and a nonce, must be told\n");
+      http_server_reply_text (call, 400, "text/plain",
+                              "from where on, and a nonce, must be told\n");
       return true;
     }
   if (control && !accept_starting (fetch, call, &requester, state))
@@ -377,10 +382,10 @@
   if (control)
     {
       g_snprintf (age, sizeof age, "%" G_GUINT32_FORMAT, state->store_age_ms);
-      hsv_add_header (call, STORE_AGE_HEADER, age);
+      http_server_add_header (call, STORE_AGE_HEADER, age);
     }
   make_seal (fetch, nonce, age, body, strlen (body), seal);
-  hsv_add_header (call, ANSWER_SEAL_HEADER, seal);
-  hsv_reply_text (call, STATUS_OK, "application/json", body);
+  http_server_add_header (call, ANSWER_SEAL_HEADER, seal);
+  http_server_reply_text (call, STATUS_OK, "application/json", body);
   return true;
 }
--- a/src/process/gateway_fetch.h
+++ b/src/process/gateway_fetch.h
@@ -104,7 +104,7 @@
  * gateway_fetch_all()
  */
 bool gateway_fetch_handle_request (gateway_fetch_t *fetch,
-                                   hsv_call_t *call,
+                                   http_server_call_t *call,
                                    const view_share_stream_t *streams,
                                    uint32_t count,
                                    const gateway_fetch_responder_t *state);
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -48,7 +48,7 @@
 struct gateway_peers
 {
   gateway_peers_options_t options;
-  exc_t *exchange;
+  exchange_t *exchange;
   struct event *news_timer;
   GPtrArray *list; /* peer_t */
   GRand *rand;
@@ -346,7 +346,7 @@
       const peer_t *peer = random_peer (peers, true);
 
       if (peer)
-        exc_now (peers->exchange, &peer->exchange);
+        exchange_send_now (peers->exchange, &peer->exchange);
     }
 }
 
@@ -362,19 +362,20 @@
   gossip_init (&peers->gossip);
   peers->news_timer = evtimer_new (options->base, on_news_timer, peers);
   peers->rand = g_rand_new_with_seed ((guint32)(peers->own_hash ^ options->incarnation));
-  peers->exchange = exc_new (&(exc_options_t){ .base = options->base,
-                                               .clk = options->clk,
-                                               .counters = options->counters,
-                                               .listen = set->exchange,
-                                               .fleet_key = set->fleet_key,
-                                               .interval_ms = set->exchange_interval_ms,
-                                               .budget_bytes = set->control_budget_bytes,
-                                               .seed = peers->own_hash ^ options->incarnation,
-                                               .fill = fill_message,
-                                               .heard = on_message,
-                                               .pick = pick_destination,
-                                               .context = peers },
-                             error);
+  peers->exchange =
+      exchange_new (&(exchange_options_t){ .base = options->base,
+                                           .clk = options->clk,
+                                           .counters = options->counters,
+                                           .listen = set->exchange,
+                                           .fleet_key = set->fleet_key,
+                                           .interval_ms = set->exchange_interval_ms,
+                                           .budget_bytes = set->control_budget_bytes,
+                                           .seed = peers->own_hash ^ options->incarnation,
+                                           .fill = fill_message,
+                                           .heard = on_message,
+                                           .pick = pick_destination,
+                                           .context = peers },
+                    error);
   if (peers->exchange)
     return peers;
   gateway_peers_free (peers);
@@ -385,7 +386,7 @@
 gateway_peers_free (gateway_peers_t *peers)
 {
   if (peers->exchange)
-    exc_free (peers->exchange);
+    exchange_free (peers->exchange);
   event_free (peers->news_timer);
   g_rand_free (peers->rand);
   g_ptr_array_free (peers->list, TRUE);
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -34,8 +34,8 @@
   engines_t *engines;
   gateway_task_t *gateway;
   gateway_store_t *store;
-  hsv_t *ready_listener;
-  hsv_t *control_listener;
+  http_server_t *ready_listener;
+  http_server_t *control_listener;
   routing_t *table;
   lapses_t *lapsed;
   struct event *tick;
@@ -374,53 +374,53 @@
 }
 
 static void
-on_ready_call (hsv_call_t *call, void *context)
+on_ready_call (http_server_call_t *call, void *context)
 {
   const gateway_process_t *process = context;
 
-  if (strcmp (hsv_path (call), "/readyz") == 0)
-    hsv_reply_text (call, gateway_process_is_ready (process) ? 200 : 503, "text/plain",
-                    gateway_process_is_ready (process) ? "ready\n" : "not ready\n");
+  if (strcmp (http_server_path (call), "/readyz") == 0)
+    http_server_reply_text (call, gateway_process_is_ready (process) ? 200 : 503, "text/plain",
+                            gateway_process_is_ready (process) ? "ready\n" : "not ready\n");
   else
-    hsv_reply_text (call, 404, "text/plain", "no such path\n");
+    http_server_reply_text (call, 404, "text/plain", "no such path\n");
 }
 
 static void
-on_control_call (hsv_call_t *call, void *context)
+on_control_call (http_server_call_t *call, void *context)
 {
   gateway_process_t *process = context;
   GString *text;
 
   if (gateway_store_handle_request (process->store, call, lapses_count (process->lapsed) == 0))
     return;
-  if (strcmp (hsv_path (call), "/metrics") != 0)
+  if (strcmp (http_server_path (call), "/metrics") != 0)
     {
       on_ready_call (call, context);
       return;
     }
   text = g_string_new (NULL);
   cnt_write (process->options.counters, text);
-  hsv_reply_text (call, 200, "text/plain; version=0.0.4", text->str);
+  http_server_reply_text (call, 200, "text/plain; version=0.0.4", text->str);
   g_string_free (text, TRUE);
 }
 
-static hsv_t *
+static http_server_t *
 listen_admin (gateway_process_t *process,
               const set_address_t *address,
-              void (*on_call) (hsv_call_t *, void *),
+              void (*on_call) (http_server_call_t *, void *),
               GError **error)
 {
-  return hsv_new (&(hsv_options_t){ .base = process->options.base,
-                                    .counters = process->options.counters,
-                                    .listen = *address,
-                                    .body_limit_bytes = ADMIN_BODY_LIMIT_BYTES,
-                                    .header_limit_bytes = ADMIN_HEADER_LIMIT_BYTES,
-                                    .header_limit_count = ADMIN_HEADER_LIMIT_COUNT,
-                                    .connection_limit = ADMIN_CONNECTION_LIMIT,
-                                    .idle_timeout_ms = ADMIN_IDLE_TIMEOUT_MS,
-                                    .on_call = on_call,
-                                    .context = process },
-                  error);
+  return http_server_new (&(http_server_options_t){ .base = process->options.base,
+                                                    .counters = process->options.counters,
+                                                    .listen = *address,
+                                                    .body_limit_bytes = ADMIN_BODY_LIMIT_BYTES,
+                                                    .header_limit_bytes = ADMIN_HEADER_LIMIT_BYTES,
+                                                    .header_limit_count = ADMIN_HEADER_LIMIT_COUNT,
+                                                    .connection_limit = ADMIN_CONNECTION_LIMIT,
+                                                    .idle_timeout_ms = ADMIN_IDLE_TIMEOUT_MS,
+                                                    .on_call = on_call,
+                                                    .context = process },
+                          error);
 }
 
 static bool
@@ -465,7 +465,7 @@
                                                      .clk = process->options.clk,
                                                      .counters = process->options.counters,
                                                      .set = process->options.set,
-                                                     .plt = process->options.plt,
+                                                     .platform = process->options.platform,
                                                      .incarnation = process->options.incarnation,
                                                      .get_version = get_version,
                                                      .on_routing = on_routing,
@@ -515,9 +515,9 @@
   if (process->gateway)
     gateway_free (process->gateway);
   if (process->ready_listener)
-    hsv_free (process->ready_listener);
+    http_server_free (process->ready_listener);
   if (process->control_listener)
-    hsv_free (process->control_listener);
+    http_server_free (process->control_listener);
   if (process->table)
     routing_unref (process->table);
   engines_free (process->engines);
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -55,7 +55,7 @@
 
 /**
  * struct gateway_process_options - options of gateway_process_new()
- * @plt: client of the platform's store; owned by the new object
+ * @platform: client of the platform's store; owned by the new object
  * @incarnation: start time of this process, in milliseconds since 1970
  */
 typedef struct
@@ -64,7 +64,7 @@
   const clk_t *clk;
   cnt_set_t *counters;
   const set_t *set;
-  plt_t *plt;
+  platform_t *platform;
   const format_t *format;
   gateway_process_parsers_t readers;
   uint64_t incarnation;
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -20,8 +20,9 @@
   STREAM_COUNT
 };
 
-static const char *const stream_names[STREAM_COUNT] = { PLT_STREAM_ROUTING, PLT_STREAM_ENGINES,
-                                                        PLT_STREAM_ROUTERS };
+static const char *const stream_names[STREAM_COUNT] = { PLATFORM_STREAM_ROUTING,
+                                                        PLATFORM_STREAM_ENGINES,
+                                                        PLATFORM_STREAM_ROUTERS };
 
 /**
  * struct gateway_store - a gateway's copy of the store
@@ -44,7 +45,7 @@
   gateway_store_options_t options;
   gateway_peers_t *peers;
   keyed_view_t *views[STREAM_COUNT];
-  sfl_t *followers[STREAM_COUNT];
+  stream_follower_t *followers[STREAM_COUNT];
   gateway_fetch_t *fetch;
   read_policy_t policies[STREAM_COUNT];
   gateway_start_t *start;
@@ -82,8 +83,8 @@
   gateway_store_t *store = context;
 
   mark_caught_up (store, STREAM_ROUTING);
-  if (g_str_has_prefix (key, PLT_KEY_DRAIN_PREFIX))
-    store->options.on_drain (key + strlen (PLT_KEY_DRAIN_PREFIX), value != NULL, offset,
+  if (g_str_has_prefix (key, PLATFORM_KEY_DRAIN_PREFIX))
+    store->options.on_drain (key + strlen (PLATFORM_KEY_DRAIN_PREFIX), value != NULL, offset,
                              store->options.context);
   else if (value)
     store->options.on_routing (value, value_bytes, offset, store->options.context);
@@ -100,7 +101,8 @@
 record_store_contact (gateway_store_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    store_outage_record_contact (&store->outage, sfl_heard_us (store->followers[i]),
+    store_outage_record_contact (&store->outage,
+                                 stream_follower_last_answer_us (store->followers[i]),
                                  min_outage_us (store));
 }
 
@@ -112,8 +114,9 @@
 static bool
 may_have_lapsed (const gateway_store_t *store)
 {
-  bool unsure = store->applying_copy ? store->copy_unsettled
-                                     : sfl_is_catching_up (store->followers[STREAM_ENGINES]);
+  bool unsure = store->applying_copy
+                    ? store->copy_unsettled
+                    : stream_follower_is_catching_up (store->followers[STREAM_ENGINES]);
 
   uint64_t outage_end_us =
       store_outage_end_us (&store->outage, now_us (store), min_outage_us (store));
@@ -158,18 +161,18 @@
 static read_policy_view_t
 policy_view (const gateway_store_t *store, uint32_t stream)
 {
-  const sfl_t *follower = store->followers[stream];
+  const stream_follower_t *follower = store->followers[stream];
   uint32_t gateways_before = gateway_peers_count_ranked_before (store->peers);
 
   return (read_policy_view_t){ .close = gateways_before < GATEWAY_PEERS_FOLLOWERS &&
                                         has_own_entry (store),
-                               .listed = sfl_has_listed (follower),
-                               .lost = store->store_lost || sfl_is_failing (follower),
+                               .listed = stream_follower_has_listed (follower),
+                               .lost = store->store_lost || stream_follower_is_failing (follower),
                                .alone = gateway_peers_is_isolated (store->peers),
                                .before = gateways_before,
                                .count = gateway_peers_count_running (store->peers),
-                               .own_us = sfl_heard_us (follower),
-                               .tried_us = sfl_tried_us (follower) };
+                               .own_us = stream_follower_last_answer_us (follower),
+                               .tried_us = stream_follower_last_call_us (follower) };
 }
 
 static read_policy_stream_t
@@ -192,57 +195,58 @@
   read_policy_action_t action =
       read_policy_decide (&store->policies[stream], &limits, &view, now_us (store));
 
-  sfl_set_resting (store->followers[stream], action != READ_POLICY_FOLLOW);
+  stream_follower_set_on_demand (store->followers[stream], action != READ_POLICY_FOLLOW);
   if (action == READ_POLICY_READ_ONCE)
-    sfl_read_soon (store->followers[stream]);
+    stream_follower_read_soon (store->followers[stream]);
 }
 
 /* Once another stream has failed at the start, it waits until the routing rules can be read, so
  * that each attempt costs an unreachable store one call instead of three. */
 static void
-hold_until_routing_listed (gateway_store_t *store, uint32_t stream, sfl_state_t state)
+hold_until_routing_listed (gateway_store_t *store, uint32_t stream, stream_follower_state_t state)
 {
-  if (state == SFL_LOST && !sfl_has_listed (store->followers[stream]) &&
-      !sfl_has_listed (store->followers[STREAM_ROUTING]))
-    sfl_hold (store->followers[stream]);
+  if (state == STREAM_FOLLOWER_LOST && !stream_follower_has_listed (store->followers[stream]) &&
+      !stream_follower_has_listed (store->followers[STREAM_ROUTING]))
+    stream_follower_suspend (store->followers[stream]);
 }
 
 static void
 begin_reading_all (gateway_store_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    sfl_begin (store->followers[i]);
+    stream_follower_resume (store->followers[i]);
 }
 
 static void
-on_routing_state (sfl_state_t state, void *context)
+on_routing_state (stream_follower_state_t state, void *context)
 {
   gateway_store_t *store = context;
 
-  if (state == SFL_LOST && !sfl_has_listed (store->followers[STREAM_ENGINES]))
+  if (state == STREAM_FOLLOWER_LOST &&
+      !stream_follower_has_listed (store->followers[STREAM_ENGINES]))
     store->store_lost = true;
   else
     begin_reading_all (store);
-  if (state != SFL_LISTED)
+  if (state != STREAM_FOLLOWER_LISTED)
     return;
   update_reading (store, STREAM_ROUTING);
   store->options.on_status (store->options.context);
 }
 
 static void
-on_engines_state (sfl_state_t state, void *context)
+on_engines_state (stream_follower_state_t state, void *context)
 {
   gateway_store_t *store = context;
 
-  store->store_lost = state == SFL_LOST;
+  store->store_lost = state == STREAM_FOLLOWER_LOST;
   hold_until_routing_listed (store, STREAM_ENGINES, state);
-  if (state == SFL_LISTED)
+  if (state == STREAM_FOLLOWER_LISTED)
     update_reading (store, STREAM_ENGINES);
   store->options.on_status (store->options.context);
 }
 
 static void
-on_routers_state (sfl_state_t state, void *context)
+on_routers_state (stream_follower_state_t state, void *context)
 {
   hold_until_routing_listed (context, STREAM_ROUTERS, state);
 }
@@ -276,10 +280,12 @@
 {
   gateway_store_t *store = context;
 
-  return (gateway_peers_progress_t){ .routing_next = sfl_next (store->followers[STREAM_ROUTING]),
-                                     .engines_next = sfl_next (store->followers[STREAM_ENGINES]),
-                                     .routers_next = sfl_next (store->followers[STREAM_ROUTERS]),
-                                     .store_age_ms = store_age_ms (store) };
+  return (gateway_peers_progress_t){
+    .routing_next = stream_follower_next_offset (store->followers[STREAM_ROUTING]),
+    .engines_next = stream_follower_next_offset (store->followers[STREAM_ENGINES]),
+    .routers_next = stream_follower_next_offset (store->followers[STREAM_ROUTERS]),
+    .store_age_ms = store_age_ms (store)
+  };
 }
 
 static void
@@ -304,7 +310,7 @@
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     out[i] = (view_share_stream_t){ .name = stream_names[i],
                                     .view = store->views[i],
-                                    .next = sfl_next (store->followers[i]),
+                                    .next = stream_follower_next_offset (store->followers[i]),
                                     .most_bytes =
                                         i == STREAM_ROUTING ? GATEWAY_STORE_UPDATE_MAX_BYTES : 0 };
 }
@@ -329,7 +335,7 @@
   store->applying_copy = true;
   store->copy_unsettled = !answer->settled;
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    sfl_advance (store->followers[i], view_share_apply (answer, &streams[i]));
+    stream_follower_advance (store->followers[i], view_share_apply (answer, &streams[i]));
   store->applying_copy = false;
   mark_too_large (store, answer);
   cnt_add (store->fetch_count, 1);
@@ -376,14 +382,14 @@
   log_event (LOG_LEVEL_NOTICE, "view_from_peer", "peer", peer, "outcome",
              reason ? "not_taken" : "taken", "reason", reason, "version",
              LOG_U64 (store->options.get_version (store->options.context)), "engines_next",
-             LOG_U64 (sfl_next (store->followers[STREAM_ENGINES])), NULL);
+             LOG_U64 (stream_follower_next_offset (store->followers[STREAM_ENGINES])), NULL);
 }
 
 static bool
 has_listed_all (const gateway_store_t *store)
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    if (!sfl_has_listed (store->followers[i]))
+    if (!stream_follower_has_listed (store->followers[i]))
       return false;
   return true;
 }
@@ -398,7 +404,7 @@
 
   for (uint32_t i = 0; i < STREAM_COUNT && age_us < at_us; i++)
     {
-      uint64_t next = sfl_next (store->followers[i]);
+      uint64_t next = stream_follower_next_offset (store->followers[i]);
 
       read_policy_apply_peer (&store->policies[i], at_us, next, next, at_us - age_us);
     }
@@ -522,13 +528,13 @@
 }
 
 static void
-on_put (plt_outcome_t outcome, uint64_t offset, void *context)
+on_put (platform_outcome_t outcome, uint64_t offset, void *context)
 {
   gateway_store_t *store = context;
 
-  store->entry_written = outcome == PLT_OK;
-  log_event (LOG_LEVEL_NOTICE, "own_entry", "outcome", outcome == PLT_OK ? "written" : "not_known",
-             "offset", LOG_U64 (offset), NULL);
+  store->entry_written = outcome == PLATFORM_OK;
+  log_event (LOG_LEVEL_NOTICE, "own_entry", "outcome",
+             outcome == PLATFORM_OK ? "written" : "not_known", "offset", LOG_U64 (offset), NULL);
 }
 
 /* Only the newest record of a key counts, so writing the entry again after a lost answer is
@@ -542,7 +548,7 @@
   uint64_t offset;
 
   if (store->entry_written || now_us (store) < store->entry_retry_us ||
-      !sfl_has_listed (store->followers[STREAM_ROUTERS]))
+      !stream_follower_has_listed (store->followers[STREAM_ROUTERS]))
     return;
   store->entry_retry_us = now_us (store) + OWN_ENTRY_RETRY_US;
   entry = gateway_peers_format_own_entry (store->peers);
@@ -553,8 +559,8 @@
   else
     {
       cnt_add (store->write_count, 1);
-      store->options.plt->put (store->options.plt, PLT_STREAM_ROUTERS, store->options.set->name,
-                               entry, strlen (entry), on_put, store);
+      store->options.platform->put (store->options.platform, PLATFORM_STREAM_ROUTERS,
+                                    store->options.set->name, entry, strlen (entry), on_put, store);
     }
 }
 
@@ -616,22 +622,23 @@
                uint32_t stream,
                uint32_t wait_ms,
                keyed_view_visit_t changed,
-               void (*on_state) (sfl_state_t state, void *context))
+               void (*on_state) (stream_follower_state_t state, void *context))
 {
   store->views[stream] = keyed_view_new (changed, store);
-  store->followers[stream] = sfl_new (&(sfl_options_t){ .base = store->options.base,
-                                                        .clk = store->options.clk,
-                                                        .counters = store->options.counters,
-                                                        .plt = store->options.plt,
-                                                        .stream = stream_names[stream],
-                                                        .view = store->views[stream],
-                                                        .wait_ms = wait_ms,
-                                                        .pace_ms = read_interval_ms (store, stream),
-                                                        .latest_only = stream == STREAM_ROUTING,
-                                                        .held = true,
-                                                        .seed = store->options.incarnation + stream,
-                                                        .told = on_state,
-                                                        .context = store });
+  store->followers[stream] = stream_follower_new (
+      &(stream_follower_options_t){ .base = store->options.base,
+                                    .clk = store->options.clk,
+                                    .counters = store->options.counters,
+                                    .platform = store->options.platform,
+                                    .stream = stream_names[stream],
+                                    .view = store->views[stream],
+                                    .wait_ms = wait_ms,
+                                    .pace_ms = read_interval_ms (store, stream),
+                                    .latest_only = stream == STREAM_ROUTING,
+                                    .held = true,
+                                    .seed = store->options.incarnation + stream,
+                                    .told = on_state,
+                                    .context = store });
 }
 
 /* With a short renewal interval, entries expire in a short outage already; reads must wait less
@@ -652,7 +659,7 @@
                                 "Times that records of the store were taken from a peer");
   store->write_count =
       cnt_get_labelled (options->counters, "medlarplank_store_writes_total", "stream",
-                        PLT_STREAM_ROUTERS, "Records written into the store");
+                        PLATFORM_STREAM_ROUTERS, "Records written into the store");
   store->fetch = gateway_fetch_new (
       &(gateway_fetch_options_t){ .base = options->base,
                                   .clk = options->clk,
@@ -698,13 +705,13 @@
 void
 gateway_store_free (gateway_store_t *store)
 {
-  store->options.plt->free (store->options.plt);
+  store->options.platform->free (store->options.platform);
   gateway_fetch_free (store->fetch);
   if (store->peers)
     gateway_peers_free (store->peers);
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     {
-      sfl_free (store->followers[i]);
+      stream_follower_free (store->followers[i]);
       keyed_view_free (store->views[i]);
     }
   gateway_start_free (store->start);
@@ -714,20 +721,20 @@
 bool
 gateway_store_has_routing (const gateway_store_t *store)
 {
-  return sfl_has_listed (store->followers[STREAM_ROUTING]);
+  return stream_follower_has_listed (store->followers[STREAM_ROUTING]);
 }
 
 uint32_t
 gateway_store_count_registered (const gateway_store_t *store)
 {
-  return gateway_peers_count_registered (store->peers,
-                                         sfl_has_listed (store->followers[STREAM_ROUTERS]));
+  return gateway_peers_count_registered (
+      store->peers, stream_follower_has_listed (store->followers[STREAM_ROUTERS]));
 }
 
 bool
 gateway_store_has_engines (const gateway_store_t *store)
 {
-  return sfl_has_listed (store->followers[STREAM_ENGINES]);
+  return stream_follower_has_listed (store->followers[STREAM_ENGINES]);
 }
 
 bool
@@ -763,15 +770,16 @@
 }
 
 bool
-gateway_store_handle_request (gateway_store_t *store, hsv_call_t *call, bool settled)
+gateway_store_handle_request (gateway_store_t *store, http_server_call_t *call, bool settled)
 {
   view_share_stream_t streams[STREAM_COUNT];
   size_t bytes = 0;
-  gateway_fetch_responder_t state = { .settled = settled,
-                                      .complete = has_listed_all (store) &&
-                                                  !lacks_routing_or_engines (store) &&
-                                                  sfl_next (store->followers[STREAM_ROUTERS]) > 0,
-                                      .store_age_ms = store_age_ms (store) };
+  gateway_fetch_responder_t state = {
+    .settled = settled,
+    .complete = has_listed_all (store) && !lacks_routing_or_engines (store) &&
+                stream_follower_next_offset (store->followers[STREAM_ROUTERS]) > 0,
+    .store_age_ms = store_age_ms (store)
+  };
 
   gateway_peers_pick_control (store->peers, &state.referral);
   fill_streams (store, streams);
--- a/src/process/gateway_store.h
+++ b/src/process/gateway_store.h
@@ -55,7 +55,7 @@
 
 /**
  * struct gateway_store_options - options of gateway_store_new()
- * @plt: client of the store; owned by the new object
+ * @platform: client of the store; owned by the new object
  * @incarnation: start time of this process, in milliseconds since 1970
  * @get_version: returns the version of the routing rules in force, 0 for none
  * @on_routing: a record of routing rules was read
@@ -74,7 +74,7 @@
   const clk_t *clk;
   cnt_set_t *counters;
   const set_t *set;
-  plt_t *plt;
+  platform_t *platform;
   uint64_t incarnation;
   uint64_t (*get_version) (void *context);
   void (*on_routing) (const char *text, size_t text_bytes, uint64_t offset, void *context);
@@ -94,7 +94,7 @@
 typedef struct gateway_store gateway_store_t;
 
 /** gateway_store_new() - opens the exchange with peers and starts loading. Return: NULL with @error
- * when the exchange cannot be opened; @plt is freed then too */
+ * when the exchange cannot be opened; @platform is freed then too */
 gateway_store_t *gateway_store_new (const gateway_store_options_t *options, GError **error);
 void gateway_store_free (gateway_store_t *store);
 /** gateway_store_tick() - periodic work; to be called about every 100 ms */
@@ -122,6 +122,6 @@
 /** gateway_store_handle_request() - answers a peer that fetches records. @settled: whether no
  * removed engine entry may still be restored. Return: false, without an answer, when the request
  * has another path */
-bool gateway_store_handle_request (gateway_store_t *store, hsv_call_t *call, bool settled);
+bool gateway_store_handle_request (gateway_store_t *store, http_server_call_t *call, bool settled);
 
 #endif
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -377,7 +377,7 @@
           .clk = &gateway.clk,
           .counters = gateway.counters,
           .set = set,
-          .plt = pst_new (gateway.base, &set->platform),
+          .platform = pst_new (gateway.base, &set->platform),
           .format = prf_format (),
           .readers = { .routing = prc_read_routing, .engine = prc_read_engine },
           .incarnation = gateway.incarnation },
--- a/src/request/fault.c
+++ b/src/request/fault.c
@@ -103,16 +103,16 @@
 }
 
 void
-error_reply_send (hsv_call_t *call, const flt_t *fault)
+error_reply_send (http_server_call_t *call, const flt_t *fault)
 {
   int status =
       fault->status != 0 ? fault->status : error_reply_status (fault->reason, fault->verdict);
   char *body = error_reply_body (fault);
   char seconds[16];
 
-  hsv_add_header (call, VERDICT_HEADER, verdict_to_string (fault->verdict));
+  http_server_add_header (call, VERDICT_HEADER, verdict_to_string (fault->verdict));
   if (fault->request != NULL)
-    hsv_add_header (call, ERROR_REPLY_REQUEST_HEADER, fault->request);
+    http_server_add_header (call, ERROR_REPLY_REQUEST_HEADER, fault->request);
   if (fault->retry_after_ms != 0)
     {
       if (fault->exact_retry)
@@ -120,14 +120,14 @@
                   fault->retry_after_ms % 1000);
       else
         snprintf (seconds, sizeof seconds, "%" PRIu32, (fault->retry_after_ms - 1) / 1000 + 1);
-      hsv_add_header (call, "Retry-After", seconds);
+      http_server_add_header (call, "Retry-After", seconds);
     }
-  hsv_reply_text (call, status, "application/json", body);
+  http_server_reply_text (call, status, "application/json", body);
   g_free (body);
 }
 
 void
-error_reply_reject (hsv_call_t *call, int status, const char *code, const char *message)
+error_reply_reject (http_server_call_t *call, int status, const char *code, const char *message)
 {
   error_reply_send (
       call,
--- a/src/request/fault.h
+++ b/src/request/fault.h
@@ -37,10 +37,11 @@
 } flt_t;
 
 /** error_reply_send() - sends the error response, which ends the call */
-void error_reply_send (hsv_call_t *call, const flt_t *fault);
+void error_reply_send (http_server_call_t *call, const flt_t *fault);
 /** error_reply_reject() - rejects a request that is itself wrong, before anything was forwarded;
  * ends the call */
-void error_reply_reject (hsv_call_t *call, int status, const char *code, const char *message);
+void
+error_reply_reject (http_server_call_t *call, int status, const char *code, const char *message);
 /** error_reply_body() - the JSON body of the error; the caller frees it with g_free() */
 char *error_reply_body (const flt_t *fault);
 /** error_reply_status() - the HTTP status for a reason and a verdict */
--- a/src/request/gateway/format.h
+++ b/src/request/gateway/format.h
@@ -106,8 +106,9 @@
 /**
  * struct format - the operations of an adapter
  * @read: parses a client's request headers. Return: NULL, or an error message for the client
- * @write: appends the request headers for an engine to @out, an array of hcl_header_t: those of the
- *   gateway, and the client's headers that are forwarded. @out borrows from @text and @headers
+ * @write: appends the request headers for an engine to @out, an array of http_client_header_t:
+ * those of the gateway, and the client's headers that are forwarded. @out borrows from @text and
+ * @headers
  * @answer: parses an engine's response headers; @id is the id of the request, or NULL
  * @is_returned: whether a response header is forwarded to the client
  */
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -208,11 +208,12 @@
   gateway->calls = g_hash_table_new (NULL, NULL);
   register_counters (gateway);
   gateway->upstreams =
-      hcl_new (options->base, GATEWAY_IDLE_CONNECTIONS_MAX, GATEWAY_IDLE_TIMEOUT_MS);
-  hcl_set_connect_limit (gateway->upstreams, GATEWAY_CONNECT_TIMEOUT_MS);
+      http_client_new (options->base, GATEWAY_IDLE_CONNECTIONS_MAX, GATEWAY_IDLE_TIMEOUT_MS);
+  http_client_set_connect_timeout (gateway->upstreams, GATEWAY_CONNECT_TIMEOUT_MS);
   gateway->tick_timer = event_new (options->base, -1, EV_PERSIST, on_tick, gateway);
   event_add (gateway->tick_timer, &tick);
-  gateway->listener = hsv_new (&(hsv_options_t){ .base = options->base,
+  gateway->listener =
+      http_server_new (&(http_server_options_t){ .base = options->base,
                                                  .counters = options->counters,
                                                  .listen = set->listen,
                                                  .body_limit_bytes = set->body_limit_bytes,
@@ -222,7 +223,7 @@
                                                  .idle_timeout_ms = set->idle_timeout_ms,
                                                  .on_call = gateway_accept,
                                                  .context = gateway },
-                               error);
+                       error);
   if (gateway->listener)
     return gateway;
   gateway_free (gateway);
@@ -249,9 +250,9 @@
 gateway_free (gateway_task_t *gateway)
 {
   if (gateway->listener)
-    hsv_free (gateway->listener);
+    http_server_free (gateway->listener);
   cancel_calls (gateway);
-  hcl_free (gateway->upstreams);
+  http_client_free (gateway->upstreams);
   event_free (gateway->tick_timer);
   recent_answers_free (gateway->served);
   recent_answers_free (gateway->cache_warm);
@@ -271,8 +272,8 @@
   if (gateway->table)
     routing_unref (gateway->table);
   gateway->table = routing_ref (table);
-  hsv_configure (gateway->listener, limits->body_bytes, limits->header_bytes,
-                 limits->header_timeout_ms, limits->idle_timeout_ms);
+  http_server_configure (gateway->listener, limits->body_bytes, limits->header_bytes,
+                         limits->header_timeout_ms, limits->idle_timeout_ms);
 }
 
 void
@@ -299,7 +300,7 @@
   g_autoptr (GList) calls = g_hash_table_get_keys (gateway->calls);
 
   crash_watch_note_down (&gateway->crashes, gateway_now_us (gateway), hash);
-  hcl_forget (gateway->upstreams, address);
+  http_client_close_idle (gateway->upstreams, address);
   for (GList *link = calls; link; link = link->next)
     if (g_hash_table_contains (gateway->calls, link->data))
       gateway_hop_engine_restarted (link->data, hash);
@@ -314,36 +315,36 @@
 void
 gateway_pause_accept (gateway_task_t *gateway)
 {
-  hsv_hold (gateway->listener);
+  http_server_pause_accepting (gateway->listener);
 }
 
 void
 gateway_resume_accept (gateway_task_t *gateway)
 {
-  hsv_release (gateway->listener);
+  http_server_resume_accepting (gateway->listener);
 }
 
 void
 gateway_announce_close (gateway_task_t *gateway)
 {
-  hsv_say_close (gateway->listener);
+  http_server_announce_close (gateway->listener);
 }
 
 void
 gateway_stop (gateway_task_t *gateway)
 {
   gateway->stopping = true;
-  hsv_stop (gateway->listener);
+  http_server_stop (gateway->listener);
 }
 
 uint32_t
 gateway_busy_count (const gateway_task_t *gateway)
 {
-  return hsv_busy (gateway->listener) + g_hash_table_size (gateway->calls);
+  return http_server_busy_count (gateway->listener) + g_hash_table_size (gateway->calls);
 }
 
 uint16_t
 gateway_port (const gateway_task_t *gateway)
 {
-  return hsv_port (gateway->listener);
+  return http_server_port (gateway->listener);
 }
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -5,7 +5,7 @@
 
 static void
 reject (gateway_task_t *gateway,
-        hsv_call_t *client,
+        http_server_call_t *client,
         const format_request_t *request,
         const flt_t *fault)
 {
@@ -23,7 +23,7 @@
  */
 static void
 reject_unknown (gateway_task_t *gateway,
-                hsv_call_t *client,
+                http_server_call_t *client,
                 const format_request_t *request,
                 int status,
                 const char *code)
@@ -69,7 +69,9 @@
  * off when the process ends, as a stream of four seconds was; any other gateway can serve it.
  */
 static void
-reject_while_stopping (gateway_task_t *gateway, hsv_call_t *client, const format_request_t *request)
+reject_while_stopping (gateway_task_t *gateway,
+                       http_server_call_t *client,
+                       const format_request_t *request)
 {
   cnt_add (gateway->refused, 1);
   reject (gateway, client, request,
@@ -82,13 +84,14 @@
 }
 
 void
-gateway_accept (hsv_call_t *client, void *context)
+gateway_accept (http_server_call_t *client, void *context)
 {
   gateway_task_t *gateway = context;
   const routing_route_t *route;
   const routing_account_t *account = NULL;
   format_request_t request;
-  const char *problem = gateway->options.format->read (&request, hsv_headers (client));
+  const char *problem =
+      gateway->options.format->read (&request, http_server_request_headers (client));
   gateway_call_t *call;
 
   if (problem)
@@ -102,9 +105,10 @@
       reject_while_stopping (gateway, client, &request);
       return;
     }
-  route = gateway->table ? routing_find_route (gateway->table, hsv_header (client, "Host"),
-                                               hsv_target (client))
-                         : NULL;
+  route = gateway->table
+              ? routing_find_route (gateway->table, http_server_request_header (client, "Host"),
+                                    http_server_target (client))
+              : NULL;
   if (!route)
     {
       reject_unknown (gateway, client, &request, 404, "unknown_route");
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -180,7 +180,7 @@
 
 gateway_call_t *
 gateway_call_new (gateway_task_t *gateway,
-                  hsv_call_t *client,
+                  http_server_call_t *client,
                   const routing_route_t *route,
                   const routing_account_t *account,
                   const format_request_t *request)
@@ -203,7 +203,7 @@
   call->shared_parts = hash_shared_parts (request);
   target_hash = XXH64 (call->id, strlen (call->id), gateway->next_call_number++);
   call->service = gateway_service (gateway, routing_route_choose_service (route, target_hash));
-  call->body = hsv_take_body (client, &call->body_bytes);
+  call->body = http_server_take_body (client, &call->body_bytes);
   retry_plan_init (&call->course,
                    &(retry_plan_rules_t){ .idempotent = route->kind == ROUTING_IDEMPOTENT,
                                           .resumable = is_stream && route->resumable,
@@ -218,7 +218,7 @@
     }
   g_hash_table_add (gateway->calls, call);
   retry_budget_count_request (&call->service->retries, &gateway->options.retries, call->arrived_us);
-  hsv_on_gone (client, on_client_gone, call);
+  http_server_on_disconnect (client, on_client_gone, call);
   start_deadline_timer (call);
   return call;
 }
@@ -453,8 +453,8 @@
   uint64_t hash = hash_text (0, call->gateway->options.set->fleet_key);
 
   hash = hash_text (hash, call->account ? call->account->name : "");
-  hash = hash_text (hash, hsv_method (call->client));
-  hash = hash_text (hash, hsv_target (call->client));
+  hash = hash_text (hash, http_server_method (call->client));
+  hash = hash_text (hash, http_server_target (call->client));
   return XXH64 (call->body, call->body_bytes, hash);
 }
 
--- a/src/request/gateway/gateway_hop.c
+++ b/src/request/gateway/gateway_hop.c
@@ -36,7 +36,7 @@
 {
   if (!call->upstream)
     return;
-  hcl_cancel (call->upstream);
+  http_client_cancel_call (call->upstream);
   call->relay.from = NULL; /* the relay must not pause a call that is freed */
   release_engine (call);
 }
@@ -252,7 +252,7 @@
 }
 
 static bool
-is_unsent (const hcl_end_t *end)
+is_unsent (const http_client_result_t *end)
 {
   return end->verdict == VERDICT_NOT_RUN && end->reason == VERDICT_REASON_CONNECT;
 }
@@ -273,7 +273,7 @@
 }
 
 static void
-finish_broken (gateway_call_t *call, const hcl_end_t *end)
+finish_broken (gateway_call_t *call, const http_client_result_t *end)
 {
   bool refused = call->has_head && call->response.not_run;
 
@@ -292,7 +292,7 @@
 /* A connection that broke may mean that the engine crashed; a refused connection shows that it is
  * down. */
 static void
-record_crash (gateway_call_t *call, const hcl_end_t *end)
+record_crash (gateway_call_t *call, const http_client_result_t *end)
 {
   gateway_task_t *gateway = call->gateway;
   uint64_t now_us = gateway_now_us (gateway);
@@ -305,7 +305,7 @@
 }
 
 static void
-record_engine_failure (gateway_call_t *call, const hcl_end_t *end)
+record_engine_failure (gateway_call_t *call, const http_client_result_t *end)
 {
   uint64_t now_us = gateway_now_us (call->gateway);
 
@@ -316,7 +316,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   gateway_call_t *call = context;
   gateway_service_t *service = call->service;
@@ -469,7 +469,7 @@
 void
 gateway_hop_send (gateway_call_t *call, engine_choice_t *choice)
 {
-  g_autoptr (GArray) headers = g_array_new (FALSE, FALSE, sizeof (hcl_header_t));
+  g_autoptr (GArray) headers = g_array_new (FALSE, FALSE, sizeof (http_client_header_t));
   format_buffers_t text;
   format_upstream_request_t hop;
 
@@ -488,19 +488,21 @@
   log_place (call, choice);
   hop.left_ms =
       (uint32_t)((call->deadline_us - MIN (call->sent_us, call->deadline_us)) / CLK_US_PER_MS);
-  call->gateway->options.format->write (&hop, hsv_headers (call->client), headers, &text);
-  call->upstream = hcl_start (call->gateway->upstreams,
-                              &(hcl_options_t){ .address = &choice->engine->entry.address,
-                                                .method = hsv_method (call->client),
-                                                .target = hsv_target (call->client),
-                                                .headers = (const hcl_header_t *)headers->data,
-                                                .header_count = headers->len,
-                                                .body = call->body,
-                                                .body_bytes = call->body_bytes,
-                                                .until_close = true,
-                                                .idle_limit_us = reuse_idle_limit_us (call),
-                                                .on_head = on_head,
-                                                .on_data = on_data,
-                                                .on_end = on_end,
-                                                .context = call });
+  call->gateway->options.format->write (&hop, http_server_request_headers (call->client), headers,
+                                        &text);
+  call->upstream = http_client_start_call (
+      call->gateway->upstreams,
+      &(http_client_options_t){ .address = &choice->engine->entry.address,
+                                .method = http_server_method (call->client),
+                                .target = http_server_target (call->client),
+                                .headers = (const http_client_header_t *)headers->data,
+                                .header_count = headers->len,
+                                .body = call->body,
+                                .body_bytes = call->body_bytes,
+                                .until_close = true,
+                                .idle_limit_us = reuse_idle_limit_us (call),
+                                .on_head = on_head,
+                                .on_data = on_data,
+                                .on_end = on_end,
+                                .context = call });
 }
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -117,8 +117,8 @@
 {
   gateway_options_t options;
   uint64_t name_hash; /* of the name of this gateway */
-  hsv_t *listener;
-  hcl_t *upstreams; /* connections to engines */
+  http_server_t *listener;
+  http_client_t *upstreams; /* connections to engines */
   routing_t *table;
   bool config_current; /* @table is known to be the newest version */
   bool stopping;       /* no connections and requests are accepted any more */
@@ -175,8 +175,8 @@
 typedef struct
 {
   gateway_task_t *gateway;
-  hsv_call_t *client;
-  hcl_call_t *upstream;
+  http_server_call_t *client;
+  http_client_call_t *upstream;
   routing_t *table;
   const routing_route_t *route;
   const routing_account_t *account;
@@ -222,11 +222,11 @@
 void gateway_note_served (gateway_task_t *gateway, uint64_t fingerprint);
 
 /** gateway_accept() - checks a client's request, and rejects it or starts a call */
-void gateway_accept (hsv_call_t *client, void *context);
+void gateway_accept (http_server_call_t *client, void *context);
 
 /** gateway_call_new() - a call for a request that was accepted; starts its deadline timer */
 gateway_call_t *gateway_call_new (gateway_task_t *gateway,
-                                  hsv_call_t *client,
+                                  http_server_call_t *client,
                                   const routing_route_t *route,
                                   const routing_account_t *account,
                                   const format_request_t *request);
--- a/src/request/headers.c
+++ b/src/request/headers.c
@@ -75,13 +75,13 @@
 }
 
 uint32_t
-header_collect_forwarded (struct evkeyvalq *headers, hcl_header_t *out, uint32_t limit)
+header_collect_forwarded (struct evkeyvalq *headers, http_client_header_t *out, uint32_t limit)
 {
   const struct evkeyval *header;
   uint32_t count = 0;
 
   for (header = headers->tqh_first; header != NULL; header = header->next.tqe_next)
     if (count < limit && header_is_forwarded (header->key))
-      out[count++] = (hcl_header_t){ .name = header->key, .value = header->value };
+      out[count++] = (http_client_header_t){ .name = header->key, .value = header->value };
   return count;
 }
--- a/src/request/headers.h
+++ b/src/request/headers.h
@@ -25,6 +25,7 @@
 bool header_is_returned (const char *name);
 /** header_collect_forwarded() - puts those of the request's headers that are forwarded into @out,
  * which borrows their text; at most @limit. Return: the number of headers in @out */
-uint32_t header_collect_forwarded (struct evkeyvalq *headers, hcl_header_t *out, uint32_t limit);
+uint32_t
+header_collect_forwarded (struct evkeyvalq *headers, http_client_header_t *out, uint32_t limit);
 
 #endif
--- a/src/request/ops.c
+++ b/src/request/ops.c
@@ -39,10 +39,10 @@
     return;
   if (data_task->listening)
     {
-      hsv_stop (data_task->hsv);
+      http_server_stop (data_task->http_server);
       data_task->listening = false;
     }
-  if (data_task->drained || hsv_busy (data_task->hsv) > 0 ||
+  if (data_task->drained || http_server_busy_count (data_task->http_server) > 0 ||
       data_task->options.in_flight (data_task->options.context) > 0)
     return;
   data_task->drained = true;
@@ -89,38 +89,38 @@
 
 /* The limits of a sidecar leave room for the headers that a router adds: a request that is just
  * within the limits of the router must not be rejected by the sidecar. */
-static hsv_options_t
+static http_server_options_t
 listener_options (data_task_t *data_task)
 {
   const set_t *set = &data_task->options.dmn->set;
   bool sidecar = set->role == SET_ROLE_SIDECAR;
 
-  return (hsv_options_t){ .base = data_task->options.base,
-                          .counters = data_task->options.dmn->counters,
-                          .listen = set->listen,
-                          .body_limit_bytes = set->body_limit_bytes,
-                          .header_limit_bytes =
-                              set->header_limit_bytes + (sidecar ? HOP_HEADERS_MAX_BYTES : 0),
-                          .header_limit_count =
-                              set->header_limit_count + (sidecar ? HOP_HEADER_COUNT : 0),
-                          .connection_limit = set->connection_limit,
-                          .idle_timeout_ms = set->idle_timeout_ms,
-                          .on_call = data_task_serve,
-                          .context = data_task };
+  return (http_server_options_t){
+    .base = data_task->options.base,
+    .counters = data_task->options.dmn->counters,
+    .listen = set->listen,
+    .body_limit_bytes = set->body_limit_bytes,
+    .header_limit_bytes = set->header_limit_bytes + (sidecar ? HOP_HEADERS_MAX_BYTES : 0),
+    .header_limit_count = set->header_limit_count + (sidecar ? HOP_HEADER_COUNT : 0),
+    .connection_limit = set->connection_limit,
+    .idle_timeout_ms = set->idle_timeout_ms,
+    .on_call = data_task_serve,
+    .context = data_task
+  };
 }
 
 data_task_t *
 data_task_new (const data_task_options_t *options, GError **error)
 {
   data_task_t *data_task = g_new0 (data_task_t, 1);
-  hsv_options_t listen;
+  http_server_options_t listen;
 
   data_task->options = *options;
   data_task->decisions = decision_ring_new (DECISION_RING_CAPACITY);
   pse_init (&data_task->pse, data_task_now_us (data_task), options->dmn->set.exchange_interval_ms);
   listen = listener_options (data_task);
-  data_task->hsv = hsv_new (&listen, error);
-  if (data_task->hsv == NULL)
+  data_task->http_server = http_server_new (&listen, error);
+  if (data_task->http_server == NULL)
     {
       decision_ring_free (data_task->decisions);
       g_free (data_task);
@@ -143,7 +143,7 @@
     return;
   event_free (data_task->tick);
   event_free (data_task->drain_poll);
-  hsv_free (data_task->hsv);
+  http_server_free (data_task->http_server);
   if (data_task->man != NULL)
     manifest_unref (data_task->man);
   if (data_task->members != NULL)
@@ -226,11 +226,11 @@
 }
 
 const manifest_account_t *
-data_task_find_account (const data_task_t *data_task, hsv_call_t *call)
+data_task_find_account (const data_task_t *data_task, http_server_call_t *call)
 {
   static const char BEARER[] = "Bearer ";
-  const char *authorization = hsv_header (call, "Authorization");
-  const char *key = hsv_header (call, "X-Api-Key");
+  const char *authorization = http_server_request_header (call, "Authorization");
+  const char *key = http_server_request_header (call, "X-Api-Key");
 
   if (authorization != NULL && g_ascii_strncasecmp (authorization, BEARER, strlen (BEARER)) == 0)
     key = authorization + strlen (BEARER);
--- a/src/request/ops.h
+++ b/src/request/ops.h
@@ -48,8 +48,8 @@
 {
   dmn_t *dmn;
   struct event_base *base;
-  void (*on_call) (hsv_call_t *call, void *context);
-  bool (*on_sealed) (hsv_call_t *call, const char *path, void *context);
+  void (*on_call) (http_server_call_t *call, void *context);
+  bool (*on_sealed) (http_server_call_t *call, const char *path, void *context);
   bool (*ready) (void *context);
   uint32_t (*in_flight) (void *context);
   void (*status) (json_t *status, void *context);
@@ -83,6 +83,7 @@
  */
 void data_task_count_control_bytes (data_task_t *data_task, uint32_t bytes);
 /** data_task_find_account() - the client account whose key the call carries, or NULL */
-const manifest_account_t *data_task_find_account (const data_task_t *data_task, hsv_call_t *call);
+const manifest_account_t *data_task_find_account (const data_task_t *data_task,
+                                                  http_server_call_t *call);
 
 #endif
--- a/src/request/ops_private.h
+++ b/src/request/ops_private.h
@@ -14,7 +14,7 @@
 
 /**
  * struct data_task - state of one data task
- * @hsv: the listener
+ * @http_server: the listener
  * @man: manifest in force, or NULL before the first one
  * @man_next_offset: offset in the manifest stream after the record of @man
  * @members: list of hosts in force, or NULL before the first one
@@ -28,7 +28,7 @@
 struct data_task
 {
   data_task_options_t options;
-  hsv_t *hsv;
+  http_server_t *http_server;
   manifest_t *man;
   uint64_t man_next_offset;
   membership_snapshot_t *members;
@@ -44,6 +44,6 @@
 };
 
 /** data_task_serve() - handles one call to the listener */
-void data_task_serve (hsv_call_t *call, void *context);
+void data_task_serve (http_server_call_t *call, void *context);
 
 #endif
--- a/src/request/ops_serve.c
+++ b/src/request/ops_serve.c
@@ -18,27 +18,27 @@
 }
 
 static void
-reply_json (hsv_call_t *call, json_t *json)
+reply_json (http_server_call_t *call, json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
-  hsv_reply_text (call, 200, "application/json", text);
+  http_server_reply_text (call, 200, "application/json", text);
   free (text);
   json_decref (json);
 }
 
 static void
-serve_metrics (data_task_t *data_task, hsv_call_t *call)
+serve_metrics (data_task_t *data_task, http_server_call_t *call)
 {
   GString *out = g_string_new (NULL);
 
   cnt_write (data_task->options.dmn->counters, out);
-  hsv_reply_text (call, 200, "text/plain; version=0.0.4", out->str);
+  http_server_reply_text (call, 200, "text/plain; version=0.0.4", out->str);
   g_string_free (out, TRUE);
 }
 
 static void
-serve_status (data_task_t *data_task, hsv_call_t *call)
+serve_status (data_task_t *data_task, http_server_call_t *call)
 {
   const dmn_t *dmn = data_task->options.dmn;
   uint64_t version = data_task->man != NULL ? data_task->man->version : 0;
@@ -54,7 +54,7 @@
 }
 
 static void
-serve_manifest (data_task_t *data_task, hsv_call_t *call)
+serve_manifest (data_task_t *data_task, http_server_call_t *call)
 {
   if (data_task->man == NULL)
     {
@@ -62,13 +62,14 @@
       return;
     }
   char seal[ANSWER_SEAL_BYTES];
-  g_autofree char *body = manifest_sync_format (data_task->options.dmn->set.fleet_key,
-                                                hsv_header (call, ANSWER_SEAL_NONCE_HEADER),
-                                                data_task->man, data_task->man_next_offset, seal);
+  g_autofree char *body =
+      manifest_sync_format (data_task->options.dmn->set.fleet_key,
+                            http_server_request_header (call, ANSWER_SEAL_NONCE_HEADER),
+                            data_task->man, data_task->man_next_offset, seal);
 
   if (seal[0] != '\0')
-    hsv_add_header (call, ANSWER_SEAL_HEADER, seal);
-  hsv_reply_text (call, 200, "application/json", body);
+    http_server_add_header (call, ANSWER_SEAL_HEADER, seal);
+  http_server_reply_text (call, 200, "application/json", body);
 }
 
 /* A client account may see only its own requests. */
@@ -86,9 +87,9 @@
 }
 
 static void
-serve_explain (data_task_t *data_task, hsv_call_t *call, bool sealed)
+serve_explain (data_task_t *data_task, http_server_call_t *call, bool sealed)
 {
-  const char *text = hsv_query (call, "request");
+  const char *text = http_server_query_value (call, "request");
   const manifest_account_t *account = data_task_find_account (data_task, call);
   uint64_t request[2];
   json_t *decisions;
@@ -116,24 +117,24 @@
 }
 
 static void
-serve_drain (data_task_t *data_task, hsv_call_t *call)
+serve_drain (data_task_t *data_task, http_server_call_t *call)
 {
   message_flag_t *leave = message_new (MESSAGE_LEAVE_ORDERED);
 
   leave->on = true;
   mbx_send (data_task->options.dmn->to_control, &leave->head);
   log_event (LOG_LEVEL_NOTICE, "drain_ordered", "name", data_task->options.dmn->set.name, NULL);
-  hsv_reply_text (call, 202, "text/plain", "leaving\n");
+  http_server_reply_text (call, 202, "text/plain", "leaving\n");
 }
 
 static bool
-serve_unsealed (data_task_t *data_task, hsv_call_t *call, const char *path)
+serve_unsealed (data_task_t *data_task, http_server_call_t *call, const char *path)
 {
   if (strcmp (path, "/livez") == 0)
-    hsv_reply_text (call, 200, "text/plain", "ok\n");
+    http_server_reply_text (call, 200, "text/plain", "ok\n");
   else if (strcmp (path, "/readyz") == 0)
-    hsv_reply_text (call, is_ready (data_task) ? 200 : 503, "text/plain",
-                    is_ready (data_task) ? "ready\n" : "not ready\n");
+    http_server_reply_text (call, is_ready (data_task) ? 200 : 503, "text/plain",
+                            is_ready (data_task) ? "ready\n" : "not ready\n");
   else if (strcmp (path, "/metrics") == 0)
     serve_metrics (data_task, call);
   else if (strcmp (path, DATA_TASK_ADMIN_PREFIX "status") == 0)
@@ -145,35 +146,37 @@
 
 /* Whether the call was sealed with the fleet key, by another daemon or by the command-line tool. */
 static bool
-has_valid_seal (data_task_t *data_task, hsv_call_t *call)
+has_valid_seal (data_task_t *data_task, http_server_call_t *call)
 {
   const set_t *set = &data_task->options.dmn->set;
   sealed_call_t order = { .host = set->name,
-                          .method = hsv_method (call),
-                          .target = hsv_target (call) };
+                          .method = http_server_method (call),
+                          .target = http_server_target (call) };
 
-  order.body = hsv_body (call, &order.body_bytes);
-  return call_seal_verify (&order, set->fleet_key, hsv_header (call, CALL_SEAL_HEADER));
+  order.body = http_server_body (call, &order.body_bytes);
+  return call_seal_verify (&order, set->fleet_key,
+                           http_server_request_header (call, CALL_SEAL_HEADER));
 }
 
 static bool
-has_valid_drain_seal (data_task_t *data_task, hsv_call_t *call)
+has_valid_drain_seal (data_task_t *data_task, http_server_call_t *call)
 {
   const dmn_t *dmn = data_task->options.dmn;
-  const char *text = hsv_query (call, "time");
+  const char *text = http_server_query_value (call, "time");
   guint64 time_s;
 
   if (text == NULL || !g_ascii_string_to_unsigned (text, 10, 0, UINT64_MAX, &time_s, NULL))
     return false;
-  return seal_check (dmn->set.fleet_key, SEAL_DRAIN, dmn->set.name, time_s,
-                     clk_wall_ms (&dmn->clk) / 1000, hsv_header (call, SEAL_HEADER));
+  return admin_seal_check (dmn->set.fleet_key, ADMIN_SEAL_DRAIN, dmn->set.name, time_s,
+                           clk_wall_ms (&dmn->clk) / 1000,
+                           http_server_request_header (call, ADMIN_SEAL_HEADER));
 }
 
 static void
-serve_sealed (data_task_t *data_task, hsv_call_t *call, const char *path)
+serve_sealed (data_task_t *data_task, http_server_call_t *call, const char *path)
 {
-  bool drain =
-      strcmp (path, DATA_TASK_ADMIN_PREFIX "drain") == 0 && strcmp (hsv_method (call), "POST") == 0;
+  bool drain = strcmp (path, DATA_TASK_ADMIN_PREFIX "drain") == 0 &&
+               strcmp (http_server_method (call), "POST") == 0;
   bool sealed = drain ? has_valid_drain_seal (data_task, call) : has_valid_seal (data_task, call);
 
   if (strcmp (path, DATA_TASK_ADMIN_PREFIX "explain") == 0)
@@ -190,10 +193,10 @@
 }
 
 void
-data_task_serve (hsv_call_t *call, void *context)
+data_task_serve (http_server_call_t *call, void *context)
 {
   data_task_t *data_task = context;
-  const char *path = hsv_path (call);
+  const char *path = http_server_path (call);
 
   if (serve_unsealed (data_task, call, path))
     return;
--- a/src/request/relay.c
+++ b/src/request/relay.c
@@ -35,7 +35,7 @@
 {
   const char *length = evhttp_find_header (headers, "Content-Length");
 
-  if (length != NULL && relay->to != NULL && strcmp (hsv_method (relay->to), "HEAD") == 0)
+  if (length != NULL && relay->to != NULL && strcmp (http_server_method (relay->to), "HEAD") == 0)
     evhttp_add_header (&relay->headers, "Content-Length", length);
 }
 
@@ -46,7 +46,7 @@
 
   relay->full = false;
   if (relay->from != NULL)
-    hcl_pause (relay->from, false);
+    http_client_set_paused (relay->from, false);
 }
 
 static void
@@ -55,7 +55,7 @@
   const struct evkeyval *header;
 
   for (header = relay->headers.tqh_first; header != NULL; header = header->next.tqe_next)
-    hsv_add_header (relay->to, header->key, header->value);
+    http_server_add_header (relay->to, header->key, header->value);
 }
 
 static void
@@ -63,8 +63,8 @@
 {
   relay->begun = true;
   send_headers (relay);
-  hsv_on_room (relay->to, on_room, relay);
-  hsv_begin (relay->to, relay->status);
+  http_server_on_writable (relay->to, on_room, relay);
+  http_server_begin_reply (relay->to, relay->status);
 }
 
 /* Whether the data ends with the empty line that ends an event. An error event may be added only
@@ -91,14 +91,14 @@
   relay->at_event_end = relay->events && ends_event (data);
   if (!relay->begun)
     begin_streaming (relay);
-  relay->full = !hsv_part (relay->to, data);
+  relay->full = !http_server_send_part (relay->to, data);
   relay->was_blocked |= relay->full;
   if (relay->full && relay->from != NULL)
-    hcl_pause (relay->from, true);
+    http_client_set_paused (relay->from, true);
 }
 
 void
-relay_init (relay_t *relay, hsv_call_t *to)
+relay_init (relay_t *relay, http_server_call_t *to)
 {
   memset (relay, 0, sizeof *relay);
   relay->to = to;
@@ -115,7 +115,7 @@
 }
 
 void
-relay_start (relay_t *relay, hcl_call_t *from, int status, struct evkeyvalq *headers)
+relay_start (relay_t *relay, http_client_call_t *from, int status, struct evkeyvalq *headers)
 {
   const struct evkeyval *header;
   const char *type = evhttp_find_header (headers, "Content-Type");
@@ -154,7 +154,7 @@
 void
 relay_finish (relay_t *relay)
 {
-  hsv_call_t *to = relay->to;
+  http_server_call_t *to = relay->to;
   size_t held_bytes = evbuffer_get_length (relay->held);
 
   relay->from = NULL;
@@ -166,15 +166,15 @@
     send_headers (relay);
   relay->to = NULL;
   if (relay->begun)
-    hsv_end (to);
+    http_server_end_reply (to);
   else
-    hsv_reply (to, relay->status, evbuffer_pullup (relay->held, -1), held_bytes);
+    http_server_reply (to, relay->status, evbuffer_pullup (relay->held, -1), held_bytes);
 }
 
 void
 relay_abort (relay_t *relay, const flt_t *fault)
 {
-  hsv_call_t *to = relay->to;
+  http_server_call_t *to = relay->to;
 
   g_assert (relay->begun);
   relay->from = NULL;
@@ -187,11 +187,11 @@
       char *body = error_reply_body (fault);
 
       evbuffer_add_printf (part, "event: error\ndata: %s\n\n", body);
-      hsv_part (to, part);
+      http_server_send_part (to, part);
       g_free (body);
       evbuffer_free (part);
     }
-  hsv_abort (to);
+  http_server_abort (to);
 }
 
 bool
@@ -209,5 +209,5 @@
   relay->to = NULL;
   relay->full = false;
   if (relay->from != NULL)
-    hcl_pause (relay->from, false);
+    http_client_set_paused (relay->from, false);
 }
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -35,8 +35,8 @@
  */
 typedef struct
 {
-  hsv_call_t *to;
-  hcl_call_t *from;
+  http_server_call_t *to;
+  http_client_call_t *from;
   struct evbuffer *held;
   struct evkeyvalq headers;
   int status;
@@ -49,11 +49,11 @@
   bool at_event_end;
 } relay_t;
 
-void relay_init (relay_t *relay, hsv_call_t *to);
+void relay_init (relay_t *relay, http_server_call_t *to);
 void relay_clear (relay_t *relay);
 /** relay_start() - starts a response, whose head came from @from; drops what an earlier attempt
  * left in the buffer */
-void relay_start (relay_t *relay, hcl_call_t *from, int status, struct evkeyvalq *headers);
+void relay_start (relay_t *relay, http_client_call_t *from, int status, struct evkeyvalq *headers);
 /** relay_add_header() - adds a header of the fleet itself to the response; after relay_start() */
 void relay_add_header (relay_t *relay, const char *name, const char *value);
 /** relay_forward() - forwards, buffers or drops a part of the body; drains @data */
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -42,7 +42,7 @@
 }
 
 static bool
-on_sealed (hsv_call_t *call, const char *path, void *context)
+on_sealed (http_server_call_t *call, const char *path, void *context)
 {
   (void)call;
   (void)path;
@@ -197,7 +197,7 @@
       g_free (router);
       return NULL;
     }
-  router->http_client = hcl_new (base, ROUTER_IDLE_CONNECTIONS, ROUTER_IDLE_TIMEOUT_MS);
+  router->http_client = http_client_new (base, ROUTER_IDLE_CONNECTIONS, ROUTER_IDLE_TIMEOUT_MS);
   router->health = health_new ();
   forwarding_budget_init (&router->retry_budget);
   router->incarnations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
@@ -207,7 +207,8 @@
   router->served_hints = g_new0 (router_hint_t, ROUTER_HINT_ENTRIES);
   router->answered_requests = recent_answers_new (ROUTER_ANSWERED_ENTRIES, ROUTER_ANSWERED_TTL_US);
   router->requests_in_flight = in_flight_new ();
-  bdg_init (&router->control_budget, daemon->set.control_budget_bytes, clk_now_us (&daemon->clk));
+  byte_budget_init (&router->control_budget, daemon->set.control_budget_bytes,
+                    clk_now_us (&daemon->clk));
   router->suspects = suspect_new (LIM_SUSPECTS, ROUTER_SUSPECT_TTL_US);
   g_queue_init (&router->calls);
   /* The name is included because two routers may start in the same millisecond, and must not use
@@ -227,12 +228,12 @@
       router_call_t *call = router->calls.head->data;
 
       if (call->inbound != NULL)
-        hsv_abort (call->inbound);
+        http_server_abort (call->inbound);
       router_call_free (call);
     }
   g_hash_table_destroy (router->host_probes);
   data_task_free (router->ops);
-  hcl_free (router->http_client);
+  http_client_free (router->http_client);
   health_free (router->health);
   router_pools_clear (router);
   g_hash_table_destroy (router->incarnations);
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -36,8 +36,9 @@
 {
   const char *fault;
 
-  call->body = hsv_take_body (call->inbound, &call->body_bytes);
-  if (strcmp (call->method, "POST") != 0 || strcmp (hsv_path (call->inbound), CHAT_BODY_PATH) != 0)
+  call->body = http_server_take_body (call->inbound, &call->body_bytes);
+  if (strcmp (call->method, "POST") != 0 ||
+      strcmp (http_server_path (call->inbound), CHAT_BODY_PATH) != 0)
     return true;
   fault = chat_body_parse (chat, call->body, call->body_bytes);
   return fault == NULL || reject (rejection, 400, "bad_body", fault);
@@ -59,9 +60,9 @@
 find_route (router_call_t *call, const chat_body_t *chat, rejection_t *rejection)
 {
   const char *model = chat->model[0] != '\0' ? chat->model : NULL;
-  const char *class_name = hsv_header (call->inbound, CLASS_HEADER);
+  const char *class_name = http_server_request_header (call->inbound, CLASS_HEADER);
   const manifest_route_t *route =
-      manifest_find_route (call->manifest, call->method, hsv_path (call->inbound), model);
+      manifest_find_route (call->manifest, call->method, http_server_path (call->inbound), model);
 
   if (route == NULL)
     return reject (rejection, 404, "no_route", "no service is set up for this path and model");
@@ -78,7 +79,7 @@
 static bool
 read_deadline (router_call_t *call, rejection_t *rejection)
 {
-  const char *text = hsv_header (call->inbound, DEADLINE_HEADER);
+  const char *text = http_server_request_header (call->inbound, DEADLINE_HEADER);
   guint64 deadline_ms = call->request_class->deadline_ms;
   guint64 given_ms;
 
@@ -95,7 +96,7 @@
 static bool
 read_chat (router_call_t *call, const chat_body_t *chat, rejection_t *rejection)
 {
-  const char *id = hsv_header (call->inbound, CHAT_HEADER);
+  const char *id = http_server_request_header (call->inbound, CHAT_HEADER);
 
   if (id != NULL)
     {
@@ -116,7 +117,7 @@
 static bool
 read_key (router_call_t *call, rejection_t *rejection)
 {
-  const char *key = hsv_header (call->inbound, KEY_HEADER);
+  const char *key = http_server_request_header (call->inbound, KEY_HEADER);
 
   if (key == NULL || call->hop.idempotent)
     return true;
@@ -185,8 +186,9 @@
 {
   uint32_t limit = call->router->daemon->set.header_limit_count;
 
-  call->headers = g_new0 (hcl_header_t, limit);
-  call->header_count = header_collect_forwarded (hsv_headers (call->inbound), call->headers, limit);
+  call->headers = g_new0 (http_client_header_t, limit);
+  call->header_count =
+      header_collect_forwarded (http_server_request_headers (call->inbound), call->headers, limit);
   /* Copied, because a non-idempotent request continues after its caller disconnects. */
   for (uint32_t i = 0; i < call->header_count; i++)
     {
@@ -217,7 +219,7 @@
 }
 
 static router_call_t *
-call_new (router_t *router, hsv_call_t *inbound)
+call_new (router_t *router, http_server_call_t *inbound)
 {
   router_call_t *call = g_new0 (router_call_t, 1);
 
@@ -226,8 +228,8 @@
   call->link.data = call;
   g_queue_push_tail_link (&router->calls, &call->link);
   call->manifest = manifest_ref (data_task_manifest (router->ops));
-  call->method = g_strdup (hsv_method (inbound));
-  call->target = g_strdup (hsv_target (inbound));
+  call->method = g_strdup (http_server_method (inbound));
+  call->target = g_strdup (http_server_target (inbound));
   call->arrived_us = data_task_now_us (router->ops);
   call->timer = evtimer_new (router->base, router_hop_on_timer, call);
   router->request_id_low += 0x100; /* the lowest byte is the number of the hop */
@@ -239,7 +241,7 @@
 }
 
 void
-router_accept (hsv_call_t *inbound, void *context)
+router_accept (http_server_call_t *inbound, void *context)
 {
   router_t *router = context;
   rejection_t rejection;
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -55,7 +55,7 @@
 {
   router_hop_cancel (call);
   if (call->revoke_request != NULL)
-    hcl_cancel (call->revoke_request);
+    http_client_cancel_call (call->revoke_request);
   if (call->timer != NULL)
     event_free (call->timer);
   for (uint32_t i = 0; i < call->header_count; i++)
@@ -233,6 +233,6 @@
                                    .candidate_count = call->placement.candidate_count,
                                    .crashed = suspect ? mark.engines : NULL };
 
-  hsv_on_gone (call->inbound, router_call_on_disconnect, call);
+  http_server_on_disconnect (call->inbound, router_call_on_disconnect, call);
   router_call_take_step (call, forwarding_begin (&call->attempts, call->arrived_us, &options));
 }
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -181,7 +181,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   router_call_t *call = context;
   forwarding_outcome_t outcome;
@@ -204,7 +204,7 @@
 {
   if (call->outbound != NULL)
     {
-      hcl_cancel (call->outbound);
+      http_client_cancel_call (call->outbound);
       in_flight_end (call->router->requests_in_flight, call->attempts.last_engine);
     }
   call->outbound = NULL;
@@ -271,8 +271,8 @@
     hop->sample_count = load_samples_pick (&loads->table, now_us, picked, HOP_SAMPLES_MAX);
   /* In an overload every request takes four hops; without a limit, their load samples would be a
    * hundred times all other control traffic. The exchange carries the loads too, only later. */
-  if (!bdg_take (&call->router->control_budget, now_us,
-                 hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES))
+  if (!byte_budget_take (&call->router->control_budget, now_us,
+                         hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES))
     hop->sample_count = 0;
   data_task_count_control_bytes (call->router->ops, hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES);
   for (uint32_t i = 0; i < hop->sample_count; i++)
@@ -303,20 +303,21 @@
 {
   router_t *router = call->router;
   uint64_t now_us = data_task_now_us (router->ops);
-  g_autofree hcl_header_t *headers = g_new (hcl_header_t, call->header_count + HOP_HEADER_COUNT);
+  g_autofree http_client_header_t *headers =
+      g_new (http_client_header_t, call->header_count + HOP_HEADER_COUNT);
   hop_header_t hop_headers[HOP_HEADER_COUNT];
-  hcl_options_t options = { .address = &host->http,
-                            .method = call->method,
-                            .target = call->target,
-                            .headers = headers,
-                            .body = call->body,
-                            .body_bytes = call->body_bytes,
-                            .check_name = HOP_ATTEMPT_HEADER,
-                            .check_value = call->attempt_text,
-                            .on_head = on_head,
-                            .on_data = on_data,
-                            .on_end = on_end,
-                            .context = call };
+  http_client_options_t options = { .address = &host->http,
+                                    .method = call->method,
+                                    .target = call->target,
+                                    .headers = headers,
+                                    .body = call->body,
+                                    .body_bytes = call->body_bytes,
+                                    .check_name = HOP_ATTEMPT_HEADER,
+                                    .check_value = call->attempt_text,
+                                    .on_head = on_head,
+                                    .on_data = on_data,
+                                    .on_end = on_end,
+                                    .context = call };
   uint32_t hop_count;
 
   fill_attempt (call, now_us);
@@ -324,7 +325,7 @@
   memcpy (headers, call->headers, call->header_count * sizeof headers[0]);
   for (uint32_t i = 0; i < hop_count; i++)
     headers[call->header_count + i] =
-        (hcl_header_t){ .name = hop_headers[i].name, .value = hop_headers[i].value };
+        (http_client_header_t){ .name = hop_headers[i].name, .value = hop_headers[i].value };
   options.header_count = call->header_count + hop_count;
   memset (&call->answer, 0, sizeof call->answer);
   call->sent_us = now_us;
@@ -335,5 +336,5 @@
   cnt_add (router->hops, 1);
   set_hop_timer (call);
   in_flight_begin (router->requests_in_flight, host->hash);
-  call->outbound = hcl_start (router->http_client, &options);
+  call->outbound = http_client_start_call (router->http_client, &options);
 }
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -133,7 +133,7 @@
   dmn_t *daemon;
   struct event_base *base;
   data_task_t *ops;
-  hcl_t *http_client;
+  http_client_t *http_client;
   health_t *health;
   forwarding_budget_t retry_budget;
   router_pool_t *pools;
@@ -142,7 +142,7 @@
   GHashTable *incarnations;
   GHashTable *host_probes;
   router_hint_t *served_hints;
-  bdg_t control_budget;
+  byte_budget_t control_budget;
   recent_answers_t *answered_requests;
   suspects_t *suspects;
   in_flight_counts_t *requests_in_flight;
@@ -200,9 +200,9 @@
 {
   router_t *router;
   GList link;
-  hsv_call_t *inbound;
-  hcl_call_t *outbound;
-  hcl_call_t *revoke_request;
+  http_server_call_t *inbound;
+  http_client_call_t *outbound;
+  http_client_call_t *revoke_request;
   manifest_t *manifest;
   const manifest_account_t *account;
   const manifest_service_t *service;
@@ -216,7 +216,7 @@
   char *target;
   char *body;
   size_t body_bytes;
-  hcl_header_t *headers;
+  http_client_header_t *headers;
   uint32_t header_count;
   uint64_t placement_hash;
   uint64_t request_id[2];
@@ -248,7 +248,7 @@
 const membership_host_t *router_find_host (const router_t *router, uint64_t engine_hash);
 
 /** router_accept() - validates a caller's request, and starts or refuses it */
-void router_accept (hsv_call_t *inbound, void *context);
+void router_accept (http_server_call_t *inbound, void *context);
 /** router_call_start() - takes the first step of a validated request */
 void router_call_start (router_call_t *call);
 void router_call_free (router_call_t *call);
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -7,16 +7,16 @@
 
 #define TARGET_BYTES 160
 
-static hcl_call_t *
+static http_client_call_t *
 post_order (router_t *router,
             const membership_host_t *host,
             const set_address_t *address,
             const char *target,
-            const hcl_options_t *handlers)
+            const http_client_options_t *handlers)
 {
   char seal[CALL_SEAL_BYTES];
-  hcl_header_t header = { .name = CALL_SEAL_HEADER, .value = seal };
-  hcl_options_t options = *handlers;
+  http_client_header_t header = { .name = CALL_SEAL_HEADER, .value = seal };
+  http_client_options_t options = *handlers;
 
   call_seal_compute (&(sealed_call_t){ .host = host->name, .method = "POST", .target = target },
                      router->daemon->set.fleet_key, seal);
@@ -26,7 +26,7 @@
   options.headers = &header;
   options.header_count = 1;
   data_task_count_control_bytes (router->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
-  return hcl_start (router->http_client, &options);
+  return http_client_start_call (router->http_client, &options);
 }
 
 static void
@@ -46,16 +46,16 @@
 }
 
 static void
-ignore_end (const hcl_end_t *end, void *context)
+ignore_end (const http_client_result_t *end, void *context)
 {
   (void)end;
   (void)context;
 }
 
-static const hcl_options_t IGNORE_ANSWER = { .timeout_us = ROUTER_NOTIFY_TIMEOUT_US,
-                                             .on_head = ignore_head,
-                                             .on_data = discard_data,
-                                             .on_end = ignore_end };
+static const http_client_options_t IGNORE_ANSWER = { .timeout_us = ROUTER_NOTIFY_TIMEOUT_US,
+                                                     .on_head = ignore_head,
+                                                     .on_data = discard_data,
+                                                     .on_end = ignore_end };
 
 static bool
 on_revoke_head (int status, struct evkeyvalq *headers, void *context)
@@ -72,7 +72,7 @@
 }
 
 static void
-on_revoke_end (const hcl_end_t *end, void *context)
+on_revoke_end (const http_client_result_t *end, void *context)
 {
   router_call_t *call = context;
   router_t *router = call->router;
@@ -106,11 +106,11 @@
 void
 router_revoke (router_call_t *call, const membership_host_t *host)
 {
-  hcl_options_t handlers = { .timeout_us = ROUTER_REVOKE_TIMEOUT_US,
-                             .on_head = on_revoke_head,
-                             .on_data = discard_data,
-                             .on_end = on_revoke_end,
-                             .context = call };
+  http_client_options_t handlers = { .timeout_us = ROUTER_REVOKE_TIMEOUT_US,
+                                     .on_head = on_revoke_head,
+                                     .on_data = discard_data,
+                                     .on_end = on_revoke_end,
+                                     .context = call };
   char target[TARGET_BYTES];
 
   revoke_target (call, target);
@@ -158,7 +158,7 @@
    * the 21,000 bytes a second that a router sent. Without a hint the home does not refer the chat
    * to the engine that has it cached; that costs less than exceeding the control budget. */
   if (already_sent || home == NULL ||
-      !bdg_take (&router->control_budget, now_us, DATA_TASK_CALL_OVERHEAD_BYTES))
+      !byte_budget_take (&router->control_budget, now_us, DATA_TASK_CALL_OVERHEAD_BYTES))
     return;
   *hint = (router_hint_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .sent_us = now_us };
   g_snprintf (target, sizeof target, "%s?chat=%016" PRIx64 "&engine=%016" PRIx64, HOP_SERVED_PATH,
--- a/src/request/router/router_watch.c
+++ b/src/request/router/router_watch.c
@@ -16,7 +16,7 @@
   uint64_t host_hash;
   uint64_t last_heard_us;
   uint64_t probe_started_us;
-  hcl_call_t *request;
+  http_client_call_t *request;
 };
 
 static router_host_probe_t *
@@ -76,7 +76,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   router_host_probe_t *host_probe = context;
   router_t *router = host_probe->router;
@@ -99,7 +99,7 @@
 router_host_probe_free (router_host_probe_t *host_probe)
 {
   if (host_probe->request != NULL)
-    hcl_cancel (host_probe->request);
+    http_client_cancel_call (host_probe->request);
   g_free (host_probe);
 }
 
@@ -119,12 +119,12 @@
   router_host_probe_t *host_probe = find_or_add (router, call->attempts.last_engine);
   const membership_host_t *host =
       membership_find_by_hash (data_task_members (router->ops), call->attempts.last_engine);
-  hcl_options_t options = { .method = "GET",
-                            .target = PROBE_TARGET,
-                            .timeout_us = ROUTER_HOST_PROBE_TIMEOUT_US,
-                            .on_head = on_head,
-                            .on_end = on_end,
-                            .context = host_probe };
+  http_client_options_t options = { .method = "GET",
+                                    .target = PROBE_TARGET,
+                                    .timeout_us = ROUTER_HOST_PROBE_TIMEOUT_US,
+                                    .on_head = on_head,
+                                    .on_end = on_end,
+                                    .context = host_probe };
 
   if (host == NULL || host_probe->request != NULL ||
       now_us < host_probe->last_heard_us + ROUTER_HOST_PROBE_DELAY_US)
@@ -133,5 +133,5 @@
   host_probe->probe_started_us = now_us;
   cnt_add (router->probes, 1);
   data_task_count_control_bytes (router->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
-  host_probe->request = hcl_start (router->http_client, &options);
+  host_probe->request = http_client_start_call (router->http_client, &options);
 }
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -307,7 +307,7 @@
   admission_set_engine_up (sidecar->admission, false);
   admission_set_joined (sidecar->admission, data_task_now_us (sidecar->ops));
   sidecar->history = history_new (LIM_REVOKED);
-  sidecar->http_client = hcl_new (base, SIDECAR_IDLE_CONNECTIONS, SIDECAR_IDLE_TIMEOUT_MS);
+  sidecar->http_client = http_client_new (base, SIDECAR_IDLE_CONNECTIONS, SIDECAR_IDLE_TIMEOUT_MS);
   sidecar->calls = g_hash_table_new (hop_hash_attempt, hop_equal_attempt);
   snprintf (sidecar->incarnation_text, sizeof sidecar->incarnation_text, "%" PRIu64,
             daemon->incarnation);
@@ -332,7 +332,7 @@
       sidecar_call_t *call = link->data;
 
       if (call->inbound != NULL)
-        hsv_abort (call->inbound);
+        http_server_abort (call->inbound);
       sidecar_call_free (call);
     }
   g_list_free (calls);
@@ -340,7 +340,7 @@
   event_free (sidecar->tick_timer);
   event_free (sidecar->report_timer);
   data_task_free (sidecar->ops);
-  hcl_free (sidecar->http_client);
+  http_client_free (sidecar->http_client);
   admission_free (sidecar->admission);
   history_free (sidecar->history);
   g_hash_table_destroy (sidecar->calls);
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -66,11 +66,12 @@
   uint32_t limit = call->sidecar->daemon->set.header_limit_count;
 
   /* A non-idempotent request continues after its router disconnects, so everything is copied. */
-  call->body = hsv_take_body (call->inbound, &call->body_bytes);
-  call->method = g_strdup (hsv_method (call->inbound));
-  call->target = g_strdup (hsv_target (call->inbound));
-  call->headers = g_new0 (hcl_header_t, limit);
-  call->header_count = header_collect_forwarded (hsv_headers (call->inbound), call->headers, limit);
+  call->body = http_server_take_body (call->inbound, &call->body_bytes);
+  call->method = g_strdup (http_server_method (call->inbound));
+  call->target = g_strdup (http_server_target (call->inbound));
+  call->headers = g_new0 (http_client_header_t, limit);
+  call->header_count =
+      header_collect_forwarded (http_server_request_headers (call->inbound), call->headers, limit);
   for (uint32_t i = 0; i < call->header_count; i++)
     {
       call->headers[i].name = g_strdup (call->headers[i].name);
@@ -79,7 +80,7 @@
 }
 
 static sidecar_call_t *
-call_new (sidecar_t *sidecar, hsv_call_t *inbound, const hop_t *hop)
+call_new (sidecar_t *sidecar, http_server_call_t *inbound, const hop_t *hop)
 {
   sidecar_call_t *call = g_new0 (sidecar_call_t, 1);
 
@@ -101,26 +102,27 @@
 /* refuse_without_call() - refuses a request before an sidecar_call_t is created for it */
 static void
 refuse_without_call (sidecar_t *sidecar,
-                     hsv_call_t *inbound,
+                     http_server_call_t *inbound,
                      const char *attempt,
                      const flt_t *fault)
 {
   sidecar_add_headers (sidecar, inbound, attempt);
   if (fault->reason != VERDICT_REASON_NONE)
-    hsv_add_header (inbound, HOP_REASON_HEADER, verdict_reason_to_string (fault->reason));
+    http_server_add_header (inbound, HOP_REASON_HEADER, verdict_reason_to_string (fault->reason));
   error_reply_send (inbound, fault);
 }
 
 static bool
-read_hop_headers (sidecar_t *sidecar, hsv_call_t *inbound, hop_t *hop)
+read_hop_headers (sidecar_t *sidecar, http_server_call_t *inbound, hop_t *hop)
 {
-  hop_read_result_t outcome = hop_read (hop, sidecar->daemon->set.fleet_key, hsv_headers (inbound));
+  hop_read_result_t outcome =
+      hop_read (hop, sidecar->daemon->set.fleet_key, http_server_request_headers (inbound));
   size_t body_bytes;
-  const char *body = hsv_body (inbound, &body_bytes);
+  const char *body = http_server_body (inbound, &body_bytes);
 
   if (outcome == HOP_OK &&
-      hop->body_hash !=
-          digest_request (hsv_method (inbound), hsv_target (inbound), body, body_bytes))
+      hop->body_hash != digest_request (http_server_method (inbound), http_server_target (inbound),
+                                        body, body_bytes))
     outcome = HOP_BAD_SEAL; /* the seal belongs to another request */
   if (outcome == HOP_OK)
     return true;
@@ -134,7 +136,10 @@
 /* refuse_used_attempt() - an attempt id is valid for one request only. Return: whether the request
  * was refused */
 static bool
-refuse_used_attempt (sidecar_t *sidecar, hsv_call_t *inbound, const hop_t *hop, const char *attempt)
+refuse_used_attempt (sidecar_t *sidecar,
+                     http_server_call_t *inbound,
+                     const hop_t *hop,
+                     const char *attempt)
 {
   flt_t fault = { .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_REVOKED };
   verdict_t ended;
@@ -164,7 +169,7 @@
 }
 
 void
-sidecar_accept (hsv_call_t *inbound, void *context)
+sidecar_accept (http_server_call_t *inbound, void *context)
 {
   sidecar_t *sidecar = context;
   char attempt[33];
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -47,22 +47,24 @@
 }
 
 void
-sidecar_add_headers (const sidecar_t *sidecar, hsv_call_t *inbound, const char *attempt_text)
+sidecar_add_headers (const sidecar_t *sidecar,
+                     http_server_call_t *inbound,
+                     const char *attempt_text)
 {
   char load[48];
 
   if (sidecar_format_load (sidecar, load))
-    hsv_add_header (inbound, HOP_LOAD_HEADER, load);
-  hsv_add_header (inbound, HOP_ATTEMPT_HEADER, attempt_text);
-  hsv_add_header (inbound, HOP_ENGINE_HEADER, sidecar->daemon->set.name);
-  hsv_add_header (inbound, HOP_INCARNATION_HEADER, sidecar->incarnation_text);
+    http_server_add_header (inbound, HOP_LOAD_HEADER, load);
+  http_server_add_header (inbound, HOP_ATTEMPT_HEADER, attempt_text);
+  http_server_add_header (inbound, HOP_ENGINE_HEADER, sidecar->daemon->set.name);
+  http_server_add_header (inbound, HOP_INCARNATION_HEADER, sidecar->incarnation_text);
 }
 
 void
 sidecar_call_free (sidecar_call_t *call)
 {
   if (call->outbound != NULL)
-    hcl_cancel (call->outbound);
+    http_client_cancel_call (call->outbound);
   if (call->suspect)
     call->sidecar->suspect_calls--;
   event_free (call->timer);
@@ -103,7 +105,7 @@
         g_string_append_printf (names, "%s%s", names->len > 0 ? "," : "", host->name);
     }
   if (names->len > 0)
-    hsv_add_header (call->inbound, HOP_ALTERNATIVES_HEADER, names->str);
+    http_server_add_header (call->inbound, HOP_ALTERNATIVES_HEADER, names->str);
   g_string_free (names, TRUE);
 }
 
@@ -113,12 +115,13 @@
   char retry[16];
 
   sidecar_add_headers (call->sidecar, call->inbound, call->attempt_text);
-  hsv_add_header (call->inbound, HOP_REASON_HEADER, verdict_reason_to_string (decision->reason));
+  http_server_add_header (call->inbound, HOP_REASON_HEADER,
+                          verdict_reason_to_string (decision->reason));
   add_referrals (call, decision);
   if (decision->retry_after_ms != 0)
     {
       snprintf (retry, sizeof retry, "%" PRIu32, decision->retry_after_ms);
-      hsv_add_header (call->inbound, HOP_RETRY_AFTER_HEADER, retry);
+      http_server_add_header (call->inbound, HOP_RETRY_AFTER_HEADER, retry);
     }
   error_reply_send (call->inbound, &(flt_t){ .verdict = verdict,
                                              .reason = decision->reason,
@@ -344,7 +347,7 @@
   admission_decision_t decision = { .action = ADMISSION_REJECT,
                                     .reason = VERDICT_REASON_QUARANTINE };
 
-  hsv_on_gone (call->inbound, on_router_disconnect, call);
+  http_server_on_disconnect (call->inbound, on_router_disconnect, call);
   admission_set_stale (sidecar->admission, data_task_is_stale (sidecar->ops));
   if (!must_quarantine (call))
     decision =
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -109,7 +109,7 @@
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   sidecar_call_t *call = context;
   sidecar_t *sidecar = call->sidecar;
@@ -168,28 +168,29 @@
   uint64_t now_us = data_task_now_us (sidecar->ops);
   uint64_t remaining_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
   char priority[16];
-  g_autofree hcl_header_t *headers = g_new (hcl_header_t, call->header_count + ADDED_HEADERS);
-  hcl_header_t *added = headers + call->header_count;
-  hcl_options_t options = { .address = &sidecar->daemon->set.engine,
-                            .method = call->method,
-                            .target = call->target,
-                            .headers = headers,
-                            .header_count = call->header_count + ADDED_HEADERS,
-                            .body = call->body,
-                            .body_bytes = call->body_bytes,
-                            .on_head = on_head,
-                            .on_data = on_data,
-                            .on_end = on_end,
-                            .context = call };
+  g_autofree http_client_header_t *headers =
+      g_new (http_client_header_t, call->header_count + ADDED_HEADERS);
+  http_client_header_t *added = headers + call->header_count;
+  http_client_options_t options = { .address = &sidecar->daemon->set.engine,
+                                    .method = call->method,
+                                    .target = call->target,
+                                    .headers = headers,
+                                    .header_count = call->header_count + ADDED_HEADERS,
+                                    .body = call->body,
+                                    .body_bytes = call->body_bytes,
+                                    .on_head = on_head,
+                                    .on_data = on_data,
+                                    .on_end = on_end,
+                                    .context = call };
 
   snprintf (priority, sizeof priority, "%" PRIu32, call->request.item.priority);
   memcpy (headers, call->headers, call->header_count * sizeof headers[0]);
-  added[0] = (hcl_header_t){ .name = HOP_REQUEST_HEADER, .value = call->attempt_text };
-  added[1] = (hcl_header_t){ .name = HOP_PRIORITY_HEADER, .value = priority };
-  added[2] = (hcl_header_t){ .name = HOP_ACCOUNT_HEADER, .value = call->hop.account };
+  added[0] = (http_client_header_t){ .name = HOP_REQUEST_HEADER, .value = call->attempt_text };
+  added[1] = (http_client_header_t){ .name = HOP_PRIORITY_HEADER, .value = priority };
+  added[2] = (http_client_header_t){ .name = HOP_ACCOUNT_HEADER, .value = call->hop.account };
   call->state = SIDECAR_CALL_RUNNING;
   cnt_add (sidecar->dispatched, 1);
   sidecar_call_log_decision (call, "dispatch", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_NONE);
   set_timer (call, MAX (remaining_us, CLK_US_PER_MS));
-  call->outbound = hcl_start (sidecar->http_client, &options);
+  call->outbound = http_client_start_call (sidecar->http_client, &options);
 }
--- a/src/request/sidecar/sidecar_leave.c
+++ b/src/request/sidecar/sidecar_leave.c
@@ -30,7 +30,7 @@
 } batch_request_t;
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   batch_request_t *request = context;
 
@@ -45,15 +45,15 @@
   batch_request_t *request = g_new0 (batch_request_t, 1);
   char *text = json_dumps (entries, JSON_COMPACT);
   char seal[CALL_SEAL_BYTES];
-  hcl_header_t header = { .name = CALL_SEAL_HEADER, .value = seal };
-  hcl_options_t options = { .address = &host->http,
-                            .method = "POST",
-                            .target = HOP_DIRECTORY_PATH,
-                            .headers = &header,
-                            .header_count = 1,
-                            .timeout_us = HANDOVER_TIMEOUT_US,
-                            .on_end = on_end,
-                            .context = request };
+  http_client_header_t header = { .name = CALL_SEAL_HEADER, .value = seal };
+  http_client_options_t options = { .address = &host->http,
+                                    .method = "POST",
+                                    .target = HOP_DIRECTORY_PATH,
+                                    .headers = &header,
+                                    .header_count = 1,
+                                    .timeout_us = HANDOVER_TIMEOUT_US,
+                                    .on_end = on_end,
+                                    .context = request };
 
   request->body = g_strdup (text);
   free (text);
@@ -67,7 +67,7 @@
                      sidecar->daemon->set.fleet_key, seal);
   data_task_count_control_bytes (sidecar->ops,
                                  DATA_TASK_CALL_OVERHEAD_BYTES + (uint32_t)options.body_bytes);
-  hcl_start (sidecar->http_client, &options);
+  http_client_start_call (sidecar->http_client, &options);
 }
 
 static void
--- a/src/request/sidecar/sidecar_orders.c
+++ b/src/request/sidecar/sidecar_orders.c
@@ -28,10 +28,10 @@
 }
 
 static void
-serve_revoke (sidecar_t *sidecar, hsv_call_t *inbound)
+serve_revoke (sidecar_t *sidecar, http_server_call_t *inbound)
 {
-  const char *text = hsv_query (inbound, "attempt");
-  const char *age = hsv_query (inbound, "age_ms");
+  const char *text = http_server_query_value (inbound, "attempt");
+  const char *age = http_server_query_value (inbound, "age_ms");
   uint64_t attempt[2];
   guint64 age_ms;
   verdict_t verdict;
@@ -44,19 +44,19 @@
     }
   verdict = revoke_attempt (sidecar, attempt, age_ms * CLK_US_PER_MS);
   sidecar_add_headers (sidecar, inbound, text);
-  hsv_add_header (inbound, VERDICT_HEADER, verdict_to_string (verdict));
-  hsv_reply_text (inbound, 200, "text/plain", verdict_to_string (verdict));
+  http_server_add_header (inbound, VERDICT_HEADER, verdict_to_string (verdict));
+  http_server_reply_text (inbound, 200, "text/plain", verdict_to_string (verdict));
   sidecar_process_queue (sidecar);
 }
 
 static void
-serve_served (sidecar_t *sidecar, hsv_call_t *inbound)
+serve_served (sidecar_t *sidecar, http_server_call_t *inbound)
 {
   uint64_t chat;
   uint64_t engine;
 
-  if (!parse_hash (hsv_query (inbound, "chat"), &chat) ||
-      !parse_hash (hsv_query (inbound, "engine"), &engine))
+  if (!parse_hash (http_server_query_value (inbound, "chat"), &chat) ||
+      !parse_hash (http_server_query_value (inbound, "engine"), &engine))
     {
       error_reply_reject (inbound, 400, "bad_request", "chat or engine is missing or not valid");
       return;
@@ -64,7 +64,7 @@
   admission_note_served_elsewhere (sidecar->admission, data_task_now_us (sidecar->ops), chat,
                                    engine);
   cnt_add (sidecar->directory_notes, 1);
-  hsv_reply_text (inbound, 200, "text/plain", "noted\n");
+  http_server_reply_text (inbound, 200, "text/plain", "noted\n");
 }
 
 /* store_entries() - stores [[chat, engine], ...], both hashes in hex, in the directory. Return: how
@@ -95,10 +95,10 @@
 }
 
 static void
-serve_directory (sidecar_t *sidecar, hsv_call_t *inbound)
+serve_directory (sidecar_t *sidecar, http_server_call_t *inbound)
 {
   size_t body_bytes;
-  const char *body = hsv_body (inbound, &body_bytes);
+  const char *body = http_server_body (inbound, &body_bytes);
   json_t *entries = json_loadb (body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
   uint32_t stored;
 
@@ -111,15 +111,15 @@
   stored = store_entries (sidecar, entries);
   json_decref (entries);
   log_event (LOG_LEVEL_INFO, "directory_taken", "entries", LOG_U64 (stored), NULL);
-  hsv_reply_text (inbound, 200, "text/plain", "noted\n");
+  http_server_reply_text (inbound, 200, "text/plain", "noted\n");
 }
 
 bool
-sidecar_handle_peer_request (hsv_call_t *inbound, const char *path, void *context)
+sidecar_handle_peer_request (http_server_call_t *inbound, const char *path, void *context)
 {
   sidecar_t *sidecar = context;
 
-  if (strcmp (hsv_method (inbound), "POST") != 0)
+  if (strcmp (http_server_method (inbound), "POST") != 0)
     return false;
   data_task_count_control_bytes (sidecar->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
   if (strcmp (path, HOP_REVOKE_PATH) == 0)
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -92,7 +92,7 @@
   dmn_t *daemon;
   struct event_base *base;
   data_task_t *ops;
-  hcl_t *http_client;
+  http_client_t *http_client;
   admission_t *admission;
   history_t *history;
   uint64_t own_hash;
@@ -104,7 +104,7 @@
   bool engine_up;
   bool directory_handed_over;
   uint64_t leaving_since_us;
-  hcl_call_t *probe;
+  http_client_call_t *probe;
   uint64_t probe_started_us;
   uint32_t probe_disconnects;
   uint32_t probe_delay_ms;
@@ -144,8 +144,8 @@
   admission_request_t request;
   sidecar_t *sidecar;
   sidecar_call_state_t state;
-  hsv_call_t *inbound;
-  hcl_call_t *outbound;
+  http_server_call_t *inbound;
+  http_client_call_t *outbound;
   manifest_t *manifest;
   hop_t hop;
   relay_t relay;
@@ -153,7 +153,7 @@
   char *target;
   char *body;
   size_t body_bytes;
-  hcl_header_t *headers;
+  http_client_header_t *headers;
   uint32_t header_count;
   char attempt_text[33];
   uint64_t arrived_us;
@@ -168,10 +168,12 @@
 } sidecar_call_t;
 
 /** sidecar_accept() - handles a request that is not for an operations path */
-void sidecar_accept (hsv_call_t *inbound, void *context);
+void sidecar_accept (http_server_call_t *inbound, void *context);
 
 /** sidecar_add_headers() - adds the headers that every answer of a sidecar carries */
-void sidecar_add_headers (const sidecar_t *sidecar, hsv_call_t *inbound, const char *attempt_text);
+void sidecar_add_headers (const sidecar_t *sidecar,
+                          http_server_call_t *inbound,
+                          const char *attempt_text);
 /**
  * sidecar_format_load() - formats the own load as the value of HOP_LOAD_HEADER
  *
@@ -263,7 +265,7 @@
 
 /** sidecar_handle_peer_request() - handles a sealed request of another daemon. Return: whether it
  * was answered */
-bool sidecar_handle_peer_request (hsv_call_t *inbound, const char *path, void *context);
+bool sidecar_handle_peer_request (http_server_call_t *inbound, const char *path, void *context);
 
 /**
  * sidecar_hand_over_directory() - sends the directory to the sidecars that are the next homes of
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -121,7 +121,7 @@
  * connection was closed is inconclusive: it may have used a connection of the process that has just
  * died. */
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   sidecar_t *sidecar = context;
   bool disconnected =
@@ -146,21 +146,21 @@
 void
 sidecar_probe_start (sidecar_t *sidecar)
 {
-  hcl_options_t options = { .address = &sidecar->daemon->set.engine,
-                            .method = "GET",
-                            .target = PROBE_TARGET,
-                            .timeout_us = SIDECAR_PROBE_TIMEOUT_US,
-                            .answer_limit_bytes = 64 * 1024,
-                            .on_head = on_head,
-                            .on_data = on_data,
-                            .on_end = on_end,
-                            .context = sidecar };
+  http_client_options_t options = { .address = &sidecar->daemon->set.engine,
+                                    .method = "GET",
+                                    .target = PROBE_TARGET,
+                                    .timeout_us = SIDECAR_PROBE_TIMEOUT_US,
+                                    .answer_limit_bytes = 64 * 1024,
+                                    .on_head = on_head,
+                                    .on_data = on_data,
+                                    .on_end = on_end,
+                                    .context = sidecar };
 
   if (sidecar->probe != NULL)
     return;
   event_del (sidecar->probe_timer);
   sidecar->probe_started_us = data_task_now_us (sidecar->ops);
-  sidecar->probe = hcl_start (sidecar->http_client, &options);
+  sidecar->probe = http_client_start_call (sidecar->http_client, &options);
 }
 
 void
--- a/standin/standin_upstream.c
+++ b/standin/standin_upstream.c
@@ -51,7 +51,7 @@
 {
   options_t options;
   struct event_base *base;
-  pcl_t *store;
+  platform_client_t *store;
   GRand *rand;
   FILE *record;
   char instance[48];
@@ -222,7 +222,7 @@
 }
 
 static void
-on_entry_stored (const pcl_answer_t *answer, void *context)
+on_entry_stored (const platform_client_answer_t *answer, void *context)
 {
   upstream_t *upstream = context;
   run_t none = { .id = "-", .account = "-" };
@@ -250,16 +250,17 @@
   g_string_append_c (body, (char)key_bytes);
   g_string_append (body, upstream->instance);
   g_string_append (body, value);
-  pcl_start (upstream->store,
-             &(pcl_request_t){ .method = "POST",
-                               .target = "/log-append?topic=" ENGINES_TOPIC "&part=0",
-                               .body = body->str,
-                               .body_bytes = body->len,
-                               .timeout_ms = HEARTBEAT_MS,
-                               .answer_limit_bytes = 4096,
-                               .done = on_entry_stored,
-                               .dropped = on_store_call_dropped,
-                               .context = upstream });
+  platform_client_start (
+      upstream->store,
+      &(platform_client_request_t){ .method = "POST",
+                                    .target = "/log-append?topic=" ENGINES_TOPIC "&part=0",
+                                    .body = body->str,
+                                    .body_bytes = body->len,
+                                    .timeout_ms = HEARTBEAT_MS,
+                                    .answer_limit_bytes = 4096,
+                                    .done = on_entry_stored,
+                                    .dropped = on_store_call_dropped,
+                                    .context = upstream });
   g_string_free (body, TRUE);
 }
 
@@ -396,7 +397,7 @@
       exit (2);
     }
   upstream->base = sht_base_new ();
-  upstream->store = pcl_new (upstream->base, &store, NULL);
+  upstream->store = platform_client_new (upstream->base, &store, NULL);
   upstream->rand = g_rand_new ();
   g_snprintf (upstream->instance, sizeof upstream->instance, "i-%" G_GINT64_MODIFIER "x-%d",
               g_get_real_time (), (int)getpid ());
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -128,7 +128,7 @@
 void
 rig_start (rig_t *rig)
 {
-  rig->ctrl = control_new_with_platform (&rig->dmn, rig->base, &rig->platform.plt, NULL);
+  rig->ctrl = control_new_with_platform (&rig->dmn, rig->base, &rig->platform.platform, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (rig->ctrl);
 }
 
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -17,9 +17,9 @@
   uint64_t from_offset;
   uint32_t max_records;
   uint64_t until_ms;
-  plt_appended_t appended;
-  plt_read_done_t read;
-  plt_hosts_done_t hosts;
+  platform_append_done_t appended;
+  platform_read_done_t read;
+  platform_hosts_done_t hosts;
   void *context;
 } call_t;
 
@@ -45,14 +45,14 @@
 }
 
 static void
-fake_append (plt_t *plt,
+fake_append (platform_t *platform,
              const char *stream,
              const char *data,
              size_t data_bytes,
-             plt_appended_t done,
+             platform_append_done_t done,
              void *context)
 {
-  fake_platform_t *fake = (fake_platform_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)platform;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_APPEND;
   call->stream = g_strdup (stream);
@@ -64,15 +64,15 @@
 }
 
 static void
-fake_read (plt_t *plt,
+fake_read (platform_t *platform,
            const char *stream,
            uint64_t from_offset,
            uint32_t max_records,
            uint32_t wait_ms,
-           plt_read_done_t done,
+           platform_read_done_t done,
            void *context)
 {
-  fake_platform_t *fake = (fake_platform_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)platform;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_READ;
   call->stream = g_strdup (stream);
@@ -86,9 +86,9 @@
 }
 
 static void
-fake_hosts (plt_t *plt, uint64_t revision, plt_hosts_done_t done, void *context)
+fake_hosts (platform_t *platform, uint64_t revision, platform_hosts_done_t done, void *context)
 {
-  fake_platform_t *fake = (fake_platform_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)platform;
   (void)revision;
   call_t *call = g_new0 (call_t, 1);
   call->kind = CALL_HOSTS;
@@ -99,9 +99,9 @@
 }
 
 static void
-fake_free (plt_t *plt)
+fake_free (platform_t *platform)
 {
-  fake_platform_t *fake = (fake_platform_t *)plt;
+  fake_platform_t *fake = (fake_platform_t *)platform;
   g_queue_clear_full (&fake->calls, call_free);
   fake->freed = true;
 }
@@ -111,36 +111,36 @@
 {
   if (fake->append_down)
     {
-      call->appended (PLT_UNKNOWN, 0, call->context);
+      call->appended (PLATFORM_UNKNOWN, 0, call->context);
       return;
     }
   if (fake->append_refused)
     {
-      call->appended (PLT_REFUSED, 0, call->context);
+      call->appended (PLATFORM_REFUSED, 0, call->context);
       return;
     }
   GPtrArray *records = get_stream (fake, call->stream);
   uint64_t offset = records->len;
   g_ptr_array_add (records, g_strdup (call->data));
-  call->appended (fake->append_lost ? PLT_UNKNOWN : PLT_OK, offset, call->context);
+  call->appended (fake->append_lost ? PLATFORM_UNKNOWN : PLATFORM_OK, offset, call->context);
 }
 
 static void
 answer_read (const fake_platform_t *fake, const call_t *call)
 {
-  plt_read_t read = { .outcome = PLT_UNKNOWN };
+  platform_read_t read = { .outcome = PLATFORM_UNKNOWN };
   if (fake->read_down)
     {
       call->read (&read, call->context);
       return;
     }
   const GPtrArray *stream = get_stream (fake, call->stream);
-  read.outcome = PLT_OK;
+  read.outcome = PLATFORM_OK;
   read.first_offset = MIN (fake->first_offset, stream->len);
   read.end_offset = stream->len;
   uint64_t from = MAX (call->from_offset, read.first_offset);
   uint64_t count = from < stream->len ? MIN (stream->len - from, call->max_records) : 0;
-  plt_record_t *records = g_new0 (plt_record_t, count + 1);
+  platform_record_t *records = g_new0 (platform_record_t, count + 1);
   for (uint64_t i = 0; i < count; i++)
     {
       records[i].offset = from + i;
@@ -157,10 +157,10 @@
 static void
 answer_hosts (const fake_platform_t *fake, const call_t *call)
 {
-  plt_hosts_t hosts = { .outcome = PLT_UNKNOWN };
+  platform_hosts_t hosts = { .outcome = PLATFORM_UNKNOWN };
   if (!fake->list_down)
     {
-      hosts.outcome = PLT_OK;
+      hosts.outcome = PLATFORM_OK;
       hosts.full = true;
       hosts.revision = fake->revision;
       hosts.hosts = fake->hosts;
@@ -200,10 +200,10 @@
 fake_platform_init (fake_platform_t *fake)
 {
   memset (fake, 0, sizeof *fake);
-  fake->plt.append = fake_append;
-  fake->plt.read = fake_read;
-  fake->plt.hosts = fake_hosts;
-  fake->plt.free = fake_free;
+  fake->platform.append = fake_append;
+  fake->platform.read = fake_read;
+  fake->platform.hosts = fake_hosts;
+  fake->platform.free = fake_free;
   fake->streams =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
   g_queue_init (&fake->calls);
--- a/tests/fake_platform.h
+++ b/tests/fake_platform.h
@@ -14,7 +14,7 @@
 
 /**
  * struct fake_platform - the fake platform
- * @plt: the callbacks; must be the first field
+ * @platform: the callbacks; must be the first field
  * @read_down: reads of streams fail
  * @read_stuck: reads of streams get no answer
  * @append_down: appends have no effect, and the caller learns only that the outcome is unknown
@@ -30,11 +30,11 @@
  * @reads: number of reads of streams so far
  * @lists: number of calls for the list of hosts so far
  * @appends: number of appends so far
- * @freed: plt_t.free() was called
+ * @freed: platform_t.free() was called
  */
 typedef struct
 {
-  plt_t plt;
+  platform_t platform;
   bool read_down;
   bool read_stuck;
   bool append_down;
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -32,9 +32,9 @@
   uint64_t from;
   uint32_t max;
   struct event *event;
-  plt_read_done_t read;
-  plt_newest_done_t newest;
-  plt_appended_t put;
+  platform_read_done_t read;
+  platform_newest_done_t newest;
+  platform_append_done_t put;
   void *context;
 } call_t;
 
@@ -72,35 +72,35 @@
   g_free (call);
 }
 
-static plt_record_t
+static platform_record_t
 to_record (const record_t *record, uint64_t offset)
 {
-  return (plt_record_t){ .offset = offset,
-                         .key = record->key,
-                         .data = record->value,
-                         .data_bytes = record->value ? strlen (record->value) : 0 };
+  return (platform_record_t){ .offset = offset,
+                              .key = record->key,
+                              .data = record->value,
+                              .data_bytes = record->value ? strlen (record->value) : 0 };
 }
 
 static void
 answer_read (call_t *call)
 {
   const GPtrArray *stream = get_stream (call->client->store, call->stream);
-  g_autoptr (GArray) records = g_array_new (FALSE, TRUE, sizeof (plt_record_t));
-  plt_read_t read = { .outcome = PLT_OK, .end_offset = stream->len };
+  g_autoptr (GArray) records = g_array_new (FALSE, TRUE, sizeof (platform_record_t));
+  platform_read_t read = { .outcome = PLATFORM_OK, .end_offset = stream->len };
 
   for (uint64_t offset = call->from; offset < stream->len && records->len < call->max; offset++)
     {
-      plt_record_t record = to_record (g_ptr_array_index (stream, offset), offset);
+      platform_record_t record = to_record (g_ptr_array_index (stream, offset), offset);
 
       g_array_append_val (records, record);
     }
   if (call->client->down)
-    read.outcome = PLT_UNKNOWN;
+    read.outcome = PLATFORM_UNKNOWN;
   else if (call->client->expired)
-    read.outcome = PLT_EXPIRED;
+    read.outcome = PLATFORM_EXPIRED;
   call->client->expired = false;
-  read.records = (const plt_record_t *)(const void *)records->data;
-  read.record_count = read.outcome == PLT_OK ? records->len : 0;
+  read.records = (const platform_record_t *)(const void *)records->data;
+  read.record_count = read.outcome == PLATFORM_OK ? records->len : 0;
   read.next_offset = call->from + read.record_count;
   call->read (&read, call->context);
 }
@@ -110,9 +110,9 @@
 {
   const GPtrArray *stream = get_stream (call->client->store, call->stream);
   g_autoptr (GHashTable) seen_keys = g_hash_table_new (g_str_hash, g_str_equal);
-  g_autoptr (GArray) records = g_array_new (FALSE, TRUE, sizeof (plt_record_t));
-  plt_newest_t answer = { .outcome = call->client->down ? PLT_UNKNOWN : PLT_OK,
-                          .end_offset = stream->len };
+  g_autoptr (GArray) records = g_array_new (FALSE, TRUE, sizeof (platform_record_t));
+  platform_newest_t answer = { .outcome = call->client->down ? PLATFORM_UNKNOWN : PLATFORM_OK,
+                               .end_offset = stream->len };
 
   for (guint offset = stream->len; offset > 0; offset--)
     {
@@ -120,12 +120,12 @@
 
       if (g_hash_table_add (seen_keys, record->key) && record->value)
         {
-          plt_record_t out = to_record (record, offset - 1);
+          platform_record_t out = to_record (record, offset - 1);
 
           g_array_append_val (records, out);
         }
     }
-  answer.records = (const plt_record_t *)(const void *)records->data;
+  answer.records = (const platform_record_t *)(const void *)records->data;
   answer.record_count = records->len;
   call->newest (&answer, call->context);
 }
@@ -137,11 +137,11 @@
 
   if (client->down)
     {
-      call->put (PLT_UNKNOWN, 0, call->context);
+      call->put (PLATFORM_UNKNOWN, 0, call->context);
       return;
     }
   fake_store_put (client->store, call->stream, call->key, call->value);
-  call->put (PLT_OK, get_stream (client->store, call->stream)->len - 1, call->context);
+  call->put (PLATFORM_OK, get_stream (client->store, call->stream)->len - 1, call->context);
 }
 
 static void
@@ -161,9 +161,10 @@
 }
 
 static call_t *
-call_new (plt_t *plt, call_kind_t kind, const char *stream, uint32_t wait_ms, void *context)
+call_new (
+    platform_t *platform, call_kind_t kind, const char *stream, uint32_t wait_ms, void *context)
 {
-  fake_store_client_t *client = (fake_store_client_t *)plt;
+  fake_store_client_t *client = (fake_store_client_t *)platform;
   struct timeval wait = { wait_ms / 1000, wait_ms % 1000 * 1000 };
   call_t *call = g_new0 (call_t, 1);
 
@@ -179,18 +180,18 @@
 }
 
 static void
-client_read (plt_t *plt,
+client_read (platform_t *platform,
              const char *stream,
              uint64_t from_offset,
              uint32_t max_records,
              uint32_t wait_ms,
-             plt_read_done_t done,
+             platform_read_done_t done,
              void *context)
 {
-  fake_store_client_t *client = (fake_store_client_t *)plt;
+  fake_store_client_t *client = (fake_store_client_t *)platform;
   bool has_answer =
       client->down || client->expired || get_stream (client->store, stream)->len > from_offset;
-  call_t *call = call_new (plt, CALL_READ, stream, has_answer ? 0 : wait_ms, context);
+  call_t *call = call_new (platform, CALL_READ, stream, has_answer ? 0 : wait_ms, context);
 
   call->from = from_offset;
   call->max = max_records;
@@ -198,23 +199,26 @@
 }
 
 static void
-client_newest (
-    plt_t *plt, const char *stream, const char *after_key, plt_newest_done_t done, void *context)
+client_newest (platform_t *platform,
+               const char *stream,
+               const char *after_key,
+               platform_newest_done_t done,
+               void *context)
 {
   g_assert (!after_key); /* the first page always has all keys */
-  call_new (plt, CALL_NEWEST, stream, 0, context)->newest = done;
+  call_new (platform, CALL_NEWEST, stream, 0, context)->newest = done;
 }
 
 static void
-client_put (plt_t *plt,
+client_put (platform_t *platform,
             const char *stream,
             const char *key,
             const char *data,
             size_t data_bytes,
-            plt_appended_t done,
+            platform_append_done_t done,
             void *context)
 {
-  call_t *call = call_new (plt, CALL_PUT, stream, 0, context);
+  call_t *call = call_new (platform, CALL_PUT, stream, 0, context);
 
   call->key = g_strdup (key);
   call->value = g_strndup (data, data_bytes);
@@ -222,9 +226,9 @@
 }
 
 static void
-client_free (plt_t *plt)
+client_free (platform_t *platform)
 {
-  fake_store_client_t *client = (fake_store_client_t *)plt;
+  fake_store_client_t *client = (fake_store_client_t *)platform;
 
   while (!g_queue_is_empty (&client->pending))
     call_free (g_queue_peek_head (&client->pending));
@@ -259,7 +263,7 @@
   fake_store_client_t *client = g_new0 (fake_store_client_t, 1);
 
   client->store = store;
-  client->plt = (plt_t){
+  client->platform = (platform_t){
     .read = client_read, .newest = client_newest, .put = client_put, .free = client_free
   };
   g_queue_init (&client->pending);
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -15,7 +15,7 @@
 
 /**
  * struct fake_store_client - one gateway's client of the store
- * @plt: the callbacks; must be the first field
+ * @platform: the callbacks; must be the first field
  * @down: all calls fail
  * @expired: the next read fails because its records are no longer kept
  * @calls: number of calls so far
@@ -23,7 +23,7 @@
  */
 typedef struct
 {
-  plt_t plt;
+  platform_t platform;
   fake_store_t *store;
   bool down;
   bool expired;
@@ -33,7 +33,7 @@
 
 fake_store_t *fake_store_new (struct event_base *base);
 void fake_store_free (fake_store_t *store);
-/** fake_store_client() - adds a client; the gateway that uses it frees it by plt_t.free() */
+/** fake_store_client() - adds a client; the gateway that uses it frees it by platform_t.free() */
 fake_store_client_t *fake_store_client (fake_store_t *store);
 /** fake_store_put() - appends a record, and answers reads that wait for one; a NULL @value removes
  * the key */
--- a/tests/gateway_rig.c
+++ b/tests/gateway_rig.c
@@ -26,7 +26,7 @@
                        "\"limits\":{\"max_body_bytes\":65536,\"max_header_bytes\":8192}}",
                        version, routes);
 
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, "config", text);
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, "config", text);
 }
 
 static void
@@ -40,11 +40,11 @@
   g_strlcpy (set->data_center, "hall-1", sizeof set->data_center);
   g_assert (rgn_parse (&set->regions, "hall-1=north,hall-2=south,hall-3=west"));
   g_strlcpy (set->fleet_key, "a fleet key of the tests", sizeof set->fleet_key);
-  set->listen = raw_address ();
-  set->ready_listen = raw_address ();
-  set->control_listen = raw_address ();
+  set->listen = raw_peer_loopback_address ();
+  set->ready_listen = raw_peer_loopback_address ();
+  set->control_listen = raw_peer_loopback_address ();
   set->control_listen.port = (uint16_t)(GATEWAY_RIG_PORT + 2 * index);
-  set->exchange = raw_address ();
+  set->exchange = raw_peer_loopback_address ();
   set->exchange.port = (uint16_t)(GATEWAY_RIG_PORT + 2 * index + 1);
   set->body_limit_bytes = 65536;
   set->header_limit_bytes = 8192;
@@ -81,14 +81,14 @@
                                                          .clk = &rig->clk,
                                                          .counters = gateway->counters,
                                                          .set = set,
-                                                         .plt = &gateway->front->plt,
+                                                         .platform = &gateway->front->platform,
                                                          .format = prf_format (),
                                                          .readers = { .routing = prc_read_routing,
                                                                       .engine = prc_read_engine },
                                                          .incarnation = ++rig->starts },
                            &error);
   g_assert_no_error (error);
-  gateway->address = raw_address ();
+  gateway->address = raw_peer_loopback_address ();
   gateway->address.port = gateway_process_port (gateway->gateway_process);
 }
 
@@ -115,14 +115,14 @@
   rig->seeded = seeded;
   gateway_rig_publish_config (rig, 1, "");
   if (seeded)
-    fake_store_put (rig->store, PLT_STREAM_ENGINES, "former", NULL);
+    fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "former", NULL);
   for (uint32_t i = 0; i < gateways; i++)
     {
       fill_settings (rig, i);
       rig->gateways[i].set.first_start = first_start;
       start_gateway (rig, i);
     }
-  g_assert (raw_run_until (rig->base, all_ready, rig));
+  g_assert (raw_peer_run_until (rig->base, all_ready, rig));
   return rig;
 }
 
@@ -186,7 +186,7 @@
   char id[8];
 
   g_snprintf (id, sizeof id, "e%u", engine);
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, id, text);
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, id, text);
 }
 
 raw_server_t *
@@ -255,8 +255,8 @@
   set->retry_window_ms = SHORT_RETRY_WINDOW_MS;
   gateway_rig_restart (rig, 0);
   wait.at_us = clk_now_us (&rig->clk) + UINT64_C (2) * SHORT_RETRY_WINDOW_MS * CLK_US_PER_MS;
-  g_assert (raw_run_until (rig->base, time_has_come, &wait));
-  g_assert (raw_run_until (rig->base, all_ready, rig));
+  g_assert (raw_peer_run_until (rig->base, time_has_come, &wait));
+  g_assert (raw_peer_run_until (rig->base, all_ready, rig));
 }
 
 bool
@@ -264,27 +264,27 @@
 {
   counter_wait_t wait = { rig, counter, value };
 
-  return raw_run_until (rig->base, has_value, &wait);
+  return raw_peer_run_until (rig->base, has_value, &wait);
 }
 
-raw_t *
+raw_peer_t *
 gateway_rig_send (
     gateway_rig_t *rig, uint32_t gateway, const char *method, const char *path, const char *more)
 {
-  raw_t *raw = raw_connect (rig->base, &rig->gateways[gateway].address);
+  raw_peer_t *raw = raw_peer_connect (rig->base, &rig->gateways[gateway].address);
   g_autofree char *text =
       g_strdup_printf ("%s %s HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\n"
                        "X-Key: key-1\r\n%s\r\n",
                        method, path, more);
 
-  raw_send (raw, text);
+  raw_peer_send (raw, text);
   return raw;
 }
 
 static bool
 is_complete (void *context)
 {
-  const raw_t *raw = context;
+  const raw_peer_t *raw = context;
   const char *end = strstr (raw->got->str, "\r\n\r\n");
   const char *length = strstr (raw->got->str, "Content-Length: ");
 
@@ -297,12 +297,12 @@
   return strstr (end, "\r\n0\r\n\r\n") != NULL;
 }
 
-raw_t *
+raw_peer_t *
 gateway_rig_fetch (gateway_rig_t *rig, const char *method, const char *path, const char *more)
 {
-  raw_t *raw = gateway_rig_send (rig, 0, method, path, more);
+  raw_peer_t *raw = gateway_rig_send (rig, 0, method, path, more);
 
-  CU_ASSERT (raw_run_until (rig->base, is_complete, raw));
+  CU_ASSERT (raw_peer_run_until (rig->base, is_complete, raw));
   return raw;
 }
 
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -90,11 +90,11 @@
 uint64_t gateway_rig_counter (const gateway_rig_t *rig, uint32_t gateway, const char *name);
 /** gateway_rig_send() - sends a request with the key "key-1" and the id "r1" to a gateway; @more
  * holds further header lines */
-raw_t *gateway_rig_send (
+raw_peer_t *gateway_rig_send (
     gateway_rig_t *rig, uint32_t gateway, const char *method, const char *path, const char *more);
 /** gateway_rig_fetch() - sends a request to the first gateway, and waits until the response is
- * complete or the connection has ended; freed with raw_free() */
-raw_t *
+ * complete or the connection has ended; freed with raw_peer_free() */
+raw_peer_t *
 gateway_rig_fetch (gateway_rig_t *rig, const char *method, const char *path, const char *more);
 /** gateway_rig_request_count() - number of requests that all engines received together */
 uint32_t gateway_rig_request_count (const gateway_rig_t *rig);
--- a/tests/http_bench.h
+++ b/tests/http_bench.h
@@ -10,26 +10,26 @@
 #include "connection/http_server.h"
 #include "raw_peer.h"
 
-#define HBN_BODY_LIMIT_BYTES 1000
-#define HBN_HEADER_LIMIT_BYTES 2000
-#define HBN_CONNECTION_LIMIT 3
-#define HBN_COMING_LIMIT_BYTES 8000
-#define HBN_NO_TIMEOUT_MS (60 * 1000) /* longer than any test */
+#define SERVER_FIXTURE_BODY_LIMIT_BYTES 1000
+#define SERVER_FIXTURE_HEADER_LIMIT_BYTES 2000
+#define SERVER_FIXTURE_CONNECTION_LIMIT 3
+#define SERVER_FIXTURE_INCOMPLETE_LIMIT_BYTES 8000
+#define SERVER_FIXTURE_NO_TIMEOUT_MS (60 * 1000) /* longer than any test */
 
 /**
- * hbn_t - a server and its clients
+ * server_fixture_t - a server and its clients
  * @waiting: pending calls, in the order of their arrival
- * @clients: all clients, of raw_t
+ * @clients: all clients, of raw_peer_t
  * @calls: number of calls so far
  * @disconnects: number of calls whose client has disconnected
- * @writable_count: number of callbacks of hsv_on_room()
+ * @writable_count: number of callbacks of http_server_on_writable()
  * @reply_at_once: answer each call within on_call, with its target as the body
  */
 typedef struct
 {
   struct event_base *base;
   cnt_set_t *counters;
-  hsv_t *hsv;
+  http_server_t *http_server;
   set_address_t address;
   GPtrArray *waiting;
   GPtrArray *clients;
@@ -37,39 +37,44 @@
   uint32_t disconnects;
   uint32_t writable_count;
   bool reply_at_once;
-} hbn_t;
+} server_fixture_t;
 
-/** hbn_new() - create a server with timeouts that are longer than any test */
-hbn_t *hbn_new (void);
-/** hbn_new_timeouts() - create a server with the given timeouts */
-hbn_t *hbn_new_timeouts (uint32_t idle_timeout_ms, uint32_t request_timeout_ms);
-void hbn_free (hbn_t *fixture);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (hbn_t, hbn_free)
-/** hbn_counted() - the value of a counter */
-uint64_t hbn_counted (hbn_t *fixture, const char *name);
-/** hbn_refused() - number of requests that the server rejected for @reason */
-uint64_t hbn_refused (hbn_t *fixture, const char *reason);
-/** hbn_call_at() - the pending call number @index, in the order of arrival */
-hsv_call_t *hbn_call_at (hbn_t *fixture, guint index);
+/** server_fixture_new() - create a server with timeouts that are longer than any test */
+server_fixture_t *server_fixture_new (void);
+/** server_fixture_new_with_timeouts() - create a server with the given timeouts */
+server_fixture_t *server_fixture_new_with_timeouts (uint32_t idle_timeout_ms,
+                                                    uint32_t request_timeout_ms);
+void server_fixture_free (server_fixture_t *fixture);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (server_fixture_t, server_fixture_free)
+/** server_fixture_counter_value() - the value of a counter */
+uint64_t server_fixture_counter_value (server_fixture_t *fixture, const char *name);
+/** server_fixture_refused_count() - number of requests that the server rejected for @reason */
+uint64_t server_fixture_refused_count (server_fixture_t *fixture, const char *reason);
+/** server_fixture_call_at() - the pending call number @index, in the order of arrival */
+http_server_call_t *server_fixture_call_at (server_fixture_t *fixture, guint index);
 
-/* Conditions for raw_run_until(). The context of hbn_ended() is a raw_t, of the others the fixture.
+/* Conditions for raw_peer_run_until(). The context of server_fixture_connection_closed() is a
+ * raw_peer_t, of the others the fixture.
  */
-bool hbn_ended (void *context);
-bool hbn_one_waits (void *context);
-bool hbn_two_wait (void *context);
-bool hbn_one_connected (void *context);
-bool hbn_one_gone (void *context);
-bool hbn_not_busy (void *context);
-/** hbn_run_until_sees() - run the event loop until @raw has received @text; fails the test
- * otherwise */
-void hbn_run_until_sees (hbn_t *fixture, raw_t *raw, const char *text);
-/** hbn_ask() - connect a client and send @request; hbn_free() frees the client */
-raw_t *hbn_ask (hbn_t *fixture, const char *request);
-/** hbn_ask_waiting() - like hbn_ask(), and run the event loop until one call is pending */
-raw_t *hbn_ask_waiting (hbn_t *fixture, const char *request);
-/** hbn_check_absent() - check that @raw has not received @text */
-void hbn_check_absent (const raw_t *raw, const char *text);
-/** hbn_part() - like hsv_part(), for a string */
-bool hbn_part (hsv_call_t *call, const char *text);
+bool server_fixture_connection_closed (void *context);
+bool server_fixture_one_waiting (void *context);
+bool server_fixture_two_waiting (void *context);
+bool server_fixture_one_connected (void *context);
+bool server_fixture_one_disconnected (void *context);
+bool server_fixture_is_idle (void *context);
+/** server_fixture_run_until_received() - run the event loop until @raw has received @text; fails
+ * the test otherwise */
+void
+server_fixture_run_until_received (server_fixture_t *fixture, raw_peer_t *raw, const char *text);
+/** server_fixture_connect() - connect a client and send @request; server_fixture_free() frees the
+ * client */
+raw_peer_t *server_fixture_connect (server_fixture_t *fixture, const char *request);
+/** server_fixture_connect_waiting() - like server_fixture_connect(), and run the event loop until
+ * one call is pending */
+raw_peer_t *server_fixture_connect_waiting (server_fixture_t *fixture, const char *request);
+/** server_fixture_check_absent() - check that @raw has not received @text */
+void server_fixture_check_absent (const raw_peer_t *raw, const char *text);
+/** server_fixture_send_part() - like http_server_send_part(), for a string */
+bool server_fixture_send_part (http_server_call_t *call, const char *text);
 
 #endif
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -58,16 +58,16 @@
 /* Fake engines */
 
 static void
-answer_call (testbed_engine_t *engine, hsv_call_t *call)
+answer_call (testbed_engine_t *engine, http_server_call_t *call)
 {
-  const char *id = hsv_header (call, "X-Request-Id");
+  const char *id = http_server_request_header (call, "X-Request-Id");
   size_t body_bytes;
-  const char *body = hsv_body (call, &body_bytes);
+  const char *body = http_server_body (call, &body_bytes);
   g_autofree char *text = g_strdup_printf ("ran:%.*s", (int)body_bytes, body);
 
   (void)engine;
-  hsv_add_header (call, "X-Request-Id", id);
-  hsv_reply_text (call, 200, "text/plain", text);
+  http_server_add_header (call, "X-Request-Id", id);
+  http_server_reply_text (call, 200, "text/plain", text);
 }
 
 static void
@@ -80,15 +80,15 @@
 }
 
 static void
-start_stream (hsv_call_t *call)
+start_stream (http_server_call_t *call)
 {
   struct evbuffer *part = evbuffer_new ();
 
-  hsv_add_header (call, "X-Request-Id", hsv_header (call, "X-Request-Id"));
-  hsv_add_header (call, "Content-Type", "text/event-stream");
-  hsv_begin (call, 200);
+  http_server_add_header (call, "X-Request-Id", http_server_request_header (call, "X-Request-Id"));
+  http_server_add_header (call, "Content-Type", "text/event-stream");
+  http_server_begin_reply (call, 200);
   evbuffer_add_printf (part, "data: one\n\n");
-  hsv_part (call, part);
+  http_server_send_part (call, part);
   evbuffer_free (part);
 }
 
@@ -108,20 +108,20 @@
       memset (letters, 'a' + engine->long_answer_bytes / TESTBED_PART_BYTES % 26, sizeof letters);
       evbuffer_add (part, letters, sizeof letters);
       engine->long_answer_bytes += sizeof letters;
-      room = hsv_part (engine->long_call, part);
+      room = http_server_send_part (engine->long_call, part);
     }
   if (engine->long_answer_bytes == TESTBED_LONG_ANSWER_BYTES)
-    hsv_end (engine->long_call);
+    http_server_end_reply (engine->long_call);
   evbuffer_free (part);
 }
 
 static void
-start_long_answer (testbed_engine_t *engine, hsv_call_t *call)
+start_long_answer (testbed_engine_t *engine, http_server_call_t *call)
 {
   engine->long_call = call;
   engine->long_answer_bytes = 0;
-  hsv_on_room (call, continue_long_answer, engine);
-  hsv_begin (call, 200);
+  http_server_on_writable (call, continue_long_answer, engine);
+  http_server_begin_reply (call, 200);
   continue_long_answer (engine);
 }
 
@@ -129,7 +129,7 @@
 testbed_crash (testbed_engine_t *engine)
 {
   g_ptr_array_set_size (engine->held_requests, 0);
-  g_clear_pointer (&engine->server, hsv_free);
+  g_clear_pointer (&engine->server, http_server_free);
 }
 
 static void
@@ -147,27 +147,28 @@
 
   (void)fd;
   (void)what;
-  hsv_abort (engine->disconnect_call);
+  http_server_abort (engine->disconnect_call);
 }
 
 static bool
-has_secret_header (hsv_call_t *call)
+has_secret_header (http_server_call_t *call)
 {
-  return hsv_header (call, "Authorization") != NULL || hsv_header (call, "X-Api-Key") != NULL ||
-         hsv_header (call, "X-Medlarplank-Seal") != NULL ||
-         hsv_header (call, "X-Medlarplank-Home") != NULL;
+  return http_server_request_header (call, "Authorization") != NULL ||
+         http_server_request_header (call, "X-Api-Key") != NULL ||
+         http_server_request_header (call, "X-Medlarplank-Seal") != NULL ||
+         http_server_request_header (call, "X-Medlarplank-Home") != NULL;
 }
 
 static void
-on_engine_call (hsv_call_t *call, void *context)
+on_engine_call (http_server_call_t *call, void *context)
 {
   static const struct timeval NOW = { 0 };
   static const struct timeval SOON = { .tv_usec = 20000 };
   testbed_engine_t *engine = context;
 
-  if (strcmp (hsv_path (call), "/health") == 0)
+  if (strcmp (http_server_path (call), "/health") == 0)
     {
-      hsv_reply_text (call, 200, "text/plain", "ok");
+      http_server_reply_text (call, 200, "text/plain", "ok");
       return;
     }
   engine->received_secret_header |= has_secret_header (call);
@@ -179,10 +180,10 @@
       break;
     case TESTBED_HOLD:
       g_ptr_array_add (engine->held_requests, call);
-      hsv_on_gone (call, on_held_request_cancelled, engine);
+      http_server_on_disconnect (call, on_held_request_cancelled, engine);
       break;
     case TESTBED_DISCONNECT:
-      hsv_abort (call);
+      http_server_abort (call);
       break;
     case TESTBED_DISCONNECT_MID_STREAM:
       start_stream (call);
@@ -193,8 +194,8 @@
       start_long_answer (engine, call);
       break;
     case TESTBED_WRONG_ID:
-      hsv_add_header (call, "X-Request-Id", "00000000000000000000000000000000");
-      hsv_reply_text (call, 200, "text/plain", "of somebody else");
+      http_server_add_header (call, "X-Request-Id", "00000000000000000000000000000000");
+      http_server_reply_text (call, 200, "text/plain", "of somebody else");
       break;
     case TESTBED_CRASH:
       event_add (engine->crash_timer, &NOW);
@@ -205,19 +206,19 @@
 void
 testbed_start_engine (testbed_engine_t *engine)
 {
-  hsv_options_t options = { .base = engine->testbed->base,
-                            .counters = engine->testbed->counters,
-                            .listen = engine->address,
-                            .body_limit_bytes = 1 << 20,
-                            .header_limit_bytes = 1 << 16,
-                            .header_limit_count = 100,
-                            .connection_limit = 100,
-                            .idle_timeout_ms = 10000,
-                            .on_call = on_engine_call,
-                            .context = engine };
+  http_server_options_t options = { .base = engine->testbed->base,
+                                    .counters = engine->testbed->counters,
+                                    .listen = engine->address,
+                                    .body_limit_bytes = 1 << 20,
+                                    .header_limit_bytes = 1 << 16,
+                                    .header_limit_count = 100,
+                                    .connection_limit = 100,
+                                    .idle_timeout_ms = 10000,
+                                    .on_call = on_engine_call,
+                                    .context = engine };
   GError *error = NULL;
 
-  engine->server = hsv_new (&options, &error);
+  engine->server = http_server_new (&options, &error);
   if (engine->server == NULL)
     g_error ("%s", error->message);
 }
@@ -503,7 +504,7 @@
   testbed->base = event_base_new ();
   testbed->counters = cnt_set_new ();
   testbed->manifest = make_manifest ();
-  testbed->http_client = hcl_new (testbed->base, 4, 10000);
+  testbed->http_client = http_client_new (testbed->base, 4, 10000);
   testbed->claims = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   make_members (testbed);
   start_daemon (testbed, &testbed->router, TESTBED_SIDECARS, NULL);
@@ -528,7 +529,7 @@
 void
 testbed_free (testbed_t *testbed)
 {
-  hcl_free (testbed->http_client);
+  http_client_free (testbed->http_client);
   stop_daemon (&testbed->router);
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     {
@@ -536,7 +537,7 @@
 
       stop_daemon (&testbed->sidecars[i]);
       if (engine->server != NULL)
-        hsv_free (engine->server);
+        http_server_free (engine->server);
       g_ptr_array_free (engine->held_requests, TRUE);
       event_free (engine->crash_timer);
       event_free (engine->disconnect_timer);
@@ -593,11 +594,11 @@
   g_string_append_len (answer->body, (const char *)evbuffer_pullup (data, -1), (gssize)bytes);
   evbuffer_drain (data, bytes);
   if (answer->stop_reading)
-    hcl_pause (answer->call, true);
+    http_client_set_paused (answer->call, true);
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   testbed_answer_t *answer = context;
 
@@ -607,29 +608,30 @@
 }
 
 static uint32_t
-add_header (hcl_header_t *headers, uint32_t count, const char *name, const char *value)
+add_header (http_client_header_t *headers, uint32_t count, const char *name, const char *value)
 {
   if (value == NULL)
     return count;
-  headers[count] = (hcl_header_t){ .name = name, .value = value };
+  headers[count] = (http_client_header_t){ .name = name, .value = value };
   return count + 1;
 }
 
 void
 testbed_send (testbed_t *testbed, const testbed_request_t *request, testbed_answer_t *answer)
 {
-  hcl_header_t headers[8];
+  http_client_header_t headers[8];
   uint32_t count = 0;
-  hcl_options_t options = { .address = &testbed->hosts[TESTBED_SIDECARS].http,
-                            .method = request->body != NULL ? "POST" : "GET",
-                            .target = request->path,
-                            .headers = headers,
-                            .body = request->body,
-                            .body_bytes = request->body != NULL ? strlen (request->body) : 0,
-                            .on_head = on_head,
-                            .on_data = on_data,
-                            .on_end = on_end,
-                            .context = answer };
+  http_client_options_t options = { .address = &testbed->hosts[TESTBED_SIDECARS].http,
+                                    .method = request->body != NULL ? "POST" : "GET",
+                                    .target = request->path,
+                                    .headers = headers,
+                                    .body = request->body,
+                                    .body_bytes =
+                                        request->body != NULL ? strlen (request->body) : 0,
+                                    .on_head = on_head,
+                                    .on_data = on_data,
+                                    .on_end = on_end,
+                                    .context = answer };
 
   memset (answer, 0, sizeof *answer);
   answer->body = g_string_new (NULL);
@@ -641,7 +643,7 @@
   count = add_header (headers, count, "Idempotency-Key", request->idempotency_key);
   count = add_header (headers, count, "X-Deadline-Ms", request->deadline_ms);
   options.header_count = count;
-  answer->call = hcl_start (testbed->http_client, &options);
+  answer->call = http_client_start_call (testbed->http_client, &options);
 }
 
 bool
@@ -663,7 +665,7 @@
 testbed_answer_clear (testbed_answer_t *answer)
 {
   if (answer->call != NULL)
-    hcl_cancel (answer->call);
+    http_client_cancel_call (answer->call);
   if (answer->body != NULL)
     g_string_free (answer->body, TRUE);
 }
--- a/tests/path_fleet.h
+++ b/tests/path_fleet.h
@@ -64,7 +64,7 @@
 /**
  * struct testbed_engine - a fake engine
  * @server: NULL after a crash
- * @held_requests: hsv_call_t that TESTBED_HOLD holds
+ * @held_requests: http_server_call_t that TESTBED_HOLD holds
  * @request_count: requests received, health checks not included
  * @cancelled_count: held requests that their sidecar cancelled
  * @received_secret_header: a request carried a header that is not meant for engines
@@ -77,7 +77,7 @@
 {
   testbed_t *testbed;
   set_address_t address;
-  hsv_t *server;
+  http_server_t *server;
   testbed_mode_t mode;
   GPtrArray *held_requests;
   uint32_t request_count;
@@ -85,8 +85,8 @@
   bool received_secret_header;
   struct event *crash_timer;
   struct event *disconnect_timer;
-  hsv_call_t *disconnect_call;
-  hsv_call_t *long_call;
+  http_server_call_t *disconnect_call;
+  http_server_call_t *long_call;
   uint32_t long_answer_bytes;
 } testbed_engine_t;
 
@@ -111,7 +111,7 @@
   testbed_node_t router;
   testbed_node_t sidecars[TESTBED_SIDECARS];
   testbed_engine_t engines[TESTBED_SIDECARS];
-  hcl_t *http_client;
+  http_client_t *http_client;
   cnt_set_t *counters;
   GHashTable *claims;
   bool log_down;
@@ -147,14 +147,14 @@
 {
   bool done;
   bool stop_reading;
-  hcl_end_t end;
+  http_client_result_t end;
   int status;
   char verdict[32];
   char engine[LIM_NAME_BYTES];
   char request_id[40];
   char retry_after[16];
   GString *body;
-  hcl_call_t *call;
+  http_client_call_t *call;
 } testbed_answer_t;
 
 /**
--- a/tests/raw_peer.c
+++ b/tests/raw_peer.c
@@ -9,7 +9,7 @@
 #define DEADLINE_S 5
 
 set_address_t
-raw_address (void)
+raw_peer_loopback_address (void)
 {
   set_address_t address = { "", 0 };
   unsigned pid = (unsigned)getpid ();
@@ -30,7 +30,7 @@
 static void
 on_readable (evutil_socket_t fd, short what, void *context)
 {
-  raw_t *raw = context;
+  raw_peer_t *raw = context;
   char bytes[64 * 1024];
   ssize_t count = recv (fd, bytes, sizeof bytes, MSG_DONTWAIT);
 
@@ -47,10 +47,10 @@
     }
 }
 
-static raw_t *
+static raw_peer_t *
 raw_new (struct event_base *base, int fd, event_callback_fn readable, void *context)
 {
-  raw_t *raw = g_new0 (raw_t, 1);
+  raw_peer_t *raw = g_new0 (raw_peer_t, 1);
 
   raw->base = base;
   raw->fd = fd;
@@ -60,8 +60,8 @@
   return raw;
 }
 
-raw_t *
-raw_connect (struct event_base *base, const set_address_t *address)
+raw_peer_t *
+raw_peer_connect (struct event_base *base, const set_address_t *address)
 {
   struct sockaddr_in name = sockaddr_of (address);
   int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -71,13 +71,13 @@
 }
 
 void
-raw_send (raw_t *raw, const char *text)
+raw_peer_send (raw_peer_t *raw, const char *text)
 {
   g_assert (send (raw->fd, text, strlen (text), MSG_NOSIGNAL) == (ssize_t)strlen (text));
 }
 
 void
-raw_close (raw_t *raw, bool reset)
+raw_peer_close (raw_peer_t *raw, bool reset)
 {
   struct linger linger = { 1, 0 };
 
@@ -91,25 +91,25 @@
 }
 
 void
-raw_free (raw_t *raw)
+raw_peer_free (raw_peer_t *raw)
 {
-  raw_close (raw, false);
+  raw_peer_close (raw, false);
   event_free (raw->readable);
   g_string_free (raw->got, TRUE);
   g_free (raw);
 }
 
 static void
-send_script (raw_server_t *server, raw_t *raw)
+send_script (raw_server_t *server, raw_peer_t *raw)
 {
   uint32_t last = server->script_count - 1;
   const char *script = server->scripts[MIN (server->answered, last)];
 
   server->answered++;
   if (script)
-    raw_send (raw, script);
+    raw_peer_send (raw, script);
   if (server->close_after || server->reset_after)
-    raw_close (raw, server->reset_after);
+    raw_peer_close (raw, server->reset_after);
 }
 
 static void
@@ -119,7 +119,7 @@
 
   for (guint i = 0; i < server->conns->len; i++)
     {
-      raw_t *raw = server->conns->pdata[i];
+      raw_peer_t *raw = server->conns->pdata[i];
       const char *end;
 
       if (raw->fd != fd)
@@ -140,7 +140,7 @@
 {
   raw_server_t *server = context;
   int conn_fd = accept (fd, NULL, NULL);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   (void)what;
   if (conn_fd < 0)
@@ -162,8 +162,8 @@
   server->base = base;
   server->scripts = scripts;
   server->script_count = count;
-  server->address = raw_address ();
-  server->conns = g_ptr_array_new_with_free_func ((GDestroyNotify)raw_free);
+  server->address = raw_peer_loopback_address ();
+  server->conns = g_ptr_array_new_with_free_func ((GDestroyNotify)raw_peer_free);
   server->fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
   name = sockaddr_of (&server->address);
   g_assert (bind (server->fd, (struct sockaddr *)&name, sizeof name) == 0);
@@ -226,13 +226,13 @@
 }
 
 bool
-raw_run_until (struct event_base *base, bool (*done) (void *context), void *context)
+raw_peer_run_until (struct event_base *base, bool (*done) (void *context), void *context)
 {
   return run_loop (base, (struct timeval){ DEADLINE_S, 0 }, done, context);
 }
 
 void
-raw_run_ms (struct event_base *base, uint32_t ms)
+raw_peer_run_ms (struct event_base *base, uint32_t ms)
 {
   run_loop (base, (struct timeval){ ms / 1000, ms % 1000 * 1000 }, NULL, NULL);
 }
--- a/tests/raw_peer.h
+++ b/tests/raw_peer.h
@@ -13,7 +13,7 @@
 #include <glib.h>
 
 /**
- * raw_t - a connection, made by raw_connect() or accepted by a raw_server_t
+ * raw_peer_t - a connection, made by raw_peer_connect() or accepted by a raw_server_t
  * @got: bytes received
  * @eof: the peer has closed or reset the connection
  * @reset: the peer has reset it
@@ -26,7 +26,7 @@
   GString *got;
   bool eof;
   bool reset;
-} raw_t;
+} raw_peer_t;
 
 /**
  * raw_server_t - a server that sends one script for each request head
@@ -36,7 +36,7 @@
  * @reset_after: reset the connection after each script
  * @never_read: leave received bytes in the socket
  * @keep_head: don't remove the request head from @got of the connection
- * @conns: all accepted connections, of raw_t
+ * @conns: all accepted connections, of raw_peer_t
  * @accepted: number of accepted connections
  * @backlog_fds: connections that fill the kernel's queue, see raw_server_fill()
  */
@@ -58,18 +58,18 @@
   int backlog_fds[4];
 } raw_server_t;
 
-/** raw_address() - a loopback address that only this process uses, with port 0 */
-set_address_t raw_address (void);
-/** raw_connect() - connect to @address */
-raw_t *raw_connect (struct event_base *base, const set_address_t *address);
-/** raw_send() - send @text; blocks until the kernel has taken all of it */
-void raw_send (raw_t *raw, const char *text);
-/** raw_close() - close the connection, with @reset by a reset instead of an end of file */
-void raw_close (raw_t *raw, bool reset);
-/** raw_free() - close and free a connection */
-void raw_free (raw_t *raw);
+/** raw_peer_loopback_address() - a loopback address that only this process uses, with port 0 */
+set_address_t raw_peer_loopback_address (void);
+/** raw_peer_connect() - connect to @address */
+raw_peer_t *raw_peer_connect (struct event_base *base, const set_address_t *address);
+/** raw_peer_send() - send @text; blocks until the kernel has taken all of it */
+void raw_peer_send (raw_peer_t *raw, const char *text);
+/** raw_peer_close() - close the connection, with @reset by a reset instead of an end of file */
+void raw_peer_close (raw_peer_t *raw, bool reset);
+/** raw_peer_free() - close and free a connection */
+void raw_peer_free (raw_peer_t *raw);
 
-/** raw_server_new() - start a server on a free port of raw_address() */
+/** raw_server_new() - start a server on a free port of raw_peer_loopback_address() */
 raw_server_t *raw_server_new (struct event_base *base, const char *const *scripts, uint32_t count);
 /** raw_server_fill() - stop accepting and fill the kernel's queue, so that further connections are
  * never established */
@@ -77,10 +77,11 @@
 /** raw_server_free() - stop the server and close its connections */
 void raw_server_free (raw_server_t *server);
 
-/** raw_run_until() - run the event loop until @done returns true. Return: false after five seconds
+/** raw_peer_run_until() - run the event loop until @done returns true. Return: false after five
+ * seconds
  */
-bool raw_run_until (struct event_base *base, bool (*done) (void *context), void *context);
-/** raw_run_ms() - run the event loop for @ms, to check that something does not happen */
-void raw_run_ms (struct event_base *base, uint32_t ms);
+bool raw_peer_run_until (struct event_base *base, bool (*done) (void *context), void *context);
+/** raw_peer_run_ms() - run the event loop for @ms, to check that something does not happen */
+void raw_peer_run_ms (struct event_base *base, uint32_t ms);
 
 #endif
