--- a/tests/test_admin_seal.c
+++ b/tests/test_admin_seal.c
@@ -10,13 +10,13 @@
 static bool
 drain (const char *key, const char *host, uint64_t time_s, const char *seal)
 {
-  return seal_check (key, SEAL_DRAIN, host, time_s, NOW_S, seal);
+  return admin_seal_check (key, ADMIN_SEAL_DRAIN, host, time_s, NOW_S, seal);
 }
 
 static void
 test_known_value (void)
 {
-  g_autofree char *seal = seal_make ("key", "drain", "h", 1);
+  g_autofree char *seal = admin_seal_make ("key", "drain", "h", 1);
   g_autofree char *expected =
       g_compute_hmac_for_string (G_CHECKSUM_SHA256, (const guchar *)"key", 3, "drain\nh\n1", -1);
 
@@ -26,7 +26,7 @@
 static void
 test_seal_covers_every_field (void)
 {
-  g_autofree char *seal = seal_make (KEY, SEAL_DRAIN, "h1", NOW_S);
+  g_autofree char *seal = admin_seal_make (KEY, ADMIN_SEAL_DRAIN, "h1", NOW_S);
   g_autofree char *upper = g_ascii_strup (seal, -1);
   g_autofree char *cut = g_strndup (seal, 63);
 
@@ -34,7 +34,7 @@
   CU_ASSERT_FALSE (drain (KEY, "h2", NOW_S, seal));
   CU_ASSERT_FALSE (drain ("another key of a fleet", "h1", NOW_S, seal));
   CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S + 1, seal));
-  CU_ASSERT_FALSE (seal_check (KEY, "start", "h1", NOW_S, NOW_S, seal));
+  CU_ASSERT_FALSE (admin_seal_check (KEY, "start", "h1", NOW_S, NOW_S, seal));
   CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S, upper));
   CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S, cut));
   CU_ASSERT_FALSE (drain (KEY, "h1", NOW_S, ""));
@@ -61,7 +61,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (TIMES_S); i++)
     {
       uint64_t time_s = (uint64_t)(NOW_S + TIMES_S[i]);
-      g_autofree char *seal = seal_make (KEY, SEAL_DRAIN, "h1", time_s);
+      g_autofree char *seal = admin_seal_make (KEY, ADMIN_SEAL_DRAIN, "h1", time_s);
 
       CU_ASSERT_EQUAL (drain (KEY, "h1", time_s, seal), ACCEPTED[i]);
     }
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -201,7 +201,7 @@
   rig_compose (&incoming, "peer", 3)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
-  exc_charge (rig.ctrl->exc, rig.dmn.set.control_budget_bytes / 2);
+  exchange_charge_budget (rig.ctrl->exchange, rig.dmn.set.control_budget_bytes / 2);
   rig_compose (&incoming, "third", 1)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (cnt_value (sent), before);
@@ -362,7 +362,7 @@
 /** struct version_server - a peer's data task, which serves the manifest in force there */
 typedef struct
 {
-  hsv_t *hsv;
+  http_server_t *http_server;
   cnt_set_t *counters;
   manifest_t *man;
   const char *fleet_key;
@@ -370,17 +370,19 @@
 } version_server_t;
 
 static void
-on_version_call (hsv_call_t *call, void *context)
+on_version_call (http_server_call_t *call, void *context)
 {
   version_server_t *server = context;
-  sealed_call_t order = { "peer", hsv_method (call), hsv_target (call), NULL, 0 };
-  CU_ASSERT_STRING_EQUAL (hsv_path (call), MANIFEST_SYNC_PATH);
-  CU_ASSERT_TRUE (call_seal_verify (&order, RIG_KEY, hsv_header (call, CALL_SEAL_HEADER)));
+  sealed_call_t order = { "peer", http_server_method (call), http_server_target (call), NULL, 0 };
+  CU_ASSERT_STRING_EQUAL (http_server_path (call), MANIFEST_SYNC_PATH);
+  CU_ASSERT_TRUE (
+      call_seal_verify (&order, RIG_KEY, http_server_request_header (call, CALL_SEAL_HEADER)));
   char seal[ANSWER_SEAL_BYTES];
-  char *body = manifest_sync_format (server->fleet_key, hsv_header (call, ANSWER_SEAL_NONCE_HEADER),
+  char *body = manifest_sync_format (server->fleet_key,
+                                     http_server_request_header (call, ANSWER_SEAL_NONCE_HEADER),
                                      server->man, 9, seal);
-  hsv_add_header (call, ANSWER_SEAL_HEADER, seal);
-  hsv_reply (call, 200, body, strlen (body));
+  http_server_add_header (call, ANSWER_SEAL_HEADER, seal);
+  http_server_reply (call, 200, body, strlen (body));
   g_free (body);
   server->served++;
 }
@@ -391,7 +393,7 @@
                       const rig_t *rig,
                       uint64_t version)
 {
-  hsv_options_t options = {
+  http_server_options_t options = {
     .base = base,
     .listen = { "", RIG_PORT + 1 },
     .body_limit_bytes = 1024,
@@ -409,14 +411,14 @@
   options.counters = server->counters;
   server->man = manifest_from_json (replay_manifest (rig->ctrl->manifest.replay)->json, NULL);
   server->man->version = version;
-  server->hsv = hsv_new (&options, NULL);
-  CU_ASSERT_PTR_NOT_NULL_FATAL (server->hsv);
+  server->http_server = http_server_new (&options, NULL);
+  CU_ASSERT_PTR_NOT_NULL_FATAL (server->http_server);
 }
 
 static void
 stop_version_server (version_server_t *server)
 {
-  hsv_free (server->hsv);
+  http_server_free (server->http_server);
   cnt_set_free (server->counters);
   manifest_unref (server->man);
 }
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -50,18 +50,18 @@
 {
   full_message_t full;
   full_message_init (&full);
-  return wir_encode (out, LIM_DATAGRAM_BYTES, KEY, 0xfeedf00d, is_reply, &full.message);
+  return datagram_encode (out, LIM_DATAGRAM_BYTES, KEY, 0xfeedf00d, is_reply, &full.message);
 }
 
-static wir_outcome_t
+static datagram_outcome_t
 decode (const char *datagram, size_t bytes, const char *key)
 {
   uint32_t xid;
   bool is_reply;
   xch_message message;
-  wir_outcome_t outcome = wir_decode (datagram, bytes, key, &xid, &is_reply, &message);
-  if (outcome == WIR_OK)
-    wir_free (&message);
+  datagram_outcome_t outcome = datagram_decode (datagram, bytes, key, &xid, &is_reply, &message);
+  if (outcome == DATAGRAM_OK)
+    datagram_free_message (&message);
   else
     CU_ASSERT_PTR_NULL (message.samples.samples_val);
   return outcome;
@@ -76,7 +76,7 @@
   uint32_t xid = 0;
   bool is_reply = !sent_reply;
   xch_message message;
-  CU_ASSERT_EQUAL (wir_decode (datagram, bytes, KEY, &xid, &is_reply, &message), WIR_OK);
+  CU_ASSERT_EQUAL (datagram_decode (datagram, bytes, KEY, &xid, &is_reply, &message), DATAGRAM_OK);
   CU_ASSERT_EQUAL (xid, 0xfeedf00d);
   CU_ASSERT_EQUAL (is_reply, sent_reply);
   CU_ASSERT_EQUAL (message.sender.host_hash, UINT64_MAX);
@@ -85,7 +85,7 @@
   CU_ASSERT_EQUAL (message.samples.samples_val[7].load, 77);
   CU_ASSERT_EQUAL (message.words.words_val[3].incarnation, UINT64_C (1) << 40);
   CU_ASSERT_EQUAL (message.marks.marks_val[1].engines[1], 3);
-  wir_free (&message);
+  datagram_free_message (&message);
 }
 
 static void
@@ -107,12 +107,12 @@
       for (size_t bit = 0; bit < bytes * 8; bit++)
         {
           datagram[bit / 8] ^= (char)(1 << (bit % 8));
-          CU_ASSERT_NOT_EQUAL (decode (datagram, bytes, KEY), WIR_OK);
+          CU_ASSERT_NOT_EQUAL (decode (datagram, bytes, KEY), DATAGRAM_OK);
           datagram[bit / 8] ^= (char)(1 << (bit % 8));
         }
       for (size_t cut = 0; cut < bytes; cut++)
-        CU_ASSERT_NOT_EQUAL (decode (datagram, cut, KEY), WIR_OK);
-      CU_ASSERT_EQUAL (decode (datagram, bytes, KEY), WIR_OK);
+        CU_ASSERT_NOT_EQUAL (decode (datagram, cut, KEY), DATAGRAM_OK);
+      CU_ASSERT_EQUAL (decode (datagram, bytes, KEY), DATAGRAM_OK);
     }
 }
 
@@ -121,14 +121,14 @@
 {
   char datagram[LIM_DATAGRAM_BYTES + 4] = { 0 };
   size_t bytes = encode_full (datagram, false);
-  CU_ASSERT_EQUAL (decode (datagram, bytes, "another key of the size"), WIR_BAD_AUTH);
-  CU_ASSERT_EQUAL (decode (datagram, sizeof datagram, KEY), WIR_TOO_LARGE);
-  CU_ASSERT_EQUAL (decode (datagram, 0, KEY), WIR_BROKEN);
+  CU_ASSERT_EQUAL (decode (datagram, bytes, "another key of the size"), DATAGRAM_BAD_AUTH);
+  CU_ASSERT_EQUAL (decode (datagram, sizeof datagram, KEY), DATAGRAM_TOO_LARGE);
+  CU_ASSERT_EQUAL (decode (datagram, 0, KEY), DATAGRAM_MALFORMED);
   full_message_t full;
   full_message_init (&full);
-  CU_ASSERT_EQUAL (wir_encode (datagram, 100, KEY, 1, false, &full.message), 0);
+  CU_ASSERT_EQUAL (datagram_encode (datagram, 100, KEY, 1, false, &full.message), 0);
   full.message.samples.samples_len = XCH_SAMPLES + 1;
-  CU_ASSERT_EQUAL (wir_encode (datagram, LIM_DATAGRAM_BYTES, KEY, 1, false, &full.message), 0);
+  CU_ASSERT_EQUAL (datagram_encode (datagram, LIM_DATAGRAM_BYTES, KEY, 1, false, &full.message), 0);
 }
 
 /* Random bytes, and valid datagrams with some bytes and the length changed, from a fixed seed. None
@@ -150,7 +150,7 @@
         }
       if (g_rand_boolean (rand))
         bytes = (size_t)g_rand_int_range (rand, 0, LIM_DATAGRAM_BYTES + 1);
-      CU_ASSERT_NOT_EQUAL (decode (datagram, bytes, KEY), WIR_OK);
+      CU_ASSERT_NOT_EQUAL (decode (datagram, bytes, KEY), DATAGRAM_OK);
     }
 }
 
@@ -159,8 +159,8 @@
 sign_call (char *datagram, size_t bytes)
 {
   char *hmac_at = datagram + CALL_HMAC_AT;
-  gsize hmac_bytes = WIR_HMAC_BYTES;
-  memset (hmac_at, 0, WIR_HMAC_BYTES);
+  gsize hmac_bytes = DATAGRAM_HMAC_BYTES;
+  memset (hmac_at, 0, DATAGRAM_HMAC_BYTES);
   GHmac *hmac = g_hmac_new (G_CHECKSUM_SHA256, (const guchar *)KEY, strlen (KEY));
   g_hmac_update (hmac, (const guchar *)datagram, (gssize)bytes);
   g_hmac_get_digest (hmac, (guint8 *)hmac_at, &hmac_bytes);
@@ -179,15 +179,15 @@
     {
       char datagram[LIM_DATAGRAM_BYTES] = { 0 };
       size_t bytes = encode_full (datagram, false);
-      size_t body_at = CALL_HMAC_AT + WIR_HMAC_BYTES;
+      size_t body_at = CALL_HMAC_AT + DATAGRAM_HMAC_BYTES;
       for (uint32_t i = 0; i < 4; i++)
         datagram[g_rand_int_range (rand, (gint32)body_at, (gint32)bytes)] ^= (char)round;
       if (round % 2 == 0)
         bytes = 4 * (size_t)g_rand_int_range (rand, (gint32)body_at / 4, LIM_DATAGRAM_BYTES / 4);
       sign_call (datagram, bytes);
-      wir_outcome_t outcome = decode (datagram, bytes, KEY);
-      CU_ASSERT_TRUE (outcome == WIR_OK || outcome == WIR_BROKEN);
-      broken += outcome == WIR_BROKEN;
+      datagram_outcome_t outcome = decode (datagram, bytes, KEY);
+      CU_ASSERT_TRUE (outcome == DATAGRAM_OK || outcome == DATAGRAM_MALFORMED);
+      broken += outcome == DATAGRAM_MALFORMED;
     }
   CU_ASSERT_TRUE (broken > FUZZ_ROUNDS / 3 && broken < FUZZ_ROUNDS);
 }
@@ -195,7 +195,7 @@
 /** node_t - one daemon that takes part in the exchange */
 typedef struct
 {
-  exc_t *exc;
+  exchange_t *exchange;
   cnt_set_t *counters;
   clk_t clk;
   uint32_t calls;
@@ -243,7 +243,7 @@
   node->answers = true;
   node->counters = cnt_set_new ();
   clk_init_paused (&node->clk, CLK_US_PER_S);
-  exc_options_t options = {
+  exchange_options_t options = {
     .base = base,
     .clk = &node->clk,
     .counters = node->counters,
@@ -257,14 +257,14 @@
     .pick = node_pick,
     .context = node,
   };
-  node->exc = exc_new (&options, NULL);
-  CU_ASSERT_PTR_NOT_NULL_FATAL (node->exc);
+  node->exchange = exchange_new (&options, NULL);
+  CU_ASSERT_PTR_NOT_NULL_FATAL (node->exchange);
 }
 
 static void
 node_clear (node_t *node)
 {
-  exc_free (node->exc);
+  exchange_free (node->exchange);
   cnt_set_free (node->counters);
 }
 
@@ -304,13 +304,14 @@
   node_init (&a, base, KEY, 10000);
   node_init (&b, base, KEY, 10000);
   a.has_peer = true;
-  a.peer = exc_address (b.exc);
+  a.peer = exchange_address (b.exchange);
   run_until (base, &a, RECEIVED, 3);
   CU_ASSERT_TRUE (b.calls >= 3);
   CU_ASSERT_TRUE (a.replies >= 3);
   CU_ASSERT_EQUAL (a.calls + b.replies, 0);
   CU_ASSERT_EQUAL (node_counter (&a, "medlarplank_control_bytes_received_total"),
-                   node_counter (&a, RECEIVED) * (EMPTY_REPLY_BYTES + BDG_HEADER_BYTES));
+                   node_counter (&a, RECEIVED) *
+                       (EMPTY_REPLY_BYTES + BYTE_BUDGET_UDP_HEADER_BYTES));
   node_clear (&a);
   node_clear (&b);
   event_base_free (base);
@@ -326,8 +327,8 @@
   node_t b;
   node_init (&a, base, "the key of another fleet", 10000);
   node_init (&b, base, KEY, 10000);
-  set_address_t to = exc_address (b.exc);
-  exc_now (a.exc, &to);
+  set_address_t to = exchange_address (b.exchange);
+  exchange_send_now (a.exchange, &to);
   run_until (base, &b, RECEIVED, 1);
   CU_ASSERT_EQUAL (node_counter (&b, "medlarplank_control_bad_auth_total"), 1);
   CU_ASSERT_EQUAL (b.calls, 0);
@@ -346,7 +347,7 @@
   node_t node;
   node_init (&node, base, KEY, 10000);
   node.answers = false;
-  set_address_t address = exc_address (node.exc);
+  set_address_t address = exchange_address (node.exchange);
   struct sockaddr_in to = { .sin_family = AF_INET, .sin_port = htons (address.port) };
   to.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   int sender = socket (AF_INET, SOCK_DGRAM, 0);
@@ -375,9 +376,9 @@
   struct event_base *base = event_base_new ();
   node_t a;
   node_init (&a, base, KEY, 2000);
-  set_address_t own_address = exc_address (a.exc);
+  set_address_t own_address = exchange_address (a.exchange);
   for (uint32_t i = 0; i < 50; i++)
-    exc_now (a.exc, &own_address);
+    exchange_send_now (a.exchange, &own_address);
   uint64_t first_bytes = node_counter (&a, "medlarplank_control_bytes_sent_total");
   CU_ASSERT_TRUE (first_bytes > 1700 && first_bytes <= 2000);
   CU_ASSERT_EQUAL (
@@ -386,14 +387,14 @@
     {
       clk_advance (&a.clk, CLK_US_PER_S / 10);
       for (uint32_t j = 0; j < 10; j++)
-        exc_now (a.exc, &own_address);
+        exchange_send_now (a.exchange, &own_address);
     }
   uint64_t bytes = node_counter (&a, "medlarplank_control_bytes_sent_total");
   CU_ASSERT_TRUE (bytes > 20000 && bytes <= 22000);
-  exc_charge (a.exc, 50000);
+  exchange_charge_budget (a.exchange, 50000);
   clk_advance (&a.clk, CLK_US_PER_S);
   uint64_t sent = node_counter (&a, SENT);
-  exc_now (a.exc, &own_address);
+  exchange_send_now (a.exchange, &own_address);
   CU_ASSERT_EQUAL (node_counter (&a, SENT), sent);
   node_clear (&a);
   event_base_free (base);
@@ -409,11 +410,11 @@
   node_t b;
   node_init (&a, base, KEY, 10000);
   node_init (&b, base, KEY, 10000);
-  set_address_t to_a = exc_address (a.exc);
-  set_address_t to_b = exc_address (b.exc);
-  exc_now (a.exc, &to_b);
-  exc_now (b.exc, &to_a);
-  exc_flush (a.exc);
+  set_address_t to_a = exchange_address (a.exchange);
+  set_address_t to_b = exchange_address (b.exchange);
+  exchange_send_now (a.exchange, &to_b);
+  exchange_send_now (b.exchange, &to_a);
+  exchange_discard_pending (a.exchange);
   CU_ASSERT_EQUAL (node_counter (&a, RECEIVED), 1);
   run_until (base, &a, RECEIVED, 2);
   run_pending_events (base);
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -34,13 +34,13 @@
   }
 
 static bool
-starts_with (const raw_t *raw, const char *text)
+starts_with (const raw_peer_t *raw, const char *text)
 {
   return g_str_has_prefix (raw->got->str, text);
 }
 
 static bool
-contains (const raw_t *raw, const char *text)
+contains (const raw_peer_t *raw, const char *text)
 {
   return strstr (raw->got->str, text) != NULL;
 }
@@ -49,7 +49,7 @@
 static const char *
 last_request_head (const raw_server_t *engine)
 {
-  const raw_t *raw;
+  const raw_peer_t *raw;
 
   CU_ASSERT_FATAL (engine->conns->len > 0);
   raw = g_ptr_array_index (engine->conns, engine->conns->len - 1);
@@ -61,9 +61,9 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
   raw_server_t *engine = gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  raw_t *raw = gateway_rig_fetch (rig, "GET", "/look/x?y=1",
-                                  "X-Deadline-Ms: 900\r\nX-Tenant: forged\r\n"
-                                  "X-Hold: h1\r\nX-Other: kept\r\n");
+  raw_peer_t *raw = gateway_rig_fetch (rig, "GET", "/look/x?y=1",
+                                       "X-Deadline-Ms: 900\r\nX-Tenant: forged\r\n"
+                                       "X-Hold: h1\r\nX-Other: kept\r\n");
   const char *got = last_request_head (engine);
 
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 "));
@@ -80,38 +80,38 @@
   CU_ASSERT_PTR_NULL (strstr (got, "key-1"));
   CU_ASSERT_PTR_NULL (strstr (got, "X-Hold"));
   CU_ASSERT (strstr (got, "X-Deadline-Ms: 9") || strstr (got, "X-Deadline-Ms: 8"));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 static void
 expect (
     gateway_rig_t *rig, const char *method, const char *path, const char *more, const char *status)
 {
-  raw_t *raw = gateway_rig_fetch (rig, method, path, more);
+  raw_peer_t *raw = gateway_rig_fetch (rig, method, path, more);
   g_autofree char *head = g_strconcat ("HTTP/1.1 ", status, " ", NULL);
 
   CU_ASSERT (starts_with (raw, head));
   CU_ASSERT (starts_with (raw, "HTTP/1.1 2") || !contains (raw, "X-Response-Stamp") ||
              contains (raw, "X-Response-Stamp: s2"));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 static void
 test_invalid_requests_are_rejected (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw = raw_connect (rig->base, &rig->gateways[0].address);
+  raw_peer_t *raw = raw_peer_connect (rig->base, &rig->gateways[0].address);
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   expect (rig, "GET", "/nowhere/", "", "404");
   expect (rig, "GET", "/look/", "X-Deadline-Ms: soon\r\n", "400");
   expect (rig, "GET", "/look/", "X-Prompt-Prefix: zz\r\n", "400");
-  raw_send (raw, "GET /look/ HTTP/1.1\r\nHost: h.example\r\nX-Key: other\r\n\r\n");
+  raw_peer_send (raw, "GET /look/ HTTP/1.1\r\nHost: h.example\r\nX-Key: other\r\n\r\n");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_gateway_refused_total", 2));
-  raw_run_ms (rig->base, 20);
+  raw_peer_run_ms (rig->base, 20);
   CU_ASSERT (starts_with (raw, "HTTP/1.1 401 "));
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 0);
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 /* Guards against 404 or 401 from a gateway that has not heard from the store for seconds, nor from
@@ -125,7 +125,7 @@
   expect (rig, "GET", "/nowhere/", "", "404");
   rig->gateways[0].front->down = true;
   clk_init_paused (&rig->clk, clk_now_us (&rig->clk) + 3 * CLK_US_PER_S);
-  raw_run_ms (rig->base, 250);
+  raw_peer_run_ms (rig->base, 250);
   expect (rig, "GET", "/nowhere/", "", "503");
   expect (rig, "GET", "/look/", "", "200");
 }
@@ -176,14 +176,14 @@
 test_refusals_are_bounded (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_skip_retry_window (rig);
   gateway_rig_add_engine (rig, SCRIPTS (FULL_RESPONSE), 1);
   raw = gateway_rig_fetch (rig, "POST", "/book/", EMPTY_BODY "X-Deadline-Ms: 60000\r\n");
   CU_ASSERT (starts_with (raw, "HTTP/1.1 503 ") && contains (raw, "Retry-After: 0."));
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), RETRY_PLAN_FULL_MAX);
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 static bool
@@ -198,7 +198,7 @@
 
 /* Adds an engine that never responds, and fills all its slots with @calls. */
 static void
-fill_engine (gateway_rig_t *rig, raw_t *calls[GATEWAY_RIG_SLOTS])
+fill_engine (gateway_rig_t *rig, raw_peer_t *calls[GATEWAY_RIG_SLOTS])
 {
   gateway_rig_add_engine (rig, SCRIPTS (NULL), 1);
   gateway_rig_publish_config (rig, 7,
@@ -208,17 +208,17 @@
   for (uint32_t i = 0; i < GATEWAY_RIG_SLOTS; i++)
     calls[i] = gateway_rig_send (rig, 0, "POST", "/long/", EMPTY_BODY);
   while (gateway_rig_request_count (rig) < GATEWAY_RIG_SLOTS)
-    raw_run_ms (rig->base, 1);
+    raw_peer_run_ms (rig->base, 1);
 }
 
 /* Waits until the call is queued, moves the clock to just before its deadline, and waits for its
  * response. */
 static void
-wait_for_late_response (gateway_rig_t *rig, raw_t *call)
+wait_for_late_response (gateway_rig_t *rig, raw_peer_t *call)
 {
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_gateway_waited_total", 1));
   clk_init_paused (&rig->clk, clk_now_us (&rig->clk) + 59900 * CLK_US_PER_MS);
-  CU_ASSERT (raw_run_until (rig->base, has_status, call));
+  CU_ASSERT (raw_peer_run_until (rig->base, has_status, call));
 }
 
 /* Guards against a refusal only at the deadline, when the client has gone, while the engine is busy
@@ -227,7 +227,7 @@
 test_wait_ends_before_the_deadline (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *calls[GATEWAY_RIG_SLOTS + 1];
+  raw_peer_t *calls[GATEWAY_RIG_SLOTS + 1];
 
   fill_engine (rig, calls);
   calls[GATEWAY_RIG_SLOTS] = gateway_rig_send (rig, 0, "POST", "/long/", EMPTY_BODY);
@@ -235,7 +235,7 @@
   CU_ASSERT (starts_with (calls[GATEWAY_RIG_SLOTS], "HTTP/1.1 503 ") &&
              contains (calls[GATEWAY_RIG_SLOTS], "Retry-After: "));
   for (uint32_t i = 0; i <= GATEWAY_RIG_SLOTS; i++)
-    raw_free (calls[i]);
+    raw_peer_free (calls[i]);
 }
 
 /* Guards against 503, which states that a request has not run, for one that was lost at its first
@@ -244,7 +244,7 @@
 test_lost_request_in_the_queue_may_have_run (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *calls[GATEWAY_RIG_SLOTS + 1];
+  raw_peer_t *calls[GATEWAY_RIG_SLOTS + 1];
 
   fill_engine (rig, calls);
   gateway_rig_add_engine (rig, SCRIPTS (NULL), 1)->reset_after = true;
@@ -253,7 +253,7 @@
   CU_ASSERT (starts_with (calls[GATEWAY_RIG_SLOTS], "HTTP/1.1 504 ") &&
              contains (calls[GATEWAY_RIG_SLOTS], "may_have_run"));
   for (uint32_t i = 0; i <= GATEWAY_RIG_SLOTS; i++)
-    raw_free (calls[i]);
+    raw_peer_free (calls[i]);
 }
 
 /* Another engine responds at the address of a registered one and says so. The request must go to
@@ -305,7 +305,7 @@
   CU_ASSERT (first->answered <= 1 && second->answered <= 1);
   CU_ASSERT_EQUAL (third->answered, LOOKUPS);
   gateway_rig_register (rig, 0, "ready");
-  CU_ASSERT (raw_run_until (rig->base, first_gets_request, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, first_gets_request, rig));
 }
 
 /* Guards against dropped headers, without which a request could mean something else. */
@@ -336,7 +336,7 @@
   for (uint32_t i = 0; i < rig->engine_count; i++)
     for (guint j = 0; j < rig->engines[i]->conns->len; j++)
       {
-        const raw_t *raw = g_ptr_array_index (rig->engines[i]->conns, j);
+        const raw_peer_t *raw = g_ptr_array_index (rig->engines[i]->conns, j);
 
         for (const char *at = raw->got->str; (at = strstr (at, "Kv-Fetch: ")); at++)
           count++;
@@ -376,13 +376,13 @@
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE, ERROR_RESPONSE), 2);
   for (uint32_t i = 0; i < 3; i++)
     {
-      raw_t *raw = gateway_rig_fetch (rig, "GET", "/look/", "");
+      raw_peer_t *raw = gateway_rig_fetch (rig, "GET", "/look/", "");
 
       /* the error response of the last engine must be forwarded unchanged, with its signature */
       CU_ASSERT (starts_with (raw, "HTTP/1.1 200 ") ||
                  (starts_with (raw, "HTTP/1.1 500 ") && contains (raw, "Stamp: s2\r\n") &&
                   g_str_has_suffix (raw->got->str, "\r\n\r\nbad")));
-      raw_free (raw);
+      raw_peer_free (raw);
     }
   CU_ASSERT (gateway_rig_request_count (rig) >= 4 && gateway_rig_request_count (rig) <= 6);
 }
@@ -393,13 +393,13 @@
 test_engine_error_is_forwarded_without_alternative (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (ERROR_RESPONSE), 1);
   raw = gateway_rig_fetch (rig, "GET", "/look/", "");
   CU_ASSERT (starts_with (raw, "HTTP/1.1 500 ") && contains (raw, "Stamp: s2\r\n"));
   CU_ASSERT (g_str_has_suffix (raw->got->str, "\r\n\r\nbad"));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 static void
@@ -412,11 +412,11 @@
   gateway_rig_add_engine (rig, SCRIPTS (FULL_RESPONSE), 1);
   for (uint32_t i = 0; i < 4; i++)
     {
-      raw_t *raw = gateway_rig_fetch (rig, "GET", "/look/", "");
+      raw_peer_t *raw = gateway_rig_fetch (rig, "GET", "/look/", "");
 
       CU_ASSERT (!starts_with (raw, "HTTP/1.1 502 "));
       failures += starts_with (raw, "HTTP/1.1 500 ") && contains (raw, "Stamp: s2\r\n") ? 1 : 0;
-      raw_free (raw);
+      raw_peer_free (raw);
     }
   CU_ASSERT (failures > 0);
 }
@@ -440,13 +440,13 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
   raw_server_t *engine = gateway_rig_add_engine (rig, SCRIPTS (OK_HEAD "\r\nwhole"), 1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   engine->close_after = true;
   raw = gateway_rig_fetch (rig, "POST", "/book/", EMPTY_BODY);
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 "));
   CU_ASSERT (g_str_has_suffix (raw->got->str, "\r\n\r\nwhole"));
-  raw_free (raw);
+  raw_peer_free (raw);
   engine->close_after = false;
   engine->reset_after = true;
   expect (rig, "POST", "/book/", EMPTY_BODY, "502");
@@ -474,7 +474,7 @@
   static const char rest[] = STREAM_HEAD EVENT ("3") EVENT ("4") STREAM_END;
   raw_server_t *first = gateway_rig_add_engine (rig, SCRIPTS (broken, rest), 2);
   raw_server_t *second = gateway_rig_add_engine (rig, SCRIPTS (broken, rest), 2);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   first->close_after = true;
   second->close_after = true;
@@ -483,7 +483,7 @@
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 2);
   if (contains (raw, "id: 4"))
     CU_ASSERT (g_str_has_suffix (raw->got->str, STREAM_END));
-  raw_free (raw);
+  raw_peer_free (raw);
   /* The first response of either engine breaks off, so it doesn't matter which one was asked first.
    */
   CU_ASSERT (strstr (last_request_head (first), "Last-Event-Id: 2\r\n") ||
@@ -497,11 +497,11 @@
   static const char broken[] = STREAM_HEAD EVENT ("1") EVENT ("2") "e\r\nid: 3\nda";
   static const char rest[] = STREAM_HEAD EVENT ("3") EVENT ("4") STREAM_END;
   raw_server_t *first = gateway_rig_add_engine (rig, SCRIPTS (broken), 1);
-  raw_t *raw = gateway_rig_send (rig, 0, "POST", "/talk/", EMPTY_BODY);
+  raw_peer_t *raw = gateway_rig_send (rig, 0, "POST", "/talk/", EMPTY_BODY);
 
   first->close_after = true;
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_gateway_failed_total", 1));
-  raw_free (raw);
+  raw_peer_free (raw);
   gateway_rig_add_engine (rig, SCRIPTS (rest), 1);
   for (uint32_t tries = 0; tries < 8; tries++)
     {
@@ -519,10 +519,10 @@
               text[4] = id;
               CU_ASSERT (contains (raw, text));
             }
-          raw_free (raw);
+          raw_peer_free (raw);
           return;
         }
-      raw_free (raw);
+      raw_peer_free (raw);
     }
   CU_FAIL ("no stream began at the first engine");
 }
@@ -533,7 +533,7 @@
 test_broken_stream_has_no_end (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (STREAM_HEAD EVENT ("1") "e\r\nid: 2\nda"), 1)->close_after =
       true;
@@ -541,7 +541,7 @@
   CU_ASSERT (contains (raw, "id: 1\ndata:a\n\n") && !contains (raw, "id: 2"));
   CU_ASSERT (raw->eof && !g_str_has_suffix (raw->got->str, STREAM_END));
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 1);
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 /* Guards against a client that waits until its deadline when there is no engine: it must get 503
@@ -550,12 +550,13 @@
 test_missing_engine_is_reported_at_once (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw = gateway_rig_fetch (rig, "POST", "/book/", EMPTY_BODY "X-Deadline-Ms: 60000\r\n");
+  raw_peer_t *raw =
+      gateway_rig_fetch (rig, "POST", "/book/", EMPTY_BODY "X-Deadline-Ms: 60000\r\n");
 
   CU_ASSERT (starts_with (raw, "HTTP/1.1 503 "));
   CU_ASSERT (contains (raw, "Retry-After: 0."));
   CU_ASSERT (contains (raw, "X-Medlarplank-Verdict: not_run\r\n"));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 static void
@@ -582,7 +583,7 @@
 engine_sees_close (void *context)
 {
   const raw_server_t *engine = context;
-  const raw_t *raw = engine->conns->len > 0 ? g_ptr_array_index (engine->conns, 0) : NULL;
+  const raw_peer_t *raw = engine->conns->len > 0 ? g_ptr_array_index (engine->conns, 0) : NULL;
 
   return raw && raw->eof;
 }
@@ -592,14 +593,14 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
   raw_server_t *engine = gateway_rig_add_engine (rig, SCRIPTS (NULL), 1);
-  raw_t *raw = gateway_rig_send (rig, 0, "GET", "/look/", "");
+  raw_peer_t *raw = gateway_rig_send (rig, 0, "GET", "/look/", "");
 
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_gateway_gone_total", 0));
   while (engine->answered == 0)
-    raw_run_ms (rig->base, 1);
-  raw_close (raw, false);
-  CU_ASSERT (raw_run_until (rig->base, engine_sees_close, engine));
-  raw_free (raw);
+    raw_peer_run_ms (rig->base, 1);
+  raw_peer_close (raw, false);
+  CU_ASSERT (raw_peer_run_until (rig->base, engine_sees_close, engine));
+  raw_peer_free (raw);
 }
 
 static bool
@@ -617,7 +618,7 @@
                        "\"state\":\"%s\",\"born\":%s}",
                        address, state, born);
 
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", text);
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e0", text);
 }
 
 /* Guards against a client that waits until its deadline for a request that is lost: its engine is
@@ -628,14 +629,14 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
   raw_server_t *engine = gateway_rig_add_engine (rig, SCRIPTS (NULL), 1);
-  raw_t *raw = gateway_rig_send (rig, 0, "POST", "/book/", EMPTY_BODY);
+  raw_peer_t *raw = gateway_rig_send (rig, 0, "POST", "/book/", EMPTY_BODY);
 
   while (engine->answered == 0)
-    raw_run_ms (rig->base, 1);
+    raw_peer_run_ms (rig->base, 1);
   register_restart (rig, "8", "ready");
-  CU_ASSERT (raw_run_until (rig->base, is_answered, raw));
+  CU_ASSERT (raw_peer_run_until (rig->base, is_answered, raw));
   CU_ASSERT (starts_with (raw, "HTTP/1.1 502 "));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 static bool
@@ -660,18 +661,18 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
   raw_server_t *second;
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (STREAM_HEAD EVENT ("1")), 1);
   raw = gateway_rig_send (rig, 0, "POST", "/talk/", EMPTY_BODY);
-  CU_ASSERT (raw_run_until (rig->base, has_one_event, raw));
+  CU_ASSERT (raw_peer_run_until (rig->base, has_one_event, raw));
   second = gateway_rig_add_engine (rig, SCRIPTS (NULL), 1);
   register_restart (rig, "8", "ready");
   while (second->answered == 0)
-    raw_run_ms (rig->base, 1);
-  raw_close (raw, false);
-  CU_ASSERT (raw_run_until (rig->base, client_is_gone, rig));
-  raw_free (raw);
+    raw_peer_run_ms (rig->base, 1);
+  raw_peer_close (raw, false);
+  CU_ASSERT (raw_peer_run_until (rig->base, client_is_gone, rig));
+  raw_peer_free (raw);
 }
 
 /* Guards against reuse of an idle connection to the previous process of an engine: a non-idempotent
@@ -684,7 +685,7 @@
 
   expect (rig, "POST", "/book/", EMPTY_BODY, "200");
   register_restart (rig, "8", "ready");
-  CU_ASSERT (raw_run_until (rig->base, engine_sees_close, engine));
+  CU_ASSERT (raw_peer_run_until (rig->base, engine_sees_close, engine));
   expect (rig, "POST", "/book/", EMPTY_BODY, "200");
   CU_ASSERT_EQUAL (engine->accepted, 2);
 }
@@ -699,7 +700,8 @@
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", "{\"service\":\"pool\",\"slots\":\"8\"}");
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e0",
+                  "{\"service\":\"pool\",\"slots\":\"8\"}");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
   answered = rig->engines[0]->answered;
   for (uint32_t i = 0; i < 4; i++)
@@ -712,10 +714,10 @@
 static bool
 is_refused (void *context)
 {
-  raw_t *raw = gateway_rig_fetch (context, "GET", "/look/", "");
+  raw_peer_t *raw = gateway_rig_fetch (context, "GET", "/look/", "");
   bool refused = starts_with (raw, "HTTP/1.1 503 ");
 
-  raw_free (raw);
+  raw_peer_free (raw);
   return refused;
 }
 
@@ -727,10 +729,10 @@
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   expect (rig, "GET", "/look/", "", "200");
   gateway_rig_register (rig, 0, "draining");
-  CU_ASSERT (raw_run_until (rig->base, is_refused, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, is_refused, rig));
   gateway_rig_register (rig, 0, "ready");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e0", NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 0));
   expect (rig, "GET", "/look/", "", "503");
 }
@@ -746,9 +748,9 @@
   expect (rig, "GET", "/look/", "", "200");
   expect (rig, "GET", "/look/", "", "503");
   gateway_rig_register (rig, 0, "ready");
-  raw_run_ms (rig->base, 50);
+  raw_peer_run_ms (rig->base, 50);
   expect (rig, "POST", "/book/", EMPTY_BODY, "503");
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e0", NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 0));
   gateway_rig_register (rig, 0, "ready");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
@@ -795,13 +797,13 @@
 test_retry_after_tells_the_end_of_the_backoff (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (BACKOFF_RESPONSE), 1);
-  raw_free (gateway_rig_fetch (rig, "POST", "/book/", EMPTY_BODY));
+  raw_peer_free (gateway_rig_fetch (rig, "POST", "/book/", EMPTY_BODY));
   raw = gateway_rig_fetch (rig, "GET", "/look/", "");
   CU_ASSERT (starts_with (raw, "HTTP/1.1 503 ") && contains (raw, "Retry-After: 2."));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 /* Guards against a refusal when the Retry-After of the only engine ends in time, and against an
@@ -835,9 +837,9 @@
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_version", 7));
   expect (rig, "GET", "/new/", "", "200");
   gateway_rig_publish_config (rig, 5, "");
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, "config", "{broken");
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, "config", "{broken");
   gateway_rig_register (rig, 0, "ready");
-  raw_run_ms (rig->base, 100);
+  raw_peer_run_ms (rig->base, 100);
   CU_ASSERT_EQUAL (gateway_rig_counter (rig, 0, "medlarplank_version"), 7);
   expect (rig, "GET", "/new/", "", "200");
 }
@@ -877,17 +879,17 @@
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (2);
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  CU_ASSERT (raw_run_until (rig->base, second_has_engine, rig));
-  CU_ASSERT (raw_run_until (rig->base, second_heard_its_peer, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_has_engine, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_heard_its_peer, rig));
   rig->gateways[1].front->down = true;
   gateway_rig_publish_config (rig, 9, "");
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
-  CU_ASSERT (raw_run_until (rig->base, second_has_version, rig));
-  CU_ASSERT (raw_run_until (rig->base, second_lost_engine, rig));
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e0", NULL);
+  CU_ASSERT (raw_peer_run_until (rig->base, second_has_version, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_lost_engine, rig));
   CU_ASSERT (gateway_rig_counter (rig, 1, "medlarplank_views_from_peers_total") > 0);
 }
 
-#define DRAIN PLT_KEY_DRAIN_PREFIX "hall-1"
+#define DRAIN PLATFORM_KEY_DRAIN_PREFIX "hall-1"
 #define DRAINED_GAUGE "medlarplank_drained_data_centers"
 
 static bool
@@ -910,16 +912,16 @@
 test_drained_data_center_gets_no_requests (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, DRAIN, "{}");
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 1));
   raw = gateway_rig_fetch (rig, "GET", "/look/", "");
   CU_ASSERT (contains (raw, "HTTP/1.1 503 ") && contains (raw, "Retry-After: 2"));
-  raw_free (raw);
+  raw_peer_free (raw);
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 0);
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, DRAIN, NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 0));
   expect (rig, "GET", "/look/", "", "200");
 }
@@ -933,12 +935,12 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (2);
 
-  CU_ASSERT (raw_run_until (rig->base, second_heard_its_peer, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_heard_its_peer, rig));
   rig->gateways[1].front->down = true;
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
-  CU_ASSERT (raw_run_until (rig->base, second_is_drained, rig));
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
-  CU_ASSERT (raw_run_until (rig->base, second_is_taken_back, rig));
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, DRAIN, "{}");
+  CU_ASSERT (raw_peer_run_until (rig->base, second_is_drained, rig));
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, DRAIN, NULL);
+  CU_ASSERT (raw_peer_run_until (rig->base, second_is_taken_back, rig));
 }
 
 /*
@@ -951,11 +953,11 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
 
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, "{}");
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, PLT_KEY_DRAIN_PREFIX "hall-2", "{}");
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, DRAIN, "{}");
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, PLATFORM_KEY_DRAIN_PREFIX "hall-2", "{}");
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 2));
   rig->gateways[0].front->expired = true;
-  fake_store_put (rig->store, PLT_STREAM_ROUTING, DRAIN, NULL);
+  fake_store_put (rig->store, PLATFORM_STREAM_ROUTING, DRAIN, NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, DRAINED_GAUGE, 1));
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_version", 1));
 }
@@ -979,14 +981,14 @@
     {
       g_autofree char *more =
           g_strdup_printf (EMPTY_BODY "X-Prompt-Prefix: a%u:900,bb:10\r\n", tries);
-      raw_t *raw = gateway_rig_fetch (rig, "POST", "/talk/", more);
+      raw_peer_t *raw = gateway_rig_fetch (rig, "POST", "/talk/", more);
 
       CU_ASSERT (starts_with (raw, "HTTP/1.1 200 ") &&
                  g_str_has_suffix (raw->got->str, STREAM_END));
       CU_ASSERT (contains (raw, "\r\nid: 1\ndata:a\n\n") &&
                  contains (raw, "\r\nid: 2\ndata:a\n\n"));
       CU_ASSERT (!contains (raw, "data:s"));
-      raw_free (raw);
+      raw_peer_free (raw);
     }
   CU_ASSERT (crashes->answered > 0);
 }
@@ -1015,7 +1017,7 @@
     expect (rig, "GET", "/bound/", "", "500");
   CU_ASSERT_EQUAL (rig->engines[0]->answered + rig->engines[2]->answered, 0);
   CU_ASSERT_EQUAL (rig->engines[1]->answered, LOOKUPS);
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e1", NULL);
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e1", NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 2));
   expect (rig, "GET", "/bound/", "", "503");
   expect (rig, "GET", "/look/", "", "200");
@@ -1073,22 +1075,22 @@
 
   for (uint32_t i = 0; i < GATEWAY_RIG_ENGINES_MAX; i++)
     gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  CU_ASSERT (raw_run_until (rig->base, second_has_three_engines, rig));
-  CU_ASSERT (raw_run_until (rig->base, second_heard_its_peer, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_has_three_engines, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_heard_its_peer, rig));
   for (uint32_t i = 0; i < 2; i++)
     {
       rig->gateways[i].set.renewal_ms = SHORT_RENEWAL_MS;
       rig->gateways[i].front->down = true;
     }
-  raw_run_ms (rig->base, OUTAGE_MS);
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e0", NULL);
+  raw_peer_run_ms (rig->base, OUTAGE_MS);
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e0", NULL);
   copies.before = copies_of_second (rig);
   rig->gateways[0].front->down = false;
-  CU_ASSERT (raw_run_until (rig->base, second_took_a_copy, &copies));
-  raw_run_ms (rig->base, 4 * GATEWAY_PROCESS_TICK_MS);
-  fake_store_put (rig->store, PLT_STREAM_ENGINES, "e1", NULL);
+  CU_ASSERT (raw_peer_run_until (rig->base, second_took_a_copy, &copies));
+  raw_peer_run_ms (rig->base, 4 * GATEWAY_PROCESS_TICK_MS);
+  fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e1", NULL);
   CU_ASSERT (second_has_three_engines (rig));
-  CU_ASSERT (raw_run_until (rig->base, second_lost_some, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_lost_some, rig));
   CU_ASSERT_EQUAL (gateway_rig_counter (rig, 1, "medlarplank_engines"), 2);
 }
 
@@ -1108,15 +1110,15 @@
 {
   rig->gateways[0].set.renewal_ms = SHORT_RENEWAL_MS;
   rig->gateways[0].front->down = true;
-  raw_run_ms (rig->base, OUTAGE_MS);
+  raw_peer_run_ms (rig->base, OUTAGE_MS);
   for (uint32_t i = 0; i < count; i++)
     {
       g_autofree char *id = g_strdup_printf ("e%u", i);
 
-      fake_store_put (rig->store, PLT_STREAM_ENGINES, id, NULL);
+      fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, id, NULL);
     }
   rig->gateways[0].front->down = false;
-  CU_ASSERT (raw_run_until (rig->base, first_is_ready_with_lapses, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, first_is_ready_with_lapses, rig));
 }
 
 /* Guards against requests to an engine that left while the gateway couldn't reach the store. */
@@ -1177,7 +1179,7 @@
 
 #define LONG_VERSION_MS 20000 /* no gateway stops waiting for its peers and reads the store */
 #define LISTS "medlarplank_store_lists_total"
-#define WRITES "medlarplank_store_writes_total{stream=\"" PLT_STREAM_ROUTERS "\"}"
+#define WRITES "medlarplank_store_writes_total{stream=\"" PLATFORM_STREAM_ROUTERS "\"}"
 
 static bool
 both_know_each_other (void *context)
@@ -1195,7 +1197,7 @@
 
   for (uint32_t i = 0; i < FLEET; i++)
     before[i] = rig->gateways[i].front->calls;
-  raw_run_ms (rig->base, GATEWAY_STORE_READ_WAIT_MS + GATEWAY_STORE_READ_WAIT_MS / 2);
+  raw_peer_run_ms (rig->base, GATEWAY_STORE_READ_WAIT_MS + GATEWAY_STORE_READ_WAIT_MS / 2);
   for (uint32_t i = 0; i < FLEET; i++)
     {
       idle[i] = rig->gateways[i].front->calls == before[i];
@@ -1221,13 +1223,13 @@
 
   for (uint32_t i = 1; i < FLEET; i++)
     {
-      CU_ASSERT_EQUAL (gateway_rig_counter (rig, i, LISTS "{stream=\"" PLT_STREAM_ENGINES "\"}"),
-                       0);
-      CU_ASSERT_EQUAL (gateway_rig_counter (rig, i, LISTS "{stream=\"" PLT_STREAM_ROUTING "\"}"),
-                       0);
+      CU_ASSERT_EQUAL (
+          gateway_rig_counter (rig, i, LISTS "{stream=\"" PLATFORM_STREAM_ENGINES "\"}"), 0);
+      CU_ASSERT_EQUAL (
+          gateway_rig_counter (rig, i, LISTS "{stream=\"" PLATFORM_STREAM_ROUTING "\"}"), 0);
     }
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  CU_ASSERT (raw_run_until (rig->base, all_know_engines, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, all_know_engines, rig));
 }
 
 /* Publishes a version with more bytes than gateways send to each other. */
@@ -1256,12 +1258,12 @@
 
   for (uint32_t i = 0; i < FLEET; i++)
     rig->gateways[i].set.version_ms = LONG_VERSION_MS;
-  CU_ASSERT (raw_run_until (rig->base, two_are_idle, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, two_are_idle, rig));
   CU_ASSERT (find_idle_gateways (rig, idle) >= 2);
   for (uint32_t i = 0; i < FLEET; i++)
     before[i] = rig->gateways[i].front->calls;
   publish_large_version (rig);
-  CU_ASSERT (raw_run_until (rig->base, all_have_version, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, all_have_version, rig));
   for (uint32_t i = 0; i < FLEET; i++)
     CU_ASSERT (!idle[i] || rig->gateways[i].front->calls > before[i]);
 }
@@ -1273,10 +1275,10 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (2);
 
-  CU_ASSERT (raw_run_until (rig->base, second_heard_its_peer, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_heard_its_peer, rig));
   rig->gateways[1].front->down = true;
   publish_large_version (rig);
-  CU_ASSERT (raw_run_until (rig->base, second_has_version, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_has_version, rig));
 }
 
 /* Guards against refusals by a gateway that has not read its configuration yet, when all gateways
@@ -1285,18 +1287,18 @@
 test_callers_wait_for_a_gateway_that_starts (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   gateway_rig_restart (rig, 0);
   rig->gateways[0].front->down = true;
   raw = gateway_rig_send (rig, 0, "GET", "/look/x", "");
-  raw_run_ms (rig->base, GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS / 6);
+  raw_peer_run_ms (rig->base, GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS / 6);
   CU_ASSERT (!has_status (raw));
   rig->gateways[0].front->down = false;
-  CU_ASSERT (raw_run_until (rig->base, has_status, raw));
+  CU_ASSERT (raw_peer_run_until (rig->base, has_status, raw));
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 "));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 /* Guards against clients that wait in vain while the store is out and no peer has the
@@ -1306,14 +1308,14 @@
 test_callers_are_refused_when_the_rules_do_not_come (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_restart (rig, 0);
   rig->gateways[0].front->down = true;
   raw = gateway_rig_send (rig, 0, "GET", "/look/x", "");
-  CU_ASSERT (raw_run_until (rig->base, has_status, raw));
+  CU_ASSERT (raw_peer_run_until (rig->base, has_status, raw));
   CU_ASSERT (starts_with (raw, "HTTP/1.1 503 ") && contains (raw, "Retry-After: 0."));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 /* Guards against refusals by a gateway that starts while the store is out, although its peers have
@@ -1324,16 +1326,16 @@
   g_autoptr (gateway_rig_t) rig = gateway_rig_new_seeded (2, true);
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  CU_ASSERT (raw_run_until (rig->base, all_know_engines, rig));
-  CU_ASSERT (raw_run_until (rig->base, both_know_each_other, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, all_know_engines, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, both_know_each_other, rig));
   rig->gateways[1].set.first_start = false;
   gateway_rig_restart (rig, 1);
   rig->gateways[1].front->down = true;
-  CU_ASSERT (raw_run_until (rig->base, second_has_engine, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, second_has_engine, rig));
   CU_ASSERT (gateway_process_is_ready (rig->gateways[1].gateway_process));
   rig->gateways[1].front->down = false;
-  CU_ASSERT (raw_run_until (rig->base, both_know_each_other, rig));
-  raw_run_ms (rig->base, 4 * GATEWAY_PROCESS_TICK_MS);
+  CU_ASSERT (raw_peer_run_until (rig->base, both_know_each_other, rig));
+  raw_peer_run_ms (rig->base, 4 * GATEWAY_PROCESS_TICK_MS);
   CU_ASSERT_EQUAL (gateway_rig_counter (rig, 1, WRITES), 0);
 }
 
@@ -1348,12 +1350,12 @@
 
   for (uint32_t i = 0; i < FLEET; i++)
     rig->gateways[i].set.version_ms = LONG_VERSION_MS;
-  CU_ASSERT (raw_run_until (rig->base, two_are_idle, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, two_are_idle, rig));
   CU_ASSERT (find_idle_gateways (rig, idle) >= 2);
   for (uint32_t i = 0; i < FLEET; i++)
     before[i] = rig->gateways[i].front->calls;
   gateway_rig_publish_config (rig, 9, "");
-  CU_ASSERT (raw_run_until (rig->base, all_have_version, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, all_have_version, rig));
   for (uint32_t i = 0; i < FLEET; i++)
     if (idle[i])
       CU_ASSERT_EQUAL (rig->gateways[i].front->calls, before[i]);
@@ -1370,16 +1372,16 @@
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (FLEET);
   uint32_t calls[FLEET];
 
-  CU_ASSERT (raw_run_until (rig->base, two_are_idle, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, two_are_idle, rig));
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  CU_ASSERT (raw_run_until (rig->base, all_know_engines, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, all_know_engines, rig));
   for (uint32_t i = 0; i < FLEET; i++)
     calls[i] = rig->gateways[i].front->calls;
-  raw_run_ms (rig->base, GATEWAY_STORE_READ_WAIT_MS + GATEWAY_STORE_READ_WAIT_MS / 2);
+  raw_peer_run_ms (rig->base, GATEWAY_STORE_READ_WAIT_MS + GATEWAY_STORE_READ_WAIT_MS / 2);
   for (uint32_t i = 0; i < FLEET; i++)
     rig->gateways[i].front->down = rig->gateways[i].front->calls != calls[i];
   gateway_rig_publish_config (rig, 9, "");
-  CU_ASSERT (raw_run_until (rig->base, all_have_version, rig));
+  CU_ASSERT (raw_peer_run_until (rig->base, all_have_version, rig));
 }
 
 static bool
@@ -1394,7 +1396,7 @@
 test_stop_is_graceful (void)
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
-  raw_t *raw;
+  raw_peer_t *raw;
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   gateway_process_stop (rig->gateways[0].gateway_process);
@@ -1403,8 +1405,8 @@
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 ") && contains (raw, "Connection: close\r\n"));
   clk_init_paused (&rig->clk,
                    clk_now_us (&rig->clk) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLK_US_PER_MS);
-  CU_ASSERT (raw_run_until (rig->base, loop_ended, rig));
-  raw_free (raw);
+  CU_ASSERT (raw_peer_run_until (rig->base, loop_ended, rig));
+  raw_peer_free (raw);
 }
 
 static bool
@@ -1422,7 +1424,7 @@
 static bool
 has_second_answer (void *context)
 {
-  const raw_t *raw = context;
+  const raw_peer_t *raw = context;
   const char *end = strstr (raw->got->str, STREAM_END);
 
   return raw->eof || raw->reset || (end && strstr (end, "\r\n\r\n{"));
@@ -1436,21 +1438,21 @@
 {
   g_autoptr (gateway_rig_t) rig = gateway_rig_new (1);
   raw_server_t *engine = gateway_rig_add_engine (rig, SCRIPTS (STREAM_HEAD EVENT ("1")), 1);
-  raw_t *raw = gateway_rig_send (rig, 0, "POST", "/talk/", EMPTY_BODY);
+  raw_peer_t *raw = gateway_rig_send (rig, 0, "POST", "/talk/", EMPTY_BODY);
 
-  CU_ASSERT (raw_run_until (rig->base, has_first_event, raw));
+  CU_ASSERT (raw_peer_run_until (rig->base, has_first_event, raw));
   gateway_process_stop (rig->gateways[0].gateway_process);
   clk_init_paused (&rig->clk,
                    clk_now_us (&rig->clk) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLK_US_PER_MS);
-  raw_run_ms (rig->base, 2 * GATEWAY_PROCESS_TICK_MS);
-  raw_send (g_ptr_array_index (engine->conns, 0), STREAM_END);
-  CU_ASSERT (raw_run_until (rig->base, has_stream_end, raw));
-  raw_send (raw,
-            "GET /look/ HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r2\r\nX-Key: key-1\r\n\r\n");
-  CU_ASSERT (raw_run_until (rig->base, has_second_answer, raw));
+  raw_peer_run_ms (rig->base, 2 * GATEWAY_PROCESS_TICK_MS);
+  raw_peer_send (g_ptr_array_index (engine->conns, 0), STREAM_END);
+  CU_ASSERT (raw_peer_run_until (rig->base, has_stream_end, raw));
+  raw_peer_send (
+      raw, "GET /look/ HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r2\r\nX-Key: key-1\r\n\r\n");
+  CU_ASSERT (raw_peer_run_until (rig->base, has_second_answer, raw));
   CU_ASSERT (contains (raw, STREAM_END "HTTP/1.1 503 ") && contains (raw, "Retry-After: "));
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 1);
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 int
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -17,9 +17,9 @@
 /* Results of a call, and what its callbacks are to do */
 typedef struct
 {
-  hcl_call_t *call;
+  http_client_call_t *call;
   GString *body;
-  hcl_end_t end;
+  http_client_result_t end;
   int head_status;
   uint32_t ends;
   bool refuse_head;
@@ -31,9 +31,9 @@
 typedef struct
 {
   struct event_base *base;
-  hcl_t *hcl;
+  http_client_t *http_client;
   raw_server_t *server;
-  hcl_options_t options;
+  http_client_options_t options;
   call_state_t state;
 } fixture_t;
 
@@ -45,7 +45,7 @@
   (void)headers;
   state->head_status = status;
   if (state->cancel_in_head)
-    hcl_cancel (state->call);
+    http_client_cancel_call (state->call);
   return !state->refuse_head;
 }
 
@@ -58,13 +58,13 @@
   g_string_append_len (state->body, (char *)evbuffer_pullup (data, -1), (gssize)bytes);
   evbuffer_drain (data, bytes);
   if (state->cancel_in_data)
-    hcl_cancel (state->call);
+    http_client_cancel_call (state->call);
   else if (state->pause_in_data)
-    hcl_pause (state->call, true);
+    http_client_set_paused (state->call, true);
 }
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   call_state_t *state = context;
 
@@ -97,25 +97,25 @@
   fixture_t *fixture = g_new0 (fixture_t, 1);
 
   fixture->base = event_base_new ();
-  fixture->hcl = hcl_new (fixture->base, 2, IDLE_TIMEOUT_MS);
+  fixture->http_client = http_client_new (fixture->base, 2, IDLE_TIMEOUT_MS);
   fixture->state.body = g_string_new (NULL);
   fixture->server = raw_server_new (fixture->base, scripts, script_count);
-  fixture->options = (hcl_options_t){ .address = &fixture->server->address,
-                                      .method = "GET",
-                                      .target = "/x",
-                                      .timeout_us = 3 * SECOND_US,
-                                      .answer_limit_bytes = 1024 * 1024,
-                                      .on_head = on_head,
-                                      .on_data = on_data,
-                                      .on_end = on_end,
-                                      .context = &fixture->state };
+  fixture->options = (http_client_options_t){ .address = &fixture->server->address,
+                                              .method = "GET",
+                                              .target = "/x",
+                                              .timeout_us = 3 * SECOND_US,
+                                              .answer_limit_bytes = 1024 * 1024,
+                                              .on_head = on_head,
+                                              .on_data = on_data,
+                                              .on_end = on_end,
+                                              .context = &fixture->state };
   return fixture;
 }
 
 static void
 fixture_free (fixture_t *fixture)
 {
-  g_clear_pointer (&fixture->hcl, hcl_free);
+  g_clear_pointer (&fixture->http_client, http_client_free);
   raw_server_free (fixture->server);
   g_string_free (fixture->state.body, TRUE);
   event_base_free (fixture->base);
@@ -138,9 +138,9 @@
 run_call (fixture_t *fixture)
 {
   reset_state (&fixture->state);
-  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
+  fixture->state.call = http_client_start_call (fixture->http_client, &fixture->options);
   CU_ASSERT_EQUAL (fixture->state.ends, 0);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_ended, &fixture->state));
   CU_ASSERT_EQUAL (fixture->state.ends, 1);
 }
 
@@ -270,7 +270,7 @@
   run_successful_call (fixture, 200, "ok");
   run_successful_call (fixture, 200, "ours");
   CU_ASSERT_EQUAL (fixture->server->accepted, 2);
-  raw_send (fixture->server->conns->pdata[1], scripts[0]);
+  raw_peer_send (fixture->server->conns->pdata[1], scripts[0]);
   run_successful_call (fixture, 200, "ours");
   CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
@@ -283,7 +283,7 @@
 test_no_connection (void)
 {
   g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
-  set_address_t nobody = raw_address ();
+  set_address_t nobody = raw_peer_loopback_address ();
 
   nobody.port = 1;
   fixture->options.address = &nobody;
@@ -310,7 +310,7 @@
     {
       run_successful_call (fixture, 200, "ok");
       CU_ASSERT_EQUAL (fixture->server->accepted, i + 1);
-      raw_close (fixture->server->conns->pdata[i], i % 2 == 1);
+      raw_peer_close (fixture->server->conns->pdata[i], i % 2 == 1);
     }
 }
 
@@ -325,9 +325,9 @@
 
   run_successful_call (fixture, 200, "ok");
   reset_state (&fixture->state);
-  hcl_start (fixture->hcl, &fixture->options);
-  raw_close (fixture->server->conns->pdata[0], true);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  http_client_start_call (fixture->http_client, &fixture->options);
+  raw_peer_close (fixture->server->conns->pdata[0], true);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_ended, &fixture->state));
   check_failed (&fixture->state, VERDICT_NOT_RUN, VERDICT_REASON_CONNECT);
   CU_ASSERT_EQUAL (fixture->server->accepted, 1);
 }
@@ -377,7 +377,9 @@
 static void
 test_bad_options (void)
 {
-  static const hcl_header_t bad[] = { { "X-A", "b\r\nX-Evil: 1" }, { "X A", "b" }, { "X\n", "b" } };
+  static const http_client_header_t bad[] = { { "X-A", "b\r\nX-Evil: 1" },
+                                              { "X A", "b" },
+                                              { "X\n", "b" } };
   g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
 
   for (size_t i = 0; i < G_N_ELEMENTS (bad) + 3; i++)
@@ -405,17 +407,18 @@
 {
   raw_server_t *server = context;
 
-  return server->conns->len > 0 && strstr (((raw_t *)server->conns->pdata[0])->got->str, "body");
+  return server->conns->len > 0 &&
+         strstr (((raw_peer_t *)server->conns->pdata[0])->got->str, "body");
 }
 
 /* The request has one Host, one Content-Length, and none of the caller's framing headers */
 static void
 test_request_bytes (void)
 {
-  static const hcl_header_t headers[] = { { "X-One", "1" },
-                                          { "Content-Length", "99" },
-                                          { "Transfer-Encoding", "chunked" },
-                                          { "Expect", "100-continue" } };
+  static const http_client_header_t headers[] = { { "X-One", "1" },
+                                                  { "Content-Length", "99" },
+                                                  { "Transfer-Encoding", "chunked" },
+                                                  { "Expect", "100-continue" } };
   g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
 
   fixture->server->keep_head = true;
@@ -424,14 +427,14 @@
   fixture->options.header_count = G_N_ELEMENTS (headers);
   fixture->options.body = "body";
   fixture->options.body_bytes = 4;
-  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
-  CU_ASSERT_FALSE (hcl_sent (fixture->state.call));
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_request, fixture->server));
-  CU_ASSERT_TRUE (hcl_sent (fixture->state.call));
+  fixture->state.call = http_client_start_call (fixture->http_client, &fixture->options);
+  CU_ASSERT_FALSE (http_client_may_have_sent (fixture->state.call));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_request, fixture->server));
+  CU_ASSERT_TRUE (http_client_may_have_sent (fixture->state.call));
   g_autofree char *expected = g_strdup_printf (
       "POST /x HTTP/1.1\r\nX-One: 1\r\nHost: %s:%u\r\nContent-Length: 4\r\n\r\nbody",
       fixture->server->address.ip, fixture->server->address.port);
-  CU_ASSERT_STRING_EQUAL (((raw_t *)fixture->server->conns->pdata[0])->got->str, expected);
+  CU_ASSERT_STRING_EQUAL (((raw_peer_t *)fixture->server->conns->pdata[0])->got->str, expected);
 }
 
 /*
@@ -451,22 +454,24 @@
       reset_state (&fixture->state);
       fixture->state.cancel_in_head = i == 0;
       fixture->state.cancel_in_data = i == 1;
-      fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
-      CU_ASSERT_TRUE (raw_run_until (fixture->base, i == 0 ? has_head : has_body, &fixture->state));
-      raw_run_ms (fixture->base, 5);
+      fixture->state.call = http_client_start_call (fixture->http_client, &fixture->options);
+      CU_ASSERT_TRUE (
+          raw_peer_run_until (fixture->base, i == 0 ? has_head : has_body, &fixture->state));
+      raw_peer_run_ms (fixture->base, 5);
       CU_ASSERT_EQUAL (fixture->state.body->len, (gsize)i);
       CU_ASSERT_EQUAL (fixture->state.ends, 0);
     }
   reset_state (&fixture->state);
   fixture->state.refuse_head = true;
-  hcl_start (fixture->hcl, &fixture->options);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  http_client_start_call (fixture->http_client, &fixture->options);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_ended, &fixture->state));
   check_failed (&fixture->state, VERDICT_MAY_HAVE_RUN, VERDICT_REASON_CUT);
   CU_ASSERT_EQUAL (fixture->state.body->len, 0);
   CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
 
-/* Calls are cancelled before their connection is established, and by hcl_free() in every state */
+/* Calls are cancelled before their connection is established, and by http_client_free() in every
+ * state */
 static void
 test_cancel_early (void)
 {
@@ -477,23 +482,23 @@
   fixture->options.method = "POST";
   fixture->options.body = body;
   fixture->options.body_bytes = 4;
-  hcl_cancel (hcl_start (fixture->hcl, &fixture->options));
+  http_client_cancel_call (http_client_start_call (fixture->http_client, &fixture->options));
   memset (body, 'x', 4);
   g_free (body);
   fixture->options.body_bytes = 0;
-  hcl_start (fixture->hcl, &fixture->options);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_body, &fixture->state));
-  hcl_start (fixture->hcl, &fixture->options);
+  http_client_start_call (fixture->http_client, &fixture->options);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_body, &fixture->state));
+  http_client_start_call (fixture->http_client, &fixture->options);
   fixture->options.target = "bad";
-  hcl_start (fixture->hcl, &fixture->options);
-  g_clear_pointer (&fixture->hcl, hcl_free);
+  http_client_start_call (fixture->http_client, &fixture->options);
+  g_clear_pointer (&fixture->http_client, http_client_free);
   CU_ASSERT_EQUAL (fixture->state.ends, 0);
 }
 
 /* Reads what has arrived at a peer that is not read otherwise. Return: whether it contains @wanted
  */
 static bool
-received_contains (raw_t *raw, char wanted)
+received_contains (raw_peer_t *raw, char wanted)
 {
   char bytes[64 * 1024];
   ssize_t count;
@@ -511,7 +516,7 @@
 
   (void)fd;
   (void)what;
-  hcl_cancel (fixture->state.call);
+  http_client_cancel_call (fixture->state.call);
   memset ((char *)fixture->options.body, 'y', fixture->options.body_bytes);
 }
 
@@ -527,21 +532,21 @@
     BODY_BYTES = 32 * 1024 * 1024
   };
   g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
-  raw_t *raw;
+  raw_peer_t *raw;
   struct event *cancel;
 
   fixture->server->never_read = true;
   fixture->options.method = "POST";
   fixture->options.body = g_strnfill (BODY_BYTES, 'x');
   fixture->options.body_bytes = BODY_BYTES;
-  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
-  raw_run_ms (fixture->base, 30);
+  fixture->state.call = http_client_start_call (fixture->http_client, &fixture->options);
+  raw_peer_run_ms (fixture->base, 30);
   raw = fixture->server->conns->pdata[0];
   CU_ASSERT_FALSE (received_contains (raw, 'y'));
   cancel = event_new (fixture->base, -1, 0, cancel_and_reuse, fixture);
   event_active (cancel, EV_TIMEOUT, 0);
   event_base_loop (fixture->base, EVLOOP_ONCE);
-  raw_run_ms (fixture->base, 5);
+  raw_peer_run_ms (fixture->base, 5);
   CU_ASSERT_FALSE (received_contains (raw, 'y'));
   event_free (cancel);
   g_free ((char *)fixture->options.body);
@@ -563,25 +568,26 @@
     g_string_append_c (script, 'a' + i % 26);
   scripts[0] = script->str;
   g_autoptr (fixture_t) fixture = fixture_new (scripts, 1);
-  fixture->state.call = hcl_start (fixture->hcl, &fixture->options);
-  hcl_pause (fixture->state.call,
-             true); /* before the head is received; in the second round, during the body */
+  fixture->state.call = http_client_start_call (fixture->http_client, &fixture->options);
+  http_client_set_paused (
+      fixture->state.call,
+      true); /* before the head is received; in the second round, during the body */
   for (int i = 0; i < 2; i++)
     {
       g_string_append (received, fixture->state.body->str);
       g_string_truncate (fixture->state.body, 0);
-      CU_ASSERT_TRUE (raw_run_until (fixture->base, has_body, &fixture->state));
+      CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_body, &fixture->state));
       while_paused = fixture->state.body->len;
-      raw_run_ms (fixture->base, 20);
+      raw_peer_run_ms (fixture->base, 20);
       CU_ASSERT_EQUAL (fixture->state.body->len, while_paused);
       CU_ASSERT_TRUE (while_paused < 100000);
       fixture->state.pause_in_data = true;
       if (i == 0)
-        hcl_pause (fixture->state.call, false);
+        http_client_set_paused (fixture->state.call, false);
     }
   fixture->state.pause_in_data = false;
-  hcl_pause (fixture->state.call, false);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_ended, &fixture->state));
+  http_client_set_paused (fixture->state.call, false);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_ended, &fixture->state));
   g_string_append (received, fixture->state.body->str);
   CU_ASSERT_TRUE (fixture->state.end.whole);
   CU_ASSERT_STRING_EQUAL (received->str, strstr (script->str, "\r\n\r\n") + 4);
@@ -616,7 +622,7 @@
   uint32_t closed = 0;
 
   for (guint i = 0; i < server->conns->len; i++)
-    closed += ((raw_t *)server->conns->pdata[i])->eof;
+    closed += ((raw_peer_t *)server->conns->pdata[i])->eof;
   return closed;
 }
 
@@ -633,18 +639,18 @@
   g_autoptr (fixture_t) fixture = fixture_new (OK_ONLY, 1);
 
   for (int i = 0; i < 3; i++)
-    hcl_start (fixture->hcl, &fixture->options);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, three_ended, &fixture->state));
+    http_client_start_call (fixture->http_client, &fixture->options);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, three_ended, &fixture->state));
   CU_ASSERT_EQUAL (fixture->server->accepted, 3);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, one_closed, fixture->server));
-  raw_run_ms (fixture->base, 5);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, one_closed, fixture->server));
+  raw_peer_run_ms (fixture->base, 5);
   CU_ASSERT_EQUAL (closed_count (fixture->server), 1);
 
   g_autoptr (fixture_t) short_idle = fixture_new (OK_ONLY, 1);
-  hcl_free (short_idle->hcl);
-  short_idle->hcl = hcl_new (short_idle->base, 2, 20);
+  http_client_free (short_idle->http_client);
+  short_idle->http_client = http_client_new (short_idle->base, 2, 20);
   run_call (short_idle);
-  CU_ASSERT_TRUE (raw_run_until (short_idle->base, one_closed, short_idle->server));
+  CU_ASSERT_TRUE (raw_peer_run_until (short_idle->base, one_closed, short_idle->server));
 }
 
 int
--- a/tests/test_http_client_cancel.c
+++ b/tests/test_http_client_cancel.c
@@ -14,9 +14,9 @@
 typedef struct
 {
   struct event_base *base;
-  hcl_t *hcl;
+  http_client_t *http_client;
   raw_server_t *server;
-  hcl_call_t *call;
+  http_client_call_t *call;
   char *body;
   int pipe[2];
   struct event *cancel;
@@ -25,7 +25,7 @@
 } fixture_t;
 
 static void
-on_end (const hcl_end_t *end, void *context)
+on_end (const http_client_result_t *end, void *context)
 {
   (void)end;
   (void)context;
@@ -39,8 +39,8 @@
 
   (void)fd;
   (void)what;
-  fixture->sent += hcl_sent (fixture->call);
-  hcl_cancel (fixture->call);
+  fixture->sent += http_client_may_have_sent (fixture->call);
+  http_client_cancel_call (fixture->call);
   memset (fixture->body, 'y', BODY_BYTES);
   g_free (fixture->body);
   fixture->cancelled = true;
@@ -55,17 +55,17 @@
 static void
 start (fixture_t *fixture)
 {
-  hcl_options_t options = { .address = &fixture->server->address,
-                            .method = "POST",
-                            .target = "/x",
-                            .body_bytes = BODY_BYTES,
-                            .on_end = on_end };
+  http_client_options_t options = { .address = &fixture->server->address,
+                                    .method = "POST",
+                                    .target = "/x",
+                                    .body_bytes = BODY_BYTES,
+                                    .on_end = on_end };
 
   fixture->body = g_malloc (BODY_BYTES);
   memset (fixture->body, 'x', BODY_BYTES);
   options.body = fixture->body;
   fixture->cancelled = false;
-  fixture->call = hcl_start (fixture->hcl, &options);
+  fixture->call = http_client_start_call (fixture->http_client, &options);
 }
 
 static uint32_t
@@ -74,7 +74,7 @@
   uint32_t count = 0;
 
   for (guint i = 0; i < fixture->server->conns->len; i++)
-    count += ((const raw_t *)fixture->server->conns->pdata[i])->got->len > 0;
+    count += ((const raw_peer_t *)fixture->server->conns->pdata[i])->got->len > 0;
   return count;
 }
 
@@ -88,7 +88,7 @@
   fixture_t fixture = { 0 };
 
   fixture.base = event_base_new ();
-  fixture.hcl = hcl_new (fixture.base, 2, 10000);
+  fixture.http_client = http_client_new (fixture.base, 2, 10000);
   fixture.server = raw_server_new (fixture.base, SILENT, 1);
   fixture.server->keep_head = true;
   CU_ASSERT_EQUAL_FATAL (pipe (fixture.pipe), 0);
@@ -103,15 +103,15 @@
         event_add (fixture.cancel, NULL);
       start (&fixture);
       event_add (fixture.cancel, NULL);
-      CU_ASSERT_TRUE (raw_run_until (fixture.base, is_cancelled, &fixture));
+      CU_ASSERT_TRUE (raw_peer_run_until (fixture.base, is_cancelled, &fixture));
     }
-  raw_run_ms (fixture.base, 20);
+  raw_peer_run_ms (fixture.base, 20);
   CU_ASSERT_TRUE (fixture.sent < ATTEMPTS);
   CU_ASSERT_EQUAL (received (&fixture), fixture.sent);
   event_free (fixture.cancel);
   close (fixture.pipe[0]);
   close (fixture.pipe[1]);
-  hcl_free (fixture.hcl);
+  http_client_free (fixture.http_client);
   raw_server_free (fixture.server);
   event_base_free (fixture.base);
 }
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -17,37 +17,37 @@
 static void
 test_request (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
   size_t body_bytes;
 
-  raw_t *raw =
-      hbn_ask_waiting (fixture, "POST /a/b?x=1&y=two%20words HTTP/1.1\r\nHost: h\r\nX-One: 1\r\n"
-                                "Content-Length: 4\r\n\r\nbody");
-  hsv_call_t *call = hbn_call_at (fixture, 0);
-  CU_ASSERT_STRING_EQUAL (hsv_method (call), "POST");
-  CU_ASSERT_STRING_EQUAL (hsv_path (call), "/a/b");
-  CU_ASSERT_STRING_EQUAL (hsv_target (call), "/a/b?x=1&y=two%20words");
-  CU_ASSERT_STRING_EQUAL (hsv_query (call, "y"), "two words");
-  CU_ASSERT_PTR_NULL (hsv_query (call, "z"));
-  CU_ASSERT_STRING_EQUAL (hsv_header (call, "x-one"), "1");
-  CU_ASSERT_PTR_NULL (hsv_header (call, "X-Two"));
-  CU_ASSERT_NSTRING_EQUAL (hsv_body (call, &body_bytes), "body", 4);
+  raw_peer_t *raw = server_fixture_connect_waiting (
+      fixture, "POST /a/b?x=1&y=two%20words HTTP/1.1\r\nHost: h\r\nX-One: 1\r\n"
+               "Content-Length: 4\r\n\r\nbody");
+  http_server_call_t *call = server_fixture_call_at (fixture, 0);
+  CU_ASSERT_STRING_EQUAL (http_server_method (call), "POST");
+  CU_ASSERT_STRING_EQUAL (http_server_path (call), "/a/b");
+  CU_ASSERT_STRING_EQUAL (http_server_target (call), "/a/b?x=1&y=two%20words");
+  CU_ASSERT_STRING_EQUAL (http_server_query_value (call, "y"), "two words");
+  CU_ASSERT_PTR_NULL (http_server_query_value (call, "z"));
+  CU_ASSERT_STRING_EQUAL (http_server_request_header (call, "x-one"), "1");
+  CU_ASSERT_PTR_NULL (http_server_request_header (call, "X-Two"));
+  CU_ASSERT_NSTRING_EQUAL (http_server_body (call, &body_bytes), "body", 4);
   CU_ASSERT_EQUAL (body_bytes, 4);
-  CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 1);
-  hsv_add_header (call, "X-Good", "yes");
-  hsv_add_header (call, "X-Bad", "a\r\nX-Evil: 1");
-  hsv_add_header (call, "Transfer-Encoding", "chunked");
-  hsv_add_header (call, "Content-Length", "99");
-  hsv_reply_text (call, 201, "text/plain", "done");
-  hbn_run_until_sees (fixture, raw, "done");
+  CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 1);
+  http_server_add_header (call, "X-Good", "yes");
+  http_server_add_header (call, "X-Bad", "a\r\nX-Evil: 1");
+  http_server_add_header (call, "Transfer-Encoding", "chunked");
+  http_server_add_header (call, "Content-Length", "99");
+  http_server_reply_text (call, 201, "text/plain", "done");
+  server_fixture_run_until_received (fixture, raw, "done");
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "HTTP/1.1 201 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "X-Good: yes\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "Content-Length: 4\r\n"));
-  hbn_check_absent (raw, "X-Evil");
-  hbn_check_absent (raw, "chunked");
-  hbn_check_absent (raw, "99");
-  CU_ASSERT_EQUAL (hbn_counted (fixture, "medlarplank_http_bad_headers_total"), 1);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_not_busy, fixture));
+  server_fixture_check_absent (raw, "X-Evil");
+  server_fixture_check_absent (raw, "chunked");
+  server_fixture_check_absent (raw, "99");
+  CU_ASSERT_EQUAL (server_fixture_counter_value (fixture, "medlarplank_http_bad_headers_total"), 1);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_is_idle, fixture));
   CU_ASSERT_EQUAL (fixture->disconnects, 0);
 }
 
@@ -59,7 +59,7 @@
 static void
 test_refusals (void)
 {
-  g_autofree char *big = g_strnfill (HBN_HEADER_LIMIT_BYTES + 10, 'x');
+  g_autofree char *big = g_strnfill (SERVER_FIXTURE_HEADER_LIMIT_BYTES + 10, 'x');
   g_autofree char *big_body = g_strnfill (300 * 1000, 'x');
   g_autoptr (GString) many = g_string_new ("GET / HTTP/1.1\r\n");
 
@@ -99,15 +99,16 @@
     {
       char *status = g_strdup_printf ("HTTP/1.1 %d ", cases[i].status);
 
-      g_autoptr (hbn_t) fixture = hbn_new ();
-      raw_t *raw = hbn_ask (fixture, cases[i].request);
-      CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
+      g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+      raw_peer_t *raw = server_fixture_connect (fixture, cases[i].request);
+      CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
       CU_ASSERT_FALSE (raw->reset);
       CU_ASSERT_TRUE (g_str_has_prefix (raw->got->str, status));
       CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\n{\"error\":{\"message\":"));
       CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, cases[i].code));
       CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "X-Medlarplank-Verdict: not_run\r\n"));
-      CU_ASSERT_EQUAL (hbn_refused (fixture, rejection_reason (cases[i].status)), 1);
+      CU_ASSERT_EQUAL (server_fixture_refused_count (fixture, rejection_reason (cases[i].status)),
+                       1);
       CU_ASSERT_EQUAL (fixture->calls, 0);
       g_free (status);
       g_free (cases[i].request);
@@ -121,15 +122,16 @@
 static void
 test_refused_while_sending (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *raw = hbn_ask (fixture, "POST / HTTP/1.1\r\nContent-Length: 300000\r\n\r\nfirst");
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *raw =
+      server_fixture_connect (fixture, "POST / HTTP/1.1\r\nContent-Length: 300000\r\n\r\nfirst");
 
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "body_too_large"));
   for (int i = 0; i < 5; i++)
     {
       CU_ASSERT_EQUAL (send (raw->fd, "more", 4, MSG_NOSIGNAL), 4);
-      raw_run_ms (fixture->base, 5);
+      raw_peer_run_ms (fixture->base, 5);
     }
 }
 
@@ -143,17 +145,17 @@
   g_autofree char *block = g_strnfill (64 * 1024, 'x');
   size_t sent_bytes = 0;
   int stalls = 0;
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
 
-  hsv_begin (hbn_call_at (fixture, 0), 200);
+  http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
   while (stalls < 3 && sent_bytes < FLOOD_BYTES)
     {
       ssize_t count = send (raw->fd, block, 64 * 1024, MSG_DONTWAIT | MSG_NOSIGNAL);
 
       stalls = count < 0 ? stalls + 1 : 0;
       sent_bytes += count < 0 ? 0 : (size_t)count;
-      raw_run_ms (fixture->base, count < 0 ? 20 : 0);
+      raw_peer_run_ms (fixture->base, count < 0 ? 20 : 0);
     }
   CU_ASSERT_TRUE (sent_bytes < FLOOD_BYTES);
 }
@@ -172,7 +174,7 @@
     "OPTIONS / HTTP/1.1\r\nContent-Length: 23\r\n\r\n",
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n17\r\n"
   };
-  raw_t *raw;
+  raw_peer_t *raw;
   size_t body_bytes;
 
   for (size_t i = 0; i < G_N_ELEMENTS (heads); i++)
@@ -180,19 +182,20 @@
       g_autofree char *request =
           g_strconcat (heads[i], inner, i == 3 ? "\r\n0\r\n\r\n" : NULL, NULL);
 
-      g_autoptr (hbn_t) fixture = hbn_new ();
-      raw = hbn_ask_waiting (fixture, request);
-      CU_ASSERT_NSTRING_EQUAL (hsv_body (hbn_call_at (fixture, 0), &body_bytes), inner, 23);
+      g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+      raw = server_fixture_connect_waiting (fixture, request);
+      CU_ASSERT_NSTRING_EQUAL (http_server_body (server_fixture_call_at (fixture, 0), &body_bytes),
+                               inner, 23);
       CU_ASSERT_EQUAL (body_bytes, 23);
-      hsv_reply_text (hbn_call_at (fixture, 0), 200, "text/plain", "seen");
-      hbn_run_until_sees (fixture, raw, "seen");
-      raw_run_ms (fixture->base, 5);
+      http_server_reply_text (server_fixture_call_at (fixture, 0), 200, "text/plain", "seen");
+      server_fixture_run_until_received (fixture, raw, "seen");
+      raw_peer_run_ms (fixture->base, 5);
       CU_ASSERT_EQUAL (fixture->calls, 1);
     }
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw =
-      hbn_ask (fixture, "HEAD / HTTP/1.1\r\nContent-Length: 23\r\n\r\nGET /inner HTTP/1.1\r\n\r\n");
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw = server_fixture_connect (
+      fixture, "HEAD / HTTP/1.1\r\nContent-Length: 23\r\n\r\nGET /inner HTTP/1.1\r\n\r\n");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "HTTP/1.1 400 "));
   CU_ASSERT_EQUAL (fixture->calls, 0);
 }
@@ -201,14 +204,14 @@
 static void
 test_at_the_limit (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  g_autofree char *body = g_strnfill (HBN_BODY_LIMIT_BYTES, 'x');
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  g_autofree char *body = g_strnfill (SERVER_FIXTURE_BODY_LIMIT_BYTES, 'x');
   g_autofree char *request = g_strdup_printf ("POST /full HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s",
-                                              HBN_BODY_LIMIT_BYTES, body);
+                                              SERVER_FIXTURE_BODY_LIMIT_BYTES, body);
 
   fixture->reply_at_once = true;
-  raw_t *raw = hbn_ask (fixture, request);
-  hbn_run_until_sees (fixture, raw, "\r\n\r\n/full");
+  raw_peer_t *raw = server_fixture_connect (fixture, request);
+  server_fixture_run_until_received (fixture, raw, "\r\n\r\n/full");
 }
 
 /* A client over the connection limit gets an error that says so; once others have closed their
@@ -216,41 +219,41 @@
 static void
 test_connection_limit (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *clients[HBN_CONNECTION_LIMIT + 1];
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *clients[SERVER_FIXTURE_CONNECTION_LIMIT + 1];
 
   fixture->reply_at_once = true;
-  for (int i = 0; i < HBN_CONNECTION_LIMIT; i++)
+  for (int i = 0; i < SERVER_FIXTURE_CONNECTION_LIMIT; i++)
     {
-      clients[i] = hbn_ask (fixture, "GET /in HTTP/1.1\r\n\r\n");
-      hbn_run_until_sees (fixture, clients[i], "/in");
+      clients[i] = server_fixture_connect (fixture, "GET /in HTTP/1.1\r\n\r\n");
+      server_fixture_run_until_received (fixture, clients[i], "/in");
     }
-  raw_t *raw = hbn_ask (fixture, "GET /out HTTP/1.1\r\n\r\n");
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
+  raw_peer_t *raw = server_fixture_connect (fixture, "GET /out HTTP/1.1\r\n\r\n");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "HTTP/1.1 503 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "too_many_connections"));
-  CU_ASSERT_EQUAL (hbn_refused (fixture, "connections"), 1);
-  raw_close (clients[0], false);
-  raw_close (clients[1], false);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_one_connected, fixture));
-  clients[0] = hbn_ask (fixture, "GET /again HTTP/1.1\r\n\r\n");
-  hbn_run_until_sees (fixture, clients[0], "\r\n\r\n/again");
+  CU_ASSERT_EQUAL (server_fixture_refused_count (fixture, "connections"), 1);
+  raw_peer_close (clients[0], false);
+  raw_peer_close (clients[1], false);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_one_connected, fixture));
+  clients[0] = server_fixture_connect (fixture, "GET /again HTTP/1.1\r\n\r\n");
+  server_fixture_run_until_received (fixture, clients[0], "\r\n\r\n/again");
 }
 
 static bool
 is_flood_accepted (void *context)
 {
-  return hbn_counted (context, "medlarplank_http_connections") ==
-         HBN_CONNECTION_LIMIT + LIM_HTTP_OVER_LIMIT;
+  return server_fixture_counter_value (context, "medlarplank_http_connections") ==
+         SERVER_FIXTURE_CONNECTION_LIMIT + LIM_HTTP_OVER_LIMIT;
 }
 
 static bool
 is_flood_closed (void *context)
 {
-  return hbn_counted (context, "medlarplank_http_connections") == 0;
+  return server_fixture_counter_value (context, "medlarplank_http_connections") == 0;
 }
 
-#define SENT_BODY_BYTES 900 /* of a body with HBN_BODY_LIMIT_BYTES */
+#define SENT_BODY_BYTES 900 /* of a body with SERVER_FIXTURE_BODY_LIMIT_BYTES */
 
 /* Returns a request without the end of its body, with @padding_bytes in a header */
 static char *
@@ -260,7 +263,7 @@
   g_autofree char *body = g_strnfill (SENT_BODY_BYTES, 'b');
 
   return g_strdup_printf ("POST /long HTTP/1.1\r\nX-Fill: %s\r\nContent-Length: %d\r\n\r\n%s",
-                          padding, HBN_BODY_LIMIT_BYTES, body);
+                          padding, SERVER_FIXTURE_BODY_LIMIT_BYTES, body);
 }
 
 /*
@@ -272,34 +275,34 @@
 test_incomplete_requests_limit (void)
 {
   static const int PADDINGS[] = { 1700, 1850, 1800 };
-  g_autofree char *rest = g_strnfill (HBN_BODY_LIMIT_BYTES - SENT_BODY_BYTES, 'b');
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *clients[G_N_ELEMENTS (PADDINGS)];
+  g_autofree char *rest = g_strnfill (SERVER_FIXTURE_BODY_LIMIT_BYTES - SENT_BODY_BYTES, 'b');
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *clients[G_N_ELEMENTS (PADDINGS)];
 
   fixture->reply_at_once = true;
   for (guint i = 0; i < G_N_ELEMENTS (PADDINGS); i++)
     {
       g_autofree char *request = make_incomplete_request (PADDINGS[i]);
 
-      clients[i] = hbn_ask (fixture, request);
+      clients[i] = server_fixture_connect (fixture, request);
     }
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, clients[1]));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, clients[1]));
   CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->got->str, "HTTP/1.1 503 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->got->str, "too_many_bytes"));
   CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->got->str, "not_run"));
   CU_ASSERT_FALSE (clients[1]->reset);
   for (guint i = 0; i < G_N_ELEMENTS (PADDINGS); i += 2)
     {
-      raw_send (clients[i], rest);
-      hbn_run_until_sees (fixture, clients[i], "\r\n\r\n/long");
+      raw_peer_send (clients[i], rest);
+      server_fixture_run_until_received (fixture, clients[i], "\r\n\r\n/long");
     }
   for (int i = 0; i < 9; i++)
     {
-      raw_send (clients[0], "GET /short HTTP/1.1\r\n\r\n");
+      raw_peer_send (clients[0], "GET /short HTTP/1.1\r\n\r\n");
       g_string_truncate (clients[0]->got, 0);
-      hbn_run_until_sees (fixture, clients[0], "\r\n\r\n/short");
+      server_fixture_run_until_received (fixture, clients[0], "\r\n\r\n/short");
     }
-  CU_ASSERT_EQUAL (hbn_refused (fixture, "body"), 1);
+  CU_ASSERT_EQUAL (server_fixture_refused_count (fixture, "body"), 1);
 }
 
 /*
@@ -312,22 +315,22 @@
 {
   enum
   {
-    FLOOD = HBN_CONNECTION_LIMIT + LIM_HTTP_OVER_LIMIT + 10
+    FLOOD = SERVER_FIXTURE_CONNECTION_LIMIT + LIM_HTTP_OVER_LIMIT + 10
   };
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *clients[FLOOD];
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *clients[FLOOD];
 
   fixture->reply_at_once = true;
   for (int i = 0; i < FLOOD; i++)
-    clients[i] = hbn_ask (fixture, "");
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, is_flood_accepted, fixture));
-  raw_run_ms (fixture->base, 20);
+    clients[i] = server_fixture_connect (fixture, "");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, is_flood_accepted, fixture));
+  raw_peer_run_ms (fixture->base, 20);
   CU_ASSERT_TRUE (is_flood_accepted (fixture));
   for (int i = 0; i < FLOOD; i++)
-    raw_close (clients[i], false);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, is_flood_closed, fixture));
-  clients[0] = hbn_ask (fixture, "GET /after HTTP/1.1\r\n\r\n");
-  hbn_run_until_sees (fixture, clients[0], "\r\n\r\n/after");
+    raw_peer_close (clients[i], false);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, is_flood_closed, fixture));
+  clients[0] = server_fixture_connect (fixture, "GET /after HTTP/1.1\r\n\r\n");
+  server_fixture_run_until_received (fixture, clients[0], "\r\n\r\n/after");
 }
 
 /*
@@ -338,19 +341,20 @@
 static void
 test_pipelined (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
   const char *first;
   const char *second;
   const char *third;
 
-  raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
-  raw_send (raw, "POST /3 HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo");
-  raw_run_ms (fixture->base, 20);
+  raw_peer_t *raw =
+      server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+  raw_peer_send (raw, "POST /3 HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo");
+  raw_peer_run_ms (fixture->base, 20);
   CU_ASSERT_EQUAL (fixture->calls, 1);
   fixture->reply_at_once = true;
-  hsv_reply_text (hbn_call_at (fixture, 0), 200, "text/plain", "/one");
-  raw_send (raw, "dy");
-  hbn_run_until_sees (fixture, raw, "\r\n\r\n/3");
+  http_server_reply_text (server_fixture_call_at (fixture, 0), 200, "text/plain", "/one");
+  raw_peer_send (raw, "dy");
+  server_fixture_run_until_received (fixture, raw, "\r\n\r\n/3");
   first = strstr (raw->got->str, "\r\n\r\n/one");
   second = strstr (raw->got->str, "\r\n\r\n/2");
   third = strstr (raw->got->str, "\r\n\r\n/3");
@@ -361,38 +365,39 @@
 static void
 test_stream (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
-
-  hsv_add_header (hbn_call_at (fixture, 0), "Content-Length", "3");
-  hsv_begin (hbn_call_at (fixture, 0), 200);
-  CU_ASSERT_TRUE (hbn_part (hbn_call_at (fixture, 0), "first"));
-  hbn_run_until_sees (fixture, raw, "Transfer-Encoding: chunked\r\n");
-  hbn_run_until_sees (fixture, raw, "5\r\nfirst\r\n");
-  hbn_check_absent (raw, "Content-Length");
-  hbn_part (hbn_call_at (fixture, 0), "second");
-  hsv_end (hbn_call_at (fixture, 0));
-  CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 1);
-  hbn_run_until_sees (fixture, raw, "6\r\nsecond\r\n0\r\n\r\n");
-  CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 0);
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+
+  http_server_add_header (server_fixture_call_at (fixture, 0), "Content-Length", "3");
+  http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
+  CU_ASSERT_TRUE (server_fixture_send_part (server_fixture_call_at (fixture, 0), "first"));
+  server_fixture_run_until_received (fixture, raw, "Transfer-Encoding: chunked\r\n");
+  server_fixture_run_until_received (fixture, raw, "5\r\nfirst\r\n");
+  server_fixture_check_absent (raw, "Content-Length");
+  server_fixture_send_part (server_fixture_call_at (fixture, 0), "second");
+  http_server_end_reply (server_fixture_call_at (fixture, 0));
+  CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 1);
+  server_fixture_run_until_received (fixture, raw, "6\r\nsecond\r\n0\r\n\r\n");
+  CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 0);
   fixture->reply_at_once = true;
-  raw_send (raw, "GET /next HTTP/1.1\r\n\r\n");
-  hbn_run_until_sees (fixture, raw, "\r\n\r\n/next");
+  raw_peer_send (raw, "GET /next HTTP/1.1\r\n\r\n");
+  server_fixture_run_until_received (fixture, raw, "\r\n\r\n/next");
 }
 
 static void
 test_http_1_0 (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-
-  hsv_begin (hbn_call_at (fixture, 0), 200);
-  hbn_part (hbn_call_at (fixture, 0), "whole");
-  hsv_end (hbn_call_at (fixture, 0));
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *raw =
+      server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
+
+  http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
+  server_fixture_send_part (server_fixture_call_at (fixture, 0), "whole");
+  http_server_end_reply (server_fixture_call_at (fixture, 0));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
   CU_ASSERT_FALSE (raw->reset);
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\nwhole"));
-  hbn_check_absent (raw, "chunked");
+  server_fixture_check_absent (raw, "chunked");
 }
 
 /* Responses to HEAD have a Content-Length but no body, since the client would take body bytes for
@@ -400,20 +405,21 @@
 static void
 test_no_body (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *raw = hbn_ask_waiting (fixture, "HEAD /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
-
-  hsv_reply_text (hbn_call_at (fixture, 0), 200, "text/plain", "unseen");
-  hbn_run_until_sees (fixture, raw, "Content-Length: 6\r\n");
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_two_wait, fixture));
-  hsv_begin (hbn_call_at (fixture, 1), 204);
-  hbn_part (hbn_call_at (fixture, 1), "unseen");
-  hsv_end (hbn_call_at (fixture, 1));
-  hbn_run_until_sees (fixture, raw, "HTTP/1.1 204 ");
-  raw_run_ms (fixture->base, 5);
-  hbn_check_absent (raw, "unseen");
-  hbn_check_absent (raw, "chunked");
-  CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 0);
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *raw =
+      server_fixture_connect_waiting (fixture, "HEAD /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+
+  http_server_reply_text (server_fixture_call_at (fixture, 0), 200, "text/plain", "unseen");
+  server_fixture_run_until_received (fixture, raw, "Content-Length: 6\r\n");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_two_waiting, fixture));
+  http_server_begin_reply (server_fixture_call_at (fixture, 1), 204);
+  server_fixture_send_part (server_fixture_call_at (fixture, 1), "unseen");
+  http_server_end_reply (server_fixture_call_at (fixture, 1));
+  server_fixture_run_until_received (fixture, raw, "HTTP/1.1 204 ");
+  raw_peer_run_ms (fixture->base, 5);
+  server_fixture_check_absent (raw, "unseen");
+  server_fixture_check_absent (raw, "chunked");
+  CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 0);
 }
 
 int
--- a/tests/test_http_server_end.c
+++ b/tests/test_http_server_end.c
@@ -16,24 +16,24 @@
 {
   for (int kind = 0; kind < 6; kind++)
     {
-      g_autoptr (hbn_t) fixture = hbn_new ();
-      raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+      g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+      raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
 
       if (kind >= 3)
         {
-          raw_send (raw, "GET /2 HTTP/1.1\r\n\r\n");
-          raw_run_ms (fixture->base, 5);
+          raw_peer_send (raw, "GET /2 HTTP/1.1\r\n\r\n");
+          raw_peer_run_ms (fixture->base, 5);
         }
       if (kind % 3 == 2)
         shutdown (raw->fd, SHUT_WR);
       else
-        raw_close (raw, kind % 3 == 1);
-      CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_one_gone, fixture));
-      CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 0);
-      raw_run_ms (fixture->base, 5);
+        raw_peer_close (raw, kind % 3 == 1);
+      CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_one_disconnected, fixture));
+      CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 0);
+      raw_peer_run_ms (fixture->base, 5);
       CU_ASSERT_EQUAL (fixture->disconnects, 1);
       CU_ASSERT_EQUAL (fixture->calls, 1);
-      CU_ASSERT_EQUAL (hbn_counted (fixture, "medlarplank_http_connections"), 0);
+      CU_ASSERT_EQUAL (server_fixture_counter_value (fixture, "medlarplank_http_connections"), 0);
     }
 }
 
@@ -47,27 +47,27 @@
 {
   for (int minor = 0; minor < 2; minor++)
     {
-      g_autoptr (hbn_t) fixture = hbn_new ();
+      g_autoptr (server_fixture_t) fixture = server_fixture_new ();
       g_autofree char *request = g_strdup_printf ("GET /1 HTTP/1.%d\r\n\r\n", minor);
 
-      raw_t *raw = hbn_ask_waiting (fixture, request);
-      hsv_begin (hbn_call_at (fixture, 0), 200);
-      hbn_part (hbn_call_at (fixture, 0), "part");
-      hbn_run_until_sees (fixture, raw, "part");
-      hsv_abort (hbn_call_at (fixture, 0));
-      CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
-      hbn_check_absent (raw, "0\r\n\r\n");
+      raw_peer_t *raw = server_fixture_connect_waiting (fixture, request);
+      http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
+      server_fixture_send_part (server_fixture_call_at (fixture, 0), "part");
+      server_fixture_run_until_received (fixture, raw, "part");
+      http_server_abort (server_fixture_call_at (fixture, 0));
+      CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
+      server_fixture_check_absent (raw, "0\r\n\r\n");
       if (minor == 0)
         CU_ASSERT_TRUE (raw->reset);
       CU_ASSERT_EQUAL (fixture->disconnects, 0);
-      CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 0);
+      CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 0);
     }
 }
 
 static bool
 is_writable (void *context)
 {
-  return ((hbn_t *)context)->writable_count > 0;
+  return ((server_fixture_t *)context)->writable_count > 0;
 }
 
 /*
@@ -78,26 +78,26 @@
 test_back_pressure (void)
 {
   g_autofree char *block = g_strnfill (64 * 1024, 'x');
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
 
   event_del (raw->readable);
-  hsv_begin (hbn_call_at (fixture, 0), 200);
+  http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
   do
     {
-      while (hbn_part (hbn_call_at (fixture, 0), block))
+      while (server_fixture_send_part (server_fixture_call_at (fixture, 0), block))
         ;
       fixture->writable_count = 0;
-      raw_run_ms (fixture->base, 20);
+      raw_peer_run_ms (fixture->base, 20);
     }
   while (fixture->writable_count > 0);
   CU_ASSERT_EQUAL (fixture->writable_count, 0);
-  CU_ASSERT_FALSE (hbn_part (hbn_call_at (fixture, 0), block));
+  CU_ASSERT_FALSE (server_fixture_send_part (server_fixture_call_at (fixture, 0), block));
   event_add (raw->readable, NULL);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, is_writable, fixture));
-  CU_ASSERT_TRUE (hbn_part (hbn_call_at (fixture, 0), "last"));
-  hsv_end (hbn_call_at (fixture, 0));
-  hbn_run_until_sees (fixture, raw, "4\r\nlast\r\n0\r\n\r\n");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, is_writable, fixture));
+  CU_ASSERT_TRUE (server_fixture_send_part (server_fixture_call_at (fixture, 0), "last"));
+  http_server_end_reply (server_fixture_call_at (fixture, 0));
+  server_fixture_run_until_received (fixture, raw, "4\r\nlast\r\n0\r\n\r\n");
 }
 
 /*
@@ -107,20 +107,21 @@
 static void
 test_idle_timeout (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new_timeouts (40, HBN_NO_TIMEOUT_MS);
-  raw_t *idle = hbn_ask (fixture, "");
+  g_autoptr (server_fixture_t) fixture =
+      server_fixture_new_with_timeouts (40, SERVER_FIXTURE_NO_TIMEOUT_MS);
+  raw_peer_t *idle = server_fixture_connect (fixture, "");
 
-  raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
-  hsv_begin (hbn_call_at (fixture, 0), 200);
-  hbn_part (hbn_call_at (fixture, 0), "one");
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, idle));
-  raw_run_ms (fixture->base, 80);
+  raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+  http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
+  server_fixture_send_part (server_fixture_call_at (fixture, 0), "one");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, idle));
+  raw_peer_run_ms (fixture->base, 80);
   CU_ASSERT_FALSE (raw->eof);
   CU_ASSERT_EQUAL (fixture->disconnects, 0);
-  hbn_part (hbn_call_at (fixture, 0), "two");
-  hsv_end (hbn_call_at (fixture, 0));
-  hbn_run_until_sees (fixture, raw, "0\r\n\r\n");
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
+  server_fixture_send_part (server_fixture_call_at (fixture, 0), "two");
+  http_server_end_reply (server_fixture_call_at (fixture, 0));
+  server_fixture_run_until_received (fixture, raw, "0\r\n\r\n");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
 }
 
 /* The client disconnects during a streamed response, which libevent notices itself while writing */
@@ -129,15 +130,15 @@
 {
   for (int reset = 0; reset < 2; reset++)
     {
-      g_autoptr (hbn_t) fixture = hbn_new ();
-      raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+      g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+      raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
 
-      hsv_begin (hbn_call_at (fixture, 0), 200);
-      hbn_part (hbn_call_at (fixture, 0), "part");
-      hbn_run_until_sees (fixture, raw, "part");
-      raw_close (raw, reset);
-      CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_one_gone, fixture));
-      CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 0);
+      http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
+      server_fixture_send_part (server_fixture_call_at (fixture, 0), "part");
+      server_fixture_run_until_received (fixture, raw, "part");
+      raw_peer_close (raw, reset);
+      CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_one_disconnected, fixture));
+      CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 0);
     }
 }
 
@@ -148,22 +149,22 @@
 {
   for (int kind = 0; kind < 4; kind++)
     {
-      g_autoptr (hbn_t) fixture = hbn_new ();
-      raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+      g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+      raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
 
-      hsv_call_t *call = hbn_call_at (fixture, 0);
-      raw_close (raw, kind == 3);
+      http_server_call_t *call = server_fixture_call_at (fixture, 0);
+      raw_peer_close (raw, kind == 3);
       if (kind == 0)
-        hsv_abort (call);
+        http_server_abort (call);
       else if (kind == 1)
-        hsv_reply_text (call, 200, "text/plain", "late");
+        http_server_reply_text (call, 200, "text/plain", "late");
       else
         {
-          hsv_begin (call, 200);
-          hsv_end (call);
+          http_server_begin_reply (call, 200);
+          http_server_end_reply (call);
         }
-      CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_not_busy, fixture));
-      raw_run_ms (fixture->base, 5);
+      CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_is_idle, fixture));
+      raw_peer_run_ms (fixture->base, 5);
       CU_ASSERT_EQUAL (fixture->disconnects, 0);
     }
 }
@@ -176,29 +177,30 @@
 static void
 test_stop (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
 
   fixture->reply_at_once = true;
-  raw_t *keep_alive = hbn_ask (fixture, "GET /kept HTTP/1.1\r\n\r\n");
-  hbn_run_until_sees (fixture, keep_alive, "\r\n\r\n/kept");
+  raw_peer_t *keep_alive = server_fixture_connect (fixture, "GET /kept HTTP/1.1\r\n\r\n");
+  server_fixture_run_until_received (fixture, keep_alive, "\r\n\r\n/kept");
   fixture->reply_at_once = false;
-  raw_t *incomplete = hbn_ask (fixture, "GET /half HT");
-  raw_t *pending = hbn_ask_waiting (fixture, "GET /waits HTTP/1.1\r\n\r\n");
+  raw_peer_t *incomplete = server_fixture_connect (fixture, "GET /half HT");
+  raw_peer_t *pending = server_fixture_connect_waiting (fixture, "GET /waits HTTP/1.1\r\n\r\n");
   fixture->reply_at_once = true;
-  raw_t *queued = hbn_ask (fixture, "GET /queued HTTP/1.1\r\n\r\n");
-  raw_send (keep_alive, "GET /more HTTP/1.1\r\n\r\n");
-  hsv_stop (fixture->hsv);
-  hbn_run_until_sees (fixture, keep_alive, "\r\n\r\n/more");
-  hbn_run_until_sees (fixture, queued, "503"); /* as the fourth connection, it is over the limit */
-  raw_run_ms (fixture->base, LIM_HTTP_STOP_LINGER_MS + 50);
-  raw_send (incomplete, "TP/1.1\r\n\r\n");
-  hbn_run_until_sees (fixture, incomplete, "\r\n\r\n/half");
+  raw_peer_t *queued = server_fixture_connect (fixture, "GET /queued HTTP/1.1\r\n\r\n");
+  raw_peer_send (keep_alive, "GET /more HTTP/1.1\r\n\r\n");
+  http_server_stop (fixture->http_server);
+  server_fixture_run_until_received (fixture, keep_alive, "\r\n\r\n/more");
+  server_fixture_run_until_received (fixture, queued,
+                                     "503"); /* as the fourth connection, it is over the limit */
+  raw_peer_run_ms (fixture->base, LIM_HTTP_STOP_LINGER_MS + 50);
+  raw_peer_send (incomplete, "TP/1.1\r\n\r\n");
+  server_fixture_run_until_received (fixture, incomplete, "\r\n\r\n/half");
   CU_ASSERT_PTR_NOT_NULL (strstr (incomplete->got->str, "Connection: close\r\n"));
-  CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 1);
-  hsv_reply_text (hbn_call_at (fixture, 0), 200, "text/plain", "/waits");
-  hbn_run_until_sees (fixture, pending, "\r\n\r\n/waits");
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_not_busy, fixture));
-  CU_ASSERT_EQUAL (hsv_port (fixture->hsv), 0);
+  CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 1);
+  http_server_reply_text (server_fixture_call_at (fixture, 0), 200, "text/plain", "/waits");
+  server_fixture_run_until_received (fixture, pending, "\r\n\r\n/waits");
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_is_idle, fixture));
+  CU_ASSERT_EQUAL (http_server_port (fixture->http_server), 0);
 }
 
 /*
@@ -208,29 +210,29 @@
 static void
 test_stop_stream (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  raw_t *raw = hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  raw_peer_t *raw = server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
 
-  hsv_begin (hbn_call_at (fixture, 0), 200);
-  hsv_stop (fixture->hsv);
-  raw_run_ms (fixture->base, LIM_HTTP_STOP_LINGER_MS + 50);
-  CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 1);
-  hbn_part (hbn_call_at (fixture, 0), "whole");
-  hsv_end (hbn_call_at (fixture, 0));
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_not_busy, fixture));
+  http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
+  http_server_stop (fixture->http_server);
+  raw_peer_run_ms (fixture->base, LIM_HTTP_STOP_LINGER_MS + 50);
+  CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 1);
+  server_fixture_send_part (server_fixture_call_at (fixture, 0), "whole");
+  http_server_end_reply (server_fixture_call_at (fixture, 0));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_is_idle, fixture));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "0\r\n\r\n"));
 }
 
 static bool
 has_one_timeout (void *context)
 {
-  return hbn_refused (context, "slow") == 1;
+  return server_fixture_refused_count (context, "slow") == 1;
 }
 
 static void
 send_one_byte (evutil_socket_t fd, short what, void *context)
 {
-  raw_t *raw = context;
+  raw_peer_t *raw = context;
 
   (void)fd;
   (void)what;
@@ -244,14 +246,15 @@
 test_slow_request (void)
 {
   struct timeval pause = { 0, 10 * 1000 };
-  g_autoptr (hbn_t) fixture = hbn_new_timeouts (HBN_NO_TIMEOUT_MS, 50);
+  g_autoptr (server_fixture_t) fixture =
+      server_fixture_new_with_timeouts (SERVER_FIXTURE_NO_TIMEOUT_MS, 50);
   struct event *send_timer;
 
-  raw_t *raw = hbn_ask (fixture, "GET /");
+  raw_peer_t *raw = server_fixture_connect (fixture, "GET /");
   send_timer = event_new (fixture->base, -1, EV_PERSIST, send_one_byte, raw);
   event_add (send_timer, &pause);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, has_one_timeout, fixture));
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, raw));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_one_timeout, fixture));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
   event_free (send_timer);
 }
 
@@ -259,16 +262,16 @@
 static void
 test_stop_idle (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
 
   fixture->reply_at_once = true;
-  raw_t *idle = hbn_ask (fixture, "");
-  raw_t *used = hbn_ask (fixture, "GET /used HTTP/1.1\r\n\r\n");
-  hbn_run_until_sees (fixture, used, "\r\n\r\n/used");
-  hsv_stop (fixture->hsv);
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, idle));
-  CU_ASSERT_TRUE (raw_run_until (fixture->base, hbn_ended, used));
-  CU_ASSERT_EQUAL (hsv_busy (fixture->hsv), 0);
+  raw_peer_t *idle = server_fixture_connect (fixture, "");
+  raw_peer_t *used = server_fixture_connect (fixture, "GET /used HTTP/1.1\r\n\r\n");
+  server_fixture_run_until_received (fixture, used, "\r\n\r\n/used");
+  http_server_stop (fixture->http_server);
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, idle));
+  CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, used));
+  CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 0);
 }
 
 /* The server is freed with connections in every state, including one that evhttp has just accepted
@@ -276,32 +279,32 @@
 static void
 test_free_while_busy (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
 
-  hbn_ask (fixture, "");
-  hbn_ask_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
-  hbn_ask (fixture, "");
+  server_fixture_connect (fixture, "");
+  server_fixture_connect_waiting (fixture, "GET /1 HTTP/1.1\r\n\r\n");
+  server_fixture_connect (fixture, "");
   event_base_loop (fixture->base, EVLOOP_ONCE);
-  hsv_free (fixture->hsv);
-  fixture->hsv = NULL;
+  http_server_free (fixture->http_server);
+  fixture->http_server = NULL;
   CU_ASSERT_EQUAL (fixture->disconnects, 1);
 }
 
 static void
 test_address_taken (void)
 {
-  g_autoptr (hbn_t) fixture = hbn_new ();
-  hsv_options_t options = { 0 };
+  g_autoptr (server_fixture_t) fixture = server_fixture_new ();
+  http_server_options_t options = { 0 };
   GError *error = NULL;
 
   options.base = fixture->base;
   options.counters = fixture->counters;
   options.listen = fixture->address;
-  CU_ASSERT_PTR_NULL (hsv_new (&options, &error));
+  CU_ASSERT_PTR_NULL (http_server_new (&options, &error));
   CU_ASSERT_PTR_NOT_NULL (strstr (error->message, "Address already in use"));
   g_clear_error (&error);
   g_strlcpy (options.listen.ip, "localhost", sizeof options.listen.ip);
-  CU_ASSERT_PTR_NULL (hsv_new (&options, &error));
+  CU_ASSERT_PTR_NULL (http_server_new (&options, &error));
   CU_ASSERT_PTR_NOT_NULL (error);
   g_clear_error (&error);
 }
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -551,26 +551,29 @@
 }
 
 static void
-ignore_end (const hcl_end_t *end, void *context)
+ignore_end (const http_client_result_t *end, void *context)
 {
   (void)end;
   (void)context;
 }
 
 static int
-call_sidecar (testbed_t *testbed, const hcl_header_t *headers, uint32_t count, const char *target)
+call_sidecar (testbed_t *testbed,
+              const http_client_header_t *headers,
+              uint32_t count,
+              const char *target)
 {
   int status = 0;
-  hcl_options_t options = { .address = &testbed->hosts[0].http,
-                            .method = "POST",
-                            .target = target,
-                            .headers = headers,
-                            .header_count = count,
-                            .on_head = on_status,
-                            .on_end = ignore_end,
-                            .context = &status };
-
-  hcl_start (testbed->http_client, &options);
+  http_client_options_t options = { .address = &testbed->hosts[0].http,
+                                    .method = "POST",
+                                    .target = target,
+                                    .headers = headers,
+                                    .header_count = count,
+                                    .on_head = on_status,
+                                    .on_end = ignore_end,
+                                    .context = &status };
+
+  http_client_start_call (testbed->http_client, &options);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, has_status, &status));
   return status;
 }
@@ -580,8 +583,8 @@
 static void
 sidecars_accept_only_sealed_requests (void)
 {
-  static const hcl_header_t FORGED[] = { { "X-Medlarplank-Seal", "00" },
-                                         { "X-Medlarplank-Account", "first" } };
+  static const http_client_header_t FORGED[] = { { "X-Medlarplank-Seal", "00" },
+                                                 { "X-Medlarplank-Account", "first" } };
   g_autoptr (testbed_t) testbed = testbed_new ();
 
   CU_ASSERT_EQUAL (call_sidecar (testbed, FORGED, 2, "/look"), 403);
@@ -599,19 +602,19 @@
   static const char TARGET[] = HOP_REVOKE_PATH "?attempt=000000000000000a000000000000000b&age_ms=5";
   g_autoptr (testbed_t) testbed = testbed_new ();
   char seal[CALL_SEAL_BYTES];
-  hcl_header_t seal_header = { .name = CALL_SEAL_HEADER, .value = seal };
+  http_client_header_t seal_header = { .name = CALL_SEAL_HEADER, .value = seal };
   hop_t hop = { .attempt = { 0xa, 0xb },
                 .service = "pool",
                 .account = "first",
                 .class_name = "short",
                 .deadline_ms = 1000 };
   hop_header_t written[HOP_HEADER_COUNT];
-  hcl_header_t headers[HOP_HEADER_COUNT];
+  http_client_header_t headers[HOP_HEADER_COUNT];
 
   hop.body_hash = digest_request ("POST", "/book", "", 0);
   uint32_t count = hop_write (&hop, TESTBED_FLEET_KEY, written);
   for (uint32_t i = 0; i < count; i++)
-    headers[i] = (hcl_header_t){ .name = written[i].name, .value = written[i].value };
+    headers[i] = (http_client_header_t){ .name = written[i].name, .value = written[i].value };
   call_seal_compute (&(sealed_call_t){ .host = "e0", .method = "POST", .target = TARGET },
                      TESTBED_FLEET_KEY, seal);
   CU_ASSERT_EQUAL (call_sidecar (testbed, &seal_header, 1, TARGET), 200);
--- a/tests/test_path_answers.c
+++ b/tests/test_path_answers.c
@@ -9,7 +9,7 @@
 static bool
 got_next_answer (void *context)
 {
-  const raw_t *raw = context;
+  const raw_peer_t *raw = context;
 
   return raw->eof || strstr (raw->got->str, "ran:next") != NULL;
 }
@@ -21,16 +21,16 @@
 {
   g_autoptr (testbed_t) testbed = testbed_new ();
 
-  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[TESTBED_SIDECARS].http);
-  raw_send (raw, "HEAD /look HTTP/1.1\r\nX-Api-Key: " TESTBED_API_KEY "\r\n\r\n"
-                 "POST /look HTTP/1.1\r\nX-Api-Key: " TESTBED_API_KEY
-                 "\r\nContent-Length: 4\r\n\r\nnext");
+  raw_peer_t *raw = raw_peer_connect (testbed->base, &testbed->hosts[TESTBED_SIDECARS].http);
+  raw_peer_send (raw, "HEAD /look HTTP/1.1\r\nX-Api-Key: " TESTBED_API_KEY "\r\n\r\n"
+                      "POST /look HTTP/1.1\r\nX-Api-Key: " TESTBED_API_KEY
+                      "\r\nContent-Length: 4\r\n\r\nnext");
   CU_ASSERT_TRUE (testbed_wait_until (testbed, got_next_answer, raw));
   CU_ASSERT_TRUE (g_str_has_prefix (raw->got->str, "HTTP/1.1 200 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "Content-Length: 4\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\nHTTP/1.1 200 "));
   CU_ASSERT_PTR_NULL (strstr (raw->got->str, "Content-Length: 0\r\n"));
-  raw_free (raw);
+  raw_peer_free (raw);
 }
 
 static bool
@@ -73,7 +73,7 @@
   CU_ASSERT_TRUE (testbed_wait_until (testbed, caller_buffer_is_full, testbed));
   fire_stall_timers (testbed);
   answer.stop_reading = false;
-  hcl_pause (answer.call, false);
+  http_client_set_paused (answer.call, false);
   fire_stall_timers (testbed);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
   CU_ASSERT_TRUE (answer.end.whole);
--- a/tests/test_path_hostile.c
+++ b/tests/test_path_hostile.c
@@ -8,7 +8,7 @@
 static bool
 answered (void *context)
 {
-  const raw_t *raw = context;
+  const raw_peer_t *raw = context;
 
   return raw->eof || strstr (raw->got->str, "\r\n\r\n") != NULL;
 }
@@ -18,13 +18,13 @@
 static int
 send_raw (testbed_t *testbed, const char *text)
 {
-  raw_t *raw = raw_connect (testbed->base, &testbed->hosts[TESTBED_SIDECARS].http);
+  raw_peer_t *raw = raw_peer_connect (testbed->base, &testbed->hosts[TESTBED_SIDECARS].http);
   int status = 0;
 
-  raw_send (raw, text);
+  raw_peer_send (raw, text);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, answered, raw));
   sscanf (raw->got->str, "HTTP/1.1 %d", &status);
-  raw_free (raw);
+  raw_peer_free (raw);
   return status;
 }
 
--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -20,7 +20,7 @@
  */
 typedef struct
 {
-  hsv_t *server;
+  http_server_t *server;
   membership_host_t *moved_host;
   set_address_t new_address;
   const char *verdict;
@@ -30,39 +30,39 @@
 } fake_t;
 
 static void
-on_call (hsv_call_t *call, void *context)
+on_call (http_server_call_t *call, void *context)
 {
   fake_t *fake = context;
 
-  if (strcmp (hsv_path (call), HOP_REVOKE_PATH) != 0)
+  if (strcmp (http_server_path (call), HOP_REVOKE_PATH) != 0)
     {
       fake->requests++;
       if (fake->moved_host != NULL)
         fake->moved_host->http = fake->new_address;
-      hsv_abort (call);
+      http_server_abort (call);
       return;
     }
   fake->revokes++;
-  hsv_add_header (call, VERDICT_HEADER, fake->verdict);
-  hsv_add_header (call, HOP_INCARNATION_HEADER, fake->incarnation);
-  hsv_reply_text (call, 200, "text/plain", "");
+  http_server_add_header (call, VERDICT_HEADER, fake->verdict);
+  http_server_add_header (call, HOP_INCARNATION_HEADER, fake->incarnation);
+  http_server_reply_text (call, 200, "text/plain", "");
 }
 
 static void
 listen_as (testbed_t *testbed, fake_t *fake, uint32_t last)
 {
-  hsv_options_t options = { .base = testbed->base,
-                            .counters = testbed->counters,
-                            .listen = testbed_address (last),
-                            .body_limit_bytes = 1 << 20,
-                            .header_limit_bytes = 1 << 16,
-                            .header_limit_count = 100,
-                            .connection_limit = 100,
-                            .idle_timeout_ms = 10000,
-                            .on_call = on_call,
-                            .context = fake };
-
-  fake->server = hsv_new (&options, NULL);
+  http_server_options_t options = { .base = testbed->base,
+                                    .counters = testbed->counters,
+                                    .listen = testbed_address (last),
+                                    .body_limit_bytes = 1 << 20,
+                                    .header_limit_bytes = 1 << 16,
+                                    .header_limit_count = 100,
+                                    .connection_limit = 100,
+                                    .idle_timeout_ms = 10000,
+                                    .on_call = on_call,
+                                    .context = fake };
+
+  fake->server = http_server_new (&options, NULL);
 }
 
 /* replace_first_sidecar() - replaces the sidecar that the router tries first for BOOK by the fake.
@@ -105,7 +105,7 @@
   CU_ASSERT_EQUAL (fake.requests, 1);
   CU_ASSERT_EQUAL (fake.revokes, 1);
   CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
-  hsv_free (fake.server);
+  http_server_free (fake.server);
 }
 
 /* The same, but the sidecar restarted in between, and does not know what its predecessor passed to
@@ -120,7 +120,7 @@
   ask_status (testbed, &BOOK, 502, "may_have_run");
   CU_ASSERT_EQUAL (fake.revokes, 1);
   CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
-  hsv_free (fake.server);
+  http_server_free (fake.server);
 }
 
 /* A host is replaced and keeps its name. The router knows the successor's incarnation while its
@@ -147,8 +147,8 @@
   CU_ASSERT_EQUAL (predecessor.revokes, 1);
   CU_ASSERT_EQUAL (successor.revokes, 0);
   CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
-  hsv_free (predecessor.server);
-  hsv_free (successor.server);
+  http_server_free (predecessor.server);
+  http_server_free (successor.server);
 }
 
 /* The sidecar had passed the request to the engine, so its outcome is unknown. A non-idempotent
@@ -167,7 +167,7 @@
   CU_ASSERT_EQUAL (testbed_count_received (testbed), 0);
   ask_status (testbed, &LOOK, 200, "ran");
   CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
-  hsv_free (fake.server);
+  http_server_free (fake.server);
 }
 
 /* The sidecar's host refuses connections, so no byte of the request was sent: even a non-idempotent
@@ -179,7 +179,7 @@
   fake_t fake = { 0 };
 
   replace_first_sidecar (testbed, &fake);
-  hsv_free (fake.server);
+  http_server_free (fake.server);
   for (uint32_t i = 0; i < 5; i++)
     ask_status (testbed, &BOOK, 200, "ran");
   CU_ASSERT_EQUAL (testbed_count_received (testbed), 5);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -31,7 +31,7 @@
   struct event_base *base;
   struct evhttp *http;
   set_address_t address;
-  plt_t *plt;
+  platform_t *platform;
   server_mode_t mode;
   int status;
   bool no_effect;
@@ -41,7 +41,7 @@
   char *reader;
   char *sent;
   uint32_t answers;
-  plt_outcome_t outcome;
+  platform_outcome_t outcome;
   uint64_t offset;
   uint32_t count;
   char text[64];
@@ -104,13 +104,13 @@
   evhttp_set_gencb (fixture->http, handle_request, fixture);
   CU_ASSERT_EQUAL_FATAL (
       evhttp_bind_socket (fixture->http, fixture->address.ip, fixture->address.port), 0);
-  fixture->plt = plt_http_new (fixture->base, &fixture->address, "router-1");
+  fixture->platform = platform_http_new (fixture->base, &fixture->address, "router-1");
 }
 
 static void
 teardown (fixture_t *fixture)
 {
-  fixture->plt->free (fixture->plt);
+  fixture->platform->free (fixture->platform);
   if (fixture->http != NULL)
     evhttp_free (fixture->http);
   event_base_free (fixture->base);
@@ -143,7 +143,7 @@
 }
 
 static void
-appended (plt_outcome_t outcome, uint64_t offset, void *context)
+appended (platform_outcome_t outcome, uint64_t offset, void *context)
 {
   fixture_t *fixture = context;
   fixture->answers++;
@@ -152,7 +152,7 @@
 }
 
 static void
-read_done (const plt_read_t *read, void *context)
+read_done (const platform_read_t *read, void *context)
 {
   fixture_t *fixture = context;
   fixture->answers++;
@@ -163,7 +163,7 @@
 }
 
 static void
-hosts_done (const plt_hosts_t *hosts, void *context)
+hosts_done (const platform_hosts_t *hosts, void *context)
 {
   fixture_t *fixture = context;
   fixture->answers++;
@@ -173,31 +173,31 @@
     g_strlcpy (fixture->text, hosts->hosts[0].name, sizeof fixture->text);
 }
 
-static plt_outcome_t
+static platform_outcome_t
 append (fixture_t *fixture)
 {
   uint32_t before = fixture->answers;
-  fixture->plt->append (fixture->plt, "a b", "record", 6, appended, fixture);
+  fixture->platform->append (fixture->platform, "a b", "record", 6, appended, fixture);
   CU_ASSERT_EQUAL (fixture->answers, before);
   wait_for (fixture, &fixture->answers, before + 1);
   return fixture->outcome;
 }
 
-static plt_outcome_t
+static platform_outcome_t
 read_from (fixture_t *fixture, uint64_t from)
 {
   uint32_t before = fixture->answers;
-  fixture->plt->read (fixture->plt, "s", from, 10, 20, read_done, fixture);
+  fixture->platform->read (fixture->platform, "s", from, 10, 20, read_done, fixture);
   CU_ASSERT_EQUAL (fixture->answers, before);
   wait_for (fixture, &fixture->answers, before + 1);
   return fixture->outcome;
 }
 
-static plt_outcome_t
+static platform_outcome_t
 list_hosts (fixture_t *fixture)
 {
   uint32_t before = fixture->answers;
-  fixture->plt->hosts (fixture->plt, 6, hosts_done, fixture);
+  fixture->platform->hosts (fixture->platform, 6, hosts_done, fixture);
   CU_ASSERT_EQUAL (fixture->answers, before);
   wait_for (fixture, &fixture->answers, before + 1);
   return fixture->outcome;
@@ -209,19 +209,19 @@
   fixture_t fixture;
   setup (&fixture);
   fixture.body = "{\"offset\":41}";
-  CU_ASSERT_EQUAL (append (&fixture), PLT_OK);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_OK);
   CU_ASSERT_EQUAL (fixture.offset, 41);
   CU_ASSERT_STRING_EQUAL (fixture.target, "/log/append?stream=a%20b");
   CU_ASSERT_STRING_EQUAL (fixture.sent, "record");
   CU_ASSERT_STRING_EQUAL (fixture.reader, "router-1");
   fixture.body =
       "{\"first\":3,\"next\":5,\"end\":9,\"records\":[{\"offset\":4,\"data\":\"four\"}]}";
-  CU_ASSERT_EQUAL (read_from (&fixture, 4), PLT_OK);
+  CU_ASSERT_EQUAL (read_from (&fixture, 4), PLATFORM_OK);
   CU_ASSERT_EQUAL (fixture.count, 1);
   CU_ASSERT_STRING_EQUAL (fixture.text, "four");
   CU_ASSERT_STRING_EQUAL (fixture.target, "/log/read?stream=s&from=4&max=10&wait_ms=20");
   fixture.body = HOST_START HOST_END;
-  CU_ASSERT_EQUAL (list_hosts (&fixture), PLT_OK);
+  CU_ASSERT_EQUAL (list_hosts (&fixture), PLATFORM_OK);
   CU_ASSERT_EQUAL (fixture.count, 1);
   CU_ASSERT_STRING_EQUAL (fixture.text, "e1");
   CU_ASSERT_STRING_EQUAL (fixture.target, "/hosts?since=6");
@@ -238,22 +238,22 @@
   setup (&fixture);
   fixture.body = "{\"error\":\"?\"}";
   fixture.status = 400;
-  CU_ASSERT_EQUAL (append (&fixture), PLT_REFUSED);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_REFUSED);
   fixture.status = 503;
-  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_UNKNOWN);
   fixture.no_effect = true;
-  CU_ASSERT_EQUAL (append (&fixture), PLT_REFUSED);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_REFUSED);
   fixture.status = 500;
-  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_UNKNOWN);
   fixture.status = 200;
-  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_UNKNOWN);
   fixture.mode = SERVER_CLOSES;
-  CU_ASSERT_EQUAL (append (&fixture), PLT_UNKNOWN);
-  CU_ASSERT_EQUAL (read_from (&fixture, 0), PLT_UNKNOWN);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_UNKNOWN);
+  CU_ASSERT_EQUAL (read_from (&fixture, 0), PLATFORM_UNKNOWN);
   evhttp_free (fixture.http);
   fixture.http = NULL;
-  CU_ASSERT_EQUAL (append (&fixture), PLT_REFUSED);
-  CU_ASSERT_EQUAL (list_hosts (&fixture), PLT_UNKNOWN);
+  CU_ASSERT_EQUAL (append (&fixture), PLATFORM_REFUSED);
+  CU_ASSERT_EQUAL (list_hosts (&fixture), PLATFORM_UNKNOWN);
   teardown (&fixture);
 }
 
@@ -263,8 +263,8 @@
   fixture_t fixture;
   setup (&fixture);
   fixture.mode = SERVER_IGNORES;
-  fixture.plt->append (fixture.plt, "s", "x", 1, appended, &fixture);
-  fixture.plt->hosts (fixture.plt, 0, hosts_done, &fixture);
+  fixture.platform->append (fixture.platform, "s", "x", 1, appended, &fixture);
+  fixture.platform->hosts (fixture.platform, 0, hosts_done, &fixture);
   wait_for (&fixture, &fixture.requests, 2);
   teardown (&fixture);
   CU_ASSERT_EQUAL (fixture.answers, 0);
@@ -292,14 +292,14 @@
     "{\"first\":0,\"next\":6,\"end\":9,\"records\":[{\"offset\":4,\"data\":\"x\"},"
     "{\"offset\":5,\"data\":\"x\"}]}",
   };
-  pla_read_t read;
+  platform_answer_read_t read;
   for (size_t i = 0; i < G_N_ELEMENTS (broken); i++)
-    CU_ASSERT_FALSE (pla_read (&read, broken[i], strlen (broken[i]), 4, 1));
+    CU_ASSERT_FALSE (platform_answer_parse_read (&read, broken[i], strlen (broken[i]), 4, 1));
   const char *gap =
       "{\"first\":8,\"next\":9,\"end\":9,\"records\":[{\"offset\":8,\"data\":\"x\"}]}";
-  CU_ASSERT_TRUE_FATAL (pla_read (&read, gap, strlen (gap), 4, 1));
+  CU_ASSERT_TRUE_FATAL (platform_answer_parse_read (&read, gap, strlen (gap), 4, 1));
   CU_ASSERT_EQUAL (read.read.first_offset, 8);
-  pla_read_clear (&read);
+  platform_answer_read_clear (&read);
 }
 
 static void
@@ -315,16 +315,16 @@
     HOST_START "\"exchange\":\"127.0.0.1:82\"}]}",
     HOST_START "\"name\":\"twice\"," HOST_END,
   };
-  plt_hosts_t hosts;
+  platform_hosts_t hosts;
   for (size_t i = 0; i < G_N_ELEMENTS (broken); i++)
-    CU_ASSERT_FALSE (pla_hosts (&hosts, broken[i], strlen (broken[i])));
+    CU_ASSERT_FALSE (platform_answer_parse_hosts (&hosts, broken[i], strlen (broken[i])));
   g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'n');
   g_autofree char *good = g_strdup (HOST_START HOST_END);
   GString *long_name = g_string_new (good);
   g_string_replace (long_name, "e1", name, 1);
-  CU_ASSERT_FALSE (pla_hosts (&hosts, long_name->str, long_name->len));
+  CU_ASSERT_FALSE (platform_answer_parse_hosts (&hosts, long_name->str, long_name->len));
   g_string_free (long_name, TRUE);
-  CU_ASSERT_TRUE_FATAL (pla_hosts (&hosts, good, strlen (good)));
+  CU_ASSERT_TRUE_FATAL (platform_answer_parse_hosts (&hosts, good, strlen (good)));
   CU_ASSERT_EQUAL (hosts.hosts[0].state, MEMBERSHIP_LEAVING);
   CU_ASSERT_EQUAL (hosts.hosts[0].exchange.port, 82);
   g_free ((membership_list_entry_t *)hosts.hosts);
--- a/tests/test_stream_follow.c
+++ b/tests/test_stream_follow.c
@@ -10,17 +10,18 @@
   (60 * 1000) /* longer than a test lasts, so a read that waits for it is missed */
 #define RECORDED_CALLS 8
 
-/** store_t - fake platform that records calls, which the test answers; @plt is first for the cast
+/** store_t - fake platform that records calls, which the test answers; @platform is first for the
+ * cast
  */
 typedef struct
 {
-  plt_t plt;
+  platform_t platform;
   uint32_t reads;
   uint32_t lists;
   uint64_t from[RECORDED_CALLS];
   uint32_t wait_ms[RECORDED_CALLS];
-  plt_read_done_t read_done;
-  plt_newest_done_t newest_done;
+  platform_read_done_t read_done;
+  platform_newest_done_t newest_done;
   void *context;
 } store_t;
 
@@ -32,19 +33,19 @@
   cnt_set_t *counters;
   store_t store;
   keyed_view_t *view;
-  sfl_t *sfl;
+  stream_follower_t *follower;
 } fixture_t;
 
 static void
-on_read (plt_t *plt,
+on_read (platform_t *platform,
          const char *stream,
          uint64_t from_offset,
          uint32_t max_records,
          uint32_t wait_ms,
-         plt_read_done_t done,
+         platform_read_done_t done,
          void *context)
 {
-  store_t *store = (store_t *)plt;
+  store_t *store = (store_t *)platform;
 
   (void)stream;
   (void)max_records;
@@ -57,10 +58,13 @@
 }
 
 static void
-on_newest (
-    plt_t *plt, const char *stream, const char *after_key, plt_newest_done_t done, void *context)
+on_newest (platform_t *platform,
+           const char *stream,
+           const char *after_key,
+           platform_newest_done_t done,
+           void *context)
 {
-  store_t *store = (store_t *)plt;
+  store_t *store = (store_t *)platform;
 
   (void)stream;
   (void)after_key;
@@ -81,7 +85,7 @@
 }
 
 static void
-ignore_state (sfl_state_t state, void *context)
+ignore_state (stream_follower_state_t state, void *context)
 {
   (void)state;
   (void)context;
@@ -101,30 +105,32 @@
 
   fixture->base = event_base_new ();
   clk_init_running (&fixture->clk);
-  fixture->store.plt = (plt_t){ .read = on_read, .newest = on_newest };
+  fixture->store.platform = (platform_t){ .read = on_read, .newest = on_newest };
   fixture->counters = cnt_set_new ();
   fixture->view = keyed_view_new (ignore_change, fixture);
-  fixture->sfl = sfl_new (&(sfl_options_t){ .base = fixture->base,
-                                            .clk = &fixture->clk,
-                                            .counters = fixture->counters,
-                                            .plt = &fixture->store.plt,
-                                            .stream = PLT_STREAM_ROUTING,
-                                            .view = fixture->view,
-                                            .wait_ms = WAIT_MS,
-                                            .pace_ms = pace_ms,
-                                            .latest_only = true,
-                                            .told = ignore_state });
-  sfl_set_resting (fixture->sfl, resting);
-  CU_ASSERT (raw_run_until (fixture->base, has_listed_once, fixture));
-  fixture->store.newest_done (&(plt_newest_t){ .outcome = PLT_OK, .end_offset = end_offset },
-                              fixture->store.context);
+  fixture->follower =
+      stream_follower_new (&(stream_follower_options_t){ .base = fixture->base,
+                                                         .clk = &fixture->clk,
+                                                         .counters = fixture->counters,
+                                                         .platform = &fixture->store.platform,
+                                                         .stream = PLATFORM_STREAM_ROUTING,
+                                                         .view = fixture->view,
+                                                         .wait_ms = WAIT_MS,
+                                                         .pace_ms = pace_ms,
+                                                         .latest_only = true,
+                                                         .told = ignore_state });
+  stream_follower_set_on_demand (fixture->follower, resting);
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_listed_once, fixture));
+  fixture->store.newest_done (
+      &(platform_newest_t){ .outcome = PLATFORM_OK, .end_offset = end_offset },
+      fixture->store.context);
   return fixture;
 }
 
 static void
 fixture_free (fixture_t *fixture)
 {
-  sfl_free (fixture->sfl);
+  stream_follower_free (fixture->follower);
   keyed_view_free (fixture->view);
   cnt_set_free (fixture->counters);
   event_base_free (fixture->base);
@@ -144,7 +150,7 @@
 }
 
 static void
-answer_read (fixture_t *fixture, const plt_read_t *read)
+answer_read (fixture_t *fixture, const platform_read_t *read)
 {
   fixture->store.read_done (read, fixture->store.context);
 }
@@ -157,12 +163,12 @@
 static void
 test_read_in_an_outage_does_not_wait (void)
 {
-  fixture_t *fixture = fixture_new (SFL_PACE_MIN_MS, 5, false);
+  fixture_t *fixture = fixture_new (STREAM_FOLLOWER_READ_INTERVAL_MIN_MS, 5, false);
 
-  CU_ASSERT (raw_run_until (fixture->base, has_read_once, fixture));
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_once, fixture));
   CU_ASSERT_EQUAL (fixture->store.wait_ms[0], WAIT_MS);
-  answer_read (fixture, &(plt_read_t){ .outcome = PLT_UNKNOWN });
-  CU_ASSERT (raw_run_until (fixture->base, has_read_twice, fixture));
+  answer_read (fixture, &(platform_read_t){ .outcome = PLATFORM_UNKNOWN });
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_twice, fixture));
   CU_ASSERT_EQUAL (fixture->store.wait_ms[1], 0);
   fixture_free (fixture);
 }
@@ -191,30 +197,30 @@
 static void
 test_series_is_listed_at_once (void)
 {
-  static const plt_record_t record = {
+  static const platform_record_t record = {
     .offset = 5, .key = "config", .data = "{}", .data_bytes = 2
   };
-  static const plt_record_t listed[] = {
+  static const platform_record_t listed[] = {
     { .offset = 8, .key = "config", .data = "{}", .data_bytes = 2 },
     { .offset = 6, .key = "drain/hall-1", .data = "x", .data_bytes = 1 },
   };
   fixture_t *fixture = fixture_new (LONG_PACE_MS, 5, false);
 
-  CU_ASSERT (raw_run_until (fixture->base, has_read_once, fixture));
-  answer_read (fixture, &(plt_read_t){ .outcome = PLT_OK,
-                                       .next_offset = 6,
-                                       .end_offset = 9,
-                                       .records = &record,
-                                       .record_count = 1 });
-  CU_ASSERT (raw_run_until (fixture->base, has_listed_twice, fixture));
-  fixture->store.newest_done (&(plt_newest_t){ .outcome = PLT_OK,
-                                               .end_offset = 9,
-                                               .records = listed,
-                                               .record_count = G_N_ELEMENTS (listed) },
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_once, fixture));
+  answer_read (fixture, &(platform_read_t){ .outcome = PLATFORM_OK,
+                                            .next_offset = 6,
+                                            .end_offset = 9,
+                                            .records = &record,
+                                            .record_count = 1 });
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_listed_twice, fixture));
+  fixture->store.newest_done (&(platform_newest_t){ .outcome = PLATFORM_OK,
+                                                    .end_offset = 9,
+                                                    .records = listed,
+                                                    .record_count = G_N_ELEMENTS (listed) },
                               fixture->store.context);
   CU_ASSERT_EQUAL (offset_of (fixture, "config"), 8);
   CU_ASSERT_EQUAL (offset_of (fixture, "drain/hall-1"), 6);
-  CU_ASSERT_EQUAL (sfl_next (fixture->sfl), 9);
+  CU_ASSERT_EQUAL (stream_follower_next_offset (fixture->follower), 9);
   CU_ASSERT_EQUAL (fixture->store.reads, 1);
   fixture_free (fixture);
 }
@@ -224,18 +230,19 @@
 static void
 test_resting_reads_on_request (void)
 {
-  fixture_t *fixture = fixture_new (SFL_PACE_MIN_MS, 5, true);
+  fixture_t *fixture = fixture_new (STREAM_FOLLOWER_READ_INTERVAL_MIN_MS, 5, true);
 
-  raw_run_ms (fixture->base, 4 * SFL_PACE_MIN_MS);
+  raw_peer_run_ms (fixture->base, 4 * STREAM_FOLLOWER_READ_INTERVAL_MIN_MS);
   CU_ASSERT_EQUAL (fixture->store.reads, 0);
-  sfl_read_soon (fixture->sfl);
-  CU_ASSERT (raw_run_until (fixture->base, has_read_once, fixture));
+  stream_follower_read_soon (fixture->follower);
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_once, fixture));
   CU_ASSERT_EQUAL (fixture->store.wait_ms[0], 0);
-  answer_read (fixture, &(plt_read_t){ .outcome = PLT_OK, .next_offset = 5, .end_offset = 5 });
-  raw_run_ms (fixture->base, 4 * SFL_PACE_MIN_MS);
+  answer_read (fixture,
+               &(platform_read_t){ .outcome = PLATFORM_OK, .next_offset = 5, .end_offset = 5 });
+  raw_peer_run_ms (fixture->base, 4 * STREAM_FOLLOWER_READ_INTERVAL_MIN_MS);
   CU_ASSERT_EQUAL (fixture->store.reads, 1);
-  sfl_set_resting (fixture->sfl, false);
-  CU_ASSERT (raw_run_until (fixture->base, has_read_twice, fixture));
+  stream_follower_set_on_demand (fixture->follower, false);
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_twice, fixture));
   CU_ASSERT_EQUAL (fixture->store.wait_ms[1], WAIT_MS);
   fixture_free (fixture);
 }
@@ -248,21 +255,22 @@
 static void
 test_read_after_records_waits_less (void)
 {
-  static const plt_record_t record = {
+  static const platform_record_t record = {
     .offset = 5, .key = "config", .data = "{}", .data_bytes = 2
   };
-  fixture_t *fixture = fixture_new (SFL_PACE_MIN_MS, 5, false);
-
-  CU_ASSERT (raw_run_until (fixture->base, has_read_once, fixture));
-  answer_read (fixture, &(plt_read_t){ .outcome = PLT_OK,
-                                       .next_offset = 6,
-                                       .end_offset = 6,
-                                       .records = &record,
-                                       .record_count = 1 });
+  fixture_t *fixture = fixture_new (STREAM_FOLLOWER_READ_INTERVAL_MIN_MS, 5, false);
+
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_once, fixture));
+  answer_read (fixture, &(platform_read_t){ .outcome = PLATFORM_OK,
+                                            .next_offset = 6,
+                                            .end_offset = 6,
+                                            .records = &record,
+                                            .record_count = 1 });
   clk_init_paused (&fixture->clk, clk_now_us (&fixture->clk) + (uint64_t)WAIT_MS * CLK_US_PER_MS);
-  CU_ASSERT (raw_run_until (fixture->base, has_read_twice, fixture));
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_twice, fixture));
   CU_ASSERT_EQUAL (fixture->store.wait_ms[0], WAIT_MS);
-  CU_ASSERT_EQUAL (fixture->store.wait_ms[1], MAX (WAIT_MS / SFL_SILENT_PART, SFL_WAIT_MIN_MS));
+  CU_ASSERT_EQUAL (fixture->store.wait_ms[1], MAX (WAIT_MS / STREAM_FOLLOWER_WAIT_MARGIN_DIVISOR,
+                                                   STREAM_FOLLOWER_WAIT_MIN_MS));
   fixture_free (fixture);
 }
 
@@ -270,16 +278,16 @@
 static void
 test_resting_keeps_its_backoff (void)
 {
-  fixture_t *fixture = fixture_new (SFL_PACE_MIN_MS, 5, true);
+  fixture_t *fixture = fixture_new (STREAM_FOLLOWER_READ_INTERVAL_MIN_MS, 5, true);
 
-  sfl_read_soon (fixture->sfl);
-  CU_ASSERT (raw_run_until (fixture->base, has_read_once, fixture));
-  answer_read (fixture, &(plt_read_t){ .outcome = PLT_REFUSED });
+  stream_follower_read_soon (fixture->follower);
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_once, fixture));
+  answer_read (fixture, &(platform_read_t){ .outcome = PLATFORM_REFUSED });
   for (uint32_t i = 0; i < 3; i++)
-    sfl_read_soon (fixture->sfl);
-  raw_run_ms (fixture->base, SFL_BACKOFF_MIN_MS / 2);
+    stream_follower_read_soon (fixture->follower);
+  raw_peer_run_ms (fixture->base, STREAM_FOLLOWER_BACKOFF_MIN_MS / 2);
   CU_ASSERT_EQUAL (fixture->store.reads, 1);
-  CU_ASSERT (raw_run_until (fixture->base, has_read_twice, fixture));
+  CU_ASSERT (raw_peer_run_until (fixture->base, has_read_twice, fixture));
   fixture_free (fixture);
 }
 
