--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -158,7 +158,7 @@
   uint64_t heap = heap_bytes ();
   membership_t *membership = membership_new ();
   uint64_t start = cpu_ns ();
-  membership_apply_list (membership, CLK_US_PER_S, listed, host_count, 1);
+  membership_apply_list (membership, CLOCK_US_PER_S, listed, host_count, 1);
   print_row ("host list, whole", host_count, "us", (double)(cpu_ns () - start) / 1000);
   start = cpu_ns ();
   membership_snapshot_t *first = membership_take_snapshot (membership);
@@ -168,7 +168,7 @@
 
   start = cpu_ns ();
   listed[0].state = MEMBERSHIP_LEAVING;
-  membership_apply_list_changes (membership, 2 * CLK_US_PER_S, listed, 1, 2);
+  membership_apply_list_changes (membership, 2 * CLOCK_US_PER_S, listed, 1, 2);
   membership_snapshot_t *second = membership_take_snapshot (membership);
   print_row ("one change with its snapshot", host_count, "us", (double)(cpu_ns () - start) / 1000);
 
@@ -178,7 +178,7 @@
     {
       membership_report_t report = { rendezvous_hash_name (listed[i % host_count].name), 1, i,
                                      MEMBERSHIP_LIVE };
-      membership_apply_report (membership, 3 * CLK_US_PER_S, &report);
+      membership_apply_report (membership, 3 * CLOCK_US_PER_S, &report);
     }
   print_row ("hear a host's word", host_count, "ns", (double)(cpu_ns () - start) / rounds);
   membership_snapshot_unref (first);
@@ -196,7 +196,7 @@
   xch_message message = { 0 };
   message.samples.samples_len = XCH_SAMPLES;
   message.samples.samples_val = samples;
-  char datagram[LIM_DATAGRAM_BYTES];
+  char datagram[LIMIT_DATAGRAM_BYTES];
   size_t plain_bytes = datagram_encode (datagram, sizeof datagram, fleet_key, 1, false, &message);
   print_row ("exchange datagram, eight samples", XCH_SAMPLES, "bytes",
              (double)plain_bytes + IP_UDP_HEADER_BYTES);
@@ -241,7 +241,7 @@
     {
       load_sample_t sample = { .engine_hash = 1 + i % engine_count,
                                .load = i % 20,
-                               .taken_us = CLK_US_PER_S + i };
+                               .taken_us = CLOCK_US_PER_S + i };
       load_samples_add (&table, &sample);
     }
   print_row ("keep a load sample", engine_count, "ns", (double)(cpu_ns () - start) / rounds);
@@ -249,7 +249,7 @@
   uint64_t sum = 0;
   for (uint32_t i = 0; i < rounds; i++)
     sum +=
-        load_samples_estimate_mean (&table, CLK_US_PER_S + rounds, NULL, engine_count).mean_milli;
+        load_samples_estimate_mean (&table, CLOCK_US_PER_S + rounds, NULL, engine_count).mean_milli;
   print_row ("estimate the mean", engine_count, "ns", (double)(cpu_ns () - start) / rounds);
   if (sum == 0)
     fprintf (stderr, "bench_capacity: no mean\n");
@@ -267,7 +267,7 @@
       chats[i] = rendezvous_hash_chat ("account", id);
     }
   uint64_t heap = heap_bytes ();
-  chat_directory_t *dir = chat_directory_new (LIM_DIRECTORY_ENTRIES);
+  chat_directory_t *dir = chat_directory_new (LIMIT_DIRECTORY_ENTRIES);
   uint64_t start = cpu_ns ();
   for (uint32_t i = 0; i < chat_count; i++)
     chat_directory_put (dir, i, chats[i], i + 1);
@@ -290,7 +290,7 @@
 bench_claims (uint32_t key_count)
 {
   uint64_t heap = heap_bytes ();
-  claim_stream_t *claim_stream = claim_new ((uint64_t)86400 * CLK_US_PER_S);
+  claim_stream_t *claim_stream = claim_new ((uint64_t)86400 * CLOCK_US_PER_S);
   claim_set_first_offset (claim_stream, 0);
   const uint64_t wall_ms = 1800000000000u;
   uint64_t record_bytes = 0;
@@ -304,7 +304,7 @@
                              "[{\"c\":\"%032x\",\"k\":\"%032x\",\"b\":\"%016x\",\"t\":%llu}]",
                              i + 1, i + 1, i, (unsigned long long)wall_ms);
       record_bytes += (uint64_t)length;
-      claim_apply_record (claim_stream, CLK_US_PER_S, wall_ms, i, record, (size_t)length);
+      claim_apply_record (claim_stream, CLOCK_US_PER_S, wall_ms, i, record, (size_t)length);
       uint64_t now_ns = cpu_ns ();
       longest_ns = MAX (longest_ns, now_ns - previous_ns);
       previous_ns = now_ns;
--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -20,20 +20,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP_US CLK_US_PER_MS              /* of virtual time */
-#define ROUND_TRIP_US (10 * CLK_US_PER_MS) /* between a sidecar and the log */
-#define TICK_US (100 * CLK_US_PER_MS)
-#define READ_WAIT_US (200 * CLK_US_PER_MS) /* long poll: a read waits that long for records */
-#define READ_RECORDS 500                   /* limit of one read */
-#define REQUEST_DEADLINE_US (5 * (uint64_t)CLK_US_PER_S)
+#define STEP_US CLOCK_US_PER_MS              /* of virtual time */
+#define ROUND_TRIP_US (10 * CLOCK_US_PER_MS) /* between a sidecar and the log */
+#define TICK_US (100 * CLOCK_US_PER_MS)
+#define READ_WAIT_US (200 * CLOCK_US_PER_MS) /* long poll: a read waits that long for records */
+#define READ_RECORDS 500                     /* limit of one read */
+#define REQUEST_DEADLINE_US (5 * (uint64_t)CLOCK_US_PER_S)
 #define MEAN_RUN_TIME_US 50000.0
-#define HORIZON_US (3600 * (uint64_t)CLK_US_PER_S)
+#define HORIZON_US (3600 * (uint64_t)CLOCK_US_PER_S)
 #define WALL_BASE_MS UINT64_C (1800000000000)
 /* Overhead of HTTP and JSON: of an append and its answer, of a read and its answer, of a record. */
 #define APPEND_BYTES 300
 #define READ_BYTES 350
 #define RECORD_BYTES 30
-#define WARM_UP_US (5 * (uint64_t)CLK_US_PER_S)
+#define WARM_UP_US (5 * (uint64_t)CLOCK_US_PER_S)
 
 /**
  * struct claims_options - settings of a run
@@ -133,7 +133,7 @@
 static uint64_t
 wall_ms (const sim_t *sim)
 {
-  return WALL_BASE_MS + sim->now_us / CLK_US_PER_MS;
+  return WALL_BASE_MS + sim->now_us / CLOCK_US_PER_MS;
 }
 
 static void
@@ -143,7 +143,7 @@
   while (claim_take_result (follower->claim_stream, sim->now_us, &result))
     {
       waiting_request_t *request = result.owner;
-      double ms = (double)(sim->now_us - request->at_us) / CLK_US_PER_MS;
+      double ms = (double)(sim->now_us - request->at_us) / CLOCK_US_PER_MS;
       bool granted = result.verdict == CLAIM_GRANTED;
       if (granted)
         {
@@ -316,7 +316,7 @@
 step (sim_t *sim)
 {
   sim->now_us += STEP_US;
-  sim->append_tokens += (double)sim->options.appends_s * STEP_US / CLK_US_PER_S;
+  sim->append_tokens += (double)sim->options.appends_s * STEP_US / CLOCK_US_PER_S;
   sim->append_tokens = MIN (sim->append_tokens, sim->options.appends_s);
   for (uint32_t i = 0; i < sim->options.streams * sim->options.followers; i++)
     {
@@ -339,7 +339,7 @@
   memset (sim, 0, sizeof *sim);
   sim->options = *options;
   sim->rand = 7;
-  sim->now_us = CLK_US_PER_S;
+  sim->now_us = CLOCK_US_PER_S;
   sim->append_tokens = options->appends_s;
   sim->streams = g_new0 (GPtrArray *, options->streams);
   sim->followers = g_new0 (follower_t, options->streams * options->followers);
@@ -396,7 +396,7 @@
 {
   sim_t sim;
   sim_start (&sim, options);
-  uint64_t end_us = WARM_UP_US + options->seconds * (uint64_t)CLK_US_PER_S;
+  uint64_t end_us = WARM_UP_US + options->seconds * (uint64_t)CLOCK_US_PER_S;
   double next_us = (double)sim.now_us;
   while (sim.now_us < end_us)
     {
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -87,7 +87,7 @@
 static void
 init_fixture (fixture_t *fixture, uint32_t engine_count)
 {
-  *fixture = (fixture_t){ .engine_count = engine_count, .random = 1, .now_us = CLK_US_PER_S };
+  *fixture = (fixture_t){ .engine_count = engine_count, .random = 1, .now_us = CLOCK_US_PER_S };
   fixture->engines = g_new0 (rendezvous_engine_t, engine_count);
   fixture->details = g_new0 (candidates_engine_t, engine_count);
   for (uint32_t i = 0; i < engine_count; i++)
@@ -99,7 +99,7 @@
                                         .bound_percent = 125,
                                         .engine_count = engine_count,
                                         .prefill_tokens_s = 10000,
-                                        .cache_lifetime_us = 240 * (uint64_t)CLK_US_PER_S,
+                                        .cache_lifetime_us = 240 * (uint64_t)CLOCK_US_PER_S,
                                         .seed = 1 };
   fixture->admission = admission_new (&options);
   load_samples_init (&fixture->samples, 1);
@@ -166,8 +166,8 @@
       admission_request_t){ .item = { .account_hash = 1 + rnd_below (&fixture->random, ACCOUNTS),
                                       .weight = FAIR_QUEUE_WEIGHT_ONE,
                                       .priority = 1,
-                                      .queue_limit = LIM_QUEUE_PER_ACCOUNT,
-                                      .deadline_us = fixture->now_us + 10 * CLK_US_PER_S },
+                                      .queue_limit = LIMIT_QUEUED_PER_ACCOUNT,
+                                      .deadline_us = fixture->now_us + 10 * CLOCK_US_PER_S },
                             .chat_hash = chat_hash,
                             .home_hash = fixture->engines[0].hash,
                             .prompt_tokens = 3000,
--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -180,14 +180,14 @@
                         .engine_count = options->engines,
                         .router_count = options->routers,
                         .bound_percent = options->bound_percent };
-  run.warm_up_us = (uint64_t)workload->cache_lifetime_s * WARM_UP_LIFETIMES * CLK_US_PER_S;
+  run.warm_up_us = (uint64_t)workload->cache_lifetime_s * WARM_UP_LIFETIMES * CLOCK_US_PER_S;
   if (options->warm_up_s != 0)
-    run.warm_up_us = (uint64_t)options->warm_up_s * CLK_US_PER_S;
-  run.window_us = options->window_s != 0 ? (uint64_t)options->window_s * CLK_US_PER_S
+    run.warm_up_us = (uint64_t)options->warm_up_s * CLOCK_US_PER_S;
+  run.window_us = options->window_s != 0 ? (uint64_t)options->window_s * CLOCK_US_PER_S
                                          : wld_window_us (workload, fault, options->engines);
   printf ("\n%s, %s, %u engines, %u routers, window %lu s\n%-10s", workload->name,
           wld_fault_names[fault], options->engines, options->routers,
-          (unsigned long)(run.window_us / CLK_US_PER_S), "");
+          (unsigned long)(run.window_us / CLOCK_US_PER_S), "");
   for (uint32_t i = 0; i < COLUMNS; i++)
     printf (" %8s", column_names[i]);
   putchar ('\n');
--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -176,7 +176,7 @@
   end_if_drained (load);
 }
 
-static const set_address_t *
+static const address_t *
 choose_target (const load_t *load, const turn_t *turn)
 {
   uint32_t count = load->options->target_count[turn->side];
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HORIZON_US (60 * (uint64_t)CLK_US_PER_S)
+#define HORIZON_US (60 * (uint64_t)CLOCK_US_PER_S)
 #define ROUNDS 3
 /* Index of the sidecar, of service 0, that leaves or reports a crash mark. */
 #define TEST_SIDECAR 5
@@ -96,7 +96,7 @@
       bytes += node->sent_bytes;
       count++;
     }
-  double node_s = (double)count * 3 * RUN_WINDOW_US / CLK_US_PER_S;
+  double node_s = (double)count * 3 * RUN_WINDOW_US / CLOCK_US_PER_S;
   snprintf (row, sizeof row, "quiet, %s: exchange", role);
   run_print (run, row, "bytes/s/daemon", (double)bytes / node_s);
   snprintf (row, sizeof row, "quiet, %s: datagrams", role);
@@ -254,13 +254,13 @@
   for (uint32_t i = 0; i < G_N_ELEMENTS (after_s); i++)
     {
       char row[96];
-      flt_run (run->flt, (uint64_t)(after_s[i] - at_s) * CLK_US_PER_S, false);
+      flt_run (run->flt, (uint64_t)(after_s[i] - at_s) * CLOCK_US_PER_S, false);
       at_s = after_s[i];
       count_heard (run, &evacuation);
       snprintf (row, sizeof row, "data centre leaves: words heard by routers after %u s", at_s);
       run_print (run, row, "%", 100.0 * (double)evacuation.heard / (double)evacuation.expected);
     }
-  run_print_traffic (run, "data centre leaves", &before, (uint64_t)at_s * CLK_US_PER_S);
+  run_print_traffic (run, "data centre leaves", &before, (uint64_t)at_s * CLOCK_US_PER_S);
   run_end (run);
 }
 
@@ -271,7 +271,7 @@
   run_begin (run, 0);
   flt_counts_t before = run->flt->counts;
   flt_stop (run->flt, 3);
-  flt_run (run->flt, 3 * CLK_US_PER_S, false);
+  flt_run (run->flt, 3 * CLOCK_US_PER_S, false);
   flt_list (run->flt, 3, MEMBERSHIP_GONE);
   flt_publish (run->flt);
   uint64_t start_us = run->flt->now_us;
@@ -280,7 +280,7 @@
   run_print_heard (run, "version as a data centre drops", start_us, NULL, NULL);
   flt_run (run->flt, start_us + RUN_WINDOW_US - MIN (run->flt->now_us, start_us + RUN_WINDOW_US),
            false);
-  run_print_traffic (run, "data centre drops", &before, RUN_WINDOW_US + 3 * CLK_US_PER_S);
+  run_print_traffic (run, "data centre drops", &before, RUN_WINDOW_US + 3 * CLOCK_US_PER_S);
   run_means (run, "mean after a data centre dropped");
   run_end (run);
 }
@@ -305,7 +305,7 @@
   uint32_t region = 1;
   run_begin (run, 0);
   run->flt->cut_region = (int32_t)region;
-  flt_run (run->flt, 3 * CLK_US_PER_S, false);
+  flt_run (run->flt, 3 * CLOCK_US_PER_S, false);
   flt_publish (run->flt);
   uint64_t start_us = run->flt->now_us;
   flt_wait_for (run->flt, has_version, NULL);
--- a/bench/bench_watch.c
+++ b/bench/bench_watch.c
@@ -30,7 +30,7 @@
 {
   watch_t *watch;
   wsm_daemon_t *daemon;
-  set_address_t address;
+  address_t address;
 } target_t;
 
 struct watch
@@ -138,7 +138,7 @@
     exit_usage ("a daemon is GROUP,NAME,IP:PORT");
   target_t *target = g_new0 (target_t, 1);
   GError *error = NULL;
-  if (!set_parse_address (parts[2], &target->address, &error))
+  if (!address_parse (parts[2], &target->address, &error))
     exit_usage (error->message);
   target->watch = watch;
   target->daemon = wsm_add (watch->stats, parts[0], parts[1]);
--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -10,7 +10,7 @@
 #define SURGING_ACCOUNT_SHARE 0.6   /* of all requests, while that account surges */
 #define REMAINING_ENGINES_DIVISOR 2 /* one engine in so many, rounded down, does not leave */
 #define FAULTY_ENGINES_DIVISOR 4    /* one engine in so many, rounded up, has the fault */
-#define RETRY_WINDOW_US (10 * (uint64_t)CLK_US_PER_S)
+#define RETRY_WINDOW_US (10 * (uint64_t)CLOCK_US_PER_S)
 
 static const char *const policy_names[] = { "full", "uncharged", "patient",
                                             "hash", "least",     "random" };
@@ -57,7 +57,7 @@
   if (rate_s <= 0)
     return;
   evt_add (&sim->events,
-           sim->now_us + 1 + (uint64_t)rnd_exponential (&sim->random, CLK_US_PER_S / rate_s),
+           sim->now_us + 1 + (uint64_t)rnd_exponential (&sim->random, CLOCK_US_PER_S / rate_s),
            EVENT_ARRIVAL, kind, NULL);
 }
 
--- a/bench/gateway/sim_engine.c
+++ b/bench/gateway/sim_engine.c
@@ -55,7 +55,7 @@
       sim->figures.read_tokens += tokens;
       sim->figures.prompt_tokens += kind->own_tokens + kind->prefix_tokens;
     }
-  engine->prompts_done_us = start_us + (uint64_t)tokens * CLK_US_PER_MS / PROMPT_TOKENS_PER_MS;
+  engine->prompts_done_us = start_us + (uint64_t)tokens * CLOCK_US_PER_MS / PROMPT_TOKENS_PER_MS;
   return engine->prompts_done_us;
 }
 
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -4,14 +4,14 @@
 
 #include <xxhash.h>
 
-#define TICK_US (25 * CLK_US_PER_MS)
+#define TICK_US (25 * CLOCK_US_PER_MS)
 #define TIMEOUT_CHECK_TICKS 4 /* ticks between two checks for attempts without a response */
 /* Of the slots of a service in use, in thousandths, from which it counts as full; equal to
  * GATEWAY_NEARLY_FULL_MILLI. */
 #define FULL_MILLI 900
 /* Bounds of the time after which a client sends a rejected request again. */
-#define CLIENT_RETRY_MIN_US (100 * CLK_US_PER_MS)
-#define CLIENT_RETRY_MAX_US (8000 * CLK_US_PER_MS)
+#define CLIENT_RETRY_MIN_US (100 * CLOCK_US_PER_MS)
+#define CLIENT_RETRY_MAX_US (8000 * CLOCK_US_PER_MS)
 
 static bool
 is_baseline (const sim_t *sim)
@@ -552,6 +552,6 @@
    * next round. */
   for (guint i = 0; tick % TIMEOUT_CHECK_TICKS == 0 && i < gateway->requests->len; i++)
     check_timeout (sim, g_ptr_array_index (gateway->requests, i));
-  if (sim->now_us < SIM_ARRIVALS_END_US + 20 * (uint64_t)CLK_US_PER_S)
+  if (sim->now_us < SIM_ARRIVALS_END_US + 20 * (uint64_t)CLOCK_US_PER_S)
     evt_add (&sim->events, sim->now_us + TICK_US, EVENT_TICK, gateway->index, NULL);
 }
--- a/bench/gateway/site.c
+++ b/bench/gateway/site.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-#define MS(n) ((n) * (uint64_t)CLK_US_PER_MS)
-#define RETRY_WINDOW_US (10 * (uint64_t)CLK_US_PER_S)
+#define MS(n) ((n) * (uint64_t)CLOCK_US_PER_MS)
+#define RETRY_WINDOW_US (10 * (uint64_t)CLOCK_US_PER_S)
 
 static const sit_t builtin_sites[] = {
   { .name = "tuul",
--- a/bench/gateway/site_file.c
+++ b/bench/gateway/site_file.c
@@ -44,7 +44,7 @@
 static uint64_t
 parse_ms_as_us (parser_t *parser, const json_t *object, const char *name, bool required)
 {
-  return (uint64_t)(parse_number (parser, object, name, required) * CLK_US_PER_MS);
+  return (uint64_t)(parse_number (parser, object, name, required) * CLOCK_US_PER_MS);
 }
 
 static routing_kind_t
--- a/bench/load_client.c
+++ b/bench/load_client.c
@@ -54,7 +54,7 @@
 }
 
 static struct evhttp_connection *
-take_connection (lcl_t *client, const char *endpoint, const set_address_t *address)
+take_connection (lcl_t *client, const char *endpoint, const address_t *address)
 {
   struct evhttp_connection *connection = g_queue_pop_head (idle_connections (client, endpoint));
   if (connection != NULL)
--- a/bench/load_client.h
+++ b/bench/load_client.h
@@ -52,7 +52,7 @@
  */
 typedef struct
 {
-  const set_address_t *address;
+  const address_t *address;
   const char *method;
   const char *target;
   const lcl_header_t *headers;
--- a/bench/load_idle.c
+++ b/bench/load_idle.c
@@ -37,7 +37,7 @@
   struct event *timer = evtimer_new (base, stop_loop, base);
   for (uint32_t i = 0; i < options->idle; i++)
     {
-      const set_address_t *address = &options->targets[side][i % options->target_count[side]];
+      const address_t *address = &options->targets[side][i % options->target_count[side]];
       struct sockaddr_in sin = { .sin_family = AF_INET, .sin_port = htons (address->port) };
       inet_pton (AF_INET, address->ip, &sin.sin_addr);
       struct bufferevent *bev = bufferevent_socket_new (base, -1, BEV_OPT_CLOSE_ON_FREE);
--- a/bench/load_options.c
+++ b/bench/load_options.c
@@ -110,7 +110,7 @@
   GError *error = NULL;
   if (options->target_count[side] == LOP_LIMIT_TARGETS)
     exit_usage ("too many targets");
-  if (!set_parse_address (text, &options->targets[side][options->target_count[side]], &error))
+  if (!address_parse (text, &options->targets[side][options->target_count[side]], &error))
     exit_usage (error->message);
   options->target_count[side]++;
 }
--- a/bench/load_options.h
+++ b/bench/load_options.h
@@ -34,7 +34,7 @@
  */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   char key[128];
   uint32_t weight;
 } lop_account_t;
@@ -46,7 +46,7 @@
  */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   uint32_t weight;
   uint32_t max_tokens;
 } lop_class_t;
@@ -76,14 +76,14 @@
  */
 typedef struct
 {
-  set_address_t targets[LOP_SIDES][LOP_LIMIT_TARGETS];
+  address_t targets[LOP_SIDES][LOP_LIMIT_TARGETS];
   uint32_t target_count[LOP_SIDES];
   lop_account_t accounts[LOP_LIMIT_ACCOUNTS];
   uint32_t account_count;
   lop_class_t classes[LOP_LIMIT_CLASSES];
   uint32_t class_count;
   bool has_classes;
-  char model[LIM_NAME_BYTES];
+  char model[LIMIT_NAME_BYTES];
   uint64_t requests;
   uint64_t time_s;
   double rate_s;
--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -13,7 +13,7 @@
 {
   struct timespec ts;
   clock_gettime (CLOCK_THREAD_CPUTIME_ID, &ts);
-  return (uint64_t)ts.tv_sec * CLK_US_PER_S + (uint64_t)ts.tv_nsec / 1000;
+  return (uint64_t)ts.tv_sec * CLOCK_US_PER_S + (uint64_t)ts.tv_nsec / 1000;
 }
 
 static void
@@ -44,28 +44,28 @@
   fleet->now_us += RUN_WINDOW_US;
   receive_message (node, &fleet->nodes[1], 2);
   fleet->now_us += RUN_WINDOW_US;
-  cnt_t *snapshots = cnt_get (fleet->counters, "medlarplank_members_told_total", "");
-  uint64_t snapshots_before = cnt_value (snapshots);
+  counter_t *snapshots = counter_get (fleet->counters, "medlarplank_members_told_total", "");
+  uint64_t snapshots_before = counter_value (snapshots);
   uint64_t start_us = thread_cpu_us ();
   for (uint32_t i = 0; i < restarted; i++)
     {
-      fleet->now_us += 2 * CLK_US_PER_S / restarted;
+      fleet->now_us += 2 * CLOCK_US_PER_S / restarted;
       receive_message (node, &fleet->nodes[3 + i * FLT_DATA_CENTERS % (fleet->count - 3)], 3);
     }
-  fleet->now_us += CLK_US_PER_S;
+  fleet->now_us += CLOCK_US_PER_S;
   receive_message (node, &fleet->nodes[2], 4);
   run_print (run, "data centre restarts: words", "count", restarted);
   run_print (run, "data centre restarts: snapshots told", "count",
-             (double)(cnt_value (snapshots) - snapshots_before));
+             (double)(counter_value (snapshots) - snapshots_before));
   run_print (run, "data centre restarts: processor time", "ms",
              (double)(thread_cpu_us () - start_us) / 1000);
   run_end (run);
 }
 
 static void
-deliver (void *message, void (*handler) (mbx_message_t *message, void *context), void *task)
+deliver (void *message, void (*handler) (mailbox_message_t *message, void *context), void *task)
 {
-  mbx_message_t *head = message;
+  mailbox_message_t *head = message;
   handler (head, task);
   head->free (head);
 }
@@ -73,7 +73,9 @@
 /* Returns the average processor time that a data task needs for a snapshot of the members. The
  * first snapshot is not measured. */
 static double
-members_cost_us (flt_t *fleet, void (*handler) (mbx_message_t *message, void *context), void *task)
+members_cost_us (flt_t *fleet,
+                 void (*handler) (mailbox_message_t *message, void *context),
+                 void *task)
 {
   message_version_t *version = message_new (MESSAGE_VERSION);
   version->man = manifest_ref (fleet->man);
@@ -97,8 +99,8 @@
     return;
   run_begin (run, 0);
   flt_t *fleet = run->flt;
-  dmn_t *router = &fleet->nodes[fleet->count - 1].dmn;
-  dmn_t *sidecar = &fleet->nodes[0].dmn;
+  daemon_t *router = &fleet->nodes[fleet->count - 1].daemon;
+  daemon_t *sidecar = &fleet->nodes[0].daemon;
   router->to_control = fleet->mailbox;
   sidecar->to_control = fleet->mailbox;
   g_strlcpy (router->set.listen.ip, "127.0.0.1", sizeof router->set.listen.ip);
--- a/bench/spread/exchange.c
+++ b/bench/spread/exchange.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define NETWORK_DELAY_US (2 * CLK_US_PER_MS)
+#define NETWORK_DELAY_US (2 * CLOCK_US_PER_MS)
 #define PORT_BASE 1000 /* the port of a node is this plus its index */
 
 /** struct datagram - a datagram that is being delivered; @from: index of the sender */
@@ -37,7 +37,7 @@
 static uint32_t
 measure_overhead (const char *key)
 {
-  char out[LIM_DATAGRAM_BYTES];
+  char out[LIMIT_DATAGRAM_BYTES];
   xch_message message = { 0 };
   size_t bytes = datagram_encode (out, sizeof out, key, 1, false, &message);
   return (uint32_t)bytes - body_bytes (&message) + BYTE_BUDGET_UDP_HEADER_BYTES;
@@ -90,7 +90,7 @@
 }
 
 static void
-send_request (exchange_t *exchange, const set_address_t *address)
+send_request (exchange_t *exchange, const address_t *address)
 {
   flt_t *fleet = exchange->node->flt;
   send_message (exchange, &fleet->nodes[address->port - PORT_BASE], false, NULL);
@@ -103,7 +103,7 @@
   exchange_t *exchange = g_new0 (exchange_t, 1);
   (void)error;
   exchange->options = *options;
-  exchange->node = (flt_node_t *)ctrl->dmn;
+  exchange->node = (flt_node_t *)ctrl->daemon;
   byte_budget_init (&exchange->budget, options->budget_bytes, exchange->node->flt->now_us);
   exchange->overhead_bytes = measure_overhead (options->fleet_key);
   return exchange;
@@ -116,7 +116,7 @@
 }
 
 void
-exchange_send_now (exchange_t *exchange, const set_address_t *peer)
+exchange_send_now (exchange_t *exchange, const address_t *peer)
 {
   send_request (exchange, peer);
 }
@@ -141,7 +141,7 @@
                           exchange->options.budget_bytes / 4 * 3);
 }
 
-set_address_t
+address_t
 exchange_address (const exchange_t *exchange)
 {
   return exchange->options.listen;
@@ -151,7 +151,7 @@
 flt_exchange_timer (flt_node_t *node)
 {
   exchange_t *exchange = node->ctrl->exchange;
-  set_address_t peer;
+  address_t peer;
   if (exchange->options.pick (&peer, exchange->options.context))
     send_request (exchange, &peer);
 }
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -9,11 +9,11 @@
 
 #define FLEET_KEY "bench-fleet-key-0123456789"
 #define PORT_BASE 1000
-#define TICK_US (PSE_TICK_MS * CLK_US_PER_MS)
+#define TICK_US (PAUSE_CHECK_INTERVAL_MS * CLOCK_US_PER_MS)
 /* Mean number of requests that an engine runs: 34,000 requests per second of 15 s each, spread over
  * 3,700 engines. */
 #define MEAN_LOAD 138
-#define LOAD_RAMP_US (10 * CLK_US_PER_S) /* time in which loads double */
+#define LOAD_RAMP_US (10 * CLOCK_US_PER_S) /* time in which loads double */
 
 static bool
 is_engine (const flt_t *fleet, uint32_t index)
@@ -74,7 +74,7 @@
   json_t *all = json_object ();
   for (uint32_t s = 0; s < FLT_SERVICES; s++)
     {
-      char name[LIM_NAME_BYTES];
+      char name[LIMIT_NAME_BYTES];
       json_t *engines = json_array ();
       for (uint32_t i = 0; i < fleet->options.engines; i++)
         {
@@ -108,7 +108,7 @@
 
 /* Messages to data tasks are dropped: the simulation has no data tasks. */
 static void
-drop_message (mbx_message_t *message, void *context)
+drop_message (mailbox_message_t *message, void *context)
 {
   (void)message;
   (void)context;
@@ -117,9 +117,9 @@
 static void
 init_settings (flt_t *fleet, flt_node_t *node)
 {
-  set_t *set = &node->dmn.set;
+  settings_t *set = &node->daemon.set;
   const membership_list_entry_t *listed = &fleet->listed[node->index];
-  set->role = listed->router ? SET_ROLE_ROUTER : SET_ROLE_SIDECAR;
+  set->role = listed->router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
   g_strlcpy (set->name, listed->name, sizeof set->name);
   g_strlcpy (set->data_center, listed->data_center, sizeof set->data_center);
   g_strlcpy (set->region, listed->region, sizeof set->region);
@@ -135,7 +135,7 @@
 static uint64_t
 draw_interval_us (flt_t *fleet)
 {
-  return (uint64_t)((double)fleet->options.interval_ms * CLK_US_PER_MS *
+  return (uint64_t)((double)fleet->options.interval_ms * CLOCK_US_PER_MS *
                     (0.75 + rnd_unit (&fleet->random) / 2));
 }
 
@@ -149,13 +149,13 @@
   node->service = service_of (index);
   node->load_factor = rnd_lognormal (&fleet->random, 1, 0.25);
   node->load_phase = rnd_unit (&fleet->random);
-  node->load_period_us = (5 + 10 * rnd_unit (&fleet->random)) * CLK_US_PER_S;
+  node->load_period_us = (5 + 10 * rnd_unit (&fleet->random)) * CLOCK_US_PER_S;
   init_settings (fleet, node);
-  clk_init_paused (&node->dmn.clk, fleet->now_us);
-  node->dmn.incarnation = 1;
-  node->dmn.counters = fleet->counters;
-  node->dmn.to_data = fleet->mailbox;
-  node->ctrl = control_new_with_platform (&node->dmn, fleet->base, &fleet->platform, NULL);
+  clock_init_paused (&node->daemon.clock, fleet->now_us);
+  node->daemon.incarnation = 1;
+  node->daemon.counters = fleet->counters;
+  node->daemon.to_data = fleet->mailbox;
+  node->ctrl = control_new_with_platform (&node->daemon, fleet->base, &fleet->platform, NULL);
   event_del (node->ctrl->tick); /* the timer follows real time; FLT_TICK replaces it */
   membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed,
                          fleet->options.watched, 1);
@@ -239,12 +239,12 @@
   log_init ("bench-spread", "bench", LOG_LEVEL_ERROR);
   fleet->options = *options;
   fleet->count = options->engines + options->routers;
-  fleet->now_us = 1000 * (uint64_t)CLK_US_PER_S;
+  fleet->now_us = 1000 * (uint64_t)CLOCK_US_PER_S;
   fleet->random = options->seed;
   fleet->cut_region = -1;
   fleet->base = event_base_new ();
-  fleet->counters = cnt_set_new ();
-  fleet->mailbox = mbx_new (fleet->base, drop_message, NULL);
+  fleet->counters = counter_registry_new ();
+  fleet->mailbox = mailbox_new (fleet->base, drop_message, NULL);
   fleet->empty_members = membership_new ();
   membership_snapshot_unref (
       membership_take_snapshot (fleet->empty_members)); /* marks it as unchanged */
@@ -274,8 +274,8 @@
   membership_snapshot_unref (fleet->members);
   manifest_unref (fleet->man);
   membership_free (fleet->empty_members);
-  mbx_free (fleet->mailbox);
-  cnt_set_free (fleet->counters);
+  mailbox_free (fleet->mailbox);
+  counter_registry_free (fleet->counters);
   event_base_free (fleet->base);
   g_free (fleet);
 }
@@ -283,7 +283,7 @@
 void
 flt_enter (flt_node_t *node)
 {
-  node->dmn.clk.now_us = node->flt->now_us;
+  node->daemon.clock.now_us = node->flt->now_us;
 }
 
 void
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -49,7 +49,7 @@
 
 /**
  * struct flt_node - one daemon
- * @dmn: must be the first member: the fakes cast a pointer to it to the node
+ * @daemon: must be the first member: the fakes cast a pointer to it to the node
  * @ctrl: its control task
  * @index: its number in the fleet; sidecars come before routers
  * @service: index of the service of its engine; not used for a router
@@ -63,7 +63,7 @@
  */
 typedef struct
 {
-  dmn_t dmn;
+  daemon_t daemon;
   flt_t *flt;
   control_t *ctrl;
   uint32_t index;
@@ -127,8 +127,8 @@
   platform_t platform;
   flt_options_t options;
   struct event_base *base;
-  cnt_set_t *counters;
-  mbx_t *mailbox;
+  counter_registry_t *counters;
+  mailbox_t *mailbox;
   membership_t *empty_members;
   flt_node_t *nodes;
   uint32_t count;
--- a/bench/spread/means.c
+++ b/bench/spread/means.c
@@ -88,11 +88,11 @@
 {
   estimate_error_t sidecars = { 0 };
   estimate_error_t routers = { 0 };
-  for (uint32_t i = 0; i < RUN_WINDOW_US / CLK_US_PER_S; i++)
+  for (uint32_t i = 0; i < RUN_WINDOW_US / CLOCK_US_PER_S; i++)
     {
       double mean[FLT_SERVICES];
       uint32_t count[FLT_SERVICES];
-      flt_run (run->flt, CLK_US_PER_S, false);
+      flt_run (run->flt, CLOCK_US_PER_S, false);
       true_means (run->flt, mean, count);
       for (uint32_t j = 0; j < run->flt->count; j++)
         {
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -5,12 +5,13 @@
 #include <string.h>
 
 /* The platform answers after the minimum plus a random time below the jitter. */
-#define ANSWER_MIN_US (10 * CLK_US_PER_MS)
-#define ANSWER_JITTER_US (20 * CLK_US_PER_MS)
-#define TIMEOUT_US (2 * CLK_US_PER_S)        /* until a request of a partitioned node fails */
-#define POLL_US (10 * CLK_US_PER_MS)         /* between two checks of a read that waits */
-#define FETCH_US (50 * CLK_US_PER_MS)        /* duration of a download from a peer */
-#define FETCH_INTERVAL_US (1 * CLK_US_PER_S) /* between two downloads of a node, before jitter */
+#define ANSWER_MIN_US (10 * CLOCK_US_PER_MS)
+#define ANSWER_JITTER_US (20 * CLOCK_US_PER_MS)
+#define TIMEOUT_US (2 * CLOCK_US_PER_S)        /* until a request of a partitioned node fails */
+#define POLL_US (10 * CLOCK_US_PER_MS)         /* between two checks of a read that waits */
+#define FETCH_US (50 * CLOCK_US_PER_MS)        /* duration of a download from a peer */
+#define FETCH_INTERVAL_US (1 * CLOCK_US_PER_S) /* between two downloads of a node, before jitter   \
+                                                */
 
 /**
  * struct request - a request to the platform
@@ -34,7 +35,7 @@
 static flt_node_t *
 node_of (const control_call_t *op)
 {
-  return (flt_node_t *)op->ctrl->dmn;
+  return (flt_node_t *)op->ctrl->daemon;
 }
 
 static bool
@@ -86,7 +87,7 @@
   request->read = done;
   request->op = context;
   request->from_offset = from_offset;
-  request->until_us = fleet->now_us + (uint64_t)wait_ms * CLK_US_PER_MS;
+  request->until_us = fleet->now_us + (uint64_t)wait_ms * CLOCK_US_PER_MS;
   fleet->counts.log_reads++;
   schedule_answer (fleet, FLT_READ, request);
 }
@@ -187,7 +188,7 @@
 void
 control_fetch_start (control_t *ctrl, const membership_host_t *host)
 {
-  flt_node_t *node = (flt_node_t *)ctrl->dmn;
+  flt_node_t *node = (flt_node_t *)ctrl->daemon;
   flt_t *fleet = node->flt;
   if (ctrl->fetch.call != NULL || fleet->now_us < ctrl->fetch.next_us)
     return;
@@ -195,7 +196,7 @@
   exchange_charge_budget (ctrl->exchange, CONTROL_REQUEST_BYTES);
   fleet->counts.fetches++;
   uint64_t *peer = g_new (uint64_t, 1);
-  *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].dmn.set.exchange.port);
+  *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].daemon.set.exchange.port);
   evt_add (&fleet->events, fleet->now_us + FETCH_US, FLT_FETCH, node->index, peer);
 }
 
--- a/bench/spread/run.c
+++ b/bench/spread/run.c
@@ -4,7 +4,7 @@
 
 #include <stdio.h>
 
-#define WARM_UP_US (5 * (uint64_t)CLK_US_PER_S) /* before a measurement */
+#define WARM_UP_US (5 * (uint64_t)CLOCK_US_PER_S) /* before a measurement */
 
 void
 run_print (const run_t *run, const char *what, const char *unit, double value)
@@ -49,8 +49,8 @@
       if (node->received_us == 0)
         continue;
       uint64_t delay_us = node->received_us > start_us ? node->received_us - start_us : 0;
-      within_2s += delay_us <= 2 * CLK_US_PER_S;
-      fig_add (&list, (double)delay_us / CLK_US_PER_S);
+      within_2s += delay_us <= 2 * CLOCK_US_PER_S;
+      fig_add (&list, (double)delay_us / CLOCK_US_PER_S);
     }
   char row[96];
   snprintf (row, sizeof row, "%s: half", what);
@@ -70,8 +70,8 @@
 run_print_traffic (const run_t *run, const char *what, const flt_counts_t *before, uint64_t span_us)
 {
   const flt_counts_t *now = &run->flt->counts;
-  double node_s = (double)run->flt->count * (double)span_us / CLK_US_PER_S;
-  double span_s = (double)span_us / CLK_US_PER_S;
+  double node_s = (double)run->flt->count * (double)span_us / CLOCK_US_PER_S;
+  double span_s = (double)span_us / CLOCK_US_PER_S;
   char row[96];
   snprintf (row, sizeof row, "%s: exchange", what);
   run_print (run, row, "bytes/s/daemon",
@@ -97,7 +97,7 @@
 run_is_router (const flt_node_t *node, void *context)
 {
   (void)context;
-  return node->dmn.set.role == SET_ROLE_ROUTER;
+  return node->daemon.set.role == SETTINGS_ROLE_ROUTER;
 }
 
 bool
--- a/bench/spread/run.h
+++ b/bench/spread/run.h
@@ -9,7 +9,7 @@
 
 #include "fleet.h"
 
-#define RUN_WINDOW_US (10 * (uint64_t)CLK_US_PER_S) /* length of one measurement */
+#define RUN_WINDOW_US (10 * (uint64_t)CLOCK_US_PER_S) /* length of one measurement */
 
 /**
  * struct run - a measurement
--- a/bench/world.c
+++ b/bench/world.c
@@ -8,11 +8,11 @@
 #define MAX_VIEWS 32
 #define JOINING_ENGINES 2 /* added by the fault "join" */
 #define EXCHANGE_AFTER_END_US                                                                      \
-  (120 * (uint64_t)CLK_US_PER_S) /* until the last requests have ended */
-#define LIST_LAG_MIN_US (CLK_US_PER_S / 5)
-#define LIST_LAG_MAX_US (3 * CLK_US_PER_S / 2)
-#define LATE_LIST_LAG_MIN_US (3 * CLK_US_PER_S)
-#define LATE_LIST_LAG_MAX_US (7 * CLK_US_PER_S)
+  (120 * (uint64_t)CLOCK_US_PER_S) /* until the last requests have ended */
+#define LIST_LAG_MIN_US (CLOCK_US_PER_S / 5)
+#define LIST_LAG_MAX_US (3 * CLOCK_US_PER_S / 2)
+#define LATE_LIST_LAG_MIN_US (3 * CLOCK_US_PER_S)
+#define LATE_LIST_LAG_MAX_US (7 * CLOCK_US_PER_S)
 
 const char *const wld_policy_names[WLD_POLICIES] = { "full",  "bounded", "rendezvous",
                                                      "least", "oracle",  "random" };
--- a/bench/world_engine.c
+++ b/bench/world_engine.c
@@ -45,7 +45,7 @@
                                 .engine_count = engine->daemon.view->count,
                                 .prefill_tokens_s = workload->prefill_tokens_s,
                                 .cache_lifetime_us =
-                                    (uint64_t)workload->cache_lifetime_s * CLK_US_PER_S,
+                                    (uint64_t)workload->cache_lifetime_s * CLOCK_US_PER_S,
                                 .seed = sim->options.seed * 977 + engine->index,
                                 .policy = admission_policy_for (sim->options.policy),
                                 .is_live = lst_is_live,
@@ -134,7 +134,7 @@
     move_true_load (sim, load - 1, load);
   const uint32_t found = use_cache (sim, engine, call);
   const uint64_t prefill_us =
-      (uint64_t)(call->turn.prompt_tokens - found) * CLK_US_PER_S / workload->prefill_tokens_s;
+      (uint64_t)(call->turn.prompt_tokens - found) * CLOCK_US_PER_S / workload->prefill_tokens_s;
   const uint64_t decode_us = (uint64_t)call->turn.output_tokens * workload->token_us;
   call->engine = engine;
   call->first_token_us = sim->now_us + prefill_us + workload->token_us;
--- a/bench/world_fault.c
+++ b/bench/world_fault.c
@@ -3,12 +3,12 @@
 #include <math.h>
 
 #define SURGE_FACTOR 100.0
-#define SURGE_DURATION_US (60 * CLK_US_PER_S)
-#define REPLACEMENT_DELAY_US (40 * (uint64_t)CLK_US_PER_S)
-#define FLAP_PERIOD_US (30 * (uint64_t)CLK_US_PER_S)
-#define FLAP_OUTAGE_US (5 * CLK_US_PER_S)
-#define DRAIN_POLL_US CLK_US_PER_S
-#define DATA_CENTER_OUTAGE_US (60 * (uint64_t)CLK_US_PER_S)
+#define SURGE_DURATION_US (60 * CLOCK_US_PER_S)
+#define REPLACEMENT_DELAY_US (40 * (uint64_t)CLOCK_US_PER_S)
+#define FLAP_PERIOD_US (30 * (uint64_t)CLOCK_US_PER_S)
+#define FLAP_OUTAGE_US (5 * CLOCK_US_PER_S)
+#define DRAIN_POLL_US CLOCK_US_PER_S
+#define DATA_CENTER_OUTAGE_US (60 * (uint64_t)CLOCK_US_PER_S)
 
 typedef enum
 {
@@ -31,7 +31,7 @@
 static void
 plan_rolling (wld_t *sim)
 {
-  const uint64_t step_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLK_US_PER_S;
+  const uint64_t step_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLOCK_US_PER_S;
   for (uint32_t i = 0; i < sim->options.engine_count; i++)
     {
       schedule_action (sim, i * step_us, ACTION_LEAVE, &sim->engines[i]);
@@ -94,7 +94,7 @@
 {
   if (sim->options.without_fault)
     return;
-  const uint64_t lifetime_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLK_US_PER_S;
+  const uint64_t lifetime_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLOCK_US_PER_S;
   switch (sim->options.fault)
     {
     case WLD_SURGE:
@@ -178,7 +178,7 @@
 uint64_t
 wld_window_us (const wkl_t *workload, wld_fault_t fault, uint32_t engine_count)
 {
-  const uint64_t lifetime_us = (uint64_t)workload->cache_lifetime_s * CLK_US_PER_S;
+  const uint64_t lifetime_us = (uint64_t)workload->cache_lifetime_s * CLOCK_US_PER_S;
   switch (fault)
     {
     case WLD_SURGE:
--- a/bench/world_list.c
+++ b/bench/world_list.c
@@ -48,12 +48,12 @@
 static void
 send_samples (wld_t *sim, wld_daemon_t *from, wld_daemon_t *to)
 {
-  load_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
+  load_sample_t samples[LIMIT_LOAD_SAMPLES_PER_MESSAGE];
   uint32_t count = 0;
   if (from->engine != NULL && !from->engine->leaving)
     samples[count++] = admission_sample (from->engine->admission, sim->now_us);
-  count +=
-      load_samples_pick (from->mean, sim->now_us, samples + count, LIM_SAMPLES_PER_MESSAGE - count);
+  count += load_samples_pick (from->mean, sim->now_us, samples + count,
+                              LIMIT_LOAD_SAMPLES_PER_MESSAGE - count);
   for (uint32_t i = 0; i < count; i++)
     {
       const bool own = to->engine != NULL && to->engine->hash == samples[i].engine_hash;
--- a/bench/world_parts.h
+++ b/bench/world_parts.h
@@ -15,7 +15,7 @@
 #define WLD_EXCHANGE_US (250 * 1000)
 /* Membership reports that a daemon passes on, and how long it does so. */
 #define WLD_WORDS 4
-#define WLD_WORD_AGE_US (5 * CLK_US_PER_S)
+#define WLD_WORD_AGE_US (5 * CLOCK_US_PER_S)
 /* The engines are spread evenly over these data centres. */
 #define WLD_CENTERS 3
 
@@ -88,7 +88,7 @@
 struct wld_engine
 {
   wld_daemon_t daemon;
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   uint64_t hash;
   uint32_t index;
   admission_t *admission;
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -27,7 +27,7 @@
     .chat_hash = call->request.chat_hash,
     .has_chat = call->request.has_chat,
     .first_turn = call->session->turn == 0,
-    .cache_lifetime_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLK_US_PER_S,
+    .cache_lifetime_us = (uint64_t)sim->options.workload->cache_lifetime_s * CLOCK_US_PER_S,
     .samples = full ? &router->samples : NULL,
     .under_way = full ? router->in_flight : NULL,
     .tie = call->request.fingerprint >> 9,
@@ -62,7 +62,7 @@
   for (uint32_t i = 0; i < router->samples.count; i++)
     {
       const load_sample_t *sample = &router->samples.samples[(from + i) % router->samples.count];
-      if (sample->taken_us + LIM_SAMPLE_AGE_US < sim->now_us ||
+      if (sample->taken_us + LIMIT_LOAD_SAMPLE_AGE_US < sim->now_us ||
           sample->load + sample->waiting >= least ||
           !lst_is_live (sample->engine_hash, router->daemon.view))
         continue;
@@ -254,9 +254,9 @@
                            .weight = sim->options.workload->account_weights[session->account],
                            .priority = class->priority,
                            .cost = call->turn.prompt_tokens + call->turn.output_tokens,
-                           .queue_limit = LIM_QUEUE_PER_ACCOUNT,
+                           .queue_limit = LIMIT_QUEUED_PER_ACCOUNT,
                            .deadline_us =
-                               sim->now_us + (uint64_t) class->deadline_ms * CLK_US_PER_MS };
+                               sim->now_us + (uint64_t) class->deadline_ms * CLOCK_US_PER_MS };
   request->chat_hash = session->chat_hash;
   request->fingerprint = session->chat_hash + session->turn;
   request->has_chat = class->return_share > 0;
--- a/ctl/ask.c
+++ b/ctl/ask.c
@@ -107,11 +107,11 @@
 {
   ctl_t *ctl = pending->batch->ctl;
   ask_call_t *call = pending->call;
-  uint64_t time_s = clk_wall_ms (&ctl->clk) / 1000;
+  uint64_t time_s = clock_wall_ms (&ctl->clock) / 1000;
   http_client_options_t options = { .address = &call->address,
                                     .method = call->method,
                                     .timeout_us =
-                                        (uint64_t)MAX (ctl_left_ms (ctl), 1) * CLK_US_PER_MS,
+                                        (uint64_t)MAX (ctl_left_ms (ctl), 1) * CLOCK_US_PER_MS,
                                     .answer_limit_bytes = ASK_ANSWER_LIMIT_BYTES,
                                     .on_head = on_head,
                                     .on_data = on_data,
@@ -183,7 +183,7 @@
 }
 
 char *
-ask_manifest (ctl_t *ctl, const set_address_t *address)
+ask_manifest (ctl_t *ctl, const address_t *address)
 {
   ask_call_t call = {
     .address = *address, .method = "GET", .path = "/medlarplank/manifest", .seal = ASK_CALL
--- a/ctl/ask.h
+++ b/ctl/ask.h
@@ -37,8 +37,8 @@
  */
 typedef struct
 {
-  set_address_t address;
-  char name[LIM_NAME_BYTES];
+  address_t address;
+  char name[LIMIT_NAME_BYTES];
   const char *method;
   const char *path;
   const char *query;
@@ -62,7 +62,7 @@
  *
  * Return: the JSON text of the response, to be freed; NULL when it can't be fetched
  */
-char *ask_manifest (ctl_t *ctl, const set_address_t *address);
+char *ask_manifest (ctl_t *ctl, const address_t *address);
 
 /**
  * ask_hosts() - fetch the platform's host list
--- a/ctl/cmd_order.c
+++ b/ctl/cmd_order.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 
 static ctl_exit_t
-find_address (ctl_t *ctl, const char *name, set_address_t *address)
+find_address (ctl_t *ctl, const char *name, address_t *address)
 {
   platform_outcome_t outcome;
   GArray *hosts;
@@ -33,7 +33,7 @@
 
 /* The seal covers the host's name, so another host that the order reaches by mistake refuses it. */
 static ctl_exit_t
-send_drain_order (ctl_t *ctl, const char *host, const set_address_t *address)
+send_drain_order (ctl_t *ctl, const char *host, const address_t *address)
 {
   ask_call_t call = {
     .address = *address, .method = "POST", .path = "/medlarplank/drain", .seal = ASK_DRAIN
@@ -55,7 +55,7 @@
 ctl_exit_t
 cmd_drain (ctl_t *ctl, const char *host)
 {
-  set_address_t address;
+  address_t address;
   ctl_exit_t code;
 
   if (ctl->options.fleet_key == NULL)
--- a/ctl/cmd_publish.c
+++ b/ctl/cmd_publish.c
@@ -42,9 +42,9 @@
 
   if (!g_file_get_contents (file, &text, &text_bytes, &error))
     return ctl_complain (CTL_USAGE, "%s", error->message);
-  if (text_bytes > LIM_MANIFEST_BYTES)
+  if (text_bytes > LIMIT_MANIFEST_BYTES)
     return ctl_complain (CTL_USAGE, "%s: is larger than the limit of %d bytes", file,
-                         LIM_MANIFEST_BYTES);
+                         LIMIT_MANIFEST_BYTES);
   publish->document = json_loadb (text, text_bytes, JSON_REJECT_DUPLICATES, &parse_error);
   if (publish->document == NULL)
     return ctl_complain (CTL_USAGE, "%s: line %d, column %d: %s", file, parse_error.line,
--- a/ctl/cmd_status.c
+++ b/ctl/cmd_status.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 
 static ask_call_t
-make_status_call (const set_address_t *address, const char *name)
+make_status_call (const address_t *address, const char *name)
 {
   ask_call_t call = { .address = *address, .method = "GET", .path = ASK_STATUS_PATH };
 
--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -18,11 +18,11 @@
 uint32_t
 ctl_left_ms (const ctl_t *ctl)
 {
-  uint64_t now_us = clk_now_us (&ctl->clk);
+  uint64_t now_us = clock_now_us (&ctl->clock);
 
   if (now_us >= ctl->deadline_us)
     return 0;
-  return (uint32_t)((ctl->deadline_us - now_us) / CLK_US_PER_MS);
+  return (uint32_t)((ctl->deadline_us - now_us) / CLOCK_US_PER_MS);
 }
 
 void
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -27,16 +27,16 @@
 /**
  * struct ctl - state of one run of the tool
  * @options: the parsed command line
- * @clk: time source
+ * @clock: time source
  * @base: event loop
  * @platform: platform client, NULL when no platform was named
  * @http_client: HTTP client for calls to daemons
- * @deadline_us: time by which the whole command must end, on @clk
+ * @deadline_us: time by which the whole command must end, on @clock
  */
 typedef struct
 {
   opt_t options;
-  clk_t clk;
+  clock_source_t clock;
   struct event_base *base;
   platform_t *platform;
   http_client_t *http_client;
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -126,8 +126,8 @@
   ctl_t ctl = { .options = *options };
   ctl_exit_t code;
 
-  clk_init_running (&ctl.clk);
-  ctl.deadline_us = clk_now_us (&ctl.clk) + (uint64_t)options->timeout_ms * CLK_US_PER_MS;
+  clock_init_running (&ctl.clock);
+  ctl.deadline_us = clock_now_us (&ctl.clock) + (uint64_t)options->timeout_ms * CLOCK_US_PER_MS;
   ctl.base = event_base_new ();
   ctl.http_client = http_client_new (ctl.base, 1, 1000);
   if ((options->given & OPT_PLATFORM) != 0)
@@ -163,7 +163,7 @@
     }
   if ((options.given & OPT_VERSION) != 0 && options.word_count == 0)
     {
-      puts ("medlarplankctl " SET_PROGRAM_VERSION);
+      puts ("medlarplankctl " PROGRAM_VERSION);
       return CTL_OK;
     }
   command = find_command (&options);
--- a/ctl/options.c
+++ b/ctl/options.c
@@ -47,9 +47,9 @@
 }
 
 static bool
-parse_address (const char *name, const char *text, set_address_t *address, GError **error)
+parse_address (const char *name, const char *text, address_t *address, GError **error)
 {
-  if (!set_parse_address (text, address, NULL))
+  if (!address_parse (text, address, NULL))
     return set_invalid_value (error, name, text, "IP:PORT");
   return true;
 }
@@ -83,7 +83,7 @@
   for (size_t i = 0; i < length; i++)
     if (!g_ascii_isprint (text[i]))
       return set_invalid_value (error, "by", text, "printable ASCII");
-  if (length == 0 || length >= LIM_NAME_BYTES)
+  if (length == 0 || length >= LIMIT_NAME_BYTES)
     return set_invalid_value (error, "by", text, "1..63 bytes long");
   options->by = text;
   return true;
@@ -124,7 +124,7 @@
   if (platform == NULL)
     return true;
   options->given |= OPT_PLATFORM;
-  if (set_parse_address (platform, &options->platform, NULL))
+  if (address_parse (platform, &options->platform, NULL))
     return true;
   g_set_error (error, OPT_ERROR, 0, "MEDLARPLANK_PLATFORM: \"%s\" is not IP:PORT", platform);
   return false;
--- a/ctl/options.h
+++ b/ctl/options.h
@@ -51,8 +51,8 @@
 typedef struct
 {
   uint32_t given;
-  set_address_t platform;
-  set_address_t daemon;
+  address_t platform;
+  address_t daemon;
   const char *fleet_key;
   uint32_t timeout_ms;
   bool hosts_check;
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -186,7 +186,7 @@
 /** sok_random() - draw a number. Return: 0 to @below - 1 */
 uint32_t sok_random (sok_t *soak, uint32_t below);
 /** sok_address() - get the run's address whose last number is @last */
-set_address_t sok_address (const sok_t *soak, uint32_t last, uint16_t port);
+address_t sok_address (const sok_t *soak, uint32_t last, uint16_t port);
 /** sok_turn() - run the event loop for @ms, with regular checks of processes and faults */
 void sok_turn (sok_t *soak, uint32_t ms);
 
@@ -209,7 +209,7 @@
 /* soak_proxy.c */
 /** sok_proxy_new() - start a proxy that listens on @listen and connects to @target */
 sok_proxy_t *
-sok_proxy_new (struct event_base *base, const set_address_t *listen, const set_address_t *target);
+sok_proxy_new (struct event_base *base, const address_t *listen, const address_t *target);
 void sok_proxy_free (sok_proxy_t *proxy);
 /** sok_proxy_set() - change what the proxy does with its connections */
 void sok_proxy_set (sok_proxy_t *proxy, sok_mode_t mode);
--- a/soak/soak_client.c
+++ b/soak/soak_client.c
@@ -57,7 +57,7 @@
 sok_ask (sok_t *soak, uint32_t gateway, uint32_t kind, uint32_t version, bool valid_key)
 {
   sok_call_t *call = g_new0 (sok_call_t, 1);
-  set_address_t address = sok_address (soak, GATEWAY_IP_OCTET + gateway, GATEWAY_PORT);
+  address_t address = sok_address (soak, GATEWAY_IP_OCTET + gateway, GATEWAY_PORT);
   g_autofree char *path = version > 1 ? g_strdup_printf ("/v%u/", version) : g_strdup (paths[kind]);
   bool is_get = version > 1 || kind == SOK_LOOK;
   http_client_header_t headers[] = { { "Host", "h.example" },
--- a/soak/soak_fleet.c
+++ b/soak/soak_fleet.c
@@ -27,10 +27,10 @@
 #define STOP_SLACK_MS 500            /* on top of the grace period, for the check of the exit */
 #define START_TIMEOUT_US (UINT64_C (15) * 1000 * 1000)
 
-set_address_t
+address_t
 sok_address (const sok_t *soak, uint32_t last, uint16_t port)
 {
-  set_address_t address = { .port = port };
+  address_t address = { .port = port };
 
   g_snprintf (address.ip, sizeof address.ip, "%s.%u", soak->ip_prefix, last);
   return address;
@@ -202,7 +202,7 @@
 static void
 start_store (sok_t *soak)
 {
-  set_address_t address = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t address = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
 
   soak->store = process_new (soak, "standin-platform", "store");
   add_argument (soak->store, "--listen=%s:%u", address.ip, address.port);
@@ -212,9 +212,9 @@
 static void
 start_upstream (sok_t *soak, uint32_t index)
 {
-  set_address_t own = sok_address (soak, UPSTREAM_IP_OCTET + index, HTTP_PORT);
-  set_address_t proxy = sok_address (soak, UPSTREAM_PROXY_IP_OCTET + index, HTTP_PORT);
-  set_address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t own = sok_address (soak, UPSTREAM_IP_OCTET + index, HTTP_PORT);
+  address_t proxy = sok_address (soak, UPSTREAM_PROXY_IP_OCTET + index, HTTP_PORT);
+  address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
   g_autofree char *name = g_strdup_printf ("upstream-%u", index);
   sok_process_t *process = process_new (soak, "standin-upstream", name);
   bool streams = index < SOK_STREAMS;
@@ -237,9 +237,9 @@
 static void
 start_gateway (sok_t *soak, uint32_t index)
 {
-  set_address_t own = sok_address (soak, GATEWAY_IP_OCTET + index, HTTP_PORT);
-  set_address_t proxy = sok_address (soak, STORE_PROXY_IP_OCTET + index, HTTP_PORT);
-  set_address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t own = sok_address (soak, GATEWAY_IP_OCTET + index, HTTP_PORT);
+  address_t proxy = sok_address (soak, STORE_PROXY_IP_OCTET + index, HTTP_PORT);
+  address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
   g_autofree char *name = g_strdup_printf ("gateway-%u", index);
   sok_process_t *process = process_new (soak, "medlarplankd", name);
 
@@ -283,7 +283,7 @@
 static int
 call_store (sok_t *soak, const char *target, const char *body, size_t body_bytes)
 {
-  set_address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
   platform_client_t *platform_client = platform_client_new (soak->base, &store, NULL);
   int status = 0;
 
--- a/soak/soak_proxy.c
+++ b/soak/soak_proxy.c
@@ -13,7 +13,7 @@
 struct sok_proxy
 {
   struct event_base *base;
-  set_address_t target;
+  address_t target;
   struct evconnlistener *listener;
   sok_mode_t mode;
   GHashTable *conns; /* set of proxied_conn_t */
@@ -120,7 +120,7 @@
 }
 
 static struct sockaddr_in
-sockaddr_of (const set_address_t *address)
+sockaddr_of (const address_t *address)
 {
   struct sockaddr_in sockaddr = { .sin_family = AF_INET, .sin_port = htons (address->port) };
 
@@ -162,7 +162,7 @@
 }
 
 sok_proxy_t *
-sok_proxy_new (struct event_base *base, const set_address_t *listen, const set_address_t *target)
+sok_proxy_new (struct event_base *base, const address_t *listen, const address_t *target)
 {
   sok_proxy_t *proxy = g_new0 (sok_proxy_t, 1);
   struct sockaddr_in listen_sockaddr = sockaddr_of (listen);
--- a/src/base/counters.c
+++ b/src/base/counters.c
@@ -21,8 +21,8 @@
   bool is_counter;
 } family_t;
 
-/** struct cnt - one counter or gauge; @labels include the braces, or are "" */
-struct cnt
+/** struct counter - one counter or gauge; @labels include the braces, or are "" */
+struct counter
 {
   const family_t *family;
   char *labels;
@@ -30,18 +30,18 @@
 };
 
 /**
- * struct cnt_set - all counters and gauges of a process
+ * struct counter_registry - all counters and gauges of a process
  * @lock: protects the hash tables; the values are atomic
- * @by_name: sanitized name with labels -> cnt_t
+ * @by_name: sanitized name with labels -> counter_t
  * @families: base name -> family_t
- * @overflow: returned for new names once LIM_COUNTERS are registered
+ * @overflow: returned for new names once LIMIT_COUNTERS are registered
  */
-struct cnt_set
+struct counter_registry
 {
   GMutex lock;
   GHashTable *by_name;
   GHashTable *families;
-  cnt_t *overflow;
+  counter_t *overflow;
 };
 
 static void
@@ -57,10 +57,10 @@
 static void
 counter_free (gpointer data)
 {
-  cnt_t *cnt = data;
+  counter_t *counter = data;
 
-  g_free (cnt->labels);
-  g_free (cnt);
+  g_free (counter->labels);
+  g_free (counter);
 }
 
 static bool
@@ -145,7 +145,7 @@
 }
 
 static family_t *
-get_family (cnt_set_t *registry, const char *base, const char *help)
+get_family (counter_registry_t *registry, const char *base, const char *help)
 {
   family_t *family = g_hash_table_lookup (registry->families, base);
 
@@ -160,46 +160,49 @@
   return family;
 }
 
-static cnt_t *
-get_with_lock_held (cnt_set_t *registry, const char *base, const char *labels, const char *help)
+static counter_t *
+get_with_lock_held (counter_registry_t *registry,
+                    const char *base,
+                    const char *labels,
+                    const char *help)
 {
   char *name = g_strconcat (base, labels, NULL);
-  cnt_t *cnt = g_hash_table_lookup (registry->by_name, name);
+  counter_t *counter = g_hash_table_lookup (registry->by_name, name);
 
-  if (cnt == NULL && g_hash_table_size (registry->by_name) >= LIM_COUNTERS)
-    cnt = registry->overflow;
-  if (cnt != NULL)
+  if (counter == NULL && g_hash_table_size (registry->by_name) >= LIMIT_COUNTERS)
+    counter = registry->overflow;
+  if (counter != NULL)
     {
       g_free (name);
-      return cnt;
+      return counter;
     }
-  cnt = g_new0 (cnt_t, 1);
-  cnt->family = get_family (registry, base, help);
-  cnt->labels = g_strdup (labels);
-  g_hash_table_insert (registry->by_name, name, cnt);
-  return cnt;
+  counter = g_new0 (counter_t, 1);
+  counter->family = get_family (registry, base, help);
+  counter->labels = g_strdup (labels);
+  g_hash_table_insert (registry->by_name, name, counter);
+  return counter;
 }
 
 static gint
 compare_counters (gconstpointer a, gconstpointer b)
 {
-  const cnt_t *left = *(const cnt_t *const *)a;
-  const cnt_t *right = *(const cnt_t *const *)b;
+  const counter_t *left = *(const counter_t *const *)a;
+  const counter_t *right = *(const counter_t *const *)b;
   int order = strcmp (left->family->base, right->family->base);
 
   return order != 0 ? order : strcmp (left->labels, right->labels);
 }
 
 static GPtrArray *
-sorted_counters (cnt_set_t *registry)
+sorted_counters (counter_registry_t *registry)
 {
   GPtrArray *counters = g_ptr_array_new ();
   GHashTableIter iter;
-  gpointer cnt;
+  gpointer counter;
 
   g_hash_table_iter_init (&iter, registry->by_name);
-  while (g_hash_table_iter_next (&iter, NULL, &cnt))
-    g_ptr_array_add (counters, cnt);
+  while (g_hash_table_iter_next (&iter, NULL, &counter))
+    g_ptr_array_add (counters, counter);
   g_ptr_array_sort (counters, compare_counters);
   return counters;
 }
@@ -213,10 +216,10 @@
                           family->is_counter ? "counter" : "gauge");
 }
 
-cnt_set_t *
-cnt_set_new (void)
+counter_registry_t *
+counter_registry_new (void)
 {
-  cnt_set_t *registry = g_new0 (cnt_set_t, 1);
+  counter_registry_t *registry = g_new0 (counter_registry_t, 1);
 
   g_mutex_init (&registry->lock);
   registry->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, counter_free);
@@ -226,7 +229,7 @@
 }
 
 void
-cnt_set_free (cnt_set_t *registry)
+counter_registry_free (counter_registry_t *registry)
 {
   if (registry == NULL)
     return;
@@ -236,13 +239,13 @@
   g_free (registry);
 }
 
-cnt_t *
-cnt_get (cnt_set_t *registry, const char *name, const char *help)
+counter_t *
+counter_get (counter_registry_t *registry, const char *name, const char *help)
 {
   const char *labels = strchr (name, '{');
   size_t base_bytes = strlen (name);
   char *base;
-  cnt_t *cnt;
+  counter_t *counter;
 
   if (labels != NULL && labels_are_valid (labels))
     base_bytes = (size_t)(labels - name);
@@ -251,49 +254,52 @@
   base = sanitize_name (name, base_bytes);
 
   g_mutex_lock (&registry->lock);
-  cnt = get_with_lock_held (registry, base, labels, help);
+  counter = get_with_lock_held (registry, base, labels, help);
   g_mutex_unlock (&registry->lock);
   g_free (base);
-  return cnt;
+  return counter;
 }
 
-cnt_t *
-cnt_get_labelled (
-    cnt_set_t *registry, const char *base, const char *label, const char *value, const char *help)
+counter_t *
+counter_get_labelled (counter_registry_t *registry,
+                      const char *base,
+                      const char *label,
+                      const char *value,
+                      const char *help)
 {
   char *label_name = sanitize_name (label, strlen (label));
   GString *name = g_string_new (base);
-  cnt_t *cnt;
+  counter_t *counter;
 
   g_string_append_printf (name, "{%s=\"", label_name);
   append_escaped (name, value, true);
   g_string_append (name, "\"}");
-  cnt = cnt_get (registry, name->str, help);
+  counter = counter_get (registry, name->str, help);
   g_string_free (name, TRUE);
   g_free (label_name);
-  return cnt;
+  return counter;
 }
 
 void
-cnt_add (cnt_t *cnt, uint64_t delta)
+counter_add (counter_t *counter, uint64_t delta)
 {
-  __atomic_fetch_add (&cnt->value, delta, __ATOMIC_RELAXED);
+  __atomic_fetch_add (&counter->value, delta, __ATOMIC_RELAXED);
 }
 
 void
-cnt_set_value (cnt_t *cnt, uint64_t value)
+counter_set (counter_t *counter, uint64_t value)
 {
-  __atomic_store_n (&cnt->value, value, __ATOMIC_RELAXED);
+  __atomic_store_n (&counter->value, value, __ATOMIC_RELAXED);
 }
 
 uint64_t
-cnt_value (const cnt_t *cnt)
+counter_value (const counter_t *counter)
 {
-  return __atomic_load_n (&cnt->value, __ATOMIC_RELAXED);
+  return __atomic_load_n (&counter->value, __ATOMIC_RELAXED);
 }
 
 void
-cnt_write (cnt_set_t *registry, GString *out)
+counter_registry_write (counter_registry_t *registry, GString *out)
 {
   const family_t *family = NULL;
   GPtrArray *counters;
@@ -305,12 +311,12 @@
   /* Counters are never removed from a registry, so they can be read without the lock. */
   for (guint i = 0; i < counters->len; i++)
     {
-      const cnt_t *cnt = g_ptr_array_index (counters, i);
-      if (cnt->family != family)
-        write_family (cnt->family, out);
-      family = cnt->family;
-      g_string_append_printf (out, "%s%s %" G_GUINT64_FORMAT "\n", family->base, cnt->labels,
-                              cnt_value (cnt));
+      const counter_t *counter = g_ptr_array_index (counters, i);
+      if (counter->family != family)
+        write_family (counter->family, out);
+      family = counter->family;
+      g_string_append_printf (out, "%s%s %" G_GUINT64_FORMAT "\n", family->base, counter->labels,
+                              counter_value (counter));
     }
   g_ptr_array_free (counters, TRUE);
 }
--- a/src/base/daemon.h
+++ b/src/base/daemon.h
@@ -16,9 +16,9 @@
 #include <event2/event.h>
 
 /**
- * struct dmn - context of a daemon process
+ * struct daemon - context of a daemon process
  * @set: settings, checked at start
- * @clk: time source of both tasks
+ * @clock: time source of both tasks
  * @counters: exported metrics of both tasks
  * @incarnation: wall-clock time of the start in milliseconds; a restarted daemon has a higher one
  * @to_control: mailbox that the control task reads
@@ -26,12 +26,12 @@
  */
 typedef struct
 {
-  set_t set;
-  clk_t clk;
-  cnt_set_t *counters;
+  settings_t set;
+  clock_source_t clock;
+  counter_registry_t *counters;
   uint64_t incarnation;
-  mbx_t *to_control;
-  mbx_t *to_data;
-} dmn_t;
+  mailbox_t *to_control;
+  mailbox_t *to_data;
+} daemon_t;
 
 #endif
--- a/src/base/digits.c
+++ b/src/base/digits.c
@@ -3,9 +3,9 @@
 #include <glib.h>
 
 char *
-dgt_u64 (char *out, uint64_t value)
+digits_write_u64 (char *out, uint64_t value)
 {
-  char digits[DGT_U64_BYTES];
+  char digits[DIGITS_U64_BYTES];
   uint32_t count = 0;
 
   do
@@ -17,7 +17,7 @@
 }
 
 char *
-dgt_hex (char *out, uint64_t value)
+digits_write_hex (char *out, uint64_t value)
 {
   static const char digits[] = "0123456789abcdef";
 
@@ -27,11 +27,11 @@
 }
 
 bool
-dgt_parse_hex (const char *text, uint64_t *out)
+digits_parse_hex (const char *text, uint64_t *out)
 {
   uint64_t value = 0;
 
-  for (uint32_t i = 0; i < DGT_HEX_BYTES; i++)
+  for (uint32_t i = 0; i < DIGITS_HEX_BYTES; i++)
     {
       int digit = g_ascii_xdigit_value (text[i]);
 
--- a/src/base/limits.h
+++ b/src/base/limits.h
@@ -8,66 +8,67 @@
 #define BASE_LIMITS_H
 
 /* names and ids, so that they fit into fixed buffers */
-#define LIM_NAME_BYTES 64     /* host, service, account and class names, with the final NUL */
-#define LIM_CHAT_ID_BYTES 256 /* a chat id in a request header */
-#define LIM_KEY_BYTES 256     /* an idempotency key in a request header */
+#define LIMIT_NAME_BYTES 64     /* host, service, account and class names, with the final NUL */
+#define LIMIT_CHAT_ID_BYTES 256 /* a chat id in a request header */
+#define LIMIT_IDEMPOTENCY_KEY_BYTES 256 /* an idempotency key in a request header */
 
 /* forwarding of one request */
-#define LIM_HOPS 4      /* sidecars that one request is forwarded to */
-#define LIM_HOPS_MOST 8 /* likewise after a sidecar stopped that had queued it */
-#define LIM_REFERRALS 3 /* other hosts that one refusal may suggest */
+#define LIMIT_HOPS 4          /* sidecars that one request is forwarded to */
+#define LIMIT_HOPS_EXTENDED 8 /* likewise after a sidecar stopped that had queued it */
+#define LIMIT_REFERRALS 3     /* other hosts that one refusal may suggest */
 
 /* load reports and exchange messages */
-#define LIM_SAMPLES_PER_MESSAGE 8           /* load samples in one exchange message */
-#define LIM_SAMPLES_KEPT 64                 /* load samples kept for one service */
-#define LIM_SAMPLE_AGE_US (3 * 1000 * 1000) /* older load samples are not used */
-#define LIM_DATAGRAM_BYTES 1200             /* an exchange message; below the IPv6 minimum MTU */
+#define LIMIT_LOAD_SAMPLES_PER_MESSAGE 8           /* load samples in one exchange message */
+#define LIMIT_LOAD_SAMPLES 64                      /* load samples kept for one service */
+#define LIMIT_LOAD_SAMPLE_AGE_US (3 * 1000 * 1000) /* older load samples are not used */
+#define LIMIT_DATAGRAM_BYTES 1200 /* an exchange message; below the IPv6 minimum MTU */
 
 /* the manifest (the published configuration) */
-#define LIM_MANIFEST_BYTES (8 * 1024 * 1024)
-#define LIM_MANIFEST_DEPTH 16 /* nesting of its JSON */
-#define LIM_MANIFEST_ROUTES 1024
-#define LIM_PUBLISH_IDS 1024 /* publish ids that a reader remembers with their verdict */
+#define LIMIT_MANIFEST_BYTES (8 * 1024 * 1024)
+#define LIMIT_MANIFEST_DEPTH 16 /* nesting of its JSON */
+#define LIMIT_MANIFEST_ROUTES 1024
+#define LIMIT_PUBLISH_IDS 1024 /* publish ids that a reader remembers with their verdict */
 
 /* requests that are queued */
-#define LIM_QUEUE_PER_ACCOUNT 64 /* of one client account, at one sidecar */
-#define LIM_QUEUE_TOTAL 512      /* of all client accounts, at one sidecar */
+#define LIMIT_QUEUED_PER_ACCOUNT 64 /* of one client account, at one sidecar */
+#define LIMIT_QUEUED 512            /* of all client accounts, at one sidecar */
 
 /* claims: idempotency keys that a sidecar reserves by records in the platform's log */
-#define LIM_CLAIMS_WAITING 1024 /* claims of one stream that await their result from the log */
-#define LIM_CLAIM_ENTRIES 256   /* entries in one record of a claims stream */
-#define LIM_CLAIM_QUEUE 4096    /* entries of one stream that are not yet appended */
-#define LIM_CLAIM_INTERVAL_MIN_US (20 * 1000)       /* between two appends to one stream */
-#define LIM_CLAIM_INTERVAL_MAX_US (2 * 1000 * 1000) /* likewise after any number of refusals */
-#define LIM_CLAIM_BACKOFF_US (4 * 1000 * 1000)      /* longest delay after consecutive failures */
-#define LIM_CLAIM_WAIT_US (3 * 1000 * 1000)         /* until a claim not yet appended is refused */
-#define LIM_CLAIM_HOLD_US (1000 * 1000) /* a "done" entry waits to share a claim's record */
+#define LIMIT_PENDING_CLAIMS 1024 /* claims of one stream that await their result from the log */
+#define LIMIT_CLAIM_RECORD_ENTRIES 256 /* entries in one record of a claims stream */
+#define LIMIT_CLAIM_QUEUE_ENTRIES 4096 /* entries of one stream that are not yet appended */
+#define LIMIT_CLAIM_INTERVAL_MIN_US (20 * 1000)       /* between two appends to one stream */
+#define LIMIT_CLAIM_INTERVAL_MAX_US (2 * 1000 * 1000) /* likewise after any number of refusals */
+#define LIMIT_CLAIM_BACKOFF_US (4 * 1000 * 1000)      /* longest delay after consecutive failures */
+#define LIMIT_CLAIM_WAIT_US (3 * 1000 * 1000) /* until a claim not yet appended is refused */
+#define LIMIT_CLAIM_BATCH_DELAY_US                                                                 \
+  (1000 * 1000) /* a "done" entry waits to share a claim's record */
 /* After its host began to leave, a sidecar may start requests that were admitted and claimed
  * before. */
-#define LIM_LEAVING_GRACE_US (1000 * 1000)
+#define LIMIT_LEAVING_GRACE_US (1000 * 1000)
 
 /* tables of a daemon */
-#define LIM_DIRECTORY_ENTRIES 16384 /* chats whose host is remembered */
-#define LIM_SUSPECTS 1024           /* requests remembered since an engine crashed on them */
-#define LIM_SUSPECT_CRASHES 2       /* engines that one request may crash before it is refused */
-#define LIM_REVOKED 4096            /* revoked attempt ids remembered by one sidecar */
+#define LIMIT_DIRECTORY_ENTRIES 16384 /* chats whose host is remembered */
+#define LIMIT_SUSPECTS 1024           /* requests remembered since an engine crashed on them */
+#define LIMIT_SUSPECT_CRASHES 2       /* engines that one request may crash before it is refused */
+#define LIMIT_REVOKED_ATTEMPTS 4096   /* revoked attempt ids remembered by one sidecar */
 
 /* log and metrics */
-#define LIM_LOG_LINE_BYTES 2048 /* at most PIPE_BUF, so that write() never splits a line */
-#define LIM_LOG_VALUE_BYTES 512 /* one escaped value in a log line */
-#define LIM_COUNTERS 8192       /* counters and gauges of a process; each set of labels counts */
+#define LIMIT_LOG_LINE_BYTES 2048 /* at most PIPE_BUF, so that write() never splits a line */
+#define LIMIT_LOG_VALUE_BYTES 512 /* one escaped value in a log line */
+#define LIMIT_COUNTERS 8192       /* counters and gauges of a process; each set of labels counts */
 
 /* HTTP */
-#define LIM_LISTEN_BACKLOG 1024
-#define LIM_HTTP_OVER_LIMIT 32 /* over the connection limit, still answered by 503 */
-#define LIM_HTTP_DRAINS 64     /* refused connections whose input is dropped before close */
-#define LIM_HTTP_DRAIN_BYTES (4 * 1024 * 1024) /* input dropped for one of them */
-#define LIM_HTTP_DRAIN_MS 2000                 /* time spent on one of them */
-#define LIM_HTTP_STOP_LINGER_MS 200     /* idle connections stay open: a request may follow */
-#define LIM_HTTP_REQUEST_MS (30 * 1000) /* from the first byte of a request to its last */
-#define LIM_HTTP_COMING_BYTES (256 * 1024 * 1024) /* all incomplete requests together */
-#define LIM_HTTP_DEAD_PEER_S 5 /* until a peer that acknowledges nothing is given up */
-#define LIM_HTTP_ANSWER_HEADER_BYTES (64 * 1024) /* headers of a response from an upstream */
-#define LIM_HTTP_CONNECT_MS 1000                 /* until a connection attempt is given up */
+#define LIMIT_LISTEN_BACKLOG 1024
+#define LIMIT_HTTP_EXCESS_CONNECTIONS 32 /* over the connection limit, still answered by 503 */
+#define LIMIT_HTTP_DRAINS 64 /* refused connections whose input is dropped before close */
+#define LIMIT_HTTP_DRAIN_BYTES (4 * 1024 * 1024) /* input dropped for one of them */
+#define LIMIT_HTTP_DRAIN_MS 2000                 /* time spent on one of them */
+#define LIMIT_HTTP_STOP_LINGER_MS 200     /* idle connections stay open: a request may follow */
+#define LIMIT_HTTP_REQUEST_MS (30 * 1000) /* from the first byte of a request to its last */
+#define LIMIT_HTTP_INCOMPLETE_BYTES (256 * 1024 * 1024) /* all incomplete requests together */
+#define LIMIT_HTTP_DEAD_PEER_S 5 /* until a peer that acknowledges nothing is given up */
+#define LIMIT_HTTP_RESPONSE_HEADER_BYTES (64 * 1024) /* headers of a response from an upstream */
+#define LIMIT_HTTP_CONNECT_MS 1000                   /* until a connection attempt is given up */
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -19,7 +19,7 @@
 #define TRUNCATED_VALUE "..."       /* ends a value that was shortened */
 #define EVENT_BYTES 129             /* longest event name, with the final NUL */
 
-G_STATIC_ASSERT (LIM_LOG_LINE_BYTES <= PIPE_BUF);
+G_STATIC_ASSERT (LIMIT_LOG_LINE_BYTES <= PIPE_BUF);
 
 /**
  * struct log_state - the log of the process
@@ -44,7 +44,7 @@
   log_level_t level;
   time_t second;
   char date[32];
-  char head[LIM_NAME_BYTES * 2 + 32];
+  char head[LIMIT_NAME_BYTES * 2 + 32];
   uint64_t dropped_lines;
   int fd;
   char *buffer;
@@ -69,13 +69,13 @@
  */
 typedef struct
 {
-  char text[LIM_LOG_LINE_BYTES + LIM_LOG_VALUE_BYTES];
+  char text[LIMIT_LOG_LINE_BYTES + LIMIT_LOG_VALUE_BYTES];
   size_t bytes;
   bool truncated;
 } line_t;
 
 /* Longest line before its end, which needs space for TRUNCATED_FIELD and the newline. */
-#define LINE_LIMIT_BYTES (LIM_LOG_LINE_BYTES - sizeof (TRUNCATED_FIELD))
+#define LINE_LIMIT_BYTES (LIMIT_LOG_LINE_BYTES - sizeof (TRUNCATED_FIELD))
 
 static bool
 is_plain (unsigned char c)
@@ -115,11 +115,11 @@
   return 4;
 }
 
-/* Writes @value, quoted if necessary, in less than LIM_LOG_VALUE_BYTES. Return: its end */
+/* Writes @value, quoted if necessary, in less than LIMIT_LOG_VALUE_BYTES. Return: its end */
 static char *
 format_value (const char *value, char *out)
 {
-  const size_t limit_bytes = LIM_LOG_VALUE_BYTES - sizeof (TRUNCATED_VALUE "\"");
+  const size_t limit_bytes = LIMIT_LOG_VALUE_BYTES - sizeof (TRUNCATED_VALUE "\"");
   const size_t value_bytes = strlen (value);
   const char *start = out;
 
@@ -197,11 +197,11 @@
   clock_gettime (CLOCK_REALTIME, &now);
   update_date (now.tv_sec);
   *out++ = '<';
-  out = dgt_u64 (out, FACILITY_DAEMON * 8 + (uint64_t)level);
+  out = digits_write_u64 (out, FACILITY_DAEMON * 8 + (uint64_t)level);
   *out++ = '>';
   out = g_stpcpy (out, state.date);
   /* Adding 1000 keeps the leading zeros of the milliseconds; the point overwrites the digit 1. */
-  dgt_u64 (out, 1000 + (uint64_t)now.tv_nsec / (1000 * 1000));
+  digits_write_u64 (out, 1000 + (uint64_t)now.tv_nsec / (1000 * 1000));
   *out = '.';
   out += strlen (".000");
   out = g_stpcpy (out, state.head);
@@ -291,7 +291,7 @@
   if (state.buffered_since_us == 0)
     state.buffered_since_us = now_us;
   if (urgent || state.end - state.start >= LOG_WRITE_BYTES ||
-      now_us - state.buffered_since_us >= LOG_HOLD_MS * 1000)
+      now_us - state.buffered_since_us >= LOG_FLUSH_DELAY_MS * 1000)
     flush ();
   state.starts_buffering = state.starts_buffering || (was_empty && state.end > state.start);
   return true;
@@ -325,13 +325,13 @@
 void
 log_init (const char *program, const char *host, log_level_t level)
 {
-  g_snprintf (state.head, sizeof state.head, "Z %.*s %.*s[%d]: ", LIM_NAME_BYTES - 1, host,
-              LIM_NAME_BYTES - 1, program, (int)getpid ());
+  g_snprintf (state.head, sizeof state.head, "Z %.*s %.*s[%d]: ", LIMIT_NAME_BYTES - 1, host,
+              LIMIT_NAME_BYTES - 1, program, (int)getpid ());
   state.level = level;
 }
 
 void
-log_open (int fd)
+log_open_buffered (int fd)
 {
   g_mutex_lock (&state.lock);
   state.fd = fd;
@@ -341,7 +341,7 @@
 }
 
 void
-log_on_held (void (*callback) (void *context), void *context)
+log_set_buffering_callback (void (*callback) (void *context), void *context)
 {
   g_mutex_lock (&state.lock);
   state.buffering_callback = callback;
@@ -394,15 +394,15 @@
 }
 
 const char *
-log_u64 (log_num_t *num, uint64_t value)
+log_u64 (log_number_t *num, uint64_t value)
 {
-  *dgt_u64 (num->text, value) = '\0';
+  *digits_write_u64 (num->text, value) = '\0';
   return num->text;
 }
 
 const char *
-log_hex (log_num_t *num, uint64_t value)
+log_hex (log_number_t *num, uint64_t value)
 {
-  *dgt_hex (num->text, value) = '\0';
+  *digits_write_hex (num->text, value) = '\0';
   return num->text;
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -8,8 +8,8 @@
  * Logging is safe from any thread and never blocks: while the reader of the log stalls, lines are
  * dropped and counted, and the first line written afterwards reports their number.
  *
- * By default each line is written to standard error by itself. A daemon calls log_open() to buffer
- * its lines, so that a busy daemon writes many lines with one system call.
+ * By default each line is written to standard error by itself. A daemon calls log_open_buffered()
+ * to buffer its lines, so that a busy daemon writes many lines with one system call.
  */
 #ifndef BASE_LOG_H
 #define BASE_LOG_H
@@ -31,25 +31,25 @@
 void log_init (const char *program, const char *host, log_level_t level);
 
 /**
- * log_open() - write lines to @fd through a buffer from now on
+ * log_open_buffered() - write lines to @fd through a buffer from now on
  *
  * A warning or error flushes the buffer at once. Other lines are flushed when %LOG_WRITE_BYTES are
- * buffered, by the first line logged %LOG_HOLD_MS or more after the oldest buffered one, or by
- * log_flush(). While @fd accepts no data, the last quarter of the buffer is reserved for warnings
- * and errors.
+ * buffered, by the first line logged %LOG_FLUSH_DELAY_MS or more after the oldest buffered one, or
+ * by log_flush(). While @fd accepts no data, the last quarter of the buffer is reserved for
+ * warnings and errors.
  */
-void log_open (int fd);
-/** log_on_held() - set a callback for when the buffer becomes non-empty; log_flush() should then be
- * called %LOG_HOLD_MS later. @callback runs in the thread that logs and must not log itself; NULL
- * removes it */
-void log_on_held (void (*callback) (void *context), void *context);
+void log_open_buffered (int fd);
+/** log_set_buffering_callback() - set a callback for when the buffer becomes non-empty; log_flush()
+ * should then be called %LOG_FLUSH_DELAY_MS later. @callback runs in the thread that logs and must
+ * not log itself; NULL removes it */
+void log_set_buffering_callback (void (*callback) (void *context), void *context);
 /** log_flush() - write the buffered lines, as far as the file descriptor accepts them */
 void log_flush (void);
 
 #define LOG_BUFFER_BYTES (64 * 1024)
 #define LOG_WRITE_BYTES                                                                            \
-  4096                 /* PIPE_BUF on Linux: a writable pipe accepts this much without blocking */
-#define LOG_HOLD_MS 10 /* longest time that a line stays in the buffer */
+  4096 /* PIPE_BUF on Linux: a writable pipe accepts this much without blocking */
+#define LOG_FLUSH_DELAY_MS 10 /* longest time that a line stays in the buffer */
 
 /**
  * log_event() - log one line
@@ -62,20 +62,20 @@
  */
 void log_event (log_level_t level, const char *event, ...) __attribute__ ((sentinel));
 
-/** struct log_num - buffer for a formatted number */
+/** struct log_number - buffer for a formatted number */
 typedef struct
 {
   char text[24];
-} log_num_t;
+} log_number_t;
 
 /** log_u64() - format @value in decimal. Return: the text in @num */
-const char *log_u64 (log_num_t *num, uint64_t value);
+const char *log_u64 (log_number_t *num, uint64_t value);
 /** log_hex() - format @value as sixteen hexadecimal digits. Return: the text in @num */
-const char *log_hex (log_num_t *num, uint64_t value);
+const char *log_hex (log_number_t *num, uint64_t value);
 
 /** LOG_U64() - @value in decimal; the text is valid until the end of the enclosing block */
-#define LOG_U64(value) log_u64 (&(log_num_t){ { 0 } }, (value))
+#define LOG_U64(value) log_u64 (&(log_number_t){ { 0 } }, (value))
 /** LOG_HEX() - @value as sixteen hexadecimal digits, valid for as long */
-#define LOG_HEX(value) log_hex (&(log_num_t){ { 0 } }, (value))
+#define LOG_HEX(value) log_hex (&(log_number_t){ { 0 } }, (value))
 
 #endif
--- a/src/base/log_flusher.c
+++ b/src/base/log_flusher.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-struct lfl
+struct log_flusher
 {
   struct event *timer;
 };
@@ -21,25 +21,25 @@
 static void
 on_line_buffered (void *context)
 {
-  lfl_t *lfl = context;
+  log_flusher_t *log_flusher = context;
 
-  event_add (lfl->timer, &(struct timeval){ 0, LOG_HOLD_MS * 1000 });
+  event_add (log_flusher->timer, &(struct timeval){ 0, LOG_FLUSH_DELAY_MS * 1000 });
 }
 
-lfl_t *
-lfl_new (struct event_base *base)
+log_flusher_t *
+log_flusher_new (struct event_base *base)
 {
-  lfl_t *lfl = g_new0 (lfl_t, 1);
+  log_flusher_t *log_flusher = g_new0 (log_flusher_t, 1);
 
-  lfl->timer = evtimer_new (base, on_timer, lfl);
-  log_on_held (on_line_buffered, lfl);
-  return lfl;
+  log_flusher->timer = evtimer_new (base, on_timer, log_flusher);
+  log_set_buffering_callback (on_line_buffered, log_flusher);
+  return log_flusher;
 }
 
 void
-lfl_free (lfl_t *lfl)
+log_flusher_free (log_flusher_t *log_flusher)
 {
-  log_on_held (NULL, NULL);
-  event_free (lfl->timer);
-  g_free (lfl);
+  log_set_buffering_callback (NULL, NULL);
+  event_free (log_flusher->timer);
+  g_free (log_flusher);
 }
--- a/src/base/log_flusher.h
+++ b/src/base/log_flusher.h
@@ -10,12 +10,12 @@
 
 #include <event2/event.h>
 
-typedef struct lfl lfl_t;
+typedef struct log_flusher log_flusher_t;
 
-/** lfl_new() - flush lines of any thread at most %LOG_HOLD_MS after they are logged, while @base
- * runs; at most one flusher exists in a process */
-lfl_t *lfl_new (struct event_base *base);
-/** lfl_free() - stop flushing; lines that are still buffered stay there */
-void lfl_free (lfl_t *lfl);
+/** log_flusher_new() - flush lines of any thread at most %LOG_FLUSH_DELAY_MS after they are logged,
+ * while @base runs; at most one flusher exists in a process */
+log_flusher_t *log_flusher_new (struct event_base *base);
+/** log_flusher_free() - stop flushing; lines that are still buffered stay there */
+void log_flusher_free (log_flusher_t *log_flusher);
 
 #endif
--- a/src/base/mailbox.c
+++ b/src/base/mailbox.c
@@ -7,7 +7,7 @@
 #include <unistd.h>
 
 /**
- * struct mbx - a message queue with an eventfd that wakes its receiver
+ * struct mailbox - a message queue with an eventfd that wakes its receiver
  * @lock: protects @unread
  * @unread: messages in the order in which they were sent
  * @wake_fd: eventfd; readable from the first message of a batch until the receiver takes the batch
@@ -15,25 +15,25 @@
  * @handler: called for each message
  * @context: argument of @handler
  */
-struct mbx
+struct mailbox
 {
   GMutex lock;
   GQueue unread;
   int wake_fd;
   struct event *wake;
-  mbx_handler_t handler;
+  mailbox_handler_t handler;
   void *context;
 };
 
 static GQueue
-take_batch (mbx_t *mbx)
+take_batch (mailbox_t *mailbox)
 {
   GQueue batch;
 
-  g_mutex_lock (&mbx->lock);
-  batch = mbx->unread;
-  g_queue_init (&mbx->unread);
-  g_mutex_unlock (&mbx->lock);
+  g_mutex_lock (&mailbox->lock);
+  batch = mailbox->unread;
+  g_queue_init (&mailbox->unread);
+  g_mutex_unlock (&mailbox->lock);
   return batch;
 }
 
@@ -45,74 +45,74 @@
 static void
 on_wake (evutil_socket_t fd, short events, void *context)
 {
-  mbx_t *mbx = context;
-  mbx_message_t *message;
+  mailbox_t *mailbox = context;
+  mailbox_message_t *message;
   eventfd_t ignored;
   GQueue batch;
 
   (void)events;
   eventfd_read (fd, &ignored);
-  batch = take_batch (mbx);
+  batch = take_batch (mailbox);
   while ((message = g_queue_pop_head (&batch)) != NULL)
     {
-      mbx->handler (message, mbx->context);
+      mailbox->handler (message, mailbox->context);
       message->free (message);
     }
 }
 
 static void
-wake_receiver (mbx_t *mbx)
+wake_receiver (mailbox_t *mailbox)
 {
   int result;
 
   do
-    result = eventfd_write (mbx->wake_fd, 1);
+    result = eventfd_write (mailbox->wake_fd, 1);
   while (result < 0 && errno == EINTR);
   g_assert (result == 0);
 }
 
-mbx_t *
-mbx_new (struct event_base *base, mbx_handler_t handler, void *context)
+mailbox_t *
+mailbox_new (struct event_base *base, mailbox_handler_t handler, void *context)
 {
-  mbx_t *mbx = g_new0 (mbx_t, 1);
+  mailbox_t *mailbox = g_new0 (mailbox_t, 1);
 
-  g_mutex_init (&mbx->lock);
-  g_queue_init (&mbx->unread);
-  mbx->handler = handler;
-  mbx->context = context;
-  mbx->wake_fd = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
-  g_assert (mbx->wake_fd >= 0);
-  mbx->wake = event_new (base, mbx->wake_fd, EV_READ | EV_PERSIST, on_wake, mbx);
-  g_assert (mbx->wake != NULL);
-  event_add (mbx->wake, NULL);
-  return mbx;
+  g_mutex_init (&mailbox->lock);
+  g_queue_init (&mailbox->unread);
+  mailbox->handler = handler;
+  mailbox->context = context;
+  mailbox->wake_fd = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
+  g_assert (mailbox->wake_fd >= 0);
+  mailbox->wake = event_new (base, mailbox->wake_fd, EV_READ | EV_PERSIST, on_wake, mailbox);
+  g_assert (mailbox->wake != NULL);
+  event_add (mailbox->wake, NULL);
+  return mailbox;
 }
 
 void
-mbx_free (mbx_t *mbx)
+mailbox_free (mailbox_t *mailbox)
 {
-  mbx_message_t *message;
+  mailbox_message_t *message;
 
-  if (mbx == NULL)
+  if (mailbox == NULL)
     return;
-  event_free (mbx->wake);
-  close (mbx->wake_fd);
-  while ((message = g_queue_pop_head (&mbx->unread)) != NULL)
+  event_free (mailbox->wake);
+  close (mailbox->wake_fd);
+  while ((message = g_queue_pop_head (&mailbox->unread)) != NULL)
     message->free (message);
-  g_mutex_clear (&mbx->lock);
-  g_free (mbx);
+  g_mutex_clear (&mailbox->lock);
+  g_free (mailbox);
 }
 
 void
-mbx_send (mbx_t *mbx, mbx_message_t *message)
+mailbox_send (mailbox_t *mailbox, mailbox_message_t *message)
 {
   bool was_empty;
 
   g_assert (message->free != NULL);
-  g_mutex_lock (&mbx->lock);
-  was_empty = g_queue_is_empty (&mbx->unread);
-  g_queue_push_tail (&mbx->unread, message);
-  g_mutex_unlock (&mbx->lock);
+  g_mutex_lock (&mailbox->lock);
+  was_empty = g_queue_is_empty (&mailbox->unread);
+  g_queue_push_tail (&mailbox->unread, message);
+  g_mutex_unlock (&mailbox->lock);
   if (was_empty)
-    wake_receiver (mbx);
+    wake_receiver (mailbox);
 }
--- a/src/base/pause.c
+++ b/src/base/pause.c
@@ -5,57 +5,57 @@
 #include <glib.h>
 
 void
-pse_init (pse_t *pse, uint64_t now_us, uint32_t exchange_interval_ms)
+pause_init (pause_detector_t *pause, uint64_t now_us, uint32_t exchange_interval_ms)
 {
-  uint64_t gap_us = (uint64_t)exchange_interval_ms * CLK_US_PER_MS * PSE_INTERVALS;
-  pse->last_us = now_us;
-  pse->gap_us = MAX (gap_us, PSE_GAP_MIN_US);
+  uint64_t gap_us = (uint64_t)exchange_interval_ms * CLOCK_US_PER_MS * PAUSE_GAP_INTERVALS;
+  pause->last_us = now_us;
+  pause->gap_us = MAX (gap_us, PAUSE_GAP_MIN_US);
   /* No message was sent before the start, so the first MESSAGE_FRESHNESS counts whenever it was
    * checked. */
-  pse->woke_us = 0;
-  pse->settled_us = 0;
-  pse->stale = true;
+  pause->woke_us = 0;
+  pause->settled_us = 0;
+  pause->stale = true;
 }
 
 bool
-pse_check (pse_t *pse, uint64_t now_us)
+pause_check (pause_detector_t *pause, uint64_t now_us)
 {
-  uint64_t idle_us = now_us - pse->last_us;
-  pse->last_us = now_us;
-  if (idle_us <= pse->gap_us)
+  uint64_t idle_us = now_us - pause->last_us;
+  pause->last_us = now_us;
+  if (idle_us <= pause->gap_us)
     return false;
-  pse->woke_us = now_us;
-  pse->settled_us = now_us + PSE_SETTLE_US;
-  pse->stale = true;
+  pause->woke_us = now_us;
+  pause->settled_us = now_us + PAUSE_SETTLE_US;
+  pause->stale = true;
   return true;
 }
 
 bool
-pse_wake (pse_t *pse, uint64_t woke_us)
+pause_mark_woken (pause_detector_t *pause, uint64_t woke_us)
 {
-  if (woke_us <= pse->woke_us)
+  if (woke_us <= pause->woke_us)
     return false;
-  pse->woke_us = woke_us;
-  pse->stale = true;
+  pause->woke_us = woke_us;
+  pause->stale = true;
   return true;
 }
 
 bool
-pse_fresh (pse_t *pse, uint64_t checked_us)
+pause_mark_fresh (pause_detector_t *pause, uint64_t checked_us)
 {
-  if (checked_us >= pse->woke_us)
-    pse->stale = false;
-  return !pse->stale;
+  if (checked_us >= pause->woke_us)
+    pause->stale = false;
+  return !pause->stale;
 }
 
 bool
-pse_stale (const pse_t *pse)
+pause_is_stale (const pause_detector_t *pause)
 {
-  return pse->stale;
+  return pause->stale;
 }
 
 bool
-pse_settling (const pse_t *pse, uint64_t now_us)
+pause_is_settling (const pause_detector_t *pause, uint64_t now_us)
 {
-  return now_us < pse->settled_us;
+  return now_us < pause->settled_us;
 }
--- a/src/base/region_map.c
+++ b/src/base/region_map.c
@@ -4,18 +4,19 @@
 #include <string.h>
 
 static bool
-copy_name (char out[LIM_NAME_BYTES], const char *text)
+copy_name (char out[LIMIT_NAME_BYTES], const char *text)
 {
-  return text[0] != '\0' && g_strlcpy (out, text, LIM_NAME_BYTES) < LIM_NAME_BYTES;
+  return text[0] != '\0' && g_strlcpy (out, text, LIMIT_NAME_BYTES) < LIMIT_NAME_BYTES;
 }
 
 static bool
-add_row (rgn_map_t *map, const char *text)
+add_row (region_map_t *map, const char *text)
 {
   g_auto (GStrv) names = g_strsplit (text, "=", 3);
-  rgn_row_t *row = &map->rows[map->count];
+  region_map_row_t *row = &map->rows[map->count];
 
-  if (map->count == RGN_DATA_CENTERS || g_strv_length (names) != 2 || rgn_of (map, names[0]))
+  if (map->count == REGION_MAP_DATA_CENTERS || g_strv_length (names) != 2 ||
+      region_map_find (map, names[0]))
     return false;
   if (!copy_name (row->data_center, names[0]) || !copy_name (row->region, names[1]))
     return false;
@@ -24,10 +25,10 @@
 }
 
 bool
-rgn_parse (rgn_map_t *map, const char *text)
+region_map_parse (region_map_t *map, const char *text)
 {
-  g_auto (GStrv) rows = g_strsplit (text, ",", RGN_DATA_CENTERS + 1);
-  g_autofree rgn_map_t *parsed = g_new0 (rgn_map_t, 1);
+  g_auto (GStrv) rows = g_strsplit (text, ",", REGION_MAP_DATA_CENTERS + 1);
+  g_autofree region_map_t *parsed = g_new0 (region_map_t, 1);
 
   for (uint32_t i = 0; rows[i]; i++)
     if (!add_row (parsed, rows[i]))
@@ -37,7 +38,7 @@
 }
 
 char *
-rgn_text (const rgn_map_t *map)
+region_map_to_text (const region_map_t *map)
 {
   GString *text = g_string_new (NULL);
 
@@ -48,7 +49,7 @@
 }
 
 const char *
-rgn_of (const rgn_map_t *map, const char *data_center)
+region_map_find (const region_map_t *map, const char *data_center)
 {
   for (uint32_t i = 0; i < map->count; i++)
     if (strcmp (map->rows[i].data_center, data_center) == 0)
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -30,7 +30,7 @@
 } given_t;
 
 /**
- * struct loader - state of set_load()
+ * struct loader - state of settings_load()
  * @settings: filled in
  * @rows: declarations of all settings
  * @row_count: number of @rows and @given
@@ -39,8 +39,8 @@
  */
 typedef struct
 {
-  set_t *settings;
-  const set_row_t *rows;
+  settings_t *settings;
+  const setting_t *rows;
   uint32_t row_count;
   given_t given[ROWS_MAX];
   bool check_only;
@@ -57,7 +57,7 @@
 static const given_t *
 find_given (const loader_t *loader, const char *name)
 {
-  return &loader->given[set_row_find (name) - loader->rows];
+  return &loader->given[setting_find (name) - loader->rows];
 }
 
 static void
@@ -66,7 +66,7 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < loader->row_count; i++)
-    if (set_row_is_flag (&loader->rows[i]))
+    if (setting_is_flag (&loader->rows[i]))
       options[count++] = (struct option){ loader->rows[i].name, required_argument, NULL, (int)i };
   options[count++] = (struct option){ "help", no_argument, NULL, FLAG_HELP };
   options[count++] = (struct option){ "version", no_argument, NULL, FLAG_VERSION };
@@ -89,19 +89,20 @@
   return argument[2 + bytes] == '\0' || argument[2 + bytes] == '=';
 }
 
-static set_outcome_t
+static settings_outcome_t
 refuse_flag (const char *argument, bool lacks_value, GError **error)
 {
   /* Every user of the host can read command lines. The message omits the value, as it may be
    * logged. */
   if (is_whole_name (argument, "fleet-key"))
-    g_set_error (error, SET_ERROR, SET_ERROR_FLAG,
+    g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_FLAG,
                  "--fleet-key is not a flag: give MEDLARPLANK_FLEET_KEY or --fleet-key-file");
   else if (lacks_value)
-    g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "flag %s requires a value", argument);
+    g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_FLAG, "flag %s requires a value", argument);
   else
-    g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "unknown flag \"%s\"; see --help", argument);
-  return SET_EXIT_2;
+    g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_FLAG, "unknown flag \"%s\"; see --help",
+                 argument);
+  return SETTINGS_EXIT_USAGE;
 }
 
 static void
@@ -112,13 +113,14 @@
           "'_' for '-'); a flag goes before the variable.\n\n");
   for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      const set_row_t *setting = &loader->rows[i];
-      char *allowed = set_row_allowed (setting);
-      char *env = set_row_env (setting);
-      printf ("  %s%s\n      %s.\n      Allowed: %s. %s%s\n", set_row_is_flag (setting) ? "--" : "",
-              set_row_is_flag (setting) ? setting->name : env, setting->help, allowed,
+      const setting_t *setting = &loader->rows[i];
+      char *allowed = setting_allowed_text (setting);
+      char *env = setting_env_name (setting);
+      printf ("  %s%s\n      %s.\n      Allowed: %s. %s%s\n", setting_is_flag (setting) ? "--" : "",
+              setting_is_flag (setting) ? setting->name : env, setting->help, allowed,
               setting->default_text != NULL ? "Default: " : "Needed by: ",
-              setting->default_text != NULL ? setting->default_text : set_row_needed (setting));
+              setting->default_text != NULL ? setting->default_text
+                                            : setting_required_by (setting));
       g_free (allowed);
       g_free (env);
     }
@@ -126,8 +128,8 @@
           "  --help, --version\n");
 }
 
-/* Return: SET_RUN if all flags are valid and none of them ends the program */
-static set_outcome_t
+/* Return: SETTINGS_RUN if all flags are valid and none of them ends the program */
+static settings_outcome_t
 read_flags (loader_t *loader, int argc, char **argv, GError **error)
 {
   struct option options[ROWS_MAX];
@@ -149,19 +151,19 @@
       if (found == FLAG_HELP)
         print_help (loader);
       if (found == FLAG_VERSION)
-        printf ("medlarplankd %s\n", SET_PROGRAM_VERSION);
+        printf ("medlarplankd %s\n", PROGRAM_VERSION);
       if (found == FLAG_HELP || found == FLAG_VERSION)
-        return SET_EXIT_0;
+        return SETTINGS_EXIT_SUCCESS;
       if (found == FLAG_CHECK_SETTINGS)
         loader->check_only = true;
       else
         set_given (loader, (uint32_t)found, optarg, g_strconcat ("--", options[index].name, NULL));
     }
   if (optind >= argc)
-    return SET_RUN;
-  g_set_error (error, SET_ERROR, SET_ERROR_FLAG, "unexpected argument \"%s\"; see --help",
+    return SETTINGS_RUN;
+  g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_FLAG, "unexpected argument \"%s\"; see --help",
                argv[optind]);
-  return SET_EXIT_2;
+  return SETTINGS_EXIT_USAGE;
 }
 
 /* An empty variable counts as not given, since a unit file can't always omit a variable. */
@@ -170,7 +172,7 @@
 {
   for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      char *name = set_row_env (&loader->rows[i]);
+      char *name = setting_env_name (&loader->rows[i]);
       const char *text = environ_get (name);
       if (loader->given[i].text == NULL && text != NULL && *text != '\0')
         set_given (loader, i, text, name);
@@ -195,20 +197,20 @@
       const given_t *given = &loader->given[i];
       if (given->text == NULL)
         continue;
-      if (!set_row_apply (&loader->rows[i], given->text, given->origin, loader->settings, error))
+      if (!setting_apply (&loader->rows[i], given->text, given->origin, loader->settings, error))
         return false;
     }
   return true;
 }
 
 static bool
-is_required (const loader_t *loader, const set_row_t *setting)
+is_required (const loader_t *loader, const setting_t *setting)
 {
-  if (setting->need == SET_NEED_SIDECAR)
-    return loader->settings->role == SET_ROLE_SIDECAR;
-  if (setting->need == SET_NEED_GATEWAY)
-    return loader->settings->role == SET_ROLE_GATEWAY;
-  return setting->need == SET_NEED_ALL;
+  if (setting->need == SETTING_NEED_SIDECAR)
+    return loader->settings->role == SETTINGS_ROLE_SIDECAR;
+  if (setting->need == SETTING_NEED_GATEWAY)
+    return loader->settings->role == SETTINGS_ROLE_GATEWAY;
+  return setting->need == SETTING_NEED_ALL;
 }
 
 static bool
@@ -216,15 +218,15 @@
 {
   for (uint32_t i = 0; i < loader->row_count; i++)
     {
-      const set_row_t *setting = &loader->rows[i];
+      const setting_t *setting = &loader->rows[i];
       char *env;
       char *allowed;
       if (loader->given[i].text != NULL || !is_required (loader, setting))
         continue;
-      env = set_row_env (setting);
-      allowed = set_row_allowed (setting);
-      g_set_error (error, SET_ERROR, SET_ERROR_MISSING, "%s: missing; give --%s or %s: %s",
-                   setting->name, setting->name, env, allowed);
+      env = setting_env_name (setting);
+      allowed = setting_allowed_text (setting);
+      g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_MISSING,
+                   "%s: missing; give --%s or %s: %s", setting->name, setting->name, env, allowed);
       g_free (env);
       g_free (allowed);
       return false;
@@ -242,25 +244,27 @@
  * the mistake. */
 static bool
 check_role (
-    const loader_t *loader, const char *name, set_role_t role, const char *why, GError **error)
+    const loader_t *loader, const char *name, settings_role_t role, const char *why, GError **error)
 {
   const given_t *given = find_given (loader, name);
 
   if (loader->settings->role == role || given->text == NULL)
     return true;
-  g_set_error (error, SET_ERROR, SET_ERROR_CONFLICT, "%s: \"%s\" (%s): %s, and role is %s", name,
-               given->text, given->origin, why, role_name (loader));
+  g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_CONFLICT,
+               "%s: \"%s\" (%s): %s, and role is %s", name, given->text, given->origin, why,
+               role_name (loader));
   return false;
 }
 
 static bool
 check_roles (const loader_t *loader, GError **error)
 {
-  return check_role (loader, "engine", SET_ROLE_SIDECAR, "only a sidecar has an engine", error) &&
-         check_role (loader, "ready-listen", SET_ROLE_GATEWAY, "only a gateway listens there",
+  return check_role (loader, "engine", SETTINGS_ROLE_SIDECAR, "only a sidecar has an engine",
                      error) &&
-         check_role (loader, "control-listen", SET_ROLE_GATEWAY, "only a gateway listens there",
-                     error);
+         check_role (loader, "ready-listen", SETTINGS_ROLE_GATEWAY, "only a gateway listens there",
+                     error) &&
+         check_role (loader, "control-listen", SETTINGS_ROLE_GATEWAY,
+                     "only a gateway listens there", error);
 }
 
 /*
@@ -276,10 +280,10 @@
   if ((key->text != NULL) != (file->text != NULL))
     return true;
   if (key->text == NULL)
-    g_set_error (error, SET_ERROR, SET_ERROR_MISSING,
+    g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_MISSING,
                  "fleet-key: missing; give MEDLARPLANK_FLEET_KEY or --fleet-key-file");
   else
-    g_set_error (error, SET_ERROR, SET_ERROR_CONFLICT,
+    g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_CONFLICT,
                  "fleet-key (%s) and fleet-key-file \"%s\" (%s): give only one of them",
                  key->origin, file->text, file->origin);
   return false;
@@ -294,7 +298,7 @@
 {
   if (loader->settings->claim_horizon_s < loader->settings->log_retention_s)
     return true;
-  g_set_error (error, SET_ERROR, SET_ERROR_CONFLICT,
+  g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_CONFLICT,
                "claim-horizon-s: %u (%s): must be less than log-retention-s, which is %u (%s)",
                loader->settings->claim_horizon_s, find_given (loader, "claim-horizon-s")->origin,
                loader->settings->log_retention_s, find_given (loader, "log-retention-s")->origin);
@@ -316,45 +320,45 @@
       char *value;
       if (loader->given[i].text == NULL)
         continue;
-      value = set_row_value (&loader->rows[i], loader->settings);
+      value = setting_value_text (&loader->rows[i], loader->settings);
       printf ("%s=%s # %s\n", loader->rows[i].name, value, loader->given[i].origin);
       g_free (value);
     }
 }
 
-static set_outcome_t
+static settings_outcome_t
 load_all (loader_t *loader,
           int argc,
           char **argv,
           const char *(*environ_get) (const char *name),
           GError **error)
 {
-  set_outcome_t outcome = read_flags (loader, argc, argv, error);
+  settings_outcome_t outcome = read_flags (loader, argc, argv, error);
 
-  if (outcome != SET_RUN)
+  if (outcome != SETTINGS_RUN)
     return outcome;
   read_environment (loader, environ_get);
   read_defaults (loader);
   if (!apply_all (loader, error) || !check_all (loader, error))
-    return SET_EXIT_2;
+    return SETTINGS_EXIT_USAGE;
   if (!loader->check_only)
-    return SET_RUN;
+    return SETTINGS_RUN;
   print_settings (loader);
-  return SET_EXIT_0;
+  return SETTINGS_EXIT_SUCCESS;
 }
 
-set_outcome_t
-set_load (set_t *settings,
-          int argc,
-          char **argv,
-          const char *(*environ_get) (const char *name),
-          GError **error)
+settings_outcome_t
+settings_load (settings_t *settings,
+               int argc,
+               char **argv,
+               const char *(*environ_get) (const char *name),
+               GError **error)
 {
   loader_t loader = { .settings = settings };
-  set_outcome_t outcome;
+  settings_outcome_t outcome;
 
   memset (settings, 0, sizeof *settings);
-  loader.rows = set_rows (&loader.row_count);
+  loader.rows = setting_table (&loader.row_count);
   g_assert (loader.row_count <= ROWS_MAX);
   outcome = load_all (&loader, argc, argv, environ_get, error);
   for (uint32_t i = 0; i < loader.row_count; i++)
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -16,18 +16,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SET_PROGRAM_VERSION "0.1.0"
-#define SET_SEEDS 8 /* most addresses in the setting "seeds" */
+#define PROGRAM_VERSION "0.1.0"
+#define SETTINGS_SEEDS_MAX 8 /* most addresses in the setting "seeds" */
 
 typedef enum
 {
-  SET_ROLE_ROUTER,
-  SET_ROLE_SIDECAR,
-  SET_ROLE_GATEWAY /* a router that calls engines itself, without sidecars */
-} set_role_t;
+  SETTINGS_ROLE_ROUTER,
+  SETTINGS_ROLE_SIDECAR,
+  SETTINGS_ROLE_GATEWAY /* a router that calls engines itself, without sidecars */
+} settings_role_t;
 
 /**
- * struct set_address - an IP address and a port; host names are not supported
+ * struct address - an IP address and a port; host names are not supported
  * @ip: in the form of inet_ntop(), so that equal addresses compare equal
  * @port: 0 if the address is not set
  */
@@ -35,7 +35,7 @@
 {
   char ip[46];
   uint16_t port;
-} set_address_t;
+} address_t;
 
 /**
  * struct settings - settings of a daemon
@@ -79,18 +79,18 @@
  */
 typedef struct
 {
-  set_role_t role;
-  char name[LIM_NAME_BYTES];
-  char data_center[LIM_NAME_BYTES];
-  char region[LIM_NAME_BYTES];
-  rgn_map_t regions;
-  set_address_t listen;
-  set_address_t exchange;
-  set_address_t platform;
-  set_address_t engine;
-  set_address_t ready_listen;
-  set_address_t control_listen;
-  set_address_t seeds[SET_SEEDS];
+  settings_role_t role;
+  char name[LIMIT_NAME_BYTES];
+  char data_center[LIMIT_NAME_BYTES];
+  char region[LIMIT_NAME_BYTES];
+  region_map_t regions;
+  address_t listen;
+  address_t exchange;
+  address_t platform;
+  address_t engine;
+  address_t ready_listen;
+  address_t control_listen;
+  address_t seeds[SETTINGS_SEEDS_MAX];
   uint32_t seed_count;
   bool first_start;
   uint32_t retry_ratio_milli;
@@ -113,34 +113,34 @@
   uint32_t control_budget_bytes;
   uint32_t claim_horizon_s;
   uint32_t log_retention_s;
-} set_t;
+} settings_t;
 
 typedef enum
 {
-  SET_RUN,    /* the settings are valid: run the daemon */
-  SET_EXIT_0, /* --help, --version or --check-settings is done: exit with status 0 */
-  SET_EXIT_2  /* a setting is invalid: print @error and exit with status 2 */
-} set_outcome_t;
+  SETTINGS_RUN,          /* the settings are valid: run the daemon */
+  SETTINGS_EXIT_SUCCESS, /* --help, --version or --check-settings is done: exit with status 0 */
+  SETTINGS_EXIT_USAGE    /* a setting is invalid: print @error and exit with status 2 */
+} settings_outcome_t;
 
 /**
- * set_load() - read the settings from flags and environment, and check them
+ * settings_load() - read the settings from flags and environment, and check them
  * @settings: filled in
  * @argc: number of arguments, including the program name
  * @argv: arguments; getopt_long() keeps pointers into it
  * @environ_get: looks up an environment variable; getenv() in the daemon
- * @error: set for SET_EXIT_2, to the setting, its value and the allowed values
+ * @error: set for SETTINGS_EXIT_USAGE, to the setting, its value and the allowed values
  */
-set_outcome_t set_load (set_t *settings,
-                        int argc,
-                        char **argv,
-                        const char *(*environ_get) (const char *name),
-                        GError **error);
+settings_outcome_t settings_load (settings_t *settings,
+                                  int argc,
+                                  char **argv,
+                                  const char *(*environ_get) (const char *name),
+                                  GError **error);
 
-/** set_parse_address() - parse "IP:PORT" or "[IPv6]:PORT". Return: false with @error if it is
+/** address_parse() - parse "IP:PORT" or "[IPv6]:PORT". Return: false with @error if it is
  * neither */
-bool set_parse_address (const char *text, set_address_t *address, GError **error);
-/** set_address_text() - format as set_parse_address() reads it, or "" if not set. Return: the text,
+bool address_parse (const char *text, address_t *address, GError **error);
+/** address_to_text() - format as address_parse() reads it, or "" if not set. Return: the text,
  * to be freed with g_free() */
-char *set_address_text (const set_address_t *address);
+char *address_to_text (const address_t *address);
 
 #endif
--- a/src/base/settings_table.c
+++ b/src/base/settings_table.c
@@ -10,12 +10,12 @@
 
 #define ROW(name, kind, need, minimum, maximum, field, default_text, help)                         \
   {                                                                                                \
-    name, SET_KIND_##kind, SET_NEED_##need, minimum, maximum, offsetof (set_t, field),             \
-        default_text, help                                                                         \
+    name, SETTING_KIND_##kind, SETTING_NEED_##need, minimum, maximum,                              \
+        offsetof (settings_t, field), default_text, help                                           \
   }
 
 /* clang-format off */
-static const set_row_t rows[] = {
+static const setting_t rows[] = {
   ROW ("role", ROLE, ALL, 0, 0, role, NULL, "What this daemon is"),
   ROW ("name", NAME, ALL, 0, 0, name, NULL,
        "Host name in the platform's list; a sidecar carries the name of its engine"),
@@ -54,7 +54,7 @@
        "Gateway: time in which the engines of a data centre that is drained must get nothing more"),
   ROW ("grace", MILLI, NONE, 1000, 600 * 1000, grace_ms, "8",
        "Gateway: seconds from a stop signal until the process is killed"),
-  ROW ("fleet-key", SECRET, NONE, 16, sizeof (((set_t *)0)->fleet_key) - 1, fleet_key, NULL,
+  ROW ("fleet-key", SECRET, NONE, 16, sizeof (((settings_t *)0)->fleet_key) - 1, fleet_key, NULL,
        "Secret that all daemons share; needed, here or in a file"),
   ROW ("fleet-key-file", SECRET_FILE, NONE, 0, 0, fleet_key, NULL,
        "File that holds the fleet key; a newline at its end does not count"),
@@ -83,9 +83,9 @@
 /* clang-format on */
 
 static const char *const role_names[] = {
-  [SET_ROLE_ROUTER] = "router",
-  [SET_ROLE_SIDECAR] = "sidecar",
-  [SET_ROLE_GATEWAY] = "gateway",
+  [SETTINGS_ROLE_ROUTER] = "router",
+  [SETTINGS_ROLE_SIDECAR] = "sidecar",
+  [SETTINGS_ROLE_GATEWAY] = "gateway",
 };
 
 static const char *const level_names[] = { [LOG_LEVEL_ERROR] = "error",
@@ -109,13 +109,13 @@
 }
 
 static bool
-parse_role (const char *text, set_role_t *role)
+parse_role (const char *text, settings_role_t *role)
 {
   uint32_t index;
 
   if (!find_word (role_names, G_N_ELEMENTS (role_names), text, &index))
     return false;
-  *role = (set_role_t)index;
+  *role = (settings_role_t)index;
   return true;
 }
 
@@ -142,18 +142,18 @@
 }
 
 static bool
-parse_name (const char *text, char out[LIM_NAME_BYTES])
+parse_name (const char *text, char out[LIMIT_NAME_BYTES])
 {
   size_t bytes = strspn (text, "abcdefghijklmnopqrstuvwxyz0123456789.-");
 
-  if (bytes == 0 || text[bytes] != '\0' || bytes >= LIM_NAME_BYTES)
+  if (bytes == 0 || text[bytes] != '\0' || bytes >= LIMIT_NAME_BYTES)
     return false;
   memcpy (out, text, bytes + 1);
   return true;
 }
 
 static bool
-parse_number (const set_row_t *setting, const char *text, uint32_t *number)
+parse_number (const setting_t *setting, const char *text, uint32_t *number)
 {
   guint64 value;
 
@@ -165,7 +165,7 @@
 
 /* Parses a decimal number without sign or exponent into thousandths, rounded to the nearest. */
 static bool
-parse_milli (const set_row_t *setting, const char *text, uint32_t *number)
+parse_milli (const setting_t *setting, const char *text, uint32_t *number)
 {
   size_t whole = strspn (text, "0123456789");
   size_t places = text[whole] == '.' ? strspn (text + whole + 1, "0123456789") : 0;
@@ -181,7 +181,7 @@
 }
 
 static bool
-parse_secret (const set_row_t *setting, const char *text, char *out)
+parse_secret (const setting_t *setting, const char *text, char *out)
 {
   size_t bytes = strlen (text);
 
@@ -199,8 +199,8 @@
 static bool
 read_secret (const char *path, char *out)
 {
-  const set_row_t *secret = set_row_find ("fleet-key");
-  char text[sizeof (((set_t *)0)->fleet_key) + 2];
+  const setting_t *secret = setting_find ("fleet-key");
+  char text[sizeof (((settings_t *)0)->fleet_key) + 2];
   FILE *file = fopen (path, "re");
   size_t bytes;
 
@@ -247,13 +247,13 @@
 }
 
 static bool
-parse_address (const char *text, set_address_t *address)
+parse_address (const char *text, address_t *address)
 {
   bool bracketed = text[0] == '[';
   const char *ip = bracketed ? text + 1 : text;
   const char *end = strchr (ip, bracketed ? ']' : ':');
   const char *colon = bracketed && end != NULL ? end + 1 : end;
-  set_address_t parsed;
+  address_t parsed;
 
   if (colon == NULL || *colon != ':')
     return false;
@@ -267,12 +267,12 @@
 }
 
 static bool
-parse_seeds (const char *text, set_t *settings)
+parse_seeds (const char *text, settings_t *settings)
 {
-  g_auto (GStrv) parts = g_strsplit (text, ",", SET_SEEDS + 1);
+  g_auto (GStrv) parts = g_strsplit (text, ",", SETTINGS_SEEDS_MAX + 1);
   uint32_t count = text[0] != '\0' ? g_strv_length (parts) : 0;
 
-  if (count > SET_SEEDS)
+  if (count > SETTINGS_SEEDS_MAX)
     return false;
   for (uint32_t i = 0; i < count; i++)
     if (!parse_address (parts[i], &settings->seeds[i]))
@@ -282,13 +282,13 @@
 }
 
 static char *
-seeds_text (const set_t *settings)
+seeds_text (const settings_t *settings)
 {
   GString *text = g_string_new (NULL);
 
   for (uint32_t i = 0; i < settings->seed_count; i++)
     {
-      g_autofree char *address = set_address_text (&settings->seeds[i]);
+      g_autofree char *address = address_to_text (&settings->seeds[i]);
 
       g_string_append_printf (text, "%s%s", i > 0 ? "," : "", address);
     }
@@ -296,53 +296,53 @@
 }
 
 static bool
-parse_value (const set_row_t *setting, const char *text, set_t *settings)
+parse_value (const setting_t *setting, const char *text, settings_t *settings)
 {
   void *field = (char *)settings + setting->offset;
 
   switch (setting->kind)
     {
-    case SET_KIND_ROLE:
+    case SETTING_KIND_ROLE:
       return parse_role (text, field);
-    case SET_KIND_NAME:
+    case SETTING_KIND_NAME:
       return parse_name (text, field);
-    case SET_KIND_ADDRESS:
+    case SETTING_KIND_ADDRESS:
       return parse_address (text, field);
-    case SET_KIND_SEEDS:
+    case SETTING_KIND_SEEDS:
       return parse_seeds (text, settings);
-    case SET_KIND_REGIONS:
-      return text[0] == '\0' || rgn_parse (field, text);
-    case SET_KIND_NUMBER:
+    case SETTING_KIND_REGIONS:
+      return text[0] == '\0' || region_map_parse (field, text);
+    case SETTING_KIND_NUMBER:
       return parse_number (setting, text, field);
-    case SET_KIND_BOOLEAN:
+    case SETTING_KIND_BOOLEAN:
       return parse_boolean (text, field);
-    case SET_KIND_MILLI:
+    case SETTING_KIND_MILLI:
       return parse_milli (setting, text, field);
-    case SET_KIND_LEVEL:
+    case SETTING_KIND_LEVEL:
       return parse_level (text, field);
-    case SET_KIND_SECRET:
+    case SETTING_KIND_SECRET:
       return parse_secret (setting, text, field);
-    case SET_KIND_SECRET_FILE:
+    case SETTING_KIND_SECRET_FILE:
       return read_secret (text, field);
     }
   g_assert_not_reached ();
 }
 
 GQuark
-set_error_quark (void)
+settings_error_quark (void)
 {
   return g_quark_from_static_string ("settings-error-quark");
 }
 
-const set_row_t *
-set_rows (uint32_t *count)
+const setting_t *
+setting_table (uint32_t *count)
 {
   *count = G_N_ELEMENTS (rows);
   return rows;
 }
 
-const set_row_t *
-set_row_find (const char *name)
+const setting_t *
+setting_find (const char *name)
 {
   for (uint32_t i = 0; i < G_N_ELEMENTS (rows); i++)
     if (strcmp (rows[i].name, name) == 0)
@@ -351,7 +351,7 @@
 }
 
 char *
-set_row_env (const set_row_t *setting)
+setting_env_name (const setting_t *setting)
 {
   char *upper = g_ascii_strup (setting->name, -1);
   char *name = g_strconcat ("MEDLARPLANK_", g_strdelimit (upper, "-", '_'), NULL);
@@ -361,132 +361,136 @@
 }
 
 bool
-set_row_is_flag (const set_row_t *setting)
+setting_is_flag (const setting_t *setting)
 {
-  return setting->kind != SET_KIND_SECRET;
+  return setting->kind != SETTING_KIND_SECRET;
 }
 
 char *
-set_row_allowed (const set_row_t *setting)
+setting_allowed_text (const setting_t *setting)
 {
   switch (setting->kind)
     {
-    case SET_KIND_ROLE:
+    case SETTING_KIND_ROLE:
       return g_strdup ("router, sidecar or gateway");
-    case SET_KIND_NAME:
-      return g_strdup_printf ("1 to %d of a-z, 0-9, '.' and '-'", LIM_NAME_BYTES - 1);
-    case SET_KIND_ADDRESS:
+    case SETTING_KIND_NAME:
+      return g_strdup_printf ("1 to %d of a-z, 0-9, '.' and '-'", LIMIT_NAME_BYTES - 1);
+    case SETTING_KIND_ADDRESS:
       return g_strdup ("IP number and port 1 to 65535, as 10.0.0.1:8080 or [fd00::1]:8080");
-    case SET_KIND_SEEDS:
-      return g_strdup_printf ("up to %d addresses with commas between", SET_SEEDS);
-    case SET_KIND_REGIONS:
+    case SETTING_KIND_SEEDS:
+      return g_strdup_printf ("up to %d addresses with commas between", SETTINGS_SEEDS_MAX);
+    case SETTING_KIND_REGIONS:
       return g_strdup_printf (
           "up to %d of DATA-CENTRE=REGION with commas between, each data centre "
           "once, names of 1 to %d bytes",
-          RGN_DATA_CENTERS, LIM_NAME_BYTES - 1);
-    case SET_KIND_NUMBER:
+          REGION_MAP_DATA_CENTERS, LIMIT_NAME_BYTES - 1);
+    case SETTING_KIND_NUMBER:
       return g_strdup_printf ("%u to %u", setting->minimum, setting->maximum);
-    case SET_KIND_MILLI:
+    case SETTING_KIND_MILLI:
       return g_strdup_printf ("a decimal number, %u.%03u to %u.%03u", setting->minimum / 1000,
                               setting->minimum % 1000, setting->maximum / 1000,
                               setting->maximum % 1000);
-    case SET_KIND_BOOLEAN:
+    case SETTING_KIND_BOOLEAN:
       return g_strdup ("true or false");
-    case SET_KIND_LEVEL:
+    case SETTING_KIND_LEVEL:
       return g_strdup ("error, warning, notice, info or debug");
-    case SET_KIND_SECRET:
+    case SETTING_KIND_SECRET:
       return g_strdup_printf ("%u to %u bytes, none of them a control character", setting->minimum,
                               setting->maximum);
-    case SET_KIND_SECRET_FILE:
+    case SETTING_KIND_SECRET_FILE:
       return g_strdup ("path of a file that can be read and holds one line, the fleet key");
     }
   g_assert_not_reached ();
 }
 
 const char *
-set_row_needed (const set_row_t *setting)
+setting_required_by (const setting_t *setting)
 {
   switch (setting->need)
     {
-    case SET_NEED_ALL:
+    case SETTING_NEED_ALL:
       return "all";
-    case SET_NEED_SIDECAR:
+    case SETTING_NEED_SIDECAR:
       return "sidecar; refused for the others";
-    case SET_NEED_GATEWAY:
+    case SETTING_NEED_GATEWAY:
       return "gateway; refused for the others";
-    case SET_NEED_NONE:
+    case SETTING_NEED_NONE:
       return "-";
     }
   g_assert_not_reached ();
 }
 
 bool
-set_row_apply (
-    const set_row_t *setting, const char *text, const char *origin, set_t *settings, GError **error)
+setting_apply (const setting_t *setting,
+               const char *text,
+               const char *origin,
+               settings_t *settings,
+               GError **error)
 {
   char *allowed;
 
   if (parse_value (setting, text, settings))
     return true;
-  allowed = set_row_allowed (setting);
+  allowed = setting_allowed_text (setting);
   /* The value of a secret must not be logged, as an invalid one may differ from the key by one
    * byte. */
-  if (setting->kind == SET_KIND_SECRET)
-    g_set_error (error, SET_ERROR, SET_ERROR_VALUE, "%s: a value of %zu bytes (%s): must be %s",
-                 setting->name, strlen (text), origin, allowed);
+  if (setting->kind == SETTING_KIND_SECRET)
+    g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_VALUE,
+                 "%s: a value of %zu bytes (%s): must be %s", setting->name, strlen (text), origin,
+                 allowed);
   else
-    g_set_error (error, SET_ERROR, SET_ERROR_VALUE, "%s: \"%s\" (%s): must be %s%s", setting->name,
-                 text, origin, allowed,
-                 setting->kind == SET_KIND_ADDRESS ? "; host names are not looked up" : "");
+    g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_VALUE, "%s: \"%s\" (%s): must be %s%s",
+                 setting->name, text, origin, allowed,
+                 setting->kind == SETTING_KIND_ADDRESS ? "; host names are not looked up" : "");
   g_free (allowed);
   return false;
 }
 
 char *
-set_row_value (const set_row_t *setting, const set_t *settings)
+setting_value_text (const setting_t *setting, const settings_t *settings)
 {
   const void *field = (const char *)settings + setting->offset;
 
   switch (setting->kind)
     {
-    case SET_KIND_ROLE:
-      return g_strdup (role_names[*(const set_role_t *)field]);
-    case SET_KIND_NAME:
+    case SETTING_KIND_ROLE:
+      return g_strdup (role_names[*(const settings_role_t *)field]);
+    case SETTING_KIND_NAME:
       return g_strdup (field);
-    case SET_KIND_ADDRESS:
-      return set_address_text (field);
-    case SET_KIND_SEEDS:
+    case SETTING_KIND_ADDRESS:
+      return address_to_text (field);
+    case SETTING_KIND_SEEDS:
       return seeds_text (settings);
-    case SET_KIND_REGIONS:
-      return rgn_text (field);
-    case SET_KIND_NUMBER:
+    case SETTING_KIND_REGIONS:
+      return region_map_to_text (field);
+    case SETTING_KIND_NUMBER:
       return g_strdup_printf ("%u", *(const uint32_t *)field);
-    case SET_KIND_MILLI:
+    case SETTING_KIND_MILLI:
       return g_strdup_printf ("%u.%03u", *(const uint32_t *)field / 1000,
                               *(const uint32_t *)field % 1000);
-    case SET_KIND_BOOLEAN:
+    case SETTING_KIND_BOOLEAN:
       return g_strdup (boolean_names[*(const bool *)field]);
-    case SET_KIND_LEVEL:
+    case SETTING_KIND_LEVEL:
       return g_strdup (level_names[*(const log_level_t *)field]);
-    case SET_KIND_SECRET:
-    case SET_KIND_SECRET_FILE:
+    case SETTING_KIND_SECRET:
+    case SETTING_KIND_SECRET_FILE:
       return g_strdup ("(not shown)");
     }
   g_assert_not_reached ();
 }
 
 bool
-set_parse_address (const char *text, set_address_t *address, GError **error)
+address_parse (const char *text, address_t *address, GError **error)
 {
   if (parse_address (text, address))
     return true;
-  g_set_error (error, SET_ERROR, SET_ERROR_VALUE,
+  g_set_error (error, SETTINGS_ERROR, SETTINGS_ERROR_VALUE,
                "\"%s\" is not an IP number and a port; host names are not looked up", text);
   return false;
 }
 
 char *
-set_address_text (const set_address_t *address)
+address_to_text (const address_t *address)
 {
   if (address->port == 0)
     return g_strdup ("");
--- a/src/connection/budget.c
+++ b/src/connection/budget.c
@@ -5,19 +5,19 @@
 
 #include <glib.h>
 
-#define REFILL_MAX_US (UINT64_C (10) * CLK_US_PER_S) /* after this time any bucket is full */
+#define REFILL_MAX_US (UINT64_C (10) * CLOCK_US_PER_S) /* after this time any bucket is full */
 
 static int64_t
 capacity_bytes (const byte_budget_t *byte_budget)
 {
-  return MAX (byte_budget->rate_bytes, LIM_DATAGRAM_BYTES + BYTE_BUDGET_UDP_HEADER_BYTES);
+  return MAX (byte_budget->rate_bytes, LIMIT_DATAGRAM_BYTES + BYTE_BUDGET_UDP_HEADER_BYTES);
 }
 
 static void
 refill (byte_budget_t *byte_budget, uint64_t now_us)
 {
   uint64_t elapsed_us = MIN (now_us - byte_budget->filled_us, REFILL_MAX_US);
-  int64_t added_bytes = (int64_t)(elapsed_us * byte_budget->rate_bytes / CLK_US_PER_S);
+  int64_t added_bytes = (int64_t)(elapsed_us * byte_budget->rate_bytes / CLOCK_US_PER_S);
   if (added_bytes == 0)
     return; /* keep filled_us, or frequent calls would lose the fraction of a byte each time */
   byte_budget->tokens_bytes =
--- a/src/connection/endpoint.c
+++ b/src/connection/endpoint.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 bool
-endpoint_from_address (endpoint_t *endpoint, const set_address_t *address)
+endpoint_from_address (endpoint_t *endpoint, const address_t *address)
 {
   memset (endpoint, 0, sizeof *endpoint);
   struct sockaddr_in *v4 = (struct sockaddr_in *)&endpoint->address;
@@ -42,10 +42,10 @@
          memcmp (&x->sin6_addr, &y->sin6_addr, sizeof x->sin6_addr) == 0;
 }
 
-set_address_t
+address_t
 endpoint_to_address (const endpoint_t *endpoint)
 {
-  set_address_t address = { 0 };
+  address_t address = { 0 };
   const struct sockaddr_in *v4 = (const struct sockaddr_in *)&endpoint->address;
   const struct sockaddr_in6 *v6 = (const struct sockaddr_in6 *)&endpoint->address;
   bool is_v4 = endpoint->address.ss_family == AF_INET;
--- a/src/connection/endpoint.h
+++ b/src/connection/endpoint.h
@@ -19,10 +19,10 @@
 } endpoint_t;
 
 /** endpoint_from_address() - convert an address. Return: false when @address is not an IP number */
-bool endpoint_from_address (endpoint_t *endpoint, const set_address_t *address);
+bool endpoint_from_address (endpoint_t *endpoint, const address_t *address);
 /** endpoint_equal() - whether family, IP number and port are equal */
 bool endpoint_equal (const endpoint_t *a, const endpoint_t *b);
 /** endpoint_to_address() - convert back to the form of the settings */
-set_address_t endpoint_to_address (const endpoint_t *endpoint);
+address_t endpoint_to_address (const endpoint_t *endpoint);
 
 #endif
--- a/src/connection/exchange.c
+++ b/src/connection/exchange.c
@@ -14,7 +14,7 @@
 #define PENDING_CALLS 16
 #define READS_PER_EVENT_MAX 64
 #define DISCARD_READS_MAX 4096
-#define BUDGET_LOG_INTERVAL_US (UINT64_C (10) * CLK_US_PER_S)
+#define BUDGET_LOG_INTERVAL_US (UINT64_C (10) * CLOCK_US_PER_S)
 
 /** pending_call_t - a call that has not been answered; a free slot when @open is false */
 typedef struct
@@ -27,15 +27,15 @@
 /** counters_t - counters of the control traffic */
 typedef struct
 {
-  cnt_t *bytes_sent;
-  cnt_t *bytes_received;
-  cnt_t *sent;
-  cnt_t *received;
-  cnt_t *bad_auth;
-  cnt_t *broken;
-  cnt_t *unasked;
-  cnt_t *over_budget;
-  cnt_t *send_failed;
+  counter_t *bytes_sent;
+  counter_t *bytes_received;
+  counter_t *sent;
+  counter_t *received;
+  counter_t *bad_auth;
+  counter_t *broken;
+  counter_t *unasked;
+  counter_t *over_budget;
+  counter_t *send_failed;
 } counters_t;
 
 struct exchange
@@ -58,9 +58,9 @@
 static void
 note_held_back (exchange_t *exchange)
 {
-  uint64_t now_us = clk_now_us (exchange->options.clk);
+  uint64_t now_us = clock_now_us (exchange->options.clock);
   exchange->held_back++;
-  cnt_add (exchange->counts.over_budget, 1);
+  counter_add (exchange->counts.over_budget, 1);
   if (exchange->held_back_logged_us != 0 &&
       now_us - exchange->held_back_logged_us < BUDGET_LOG_INTERVAL_US)
     return;
@@ -74,7 +74,7 @@
 static bool
 take_budget (exchange_t *exchange, uint32_t bytes)
 {
-  if (byte_budget_take (&exchange->budget, clk_now_us (exchange->options.clk), bytes))
+  if (byte_budget_take (&exchange->budget, clock_now_us (exchange->options.clock), bytes))
     return true;
   note_held_back (exchange);
   return false;
@@ -90,11 +90,11 @@
                          peer->bytes);
   if (sent < 0)
     {
-      cnt_add (exchange->counts.send_failed, 1);
+      counter_add (exchange->counts.send_failed, 1);
       return false;
     }
-  cnt_add (exchange->counts.sent, 1);
-  cnt_add (exchange->counts.bytes_sent, on_wire_bytes);
+  counter_add (exchange->counts.sent, 1);
+  counter_add (exchange->counts.bytes_sent, on_wire_bytes);
   return true;
 }
 
@@ -110,7 +110,7 @@
   message.words.words_val = words;
   message.marks.marks_val = marks;
   exchange->options.fill (&message, to, exchange->options.context);
-  char datagram[LIM_DATAGRAM_BYTES];
+  char datagram[LIMIT_DATAGRAM_BYTES];
   size_t bytes =
       datagram_encode (datagram, sizeof datagram, exchange->fleet_key, xid, is_reply, &message);
   g_assert (bytes != 0); /* a message with all arrays full fits into a datagram */
@@ -118,7 +118,7 @@
 }
 
 static void
-start_call (exchange_t *exchange, const set_address_t *address)
+start_call (exchange_t *exchange, const address_t *address)
 {
   endpoint_t peer;
   if (!endpoint_from_address (&peer, address))
@@ -155,7 +155,7 @@
 {
   if (is_reply && !close_call (exchange, xid, peer))
     {
-      cnt_add (exchange->counts.unasked, 1);
+      counter_add (exchange->counts.unasked, 1);
       return;
     }
   bool answer = exchange->options.heard (message, is_reply, exchange->options.context);
@@ -166,8 +166,8 @@
 static void
 handle_datagram (exchange_t *exchange, const char *datagram, size_t bytes, const endpoint_t *peer)
 {
-  cnt_add (exchange->counts.received, 1);
-  cnt_add (exchange->counts.bytes_received, bytes + BYTE_BUDGET_UDP_HEADER_BYTES);
+  counter_add (exchange->counts.received, 1);
+  counter_add (exchange->counts.bytes_received, bytes + BYTE_BUDGET_UDP_HEADER_BYTES);
   uint32_t xid = 0;
   bool is_reply = false;
   xch_message message;
@@ -180,21 +180,21 @@
       datagram_free_message (&message);
       break;
     case DATAGRAM_BAD_AUTH:
-      cnt_add (exchange->counts.bad_auth, 1);
+      counter_add (exchange->counts.bad_auth, 1);
       break;
     case DATAGRAM_MALFORMED:
     case DATAGRAM_TOO_LARGE:
-      cnt_add (exchange->counts.broken, 1);
+      counter_add (exchange->counts.broken, 1);
       break;
     }
 }
 
 /* Reads one byte more than the maximum, so that an oversized datagram is detected. */
 static ssize_t
-receive (exchange_t *exchange, char datagram[LIM_DATAGRAM_BYTES + 1], endpoint_t *peer)
+receive (exchange_t *exchange, char datagram[LIMIT_DATAGRAM_BYTES + 1], endpoint_t *peer)
 {
   peer->bytes = sizeof peer->address;
-  return recvfrom (exchange->socket, datagram, LIM_DATAGRAM_BYTES + 1, 0,
+  return recvfrom (exchange->socket, datagram, LIMIT_DATAGRAM_BYTES + 1, 0,
                    (struct sockaddr *)&peer->address, &peer->bytes);
 }
 
@@ -207,7 +207,7 @@
   /* Bounded, so that a flood of datagrams does not delay the other events of the task. */
   for (uint32_t i = 0; i < READS_PER_EVENT_MAX; i++)
     {
-      char datagram[LIM_DATAGRAM_BYTES + 1];
+      char datagram[LIMIT_DATAGRAM_BYTES + 1];
       endpoint_t peer;
       ssize_t bytes = receive (exchange, datagram, &peer);
       if (bytes < 0)
@@ -220,10 +220,11 @@
 static void
 arm_timer (exchange_t *exchange)
 {
-  uint64_t interval_us = (uint64_t)exchange->options.interval_ms * CLK_US_PER_MS;
+  uint64_t interval_us = (uint64_t)exchange->options.interval_ms * CLOCK_US_PER_MS;
   uint64_t wait_us =
       (uint64_t)((double)interval_us * g_rand_double_range (exchange->rand, 0.75, 1.25));
-  struct timeval wait = { (time_t)(wait_us / CLK_US_PER_S), (suseconds_t)(wait_us % CLK_US_PER_S) };
+  struct timeval wait = { (time_t)(wait_us / CLOCK_US_PER_S),
+                          (suseconds_t)(wait_us % CLOCK_US_PER_S) };
   event_add (exchange->timer, &wait);
 }
 
@@ -233,7 +234,7 @@
   exchange_t *exchange = context;
   (void)socket;
   (void)what;
-  set_address_t peer;
+  address_t peer;
   if (exchange->options.pick (&peer, exchange->options.context))
     start_call (exchange, &peer);
   arm_timer (exchange);
@@ -262,28 +263,28 @@
 }
 
 static void
-get_counters (counters_t *counts, cnt_set_t *set)
+get_counters (counters_t *counts, counter_registry_t *set)
 {
   counts->bytes_sent =
-      cnt_get (set, "medlarplank_control_bytes_sent_total",
-               "Bytes of control traffic sent, with headers; requests to the platform "
-               "and for manifests by estimate");
-  counts->bytes_received = cnt_get (set, "medlarplank_control_bytes_received_total",
-                                    "Bytes of the exchange received, headers included");
-  counts->sent =
-      cnt_get (set, "medlarplank_control_datagrams_sent_total", "Datagrams of the exchange sent");
-  counts->received = cnt_get (set, "medlarplank_control_datagrams_received_total",
-                              "Datagrams of the exchange received");
-  counts->bad_auth = cnt_get (set, "medlarplank_control_bad_auth_total",
-                              "Datagrams dropped as their HMAC did not fit");
-  counts->broken = cnt_get (set, "medlarplank_control_broken_total",
-                            "Datagrams dropped as they could not be read");
-  counts->unasked = cnt_get (set, "medlarplank_control_unasked_total",
-                             "Replies dropped as no call of ours was open");
-  counts->over_budget = cnt_get (set, "medlarplank_control_over_budget_total",
-                                 "Datagrams not sent as the byte budget was used up");
-  counts->send_failed = cnt_get (set, "medlarplank_control_send_failed_total",
-                                 "Datagrams that the system did not send");
+      counter_get (set, "medlarplank_control_bytes_sent_total",
+                   "Bytes of control traffic sent, with headers; requests to the platform "
+                   "and for manifests by estimate");
+  counts->bytes_received = counter_get (set, "medlarplank_control_bytes_received_total",
+                                        "Bytes of the exchange received, headers included");
+  counts->sent = counter_get (set, "medlarplank_control_datagrams_sent_total",
+                              "Datagrams of the exchange sent");
+  counts->received = counter_get (set, "medlarplank_control_datagrams_received_total",
+                                  "Datagrams of the exchange received");
+  counts->bad_auth = counter_get (set, "medlarplank_control_bad_auth_total",
+                                  "Datagrams dropped as their HMAC did not fit");
+  counts->broken = counter_get (set, "medlarplank_control_broken_total",
+                                "Datagrams dropped as they could not be read");
+  counts->unasked = counter_get (set, "medlarplank_control_unasked_total",
+                                 "Replies dropped as no call of ours was open");
+  counts->over_budget = counter_get (set, "medlarplank_control_over_budget_total",
+                                     "Datagrams not sent as the byte budget was used up");
+  counts->send_failed = counter_get (set, "medlarplank_control_send_failed_total",
+                                     "Datagrams that the system did not send");
 }
 
 exchange_t *
@@ -295,7 +296,7 @@
   exchange->socket = -1;
   exchange->rand = g_rand_new_with_seed ((guint32)(options->seed ^ (options->seed >> 32)));
   exchange->next_xid = g_rand_int (exchange->rand);
-  byte_budget_init (&exchange->budget, options->budget_bytes, clk_now_us (options->clk));
+  byte_budget_init (&exchange->budget, options->budget_bytes, clock_now_us (options->clock));
   get_counters (&exchange->counts, options->counters);
   if (!open_socket (exchange, error))
     {
@@ -327,7 +328,7 @@
 }
 
 void
-exchange_send_now (exchange_t *exchange, const set_address_t *peer)
+exchange_send_now (exchange_t *exchange, const address_t *peer)
 {
   start_call (exchange, peer);
 }
@@ -335,33 +336,33 @@
 void
 exchange_discard_pending (exchange_t *exchange)
 {
-  char datagram[LIM_DATAGRAM_BYTES + 1];
+  char datagram[LIMIT_DATAGRAM_BYTES + 1];
   endpoint_t peer;
   /* Bounded in case of a flood; the limit is more than a socket buffer holds. */
   for (uint32_t i = 0; i < DISCARD_READS_MAX && receive (exchange, datagram, &peer) >= 0; i++)
-    cnt_add (exchange->counts.received, 1);
+    counter_add (exchange->counts.received, 1);
   memset (exchange->calls, 0, sizeof exchange->calls);
 }
 
 void
 exchange_charge_budget (exchange_t *exchange, uint32_t bytes)
 {
-  byte_budget_charge (&exchange->budget, clk_now_us (exchange->options.clk), bytes);
-  cnt_add (exchange->counts.bytes_sent, bytes);
+  byte_budget_charge (&exchange->budget, clock_now_us (exchange->options.clock), bytes);
+  counter_add (exchange->counts.bytes_sent, bytes);
 }
 
 bool
 exchange_has_spare_budget (exchange_t *exchange)
 {
-  return byte_budget_has (&exchange->budget, clk_now_us (exchange->options.clk),
+  return byte_budget_has (&exchange->budget, clock_now_us (exchange->options.clock),
                           exchange->options.budget_bytes / 4 * 3);
 }
 
-set_address_t
+address_t
 exchange_address (const exchange_t *exchange)
 {
   endpoint_t endpoint = { .bytes = sizeof endpoint.address };
-  set_address_t none = { 0 };
+  address_t none = { 0 };
   if (getsockname (exchange->socket, (struct sockaddr *)&endpoint.address, &endpoint.bytes) != 0)
     return none;
   return endpoint_to_address (&endpoint);
--- a/src/connection/exchange.h
+++ b/src/connection/exchange.h
@@ -6,7 +6,7 @@
  * messages and process received ones.
  *
  * Only an authenticated call that the callback accepts is answered, by one datagram of at most
- * %LIM_DATAGRAM_BYTES. A reply is never answered; it is accepted only for an outstanding call and
+ * %LIMIT_DATAGRAM_BYTES. A reply is never answered; it is accepted only for an outstanding call and
  * from the address that was called.
  */
 #ifndef CONNECTION_EXCHANGE_H
@@ -36,16 +36,16 @@
 typedef struct
 {
   struct event_base *base;
-  const clk_t *clk;
-  cnt_set_t *counters;
-  set_address_t listen;
+  const clock_source_t *clock;
+  counter_registry_t *counters;
+  address_t listen;
   const char *fleet_key;
   uint32_t interval_ms;
   uint32_t budget_bytes;
   uint64_t seed;
   void (*fill) (xch_message *message, const xch_word *to, void *context);
   bool (*heard) (const xch_message *message, bool is_reply, void *context);
-  bool (*pick) (set_address_t *peer, void *context);
+  bool (*pick) (address_t *peer, void *context);
   void *context;
 } exchange_options_t;
 
@@ -57,7 +57,7 @@
 void exchange_free (exchange_t *exchange);
 /** exchange_send_now() - call @peer at once, within the budget; a leaving host announces itself
  * this way */
-void exchange_send_now (exchange_t *exchange, const set_address_t *peer);
+void exchange_send_now (exchange_t *exchange, const address_t *peer);
 /** exchange_discard_pending() - discard received datagrams that have not been read and all
  * outstanding calls. Used after the process was suspended: what arrived meanwhile is outdated, and
  * so are the ages in it */
@@ -69,6 +69,6 @@
  * additional message delays none of the regular ones */
 bool exchange_has_spare_budget (exchange_t *exchange);
 /** exchange_address() - the bound address, with the port that the kernel chose for port 0 */
-set_address_t exchange_address (const exchange_t *exchange);
+address_t exchange_address (const exchange_t *exchange);
 
 #endif
--- a/src/connection/http_client.c
+++ b/src/connection/http_client.c
@@ -188,7 +188,7 @@
 }
 
 static void
-add_host (struct evkeyvalq *headers, const set_address_t *address)
+add_host (struct evkeyvalq *headers, const address_t *address)
 {
   bool is_v6 = strchr (address->ip, ':') != NULL;
   char host[sizeof address->ip + 16];
@@ -264,8 +264,8 @@
 http_client_call_t *
 http_client_start_call (http_client_t *http_client, const http_client_options_t *options)
 {
-  struct timeval timeout = { (time_t)(options->timeout_us / CLK_US_PER_S),
-                             (suseconds_t)(options->timeout_us % CLK_US_PER_S) };
+  struct timeval timeout = { (time_t)(options->timeout_us / CLOCK_US_PER_S),
+                             (suseconds_t)(options->timeout_us % CLOCK_US_PER_S) };
   http_client_call_t *call = call_new (http_client, options);
 
   if (!are_valid_options (options))
@@ -319,7 +319,7 @@
   http_client->idle_limit = idle_limit;
   http_client->idle_timeout.tv_sec = idle_timeout_ms / 1000;
   http_client->idle_timeout.tv_usec = idle_timeout_ms % 1000 * 1000;
-  http_client_set_connect_timeout (http_client, LIM_HTTP_CONNECT_MS);
+  http_client_set_connect_timeout (http_client, LIMIT_HTTP_CONNECT_MS);
   http_client->idle =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_queue_free);
   http_client->conns = g_hash_table_new (NULL, NULL);
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -57,7 +57,7 @@
  *   here. Host is added if missing
  * @body: must stay valid until @on_end is called or http_client_cancel_call() returns
  * @timeout_us: limit on the duration of the call, 0 for none. Connecting also has its own
- *   limit, %LIM_HTTP_CONNECT_MS or that of http_client_set_connect_timeout()
+ *   limit, %LIMIT_HTTP_CONNECT_MS or that of http_client_set_connect_timeout()
  * @answer_limit_bytes: a response with a longer body counts as truncated; 0 for no limit
  * @until_close: accept a response without a declared length: it is complete when the peer
  *   closes the connection normally, and truncated when the peer resets it
@@ -73,7 +73,7 @@
  */
 typedef struct
 {
-  const set_address_t *address;
+  const address_t *address;
   const char *method;
   const char *target;
   const http_client_header_t *headers;
@@ -97,7 +97,7 @@
 http_client_t *
 http_client_new (struct event_base *base, uint32_t idle_limit, uint32_t idle_timeout_ms);
 /** http_client_set_connect_timeout() - set the time limit for connecting of new connections,
- * instead of %LIM_HTTP_CONNECT_MS */
+ * instead of %LIMIT_HTTP_CONNECT_MS */
 void http_client_set_connect_timeout (http_client_t *http_client, uint32_t limit_ms);
 /** http_client_free() - cancel all calls and free. Must not be called from within @on_head or
  * @on_data */
@@ -115,7 +115,7 @@
 void http_client_set_paused (http_client_call_t *call, bool paused);
 /** http_client_close_idle() - close the idle connections to @address, after the process there has
  * ended */
-void http_client_close_idle (http_client_t *http_client, const set_address_t *address);
+void http_client_close_idle (http_client_t *http_client, const address_t *address);
 /** http_client_may_have_sent() - whether any byte of the request may have been sent */
 bool http_client_may_have_sent (const http_client_call_t *call);
 
--- a/src/connection/http_client_internal.h
+++ b/src/connection/http_client_internal.h
@@ -91,7 +91,7 @@
 /** http_client_conn_acquire() - get an idle connection that the peer has not closed and that has
  * been idle for at most @idle_limit_us, or else a new one */
 http_client_conn_t *http_client_conn_acquire (http_client_t *http_client,
-                                              const set_address_t *address,
+                                              const address_t *address,
                                               uint64_t idle_limit_us);
 /** http_client_conn_release() - return a connection to the pool, or close it if it can't be used
  * again */
--- a/src/connection/http_client_pool.c
+++ b/src/connection/http_client_pool.c
@@ -9,7 +9,7 @@
 static const struct timeval never_timeout = { 365 * 24 * 3600, 0 };
 
 static char *
-address_key (const set_address_t *address)
+address_key (const address_t *address)
 {
   return g_strdup_printf ("%s %u", address->ip, address->port);
 }
@@ -114,7 +114,7 @@
 }
 
 static http_client_conn_t *
-conn_new (http_client_t *http_client, const set_address_t *address)
+conn_new (http_client_t *http_client, const address_t *address)
 {
   http_client_conn_t *conn = g_new0 (http_client_conn_t, 1);
 
@@ -128,7 +128,7 @@
   event_add (conn->event, &http_client->connect_limit);
   evhttp_connection_set_retries (conn->evcon, 0);
   evhttp_connection_set_timeout_tv (conn->evcon, &never_timeout);
-  evhttp_connection_set_max_headers_size (conn->evcon, LIM_HTTP_ANSWER_HEADER_BYTES);
+  evhttp_connection_set_max_headers_size (conn->evcon, LIMIT_HTTP_RESPONSE_HEADER_BYTES);
   evhttp_connection_set_closecb (conn->evcon, on_close, conn);
   evbuffer_add_cb (bufferevent_get_output (conn->bev), on_output, conn);
   g_hash_table_add (http_client->conns, conn);
@@ -155,7 +155,7 @@
 
 http_client_conn_t *
 http_client_conn_acquire (http_client_t *http_client,
-                          const set_address_t *address,
+                          const address_t *address,
                           uint64_t idle_limit_us)
 {
   int64_t now_us = g_get_monotonic_time ();
@@ -206,7 +206,7 @@
 }
 
 void
-http_client_close_idle (http_client_t *http_client, const set_address_t *address)
+http_client_close_idle (http_client_t *http_client, const address_t *address)
 {
   g_autofree char *key = address_key (address);
   GQueue *queue;
--- a/src/connection/http_server.c
+++ b/src/connection/http_server.c
@@ -17,23 +17,23 @@
 static void
 get_counters (http_server_t *http_server)
 {
-  cnt_set_t *set = http_server->options.counters;
+  counter_registry_t *set = http_server->options.counters;
 
   http_server->connections =
-      cnt_get (set, "medlarplank_http_connections", "Open connections of callers");
+      counter_get (set, "medlarplank_http_connections", "Open connections of callers");
   http_server->requests =
-      cnt_get (set, "medlarplank_http_requests_total", "Whole requests of callers");
-  http_server->gone = cnt_get (set, "medlarplank_http_gone_total",
-                               "Requests whose caller closed before the answer");
-  http_server->bad_headers = cnt_get (set, "medlarplank_http_bad_headers_total",
-                                      "Headers of answers left out for a control character");
+      counter_get (set, "medlarplank_http_requests_total", "Whole requests of callers");
+  http_server->gone = counter_get (set, "medlarplank_http_gone_total",
+                                   "Requests whose caller closed before the answer");
+  http_server->bad_headers = counter_get (set, "medlarplank_http_bad_headers_total",
+                                          "Headers of answers left out for a control character");
   for (int i = 0; i < HTTP_SERVER_REFUSED_COUNT; i++)
-    http_server->refused[i] =
-        cnt_get (set, rejected_metric_names[i], "Requests refused by the listener before they ran");
+    http_server->refused[i] = counter_get (set, rejected_metric_names[i],
+                                           "Requests refused by the listener before they ran");
 }
 
 static bool
-make_sockaddr (const set_address_t *address, struct sockaddr_storage *storage, int *bytes)
+make_sockaddr (const address_t *address, struct sockaddr_storage *storage, int *bytes)
 {
   struct sockaddr_in *v4 = (struct sockaddr_in *)storage;
   struct sockaddr_in6 *v6 = (struct sockaddr_in6 *)storage;
@@ -60,7 +60,7 @@
 bind_listener (http_server_t *http_server, GError **error)
 {
   unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
-  const set_address_t *address = &http_server->options.listen;
+  const address_t *address = &http_server->options.listen;
   struct evconnlistener *listener = NULL;
   struct sockaddr_storage storage;
   int bytes;
@@ -68,11 +68,11 @@
   errno = EINVAL;
   if (make_sockaddr (address, &storage, &bytes))
     listener = evconnlistener_new_bind (http_server->options.base, NULL, NULL, flags,
-                                        LIM_LISTEN_BACKLOG, (struct sockaddr *)&storage, bytes);
+                                        LIMIT_LISTEN_BACKLOG, (struct sockaddr *)&storage, bytes);
   if (!listener)
     {
       int error_number = errno;
-      char *text = set_address_text (address);
+      char *text = address_to_text (address);
 
       g_set_error (error, G_FILE_ERROR, g_file_error_from_errno (error_number),
                    "cannot listen on %s: %s", text, g_strerror (error_number));
@@ -98,9 +98,9 @@
 
   http_server->idle_timeout = timeval_from_ms (http_server->options.idle_timeout_ms);
   if (http_server->options.request_timeout_ms == 0)
-    http_server->options.request_timeout_ms = LIM_HTTP_REQUEST_MS;
+    http_server->options.request_timeout_ms = LIMIT_HTTP_REQUEST_MS;
   if (http_server->options.incomplete_limit_bytes == 0)
-    http_server->options.incomplete_limit_bytes = LIM_HTTP_COMING_BYTES;
+    http_server->options.incomplete_limit_bytes = LIMIT_HTTP_INCOMPLETE_BYTES;
   http_server->request_timeout = timeval_from_ms (http_server->options.request_timeout_ms);
   evhttp_set_allowed_methods (http_server->http, methods);
   evhttp_set_max_headers_size (http_server->http, http_server->options.header_limit_bytes);
@@ -209,7 +209,7 @@
 void
 http_server_close_idle_later (http_server_t *http_server)
 {
-  struct timeval close_idle = timeval_from_ms (LIM_HTTP_STOP_LINGER_MS);
+  struct timeval close_idle = timeval_from_ms (LIMIT_HTTP_STOP_LINGER_MS);
 
   if (!evtimer_pending (http_server->close_idle, NULL))
     event_add (http_server->close_idle, &close_idle);
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -27,22 +27,22 @@
  * @header_limit_bytes: limit on request line and headers; a request over it is rejected by 431
  * @header_limit_count: a request with more headers is rejected by 431
  * @connection_limit: connections over it are closed after a response 503. With
- *   %LIM_HTTP_OVER_LIMIT more connections, no further ones are accepted
+ *   %LIMIT_HTTP_EXCESS_CONNECTIONS more connections, no further ones are accepted
  * @idle_timeout_ms: a connection is closed after this time without a byte read, or, while a
  *   response is sent, without a byte written. The time between request and response is not
  *   limited
  * @request_timeout_ms: a connection is closed when receiving a request takes longer; 0 for
- *   %LIM_HTTP_REQUEST_MS
+ *   %LIMIT_HTTP_REQUEST_MS
  * @incomplete_limit_bytes: limit on the sum of all requests that have been received in part;
- *   when it is exceeded, the largest of them is rejected by 503; 0 for %LIM_HTTP_COMING_BYTES
+ *   when it is exceeded, the largest of them is rejected by 503; 0 for %LIMIT_HTTP_INCOMPLETE_BYTES
  * @on_call: receives each complete request within the limits; it must be answered exactly once,
  *   at once or later
  */
 typedef struct
 {
   struct event_base *base;
-  cnt_set_t *counters;
-  set_address_t listen;
+  counter_registry_t *counters;
+  address_t listen;
   uint32_t body_limit_bytes;
   uint32_t header_limit_bytes;
   uint32_t header_limit_count;
@@ -78,7 +78,7 @@
 void http_server_resume_accepting (http_server_t *http_server);
 /** http_server_stop() - stop listening and send "Connection: close" in all responses from now on.
  * Connections in the kernel's queue are still accepted. Idle ones are closed after
- * %LIM_HTTP_STOP_LINGER_MS, since a request may be on its way */
+ * %LIMIT_HTTP_STOP_LINGER_MS, since a request may be on its way */
 void http_server_stop (http_server_t *http_server);
 /** http_server_busy_count() - number of calls that have not been answered or whose response has not
  * been sent completely. After http_server_stop(), the number of connections on which a request may
--- a/src/connection/http_server_call.c
+++ b/src/connection/http_server_call.c
@@ -172,7 +172,7 @@
 {
   if (!http_framing_is_valid_name (name) || !http_framing_is_valid_value (value))
     {
-      cnt_add (call->conn->http_server->bad_headers, 1);
+      counter_add (call->conn->http_server->bad_headers, 1);
       return;
     }
   if (g_ascii_strcasecmp (name, "Transfer-Encoding") == 0)
--- a/src/connection/http_server_check.c
+++ b/src/connection/http_server_check.c
@@ -52,7 +52,7 @@
 static char *
 rejection_body (http_server_t *http_server, const rejection_t *rejection)
 {
-  cnt_add (http_server->refused[rejection->refused], 1);
+  counter_add (http_server->refused[rejection->refused], 1);
   return http_error_body (rejection->message, rejection->type, rejection->code,
                           verdict_to_string (VERDICT_NOT_RUN));
 }
--- a/src/connection/http_server_conn.c
+++ b/src/connection/http_server_conn.c
@@ -99,7 +99,7 @@
     http_server->busy_count--;
   set_incomplete_bytes (conn, 0);
   http_server->open_count--;
-  cnt_add (http_server->connections, UINT64_MAX);
+  counter_add (http_server->connections, UINT64_MAX);
   evbuffer_remove_cb_entry (bufferevent_get_input (conn->bev), conn->input_cb);
   evbuffer_remove_cb_entry (bufferevent_get_output (conn->bev), conn->output_cb);
   event_free (conn->deferred);
@@ -133,7 +133,7 @@
     request = NULL;
   if (call)
     {
-      cnt_add (http_server->gone, 1);
+      counter_add (http_server->gone, 1);
       if (call->gone)
         call->gone (call->gone_context);
       http_server_call_free (call);
@@ -210,7 +210,7 @@
 
   (void)fd;
   (void)what;
-  cnt_add (conn->http_server->refused[HTTP_SERVER_REFUSED_SLOW], 1);
+  counter_add (conn->http_server->refused[HTTP_SERVER_REFUSED_SLOW], 1);
   evhttp_connection_free (conn->evcon);
 }
 
@@ -306,7 +306,7 @@
   conn->input_cb = evbuffer_add_cb (bufferevent_get_input (bev), on_input, conn);
   conn->output_cb = evbuffer_add_cb (bufferevent_get_output (bev), on_output, conn);
   conn->over_limit = ++http_server->open_count > http_server->options.connection_limit;
-  cnt_add (http_server->connections, 1);
+  counter_add (http_server->connections, 1);
   /* while a response is sent, libevent keeps reading without parsing: limit what it can buffer */
   input_limit_bytes =
       (size_t)http_server->options.body_limit_bytes + http_server->options.header_limit_bytes;
@@ -315,7 +315,7 @@
   g_hash_table_insert (http_server->new_conns, bev, conn);
   http_server_conn_defer (conn);
   if (http_server->open_count >=
-      (uint64_t)http_server->options.connection_limit + LIM_HTTP_OVER_LIMIT)
+      (uint64_t)http_server->options.connection_limit + LIMIT_HTTP_EXCESS_CONNECTIONS)
     set_accepting (http_server, false);
   return bev;
 }
@@ -399,7 +399,7 @@
   conn->evicted = false; /* its rest arrived before it was rejected */
   conn->busy = true;
   http_server->busy_count++;
-  cnt_add (http_server->requests, 1);
+  counter_add (http_server->requests, 1);
   conn->request = request;
   evhttp_request_set_on_complete_cb (request, on_response_sent, conn);
   /* libevent also reads while it writes: a client that waits for its response must not time out */
--- a/src/connection/http_server_drain.c
+++ b/src/connection/http_server_drain.c
@@ -10,7 +10,7 @@
 
 /**
  * struct http_server_drain - a socket whose input is discarded
- * @timer: closes the socket after %LIM_HTTP_DRAIN_MS
+ * @timer: closes the socket after %LIMIT_HTTP_DRAIN_MS
  * @read_bytes: discarded so far
  */
 struct http_server_drain
@@ -44,7 +44,7 @@
     return;
   if (count > 0)
     drain->read_bytes += (uint64_t)count;
-  if (count <= 0 || drain->read_bytes > LIM_HTTP_DRAIN_BYTES)
+  if (count <= 0 || drain->read_bytes > LIMIT_HTTP_DRAIN_BYTES)
     http_server_drain_free (drain);
 }
 
@@ -60,10 +60,10 @@
 http_server_drain_start (http_server_t *http_server, evutil_socket_t fd)
 {
   struct event_base *base = http_server->options.base;
-  struct timeval limit = { LIM_HTTP_DRAIN_MS / 1000, 0 };
+  struct timeval limit = { LIMIT_HTTP_DRAIN_MS / 1000, 0 };
   http_server_drain_t *drain;
 
-  if (g_hash_table_size (http_server->drains) >= LIM_HTTP_DRAINS)
+  if (g_hash_table_size (http_server->drains) >= LIMIT_HTTP_DRAINS)
     {
       evutil_closesocket (fd);
       return;
--- a/src/connection/http_server_internal.h
+++ b/src/connection/http_server_internal.h
@@ -36,7 +36,7 @@
  * @conns: connections by evhttp connection
  * @drains: sockets of rejected clients whose remaining input is read and discarded
  * @unlisten: closes the listening socket one iteration of the event loop after http_server_stop()
- * @close_idle: closes the idle connections %LIM_HTTP_STOP_LINGER_MS after http_server_stop()
+ * @close_idle: closes the idle connections %LIMIT_HTTP_STOP_LINGER_MS after http_server_stop()
  * @incomplete_bytes: received bytes of all requests that are not complete
  * @open_count: all connections
  * @busy_count: connections with a request whose response has not been sent completely
@@ -61,11 +61,11 @@
   bool stopping;
   bool closing;
   bool paused;
-  cnt_t *connections;
-  cnt_t *requests;
-  cnt_t *gone;
-  cnt_t *bad_headers;
-  cnt_t *refused[HTTP_SERVER_REFUSED_COUNT];
+  counter_t *connections;
+  counter_t *requests;
+  counter_t *gone;
+  counter_t *bad_headers;
+  counter_t *refused[HTTP_SERVER_REFUSED_COUNT];
 };
 
 /**
@@ -136,7 +136,7 @@
   void *room_context;
 };
 
-/** http_server_close_idle_later() - close the idle connections after %LIM_HTTP_STOP_LINGER_MS */
+/** http_server_close_idle_later() - close the idle connections after %LIMIT_HTTP_STOP_LINGER_MS */
 void http_server_close_idle_later (http_server_t *http_server);
 
 /** http_server_conn_new() - callback of evhttp that creates the bufferevent of an accepted
--- a/src/connection/platform.c
+++ b/src/connection/platform.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define APPEND_ANSWER_LIMIT_BYTES 4096
-#define READ_ANSWER_LIMIT_BYTES (4 * LIM_MANIFEST_BYTES)
+#define READ_ANSWER_LIMIT_BYTES (4 * LIMIT_MANIFEST_BYTES)
 #define HOSTS_ANSWER_LIMIT_BYTES (16 * 1024 * 1024)
 #define CONTENT_TYPE "application/octet-stream"
 
@@ -186,7 +186,7 @@
 }
 
 platform_t *
-platform_http_new (struct event_base *base, const set_address_t *address, const char *reader_name)
+platform_http_new (struct event_base *base, const address_t *address, const char *reader_name)
 {
   platform_http_t *self = g_new0 (platform_http_t, 1);
   self->platform.append = http_append;
--- a/src/connection/platform.h
+++ b/src/connection/platform.h
@@ -163,6 +163,6 @@
  * never get the missing record.
  */
 platform_t *
-platform_http_new (struct event_base *base, const set_address_t *address, const char *reader_name);
+platform_http_new (struct event_base *base, const address_t *address, const char *reader_name);
 
 #endif
--- a/src/connection/platform_answer.c
+++ b/src/connection/platform_answer.c
@@ -13,21 +13,21 @@
 }
 
 static bool
-get_name (const json_t *object, const char *key, char out[LIM_NAME_BYTES])
+get_name (const json_t *object, const char *key, char out[LIMIT_NAME_BYTES])
 {
   const json_t *text = json_object_get (object, key);
   size_t text_bytes = json_string_length (text);
-  if (text_bytes == 0 || text_bytes >= LIM_NAME_BYTES)
+  if (text_bytes == 0 || text_bytes >= LIMIT_NAME_BYTES)
     return false;
   memcpy (out, json_string_value (text), text_bytes + 1);
   return true;
 }
 
 static bool
-get_address (const json_t *object, const char *key, set_address_t *address)
+get_address (const json_t *object, const char *key, address_t *address)
 {
   const char *text = json_string_value (json_object_get (object, key));
-  return text != NULL && set_parse_address (text, address, NULL);
+  return text != NULL && address_parse (text, address, NULL);
 }
 
 static bool
--- a/src/connection/platform_call.c
+++ b/src/connection/platform_call.c
@@ -11,8 +11,8 @@
 struct platform_client
 {
   http_client_t *http_client;
-  set_address_t address;
-  char reader_name[LIM_NAME_BYTES];
+  address_t address;
+  char reader_name[LIMIT_NAME_BYTES];
   GQueue calls; /* pending calls, of call_t */
 };
 
@@ -119,7 +119,7 @@
                                 .header_count = header_count,
                                 .body = call->body,
                                 .body_bytes = request->body_bytes,
-                                .timeout_us = (uint64_t)request->timeout_ms * CLK_US_PER_MS,
+                                .timeout_us = (uint64_t)request->timeout_ms * CLOCK_US_PER_MS,
                                 .answer_limit_bytes = (uint32_t)request->answer_limit_bytes,
                                 .on_head = on_head,
                                 .on_data = on_data,
@@ -128,7 +128,7 @@
 }
 
 platform_client_t *
-platform_client_new (struct event_base *base, const set_address_t *address, const char *reader_name)
+platform_client_new (struct event_base *base, const address_t *address, const char *reader_name)
 {
   platform_client_t *platform_client = g_new0 (platform_client_t, 1);
 
--- a/src/connection/platform_call.h
+++ b/src/connection/platform_call.h
@@ -56,9 +56,8 @@
 
 /** platform_client_new() - create a client; @reader_name is sent as the header X-Reader, NULL for
  * none */
-platform_client_t *platform_client_new (struct event_base *base,
-                                        const set_address_t *address,
-                                        const char *reader_name);
+platform_client_t *
+platform_client_new (struct event_base *base, const address_t *address, const char *reader_name);
 /** platform_client_free() - drop all pending calls and free; must not be called from within a
  * callback */
 void platform_client_free (platform_client_t *platform_client);
--- a/src/connection/socket.c
+++ b/src/connection/socket.c
@@ -11,7 +11,7 @@
   int on = 1;
   int keepalive_idle_s = 1;
   int keepalive_interval_s = 1;
-  int keepalive_probe_count = LIM_HTTP_DEAD_PEER_S - 1;
+  int keepalive_probe_count = LIMIT_HTTP_DEAD_PEER_S - 1;
 
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
@@ -23,7 +23,7 @@
 void
 socket_set_client_options (int fd)
 {
-  int unacknowledged_ms = LIM_HTTP_DEAD_PEER_S * 1000;
+  int unacknowledged_ms = LIMIT_HTTP_DEAD_PEER_S * 1000;
 
   socket_set_options (fd);
   setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
--- a/src/connection/socket.h
+++ b/src/connection/socket.h
@@ -12,7 +12,7 @@
  *
  * Disables Nagle's algorithm: a streamed token must not wait until the one before it is
  * acknowledged. Enables keep-alive probes: a peer whose host or data centre has failed sends no
- * reset, so its connection is closed after %LIM_HTTP_DEAD_PEER_S, even while a long response is
+ * reset, so its connection is closed after %LIMIT_HTTP_DEAD_PEER_S, even while a long response is
  * outstanding. A process that is only slow or suspended is not affected, since its kernel answers
  * the probes.
  */
--- a/src/connection/stream_follow.c
+++ b/src/connection/stream_follow.c
@@ -39,17 +39,18 @@
   uint64_t last_answer_us;
   uint32_t backoff_ms;
   bool catching_up;
-  cnt_t *list_count;
-  cnt_t *read_count;
-  cnt_t *failure_count;
+  counter_t *list_count;
+  counter_t *read_count;
+  counter_t *failure_count;
 };
 
 static void
 start_timer (stream_follower_t *follower)
 {
-  uint64_t now_us = clk_now_us (follower->options.clk);
+  uint64_t now_us = clock_now_us (follower->options.clock);
   uint64_t wait_us = follower->due_us > now_us ? follower->due_us - now_us : 0;
-  struct timeval wait = { (time_t)(wait_us / CLK_US_PER_S), (suseconds_t)(wait_us % CLK_US_PER_S) };
+  struct timeval wait = { (time_t)(wait_us / CLOCK_US_PER_S),
+                          (suseconds_t)(wait_us % CLOCK_US_PER_S) };
 
   event_add (follower->timer, &wait);
 }
@@ -68,7 +69,7 @@
 static void
 schedule_in (stream_follower_t *follower, uint64_t wait_us)
 {
-  schedule_at (follower, clk_now_us (follower->options.clk) + wait_us);
+  schedule_at (follower, clock_now_us (follower->options.clock) + wait_us);
 }
 
 static void
@@ -81,18 +82,19 @@
 static void
 log_dependency (const stream_follower_t *follower, log_level_t level, const char *event)
 {
-  uint64_t now_us = clk_now_us (follower->options.clk);
+  uint64_t now_us = clock_now_us (follower->options.clock);
 
-  log_event (
-      level, event, "dependency", "store", "stream", follower->options.stream, "unheard_ms",
-      LOG_U64 (follower->last_answer_us ? (now_us - follower->last_answer_us) / CLK_US_PER_MS : 0),
-      NULL);
+  log_event (level, event, "dependency", "store", "stream", follower->options.stream, "unheard_ms",
+             LOG_U64 (follower->last_answer_us
+                          ? (now_us - follower->last_answer_us) / CLOCK_US_PER_MS
+                          : 0),
+             NULL);
 }
 
 static void
 handle_failure (stream_follower_t *follower)
 {
-  cnt_add (follower->failure_count, 1);
+  counter_add (follower->failure_count, 1);
   if (follower->backoff_ms == 0)
     {
       log_dependency (follower, LOG_LEVEL_WARNING, "dependency_lost");
@@ -112,7 +114,7 @@
 {
   if (follower->backoff_ms > 0)
     log_dependency (follower, LOG_LEVEL_NOTICE, "dependency_regained");
-  follower->last_answer_us = clk_now_us (follower->options.clk);
+  follower->last_answer_us = clock_now_us (follower->options.clock);
   if (follower->backoff_ms == 0)
     return;
   follower->backoff_ms = 0;
@@ -166,7 +168,7 @@
   follower->next_offset = MAX (follower->next_offset, follower->list_end_offset);
   g_clear_pointer (&follower->last_listed_key, g_free);
   follower->options.told (STREAM_FOLLOWER_LISTED, follower->options.context);
-  schedule_in (follower, (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLK_US_PER_MS);
+  schedule_in (follower, (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLOCK_US_PER_MS);
 }
 
 /*
@@ -179,7 +181,7 @@
 list_newest (stream_follower_t *follower)
 {
   reset_listing (follower);
-  follower->due_us = clk_now_us (follower->options.clk);
+  follower->due_us = clock_now_us (follower->options.clock);
   start_timer (follower);
 }
 
@@ -187,7 +189,7 @@
 on_read (const platform_read_t *read, void *context)
 {
   stream_follower_t *follower = context;
-  uint64_t pace_us = (uint64_t)follower->options.pace_ms * CLK_US_PER_MS;
+  uint64_t pace_us = (uint64_t)follower->options.pace_ms * CLOCK_US_PER_MS;
 
   follower->call_pending = false;
   if (read->outcome == PLATFORM_EXPIRED ||
@@ -196,7 +198,7 @@
       log_event (LOG_LEVEL_NOTICE, "stream_expired", "stream", follower->options.stream, "offset",
                  LOG_U64 (follower->next_offset), NULL);
       reset_listing (follower);
-      schedule_next (follower, (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLK_US_PER_MS);
+      schedule_next (follower, (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLOCK_US_PER_MS);
       return;
     }
   if (read->outcome != PLATFORM_OK)
@@ -214,7 +216,7 @@
       return;
     }
   if (read->record_count == 0 && !follower->resting)
-    pace_us = (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLK_US_PER_MS;
+    pace_us = (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLOCK_US_PER_MS;
   schedule_next (follower, pace_us);
 }
 
@@ -233,7 +235,7 @@
 {
   uint32_t wait_ms = follower->options.wait_ms;
   uint64_t since_answer_ms =
-      (clk_now_us (follower->options.clk) - follower->last_answer_us) / CLK_US_PER_MS;
+      (clock_now_us (follower->options.clock) - follower->last_answer_us) / CLOCK_US_PER_MS;
   uint64_t answer_interval_max_ms = wait_ms + wait_ms / STREAM_FOLLOWER_WAIT_MARGIN_DIVISOR;
 
   if (follower->resting || follower->backoff_ms > 0)
@@ -253,9 +255,9 @@
 
   (void)fd;
   (void)what;
-  follower->started_us = clk_now_us (follower->options.clk);
+  follower->started_us = clock_now_us (follower->options.clock);
   follower->call_pending = true;
-  cnt_add (follower->listing ? follower->list_count : follower->read_count, 1);
+  counter_add (follower->listing ? follower->list_count : follower->read_count, 1);
   if (follower->listing)
     platform->newest (platform, follower->options.stream, follower->last_listed_key, on_page,
                       follower);
@@ -265,10 +267,10 @@
                     on_read, follower);
 }
 
-static cnt_t *
+static counter_t *
 counter (const stream_follower_options_t *options, const char *name, const char *help)
 {
-  return cnt_get_labelled (options->counters, name, "stream", options->stream, help);
+  return counter_get_labelled (options->counters, name, "stream", options->stream, help);
 }
 
 stream_follower_t *
--- a/src/connection/stream_follow.h
+++ b/src/connection/stream_follow.h
@@ -53,8 +53,8 @@
 typedef struct
 {
   struct event_base *base;
-  const clk_t *clk;
-  cnt_set_t *counters;
+  const clock_source_t *clock;
+  counter_registry_t *counters;
   platform_t *platform;
   const char *stream;
   keyed_view_t *view;
--- a/src/connection/wire.c
+++ b/src/connection/wire.c
@@ -148,7 +148,7 @@
 datagram_encode (
     char *out, size_t out_bytes, const char *key, uint32_t xid, bool is_reply, xch_message *message)
 {
-  uint32_t datagram[XDR_UNITS (LIM_DATAGRAM_BYTES)] = { 0 };
+  uint32_t datagram[XDR_UNITS (LIMIT_DATAGRAM_BYTES)] = { 0 };
   rpc_header_t header;
   XDR xdr;
   if (is_reply)
@@ -178,7 +178,7 @@
                  bool *is_reply,
                  xch_message *message)
 {
-  uint32_t datagram[XDR_UNITS (LIM_DATAGRAM_BYTES)];
+  uint32_t datagram[XDR_UNITS (LIMIT_DATAGRAM_BYTES)];
   memset (message, 0, sizeof *message);
   if (in_bytes > sizeof datagram)
     return DATAGRAM_TOO_LARGE;
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -20,9 +20,9 @@
  * call of each listed host until a current message of that host arrives, directly or through other
  * hosts. Such a call can show a live host as leaving, which costs extra hops, or a leaving host as
  * live, which that host itself rejects. It can bring outdated load samples, which expire after
- * %LIM_SAMPLE_AGE_US, and suspicions that had expired. It cannot bring back an old version, since a
- * version never decreases. Send times in messages would prevent this, but hosts' clocks differ, and
- * a host with a wrong clock would be cut off.
+ * %LIMIT_LOAD_SAMPLE_AGE_US, and suspicions that had expired. It cannot bring back an old version,
+ * since a version never decreases. Send times in messages would prevent this, but hosts' clocks
+ * differ, and a host with a wrong clock would be cut off.
  */
 #ifndef CONNECTION_WIRE_H
 #define CONNECTION_WIRE_H
@@ -47,7 +47,7 @@
   DATAGRAM_OK,
   DATAGRAM_MALFORMED, /* malformed, truncated, or of another RPC program or version */
   DATAGRAM_BAD_AUTH,  /* the HMAC does not match */
-  DATAGRAM_TOO_LARGE  /* longer than %LIM_DATAGRAM_BYTES */
+  DATAGRAM_TOO_LARGE  /* longer than %LIMIT_DATAGRAM_BYTES */
 } datagram_outcome_t;
 
 /**
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -12,7 +12,7 @@
 #define HTTP_IDLE_CONNECTIONS 1
 #define HTTP_IDLE_TIMEOUT_MS 10000
 
-static const struct timeval tick_interval = { 0, PSE_TICK_MS * 1000 };
+static const struct timeval tick_interval = { 0, PAUSE_CHECK_INTERVAL_MS * 1000 };
 
 static void
 on_tick (evutil_socket_t socket, short what, void *context)
@@ -25,16 +25,16 @@
 static exchange_t *
 open_exchange (control_t *ctrl, GError **error)
 {
-  const set_t *set = &ctrl->dmn->set;
+  const settings_t *set = &ctrl->daemon->set;
   exchange_options_t options = {
     .base = ctrl->base,
-    .clk = &ctrl->dmn->clk,
-    .counters = ctrl->dmn->counters,
+    .clock = &ctrl->daemon->clock,
+    .counters = ctrl->daemon->counters,
     .listen = set->exchange,
     .fleet_key = set->fleet_key,
     .interval_ms = set->exchange_interval_ms,
     .budget_bytes = set->control_budget_bytes,
-    .seed = ctrl->own_hash ^ ctrl->dmn->incarnation,
+    .seed = ctrl->own_hash ^ ctrl->daemon->incarnation,
     .fill = control_exchange_compose,
     .heard = control_exchange_receive,
     .pick = control_exchange_pick_peer,
@@ -44,17 +44,17 @@
 }
 
 control_t *
-control_new_with_platform (dmn_t *dmn,
+control_new_with_platform (daemon_t *daemon,
                            struct event_base *base,
                            platform_t *platform,
                            GError **error)
 {
   control_t *ctrl = g_new0 (control_t, 1);
-  ctrl->dmn = dmn;
+  ctrl->daemon = daemon;
   ctrl->base = base;
   ctrl->platform = platform;
-  ctrl->own_hash = rendezvous_hash_name (dmn->set.name);
-  ctrl->rand = g_rand_new_with_seed ((guint32)(ctrl->own_hash ^ dmn->incarnation));
+  ctrl->own_hash = rendezvous_hash_name (daemon->set.name);
+  ctrl->rand = g_rand_new_with_seed ((guint32)(ctrl->own_hash ^ daemon->incarnation));
   ctrl->calls = g_ptr_array_new_with_free_func (g_free);
   ctrl->membership = membership_new ();
   ctrl->list.own_state = MEMBERSHIP_GONE;
@@ -78,10 +78,10 @@
 }
 
 control_t *
-control_new (dmn_t *dmn, struct event_base *base, GError **error)
+control_new (daemon_t *daemon, struct event_base *base, GError **error)
 {
-  platform_t *platform = platform_http_new (base, &dmn->set.platform, dmn->set.name);
-  return control_new_with_platform (dmn, base, platform, error);
+  platform_t *platform = platform_http_new (base, &daemon->set.platform, daemon->set.name);
+  return control_new_with_platform (daemon, base, platform, error);
 }
 
 void
@@ -121,7 +121,7 @@
 }
 
 void
-control_handle_message (mbx_message_t *message, void *context)
+control_handle_message (mailbox_message_t *message, void *context)
 {
   control_t *ctrl = context;
   control_freshness_check_pause (ctrl);
@@ -159,25 +159,25 @@
 uint64_t
 control_now_us (const control_t *ctrl)
 {
-  return clk_now_us (&ctrl->dmn->clk);
+  return clock_now_us (&ctrl->daemon->clock);
 }
 
 void
 control_send_to_data (control_t *ctrl, void *message)
 {
-  mbx_send (ctrl->dmn->to_data, message);
+  mailbox_send (ctrl->daemon->to_data, message);
 }
 
 void
 control_count_event (control_t *ctrl, const char *name, const char *help)
 {
-  cnt_add (cnt_get (ctrl->dmn->counters, name, help), 1);
+  counter_add (counter_get (ctrl->daemon->counters, name, help), 1);
 }
 
 void
 control_set_gauge (control_t *ctrl, const char *name, const char *help, uint64_t value)
 {
-  cnt_set_value (cnt_get (ctrl->dmn->counters, name, help), value);
+  counter_set (counter_get (ctrl->daemon->counters, name, help), value);
 }
 
 uint64_t
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -23,9 +23,9 @@
  *
  * Return: NULL with @error set when the socket of the exchange can't be opened
  */
-control_t *control_new (dmn_t *dmn, struct event_base *base, GError **error);
+control_t *control_new (daemon_t *daemon, struct event_base *base, GError **error);
 void control_free (control_t *ctrl);
 /** control_handle_message() - handler of the control task's mailbox; @context is the control_t */
-void control_handle_message (mbx_message_t *message, void *context);
+void control_handle_message (mailbox_message_t *message, void *context);
 
 #endif
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -7,12 +7,12 @@
 #define MAX_OPEN_STREAMS 64
 #define READ_MAX_RECORDS 500
 #define READ_WAIT_MS 200 /* until an append of this daemon is readable */
-#define RETRY_MIN_US (100 * CLK_US_PER_MS)
-#define RETRY_MAX_US (2 * CLK_US_PER_S)
-#define PROBE_MIN_US (500 * CLK_US_PER_MS)
-#define PROBE_MAX_US (4 * CLK_US_PER_S)
-#define PROBE_AFTER_CLAIM_US (10 * CLK_US_PER_S) /* no probes longer after a request */
-#define STREAM_IDLE_US (UINT64_C (600) * CLK_US_PER_S)
+#define RETRY_MIN_US (100 * CLOCK_US_PER_MS)
+#define RETRY_MAX_US (2 * CLOCK_US_PER_S)
+#define PROBE_MIN_US (500 * CLOCK_US_PER_MS)
+#define PROBE_MAX_US (4 * CLOCK_US_PER_S)
+#define PROBE_AFTER_CLAIM_US (10 * CLOCK_US_PER_S) /* no probes longer after a request */
+#define STREAM_IDLE_US (UINT64_C (600) * CLOCK_US_PER_S)
 
 /**
  * struct control_claims_stream - one claims stream
@@ -108,7 +108,7 @@
 apply_records (control_claims_stream_t *stream, const platform_read_t *read)
 {
   uint64_t now_us = control_now_us (stream->ctrl);
-  uint64_t wall_ms = clk_wall_ms (&stream->ctrl->dmn->clk);
+  uint64_t wall_ms = clock_wall_ms (&stream->ctrl->daemon->clock);
   claim_stream_t *claim_stream = stream->claim_stream;
   if (!stream->begun || read->first_offset > claim_next_offset (claim_stream))
     claim_set_first_offset (claim_stream, read->first_offset);
@@ -218,7 +218,8 @@
   uint64_t now_us = control_now_us (ctrl);
   if (stream->append_call != NULL)
     return;
-  stream->batch = claim_next_batch (stream->claim_stream, now_us, clk_wall_ms (&ctrl->dmn->clk));
+  stream->batch =
+      claim_next_batch (stream->claim_stream, now_us, clock_wall_ms (&ctrl->daemon->clock));
   if (stream->batch == NULL)
     return;
   stream->append_call = control_call_new (ctrl);
@@ -253,8 +254,8 @@
       event_del (stream->timer);
       return;
     }
-  struct timeval wait = { (time_t)((due_us - now_us) / CLK_US_PER_S),
-                          (suseconds_t)((due_us - now_us) % CLK_US_PER_S) };
+  struct timeval wait = { (time_t)((due_us - now_us) / CLOCK_US_PER_S),
+                          (suseconds_t)((due_us - now_us) % CLOCK_US_PER_S) };
   event_add (stream->timer, &wait);
 }
 
@@ -338,7 +339,8 @@
       stream->ctrl = ctrl;
       stream->name = g_strdup (name);
       stream->timer = evtimer_new (ctrl->base, on_timer, stream);
-      stream->claim_stream = claim_new ((uint64_t)ctrl->dmn->set.claim_horizon_s * CLK_US_PER_S);
+      stream->claim_stream =
+          claim_new ((uint64_t)ctrl->daemon->set.claim_horizon_s * CLOCK_US_PER_S);
       g_hash_table_insert (ctrl->claims.streams, stream->name, stream);
       log_event (LOG_LEVEL_INFO, "claims_opened", "stream", name, NULL);
     }
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -6,7 +6,7 @@
 /* A message with news triggers calls to this many peers at once. The news then reaches most of the
  * fleet within a few round trips instead of a few exchange intervals. */
 #define NEWS_FANOUT 2
-#define CONFLICT_LOG_INTERVAL_US (10 * CLK_US_PER_S)
+#define CONFLICT_LOG_INTERVAL_US (10 * CLOCK_US_PER_S)
 
 /* Return: false when the state is not a valid one. */
 static bool
@@ -34,7 +34,7 @@
     return;
   ctrl->conflict_logged_us = now_us;
   log_event (LOG_LEVEL_ERROR, "higher_incarnation_of_own_name", "own",
-             LOG_U64 (ctrl->dmn->incarnation), "heard", LOG_U64 (other_incarnation), NULL);
+             LOG_U64 (ctrl->daemon->incarnation), "heard", LOG_U64 (other_incarnation), NULL);
 }
 
 static void
@@ -45,9 +45,9 @@
       if (report->state == MEMBERSHIP_LEAVING)
         control_list_note_own_leaving (ctrl, list_revision);
     }
-  else if (report->incarnation > ctrl->dmn->incarnation)
+  else if (report->incarnation > ctrl->daemon->incarnation)
     report_name_conflict (ctrl, report->incarnation);
-  else if (report->incarnation == ctrl->dmn->incarnation && report->state != MEMBERSHIP_LIVE)
+  else if (report->incarnation == ctrl->daemon->incarnation && report->state != MEMBERSHIP_LIVE)
     control_stop_start_leaving (ctrl, "peer");
 }
 
@@ -82,9 +82,9 @@
 static bool
 accept_sample (control_t *ctrl, uint64_t now_us, const xch_sample *received, load_sample_t *out)
 {
-  uint64_t age_us = (uint64_t)received->age_ms * CLK_US_PER_MS;
+  uint64_t age_us = (uint64_t)received->age_ms * CLOCK_US_PER_MS;
   load_samples_t *table = control_exchange_find_samples (ctrl, received->service_hash);
-  if (age_us > LIM_SAMPLE_AGE_US || age_us > now_us || table == NULL ||
+  if (age_us > LIMIT_LOAD_SAMPLE_AGE_US || age_us > now_us || table == NULL ||
       received->engine_hash == ctrl->own_hash ||
       membership_find_by_hash (ctrl->peers.members, received->engine_hash) == NULL)
     return false;
@@ -153,7 +153,7 @@
   if (ctrl->peers.members == NULL || sender->host_hash == ctrl->own_hash ||
       membership_find_by_hash (ctrl->peers.members, sender->host_hash) == NULL)
     {
-      cnt_add (ctrl->talk.unlisted, 1);
+      counter_add (ctrl->talk.unlisted, 1);
       return false;
     }
   membership_report_t last;
@@ -162,7 +162,7 @@
   bool newer = sender->incarnation > last.incarnation ||
                (sender->incarnation == last.incarnation && sender->sequence > last.sequence);
   if (!newer)
-    cnt_add (ctrl->talk.old_messages, 1);
+    counter_add (ctrl->talk.old_messages, 1);
   return newer;
 }
 
@@ -220,10 +220,10 @@
   gossip_init (&exchange->gossip);
   exchange->samples = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   exchange->old_messages =
-      cnt_get (ctrl->dmn->counters, "medlarplank_control_old_total",
-               "Messages dropped as a later one of their sender was heard before");
-  exchange->unlisted = cnt_get (ctrl->dmn->counters, "medlarplank_control_unlisted_total",
-                                "Messages dropped as their sender is not a listed host");
+      counter_get (ctrl->daemon->counters, "medlarplank_control_old_total",
+                   "Messages dropped as a later one of their sender was heard before");
+  exchange->unlisted = counter_get (ctrl->daemon->counters, "medlarplank_control_unlisted_total",
+                                    "Messages dropped as their sender is not a listed host");
 }
 
 void
@@ -237,10 +237,10 @@
 {
   control_t *ctrl = context;
   membership_report_t sender;
-  uint64_t woke_us = ctrl->fresh.pse.woke_us;
+  uint64_t woke_us = ctrl->fresh.pause.woke_us;
   control_freshness_check_pause (ctrl);
   /* It was in the socket buffer during the pause, so its age is unknown. */
-  if (ctrl->fresh.pse.woke_us != woke_us || !decode_report (&message->sender, &sender))
+  if (ctrl->fresh.pause.woke_us != woke_us || !decode_report (&message->sender, &sender))
     return false;
   if (!is_newer_message (ctrl, &sender))
     return is_older_incarnation (ctrl, &sender);
@@ -251,7 +251,7 @@
 }
 
 bool
-control_exchange_pick_peer (set_address_t *peer, void *context)
+control_exchange_pick_peer (address_t *peer, void *context)
 {
   control_t *ctrl = context;
   control_freshness_check_pause (ctrl);
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -7,8 +7,8 @@
 #include <event2/keyvalq_struct.h>
 #include <event2/http.h>
 
-#define FETCH_INTERVAL_US (1 * CLK_US_PER_S)
-#define FETCH_TIMEOUT_US (5 * CLK_US_PER_S)
+#define FETCH_INTERVAL_US (1 * CLOCK_US_PER_S)
+#define FETCH_TIMEOUT_US (5 * CLOCK_US_PER_S)
 #define HTTP_STATUS_OK 200
 #define ENVELOPE_BYTES 1024 /* of the answer, besides the manifest */
 
@@ -45,8 +45,8 @@
   uint64_t next_offset = 0;
   size_t bytes = evbuffer_get_length (fetch->body);
   const char *body = (const char *)evbuffer_pullup (fetch->body, -1);
-  manifest_t *man = manifest_sync_parse (ctrl->dmn->set.fleet_key, fetch->nonce, fetch->seal, body,
-                                         bytes, &next_offset, &error);
+  manifest_t *man = manifest_sync_parse (ctrl->daemon->set.fleet_key, fetch->nonce, fetch->seal,
+                                         body, bytes, &next_offset, &error);
   if (man == NULL)
     {
       log_fetch_outcome (ctrl, "refused", 0, error->message);
@@ -92,7 +92,7 @@
   answer_seal_make_nonce (fetch->nonce);
   sealed_call_t order = { .host = host->name, .method = "GET", .target = MANIFEST_SYNC_PATH };
   char seal[CALL_SEAL_BYTES];
-  call_seal_compute (&order, ctrl->dmn->set.fleet_key, seal);
+  call_seal_compute (&order, ctrl->daemon->set.fleet_key, seal);
   http_client_header_t headers[] = { { ANSWER_SEAL_NONCE_HEADER, fetch->nonce },
                                      { CALL_SEAL_HEADER, seal } };
   http_client_options_t options = {
@@ -102,7 +102,7 @@
     .headers = headers,
     .header_count = G_N_ELEMENTS (headers),
     .timeout_us = FETCH_TIMEOUT_US,
-    .answer_limit_bytes = LIM_MANIFEST_BYTES + ENVELOPE_BYTES,
+    .answer_limit_bytes = LIMIT_MANIFEST_BYTES + ENVELOPE_BYTES,
     .on_head = on_head,
     .on_data = on_data,
     .on_end = on_end,
--- a/src/process/control_fill.c
+++ b/src/process/control_fill.c
@@ -30,7 +30,7 @@
   out->load = sample->load;
   out->waiting = sample->waiting;
   out->cost = sample->cost;
-  out->age_ms = (uint32_t)((now_us - MIN (now_us, sample->taken_us)) / CLK_US_PER_MS);
+  out->age_ms = (uint32_t)((now_us - MIN (now_us, sample->taken_us)) / CLOCK_US_PER_MS);
 }
 
 /* The number of samples in a message, such that the regular traffic stays within nine tenths of the
@@ -38,7 +38,7 @@
 static uint32_t
 samples_per_message (const control_t *ctrl)
 {
-  const set_t *set = &ctrl->dmn->set;
+  const settings_t *set = &ctrl->daemon->set;
   uint32_t platform_bytes = ctrl->peers.is_follower ? FOLLOW_BYTES_S : RECHECK_BYTES_S;
   uint64_t budget_bytes = MAX (set->control_budget_bytes, platform_bytes) - platform_bytes;
   uint64_t interval_bytes = budget_bytes * set->exchange_interval_ms / 1000 * 9 / 10;
@@ -81,7 +81,8 @@
 has_fresh_own_sample (const control_t *ctrl, uint64_t now_us)
 {
   const control_exchange_t *exchange = &ctrl->talk;
-  return exchange->has_own_sample && exchange->own_sample.taken_us + LIM_SAMPLE_AGE_US >= now_us;
+  return exchange->has_own_sample &&
+         exchange->own_sample.taken_us + LIMIT_LOAD_SAMPLE_AGE_US >= now_us;
 }
 
 /* The service of a host that is a sidecar, NULL for others. */
@@ -204,7 +205,7 @@
 {
   membership_report_t report = {
     .host_hash = ctrl->own_hash,
-    .incarnation = ctrl->dmn->incarnation,
+    .incarnation = ctrl->daemon->incarnation,
     .sequence = ++ctrl->talk.sequence,
     .state = ctrl->stop.leaving ? MEMBERSHIP_LEAVING : MEMBERSHIP_LIVE,
   };
--- a/src/process/control_fresh.c
+++ b/src/process/control_fresh.c
@@ -4,7 +4,7 @@
 
 #define PEERS_CALLED 4 /* called at once after a pause */
 #define MAX_REPLIES_NEEDED 2
-#define SAME_PAUSE_US (1 * CLK_US_PER_S)
+#define SAME_PAUSE_US (1 * CLOCK_US_PER_S)
 
 /* Discards all confirmations and requests new ones. */
 static void
@@ -29,15 +29,15 @@
 {
   message_flag_t *flag = message_new (MESSAGE_FRESHNESS);
   flag->on = on;
-  flag->at_us = ctrl->fresh.pse.woke_us;
+  flag->at_us = ctrl->fresh.pause.woke_us;
   control_send_to_data (ctrl, flag);
-  cnt_set_value (ctrl->fresh.stale, !on);
+  counter_set (ctrl->fresh.stale, !on);
 }
 
 static void
 handle_pause (control_t *ctrl, const char *task)
 {
-  cnt_add (ctrl->fresh.pauses, 1);
+  counter_add (ctrl->fresh.pauses, 1);
   log_event (LOG_LEVEL_WARNING, "woke_from_pause", "task", task, NULL);
   send_freshness (ctrl, false);
   restart_confirmation (ctrl);
@@ -75,20 +75,20 @@
 void
 control_freshness_init (control_t *ctrl)
 {
-  cnt_set_t *counters = ctrl->dmn->counters;
-  ctrl->fresh.pauses = cnt_get (counters, "medlarplank_pauses_total",
-                                "Times the daemon found that it had not run for a while");
-  ctrl->fresh.stale = cnt_get (counters, "medlarplank_stale",
-                               "Whether the daemon has not heard all it needs since it started "
-                               "or last woke");
-  cnt_set_value (ctrl->fresh.stale, 1);
-  pse_init (&ctrl->fresh.pse, control_now_us (ctrl), ctrl->dmn->set.exchange_interval_ms);
+  counter_registry_t *counters = ctrl->daemon->counters;
+  ctrl->fresh.pauses = counter_get (counters, "medlarplank_pauses_total",
+                                    "Times the daemon found that it had not run for a while");
+  ctrl->fresh.stale = counter_get (counters, "medlarplank_stale",
+                                   "Whether the daemon has not heard all it needs since it started "
+                                   "or last woke");
+  counter_set (ctrl->fresh.stale, 1);
+  pause_init (&ctrl->fresh.pause, control_now_us (ctrl), ctrl->daemon->set.exchange_interval_ms);
 }
 
 void
 control_freshness_check_pause (control_t *ctrl)
 {
-  if (pse_check (&ctrl->fresh.pse, control_now_us (ctrl)))
+  if (pause_check (&ctrl->fresh.pause, control_now_us (ctrl)))
     handle_pause (ctrl, "control");
 }
 
@@ -104,7 +104,7 @@
 void
 control_freshness_note_pause (control_t *ctrl, uint64_t woke_us)
 {
-  if (!pse_wake (&ctrl->fresh.pse, woke_us))
+  if (!pause_mark_woken (&ctrl->fresh.pause, woke_us))
     return;
   if (is_same_pause (ctrl))
     control_freshness_send_if_fresh (ctrl);
@@ -146,12 +146,12 @@
 void
 control_freshness_send_if_fresh (control_t *ctrl)
 {
-  pse_t *pse = &ctrl->fresh.pse;
-  if (!pse_stale (pse) || !own_state_known (ctrl) || !version_known (ctrl))
+  pause_detector_t *pause = &ctrl->fresh.pause;
+  if (!pause_is_stale (pause) || !own_state_known (ctrl) || !version_known (ctrl))
     return;
   control_members_send_now (ctrl);
   control_manifest_send_if_changed (ctrl);
-  pse_fresh (pse, pse->woke_us);
+  pause_mark_fresh (pause, pause->woke_us);
   log_event (LOG_LEVEL_NOTICE, "fresh", "list", ctrl->fresh.list_ok ? "platform" : "peers",
              "version", LOG_U64 (control_manifest_version (ctrl)), "version_by",
              ctrl->fresh.log_ok ? "platform" : "peers", NULL);
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -9,14 +9,14 @@
 #define LONG_POLL_MS 3000
 /* Daemons that aren't followers read the log when a peer has a higher version, and at this
  * interval. */
-#define RECHECK_US (30 * CLK_US_PER_S)
-#define RETRY_US (250 * CLK_US_PER_MS)
-#define NO_PROGRESS_WAIT_US (1 * CLK_US_PER_S)
+#define RECHECK_US (30 * CLOCK_US_PER_S)
+#define RETRY_US (250 * CLOCK_US_PER_MS)
+#define NO_PROGRESS_WAIT_US (1 * CLOCK_US_PER_S)
 /* A daemon that has been behind a peer for this long fetches the manifest from the peer: the
  * shorter delay applies while the log is down, the longer one while it is only slow, as the log
  * brings a patch of some hundred bytes instead of the whole manifest. */
-#define FETCH_AFTER_LOG_DOWN_US (500 * CLK_US_PER_MS)
-#define FETCH_AFTER_LOG_SLOW_US (1500 * CLK_US_PER_MS)
+#define FETCH_AFTER_LOG_DOWN_US (500 * CLOCK_US_PER_MS)
+#define FETCH_AFTER_LOG_SLOW_US (1500 * CLOCK_US_PER_MS)
 /* Calls that a follower makes when it reads a new version: one for each 64 peers, up to 4. With
  * more, thousands of daemons would read the log at once. In a small fleet most daemons are
  * followers, and calls would only use up the byte budgets. */
@@ -199,7 +199,7 @@
     return false;
   if (replay_checkpoint_due (manifest->replay, CHECKPOINT_RECORDS))
     return true;
-  uint64_t retention_us = (uint64_t)ctrl->dmn->set.log_retention_s * CLK_US_PER_S;
+  uint64_t retention_us = (uint64_t)ctrl->daemon->set.log_retention_s * CLOCK_US_PER_S;
   uint64_t age_us = control_now_us (ctrl) - manifest->checkpoint_seen_us;
   return age_us > retention_us / CHECKPOINTS_PER_RETENTION;
 }
@@ -221,13 +221,13 @@
   if (manifest->checkpoint_due_us == 0)
     {
       double wait_s = g_rand_double_range (ctrl->rand, 0.1, CHECKPOINT_MAX_WAIT_S);
-      manifest->checkpoint_due_us = now_us + (uint64_t)(wait_s * CLK_US_PER_S);
+      manifest->checkpoint_due_us = now_us + (uint64_t)(wait_s * CLOCK_US_PER_S);
     }
   if (now_us < manifest->checkpoint_due_us)
     return;
   /* No other checkpoint before this, even if the append fails or the checkpoint is not read back
    * yet. */
-  manifest->checkpoint_due_us = now_us + 2 * CHECKPOINT_MAX_WAIT_S * CLK_US_PER_S;
+  manifest->checkpoint_due_us = now_us + 2 * CHECKPOINT_MAX_WAIT_S * CLOCK_US_PER_S;
   manifest->checkpoint = replay_format_checkpoint (manifest->replay);
   if (manifest->checkpoint == NULL)
     return;
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -10,7 +10,7 @@
  */
 #define URGENT_WAIT_US_PER_HOST 100
 #define WAIT_US_PER_HOST 1000
-#define WAIT_MIN_US (1 * CLK_US_PER_S)
+#define WAIT_MIN_US (1 * CLOCK_US_PER_S)
 #define MAX_LOGGED_CHANGES 16       /* of further changes only the number is logged */
 #define FOLLOWERS_PER_DATA_CENTER 3 /* they poll the log and the host list */
 #define FOLLOWER_SEED UINT64_C (0x9e3779b97f4a7c15)
@@ -36,7 +36,7 @@
   uint64_t settles_us = host->settled_us > now_us ? host->settled_us - now_us : 0;
   log_event (LOG_LEVEL_INFO, "member_changed", "name", host->name, "state", state_name (state),
              "incarnation", LOG_U64 (host->incarnation), "settles_in_ms",
-             settles_us != 0 ? LOG_U64 (settles_us / CLK_US_PER_MS) : NULL, NULL);
+             settles_us != 0 ? LOG_U64 (settles_us / CLOCK_US_PER_MS) : NULL, NULL);
 }
 
 static bool
@@ -168,7 +168,7 @@
   g_array_set_size (peers->all, 0);
   g_array_set_size (peers->sidecars, 0);
   g_array_set_size (peers->same_service, 0);
-  const set_t *set = &ctrl->dmn->set;
+  const settings_t *set = &ctrl->daemon->set;
   const manifest_service_t *own = find_service (ctrl, set->name);
   for (uint32_t i = 0; i < peers->members->host_count; i++)
     {
@@ -203,7 +203,7 @@
   /* Delayed changes are checked on the tick, so a shorter delay has no use: in a small fleet urgent
    * changes are sent at once. */
   if (membership_has_urgent_change (ctrl->membership))
-    return urgent_us < PSE_TICK_MS * CLK_US_PER_MS || waited_us >= urgent_us;
+    return urgent_us < PAUSE_CHECK_INTERVAL_MS * CLOCK_US_PER_MS || waited_us >= urgent_us;
   return waited_us >= MAX (WAIT_MIN_US, (uint64_t)members->host_count * WAIT_US_PER_HOST);
 }
 
@@ -251,7 +251,7 @@
 control_pick_useful_peer (control_t *ctrl)
 {
   const membership_host_t *host = NULL;
-  if (ctrl->dmn->set.role == SET_ROLE_ROUTER)
+  if (ctrl->daemon->set.role == SETTINGS_ROLE_ROUTER)
     host = pick_random (ctrl, ctrl->peers.sidecars);
   else if (g_rand_boolean (ctrl->rand))
     host = pick_random (ctrl, ctrl->peers.same_service);
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -20,7 +20,7 @@
 #include "version/manifest_sync.h"
 #include "version/replay.h"
 
-#define CONTROL_BACKOFF_MAX_US (UINT64_C (10) * CLK_US_PER_S)
+#define CONTROL_BACKOFF_MAX_US (UINT64_C (10) * CLOCK_US_PER_S)
 /* Estimated traffic of a platform call, charged to the control byte budget; with the headers of TCP
  * and IP. See docs/measurements/control.md. */
 #define CONTROL_LIST_READ_BYTES 220 /* reading the host list, on a connection that is kept open */
@@ -143,7 +143,7 @@
   struct evbuffer *body;
   char nonce[ANSWER_SEAL_NONCE_BYTES];
   char seal[ANSWER_SEAL_BYTES];
-  char host[LIM_NAME_BYTES];
+  char host[LIMIT_NAME_BYTES];
   uint64_t next_us;
 } control_fetch_t;
 
@@ -167,8 +167,8 @@
   bool has_own_sample;
   load_sample_t own_sample;
   GHashTable *samples;
-  cnt_t *old_messages;
-  cnt_t *unlisted;
+  counter_t *old_messages;
+  counter_t *unlisted;
 } control_exchange_t;
 
 /**
@@ -187,7 +187,7 @@
  */
 typedef struct
 {
-  pse_t pse;
+  pause_detector_t pause;
   uint64_t since_us;
   bool list_ok;
   bool list_failed;
@@ -195,8 +195,8 @@
   bool log_failed;
   uint32_t replies;
   uint32_t current_replies;
-  cnt_t *pauses;
-  cnt_t *stale;
+  counter_t *pauses;
+  counter_t *stale;
 } control_freshness_t;
 
 /**
@@ -250,7 +250,7 @@
  */
 struct control
 {
-  dmn_t *dmn;
+  daemon_t *daemon;
   struct event_base *base;
   struct event *tick;
   GRand *rand;
@@ -274,11 +274,11 @@
 
 /* General */
 /** control_new_with_platform() - as control_new(), with @platform, which is freed with the task */
-control_t *control_new_with_platform (dmn_t *dmn,
+control_t *control_new_with_platform (daemon_t *daemon,
                                       struct event_base *base,
                                       platform_t *platform,
                                       GError **error);
-/** control_tick() - the periodic work, called every %PSE_TICK_MS */
+/** control_tick() - the periodic work, called every %PAUSE_CHECK_INTERVAL_MS */
 void control_tick (control_t *ctrl);
 uint64_t control_now_us (const control_t *ctrl);
 /** control_send_to_data() - send a message to the data task, which frees it */
@@ -375,7 +375,7 @@
 /** control_exchange_receive() - process a received message. Return: whether to reply to it */
 bool control_exchange_receive (const xch_message *message, bool is_reply, void *context);
 /** control_exchange_pick_peer() - the peer of the next periodic call. Return: false for none */
-bool control_exchange_pick_peer (set_address_t *peer, void *context);
+bool control_exchange_pick_peer (address_t *peer, void *context);
 /** control_exchange_call() - call a host now, if the byte budget allows it */
 void control_exchange_call (control_t *ctrl, const membership_host_t *host);
 /** control_exchange_call_random() - call up to @count different random peers now */
--- a/src/process/control_stop.c
+++ b/src/process/control_stop.c
@@ -8,7 +8,7 @@
 #define CALLS_LATER 10 /* one per tick */
 /* Limit of the wait for pending claim appends after the drain. Without the wait, repeated requests
  * with these keys would be told that the request may have run. */
-#define CLAIMS_WAIT_MAX_US (2 * CLK_US_PER_S)
+#define CLAIMS_WAIT_MAX_US (2 * CLOCK_US_PER_S)
 
 static void
 drain_data_task (control_t *ctrl)
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -52,14 +52,14 @@
   gateway_fetch_options_t options;
   http_client_t *http_client;
   http_client_call_t *call;
-  set_address_t peer;
+  address_t peer;
   struct evbuffer *body;
   char nonce[ANSWER_SEAL_NONCE_BYTES];
   char seal[ANSWER_SEAL_BYTES];
   char age[AGE_BYTES];
   bool fetching_all;
   bootstrap_refusal_t refusal;
-  set_address_t referral;
+  address_t referral;
   bootstrap_server_t server;
   answer_cache_t cached;
 };
@@ -94,7 +94,7 @@
   for (uint32_t i = 0; refusal && i < G_N_ELEMENTS (refusal_names); i++)
     if (strcmp (refusal, refusal_names[i]) == 0)
       fetch->refusal = (bootstrap_refusal_t)i;
-  if (referral && !set_parse_address (referral, &fetch->referral, NULL))
+  if (referral && !address_parse (referral, &fetch->referral, NULL))
     fetch->referral.port = 0;
 }
 
@@ -185,7 +185,7 @@
 }
 
 static void
-start_fetch (gateway_fetch_t *fetch, const set_address_t *peer, const char *target)
+start_fetch (gateway_fetch_t *fetch, const address_t *peer, const char *target)
 {
   http_client_header_t header = { ANSWER_SEAL_NONCE_HEADER, fetch->nonce };
 
@@ -204,7 +204,7 @@
                                 .target = target,
                                 .headers = &header,
                                 .header_count = 1,
-                                .timeout_us = GATEWAY_FETCH_TIMEOUT_MS * CLK_US_PER_MS,
+                                .timeout_us = GATEWAY_FETCH_TIMEOUT_MS * CLOCK_US_PER_MS,
                                 .answer_limit_bytes = VIEW_SHARE_BYTES_MAX,
                                 .on_head = on_head,
                                 .on_data = on_data,
@@ -214,7 +214,7 @@
 
 void
 gateway_fetch_newer (gateway_fetch_t *fetch,
-                     const set_address_t *peer,
+                     const address_t *peer,
                      const view_share_stream_t *streams,
                      uint32_t count,
                      bool any_size)
@@ -229,12 +229,12 @@
 
 void
 gateway_fetch_all (gateway_fetch_t *fetch,
-                   const set_address_t *peer,
+                   const address_t *peer,
                    const view_share_stream_t *streams,
                    uint32_t count)
 {
   g_autofree char *stream_target = view_share_format_target (streams, count);
-  g_autofree char *control = set_address_text (fetch->options.control_address);
+  g_autofree char *control = address_to_text (fetch->options.control_address);
   g_autofree char *target = g_strconcat (stream_target, "&" CONTROL_QUERY "=", control, NULL);
 
   fetch->fetching_all = true;
@@ -301,15 +301,15 @@
 refuse (gateway_fetch_t *fetch,
         http_server_call_t *call,
         bootstrap_refusal_t refusal,
-        const set_address_t *peer)
+        const address_t *peer)
 {
-  set_address_t referral = *peer;
+  address_t referral = *peer;
 
   bootstrap_server_pick_referral (&fetch->server, g_random_int (), &referral);
   http_server_add_header (call, REFUSAL_HEADER, refusal_names[refusal]);
   if (refusal == BOOTSTRAP_BUSY && referral.port != 0)
     {
-      g_autofree char *text = set_address_text (&referral);
+      g_autofree char *text = address_to_text (&referral);
 
       http_server_add_header (call, REFERRAL_HEADER, text);
     }
@@ -320,10 +320,10 @@
 static bool
 accept_starting (gateway_fetch_t *fetch,
                  http_server_call_t *call,
-                 const set_address_t *requester,
+                 const address_t *requester,
                  const gateway_fetch_responder_t *state)
 {
-  uint64_t now_us = clk_now_us (fetch->options.clk);
+  uint64_t now_us = clock_now_us (fetch->options.clock);
 
   if (!state->complete)
     {
@@ -357,7 +357,7 @@
   uint64_t from[GATEWAY_FETCH_STREAMS_MAX];
   view_share_stream_t sent[GATEWAY_FETCH_STREAMS_MAX];
   char age[AGE_BYTES] = "";
-  set_address_t requester;
+  address_t requester;
   const char *body;
   char seal[ANSWER_SEAL_BYTES];
 
@@ -365,7 +365,7 @@
   if (strcmp (http_server_path (call), VIEW_SHARE_PATH) != 0)
     return false;
   if (!nonce || !parse_offsets (call, streams, count, from) ||
-      (control && !set_parse_address (control, &requester, NULL)))
+      (control && !address_parse (control, &requester, NULL)))
     {
       http_server_reply_text (call, 400, "text/plain",
                               "from where on, and a nonce, must be told\n");
--- a/src/process/gateway_fetch.h
+++ b/src/process/gateway_fetch.h
@@ -33,13 +33,13 @@
  */
 typedef struct
 {
-  const set_address_t *peer;
+  const address_t *peer;
   const char *body;
   size_t body_bytes;
   uint32_t store_age_ms;
   const char *reason;
   bootstrap_refusal_t refusal;
-  set_address_t referral;
+  address_t referral;
 } gateway_fetch_result_t;
 
 /**
@@ -56,7 +56,7 @@
   bool complete;
   bool too_large;
   uint32_t store_age_ms;
-  set_address_t referral;
+  address_t referral;
 } gateway_fetch_responder_t;
 
 /**
@@ -67,9 +67,9 @@
 typedef struct
 {
   struct event_base *base;
-  const clk_t *clk;
+  const clock_source_t *clock;
   const char *fleet_key;
-  const set_address_t *control_address;
+  const address_t *control_address;
   void (*on_finished) (const gateway_fetch_result_t *result, void *context);
   void *context;
 } gateway_fetch_options_t;
@@ -87,14 +87,14 @@
  * @any_size: also updates that are too large to be sent normally, since the store cannot be read
  */
 void gateway_fetch_newer (gateway_fetch_t *fetch,
-                          const set_address_t *peer,
+                          const address_t *peer,
                           const view_share_stream_t *streams,
                           uint32_t count,
                           bool any_size);
 /** gateway_fetch_all() - fetches all records of the gateway at @peer, for a starting gateway; only
  * when not busy. A peer refuses it while it serves several others */
 void gateway_fetch_all (gateway_fetch_t *fetch,
-                        const set_address_t *peer,
+                        const address_t *peer,
                         const view_share_stream_t *streams,
                         uint32_t count);
 /**
