--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -26,12 +26,12 @@
  */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   uint64_t hash;
   uint64_t incarnation;
   uint32_t sequence;
-  set_address_t exchange;
-  set_address_t control;
+  address_t exchange;
+  address_t control;
   uint64_t known_us;
   uint64_t heard_us;
   uint64_t unanswered_us;
@@ -68,7 +68,7 @@
 static uint64_t
 now_us (const gateway_peers_t *peers)
 {
-  return clk_now_us (peers->options.clk);
+  return clock_now_us (peers->options.clock);
 }
 
 static peer_t *
@@ -90,7 +90,7 @@
 static uint64_t
 alive_timeout_us (const gateway_peers_t *peers)
 {
-  uint64_t interval_us = (uint64_t)peers->options.set->exchange_interval_ms * CLK_US_PER_MS;
+  uint64_t interval_us = (uint64_t)peers->options.set->exchange_interval_ms * CLOCK_US_PER_MS;
 
   return MAX (GATEWAY_PEERS_ALIVE_US,
               interval_us * peers->list->len * GATEWAY_PEERS_ALIVE_INTERVALS);
@@ -153,7 +153,7 @@
 
       out->engine_hash = items[i].engine_hash;
       out->load = items[i].load;
-      out->age_ms = (uint32_t)((now_us (peers) - items[i].told_us) / CLK_US_PER_MS);
+      out->age_ms = (uint32_t)((now_us (peers) - items[i].told_us) / CLOCK_US_PER_MS);
     }
   message->samples.samples_len = count;
 }
@@ -164,7 +164,7 @@
   for (uint32_t i = 0; i < message->samples.samples_len; i++)
     {
       const xch_sample *received = &message->samples.samples_val[i];
-      uint64_t age_us = (uint64_t)received->age_ms * CLK_US_PER_MS;
+      uint64_t age_us = (uint64_t)received->age_ms * CLOCK_US_PER_MS;
       load_report_t item = { .engine_hash = received->engine_hash,
                              .load = received->load,
                              .told_us = now_us (peers) - MIN (age_us, now_us (peers)) };
@@ -316,7 +316,7 @@
 /* Half of the messages go to the peer nearer to the store, most others to a live peer. The rest go
  * to any peer: otherwise one that was disconnected would never be contacted again. */
 static bool
-pick_destination (set_address_t *address, void *context)
+pick_destination (address_t *address, void *context)
 {
   gateway_peers_t *peers = context;
   peer_t *peer = NULL;
@@ -354,7 +354,7 @@
 gateway_peers_new (const gateway_peers_options_t *options, GError **error)
 {
   gateway_peers_t *peers = g_new0 (gateway_peers_t, 1);
-  const set_t *set = options->set;
+  const settings_t *set = options->set;
 
   peers->options = *options;
   peers->list = g_ptr_array_new_with_free_func (g_free);
@@ -364,7 +364,7 @@
   peers->rand = g_rand_new_with_seed ((guint32)(peers->own_hash ^ options->incarnation));
   peers->exchange =
       exchange_new (&(exchange_options_t){ .base = options->base,
-                                           .clk = options->clk,
+                                           .clock = options->clock,
                                            .counters = options->counters,
                                            .listen = set->exchange,
                                            .fleet_key = set->fleet_key,
@@ -398,8 +398,8 @@
 char *
 gateway_peers_format_own_entry (const gateway_peers_t *peers)
 {
-  g_autofree char *exchange = set_address_text (&peers->options.set->exchange);
-  g_autofree char *control = set_address_text (&peers->options.set->control_listen);
+  g_autofree char *exchange = address_to_text (&peers->options.set->exchange);
+  g_autofree char *control = address_to_text (&peers->options.set->control_listen);
 
   return g_strdup_printf (NO_INCARNATION " %s %s", exchange, control);
 }
@@ -413,8 +413,8 @@
   if (g_strv_length (fields) != 3)
     return false;
   return g_ascii_string_to_unsigned (fields[0], 10, 0, UINT64_MAX, &peer->incarnation, NULL) &&
-         set_parse_address (fields[1], &peer->exchange, NULL) &&
-         set_parse_address (fields[2], &peer->control, NULL);
+         address_parse (fields[1], &peer->exchange, NULL) &&
+         address_parse (fields[2], &peer->control, NULL);
 }
 
 void
@@ -495,7 +495,7 @@
 }
 
 bool
-gateway_peers_pick_control (gateway_peers_t *peers, set_address_t *control)
+gateway_peers_pick_control (gateway_peers_t *peers, address_t *control)
 {
   const peer_t *peer = random_peer (peers, true);
 
--- a/src/process/gateway_peers.h
+++ b/src/process/gateway_peers.h
@@ -68,13 +68,13 @@
 typedef struct
 {
   struct event_base *base;
-  const clk_t *clk;
-  cnt_set_t *counters;
-  const set_t *set;
+  const clock_source_t *clock;
+  counter_registry_t *counters;
+  const settings_t *set;
   uint64_t incarnation;
   gateway_peers_progress_t (*get_progress) (void *context);
   void (*on_progress) (const gateway_peers_progress_t *theirs,
-                       const set_address_t *control,
+                       const address_t *control,
                        void *context);
   void (*on_suspect) (const suspect_mark_t *mark, void *context);
   void (*on_load) (const load_report_t *item, void *context);
@@ -116,6 +116,6 @@
 bool gateway_peers_is_isolated (const gateway_peers_t *peers);
 /** gateway_peers_pick_control() - gets the control address of a random peer, preferably a live one.
  * Return: false when no peer is known */
-bool gateway_peers_pick_control (gateway_peers_t *peers, set_address_t *control);
+bool gateway_peers_pick_control (gateway_peers_t *peers, address_t *control);
 
 #endif
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -43,18 +43,18 @@
   uint64_t stop_us;
   bool was_ready;
   uint64_t ticked_us;
-  cnt_t *stall_count;
-  cnt_t *version_gauge;
-  cnt_t *engine_count;
-  cnt_t *lapsed_count;
-  cnt_t *drained_count;
-  cnt_t *gateway_count;
+  counter_t *stall_count;
+  counter_t *version_gauge;
+  counter_t *engine_count;
+  counter_t *lapsed_count;
+  counter_t *drained_count;
+  counter_t *gateway_count;
 };
 
 static uint64_t
 now_us (const gateway_process_t *process)
 {
-  return clk_now_us (process->options.clk);
+  return clock_now_us (process->options.clock);
 }
 
 bool
@@ -115,7 +115,7 @@
         routing_unref (process->table);
       process->table = routing_ref (table);
       gateway_set_routing_table (process->gateway, table);
-      cnt_set_value (process->version_gauge, routing_version (table));
+      counter_set (process->version_gauge, routing_version (table));
       gateway_store_send_news (process->store);
     }
   routing_unref (table);
@@ -131,7 +131,7 @@
   log_event (LOG_LEVEL_NOTICE, "data_center", "data_center", data_center, "state",
              drained ? "drained" : "taken_back", "offset", LOG_U64 (offset), "engines",
              LOG_U64 (engines_count_in_data_center (process->engines, data_center)), NULL);
-  cnt_set_value (process->drained_count, engines_count_drained_data_centers (process->engines));
+  counter_set (process->drained_count, engines_count_drained_data_centers (process->engines));
   gateway_store_send_news (process->store);
   gateway_engines_changed (process->gateway);
 }
@@ -146,8 +146,8 @@
 static void
 update_engine_counts (gateway_process_t *process)
 {
-  cnt_set_value (process->engine_count, engines_count (process->engines));
-  cnt_set_value (process->lapsed_count, lapses_count (process->lapsed));
+  counter_set (process->engine_count, engines_count (process->engines));
+  counter_set (process->lapsed_count, lapses_count (process->lapsed));
 }
 
 static void
@@ -180,7 +180,7 @@
 {
   engine_state_t state;
   uint64_t hash;
-  set_address_t address;
+  address_t address;
 } previous_entry_t;
 
 static previous_entry_t
@@ -211,7 +211,8 @@
       return;
     }
   lapses_remove (process->lapsed, id);
-  entry.region = g_intern_string (rgn_of (&process->options.set->regions, entry.data_center));
+  entry.region =
+      g_intern_string (region_map_find (&process->options.set->regions, entry.data_center));
   engine = engines_put (process->engines, now_us (process), &entry);
   if (previous.state != ENGINE_GONE && engine->hash != previous.hash)
     {
@@ -241,7 +242,8 @@
            void *context)
 {
   gateway_process_t *process = context;
-  uint64_t due_us = now_us (process) + (uint64_t)GATEWAY_PROCESS_EXPIRED_ENGINE_MS * CLK_US_PER_MS;
+  uint64_t due_us =
+      now_us (process) + (uint64_t)GATEWAY_PROCESS_EXPIRED_ENGINE_MS * CLOCK_US_PER_MS;
 
   if (text)
     put_engine (process, id, text, text_bytes, offset);
@@ -329,7 +331,7 @@
 
   if (process->stop_us == 0)
     return;
-  since_ms = (now_us (process) - process->stop_us) / CLK_US_PER_MS;
+  since_ms = (now_us (process) - process->stop_us) / CLOCK_US_PER_MS;
   if (since_ms < GATEWAY_PROCESS_STOP_ACCEPT_MS)
     return;
   gateway_stop (process->gateway);
@@ -345,12 +347,12 @@
 check_stall (gateway_process_t *process)
 {
   uint64_t at_us = now_us (process);
-  uint64_t late_ms = process->ticked_us ? (at_us - process->ticked_us) / CLK_US_PER_MS : 0;
+  uint64_t late_ms = process->ticked_us ? (at_us - process->ticked_us) / CLOCK_US_PER_MS : 0;
 
   process->ticked_us = at_us;
   if (late_ms < GATEWAY_PROCESS_TICK_MS + STALL_MS)
     return;
-  cnt_add (process->stall_count, 1);
+  counter_add (process->stall_count, 1);
   log_event (LOG_LEVEL_WARNING, "stalled", "ms", LOG_U64 (late_ms - GATEWAY_PROCESS_TICK_MS), NULL);
 }
 
@@ -366,7 +368,7 @@
   accept_when_ready (process);
   gateway_store_tick (process->store);
   gateway_set_config_current (process->gateway, gateway_store_is_current (process->store));
-  cnt_set_value (process->gateway_count, gateway_store_count_registered (process->store));
+  counter_set (process->gateway_count, gateway_store_count_registered (process->store));
   gateway_set_routers (process->gateway, gateway_store_count_running (process->store),
                        gateway_store_count_registered (process->store));
   stop_when_due (process);
@@ -399,14 +401,14 @@
       return;
     }
   text = g_string_new (NULL);
-  cnt_write (process->options.counters, text);
+  counter_registry_write (process->options.counters, text);
   http_server_reply_text (call, 200, "text/plain; version=0.0.4", text->str);
   g_string_free (text, TRUE);
 }
 
 static http_server_t *
 listen_admin (gateway_process_t *process,
-              const set_address_t *address,
+              const address_t *address,
               void (*on_call) (http_server_call_t *, void *),
               GError **error)
 {
@@ -426,11 +428,11 @@
 static bool
 listen_all (gateway_process_t *process, GError **error)
 {
-  const set_t *set = process->options.set;
+  const settings_t *set = process->options.set;
 
   process->gateway =
       gateway_new (&(gateway_options_t){ .base = process->options.base,
-                                         .clk = process->options.clk,
+                                         .clock = process->options.clock,
                                          .counters = process->options.counters,
                                          .set = set,
                                          .engines = process->engines,
@@ -441,13 +443,13 @@
                                          .retries = { .ratio_milli = set->retry_ratio_milli,
                                                       .slack = set->retry_slack_milli / 1000,
                                                       .window_us = (uint64_t)set->retry_window_ms *
-                                                                   CLK_US_PER_MS } },
+                                                                   CLOCK_US_PER_MS } },
                    error);
   if (process->gateway)
     {
       gateway_pause_accept (process->gateway);
       process->accept_by_us =
-          now_us (process) + (uint64_t)GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS * CLK_US_PER_MS;
+          now_us (process) + (uint64_t)GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS * CLOCK_US_PER_MS;
     }
   if (process->gateway)
     process->ready_listener = listen_admin (process, &set->ready_listen, on_ready_call, error);
@@ -462,7 +464,7 @@
 {
   process->store =
       gateway_store_new (&(gateway_store_options_t){ .base = process->options.base,
-                                                     .clk = process->options.clk,
+                                                     .clock = process->options.clock,
                                                      .counters = process->options.counters,
                                                      .set = process->options.set,
                                                      .platform = process->options.platform,
@@ -488,17 +490,20 @@
   process->options = *options;
   process->engines = engines_new ();
   process->lapsed = lapses_new ();
-  process->stall_count = cnt_get (options->counters, "medlarplank_stalls_total",
-                                  "Times that the process stood still for long");
-  process->version_gauge = cnt_get (options->counters, "medlarplank_version", "Version in force");
-  process->engine_count = cnt_get (options->counters, "medlarplank_engines", "Engines registered");
-  process->lapsed_count = cnt_get (options->counters, "medlarplank_lapsed_engines",
-                                   "Engines whose entries have gone, perhaps in an outage alone");
-  process->drained_count = cnt_get (options->counters, "medlarplank_drained_data_centers",
-                                    "Data centres that operators drain");
+  process->stall_count = counter_get (options->counters, "medlarplank_stalls_total",
+                                      "Times that the process stood still for long");
+  process->version_gauge =
+      counter_get (options->counters, "medlarplank_version", "Version in force");
+  process->engine_count =
+      counter_get (options->counters, "medlarplank_engines", "Engines registered");
+  process->lapsed_count =
+      counter_get (options->counters, "medlarplank_lapsed_engines",
+                   "Engines whose entries have gone, perhaps in an outage alone");
+  process->drained_count = counter_get (options->counters, "medlarplank_drained_data_centers",
+                                        "Data centres that operators drain");
   process->gateway_count =
-      cnt_get (options->counters, "medlarplank_gateways",
-               "Gateways that are written into the platform's store, this one too");
+      counter_get (options->counters, "medlarplank_gateways",
+                   "Gateways that are written into the platform's store, this one too");
   process->tick = event_new (options->base, -1, EV_PERSIST, on_tick, process);
   event_add (process->tick, &tick);
   if (open_store (process, error) && listen_all (process, error))
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -61,9 +61,9 @@
 typedef struct
 {
   struct event_base *base;
-  const clk_t *clk;
-  cnt_set_t *counters;
-  const set_t *set;
+  const clock_source_t *clock;
+  counter_registry_t *counters;
+  const settings_t *set;
   platform_t *platform;
   const format_t *format;
   gateway_process_parsers_t readers;
--- a/src/process/gateway_start.c
+++ b/src/process/gateway_start.c
@@ -17,7 +17,7 @@
   bootstrap_t policy;
   bool started;
   bool reading;
-  set_address_t referral;
+  address_t referral;
   uint32_t next_seed;
   GRand *rand;
 };
@@ -25,18 +25,18 @@
 static uint64_t
 now_us (const gateway_start_t *start)
 {
-  return clk_now_us (start->options.clk);
+  return clock_now_us (start->options.clock);
 }
 
 static bool
-is_own_address (const set_t *set, const set_address_t *address)
+is_own_address (const settings_t *set, const address_t *address)
 {
   return strcmp (address->ip, set->control_listen.ip) == 0 &&
          address->port == set->control_listen.port;
 }
 
 static bool
-is_own_address_a_seed (const set_t *set)
+is_own_address_a_seed (const settings_t *set)
 {
   for (uint32_t i = 0; i < set->seed_count; i++)
     if (is_own_address (set, &set->seeds[i]))
@@ -46,13 +46,13 @@
 
 /* The gateways that the seeds setting names may be down or removed, so they are asked in turn. */
 static bool
-pick_seed (gateway_start_t *start, set_address_t *control)
+pick_seed (gateway_start_t *start, address_t *control)
 {
-  const set_t *set = start->options.set;
+  const settings_t *set = start->options.set;
 
   for (uint32_t i = 0; i < set->seed_count; i++)
     {
-      const set_address_t *seed = &set->seeds[start->next_seed++ % set->seed_count];
+      const address_t *seed = &set->seeds[start->next_seed++ % set->seed_count];
 
       if (is_own_address (set, seed))
         continue;
@@ -65,7 +65,7 @@
 static void
 ask_next_peer (gateway_start_t *start)
 {
-  set_address_t peer = start->referral;
+  address_t peer = start->referral;
 
   start->referral.port = 0;
   if (peer.port == 0 && !start->options.pick_peer (&peer, start->options.context) &&
@@ -85,7 +85,7 @@
 gateway_start_new (const gateway_start_options_t *options)
 {
   gateway_start_t *start = g_new0 (gateway_start_t, 1);
-  const set_t *set = options->set;
+  const settings_t *set = options->set;
 
   start->options = *options;
   start->rand = g_rand_new_with_seed ((guint32)options->seed);
@@ -136,7 +136,7 @@
 void
 gateway_start_fetch_failed (gateway_start_t *start,
                             bootstrap_refusal_t refusal,
-                            const set_address_t *referral)
+                            const address_t *referral)
 {
   start->referral = *referral;
   bootstrap_peer_refused (&start->policy, now_us (start), refusal, referral->port != 0,
--- a/src/process/gateway_start.h
+++ b/src/process/gateway_start.h
@@ -28,15 +28,15 @@
  */
 typedef struct
 {
-  const clk_t *clk;
-  const set_t *set;
+  const clock_source_t *clock;
+  const settings_t *set;
   uint64_t seed;
   bool (*has_all_streams) (void *context);
   bool (*is_store_down) (void *context);
   bool (*is_fetching) (void *context);
   void (*read_store) (void *context);
-  bool (*pick_peer) (set_address_t *control, void *context);
-  void (*fetch_all) (const set_address_t *control, void *context);
+  bool (*pick_peer) (address_t *control, void *context);
+  void (*fetch_all) (const address_t *control, void *context);
   void *context;
 } gateway_start_options_t;
 
@@ -53,7 +53,7 @@
  * for none */
 void gateway_start_fetch_failed (gateway_start_t *start,
                                  bootstrap_refusal_t refusal,
-                                 const set_address_t *referral);
+                                 const address_t *referral);
 /** gateway_start_is_loading() - whether a stream has not been loaded yet */
 bool gateway_start_is_loading (const gateway_start_t *start);
 
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -51,7 +51,7 @@
   gateway_start_t *start;
   bool fetching_all;
   bool fetching[STREAM_COUNT];
-  set_address_t ahead_control;
+  address_t ahead_control;
   uint64_t next_fetch_us;
   store_outage_t outage;
   bool store_lost;
@@ -59,14 +59,14 @@
   bool copy_unsettled;
   bool entry_written;
   uint64_t entry_retry_us;
-  cnt_t *fetch_count;
-  cnt_t *write_count;
+  counter_t *fetch_count;
+  counter_t *write_count;
 };
 
 static uint64_t
 now_us (const gateway_store_t *store)
 {
-  return clk_now_us (store->options.clk);
+  return clock_now_us (store->options.clock);
 }
 
 /* Records of a peer's copy are accounted for once the whole copy has been applied. */
@@ -178,11 +178,11 @@
 static read_policy_stream_t
 policy_stream (const gateway_store_t *store, uint32_t stream)
 {
-  const set_t *set = store->options.set;
+  const settings_t *set = store->options.set;
   bool routing = stream == STREAM_ROUTING;
   uint32_t percent =
       routing ? GATEWAY_STORE_ROUTING_LAG_PERCENT : GATEWAY_STORE_ENGINES_LAG_PERCENT;
-  uint64_t bound_us = (uint64_t)(routing ? set->version_ms : set->drain_ms) * CLK_US_PER_MS;
+  uint64_t bound_us = (uint64_t)(routing ? set->version_ms : set->drain_ms) * CLOCK_US_PER_MS;
 
   return (read_policy_stream_t){ .patience_us = bound_us * percent / 100, .bound_us = bound_us };
 }
@@ -270,7 +270,7 @@
 store_age_ms (const gateway_store_t *store)
 {
   uint64_t at_us = current_as_of_us (store);
-  uint64_t age_ms = at_us ? (now_us (store) - at_us) / CLK_US_PER_MS : UINT32_MAX;
+  uint64_t age_ms = at_us ? (now_us (store) - at_us) / CLOCK_US_PER_MS : UINT32_MAX;
 
   return (uint32_t)MIN (age_ms, UINT32_MAX);
 }
@@ -338,7 +338,7 @@
     stream_follower_advance (store->followers[i], view_share_apply (answer, &streams[i]));
   store->applying_copy = false;
   mark_too_large (store, answer);
-  cnt_add (store->fetch_count, 1);
+  counter_add (store->fetch_count, 1);
   store->options.on_status (store->options.context);
 }
 
@@ -377,7 +377,7 @@
 static void
 log_fetch (const gateway_store_t *store, const gateway_fetch_result_t *result, const char *reason)
 {
-  g_autofree char *peer = set_address_text (result->peer);
+  g_autofree char *peer = address_to_text (result->peer);
 
   log_event (LOG_LEVEL_NOTICE, "view_from_peer", "peer", peer, "outcome",
              reason ? "not_taken" : "taken", "reason", reason, "version",
@@ -400,7 +400,7 @@
 record_full_copy (gateway_store_t *store, uint32_t store_age_ms)
 {
   uint64_t at_us = now_us (store);
-  uint64_t age_us = (uint64_t)store_age_ms * CLK_US_PER_MS;
+  uint64_t age_us = (uint64_t)store_age_ms * CLOCK_US_PER_MS;
 
   for (uint32_t i = 0; i < STREAM_COUNT && age_us < at_us; i++)
     {
@@ -466,13 +466,13 @@
 }
 
 static bool
-start_pick_peer (set_address_t *control, void *context)
+start_pick_peer (address_t *control, void *context)
 {
   return gateway_peers_pick_control (((gateway_store_t *)context)->peers, control);
 }
 
 static void
-start_fetch_all (const set_address_t *control, void *context)
+start_fetch_all (const address_t *control, void *context)
 {
   gateway_store_t *store = context;
   view_share_stream_t streams[STREAM_COUNT];
@@ -521,7 +521,8 @@
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     if (!store->fetching[i])
       streams[i].next = UINT64_MAX; /* no record is newer, so none is sent */
-  store->next_fetch_us = now_us (store) + (uint64_t)GATEWAY_STORE_FETCH_INTERVAL_MS * CLK_US_PER_MS;
+  store->next_fetch_us =
+      now_us (store) + (uint64_t)GATEWAY_STORE_FETCH_INTERVAL_MS * CLOCK_US_PER_MS;
   gateway_fetch_newer (store->fetch, &store->ahead_control, streams, STREAM_COUNT,
                        store->policies[STREAM_ROUTING].large ||
                            policy_view (store, STREAM_ROUTING).lost);
@@ -558,7 +559,7 @@
     store->entry_written = true;
   else
     {
-      cnt_add (store->write_count, 1);
+      counter_add (store->write_count, 1);
       store->options.platform->put (store->options.platform, PLATFORM_STREAM_ROUTERS,
                                     store->options.set->name, entry, strlen (entry), on_put, store);
     }
@@ -573,14 +574,12 @@
 }
 
 static void
-on_peer_progress (const gateway_peers_progress_t *theirs,
-                  const set_address_t *control,
-                  void *context)
+on_peer_progress (const gateway_peers_progress_t *theirs, const address_t *control, void *context)
 {
   gateway_store_t *store = context;
   gateway_peers_progress_t ours = get_progress (store);
   uint64_t at_us = now_us (store);
-  uint64_t age_us = (uint64_t)theirs->store_age_ms * CLK_US_PER_MS;
+  uint64_t age_us = (uint64_t)theirs->store_age_ms * CLOCK_US_PER_MS;
   uint64_t store_us = age_us < at_us ? at_us - age_us : 0;
 
   store_outage_record_contact (&store->outage, store_us, min_outage_us (store));
@@ -608,7 +607,7 @@
 static uint32_t
 read_interval_ms (const gateway_store_t *store, uint32_t stream)
 {
-  const set_t *set = store->options.set;
+  const settings_t *set = store->options.set;
 
   if (stream == STREAM_ROUTING)
     return set->version_ms * GATEWAY_STORE_ROUTING_INTERVAL_PERCENT / 100;
@@ -627,7 +626,7 @@
   store->views[stream] = keyed_view_new (changed, store);
   store->followers[stream] = stream_follower_new (
       &(stream_follower_options_t){ .base = store->options.base,
-                                    .clk = store->options.clk,
+                                    .clock = store->options.clock,
                                     .counters = store->options.counters,
                                     .platform = store->options.platform,
                                     .stream = stream_names[stream],
@@ -646,7 +645,7 @@
 static uint32_t
 poll_wait_ms (const gateway_store_t *store)
 {
-  return (uint32_t)MIN (GATEWAY_STORE_READ_WAIT_MS, min_outage_us (store) / 2 / CLK_US_PER_MS);
+  return (uint32_t)MIN (GATEWAY_STORE_READ_WAIT_MS, min_outage_us (store) / 2 / CLOCK_US_PER_MS);
 }
 
 gateway_store_t *
@@ -655,20 +654,20 @@
   gateway_store_t *store = g_new0 (gateway_store_t, 1);
 
   store->options = *options;
-  store->fetch_count = cnt_get (options->counters, "medlarplank_views_from_peers_total",
-                                "Times that records of the store were taken from a peer");
+  store->fetch_count = counter_get (options->counters, "medlarplank_views_from_peers_total",
+                                    "Times that records of the store were taken from a peer");
   store->write_count =
-      cnt_get_labelled (options->counters, "medlarplank_store_writes_total", "stream",
-                        PLATFORM_STREAM_ROUTERS, "Records written into the store");
+      counter_get_labelled (options->counters, "medlarplank_store_writes_total", "stream",
+                            PLATFORM_STREAM_ROUTERS, "Records written into the store");
   store->fetch = gateway_fetch_new (
       &(gateway_fetch_options_t){ .base = options->base,
-                                  .clk = options->clk,
+                                  .clock = options->clock,
                                   .fleet_key = options->set->fleet_key,
                                   .control_address = &options->set->control_listen,
                                   .on_finished = on_fetched,
                                   .context = store });
   store->start =
-      gateway_start_new (&(gateway_start_options_t){ .clk = options->clk,
+      gateway_start_new (&(gateway_start_options_t){ .clock = options->clock,
                                                      .set = options->set,
                                                      .seed = options->incarnation,
                                                      .has_all_streams = start_has_all_streams,
@@ -683,7 +682,7 @@
   follow_stream (store, STREAM_ROUTERS, GATEWAY_STORE_ROUTERS_READ_WAIT_MS, on_router,
                  on_routers_state);
   store->peers = gateway_peers_new (&(gateway_peers_options_t){ .base = options->base,
-                                                                .clk = options->clk,
+                                                                .clock = options->clock,
                                                                 .counters = options->counters,
                                                                 .set = options->set,
                                                                 .incarnation = options->incarnation,
@@ -742,7 +741,8 @@
 {
   uint64_t at_us = current_as_of_us (store);
 
-  return at_us != 0 && now_us (store) - at_us < (uint64_t)GATEWAY_STORE_CURRENT_MS * CLK_US_PER_MS;
+  return at_us != 0 &&
+         now_us (store) - at_us < (uint64_t)GATEWAY_STORE_CURRENT_MS * CLOCK_US_PER_MS;
 }
 
 uint32_t
--- a/src/process/gateway_store.h
+++ b/src/process/gateway_store.h
@@ -71,9 +71,9 @@
 typedef struct
 {
   struct event_base *base;
-  const clk_t *clk;
-  cnt_set_t *counters;
-  const set_t *set;
+  const clock_source_t *clock;
+  counter_registry_t *counters;
+  const settings_t *set;
   platform_t *platform;
   uint64_t incarnation;
   uint64_t (*get_version) (void *context);
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -41,9 +41,9 @@
  */
 typedef struct
 {
-  dmn_t daemon;
+  daemon_t daemon;
   struct event_base *control_base;
-  lfl_t *flusher;
+  log_flusher_t *flusher;
   struct event_base *data_base;
   control_t *control_task;
   router_t *router;
@@ -64,7 +64,7 @@
 }
 
 static void
-deliver_to_control (mbx_message_t *message, void *context)
+deliver_to_control (mailbox_message_t *message, void *context)
 {
   member_process_t *process = context;
 
@@ -72,7 +72,7 @@
 }
 
 static void
-deliver_to_data (mbx_message_t *message, void *context)
+deliver_to_data (mailbox_message_t *message, void *context)
 {
   member_process_t *process = context;
 
@@ -101,7 +101,7 @@
   process->draining = true;
   drain = message_new (MESSAGE_DRAIN);
   drain->on = true;
-  mbx_send (process->daemon.to_control, &drain->head);
+  mailbox_send (process->daemon.to_control, &drain->head);
 }
 
 static struct event *
@@ -115,7 +115,7 @@
 }
 
 static void
-check_file_limit (const set_t *set)
+check_file_limit (const settings_t *set)
 {
   uint64_t wanted = (uint64_t)set->connection_limit * FILES_PER_CONNECTION + OTHER_FILES;
   struct rlimit limit;
@@ -149,33 +149,33 @@
 static void
 open_process (member_process_t *process)
 {
-  dmn_t *daemon = &process->daemon;
-
-  clk_init_running (&daemon->clk);
-  daemon->incarnation = clk_wall_ms (&daemon->clk);
-  daemon->counters = cnt_set_new ();
-  cnt_set_value (cnt_get (daemon->counters, "medlarplank_incarnation",
-                          "Milliseconds since 1970 at the start of the process."),
-                 daemon->incarnation);
+  daemon_t *daemon = &process->daemon;
+
+  clock_init_running (&daemon->clock);
+  daemon->incarnation = clock_wall_ms (&daemon->clock);
+  daemon->counters = counter_registry_new ();
+  counter_set (counter_get (daemon->counters, "medlarplank_incarnation",
+                            "Milliseconds since 1970 at the start of the process."),
+               daemon->incarnation);
   process->control_base = new_event_base ();
-  process->flusher = lfl_new (process->control_base);
+  process->flusher = log_flusher_new (process->control_base);
   process->data_base = new_event_base ();
-  daemon->to_control = mbx_new (process->control_base, deliver_to_control, process);
-  daemon->to_data = mbx_new (process->data_base, deliver_to_data, process);
+  daemon->to_control = mailbox_new (process->control_base, deliver_to_control, process);
+  daemon->to_data = mailbox_new (process->data_base, deliver_to_data, process);
 }
 
 /* Signal handlers come first: a stop must be graceful as soon as a listener is open. */
 static bool
 start_tasks (member_process_t *process, GError **error)
 {
-  dmn_t *daemon = &process->daemon;
+  daemon_t *daemon = &process->daemon;
 
   process->on_sigterm = watch_signal (process, SIGTERM);
   process->on_sigint = watch_signal (process, SIGINT);
   process->control_task = control_new (daemon, process->control_base, error);
   if (process->control_task == NULL)
     return false;
-  if (daemon->set.role == SET_ROLE_ROUTER)
+  if (daemon->set.role == SETTINGS_ROLE_ROUTER)
     process->router = router_new (daemon, process->data_base, error);
   else
     process->sidecar = sidecar_new (daemon, process->data_base, error);
@@ -192,14 +192,14 @@
     sidecar_free (process->sidecar);
   if (process->control_task != NULL)
     control_free (process->control_task);
-  mbx_free (process->daemon.to_data);
-  mbx_free (process->daemon.to_control);
+  mailbox_free (process->daemon.to_data);
+  mailbox_free (process->daemon.to_control);
   event_free (process->on_sigterm);
   event_free (process->on_sigint);
   event_base_free (process->data_base);
-  lfl_free (process->flusher);
+  log_flusher_free (process->flusher);
   event_base_free (process->control_base);
-  cnt_set_free (process->daemon.counters);
+  counter_registry_free (process->daemon.counters);
   libevent_global_shutdown ();
 }
 
@@ -253,10 +253,10 @@
 }
 
 static void
-log_started (const dmn_t *daemon)
+log_started (const daemon_t *daemon)
 {
-  log_event (LOG_LEVEL_NOTICE, "started", "version", SET_PROGRAM_VERSION, "role",
-             daemon->set.role == SET_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
+  log_event (LOG_LEVEL_NOTICE, "started", "version", PROGRAM_VERSION, "role",
+             daemon->set.role == SETTINGS_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
              LOG_U64 (daemon->incarnation), NULL);
 }
 
@@ -287,10 +287,10 @@
 /** struct gateway - state of a gateway process */
 typedef struct
 {
-  clk_t clk;
-  cnt_set_t *counters;
+  clock_source_t clock;
+  counter_registry_t *counters;
   struct event_base *base;
-  lfl_t *flusher;
+  log_flusher_t *flusher;
   gateway_process_t *process;
   uint64_t incarnation;
   struct event *signals[GATEWAY_SIGNALS];
@@ -342,15 +342,15 @@
 {
   for (size_t i = 0; i < GATEWAY_SIGNALS; i++)
     event_free (gateway->signals[i]);
-  lfl_free (gateway->flusher);
+  log_flusher_free (gateway->flusher);
   event_base_free (gateway->base);
-  cnt_set_free (gateway->counters);
+  counter_registry_free (gateway->counters);
 }
 
 static void
 run_gateway_loop (gateway_t *gateway)
 {
-  log_event (LOG_LEVEL_NOTICE, "started", "version", SET_PROGRAM_VERSION, "role", "gateway",
+  log_event (LOG_LEVEL_NOTICE, "started", "version", PROGRAM_VERSION, "role", "gateway",
              "incarnation", LOG_U64 (gateway->incarnation), NULL);
   event_base_dispatch (gateway->base);
   log_event (LOG_LEVEL_NOTICE, "stopped", "graceful",
@@ -359,27 +359,27 @@
 }
 
 static int
-run_gateway (const set_t *set)
+run_gateway (const settings_t *set)
 {
   gateway_t gateway = { 0 };
   GError *error = NULL;
   bool ended_as_told;
 
-  clk_init_running (&gateway.clk);
-  gateway.incarnation = clk_wall_ms (&gateway.clk);
-  gateway.counters = cnt_set_new ();
+  clock_init_running (&gateway.clock);
+  gateway.incarnation = clock_wall_ms (&gateway.clock);
+  gateway.counters = counter_registry_new ();
   gateway.base = new_event_base ();
   watch_gateway_signals (&gateway);
-  gateway.flusher = lfl_new (gateway.base);
+  gateway.flusher = log_flusher_new (gateway.base);
   gateway.process = gateway_process_new (
       &(gateway_process_options_t){
           .base = gateway.base,
-          .clk = &gateway.clk,
+          .clock = &gateway.clock,
           .counters = gateway.counters,
           .set = set,
-          .platform = pst_new (gateway.base, &set->platform),
-          .format = prf_format (),
-          .readers = { .routing = prc_read_routing, .engine = prc_read_engine },
+          .platform = store_new (gateway.base, &set->platform),
+          .format = request_format_get (),
+          .readers = { .routing = records_read_routing, .engine = records_read_engine },
           .incarnation = gateway.incarnation },
       &error);
   if (!gateway.process)
@@ -407,25 +407,26 @@
 {
   member_process_t process = { 0 };
   GError *error = NULL;
-  set_outcome_t outcome = set_load (&process.daemon.set, argc, argv, get_environment, &error);
+  settings_outcome_t outcome =
+      settings_load (&process.daemon.set, argc, argv, get_environment, &error);
 
-  if (outcome == SET_EXIT_0)
+  if (outcome == SETTINGS_EXIT_SUCCESS)
     return EXIT_SUCCESS;
-  if (outcome == SET_EXIT_2)
+  if (outcome == SETTINGS_EXIT_USAGE)
     {
       fprintf (stderr, "%s: %s\n", PROGRAM, error->message);
       g_error_free (error);
       return EXIT_BAD_SETTINGS;
     }
   log_init (PROGRAM, process.daemon.set.name, process.daemon.set.log_level);
-  log_open (STDOUT_FILENO);
+  log_open_buffered (STDOUT_FILENO);
   signal (SIGPIPE, SIG_IGN);
-  if (process.daemon.set.role != SET_ROLE_GATEWAY)
+  if (process.daemon.set.role != SETTINGS_ROLE_GATEWAY)
     signal (SIGHUP, SIG_IGN);
   evthread_use_pthreads ();
   event_set_log_callback (log_libevent);
   check_file_limit (&process.daemon.set);
-  if (process.daemon.set.role == SET_ROLE_GATEWAY)
+  if (process.daemon.set.role == SETTINGS_ROLE_GATEWAY)
     return run_gateway (&process.daemon.set);
   return run_process (&process);
 }
--- a/src/process/rumour.c
+++ b/src/process/rumour.c
@@ -38,7 +38,7 @@
 static bool
 mark_has_engine (const suspect_mark_t *mark, uint64_t engine_hash)
 {
-  for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
+  for (uint32_t i = 0; i < LIMIT_SUSPECT_CRASHES; i++)
     {
       if (mark->engines[i] == engine_hash)
         return true;
@@ -51,11 +51,11 @@
 merge_engines (suspect_mark_t *mark, const suspect_mark_t *other)
 {
   bool added = false;
-  for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
+  for (uint32_t i = 0; i < LIMIT_SUSPECT_CRASHES; i++)
     {
       if (other->engines[i] == 0 || mark_has_engine (mark, other->engines[i]))
         continue;
-      for (uint32_t j = 0; j < LIM_SUSPECT_CRASHES; j++)
+      for (uint32_t j = 0; j < LIMIT_SUSPECT_CRASHES; j++)
         {
           if (mark->engines[j] != 0)
             continue;
@@ -136,7 +136,7 @@
 bool
 gossip_add_mark (gossip_t *gossip, uint64_t now_us, const suspect_mark_t *mark)
 {
-  uint64_t age_us = (uint64_t)mark->age_ms * CLK_US_PER_MS;
+  uint64_t age_us = (uint64_t)mark->age_ms * CLOCK_US_PER_MS;
   if (age_us > GOSSIP_MARK_MAX_AGE_US)
     return false;
   gossip_mark_t *slot = find_mark_slot (gossip, mark->fingerprint);
@@ -178,7 +178,7 @@
       taken[slot - gossip->marks] = true;
       slot->sends_left--;
       out[count] = slot->mark;
-      out[count++].age_ms = (uint32_t)((now_us - slot->created_us) / CLK_US_PER_MS);
+      out[count++].age_ms = (uint32_t)((now_us - slot->created_us) / CLOCK_US_PER_MS);
     }
   return count;
 }
--- a/src/request/decision.h
+++ b/src/request/decision.h
@@ -35,10 +35,10 @@
   uint64_t request[2];
   uint64_t wall_ms;
   uint64_t chat_hash;
-  char account[LIM_NAME_BYTES];
-  char service[LIM_NAME_BYTES];
-  char class_name[LIM_NAME_BYTES];
-  char chosen[LIM_NAME_BYTES];
+  char account[LIMIT_NAME_BYTES];
+  char service[LIMIT_NAME_BYTES];
+  char class_name[LIMIT_NAME_BYTES];
+  char chosen[LIMIT_NAME_BYTES];
   char candidates[DECISION_CANDIDATES_BYTES];
   const char *action; /* a static string; not freed */
   verdict_t verdict;
--- a/src/request/gateway/format.h
+++ b/src/request/gateway/format.h
@@ -62,7 +62,7 @@
 {
   const char *engine_id;
   const char *account;
-  const set_address_t *cache_source;
+  const address_t *cache_source;
   uint32_t left_ms;
   uint32_t priority;
   bool resumes;
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -8,7 +8,7 @@
 uint64_t
 gateway_now_us (const gateway_task_t *gateway)
 {
-  return clk_now_us (gateway->options.clk);
+  return clock_now_us (gateway->options.clock);
 }
 
 static void
@@ -17,10 +17,10 @@
   gateway_service_t *service = data;
 
   wait_queue_free (service->queue);
-  lat_free (service->wait_histogram);
-  lat_free (service->head_histogram);
-  lat_free (service->answer_histogram);
-  lat_free (service->failure_histogram);
+  latency_free (service->wait_histogram);
+  latency_free (service->head_histogram);
+  latency_free (service->answer_histogram);
+  latency_free (service->failure_histogram);
   g_free (service);
 }
 
@@ -29,21 +29,21 @@
 static void
 make_histograms (gateway_task_t *gateway, gateway_service_t *service)
 {
-  cnt_set_t *set = gateway->options.counters;
+  counter_registry_t *set = gateway->options.counters;
   bool own = g_hash_table_size (gateway->services) < GATEWAY_HISTOGRAM_SERVICES_MAX;
   g_autofree char *name = g_strdup (own ? service->name : "other");
   g_autofree char *labels =
       g_strdup_printf ("service=\"%s\"", g_strdelimit (name, "\"\\\n{},", '_'));
 
-  service->wait_histogram = lat_new (set, "medlarplank_gateway_wait_ms", labels,
-                                     "From a request's arrival until it was first sent");
-  service->head_histogram = lat_new (set, "medlarplank_gateway_head_ms", labels,
-                                     "From a send until the head of its answer");
-  service->answer_histogram = lat_new (set, "medlarplank_gateway_answer_ms", labels,
-                                       "From a request's arrival until its answer was whole");
+  service->wait_histogram = latency_new (set, "medlarplank_gateway_wait_ms", labels,
+                                         "From a request's arrival until it was first sent");
+  service->head_histogram = latency_new (set, "medlarplank_gateway_head_ms", labels,
+                                         "From a send until the head of its answer");
+  service->answer_histogram = latency_new (set, "medlarplank_gateway_answer_ms", labels,
+                                           "From a request's arrival until its answer was whole");
   service->failure_histogram =
-      lat_new (set, "medlarplank_gateway_failure_ms", labels,
-               "From a request's arrival until it was refused or had failed");
+      latency_new (set, "medlarplank_gateway_failure_ms", labels,
+                   "From a request's arrival until it was refused or had failed");
 }
 
 gateway_service_t *
@@ -113,7 +113,7 @@
         continue;
       log_event (LOG_LEVEL_WARNING, "suspect", "fingerprint", LOG_HEX (loss.fingerprint), "engine",
                  LOG_HEX (loss.engine_hash), "age_ms",
-                 LOG_U64 ((now_us - loss.lost_us) / CLK_US_PER_MS), NULL);
+                 LOG_U64 ((now_us - loss.lost_us) / CLOCK_US_PER_MS), NULL);
       gateway->options.suspected (&mark, gateway->options.context);
     }
 }
@@ -175,26 +175,27 @@
 static void
 register_counters (gateway_task_t *gateway)
 {
-  cnt_set_t *set = gateway->options.counters;
+  counter_registry_t *set = gateway->options.counters;
 
-  gateway->answered = cnt_get (set, "medlarplank_gateway_answered_total", "Requests answered");
+  gateway->answered = counter_get (set, "medlarplank_gateway_answered_total", "Requests answered");
   gateway->refused =
-      cnt_get (set, "medlarplank_gateway_refused_total", "Requests refused, not run");
+      counter_get (set, "medlarplank_gateway_refused_total", "Requests refused, not run");
   gateway->failed =
-      cnt_get (set, "medlarplank_gateway_failed_total", "Requests that failed or were cut");
-  gateway->retried = cnt_get (set, "medlarplank_gateway_retried_total", "Sends to another engine");
+      counter_get (set, "medlarplank_gateway_failed_total", "Requests that failed or were cut");
+  gateway->retried =
+      counter_get (set, "medlarplank_gateway_retried_total", "Sends to another engine");
   gateway->resumed =
-      cnt_get (set, "medlarplank_gateway_resumed_total", "Streams that went on elsewhere");
-  gateway->gone = cnt_get (set, "medlarplank_gateway_gone_total", "Requests whose caller left");
+      counter_get (set, "medlarplank_gateway_resumed_total", "Streams that went on elsewhere");
+  gateway->gone = counter_get (set, "medlarplank_gateway_gone_total", "Requests whose caller left");
   gateway->waited =
-      cnt_get (set, "medlarplank_gateway_waited_total", "Times that requests waited for room");
+      counter_get (set, "medlarplank_gateway_waited_total", "Times that requests waited for room");
 }
 
 gateway_task_t *
 gateway_new (const gateway_options_t *options, GError **error)
 {
   gateway_task_t *gateway = g_new0 (gateway_task_t, 1);
-  const set_t *set = options->set;
+  const settings_t *set = options->set;
   struct timeval tick = { 0, GATEWAY_TICK_MS * 1000 };
 
   gateway->options = *options;
@@ -295,7 +296,7 @@
  * lost. The registry shows the restart, so the requests are given up here.
  */
 void
-gateway_engine_restarted (gateway_task_t *gateway, uint64_t hash, const set_address_t *address)
+gateway_engine_restarted (gateway_task_t *gateway, uint64_t hash, const address_t *address)
 {
   g_autoptr (GList) calls = g_hash_table_get_keys (gateway->calls);
 
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -24,7 +24,7 @@
 
 /* An engine keeps the shared parts of a prompt in its cache for longer than this, unless the cache
  * is overfull. */
-#define GATEWAY_CACHE_WARM_US (UINT64_C (10) * CLK_US_PER_S)
+#define GATEWAY_CACHE_WARM_US (UINT64_C (10) * CLOCK_US_PER_S)
 
 /**
  * struct gateway_options - options of gateway_new(); the pointers are borrowed
@@ -40,9 +40,9 @@
 typedef struct
 {
   struct event_base *base;
-  const clk_t *clk;
-  cnt_set_t *counters;
-  const set_t *set;
+  const clock_source_t *clock;
+  counter_registry_t *counters;
+  const settings_t *set;
   engines_t *engines;
   const format_t *format;
   retry_budget_options_t retries;
@@ -74,8 +74,7 @@
 void gateway_handle_peer_suspect (gateway_task_t *gateway, const suspect_mark_t *mark);
 /** gateway_engine_restarted() - the engine @hash at @address was replaced by a new process with its
  * id: the requests that ran there are lost */
-void
-gateway_engine_restarted (gateway_task_t *gateway, uint64_t hash, const set_address_t *address);
+void gateway_engine_restarted (gateway_task_t *gateway, uint64_t hash, const address_t *address);
 /** gateway_engines_changed() - the set of engines changed; sends queued requests for which there is
  * room now */
 void gateway_engines_changed (gateway_task_t *gateway);
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -30,7 +30,7 @@
 {
   bool is_current = gateway->config_current && gateway->table;
 
-  cnt_add (gateway->refused, 1);
+  counter_add (gateway->refused, 1);
   reject (gateway, client, request,
           &(flt_t){ .status = is_current ? status : 503,
                     .code = is_current ? code : "configuration_uncertain",
@@ -56,7 +56,7 @@
 static void
 reject_suspect (gateway_call_t *call)
 {
-  cnt_add (call->gateway->refused, 1);
+  counter_add (call->gateway->refused, 1);
   gateway_call_log_failure (call, "refuse", "final", VERDICT_REASON_SUSPECT);
   error_reply_send (call->client,
                     &(flt_t){ .reason = VERDICT_REASON_SUSPECT, .verdict = VERDICT_NOT_RUN });
@@ -73,7 +73,7 @@
                        http_server_call_t *client,
                        const format_request_t *request)
 {
-  cnt_add (gateway->refused, 1);
+  counter_add (gateway->refused, 1);
   reject (gateway, client, request,
           &(flt_t){ .status = 503,
                     .code = "stopping",
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -52,7 +52,7 @@
 
   if (request->deadline_ms > 0)
     limit_ms = MIN (limit_ms, request->deadline_ms);
-  return now_us + (uint64_t)limit_ms * CLK_US_PER_MS;
+  return now_us + (uint64_t)limit_ms * CLOCK_US_PER_MS;
 }
 
 static bool
@@ -64,8 +64,8 @@
 static void
 count_failure (const gateway_call_t *call)
 {
-  cnt_add (call->gateway->failed, 1);
-  lat_add (call->service->failure_histogram, gateway_now_us (call->gateway) - call->arrived_us);
+  counter_add (call->gateway->failed, 1);
+  latency_add (call->service->failure_histogram, gateway_now_us (call->gateway) - call->arrived_us);
 }
 
 static void
@@ -133,7 +133,7 @@
 {
   gateway_call_t *call = context;
 
-  cnt_add (call->gateway->gone, 1);
+  counter_add (call->gateway->gone, 1);
   call->client = NULL;
   relay_client_gone (&call->relay);
   gateway_call_log (call, "gone", call->queue_item.waiting ? "waiting" : "sent",
@@ -149,7 +149,8 @@
 start_deadline_timer (gateway_call_t *call)
 {
   uint64_t left_us = call->deadline_us - call->arrived_us;
-  struct timeval wait = { (time_t)(left_us / CLK_US_PER_S), (suseconds_t)(left_us % CLK_US_PER_S) };
+  struct timeval wait = { (time_t)(left_us / CLOCK_US_PER_S),
+                          (suseconds_t)(left_us % CLOCK_US_PER_S) };
 
   call->timer = evtimer_new (call->gateway->options.base, on_deadline, call);
   event_add (call->timer, &wait);
@@ -161,8 +162,8 @@
   gateway_route_stats_t *stats = gateway_route_stats (call->gateway, call->route);
   uint64_t age_us =
       first_attempt_age_us (&stats->first_ask, call->arrived_us, call->request.deadline_ms);
-  uint64_t aim_us = (uint64_t)call->route->aim_ms * CLK_US_PER_MS;
-  uint64_t silence_us = (uint64_t)call->route->silence_ms * CLK_US_PER_MS;
+  uint64_t aim_us = (uint64_t)call->route->aim_ms * CLOCK_US_PER_MS;
+  uint64_t silence_us = (uint64_t)call->route->silence_ms * CLOCK_US_PER_MS;
 
   return (
       wait_queue_item_t){ .priority = call->route->priority,
@@ -252,9 +253,9 @@
       reason == VERDICT_REASON_NONE ? NULL : verdict_reason_to_string (reason), "hops",
       LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
       LOG_U64 (call->course.unsent), "status", LOG_U64 ((uint64_t)call->status), "head_ms",
-      call->has_head ? LOG_U64 ((call->head_us - call->sent_us) / CLK_US_PER_MS) : NULL, "ms",
-      LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "left_ms",
-      LOG_U64 (call->deadline_us > now_us ? (call->deadline_us - now_us) / CLK_US_PER_MS : 0),
+      call->has_head ? LOG_U64 ((call->head_us - call->sent_us) / CLOCK_US_PER_MS) : NULL, "ms",
+      LOG_U64 ((now_us - call->arrived_us) / CLOCK_US_PER_MS), "left_ms",
+      LOG_U64 (call->deadline_us > now_us ? (call->deadline_us - now_us) / CLOCK_US_PER_MS : 0),
       NULL);
 }
 
@@ -314,7 +315,7 @@
           .cold_start_us = rules ? rules->cold_start_us : 0,
           .known_gateways = gateway->known_routers,
           .homes = bound_regions (call),
-          .drain_us = (uint64_t)gateway->options.set->center_drain_ms * CLK_US_PER_MS,
+          .drain_us = (uint64_t)gateway->options.set->center_drain_ms * CLOCK_US_PER_MS,
           .tried = call->tried,
           .tried_count = call->tried_count });
 }
@@ -377,15 +378,15 @@
              outcome, "reason", verdict_reason_to_string (reason), "hops", LOG_U64 (call->hops),
              "spent", LOG_U64 (retry_budget_retries (retries)), "allowed_milli",
              LOG_U64 (allowed_milli), "gateways", LOG_U64 (gateway->known_routers),
-             "started_ms_ago", LOG_U64 ((now_us - gateway->started_us) / CLK_US_PER_MS), "ms",
-             LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), NULL);
+             "started_ms_ago", LOG_U64 ((now_us - gateway->started_us) / CLOCK_US_PER_MS), "ms",
+             LOG_U64 ((now_us - call->arrived_us) / CLOCK_US_PER_MS), NULL);
 }
 
 static void
 prepare_retry (gateway_call_t *call, bool resume, verdict_reason_t reason)
 {
   log_retry (call, resume ? "resume" : "again", reason);
-  cnt_add (resume ? call->gateway->resumed : call->gateway->retried, 1);
+  counter_add (resume ? call->gateway->resumed : call->gateway->retried, 1);
   call->resuming = resume;
   if (resume)
     event_splitter_resume (&call->splitter);
@@ -463,8 +464,8 @@
 {
   if (call->client)
     gateway_note_served (call->gateway, gateway_call_fingerprint (call));
-  cnt_add (call->gateway->answered, 1);
-  lat_add (call->service->answer_histogram, gateway_now_us (call->gateway) - call->arrived_us);
+  counter_add (call->gateway->answered, 1);
+  latency_add (call->service->answer_histogram, gateway_now_us (call->gateway) - call->arrived_us);
   gateway_call_log (call, "end", "answered", VERDICT_REASON_NONE);
   relay_finish (&call->relay);
   gateway_call_free (call);
@@ -484,8 +485,8 @@
              is_repeatable (call) ? "repeatable" : "not_run", "reason",
              verdict_reason_to_string (reason), "hops", LOG_U64 (call->hops), "full",
              LOG_U64 (call->course.full), "unsent", LOG_U64 (call->course.unsent), "retry_wait_ms",
-             LOG_U64 (retry_wait_us / CLK_US_PER_MS), "ms",
-             LOG_U64 ((now_us - call->arrived_us) / CLK_US_PER_MS), "retry_after_ms",
+             LOG_U64 (retry_wait_us / CLOCK_US_PER_MS), "ms",
+             LOG_U64 ((now_us - call->arrived_us) / CLOCK_US_PER_MS), "retry_after_ms",
              LOG_U64 (retry_after_ms), "overloaded",
              wait_queue_is_overloaded (queue, now_us) ? "yes" : "no", "waiting",
              LOG_U64 (wait_queue_count (queue)), "waiting_in_time",
@@ -500,8 +501,8 @@
 {
   uint32_t wait_ms = CLAMP (retry_after_ms, GATEWAY_RETRY_MIN_MS, GATEWAY_RETRY_MAX_MS);
 
-  cnt_add (call->gateway->refused, 1);
-  lat_add (call->service->failure_histogram, gateway_now_us (call->gateway) - call->arrived_us);
+  counter_add (call->gateway->refused, 1);
+  latency_add (call->service->failure_histogram, gateway_now_us (call->gateway) - call->arrived_us);
   log_refusal (call, reason, wait_ms);
   error_reply_send (call->client, &(flt_t){ .status = 503,
                                             .reason = reason,
--- a/src/request/gateway/gateway_hop.c
+++ b/src/request/gateway/gateway_hop.c
@@ -91,7 +91,7 @@
     return;
   if (response->backoff_ms > 0)
     engines_note_backoff (call->gateway->options.engines, now_us, call->engine,
-                          (uint64_t)response->backoff_ms * CLK_US_PER_MS);
+                          (uint64_t)response->backoff_ms * CLOCK_US_PER_MS);
   log_event (is_news ? LOG_LEVEL_NOTICE : LOG_LEVEL_INFO, "engine_says", "id", call->id, "engine",
              call->engine->entry.id, "leaving", response->leaving ? "yes" : "no", "rest_ms",
              LOG_U64 (response->backoff_ms), NULL);
@@ -110,7 +110,7 @@
     wait_queue_note_head (call->service->queue, now_us - call->sent_us);
   if (status == 200)
     recent_answers_add (call->gateway->cache_warm, now_us, cache_warm_key (call, call->engine));
-  lat_add (call->service->head_histogram, now_us - call->sent_us);
+  latency_add (call->service->head_histogram, now_us - call->sent_us);
   if (call->response.idle_ms > 0)
     call->engine->idle_ms = call->response.idle_ms;
   record_engine_notice (call, now_us);
@@ -365,7 +365,7 @@
     .prompt_tokens = call->request.prompt_tokens,
     .usual_us = wait_queue_head_us (call->service->queue),
     .time_us = call->deadline_us - MIN (call->sent_us, call->deadline_us),
-    .gap_us = (uint64_t)call->route->gap_ms * CLK_US_PER_MS,
+    .gap_us = (uint64_t)call->route->gap_ms * CLOCK_US_PER_MS,
     .full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >=
             GATEWAY_NEARLY_FULL_MILLI
   };
@@ -395,7 +395,8 @@
 static uint64_t
 reuse_idle_limit_us (const gateway_call_t *call)
 {
-  uint64_t stated_us = (uint64_t)call->engine->idle_ms * CLK_US_PER_MS / GATEWAY_REUSE_IDLE_DIVISOR;
+  uint64_t stated_us =
+      (uint64_t)call->engine->idle_ms * CLOCK_US_PER_MS / GATEWAY_REUSE_IDLE_DIVISOR;
 
   if (call->route->kind == ROUTING_IDEMPOTENT || call->course.rules.resumable)
     return 0;
@@ -454,7 +455,7 @@
   const engine_t *engine = choice->engine;
   bool of_peer = engine->peer_report_us > engine->told_us;
   uint64_t told_us = MAX (engine->told_us, engine->peer_report_us);
-  uint64_t age_ms = (call->sent_us - MIN (told_us, call->sent_us)) / CLK_US_PER_MS;
+  uint64_t age_ms = (call->sent_us - MIN (told_us, call->sent_us)) / CLOCK_US_PER_MS;
 
   log_event (LOG_LEVEL_INFO, "place", "id", call->id, "service", call->service->name, "engine",
              engine->entry.id, "rank", LOG_U64 (choice->rank), "cache_source",
@@ -463,7 +464,7 @@
              told_us ? LOG_U64 (age_ms) : NULL, "load_from",
              told_us ? (of_peer ? "peer" : "engine") : NULL, "candidates",
              LOG_U64 (choice->candidates), "waited_ms",
-             LOG_U64 ((call->sent_us - call->arrived_us) / CLK_US_PER_MS), NULL);
+             LOG_U64 ((call->sent_us - call->arrived_us) / CLOCK_US_PER_MS), NULL);
 }
 
 void
@@ -484,10 +485,10 @@
                                      .last_event = call->splitter.last_id };
   begin_hop (call, choice);
   if (call->hops == 1)
-    lat_add (call->service->wait_histogram, call->sent_us - call->arrived_us);
+    latency_add (call->service->wait_histogram, call->sent_us - call->arrived_us);
   log_place (call, choice);
   hop.left_ms =
-      (uint32_t)((call->deadline_us - MIN (call->sent_us, call->deadline_us)) / CLK_US_PER_MS);
+      (uint32_t)((call->deadline_us - MIN (call->sent_us, call->deadline_us)) / CLOCK_US_PER_MS);
   call->gateway->options.format->write (&hop, http_server_request_headers (call->client), headers,
                                         &text);
   call->upstream = http_client_start_call (
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -45,13 +45,13 @@
 #define GATEWAY_RETRY_DRAINED_MS 2000
 #define GATEWAY_SUSPECTS_MAX 256
 #define GATEWAY_SUSPECT_TTL_US                                                                     \
-  (UINT64_C (60) * CLK_US_PER_S) /* its client has sent it again by then */
+  (UINT64_C (60) * CLOCK_US_PER_S) /* its client has sent it again by then */
 /* Many clients send the same status check, so one of them is likely to run at any engine that
  * crashes. After two such crashes the check would be refused to all clients as one that crashes
  * engines. A request that was served within this time is therefore not marked. One that really
  * crashes every engine isn't served meanwhile, and is marked again after this time. */
 #define GATEWAY_SERVED_MAX 4096
-#define GATEWAY_SERVED_TTL_US (UINT64_C (10) * CLK_US_PER_S)
+#define GATEWAY_SERVED_TTL_US (UINT64_C (10) * CLOCK_US_PER_S)
 #define GATEWAY_CACHE_WARM_MAX                                                                     \
   4096 /* pairs of prompt and engine whose cache has the shared parts */
 #define GATEWAY_NEARLY_FULL_MILLI                                                                  \
@@ -90,10 +90,10 @@
   uint64_t in_flight;
   uint32_t mean_milli;
   retry_budget_t retries;
-  lat_t *wait_histogram;
-  lat_t *head_histogram;
-  lat_t *answer_histogram;
-  lat_t *failure_histogram;
+  latency_t *wait_histogram;
+  latency_t *head_histogram;
+  latency_t *answer_histogram;
+  latency_t *failure_histogram;
 } gateway_service_t;
 
 /**
@@ -135,13 +135,13 @@
   uint32_t ticks;
   struct event *tick_timer;
   uint64_t next_call_number;
-  cnt_t *answered;
-  cnt_t *refused;
-  cnt_t *failed;
-  cnt_t *retried;
-  cnt_t *resumed;
-  cnt_t *gone;
-  cnt_t *waited;
+  counter_t *answered;
+  counter_t *refused;
+  counter_t *failed;
+  counter_t *retried;
+  counter_t *resumed;
+  counter_t *gone;
+  counter_t *waited;
 };
 
 /**
--- a/src/request/gateway/gateway_wait.c
+++ b/src/request/gateway/gateway_wait.c
@@ -18,7 +18,7 @@
   uint64_t retry_us =
       wait_queue_retry_us (call->service->queue, gateway_now_us (call->gateway), wait_us);
 
-  return (uint32_t)MIN (retry_us / CLK_US_PER_MS, UINT32_MAX);
+  return (uint32_t)MIN (retry_us / CLOCK_US_PER_MS, UINT32_MAX);
 }
 
 void
@@ -31,7 +31,7 @@
                            &call->queue_item, &wait_us))
     {
     case WAIT_QUEUE_QUEUED:
-      cnt_add (call->gateway->waited, 1);
+      counter_add (call->gateway->waited, 1);
       gateway_call_log (call, "wait", "queued", VERDICT_REASON_OVER_BOUND);
       return;
     case WAIT_QUEUE_TOO_LATE:
@@ -54,7 +54,7 @@
       gateway_call_fail (call, VERDICT_REASON_OVER_BOUND, compute_retry_ms (call, wait_us));
       return;
     }
-  cnt_add (call->gateway->waited, 1);
+  counter_add (call->gateway->waited, 1);
   gateway_call_log (call, "wait", "retry_due", VERDICT_REASON_OVER_BOUND);
 }
 
@@ -64,10 +64,10 @@
   if (!wait_queue_push_delayed (call->service->queue, gateway_now_us (call->gateway),
                                 &call->queue_item, rest_us))
     {
-      gateway_call_fail (call, VERDICT_REASON_OVER_BOUND, (uint32_t)(rest_us / CLK_US_PER_MS));
+      gateway_call_fail (call, VERDICT_REASON_OVER_BOUND, (uint32_t)(rest_us / CLOCK_US_PER_MS));
       return;
     }
-  cnt_add (call->gateway->waited, 1);
+  counter_add (call->gateway->waited, 1);
   gateway_call_log (call, "wait", "engines_rest", VERDICT_REASON_OVER_BOUND);
 }
 
--- a/src/request/hop.c
+++ b/src/request/hop.c
@@ -40,11 +40,11 @@
 
 /* A value holds three pairs, the hashes, the names, the samples and the numbers, each with its
  * separator. */
-G_STATIC_ASSERT (3 * 33 + 5 * 17 + 3 * LIM_NAME_BYTES + HOP_SAMPLES_MAX * SAMPLE_BYTES +
-                     5 * (DGT_U64_BYTES + 1) <
+G_STATIC_ASSERT (3 * 33 + 5 * 17 + 3 * LIMIT_NAME_BYTES + HOP_SAMPLES_MAX * SAMPLE_BYTES +
+                     5 * (DIGITS_U64_BYTES + 1) <
                  HOP_VALUE_BYTES);
 G_STATIC_ASSERT (HOP_HEADER_COUNT *(sizeof (hop_header_t) + 4) <= HOP_HEADERS_MAX_BYTES);
-G_STATIC_ASSERT (LIM_SUSPECT_CRASHES == 2); /* they are written as a pair */
+G_STATIC_ASSERT (LIMIT_SUSPECT_CRASHES == 2); /* they are written as a pair */
 
 #define FLAG_HAS_CHAT (1U << 0)
 #define FLAG_MAY_WAIT (1U << 1)
@@ -82,7 +82,7 @@
 parse_hash (const char *text, uint64_t *out)
 {
   *out = 0;
-  return text[0] == '\0' || (strlen (text) == DGT_HEX_BYTES && dgt_parse_hex (text, out));
+  return text[0] == '\0' || (strlen (text) == DIGITS_HEX_BYTES && digits_parse_hex (text, out));
 }
 
 static bool
@@ -109,9 +109,9 @@
 }
 
 static bool
-parse_name (const char *text, char out[LIM_NAME_BYTES])
+parse_name (const char *text, char out[LIMIT_NAME_BYTES])
 {
-  return text[0] != '\0' && g_strlcpy (out, text, LIM_NAME_BYTES) < LIM_NAME_BYTES;
+  return text[0] != '\0' && g_strlcpy (out, text, LIMIT_NAME_BYTES) < LIMIT_NAME_BYTES;
 }
 
 /* Splits @text in place. Return: the number of parts, or @max + 1 when there are more than @max */
@@ -206,7 +206,7 @@
 static char *
 write_hash (char *out, uint64_t value)
 {
-  return value != 0 ? dgt_hex (out, value) : out;
+  return value != 0 ? digits_write_hex (out, value) : out;
 }
 
 static char *
@@ -225,15 +225,15 @@
 
       if (i > 0)
         *out++ = ',';
-      out = dgt_hex (out, sample->engine_hash);
+      out = digits_write_hex (out, sample->engine_hash);
       *out++ = '/';
-      out = dgt_u64 (out, sample->load);
+      out = digits_write_u64 (out, sample->load);
       *out++ = '/';
-      out = dgt_u64 (out, sample->waiting);
+      out = digits_write_u64 (out, sample->waiting);
       *out++ = '/';
-      out = dgt_u64 (out, sample->cost);
+      out = digits_write_u64 (out, sample->cost);
       *out++ = '/';
-      out = dgt_u64 (out, sample->age_ms);
+      out = digits_write_u64 (out, sample->age_ms);
     }
   return out;
 }
@@ -243,7 +243,7 @@
 {
   if (pair[0] == 0 && pair[1] == 0)
     return out;
-  return dgt_hex (dgt_hex (out, pair[0]), pair[1]);
+  return digits_write_hex (digits_write_hex (out, pair[0]), pair[1]);
 }
 
 static char *
@@ -274,17 +274,17 @@
     case FIELD_CRASHED:
       return write_pair (out, hop->crashed);
     case FIELD_VERSION:
-      return dgt_u64 (out, hop->version);
+      return digits_write_u64 (out, hop->version);
     case FIELD_LOADS:
       return write_samples (out, hop);
     case FIELD_DEADLINE:
-      return dgt_u64 (out, hop->deadline_ms);
+      return digits_write_u64 (out, hop->deadline_ms);
     case FIELD_PROMPT:
-      return dgt_u64 (out, hop->prompt_tokens);
+      return digits_write_u64 (out, hop->prompt_tokens);
     case FIELD_OUTPUT:
-      return dgt_u64 (out, hop->output_tokens);
+      return digits_write_u64 (out, hop->output_tokens);
     default:
-      return dgt_u64 (out, pack_flags (hop));
+      return digits_write_u64 (out, pack_flags (hop));
     }
 }
 
@@ -346,14 +346,14 @@
 void
 hop_format_attempt (const uint64_t attempt[2], char out[33])
 {
-  *dgt_hex (dgt_hex (out, attempt[0]), attempt[1]) = '\0';
+  *digits_write_hex (digits_write_hex (out, attempt[0]), attempt[1]) = '\0';
 }
 
 bool
 hop_parse_attempt (const char *text, uint64_t attempt[2])
 {
-  return strlen (text) == 2 * DGT_HEX_BYTES && dgt_parse_hex (text, &attempt[0]) &&
-         dgt_parse_hex (text + DGT_HEX_BYTES, &attempt[1]);
+  return strlen (text) == 2 * DIGITS_HEX_BYTES && digits_parse_hex (text, &attempt[0]) &&
+         digits_parse_hex (text + DIGITS_HEX_BYTES, &attempt[1]);
 }
 
 unsigned int
--- a/src/request/hop.h
+++ b/src/request/hop.h
@@ -85,16 +85,16 @@
 typedef struct
 {
   uint64_t attempt[2];
-  char service[LIM_NAME_BYTES];
-  char account[LIM_NAME_BYTES];
-  char class_name[LIM_NAME_BYTES];
+  char service[LIMIT_NAME_BYTES];
+  char account[LIMIT_NAME_BYTES];
+  char class_name[LIMIT_NAME_BYTES];
   uint64_t chat_hash;
   uint64_t home_hash;
   uint64_t former_hash;
   uint64_t fingerprint;
   uint64_t key_hash[2];
   uint64_t body_hash;
-  uint64_t crashed[LIM_SUSPECT_CRASHES];
+  uint64_t crashed[LIMIT_SUSPECT_CRASHES];
   uint64_t version;
   hop_sample_t samples[HOP_SAMPLES_MAX];
   uint32_t sample_count;
--- a/src/request/messages.c
+++ b/src/request/messages.c
@@ -3,13 +3,13 @@
 #include <glib.h>
 
 static void
-free_plain (mbx_message_t *message)
+free_plain (mailbox_message_t *message)
 {
   g_free (message);
 }
 
 static void
-free_version (mbx_message_t *message)
+free_version (mailbox_message_t *message)
 {
   message_version_t *version = (message_version_t *)message;
 
@@ -19,7 +19,7 @@
 }
 
 static void
-free_members (mbx_message_t *message)
+free_members (mailbox_message_t *message)
 {
   message_members_t *members = (message_members_t *)message;
 
@@ -62,7 +62,7 @@
 void *
 message_new (message_kind_t kind)
 {
-  mbx_message_t *message = g_malloc0 (message_bytes (kind));
+  mailbox_message_t *message = g_malloc0 (message_bytes (kind));
 
   message->kind = kind;
   message->free = free_plain;
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -2,7 +2,8 @@
  * DOC: messages
  *
  * The messages between the control task and the data task of a daemon. Each struct starts with an
- * mbx_message_t. message_new() allocates one; its free callback drops the references that it holds.
+ * mailbox_message_t. message_new() allocates one; its free callback drops the references that it
+ * holds.
  */
 #ifndef REQUEST_MESSAGES_H
 #define REQUEST_MESSAGES_H
@@ -23,7 +24,8 @@
   MESSAGE_CRASH_MARKS,  /* message_crash_marks_t: crash marks received from a peer */
   MESSAGE_CLAIM_RESULT, /* message_claim_result_t: the answer to a MESSAGE_CLAIM */
   MESSAGE_FRESHNESS, /* message_flag_t: off after a pause, on when the daemon's knowledge is current
-                    again; pse_fresh() decides from @at_us whether that holds (base/pause.h) */
+                    again; pause_mark_fresh() decides from @at_us whether that holds (base/pause.h)
+                  */
   MESSAGE_DRAIN,     /* message_flag_t: stop gracefully */
   /* data task to control task */
   MESSAGE_CLAIM,           /* message_claim_t: claim an idempotency key */
@@ -44,14 +46,14 @@
  */
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   manifest_t *man;
   uint64_t next_offset;
 } message_version_t;
 
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   membership_snapshot_t *members;
 } message_members_t;
 
@@ -59,15 +61,15 @@
  * peers send to @taken_us on the clock of this process */
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   uint32_t count;
-  load_sample_t samples[LIM_SAMPLES_PER_MESSAGE];
+  load_sample_t samples[LIMIT_LOAD_SAMPLES_PER_MESSAGE];
 } message_load_samples_t;
 
 #define MESSAGE_CRASH_MARKS_MAX 4
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   uint32_t count;
   suspect_mark_t marks[MESSAGE_CRASH_MARKS_MAX];
 } message_crash_marks_t;
@@ -80,7 +82,7 @@
  */
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   char stream[160];
   uint64_t claim_id[2];
   claim_key_t key;
@@ -90,7 +92,7 @@
 
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   claim_result_t result;
 } message_claim_result_t;
 
@@ -100,7 +102,7 @@
  */
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   char stream[160];
   uint64_t claim_id[2];
   claim_key_t key;
@@ -115,7 +117,7 @@
  */
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   bool on;
   uint64_t at_us;
 } message_flag_t;
--- a/src/request/ops.c
+++ b/src/request/ops.c
@@ -7,7 +7,7 @@
 
 #define DRAIN_POLL_MS 20
 
-static const struct timeval TICK_INTERVAL = { .tv_usec = PSE_TICK_MS * 1000 };
+static const struct timeval TICK_INTERVAL = { .tv_usec = PAUSE_CHECK_INTERVAL_MS * 1000 };
 static const struct timeval DRAIN_POLL_INTERVAL = { .tv_usec = DRAIN_POLL_MS * 1000 };
 
 static void
@@ -25,7 +25,7 @@
 
   flag->on = true;
   flag->at_us = at_us;
-  mbx_send (data_task->options.dmn->to_control, &flag->head);
+  mailbox_send (data_task->options.daemon->to_control, &flag->head);
 }
 
 static void
@@ -56,7 +56,7 @@
   if (data_task->draining)
     return;
   data_task->draining = true;
-  data_task->linger_until_us = data_task_now_us (data_task) + DATA_TASK_LINGER_MS * CLK_US_PER_MS;
+  data_task->linger_until_us = data_task_now_us (data_task) + DATA_TASK_LINGER_MS * CLOCK_US_PER_MS;
   data_task->options.stopping (data_task->options.context);
   event_add (data_task->drain_poll, &DRAIN_POLL_INTERVAL);
 }
@@ -82,9 +82,9 @@
 set_freshness (data_task_t *data_task, const message_flag_t *flag)
 {
   if (flag->on)
-    pse_fresh (&data_task->pse, flag->at_us);
+    pause_mark_fresh (&data_task->pause, flag->at_us);
   else
-    pse_wake (&data_task->pse, flag->at_us);
+    pause_mark_woken (&data_task->pause, flag->at_us);
 }
 
 /* The limits of a sidecar leave room for the headers that a router adds: a request that is just
@@ -92,12 +92,12 @@
 static http_server_options_t
 listener_options (data_task_t *data_task)
 {
-  const set_t *set = &data_task->options.dmn->set;
-  bool sidecar = set->role == SET_ROLE_SIDECAR;
+  const settings_t *set = &data_task->options.daemon->set;
+  bool sidecar = set->role == SETTINGS_ROLE_SIDECAR;
 
   return (http_server_options_t){
     .base = data_task->options.base,
-    .counters = data_task->options.dmn->counters,
+    .counters = data_task->options.daemon->counters,
     .listen = set->listen,
     .body_limit_bytes = set->body_limit_bytes,
     .header_limit_bytes = set->header_limit_bytes + (sidecar ? HOP_HEADERS_MAX_BYTES : 0),
@@ -117,7 +117,8 @@
 
   data_task->options = *options;
   data_task->decisions = decision_ring_new (DECISION_RING_CAPACITY);
-  pse_init (&data_task->pse, data_task_now_us (data_task), options->dmn->set.exchange_interval_ms);
+  pause_init (&data_task->pause, data_task_now_us (data_task),
+              options->daemon->set.exchange_interval_ms);
   listen = listener_options (data_task);
   data_task->http_server = http_server_new (&listen, error);
   if (data_task->http_server == NULL)
@@ -128,8 +129,8 @@
     }
   data_task->listening = true;
   data_task->control_bytes =
-      cnt_get (options->dmn->counters, "medlarplank_control_bytes_sent_total",
-               "Bytes of control traffic sent, with headers");
+      counter_get (options->daemon->counters, "medlarplank_control_bytes_sent_total",
+                   "Bytes of control traffic sent, with headers");
   data_task->tick = event_new (options->base, -1, EV_PERSIST, on_tick, data_task);
   data_task->drain_poll = event_new (options->base, -1, EV_PERSIST, on_drain_poll, data_task);
   event_add (data_task->tick, &TICK_INTERVAL);
@@ -153,7 +154,7 @@
 }
 
 bool
-data_task_handle_message (data_task_t *data_task, mbx_message_t *message)
+data_task_handle_message (data_task_t *data_task, mailbox_message_t *message)
 {
   switch ((message_kind_t)message->kind)
     {
@@ -197,20 +198,20 @@
 uint64_t
 data_task_now_us (const data_task_t *data_task)
 {
-  return clk_now_us (&data_task->options.dmn->clk);
+  return clock_now_us (&data_task->options.daemon->clock);
 }
 
 bool
 data_task_is_stale (data_task_t *data_task)
 {
-  if (pse_check (&data_task->pse, data_task_now_us (data_task)))
+  if (pause_check (&data_task->pause, data_task_now_us (data_task)))
     {
       log_event (LOG_LEVEL_WARNING, "woke", "task", "data", NULL);
-      send_flag (data_task, MESSAGE_PAUSE_DETECTED, data_task->pse.woke_us);
+      send_flag (data_task, MESSAGE_PAUSE_DETECTED, data_task->pause.woke_us);
       data_task->options.changed (data_task->options.context);
     }
-  return pse_stale (&data_task->pse) ||
-         pse_settling (&data_task->pse, data_task_now_us (data_task));
+  return pause_is_stale (&data_task->pause) ||
+         pause_is_settling (&data_task->pause, data_task_now_us (data_task));
 }
 
 bool
@@ -222,7 +223,7 @@
 void
 data_task_count_control_bytes (data_task_t *data_task, uint32_t bytes)
 {
-  cnt_add (data_task->control_bytes, bytes);
+  counter_add (data_task->control_bytes, bytes);
 }
 
 const manifest_account_t *
--- a/src/request/ops.h
+++ b/src/request/ops.h
@@ -33,7 +33,7 @@
 
 /**
  * struct data_task_options - options of data_task_new()
- * @dmn: settings, clock, counters and mailboxes of the daemon; borrowed
+ * @daemon: settings, clock, counters and mailboxes of the daemon; borrowed
  * @on_call: handles a request whose path is not one for operators
  * @on_sealed: handles a call below DATA_TASK_ADMIN_PREFIX whose path is not handled here, after its
  * seal was checked. Return: whether it responded
@@ -46,7 +46,7 @@
  */
 typedef struct
 {
-  dmn_t *dmn;
+  daemon_t *daemon;
   struct event_base *base;
   void (*on_call) (http_server_call_t *call, void *context);
   bool (*on_sealed) (http_server_call_t *call, const char *path, void *context);
@@ -64,7 +64,7 @@
 void data_task_free (data_task_t *data_task);
 /** data_task_handle_message() - handles a message of the control task. Return: false if it is for
  * the role */
-bool data_task_handle_message (data_task_t *data_task, mbx_message_t *message);
+bool data_task_handle_message (data_task_t *data_task, mailbox_message_t *message);
 
 /** data_task_manifest() - the manifest in force, borrowed; NULL before the first one */
 manifest_t *data_task_manifest (const data_task_t *data_task);
--- a/src/request/ops_private.h
+++ b/src/request/ops_private.h
@@ -18,7 +18,7 @@
  * @man: manifest in force, or NULL before the first one
  * @man_next_offset: offset in the manifest stream after the record of @man
  * @members: list of hosts in force, or NULL before the first one
- * @pse: whether the task woke from a pause and its knowledge may be out of date
+ * @pause: whether the task woke from a pause and its knowledge may be out of date
  * @draining: a graceful stop began
  * @listening: the listener accepts connections
  * @drained: the control task was told that nothing is in flight any more
@@ -33,14 +33,14 @@
   uint64_t man_next_offset;
   membership_snapshot_t *members;
   decision_ring_t *decisions;
-  pse_t pse;
+  pause_detector_t pause;
   bool draining;
   bool listening;
   bool drained;
   uint64_t linger_until_us;
   struct event *tick;
   struct event *drain_poll;
-  cnt_t *control_bytes;
+  counter_t *control_bytes;
 };
 
 /** data_task_serve() - handles one call to the listener */
--- a/src/request/ops_serve.c
+++ b/src/request/ops_serve.c
@@ -32,7 +32,7 @@
 {
   GString *out = g_string_new (NULL);
 
-  cnt_write (data_task->options.dmn->counters, out);
+  counter_registry_write (data_task->options.daemon->counters, out);
   http_server_reply_text (call, 200, "text/plain; version=0.0.4", out->str);
   g_string_free (out, TRUE);
 }
@@ -40,14 +40,15 @@
 static void
 serve_status (data_task_t *data_task, http_server_call_t *call)
 {
-  const dmn_t *dmn = data_task->options.dmn;
+  const daemon_t *daemon = data_task->options.daemon;
   uint64_t version = data_task->man != NULL ? data_task->man->version : 0;
   uint32_t hosts = data_task->members != NULL ? data_task->members->host_count : 0;
-  json_t *json = json_pack ("{s:s,s:s,s:I,s:I,s:i,s:b,s:b,s:b}", "name", dmn->set.name, "role",
-                            dmn->set.role == SET_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
-                            (json_int_t)dmn->incarnation, "version", (json_int_t)version, "hosts",
-                            (int)hosts, "ready", (int)is_ready (data_task), "draining",
-                            (int)data_task->draining, "stale", (int)data_task_is_stale (data_task));
+  json_t *json =
+      json_pack ("{s:s,s:s,s:I,s:I,s:i,s:b,s:b,s:b}", "name", daemon->set.name, "role",
+                 daemon->set.role == SETTINGS_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
+                 (json_int_t)daemon->incarnation, "version", (json_int_t)version, "hosts",
+                 (int)hosts, "ready", (int)is_ready (data_task), "draining",
+                 (int)data_task->draining, "stale", (int)data_task_is_stale (data_task));
 
   data_task->options.status (json, data_task->options.context);
   reply_json (call, json);
@@ -63,7 +64,7 @@
     }
   char seal[ANSWER_SEAL_BYTES];
   g_autofree char *body =
-      manifest_sync_format (data_task->options.dmn->set.fleet_key,
+      manifest_sync_format (data_task->options.daemon->set.fleet_key,
                             http_server_request_header (call, ANSWER_SEAL_NONCE_HEADER),
                             data_task->man, data_task->man_next_offset, seal);
 
@@ -122,8 +123,8 @@
   message_flag_t *leave = message_new (MESSAGE_LEAVE_ORDERED);
 
   leave->on = true;
-  mbx_send (data_task->options.dmn->to_control, &leave->head);
-  log_event (LOG_LEVEL_NOTICE, "drain_ordered", "name", data_task->options.dmn->set.name, NULL);
+  mailbox_send (data_task->options.daemon->to_control, &leave->head);
+  log_event (LOG_LEVEL_NOTICE, "drain_ordered", "name", data_task->options.daemon->set.name, NULL);
   http_server_reply_text (call, 202, "text/plain", "leaving\n");
 }
 
@@ -148,7 +149,7 @@
 static bool
 has_valid_seal (data_task_t *data_task, http_server_call_t *call)
 {
-  const set_t *set = &data_task->options.dmn->set;
+  const settings_t *set = &data_task->options.daemon->set;
   sealed_call_t order = { .host = set->name,
                           .method = http_server_method (call),
                           .target = http_server_target (call) };
@@ -161,14 +162,14 @@
 static bool
 has_valid_drain_seal (data_task_t *data_task, http_server_call_t *call)
 {
-  const dmn_t *dmn = data_task->options.dmn;
+  const daemon_t *daemon = data_task->options.daemon;
   const char *text = http_server_query_value (call, "time");
   guint64 time_s;
 
   if (text == NULL || !g_ascii_string_to_unsigned (text, 10, 0, UINT64_MAX, &time_s, NULL))
     return false;
-  return admin_seal_check (dmn->set.fleet_key, ADMIN_SEAL_DRAIN, dmn->set.name, time_s,
-                           clk_wall_ms (&dmn->clk) / 1000,
+  return admin_seal_check (daemon->set.fleet_key, ADMIN_SEAL_DRAIN, daemon->set.name, time_s,
+                           clock_wall_ms (&daemon->clock) / 1000,
                            http_server_request_header (call, ADMIN_SEAL_HEADER));
 }
 
--- a/src/request/policy/admit.c
+++ b/src/request/policy/admit.c
@@ -122,10 +122,10 @@
 {
   admission_t *admission = g_new0 (admission_t, 1);
   admission->options = *options;
-  admission->queue = fair_queue_new (LIM_QUEUE_TOTAL);
+  admission->queue = fair_queue_new (LIMIT_QUEUED);
   fair_queue_set_credit (admission->queue, (uint64_t)options->slots * ADMISSION_CREDIT_MS);
-  admission->directory = chat_directory_new (LIM_DIRECTORY_ENTRIES);
-  admission->suspects = suspect_new (LIM_SUSPECTS, ADMISSION_SUSPECT_LIFETIME_US);
+  admission->directory = chat_directory_new (LIMIT_DIRECTORY_ENTRIES);
+  admission->suspects = suspect_new (LIMIT_SUSPECTS, ADMISSION_SUSPECT_LIFETIME_US);
   admission->rng = options->seed | 1;
   load_samples_init (&admission->mean, options->seed);
   return admission;
@@ -182,7 +182,7 @@
   request->running = false;
   request->item.owner = request;
   request->item.queued_us = now_us;
-  request->item.cost = (uint32_t)(admission_duration_us (admission, request) / CLK_US_PER_MS);
+  request->item.cost = (uint32_t)(admission_duration_us (admission, request) / CLOCK_US_PER_MS);
   /* Checked first, also while the engine admits nothing: routers count these rejections and end a
    * request that has crashed the maximum of engines. */
   if (admission_reject_suspect (admission, now_us, request, bound_milli, &decision))
@@ -256,7 +256,7 @@
   /* The estimate depends on the class that the client declares, so what a request took beyond it is
    * charged to the account. */
   fair_queue_charge_excess (admission->queue, &request->item,
-                            (now_us - request->dispatched_us) / CLK_US_PER_MS);
+                            (now_us - request->dispatched_us) / CLOCK_US_PER_MS);
   if (is_cached)
     admission_note_cached (admission, now_us, request);
 }
--- a/src/request/policy/admit.h
+++ b/src/request/policy/admit.h
@@ -39,13 +39,13 @@
 /* Maximum credit of an account that was served less than others, as a time of all slots. */
 #define ADMISSION_CREDIT_MS 2000
 /* After this time without requests of another account, one account may use the reserved slots. */
-#define ADMISSION_SINGLE_ACCOUNT_US (60 * (uint64_t)CLK_US_PER_S)
+#define ADMISSION_SINGLE_ACCOUNT_US (60 * (uint64_t)CLOCK_US_PER_S)
 /* Cost of a cold start relative to a wait of the same duration: it also uses time of an engine. */
 #define ADMISSION_COLD_START_WEIGHT 2
 /* Cache lifetimes for which requests are referred to an engine that may have their context. */
 #define ADMISSION_REFERRAL_LIFETIMES 2
 /* Time for which a request that crashed an engine is remembered. */
-#define ADMISSION_SUSPECT_LIFETIME_US (30 * 60 * (uint64_t)CLK_US_PER_S)
+#define ADMISSION_SUSPECT_LIFETIME_US (30 * 60 * (uint64_t)CLOCK_US_PER_S)
 /* Time per output token, to estimate the duration of a request before it is measured. */
 #define ADMISSION_TOKEN_US 30000
 /* Limits of the retry time, before up to half is added at random. */
@@ -150,7 +150,7 @@
 {
   admission_action_t action;
   verdict_reason_t reason;
-  uint64_t referrals[LIM_REFERRALS];
+  uint64_t referrals[LIMIT_REFERRALS];
   uint32_t referral_count;
   uint32_t retry_after_ms;
   uint32_t load;
--- a/src/request/policy/admit_bound.c
+++ b/src/request/policy/admit_bound.c
@@ -37,7 +37,7 @@
        * request at a time. Later it means that the exchange of samples is down; then only the slots
        * limit the load, since rejecting requests on all engines would be an outage. */
       const bool just_joined =
-          admission->joined_us != 0 && now_us < admission->joined_us + LIM_SAMPLE_AGE_US;
+          admission->joined_us != 0 && now_us < admission->joined_us + LIMIT_LOAD_SAMPLE_AGE_US;
       return just_joined ? MILLI : slots_milli;
     }
   const uint64_t margin = estimate->margin_milli + load_drift_margin_milli (&admission->drift);
@@ -76,7 +76,7 @@
 {
   if (admission->options.prefill_tokens_s == 0)
     return 0;
-  return (uint64_t)tokens * CLK_US_PER_S / admission->options.prefill_tokens_s;
+  return (uint64_t)tokens * CLOCK_US_PER_S / admission->options.prefill_tokens_s;
 }
 
 uint64_t
--- a/src/request/policy/admit_refuse.c
+++ b/src/request/policy/admit_refuse.c
@@ -5,7 +5,7 @@
 static uint32_t
 retry_after_ms (admission_t *admission, uint64_t after_us)
 {
-  uint64_t after_ms = after_us / CLK_US_PER_MS;
+  uint64_t after_ms = after_us / CLOCK_US_PER_MS;
   after_ms = CLAMP (after_ms, ADMISSION_RETRY_MIN_MS, ADMISSION_RETRY_MAX_MS);
   return (uint32_t)(after_ms + referral_random (&admission->rng) % (after_ms / 2));
 }
@@ -46,7 +46,7 @@
       admission_make_decision (admission, ADMISSION_REJECT, reason, bound_milli);
   admission_add_referrals (admission, now_us, (uint64_t)admission->options.slots * MILLI,
                            &decision);
-  decision.retry_after_ms = retry_after_ms (admission, CLK_US_PER_S);
+  decision.retry_after_ms = retry_after_ms (admission, CLOCK_US_PER_S);
   return decision;
 }
 
--- a/src/request/policy/attempt.c
+++ b/src/request/policy/attempt.c
@@ -164,7 +164,7 @@
 static void
 add_referrals (forwarding_t *forwarding, const forwarding_outcome_t *outcome)
 {
-  uint32_t count = MIN (outcome->referral_count, LIM_REFERRALS);
+  uint32_t count = MIN (outcome->referral_count, LIMIT_REFERRALS);
 
   for (uint32_t i = 0; i < count; i++)
     insert_target (forwarding, i,
@@ -189,7 +189,7 @@
 static void
 restart_targets (forwarding_t *forwarding)
 {
-  forwarding->hop_limit = MIN (forwarding->hops + LIM_HOPS, LIM_HOPS_MOST);
+  forwarding->hop_limit = MIN (forwarding->hops + LIMIT_HOPS, LIMIT_HOPS_EXTENDED);
   forwarding->tried[0] = forwarding->last_engine;
   forwarding->tried_count = 1;
   forwarding->target_next = 0;
@@ -221,7 +221,7 @@
 {
   if (forwarding->last_reason == VERDICT_REASON_CUT)
     forwarding->broken++;
-  return forwarding->broken >= LIM_SUSPECT_CRASHES;
+  return forwarding->broken >= LIMIT_SUSPECT_CRASHES;
 }
 
 /* retry() - retries the request if allowed, after an attempt that may have been executed */
@@ -248,9 +248,9 @@
   for (uint32_t i = 0; i < forwarding->crashed_count; i++)
     if (forwarding->crashed[i] == forwarding->last_engine)
       return false;
-  if (forwarding->crashed_count < LIM_SUSPECT_CRASHES)
+  if (forwarding->crashed_count < LIMIT_SUSPECT_CRASHES)
     forwarding->crashed[forwarding->crashed_count++] = forwarding->last_engine;
-  return forwarding->crashed_count == LIM_SUSPECT_CRASHES;
+  return forwarding->crashed_count == LIMIT_SUSPECT_CRASHES;
 }
 
 static forwarding_reserve_t *
@@ -321,11 +321,11 @@
   forwarding->account_hash = options->account_hash;
   forwarding->deadline_us = options->deadline_us;
   forwarding->last_reason = VERDICT_REASON_NO_ENGINE;
-  forwarding->hop_limit = LIM_HOPS;
+  forwarding->hop_limit = LIMIT_HOPS;
   forwarding->target_count = MIN (options->candidate_count, FORWARDING_CANDIDATES_MAX);
   for (uint32_t i = 0; i < forwarding->target_count; i++)
     forwarding->targets[i].engine_hash = options->candidates[i];
-  for (uint32_t i = 0; options->crashed != NULL && i < LIM_SUSPECT_CRASHES; i++)
+  for (uint32_t i = 0; options->crashed != NULL && i < LIMIT_SUSPECT_CRASHES; i++)
     if (options->crashed[i] != 0)
       forwarding->crashed[forwarding->crashed_count++] = options->crashed[i];
   return next_step (forwarding, now_us);
--- a/src/request/policy/attempt.h
+++ b/src/request/policy/attempt.h
@@ -68,8 +68,8 @@
  * @deadline_us: deadline of its client
  * @candidates: hashes of the engines to try, best first; copied
  * @candidate_count: number of @candidates
- * @crashed: array of %LIM_SUSPECT_CRASHES hashes of engines that crashed on this request before, 0
- *   for an unused entry; NULL if there are none
+ * @crashed: array of %LIMIT_SUSPECT_CRASHES hashes of engines that crashed on this request before,
+ * 0 for an unused entry; NULL if there are none
  */
 typedef struct
 {
@@ -160,13 +160,14 @@
   bool may_have_run;
   uint64_t account_hash;
   uint64_t deadline_us;
-  forwarding_target_t targets[FORWARDING_CANDIDATES_MAX + LIM_HOPS_MOST * (LIM_REFERRALS + 1)];
+  forwarding_target_t
+      targets[FORWARDING_CANDIDATES_MAX + LIMIT_HOPS_EXTENDED * (LIMIT_REFERRALS + 1)];
   uint32_t target_count;
   uint32_t target_next;
-  uint64_t tried[LIM_HOPS_MOST + 2];
+  uint64_t tried[LIMIT_HOPS_EXTENDED + 2];
   uint32_t tried_count;
   uint64_t queue_engine;
-  uint64_t crashed[LIM_SUSPECT_CRASHES];
+  uint64_t crashed[LIMIT_SUSPECT_CRASHES];
   uint32_t crashed_count;
   uint32_t broken;
   uint64_t last_engine;
--- a/src/request/policy/claim.c
+++ b/src/request/policy/claim.c
@@ -11,10 +11,10 @@
 #include <xxhash.h>
 
 /* A claim whose append was lost is given up after this time, unless it is read back. */
-#define LOST_APPEND_WAIT_US CLK_US_PER_S
+#define LOST_APPEND_WAIT_US CLOCK_US_PER_S
 /* While appends fail and no other entry is queued, one new claim per interval is appended to find
  * out whether the log works again. */
-#define PROBE_INTERVAL_US CLK_US_PER_S
+#define PROBE_INTERVAL_US CLOCK_US_PER_S
 /* This many refusals in a row are not a short peak of load: clients must not wait for its end. */
 #define REFUSALS_MAX 5
 /* The first read after the loss may have been sent before it, and so not show the append; the
@@ -155,7 +155,7 @@
          const claim_key_t *key,
          uint32_t status)
 {
-  if (claim_stream->queue.length >= LIM_CLAIM_QUEUE)
+  if (claim_stream->queue.length >= LIMIT_CLAIM_QUEUE_ENTRIES)
     return;
   queued_entry_t *entry = g_new0 (queued_entry_t, 1);
   entry->fields.kind = kind;
@@ -292,7 +292,7 @@
 static void
 fill_batch (claim_stream_t *claim_stream)
 {
-  while (claim_stream->batch.length < LIM_CLAIM_ENTRIES && claim_stream->queue.length > 0)
+  while (claim_stream->batch.length < LIMIT_CLAIM_RECORD_ENTRIES && claim_stream->queue.length > 0)
     {
       queued_entry_t *entry = pop_queue (claim_stream);
       if (!is_wanted (claim_stream, entry))
@@ -343,8 +343,8 @@
 static uint64_t
 expected_answer_us (const claim_stream_t *claim_stream)
 {
-  uint32_t batches =
-      claim_stream->queue.length / LIM_CLAIM_ENTRIES + (claim_stream->batch.length > 0 ? 1 : 0);
+  uint32_t batches = claim_stream->queue.length / LIMIT_CLAIM_RECORD_ENTRIES +
+                     (claim_stream->batch.length > 0 ? 1 : 0);
   return claim_pace_expected_answer_us (&claim_stream->pace, claim_stream->now_us, batches);
 }
 
@@ -368,7 +368,7 @@
 claim_new (uint64_t horizon_us)
 {
   claim_stream_t *claim_stream = g_new0 (claim_stream_t, 1);
-  claim_stream->keys = claim_keys_new ((uint32_t)(horizon_us / CLK_US_PER_S));
+  claim_stream->keys = claim_keys_new ((uint32_t)(horizon_us / CLOCK_US_PER_S));
   claim_stream->pending = g_hash_table_new_full (id_hash, id_equal, NULL, g_free);
   claim_stream->horizon_us = horizon_us;
   claim_stream->next_give_up_us = UINT64_MAX;
@@ -404,9 +404,9 @@
 static bool
 may_accept (const claim_stream_t *claim_stream, const pending_claim_t *claim)
 {
-  if (g_hash_table_size (claim_stream->pending) >= LIM_CLAIMS_WAITING)
+  if (g_hash_table_size (claim_stream->pending) >= LIMIT_PENDING_CLAIMS)
     return false;
-  if (claim_stream->queue.length >= LIM_CLAIM_QUEUE)
+  if (claim_stream->queue.length >= LIMIT_CLAIM_QUEUE_ENTRIES)
     return false;
   if (expected_answer_us (claim_stream) >= claim->send_by_us)
     return false;
@@ -433,7 +433,7 @@
   memcpy (claim.claim_id, claim_id, sizeof claim.claim_id);
   /* The request must not start when its key may have been forgotten already. */
   claim.expiry_us = MIN (expiry_us, now_us + claim_stream->horizon_us / 2);
-  claim.send_by_us = MIN (claim.expiry_us, now_us + LIM_CLAIM_WAIT_US);
+  claim.send_by_us = MIN (claim.expiry_us, now_us + LIMIT_CLAIM_WAIT_US);
   claim.give_up_us = claim.expiry_us;
   claim_keys_verdict_t known = claim_keys_check_finished (claim_stream->keys, key);
   if (known.verdict != CLAIM_PENDING)
@@ -490,7 +490,7 @@
   if (claim_stream->batch.length == 0)
     return NULL;
   claim_pace_append_started (&claim_stream->pace, claim_stream->now_us);
-  claim_entry_t records[LIM_CLAIM_ENTRIES];
+  claim_entry_t records[LIMIT_CLAIM_RECORD_ENTRIES];
   uint32_t count = 0;
   for (GList *link = claim_stream->batch.head; link != NULL; link = link->next)
     {
@@ -608,9 +608,9 @@
   if (claim_stream->queue.length == 0 || claim_stream->batch.length > 0)
     return UINT64_MAX;
   bool defer = claim_stream->deferred_count == claim_stream->queue.length &&
-               claim_stream->deferred_count < LIM_CLAIM_ENTRIES;
+               claim_stream->deferred_count < LIMIT_CLAIM_RECORD_ENTRIES;
   return MAX (claim_stream->pace.due_us,
-              defer ? claim_stream->deferred_since_us + LIM_CLAIM_HOLD_US : 0);
+              defer ? claim_stream->deferred_since_us + LIMIT_CLAIM_BATCH_DELAY_US : 0);
 }
 
 bool
--- a/src/request/policy/claim.h
+++ b/src/request/policy/claim.h
@@ -97,7 +97,7 @@
  * At most one append is in flight, and one of the next three functions tells its end. After
  * claim_append_lost() the entries that aren't found up to the end of the log are appended again,
  * with the same ids. Appends keep an interval (claim_pace.h). A done entry alone is deferred for up
- * to %LIM_CLAIM_HOLD_US, to share an append with the next claim or release.
+ * to %LIMIT_CLAIM_BATCH_DELAY_US, to share an append with the next claim or release.
  */
 char *claim_next_batch (claim_stream_t *claim_stream, uint64_t now_us, uint64_t wall_ms);
 /** claim_append_succeeded() - the append succeeded; its claims are granted once they are read back
--- a/src/request/policy/claim_pace.c
+++ b/src/request/policy/claim_pace.c
@@ -9,7 +9,7 @@
 #include <xxhash.h>
 
 /* Wait after a failure; it doubles with each further failure in a row. */
-#define BACKOFF_MIN_US (100 * CLK_US_PER_MS)
+#define BACKOFF_MIN_US (100 * CLOCK_US_PER_MS)
 /* How much one successful append raises the rate, in appends per second. */
 #define RATE_GAIN_PER_S 0.05
 /* The last round trip has a weight of one in this many in the average. */
@@ -28,7 +28,7 @@
 {
   g_assert (pace->failures > 0);
   const uint32_t doublings = MIN (pace->failures - 1, 16);
-  return MIN ((uint64_t)BACKOFF_MIN_US << doublings, LIM_CLAIM_BACKOFF_US);
+  return MIN ((uint64_t)BACKOFF_MIN_US << doublings, LIMIT_CLAIM_BACKOFF_US);
 }
 
 static void
@@ -42,7 +42,7 @@
 claim_pace_init (claim_pace_t *pace)
 {
   memset (pace, 0, sizeof *pace);
-  pace->interval_us = LIM_CLAIM_INTERVAL_MIN_US;
+  pace->interval_us = LIMIT_CLAIM_INTERVAL_MIN_US;
 }
 
 void
@@ -67,8 +67,8 @@
                                   ROUND_TRIP_SMOOTHING;
   pace->failures = 0;
   pace->refusals = 0;
-  double rate_per_s = CLK_US_PER_S / (double)pace->interval_us + RATE_GAIN_PER_S;
-  pace->interval_us = MAX ((uint64_t)(CLK_US_PER_S / rate_per_s), LIM_CLAIM_INTERVAL_MIN_US);
+  double rate_per_s = CLOCK_US_PER_S / (double)pace->interval_us + RATE_GAIN_PER_S;
+  pace->interval_us = MAX ((uint64_t)(CLOCK_US_PER_S / rate_per_s), LIMIT_CLAIM_INTERVAL_MIN_US);
   pace->due_us = pace->started_us + add_jitter (pace, pace->interval_us);
 }
 
@@ -77,7 +77,7 @@
 {
   pace->refusals++;
   pace->interval_us =
-      CLAMP (pace->interval_us * 2, BACKOFF_MIN_US, (uint64_t)LIM_CLAIM_INTERVAL_MAX_US);
+      CLAMP (pace->interval_us * 2, BACKOFF_MIN_US, (uint64_t)LIMIT_CLAIM_INTERVAL_MAX_US);
   back_off (pace, now_us);
 }
 
--- a/src/request/policy/claim_pace.h
+++ b/src/request/policy/claim_pace.h
@@ -8,7 +8,7 @@
  * So the rates of all daemons converge, and under load the batches grow instead of the number of
  * appends.
  *
- * After failures in a row the stream backs off for longer, up to %LIM_CLAIM_BACKOFF_US.
+ * After failures in a row the stream backs off for longer, up to %LIMIT_CLAIM_BACKOFF_US.
  */
 #ifndef REQUEST_POLICY_CLAIM_PACE_H
 #define REQUEST_POLICY_CLAIM_PACE_H
--- a/src/request/policy/claim_record.c
+++ b/src/request/policy/claim_record.c
@@ -40,10 +40,10 @@
 get_hex (const json_t *object, const char *name, uint64_t *out, uint32_t count)
 {
   const char *text = json_string_value (json_object_get (object, name));
-  if (text == NULL || strlen (text) != DGT_HEX_BYTES * count)
+  if (text == NULL || strlen (text) != DIGITS_HEX_BYTES * count)
     return false;
   for (uint32_t i = 0; i < count; i++)
-    if (!dgt_parse_hex (text + DGT_HEX_BYTES * i, &out[i]))
+    if (!digits_parse_hex (text + DIGITS_HEX_BYTES * i, &out[i]))
       return false;
   return true;
 }
--- a/src/request/policy/engines.h
+++ b/src/request/policy/engines.h
@@ -34,12 +34,12 @@
  */
 typedef struct
 {
-  char id[LIM_NAME_BYTES];
+  char id[LIMIT_NAME_BYTES];
   uint64_t born_ms;
   const char *service;
-  char data_center[LIM_NAME_BYTES];
+  char data_center[LIMIT_NAME_BYTES];
   const char *region;
-  set_address_t address;
+  address_t address;
   uint32_t slots;
   uint32_t cold_ms;
   engine_state_t state;
--- a/src/request/policy/line.c
+++ b/src/request/policy/line.c
@@ -87,7 +87,7 @@
 wait_queue_note_run (wait_queue_t *wait_queue, const wait_queue_item_t *item, uint64_t run_us)
 {
   wait_queue->run_us = smooth (wait_queue->run_us, run_us);
-  fair_queue_charge_excess (queue_of (wait_queue, item), &item->fair, run_us / CLK_US_PER_MS);
+  fair_queue_charge_excess (queue_of (wait_queue, item), &item->fair, run_us / CLOCK_US_PER_MS);
 }
 
 uint64_t
@@ -126,7 +126,7 @@
                     const wait_queue_capacity_t *room,
                     const wait_queue_item_t *item)
 {
-  uint64_t ahead_us = fair_queue_ahead (wait_queue->in_time, &item->fair).cost * CLK_US_PER_MS;
+  uint64_t ahead_us = fair_queue_ahead (wait_queue->in_time, &item->fair).cost * CLOCK_US_PER_MS;
 
   return wait_queue_share_us (room, ahead_us + wait_queue->run_us);
 }
@@ -268,7 +268,7 @@
   item->fair.weight = FAIR_QUEUE_WEIGHT_ONE;
   item->fair.priority = item->priority;
   item->fair.cost =
-      (uint32_t)((item->run_us ? item->run_us : wait_queue->run_us) / CLK_US_PER_MS) + 1;
+      (uint32_t)((item->run_us ? item->run_us : wait_queue->run_us) / CLOCK_US_PER_MS) + 1;
   item->fair.queue_limit = WAIT_QUEUE_LIMIT;
 }
 
--- a/src/request/policy/line.h
+++ b/src/request/policy/line.h
@@ -39,15 +39,15 @@
  * until now. */
 #define WAIT_QUEUE_CREDIT_MS 2000
 /* Time that a rejected client has left to retry elsewhere, in addition to that of a response. */
-#define WAIT_QUEUE_CLIENT_RETRY_US (100 * CLK_US_PER_MS)
+#define WAIT_QUEUE_CLIENT_RETRY_US (100 * CLOCK_US_PER_MS)
 /* Longer than requests wait after a few slow requests or the loss of an engine: rejecting any in
  * such a moment would reject requests that could be served. */
-#define WAIT_QUEUE_OVERLOAD_US (500 * CLK_US_PER_MS)
+#define WAIT_QUEUE_OVERLOAD_US (500 * CLOCK_US_PER_MS)
 /* An overload ends only when no request has waited for this time, since a gateway with 40 requests
  * per second has shorter moments without waiting requests also during an overload. */
-#define WAIT_QUEUE_CALM_US (250 * CLK_US_PER_MS)
+#define WAIT_QUEUE_CALM_US (250 * CLOCK_US_PER_MS)
 /* Half-life of the count of late starts, so that it follows a change of load within a second. */
-#define WAIT_QUEUE_LATE_HALF_LIFE_US (500 * CLK_US_PER_MS)
+#define WAIT_QUEUE_LATE_HALF_LIFE_US (500 * CLOCK_US_PER_MS)
 /* An overload is mild while at least this share of first attempts starts in time, in thousandths.
  * Late requests may then wait for as long as the overload is likely to last. */
 #define WAIT_QUEUE_MILD_OVERLOAD_MILLI 700
--- a/src/request/policy/mean.c
+++ b/src/request/policy/mean.c
@@ -19,7 +19,7 @@
 static bool
 is_fresh (const load_sample_t *sample, uint64_t now_us)
 {
-  return sample->taken_us + LIM_SAMPLE_AGE_US >= now_us;
+  return sample->taken_us + LIMIT_LOAD_SAMPLE_AGE_US >= now_us;
 }
 
 static uint32_t
@@ -137,7 +137,7 @@
                            uint64_t now_us)
 {
   const uint64_t since_us = table->idle_since_us[sample - table->samples];
-  return since_us != 0 && since_us + LIM_SAMPLE_AGE_US < now_us;
+  return since_us != 0 && since_us + LIMIT_LOAD_SAMPLE_AGE_US < now_us;
 }
 
 void
@@ -157,7 +157,7 @@
         set_sample (table, i, sample, false);
       return;
     }
-  if (table->count < LIM_SAMPLES_KEPT)
+  if (table->count < LIMIT_LOAD_SAMPLES)
     {
       set_sample (table, table->count++, sample, true);
       return;
@@ -183,7 +183,7 @@
                             const load_sample_t *own,
                             uint32_t engine_count)
 {
-  const load_sample_t *fresh[LIM_SAMPLES_KEPT];
+  const load_sample_t *fresh[LIMIT_LOAD_SAMPLES];
   uint64_t own_hash = own != NULL ? own->engine_hash : 0;
   uint32_t own_count = own != NULL ? 1 : 0;
   uint32_t sampled = collect_fresh (table, now_us, own_hash, fresh);
@@ -218,7 +218,7 @@
 uint32_t
 load_samples_pick (load_samples_t *table, uint64_t now_us, load_sample_t *out, uint32_t want)
 {
-  const load_sample_t *fresh[LIM_SAMPLES_KEPT];
+  const load_sample_t *fresh[LIMIT_LOAD_SAMPLES];
   uint32_t count = collect_fresh (table, now_us, 0, fresh);
   qsort (fresh, count, sizeof (load_sample_t *), compare_newest_first);
   /* Peers with the same samples should not all pass on the same ones. */
@@ -234,7 +234,7 @@
 load_samples_below_mean (
     load_samples_t *table, uint64_t now_us, uint64_t except_hash, uint64_t *out, uint32_t want)
 {
-  const load_sample_t *fresh[LIM_SAMPLES_KEPT];
+  const load_sample_t *fresh[LIMIT_LOAD_SAMPLES];
   uint32_t count = collect_fresh (table, now_us, except_hash, fresh);
   uint64_t mean_milli = load_samples_estimate_mean (table, now_us, NULL, 0).mean_milli;
   uint32_t room_count = 0;
--- a/src/request/policy/mean.h
+++ b/src/request/policy/mean.h
@@ -2,8 +2,8 @@
  * DOC: load_samples
  *
  * Load samples of the engines of a service, received in exchange messages, and the mean load
- * estimated from them. The newest sample of each engine counts, for %LIM_SAMPLE_AGE_US. At most
- * %LIM_SAMPLES_KEPT are kept, so neither memory nor messages grow with the fleet.
+ * estimated from them. The newest sample of each engine counts, for %LIMIT_LOAD_SAMPLE_AGE_US. At
+ * most %LIMIT_LOAD_SAMPLES are kept, so neither memory nor messages grow with the fleet.
  */
 #ifndef REQUEST_POLICY_MEAN_H
 #define REQUEST_POLICY_MEAN_H
@@ -46,8 +46,8 @@
  */
 typedef struct
 {
-  load_sample_t samples[LIM_SAMPLES_KEPT];
-  uint64_t idle_since_us[LIM_SAMPLES_KEPT];
+  load_sample_t samples[LIMIT_LOAD_SAMPLES];
+  uint64_t idle_since_us[LIMIT_LOAD_SAMPLES];
   uint32_t count;
   uint64_t rng;
 } load_samples_t;
@@ -72,7 +72,8 @@
  * oldest one when the table is full */
 void load_samples_add (load_samples_t *table, const load_sample_t *sample);
 /** load_samples_is_unreached() - whether the engine of @sample, which must be in @table, has had no
- * load for %LIM_SAMPLE_AGE_US; while the others are busy, this means that routers can't reach it */
+ * load for %LIMIT_LOAD_SAMPLE_AGE_US; while the others are busy, this means that routers can't
+ * reach it */
 bool load_samples_is_unreached (const load_samples_t *table,
                                 const load_sample_t *sample,
                                 uint64_t now_us);
@@ -83,10 +84,10 @@
  * @own: the load of this process's engine, or NULL when it has none
  * @engine_count: engines of the service, of which some may have no sample
  *
- * Engines without load for %LIM_SAMPLE_AGE_US are left out if they are at most half of the sampled
- * engines and the others have a mean of %LOAD_SAMPLES_BUSY_MEAN or more. Refusals name such engines
- * as having room, and still they get no requests, so routers can't reach them. Counting them would
- * keep the load bound of the others below the load that they have to carry.
+ * Engines without load for %LIMIT_LOAD_SAMPLE_AGE_US are left out if they are at most half of the
+ * sampled engines and the others have a mean of %LOAD_SAMPLES_BUSY_MEAN or more. Refusals name such
+ * engines as having room, and still they get no requests, so routers can't reach them. Counting
+ * them would keep the load bound of the others below the load that they have to carry.
  */
 load_samples_estimate_t load_samples_estimate_mean (const load_samples_t *table,
                                                     uint64_t now_us,
--- a/src/request/policy/member.c
+++ b/src/request/policy/member.c
@@ -127,7 +127,7 @@
 }
 
 static bool
-same_address (const set_address_t *a, const set_address_t *b)
+same_address (const address_t *a, const address_t *b)
 {
   return a->port == b->port && strcmp (a->ip, b->ip) == 0;
 }
--- a/src/request/policy/member.h
+++ b/src/request/policy/member.h
@@ -31,12 +31,12 @@
 /** struct membership_list_entry - one host of the platform's list */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   bool router; /* else a sidecar */
-  char data_center[LIM_NAME_BYTES];
-  char region[LIM_NAME_BYTES];
-  set_address_t http;     /* takes requests */
-  set_address_t exchange; /* takes datagrams of the exchange */
+  char data_center[LIMIT_NAME_BYTES];
+  char region[LIMIT_NAME_BYTES];
+  address_t http;     /* takes requests */
+  address_t exchange; /* takes datagrams of the exchange */
   membership_state_t state;
 } membership_list_entry_t;
 
@@ -71,13 +71,13 @@
  */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   uint64_t hash;
   bool router;
-  char data_center[LIM_NAME_BYTES];
-  char region[LIM_NAME_BYTES];
-  set_address_t http;
-  set_address_t exchange;
+  char data_center[LIMIT_NAME_BYTES];
+  char region[LIMIT_NAME_BYTES];
+  address_t http;
+  address_t exchange;
   membership_state_t state;
   uint64_t incarnation;
   uint64_t joined_us;
--- a/src/request/policy/refer.c
+++ b/src/request/policy/refer.c
@@ -7,7 +7,7 @@
 static bool
 is_fresh (const load_sample_t *sample, uint64_t now_us)
 {
-  return sample->taken_us + LIM_SAMPLE_AGE_US >= now_us;
+  return sample->taken_us + LIMIT_LOAD_SAMPLE_AGE_US >= now_us;
 }
 
 static bool
@@ -59,14 +59,14 @@
                        uint64_t *rng,
                        uint64_t *out)
 {
-  const load_sample_t *found[LIM_SAMPLES_KEPT];
+  const load_sample_t *found[LIMIT_LOAD_SAMPLES];
   uint32_t count = 0;
   for (uint32_t i = 0; i < table->count; i++)
     if (has_capacity (&table->samples[i], query))
       found[count++] = &table->samples[i];
   count = drop_unreachable (table, found, count, query->now_us);
   uint32_t chosen = 0;
-  while (chosen < LIM_REFERRALS && count > 0)
+  while (chosen < LIMIT_REFERRALS && count > 0)
     {
       const uint32_t at = pick_less_loaded (found, count, rng);
       out[chosen++] = found[at]->engine_hash;
--- a/src/request/policy/refer.h
+++ b/src/request/policy/refer.h
@@ -30,7 +30,7 @@
 } referral_query_t;
 
 /**
- * referral_find_engines() - selects up to %LIM_REFERRALS engines with free capacity
+ * referral_find_engines() - selects up to %LIMIT_REFERRALS engines with free capacity
  *
  * @rng: state of referral_random()
  * @out: their hashes, best first
--- a/src/request/policy/start_ask.c
+++ b/src/request/policy/start_ask.c
@@ -63,9 +63,7 @@
 }
 
 void
-bootstrap_server_add_served (bootstrap_server_t *server,
-                             uint64_t now_us,
-                             const set_address_t *asker)
+bootstrap_server_add_served (bootstrap_server_t *server, uint64_t now_us, const address_t *asker)
 {
   server->served_us[server->served % BOOTSTRAP_CONCURRENT_MAX] = now_us;
   server->referrals[server->served % BOOTSTRAP_REFERRALS] = *asker;
@@ -75,7 +73,7 @@
 bool
 bootstrap_server_pick_referral (const bootstrap_server_t *server,
                                 uint32_t draw,
-                                set_address_t *referral)
+                                address_t *referral)
 {
   uint32_t count = MIN (server->served, BOOTSTRAP_REFERRALS);
 
--- a/src/request/policy/start_ask.h
+++ b/src/request/policy/start_ask.h
@@ -97,7 +97,7 @@
 typedef struct
 {
   uint64_t served_us[BOOTSTRAP_CONCURRENT_MAX];
-  set_address_t referrals[BOOTSTRAP_REFERRALS];
+  address_t referrals[BOOTSTRAP_REFERRALS];
   uint32_t served;
 } bootstrap_server_t;
 
@@ -105,9 +105,8 @@
 bool bootstrap_server_may_serve (const bootstrap_server_t *server, uint64_t now_us);
 /** bootstrap_server_add_served() - the content is sent to the gateway with the control address
  * @asker */
-void bootstrap_server_add_served (bootstrap_server_t *server,
-                                  uint64_t now_us,
-                                  const set_address_t *asker);
+void
+bootstrap_server_add_served (bootstrap_server_t *server, uint64_t now_us, const address_t *asker);
 /**
  * bootstrap_server_pick_referral() - picks one of the gateways that were served last
  * @draw: random number
@@ -117,6 +116,6 @@
  */
 bool bootstrap_server_pick_referral (const bootstrap_server_t *server,
                                      uint32_t draw,
-                                     set_address_t *referral);
+                                     address_t *referral);
 
 #endif
--- a/src/request/policy/suspect.c
+++ b/src/request/policy/suspect.c
@@ -6,7 +6,7 @@
 typedef struct
 {
   uint64_t fingerprint;
-  uint64_t engines[LIM_SUSPECT_CRASHES];
+  uint64_t engines[LIMIT_SUSPECT_CRASHES];
   uint64_t crashed_us; /* time of the last crash */
   GList link;          /* in suspects.by_crash_time */
 } entry_t;
@@ -78,7 +78,7 @@
 static bool
 has_engine (const uint64_t *engines, uint64_t engine_hash)
 {
-  for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
+  for (uint32_t i = 0; i < LIMIT_SUSPECT_CRASHES; i++)
     if (engines[i] == engine_hash)
       return true;
   return false;
@@ -89,7 +89,7 @@
 {
   if (engine_hash == 0 || has_engine (entry->engines, engine_hash))
     return false;
-  for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
+  for (uint32_t i = 0; i < LIMIT_SUSPECT_CRASHES; i++)
     if (entry->engines[i] == 0)
       {
         entry->engines[i] = engine_hash;
@@ -184,7 +184,7 @@
   if (entry == NULL)
     entry = add_entry (suspects, mark->fingerprint, crashed_us);
   bool changed = false;
-  for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
+  for (uint32_t i = 0; i < LIMIT_SUSPECT_CRASHES; i++)
     changed |= add_engine (entry, mark->engines[i]);
   /* A later time alone is not taken over: ages are rounded when marks are sent, so two daemons that
    * send each other the same mark would renew it without end. */
@@ -236,7 +236,7 @@
 bool
 suspect_mark_is_cleared (const suspect_mark_t *mark)
 {
-  for (uint32_t i = 0; i < LIM_SUSPECT_CRASHES; i++)
+  for (uint32_t i = 0; i < LIMIT_SUSPECT_CRASHES; i++)
     if (mark->engines[i] != 0)
       return false;
   return true;
--- a/src/request/policy/suspect.h
+++ b/src/request/policy/suspect.h
@@ -2,7 +2,7 @@
  * DOC: suspect
  *
  * Requests during which an engine crashed, by fingerprint (see digest_fingerprint() in digest.h).
- * At most %LIM_SUSPECT_CRASHES engines are lost to one request, however often it is sent. Daemons
+ * At most %LIMIT_SUSPECT_CRASHES engines are lost to one request, however often it is sent. Daemons
  * tell each other these crashes as marks.
  */
 #ifndef REQUEST_POLICY_SUSPECT_H
@@ -22,7 +22,7 @@
 typedef struct
 {
   uint64_t fingerprint;
-  uint64_t engines[LIM_SUSPECT_CRASHES];
+  uint64_t engines[LIMIT_SUSPECT_CRASHES];
   uint32_t age_ms;
 } suspect_mark_t;
 
--- a/src/request/router/chat_body.h
+++ b/src/request/router/chat_body.h
@@ -29,7 +29,7 @@
  */
 typedef struct
 {
-  char model[LIM_NAME_BYTES];
+  char model[LIMIT_NAME_BYTES];
   char *opening;
   uint32_t opening_bytes;
   uint32_t max_tokens;
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -129,27 +129,29 @@
 static void
 make_counters (router_t *router)
 {
-  cnt_set_t *set = router->daemon->counters;
+  counter_registry_t *set = router->daemon->counters;
   char name[128];
 
-  router->hops = cnt_get (set, "medlarplank_hops_total", "Requests sent to sidecars.");
-  router->retries =
-      cnt_get (set, "medlarplank_retries_total", "Requests sent again that may have run before.");
-  router->revokes = cnt_get (set, "medlarplank_revokes_total", "Attempts given up at a sidecar.");
-  router->probes = cnt_get (set, "medlarplank_probes_total", "Quiet hosts asked whether they run.");
+  router->hops = counter_get (set, "medlarplank_hops_total", "Requests sent to sidecars.");
+  router->retries = counter_get (set, "medlarplank_retries_total",
+                                 "Requests sent again that may have run before.");
+  router->revokes =
+      counter_get (set, "medlarplank_revokes_total", "Attempts given up at a sidecar.");
+  router->probes =
+      counter_get (set, "medlarplank_probes_total", "Quiet hosts asked whether they run.");
   router->served_hints_sent =
-      cnt_get (set, "medlarplank_served_hints_total", "Homes told where a chat was served.");
+      counter_get (set, "medlarplank_served_hints_total", "Homes told where a chat was served.");
   for (uint32_t i = 0; i <= VERDICT_RAN; i++)
     {
       snprintf (name, sizeof name, "medlarplank_requests_total{verdict=\"%s\"}",
                 verdict_to_string (i));
-      router->ended[i] = cnt_get (set, name, "Requests of callers that ended, by verdict.");
+      router->ended[i] = counter_get (set, name, "Requests of callers that ended, by verdict.");
     }
   for (uint32_t i = 0; i < VERDICT_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_hop_failures_total{reason=\"%s\"}",
                 verdict_reason_to_string (i));
-      router->hop_failures[i] = cnt_get (set, name, "Hops that brought no answer, by reason.");
+      router->hop_failures[i] = counter_get (set, name, "Hops that brought no answer, by reason.");
     }
 }
 
@@ -175,10 +177,10 @@
 }
 
 router_t *
-router_new (dmn_t *daemon, struct event_base *base, GError **error)
+router_new (daemon_t *daemon, struct event_base *base, GError **error)
 {
   router_t *router = g_new0 (router_t, 1);
-  data_task_options_t options = { .dmn = daemon,
+  data_task_options_t options = { .daemon = daemon,
                                   .base = base,
                                   .on_call = router_accept,
                                   .on_sealed = on_sealed,
@@ -208,8 +210,8 @@
   router->answered_requests = recent_answers_new (ROUTER_ANSWERED_ENTRIES, ROUTER_ANSWERED_TTL_US);
   router->requests_in_flight = in_flight_new ();
   byte_budget_init (&router->control_budget, daemon->set.control_budget_bytes,
-                    clk_now_us (&daemon->clk));
-  router->suspects = suspect_new (LIM_SUSPECTS, ROUTER_SUSPECT_TTL_US);
+                    clock_now_us (&daemon->clock));
+  router->suspects = suspect_new (LIMIT_SUSPECTS, ROUTER_SUSPECT_TTL_US);
   g_queue_init (&router->calls);
   /* The name is included because two routers may start in the same millisecond, and must not use
    * the same attempt ids. */
@@ -246,7 +248,7 @@
 }
 
 void
-router_handle_message (mbx_message_t *message, void *context)
+router_handle_message (mailbox_message_t *message, void *context)
 {
   router_t *router = context;
 
--- a/src/request/router/router.h
+++ b/src/request/router/router.h
@@ -12,10 +12,10 @@
 typedef struct router router_t;
 
 /** router_new() - Return: NULL with @error set when the HTTP listener cannot be opened */
-router_t *router_new (dmn_t *daemon, struct event_base *base, GError **error);
+router_t *router_new (daemon_t *daemon, struct event_base *base, GError **error);
 /** router_free() - aborts all requests in flight; NULL is allowed */
 void router_free (router_t *router);
 /** router_handle_message() - handler of the data task's mailbox; @context is the router_t */
-void router_handle_message (mbx_message_t *message, void *context);
+void router_handle_message (mailbox_message_t *message, void *context);
 
 #endif
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -89,7 +89,7 @@
         return reject (rejection, 400, "bad_deadline", DEADLINE_HEADER " is not a number above 0");
       deadline_ms = MIN (deadline_ms, given_ms);
     }
-  call->deadline_us = call->arrived_us + deadline_ms * CLK_US_PER_MS;
+  call->deadline_us = call->arrived_us + deadline_ms * CLOCK_US_PER_MS;
   return true;
 }
 
@@ -100,7 +100,7 @@
 
   if (id != NULL)
     {
-      if (id[0] == '\0' || strlen (id) >= LIM_CHAT_ID_BYTES)
+      if (id[0] == '\0' || strlen (id) >= LIMIT_CHAT_ID_BYTES)
         return reject (rejection, 400, "bad_chat_id", CHAT_HEADER " is empty or too long");
       call->hop.chat_hash = rendezvous_hash_chat (call->account->name, id);
       call->hop.has_chat = true;
@@ -121,7 +121,7 @@
 
   if (key == NULL || call->hop.idempotent)
     return true;
-  if (key[0] == '\0' || strlen (key) >= LIM_KEY_BYTES)
+  if (key[0] == '\0' || strlen (key) >= LIMIT_IDEMPOTENCY_KEY_BYTES)
     return reject (rejection, 400, "bad_key", KEY_HEADER " is empty or too long");
   digest_idempotency_key (call->account->name, key, call->hop.key_hash);
   return true;
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -27,7 +27,7 @@
       membership_find_by_hash (data_task_members (router->ops), engine_hash);
   decision_t decision = { .request = { call->request_id[0],
                                        call->request_id[1] | call->attempts.hops },
-                          .wall_ms = clk_wall_ms (&router->daemon->clk),
+                          .wall_ms = clock_wall_ms (&router->daemon->clock),
                           .chat_hash = call->hop.chat_hash,
                           .action = action,
                           .verdict = verdict,
@@ -81,7 +81,7 @@
   fault.retry_after_ms = step->retry_after_ms;
   router_call_log_decision (call, "give_up", call->attempts.last_engine, step->verdict,
                             step->reason);
-  cnt_add (call->router->ended[step->verdict], 1);
+  counter_add (call->router->ended[step->verdict], 1);
   if (call->relay.begun)
     relay_abort (&call->relay, &fault);
   else if (call->inbound != NULL)
@@ -94,7 +94,7 @@
 {
   router_call_log_decision (call, "answer", call->attempts.last_engine, VERDICT_RAN,
                             VERDICT_REASON_NONE);
-  cnt_add (call->router->ended[VERDICT_RAN], 1);
+  counter_add (call->router->ended[VERDICT_RAN], 1);
   recent_answers_add (call->router->answered_requests, data_task_now_us (call->router->ops),
                       call->hop.fingerprint);
   router_send_served_hint (call, call->attempts.last_engine);
@@ -194,13 +194,13 @@
   forwarding_step_t step;
 
   if (!outcome->answered)
-    cnt_add (router->hop_failures[outcome->reason], 1);
+    counter_add (router->hop_failures[outcome->reason], 1);
   if (outcome->reason == VERDICT_REASON_ENGINE_CRASHED ||
       outcome->reason == VERDICT_REASON_SUSPECT_HERE)
     record_crash (call);
   step = forwarding_attempt_ended (&call->attempts, data_task_now_us (router->ops),
                                    &router->retry_budget, outcome);
-  cnt_add (router->retries, call->attempts.retries - retries);
+  counter_add (router->retries, call->attempts.retries - retries);
   router_call_take_step (call, step);
 }
 
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -8,8 +8,8 @@
 static void
 set_timer (router_call_t *call, uint64_t delay_us)
 {
-  struct timeval delay = { .tv_sec = (time_t)(delay_us / CLK_US_PER_S),
-                           .tv_usec = (suseconds_t)(delay_us % CLK_US_PER_S) };
+  struct timeval delay = { .tv_sec = (time_t)(delay_us / CLOCK_US_PER_S),
+                           .tv_usec = (suseconds_t)(delay_us % CLOCK_US_PER_S) };
 
   event_add (call->timer, &delay);
 }
@@ -50,9 +50,9 @@
 {
   router_answer_t *answer = &call->answer;
   const router_t *router = call->router;
-  g_auto (GStrv) parts = names != NULL ? g_strsplit (names, ",", LIM_REFERRALS + 1) : NULL;
+  g_auto (GStrv) parts = names != NULL ? g_strsplit (names, ",", LIMIT_REFERRALS + 1) : NULL;
 
-  for (uint32_t i = 0; parts != NULL && parts[i] != NULL && i < LIM_REFERRALS; i++)
+  for (uint32_t i = 0; parts != NULL && parts[i] != NULL && i < LIMIT_REFERRALS; i++)
     {
       uint64_t hash = rendezvous_hash_name (g_strstrip (parts[i]));
 
@@ -281,7 +281,7 @@
                         .load = picked[i].load,
                         .waiting = picked[i].waiting,
                         .cost = picked[i].cost,
-                        .age_ms = (uint32_t)((now_us - picked[i].taken_us) / CLK_US_PER_MS) };
+                        .age_ms = (uint32_t)((now_us - picked[i].taken_us) / CLOCK_US_PER_MS) };
 }
 
 static void
@@ -293,7 +293,7 @@
   hop->attempt[0] = call->request_id[0];
   hop->attempt[1] = call->request_id[1] | call->attempts.hops;
   hop_format_attempt (hop->attempt, call->attempt_text);
-  hop->deadline_ms = (uint32_t)MAX (left_us / CLK_US_PER_MS, 1);
+  hop->deadline_ms = (uint32_t)MAX (left_us / CLOCK_US_PER_MS, 1);
   memcpy (hop->crashed, call->attempts.crashed, sizeof hop->crashed);
   fill_samples (call, now_us);
 }
@@ -333,7 +333,7 @@
   call->sent_incarnation = router_known_incarnation (router, host->hash);
   health_begin_attempt (router->health, now_us,
                         host->hash); /* uses up the one trial of a skipped host */
-  cnt_add (router->hops, 1);
+  counter_add (router->hops, 1);
   set_hop_timer (call);
   in_flight_begin (router->requests_in_flight, host->hash);
   call->outbound = http_client_start_call (router->http_client, &options);
--- a/src/request/router/router_place.c
+++ b/src/request/router/router_place.c
@@ -187,7 +187,7 @@
     .chat_hash = call->placement_hash,
     .has_chat = call->hop.has_chat && call->hop.key_hash[1] == 0,
     .first_turn = first_turn || !call->hop.has_chat,
-    .cache_lifetime_us = (uint64_t)service->cache_lifetime_ms * CLK_US_PER_MS,
+    .cache_lifetime_us = (uint64_t)service->cache_lifetime_ms * CLOCK_US_PER_MS,
     .tie = call->hop.key_hash[1], /* spreads the keys of one claims stream */
     .samples = loads != NULL ? &loads->table : NULL,
     .under_way = router->requests_in_flight,
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -47,7 +47,7 @@
 #define ROUTER_ANSWERED_ENTRIES 4096
 #define ROUTER_ANSWERED_TTL_US (2 * 1000 * 1000)
 /* How long a request is remembered to have crashed an engine */
-#define ROUTER_SUSPECT_TTL_US (30 * 60 * (uint64_t)CLK_US_PER_S)
+#define ROUTER_SUSPECT_TTL_US (30 * 60 * (uint64_t)CLOCK_US_PER_S)
 /* For this long after an engine refused a request for lack of capacity, first hops carry load
  * samples, too: the mean load is changing. */
 #define ROUTER_BURST_US (100 * 1000)
@@ -130,7 +130,7 @@
  */
 struct router
 {
-  dmn_t *daemon;
+  daemon_t *daemon;
   struct event_base *base;
   data_task_t *ops;
   http_client_t *http_client;
@@ -149,13 +149,13 @@
   GQueue calls;
   uint64_t request_id_high;
   uint64_t request_id_low;
-  cnt_t *hops;
-  cnt_t *retries;
-  cnt_t *revokes;
-  cnt_t *probes;
-  cnt_t *served_hints_sent;
-  cnt_t *ended[VERDICT_RAN + 1];
-  cnt_t *hop_failures[VERDICT_REASON_COUNT];
+  counter_t *hops;
+  counter_t *retries;
+  counter_t *revokes;
+  counter_t *probes;
+  counter_t *served_hints_sent;
+  counter_t *ended[VERDICT_RAN + 1];
+  counter_t *hop_failures[VERDICT_REASON_COUNT];
 };
 
 /**
@@ -172,7 +172,7 @@
   verdict_t verdict;
   verdict_reason_t reason;
   uint32_t retry_after_ms;
-  uint64_t referrals[LIM_REFERRALS];
+  uint64_t referrals[LIMIT_REFERRALS];
   uint32_t referral_count;
 } router_answer_t;
 
@@ -226,7 +226,7 @@
   uint64_t deadline_us;
   uint64_t sent_us;
   uint64_t sent_incarnation;
-  set_address_t sent_address;
+  address_t sent_address;
   verdict_t revoke_verdict;
   bool timed_out;
   bool caller_gone;
--- a/src/request/router/router_tell.c
+++ b/src/request/router/router_tell.c
@@ -10,7 +10,7 @@
 static http_client_call_t *
 post_order (router_t *router,
             const membership_host_t *host,
-            const set_address_t *address,
+            const address_t *address,
             const char *target,
             const http_client_options_t *handlers)
 {
@@ -83,7 +83,7 @@
   call->revoke_request = NULL;
   step = forwarding_revoked (&call->attempts, data_task_now_us (router->ops), &router->retry_budget,
                              verdict);
-  cnt_add (router->retries, call->attempts.retries - retries);
+  counter_add (router->retries, call->attempts.retries - retries);
   router_call_take_step (call, step);
 }
 
@@ -100,7 +100,7 @@
   uint64_t age_us = data_task_now_us (call->router->ops) - call->sent_us;
 
   g_snprintf (out, TARGET_BYTES, "%s?attempt=%s&age_ms=%" PRIu64, HOP_REVOKE_PATH,
-              call->attempt_text, age_us / CLK_US_PER_MS + 1);
+              call->attempt_text, age_us / CLOCK_US_PER_MS + 1);
 }
 
 void
@@ -115,7 +115,7 @@
 
   revoke_target (call, target);
   call->revoke_verdict = VERDICT_MAY_HAVE_RUN;
-  cnt_add (call->router->revokes, 1);
+  counter_add (call->router->revokes, 1);
   call->revoke_request = post_order (call->router, host, &call->sent_address, target, &handlers);
 }
 
@@ -129,7 +129,7 @@
   if (host == NULL)
     return;
   revoke_target (call, target);
-  cnt_add (call->router->revokes, 1);
+  counter_add (call->router->revokes, 1);
   post_order (call->router, host, &call->sent_address, target, &IGNORE_ANSWER);
 }
 
@@ -163,6 +163,6 @@
   *hint = (router_hint_t){ .chat_hash = chat_hash, .engine_hash = engine_hash, .sent_us = now_us };
   g_snprintf (target, sizeof target, "%s?chat=%016" PRIx64 "&engine=%016" PRIx64, HOP_SERVED_PATH,
               chat_hash, engine_hash);
-  cnt_add (router->served_hints_sent, 1);
+  counter_add (router->served_hints_sent, 1);
   post_order (router, home, &home->http, target, &IGNORE_ANSWER);
 }
--- a/src/request/router/router_watch.c
+++ b/src/request/router/router_watch.c
@@ -131,7 +131,7 @@
     return;
   options.address = &host->http;
   host_probe->probe_started_us = now_us;
-  cnt_add (router->probes, 1);
+  counter_add (router->probes, 1);
   data_task_count_control_bytes (router->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
   host_probe->request = http_client_start_call (router->http_client, &options);
 }
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -100,7 +100,7 @@
   options.slots = sidecar->service->slots;
   options.bound_percent = sidecar->service->bound_percent;
   options.prefill_tokens_s = sidecar->service->prefill_tokens_s;
-  options.cache_lifetime_us = (uint64_t)sidecar->service->cache_lifetime_ms * CLK_US_PER_MS;
+  options.cache_lifetime_us = (uint64_t)sidecar->service->cache_lifetime_ms * CLOCK_US_PER_MS;
   return options;
 }
 
@@ -139,7 +139,7 @@
 sidecar_in_leaving_grace (const sidecar_t *sidecar)
 {
   return sidecar->leaving_since_us != 0 &&
-         data_task_now_us (sidecar->ops) - sidecar->leaving_since_us < LIM_LEAVING_GRACE_US;
+         data_task_now_us (sidecar->ops) - sidecar->leaving_since_us < LIMIT_LEAVING_GRACE_US;
 }
 
 static void
@@ -193,7 +193,7 @@
   message->count = 1;
   message->samples[0] = admission_sample (sidecar->admission, data_task_now_us (sidecar->ops));
   sidecar->reported_sample = message->samples[0];
-  mbx_send (sidecar->daemon->to_control, &message->head);
+  mailbox_send (sidecar->daemon->to_control, &message->head);
 }
 
 static void
@@ -214,8 +214,8 @@
   (void)fd;
   (void)what;
   sidecar_process_queue (sidecar);
-  cnt_set_value (sidecar->bound_milli,
-                 admission_bound_milli (sidecar->admission, data_task_now_us (sidecar->ops)));
+  counter_set (sidecar->bound_milli,
+               admission_bound_milli (sidecar->admission, data_task_now_us (sidecar->ops)));
   if (load_change >= REPORT_LOAD_CHANGE || load_change <= -REPORT_LOAD_CHANGE)
     report_load (sidecar);
 }
@@ -245,24 +245,26 @@
 static void
 make_counters (sidecar_t *sidecar)
 {
-  cnt_set_t *set = sidecar->daemon->counters;
+  counter_registry_t *set = sidecar->daemon->counters;
   char name[128];
 
   sidecar->dispatched =
-      cnt_get (set, "medlarplank_dispatched_total", "Requests passed to the engine.");
-  sidecar->waited = cnt_get (set, "medlarplank_queued_total", "Requests that had to wait here.");
-  sidecar->crashes = cnt_get (set, "medlarplank_engine_crashes_total", "Crashes of the engine.");
-  sidecar->directory_notes =
-      cnt_get (set, SIDECAR_DIRECTORY_NOTES_COUNTER, "Chats told to be warm on another engine.");
-  sidecar->load = cnt_get (set, "medlarplank_load", "Requests that the engine runs now.");
-  sidecar->waiting = cnt_get (set, "medlarplank_waiting", "Requests that wait here now.");
+      counter_get (set, "medlarplank_dispatched_total", "Requests passed to the engine.");
+  sidecar->waited =
+      counter_get (set, "medlarplank_queued_total", "Requests that had to wait here.");
+  sidecar->crashes =
+      counter_get (set, "medlarplank_engine_crashes_total", "Crashes of the engine.");
+  sidecar->directory_notes = counter_get (set, SIDECAR_DIRECTORY_NOTES_COUNTER,
+                                          "Chats told to be warm on another engine.");
+  sidecar->load = counter_get (set, "medlarplank_load", "Requests that the engine runs now.");
+  sidecar->waiting = counter_get (set, "medlarplank_waiting", "Requests that wait here now.");
   sidecar->bound_milli =
-      cnt_get (set, "medlarplank_bound_milli", "Load bound, in thousandths of a request.");
+      counter_get (set, "medlarplank_bound_milli", "Load bound, in thousandths of a request.");
   for (uint32_t i = 0; i < VERDICT_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_refusals_total{reason=\"%s\"}",
                 verdict_reason_to_string (i));
-      sidecar->refusals[i] = cnt_get (set, name, "Requests refused or failed here, by reason.");
+      sidecar->refusals[i] = counter_get (set, name, "Requests refused or failed here, by reason.");
     }
 }
 
@@ -278,10 +280,10 @@
 }
 
 sidecar_t *
-sidecar_new (dmn_t *daemon, struct event_base *base, GError **error)
+sidecar_new (daemon_t *daemon, struct event_base *base, GError **error)
 {
   sidecar_t *sidecar = g_new0 (sidecar_t, 1);
-  data_task_options_t options = { .dmn = daemon,
+  data_task_options_t options = { .daemon = daemon,
                                   .base = base,
                                   .on_call = sidecar_accept,
                                   .on_sealed = sidecar_handle_peer_request,
@@ -306,7 +308,7 @@
   sidecar->admission = admission_new (&first);
   admission_set_engine_up (sidecar->admission, false);
   admission_set_joined (sidecar->admission, data_task_now_us (sidecar->ops));
-  sidecar->history = history_new (LIM_REVOKED);
+  sidecar->history = history_new (LIMIT_REVOKED_ATTEMPTS);
   sidecar->http_client = http_client_new (base, SIDECAR_IDLE_CONNECTIONS, SIDECAR_IDLE_TIMEOUT_MS);
   sidecar->calls = g_hash_table_new (hop_hash_attempt, hop_equal_attempt);
   snprintf (sidecar->incarnation_text, sizeof sidecar->incarnation_text, "%" PRIu64,
@@ -349,7 +351,7 @@
 }
 
 void
-sidecar_handle_message (mbx_message_t *message, void *context)
+sidecar_handle_message (mailbox_message_t *message, void *context)
 {
   sidecar_t *sidecar = context;
 
--- a/src/request/sidecar/sidecar.h
+++ b/src/request/sidecar/sidecar.h
@@ -12,10 +12,10 @@
 typedef struct sidecar sidecar_t;
 
 /** sidecar_new() - Return: NULL with @error set when the HTTP listener cannot be opened */
-sidecar_t *sidecar_new (dmn_t *daemon, struct event_base *base, GError **error);
+sidecar_t *sidecar_new (daemon_t *daemon, struct event_base *base, GError **error);
 /** sidecar_free() - aborts all requests in flight; NULL is allowed */
 void sidecar_free (sidecar_t *sidecar);
 /** sidecar_handle_message() - handler of the data task's mailbox; @context is the sidecar_t */
-void sidecar_handle_message (mbx_message_t *message, void *context);
+void sidecar_handle_message (mailbox_message_t *message, void *context);
 
 #endif
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -25,7 +25,7 @@
                            .priority = request_class != NULL ? request_class->priority : 0,
                            .cost = hop->prompt_tokens + hop->output_tokens,
                            .queue_limit =
-                               account != NULL ? account->queue_limit : LIM_QUEUE_PER_ACCOUNT,
+                               account != NULL ? account->queue_limit : LIMIT_QUEUED_PER_ACCOUNT,
                            .deadline_us = call->deadline_us };
   request->chat_hash = hop->chat_hash;
   request->fingerprint = hop->fingerprint;
@@ -46,7 +46,7 @@
   for (uint32_t i = 0; i < hop->sample_count; i++)
     {
       const hop_sample_t *sample = &hop->samples[i];
-      uint64_t age_us = (uint64_t)sample->age_ms * CLK_US_PER_MS;
+      uint64_t age_us = (uint64_t)sample->age_ms * CLOCK_US_PER_MS;
 
       if (sample->engine_hash == sidecar->own_hash || age_us >= now_us)
         continue;
@@ -89,7 +89,7 @@
   call->hop = *hop;
   call->manifest = manifest_ref (data_task_manifest (sidecar->ops));
   call->arrived_us = data_task_now_us (sidecar->ops);
-  call->deadline_us = call->arrived_us + (uint64_t)hop->deadline_ms * CLK_US_PER_MS;
+  call->deadline_us = call->arrived_us + (uint64_t)hop->deadline_ms * CLOCK_US_PER_MS;
   call->timer = evtimer_new (sidecar->base, sidecar_engine_on_timer, call);
   hop_format_attempt (hop->attempt, call->attempt_text);
   relay_init (&call->relay, inbound);
@@ -186,7 +186,7 @@
     {
       history_record (sidecar->history, data_task_now_us (sidecar->ops), hop.attempt,
                       VERDICT_NOT_RUN);
-      cnt_add (sidecar->refusals[reason], 1);
+      counter_add (sidecar->refusals[reason], 1);
       refuse_without_call (sidecar, inbound, attempt,
                            &(flt_t){ .verdict = VERDICT_NOT_RUN, .reason = reason });
       return;
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -12,7 +12,7 @@
 {
   const sidecar_t *sidecar = call->sidecar;
   decision_t decision = { .request = { call->hop.attempt[0], call->hop.attempt[1] },
-                          .wall_ms = clk_wall_ms (&sidecar->daemon->clk),
+                          .wall_ms = clock_wall_ms (&sidecar->daemon->clock),
                           .chat_hash = call->hop.chat_hash,
                           .action = action,
                           .verdict = verdict,
@@ -134,7 +134,7 @@
 refuse_call (sidecar_call_t *call, const admission_decision_t *decision, verdict_t verdict)
 {
   sidecar_call_log_decision (call, "refuse", verdict, decision->reason);
-  cnt_add (call->sidecar->refusals[decision->reason], 1);
+  counter_add (call->sidecar->refusals[decision->reason], 1);
   /* @verdict is about the idempotency key, which another attempt may have claimed; this attempt
    * itself did not run. */
   record_outcome (call, VERDICT_NOT_RUN);
@@ -164,7 +164,7 @@
   admission_decision_t decision = { .reason = reason };
 
   sidecar_call_log_decision (call, "fail", VERDICT_MAY_HAVE_RUN, reason);
-  cnt_add (call->sidecar->refusals[reason], 1);
+  counter_add (call->sidecar->refusals[reason], 1);
   record_outcome (call, VERDICT_MAY_HAVE_RUN);
   if (call->relay.begun)
     relay_abort (&call->relay, &(flt_t){ .verdict = VERDICT_MAY_HAVE_RUN, .reason = reason });
@@ -359,7 +359,7 @@
       break;
     case ADMISSION_WAIT:
       call->state = SIDECAR_CALL_QUEUED;
-      cnt_add (sidecar->waited, 1);
+      counter_add (sidecar->waited, 1);
       sidecar_call_log_decision (call, "wait", VERDICT_NOT_RUN, decision.reason);
       break;
     case ADMISSION_REJECT:
@@ -380,6 +380,6 @@
     reject_queued ((sidecar_call_t *)request, &decision);
   while ((request = admission_next (sidecar->admission, data_task_now_us (sidecar->ops))) != NULL)
     dispatch ((sidecar_call_t *)request);
-  cnt_set_value (sidecar->load, admission_load (sidecar->admission));
-  cnt_set_value (sidecar->waiting, admission_waiting (sidecar->admission));
+  counter_set (sidecar->load, admission_load (sidecar->admission));
+  counter_set (sidecar->waiting, admission_waiting (sidecar->admission));
 }
--- a/src/request/sidecar/sidecar_claim.c
+++ b/src/request/sidecar/sidecar_claim.c
@@ -39,7 +39,7 @@
   call->state = SIDECAR_CALL_CLAIMING;
   call->claim_open = true;
   sidecar_call_log_decision (call, "claim", VERDICT_NOT_RUN, VERDICT_REASON_NONE);
-  mbx_send (call->sidecar->daemon->to_control, &message->head);
+  mailbox_send (call->sidecar->daemon->to_control, &message->head);
 }
 
 void
@@ -57,7 +57,7 @@
   message->key = claim_key (&call->hop);
   message->ran = ran;
   message->status = status;
-  mbx_send (call->sidecar->daemon->to_control, &message->head);
+  mailbox_send (call->sidecar->daemon->to_control, &message->head);
 }
 
 /* start_refusal_reason() - why a request with a granted claim must not start, or
@@ -65,7 +65,7 @@
  *
  * Checked immediately before the request starts, because the process may have been paused with the
  * result in its mailbox, and the host may have begun to leave while a slow log decided the claim. A
- * host that began to leave less than LIM_LEAVING_GRACE_US ago still starts the request. Otherwise
+ * host that began to leave less than LIMIT_LEAVING_GRACE_US ago still starts the request. Otherwise
  * the claim would be released by a log record that can arrive after the claim of the next sidecar,
  * and in a planned stop the caller of a request that did not run would be told "may have run". */
 static verdict_reason_t
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -10,8 +10,8 @@
 static void
 set_timer (sidecar_call_t *call, uint64_t delay_us)
 {
-  struct timeval delay = { .tv_sec = (time_t)(delay_us / CLK_US_PER_S),
-                           .tv_usec = (suseconds_t)(delay_us % CLK_US_PER_S) };
+  struct timeval delay = { .tv_sec = (time_t)(delay_us / CLOCK_US_PER_S),
+                           .tv_usec = (suseconds_t)(delay_us % CLOCK_US_PER_S) };
 
   event_add (call->timer, &delay);
 }
@@ -189,8 +189,8 @@
   added[1] = (http_client_header_t){ .name = HOP_PRIORITY_HEADER, .value = priority };
   added[2] = (http_client_header_t){ .name = HOP_ACCOUNT_HEADER, .value = call->hop.account };
   call->state = SIDECAR_CALL_RUNNING;
-  cnt_add (sidecar->dispatched, 1);
+  counter_add (sidecar->dispatched, 1);
   sidecar_call_log_decision (call, "dispatch", VERDICT_MAY_HAVE_RUN, VERDICT_REASON_NONE);
-  set_timer (call, MAX (remaining_us, CLK_US_PER_MS));
+  set_timer (call, MAX (remaining_us, CLOCK_US_PER_MS));
   call->outbound = http_client_start_call (sidecar->http_client, &options);
 }
--- a/src/request/sidecar/sidecar_orders.c
+++ b/src/request/sidecar/sidecar_orders.c
@@ -42,7 +42,7 @@
       error_reply_reject (inbound, 400, "bad_request", "attempt or age_ms is missing or not valid");
       return;
     }
-  verdict = revoke_attempt (sidecar, attempt, age_ms * CLK_US_PER_MS);
+  verdict = revoke_attempt (sidecar, attempt, age_ms * CLOCK_US_PER_MS);
   sidecar_add_headers (sidecar, inbound, text);
   http_server_add_header (inbound, VERDICT_HEADER, verdict_to_string (verdict));
   http_server_reply_text (inbound, 200, "text/plain", verdict_to_string (verdict));
@@ -63,7 +63,7 @@
     }
   admission_note_served_elsewhere (sidecar->admission, data_task_now_us (sidecar->ops), chat,
                                    engine);
-  cnt_add (sidecar->directory_notes, 1);
+  counter_add (sidecar->directory_notes, 1);
   http_server_reply_text (inbound, 200, "text/plain", "noted\n");
 }
 
@@ -88,7 +88,7 @@
         continue;
       admission_note_served_elsewhere (sidecar->admission, data_task_now_us (sidecar->ops), chat,
                                        engine);
-      cnt_add (sidecar->directory_notes, 1);
+      counter_add (sidecar->directory_notes, 1);
       stored++;
     }
   return stored;
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -89,7 +89,7 @@
  */
 struct sidecar
 {
-  dmn_t *daemon;
+  daemon_t *daemon;
   struct event_base *base;
   data_task_t *ops;
   http_client_t *http_client;
@@ -113,14 +113,14 @@
   struct event *report_timer;
   load_sample_t reported_sample;
   char incarnation_text[24];
-  cnt_t *dispatched;
-  cnt_t *waited;
-  cnt_t *crashes;
-  cnt_t *directory_notes;
-  cnt_t *refusals[VERDICT_REASON_COUNT];
-  cnt_t *load;
-  cnt_t *waiting;
-  cnt_t *bound_milli;
+  counter_t *dispatched;
+  counter_t *waited;
+  counter_t *crashes;
+  counter_t *directory_notes;
+  counter_t *refusals[VERDICT_REASON_COUNT];
+  counter_t *load;
+  counter_t *waiting;
+  counter_t *bound_milli;
 };
 
 /**
@@ -234,7 +234,8 @@
  * VERDICT_REASON_NONE
  */
 verdict_reason_t sidecar_unavailable_reason (const sidecar_call_t *call);
-/** sidecar_in_leaving_grace() - whether this host began to leave less than LIM_LEAVING_GRACE_US ago
+/** sidecar_in_leaving_grace() - whether this host began to leave less than LIMIT_LEAVING_GRACE_US
+ * ago
  */
 bool sidecar_in_leaving_grace (const sidecar_t *sidecar);
 /** sidecar_process_queue() - refuses and dispatches queued requests as far as their deadlines and
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -39,7 +39,7 @@
   message->count = 1;
   if (suspect_get_mark (admission_suspects (sidecar->admission), data_task_now_us (sidecar->ops),
                         fingerprint, &message->marks[0]))
-    mbx_send (sidecar->daemon->to_control, &message->head);
+    mailbox_send (sidecar->daemon->to_control, &message->head);
   else
     message->head.free (&message->head);
 }
@@ -91,7 +91,7 @@
     }
   if (ended > 0 && crashed)
     {
-      cnt_add (sidecar->crashes, 1);
+      counter_add (sidecar->crashes, 1);
       log_event (LOG_LEVEL_WARNING, "engine_crashed", "engine", sidecar->daemon->set.name,
                  "in_flight", LOG_U64 (ended), NULL);
     }
--- a/src/version/judged.h
+++ b/src/version/judged.h
@@ -24,7 +24,7 @@
  */
 typedef struct
 {
-  char id[LIM_NAME_BYTES];
+  char id[LIMIT_NAME_BYTES];
   bool accepted;
   uint64_t version;
 } publish_history_entry_t;
--- a/src/version/manifest.c
+++ b/src/version/manifest.c
@@ -20,10 +20,10 @@
   char *text;
 
   *text_bytes = json_dumpb (json, NULL, 0, flags);
-  if (*text_bytes == 0 || *text_bytes > LIM_MANIFEST_BYTES)
+  if (*text_bytes == 0 || *text_bytes > LIMIT_MANIFEST_BYTES)
     {
       json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "", NULL, "is larger than %d bytes",
-                        LIM_MANIFEST_BYTES);
+                        LIMIT_MANIFEST_BYTES);
       return NULL;
     }
   text = g_malloc (*text_bytes);
@@ -126,10 +126,10 @@
 {
   manifest_t *manifest;
 
-  if (!json_reader_check_depth (json, LIM_MANIFEST_DEPTH))
+  if (!json_reader_check_depth (json, LIMIT_MANIFEST_DEPTH))
     {
       json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "", NULL, "is nested deeper than %d",
-                        LIM_MANIFEST_DEPTH);
+                        LIMIT_MANIFEST_DEPTH);
       return NULL;
     }
   manifest = g_new0 (manifest_t, 1);
@@ -149,10 +149,10 @@
   json_t *json;
   manifest_t *manifest;
 
-  if (text_bytes > LIM_MANIFEST_BYTES)
+  if (text_bytes > LIMIT_MANIFEST_BYTES)
     {
       json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "", NULL, "is larger than %d bytes",
-                        LIM_MANIFEST_BYTES);
+                        LIMIT_MANIFEST_BYTES);
       return NULL;
     }
   json = json_loadb (text, text_bytes, JSON_REJECT_DUPLICATES, &json_error);
@@ -173,10 +173,10 @@
   json_t *json;
   manifest_t *manifest;
 
-  if (!json_is_object (patch) || !json_reader_check_depth (patch, LIM_MANIFEST_DEPTH))
+  if (!json_is_object (patch) || !json_reader_check_depth (patch, LIMIT_MANIFEST_DEPTH))
     {
       json_reader_fail (error, MANIFEST_ERROR_SYNTAX, "patch", NULL,
-                        "is not an object that is nested at most %d deep", LIM_MANIFEST_DEPTH);
+                        "is not an object that is nested at most %d deep", LIMIT_MANIFEST_DEPTH);
       return NULL;
     }
   json = merge_patch (base->json, patch);
--- a/src/version/manifest.h
+++ b/src/version/manifest.h
@@ -31,7 +31,7 @@
  */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   uint32_t priority;
   uint32_t deadline_ms;
   uint32_t expected_tokens;
@@ -46,7 +46,7 @@
  */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   char key_digest[65];
   uint32_t weight;
   uint32_t queue_limit;
@@ -68,9 +68,9 @@
  */
 typedef struct
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   manifest_kind_t kind;
-  char (*engines)[LIM_NAME_BYTES];
+  char (*engines)[LIMIT_NAME_BYTES];
   uint32_t engine_count;
   uint32_t bound_percent;
   uint32_t slots;
@@ -93,7 +93,7 @@
 {
   char method[16];
   char path[128];
-  char model[LIM_NAME_BYTES];
+  char model[LIMIT_NAME_BYTES];
   uint32_t service_index;
   uint32_t class_index;
   bool idempotent;
--- a/src/version/manifest_check.c
+++ b/src/version/manifest_check.c
@@ -211,9 +211,9 @@
 {
   size_t length = strlen (name);
 
-  if (length == 0 || length >= LIM_NAME_BYTES)
+  if (length == 0 || length >= LIMIT_NAME_BYTES)
     return json_reader_fail (error, MANIFEST_ERROR_RANGE, path, key, "a name is 1..%d bytes long",
-                             LIM_NAME_BYTES - 1);
+                             LIMIT_NAME_BYTES - 1);
   for (size_t i = 0; i < length; i++)
     {
       if (g_ascii_isalnum (name[i]) || (i > 0 && strchr ("._-", name[i]) != NULL))
--- a/src/version/manifest_read.c
+++ b/src/version/manifest_read.c
@@ -10,7 +10,7 @@
 #define HOST_NAME_CHARS "abcdefghijklmnopqrstuvwxyz0123456789.-"
 
 static const json_reader_range_t WEIGHT = { 1, 1000000, 1000 };
-static const json_reader_range_t QUEUE_LIMIT = { 1, LIM_QUEUE_TOTAL, LIM_QUEUE_PER_ACCOUNT };
+static const json_reader_range_t QUEUE_LIMIT = { 1, LIMIT_QUEUED, LIMIT_QUEUED_PER_ACCOUNT };
 static const json_reader_range_t PRIORITY = { 0, 9, 5 };
 static const json_reader_range_t DEADLINE_MS = { 1, 3600 * 1000, 30 * 1000 };
 static const json_reader_range_t EXPECTED_TOKENS = { 0, 1000000, 256 };
@@ -185,7 +185,7 @@
     return json_reader_fail (error, MANIFEST_ERROR_REFERENCE, reader->path, item_key,
                              "engine \"%s\" is already listed in service \"%s\"", name,
                              other->name);
-  g_strlcpy (stored, name, LIM_NAME_BYTES);
+  g_strlcpy (stored, name, LIMIT_NAME_BYTES);
   g_hash_table_insert (manifest->service_by_engine, stored, service);
   service->engine_count++;
   return true;
@@ -203,7 +203,7 @@
 
   if (!json_reader_get_array (reader, "engines", &list, error))
     return false;
-  service->engines = g_malloc0_n (json_array_size (list), LIM_NAME_BYTES);
+  service->engines = g_malloc0_n (json_array_size (list), LIMIT_NAME_BYTES);
   json_array_foreach (list, index, item)
     {
       if (!read_engine (manifest, service, reader, item, error))
@@ -321,7 +321,7 @@
                  const json_reader_t *reader,
                  GError **error)
 {
-  char name[LIM_NAME_BYTES];
+  char name[LIMIT_NAME_BYTES];
   const manifest_service_t *service;
   const manifest_class_t *class;
 
@@ -366,9 +366,9 @@
   json_t *item;
   size_t index;
 
-  if (json_array_size (list) > LIM_MANIFEST_ROUTES)
+  if (json_array_size (list) > LIMIT_MANIFEST_ROUTES)
     return json_reader_fail (error, MANIFEST_ERROR_RANGE, "routes", NULL, "has more than %d items",
-                             LIM_MANIFEST_ROUTES);
+                             LIMIT_MANIFEST_ROUTES);
   manifest->routes = g_new0 (manifest_route_t, json_array_size (list));
   json_array_foreach (list, index, item)
     {
--- a/src/version/record.c
+++ b/src/version/record.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* A manifest of maximum size plus the other members of its record. */
-#define RECORD_BYTES_MAX (LIM_MANIFEST_BYTES + 4096)
+#define RECORD_BYTES_MAX (LIMIT_MANIFEST_BYTES + 4096)
 /* Every JSON library represents integers up to here exactly; many store them as doubles. */
 #define INTEGER_MAX (INT64_C (1) << 53)
 
@@ -52,7 +52,7 @@
   for (const char *c = text; *c != '\0'; c++)
     if (!g_ascii_isprint (*c))
       return false;
-  return strlen (text) < LIM_NAME_BYTES;
+  return strlen (text) < LIMIT_NAME_BYTES;
 }
 
 static bool
@@ -66,10 +66,10 @@
   if (text == NULL || !is_printable_name (text) || (required && text[0] == '\0'))
     {
       g_snprintf (record->error, sizeof record->error,
-                  "%s: is not printable ASCII text of at most %d bytes", key, LIM_NAME_BYTES - 1);
+                  "%s: is not printable ASCII text of at most %d bytes", key, LIMIT_NAME_BYTES - 1);
       return false;
     }
-  g_strlcpy (out, text, LIM_NAME_BYTES);
+  g_strlcpy (out, text, LIMIT_NAME_BYTES);
   return true;
 }
 
--- a/src/version/record.h
+++ b/src/version/record.h
@@ -36,8 +36,8 @@
 typedef struct
 {
   manifest_record_kind_t kind;
-  char id[LIM_NAME_BYTES];
-  char publisher[LIM_NAME_BYTES];
+  char id[LIMIT_NAME_BYTES];
+  char publisher[LIMIT_NAME_BYTES];
   uint64_t version;
   uint64_t as_of;
   json_t *json;
--- a/src/version/replay.c
+++ b/src/version/replay.c
@@ -21,7 +21,7 @@
 struct replay
 {
   manifest_t *manifest;
-  char publisher[LIM_NAME_BYTES];
+  char publisher[LIMIT_NAME_BYTES];
   uint64_t next_offset;
   bool has_state;
   bool caught_up;
@@ -235,7 +235,7 @@
 {
   replay_t *replay = g_new0 (replay_t, 1);
 
-  replay->history = publish_history_new (LIM_PUBLISH_IDS);
+  replay->history = publish_history_new (LIMIT_PUBLISH_IDS);
   return replay;
 }
 
--- a/src/version/replay.h
+++ b/src/version/replay.h
@@ -45,7 +45,7 @@
 typedef struct
 {
   replay_verdict_t verdict;
-  char id[LIM_NAME_BYTES];
+  char id[LIMIT_NAME_BYTES];
   uint64_t version;
   char reason[256];
 } replay_result_t;
--- a/standin/standin_upstream.c
+++ b/standin/standin_upstream.c
@@ -385,10 +385,10 @@
 static void
 upstream_init (upstream_t *upstream)
 {
-  set_address_t store;
+  address_t store;
   struct timeval interval = { 0, HEARTBEAT_MS * 1000 };
 
-  if (!set_parse_address (upstream->options.store, &store, NULL))
+  if (!address_parse (upstream->options.store, &store, NULL))
     apply_flag (&upstream->options, '?', NULL);
   upstream->record = fopen (upstream->options.record, "ae");
   if (!upstream->record)
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 #define KEY_DIGEST "08a6bd4bf2a6c5b8e6b2a0a8f7a4a7b7fb0ee6d29a4a7fcc1c6e0b7b1a2f3c4d"
-#define TICK_US (PSE_TICK_MS * CLK_US_PER_MS)
+#define TICK_US (PAUSE_CHECK_INTERVAL_MS * CLOCK_US_PER_MS)
 
 static void
 record_members (rig_received_t *received, const membership_snapshot_t *members)
@@ -27,7 +27,7 @@
 }
 
 static void
-on_message (mbx_message_t *message, void *context)
+on_message (mailbox_message_t *message, void *context)
 {
   rig_received_t *received = &((rig_t *)context)->received;
   switch (message->kind)
@@ -62,7 +62,7 @@
 }
 
 static void
-ignore (mbx_message_t *message, void *context)
+ignore (mailbox_message_t *message, void *context)
 {
   (void)message;
   (void)context;
@@ -105,8 +105,8 @@
   memset (rig, 0, sizeof *rig);
   rig->base = base;
   fake_platform_init (&rig->platform);
-  set_t *set = &rig->dmn.set;
-  set->role = SET_ROLE_SIDECAR;
+  settings_t *set = &rig->daemon.set;
+  set->role = SETTINGS_ROLE_SIDECAR;
   g_strlcpy (set->name, name, sizeof set->name);
   g_strlcpy (set->data_center, "hall", sizeof set->data_center);
   g_strlcpy (set->region, "town", sizeof set->region);
@@ -118,17 +118,17 @@
   set->control_budget_bytes = 100000;
   set->claim_horizon_s = 86400;
   set->log_retention_s = 604800;
-  clk_init_paused (&rig->dmn.clk, 100 * (uint64_t)CLK_US_PER_S);
-  rig->dmn.incarnation = 50;
-  rig->dmn.counters = cnt_set_new ();
-  rig->dmn.to_data = mbx_new (rig->base, on_message, rig);
-  rig->dmn.to_control = mbx_new (rig->base, ignore, NULL);
+  clock_init_paused (&rig->daemon.clock, 100 * (uint64_t)CLOCK_US_PER_S);
+  rig->daemon.incarnation = 50;
+  rig->daemon.counters = counter_registry_new ();
+  rig->daemon.to_data = mailbox_new (rig->base, on_message, rig);
+  rig->daemon.to_control = mailbox_new (rig->base, ignore, NULL);
 }
 
 void
 rig_start (rig_t *rig)
 {
-  rig->ctrl = control_new_with_platform (&rig->dmn, rig->base, &rig->platform.platform, NULL);
+  rig->ctrl = control_new_with_platform (&rig->daemon, rig->base, &rig->platform.platform, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (rig->ctrl);
 }
 
@@ -137,9 +137,9 @@
 {
   control_free (rig->ctrl);
   CU_ASSERT_TRUE (rig->platform.freed);
-  mbx_free (rig->dmn.to_data);
-  mbx_free (rig->dmn.to_control);
-  cnt_set_free (rig->dmn.counters);
+  mailbox_free (rig->daemon.to_data);
+  mailbox_free (rig->daemon.to_control);
+  counter_registry_free (rig->daemon.counters);
   fake_platform_clear (&rig->platform);
 }
 
@@ -158,8 +158,8 @@
 void
 rig_tick (rig_t *rig)
 {
-  clk_advance (&rig->dmn.clk, TICK_US);
-  rig->platform.now_ms += PSE_TICK_MS;
+  clock_advance (&rig->daemon.clock, TICK_US);
+  rig->platform.now_ms += PAUSE_CHECK_INTERVAL_MS;
   control_tick (rig->ctrl);
   rig_run_pending (rig);
 }
@@ -211,7 +211,7 @@
 void
 rig_deliver (rig_t *rig, void *message)
 {
-  mbx_message_t *head = message;
+  mailbox_message_t *head = message;
   control_handle_message (head, rig->ctrl);
   head->free (head);
   rig_run_pending (rig);
--- a/tests/control_rig.h
+++ b/tests/control_rig.h
@@ -17,7 +17,7 @@
 #define RIG_DEADLINE_S 5
 #define RIG_MAX_TICKS 400
 /* Longer than three exchange intervals, so it is detected as a pause. */
-#define RIG_PAUSE_US (UINT64_C (31) * CLK_US_PER_S)
+#define RIG_PAUSE_US (UINT64_C (31) * CLOCK_US_PER_S)
 
 /**
  * struct rig_received - what the data task was sent: the latest values, and counts
@@ -49,7 +49,7 @@
 typedef struct
 {
   struct event_base *base;
-  dmn_t dmn;
+  daemon_t daemon;
   fake_platform_t platform;
   control_t *ctrl;
   rig_received_t received;
--- a/tests/gateway_rig.c
+++ b/tests/gateway_rig.c
@@ -33,12 +33,12 @@
 fill_settings (gateway_rig_t *rig, uint32_t index)
 {
   gateway_rig_gateway_t *gateway = &rig->gateways[index];
-  set_t *set = &gateway->set;
+  settings_t *set = &gateway->set;
 
-  set->role = SET_ROLE_GATEWAY;
+  set->role = SETTINGS_ROLE_GATEWAY;
   g_snprintf (set->name, sizeof set->name, "gateway-%u", index);
   g_strlcpy (set->data_center, "hall-1", sizeof set->data_center);
-  g_assert (rgn_parse (&set->regions, "hall-1=north,hall-2=south,hall-3=west"));
+  g_assert (region_map_parse (&set->regions, "hall-1=north,hall-2=south,hall-3=west"));
   g_strlcpy (set->fleet_key, "a fleet key of the tests", sizeof set->fleet_key);
   set->listen = raw_peer_loopback_address ();
   set->ready_listen = raw_peer_loopback_address ();
@@ -71,22 +71,22 @@
 start_gateway (gateway_rig_t *rig, uint32_t index)
 {
   gateway_rig_gateway_t *gateway = &rig->gateways[index];
-  set_t *set = &gateway->set;
+  settings_t *set = &gateway->set;
   GError *error = NULL;
 
-  gateway->counters = cnt_set_new ();
+  gateway->counters = counter_registry_new ();
   gateway->front = fake_store_client (rig->store);
-  gateway->gateway_process =
-      gateway_process_new (&(gateway_process_options_t){ .base = rig->base,
-                                                         .clk = &rig->clk,
-                                                         .counters = gateway->counters,
-                                                         .set = set,
-                                                         .platform = &gateway->front->platform,
-                                                         .format = prf_format (),
-                                                         .readers = { .routing = prc_read_routing,
-                                                                      .engine = prc_read_engine },
-                                                         .incarnation = ++rig->starts },
-                           &error);
+  gateway->gateway_process = gateway_process_new (
+      &(gateway_process_options_t){
+          .base = rig->base,
+          .clock = &rig->clock,
+          .counters = gateway->counters,
+          .set = set,
+          .platform = &gateway->front->platform,
+          .format = request_format_get (),
+          .readers = { .routing = records_read_routing, .engine = records_read_engine },
+          .incarnation = ++rig->starts },
+      &error);
   g_assert_no_error (error);
   gateway->address = raw_peer_loopback_address ();
   gateway->address.port = gateway_process_port (gateway->gateway_process);
@@ -109,7 +109,7 @@
   gateway_rig_t *rig = g_new0 (gateway_rig_t, 1);
 
   rig->base = event_base_new ();
-  clk_init_running (&rig->clk);
+  clock_init_running (&rig->clock);
   rig->store = fake_store_new (rig->base);
   rig->gateway_count = gateways;
   rig->seeded = seeded;
@@ -142,7 +142,7 @@
 stop_gateway (gateway_rig_gateway_t *gateway)
 {
   gateway_process_free (gateway->gateway_process);
-  cnt_set_free (gateway->counters);
+  counter_registry_free (gateway->counters);
 }
 
 void
@@ -158,7 +158,7 @@
   for (uint32_t i = 0; i < rig->gateway_count; i++)
     {
       gateway_process_free (rig->gateways[i].gateway_process);
-      cnt_set_free (rig->gateways[i].counters);
+      counter_registry_free (rig->gateways[i].counters);
     }
   for (uint32_t i = 0; i < rig->engine_count; i++)
     raw_server_free (rig->engines[i]);
@@ -179,7 +179,7 @@
                          const char *data_center,
                          const char *state)
 {
-  g_autofree char *address = set_address_text (&rig->engines[engine]->address);
+  g_autofree char *address = address_to_text (&rig->engines[engine]->address);
   g_autofree char *text = g_strdup_printf ("{\"service\":\"pool\",\"addr\":\"%s\",\"zone\":\"%s\","
                                            "\"slots\":%u,\"state\":\"%s\"}",
                                            address, data_center, GATEWAY_RIG_SLOTS, state);
@@ -213,7 +213,7 @@
 uint64_t
 gateway_rig_counter (const gateway_rig_t *rig, uint32_t gateway, const char *name)
 {
-  return cnt_value (cnt_get (rig->gateways[gateway].counters, name, ""));
+  return counter_value (counter_get (rig->gateways[gateway].counters, name, ""));
 }
 
 typedef struct
@@ -234,7 +234,7 @@
 /** struct time_wait - context of time_has_come() */
 typedef struct
 {
-  const clk_t *clk;
+  const clock_source_t *clock;
   uint64_t at_us;
 } time_wait_t;
 
@@ -243,18 +243,18 @@
 {
   const time_wait_t *wait = context;
 
-  return clk_now_us (wait->clk) >= wait->at_us;
+  return clock_now_us (wait->clock) >= wait->at_us;
 }
 
 void
 gateway_rig_skip_retry_window (gateway_rig_t *rig)
 {
-  set_t *set = &rig->gateways[0].set;
-  time_wait_t wait = { .clk = &rig->clk };
+  settings_t *set = &rig->gateways[0].set;
+  time_wait_t wait = { .clock = &rig->clock };
 
   set->retry_window_ms = SHORT_RETRY_WINDOW_MS;
   gateway_rig_restart (rig, 0);
-  wait.at_us = clk_now_us (&rig->clk) + UINT64_C (2) * SHORT_RETRY_WINDOW_MS * CLK_US_PER_MS;
+  wait.at_us = clock_now_us (&rig->clock) + UINT64_C (2) * SHORT_RETRY_WINDOW_MS * CLOCK_US_PER_MS;
   g_assert (raw_peer_run_until (rig->base, time_has_come, &wait));
   g_assert (raw_peer_run_until (rig->base, all_ready, rig));
 }
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -24,16 +24,16 @@
  */
 typedef struct
 {
-  set_t set;
-  cnt_set_t *counters;
+  settings_t set;
+  counter_registry_t *counters;
   fake_store_client_t *front;
   gateway_process_t *gateway_process;
-  set_address_t address;
+  address_t address;
 } gateway_rig_gateway_t;
 
 /**
  * struct rig - the rig of one test
- * @clk: clock of all gateways; it runs, and a test may pause it
+ * @clock: clock of all gateways; it runs, and a test may pause it
  * @seeded: the first gateway is a seed of all gateways
  * @starts: number of starts of gateways, which gives each its incarnation
  * @engines: engines of the service "pool", with the ids "e0", "e1", ...
@@ -41,7 +41,7 @@
 typedef struct
 {
   struct event_base *base;
-  clk_t clk;
+  clock_source_t clock;
   fake_store_t *store;
   gateway_rig_gateway_t gateways[GATEWAY_RIG_GATEWAYS_MAX];
   uint32_t gateway_count;
--- a/tests/http_bench.c
+++ b/tests/http_bench.c
@@ -46,7 +46,7 @@
   GError *error = NULL;
 
   fixture->base = event_base_new ();
-  fixture->counters = cnt_set_new ();
+  fixture->counters = counter_registry_new ();
   fixture->waiting = g_ptr_array_new ();
   fixture->clients = g_ptr_array_new_with_free_func ((GDestroyNotify)raw_peer_free);
   fixture->address = raw_peer_loopback_address ();
@@ -74,7 +74,7 @@
     http_server_free (fixture->http_server);
   g_ptr_array_free (fixture->clients, TRUE);
   g_ptr_array_free (fixture->waiting, TRUE);
-  cnt_set_free (fixture->counters);
+  counter_registry_free (fixture->counters);
   event_base_free (fixture->base);
   g_free (fixture);
 }
@@ -82,7 +82,7 @@
 uint64_t
 server_fixture_counter_value (server_fixture_t *fixture, const char *name)
 {
-  return cnt_value (cnt_get (fixture->counters, name, ""));
+  return counter_value (counter_get (fixture->counters, name, ""));
 }
 
 uint64_t
--- a/tests/http_bench.h
+++ b/tests/http_bench.h
@@ -28,9 +28,9 @@
 typedef struct
 {
   struct event_base *base;
-  cnt_set_t *counters;
+  counter_registry_t *counters;
   http_server_t *http_server;
-  set_address_t address;
+  address_t address;
   GPtrArray *waiting;
   GPtrArray *clients;
   uint32_t calls;
--- a/tests/path_crowd.c
+++ b/tests/path_crowd.c
@@ -23,7 +23,7 @@
 uint64_t
 testbed_count_queued (const testbed_node_t *sidecar)
 {
-  return cnt_value (cnt_get (sidecar->daemon.counters, "medlarplank_waiting", ""));
+  return counter_value (counter_get (sidecar->daemon.counters, "medlarplank_waiting", ""));
 }
 
 bool
--- a/tests/path_fleet.c
+++ b/tests/path_fleet.c
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 #define HOST_PORT 8080
-#define WAIT_LIMIT_US (10 * CLK_US_PER_S)
+#define WAIT_LIMIT_US (10 * CLOCK_US_PER_S)
 
 static const char MANIFEST[] =
     "{\"client_accounts\":{"
@@ -27,10 +27,10 @@
     "\"idempotent\":false},"
     "{\"path\":\"/look*\",\"service\":\"pool\",\"class\":\"short\",\"idempotent\":true}]}";
 
-set_address_t
+address_t
 testbed_address (uint32_t last)
 {
-  set_address_t address = { .port = HOST_PORT };
+  address_t address = { .port = HOST_PORT };
   int pid = getpid ();
 
   g_snprintf (address.ip, sizeof address.ip, "127.%d.%d.%u", (pid >> 8 & 0x7f) + 1, pid & 0xff,
@@ -258,7 +258,7 @@
       g_hash_table_insert (testbed->claims, g_memdup2 (&claim->key.key_hash[0], sizeof (uint64_t)),
                            GUINT_TO_POINTER (CLAIM_HELD));
     }
-  mbx_send (node->daemon.to_data, &answer->head);
+  mailbox_send (node->daemon.to_data, &answer->head);
 }
 
 static void
@@ -295,7 +295,7 @@
 }
 
 static void
-on_control (mbx_message_t *message, void *context)
+on_control (mailbox_message_t *message, void *context)
 {
   testbed_node_t *node = context;
 
@@ -324,8 +324,8 @@
   message_flag_t *flag = message_new (kind);
 
   flag->on = on;
-  flag->at_us = clk_now_us (&node->daemon.clk);
-  mbx_send (node->daemon.to_data, &flag->head);
+  flag->at_us = clock_now_us (&node->daemon.clock);
+  mailbox_send (node->daemon.to_data, &flag->head);
 }
 
 static void
@@ -334,7 +334,7 @@
   message_members_t *members = message_new (MESSAGE_MEMBERS);
 
   members->members = membership_snapshot_ref (&testbed->members);
-  mbx_send (node->daemon.to_data, &members->head);
+  mailbox_send (node->daemon.to_data, &members->head);
 }
 
 static void
@@ -343,7 +343,7 @@
   message_version_t *version = message_new (MESSAGE_VERSION);
 
   version->man = manifest_ref (node->testbed->manifest);
-  mbx_send (node->daemon.to_data, &version->head);
+  mailbox_send (node->daemon.to_data, &version->head);
 }
 
 void
@@ -374,14 +374,14 @@
 }
 
 static void
-start_daemon (testbed_t *testbed, testbed_node_t *node, uint32_t host, const set_address_t *engine)
+start_daemon (testbed_t *testbed, testbed_node_t *node, uint32_t host, const address_t *engine)
 {
-  set_t *set = &node->daemon.set;
+  settings_t *set = &node->daemon.set;
   GError *error = NULL;
   bool router = engine == NULL;
 
   node->testbed = testbed;
-  set->role = router ? SET_ROLE_ROUTER : SET_ROLE_SIDECAR;
+  set->role = router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
   g_strlcpy (set->name, testbed->hosts[host].name, sizeof set->name);
   g_strlcpy (set->region, "r", sizeof set->region);
   g_strlcpy (set->fleet_key, TESTBED_FLEET_KEY, sizeof set->fleet_key);
@@ -395,10 +395,10 @@
   set->idle_timeout_ms = 30000;
   set->exchange_interval_ms = 250;
   set->control_budget_bytes = 2000;
-  clk_init_running (&node->daemon.clk);
-  node->daemon.counters = cnt_set_new ();
+  clock_init_running (&node->daemon.clock);
+  node->daemon.counters = counter_registry_new ();
   node->daemon.incarnation = testbed->hosts[host].incarnation;
-  node->daemon.to_control = mbx_new (testbed->base, on_control, node);
+  node->daemon.to_control = mailbox_new (testbed->base, on_control, node);
   if (router)
     node->router_task = router_new (&node->daemon, testbed->base, &error);
   else
@@ -406,8 +406,8 @@
   if (error != NULL)
     g_error ("%s", error->message);
   node->daemon.to_data =
-      mbx_new (testbed->base, router ? router_handle_message : sidecar_handle_message,
-               router ? (void *)node->router_task : (void *)node->sidecar_task);
+      mailbox_new (testbed->base, router ? router_handle_message : sidecar_handle_message,
+                   router ? (void *)node->router_task : (void *)node->sidecar_task);
   send_initial_state (node);
 }
 
@@ -416,9 +416,9 @@
 {
   router_free (node->router_task);
   sidecar_free (node->sidecar_task);
-  mbx_free (node->daemon.to_data);
-  mbx_free (node->daemon.to_control);
-  cnt_set_free (node->daemon.counters);
+  mailbox_free (node->daemon.to_data);
+  mailbox_free (node->daemon.to_control);
+  counter_registry_free (node->daemon.counters);
 }
 
 static int
@@ -474,11 +474,11 @@
 {
   static const struct timeval STEP = { .tv_usec = 5000 };
   struct event *wake = event_new (testbed->base, -1, EV_PERSIST, on_wake, NULL);
-  uint64_t end_us = clk_now_us (&testbed->router.daemon.clk) + WAIT_LIMIT_US;
+  uint64_t end_us = clock_now_us (&testbed->router.daemon.clock) + WAIT_LIMIT_US;
   bool reached;
 
   event_add (wake, &STEP);
-  while (!(reached = done (context)) && clk_now_us (&testbed->router.daemon.clk) < end_us)
+  while (!(reached = done (context)) && clock_now_us (&testbed->router.daemon.clock) < end_us)
     run_loop_once (testbed);
   event_free (wake);
   return reached;
@@ -502,7 +502,7 @@
   testbed_t *testbed = g_new0 (testbed_t, 1);
 
   testbed->base = event_base_new ();
-  testbed->counters = cnt_set_new ();
+  testbed->counters = counter_registry_new ();
   testbed->manifest = make_manifest ();
   testbed->http_client = http_client_new (testbed->base, 4, 10000);
   testbed->claims = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
@@ -542,7 +542,7 @@
       event_free (engine->crash_timer);
       event_free (engine->disconnect_timer);
     }
-  cnt_set_free (testbed->counters);
+  counter_registry_free (testbed->counters);
   manifest_unref (testbed->manifest);
   g_free (testbed->members.by_hash);
   g_hash_table_destroy (testbed->claims);
@@ -551,7 +551,7 @@
 }
 
 evutil_socket_t
-testbed_open_black_hole (set_address_t *address)
+testbed_open_black_hole (address_t *address)
 {
   evutil_socket_t fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   struct sockaddr_in name = { .sin_family = AF_INET, .sin_port = htons (HOST_PORT) };
--- a/tests/path_fleet.h
+++ b/tests/path_fleet.h
@@ -55,7 +55,7 @@
 typedef struct
 {
   testbed_t *testbed;
-  dmn_t daemon;
+  daemon_t daemon;
   router_t *router_task;
   sidecar_t *sidecar_task;
   bool drained;
@@ -76,7 +76,7 @@
 typedef struct
 {
   testbed_t *testbed;
-  set_address_t address;
+  address_t address;
   http_server_t *server;
   testbed_mode_t mode;
   GPtrArray *held_requests;
@@ -112,7 +112,7 @@
   testbed_node_t sidecars[TESTBED_SIDECARS];
   testbed_engine_t engines[TESTBED_SIDECARS];
   http_client_t *http_client;
-  cnt_set_t *counters;
+  counter_registry_t *counters;
   GHashTable *claims;
   bool log_down;
   bool hold_claims;
@@ -150,7 +150,7 @@
   http_client_result_t end;
   int status;
   char verdict[32];
-  char engine[LIM_NAME_BYTES];
+  char engine[LIMIT_NAME_BYTES];
   char request_id[40];
   char retry_after[16];
   GString *body;
@@ -161,7 +161,7 @@
  * testbed_address() - a loopback address that only this process uses
  * @last: last byte of the address; hosts have 1 to 4, engines 100 to 102
  */
-set_address_t testbed_address (uint32_t last);
+address_t testbed_address (uint32_t last);
 /** testbed_new() - starts all daemons and engines, and waits until the router serves requests */
 testbed_t *testbed_new (void);
 void testbed_free (testbed_t *testbed);
@@ -206,7 +206,7 @@
  *
  * Return: the socket, for the caller to close; @address is set
  */
-evutil_socket_t testbed_open_black_hole (set_address_t *address);
+evutil_socket_t testbed_open_black_hole (address_t *address);
 /** testbed_crash() - closes an engine's listener and all its connections */
 void testbed_crash (testbed_engine_t *engine);
 /** testbed_start_engine() - starts an engine, also again after a crash */
--- a/tests/raw_peer.c
+++ b/tests/raw_peer.c
@@ -8,10 +8,10 @@
 
 #define DEADLINE_S 5
 
-set_address_t
+address_t
 raw_peer_loopback_address (void)
 {
-  set_address_t address = { "", 0 };
+  address_t address = { "", 0 };
   unsigned pid = (unsigned)getpid ();
 
   g_snprintf (address.ip, sizeof address.ip, "127.%u.%u.1", (pid >> 8 & 0x7f) + 1, pid & 0xff);
@@ -19,7 +19,7 @@
 }
 
 static struct sockaddr_in
-sockaddr_of (const set_address_t *address)
+sockaddr_of (const address_t *address)
 {
   struct sockaddr_in name = { .sin_family = AF_INET, .sin_port = htons (address->port) };
 
@@ -61,7 +61,7 @@
 }
 
 raw_peer_t *
-raw_peer_connect (struct event_base *base, const set_address_t *address)
+raw_peer_connect (struct event_base *base, const address_t *address)
 {
   struct sockaddr_in name = sockaddr_of (address);
   int fd = socket (AF_INET, SOCK_STREAM, 0);
--- a/tests/raw_peer.h
+++ b/tests/raw_peer.h
@@ -45,7 +45,7 @@
   struct event_base *base;
   struct event *acceptable;
   int fd;
-  set_address_t address;
+  address_t address;
   const char *const *scripts;
   uint32_t script_count;
   uint32_t answered;
@@ -59,9 +59,9 @@
 } raw_server_t;
 
 /** raw_peer_loopback_address() - a loopback address that only this process uses, with port 0 */
-set_address_t raw_peer_loopback_address (void);
+address_t raw_peer_loopback_address (void);
 /** raw_peer_connect() - connect to @address */
-raw_peer_t *raw_peer_connect (struct event_base *base, const set_address_t *address);
+raw_peer_t *raw_peer_connect (struct event_base *base, const address_t *address);
 /** raw_peer_send() - send @text; blocks until the kernel has taken all of it */
 void raw_peer_send (raw_peer_t *raw, const char *text);
 /** raw_peer_close() - close the connection, with @reset by a reset instead of an end of file */
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -8,7 +8,7 @@
 #define SERVICE 5
 #define ENGINES 4
 #define SLOTS 16
-#define SECOND_US ((uint64_t)CLK_US_PER_S)
+#define SECOND_US ((uint64_t)CLOCK_US_PER_S)
 #define LIFETIME_US (60 * SECOND_US)
 #define REQUESTS 64
 #define REQUEST_MS (50 + 100 * 30) /* estimated duration of the requests of make() */
@@ -217,7 +217,7 @@
   g_autoptr (rig_t) rig = rig_new (125);
   admission_set_joined (rig->admission, rig->now_us);
   CU_ASSERT_EQUAL (admission_bound_milli (rig->admission, rig->now_us), 1000);
-  rig->now_us += LIM_SAMPLE_AGE_US;
+  rig->now_us += LIMIT_LOAD_SAMPLE_AGE_US;
   CU_ASSERT_EQUAL (admission_bound_milli (rig->admission, rig->now_us), SLOTS * 1000);
 }
 
--- a/tests/test_attempt.c
+++ b/tests/test_attempt.c
@@ -140,7 +140,7 @@
   forwarding_step_t step = begin (&rig, true, 6);
 
   full.retry_after_ms = 700;
-  for (uint32_t hop = 1; hop < LIM_HOPS; hop++)
+  for (uint32_t hop = 1; hop < LIMIT_HOPS; hop++)
     {
       CU_ASSERT_FALSE (step.may_wait);
       step = ended (&rig, 1, &full);
@@ -154,7 +154,7 @@
   step = ended (&rig, 1, &full);
   check_given_up (&step, VERDICT_NOT_RUN);
   CU_ASSERT_EQUAL (step.retry_after_ms, 401);
-  CU_ASSERT_EQUAL (rig.forwarding.hops, LIM_HOPS);
+  CU_ASSERT_EQUAL (rig.forwarding.hops, LIMIT_HOPS);
 }
 
 /* A request is queued at its last hop when that host is stopped as planned. Guards against a 503
@@ -169,7 +169,7 @@
   forwarding_outcome_t leaving = refusal (VERDICT_REASON_LEAVING);
   forwarding_step_t step = begin (&rig, true, 3);
 
-  for (uint32_t hop = 1; hop < LIM_HOPS; hop++)
+  for (uint32_t hop = 1; hop < LIMIT_HOPS; hop++)
     step = ended (&rig, 1, &full);
   CU_ASSERT_EQUAL (step.engine_hash, 10);
   CU_ASSERT_TRUE (step.may_wait);
@@ -183,7 +183,7 @@
   CU_ASSERT_TRUE (step.may_wait);
   step = ended (&rig, 1, &leaving);
   CU_ASSERT_EQUAL (step.action, FORWARDING_SEND);
-  CU_ASSERT_EQUAL (rig.forwarding.hops, LIM_HOPS_MOST);
+  CU_ASSERT_EQUAL (rig.forwarding.hops, LIMIT_HOPS_EXTENDED);
   CU_ASSERT_TRUE (step.may_wait);
   step = ended (&rig, 1, &leaving);
   check_given_up (&step, VERDICT_NOT_RUN);
@@ -288,10 +288,10 @@
 static void
 hops_are_limited (void)
 {
-  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_OVER_BOUND), LIM_HOPS);
-  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_COLD), LIM_HOPS);
-  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_LEAVING), LIM_HOPS_MOST);
-  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_STALE), LIM_HOPS_MOST);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_OVER_BOUND), LIMIT_HOPS);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_COLD), LIMIT_HOPS);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_LEAVING), LIMIT_HOPS_EXTENDED);
+  CU_ASSERT_EQUAL (hops_until_given_up (VERDICT_REASON_STALE), LIMIT_HOPS_EXTENDED);
 }
 
 /* Guards against a retry time for requests that crash engines, or that fail again if retried. */
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -12,10 +12,10 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define HORIZON_US (200 * (uint64_t)CLK_US_PER_S)
-#define RETENTION_US (400 * (uint64_t)CLK_US_PER_S)
+#define HORIZON_US (200 * (uint64_t)CLOCK_US_PER_S)
+#define RETENTION_US (400 * (uint64_t)CLOCK_US_PER_S)
 #define WALL_BASE_MS UINT64_C (1700000000000)
-#define EXPIRY_US (2 * (uint64_t)CLK_US_PER_S)
+#define EXPIRY_US (2 * (uint64_t)CLOCK_US_PER_S)
 
 static const claim_key_t key_a = { { 1, 2 }, 3 };
 static const claim_key_t key_b = { { 5, 5 }, 5 };
@@ -31,7 +31,7 @@
 static uint64_t
 wall_ms (const single_t *single)
 {
-  return WALL_BASE_MS + single->now_us / CLK_US_PER_MS;
+  return WALL_BASE_MS + single->now_us / CLOCK_US_PER_MS;
 }
 
 static single_t
@@ -146,7 +146,7 @@
   request_claim (&single, 1, &key_a);
   g_autofree char *text = next_batch (&single);
   claim_append_lost (single.claim_stream, single.now_us);
-  single.now_us += CLK_US_PER_S / 2;
+  single.now_us += CLOCK_US_PER_S / 2;
   CU_ASSERT_PTR_NULL (next_batch (&single));
   apply_record (&single, text);
   claim_read_to_end (single.claim_stream, single.now_us, single.offset);
@@ -179,7 +179,7 @@
   request_claim (&single, 1, &key_a);
   g_free (next_batch (&single));
   claim_append_lost (single.claim_stream, single.now_us);
-  single.now_us += CLK_US_PER_S / 2;
+  single.now_us += CLOCK_US_PER_S / 2;
   claim_read_to_end (single.claim_stream, single.now_us, single.offset);
   CU_ASSERT_PTR_NULL (next_batch (&single));
   claim_read_to_end (single.claim_stream, single.now_us, single.offset);
@@ -198,7 +198,7 @@
   request_claim (&single, 1, &key_a);
   g_autofree char *late = next_batch (&single);
   claim_append_lost (single.claim_stream, single.now_us);
-  single.now_us += CLK_US_PER_S / 2;
+  single.now_us += CLOCK_US_PER_S / 2;
   claim_read_to_end (single.claim_stream, single.now_us, single.offset);
   claim_read_to_end (single.claim_stream, single.now_us, single.offset);
   append_and_read (&single);
@@ -223,7 +223,7 @@
   request_claim (&single, 3, &key_b);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
-  single.now_us += CLK_US_PER_S;
+  single.now_us += CLOCK_US_PER_S;
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   request_claim (&single, 4,
                  &key_a); /* refused at once too: the release of the first claim tries the log */
@@ -282,14 +282,14 @@
   uint64_t short_deadline[2] = { 7, 1 };
   uint64_t late_short_deadline[2] = { 7, 2 };
   claim_request (single.claim_stream, single.now_us, short_deadline, &key_a,
-                 single.now_us + 50 * CLK_US_PER_MS, NULL);
+                 single.now_us + 50 * CLOCK_US_PER_MS, NULL);
   request_claim (&single, 3, &key_b);
   g_free (next_batch (&single));
   claim_append_refused (single.claim_stream, single.now_us);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
   claim_request (single.claim_stream, single.now_us, late_short_deadline, &key_a,
-                 single.now_us + 50 * CLK_US_PER_MS, NULL);
+                 single.now_us + 50 * CLOCK_US_PER_MS, NULL);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
   append_and_read (&single);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
@@ -314,11 +314,11 @@
       tries++;
     }
   CU_ASSERT_TRUE (tries <= 5);
-  CU_ASSERT_TRUE (single.now_us < 3 * CLK_US_PER_S);
+  CU_ASSERT_TRUE (single.now_us < 3 * CLOCK_US_PER_S);
   tries = 0;
   for (uint32_t second = 0; second < 40; second++)
     {
-      single.now_us += CLK_US_PER_S;
+      single.now_us += CLOCK_US_PER_S;
       request_claim (&single, 10 + second, &key_a);
       request_claim (&single, 100 + second, &key_a);
       char *text = next_batch (&single);
@@ -332,7 +332,7 @@
       CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
     }
   CU_ASSERT_TRUE (tries >= 5 && tries <= 15);
-  single.now_us += 5 * CLK_US_PER_S;
+  single.now_us += 5 * CLOCK_US_PER_S;
   check_claim (&single, 3, &key_a, CLAIM_GRANTED);
   check_claim (&single, 4, &key_a, CLAIM_HELD);
 }
@@ -347,7 +347,7 @@
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
   claim_read_failed (single.claim_stream, single.now_us);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_LOG_DOWN);
-  single.now_us += CLK_US_PER_S;
+  single.now_us += CLOCK_US_PER_S;
   CU_ASSERT_PTR_NULL (next_batch (&single));
 }
 
@@ -376,7 +376,7 @@
   uint64_t first[2] = { 7, 1 };
   uint64_t second[2] = { 7, 2 };
   check_claim (&single, 1, &key_a, CLAIM_GRANTED);
-  single.now_us += CLK_US_PER_S / 5;
+  single.now_us += CLOCK_US_PER_S / 5;
   claim_finish (single.claim_stream, first, &key_a, 200);
   CU_ASSERT_TRUE (claim_has_work (single.claim_stream));
   CU_ASSERT_FALSE (claim_needs_read (single.claim_stream));
@@ -384,17 +384,17 @@
   request_claim (&single, 2, &key_b);
   CU_ASSERT_TRUE (batch_has (&single, "\"d\""));
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
-  single.now_us += CLK_US_PER_S / 5;
+  single.now_us += CLOCK_US_PER_S / 5;
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_PENDING);
   claim_finish (single.claim_stream, second, &key_b, 200);
   CU_ASSERT_FALSE (batch_has (&single, "\"d\""));
-  single.now_us += 2 * CLK_US_PER_S;
+  single.now_us += 2 * CLOCK_US_PER_S;
   CU_ASSERT_TRUE (batch_has (&single, "\"d\""));
   request_claim (&single, 3, &(claim_key_t){ { 6, 6 }, 6 });
-  single.now_us += CLK_US_PER_S / 5;
+  single.now_us += CLOCK_US_PER_S / 5;
   append_and_read (&single);
   CU_ASSERT_EQUAL (next_verdict (&single), CLAIM_GRANTED);
-  single.now_us += CLK_US_PER_S / 5;
+  single.now_us += CLOCK_US_PER_S / 5;
   claim_release (single.claim_stream, (uint64_t[]){ 7, 3 }, &(claim_key_t){ { 6, 6 }, 6 });
   CU_ASSERT_TRUE (batch_has (&single, "\"r\""));
 }
@@ -435,7 +435,7 @@
 
 #define READERS 3
 #define KEYS 7
-#define KEY_PERIOD_US (30 * (uint64_t)CLK_US_PER_S)
+#define KEY_PERIOD_US (30 * (uint64_t)CLOCK_US_PER_S)
 #define DELAYED_MAX 16
 
 /** struct grant - a granted claim whose request has not run yet; @run_us: when it runs */
@@ -512,7 +512,8 @@
 static uint64_t
 reader_wall_ms (const simulation_t *simulation, const reader_t *reader)
 {
-  return (uint64_t)((int64_t)(WALL_BASE_MS + simulation->now_us / CLK_US_PER_MS) + reader->skew_ms);
+  return (uint64_t)((int64_t)(WALL_BASE_MS + simulation->now_us / CLOCK_US_PER_MS) +
+                    reader->skew_ms);
 }
 
 static void
@@ -522,7 +523,7 @@
   reader->claim_stream = claim_new (HORIZON_US);
   reader->grants = g_array_new (FALSE, FALSE, sizeof (grant_t));
   reader->skew_ms =
-      simulation->faults ? (int64_t)random_us (simulation, 4 * CLK_US_PER_MS) - 2000 : 0;
+      simulation->faults ? (int64_t)random_us (simulation, 4 * CLOCK_US_PER_MS) - 2000 : 0;
 }
 
 static void
@@ -547,7 +548,7 @@
     return;
   simulation->delayed[simulation->delayed_count++] =
       (delayed_t){ g_strdup (text),
-                   simulation->now_us + random_us (simulation, 30 * CLK_US_PER_S) };
+                   simulation->now_us + random_us (simulation, 30 * CLOCK_US_PER_S) };
 }
 
 static void
@@ -587,7 +588,7 @@
     {
       reader->append = claim_next_batch (reader->claim_stream, simulation->now_us,
                                          reader_wall_ms (simulation, reader));
-      reader->append_due_us = simulation->now_us + random_us (simulation, CLK_US_PER_S / 10);
+      reader->append_due_us = simulation->now_us + random_us (simulation, CLOCK_US_PER_S / 10);
       return;
     }
   if (simulation->now_us < reader->append_due_us)
@@ -647,7 +648,7 @@
     }
   uint64_t last_us = simulation->last_run_us[grant->key];
   uint64_t slack_us =
-      EXPIRY_US + 5 * (uint64_t)CLK_US_PER_S; /* expiry, and clocks that differ by 4 s */
+      EXPIRY_US + 5 * (uint64_t)CLOCK_US_PER_S; /* expiry, and clocks that differ by 4 s */
   if (last_us != 0 && simulation->now_us < last_us + HORIZON_US - slack_us)
     simulation->repeated_runs++;
   simulation->last_run_us[grant->key] = simulation->now_us;
@@ -668,8 +669,8 @@
       grant_t grant = { { result.claim_id[0], result.claim_id[1] },
                         GPOINTER_TO_UINT (result.owner),
                         simulation->now_us +
-                            random_us (simulation, simulation->faults ? 3 * CLK_US_PER_S : 1000),
-                        simulation->now_us + CLK_US_PER_S };
+                            random_us (simulation, simulation->faults ? 3 * CLOCK_US_PER_S : 1000),
+                        simulation->now_us + CLOCK_US_PER_S };
       claim_key_t claim_key = { { grant.key, 77 }, 5 };
       if (simulation->faults && chance (simulation, 30))
         claim_release (reader->claim_stream, grant.claim_id,
@@ -697,7 +698,7 @@
       bool long_pause = chance (simulation, 5);
       reader->paused_until_us =
           simulation->now_us +
-          random_us (simulation, long_pause ? 2 * RETENTION_US : 10 * CLK_US_PER_S);
+          random_us (simulation, long_pause ? 2 * RETENTION_US : 10 * CLOCK_US_PER_S);
       return;
     }
   if (simulation->faults && chance (simulation, 1) && chance (simulation, 10))
@@ -721,13 +722,14 @@
   memset (simulation, 0, sizeof *simulation);
   simulation->rand = g_rand_new_with_seed (seed);
   simulation->faults = faults;
-  simulation->now_us = CLK_US_PER_S;
+  simulation->now_us = CLOCK_US_PER_S;
   simulation->log = g_array_new (FALSE, FALSE, sizeof (logged_t));
   for (uint32_t i = 0; i < READERS; i++)
     reader_start (simulation, &simulation->readers[i]);
   for (uint32_t step = 0; step < steps; step++)
     {
-      simulation->now_us += random_us (simulation, faults ? CLK_US_PER_S / 10 : 2 * CLK_US_PER_MS);
+      simulation->now_us +=
+          random_us (simulation, faults ? CLOCK_US_PER_S / 10 : 2 * CLOCK_US_PER_MS);
       step_log (simulation);
       step_reader (simulation,
                    &simulation->readers[g_rand_int_range (simulation->rand, 0, READERS)]);
@@ -779,7 +781,7 @@
       for (uint32_t i = 0; i < 80 * READERS; /* longer than a done entry is deferred */ i++)
         {
           reader_t *reader = &simulation.readers[i % READERS];
-          simulation.now_us += CLK_US_PER_S / 100;
+          simulation.now_us += CLOCK_US_PER_S / 100;
           step_append (&simulation, reader);
           step_read (&simulation, reader);
           step_results (&simulation, reader);
--- a/tests/test_claim_pace.c
+++ b/tests/test_claim_pace.c
@@ -39,8 +39,8 @@
 {
   memset (fleet->succeeded, 0, sizeof fleet->succeeded);
   fleet->refused = 0;
-  uint64_t end_us = fleet->now_us + seconds * (uint64_t)CLK_US_PER_S;
-  for (; fleet->now_us < end_us; fleet->now_us += CLK_US_PER_MS)
+  uint64_t end_us = fleet->now_us + seconds * (uint64_t)CLOCK_US_PER_S;
+  for (; fleet->now_us < end_us; fleet->now_us += CLOCK_US_PER_MS)
     {
       fleet->allowance = MIN (fleet->allowance + APPENDS_PER_S / 1000, APPENDS_PER_S);
       for (uint32_t i = 0; i < DAEMONS; i++)
@@ -98,14 +98,14 @@
   uint64_t now_us = 0;
   for (uint32_t i = 0; i < 10; i++)
     claim_pace_append_refused (&pace, now_us = pace.due_us);
-  CU_ASSERT_EQUAL (pace.interval_us, LIM_CLAIM_INTERVAL_MAX_US);
-  CU_ASSERT_TRUE (pace.due_us - now_us <= LIM_CLAIM_BACKOFF_US * 5 / 4);
-  for (now_us = pace.due_us; now_us < 300 * (uint64_t)CLK_US_PER_S; now_us = pace.due_us)
+  CU_ASSERT_EQUAL (pace.interval_us, LIMIT_CLAIM_INTERVAL_MAX_US);
+  CU_ASSERT_TRUE (pace.due_us - now_us <= LIMIT_CLAIM_BACKOFF_US * 5 / 4);
+  for (now_us = pace.due_us; now_us < 300 * (uint64_t)CLOCK_US_PER_S; now_us = pace.due_us)
     {
       claim_pace_append_started (&pace, now_us);
       claim_pace_append_succeeded (&pace, now_us);
     }
-  CU_ASSERT_EQUAL (pace.interval_us, LIM_CLAIM_INTERVAL_MIN_US);
+  CU_ASSERT_EQUAL (pace.interval_us, LIMIT_CLAIM_INTERVAL_MIN_US);
 }
 
 /* An outage of the log says nothing about its rate. The attempts become rarer, but the first one
@@ -118,10 +118,10 @@
   uint64_t now_us = 0;
   for (uint32_t i = 0; i < 10; i++)
     claim_pace_append_lost (&pace, now_us = pace.due_us);
-  CU_ASSERT_TRUE (pace.due_us - now_us >= LIM_CLAIM_BACKOFF_US * 3 / 4);
+  CU_ASSERT_TRUE (pace.due_us - now_us >= LIMIT_CLAIM_BACKOFF_US * 3 / 4);
   claim_pace_append_started (&pace, pace.due_us);
   claim_pace_append_succeeded (&pace, pace.due_us);
-  CU_ASSERT_TRUE (pace.due_us - pace.started_us <= LIM_CLAIM_INTERVAL_MIN_US * 5 / 4);
+  CU_ASSERT_TRUE (pace.due_us - pace.started_us <= LIMIT_CLAIM_INTERVAL_MIN_US * 5 / 4);
 }
 
 int
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -57,15 +57,15 @@
 {
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
-  clk_advance (&rig.dmn.clk, 2 * CLK_US_PER_S);
+  clock_advance (&rig.daemon.clock, 2 * CLOCK_US_PER_S);
   control_tick (rig.ctrl); /* reads the host list */
-  clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
+  clock_advance (&rig.daemon.clock, RIG_PAUSE_US);
   rig_publish_version (&rig.platform, 1); /* completes the long-polling read of the log */
   CU_ASSERT_EQUAL (fake_platform_answer_calls (&rig.platform), 2);
   event_base_loop (rig.base, EVLOOP_NONBLOCK);
   CU_ASSERT_FALSE (rig.received.fresh);
   CU_ASSERT_EQUAL (rig.received.stale_count, 1);
-  CU_ASSERT_EQUAL (rig.received.fresh_at_us, clk_now_us (&rig.dmn.clk));
+  CU_ASSERT_EQUAL (rig.received.fresh_at_us, clock_now_us (&rig.daemon.clock));
   uint64_t woke_us = rig.received.fresh_at_us;
   TICK_UNTIL (&rig, rig.received.fresh);
   CU_ASSERT_EQUAL (rig.received.version, 2);
@@ -80,7 +80,7 @@
   rig_init (&rig);
   rig_tick (&rig);
   message_flag_t *woke = message_new (MESSAGE_PAUSE_DETECTED);
-  woke->at_us = clk_now_us (&rig.dmn.clk) + 1;
+  woke->at_us = clock_now_us (&rig.daemon.clock) + 1;
   uint64_t woke_us = woke->at_us;
   rig_deliver (&rig, woke);
   CU_ASSERT_FALSE (rig.received.fresh);
@@ -96,16 +96,16 @@
 {
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
-  clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
+  clock_advance (&rig.daemon.clock, RIG_PAUSE_US);
   rig_tick (&rig);
   rig_tick (&rig);
   CU_ASSERT_TRUE (rig.received.fresh);
   uint32_t lists = rig.platform.lists;
   message_flag_t *woke = message_new (MESSAGE_PAUSE_DETECTED);
-  woke->at_us = clk_now_us (&rig.dmn.clk);
+  woke->at_us = clock_now_us (&rig.daemon.clock);
   rig_deliver (&rig, woke);
   CU_ASSERT_TRUE (rig.received.fresh);
-  CU_ASSERT_EQUAL (rig.received.fresh_at_us, clk_now_us (&rig.dmn.clk));
+  CU_ASSERT_EQUAL (rig.received.fresh_at_us, clock_now_us (&rig.daemon.clock));
   CU_ASSERT_EQUAL (rig.received.stale_count, 1);
   rig_tick (&rig);
   CU_ASSERT_EQUAL (rig.platform.lists, lists);
@@ -124,7 +124,7 @@
   rig_init (&rig);
   rig.platform.read_down = true;
   rig.platform.list_down = true;
-  clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
+  clock_advance (&rig.daemon.clock, RIG_PAUSE_US);
   rig_message_t incoming;
   rig_compose (&incoming, "peer", 1)->manifest_version = 1;
   CU_ASSERT_FALSE (control_exchange_receive (&incoming.message, true, rig.ctrl));
@@ -161,7 +161,7 @@
   rig_publish_version (&peer.platform, 0);
   rig_start (&peer);
   TICK_UNTIL (&peer, peer.received.fresh);
-  exchange_send_now (own.ctrl->exchange, &peer.dmn.set.exchange);
+  exchange_send_now (own.ctrl->exchange, &peer.daemon.set.exchange);
   membership_report_t word = { 0 };
   gint64 end_us = g_get_monotonic_time () + RIG_DEADLINE_S * G_USEC_PER_SEC;
   while (!membership_last_report (peer.ctrl->membership, own.ctrl->own_hash, &word) &&
@@ -173,7 +173,7 @@
   rig_ticks (&peer, 20);
   own.platform.read_down = true;
   own.platform.list_down = true;
-  clk_advance (&own.dmn.clk, RIG_PAUSE_US);
+  clock_advance (&own.daemon.clock, RIG_PAUSE_US);
   control_tick (own.ctrl);
   while (own.received.drain_count == 0 && g_get_monotonic_time () < end_us)
     event_base_loop (base, EVLOOP_ONCE);
@@ -293,7 +293,7 @@
       fake_platform_set_host (&rig->platform, name, false, rig_loopback_ip (),
                               (uint16_t)(RIG_PORT + 10 + i), MEMBERSHIP_LIVE);
       g_strlcpy (rig->platform.hosts[rig->platform.host_count - 1].data_center, "other",
-                 LIM_NAME_BYTES);
+                 LIMIT_NAME_BYTES);
     }
   rig_ticks (rig, 20);
   CU_ASSERT_TRUE (rig->ctrl->peers.is_follower);
@@ -374,23 +374,24 @@
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
   CU_ASSERT_TRUE (rig.ctrl->peers.is_follower);
-  cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
+  counter_t *sent =
+      counter_get (rig.daemon.counters, "medlarplank_control_datagrams_sent_total", "");
   rig_ticks (&rig, 20);
-  uint64_t before = cnt_value (sent);
+  uint64_t before = counter_value (sent);
   fake_platform_set_host (&rig.platform, "peer", false, rig_loopback_ip (), RIG_PORT + 1,
                           MEMBERSHIP_LEAVING);
   TICK_UNTIL (&rig, rig.received.peer_state == MEMBERSHIP_LEAVING);
-  CU_ASSERT_EQUAL (cnt_value (sent), before + 1);
+  CU_ASSERT_EQUAL (counter_value (sent), before + 1);
   rig_ticks (&rig, 30);
-  CU_ASSERT_EQUAL (cnt_value (sent), before + 5);
+  CU_ASSERT_EQUAL (counter_value (sent), before + 5);
   rig_message_t incoming;
   rig_compose (&incoming, "peer", 1)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_ticks (&rig, 20);
   CU_ASSERT_EQUAL (leave_notice_count (rig.ctrl->list.leaving), 0);
-  before = cnt_value (sent);
+  before = counter_value (sent);
   rig_ticks (&rig, 50);
-  CU_ASSERT_EQUAL (cnt_value (sent), before);
+  CU_ASSERT_EQUAL (counter_value (sent), before);
 }
 
 /* A large fleet learns of a new version from the few followers. With periodic messages alone only a
@@ -401,22 +402,23 @@
 {
   g_auto (rig_t) rig = { 0 };
   rig_init (&rig);
-  cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
-  CU_ASSERT_EQUAL (cnt_value (sent), 0);
+  counter_t *sent =
+      counter_get (rig.daemon.counters, "medlarplank_control_datagrams_sent_total", "");
+  CU_ASSERT_EQUAL (counter_value (sent), 0);
   rig_publish_version (&rig.platform, 1);
   TICK_UNTIL (&rig, rig.received.version == 2);
-  CU_ASSERT_EQUAL (cnt_value (sent), 0);
+  CU_ASSERT_EQUAL (counter_value (sent), 0);
   add_remote_hosts (&rig, 300);
-  uint64_t before = cnt_value (sent);
+  uint64_t before = counter_value (sent);
   rig_publish_version (&rig.platform, 2);
   TICK_UNTIL (&rig, rig.received.version == 3);
-  CU_ASSERT_EQUAL (cnt_value (sent), before + 4);
+  CU_ASSERT_EQUAL (counter_value (sent), before + 4);
   add_local_hosts (&rig);
-  before = cnt_value (sent);
+  before = counter_value (sent);
   rig_publish_version (&rig.platform, 3);
   rig.ctrl->manifest.poll.due_us = 0;
   TICK_UNTIL (&rig, rig.received.version == 4);
-  CU_ASSERT_EQUAL (cnt_value (sent), before);
+  CU_ASSERT_EQUAL (counter_value (sent), before);
 }
 
 int
--- a/tests/test_control_claims.c
+++ b/tests/test_control_claims.c
@@ -12,7 +12,7 @@
   message->claim_id[1] = id;
   message->key.key_hash[0] = key;
   message->key.body_hash = 5;
-  message->expiry_us = clk_now_us (&rig->dmn.clk) + 10 * CLK_US_PER_S;
+  message->expiry_us = clock_now_us (&rig->daemon.clock) + 10 * CLOCK_US_PER_S;
   return message;
 }
 
@@ -156,7 +156,7 @@
   CU_ASSERT_EQUAL (g_hash_table_size (rig.ctrl->claims.streams), 1);
   for (uint32_t i = 0; i < 100; i++)
     {
-      clk_advance (&rig.dmn.clk, 10 * CLK_US_PER_S);
+      clock_advance (&rig.daemon.clock, 10 * CLOCK_US_PER_S);
       rig_tick (&rig);
     }
   CU_ASSERT_EQUAL (g_hash_table_size (rig.ctrl->claims.streams), 0);
