--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -26,7 +26,7 @@
   rig_message_t incoming;
   rig_compose (&incoming, "peer", 1);
   put_sample (&incoming, "third", 5, 400);
-  put_sample (&incoming, "peer", 5, 1 + LIM_SAMPLE_AGE_US / CLK_US_PER_MS);
+  put_sample (&incoming, "peer", 5, 1 + LIMIT_LOAD_SAMPLE_AGE_US / CLOCK_US_PER_MS);
   put_sample (&incoming, "own", 5, 0);
   put_sample (&incoming, "no such host", 5, 0);
   incoming.marks[0] = (xch_mark){ 99, { 3, 0 }, 1000 };
@@ -35,14 +35,15 @@
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.sample_count, 1);
   CU_ASSERT_EQUAL (rig.received.sample.load, 5);
-  CU_ASSERT_EQUAL (rig.received.sample.taken_us, clk_now_us (&rig.dmn.clk) - 400 * CLK_US_PER_MS);
+  CU_ASSERT_EQUAL (rig.received.sample.taken_us,
+                   clock_now_us (&rig.daemon.clock) - 400 * CLOCK_US_PER_MS);
   CU_ASSERT_EQUAL (rig.received.mark_count, 1);
   message_load_samples_t *own = message_new (MESSAGE_OWN_LOAD_SAMPLE);
   own->count = 1;
   own->samples[0] =
-      (load_sample_t){ rig.ctrl->own_hash, POOL_HASH, 3, 0, 0, clk_now_us (&rig.dmn.clk) };
+      (load_sample_t){ rig.ctrl->own_hash, POOL_HASH, 3, 0, 0, clock_now_us (&rig.daemon.clock) };
   rig_deliver (&rig, own);
-  clk_advance (&rig.dmn.clk, CLK_US_PER_S);
+  clock_advance (&rig.daemon.clock, CLOCK_US_PER_S);
   rig_message_t out;
   control_exchange_compose (rig_compose (&out, "x", 1), NULL, rig.ctrl);
   CU_ASSERT_EQUAL (out.message.samples.samples_len, 2);
@@ -76,7 +77,7 @@
   publish_two_services (&rig.platform);
   TICK_UNTIL (&rig, rig.received.version == 2);
   const uint64_t hashes[] = { POOL_HASH, rendezvous_hash_name ("desk") };
-  uint64_t now_us = clk_now_us (&rig.dmn.clk);
+  uint64_t now_us = clock_now_us (&rig.daemon.clock);
   for (uint32_t i = 0; i < 40; i++)
     {
       load_sample_t sample = { 100 + i, hashes[i % 2], 1, 0, 0, now_us };
@@ -162,7 +163,7 @@
   CU_ASSERT_EQUAL (rig.received.snapshot_count, before + 2);
   CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
   rig.platform.read_stuck = true;
-  clk_advance (&rig.dmn.clk, RIG_PAUSE_US);
+  clock_advance (&rig.daemon.clock, RIG_PAUSE_US);
   fake_platform_set_host (&rig.platform, "h303", false, rig_loopback_ip (), RIG_PORT + 303,
                           MEMBERSHIP_LEAVING);
   control_tick (rig.ctrl);
@@ -190,21 +191,22 @@
   fake_platform_set_host (&rig.platform, "fourth", false, rig_loopback_ip (), RIG_PORT + 3,
                           MEMBERSHIP_LIVE);
   rig_ticks (&rig, 20);
-  cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
-  uint64_t before = cnt_value (sent);
+  counter_t *sent =
+      counter_get (rig.daemon.counters, "medlarplank_control_datagrams_sent_total", "");
+  uint64_t before = counter_value (sent);
   control_exchange_receive (rig_compose (&incoming, "peer", 1), false, rig.ctrl);
-  CU_ASSERT_EQUAL (cnt_value (sent), before);
+  CU_ASSERT_EQUAL (counter_value (sent), before);
   rig_compose (&incoming, "peer", 2)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
-  CU_ASSERT_TRUE (cnt_value (sent) > before);
-  before = cnt_value (sent);
+  CU_ASSERT_TRUE (counter_value (sent) > before);
+  before = counter_value (sent);
   rig_compose (&incoming, "peer", 3)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
-  CU_ASSERT_EQUAL (cnt_value (sent), before);
-  exchange_charge_budget (rig.ctrl->exchange, rig.dmn.set.control_budget_bytes / 2);
+  CU_ASSERT_EQUAL (counter_value (sent), before);
+  exchange_charge_budget (rig.ctrl->exchange, rig.daemon.set.control_budget_bytes / 2);
   rig_compose (&incoming, "third", 1)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
-  CU_ASSERT_EQUAL (cnt_value (sent), before);
+  CU_ASSERT_EQUAL (counter_value (sent), before);
 }
 
 /* A process with this host's name and a higher incarnation exists: the clock went back, or two
@@ -220,8 +222,9 @@
   incoming.message.words.words_len = 1;
   control_exchange_receive (&incoming.message, true, rig.ctrl);
   rig_run_pending (&rig);
-  cnt_t *conflicts = cnt_get (rig.dmn.counters, "medlarplank_incarnation_conflicts_total", "");
-  CU_ASSERT_EQUAL (cnt_value (conflicts), 1);
+  counter_t *conflicts =
+      counter_get (rig.daemon.counters, "medlarplank_incarnation_conflicts_total", "");
+  CU_ASSERT_EQUAL (counter_value (conflicts), 1);
   CU_ASSERT_EQUAL (rig.received.drain_count, 0);
 }
 
@@ -237,14 +240,14 @@
     {
       rig_t rig;
       rig_start_fresh (&rig, base);
-      rig.dmn.set.control_budget_bytes = budgets[i];
-      rig.dmn.set.exchange_interval_ms = 500;
+      rig.daemon.set.control_budget_bytes = budgets[i];
+      rig.daemon.set.exchange_interval_ms = 500;
       load_samples_t *table =
           g_hash_table_lookup (rig.ctrl->talk.samples, &(uint64_t){ POOL_HASH });
       CU_ASSERT_PTR_NOT_NULL_FATAL (table);
       for (uint32_t engine = 1; engine <= 20; engine++)
         {
-          load_sample_t sample = { engine, POOL_HASH, 1, 0, 0, clk_now_us (&rig.dmn.clk) };
+          load_sample_t sample = { engine, POOL_HASH, 1, 0, 0, clock_now_us (&rig.daemon.clock) };
           load_samples_add (table, &sample);
         }
       rig.ctrl->talk.has_own_sample = true;
@@ -288,13 +291,14 @@
   rig_compose (&incoming, "third", 1);
   incoming.words[0] = (xch_word){ rendezvous_hash_name ("peer"), 7, 3, MEMBERSHIP_LEAVING };
   incoming.message.words.words_len = 1;
-  cnt_t *sent = cnt_get (rig.dmn.counters, "medlarplank_control_datagrams_sent_total", "");
-  uint64_t before = cnt_value (sent);
+  counter_t *sent =
+      counter_get (rig.daemon.counters, "medlarplank_control_datagrams_sent_total", "");
+  uint64_t before = counter_value (sent);
   control_exchange_receive (&incoming.message, false, rig.ctrl);
   rig_run_pending (&rig);
   CU_ASSERT_EQUAL (rig.received.peer_state, MEMBERSHIP_LEAVING);
   /* The calls made at once count towards the number of sends. */
-  uint64_t sent_count = cnt_value (sent) - before;
+  uint64_t sent_count = counter_value (sent) - before;
   CU_ASSERT_TRUE (sent_count > 0);
   for (uint32_t i = 0; i < 3 * GOSSIP_SENDS; i++)
     {
@@ -363,7 +367,7 @@
 typedef struct
 {
   http_server_t *http_server;
-  cnt_set_t *counters;
+  counter_registry_t *counters;
   manifest_t *man;
   const char *fleet_key;
   uint32_t served;
@@ -407,7 +411,7 @@
   g_strlcpy (options.listen.ip, rig_loopback_ip (), sizeof options.listen.ip);
   memset (server, 0, sizeof *server);
   server->fleet_key = RIG_KEY;
-  server->counters = cnt_set_new ();
+  server->counters = counter_registry_new ();
   options.counters = server->counters;
   server->man = manifest_from_json (replay_manifest (rig->ctrl->manifest.replay)->json, NULL);
   server->man->version = version;
@@ -419,7 +423,7 @@
 stop_version_server (version_server_t *server)
 {
   http_server_free (server->http_server);
-  cnt_set_free (server->counters);
+  counter_registry_free (server->counters);
   manifest_unref (server->man);
 }
 
@@ -491,7 +495,7 @@
   rig.platform.read_down = true;
   rig_ticks (&rig, 300);
   uint32_t reads = rig.platform.reads;
-  rig.ctrl->manifest.poll.due_us = clk_now_us (&rig.dmn.clk) + CONTROL_BACKOFF_MAX_US;
+  rig.ctrl->manifest.poll.due_us = clock_now_us (&rig.daemon.clock) + CONTROL_BACKOFF_MAX_US;
   for (uint32_t i = 1; i <= 4; i++)
     {
       rig_compose (&incoming, "peer", i)->manifest_version = 2;
--- a/tests/test_engine_entries.c
+++ b/tests/test_engine_entries.c
@@ -18,7 +18,7 @@
 parse_entry (const char *text, engine_entry_t *entry)
 {
   GError *error = NULL;
-  bool valid = prc_read_engine (entry, "i-1", text, strlen (text), &error);
+  bool valid = records_read_engine (entry, "i-1", text, strlen (text), &error);
 
   CU_ASSERT (valid == (error == NULL));
   g_clear_error (&error);
@@ -106,20 +106,20 @@
   engine_entry_t entry;
 
   for (size_t i = 0; i < G_N_ELEMENTS (ids); i++)
-    CU_ASSERT (!prc_read_engine (&entry, ids[i], valid_entry, sizeof valid_entry - 1, NULL));
+    CU_ASSERT (!records_read_engine (&entry, ids[i], valid_entry, sizeof valid_entry - 1, NULL));
 }
 
 static void
 test_long_names_are_refused (void)
 {
   static const char valid_entry[] = ENTRY (ZONE, SLOTS, READY, "");
-  g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'n');
+  g_autofree char *name = g_strnfill (LIMIT_NAME_BYTES, 'n');
   g_autofree char *text = g_strdup_printf (
       "{\"service\":\"s\",\"addr\":\"10.0.0.9:8080\",\"zone\":\"%s\"" SLOTS READY "}", name);
   engine_entry_t entry;
 
   CU_ASSERT (!parse_entry (text, &entry));
-  CU_ASSERT (!prc_read_engine (&entry, name, valid_entry, sizeof valid_entry - 1, NULL));
+  CU_ASSERT (!records_read_engine (&entry, name, valid_entry, sizeof valid_entry - 1, NULL));
 }
 
 static void
@@ -157,7 +157,7 @@
 
       for (int32_t i = g_rand_int_range (rand, 0, FUZZ_CHANGES); i > 0 && text->len > 0; i--)
         mutate (rand, text);
-      if (prc_read_engine (&entry, "i-1", text->str, text->len, NULL))
+      if (records_read_engine (&entry, "i-1", text->str, text->len, NULL))
         {
           accepted++;
           CU_ASSERT (entry.service && entry.address.port != 0 && entry.slots >= 1);
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -46,11 +46,11 @@
 }
 
 static size_t
-encode_full (char out[LIM_DATAGRAM_BYTES], bool is_reply)
+encode_full (char out[LIMIT_DATAGRAM_BYTES], bool is_reply)
 {
   full_message_t full;
   full_message_init (&full);
-  return datagram_encode (out, LIM_DATAGRAM_BYTES, KEY, 0xfeedf00d, is_reply, &full.message);
+  return datagram_encode (out, LIMIT_DATAGRAM_BYTES, KEY, 0xfeedf00d, is_reply, &full.message);
 }
 
 static datagram_outcome_t
@@ -70,7 +70,7 @@
 static void
 check_round_trip (bool sent_reply)
 {
-  char datagram[LIM_DATAGRAM_BYTES];
+  char datagram[LIMIT_DATAGRAM_BYTES];
   size_t bytes = encode_full (datagram, sent_reply);
   CU_ASSERT_TRUE (bytes > 0 && bytes < 600);
   uint32_t xid = 0;
@@ -102,7 +102,7 @@
 {
   for (uint32_t is_reply = 0; is_reply < 2; is_reply++)
     {
-      char datagram[LIM_DATAGRAM_BYTES];
+      char datagram[LIMIT_DATAGRAM_BYTES];
       size_t bytes = encode_full (datagram, is_reply != 0);
       for (size_t bit = 0; bit < bytes * 8; bit++)
         {
@@ -119,7 +119,7 @@
 static void
 test_wrong_key_and_sizes (void)
 {
-  char datagram[LIM_DATAGRAM_BYTES + 4] = { 0 };
+  char datagram[LIMIT_DATAGRAM_BYTES + 4] = { 0 };
   size_t bytes = encode_full (datagram, false);
   CU_ASSERT_EQUAL (decode (datagram, bytes, "another key of the size"), DATAGRAM_BAD_AUTH);
   CU_ASSERT_EQUAL (decode (datagram, sizeof datagram, KEY), DATAGRAM_TOO_LARGE);
@@ -128,7 +128,8 @@
   full_message_init (&full);
   CU_ASSERT_EQUAL (datagram_encode (datagram, 100, KEY, 1, false, &full.message), 0);
   full.message.samples.samples_len = XCH_SAMPLES + 1;
-  CU_ASSERT_EQUAL (datagram_encode (datagram, LIM_DATAGRAM_BYTES, KEY, 1, false, &full.message), 0);
+  CU_ASSERT_EQUAL (datagram_encode (datagram, LIMIT_DATAGRAM_BYTES, KEY, 1, false, &full.message),
+                   0);
 }
 
 /* Random bytes, and valid datagrams with some bytes and the length changed, from a fixed seed. None
@@ -139,17 +140,17 @@
   g_autoptr (GRand) rand = g_rand_new_with_seed (20261202);
   for (uint32_t round = 0; round < FUZZ_ROUNDS; round++)
     {
-      char datagram[LIM_DATAGRAM_BYTES];
+      char datagram[LIMIT_DATAGRAM_BYTES];
       size_t bytes = encode_full (datagram, g_rand_boolean (rand));
       bool random = round % 2 == 0;
-      uint32_t changes = random ? LIM_DATAGRAM_BYTES : (uint32_t)g_rand_int_range (rand, 1, 12);
+      uint32_t changes = random ? LIMIT_DATAGRAM_BYTES : (uint32_t)g_rand_int_range (rand, 1, 12);
       for (uint32_t i = 0; i < changes; i++)
         {
           size_t at = random ? i : (size_t)g_rand_int_range (rand, 0, (gint32)bytes);
           datagram[at] = (char)(datagram[at] + g_rand_int_range (rand, 1, 255));
         }
       if (g_rand_boolean (rand))
-        bytes = (size_t)g_rand_int_range (rand, 0, LIM_DATAGRAM_BYTES + 1);
+        bytes = (size_t)g_rand_int_range (rand, 0, LIMIT_DATAGRAM_BYTES + 1);
       CU_ASSERT_NOT_EQUAL (decode (datagram, bytes, KEY), DATAGRAM_OK);
     }
 }
@@ -177,13 +178,13 @@
   uint32_t broken = 0;
   for (uint32_t round = 0; round < FUZZ_ROUNDS; round++)
     {
-      char datagram[LIM_DATAGRAM_BYTES] = { 0 };
+      char datagram[LIMIT_DATAGRAM_BYTES] = { 0 };
       size_t bytes = encode_full (datagram, false);
       size_t body_at = CALL_HMAC_AT + DATAGRAM_HMAC_BYTES;
       for (uint32_t i = 0; i < 4; i++)
         datagram[g_rand_int_range (rand, (gint32)body_at, (gint32)bytes)] ^= (char)round;
       if (round % 2 == 0)
-        bytes = 4 * (size_t)g_rand_int_range (rand, (gint32)body_at / 4, LIM_DATAGRAM_BYTES / 4);
+        bytes = 4 * (size_t)g_rand_int_range (rand, (gint32)body_at / 4, LIMIT_DATAGRAM_BYTES / 4);
       sign_call (datagram, bytes);
       datagram_outcome_t outcome = decode (datagram, bytes, KEY);
       CU_ASSERT_TRUE (outcome == DATAGRAM_OK || outcome == DATAGRAM_MALFORMED);
@@ -196,13 +197,13 @@
 typedef struct
 {
   exchange_t *exchange;
-  cnt_set_t *counters;
-  clk_t clk;
+  counter_registry_t *counters;
+  clock_source_t clock;
   uint32_t calls;
   uint32_t replies;
   bool answers;
   bool has_peer;
-  set_address_t peer;
+  address_t peer;
 } node_t;
 
 static void
@@ -229,7 +230,7 @@
 }
 
 static bool
-node_pick (set_address_t *peer, void *context)
+node_pick (address_t *peer, void *context)
 {
   node_t *node = context;
   *peer = node->peer;
@@ -241,11 +242,11 @@
 {
   memset (node, 0, sizeof *node);
   node->answers = true;
-  node->counters = cnt_set_new ();
-  clk_init_paused (&node->clk, CLK_US_PER_S);
+  node->counters = counter_registry_new ();
+  clock_init_paused (&node->clock, CLOCK_US_PER_S);
   exchange_options_t options = {
     .base = base,
-    .clk = &node->clk,
+    .clock = &node->clock,
     .counters = node->counters,
     .listen = { "127.0.0.1", 0 },
     .fleet_key = key,
@@ -265,13 +266,13 @@
 node_clear (node_t *node)
 {
   exchange_free (node->exchange);
-  cnt_set_free (node->counters);
+  counter_registry_free (node->counters);
 }
 
 static uint64_t
 node_counter (const node_t *node, const char *name)
 {
-  return cnt_value (cnt_get (node->counters, name, ""));
+  return counter_value (counter_get (node->counters, name, ""));
 }
 
 /* Runs the event loop until counter @name of @node has reached @value. */
@@ -327,7 +328,7 @@
   node_t b;
   node_init (&a, base, "the key of another fleet", 10000);
   node_init (&b, base, KEY, 10000);
-  set_address_t to = exchange_address (b.exchange);
+  address_t to = exchange_address (b.exchange);
   exchange_send_now (a.exchange, &to);
   run_until (base, &b, RECEIVED, 1);
   CU_ASSERT_EQUAL (node_counter (&b, "medlarplank_control_bad_auth_total"), 1);
@@ -347,13 +348,13 @@
   node_t node;
   node_init (&node, base, KEY, 10000);
   node.answers = false;
-  set_address_t address = exchange_address (node.exchange);
+  address_t address = exchange_address (node.exchange);
   struct sockaddr_in to = { .sin_family = AF_INET, .sin_port = htons (address.port) };
   to.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   int sender = socket (AF_INET, SOCK_DGRAM, 0);
   for (uint32_t i = 0; i < 4; i++)
     {
-      char datagram[LIM_DATAGRAM_BYTES];
+      char datagram[LIMIT_DATAGRAM_BYTES];
       size_t bytes = encode_full (datagram, i % 2 != 0);
       ssize_t sent = sendto (sender, datagram, bytes, 0, (const struct sockaddr *)&to, sizeof to);
       CU_ASSERT_EQUAL (sent, (ssize_t)bytes);
@@ -376,7 +377,7 @@
   struct event_base *base = event_base_new ();
   node_t a;
   node_init (&a, base, KEY, 2000);
-  set_address_t own_address = exchange_address (a.exchange);
+  address_t own_address = exchange_address (a.exchange);
   for (uint32_t i = 0; i < 50; i++)
     exchange_send_now (a.exchange, &own_address);
   uint64_t first_bytes = node_counter (&a, "medlarplank_control_bytes_sent_total");
@@ -385,14 +386,14 @@
       node_counter (&a, "medlarplank_control_over_budget_total") + node_counter (&a, SENT), 50);
   for (uint32_t i = 0; i < 100; i++)
     {
-      clk_advance (&a.clk, CLK_US_PER_S / 10);
+      clock_advance (&a.clock, CLOCK_US_PER_S / 10);
       for (uint32_t j = 0; j < 10; j++)
         exchange_send_now (a.exchange, &own_address);
     }
   uint64_t bytes = node_counter (&a, "medlarplank_control_bytes_sent_total");
   CU_ASSERT_TRUE (bytes > 20000 && bytes <= 22000);
   exchange_charge_budget (a.exchange, 50000);
-  clk_advance (&a.clk, CLK_US_PER_S);
+  clock_advance (&a.clock, CLOCK_US_PER_S);
   uint64_t sent = node_counter (&a, SENT);
   exchange_send_now (a.exchange, &own_address);
   CU_ASSERT_EQUAL (node_counter (&a, SENT), sent);
@@ -410,8 +411,8 @@
   node_t b;
   node_init (&a, base, KEY, 10000);
   node_init (&b, base, KEY, 10000);
-  set_address_t to_a = exchange_address (a.exchange);
-  set_address_t to_b = exchange_address (b.exchange);
+  address_t to_a = exchange_address (a.exchange);
+  address_t to_b = exchange_address (b.exchange);
   exchange_send_now (a.exchange, &to_b);
   exchange_send_now (b.exchange, &to_a);
   exchange_discard_pending (a.exchange);
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -124,7 +124,7 @@
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   expect (rig, "GET", "/nowhere/", "", "404");
   rig->gateways[0].front->down = true;
-  clk_init_paused (&rig->clk, clk_now_us (&rig->clk) + 3 * CLK_US_PER_S);
+  clock_init_paused (&rig->clock, clock_now_us (&rig->clock) + 3 * CLOCK_US_PER_S);
   raw_peer_run_ms (rig->base, 250);
   expect (rig, "GET", "/nowhere/", "", "503");
   expect (rig, "GET", "/look/", "", "200");
@@ -217,7 +217,7 @@
 wait_for_late_response (gateway_rig_t *rig, raw_peer_t *call)
 {
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_gateway_waited_total", 1));
-  clk_init_paused (&rig->clk, clk_now_us (&rig->clk) + 59900 * CLK_US_PER_MS);
+  clock_init_paused (&rig->clock, clock_now_us (&rig->clock) + 59900 * CLOCK_US_PER_MS);
   CU_ASSERT (raw_peer_run_until (rig->base, has_status, call));
 }
 
@@ -355,14 +355,14 @@
 
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
-  clk_init_paused (&rig->clk, clk_now_us (&rig->clk) + ENGINE_CHOICE_NEW_US);
+  clock_init_paused (&rig->clock, clock_now_us (&rig->clock) + ENGINE_CHOICE_NEW_US);
   expect (rig, "POST", "/talk/", turn, "200");
   CU_ASSERT_EQUAL (count_cache_sources (rig), 1);
   expect (rig, "POST", "/talk/", turn, "200");
   CU_ASSERT_EQUAL (count_cache_sources (rig), 1);
   expect (rig, "POST", "/talk/", EMPTY_BODY "X-Prompt-Prefix: aa:900,cc:30,dd:10\r\n", "200");
   CU_ASSERT_EQUAL (count_cache_sources (rig), 2);
-  clk_advance (&rig->clk, GATEWAY_CACHE_WARM_US);
+  clock_advance (&rig->clock, GATEWAY_CACHE_WARM_US);
   expect (rig, "POST", "/talk/", turn, "200");
   CU_ASSERT_EQUAL (count_cache_sources (rig), 3);
 }
@@ -612,7 +612,7 @@
 static void
 register_restart (gateway_rig_t *rig, const char *born, const char *state)
 {
-  g_autofree char *address = set_address_text (&rig->engines[0]->address);
+  g_autofree char *address = address_to_text (&rig->engines[0]->address);
   g_autofree char *text =
       g_strdup_printf ("{\"service\":\"pool\",\"addr\":\"%s\",\"zone\":\"hall-1\",\"slots\":8,"
                        "\"state\":\"%s\",\"born\":%s}",
@@ -817,10 +817,10 @@
 
   gateway_rig_skip_retry_window (rig);
   engine = gateway_rig_add_engine (rig, SCRIPTS (SHORT_BACKOFF_RESPONSE, OK_RESPONSE), 2);
-  asked_us = clk_now_us (&rig->clk);
+  asked_us = clock_now_us (&rig->clock);
   expect (rig, "POST", "/book/", EMPTY_BODY, "200");
   CU_ASSERT_EQUAL (engine->answered, 2);
-  CU_ASSERT (clk_now_us (&rig->clk) - asked_us >= 400 * CLK_US_PER_MS);
+  CU_ASSERT (clock_now_us (&rig->clock) - asked_us >= 400 * CLOCK_US_PER_MS);
 }
 
 /* Guards against a return to an older version, which a slow store delivers late. */
@@ -1403,8 +1403,8 @@
   CU_ASSERT (!gateway_process_is_ready (rig->gateways[0].gateway_process));
   raw = gateway_rig_fetch (rig, "GET", "/look/", "");
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 ") && contains (raw, "Connection: close\r\n"));
-  clk_init_paused (&rig->clk,
-                   clk_now_us (&rig->clk) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLK_US_PER_MS);
+  clock_init_paused (&rig->clock,
+                     clock_now_us (&rig->clock) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLOCK_US_PER_MS);
   CU_ASSERT (raw_peer_run_until (rig->base, loop_ended, rig));
   raw_peer_free (raw);
 }
@@ -1442,8 +1442,8 @@
 
   CU_ASSERT (raw_peer_run_until (rig->base, has_first_event, raw));
   gateway_process_stop (rig->gateways[0].gateway_process);
-  clk_init_paused (&rig->clk,
-                   clk_now_us (&rig->clk) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLK_US_PER_MS);
+  clock_init_paused (&rig->clock,
+                     clock_now_us (&rig->clock) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLOCK_US_PER_MS);
   raw_peer_run_ms (rig->base, 2 * GATEWAY_PROCESS_TICK_MS);
   raw_peer_send (g_ptr_array_index (engine->conns, 0), STREAM_END);
   CU_ASSERT (raw_peer_run_until (rig->base, has_stream_end, raw));
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -283,7 +283,7 @@
 test_no_connection (void)
 {
   g_autoptr (fixture_t) fixture = fixture_new (SILENT, 1);
-  set_address_t nobody = raw_peer_loopback_address ();
+  address_t nobody = raw_peer_loopback_address ();
 
   nobody.port = 1;
   fixture->options.address = &nobody;
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -244,7 +244,7 @@
 is_flood_accepted (void *context)
 {
   return server_fixture_counter_value (context, "medlarplank_http_connections") ==
-         SERVER_FIXTURE_CONNECTION_LIMIT + LIM_HTTP_OVER_LIMIT;
+         SERVER_FIXTURE_CONNECTION_LIMIT + LIMIT_HTTP_EXCESS_CONNECTIONS;
 }
 
 static bool
@@ -315,7 +315,7 @@
 {
   enum
   {
-    FLOOD = SERVER_FIXTURE_CONNECTION_LIMIT + LIM_HTTP_OVER_LIMIT + 10
+    FLOOD = SERVER_FIXTURE_CONNECTION_LIMIT + LIMIT_HTTP_EXCESS_CONNECTIONS + 10
   };
   g_autoptr (server_fixture_t) fixture = server_fixture_new ();
   raw_peer_t *clients[FLOOD];
--- a/tests/test_http_server_end.c
+++ b/tests/test_http_server_end.c
@@ -192,7 +192,7 @@
   server_fixture_run_until_received (fixture, keep_alive, "\r\n\r\n/more");
   server_fixture_run_until_received (fixture, queued,
                                      "503"); /* as the fourth connection, it is over the limit */
-  raw_peer_run_ms (fixture->base, LIM_HTTP_STOP_LINGER_MS + 50);
+  raw_peer_run_ms (fixture->base, LIMIT_HTTP_STOP_LINGER_MS + 50);
   raw_peer_send (incomplete, "TP/1.1\r\n\r\n");
   server_fixture_run_until_received (fixture, incomplete, "\r\n\r\n/half");
   CU_ASSERT_PTR_NOT_NULL (strstr (incomplete->got->str, "Connection: close\r\n"));
@@ -215,7 +215,7 @@
 
   http_server_begin_reply (server_fixture_call_at (fixture, 0), 200);
   http_server_stop (fixture->http_server);
-  raw_peer_run_ms (fixture->base, LIM_HTTP_STOP_LINGER_MS + 50);
+  raw_peer_run_ms (fixture->base, LIMIT_HTTP_STOP_LINGER_MS + 50);
   CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 1);
   server_fixture_send_part (server_fixture_call_at (fixture, 0), "whole");
   http_server_end_reply (server_fixture_call_at (fixture, 0));
--- a/tests/test_leave_notice.c
+++ b/tests/test_leave_notice.c
@@ -9,7 +9,7 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (leave_notices_t, leave_notice_free)
 
-#define TICK_US (UINT64_C (100) * CLK_US_PER_MS)
+#define TICK_US (UINT64_C (100) * CLOCK_US_PER_MS)
 #define EXCHANGE_TICKS 3   /* between two reports of the host */
 #define LIST_TICKS 40      /* until every daemon has read the list */
 #define DELAY_MAX_TICKS 10 /* of a message */
--- a/tests/test_line.c
+++ b/tests/test_line.c
@@ -4,7 +4,7 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (wait_queue_t, wait_queue_free)
 
-#define NOW_US (UINT64_C (100) * CLK_US_PER_S)
+#define NOW_US (UINT64_C (100) * CLOCK_US_PER_S)
 #define MANY 40
 #define OVERLOADED_US (NOW_US + WAIT_QUEUE_OVERLOAD_US)
 
@@ -38,7 +38,7 @@
 static void
 push (wait_queue_t *wait_queue, request_t *request, uint64_t account, uint32_t priority)
 {
-  CU_ASSERT_EQUAL (push_by (wait_queue, request, account, priority, NOW_US + 60 * CLK_US_PER_S),
+  CU_ASSERT_EQUAL (push_by (wait_queue, request, account, priority, NOW_US + 60 * CLOCK_US_PER_S),
                    WAIT_QUEUE_QUEUED);
 }
 
@@ -133,7 +133,7 @@
       bool is_long = request->account == 1;
 
       starts_of_long += is_long ? 1 : 0;
-      wait_queue_note_run (wait_queue, &request->line, (is_long ? 80 : 20) * CLK_US_PER_MS);
+      wait_queue_note_run (wait_queue, &request->line, (is_long ? 80 : 20) * CLOCK_US_PER_MS);
     }
   CU_ASSERT (starts_of_long >= 30 && starts_of_long <= 80);
   remove_all (wait_queue);
@@ -182,10 +182,10 @@
 
   for (uint32_t i = 0; i < MANY; i++)
     push (wait_queue, &requests[i], 1, 1);
-  CU_ASSERT_EQUAL (push_by (wait_queue, &short_of_time, 1, 1, NOW_US + 300 * CLK_US_PER_MS),
+  CU_ASSERT_EQUAL (push_by (wait_queue, &short_of_time, 1, 1, NOW_US + 300 * CLOCK_US_PER_MS),
                    WAIT_QUEUE_TOO_LATE);
   CU_ASSERT (!short_of_time.line.waiting);
-  CU_ASSERT_EQUAL (push_by (wait_queue, &short_of_time, 1, 1, NOW_US + 500 * CLK_US_PER_MS),
+  CU_ASSERT_EQUAL (push_by (wait_queue, &short_of_time, 1, 1, NOW_US + 500 * CLOCK_US_PER_MS),
                    WAIT_QUEUE_QUEUED);
   remove_all (wait_queue);
 }
@@ -199,11 +199,13 @@
   request_t request;
 
   for (uint32_t i = 0; i < 100; i++)
-    wait_queue_note_head (wait_queue, CLK_US_PER_S);
-  CU_ASSERT_EQUAL (push_by (wait_queue, &request, 1, 1, NOW_US + CLK_US_PER_S), WAIT_QUEUE_QUEUED);
-  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + 749 * CLK_US_PER_MS));
-  CU_ASSERT_PTR_EQUAL (wait_queue_pop_expired (wait_queue, NOW_US + 750 * CLK_US_PER_MS), &request);
-  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + 750 * CLK_US_PER_MS));
+    wait_queue_note_head (wait_queue, CLOCK_US_PER_S);
+  CU_ASSERT_EQUAL (push_by (wait_queue, &request, 1, 1, NOW_US + CLOCK_US_PER_S),
+                   WAIT_QUEUE_QUEUED);
+  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + 749 * CLOCK_US_PER_MS));
+  CU_ASSERT_PTR_EQUAL (wait_queue_pop_expired (wait_queue, NOW_US + 750 * CLOCK_US_PER_MS),
+                       &request);
+  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + 750 * CLOCK_US_PER_MS));
 }
 
 static void
@@ -215,7 +217,7 @@
   for (uint32_t i = 0; i < WAIT_QUEUE_LIMIT; i++)
     push (wait_queue, &requests[i], i % 7, 1);
   CU_ASSERT_EQUAL (push_by (wait_queue, &requests[WAIT_QUEUE_LIMIT], 9, 1,
-                            NOW_US + UINT64_C (60) * CLK_US_PER_S),
+                            NOW_US + UINT64_C (60) * CLOCK_US_PER_S),
                    WAIT_QUEUE_FULL);
   CU_ASSERT_EQUAL (wait_queue_count (wait_queue), WAIT_QUEUE_LIMIT);
   remove_all (wait_queue);
@@ -268,7 +270,7 @@
 
   late.line.waiting = false;
   late.line.in_time_us = NOW_US + 1;
-  late.line.deadline_us = NOW_US + 10 * CLK_US_PER_S;
+  late.line.deadline_us = NOW_US + 10 * CLOCK_US_PER_S;
   if (wait_queue_push (wait_queue, OVERLOADED_US, &ROOM, &late.line, &wait_us) == WAIT_QUEUE_QUEUED)
     wait_queue_remove (wait_queue, OVERLOADED_US, &late.line);
 }
@@ -285,7 +287,7 @@
   *request = (request_t){ .account = account,
                           .line = { .arrived_us = at_us,
                                     .in_time_us = in_time_us,
-                                    .deadline_us = at_us + 10 * CLK_US_PER_S,
+                                    .deadline_us = at_us + 10 * CLOCK_US_PER_S,
                                     .fair = { .account_hash = account } } };
   request->line.fair.owner = request;
   return wait_queue_push (wait_queue, at_us, &ROOM, &request->line, &wait_us);
@@ -308,7 +310,7 @@
   wait_queue_remove (wait_queue, OVERLOADED_US, &late.line);
   CU_ASSERT_EQUAL (push_with_target (wait_queue, &late, OVERLOADED_US, 1, NOW_US),
                    WAIT_QUEUE_TOO_LATE);
-  CU_ASSERT (wait_queue_retry_us (wait_queue, OVERLOADED_US + CLK_US_PER_S, 0) >= CLK_US_PER_S);
+  CU_ASSERT (wait_queue_retry_us (wait_queue, OVERLOADED_US + CLOCK_US_PER_S, 0) >= CLOCK_US_PER_S);
   remove_all (wait_queue);
 }
 
@@ -321,11 +323,11 @@
   request_t soon;
   request_t other;
 
-  CU_ASSERT_EQUAL (push_with_target (wait_queue, &soon, NOW_US, 1, NOW_US + 100 * CLK_US_PER_MS),
+  CU_ASSERT_EQUAL (push_with_target (wait_queue, &soon, NOW_US, 1, NOW_US + 100 * CLOCK_US_PER_MS),
                    WAIT_QUEUE_QUEUED);
   push (wait_queue, &other, 1, 0);
   CU_ASSERT_PTR_EQUAL (wait_queue_first (wait_queue, may_always_start, NULL), &soon);
-  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + 100 * CLK_US_PER_MS));
+  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + 100 * CLOCK_US_PER_MS));
   CU_ASSERT (soon.line.late);
   CU_ASSERT_EQUAL (wait_queue_count (wait_queue), 2);
   CU_ASSERT_EQUAL (wait_queue_count_in_time (wait_queue), 1);
@@ -340,7 +342,7 @@
 {
   g_autoptr (wait_queue_t) wait_queue = wait_queue_new ();
   g_autofree request_t *before = g_new0 (request_t, MANY);
-  uint64_t after_us = OVERLOADED_US + CLK_US_PER_S;
+  uint64_t after_us = OVERLOADED_US + CLOCK_US_PER_S;
   request_t late;
 
   push_many (wait_queue, before, MANY);
@@ -362,7 +364,7 @@
   request_t quiet;
 
   for (uint32_t i = 0; i < 100; i++)
-    wait_queue_note_run (wait_queue, &busy[0].line, 2 * CLK_US_PER_S);
+    wait_queue_note_run (wait_queue, &busy[0].line, 2 * CLOCK_US_PER_S);
   push_many (wait_queue, busy, MANY);
   for (uint32_t i = 0; i < MANY; i++)
     start_first (wait_queue);
@@ -370,7 +372,7 @@
     push (wait_queue, &busy[i], 1, 0);
   start_first (wait_queue);
   CU_ASSERT_EQUAL (push_with_target (wait_queue, &quiet, NOW_US, 2, NOW_US + 1), WAIT_QUEUE_QUEUED);
-  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + CLK_US_PER_S));
+  CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + CLOCK_US_PER_S));
   CU_ASSERT (!quiet.line.late);
   CU_ASSERT_PTR_EQUAL (start_first (wait_queue), &quiet);
   remove_all (wait_queue);
@@ -404,9 +406,9 @@
   uint64_t wait_us;
 
   request->line = (wait_queue_item_t){ .arrived_us = OVERLOADED_US,
-                                       .deadline_us = OVERLOADED_US + 60 * CLK_US_PER_S,
+                                       .deadline_us = OVERLOADED_US + 60 * CLOCK_US_PER_S,
                                        .in_time_us = late ? 1 : 0,
-                                       .run_us = 60 * CLK_US_PER_MS,
+                                       .run_us = 60 * CLOCK_US_PER_MS,
                                        .fair = { .account_hash = account, .owner = request } };
   outcome = wait_queue_push (overload->line, OVERLOADED_US, &SCARCE, &request->line, &wait_us);
   if (!late)
@@ -456,13 +458,13 @@
 test_delayed_retry_waits_with_late_requests (void)
 {
   g_autoptr (wait_queue_t) wait_queue = wait_queue_new ();
-  request_t first = { .line = { .arrived_us = NOW_US, .deadline_us = NOW_US + CLK_US_PER_S } };
+  request_t first = { .line = { .arrived_us = NOW_US, .deadline_us = NOW_US + CLOCK_US_PER_S } };
   request_t second;
 
   first.line.fair.owner = &first;
-  CU_ASSERT_FALSE (wait_queue_push_delayed (wait_queue, NOW_US, &first.line, CLK_US_PER_S));
+  CU_ASSERT_FALSE (wait_queue_push_delayed (wait_queue, NOW_US, &first.line, CLOCK_US_PER_S));
   CU_ASSERT_FALSE (first.line.waiting);
-  CU_ASSERT_TRUE (wait_queue_push_delayed (wait_queue, NOW_US, &first.line, CLK_US_PER_S / 2));
+  CU_ASSERT_TRUE (wait_queue_push_delayed (wait_queue, NOW_US, &first.line, CLOCK_US_PER_S / 2));
   push (wait_queue, &second, 1, 0);
   CU_ASSERT_PTR_EQUAL (start_first (wait_queue), &second);
   CU_ASSERT_PTR_EQUAL (start_first (wait_queue), &first);
--- a/tests/test_manifest.c
+++ b/tests/test_manifest.c
@@ -76,7 +76,7 @@
 
   CU_ASSERT_EQUAL (manifest->version, 0);
   CU_ASSERT_EQUAL (east->weight, 4000);
-  CU_ASSERT_EQUAL (east->queue_limit, LIM_QUEUE_PER_ACCOUNT);
+  CU_ASSERT_EQUAL (east->queue_limit, LIMIT_QUEUED_PER_ACCOUNT);
   CU_ASSERT_EQUAL (manifest_find_account (manifest, "west")->weight, 1000);
   CU_ASSERT_EQUAL (pool->kind, MANIFEST_KIND_MODEL);
   CU_ASSERT_EQUAL (pool->engine_count, 2);
@@ -241,7 +241,7 @@
 static void
 test_too_large (void)
 {
-  size_t text_bytes = LIM_MANIFEST_BYTES + 1;
+  size_t text_bytes = LIMIT_MANIFEST_BYTES + 1;
   g_autofree char *text = g_strnfill (text_bytes, ' ');
   GError *error = NULL;
   manifest_t *manifest = manifest_parse (text, text_bytes, &error);
--- a/tests/test_mean.c
+++ b/tests/test_mean.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define S CLK_US_PER_S
+#define S CLOCK_US_PER_S
 
 static load_sample_t
 sample (uint64_t engine_hash, uint32_t load, uint64_t taken_us)
@@ -32,7 +32,7 @@
   add (&table, 1, 20, 3 * S);
   CU_ASSERT_EQUAL (load_samples_estimate_mean (&table, 3 * S, NULL, 1).mean_milli, 20000);
   CU_ASSERT_EQUAL (
-      load_samples_estimate_mean (&table, 3 * S + LIM_SAMPLE_AGE_US + 1, NULL, 1).count, 0);
+      load_samples_estimate_mean (&table, 3 * S + LIMIT_LOAD_SAMPLE_AGE_US + 1, NULL, 1).count, 0);
   load_samples_forget (&table, 1);
   CU_ASSERT_EQUAL (table.count, 0);
 }
@@ -42,15 +42,15 @@
 {
   load_samples_t table;
   load_samples_init (&table, 1);
-  for (uint32_t i = 0; i < LIM_SAMPLES_KEPT; i++)
-    add (&table, i + 1, 1, S + LIM_SAMPLES_KEPT - i);
+  for (uint32_t i = 0; i < LIMIT_LOAD_SAMPLES; i++)
+    add (&table, i + 1, 1, S + LIMIT_LOAD_SAMPLES - i);
   add (&table, 1000, 1, S);
-  CU_ASSERT_EQUAL (table.count, LIM_SAMPLES_KEPT);
-  for (uint32_t i = 0; i < LIM_SAMPLES_KEPT; i++)
+  CU_ASSERT_EQUAL (table.count, LIMIT_LOAD_SAMPLES);
+  for (uint32_t i = 0; i < LIMIT_LOAD_SAMPLES; i++)
     CU_ASSERT_NOT_EQUAL (table.samples[i].engine_hash, 1000);
   add (&table, 1000, 1, 2 * S);
-  for (uint32_t i = 0; i < LIM_SAMPLES_KEPT; i++)
-    CU_ASSERT_NOT_EQUAL (table.samples[i].engine_hash, LIM_SAMPLES_KEPT);
+  for (uint32_t i = 0; i < LIMIT_LOAD_SAMPLES; i++)
+    CU_ASSERT_NOT_EQUAL (table.samples[i].engine_hash, LIMIT_LOAD_SAMPLES);
 }
 
 static void
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -12,7 +12,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (membership_snapshot_t, membership_snapshot_unref)
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (membership_t, membership_free)
 
-#define SECOND_US CLK_US_PER_S
+#define SECOND_US CLOCK_US_PER_S
 
 static membership_list_entry_t
 list_entry (const char *name, membership_state_t state)
@@ -264,24 +264,24 @@
 static void
 test_pause (void)
 {
-  pse_t pse;
-  pse_init (&pse, SECOND_US, 250);
-  CU_ASSERT_TRUE (pse_stale (&pse));
-  CU_ASSERT_TRUE (pse_fresh (&pse, SECOND_US));
-  CU_ASSERT_FALSE (pse_settling (&pse, SECOND_US));
-  CU_ASSERT_FALSE (pse_check (&pse, SECOND_US + PSE_GAP_MIN_US));
-  CU_ASSERT_FALSE (pse_stale (&pse));
-  uint64_t woke_us = SECOND_US + 2 * PSE_GAP_MIN_US + 1;
-  CU_ASSERT_TRUE (pse_check (&pse, woke_us));
-  CU_ASSERT_FALSE (pse_check (&pse, woke_us));
-  CU_ASSERT_FALSE (pse_fresh (&pse, woke_us - 1));
-  CU_ASSERT_TRUE (pse_stale (&pse));
-  CU_ASSERT_TRUE (pse_fresh (&pse, woke_us));
-  CU_ASSERT_TRUE (pse_settling (&pse, woke_us + PSE_SETTLE_US - 1));
-  CU_ASSERT_FALSE (pse_settling (&pse, woke_us + PSE_SETTLE_US));
-  CU_ASSERT_FALSE (pse_wake (&pse, woke_us));
-  CU_ASSERT_TRUE (pse_wake (&pse, woke_us + 1));
-  CU_ASSERT_TRUE (pse_stale (&pse));
+  pause_detector_t pause;
+  pause_init (&pause, SECOND_US, 250);
+  CU_ASSERT_TRUE (pause_is_stale (&pause));
+  CU_ASSERT_TRUE (pause_mark_fresh (&pause, SECOND_US));
+  CU_ASSERT_FALSE (pause_is_settling (&pause, SECOND_US));
+  CU_ASSERT_FALSE (pause_check (&pause, SECOND_US + PAUSE_GAP_MIN_US));
+  CU_ASSERT_FALSE (pause_is_stale (&pause));
+  uint64_t woke_us = SECOND_US + 2 * PAUSE_GAP_MIN_US + 1;
+  CU_ASSERT_TRUE (pause_check (&pause, woke_us));
+  CU_ASSERT_FALSE (pause_check (&pause, woke_us));
+  CU_ASSERT_FALSE (pause_mark_fresh (&pause, woke_us - 1));
+  CU_ASSERT_TRUE (pause_is_stale (&pause));
+  CU_ASSERT_TRUE (pause_mark_fresh (&pause, woke_us));
+  CU_ASSERT_TRUE (pause_is_settling (&pause, woke_us + PAUSE_SETTLE_US - 1));
+  CU_ASSERT_FALSE (pause_is_settling (&pause, woke_us + PAUSE_SETTLE_US));
+  CU_ASSERT_FALSE (pause_mark_woken (&pause, woke_us));
+  CU_ASSERT_TRUE (pause_mark_woken (&pause, woke_us + 1));
+  CU_ASSERT_TRUE (pause_is_stale (&pause));
 }
 
 int
--- a/tests/test_own_word.c
+++ b/tests/test_own_word.c
@@ -21,7 +21,7 @@
   TAILQ_INIT (&headers);
   evhttp_add_header (&headers, "X-Request-Id", "r1");
   evhttp_add_header (&headers, name, value);
-  prf_format ()->answer (&out, status, &headers, "r1");
+  request_format_get ()->answer (&out, status, &headers, "r1");
   evhttp_clear_headers (&headers);
   return out;
 }
@@ -68,8 +68,8 @@
 static void
 test_statements_are_not_passed_to_callers (void)
 {
-  CU_ASSERT_FALSE (prf_format ()->is_returned ("Server-Leaving"));
-  CU_ASSERT_TRUE (prf_format ()->is_returned ("X-Response-Stamp"));
+  CU_ASSERT_FALSE (request_format_get ()->is_returned ("Server-Leaving"));
+  CU_ASSERT_TRUE (request_format_get ()->is_returned ("X-Response-Stamp"));
 }
 
 /* Guards against requests to an engine that is leaving because its entry was removed and added
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -147,9 +147,9 @@
 {
   static const testbed_request_t SOON = { .path = "/look", .deadline_ms = "300" };
   g_autoptr (testbed_t) testbed = testbed_new ();
-  cnt_t *sent =
-      cnt_get (testbed->router.daemon.counters, "medlarplank_control_bytes_sent_total", "");
-  uint64_t start_us = clk_now_us (&testbed->router.daemon.clk);
+  counter_t *sent =
+      counter_get (testbed->router.daemon.counters, "medlarplank_control_bytes_sent_total", "");
+  uint64_t start_us = clock_now_us (&testbed->router.daemon.clock);
   testbed_answer_t answers[OVERLOAD_REQUESTS];
 
   testbed_set_mode (testbed, TESTBED_HOLD);
@@ -160,9 +160,9 @@
       CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answers[i]));
       testbed_answer_clear (&answers[i]);
     }
-  uint64_t elapsed_us = clk_now_us (&testbed->router.daemon.clk) - start_us;
-  CU_ASSERT_TRUE (cnt_value (sent) > 0);
-  CU_ASSERT_TRUE (cnt_value (sent) <= 2000 + 2000 * elapsed_us / CLK_US_PER_S);
+  uint64_t elapsed_us = clock_now_us (&testbed->router.daemon.clock) - start_us;
+  CU_ASSERT_TRUE (counter_value (sent) > 0);
+  CU_ASSERT_TRUE (counter_value (sent) <= 2000 + 2000 * elapsed_us / CLOCK_US_PER_S);
 }
 
 static bool
@@ -488,18 +488,18 @@
   g_autoptr (testbed_t) testbed = testbed_new ();
   testbed_answer_t answer;
   testbed_request_t soon = BOOK;
-  set_address_t black_hole;
+  address_t black_hole;
 
   uint32_t home = testbed_ask_engine (testbed, &CHAT);
   evutil_socket_t listener = testbed_open_black_hole (&black_hole);
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     if (i == home)
       testbed->hosts[i].http = black_hole;
-  uint64_t start_us = clk_now_us (&testbed->router.daemon.clk);
+  uint64_t start_us = clock_now_us (&testbed->router.daemon.clock);
   testbed_ask (testbed, &CHAT, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_NOT_EQUAL (testbed_engine_index (&answer), home);
-  CU_ASSERT_TRUE (clk_now_us (&testbed->router.daemon.clk) - start_us < 2 * CLK_US_PER_S);
+  CU_ASSERT_TRUE (clock_now_us (&testbed->router.daemon.clock) - start_us < 2 * CLOCK_US_PER_S);
   testbed_answer_clear (&answer);
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     testbed->hosts[i].http = black_hole;
--- a/tests/test_path_chats.c
+++ b/tests/test_path_chats.c
@@ -32,8 +32,8 @@
   uint64_t sum = 0;
 
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
-    sum += cnt_value (
-        cnt_get (testbed->sidecars[i].daemon.counters, "medlarplank_directory_notes_total", ""));
+    sum += counter_value (counter_get (testbed->sidecars[i].daemon.counters,
+                                       "medlarplank_directory_notes_total", ""));
   return sum;
 }
 
@@ -113,9 +113,9 @@
 hints_stay_within_the_control_budget (void)
 {
   g_autoptr (testbed_t) testbed = testbed_new ();
-  dmn_t *daemon = &testbed->router.daemon;
-  cnt_t *hints = cnt_get (daemon->counters, "medlarplank_served_hints_total", "");
-  uint64_t began_us = clk_now_us (&daemon->clk);
+  daemon_t *daemon = &testbed->router.daemon;
+  counter_t *hints = counter_get (daemon->counters, "medlarplank_served_hints_total", "");
+  uint64_t began_us = clock_now_us (&daemon->clock);
   uint64_t allowed_bytes;
   char chat[16];
 
@@ -126,9 +126,9 @@
       ask_engine (testbed, chat);
     }
   allowed_bytes = daemon->set.control_budget_bytes *
-                  (CLK_US_PER_S + clk_now_us (&daemon->clk) - began_us) / CLK_US_PER_S;
-  CU_ASSERT (cnt_value (hints) > 0);
-  CU_ASSERT (cnt_value (hints) * DATA_TASK_CALL_OVERHEAD_BYTES <= allowed_bytes);
+                  (CLOCK_US_PER_S + clock_now_us (&daemon->clock) - began_us) / CLOCK_US_PER_S;
+  CU_ASSERT (counter_value (hints) > 0);
+  CU_ASSERT (counter_value (hints) * DATA_TASK_CALL_OVERHEAD_BYTES <= allowed_bytes);
 }
 
 /* A long answer passes through the bounded buffers of sidecar and router; it must arrive whole and
--- a/tests/test_path_closed.c
+++ b/tests/test_path_closed.c
@@ -36,7 +36,7 @@
 {
   const run_until_t *run_until = context;
 
-  return clk_now_us (&run_until->testbed->router.daemon.clk) >= run_until->until_us;
+  return clock_now_us (&run_until->testbed->router.daemon.clock) >= run_until->until_us;
 }
 
 /* A planned stop begins while a non-idempotent request waits for its claim. If the claim is granted
@@ -76,8 +76,8 @@
   CU_ASSERT_TRUE_FATAL (testbed_wait_until (testbed, claim_held, testbed));
   uint32_t leaving = sidecar_index (testbed, testbed->held_claim_node);
   testbed_send_flag (&testbed->sidecars[leaving], MESSAGE_DRAIN, true);
-  run_until = (run_until_t){ testbed, clk_now_us (&testbed->router.daemon.clk) +
-                                          LIM_LEAVING_GRACE_US + GRACE_SLACK_US };
+  run_until = (run_until_t){ testbed, clock_now_us (&testbed->router.daemon.clock) +
+                                          LIMIT_LEAVING_GRACE_US + GRACE_SLACK_US };
   CU_ASSERT_TRUE (testbed_wait_until (testbed, time_reached, &run_until));
   testbed_decide_claim (testbed);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
--- a/tests/test_path_copies.c
+++ b/tests/test_path_copies.c
@@ -42,7 +42,7 @@
 
       marks->count = 1;
       marks->marks[0] = (suspect_mark_t){ .fingerprint = fingerprint, .engines = { 71, 72 } };
-      mbx_send (testbed->sidecars[i].daemon.to_data, &marks->head);
+      mailbox_send (testbed->sidecars[i].daemon.to_data, &marks->head);
     }
   CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_burst_is_queued, &burst));
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
@@ -60,7 +60,7 @@
 {
   g_autofree char *name = g_strdup_printf ("medlarplank_refusals_total{reason=\"%s\"}", reason);
 
-  return cnt_value (cnt_get (sidecar->daemon.counters, name, ""));
+  return counter_value (counter_get (sidecar->daemon.counters, name, ""));
 }
 
 static bool
--- a/tests/test_path_hostile.c
+++ b/tests/test_path_hostile.c
@@ -31,7 +31,8 @@
 static uint64_t
 count_hops (const testbed_t *testbed)
 {
-  return cnt_value (cnt_get (testbed->router.daemon.counters, "medlarplank_hops_total", ""));
+  return counter_value (
+      counter_get (testbed->router.daemon.counters, "medlarplank_hops_total", ""));
 }
 
 /* A caller sends a header with a control character, which the router's HTTP client cannot send. The
--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -22,7 +22,7 @@
 {
   http_server_t *server;
   membership_host_t *moved_host;
-  set_address_t new_address;
+  address_t new_address;
   const char *verdict;
   const char *incarnation;
   uint32_t requests;
@@ -206,23 +206,23 @@
 checks_no_host_that_answers_other_requests (void)
 {
   g_autoptr (testbed_t) testbed = testbed_new ();
-  dmn_t *daemon = &testbed->router.daemon;
-  cnt_t *probes = cnt_get (daemon->counters, "medlarplank_probes_total", "");
+  daemon_t *daemon = &testbed->router.daemon;
+  counter_t *probes = counter_get (daemon->counters, "medlarplank_probes_total", "");
   testbed_request_t request = {
     .path = "/v1/chat/completions",
     .body = "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}",
     .chat = "one chat"
   };
   g_auto (testbed_answer_t) slow = { 0 };
-  uint64_t until_us = clk_now_us (&daemon->clk) + 3 * ROUTER_HOST_PROBE_DELAY_US;
+  uint64_t until_us = clock_now_us (&daemon->clock) + 3 * ROUTER_HOST_PROBE_DELAY_US;
 
   testbed_set_mode (testbed, TESTBED_HOLD);
   testbed_send (testbed, &request, &slow);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, any_request_held, testbed));
   testbed_set_mode (testbed, TESTBED_ANSWER);
-  while (clk_now_us (&daemon->clk) < until_us)
+  while (clock_now_us (&daemon->clock) < until_us)
     ask_status (testbed, &request, 200, "ran");
-  CU_ASSERT_EQUAL (cnt_value (probes), 0);
+  CU_ASSERT_EQUAL (counter_value (probes), 0);
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     testbed_release (&testbed->engines[i]);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &slow));
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -30,7 +30,7 @@
 {
   struct event_base *base;
   struct evhttp *http;
-  set_address_t address;
+  address_t address;
   platform_t *platform;
   server_mode_t mode;
   int status;
@@ -318,7 +318,7 @@
   platform_hosts_t hosts;
   for (size_t i = 0; i < G_N_ELEMENTS (broken); i++)
     CU_ASSERT_FALSE (platform_answer_parse_hosts (&hosts, broken[i], strlen (broken[i])));
-  g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'n');
+  g_autofree char *name = g_strnfill (LIMIT_NAME_BYTES, 'n');
   g_autofree char *good = g_strdup (HOST_START HOST_END);
   GString *long_name = g_string_new (good);
   g_string_replace (long_name, "e1", name, 1);
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -15,7 +15,7 @@
 #include <string.h>
 #include <unistd.h>
 
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (cnt_set_t, cnt_set_free)
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (counter_registry_t, counter_registry_free)
 
 #define LOG_FILL_LIMIT 100000
 #define STALL_DEADLINE_S 20
@@ -23,26 +23,26 @@
 static void
 test_clock_paused (void)
 {
-  clk_t clk;
+  clock_source_t clock;
 
-  clk_init_paused (&clk, 5000);
-  CU_ASSERT_EQUAL (clk_now_us (&clk), 5000);
-  clk_advance (&clk, 7000);
-  CU_ASSERT_EQUAL (clk_now_us (&clk), 12000);
-  CU_ASSERT_EQUAL (clk_wall_ms (&clk), 12);
+  clock_init_paused (&clock, 5000);
+  CU_ASSERT_EQUAL (clock_now_us (&clock), 5000);
+  clock_advance (&clock, 7000);
+  CU_ASSERT_EQUAL (clock_now_us (&clock), 12000);
+  CU_ASSERT_EQUAL (clock_wall_ms (&clock), 12);
 }
 
 static void
 test_clock_running (void)
 {
-  clk_t clk;
+  clock_source_t clock;
   uint64_t first_us;
 
-  clk_init_running (&clk);
-  first_us = clk_now_us (&clk);
+  clock_init_running (&clock);
+  first_us = clock_now_us (&clock);
   CU_ASSERT (first_us > 0);
-  CU_ASSERT (clk_now_us (&clk) >= first_us);
-  CU_ASSERT (clk_wall_ms (&clk) > 1600000000000);
+  CU_ASSERT (clock_now_us (&clock) >= first_us);
+  CU_ASSERT (clock_wall_ms (&clock) > 1600000000000);
 }
 
 /**
@@ -55,7 +55,7 @@
 {
   int saved_fd;
   int read_fd;
-  char text[4 * LIM_LOG_LINE_BYTES];
+  char text[4 * LIMIT_LOG_LINE_BYTES];
 } capture_t;
 
 static void
@@ -136,7 +136,7 @@
 static void
 test_log_bounded (void)
 {
-  char longest[3 * LIM_LOG_LINE_BYTES];
+  char longest[3 * LIMIT_LOG_LINE_BYTES];
   capture_t capture;
 
   memset (longest, '"', sizeof longest - 1);
@@ -148,7 +148,7 @@
   log_event (LOG_LEVEL_ERROR, "e", "a", longest, "b", longest, "c", longest, "d", longest, NULL);
   capture_read (&capture);
   capture_end (&capture);
-  CU_ASSERT (strlen (capture.text) <= LIM_LOG_LINE_BYTES);
+  CU_ASSERT (strlen (capture.text) <= LIMIT_LOG_LINE_BYTES);
   CU_ASSERT_PTR_NOT_NULL (strstr (capture.text, "\" cut=true\n"));
 }
 
@@ -192,7 +192,7 @@
   fcntl (ends[0], F_SETFL, O_NONBLOCK);
   *read_fd = ends[0];
   log_init ("medlarplankd", "hall-1", LOG_LEVEL_INFO);
-  log_open (ends[1]);
+  log_open_buffered (ends[1]);
   return ends[1];
 }
 
@@ -258,7 +258,7 @@
   g_autofree char *flushed = NULL;
 
   log_flush ();
-  log_on_held (count_callbacks, &callbacks);
+  log_set_buffering_callback (count_callbacks, &callbacks);
   log_event (LOG_LEVEL_WARNING, "three", NULL);
   CU_ASSERT_EQUAL (callbacks, 0);
   log_event (LOG_LEVEL_INFO, "one", NULL);
@@ -269,7 +269,7 @@
   CU_ASSERT (g_str_has_suffix (flushed, ": two\n"));
   log_event (LOG_LEVEL_INFO, "three", NULL);
   CU_ASSERT_EQUAL (callbacks, 2);
-  log_on_held (NULL, NULL);
+  log_set_buffering_callback (NULL, NULL);
   log_flush ();
   close (read_fd);
   close (write_fd);
@@ -311,14 +311,14 @@
 static void
 test_latency_buckets (void)
 {
-  cnt_set_t *registry = cnt_set_new ();
-  lat_t *lat = lat_new (registry, "x_ms", "service=\"s\"", "A time.");
+  counter_registry_t *registry = counter_registry_new ();
+  latency_t *latency = latency_new (registry, "x_ms", "service=\"s\"", "A time.");
   GString *text = g_string_new (NULL);
 
-  lat_add (lat, 5000);
-  lat_add (lat, 5001);
-  lat_add (lat, 60 * UINT64_C (1000000));
-  cnt_write (registry, text);
+  latency_add (latency, 5000);
+  latency_add (latency, 5001);
+  latency_add (latency, 60 * UINT64_C (1000000));
+  counter_registry_write (registry, text);
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_bucket{service=\"s\",le=\"5\"} 1\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_bucket{service=\"s\",le=\"10\"} 2\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_bucket{service=\"s\",le=\"15000\"} 2\n"));
@@ -326,17 +326,17 @@
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_count{service=\"s\"} 3\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text->str, "x_ms_sum_us{service=\"s\"} 60010001\n"));
   g_string_free (text, TRUE);
-  lat_free (lat);
-  cnt_set_free (registry);
+  latency_free (latency);
+  counter_registry_free (registry);
 }
 
 static char *
-write_counters (cnt_set_t *registry)
+write_counters (counter_registry_t *registry)
 {
   GString *out = g_string_new (NULL);
   char *own;
 
-  cnt_write (registry, out);
+  counter_registry_write (registry, out);
   own = strstr (out->str, "# HELP x_");
   own = g_strdup (own != NULL ? own : "");
   g_string_free (out, TRUE);
@@ -346,13 +346,13 @@
 static void
 test_counters_format (void)
 {
-  g_autoptr (cnt_set_t) registry = cnt_set_new ();
+  g_autoptr (counter_registry_t) registry = counter_registry_new ();
 
-  cnt_add (cnt_get (registry, "x_total{reason=\"cold\"}", "All of\nx."), 2);
-  cnt_add (cnt_get (registry, "x_total{reason=\"any\"}", "ignored"), 1);
-  cnt_set_value (cnt_get (registry, "x_total_bytes", "Bytes."), 7);
-  cnt_add (cnt_get (registry, "x_total", "ignored"), 3);
-  cnt_add (cnt_get (registry, "x_total", "ignored"), 1);
+  counter_add (counter_get (registry, "x_total{reason=\"cold\"}", "All of\nx."), 2);
+  counter_add (counter_get (registry, "x_total{reason=\"any\"}", "ignored"), 1);
+  counter_set (counter_get (registry, "x_total_bytes", "Bytes."), 7);
+  counter_add (counter_get (registry, "x_total", "ignored"), 3);
+  counter_add (counter_get (registry, "x_total", "ignored"), 1);
   g_autofree char *text = write_counters (registry);
   CU_ASSERT_STRING_EQUAL (text, "# HELP x_total All of\\nx.\n"
                                 "# TYPE x_total counter\n"
@@ -362,7 +362,7 @@
                                 "# HELP x_total_bytes Bytes.\n"
                                 "# TYPE x_total_bytes gauge\n"
                                 "x_total_bytes 7\n");
-  CU_ASSERT_EQUAL (cnt_value (cnt_get (registry, "x_total", NULL)), 4);
+  CU_ASSERT_EQUAL (counter_value (counter_get (registry, "x_total", NULL)), 4);
 }
 
 /*
@@ -372,11 +372,11 @@
 static void
 test_counters_escaped (void)
 {
-  g_autoptr (cnt_set_t) registry = cnt_set_new ();
+  g_autoptr (counter_registry_t) registry = counter_registry_new ();
 
-  cnt_add (cnt_get_labelled (registry, "x_total", "a-b", "q\"b\\n\n", "X."), 1);
-  cnt_add (cnt_get (registry, "x_y z{l=\"broken", "Y."), 2);
-  cnt_add (cnt_get (registry, "x_z{l=\"v\"} 9\nforged 1", "Z."), 3);
+  counter_add (counter_get_labelled (registry, "x_total", "a-b", "q\"b\\n\n", "X."), 1);
+  counter_add (counter_get (registry, "x_y z{l=\"broken", "Y."), 2);
+  counter_add (counter_get (registry, "x_z{l=\"v\"} 9\nforged 1", "Z."), 3);
   g_autofree char *text = write_counters (registry);
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_total{a_b=\"q\\\"b\\\\n\\n\"} 1\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_y_z_l__broken 2\n"));
@@ -386,13 +386,13 @@
 static void
 test_counters_bounded (void)
 {
-  g_autoptr (cnt_set_t) registry = cnt_set_new ();
-  cnt_t *refused = cnt_get (registry, "medlarplank_counters_refused_total", NULL);
+  g_autoptr (counter_registry_t) registry = counter_registry_new ();
+  counter_t *refused = counter_get (registry, "medlarplank_counters_refused_total", NULL);
 
-  for (uint32_t i = 0; i < LIM_COUNTERS + 10; i++)
-    cnt_add (cnt_get_labelled (registry, "x_total", "n", LOG_U64 (i), "X."), 1);
-  CU_ASSERT_EQUAL (cnt_value (refused), 11);
-  CU_ASSERT_EQUAL (cnt_value (cnt_get (registry, "x_total{n=\"0\"}", NULL)), 1);
+  for (uint32_t i = 0; i < LIMIT_COUNTERS + 10; i++)
+    counter_add (counter_get_labelled (registry, "x_total", "n", LOG_U64 (i), "X."), 1);
+  CU_ASSERT_EQUAL (counter_value (refused), 11);
+  CU_ASSERT_EQUAL (counter_value (counter_get (registry, "x_total{n=\"0\"}", NULL)), 1);
 }
 
 #define ADDS_PER_THREAD 100000
@@ -401,20 +401,20 @@
 add_many (gpointer data)
 {
   for (uint32_t i = 0; i < ADDS_PER_THREAD; i++)
-    cnt_add (data, 1);
+    counter_add (data, 1);
   return NULL;
 }
 
 static void
 test_counters_threads (void)
 {
-  g_autoptr (cnt_set_t) registry = cnt_set_new ();
-  cnt_t *cnt = cnt_get (registry, "x_total", "X.");
-  GThread *other = g_thread_new ("adder", add_many, cnt);
+  g_autoptr (counter_registry_t) registry = counter_registry_new ();
+  counter_t *counter = counter_get (registry, "x_total", "X.");
+  GThread *other = g_thread_new ("adder", add_many, counter);
 
-  add_many (cnt);
+  add_many (counter);
   g_thread_join (other);
-  CU_ASSERT_EQUAL (cnt_value (cnt), 2 * ADDS_PER_THREAD);
+  CU_ASSERT_EQUAL (counter_value (counter), 2 * ADDS_PER_THREAD);
 }
 
 #define MAILBOX_MESSAGES 150000
@@ -424,7 +424,7 @@
 /** struct test_message - a message with its number and a counter of freed messages */
 typedef struct
 {
-  mbx_message_t head;
+  mailbox_message_t head;
   uint32_t number;
   uint32_t *freed;
 } test_message_t;
@@ -432,7 +432,7 @@
 /**
  * struct mailbox_test - state of a mailbox test
  * @base: event base of the receiver
- * @mbx: the mailbox under test
+ * @mailbox: the mailbox under test
  * @read: messages received; atomic, since the sender reads it
  * @closed: the receiver has ended; atomic, since the sender reads it
  * @disordered: messages received out of order
@@ -441,7 +441,7 @@
 typedef struct
 {
   struct event_base *base;
-  mbx_t *mbx;
+  mailbox_t *mailbox;
   gint read;
   gint closed;
   uint32_t disordered;
@@ -449,7 +449,7 @@
 } mailbox_test_t;
 
 static void
-test_message_free (mbx_message_t *message)
+test_message_free (mailbox_message_t *message)
 {
   g_autofree test_message_t *test_message = (test_message_t *)message;
 
@@ -464,11 +464,11 @@
   test_message->head.free = test_message_free;
   test_message->number = number;
   test_message->freed = &test->freed;
-  mbx_send (test->mbx, &test_message->head);
+  mailbox_send (test->mailbox, &test_message->head);
 }
 
 static void
-mailbox_test_read (mbx_message_t *message, void *context)
+mailbox_test_read (mailbox_message_t *message, void *context)
 {
   mailbox_test_t *test = context;
   const test_message_t *test_message = (const test_message_t *)message;
@@ -484,13 +484,13 @@
 {
   memset (test, 0, sizeof *test);
   test->base = event_base_new ();
-  test->mbx = mbx_new (test->base, mailbox_test_read, test);
+  test->mailbox = mailbox_new (test->base, mailbox_test_read, test);
 }
 
 static void
 mailbox_test_end (mailbox_test_t *test)
 {
-  mbx_free (test->mbx);
+  mailbox_free (test->mailbox);
   event_base_free (test->base);
 }
 
@@ -578,7 +578,7 @@
 {
   for (uint32_t kind = MESSAGE_VERSION; kind <= MESSAGE_DRAINED; kind++)
     {
-      mbx_message_t *message = message_new (kind);
+      mailbox_message_t *message = message_new (kind);
       CU_ASSERT_EQUAL (message->kind, kind);
       message->free (message);
     }
@@ -603,7 +603,7 @@
     { "mailbox: unread messages are freed", test_mailbox_frees_unread },
     { "messages: references are dropped", test_messages_drop_references },
     { "messages: every kind", test_messages_of_every_kind },
-    /* log_open() can't be undone, so the tests that call it are last. */
+    /* log_open_buffered() can't be undone, so the tests that call it are last. */
     { "log: buffered", test_log_buffered },
     { "log: callback for the flush timer", test_log_flush_callback },
     { "log: failures are kept", test_log_keeps_failures },
--- a/tests/test_read_duty.c
+++ b/tests/test_read_duty.c
@@ -7,8 +7,8 @@
 
 #include <glib.h>
 
-#define START_US (UINT64_C (100) * CLK_US_PER_S)
-#define PATIENCE_US (UINT64_C (800) * CLK_US_PER_MS)
+#define START_US (UINT64_C (100) * CLOCK_US_PER_S)
+#define PATIENCE_US (UINT64_C (800) * CLOCK_US_PER_MS)
 
 static const read_policy_stream_t engines_stream = { .patience_us = PATIENCE_US };
 static const read_policy_view_t follower = { .close = true, .listed = true };
@@ -80,7 +80,7 @@
   for (uint32_t i = 0; i < G_N_ELEMENTS (bounds_s); i++)
     {
       read_policy_t read_policy = confirmed_at (START_US);
-      uint64_t bound_us = (uint64_t)bounds_s[i] * CLK_US_PER_S;
+      uint64_t bound_us = (uint64_t)bounds_s[i] * CLOCK_US_PER_S;
       read_policy_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = bound_us };
       read_policy_view_t next = { .listed = true, .before = 4, .count = 5 };
 
@@ -95,9 +95,9 @@
 test_acting_follower_reads_until_a_peer_confirms (void)
 {
   static const read_policy_stream_t stream = { .patience_us = PATIENCE_US,
-                                               .bound_us = 2 * CLK_US_PER_S };
+                                               .bound_us = 2 * CLOCK_US_PER_S };
   read_policy_t read_policy = confirmed_at (START_US);
-  uint64_t now_us = START_US + 2 * CLK_US_PER_S;
+  uint64_t now_us = START_US + 2 * CLOCK_US_PER_S;
   read_policy_view_t view = other;
 
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us),
@@ -122,14 +122,14 @@
 static void
 test_copy_stays_current_longer_with_a_longer_bound (void)
 {
-  read_policy_stream_t slow = { .patience_us = PATIENCE_US, .bound_us = 4 * CLK_US_PER_S };
+  read_policy_stream_t slow = { .patience_us = PATIENCE_US, .bound_us = 4 * CLOCK_US_PER_S };
   uint64_t end_us = START_US + slow.bound_us * READ_POLICY_FRESH_PERCENT / 100;
   read_policy_t read_policy = confirmed_at (START_US);
 
   CU_ASSERT (end_us > START_US + READ_POLICY_FRESH_US);
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &slow, &other, end_us - 1), READ_POLICY_WAIT);
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &slow, &other, end_us), READ_POLICY_READ_ONCE);
-  slow.bound_us = CLK_US_PER_S;
+  slow.bound_us = CLOCK_US_PER_S;
   end_us = START_US + slow.bound_us * READ_POLICY_FRESH_MAX_PERCENT / 100;
   read_policy = confirmed_at (START_US);
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &slow, &other, end_us - 1), READ_POLICY_WAIT);
@@ -251,8 +251,8 @@
       !read_policy_should_ask_peer (&read_policy, &engines_stream, &other, START_US + PATIENCE_US));
 }
 
-#define TICK_US (UINT64_C (100) * CLK_US_PER_MS)
-#define OUTAGE_US (UINT64_C (9) * CLK_US_PER_S)
+#define TICK_US (UINT64_C (100) * CLOCK_US_PER_MS)
+#define OUTAGE_US (UINT64_C (9) * CLOCK_US_PER_S)
 
 /* Return: reads of gateways that aren't followers during an outage of the store, with all peers up
  */
@@ -303,7 +303,7 @@
   CU_ASSERT (!read_policy_may_have_lapsed (START_US, true, START_US + READ_POLICY_LAPSE_US));
   CU_ASSERT (!read_policy_may_have_lapsed (START_US, false, START_US));
   CU_ASSERT (!read_policy_may_have_lapsed (0, true, START_US));
-  CU_ASSERT (!read_policy_may_have_lapsed (START_US, true, START_US + 4500 * CLK_US_PER_MS));
+  CU_ASSERT (!read_policy_may_have_lapsed (START_US, true, START_US + 4500 * CLOCK_US_PER_MS));
 }
 
 int
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -21,13 +21,13 @@
 static void
 test_map_is_read (void)
 {
-  rgn_map_t map = { 0 };
+  region_map_t map = { 0 };
   g_autofree char *text = NULL;
 
-  CU_ASSERT (rgn_parse (&map, "hall-1=north,hall-2=south,hall-3=north"));
-  CU_ASSERT_STRING_EQUAL (rgn_of (&map, "hall-3"), "north");
-  CU_ASSERT_PTR_NULL (rgn_of (&map, "hall-4"));
-  text = rgn_text (&map);
+  CU_ASSERT (region_map_parse (&map, "hall-1=north,hall-2=south,hall-3=north"));
+  CU_ASSERT_STRING_EQUAL (region_map_find (&map, "hall-3"), "north");
+  CU_ASSERT_PTR_NULL (region_map_find (&map, "hall-4"));
+  text = region_map_to_text (&map);
   CU_ASSERT_STRING_EQUAL (text, "hall-1=north,hall-2=south,hall-3=north");
 }
 
@@ -38,20 +38,20 @@
   static const char *const invalid[] = { "hall-1",   "hall-1=",         "=north",
                                          "a=b=c",    "hall-1=north,",   "hall-1=north,hall-1=south",
                                          ",a=north", "a=north,,b=north" };
-  g_autofree char *name = g_strnfill (LIM_NAME_BYTES, 'x');
+  g_autofree char *name = g_strnfill (LIMIT_NAME_BYTES, 'x');
   g_autofree char *too_long = g_strconcat ("a=", name, NULL);
   GString *many = g_string_new ("h=r");
-  rgn_map_t map = { 0 };
+  region_map_t map = { 0 };
 
-  CU_ASSERT (rgn_parse (&map, "hall-1=north"));
+  CU_ASSERT (region_map_parse (&map, "hall-1=north"));
   for (size_t i = 0; i < G_N_ELEMENTS (invalid); i++)
-    CU_ASSERT (!rgn_parse (&map, invalid[i]));
-  CU_ASSERT (!rgn_parse (&map, too_long));
-  for (uint32_t i = 0; i < RGN_DATA_CENTERS; i++)
+    CU_ASSERT (!region_map_parse (&map, invalid[i]));
+  CU_ASSERT (!region_map_parse (&map, too_long));
+  for (uint32_t i = 0; i < REGION_MAP_DATA_CENTERS; i++)
     g_string_append_printf (many, ",h%u=r", i);
-  CU_ASSERT (!rgn_parse (&map, many->str));
+  CU_ASSERT (!region_map_parse (&map, many->str));
   CU_ASSERT_EQUAL (map.count, 1);
-  CU_ASSERT_STRING_EQUAL (rgn_of (&map, "hall-1"), "north");
+  CU_ASSERT_STRING_EQUAL (region_map_find (&map, "hall-1"), "north");
   g_string_free (many, TRUE);
 }
 
@@ -82,7 +82,7 @@
                                                                                  "\"b\",\"api_"
                                                                                  "keys\":[\"l\"]"
                                                                                  "}]}";
-  g_autoptr (routing_t) routing = prc_read_routing (text, strlen (text), NULL, NULL);
+  g_autoptr (routing_t) routing = records_read_routing (text, strlen (text), NULL, NULL);
 
   CU_ASSERT_PTR_NULL (routing_find_route (routing, "h", "/any/")->regions);
   CU_ASSERT_STRING_EQUAL (routing_find_route (routing, "h", "/one/")->regions[1], "west");
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -54,7 +54,7 @@
       "{\"version\":3,\"routes\":[],\"services\":[{\"name\":\"pool\",\"cold_start_s\":2.5,"
       "\"cold_per_s\":16.9},{\"name\":\"slow\",\"cold_per_s\":0.5},{\"name\":\"odd\",\"cold_start_"
       "s\":\"x\",\"cold_per_s\":-1}]}";
-  g_autoptr (routing_t) routing = prc_read_routing (text, strlen (text), NULL, NULL);
+  g_autoptr (routing_t) routing = records_read_routing (text, strlen (text), NULL, NULL);
   const routing_service_t *pool = routing_find_service (routing, g_intern_static_string ("pool"));
   const routing_service_t *odd = routing_find_service (routing, g_intern_static_string ("odd"));
 
@@ -148,7 +148,7 @@
 static routing_t *
 read_config (const char *text, const routing_t *before)
 {
-  return prc_read_routing (text, strlen (text), before, NULL);
+  return records_read_routing (text, strlen (text), before, NULL);
 }
 
 static void
@@ -216,7 +216,7 @@
     {
       g_autoptr (GError) error = NULL;
 
-      CU_ASSERT_PTR_NULL (prc_read_routing (texts[i], strlen (texts[i]), NULL, &error));
+      CU_ASSERT_PTR_NULL (records_read_routing (texts[i], strlen (texts[i]), NULL, &error));
       CU_ASSERT_PTR_NOT_NULL (error);
     }
 }
@@ -231,7 +231,7 @@
     {
       /* a block of minimal size, so that a sanitizer detects overruns */
       g_autofree char *truncated = g_memdup2 (text, bytes + 1);
-      routing_t *routing = prc_read_routing (truncated, bytes, NULL, NULL);
+      routing_t *routing = records_read_routing (truncated, bytes, NULL, NULL);
 
       CU_ASSERT_PTR_NULL (routing);
     }
--- a/tests/test_rumour.c
+++ b/tests/test_rumour.c
@@ -2,7 +2,7 @@
 #include "process/rumour.h"
 #include "suite.h"
 
-#define NOW_US (UINT64_C (1000) * CLK_US_PER_S)
+#define NOW_US (UINT64_C (1000) * CLOCK_US_PER_S)
 
 static membership_report_t
 make_report (uint64_t host_hash, uint32_t sequence)
@@ -94,13 +94,13 @@
   CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US, &second));
   CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US, &both));
   suspect_mark_t out[2];
-  CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + CLK_US_PER_S, out, 2), 1);
+  CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + CLOCK_US_PER_S, out, 2), 1);
   CU_ASSERT_EQUAL (out[0].engines[0], 1);
   CU_ASSERT_EQUAL (out[0].engines[1], 2);
   CU_ASSERT_EQUAL (out[0].age_ms, 1000);
   CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + GOSSIP_MARK_MAX_AGE_US + 1, out, 2), 0);
   suspect_mark_t old = make_mark (10, 1, 0);
-  old.age_ms = (uint32_t)(GOSSIP_MARK_MAX_AGE_US / CLK_US_PER_MS) + 1;
+  old.age_ms = (uint32_t)(GOSSIP_MARK_MAX_AGE_US / CLOCK_US_PER_MS) + 1;
   CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US, &old));
 }
 
@@ -116,14 +116,14 @@
 
   gossip_init (&gossip);
   CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US, &crash));
-  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US + CLK_US_PER_S, &served));
-  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US + CLK_US_PER_S, &served));
+  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US + CLOCK_US_PER_S, &served));
+  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US + CLOCK_US_PER_S, &served));
   crash.age_ms = 2000;
-  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US + 2 * CLK_US_PER_S, &crash));
-  CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + 2 * CLK_US_PER_S, out, 2), 1);
+  CU_ASSERT_FALSE (gossip_add_mark (&gossip, NOW_US + 2 * CLOCK_US_PER_S, &crash));
+  CU_ASSERT_EQUAL (gossip_take_marks (&gossip, NOW_US + 2 * CLOCK_US_PER_S, out, 2), 1);
   CU_ASSERT (suspect_mark_is_cleared (&out[0]));
   crash.age_ms = 0;
-  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US + 3 * CLK_US_PER_S, &crash));
+  CU_ASSERT_TRUE (gossip_add_mark (&gossip, NOW_US + 3 * CLOCK_US_PER_S, &crash));
 }
 
 int
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -29,7 +29,7 @@
 
 /* Loads the settings from ROUTER_FLAGS and @flags, and expects them to be valid. */
 static void
-load_router (const char *const *env, const char *const *flags, set_t *settings)
+load_router (const char *const *env, const char *const *flags, settings_t *settings)
 {
   const char *argv[40] = { "medlarplankd", ROUTER_FLAGS };
   GError *error = NULL;
@@ -40,7 +40,8 @@
   while (*flags != NULL)
     argv[argc++] = *flags++;
   environment = env;
-  CU_ASSERT_EQUAL (set_load (settings, argc, (char **)argv, environment_get, &error), SET_RUN);
+  CU_ASSERT_EQUAL (settings_load (settings, argc, (char **)argv, environment_get, &error),
+                   SETTINGS_RUN);
   CU_ASSERT_PTR_NULL (error);
   g_clear_error (&error);
 }
@@ -51,7 +52,7 @@
 {
   const char *argv[40] = { "medlarplankd", ROUTER_FLAGS };
   GError *error = NULL;
-  set_t settings;
+  settings_t settings;
   int argc = 0;
 
   while (argv[argc] != NULL)
@@ -59,7 +60,8 @@
   while (*flags != NULL)
     argv[argc++] = *flags++;
   environment = env;
-  CU_ASSERT_EQUAL (set_load (&settings, argc, (char **)argv, environment_get, &error), SET_EXIT_2);
+  CU_ASSERT_EQUAL (settings_load (&settings, argc, (char **)argv, environment_get, &error),
+                   SETTINGS_EXIT_USAGE);
   CU_ASSERT_PTR_NOT_NULL_FATAL (error);
   if (strcmp (error->message, message) != 0)
     printf ("\n  got:      %s\n  expected: %s\n", error->message, message);
@@ -77,10 +79,10 @@
 static void
 test_defaults (void)
 {
-  set_t settings;
+  settings_t settings;
 
   load_router (key_only, NO_FLAGS, &settings);
-  CU_ASSERT_EQUAL (settings.role, SET_ROLE_ROUTER);
+  CU_ASSERT_EQUAL (settings.role, SETTINGS_ROLE_ROUTER);
   CU_ASSERT_STRING_EQUAL (settings.name, "hall-1");
   CU_ASSERT_STRING_EQUAL (settings.data_center, "hall-khan-uul");
   CU_ASSERT_STRING_EQUAL (settings.region, "ulaanbaatar");
@@ -118,7 +120,7 @@
                                      "MEDLARPLANK_ENGINE",
                                      "",
                                      NULL };
-  set_t settings;
+  settings_t settings;
 
   load_router (env, FLAGS ("--connection-limit=5", "--connection-limit=6"), &settings);
   CU_ASSERT_EQUAL (settings.log_level, LOG_LEVEL_ERROR);
@@ -168,7 +170,7 @@
 static void
 test_engine_by_role (void)
 {
-  set_t settings;
+  settings_t settings;
 
   refuse_router (key_only, FLAGS ("--role=sidecar"),
                  "engine: missing; give --engine or MEDLARPLANK_ENGINE: IP number and port 1 to "
@@ -177,7 +179,7 @@
                  "engine: \"127.0.0.1:80\" (--engine): only a sidecar has an engine, and role is "
                  "router");
   load_router (key_only, FLAGS ("--role=sidecar", "--engine=127.0.0.1:80"), &settings);
-  CU_ASSERT_EQUAL (settings.role, SET_ROLE_SIDECAR);
+  CU_ASSERT_EQUAL (settings.role, SETTINGS_ROLE_SIDECAR);
   CU_ASSERT_EQUAL (settings.engine.port, 80);
 }
 
@@ -186,10 +188,11 @@
 {
   const char *argv[] = { "medlarplankd", NULL };
   GError *error = NULL;
-  set_t settings;
+  settings_t settings;
 
   environment = key_only;
-  CU_ASSERT_EQUAL (set_load (&settings, 1, (char **)argv, environment_get, &error), SET_EXIT_2);
+  CU_ASSERT_EQUAL (settings_load (&settings, 1, (char **)argv, environment_get, &error),
+                   SETTINGS_EXIT_USAGE);
   CU_ASSERT_PTR_NOT_NULL_FATAL (error);
   CU_ASSERT_STRING_EQUAL (
       error->message, "role: missing; give --role or MEDLARPLANK_ROLE: router, sidecar or gateway");
@@ -205,7 +208,7 @@
 static void
 test_horizon_within_retention (void)
 {
-  set_t settings;
+  settings_t settings;
 
   refuse_router (key_only, FLAGS ("--claim-horizon-s=604800"),
                  "claim-horizon-s: 604800 (--claim-horizon-s): must be less than log-retention-s, "
@@ -240,7 +243,7 @@
   static const char *const none[] = { NULL };
   g_autofree char *path = NULL;
   int fd = g_file_open_tmp ("medlarplank-key-XXXXXX", &path, NULL);
-  set_t settings;
+  settings_t settings;
 
   CU_ASSERT_FATAL (fd >= 0);
   CU_ASSERT_EQUAL (write (fd, KEY "\n", sizeof KEY), sizeof KEY);
@@ -265,31 +268,31 @@
     "::1:80",    "[::1]",       "[::1]80",       "[1.2.3.4]:80",
     "[::1:80",   "1.2.3.4:8 0", "localhost:80",  "1.2.3.4:000080"
   };
-  set_address_t address;
+  address_t address;
   GError *error = NULL;
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (wrong); i++)
     {
-      CU_ASSERT_FALSE (set_parse_address (wrong[i], &address, &error));
+      CU_ASSERT_FALSE (address_parse (wrong[i], &address, &error));
       CU_ASSERT_PTR_NOT_NULL (error);
       g_clear_error (&error);
     }
-  CU_ASSERT (set_parse_address ("[FD00:0:0::1]:65535", &address, &error));
-  g_autofree char *text = set_address_text (&address);
+  CU_ASSERT (address_parse ("[FD00:0:0::1]:65535", &address, &error));
+  g_autofree char *text = address_to_text (&address);
   CU_ASSERT_STRING_EQUAL (text, "[fd00::1]:65535");
 }
 
 /* The table row for a setting that docs/settings.md must contain. */
 static char *
-docs_row (const set_row_t *setting)
+docs_row (const setting_t *setting)
 {
-  char *env = set_row_env (setting);
-  char *allowed = set_row_allowed (setting);
+  char *env = setting_env_name (setting);
+  char *allowed = setting_allowed_text (setting);
   char *flag =
-      set_row_is_flag (setting) ? g_strdup_printf ("`--%s`", setting->name) : g_strdup ("-");
+      setting_is_flag (setting) ? g_strdup_printf ("`--%s`", setting->name) : g_strdup ("-");
   char *line = g_strdup_printf ("| %s | `%s` | %s | %s | %s | %s |\n", flag, env, allowed,
                                 setting->default_text != NULL ? setting->default_text : "-",
-                                set_row_needed (setting), setting->help);
+                                setting_required_by (setting), setting->help);
 
   g_free (flag);
   g_free (allowed);
@@ -306,7 +309,7 @@
   g_autofree char *page = NULL;
   uint32_t count;
   uint32_t lines = 0;
-  const set_row_t *rows = set_rows (&count);
+  const setting_t *rows = setting_table (&count);
 
   CU_ASSERT_FATAL (g_file_get_contents (path, &page, NULL, NULL));
   for (uint32_t i = 0; i < count; i++)
@@ -327,7 +330,7 @@
 static void
 test_budget_may_be_a_fraction (void)
 {
-  set_t settings;
+  settings_t settings;
 
   load_router (key_only, FLAGS ("--retry-slack=36.1764705882353"), &settings);
   CU_ASSERT_EQUAL (settings.retry_slack_milli, 36176);
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -482,11 +482,11 @@
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
   engine_choice_request_t request = { .affinity = 9,
                                       .data_center = HERE,
-                                      .head_us = 2 * CLK_US_PER_S };
+                                      .head_us = 2 * CLOCK_US_PER_S };
   engine_t *home = choose (engines, 9).engine;
 
   engine_begin_request (home, NOW_US);
-  CU_ASSERT_PTR_EQUAL (engine_choice_make (list, NOW_US + CLK_US_PER_S, &request).engine, home);
+  CU_ASSERT_PTR_EQUAL (engine_choice_make (list, NOW_US + CLOCK_US_PER_S, &request).engine, home);
   CU_ASSERT_PTR_NOT_EQUAL (
       engine_choice_make (list, NOW_US + ENGINE_SILENT_FACTOR * request.head_us, &request).engine,
       home);
@@ -790,7 +790,7 @@
   unload (engines, FLEET_ENGINES);
   for (guint k = 0; k < FLEET_IDLE; k++)
     g_strlcpy (((engine_t *)g_ptr_array_index (list, k))->entry.data_center, "hall-2",
-               LIM_NAME_BYTES);
+               LIMIT_NAME_BYTES);
   engines_set_drained (engines, NOW_US, "hall-2", true);
   narrowed = fill_home (list);
   CU_ASSERT (usual >= FLEET_LOAD * 14 / 10);
--- a/tests/test_start_ask.c
+++ b/tests/test_start_ask.c
@@ -7,8 +7,8 @@
 #include <glib.h>
 #include <string.h>
 
-#define START_US (UINT64_C (100) * CLK_US_PER_S)
-#define TICK_US (UINT64_C (10) * CLK_US_PER_MS)
+#define START_US (UINT64_C (100) * CLOCK_US_PER_S)
+#define TICK_US (UINT64_C (10) * CLOCK_US_PER_MS)
 #define SEEDS 3
 
 static bootstrap_t
@@ -90,7 +90,7 @@
   uint64_t at_us = START_US + BOOTSTRAP_TIMEOUT_US;
   uint32_t questions = 0;
 
-  for (; at_us < START_US + 10 * CLK_US_PER_S; at_us += TICK_US)
+  for (; at_us < START_US + 10 * CLOCK_US_PER_S; at_us += TICK_US)
     if (bootstrap_may_ask_peer (&bootstrap, at_us))
       {
         questions++;
@@ -103,8 +103,8 @@
 test_number_served_at_once_is_limited (void)
 {
   bootstrap_server_t server = { 0 };
-  set_address_t asker = { "127.0.0.1", 7 };
-  set_address_t referral;
+  address_t asker = { "127.0.0.1", 7 };
+  address_t referral;
 
   CU_ASSERT (!bootstrap_server_pick_referral (&server, 5, &referral));
   for (uint32_t i = 0; i < BOOTSTRAP_CONCURRENT_MAX; i++)
@@ -138,8 +138,8 @@
   gateway_t *own = &fleet[index];
   gateway_t *peer = &fleet[own->next_peer];
   uint32_t spread = (uint32_t)g_rand_int_range (rand, 0, 1000);
-  set_address_t asker = { "", (uint16_t)index };
-  set_address_t referral = { "", 0 };
+  address_t asker = { "", (uint16_t)index };
+  address_t referral = { "", 0 };
 
   if (own->content_due_us != 0)
     {
--- a/tests/test_stream_follow.c
+++ b/tests/test_stream_follow.c
@@ -29,8 +29,8 @@
 typedef struct
 {
   struct event_base *base;
-  clk_t clk;
-  cnt_set_t *counters;
+  clock_source_t clock;
+  counter_registry_t *counters;
   store_t store;
   keyed_view_t *view;
   stream_follower_t *follower;
@@ -104,13 +104,13 @@
   fixture_t *fixture = g_new0 (fixture_t, 1);
 
   fixture->base = event_base_new ();
-  clk_init_running (&fixture->clk);
+  clock_init_running (&fixture->clock);
   fixture->store.platform = (platform_t){ .read = on_read, .newest = on_newest };
-  fixture->counters = cnt_set_new ();
+  fixture->counters = counter_registry_new ();
   fixture->view = keyed_view_new (ignore_change, fixture);
   fixture->follower =
       stream_follower_new (&(stream_follower_options_t){ .base = fixture->base,
-                                                         .clk = &fixture->clk,
+                                                         .clock = &fixture->clock,
                                                          .counters = fixture->counters,
                                                          .platform = &fixture->store.platform,
                                                          .stream = PLATFORM_STREAM_ROUTING,
@@ -132,7 +132,7 @@
 {
   stream_follower_free (fixture->follower);
   keyed_view_free (fixture->view);
-  cnt_set_free (fixture->counters);
+  counter_registry_free (fixture->counters);
   event_base_free (fixture->base);
   g_free (fixture);
 }
@@ -266,7 +266,8 @@
                                             .end_offset = 6,
                                             .records = &record,
                                             .record_count = 1 });
-  clk_init_paused (&fixture->clk, clk_now_us (&fixture->clk) + (uint64_t)WAIT_MS * CLK_US_PER_MS);
+  clock_init_paused (&fixture->clock,
+                     clock_now_us (&fixture->clock) + (uint64_t)WAIT_MS * CLOCK_US_PER_MS);
   CU_ASSERT (raw_peer_run_until (fixture->base, has_read_twice, fixture));
   CU_ASSERT_EQUAL (fixture->store.wait_ms[0], WAIT_MS);
   CU_ASSERT_EQUAL (fixture->store.wait_ms[1], MAX (WAIT_MS / STREAM_FOLLOWER_WAIT_MARGIN_DIVISOR,
