--- a/ctl/ask.c
+++ b/ctl/ask.c
@@ -24,7 +24,7 @@
 typedef struct pending_call
 {
   batch_t *batch;
-  ask_call_t *call;
+  admin_call_t *call;
   char *target;
   char *seal;
   http_client_header_t header;
@@ -69,9 +69,9 @@
 }
 
 static char *
-format_target (const ask_call_t *call, uint64_t time_s)
+format_target (const admin_call_t *call, uint64_t time_s)
 {
-  if (call->seal == ASK_DRAIN)
+  if (call->seal == ADMIN_CALL_SEAL_DRAIN)
     return g_strdup_printf ("%s?time=%" PRIu64, call->path, time_s);
   if (call->query != NULL)
     return g_strdup_printf ("%s?%s", call->path, call->query);
@@ -79,7 +79,7 @@
 }
 
 static char *
-format_call_seal (const ask_call_t *call, const char *target, const char *fleet_key)
+format_call_seal (const admin_call_t *call, const char *target, const char *fleet_key)
 {
   sealed_call_t order = { .host = call->name, .method = call->method, .target = target };
   char seal[CALL_SEAL_BYTES];
@@ -93,9 +93,9 @@
 {
   const char *fleet_key = pending->batch->ctl->options.fleet_key;
 
-  if (pending->call->seal == ASK_OPEN || fleet_key == NULL)
+  if (pending->call->seal == ADMIN_CALL_SEAL_NONE || fleet_key == NULL)
     return;
-  if (pending->call->seal == ASK_DRAIN)
+  if (pending->call->seal == ADMIN_CALL_SEAL_DRAIN)
     pending->seal = admin_seal_make (fleet_key, ADMIN_SEAL_DRAIN, pending->call->name, time_s);
   else
     pending->seal = format_call_seal (pending->call, pending->target, fleet_key);
@@ -106,13 +106,13 @@
 start_call (pending_call_t *pending)
 {
   ctl_t *ctl = pending->batch->ctl;
-  ask_call_t *call = pending->call;
+  admin_call_t *call = pending->call;
   uint64_t time_s = clock_wall_ms (&ctl->clock) / 1000;
   http_client_options_t options = { .address = &call->address,
                                     .method = call->method,
                                     .timeout_us =
-                                        (uint64_t)MAX (ctl_left_ms (ctl), 1) * CLOCK_US_PER_MS,
-                                    .answer_limit_bytes = ASK_ANSWER_LIMIT_BYTES,
+                                        (uint64_t)MAX (ctl_remaining_ms (ctl), 1) * CLOCK_US_PER_MS,
+                                    .answer_limit_bytes = ADMIN_CALL_RESPONSE_MAX_BYTES,
                                     .on_head = on_head,
                                     .on_data = on_data,
                                     .on_end = on_end,
@@ -135,7 +135,7 @@
 }
 
 void
-ask_all (ctl_t *ctl, ask_call_t *calls, uint32_t count)
+admin_call_run_all (ctl_t *ctl, admin_call_t *calls, uint32_t count)
 {
   g_autofree pending_call_t *pending_calls = g_new0 (pending_call_t, count);
   batch_t batch = {
@@ -144,7 +144,7 @@
 
   for (uint32_t i = 0; i < count; i++)
     pending_calls[i] = (pending_call_t){ .batch = &batch, .call = &calls[i] };
-  for (uint32_t i = 0; i < ASK_AT_ONCE; i++)
+  for (uint32_t i = 0; i < ADMIN_CALL_CONCURRENCY; i++)
     start_next (&batch);
   if (count > 0)
     ctl_run_until (ctl, &batch.done);
@@ -156,7 +156,7 @@
 }
 
 void
-ask_clear (ask_call_t *calls, uint32_t count)
+admin_call_clear_all (admin_call_t *calls, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
     {
@@ -167,35 +167,38 @@
 }
 
 bool
-ask_name (ctl_t *ctl, ask_call_t *call)
+admin_call_fetch_name (ctl_t *ctl, admin_call_t *call)
 {
-  ask_call_t status = { .address = call->address, .method = "GET", .path = ASK_STATUS_PATH };
+  admin_call_t status = { .address = call->address,
+                          .method = "GET",
+                          .path = ADMIN_CALL_STATUS_PATH };
   json_t *answer;
   const char *name;
 
-  ask_all (ctl, &status, 1);
+  admin_call_run_all (ctl, &status, 1);
   answer = status.status == 200 ? json_loads (status.body->str, 0, NULL) : NULL;
   name = json_string_value (json_object_get (answer, "name"));
   g_strlcpy (call->name, name != NULL ? name : "", sizeof call->name);
   json_decref (answer);
-  ask_clear (&status, 1);
+  admin_call_clear_all (&status, 1);
   return call->name[0] != '\0';
 }
 
 char *
-ask_manifest (ctl_t *ctl, const address_t *address)
+admin_call_fetch_manifest (ctl_t *ctl, const address_t *address)
 {
-  ask_call_t call = {
-    .address = *address, .method = "GET", .path = "/medlarplank/manifest", .seal = ASK_CALL
-  };
+  admin_call_t call = { .address = *address,
+                        .method = "GET",
+                        .path = "/medlarplank/manifest",
+                        .seal = ADMIN_CALL_SEAL_READ };
   char *body = NULL;
 
-  if (!ask_name (ctl, &call))
+  if (!admin_call_fetch_name (ctl, &call))
     return NULL;
-  ask_all (ctl, &call, 1);
+  admin_call_run_all (ctl, &call, 1);
   if (call.status == 200)
     body = g_strdup (call.body->str);
-  ask_clear (&call, 1);
+  admin_call_clear_all (&call, 1);
   return body;
 }
 
@@ -218,7 +221,7 @@
 }
 
 GArray *
-ask_hosts (ctl_t *ctl, platform_outcome_t *outcome)
+host_list_fetch (ctl_t *ctl, platform_outcome_t *outcome)
 {
   hosts_wait_t wait = { .hosts = g_array_new (FALSE, TRUE, sizeof (membership_list_entry_t)) };
 
@@ -229,7 +232,7 @@
 }
 
 const membership_list_entry_t *
-ask_host_named (const GArray *hosts, const char *name)
+host_list_find (const GArray *hosts, const char *name)
 {
   for (guint i = 0; i < hosts->len; i++)
     {
--- a/ctl/cmd_manifest.c
+++ b/ctl/cmd_manifest.c
@@ -17,11 +17,11 @@
   manifest_t *manifest;
 
   if (!g_file_get_contents (file, &text, &text_bytes, &error))
-    return ctl_complain (CTL_USAGE, "%s", error->message);
+    return ctl_report (CTL_USAGE, "%s", error->message);
   manifest = manifest_parse (text, text_bytes, &error);
   if (manifest == NULL)
-    return ctl_complain (CTL_USAGE, "%s: %s", file, error->message);
-  if ((ctl->options.given & OPT_JSON) != 0)
+    return ctl_report (CTL_USAGE, "%s: %s", file, error->message);
+  if ((ctl->options.given & CTL_OPTION_JSON) != 0)
     printf ("{\"digest\":\"%s\"}\n", manifest->digest);
   else
     printf ("%s: %u client accounts, %u services, %u classes, %u routes, digest %s\n", file,
@@ -64,9 +64,9 @@
 static void
 print_manifest (const ctl_t *ctl, const replay_t *replay)
 {
-  bool only_version = (ctl->options.given & OPT_VERSION) != 0;
+  bool only_version = (ctl->options.given & CTL_OPTION_VERSION) != 0;
 
-  if ((ctl->options.given & OPT_JSON) != 0)
+  if ((ctl->options.given & CTL_OPTION_JSON) != 0)
     {
       json_t *json = manifest_to_json (replay, !only_version);
 
@@ -82,17 +82,17 @@
 ctl_exit_t
 cmd_manifest_show (ctl_t *ctl, const char *unused)
 {
-  fol_t reader;
+  manifest_reader_t reader;
   ctl_exit_t code;
 
   (void)unused;
-  fol_start (&reader, ctl);
-  code = fol_catch_up (&reader);
+  manifest_reader_init (&reader, ctl);
+  code = manifest_reader_catch_up (&reader);
   if (code == CTL_OK && replay_is_unpublished (reader.replay))
-    code = ctl_complain (CTL_FAILED, "no manifest was published yet");
+    code = ctl_report (CTL_FAILED, "no manifest was published yet");
   else if (code == CTL_OK)
     print_manifest (ctl, reader.replay);
-  fol_end (&reader);
+  manifest_reader_clear (&reader);
   return code;
 }
 
@@ -120,7 +120,7 @@
   const ctl_t *ctl = context;
   g_autofree char *reason = g_strescape (result->reason, NULL);
 
-  if ((ctl->options.given & OPT_JSON) != 0)
+  if ((ctl->options.given & CTL_OPTION_JSON) != 0)
     {
       json_t *json = json_pack ("{sI ss ss sI ss}", "offset", (json_int_t)offset, "verdict",
                                 verdict_text (result->verdict), "id", result->id, "version",
@@ -137,7 +137,7 @@
 }
 
 static void
-watch_records (fol_t *reader)
+watch_records (manifest_reader_t *reader)
 {
   ctl_t *ctl = reader->ctl;
   bool answered = true;
@@ -147,13 +147,14 @@
   fflush (stdout);
   reader->on_result = print_result;
   reader->context = ctl;
-  while (ctl_left_ms (ctl) > 0)
+  while (ctl_remaining_ms (ctl) > 0)
     {
       bool was_answered = answered;
 
-      answered = fol_read (reader, MIN (WATCH_WAIT_MS, ctl_left_ms (ctl))) == PLATFORM_OK;
+      answered =
+          manifest_reader_read (reader, MIN (WATCH_WAIT_MS, ctl_remaining_ms (ctl))) == PLATFORM_OK;
       if (was_answered && !answered)
-        ctl_complain (CTL_OK, "the platform does not answer; the manifest in force stays in force");
+        ctl_report (CTL_OK, "the platform does not answer; the manifest in force stays in force");
       if (!answered)
         ctl_pause (ctl, WATCH_RETRY_MS);
     }
@@ -162,16 +163,16 @@
 ctl_exit_t
 cmd_manifest_watch (ctl_t *ctl, const char *unused)
 {
-  fol_t reader;
+  manifest_reader_t reader;
   ctl_exit_t code;
 
   (void)unused;
-  fol_start (&reader, ctl);
-  code = fol_catch_up (&reader);
-  if ((ctl->options.given & OPT_TIMEOUT) == 0)
+  manifest_reader_init (&reader, ctl);
+  code = manifest_reader_catch_up (&reader);
+  if ((ctl->options.given & CTL_OPTION_TIMEOUT) == 0)
     ctl->deadline_us = UINT64_MAX;
   if (code == CTL_OK)
     watch_records (&reader);
-  fol_end (&reader);
+  manifest_reader_clear (&reader);
   return code;
 }
--- a/ctl/cmd_order.c
+++ b/ctl/cmd_order.c
@@ -12,19 +12,19 @@
   const membership_list_entry_t *host;
   ctl_exit_t code = CTL_OK;
 
-  if ((ctl->options.given & OPT_DAEMON) != 0)
+  if ((ctl->options.given & CTL_OPTION_DAEMON) != 0)
     {
       *address = ctl->options.daemon;
       return CTL_OK;
     }
   if (ctl->platform == NULL)
-    return ctl_complain (CTL_USAGE, "drain needs --platform or --daemon");
-  hosts = ask_hosts (ctl, &outcome);
-  host = ask_host_named (hosts, name);
+    return ctl_report (CTL_USAGE, "drain needs --platform or --daemon");
+  hosts = host_list_fetch (ctl, &outcome);
+  host = host_list_find (hosts, name);
   if (outcome != PLATFORM_OK)
-    code = ctl_complain (CTL_UNREACHABLE, "the platform's list of hosts can't be had");
+    code = ctl_report (CTL_UNREACHABLE, "the platform's list of hosts can't be had");
   else if (host == NULL)
-    code = ctl_complain (CTL_USAGE, "the platform lists no host \"%s\"", name);
+    code = ctl_report (CTL_USAGE, "the platform lists no host \"%s\"", name);
   else
     *address = host->http;
   g_array_free (hosts, TRUE);
@@ -35,19 +35,20 @@
 static ctl_exit_t
 send_drain_order (ctl_t *ctl, const char *host, const address_t *address)
 {
-  ask_call_t call = {
-    .address = *address, .method = "POST", .path = "/medlarplank/drain", .seal = ASK_DRAIN
-  };
+  admin_call_t call = { .address = *address,
+                        .method = "POST",
+                        .path = "/medlarplank/drain",
+                        .seal = ADMIN_CALL_SEAL_DRAIN };
   int status;
 
   g_strlcpy (call.name, host, sizeof call.name);
-  ask_all (ctl, &call, 1);
+  admin_call_run_all (ctl, &call, 1);
   status = call.status;
-  ask_clear (&call, 1);
+  admin_call_clear_all (&call, 1);
   if (status == 0)
-    return ctl_complain (CTL_FAILED, "%s does not answer; it may have taken the order", host);
+    return ctl_report (CTL_FAILED, "%s does not answer; it may have taken the order", host);
   if (status / 100 != 2)
-    return ctl_complain (CTL_FAILED, "%s refused the order with status %d", host, status);
+    return ctl_report (CTL_FAILED, "%s refused the order with status %d", host, status);
   printf ("%s is leaving\n", host);
   return CTL_OK;
 }
@@ -59,7 +60,7 @@
   ctl_exit_t code;
 
   if (ctl->options.fleet_key == NULL)
-    return ctl_complain (CTL_USAGE, "drain needs MEDLARPLANK_FLEET_KEY");
+    return ctl_report (CTL_USAGE, "drain needs MEDLARPLANK_FLEET_KEY");
   code = find_address (ctl, host, &address);
   return code == CTL_OK ? send_drain_order (ctl, host, &address) : code;
 }
@@ -69,26 +70,26 @@
 {
   g_autofree char *escaped = g_uri_escape_string (request, NULL, FALSE);
   g_autofree char *query = g_strconcat ("request=", escaped, NULL);
-  ask_call_t call = { .address = ctl->options.daemon,
-                      .method = "GET",
-                      .path = "/medlarplank/explain",
-                      .query = query,
-                      .seal = ASK_CALL };
+  admin_call_t call = { .address = ctl->options.daemon,
+                        .method = "GET",
+                        .path = "/medlarplank/explain",
+                        .query = query,
+                        .seal = ADMIN_CALL_SEAL_READ };
   ctl_exit_t code = CTL_OK;
 
-  if ((ctl->options.given & OPT_LOGS) != 0)
-    return xpl_explain (ctl, request, ctl->options.logs);
-  if ((ctl->options.given & OPT_DAEMON) == 0)
-    return ctl_complain (CTL_USAGE, "explain needs the router as --daemon, or --logs");
-  if (!ask_name (ctl, &call))
-    return ctl_complain (CTL_FAILED, "the daemon does not answer");
-  ask_all (ctl, &call, 1);
+  if ((ctl->options.given & CTL_OPTION_LOGS) != 0)
+    return explain_logs_print (ctl, request, ctl->options.logs);
+  if ((ctl->options.given & CTL_OPTION_DAEMON) == 0)
+    return ctl_report (CTL_USAGE, "explain needs the router as --daemon, or --logs");
+  if (!admin_call_fetch_name (ctl, &call))
+    return ctl_report (CTL_FAILED, "the daemon does not answer");
+  admin_call_run_all (ctl, &call, 1);
   if (call.status == 200)
     printf ("%s\n", call.body->str);
   else if (call.status == 404)
-    code = ctl_complain (CTL_FAILED, "the daemon does not know this request, or not any more");
+    code = ctl_report (CTL_FAILED, "the daemon does not know this request, or not any more");
   else
-    code = ctl_complain (CTL_FAILED, "the daemon answered with status %d", call.status);
-  ask_clear (&call, 1);
+    code = ctl_report (CTL_FAILED, "the daemon answered with status %d", call.status);
+  admin_call_clear_all (&call, 1);
   return code;
 }
--- a/ctl/cmd_publish.c
+++ b/ctl/cmd_publish.c
@@ -19,7 +19,7 @@
 typedef struct
 {
   ctl_t *ctl;
-  fol_t reader;
+  manifest_reader_t reader;
   bool patch;
   json_t *document;
   manifest_t *manifest;
@@ -41,14 +41,14 @@
   json_error_t parse_error;
 
   if (!g_file_get_contents (file, &text, &text_bytes, &error))
-    return ctl_complain (CTL_USAGE, "%s", error->message);
+    return ctl_report (CTL_USAGE, "%s", error->message);
   if (text_bytes > LIMIT_MANIFEST_BYTES)
-    return ctl_complain (CTL_USAGE, "%s: is larger than the limit of %d bytes", file,
-                         LIMIT_MANIFEST_BYTES);
+    return ctl_report (CTL_USAGE, "%s: is larger than the limit of %d bytes", file,
+                       LIMIT_MANIFEST_BYTES);
   publish->document = json_loadb (text, text_bytes, JSON_REJECT_DUPLICATES, &parse_error);
   if (publish->document == NULL)
-    return ctl_complain (CTL_USAGE, "%s: line %d, column %d: %s", file, parse_error.line,
-                         parse_error.column, parse_error.text);
+    return ctl_report (CTL_USAGE, "%s: line %d, column %d: %s", file, parse_error.line,
+                       parse_error.column, parse_error.text);
   return CTL_OK;
 }
 
@@ -59,13 +59,13 @@
   manifest_t *current = replay_manifest (publish->reader.replay);
 
   if (publish->patch && current == NULL)
-    return ctl_complain (CTL_USAGE, "%s: there is no manifest to patch", file);
+    return ctl_report (CTL_USAGE, "%s: there is no manifest to patch", file);
   if (publish->patch)
     publish->manifest = manifest_patch (current, publish->document, &error);
   else
     publish->manifest = manifest_from_json (publish->document, &error);
   if (publish->manifest == NULL)
-    return ctl_complain (CTL_USAGE, "%s: %s", file, error->message);
+    return ctl_report (CTL_USAGE, "%s: %s", file, error->message);
   return CTL_OK;
 }
 
@@ -76,23 +76,23 @@
   const manifest_t *manifest = replay_manifest (replay);
   const char *by = replay_publisher (replay);
 
-  return ctl_complain (CTL_CONFLICT, "version %" PRIu64 "%s%s is in force; rebase",
-                       manifest != NULL ? manifest->version : 0, by[0] != '\0' ? " by " : "", by);
+  return ctl_report (CTL_CONFLICT, "version %" PRIu64 "%s%s is in force; rebase",
+                     manifest != NULL ? manifest->version : 0, by[0] != '\0' ? " by " : "", by);
 }
 
 static ctl_exit_t
 choose_base (publish_t *publish)
 {
-  const opt_t *options = &publish->ctl->options;
+  const ctl_options_t *options = &publish->ctl->options;
   const manifest_t *manifest = replay_manifest (publish->reader.replay);
   uint64_t in_force = manifest != NULL ? manifest->version : 0;
 
-  publish->base = (options->given & OPT_BASE) != 0 ? options->base : in_force;
+  publish->base = (options->given & CTL_OPTION_BASE) != 0 ? options->base : in_force;
   if (publish->base < in_force)
     return report_conflict (publish);
   if (publish->base > in_force)
-    return ctl_complain (CTL_USAGE, "--base: %" PRIu64 " is not in force yet, %" PRIu64 " is",
-                         publish->base, in_force);
+    return ctl_report (CTL_USAGE, "--base: %" PRIu64 " is not in force yet, %" PRIu64 " is",
+                       publish->base, in_force);
   return CTL_OK;
 }
 
@@ -104,7 +104,7 @@
 
   if (current == NULL || manifest_may_follow (current, publish->manifest, &error))
     return CTL_OK;
-  return ctl_complain (CTL_USAGE, "%s: %s", file, error->message);
+  return ctl_report (CTL_USAGE, "%s: %s", file, error->message);
 }
 
 static uint32_t
@@ -116,12 +116,12 @@
     for (uint32_t engine = 0; engine < manifest->services[i].engine_count; engine++)
       {
         const char *name = manifest->services[i].engines[engine];
-        const membership_list_entry_t *host = ask_host_named (hosts, name);
+        const membership_list_entry_t *host = host_list_find (hosts, name);
 
         if (host != NULL && !host->router && host->state != MEMBERSHIP_GONE)
           continue;
-        ctl_complain (CTL_OK, "services.%s.engines[%u]: the platform lists no engine host \"%s\"",
-                      manifest->services[i].name, engine, name);
+        ctl_report (CTL_OK, "services.%s.engines[%u]: the platform lists no engine host \"%s\"",
+                    manifest->services[i].name, engine, name);
         missing++;
       }
   return missing;
@@ -130,23 +130,23 @@
 static ctl_exit_t
 check_engines_listed (const publish_t *publish)
 {
-  const opt_t *options = &publish->ctl->options;
+  const ctl_options_t *options = &publish->ctl->options;
   platform_outcome_t outcome;
   GArray *hosts;
   uint32_t missing = 0;
 
   if (!options->hosts_check)
     return CTL_OK;
-  hosts = ask_hosts (publish->ctl, &outcome);
+  hosts = host_list_fetch (publish->ctl, &outcome);
   if (outcome == PLATFORM_OK)
     missing = count_missing_engines (publish->manifest, hosts);
   g_array_free (hosts, TRUE);
   if (outcome != PLATFORM_OK)
-    return ctl_complain (CTL_UNREACHABLE,
-                         "the platform's list of hosts can't be had; nothing was published "
-                         "(--hosts-check=no goes without it)");
-  if (missing > 0 && (options->given & OPT_ALLOW_MISSING) == 0)
-    return ctl_complain (CTL_USAGE, "nothing was published; see --allow-missing-engines");
+    return ctl_report (CTL_UNREACHABLE,
+                       "the platform's list of hosts can't be had; nothing was published "
+                       "(--hosts-check=no goes without it)");
+  if (missing > 0 && (options->given & CTL_OPTION_ALLOW_MISSING) == 0)
+    return ctl_report (CTL_USAGE, "nothing was published; see --allow-missing-engines");
   return CTL_OK;
 }
 
@@ -201,11 +201,11 @@
 static void
 wait_for_result (publish_t *publish)
 {
-  while (!publish->has_result && ctl_left_ms (publish->ctl) > 0)
+  while (!publish->has_result && ctl_remaining_ms (publish->ctl) > 0)
     {
-      uint32_t wait_ms = MIN (FOLLOW_WAIT_MS, ctl_left_ms (publish->ctl));
+      uint32_t wait_ms = MIN (FOLLOW_WAIT_MS, ctl_remaining_ms (publish->ctl));
 
-      if (fol_read (&publish->reader, wait_ms) != PLATFORM_OK)
+      if (manifest_reader_read (&publish->reader, wait_ms) != PLATFORM_OK)
         ctl_pause (publish->ctl, RETRY_MS);
     }
 }
@@ -213,7 +213,7 @@
 static void
 print_accepted (const publish_t *publish)
 {
-  if ((publish->ctl->options.given & OPT_JSON) != 0)
+  if ((publish->ctl->options.given & CTL_OPTION_JSON) != 0)
     printf ("{\"id\":\"%s\",\"version\":%" PRIu64 ",\"digest\":\"%s\"}\n", publish->id,
             publish->result.version, publish->manifest->digest);
   else
@@ -224,19 +224,19 @@
 report_result (const publish_t *publish)
 {
   if (!publish->has_result)
-    return ctl_complain (CTL_UNREACHABLE,
-                         "it is not known whether publish %s took effect; look with "
-                         "\"manifest show\" before you publish again",
-                         publish->id);
+    return ctl_report (CTL_UNREACHABLE,
+                       "it is not known whether publish %s took effect; look with "
+                       "\"manifest show\" before you publish again",
+                       publish->id);
   switch (publish->result.verdict)
     {
     case REPLAY_ACCEPTED:
       print_accepted (publish);
       return CTL_OK;
     case REPLAY_STALE_BASE:
-      return ctl_complain (CTL_CONFLICT, "%s", publish->result.reason);
+      return ctl_report (CTL_CONFLICT, "%s", publish->result.reason);
     default:
-      return ctl_complain (CTL_FAILED, "the manifest was rejected: %s", publish->result.reason);
+      return ctl_report (CTL_FAILED, "the manifest was rejected: %s", publish->result.reason);
     }
 }
 
@@ -248,7 +248,7 @@
   if (code == CTL_OK && !publish->patch)
     code = build_manifest (publish, file);
   if (code == CTL_OK)
-    code = fol_catch_up (&publish->reader);
+    code = manifest_reader_catch_up (&publish->reader);
   if (code == CTL_OK)
     code = choose_base (publish);
   if (code == CTL_OK && publish->patch)
@@ -269,7 +269,7 @@
     return code;
   publish->id = g_uuid_string_random ();
   if (append_record (publish) == PLATFORM_REFUSED)
-    return ctl_complain (CTL_FAILED, "the platform did not take the record; nothing was published");
+    return ctl_report (CTL_FAILED, "the platform did not take the record; nothing was published");
   wait_for_result (publish);
   return report_result (publish);
 }
@@ -277,14 +277,14 @@
 ctl_exit_t
 cmd_manifest_publish (ctl_t *ctl, const char *file)
 {
-  publish_t publish = { .ctl = ctl, .patch = (ctl->options.given & OPT_PATCH) != 0 };
+  publish_t publish = { .ctl = ctl, .patch = (ctl->options.given & CTL_OPTION_PATCH) != 0 };
   ctl_exit_t code;
 
-  fol_start (&publish.reader, ctl);
+  manifest_reader_init (&publish.reader, ctl);
   publish.reader.on_result = on_result;
   publish.reader.context = &publish;
   code = publish_file (&publish, file);
-  fol_end (&publish.reader);
+  manifest_reader_clear (&publish.reader);
   g_clear_pointer (&publish.manifest, manifest_unref);
   json_decref (publish.document);
   g_free (publish.id);
--- a/ctl/cmd_status.c
+++ b/ctl/cmd_status.c
@@ -6,10 +6,10 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-static ask_call_t
+static admin_call_t
 make_status_call (const address_t *address, const char *name)
 {
-  ask_call_t call = { .address = *address, .method = "GET", .path = ASK_STATUS_PATH };
+  admin_call_t call = { .address = *address, .method = "GET", .path = ADMIN_CALL_STATUS_PATH };
 
   g_strlcpy (call.name, name, sizeof call.name);
   return call;
@@ -18,7 +18,7 @@
 static GArray *
 new_calls (void)
 {
-  return g_array_new (FALSE, TRUE, sizeof (ask_call_t));
+  return g_array_new (FALSE, TRUE, sizeof (admin_call_t));
 }
 
 static GArray *
@@ -29,7 +29,7 @@
   for (guint i = 0; i < hosts->len; i++)
     {
       const membership_list_entry_t *host = &g_array_index (hosts, membership_list_entry_t, i);
-      ask_call_t call = make_status_call (&host->http, host->name);
+      admin_call_t call = make_status_call (&host->http, host->name);
 
       if (host->state != MEMBERSHIP_GONE)
         g_array_append_val (calls, call);
@@ -39,7 +39,7 @@
 
 /* Return: the daemon's status; its name and an error when it did not answer */
 static json_t *
-parse_reply (const ask_call_t *call)
+parse_reply (const admin_call_t *call)
 {
   json_t *json = call->status == 200 ? json_loads (call->body->str, 0, NULL) : NULL;
 
@@ -146,13 +146,13 @@
 static ctl_exit_t
 query_and_print (ctl_t *ctl, GArray *calls)
 {
-  ask_call_t *call_array = (ask_call_t *)(void *)calls->data;
+  admin_call_t *call_array = (admin_call_t *)(void *)calls->data;
   json_t *answers = json_array ();
 
-  ask_all (ctl, call_array, calls->len);
+  admin_call_run_all (ctl, call_array, calls->len);
   for (guint i = 0; i < calls->len; i++)
     json_array_append_new (answers, parse_reply (&call_array[i]));
-  if ((ctl->options.given & OPT_JSON) != 0)
+  if ((ctl->options.given & CTL_OPTION_JSON) != 0)
     {
       char *text = json_dumps (answers, JSON_INDENT (2));
 
@@ -162,7 +162,7 @@
   else
     print_table (answers);
   json_decref (answers);
-  ask_clear (call_array, calls->len);
+  admin_call_clear_all (call_array, calls->len);
   return CTL_OK;
 }
 
@@ -172,23 +172,23 @@
   platform_outcome_t outcome;
   GArray *hosts;
 
-  if ((ctl->options.given & OPT_DAEMON) != 0)
+  if ((ctl->options.given & CTL_OPTION_DAEMON) != 0)
     {
-      ask_call_t call = make_status_call (&ctl->options.daemon, ctl->options.daemon.ip);
+      admin_call_t call = make_status_call (&ctl->options.daemon, ctl->options.daemon.ip);
 
       *calls = new_calls ();
       g_array_append_val (*calls, call);
       return CTL_OK;
     }
   if (ctl->platform == NULL)
-    return ctl_complain (CTL_USAGE, "status needs --platform or --daemon");
-  hosts = ask_hosts (ctl, &outcome);
+    return ctl_report (CTL_USAGE, "status needs --platform or --daemon");
+  hosts = host_list_fetch (ctl, &outcome);
   if (outcome == PLATFORM_OK)
     *calls = make_calls_for_hosts (hosts);
   g_array_free (hosts, TRUE);
   if (outcome != PLATFORM_OK)
-    return ctl_complain (CTL_UNREACHABLE,
-                         "the platform's list of hosts can't be had; ask one with --daemon");
+    return ctl_report (CTL_UNREACHABLE,
+                       "the platform's list of hosts can't be had; ask one with --daemon");
   return CTL_OK;
 }
 
--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 
 ctl_exit_t
-ctl_complain (ctl_exit_t code, const char *format, ...)
+ctl_report (ctl_exit_t code, const char *format, ...)
 {
   va_list args;
 
@@ -16,7 +16,7 @@
 }
 
 uint32_t
-ctl_left_ms (const ctl_t *ctl)
+ctl_remaining_ms (const ctl_t *ctl)
 {
   uint64_t now_us = clock_now_us (&ctl->clock);
 
@@ -44,7 +44,7 @@
 void
 ctl_pause (ctl_t *ctl, uint32_t pause_ms)
 {
-  uint32_t wait_ms = MIN (pause_ms, ctl_left_ms (ctl));
+  uint32_t wait_ms = MIN (pause_ms, ctl_remaining_ms (ctl));
   struct timeval wait = { .tv_sec = wait_ms / 1000, .tv_usec = (wait_ms % 1000) * 1000 };
   bool over = false;
 
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -35,7 +35,7 @@
  */
 typedef struct
 {
-  opt_t options;
+  ctl_options_t options;
   clock_source_t clock;
   struct event_base *base;
   platform_t *platform;
@@ -43,11 +43,11 @@
   uint64_t deadline_us;
 } ctl_t;
 
-/** ctl_complain() - print a line on standard error. Return: @code */
-ctl_exit_t ctl_complain (ctl_exit_t code, const char *format, ...)
+/** ctl_report() - print a line on standard error. Return: @code */
+ctl_exit_t ctl_report (ctl_exit_t code, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-/** ctl_left_ms() - get the time left until the deadline, 0 when it has passed */
-uint32_t ctl_left_ms (const ctl_t *ctl);
+/** ctl_remaining_ms() - get the time left until the deadline, 0 when it has passed */
+uint32_t ctl_remaining_ms (const ctl_t *ctl);
 /**
  * ctl_run_until() - run the event loop until *@done is true
  *
--- a/ctl/explain_logs.c
+++ b/ctl/explain_logs.c
@@ -145,12 +145,12 @@
 read_file (log_search_t *search, const char *path)
 {
   FILE *file = fopen (path, "re");
-  g_autofree char *text = g_malloc (XPL_LINE_BYTES);
+  g_autofree char *text = g_malloc (EXPLAIN_LOGS_LINE_BYTES);
   bool ok;
 
   if (!file)
     return false;
-  while (fgets (text, XPL_LINE_BYTES, file))
+  while (fgets (text, EXPLAIN_LOGS_LINE_BYTES, file))
     {
       g_strchomp (text);
       if (text[0] != '\0')
@@ -198,7 +198,7 @@
 
       if (own_line->of_request && strcmp (own_line->host, state->host) == 0 &&
           strcmp (own_line->process, state->process) == 0 && state->time_ms <= own_line->time_ms &&
-          own_line->time_ms - state->time_ms <= XPL_BEFORE_MS)
+          own_line->time_ms - state->time_ms <= EXPLAIN_LOGS_CONTEXT_MS)
         return true;
     }
   return false;
@@ -210,7 +210,7 @@
   g_autoptr (GDateTime) at = g_date_time_new_from_unix_utc (line->time_ms / 1000);
   g_autofree char *time = g_date_time_format (at, "%H:%M:%S");
 
-  if ((ctl->options.given & OPT_JSON) == 0)
+  if ((ctl->options.given & CTL_OPTION_JSON) == 0)
     {
       printf ("%s.%03d %s %s %s%s\n", time, (int)(line->time_ms % 1000),
               line->of_request ? "*" : " ", line->host, line->event, line->fields);
@@ -227,7 +227,7 @@
 }
 
 ctl_exit_t
-xpl_explain (ctl_t *ctl, const char *request, const char *path)
+explain_logs_print (ctl_t *ctl, const char *request, const char *path)
 {
   bool directory = g_file_test (path, G_FILE_TEST_IS_DIR);
   log_search_t search = { .request = request,
@@ -237,12 +237,12 @@
   ctl_exit_t code = CTL_OK;
 
   if (!(directory ? read_directory (&search, path) : read_file (&search, path)))
-    code = ctl_complain (CTL_USAGE, "--logs: \"%s\" can't be read: %s", path, g_strerror (errno));
+    code = ctl_report (CTL_USAGE, "--logs: \"%s\" can't be read: %s", path, g_strerror (errno));
   else if (search.match_count == 0)
-    code = ctl_complain (CTL_FAILED,
-                         "no line of the logs bears the request id \"%s\" (%" PRIu64
-                         " lines are not daemon log lines)",
-                         request, search.unparsed_count);
+    code = ctl_report (CTL_FAILED,
+                       "no line of the logs bears the request id \"%s\" (%" PRIu64
+                       " lines are not daemon log lines)",
+                       request, search.unparsed_count);
   g_ptr_array_sort (search.lines, compare_times);
   for (guint i = 0; code == CTL_OK && i < search.lines->len; i++)
     {
--- a/ctl/follow.c
+++ b/ctl/follow.c
@@ -6,12 +6,12 @@
 
 typedef struct
 {
-  fol_t *reader;
+  manifest_reader_t *reader;
   bool done;
 } read_wait_t;
 
 static void
-apply_records (fol_t *reader, const platform_read_t *read)
+apply_records (manifest_reader_t *reader, const platform_read_t *read)
 {
   replay_set_first_offset (reader->replay, read->first_offset);
   replay_set_end_offset (reader->replay, read->end_offset);
@@ -39,19 +39,19 @@
 }
 
 void
-fol_start (fol_t *reader, ctl_t *ctl)
+manifest_reader_init (manifest_reader_t *reader, ctl_t *ctl)
 {
-  *reader = (fol_t){ .ctl = ctl, .replay = replay_new () };
+  *reader = (manifest_reader_t){ .ctl = ctl, .replay = replay_new () };
 }
 
 void
-fol_end (fol_t *reader)
+manifest_reader_clear (manifest_reader_t *reader)
 {
   g_clear_pointer (&reader->replay, replay_free);
 }
 
 platform_outcome_t
-fol_read (fol_t *reader, uint32_t wait_ms)
+manifest_reader_read (manifest_reader_t *reader, uint32_t wait_ms)
 {
   read_wait_t wait = { .reader = reader };
   platform_t *platform = reader->ctl->platform;
@@ -64,7 +64,7 @@
 }
 
 static bool
-adopt_reply (fol_t *reader, const json_t *answer)
+adopt_reply (manifest_reader_t *reader, const json_t *answer)
 {
   const json_t *offset = json_object_get (answer, "next_offset");
   const json_t *version = json_object_get (answer, "version");
@@ -81,15 +81,15 @@
 
 /* Used when the oldest records were dropped from the stream and it holds no checkpoint yet. */
 static bool
-adopt_from_daemon (fol_t *reader)
+adopt_from_daemon (manifest_reader_t *reader)
 {
   g_autofree char *body = NULL;
   json_t *answer;
   bool adopted;
 
-  if ((reader->ctl->options.given & OPT_DAEMON) == 0)
+  if ((reader->ctl->options.given & CTL_OPTION_DAEMON) == 0)
     return false;
-  body = ask_manifest (reader->ctl, &reader->ctl->options.daemon);
+  body = admin_call_fetch_manifest (reader->ctl, &reader->ctl->options.daemon);
   answer = body != NULL ? json_loads (body, JSON_REJECT_DUPLICATES, NULL) : NULL;
   adopted = answer != NULL && adopt_reply (reader, answer);
   json_decref (answer);
@@ -97,25 +97,25 @@
 }
 
 static ctl_exit_t
-read_to_end (fol_t *reader)
+read_to_end (manifest_reader_t *reader)
 {
   do
     {
-      if (fol_read (reader, 0) == PLATFORM_REFUSED)
-        return ctl_complain (CTL_FAILED, "the platform refused to read the manifest stream");
+      if (manifest_reader_read (reader, 0) == PLATFORM_REFUSED)
+        return ctl_report (CTL_FAILED, "the platform refused to read the manifest stream");
       if (reader->outcome == PLATFORM_UNKNOWN)
         ctl_pause (reader->ctl, RETRY_MS);
       if (reader->at_end)
         return CTL_OK;
     }
-  while (ctl_left_ms (reader->ctl) > 0);
+  while (ctl_remaining_ms (reader->ctl) > 0);
   if (reader->outcome == PLATFORM_UNKNOWN)
-    return ctl_complain (CTL_UNREACHABLE, "the platform does not answer");
-  return ctl_complain (CTL_FAILED, "the manifest stream was not read to its end in time");
+    return ctl_report (CTL_UNREACHABLE, "the platform does not answer");
+  return ctl_report (CTL_FAILED, "the manifest stream was not read to its end in time");
 }
 
 ctl_exit_t
-fol_catch_up (fol_t *reader)
+manifest_reader_catch_up (manifest_reader_t *reader)
 {
   ctl_exit_t code = read_to_end (reader);
 
@@ -127,7 +127,7 @@
       if (code != CTL_OK || replay_is_ready (reader->replay))
         return code;
     }
-  return ctl_complain (CTL_FAILED,
-                       "what is in force cannot be told from what the log still holds; wait for "
-                       "a checkpoint, or name a daemon with --daemon");
+  return ctl_report (CTL_FAILED,
+                     "what is in force cannot be told from what the log still holds; wait for "
+                     "a checkpoint, or name a daemon with --daemon");
 }
--- a/ctl/follow.h
+++ b/ctl/follow.h
@@ -11,7 +11,7 @@
 #include "version/replay.h"
 
 /**
- * struct fol - reader of the manifest stream
+ * struct manifest_reader - reader of the manifest stream
  * @ctl: the run that the reader belongs to
  * @replay: state after the records read so far
  * @on_result: called with the result of each record, or NULL
@@ -27,16 +27,17 @@
   void *context;
   bool at_end;
   platform_outcome_t outcome;
-} fol_t;
+} manifest_reader_t;
 
-/** fol_start() - initialize a reader at the start of the stream */
-void fol_start (fol_t *reader, ctl_t *ctl);
-/** fol_end() - free what the reader holds */
-void fol_end (fol_t *reader);
-/** fol_read() - read once, waiting up to @wait_ms for new records. Return: its outcome */
-platform_outcome_t fol_read (fol_t *reader, uint32_t wait_ms);
+/** manifest_reader_init() - initialize a reader at the start of the stream */
+void manifest_reader_init (manifest_reader_t *reader, ctl_t *ctl);
+/** manifest_reader_clear() - free what the reader holds */
+void manifest_reader_clear (manifest_reader_t *reader);
+/** manifest_reader_read() - read once, waiting up to @wait_ms for new records. Return: its outcome
+ */
+platform_outcome_t manifest_reader_read (manifest_reader_t *reader, uint32_t wait_ms);
 /**
- * fol_catch_up() - read to the end of the stream, with retries until the deadline
+ * manifest_reader_catch_up() - read to the end of the stream, with retries until the deadline
  *
  * If the stream no longer holds enough records to tell what is in force, asks the daemon that
  * --daemon names.
@@ -44,6 +45,6 @@
  * Return: CTL_OK when the manifest in force is known, or it is known that none was published;
  * otherwise an error, which has been printed
  */
-ctl_exit_t fol_catch_up (fol_t *reader);
+ctl_exit_t manifest_reader_catch_up (manifest_reader_t *reader);
 
 #endif
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define COMMON_OPTIONS (OPT_PLATFORM | OPT_TIMEOUT | OPT_JSON | OPT_HELP)
+#define COMMON_OPTIONS                                                                             \
+  (CTL_OPTION_PLATFORM | CTL_OPTION_TIMEOUT | CTL_OPTION_JSON | CTL_OPTION_HELP)
 
 /*
  * struct command - one command
@@ -31,19 +32,19 @@
   { "manifest", "check", "FILE", "check a manifest; asks nobody", COMMON_OPTIONS, false,
     cmd_manifest_check },
   { "manifest", "publish", "FILE", "publish a manifest, or with --patch a JSON merge patch",
-    COMMON_OPTIONS | OPT_PATCH | OPT_BASE | OPT_BY | OPT_HOSTS_CHECK | OPT_ALLOW_MISSING |
-        OPT_DAEMON,
+    COMMON_OPTIONS | CTL_OPTION_PATCH | CTL_OPTION_BASE | CTL_OPTION_BY | CTL_OPTION_HOSTS_CHECK |
+        CTL_OPTION_ALLOW_MISSING | CTL_OPTION_DAEMON,
     true, cmd_manifest_publish },
   { "manifest", "show", NULL, "print the manifest in force, or with --version its version",
-    COMMON_OPTIONS | OPT_VERSION | OPT_DAEMON, true, cmd_manifest_show },
+    COMMON_OPTIONS | CTL_OPTION_VERSION | CTL_OPTION_DAEMON, true, cmd_manifest_show },
   { "manifest", "watch", NULL, "print what becomes of each record from now on",
-    COMMON_OPTIONS | OPT_DAEMON, true, cmd_manifest_watch },
+    COMMON_OPTIONS | CTL_OPTION_DAEMON, true, cmd_manifest_watch },
   { "status", NULL, NULL, "ask the daemons on the platform's list, or one, how they are",
-    COMMON_OPTIONS | OPT_DAEMON, false, cmd_status },
+    COMMON_OPTIONS | CTL_OPTION_DAEMON, false, cmd_status },
   { "drain", NULL, "HOST", "order a host to leave: no new work, finish what runs",
-    COMMON_OPTIONS | OPT_DAEMON, false, cmd_drain },
+    COMMON_OPTIONS | CTL_OPTION_DAEMON, false, cmd_drain },
   { "explain", NULL, "REQUEST-ID", "print why a request went where it went",
-    COMMON_OPTIONS | OPT_DAEMON | OPT_LOGS, false, cmd_explain },
+    COMMON_OPTIONS | CTL_OPTION_DAEMON | CTL_OPTION_LOGS, false, cmd_explain },
 };
 
 static void
@@ -79,7 +80,7 @@
 }
 
 static const command_t *
-find_command (const opt_t *options)
+find_command (const ctl_options_t *options)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (COMMANDS); i++)
     {
@@ -95,7 +96,7 @@
 }
 
 static const char *
-argument_of (const command_t *command, const opt_t *options)
+argument_of (const command_t *command, const ctl_options_t *options)
 {
   uint32_t words = command->second != NULL ? 2 : 1;
 
@@ -103,25 +104,25 @@
 }
 
 static ctl_exit_t
-check_usage (const command_t *command, const opt_t *options)
+check_usage (const command_t *command, const ctl_options_t *options)
 {
   uint32_t words = (command->second != NULL ? 2 : 1) + (command->argument != NULL ? 1 : 0);
   uint32_t unsupported = options->given & ~command->accepted_options;
 
   if (options->word_count < words)
-    return ctl_complain (CTL_USAGE, "%s is missing; see --help", command->argument);
+    return ctl_report (CTL_USAGE, "%s is missing; see --help", command->argument);
   if (options->word_count > words)
-    return ctl_complain (CTL_USAGE, "\"%s\" is not expected; see --help", options->words[words]);
+    return ctl_report (CTL_USAGE, "\"%s\" is not expected; see --help", options->words[words]);
   if (unsupported != 0)
-    return ctl_complain (CTL_USAGE, "--%s is not for this command; see --help",
-                         opt_name (unsupported & -unsupported));
-  if (command->needs_platform && (options->given & OPT_PLATFORM) == 0)
-    return ctl_complain (CTL_USAGE, "--platform or MEDLARPLANK_PLATFORM is required");
+    return ctl_report (CTL_USAGE, "--%s is not for this command; see --help",
+                       ctl_option_name (unsupported & -unsupported));
+  if (command->needs_platform && (options->given & CTL_OPTION_PLATFORM) == 0)
+    return ctl_report (CTL_USAGE, "--platform or MEDLARPLANK_PLATFORM is required");
   return CTL_OK;
 }
 
 static ctl_exit_t
-run_command (const command_t *command, const opt_t *options)
+run_command (const command_t *command, const ctl_options_t *options)
 {
   ctl_t ctl = { .options = *options };
   ctl_exit_t code;
@@ -130,7 +131,7 @@
   ctl.deadline_us = clock_now_us (&ctl.clock) + (uint64_t)options->timeout_ms * CLOCK_US_PER_MS;
   ctl.base = event_base_new ();
   ctl.http_client = http_client_new (ctl.base, 1, 1000);
-  if ((options->given & OPT_PLATFORM) != 0)
+  if ((options->given & CTL_OPTION_PLATFORM) != 0)
     ctl.platform = platform_http_new (ctl.base, &options->platform, NULL);
   code = command->run (&ctl, argument_of (command, options));
   if (ctl.platform != NULL)
@@ -150,25 +151,25 @@
 main (int argc, char **argv)
 {
   g_autoptr (GError) error = NULL;
-  opt_t options;
+  ctl_options_t options;
   const command_t *command;
   ctl_exit_t code;
 
-  if (!opt_read (&options, argc, argv, get_environment, &error))
-    return ctl_complain (CTL_USAGE, "%s", error->message);
-  if ((options.given & OPT_HELP) != 0)
+  if (!ctl_options_parse (&options, argc, argv, get_environment, &error))
+    return ctl_report (CTL_USAGE, "%s", error->message);
+  if ((options.given & CTL_OPTION_HELP) != 0)
     {
       print_help ();
       return CTL_OK;
     }
-  if ((options.given & OPT_VERSION) != 0 && options.word_count == 0)
+  if ((options.given & CTL_OPTION_VERSION) != 0 && options.word_count == 0)
     {
       puts ("medlarplankctl " PROGRAM_VERSION);
       return CTL_OK;
     }
   command = find_command (&options);
   if (command == NULL)
-    return ctl_complain (CTL_USAGE, "that is not a command; see --help");
+    return ctl_report (CTL_USAGE, "that is not a command; see --help");
   code = check_usage (command, &options);
   return code == CTL_OK ? run_command (command, &options) : code;
 }
--- a/ctl/options.c
+++ b/ctl/options.c
@@ -12,18 +12,18 @@
   int has_argument;
   uint32_t bit;
 } OPTION_TABLE[] = {
-  { "platform", required_argument, OPT_PLATFORM },
-  { "timeout-ms", required_argument, OPT_TIMEOUT },
-  { "json", no_argument, OPT_JSON },
-  { "patch", no_argument, OPT_PATCH },
-  { "base", required_argument, OPT_BASE },
-  { "by", required_argument, OPT_BY },
-  { "hosts-check", required_argument, OPT_HOSTS_CHECK },
-  { "allow-missing-engines", no_argument, OPT_ALLOW_MISSING },
-  { "daemon", required_argument, OPT_DAEMON },
-  { "version", no_argument, OPT_VERSION },
-  { "help", no_argument, OPT_HELP },
-  { "logs", required_argument, OPT_LOGS },
+  { "platform", required_argument, CTL_OPTION_PLATFORM },
+  { "timeout-ms", required_argument, CTL_OPTION_TIMEOUT },
+  { "json", no_argument, CTL_OPTION_JSON },
+  { "patch", no_argument, CTL_OPTION_PATCH },
+  { "base", required_argument, CTL_OPTION_BASE },
+  { "by", required_argument, CTL_OPTION_BY },
+  { "hosts-check", required_argument, CTL_OPTION_HOSTS_CHECK },
+  { "allow-missing-engines", no_argument, CTL_OPTION_ALLOW_MISSING },
+  { "daemon", required_argument, CTL_OPTION_DAEMON },
+  { "version", no_argument, CTL_OPTION_VERSION },
+  { "help", no_argument, CTL_OPTION_HELP },
+  { "logs", required_argument, CTL_OPTION_LOGS },
 };
 
 #define OPTION_COUNT G_N_ELEMENTS (OPTION_TABLE)
@@ -31,7 +31,7 @@
 static bool
 set_invalid_value (GError **error, const char *name, const char *value, const char *allowed)
 {
-  g_set_error (error, OPT_ERROR, 0, "--%s: \"%s\" is not %s", name, value, allowed);
+  g_set_error (error, CTL_OPTIONS_ERROR, 0, "--%s: \"%s\" is not %s", name, value, allowed);
   return false;
 }
 
@@ -55,18 +55,18 @@
 }
 
 static bool
-parse_timeout (opt_t *options, const char *text, GError **error)
+parse_timeout (ctl_options_t *options, const char *text, GError **error)
 {
   uint64_t value = 0;
 
-  if (!parse_number ("timeout-ms", text, OPT_TIMEOUT_MAX_MS, &value, error))
+  if (!parse_number ("timeout-ms", text, CTL_OPTIONS_TIMEOUT_MAX_MS, &value, error))
     return false;
   options->timeout_ms = (uint32_t)value;
   return true;
 }
 
 static bool
-parse_hosts_check (opt_t *options, const char *text, GError **error)
+parse_hosts_check (ctl_options_t *options, const char *text, GError **error)
 {
   options->hosts_check = strcmp (text, "yes") == 0;
   if (options->hosts_check || strcmp (text, "no") == 0)
@@ -76,7 +76,7 @@
 
 /* The name becomes part of the manifest record, which every daemon must be able to parse. */
 static bool
-parse_publisher (opt_t *options, const char *text, GError **error)
+parse_publisher (ctl_options_t *options, const char *text, GError **error)
 {
   size_t length = strlen (text);
 
@@ -90,25 +90,25 @@
 }
 
 static bool
-apply_option (opt_t *options, uint32_t bit, const char *value, GError **error)
+apply_option (ctl_options_t *options, uint32_t bit, const char *value, GError **error)
 {
   options->given |= bit;
   switch (bit)
     {
-    case OPT_PLATFORM:
+    case CTL_OPTION_PLATFORM:
       return parse_address ("platform", value, &options->platform, error);
-    case OPT_DAEMON:
+    case CTL_OPTION_DAEMON:
       return parse_address ("daemon", value, &options->daemon, error);
-    case OPT_TIMEOUT:
+    case CTL_OPTION_TIMEOUT:
       return parse_timeout (options, value, error);
-    case OPT_BASE:
+    case CTL_OPTION_BASE:
       return parse_number ("base", value, G_MAXINT64, &options->base, error);
-    case OPT_LOGS:
+    case CTL_OPTION_LOGS:
       options->logs = value;
       return true;
-    case OPT_BY:
+    case CTL_OPTION_BY:
       return parse_publisher (options, value, error);
-    case OPT_HOSTS_CHECK:
+    case CTL_OPTION_HOSTS_CHECK:
       return parse_hosts_check (options, value, error);
     default:
       return true;
@@ -116,17 +116,20 @@
 }
 
 static bool
-parse_environment (opt_t *options, const char *(*get_env) (const char *name), GError **error)
+parse_environment (ctl_options_t *options,
+                   const char *(*get_env) (const char *name),
+                   GError **error)
 {
   const char *platform = get_env ("MEDLARPLANK_PLATFORM");
 
   options->fleet_key = get_env ("MEDLARPLANK_FLEET_KEY");
   if (platform == NULL)
     return true;
-  options->given |= OPT_PLATFORM;
+  options->given |= CTL_OPTION_PLATFORM;
   if (address_parse (platform, &options->platform, NULL))
     return true;
-  g_set_error (error, OPT_ERROR, 0, "MEDLARPLANK_PLATFORM: \"%s\" is not IP:PORT", platform);
+  g_set_error (error, CTL_OPTIONS_ERROR, 0, "MEDLARPLANK_PLATFORM: \"%s\" is not IP:PORT",
+               platform);
   return false;
 }
 
@@ -141,7 +144,7 @@
 }
 
 static bool
-parse_options (opt_t *options, int argc, char **argv, GError **error)
+parse_options (ctl_options_t *options, int argc, char **argv, GError **error)
 {
   struct option getopt_options[OPTION_COUNT + 1];
   int code;
@@ -153,7 +156,7 @@
     {
       if (code < OPTION_VALUE_BASE)
         {
-          g_set_error (error, OPT_ERROR, 0,
+          g_set_error (error, CTL_OPTIONS_ERROR, 0,
                        "%s: is not an option, or its value is missing or not allowed",
                        argv[optind - 1]);
           return false;
@@ -165,20 +168,21 @@
 }
 
 bool
-opt_read (opt_t *options,
-          int argc,
-          char **argv,
-          const char *(*get_env) (const char *name),
-          GError **error)
+ctl_options_parse (ctl_options_t *options,
+                   int argc,
+                   char **argv,
+                   const char *(*get_env) (const char *name),
+                   GError **error)
 {
-  *options = (opt_t){ .timeout_ms = OPT_TIMEOUT_MS, .hosts_check = true };
+  *options = (ctl_options_t){ .timeout_ms = CTL_OPTIONS_TIMEOUT_DEFAULT_MS, .hosts_check = true };
   if (!parse_environment (options, get_env, error) || !parse_options (options, argc, argv, error))
     return false;
   if (options->by == NULL && !parse_publisher (options, g_get_user_name (), error))
     return false;
-  if (argc - optind > OPT_WORDS_MAX)
+  if (argc - optind > CTL_OPTIONS_WORDS_MAX)
     {
-      g_set_error (error, OPT_ERROR, 0, "%s: too many arguments", argv[optind + OPT_WORDS_MAX]);
+      g_set_error (error, CTL_OPTIONS_ERROR, 0, "%s: too many arguments",
+                   argv[optind + CTL_OPTIONS_WORDS_MAX]);
       return false;
     }
   for (; optind < argc; optind++)
@@ -187,7 +191,7 @@
 }
 
 const char *
-opt_name (uint32_t bit)
+ctl_option_name (uint32_t bit)
 {
   for (size_t i = 0; i < OPTION_COUNT; i++)
     if (OPTION_TABLE[i].bit == bit)
--- a/soak/soak_check.c
+++ b/soak/soak_check.c
@@ -18,20 +18,20 @@
  */
 typedef struct
 {
-  sok_t *soak;
+  soak_t *soak;
   GHashTable *executions;
   GHashTable *leaving_since_us;
   GHashTable *sent_ids;
 } records_t;
 
 static bool
-was_undisturbed (const sok_t *soak, uint64_t from_us, uint64_t to_us)
+was_undisturbed (const soak_t *soak, uint64_t from_us, uint64_t to_us)
 {
-  uint64_t margin_us = (uint64_t)SOK_CALM_MS * 1000;
+  uint64_t margin_us = (uint64_t)SOAK_SETTLE_MS * 1000;
 
   for (guint i = 0; i < soak->disturbances->len; i++)
     {
-      const sok_span_t *span = &g_array_index (soak->disturbances, sok_span_t, i);
+      const soak_period_t *span = &g_array_index (soak->disturbances, soak_period_t, i);
 
       if (span->from_us < to_us && span->to_us + margin_us > from_us)
         return false;
@@ -42,7 +42,7 @@
 static uint64_t
 wall_to_monotonic_us (int64_t wall_ms)
 {
-  return sok_now_us () - (uint64_t)(g_get_real_time () - wall_ms * 1000);
+  return soak_now_us () - (uint64_t)(g_get_real_time () - wall_ms * 1000);
 }
 
 static void
@@ -60,15 +60,15 @@
     }
   executions->count++;
   if (!g_hash_table_contains (records->sent_ids, id))
-    sok_fail (records->soak, "an upstream ran %s, which no caller sent", id);
+    soak_fail (records->soak, "an upstream ran %s, which no caller sent", id);
   if (strcmp (fields[4], "alpha") != 0)
-    sok_fail (records->soak, "an upstream ran %s for the account %s", id, fields[4]);
+    soak_fail (records->soak, "an upstream ran %s for the account %s", id, fields[4]);
   if (strcmp (fields[6], "-") != 0)
-    sok_fail (records->soak, "an upstream saw the key of %s", id);
-  if (left_at_us && at_us > *left_at_us + (uint64_t)SOK_DRAIN_MS * 1000 &&
+    soak_fail (records->soak, "an upstream saw the key of %s", id);
+  if (left_at_us && at_us > *left_at_us + (uint64_t)SOAK_DRAIN_MS * 1000 &&
       was_undisturbed (records->soak, *left_at_us, at_us))
-    sok_fail (records->soak, "%s began on %s, which had told %u ms before that it leaves", id,
-              fields[3], (unsigned)((at_us - *left_at_us) / 1000));
+    soak_fail (records->soak, "%s began on %s, which had told %u ms before that it leaves", id,
+               fields[3], (unsigned)((at_us - *left_at_us) / 1000));
 }
 
 static void
@@ -93,14 +93,14 @@
 static void
 read_upstream_records (records_t *records)
 {
-  for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
+  for (uint32_t i = 0; i < SOAK_UPSTREAMS; i++)
     {
       g_autofree char *path = g_strdup_printf ("%s/upstream-%u.record", records->soak->dir, i);
       g_autofree char *text = NULL;
 
       if (!g_file_get_contents (path, &text, NULL, NULL))
         {
-          sok_fail (records->soak, "%s can't be read", path);
+          soak_fail (records->soak, "%s can't be read", path);
           return;
         }
       g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
@@ -110,27 +110,27 @@
 }
 
 static void
-check_plain (const sok_call_t *call)
+check_plain (const soak_request_t *call)
 {
   g_autofree char *expected = g_strdup_printf ("answer to %s by %s\n", call->id, call->stamp);
 
   if (strcmp (call->body->str, expected) != 0)
-    sok_fail (call->soak, "%s was answered by \"%s\", stamp %s", call->id, call->body->str,
-              call->stamp);
+    soak_fail (call->soak, "%s was answered by \"%s\", stamp %s", call->id, call->body->str,
+               call->stamp);
 }
 
 /* A stream must consist of this request's events, in order and each once; it may be cut short. */
 static void
-check_stream (const sok_call_t *call)
+check_stream (const soak_request_t *call)
 {
   GString *expected = g_string_new (NULL);
 
-  for (uint32_t event = 1; event <= SOK_EVENTS; event++)
+  for (uint32_t event = 1; event <= SOAK_EVENTS; event++)
     g_string_append_printf (expected, "id: %u\ndata: %s %u\n\n", event, call->id, event);
   if (!g_str_has_prefix (expected->str, call->body->str))
-    sok_fail (call->soak, "%s got events out of order: \"%s\"", call->id, call->body->str);
+    soak_fail (call->soak, "%s got events out of order: \"%s\"", call->id, call->body->str);
   else if (call->complete && strcmp (expected->str, call->body->str) != 0)
-    sok_fail (call->soak, "%s got a part that looks whole: \"%s\"", call->id, call->body->str);
+    soak_fail (call->soak, "%s got a part that looks whole: \"%s\"", call->id, call->body->str);
   g_string_free (expected, TRUE);
 }
 
@@ -142,23 +142,23 @@
 }
 
 static void
-check_call (const records_t *records, const sok_call_t *call)
+check_call (const records_t *records, const soak_request_t *call)
 {
   const execution_count_t *executions = g_hash_table_lookup (records->executions, call->id);
   uint32_t count = executions ? executions->count : 0;
-  bool repeatable = call->kind == SOK_LOOK || call->kind == SOK_TALK;
+  bool repeatable = call->kind == SOAK_IDEMPOTENT || call->kind == SOAK_RESUMABLE_STREAM;
 
   if (!repeatable && count > 1)
-    sok_fail (records->soak, "%s, which may run once, ran %u times", call->id, count);
+    soak_fail (records->soak, "%s, which may run once, ran %u times", call->id, count);
   if (repeatable && count > 2)
-    sok_fail (records->soak, "%s ran on %u upstreams, its route allows two", call->id, count);
+    soak_fail (records->soak, "%s ran on %u upstreams, its route allows two", call->id, count);
   if (call->complete && means_not_executed (call->status) && count > 0)
-    sok_fail (records->soak, "%s was answered %d and ran", call->id, call->status);
+    soak_fail (records->soak, "%s was answered %d and ran", call->id, call->status);
   if (!call->valid_key && (count > 0 || call->status == 200))
-    sok_fail (records->soak, "%s ran with a key that nobody has", call->id);
+    soak_fail (records->soak, "%s ran with a key that nobody has", call->id);
   if (call->status != 200)
     return;
-  if (call->kind == SOK_TALK || call->kind == SOK_TELL)
+  if (call->kind == SOAK_RESUMABLE_STREAM || call->kind == SOAK_STREAM)
     check_stream (call);
   else if (call->complete)
     check_plain (call);
@@ -166,15 +166,15 @@
 
 /* A gateway process that has served the route of a version must not answer 404 for it later. */
 static void
-check_version_order (sok_t *soak)
+check_version_order (soak_t *soak)
 {
-  uint32_t highest[SOK_GATEWAYS] = { 0 };
-  uint64_t since_us[SOK_GATEWAYS] = { 0 };
-  uint32_t incarnation[SOK_GATEWAYS] = { 0 };
+  uint32_t highest[SOAK_GATEWAYS] = { 0 };
+  uint64_t since_us[SOAK_GATEWAYS] = { 0 };
+  uint32_t incarnation[SOAK_GATEWAYS] = { 0 };
 
   for (guint i = 0; i < soak->calls->len; i++)
     {
-      const sok_call_t *call = g_ptr_array_index (soak->calls, i);
+      const soak_request_t *call = g_ptr_array_index (soak->calls, i);
       uint32_t gateway = call->gateway;
 
       if (call->incarnation != incarnation[gateway])
@@ -188,43 +188,43 @@
         }
       if (call->status == 404 && call->version <= highest[gateway] &&
           call->sent_us > since_us[gateway])
-        sok_fail (soak, "gateway %u denied version %u's route (%s) after it had served version %u",
-                  gateway, call->version, call->id, highest[gateway]);
+        soak_fail (soak, "gateway %u denied version %u's route (%s) after it had served version %u",
+                   gateway, call->version, call->id, highest[gateway]);
       if ((call->status == 404 && call->version <= 1) || (call->status == 401 && call->valid_key))
-        sok_fail (soak, "gateway %u denied %s by %d", gateway, call->id, call->status);
+        soak_fail (soak, "gateway %u denied %s by %d", gateway, call->id, call->status);
     }
 }
 
 /* After all faults have ended, every gateway must serve every kind of request, and the route of the
  * newest version. */
 static void
-check_recovery (sok_t *soak)
+check_recovery (soak_t *soak)
 {
   guint first = soak->calls->len;
 
-  for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
+  for (uint32_t i = 0; i < SOAK_GATEWAYS; i++)
     {
-      for (uint32_t kind = 0; kind < SOK_KINDS; kind++)
+      for (uint32_t kind = 0; kind < SOAK_KINDS; kind++)
         for (uint32_t repetition = 0; repetition < 4; repetition++)
-          sok_ask (soak, i, kind, 0, true);
+          soak_send_request (soak, i, kind, 0, true);
       if (soak->acked_version > 1)
-        sok_ask (soak, i, SOK_LOOK, soak->acked_version, true);
+        soak_send_request (soak, i, SOAK_IDEMPOTENT, soak->acked_version, true);
     }
-  sok_turn (soak, 3000);
+  soak_run_loop (soak, 3000);
   for (guint i = first; i < soak->calls->len; i++)
     {
-      const sok_call_t *call = g_ptr_array_index (soak->calls, i);
+      const soak_request_t *call = g_ptr_array_index (soak->calls, i);
       bool is_upstream_failure = call->stamp[0] != '\0' && call->status == 500;
 
       /* The stand-in upstream fails or loses a few plain responses on purpose. */
       if ((call->status != 200 || !call->complete) && !is_upstream_failure && call->status != 502)
-        sok_fail (soak, "after all had healed, gateway %u answered %s (kind %u, version %u) by %d",
-                  call->gateway, call->id, call->kind, call->version, call->status);
+        soak_fail (soak, "after all had healed, gateway %u answered %s (kind %u, version %u) by %d",
+                   call->gateway, call->id, call->kind, call->version, call->status);
     }
 }
 
 void
-sok_check (sok_t *soak)
+soak_check (soak_t *soak)
 {
   records_t records = { .soak = soak };
 
@@ -233,7 +233,7 @@
   records.leaving_since_us = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   records.sent_ids = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < soak->calls->len; i++)
-    g_hash_table_add (records.sent_ids, ((sok_call_t *)g_ptr_array_index (soak->calls, i))->id);
+    g_hash_table_add (records.sent_ids, ((soak_request_t *)g_ptr_array_index (soak->calls, i))->id);
   read_upstream_records (&records);
   for (guint i = 0; i < soak->calls->len; i++)
     check_call (&records, g_ptr_array_index (soak->calls, i));
--- a/soak/soak_client.c
+++ b/soak/soak_client.c
@@ -10,12 +10,12 @@
 #define DEADLINE_MS "2400"
 #define CLIENT_TIMEOUT_US (UINT64_C (4000) * 1000)
 
-static const char *const paths[SOK_KINDS] = { "/look/", "/book/", "/talk/", "/tell/" };
+static const char *const paths[SOAK_KINDS] = { "/look/", "/book/", "/talk/", "/tell/" };
 
 void
-sok_call_free (gpointer data)
+soak_request_free (gpointer data)
 {
-  sok_call_t *call = data;
+  soak_request_t *call = data;
 
   g_string_free (call->body, TRUE);
   g_free (call->id);
@@ -25,7 +25,7 @@
 static bool
 on_head (int status, struct evkeyvalq *headers, void *context)
 {
-  sok_call_t *call = context;
+  soak_request_t *call = context;
   const char *stamp = evhttp_find_header (headers, "X-Response-Stamp");
 
   call->status = status;
@@ -36,7 +36,7 @@
 static void
 on_data (struct evbuffer *data, void *context)
 {
-  sok_call_t *call = context;
+  soak_request_t *call = context;
   size_t bytes = evbuffer_get_length (data);
 
   g_string_append_len (call->body, (const char *)evbuffer_pullup (data, -1), (gssize)bytes);
@@ -46,20 +46,20 @@
 static void
 on_end (const http_client_result_t *end, void *context)
 {
-  sok_call_t *call = context;
+  soak_request_t *call = context;
 
   call->complete = end->whole;
-  call->ended_us = sok_now_us ();
+  call->ended_us = soak_now_us ();
   call->http_call = NULL;
 }
 
 void
-sok_ask (sok_t *soak, uint32_t gateway, uint32_t kind, uint32_t version, bool valid_key)
+soak_send_request (soak_t *soak, uint32_t gateway, uint32_t kind, uint32_t version, bool valid_key)
 {
-  sok_call_t *call = g_new0 (sok_call_t, 1);
-  address_t address = sok_address (soak, GATEWAY_IP_OCTET + gateway, GATEWAY_PORT);
+  soak_request_t *call = g_new0 (soak_request_t, 1);
+  address_t address = soak_address (soak, GATEWAY_IP_OCTET + gateway, GATEWAY_PORT);
   g_autofree char *path = version > 1 ? g_strdup_printf ("/v%u/", version) : g_strdup (paths[kind]);
-  bool is_get = version > 1 || kind == SOK_LOOK;
+  bool is_get = version > 1 || kind == SOAK_IDEMPOTENT;
   http_client_header_t headers[] = { { "Host", "h.example" },
                                      { "X-Request-Id", NULL },
                                      { "X-Key", valid_key ? "key-1" : "key-of-nobody" },
@@ -69,10 +69,10 @@
   call->id = g_strdup_printf ("s%" G_GUINT64_FORMAT "-%u", soak->seed, ++soak->next_id);
   call->gateway = gateway;
   call->incarnation = soak->start_counts[gateway];
-  call->kind = version > 1 ? SOK_LOOK : kind;
+  call->kind = version > 1 ? SOAK_IDEMPOTENT : kind;
   call->version = version;
   call->valid_key = valid_key;
-  call->sent_us = sok_now_us ();
+  call->sent_us = soak_now_us ();
   call->body = g_string_new (NULL);
   headers[1].value = call->id;
   g_ptr_array_add (soak->calls, call);
@@ -90,15 +90,16 @@
 }
 
 void
-sok_ask_some (sok_t *soak)
+soak_send_random_request (soak_t *soak)
 {
-  uint32_t gateway = sok_random (soak, SOK_GATEWAYS);
-  uint32_t draw = sok_random (soak, 20);
+  uint32_t gateway = soak_random (soak, SOAK_GATEWAYS);
+  uint32_t draw = soak_random (soak, 20);
 
   if (draw == 0)
-    sok_ask (soak, gateway, sok_random (soak, SOK_KINDS), 0, false);
+    soak_send_request (soak, gateway, soak_random (soak, SOAK_KINDS), 0, false);
   else if (draw < 4 && soak->version > 1)
-    sok_ask (soak, gateway, SOK_LOOK, 2 + sok_random (soak, soak->version - 1), true);
+    soak_send_request (soak, gateway, SOAK_IDEMPOTENT, 2 + soak_random (soak, soak->version - 1),
+                       true);
   else
-    sok_ask (soak, gateway, sok_random (soak, SOK_KINDS), 0, true);
+    soak_send_request (soak, gateway, soak_random (soak, SOAK_KINDS), 0, true);
 }
--- a/soak/soak_faults.c
+++ b/soak/soak_faults.c
@@ -8,14 +8,14 @@
 /** struct proxy_recovery - timer that ends the fault of a proxy */
 typedef struct
 {
-  sok_proxy_t *proxy;
+  soak_proxy_t *proxy;
   struct event *timer;
 } proxy_recovery_t;
 
 static void
-record_disturbance (sok_t *soak, uint32_t ms)
+record_disturbance (soak_t *soak, uint32_t ms)
 {
-  sok_span_t span = { sok_now_us (), sok_now_us () + (uint64_t)ms * 1000 };
+  soak_period_t span = { soak_now_us (), soak_now_us () + (uint64_t)ms * 1000 };
 
   g_array_append_val (soak->disturbances, span);
 }
@@ -27,13 +27,13 @@
 
   (void)fd;
   (void)what;
-  sok_proxy_set (recovery->proxy, SOK_PASS);
+  soak_proxy_set_mode (recovery->proxy, SOAK_PROXY_PASS);
   event_free (recovery->timer);
   g_free (recovery);
 }
 
 static void
-schedule_recovery (sok_t *soak, sok_proxy_t *proxy, uint32_t ms)
+schedule_recovery (soak_t *soak, soak_proxy_t *proxy, uint32_t ms)
 {
   proxy_recovery_t *recovery = g_new0 (proxy_recovery_t, 1);
   struct timeval wait = { ms / 1000, ms % 1000 * 1000 };
@@ -45,90 +45,90 @@
 }
 
 static void
-fault_process (sok_t *soak, sok_process_t *process)
+fault_process (soak_t *soak, soak_process_t *process)
 {
-  uint32_t ms = 200 + sok_random (soak, 1800);
+  uint32_t ms = 200 + soak_random (soak, 1800);
 
-  switch (sok_random (soak, 3))
+  switch (soak_random (soak, 3))
     {
     case 0:
-      sok_log (soak, "%s: stop", process->name);
-      sok_process_signal (process, SIGTERM);
-      record_disturbance (soak, SOK_GRACE_MS);
+      soak_log (soak, "%s: stop", process->name);
+      soak_process_signal (process, SIGTERM);
+      record_disturbance (soak, SOAK_GRACE_MS);
       return;
     case 1:
-      sok_log (soak, "%s: kill", process->name);
-      sok_process_signal (process, SIGKILL);
+      soak_log (soak, "%s: kill", process->name);
+      soak_process_signal (process, SIGKILL);
       record_disturbance (soak, KILL_DISTURBANCE_MS);
       return;
     default:
       if (process->pid <= 0 || process->resume_at_us != 0)
         return;
-      sok_log (soak, "%s: pause %u ms", process->name, ms);
-      sok_process_signal (process, SIGSTOP);
-      process->resume_at_us = sok_now_us () + (uint64_t)ms * 1000;
+      soak_log (soak, "%s: pause %u ms", process->name, ms);
+      soak_process_signal (process, SIGSTOP);
+      process->resume_at_us = soak_now_us () + (uint64_t)ms * 1000;
       record_disturbance (soak, ms);
     }
 }
 
 static void
-fault_proxy (sok_t *soak, sok_proxy_t *proxy, const char *name, uint32_t index)
+fault_proxy (soak_t *soak, soak_proxy_t *proxy, const char *name, uint32_t index)
 {
   static const char *const names[] = { "pass", "delay", "reset", "one way", "silent" };
-  sok_mode_t mode = (sok_mode_t)(1 + sok_random (soak, SOK_MODES - 1));
-  uint32_t ms = 200 + sok_random (soak, 2300);
+  soak_proxy_mode_t mode = (soak_proxy_mode_t)(1 + soak_random (soak, SOAK_PROXY_MODES - 1));
+  uint32_t ms = 200 + soak_random (soak, 2300);
 
-  sok_log (soak, "%s of %u: %s for %u ms", name, index, names[mode], ms);
-  sok_proxy_set (proxy, mode);
+  soak_log (soak, "%s of %u: %s for %u ms", name, index, names[mode], ms);
+  soak_proxy_set_mode (proxy, mode);
   schedule_recovery (soak, proxy, ms);
 }
 
 static void
-set_store_fault (sok_t *soak, const char *state, uint32_t ms)
+set_store_fault (soak_t *soak, const char *state, uint32_t ms)
 {
-  sok_store_admin (soak, "/admin/fault", state);
-  soak->store_heals_us = sok_now_us () + (uint64_t)ms * 1000;
+  soak_call_store_admin (soak, "/admin/fault", state);
+  soak->store_heals_us = soak_now_us () + (uint64_t)ms * 1000;
   record_disturbance (soak, ms);
 }
 
 void
-sok_faults_look (sok_t *soak)
+soak_poll_store_fault (soak_t *soak)
 {
-  if (soak->store_heals_us == 0 || sok_now_us () < soak->store_heals_us)
+  if (soak->store_heals_us == 0 || soak_now_us () < soak->store_heals_us)
     return;
   soak->store_heals_us = 0;
-  sok_store_admin (soak, "/admin/fault", "{\"log\":\"up\"}");
+  soak_call_store_admin (soak, "/admin/fault", "{\"log\":\"up\"}");
 }
 
 static void
-fault_store (sok_t *soak)
+fault_store (soak_t *soak)
 {
-  uint32_t ms = 300 + sok_random (soak, 2700);
+  uint32_t ms = 300 + soak_random (soak, 2700);
 
-  switch (sok_random (soak, 3))
+  switch (soak_random (soak, 3))
     {
     case 0:
-      sok_log (soak, "store: down for %u ms", ms);
+      soak_log (soak, "store: down for %u ms", ms);
       set_store_fault (soak, "{\"log\":\"down\"}", ms);
       return;
     case 1:
-      sok_log (soak, "store: refuses for %u ms", ms);
+      soak_log (soak, "store: refuses for %u ms", ms);
       set_store_fault (soak, "{\"log\":\"refuse\"}", ms);
       return;
     default:
-      sok_log (soak, "store: forgets its history");
-      sok_store_admin (soak, "/admin/forget?topic=keyed.servers", "");
-      sok_store_admin (soak, "/admin/forget?topic=keyed.op", "");
+      soak_log (soak, "store: forgets its history");
+      soak_call_store_admin (soak, "/admin/forget?topic=keyed.servers", "");
+      soak_call_store_admin (soak, "/admin/forget?topic=keyed.op", "");
     }
 }
 
 void
-sok_fault (sok_t *soak)
+soak_inject_fault (soak_t *soak)
 {
-  uint32_t gateway = sok_random (soak, SOK_GATEWAYS);
-  uint32_t upstream = sok_random (soak, SOK_UPSTREAMS);
+  uint32_t gateway = soak_random (soak, SOAK_GATEWAYS);
+  uint32_t upstream = soak_random (soak, SOAK_UPSTREAMS);
 
-  switch (sok_random (soak, 8))
+  switch (soak_random (soak, 8))
     {
     case 0:
     case 1:
@@ -148,25 +148,25 @@
       fault_store (soak);
       return;
     default:
-      sok_publish (soak);
+      soak_publish (soak);
     }
 }
 
 static void
-resume_now (sok_process_t *process)
+resume_now (soak_process_t *process)
 {
   if (process->resume_at_us != 0)
     process->resume_at_us = 1;
 }
 
 void
-sok_heal (sok_t *soak)
+soak_end_faults (soak_t *soak)
 {
-  for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
-    sok_proxy_set (soak->store_proxies[i], SOK_PASS);
-  for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
-    sok_proxy_set (soak->upstream_proxies[i], SOK_PASS);
-  sok_store_admin (soak, "/admin/fault", "{\"log\":\"up\"}");
-  sok_each (soak, resume_now);
-  sok_log (soak, "healed");
+  for (uint32_t i = 0; i < SOAK_GATEWAYS; i++)
+    soak_proxy_set_mode (soak->store_proxies[i], SOAK_PROXY_PASS);
+  for (uint32_t i = 0; i < SOAK_UPSTREAMS; i++)
+    soak_proxy_set_mode (soak->upstream_proxies[i], SOAK_PROXY_PASS);
+  soak_call_store_admin (soak, "/admin/fault", "{\"log\":\"up\"}");
+  soak_for_each_process (soak, resume_now);
+  soak_log (soak, "healed");
 }
--- a/soak/soak_fleet.c
+++ b/soak/soak_fleet.c
@@ -28,7 +28,7 @@
 #define START_TIMEOUT_US (UINT64_C (15) * 1000 * 1000)
 
 address_t
-sok_address (const sok_t *soak, uint32_t last, uint16_t port)
+soak_address (const soak_t *soak, uint32_t last, uint16_t port)
 {
   address_t address = { .port = port };
 
@@ -36,10 +36,10 @@
   return address;
 }
 
-static sok_process_t *
-process_new (sok_t *soak, const char *program, const char *name)
+static soak_process_t *
+process_new (soak_t *soak, const char *program, const char *name)
 {
-  sok_process_t *process = g_new0 (sok_process_t, 1);
+  soak_process_t *process = g_new0 (soak_process_t, 1);
 
   process->soak = soak;
   process->name = g_strdup (name);
@@ -49,10 +49,10 @@
   return process;
 }
 
-static void add_argument (sok_process_t *process, const char *format, ...) G_GNUC_PRINTF (2, 3);
+static void add_argument (soak_process_t *process, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
 static void
-add_argument (sok_process_t *process, const char *format, ...)
+add_argument (soak_process_t *process, const char *format, ...)
 {
   va_list args;
 
@@ -62,7 +62,7 @@
 }
 
 static void
-start_process (sok_process_t *process)
+start_process (soak_process_t *process)
 {
   int log_fd = open (process->log_path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 
@@ -84,13 +84,13 @@
     }
   close (log_fd);
   g_ptr_array_set_size (process->argv, (gint)process->argv->len - 1);
-  for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
+  for (uint32_t i = 0; i < SOAK_GATEWAYS; i++)
     if (process->soak->gateways[i] == process)
       process->soak->start_counts[i]++;
 }
 
 static void
-process_free (sok_process_t *process)
+process_free (soak_process_t *process)
 {
   if (process->pid > 0)
     {
@@ -104,7 +104,7 @@
 }
 
 void
-sok_process_signal (sok_process_t *process, int number)
+soak_process_signal (soak_process_t *process, int number)
 {
   if (process->pid <= 0)
     return;
@@ -112,14 +112,14 @@
   if (number == SIGTERM && !process->stopping)
     {
       process->stopping = true;
-      process->stop_sent_us = sok_now_us ();
+      process->stop_sent_us = soak_now_us ();
     }
   process->killed = process->killed || number == SIGKILL;
   process->was_paused = process->was_paused || number == SIGSTOP;
 }
 
 static bool
-has_logged (const sok_process_t *process, pid_t pid)
+has_logged (const soak_process_t *process, pid_t pid)
 {
   g_autofree char *prefix = g_strdup_printf ("[%d]: ", (int)pid);
   g_autofree char *log = NULL;
@@ -134,7 +134,7 @@
  * which is acceptable as no guarantee covers how they end.
  */
 static bool
-was_terminated_before_main (const sok_process_t *process, pid_t pid, int status)
+was_terminated_before_main (const soak_process_t *process, pid_t pid, int status)
 {
   return WIFSIGNALED (status) && WTERMSIG (status) == SIGTERM && !has_logged (process, pid);
 }
@@ -142,33 +142,33 @@
 /* A process must not exit unless it got SIGTERM or SIGKILL; after SIGTERM it must exit with status
  * 0 and in time. */
 static void
-check_exit (sok_process_t *process, pid_t pid, int status)
+check_exit (soak_process_t *process, pid_t pid, int status)
 {
-  uint64_t stop_duration_ms = (sok_now_us () - process->stop_sent_us) / 1000;
+  uint64_t stop_duration_ms = (soak_now_us () - process->stop_sent_us) / 1000;
 
   if (process->killed)
     return;
   if (!process->stopping)
-    sok_fail (process->soak, "%s ended by itself: status %x", process->name, (unsigned)status);
+    soak_fail (process->soak, "%s ended by itself: status %x", process->name, (unsigned)status);
   else if (was_terminated_before_main (process, pid, status))
     return;
   else if (!WIFEXITED (status) || WEXITSTATUS (status) != 0)
-    sok_fail (process->soak, "%s was told to stop and ended with status %x", process->name,
-              (unsigned)status);
-  else if (!process->was_paused && stop_duration_ms > SOK_GRACE_MS + STOP_SLACK_MS)
-    sok_fail (process->soak, "%s took %u ms to stop", process->name, (unsigned)stop_duration_ms);
+    soak_fail (process->soak, "%s was told to stop and ended with status %x", process->name,
+               (unsigned)status);
+  else if (!process->was_paused && stop_duration_ms > SOAK_GRACE_MS + STOP_SLACK_MS)
+    soak_fail (process->soak, "%s took %u ms to stop", process->name, (unsigned)stop_duration_ms);
 }
 
 static void
-poll_process (sok_process_t *process)
+poll_process (soak_process_t *process)
 {
-  uint64_t now_us = sok_now_us ();
+  uint64_t now_us = soak_now_us ();
   int status;
 
   if (process->resume_at_us != 0 && now_us >= process->resume_at_us)
     {
       process->resume_at_us = 0;
-      sok_process_signal (process, SIGCONT);
+      soak_process_signal (process, SIGCONT);
     }
   if (process->pid > 0 && waitpid (process->pid, &status, WNOHANG) == process->pid)
     {
@@ -176,33 +176,33 @@
       process->pid = 0;
       process->resume_at_us = 0;
       process->start_at_us = now_us + RESTART_DELAY_MIN_MS * 1000 +
-                             sok_random (process->soak, RESTART_DELAY_SPREAD_MS) * 1000;
+                             soak_random (process->soak, RESTART_DELAY_SPREAD_MS) * 1000;
     }
   if (process->pid == 0 && process->start_at_us != 0 && now_us >= process->start_at_us)
     start_process (process);
 }
 
 void
-sok_each (sok_t *soak, void (*visit) (sok_process_t *process))
+soak_for_each_process (soak_t *soak, void (*visit) (soak_process_t *process))
 {
-  for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
+  for (uint32_t i = 0; i < SOAK_GATEWAYS; i++)
     if (soak->gateways[i])
       visit (soak->gateways[i]);
-  for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
+  for (uint32_t i = 0; i < SOAK_UPSTREAMS; i++)
     if (soak->upstreams[i])
       visit (soak->upstreams[i]);
 }
 
 void
-sok_processes_look (sok_t *soak)
+soak_poll_processes (soak_t *soak)
 {
-  sok_each (soak, poll_process);
+  soak_for_each_process (soak, poll_process);
 }
 
 static void
-start_store (sok_t *soak)
+start_store (soak_t *soak)
 {
-  address_t address = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t address = soak_address (soak, STORE_IP_OCTET, HTTP_PORT);
 
   soak->store = process_new (soak, "standin-platform", "store");
   add_argument (soak->store, "--listen=%s:%u", address.ip, address.port);
@@ -210,40 +210,40 @@
 }
 
 static void
-start_upstream (sok_t *soak, uint32_t index)
+start_upstream (soak_t *soak, uint32_t index)
 {
-  address_t own = sok_address (soak, UPSTREAM_IP_OCTET + index, HTTP_PORT);
-  address_t proxy = sok_address (soak, UPSTREAM_PROXY_IP_OCTET + index, HTTP_PORT);
-  address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t own = soak_address (soak, UPSTREAM_IP_OCTET + index, HTTP_PORT);
+  address_t proxy = soak_address (soak, UPSTREAM_PROXY_IP_OCTET + index, HTTP_PORT);
+  address_t store = soak_address (soak, STORE_IP_OCTET, HTTP_PORT);
   g_autofree char *name = g_strdup_printf ("upstream-%u", index);
-  sok_process_t *process = process_new (soak, "standin-upstream", name);
-  bool streams = index < SOK_STREAMS;
+  soak_process_t *process = process_new (soak, "standin-upstream", name);
+  bool streams = index < SOAK_STREAM_UPSTREAMS;
 
   add_argument (process, "--listen=%s:%u", own.ip, own.port);
   add_argument (process, "--advertise=%s:%u", proxy.ip, proxy.port);
   add_argument (process, "--store=%s:%u", store.ip, store.port);
   add_argument (process, "--service=%s", streams ? "pool" : "ledger");
-  add_argument (process, "--events=%u", streams ? SOK_EVENTS : 0);
+  add_argument (process, "--events=%u", streams ? SOAK_EVENTS : 0);
   add_argument (process, "--work-ms=%u", streams ? 12 : 6);
-  add_argument (process, "--drain-ms=%u", SOK_DRAIN_MS + 300);
+  add_argument (process, "--drain-ms=%u", SOAK_DRAIN_MS + 300);
   add_argument (process, "--record=%s/%s.record", soak->dir, name);
   add_argument (process, "--fail-percent=%u", streams ? 0 : 3);
   add_argument (process, "--lose-percent=%u", streams ? 0 : 2);
-  soak->upstream_proxies[index] = sok_proxy_new (soak->base, &proxy, &own);
+  soak->upstream_proxies[index] = soak_proxy_new (soak->base, &proxy, &own);
   soak->upstreams[index] = process;
   start_process (process);
 }
 
 static void
-start_gateway (sok_t *soak, uint32_t index)
+start_gateway (soak_t *soak, uint32_t index)
 {
-  address_t own = sok_address (soak, GATEWAY_IP_OCTET + index, HTTP_PORT);
-  address_t proxy = sok_address (soak, STORE_PROXY_IP_OCTET + index, HTTP_PORT);
-  address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t own = soak_address (soak, GATEWAY_IP_OCTET + index, HTTP_PORT);
+  address_t proxy = soak_address (soak, STORE_PROXY_IP_OCTET + index, HTTP_PORT);
+  address_t store = soak_address (soak, STORE_IP_OCTET, HTTP_PORT);
   g_autofree char *name = g_strdup_printf ("gateway-%u", index);
-  sok_process_t *process = process_new (soak, "medlarplankd", name);
+  soak_process_t *process = process_new (soak, "medlarplankd", name);
 
-  soak->store_proxies[index] = sok_proxy_new (soak->base, &proxy, &store);
+  soak->store_proxies[index] = soak_proxy_new (soak->base, &proxy, &store);
   add_argument (process, "--role=gateway");
   add_argument (process, "--renewal-ms=%u", KST_LAPSE_MS / 3);
   add_argument (process, "--name=%s", name);
@@ -259,9 +259,9 @@
   add_argument (process, "--control-budget-bytes=7000");
   add_argument (process, "--retry-ratio=0.2");
   add_argument (process, "--retry-slack=60");
-  add_argument (process, "--version-ms=%u", SOK_DRAIN_MS);
-  add_argument (process, "--drain-ms=%u", SOK_DRAIN_MS);
-  add_argument (process, "--grace=%u", SOK_GRACE_MS / 1000);
+  add_argument (process, "--version-ms=%u", SOAK_DRAIN_MS);
+  add_argument (process, "--drain-ms=%u", SOAK_DRAIN_MS);
+  add_argument (process, "--grace=%u", SOAK_GRACE_MS / 1000);
   soak->gateways[index] = process;
   start_process (process);
 }
@@ -281,9 +281,9 @@
 /* Waits for the response, since faults do not affect the administrative interface of the stand-in.
  * Return: the HTTP status, -1 when there was no response */
 static int
-call_store (sok_t *soak, const char *target, const char *body, size_t body_bytes)
+call_store (soak_t *soak, const char *target, const char *body, size_t body_bytes)
 {
-  address_t store = sok_address (soak, STORE_IP_OCTET, HTTP_PORT);
+  address_t store = soak_address (soak, STORE_IP_OCTET, HTTP_PORT);
   platform_client_t *platform_client = platform_client_new (soak->base, &store, NULL);
   int status = 0;
 
@@ -303,7 +303,7 @@
 }
 
 void
-sok_store_admin (sok_t *soak, const char *target, const char *body)
+soak_call_store_admin (soak_t *soak, const char *target, const char *body)
 {
   call_store (soak, target, body, strlen (body));
 }
@@ -334,7 +334,7 @@
 }
 
 void
-sok_publish (sok_t *soak)
+soak_publish (soak_t *soak)
 {
   g_autofree char *config = format_config (soak->version + 1);
   size_t length = 1 + strlen ("config") + strlen (config);
@@ -347,24 +347,24 @@
   g_string_append (body, config);
   if (call_store (soak, "/log-append?topic=keyed.op&part=0", body->str, body->len) == 200)
     soak->acked_version = ++soak->version;
-  sok_log (soak, "version %u published", soak->version);
+  soak_log (soak, "version %u published", soak->version);
   g_string_free (body, TRUE);
 }
 
 static bool
-all_gateways_serve (sok_t *soak)
+all_gateways_serve (soak_t *soak)
 {
   uint32_t first = soak->calls->len;
 
-  for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
-    for (uint32_t kind = 0; kind < SOK_KINDS; kind++)
-      sok_ask (soak, i, kind, 0, true);
-  sok_turn (soak, 400);
+  for (uint32_t i = 0; i < SOAK_GATEWAYS; i++)
+    for (uint32_t kind = 0; kind < SOAK_KINDS; kind++)
+      soak_send_request (soak, i, kind, 0, true);
+  soak_run_loop (soak, 400);
   for (uint32_t i = first; i < soak->calls->len; i++)
     {
-      const sok_call_t *call = g_ptr_array_index (soak->calls, i);
+      const soak_request_t *call = g_ptr_array_index (soak->calls, i);
 
-      if (call->kind != SOK_LOOK && call->kind != SOK_BOOK &&
+      if (call->kind != SOAK_IDEMPOTENT && call->kind != SOAK_NON_IDEMPOTENT &&
           (!call->complete || call->status != 200))
         return false;
     }
@@ -372,35 +372,35 @@
 }
 
 void
-sok_fleet_start (sok_t *soak)
+soak_fleet_start (soak_t *soak)
 {
-  uint64_t deadline_us = sok_now_us () + START_TIMEOUT_US;
+  uint64_t deadline_us = soak_now_us () + START_TIMEOUT_US;
 
   start_store (soak);
-  while (soak->acked_version == 0 && sok_now_us () < deadline_us)
+  while (soak->acked_version == 0 && soak_now_us () < deadline_us)
     {
-      sok_turn (soak, 100);
-      sok_publish (soak);
+      soak_run_loop (soak, 100);
+      soak_publish (soak);
     }
-  for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
+  for (uint32_t i = 0; i < SOAK_UPSTREAMS; i++)
     start_upstream (soak, i);
-  for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
+  for (uint32_t i = 0; i < SOAK_GATEWAYS; i++)
     start_gateway (soak, i);
   while (!all_gateways_serve (soak))
-    if (sok_now_us () > deadline_us)
+    if (soak_now_us () > deadline_us)
       {
-        sok_fail (soak, "the fleet does not serve at its start");
+        soak_fail (soak, "the fleet does not serve at its start");
         return;
       }
 }
 
 void
-sok_fleet_stop (sok_t *soak)
+soak_fleet_stop (soak_t *soak)
 {
-  sok_each (soak, process_free);
+  soak_for_each_process (soak, process_free);
   process_free (soak->store);
-  for (uint32_t i = 0; i < SOK_GATEWAYS; i++)
-    sok_proxy_free (soak->store_proxies[i]);
-  for (uint32_t i = 0; i < SOK_UPSTREAMS; i++)
-    sok_proxy_free (soak->upstream_proxies[i]);
+  for (uint32_t i = 0; i < SOAK_GATEWAYS; i++)
+    soak_proxy_free (soak->store_proxies[i]);
+  for (uint32_t i = 0; i < SOAK_UPSTREAMS; i++)
+    soak_proxy_free (soak->upstream_proxies[i]);
 }
--- a/soak/soak_main.c
+++ b/soak/soak_main.c
@@ -17,22 +17,22 @@
 #define FAULT_INTERVAL_SPREAD_MS 900 /* added at random to the minimum */
 
 uint64_t
-sok_now_us (void)
+soak_now_us (void)
 {
   return (uint64_t)g_get_monotonic_time ();
 }
 
 static void
-print_line (const sok_t *soak, const char *label, const char *format, va_list args)
+print_line (const soak_t *soak, const char *label, const char *format, va_list args)
 {
   g_autofree char *text = g_strdup_vprintf (format, args);
 
-  printf ("%8.3f %s %s\n", (double)(sok_now_us () - soak->started_us) / 1e6, label, text);
+  printf ("%8.3f %s %s\n", (double)(soak_now_us () - soak->started_us) / 1e6, label, text);
   fflush (stdout);
 }
 
 void
-sok_fail (sok_t *soak, const char *format, ...)
+soak_fail (soak_t *soak, const char *format, ...)
 {
   va_list args;
 
@@ -43,7 +43,7 @@
 }
 
 void
-sok_log (sok_t *soak, const char *format, ...)
+soak_log (soak_t *soak, const char *format, ...)
 {
   va_list args;
 
@@ -53,53 +53,53 @@
 }
 
 uint32_t
-sok_random (sok_t *soak, uint32_t below)
+soak_random (soak_t *soak, uint32_t below)
 {
   return (uint32_t)g_rand_int_range (soak->rand, 0, (gint32)below);
 }
 
 void
-sok_turn (sok_t *soak, uint32_t ms)
+soak_run_loop (soak_t *soak, uint32_t ms)
 {
-  uint64_t until_us = sok_now_us () + (uint64_t)ms * 1000;
+  uint64_t until_us = soak_now_us () + (uint64_t)ms * 1000;
   struct timeval interval = { 0, POLL_INTERVAL_MS * 1000 };
 
-  while (sok_now_us () < until_us)
+  while (soak_now_us () < until_us)
     {
       event_base_loopexit (soak->base, &interval);
       event_base_dispatch (soak->base);
-      sok_processes_look (soak);
-      sok_faults_look (soak);
+      soak_poll_processes (soak);
+      soak_poll_store_fault (soak);
     }
 }
 
 static void
-run_faults (sok_t *soak, uint32_t seconds)
+run_faults (soak_t *soak, uint32_t seconds)
 {
-  uint64_t until_us = sok_now_us () + (uint64_t)seconds * 1000 * 1000;
-  uint64_t next_fault_us = sok_now_us ();
+  uint64_t until_us = soak_now_us () + (uint64_t)seconds * 1000 * 1000;
+  uint64_t next_fault_us = soak_now_us ();
 
-  while (sok_now_us () < until_us)
+  while (soak_now_us () < until_us)
     {
-      sok_ask_some (soak);
-      sok_turn (soak, REQUEST_INTERVAL_MS);
-      if (sok_now_us () < next_fault_us)
+      soak_send_random_request (soak);
+      soak_run_loop (soak, REQUEST_INTERVAL_MS);
+      if (soak_now_us () < next_fault_us)
         continue;
-      sok_fault (soak);
+      soak_inject_fault (soak);
       next_fault_us =
-          sok_now_us () +
-          (FAULT_INTERVAL_MIN_MS + sok_random (soak, FAULT_INTERVAL_SPREAD_MS)) * UINT64_C (1000);
+          soak_now_us () +
+          (FAULT_INTERVAL_MIN_MS + soak_random (soak, FAULT_INTERVAL_SPREAD_MS)) * UINT64_C (1000);
     }
 }
 
 static uint32_t
-count_answered (const sok_t *soak)
+count_answered (const soak_t *soak)
 {
   uint32_t count = 0;
 
   for (guint i = 0; i < soak->calls->len; i++)
     {
-      const sok_call_t *call = g_ptr_array_index (soak->calls, i);
+      const soak_request_t *call = g_ptr_array_index (soak->calls, i);
 
       count += call->status == 200 && call->complete ? 1 : 0;
     }
@@ -107,28 +107,28 @@
 }
 
 static void
-init_soak (sok_t *soak, const char *build)
+init_soak (soak_t *soak, const char *build)
 {
   unsigned pid = (unsigned)getpid ();
 
   signal (SIGPIPE, SIG_IGN);
   setenv ("MEDLARPLANK_FLEET_KEY", "a fleet key of the soak", 1);
   soak->build = build;
-  soak->started_us = sok_now_us ();
+  soak->started_us = soak_now_us ();
   soak->rand = g_rand_new_with_seed ((guint32)soak->seed);
   soak->base = event_base_new ();
   soak->http_client = http_client_new (soak->base, 8, 10000);
   soak->dir = g_dir_make_tmp ("medlarplank-soak-XXXXXX", NULL);
   soak->ip_prefix = g_strdup_printf ("127.%u.%u", (pid >> 8 & 0x7f) + 1, pid & 0xff);
-  soak->calls = g_ptr_array_new_with_free_func (sok_call_free);
-  soak->disturbances = g_array_new (FALSE, FALSE, sizeof (sok_span_t));
+  soak->calls = g_ptr_array_new_with_free_func (soak_request_free);
+  soak->disturbances = g_array_new (FALSE, FALSE, sizeof (soak_period_t));
 }
 
 static void
-clean_up_soak (sok_t *soak, bool keep)
+clean_up_soak (soak_t *soak, bool keep)
 {
   http_client_free (soak->http_client);
-  sok_fleet_stop (soak);
+  soak_fleet_stop (soak);
   if (soak->failures > 0 || keep)
     printf ("logs and records are in %s\n", soak->dir);
   else
@@ -155,7 +155,7 @@
 int
 main (int argc, char **argv)
 {
-  static sok_t soak;
+  static soak_t soak;
   const char *build = "build";
   guint64 seconds = 12;
   bool keep = false;
@@ -176,13 +176,13 @@
         }
     }
   init_soak (&soak, build);
-  sok_fleet_start (&soak);
+  soak_fleet_start (&soak);
   if (soak.failures == 0)
     {
       run_faults (&soak, (uint32_t)seconds);
-      sok_heal (&soak);
-      sok_turn (&soak, RECOVERY_MS);
-      sok_check (&soak);
+      soak_end_faults (&soak);
+      soak_run_loop (&soak, RECOVERY_MS);
+      soak_check (&soak);
     }
   printf ("seed %u: %u requests, %u answered, %u promises broken\n", (unsigned)soak.seed,
           soak.calls->len, count_answered (&soak), soak.failures);
--- a/soak/soak_proxy.c
+++ b/soak/soak_proxy.c
@@ -10,19 +10,19 @@
 
 #define DELAY_MS 150
 
-struct sok_proxy
+struct soak_proxy
 {
   struct event_base *base;
   address_t target;
   struct evconnlistener *listener;
-  sok_mode_t mode;
+  soak_proxy_mode_t mode;
   GHashTable *conns; /* set of proxied_conn_t */
 };
 
 /** struct proxied_conn - a connection through the proxy */
 typedef struct
 {
-  sok_proxy_t *proxy;
+  soak_proxy_t *proxy;
   struct bufferevent *ends[2]; /* towards the client, towards the target */
   struct event *delay_timer;
 } proxied_conn_t;
@@ -84,13 +84,13 @@
 
   switch (conn->proxy->mode)
     {
-    case SOK_DELAY:
+    case SOAK_PROXY_DELAY:
       if (!evtimer_pending (conn->delay_timer, NULL))
         event_add (conn->delay_timer, &delay);
       return;
-    case SOK_SILENT:
+    case SOAK_PROXY_BLOCK:
       return;
-    case SOK_ONE_WAY:
+    case SOAK_PROXY_ONE_WAY:
       if (from == 1)
         return;
       break;
@@ -106,7 +106,7 @@
   proxied_conn_t *conn = context;
 
   (void)end;
-  if ((what & BEV_EVENT_CONNECTED) != 0 || conn->proxy->mode == SOK_SILENT)
+  if ((what & BEV_EVENT_CONNECTED) != 0 || conn->proxy->mode == SOAK_PROXY_BLOCK)
     return;
   if ((what & BEV_EVENT_ERROR) != 0)
     close_conn (conn, true);
@@ -135,7 +135,7 @@
            int bytes,
            void *context)
 {
-  sok_proxy_t *proxy = context;
+  soak_proxy_t *proxy = context;
   struct sockaddr_in target = sockaddr_of (&proxy->target);
   proxied_conn_t *conn = g_new0 (proxied_conn_t, 1);
 
@@ -147,7 +147,7 @@
   conn->ends[1] = bufferevent_socket_new (proxy->base, -1, BEV_OPT_CLOSE_ON_FREE);
   conn->delay_timer = evtimer_new (proxy->base, on_delay_over, conn);
   g_hash_table_add (proxy->conns, conn);
-  if (proxy->mode == SOK_RESET)
+  if (proxy->mode == SOAK_PROXY_RESET)
     {
       close_conn (conn, true);
       return;
@@ -161,10 +161,10 @@
     close_conn (conn, true);
 }
 
-sok_proxy_t *
-sok_proxy_new (struct event_base *base, const address_t *listen, const address_t *target)
+soak_proxy_t *
+soak_proxy_new (struct event_base *base, const address_t *listen, const address_t *target)
 {
-  sok_proxy_t *proxy = g_new0 (sok_proxy_t, 1);
+  soak_proxy_t *proxy = g_new0 (soak_proxy_t, 1);
   struct sockaddr_in listen_sockaddr = sockaddr_of (listen);
   unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
 
@@ -179,7 +179,7 @@
 }
 
 void
-sok_proxy_free (sok_proxy_t *proxy)
+soak_proxy_free (soak_proxy_t *proxy)
 {
   evconnlistener_free (proxy->listener);
   g_hash_table_destroy (proxy->conns);
@@ -189,17 +189,17 @@
 /* Connections that were blocked stay blocked when the fault ends, as on the users' platform;
  * connections made after it work. */
 void
-sok_proxy_set (sok_proxy_t *proxy, sok_mode_t mode)
+soak_proxy_set_mode (soak_proxy_t *proxy, soak_proxy_mode_t mode)
 {
   GList *conns = g_hash_table_get_keys (proxy->conns);
-  bool was_silent = proxy->mode == SOK_SILENT || proxy->mode == SOK_ONE_WAY;
+  bool was_silent = proxy->mode == SOAK_PROXY_BLOCK || proxy->mode == SOAK_PROXY_ONE_WAY;
 
   proxy->mode = mode;
   for (GList *link = conns; link; link = link->next)
     {
       proxied_conn_t *conn = link->data;
 
-      if (mode == SOK_RESET)
+      if (mode == SOAK_PROXY_RESET)
         close_conn (conn, true);
       else if (was_silent)
         {
