--- a/soak/soak_fleet.c
+++ b/soak/soak_fleet.c
@@ -245,7 +245,7 @@
 
   soak->store_proxies[index] = soak_proxy_new (soak->base, &proxy, &store);
   add_argument (process, "--role=gateway");
-  add_argument (process, "--renewal-ms=%u", KST_LAPSE_MS / 3);
+  add_argument (process, "--renewal-ms=%u", KEYED_STORE_ENTRY_TTL_MS / 3);
   add_argument (process, "--name=%s", name);
   add_argument (process, "--data-center=hall-%u", index % 2);
   add_argument (process, "--region=soak");
--- a/standin/batch.c
+++ b/standin/batch.c
@@ -6,7 +6,7 @@
 
 struct batch
 {
-  bat_options_t options;
+  batch_options_t options;
   GSequence *waiting; /* sorted by priority, then arrival */
   GPtrArray *running; /* in order of start */
   uint64_t next_arrival;
@@ -16,8 +16,8 @@
 static int
 compare_by_priority (gconstpointer left, gconstpointer right, gpointer unused)
 {
-  const bat_job_t *a = left;
-  const bat_job_t *b = right;
+  const batch_job_t *a = left;
+  const batch_job_t *b = right;
   (void)unused;
   if (a->priority != b->priority)
     return a->priority < b->priority ? -1 : 1;
@@ -27,12 +27,12 @@
 }
 
 static void
-start_waiting (bat_t *batch)
+start_waiting (batch_t *batch)
 {
   while (batch->running->len < batch->options.slots && !g_sequence_is_empty (batch->waiting))
     {
       GSequenceIter *first = g_sequence_get_begin_iter (batch->waiting);
-      bat_job_t *job = g_sequence_get (first);
+      batch_job_t *job = g_sequence_get (first);
       g_sequence_remove (first);
       job->running = true;
       g_ptr_array_add (batch->running, job);
@@ -41,7 +41,7 @@
 }
 
 static void
-prefill_job (bat_t *batch, bat_job_t *job)
+prefill_job (batch_t *batch, batch_job_t *job)
 {
   if (batch->options.prefill_millitokens_per_step == 0)
     {
@@ -55,19 +55,19 @@
 }
 
 static void
-end_job (bat_t *batch, guint index, bool completed)
+end_job (batch_t *batch, guint index, bool completed)
 {
-  bat_job_t *job = g_ptr_array_index (batch->running, index);
+  batch_job_t *job = g_ptr_array_index (batch->running, index);
   g_ptr_array_remove_index (batch->running, index);
   job->running = false;
   batch->options.on_end (job, completed, batch->options.context);
 }
 
-bat_t *
-bat_new (const bat_options_t *options)
+batch_t *
+batch_create (const batch_options_t *options)
 {
   g_assert (options->slots > 0);
-  bat_t *batch = g_new0 (bat_t, 1);
+  batch_t *batch = g_new0 (batch_t, 1);
   batch->options = *options;
   batch->waiting = g_sequence_new (NULL);
   batch->running = g_ptr_array_new ();
@@ -75,7 +75,7 @@
 }
 
 void
-bat_free (bat_t *batch)
+batch_free (batch_t *batch)
 {
   if (batch == NULL)
     return;
@@ -85,7 +85,7 @@
 }
 
 void
-bat_add (bat_t *batch, bat_job_t *job)
+batch_add_job (batch_t *batch, batch_job_t *job)
 {
   job->arrival = batch->next_arrival++;
   job->running = false;
@@ -93,7 +93,7 @@
 }
 
 void
-bat_remove (bat_t *batch, bat_job_t *job)
+batch_remove_job (batch_t *batch, batch_job_t *job)
 {
   if (job->running)
     {
@@ -107,14 +107,14 @@
 }
 
 void
-bat_step (bat_t *batch)
+batch_step (batch_t *batch)
 {
   start_waiting (batch);
   batch->prefill_credit_millitokens += batch->options.prefill_millitokens_per_step;
   guint index = 0;
   while (index < batch->running->len)
     {
-      bat_job_t *job = g_ptr_array_index (batch->running, index);
+      batch_job_t *job = g_ptr_array_index (batch->running, index);
       prefill_job (batch, job);
       if (job->prefill_tokens > 0)
         {
@@ -138,13 +138,13 @@
 }
 
 uint32_t
-bat_running (const bat_t *batch)
+batch_running_count (const batch_t *batch)
 {
   return batch->running->len;
 }
 
 uint32_t
-bat_waiting (const bat_t *batch)
+batch_waiting_count (const batch_t *batch)
 {
   return (uint32_t)g_sequence_get_length (batch->waiting);
 }
--- a/standin/cache_events.c
+++ b/standin/cache_events.c
@@ -16,7 +16,7 @@
   uint64_t publish_delay_us;
   uint32_t loss_percent;
   GRand *rand;
-  cache_event_t events[CEV_LIMIT_EVENTS]; /* ring buffer, indexed by offset */
+  cache_event_t events[CACHE_EVENTS_CAPACITY]; /* ring buffer, indexed by offset */
   uint64_t next_offset;
 };
 
@@ -29,10 +29,10 @@
                     event->stored ? "stored" : "removed");
 }
 
-cev_t *
-cev_new (uint64_t publish_delay_us, uint32_t loss_percent, uint32_t seed)
+cache_events_t *
+cache_events_new (uint64_t publish_delay_us, uint32_t loss_percent, uint32_t seed)
 {
-  cev_t *cache_events = g_new0 (cev_t, 1);
+  cache_events_t *cache_events = g_new0 (cache_events_t, 1);
   cache_events->publish_delay_us = publish_delay_us;
   cache_events->loss_percent = loss_percent;
   cache_events->rand = g_rand_new_with_seed (seed);
@@ -40,7 +40,7 @@
 }
 
 void
-cev_free (cev_t *cache_events)
+cache_events_free (cache_events_t *cache_events)
 {
   if (cache_events == NULL)
     return;
@@ -49,9 +49,9 @@
 }
 
 void
-cev_add (cev_t *cache_events, uint64_t now_us, uint64_t block, bool stored)
+cache_events_add (cache_events_t *cache_events, uint64_t now_us, uint64_t block, bool stored)
 {
-  cache_event_t *event = &cache_events->events[cache_events->next_offset++ % CEV_LIMIT_EVENTS];
+  cache_event_t *event = &cache_events->events[cache_events->next_offset++ % CACHE_EVENTS_CAPACITY];
   event->occurred_us = now_us;
   event->block = block;
   event->stored = stored;
@@ -60,14 +60,14 @@
 }
 
 json_t *
-cev_list (const cev_t *cache_events, uint64_t now_us, uint64_t from)
+cache_events_to_json (const cache_events_t *cache_events, uint64_t now_us, uint64_t from)
 {
   json_t *events = json_array ();
-  uint64_t retained_count = MIN (cache_events->next_offset, CEV_LIMIT_EVENTS);
+  uint64_t retained_count = MIN (cache_events->next_offset, CACHE_EVENTS_CAPACITY);
   uint64_t offset = MAX (from, cache_events->next_offset - retained_count);
   for (; offset < cache_events->next_offset; offset++)
     {
-      const cache_event_t *event = &cache_events->events[offset % CEV_LIMIT_EVENTS];
+      const cache_event_t *event = &cache_events->events[offset % CACHE_EVENTS_CAPACITY];
       if (event->occurred_us + cache_events->publish_delay_us > now_us)
         break;
       if (!event->lost)
--- a/standin/cache_events.h
+++ b/standin/cache_events.h
@@ -11,25 +11,25 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CEV_LIMIT_EVENTS 4096 /* older events are overwritten */
+#define CACHE_EVENTS_CAPACITY 4096 /* older events are overwritten */
 
-typedef struct cache_events cev_t;
+typedef struct cache_events cache_events_t;
 
 /**
- * cev_new() - an empty sequence of events
+ * cache_events_new() - an empty sequence of events
  * @publish_delay_us: events become readable this long after they occur
  * @loss_percent: share of the events that are never published, chosen at random from @seed
  */
-cev_t *cev_new (uint64_t publish_delay_us, uint32_t loss_percent, uint32_t seed);
-/** cev_free() - accepts NULL */
-void cev_free (cev_t *cache_events);
-/** cev_add() - records that the cache stored @block, or removed it if @stored is false */
-void cev_add (cev_t *cache_events, uint64_t now_us, uint64_t block, bool stored);
+cache_events_t *cache_events_new (uint64_t publish_delay_us, uint32_t loss_percent, uint32_t seed);
+/** cache_events_free() - accepts NULL */
+void cache_events_free (cache_events_t *cache_events);
+/** cache_events_add() - records that the cache stored @block, or removed it if @stored is false */
+void cache_events_add (cache_events_t *cache_events, uint64_t now_us, uint64_t block, bool stored);
 /**
- * cev_list() - the published events from offset @from on
+ * cache_events_to_json() - the published events from offset @from on
  *
  * Return: {"next":N,"events":[{"offset","block","kind"}]}; the caller owns it
  */
-json_t *cev_list (const cev_t *cache_events, uint64_t now_us, uint64_t from);
+json_t *cache_events_to_json (const cache_events_t *cache_events, uint64_t now_us, uint64_t from);
 
 #endif
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -18,13 +18,13 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SEN_LIMIT_WAITING 4096    /* further requests are refused with status 503 */
-#define SEN_LIMIT_REMEMBERED 1024 /* ended streams that can still be resumed */
-#define SEN_LIMIT_OUTPUT_TOKENS 65536
-#define SEN_DEFAULT_OUTPUT_TOKENS 16 /* for a chat without max_tokens */
+#define STANDIN_ENGINE_MAX_WAITING 4096       /* further requests are refused with status 503 */
+#define STANDIN_ENGINE_MAX_ENDED_STREAMS 1024 /* ended streams that can still be resumed */
+#define STANDIN_ENGINE_MAX_OUTPUT_TOKENS 65536
+#define STANDIN_ENGINE_DEFAULT_OUTPUT_TOKENS 16 /* for a chat without max_tokens */
 
 /**
- * struct sen_options - command-line options
+ * struct standin_engine_options - command-line options
  * @listen: address to listen on, IP:PORT
  * @name: name in the answers and in the header X-Engine
  * @plain: act as a plain service, not as a model engine
@@ -57,10 +57,10 @@
   bool check_fence;
   int record_fd;
   uint32_t seed;
-} sen_options_t;
+} standin_engine_options_t;
 
 /**
- * struct sen_fault - faults that POST /fault injects
+ * struct standin_engine_fault - faults that POST /fault injects
  * @count: number of requests that the fault still applies to
  * @freeze_us: block the whole process for this long before the request runs
  * @cut_after_tokens: abort the answer after this many tokens; 0 disables it
@@ -76,10 +76,10 @@
   bool repeat_previous;
   bool omit_length;
   uint64_t start_delay_us;
-} sen_fault_t;
+} standin_engine_fault_t;
 
 /**
- * struct sen_load - a sample of the load
+ * struct standin_engine_load - a sample of the load
  * @running: requests in the batch
  * @waiting: requests that wait for a slot
  * @cached_tokens: tokens in the prefix cache
@@ -91,15 +91,15 @@
   uint32_t waiting;
   uint32_t cached_tokens;
   uint64_t sampled_us;
-} sen_load_t;
+} standin_engine_load_t;
 
 /**
- * struct sen_t - the engine
+ * struct standin_engine_t - the engine
  * @step_us: duration of one step of the batch
  * @next_step_us: when the next step is due, on the monotonic clock
  * @step_scheduled: whether @step_timer is pending; it isn't while the batch is empty
- * @active_runs: request id -> sen_run_t, not owned
- * @ended_streams: sen_ended_t, newest first
+ * @active_runs: request id -> standin_engine_run_t, not owned
+ * @ended_streams: standin_engine_ended_stream_t, newest first
  * @fault: fault for the next requests
  * @reported_load: the answer to GET /load, unless report_lag_us is 0
  * @previous_id: id of the request that ended last, or NULL
@@ -109,29 +109,29 @@
  */
 typedef struct
 {
-  sen_options_t options;
+  standin_engine_options_t options;
   struct event_base *base;
-  bat_t *batch;
+  batch_t *batch;
   uint64_t step_us;
   uint64_t next_step_us;
   struct event *step_timer;
   bool step_scheduled;
-  pfx_t *cache;
-  cev_t *events;
-  erc_t *record;
+  prefix_cache_t *cache;
+  cache_events_t *events;
+  run_record_t *record;
   GHashTable *active_runs;
   GQueue ended_streams;
-  sen_fault_t fault;
-  sen_load_t reported_load;
+  standin_engine_fault_t fault;
+  standin_engine_load_t reported_load;
   struct event *report_timer;
   char *previous_id;
   uint64_t previous_body_hash;
   uint64_t highest_fence;
   uint64_t served_count;
-} sen_t;
+} standin_engine_t;
 
 /**
- * struct sen_run - one request
+ * struct standin_engine_run - one request
  * @job: the first field, so that a job can be cast to its run
  * @call: NULL once the caller of a plain service has disconnected
  * @prompt: all messages of the chat, later followed by the answer
@@ -146,9 +146,9 @@
  */
 typedef struct
 {
-  bat_job_t job;
-  sen_t *engine;
-  sht_call_t *call;
+  batch_job_t job;
+  standin_engine_t *engine;
+  http_call_t *call;
   char *id;
   char *method;
   char *path;
@@ -161,50 +161,58 @@
   bool headers_sent;
   bool in_batch;
   uint64_t serial;
-  sen_fault_t fault;
+  standin_engine_fault_t fault;
   struct event *start_timer;
   GString *text;
-} sen_run_t;
+} standin_engine_run_t;
 
-/** struct sen_ended - the data of an ended stream that POST /resume needs */
+/** struct standin_engine_ended_stream - the data of an ended stream that POST /resume needs */
 typedef struct
 {
   char *id;
   uint64_t body_hash;
   uint32_t target_tokens;
-} sen_ended_t;
+} standin_engine_ended_stream_t;
 
-/** sen_run_chat() - handles POST /v1/chat/completions */
-void sen_run_chat (sen_t *engine, sht_call_t *call);
-/** sen_run_plain() - handles any request to a plain service */
-void sen_run_plain (sen_t *engine, sht_call_t *call);
-/** sen_run_resume() - handles POST /resume?id=ID&from=N: continues an ended stream at token N */
-void sen_run_resume (sen_t *engine, sht_call_t *call);
-/** sen_run_cancel() - cancels the run with this id. Return: false if there is none */
-bool sen_run_cancel (sen_t *engine, const char *id);
-/** sen_batch_new() - creates the batch that executes all runs */
-bat_t *sen_batch_new (sen_t *engine);
-/** sen_step() - callback of the step timer */
-void sen_step (evutil_socket_t fd, short what, void *engine);
+/** standin_engine_run_chat() - handles POST /v1/chat/completions */
+void standin_engine_run_chat (standin_engine_t *engine, http_call_t *call);
+/** standin_engine_run_plain() - handles any request to a plain service */
+void standin_engine_run_plain (standin_engine_t *engine, http_call_t *call);
+/** standin_engine_resume_stream() - handles POST /resume?id=ID&from=N: continues an ended stream at
+ * token N */
+void standin_engine_resume_stream (standin_engine_t *engine, http_call_t *call);
+/** standin_engine_cancel_run() - cancels the run with this id. Return: false if there is none */
+bool standin_engine_cancel_run (standin_engine_t *engine, const char *id);
+/** standin_engine_create_batch() - creates the batch that executes all runs */
+batch_t *standin_engine_create_batch (standin_engine_t *engine);
+/** standin_engine_on_step() - callback of the step timer */
+void standin_engine_on_step (evutil_socket_t fd, short what, void *engine);
 
-/** sen_answer_token() - adds the token generated last to the answer, and sends it if streamed */
-void sen_answer_token (sen_run_t *run);
-/** sen_answer_whole() - completes the answer; ends the call */
-void sen_answer_whole (sen_run_t *run);
-/** sen_answer_cut() - sends an incomplete answer; ends the call */
-void sen_answer_cut (sen_run_t *run);
-/** sen_answer_error() - refuses a request that has not run; ends the call */
-void sen_answer_error (sen_t *engine, sht_call_t *call, int status, const char *message);
-/** sen_answer_json() - sends any other answer; takes over @json; ends the call */
-void sen_answer_json (sen_t *engine, sht_call_t *call, int status, json_t *json);
+/** standin_engine_answer_token() - adds the token generated last to the answer, and sends it if
+ * streamed */
+void standin_engine_answer_token (standin_engine_run_t *run);
+/** standin_engine_complete_answer() - completes the answer; ends the call */
+void standin_engine_complete_answer (standin_engine_run_t *run);
+/** standin_engine_abort_answer() - sends an incomplete answer; ends the call */
+void standin_engine_abort_answer (standin_engine_run_t *run);
+/** standin_engine_answer_error() - refuses a request that has not run; ends the call */
+void standin_engine_answer_error (standin_engine_t *engine,
+                                  http_call_t *call,
+                                  int status,
+                                  const char *message);
+/** standin_engine_answer_json() - sends any other answer; takes over @json; ends the call */
+void
+standin_engine_answer_json (standin_engine_t *engine, http_call_t *call, int status, json_t *json);
 
 /**
- * sen_admin() - handles load, health, cache events, the record, orders, cancellations and faults
+ * standin_engine_handle_admin() - handles load, health, cache events, the record, orders,
+ * cancellations and faults
  *
  * Return: false, with the call untouched, for any other path
  */
-bool sen_admin (sen_t *engine, sht_call_t *call);
-/** sen_report() - callback of the report timer: samples the load that GET /load reports */
-void sen_report (evutil_socket_t fd, short what, void *engine);
+bool standin_engine_handle_admin (standin_engine_t *engine, http_call_t *call);
+/** standin_engine_on_report() - callback of the report timer: samples the load that GET /load
+ * reports */
+void standin_engine_on_report (evutil_socket_t fd, short what, void *engine);
 
 #endif
--- a/standin/engine_answer.c
+++ b/standin/engine_answer.c
@@ -5,7 +5,7 @@
 
 /* Token 0 identifies the request and the engine, so that an answer of one token can be verified. */
 static char *
-token_text (const sen_run_t *run, uint32_t index)
+token_text (const standin_engine_run_t *run, uint32_t index)
 {
   if (index > 0)
     return g_strdup_printf (" w%" PRIu32, index);
@@ -14,7 +14,7 @@
 }
 
 static const char *
-response_id (const sen_run_t *run)
+response_id (const standin_engine_run_t *run)
 {
   if (!run->fault.repeat_previous)
     return run->id;
@@ -22,19 +22,19 @@
 }
 
 static void
-add_headers (const sen_run_t *run)
+add_headers (const standin_engine_run_t *run)
 {
   char cached[16];
   g_snprintf (cached, sizeof cached, "%" PRIu32, run->cached_tokens);
   if (response_id (run) != NULL)
-    sht_add_header (run->call, "X-Request-Id", response_id (run));
-  sht_add_header (run->call, "X-Engine", run->engine->options.name);
+    http_call_add_header (run->call, "X-Request-Id", response_id (run));
+  http_call_add_header (run->call, "X-Engine", run->engine->options.name);
   if (!run->engine->options.plain)
-    sht_add_header (run->call, "X-Cached-Tokens", cached);
+    http_call_add_header (run->call, "X-Cached-Tokens", cached);
 }
 
 static json_t *
-usage_json (const sen_run_t *run)
+usage_json (const standin_engine_run_t *run)
 {
   return json_pack ("{s:I, s:I, s:I}", "prompt_tokens", (json_int_t)run->prompt_tokens,
                     "completion_tokens", (json_int_t)run->job.generated_tokens, "cached_tokens",
@@ -42,7 +42,7 @@
 }
 
 static json_t *
-chat_answer_json (const sen_run_t *run)
+chat_answer_json (const standin_engine_run_t *run)
 {
   const char *id = response_id (run);
   return json_pack ("{s:s, s:s, s:s, s:[{s:i, s:{s:s, s:s}, s:s}], s:o}", "id",
@@ -53,7 +53,7 @@
 }
 
 static json_t *
-plain_answer_json (const sen_run_t *run)
+plain_answer_json (const standin_engine_run_t *run)
 {
   char hash[17];
   uint64_t body_hash =
@@ -65,22 +65,22 @@
 }
 
 static void
-send_event (const sen_run_t *run, json_t *event)
+send_event (const standin_engine_run_t *run, json_t *event)
 {
   char *text = json_dumps (event, JSON_COMPACT);
   g_autofree char *line = g_strdup_printf ("data: %s\n\n", text);
-  sht_stream (run->call, line);
+  http_call_send_part (run->call, line);
   free (text);
   json_decref (event);
 }
 
 static void
-stream_token (sen_run_t *run, const char *token)
+stream_token (standin_engine_run_t *run, const char *token)
 {
   if (!run->headers_sent)
     {
       add_headers (run);
-      sht_begin_stream (run->call);
+      http_call_begin_stream (run->call);
       run->headers_sent = true;
     }
   const char *id = response_id (run);
@@ -90,24 +90,24 @@
 }
 
 static json_t *
-answer_json (const sen_run_t *run)
+answer_json (const standin_engine_run_t *run)
 {
   return run->engine->options.plain ? plain_answer_json (run) : chat_answer_json (run);
 }
 
 static void
-send_broken_answer (const sen_run_t *run, bool with_length)
+send_broken_answer (const standin_engine_run_t *run, bool with_length)
 {
   json_t *answer = answer_json (run);
   char *text = json_dumps (answer, JSON_COMPACT);
   const char *id = response_id (run);
-  sht_reply_broken (run->call, id == NULL ? "" : id, text, with_length);
+  http_call_reply_broken (run->call, id == NULL ? "" : id, text, with_length);
   free (text);
   json_decref (answer);
 }
 
 void
-sen_answer_token (sen_run_t *run)
+standin_engine_answer_token (standin_engine_run_t *run)
 {
   if (run->engine->options.plain)
     return;
@@ -118,14 +118,14 @@
 }
 
 void
-sen_answer_whole (sen_run_t *run)
+standin_engine_complete_answer (standin_engine_run_t *run)
 {
-  sht_call_t *call = run->call;
+  http_call_t *call = run->call;
   if (run->headers_sent)
     {
       send_event (run, json_pack ("{s:[], s:o}", "choices", "usage", usage_json (run)));
-      sht_stream (call, "data: [DONE]\n\n");
-      sht_end_stream (call);
+      http_call_send_part (call, "data: [DONE]\n\n");
+      http_call_end_stream (call);
       return;
     }
   if (run->fault.omit_length)
@@ -134,30 +134,34 @@
       return;
     }
   add_headers (run);
-  sht_reply (call, 200, answer_json (run));
+  http_call_reply_json (call, 200, answer_json (run));
 }
 
 void
-sen_answer_cut (sen_run_t *run)
+standin_engine_abort_answer (standin_engine_run_t *run)
 {
   if (run->headers_sent)
-    sht_cut (run->call);
+    http_call_abort (run->call);
   else
     send_broken_answer (run, true);
 }
 
 void
-sen_answer_json (sen_t *engine, sht_call_t *call, int status, json_t *json)
+standin_engine_answer_json (standin_engine_t *engine, http_call_t *call, int status, json_t *json)
 {
-  const char *id = sht_header (call, "X-Request-Id");
+  const char *id = http_call_header (call, "X-Request-Id");
   if (id != NULL)
-    sht_add_header (call, "X-Request-Id", id);
-  sht_add_header (call, "X-Engine", engine->options.name);
-  sht_reply (call, status, json);
+    http_call_add_header (call, "X-Request-Id", id);
+  http_call_add_header (call, "X-Engine", engine->options.name);
+  http_call_reply_json (call, status, json);
 }
 
 void
-sen_answer_error (sen_t *engine, sht_call_t *call, int status, const char *message)
+standin_engine_answer_error (standin_engine_t *engine,
+                             http_call_t *call,
+                             int status,
+                             const char *message)
 {
-  sen_answer_json (engine, call, status, json_pack ("{s:{s:s}}", "error", "message", message));
+  standin_engine_answer_json (engine, call, status,
+                              json_pack ("{s:{s:s}}", "error", "message", message));
 }
--- a/standin/engine_record.c
+++ b/standin/engine_record.c
@@ -12,13 +12,13 @@
   char *account;
   char *key;
   uint64_t body_hash;
-  erc_state_t state;
+  run_record_state_t state;
 } entry_t;
 
 struct run_record
 {
   int file_fd;
-  entry_t *entries; /* ring buffer; run N is at N % ERC_LIMIT_RUNS */
+  entry_t *entries; /* ring buffer; run N is at N % RUN_RECORD_CAPACITY */
   uint64_t next_serial;
 };
 
@@ -57,7 +57,7 @@
 
 /* Writes the line with a single write(), so that a crash cannot leave a partial line. */
 static void
-write_line (const erc_t *run_record, const entry_t *entry)
+write_line (const run_record_t *run_record, const entry_t *entry)
 {
   if (run_record->file_fd < 0)
     return;
@@ -70,58 +70,58 @@
   json_decref (json);
 }
 
-erc_t *
-erc_new (int file_fd)
+run_record_t *
+run_record_new (int file_fd)
 {
-  erc_t *run_record = g_new0 (erc_t, 1);
+  run_record_t *run_record = g_new0 (run_record_t, 1);
   run_record->file_fd = file_fd;
-  run_record->entries = g_new0 (entry_t, ERC_LIMIT_RUNS);
+  run_record->entries = g_new0 (entry_t, RUN_RECORD_CAPACITY);
   return run_record;
 }
 
 void
-erc_free (erc_t *run_record)
+run_record_free (run_record_t *run_record)
 {
   if (run_record == NULL)
     return;
-  for (size_t i = 0; i < ERC_LIMIT_RUNS; i++)
+  for (size_t i = 0; i < RUN_RECORD_CAPACITY; i++)
     clear_entry (&run_record->entries[i]);
   g_free (run_record->entries);
   g_free (run_record);
 }
 
 uint64_t
-erc_begin (erc_t *run_record, const erc_run_t *run)
+run_record_begin (run_record_t *run_record, const run_record_run_t *run)
 {
   uint64_t serial = run_record->next_serial++;
-  entry_t *entry = &run_record->entries[serial % ERC_LIMIT_RUNS];
+  entry_t *entry = &run_record->entries[serial % RUN_RECORD_CAPACITY];
   clear_entry (entry);
   entry->id = copy_field (run->id);
   entry->account = copy_field (run->account);
   entry->key = copy_field (run->key);
   entry->body_hash = run->body_hash;
-  entry->state = ERC_BEGUN;
+  entry->state = RUN_RECORD_BEGUN;
   write_line (run_record, entry);
   return serial;
 }
 
 void
-erc_end (erc_t *run_record, uint64_t serial, erc_state_t state)
+run_record_end (run_record_t *run_record, uint64_t serial, run_record_state_t state)
 {
-  if (run_record->next_serial - serial > ERC_LIMIT_RUNS)
+  if (run_record->next_serial - serial > RUN_RECORD_CAPACITY)
     return;
-  entry_t *entry = &run_record->entries[serial % ERC_LIMIT_RUNS];
+  entry_t *entry = &run_record->entries[serial % RUN_RECORD_CAPACITY];
   entry->state = state;
   write_line (run_record, entry);
 }
 
 json_t *
-erc_list (const erc_t *run_record)
+run_record_to_json (const run_record_t *run_record)
 {
   json_t *list = json_array ();
-  uint64_t retained_count = MIN (run_record->next_serial, ERC_LIMIT_RUNS);
+  uint64_t retained_count = MIN (run_record->next_serial, RUN_RECORD_CAPACITY);
   for (uint64_t serial = run_record->next_serial - retained_count; serial < run_record->next_serial;
        serial++)
-    json_array_append_new (list, entry_json (&run_record->entries[serial % ERC_LIMIT_RUNS]));
+    json_array_append_new (list, entry_json (&run_record->entries[serial % RUN_RECORD_CAPACITY]));
   return list;
 }
--- a/standin/engine_record.h
+++ b/standin/engine_record.h
@@ -11,19 +11,20 @@
 #include <jansson.h>
 #include <stdint.h>
 
-#define ERC_LIMIT_RUNS 100000 /* older runs are overwritten in memory */
+#define RUN_RECORD_CAPACITY 100000 /* older runs are overwritten in memory */
 
-typedef struct run_record erc_t;
+typedef struct run_record run_record_t;
 
 typedef enum
 {
-  ERC_BEGUN,
-  ERC_DONE,
-  ERC_CANCELLED
-} erc_state_t;
+  RUN_RECORD_BEGUN,
+  RUN_RECORD_DONE,
+  RUN_RECORD_CANCELLED
+} run_record_state_t;
 
 /**
- * struct erc_run - one run, as passed to erc_begin(); the strings are copied and may be NULL
+ * struct run_record_run - one run, as passed to run_record_begin(); the strings are copied and may
+ * be NULL
  * @id: request id
  * @account: client account
  * @key: idempotency key, or its hash
@@ -35,17 +36,18 @@
   const char *account;
   const char *key;
   uint64_t body_hash;
-} erc_run_t;
+} run_record_run_t;
 
-/** erc_new() - @file_fd is the file to append to, or -1 for none; the caller keeps it open */
-erc_t *erc_new (int file_fd);
-/** erc_free() - accepts NULL */
-void erc_free (erc_t *run_record);
-/** erc_begin() - adds a run. Return: its serial number, for erc_end() */
-uint64_t erc_begin (erc_t *run_record, const erc_run_t *run);
-/** erc_end() - sets the final state of a run; ignored when the run was overwritten */
-void erc_end (erc_t *run_record, uint64_t serial, erc_state_t state);
-/** erc_list() - a new JSON array of the runs in memory, oldest first */
-json_t *erc_list (const erc_t *run_record);
+/** run_record_new() - @file_fd is the file to append to, or -1 for none; the caller keeps it open
+ */
+run_record_t *run_record_new (int file_fd);
+/** run_record_free() - accepts NULL */
+void run_record_free (run_record_t *run_record);
+/** run_record_begin() - adds a run. Return: its serial number, for run_record_end() */
+uint64_t run_record_begin (run_record_t *run_record, const run_record_run_t *run);
+/** run_record_end() - sets the final state of a run; ignored when the run was overwritten */
+void run_record_end (run_record_t *run_record, uint64_t serial, run_record_state_t state);
+/** run_record_to_json() - a new JSON array of the runs in memory, oldest first */
+json_t *run_record_to_json (const run_record_t *run_record);
 
 #endif
--- a/standin/http.c
+++ b/standin/http.c
@@ -13,7 +13,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-struct sht_call
+struct http_call
 {
   struct evhttp_request *request;
   struct evkeyvalq query;
@@ -27,12 +27,12 @@
 typedef struct
 {
   struct event_base *base;
-  void (*on_call) (sht_call_t *call, void *context);
+  void (*on_call) (http_call_t *call, void *context);
   void *context;
 } listener_t;
 
 static void
-call_free (sht_call_t *call)
+call_free (http_call_t *call)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (call->request);
   if (connection != NULL)
@@ -45,14 +45,14 @@
 }
 
 static void
-notify_disconnect (sht_call_t *call)
+notify_disconnect (http_call_t *call)
 {
   if (call->on_disconnect != NULL)
     call->on_disconnect (call->disconnect_context);
 }
 
 static void
-close_connection (sht_call_t *call)
+close_connection (http_call_t *call)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (call->request);
   call_free (call);
@@ -70,7 +70,7 @@
 static void
 on_peer_closed (evutil_socket_t fd, short what, void *arg)
 {
-  sht_call_t *call = arg;
+  http_call_t *call = arg;
   (void)fd;
   (void)what;
   notify_disconnect (call);
@@ -82,7 +82,7 @@
 static void
 on_connection_closed (struct evhttp_connection *connection, void *arg)
 {
-  sht_call_t *call = arg;
+  http_call_t *call = arg;
   struct evhttp_request *request = call->request;
   (void)connection;
   notify_disconnect (call);
@@ -104,7 +104,7 @@
 on_request (struct evhttp_request *request, void *arg)
 {
   listener_t *listener = arg;
-  sht_call_t *call = g_new0 (sht_call_t, 1);
+  http_call_t *call = g_new0 (http_call_t, 1);
   struct evhttp_connection *connection = evhttp_request_get_connection (request);
   struct bufferevent *bev = evhttp_connection_get_bufferevent (connection);
   const char *query = evhttp_uri_get_query (evhttp_request_get_evhttp_uri (request));
@@ -123,7 +123,7 @@
 /* libevent uses the kernel's coarse clock by default. At 250 ticks per second it is up to 4 ms off,
  * so an engine that generates a token every 2 ms would need 4 ms. */
 struct event_base *
-sht_base_new (void)
+http_call_base_new (void)
 {
   struct event_config *config = event_config_new ();
   event_config_set_flag (config, EVENT_BASE_FLAG_PRECISE_TIMER);
@@ -133,10 +133,10 @@
 }
 
 struct evhttp *
-sht_listen (struct event_base *base,
-            const char *address,
-            void (*on_call) (sht_call_t *call, void *context),
-            void *context)
+http_call_listen (struct event_base *base,
+                  const char *address,
+                  void (*on_call) (http_call_t *call, void *context),
+                  void *context)
 {
   struct sockaddr_in sin;
   int sin_bytes = sizeof sin;
@@ -153,8 +153,8 @@
   listener->on_call = on_call;
   listener->context = context;
   struct evhttp *http = evhttp_new (base);
-  evhttp_set_max_body_size (http, SHT_BODY_LIMIT_BYTES);
-  evhttp_set_max_headers_size (http, SHT_HEADER_LIMIT_BYTES);
+  evhttp_set_max_body_size (http, HTTP_CALL_MAX_BODY_BYTES);
+  evhttp_set_max_headers_size (http, HTTP_CALL_MAX_HEADER_BYTES);
   evhttp_set_allowed_methods (http, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
                                         EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_PATCH);
   evhttp_set_gencb (http, on_request, listener);
@@ -169,7 +169,7 @@
 }
 
 const char *
-sht_method (const sht_call_t *call)
+http_call_method (const http_call_t *call)
 {
   switch (evhttp_request_get_command (call->request))
     {
@@ -191,22 +191,22 @@
 }
 
 const char *
-sht_path (const sht_call_t *call)
+http_call_path (const http_call_t *call)
 {
   const char *path = evhttp_uri_get_path (evhttp_request_get_evhttp_uri (call->request));
   return path == NULL ? "" : path;
 }
 
 const char *
-sht_query (const sht_call_t *call, const char *name)
+http_call_query (const http_call_t *call, const char *name)
 {
   return evhttp_find_header (&call->query, name);
 }
 
 uint64_t
-sht_query_u64 (const sht_call_t *call, const char *name, uint64_t default_value)
+http_call_query_u64 (const http_call_t *call, const char *name, uint64_t default_value)
 {
-  const char *text = sht_query (call, name);
+  const char *text = http_call_query (call, name);
   uint64_t value;
   if (text == NULL || !g_ascii_string_to_unsigned (text, 10, 0, G_MAXINT64, &value, NULL))
     return default_value;
@@ -214,13 +214,13 @@
 }
 
 const char *
-sht_header (const sht_call_t *call, const char *name)
+http_call_header (const http_call_t *call, const char *name)
 {
   return evhttp_find_header (evhttp_request_get_input_headers (call->request), name);
 }
 
 const char *
-sht_body (sht_call_t *call, size_t *body_bytes)
+http_call_body (http_call_t *call, size_t *body_bytes)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (call->request);
   *body_bytes = evbuffer_get_length (input);
@@ -228,34 +228,34 @@
 }
 
 json_t *
-sht_json (sht_call_t *call)
+http_call_parse_json (http_call_t *call)
 {
   size_t body_bytes;
-  const char *body = sht_body (call, &body_bytes);
+  const char *body = http_call_body (call, &body_bytes);
   return json_loadb (body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
 }
 
 bool
-sht_is (const sht_call_t *call, const char *method, const char *path)
+http_call_matches (const http_call_t *call, const char *method, const char *path)
 {
-  return strcmp (sht_method (call), method) == 0 && strcmp (sht_path (call), path) == 0;
+  return strcmp (http_call_method (call), method) == 0 && strcmp (http_call_path (call), path) == 0;
 }
 
 void
-sht_on_gone (sht_call_t *call, void (*on_disconnect) (void *context), void *context)
+http_call_on_disconnect (http_call_t *call, void (*on_disconnect) (void *context), void *context)
 {
   call->on_disconnect = on_disconnect;
   call->disconnect_context = context;
 }
 
 void
-sht_add_header (sht_call_t *call, const char *name, const char *value)
+http_call_add_header (http_call_t *call, const char *name, const char *value)
 {
   evhttp_add_header (evhttp_request_get_output_headers (call->request), name, value);
 }
 
 void
-sht_reply (sht_call_t *call, int status, json_t *json)
+http_call_reply_json (http_call_t *call, int status, json_t *json)
 {
   struct evhttp_request *request = call->request;
   struct evbuffer *body = evbuffer_new ();
@@ -263,7 +263,7 @@
   if (text != NULL)
     {
       evbuffer_add (body, text, strlen (text));
-      sht_add_header (call, "Content-Type", "application/json");
+      http_call_add_header (call, "Content-Type", "application/json");
     }
   call_free (call);
   evhttp_send_reply (request, status, NULL, body);
@@ -273,7 +273,7 @@
 }
 
 void
-sht_reply_bytes (sht_call_t *call, int status, const void *bytes, size_t count)
+http_call_reply_bytes (http_call_t *call, int status, const void *bytes, size_t count)
 {
   struct evhttp_request *request = call->request;
   struct evbuffer *body = evbuffer_new ();
@@ -284,14 +284,14 @@
 }
 
 void
-sht_begin_stream (sht_call_t *call)
+http_call_begin_stream (http_call_t *call)
 {
-  sht_add_header (call, "Content-Type", "text/event-stream");
+  http_call_add_header (call, "Content-Type", "text/event-stream");
   evhttp_send_reply_start (call->request, 200, NULL);
 }
 
 void
-sht_stream (sht_call_t *call, const char *text)
+http_call_send_part (http_call_t *call, const char *text)
 {
   struct evbuffer *part = evbuffer_new ();
   evbuffer_add (part, text, strlen (text));
@@ -300,7 +300,7 @@
 }
 
 void
-sht_end_stream (sht_call_t *call)
+http_call_end_stream (http_call_t *call)
 {
   struct evhttp_request *request = call->request;
   call_free (call);
@@ -309,7 +309,7 @@
 
 /* Deferred, because evhttp still uses the connection after on_call returns. */
 void
-sht_cut (sht_call_t *call)
+http_call_abort (http_call_t *call)
 {
   static const struct timeval soon = { 0, 0 };
   g_assert (call->abort_timer == NULL);
@@ -319,7 +319,7 @@
 }
 
 void
-sht_reply_broken (sht_call_t *call, const char *id, const char *text, bool with_length)
+http_call_reply_broken (http_call_t *call, const char *id, const char *text, bool with_length)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (call->request);
   int fd = bufferevent_getfd (evhttp_connection_get_bufferevent (connection));
@@ -334,5 +334,5 @@
   if (send (fd, answer->str, answer->len, MSG_NOSIGNAL) < 0)
     g_printerr ("cannot send the incomplete answer: %s\n", g_strerror (errno));
   g_string_free (answer, TRUE);
-  sht_cut (call);
+  http_call_abort (call);
 }
--- a/standin/keyed_store.c
+++ b/standin/keyed_store.c
@@ -42,7 +42,7 @@
 
 struct keyed_store
 {
-  spl_t *platform;
+  standin_platform_t *platform;
   GHashTable *topics;
   GQueue waiters; /* waiter_t */
   struct event *expiry_timer;
@@ -50,8 +50,8 @@
 
 typedef struct
 {
-  kst_t *store;
-  sht_call_t *call;
+  keyed_store_t *store;
+  http_call_t *call;
   topic_t *topic;
   uint64_t from;
   struct event *timer;
@@ -78,7 +78,7 @@
 }
 
 static topic_t *
-get_or_create_topic (kst_t *store, const char *name)
+get_or_create_topic (keyed_store_t *store, const char *name)
 {
   topic_t *topic = g_hash_table_lookup (store->topics, name);
 
@@ -122,14 +122,15 @@
 /* Format of the users' store: end offset, first retained offset, then records up to the limit, but
  * at least one. */
 static void
-reply_records (sht_call_t *call, const topic_t *topic, uint64_t from)
+reply_records (http_call_t *call, const topic_t *topic, uint64_t from)
 {
-  uint64_t limit_bytes = sht_query_u64 (call, "max_kb", 1024) * 1024;
+  uint64_t limit_bytes = http_call_query_u64 (call, "max_kb", 1024) * 1024;
   GString *body = g_string_new (NULL);
 
   if (from < topic->first_offset)
     {
-      sht_reply (call, 410, json_pack ("{s:I}", "first", (json_int_t)topic->first_offset));
+      http_call_reply_json (call, 410,
+                            json_pack ("{s:I}", "first", (json_int_t)topic->first_offset));
       g_string_free (body, TRUE);
       return;
     }
@@ -138,7 +139,7 @@
   for (uint64_t offset = from;
        offset < end_offset (topic) && (offset == from || body->len < limit_bytes); offset++)
     append_record (body, g_ptr_array_index (topic->records, offset - topic->first_offset));
-  sht_reply_bytes (call, 200, body->str, body->len);
+  http_call_reply_bytes (call, 200, body->str, body->len);
   g_string_free (body, TRUE);
 }
 
@@ -159,7 +160,7 @@
 static void
 waiter_answer (waiter_t *waiter)
 {
-  sht_call_t *call = waiter->call;
+  http_call_t *call = waiter->call;
   const topic_t *topic = waiter->topic;
   uint64_t from = waiter->from;
 
@@ -176,7 +177,7 @@
 }
 
 static void
-wake_waiters (kst_t *store, const topic_t *topic)
+wake_waiters (keyed_store_t *store, const topic_t *topic)
 {
   GList *next;
 
@@ -191,7 +192,7 @@
 }
 
 static void
-store_record (kst_t *store, topic_t *topic, const char *key, GBytes *value)
+store_record (keyed_store_t *store, topic_t *topic, const char *key, GBytes *value)
 {
   record_t *record = g_new0 (record_t, 1);
 
@@ -203,7 +204,7 @@
 
       latest->offset = end_offset (topic);
       latest->value = g_bytes_ref (value);
-      latest->renewed_us = spl_now_us ();
+      latest->renewed_us = standin_platform_now_us ();
       g_hash_table_replace (topic->latest, g_strdup (key), latest);
     }
   else
@@ -221,14 +222,17 @@
   if (strcmp (topic->name, ENGINES_TOPIC) != 0 || !latest || !value ||
       !g_bytes_equal (latest->value, value))
     return false;
-  latest->renewed_us = spl_now_us ();
+  latest->renewed_us = standin_platform_now_us ();
   return true;
 }
 
 /* Stores the record at the front of the body, or renews its entry. Return: false if there is no
  * complete record with a key */
 static bool
-consume_record (kst_t *store, topic_t *topic, const uint8_t **cursor, size_t *remaining_bytes)
+consume_record (keyed_store_t *store,
+                topic_t *topic,
+                const uint8_t **cursor,
+                size_t *remaining_bytes)
 {
   const uint8_t *bytes = *cursor;
   size_t length;
@@ -241,7 +245,7 @@
   length = (size_t)bytes[0] << 24 | (size_t)bytes[1] << 16 | (size_t)bytes[2] << 8 | bytes[3];
   key_bytes = bytes[LENGTH_PREFIX_BYTES];
   if (length < 1 + key_bytes || length > *remaining_bytes - LENGTH_PREFIX_BYTES ||
-      length > KST_LIMIT_RECORD_BYTES)
+      length > KEYED_STORE_MAX_RECORD_BYTES)
     return false;
   key = g_strndup ((const char *)bytes + LENGTH_PREFIX_BYTES + 1, key_bytes);
   if (length > 1 + key_bytes)
@@ -254,28 +258,28 @@
 }
 
 static void
-handle_append (kst_t *store, sht_call_t *call, topic_t *topic)
+handle_append (keyed_store_t *store, http_call_t *call, topic_t *topic)
 {
   size_t remaining_bytes;
-  const uint8_t *cursor = (const uint8_t *)sht_body (call, &remaining_bytes);
+  const uint8_t *cursor = (const uint8_t *)http_call_body (call, &remaining_bytes);
   uint64_t offset = end_offset (topic);
 
   while (remaining_bytes > 0)
     if (!consume_record (store, topic, &cursor, &remaining_bytes))
       {
-        spl_answer_error (call, 400, "no whole record with a key");
+        standin_platform_answer_error (call, 400, "no whole record with a key");
         return;
       }
-  sht_reply (
+  http_call_reply_json (
       call, 200,
       json_pack ("{s:I,s:I}", "offset", (json_int_t)offset, "end", (json_int_t)end_offset (topic)));
 }
 
 static void
-handle_read (kst_t *store, sht_call_t *call, topic_t *topic)
+handle_read (keyed_store_t *store, http_call_t *call, topic_t *topic)
 {
-  uint64_t from = sht_query_u64 (call, "from", 0);
-  uint64_t wait_ms = MIN (sht_query_u64 (call, "wait_ms", 0), MAX_WAIT_MS);
+  uint64_t from = http_call_query_u64 (call, "from", 0);
+  uint64_t wait_ms = MIN (http_call_query_u64 (call, "wait_ms", 0), MAX_WAIT_MS);
   struct timeval wait = { (time_t)(wait_ms / 1000), (suseconds_t)(wait_ms % 1000 * 1000) };
   waiter_t *waiter;
 
@@ -292,7 +296,7 @@
   waiter->timer = evtimer_new (store->platform->base, on_wait_timeout, waiter);
   event_add (waiter->timer, &wait);
   g_queue_push_tail (&store->waiters, waiter);
-  sht_on_gone (call, on_caller_disconnect, waiter);
+  http_call_on_disconnect (call, on_caller_disconnect, waiter);
 }
 
 static int
@@ -313,9 +317,9 @@
 }
 
 static void
-handle_newest (kst_t *store, sht_call_t *call, topic_t *topic)
+handle_newest (keyed_store_t *store, http_call_t *call, topic_t *topic)
 {
-  const char *after = sht_query (call, "after");
+  const char *after = http_call_query (call, "after");
   GList *keys = g_list_sort (g_hash_table_get_keys (topic->latest), compare_names);
   json_t *items = json_array ();
   GList *item = keys;
@@ -323,30 +327,30 @@
   (void)store;
   while (item && after && strcmp (item->data, after) <= 0)
     item = item->next;
-  for (; item && json_array_size (items) < KST_LIMIT_PAGE; item = item->next)
+  for (; item && json_array_size (items) < KEYED_STORE_PAGE_ITEMS; item = item->next)
     json_array_append_new (items,
                            item_json (item->data, g_hash_table_lookup (topic->latest, item->data)));
-  sht_reply (call, 200,
-             json_pack ("{s:o,s:b,s:I}", "items", items, "more", item != NULL, "end",
-                        (json_int_t)end_offset (topic)));
+  http_call_reply_json (call, 200,
+                        json_pack ("{s:o,s:b,s:I}", "items", items, "more", item != NULL, "end",
+                                   (json_int_t)end_offset (topic)));
   g_list_free (keys);
 }
 
 /* Drops all records; the latest value of each key is kept separately and remains. */
 static void
-handle_forget (kst_t *store, sht_call_t *call, topic_t *topic)
+handle_forget (keyed_store_t *store, http_call_t *call, topic_t *topic)
 {
   (void)store;
   topic->first_offset = end_offset (topic);
   g_ptr_array_set_size (topic->records, 0);
-  sht_reply (call, 200, json_object ());
+  http_call_reply_json (call, 200, json_object ());
 }
 
 static const struct
 {
   const char *method;
   const char *path;
-  void (*answer) (kst_t *store, sht_call_t *call, topic_t *topic);
+  void (*answer) (keyed_store_t *store, http_call_t *call, topic_t *topic);
 } calls[] = { { "POST", "/log-append", handle_append },
               { "GET", "/log-read", handle_read },
               { "GET", "/log-newest", handle_newest },
@@ -354,31 +358,31 @@
 
 /* Return: whether the call was refused or aborted because of the state of the store */
 static bool
-refuse_when_down (kst_t *store, sht_call_t *call)
+refuse_when_down (keyed_store_t *store, http_call_t *call)
 {
-  spl_t *platform = store->platform;
+  standin_platform_t *platform = store->platform;
 
   platform->reads++;
-  if (platform->log_state == SPL_DOWN)
-    sht_cut (call);
-  else if (platform->log_state == SPL_REFUSE)
-    spl_answer_error (call, 503, "the store is out");
+  if (platform->log_state == STANDIN_PLATFORM_LOG_DOWN)
+    http_call_abort (call);
+  else if (platform->log_state == STANDIN_PLATFORM_LOG_REFUSE)
+    standin_platform_answer_error (call, 503, "the store is out");
   else
     return false;
   return true;
 }
 
 bool
-kst_call (kst_t *store, sht_call_t *call)
+keyed_store_handle_call (keyed_store_t *store, http_call_t *call)
 {
-  const char *name = sht_query (call, "topic");
+  const char *name = http_call_query (call, "topic");
 
   for (size_t i = 0; i < G_N_ELEMENTS (calls); i++)
     {
-      if (!sht_is (call, calls[i].method, calls[i].path))
+      if (!http_call_matches (call, calls[i].method, calls[i].path))
         continue;
       if (!name)
-        spl_answer_error (call, 400, "no topic");
+        standin_platform_answer_error (call, 400, "no topic");
       else if (g_str_has_prefix (calls[i].path, "/admin/") || !refuse_when_down (store, call))
         calls[i].answer (store, call, get_or_create_topic (store, name));
       return true;
@@ -387,15 +391,15 @@
 }
 
 void
-kst_cut_waiters (kst_t *store)
+keyed_store_abort_waiters (keyed_store_t *store)
 {
   while (!g_queue_is_empty (&store->waiters))
     {
       waiter_t *waiter = g_queue_peek_head (&store->waiters);
-      sht_call_t *call = waiter->call;
+      http_call_t *call = waiter->call;
 
       waiter_free (waiter);
-      sht_cut (call);
+      http_call_abort (call);
     }
 }
 
@@ -403,7 +407,7 @@
 static void
 expire_entries (evutil_socket_t fd, short what, void *context)
 {
-  kst_t *store = context;
+  keyed_store_t *store = context;
   topic_t *topic = get_or_create_topic (store, ENGINES_TOPIC);
   g_autoptr (GList) keys = g_hash_table_get_keys (topic->latest);
 
@@ -414,15 +418,16 @@
       const latest_t *latest = g_hash_table_lookup (topic->latest, link->data);
       g_autofree char *key = g_strdup (link->data);
 
-      if (latest && spl_now_us () - latest->renewed_us > (uint64_t)KST_LAPSE_MS * 1000)
+      if (latest && standin_platform_now_us () - latest->renewed_us >
+                        (uint64_t)KEYED_STORE_ENTRY_TTL_MS * 1000)
         store_record (store, topic, key, NULL);
     }
 }
 
-kst_t *
-kst_new (spl_t *platform)
+keyed_store_t *
+keyed_store_new (standin_platform_t *platform)
 {
-  kst_t *store = g_new0 (kst_t, 1);
+  keyed_store_t *store = g_new0 (keyed_store_t, 1);
   struct timeval tick = { 0, EXPIRY_CHECK_MS * 1000 };
 
   store->platform = platform;
--- a/standin/keyed_store.h
+++ b/standin/keyed_store.h
@@ -10,17 +10,19 @@
 
 #include "platform.h"
 
-#define KST_LIMIT_RECORD_BYTES (1024 * 1024)
-#define KST_LIMIT_PAGE 500 /* items in one answer to GET /log-newest */
-#define KST_LAPSE_MS 1500  /* over three heartbeats of a stand-in upstream */
+#define KEYED_STORE_MAX_RECORD_BYTES (1024 * 1024)
+#define KEYED_STORE_PAGE_ITEMS 500    /* items in one answer to GET /log-newest */
+#define KEYED_STORE_ENTRY_TTL_MS 1500 /* over three heartbeats of a stand-in upstream */
 
-typedef struct keyed_store kst_t;
+typedef struct keyed_store keyed_store_t;
 
-/** kst_new() - an empty store, which is never freed */
-kst_t *kst_new (spl_t *platform);
-/** kst_call() - handles a call. Return: false, with the call untouched, for any other path */
-bool kst_call (kst_t *keyed_store, sht_call_t *call);
-/** kst_cut_waiters() - closes the connections of all waiting reads, when the store goes down */
-void kst_cut_waiters (kst_t *keyed_store);
+/** keyed_store_new() - an empty store, which is never freed */
+keyed_store_t *keyed_store_new (standin_platform_t *platform);
+/** keyed_store_handle_call() - handles a call. Return: false, with the call untouched, for any
+ * other path */
+bool keyed_store_handle_call (keyed_store_t *keyed_store, http_call_t *call);
+/** keyed_store_abort_waiters() - closes the connections of all waiting reads, when the store goes
+ * down */
+void keyed_store_abort_waiters (keyed_store_t *keyed_store);
 
 #endif
--- a/standin/platform.h
+++ b/standin/platform.h
@@ -13,20 +13,20 @@
 
 #include <glib.h>
 
-/** enum spl_log_state - the injected fault of the log */
+/** enum standin_platform_log_state - the injected fault of the log */
 typedef enum
 {
-  SPL_UP,
-  SPL_DOWN,         /* every connection is closed without an answer */
-  SPL_SLOW,         /* appends are applied immediately, all answers are delayed */
-  SPL_SLOW_EFFECT,  /* appends are applied after the delay, too */
-  SPL_LOSE_ANSWERS, /* appends are applied but not answered */
-  SPL_LOSE_APPENDS, /* appends are neither applied nor answered */
-  SPL_REFUSE        /* appends are refused with status 503 and not applied */
-} spl_log_state_t;
+  STANDIN_PLATFORM_LOG_UP,
+  STANDIN_PLATFORM_LOG_DOWN,         /* every connection is closed without an answer */
+  STANDIN_PLATFORM_LOG_SLOW,         /* appends are applied immediately, all answers are delayed */
+  STANDIN_PLATFORM_LOG_SLOW_EFFECT,  /* appends are applied after the delay, too */
+  STANDIN_PLATFORM_LOG_LOSE_ANSWERS, /* appends are applied but not answered */
+  STANDIN_PLATFORM_LOG_LOSE_APPENDS, /* appends are neither applied nor answered */
+  STANDIN_PLATFORM_LOG_REFUSE        /* appends are refused with status 503 and not applied */
+} standin_platform_log_state_t;
 
 /**
- * struct spl_options - command-line options
+ * struct standin_platform_options - command-line options
  * @listen: address to listen on, IP:PORT
  * @retain_records: records that each stream retains
  * @retain_bytes: bytes that each stream retains
@@ -40,16 +40,17 @@
   uint64_t retain_bytes;
   uint64_t list_lag_us;
   uint64_t max_appends_s;
-} spl_options_t;
+} standin_platform_options_t;
 
 /**
- * struct spl_t - the platform
+ * struct standin_platform_t - the platform
  * @log: the streams
- * @keyed: the keyed topics; only SPL_DOWN and SPL_REFUSE of @log_state affect them
+ * @keyed: the keyed topics; only STANDIN_PLATFORM_LOG_DOWN and STANDIN_PLATFORM_LOG_REFUSE of
+ * @log_state affect them
  * @hosts: the host list
  * @waiters: reads of the log that wait for a record
  * @log_state: current fault of the log
- * @slow_delay_us: delay of SPL_SLOW and SPL_SLOW_EFFECT
+ * @slow_delay_us: delay of STANDIN_PLATFORM_LOG_SLOW and STANDIN_PLATFORM_LOG_SLOW_EFFECT
  * @fault_stream: the only stream that the fault applies to; NULL is all streams
  * @fault_calls_left: calls that the fault still applies to; 0 is no limit
  * @list_down: whether reads of the host list are aborted
@@ -61,13 +62,13 @@
  */
 typedef struct
 {
-  spl_options_t options;
+  standin_platform_options_t options;
   struct event_base *base;
-  plg_t *log;
+  record_log_t *log;
   struct keyed_store *keyed;
-  phl_t *hosts;
+  host_list_t *hosts;
   GQueue waiters;
-  spl_log_state_t log_state;
+  standin_platform_log_state_t log_state;
   uint64_t slow_delay_us;
   char *fault_stream;
   uint64_t fault_calls_left;
@@ -77,20 +78,21 @@
   uint64_t appends;
   uint64_t reads;
   uint64_t refused;
-} spl_t;
+} standin_platform_t;
 
-/** spl_log_append() - handles POST /log/append */
-void spl_log_append (spl_t *platform, sht_call_t *call);
-/** spl_log_read() - handles GET /log/read */
-void spl_log_read (spl_t *platform, sht_call_t *call);
-/** spl_cut_waiters() - closes the connections of waiting reads, when the log goes down */
-void spl_cut_waiters (spl_t *platform);
-/** spl_admin() - handles any call, by its method and path */
-void spl_admin (spl_t *platform, sht_call_t *call);
+/** standin_platform_handle_append() - handles POST /log/append */
+void standin_platform_handle_append (standin_platform_t *platform, http_call_t *call);
+/** standin_platform_handle_read() - handles GET /log/read */
+void standin_platform_handle_read (standin_platform_t *platform, http_call_t *call);
+/** standin_platform_abort_waiters() - closes the connections of waiting reads, when the log goes
+ * down */
+void standin_platform_abort_waiters (standin_platform_t *platform);
+/** standin_platform_handle_call() - handles any call, by its method and path */
+void standin_platform_handle_call (standin_platform_t *platform, http_call_t *call);
 
-/** spl_answer_error() - answers with an error as JSON; ends the call */
-void spl_answer_error (sht_call_t *call, int status, const char *message);
-/** spl_now_us() - the monotonic clock */
-uint64_t spl_now_us (void);
+/** standin_platform_answer_error() - answers with an error as JSON; ends the call */
+void standin_platform_answer_error (http_call_t *call, int status, const char *message);
+/** standin_platform_now_us() - the monotonic clock */
+uint64_t standin_platform_now_us (void);
 
 #endif
--- a/standin/platform_admin.c
+++ b/standin/platform_admin.c
@@ -8,42 +8,43 @@
                                                "refuse" };
 
 static void
-handle_read_hosts (spl_t *platform, sht_call_t *call)
+handle_read_hosts (standin_platform_t *platform, http_call_t *call)
 {
   if (platform->list_down)
     {
-      sht_cut (call);
+      http_call_abort (call);
       return;
     }
-  uint64_t since = sht_query_u64 (call, "since", 0);
-  sht_reply (call, 200,
-             phl_view (platform->hosts, spl_now_us (), sht_header (call, "X-Reader"), since));
+  uint64_t since = http_call_query_u64 (call, "since", 0);
+  http_call_reply_json (call, 200,
+                        host_list_view (platform->hosts, standin_platform_now_us (),
+                                        http_call_header (call, "X-Reader"), since));
 }
 
 static void
-handle_set_hosts (spl_t *platform, sht_call_t *call)
+handle_set_hosts (standin_platform_t *platform, http_call_t *call)
 {
-  json_t *hosts = sht_json (call);
-  bool replace_all = sht_query_u64 (call, "upsert", 0) == 0;
-  bool valid = phl_set (platform->hosts, spl_now_us (), hosts, replace_all);
+  json_t *hosts = http_call_parse_json (call);
+  bool replace_all = http_call_query_u64 (call, "upsert", 0) == 0;
+  bool valid = host_list_set (platform->hosts, standin_platform_now_us (), hosts, replace_all);
   json_decref (hosts);
   if (valid)
-    sht_reply (call, 200, json_object ());
+    http_call_reply_json (call, 200, json_object ());
   else
-    spl_answer_error (call, 400, "not an array of hosts with all their keys");
+    standin_platform_answer_error (call, 400, "not an array of hosts with all their keys");
 }
 
 static bool
-set_log_state (spl_t *platform, const char *name)
+set_log_state (standin_platform_t *platform, const char *name)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (log_state_names); i++)
     if (strcmp (log_state_names[i], name) == 0)
       {
-        platform->log_state = (spl_log_state_t)i;
-        if (platform->log_state == SPL_DOWN)
+        platform->log_state = (standin_platform_log_state_t)i;
+        if (platform->log_state == STANDIN_PLATFORM_LOG_DOWN)
           {
-            spl_cut_waiters (platform);
-            kst_cut_waiters (platform->keyed);
+            standin_platform_abort_waiters (platform);
+            keyed_store_abort_waiters (platform->keyed);
           }
         return true;
       }
@@ -51,16 +52,16 @@
 }
 
 static bool
-set_list_state (spl_t *platform, const char *name)
+set_list_state (standin_platform_t *platform, const char *name)
 {
   bool frozen = strcmp (name, "stale") == 0;
   platform->list_down = strcmp (name, "down") == 0;
-  return phl_hold (platform->hosts, spl_now_us (), "", frozen) &&
+  return host_list_freeze (platform->hosts, standin_platform_now_us (), "", frozen) &&
          (frozen || platform->list_down || strcmp (name, "up") == 0);
 }
 
 static bool
-set_reader_views (spl_t *platform, json_t *views)
+set_reader_views (standin_platform_t *platform, json_t *views)
 {
   const char *reader;
   json_t *state;
@@ -68,15 +69,16 @@
   json_object_foreach (views, reader, state)
     {
       bool frozen = g_strcmp0 (json_string_value (state), "stale") == 0;
-      valid = phl_hold (platform->hosts, spl_now_us (), reader, frozen) && valid;
+      valid =
+          host_list_freeze (platform->hosts, standin_platform_now_us (), reader, frozen) && valid;
     }
   return valid;
 }
 
 static void
-handle_set_fault (spl_t *platform, sht_call_t *call)
+handle_set_fault (standin_platform_t *platform, http_call_t *call)
 {
-  json_t *fault = sht_json (call);
+  json_t *fault = http_call_parse_json (call);
   const char *log_state = json_string_value (json_object_get (fault, "log"));
   const char *list_state = json_string_value (json_object_get (fault, "list"));
   bool valid = json_is_object (fault);
@@ -95,82 +97,87 @@
   valid = set_reader_views (platform, json_object_get (fault, "view")) && valid;
   json_decref (fault);
   if (valid)
-    sht_reply (call, 200, json_object ());
+    http_call_reply_json (call, 200, json_object ());
   else
-    spl_answer_error (call, 400, "no such fault");
+    standin_platform_answer_error (call, 400, "no such fault");
 }
 
 static void
-handle_truncate (spl_t *platform, sht_call_t *call)
+handle_truncate (standin_platform_t *platform, http_call_t *call)
 {
-  const char *stream = sht_query (call, "stream");
+  const char *stream = http_call_query (call, "stream");
   if (stream != NULL)
-    plg_truncate (platform->log, stream, sht_query_u64 (call, "before", 0));
-  sht_reply (call, 200, json_object ());
+    record_log_truncate (platform->log, stream, http_call_query_u64 (call, "before", 0));
+  http_call_reply_json (call, 200, json_object ());
 }
 
 static void
-handle_show_log (spl_t *platform, sht_call_t *call)
+handle_show_log (standin_platform_t *platform, http_call_t *call)
 {
-  const char *stream = sht_query (call, "stream");
+  const char *stream = http_call_query (call, "stream");
   if (stream == NULL)
-    sht_reply (call, 200, plg_streams (platform->log));
+    http_call_reply_json (call, 200, record_log_streams_json (platform->log));
   else
-    sht_reply (call, 200, plg_read (platform->log, stream, 0, G_MAXUINT32));
+    http_call_reply_json (call, 200, record_log_read (platform->log, stream, 0, G_MAXUINT32));
 }
 
 static void
-handle_stats (spl_t *platform, sht_call_t *call)
+handle_stats (standin_platform_t *platform, http_call_t *call)
 {
-  sht_reply (call, 200,
-             json_pack ("{s:I, s:I, s:I, s:I}", "appends", (json_int_t)platform->appends, "reads",
-                        (json_int_t)platform->reads, "refused", (json_int_t)platform->refused,
-                        "waiters", (json_int_t)g_queue_get_length (&platform->waiters)));
+  http_call_reply_json (call, 200,
+                        json_pack ("{s:I, s:I, s:I, s:I}", "appends", (json_int_t)platform->appends,
+                                   "reads", (json_int_t)platform->reads, "refused",
+                                   (json_int_t)platform->refused, "waiters",
+                                   (json_int_t)g_queue_get_length (&platform->waiters)));
 }
 
 typedef struct
 {
   const char *method;
   const char *path;
-  void (*answer) (spl_t *platform, sht_call_t *call);
+  void (*answer) (standin_platform_t *platform, http_call_t *call);
 } route_t;
 
 static void
-handle_health (spl_t *platform, sht_call_t *call)
+handle_health (standin_platform_t *platform, http_call_t *call)
 {
   (void)platform;
-  sht_reply (call, 200, json_pack ("{s:s}", "status", "ok"));
+  http_call_reply_json (call, 200, json_pack ("{s:s}", "status", "ok"));
 }
 
 static const route_t routes[] = {
-  { "POST", "/log/append", spl_log_append },      { "GET", "/log/read", spl_log_read },
-  { "GET", "/hosts", handle_read_hosts },         { "GET", "/health", handle_health },
-  { "POST", "/admin/hosts", handle_set_hosts },   { "POST", "/admin/fault", handle_set_fault },
-  { "POST", "/admin/truncate", handle_truncate }, { "GET", "/admin/log", handle_show_log },
+  { "POST", "/log/append", standin_platform_handle_append },
+  { "GET", "/log/read", standin_platform_handle_read },
+  { "GET", "/hosts", handle_read_hosts },
+  { "GET", "/health", handle_health },
+  { "POST", "/admin/hosts", handle_set_hosts },
+  { "POST", "/admin/fault", handle_set_fault },
+  { "POST", "/admin/truncate", handle_truncate },
+  { "GET", "/admin/log", handle_show_log },
   { "GET", "/admin/stats", handle_stats },
 };
 
 void
-spl_answer_error (sht_call_t *call, int status, const char *message)
+standin_platform_answer_error (http_call_t *call, int status, const char *message)
 {
-  sht_reply (call, status, json_pack ("{s:s}", "error", message));
+  http_call_reply_json (call, status, json_pack ("{s:s}", "error", message));
 }
 
 uint64_t
-spl_now_us (void)
+standin_platform_now_us (void)
 {
   return (uint64_t)g_get_monotonic_time ();
 }
 
 void
-spl_admin (spl_t *platform, sht_call_t *call)
+standin_platform_handle_call (standin_platform_t *platform, http_call_t *call)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (routes); i++)
-    if (sht_is (call, routes[i].method, routes[i].path))
+    if (http_call_matches (call, routes[i].method, routes[i].path))
       {
         routes[i].answer (platform, call);
         return;
       }
-  if (!kst_call (platform->keyed, call))
-    spl_answer_error (call, 404, "no such path");
+  if (!keyed_store_handle_call (platform->keyed, call))
+    standin_platform_answer_error (call, 404, "no such path");
 }
--- a/standin/platform_calls.c
+++ b/standin/platform_calls.c
@@ -21,8 +21,8 @@
  */
 typedef struct
 {
-  spl_t *platform;
-  sht_call_t *call;
+  standin_platform_t *platform;
+  http_call_t *call;
   struct event *timer;
   GList *waiter_link;
   bool is_append;
@@ -34,7 +34,7 @@
   uint32_t max_records;
 } pending_call_t;
 
-static bool apply_append (spl_t *platform, pending_call_t *pending);
+static bool apply_append (standin_platform_t *platform, pending_call_t *pending);
 
 static struct timeval
 timeval_from_us (uint64_t us)
@@ -65,12 +65,12 @@
 }
 
 static pending_call_t *
-pending_new (spl_t *platform, sht_call_t *call)
+pending_new (standin_platform_t *platform, http_call_t *call)
 {
-  const char *stream = sht_query (call, "stream");
+  const char *stream = http_call_query (call, "stream");
   if (stream == NULL || *stream == '\0' || strlen (stream) > MAX_STREAM_NAME_BYTES)
     {
-      spl_answer_error (call, 400, "no stream");
+      standin_platform_answer_error (call, 400, "no stream");
       return NULL;
     }
   pending_call_t *pending = g_new0 (pending_call_t, 1);
@@ -78,21 +78,21 @@
   pending->call = call;
   pending->stream = g_strdup (stream);
   pending->data = g_string_new (NULL);
-  sht_on_gone (call, on_caller_disconnect, pending);
+  http_call_on_disconnect (call, on_caller_disconnect, pending);
   return pending;
 }
 
 static void
 pending_answer (pending_call_t *pending)
 {
-  spl_t *platform = pending->platform;
+  standin_platform_t *platform = pending->platform;
   json_t *json;
   if (pending->is_append)
     json = json_pack ("{s:I}", "offset", (json_int_t)pending->offset);
   else
-    json = plg_read (platform->log, pending->stream, pending->from, pending->max_records);
+    json = record_log_read (platform->log, pending->stream, pending->from, pending->max_records);
   if (pending->call != NULL)
-    sht_reply (pending->call, 200, json);
+    http_call_reply_json (pending->call, 200, json);
   else
     json_decref (json);
   pending_free (pending);
@@ -101,7 +101,7 @@
 static void
 pending_abort (pending_call_t *pending)
 {
-  sht_cut (pending->call);
+  http_call_abort (pending->call);
   pending_free (pending);
 }
 
@@ -128,9 +128,9 @@
 }
 
 static void
-wake_readers (spl_t *platform, const char *stream)
+wake_readers (standin_platform_t *platform, const char *stream)
 {
-  uint64_t end = plg_end (platform->log, stream);
+  uint64_t end = record_log_end_offset (platform->log, stream);
   GList *next;
   for (GList *item = platform->waiters.head; item != NULL; item = next)
     {
@@ -142,11 +142,11 @@
 }
 
 static bool
-apply_append (spl_t *platform, pending_call_t *pending)
+apply_append (standin_platform_t *platform, pending_call_t *pending)
 {
   pending->is_unapplied = false;
-  if (!plg_append (platform->log, pending->stream, pending->data->str, pending->data->len,
-                   &pending->offset))
+  if (!record_log_append (platform->log, pending->stream, pending->data->str, pending->data->len,
+                          &pending->offset))
     return false;
   platform->appends++;
   wake_readers (platform, pending->stream);
@@ -155,27 +155,27 @@
 
 /* Return: the state that applies to this call. A fault with a number of calls ends with the last.
  */
-static spl_log_state_t
-consume_log_state (spl_t *platform, const pending_call_t *pending)
+static standin_platform_log_state_t
+consume_log_state (standin_platform_t *platform, const pending_call_t *pending)
 {
-  spl_log_state_t state = platform->log_state;
-  bool appends_only = state >= SPL_LOSE_ANSWERS;
+  standin_platform_log_state_t state = platform->log_state;
+  bool appends_only = state >= STANDIN_PLATFORM_LOG_LOSE_ANSWERS;
   bool is_other_stream =
       platform->fault_stream != NULL && strcmp (platform->fault_stream, pending->stream) != 0;
   if (is_other_stream || (appends_only && !pending->is_append))
-    return SPL_UP;
+    return STANDIN_PLATFORM_LOG_UP;
   if (platform->fault_calls_left > 0 && --platform->fault_calls_left == 0)
-    platform->log_state = SPL_UP;
+    platform->log_state = STANDIN_PLATFORM_LOG_UP;
   return state;
 }
 
 static bool
-is_over_append_rate (spl_t *platform)
+is_over_append_rate (standin_platform_t *platform)
 {
   if (platform->options.max_appends_s == 0)
     return false;
   int64_t cost_us = (int64_t)(G_USEC_PER_SEC / platform->options.max_appends_s);
-  uint64_t now_us = spl_now_us ();
+  uint64_t now_us = standin_platform_now_us ();
   platform->append_credit_us += (int64_t)(now_us - platform->credit_updated_us);
   platform->credit_updated_us = now_us;
   platform->append_credit_us = MIN (platform->append_credit_us, MAX_APPEND_CREDIT_MS * 1000);
@@ -188,61 +188,61 @@
 static void
 refuse_append (pending_call_t *pending, int status, const char *message)
 {
-  sht_call_t *call = pending->call;
+  http_call_t *call = pending->call;
   pending->platform->refused++;
   pending_free (pending);
-  sht_add_header (call, "X-Log-Effect", "none");
-  spl_answer_error (call, status, message);
+  http_call_add_header (call, "X-Log-Effect", "none");
+  standin_platform_answer_error (call, status, message);
 }
 
 void
-spl_log_append (spl_t *platform, sht_call_t *call)
+standin_platform_handle_append (standin_platform_t *platform, http_call_t *call)
 {
   pending_call_t *pending = pending_new (platform, call);
   if (pending == NULL)
     return;
   size_t data_bytes;
-  const char *data = sht_body (call, &data_bytes);
+  const char *data = http_call_body (call, &data_bytes);
   g_string_append_len (pending->data, data, (gssize)data_bytes);
   pending->is_append = true;
-  spl_log_state_t state = consume_log_state (platform, pending);
+  standin_platform_log_state_t state = consume_log_state (platform, pending);
   if (!g_utf8_validate_len (data, data_bytes, NULL))
     refuse_append (pending, 400, "a record is text in UTF-8");
-  else if (state == SPL_DOWN || state == SPL_LOSE_APPENDS)
+  else if (state == STANDIN_PLATFORM_LOG_DOWN || state == STANDIN_PLATFORM_LOG_LOSE_APPENDS)
     pending_abort (pending);
-  else if (state == SPL_REFUSE || is_over_append_rate (platform))
+  else if (state == STANDIN_PLATFORM_LOG_REFUSE || is_over_append_rate (platform))
     refuse_append (pending, 503, "too many appends");
-  else if (state == SPL_SLOW_EFFECT)
+  else if (state == STANDIN_PLATFORM_LOG_SLOW_EFFECT)
     {
       pending->is_unapplied = true;
       pending_delay (pending, platform->slow_delay_us);
     }
   else if (!apply_append (platform, pending))
     refuse_append (pending, 503, "the log is full");
-  else if (state == SPL_LOSE_ANSWERS)
+  else if (state == STANDIN_PLATFORM_LOG_LOSE_ANSWERS)
     pending_abort (pending);
-  else if (state == SPL_SLOW)
+  else if (state == STANDIN_PLATFORM_LOG_SLOW)
     pending_delay (pending, platform->slow_delay_us);
   else
     pending_answer (pending);
 }
 
 void
-spl_log_read (spl_t *platform, sht_call_t *call)
+standin_platform_handle_read (standin_platform_t *platform, http_call_t *call)
 {
   pending_call_t *pending = pending_new (platform, call);
   if (pending == NULL)
     return;
-  uint64_t wait_ms = MIN (sht_query_u64 (call, "wait_ms", 0), MAX_WAIT_MS);
-  pending->from = sht_query_u64 (call, "from", 0);
-  pending->max_records = (uint32_t)MIN (sht_query_u64 (call, "max", 100), MAX_READ_RECORDS);
+  uint64_t wait_ms = MIN (http_call_query_u64 (call, "wait_ms", 0), MAX_WAIT_MS);
+  pending->from = http_call_query_u64 (call, "from", 0);
+  pending->max_records = (uint32_t)MIN (http_call_query_u64 (call, "max", 100), MAX_READ_RECORDS);
   platform->reads++;
-  spl_log_state_t state = consume_log_state (platform, pending);
-  if (state == SPL_DOWN)
+  standin_platform_log_state_t state = consume_log_state (platform, pending);
+  if (state == STANDIN_PLATFORM_LOG_DOWN)
     pending_abort (pending);
-  else if (state == SPL_SLOW || state == SPL_SLOW_EFFECT)
+  else if (state == STANDIN_PLATFORM_LOG_SLOW || state == STANDIN_PLATFORM_LOG_SLOW_EFFECT)
     pending_delay (pending, platform->slow_delay_us);
-  else if (wait_ms == 0 || pending->from < plg_end (platform->log, pending->stream) ||
+  else if (wait_ms == 0 || pending->from < record_log_end_offset (platform->log, pending->stream) ||
            g_queue_get_length (&platform->waiters) >= MAX_WAITERS)
     pending_answer (pending);
   else
@@ -254,7 +254,7 @@
 }
 
 void
-spl_cut_waiters (spl_t *platform)
+standin_platform_abort_waiters (standin_platform_t *platform)
 {
   GList *next;
   for (GList *item = platform->waiters.head; item != NULL; item = next)
--- a/standin/platform_hosts.c
+++ b/standin/platform_hosts.c
@@ -61,13 +61,13 @@
 }
 
 static uint64_t
-newest_revision (const phl_t *host_list)
+newest_revision (const host_list_t *host_list)
 {
   return host_list->base_revision + host_list->changes->len;
 }
 
 static void
-merge_oldest_change (phl_t *host_list)
+merge_oldest_change (host_list_t *host_list)
 {
   change_t *change = g_ptr_array_index (host_list->changes, 0);
   apply_change (host_list->base, change->host);
@@ -76,19 +76,19 @@
 }
 
 static void
-add_change (phl_t *host_list, uint64_t now_us, json_t *host)
+add_change (host_list_t *host_list, uint64_t now_us, json_t *host)
 {
   change_t *change = g_new0 (change_t, 1);
   change->changed_us = now_us;
   change->host = json_deep_copy (host);
   apply_change (host_list->current, change->host);
   g_ptr_array_add (host_list->changes, change);
-  if (host_list->changes->len > PHL_LIMIT_CHANGES)
+  if (host_list->changes->len > HOST_LIST_MAX_CHANGES)
     merge_oldest_change (host_list);
 }
 
 static void
-update_host (phl_t *host_list, uint64_t now_us, json_t *host)
+update_host (host_list_t *host_list, uint64_t now_us, json_t *host)
 {
   json_t *existing = json_object_get (host_list->current, host_text (host, "name"));
   bool unchanged = existing == NULL ? is_gone (host) : json_equal (existing, host) == 1;
@@ -97,7 +97,7 @@
 }
 
 static void
-remove_other_hosts (phl_t *host_list, uint64_t now_us, const json_t *names)
+remove_other_hosts (host_list_t *host_list, uint64_t now_us, const json_t *names)
 {
   const char *name;
   json_t *host;
@@ -117,7 +117,7 @@
 /* Return: the newest revision that is at least as old as the lag and not newer than the revision at
  * which the view of the reader is frozen */
 static uint64_t
-visible_revision (const phl_t *host_list, uint64_t now_us, const char *reader)
+visible_revision (const host_list_t *host_list, uint64_t now_us, const char *reader)
 {
   uint64_t revision = newest_revision (host_list);
   while (revision > host_list->base_revision)
@@ -153,7 +153,7 @@
 }
 
 static json_t *
-hosts_at_revision (const phl_t *host_list, uint64_t revision)
+hosts_at_revision (const host_list_t *host_list, uint64_t revision)
 {
   json_t *list = json_copy (host_list->base);
   for (uint64_t at = host_list->base_revision; at < revision; at++)
@@ -165,7 +165,7 @@
 }
 
 static json_t *
-hosts_changed_since (const phl_t *host_list, uint64_t since, uint64_t revision)
+hosts_changed_since (const host_list_t *host_list, uint64_t since, uint64_t revision)
 {
   json_t *list = json_object ();
   for (uint64_t at = since; at < revision; at++)
@@ -176,10 +176,10 @@
   return take_values (list);
 }
 
-phl_t *
-phl_new (uint64_t lag_us)
+host_list_t *
+host_list_new (uint64_t lag_us)
 {
-  phl_t *host_list = g_new0 (phl_t, 1);
+  host_list_t *host_list = g_new0 (host_list_t, 1);
   host_list->lag_us = lag_us;
   host_list->current = json_object ();
   host_list->base = json_object ();
@@ -189,7 +189,7 @@
 }
 
 void
-phl_free (phl_t *host_list)
+host_list_free (host_list_t *host_list)
 {
   if (host_list == NULL)
     return;
@@ -201,11 +201,11 @@
 }
 
 bool
-phl_set (phl_t *host_list, uint64_t now_us, const json_t *hosts, bool replace_all)
+host_list_set (host_list_t *host_list, uint64_t now_us, const json_t *hosts, bool replace_all)
 {
   size_t i;
   json_t *host;
-  if (!json_is_array (hosts) || json_array_size (hosts) > PHL_LIMIT_HOSTS)
+  if (!json_is_array (hosts) || json_array_size (hosts) > HOST_LIST_MAX_HOSTS)
     return false;
   json_array_foreach (hosts, i, host)
     {
@@ -230,14 +230,14 @@
 }
 
 bool
-phl_hold (phl_t *host_list, uint64_t now_us, const char *reader, bool frozen)
+host_list_freeze (host_list_t *host_list, uint64_t now_us, const char *reader, bool frozen)
 {
   if (!frozen)
     {
       g_hash_table_remove (host_list->frozen_revisions, reader);
       return true;
     }
-  if (g_hash_table_size (host_list->frozen_revisions) >= PHL_LIMIT_HELD)
+  if (g_hash_table_size (host_list->frozen_revisions) >= HOST_LIST_MAX_FROZEN_READERS)
     return false;
   uint64_t revision = visible_revision (host_list, now_us, reader);
   g_hash_table_insert (host_list->frozen_revisions, g_strdup (reader),
@@ -246,7 +246,7 @@
 }
 
 json_t *
-phl_view (const phl_t *host_list, uint64_t now_us, const char *reader, uint64_t since)
+host_list_view (const host_list_t *host_list, uint64_t now_us, const char *reader, uint64_t since)
 {
   uint64_t revision = visible_revision (host_list, now_us, reader);
   /* a reader with a newer revision got it from another platform process: send the full list */
--- a/standin/platform_log.c
+++ b/standin/platform_log.c
@@ -48,7 +48,7 @@
 }
 
 static void
-drop_oldest (plg_t *log, stream_t *stream)
+drop_oldest (record_log_t *log, stream_t *stream)
 {
   GBytes *record = g_ptr_array_index (stream->records, stream->dropped_count);
   gsize record_bytes = g_bytes_get_size (record);
@@ -65,7 +65,7 @@
 }
 
 static void
-enforce_retention (plg_t *log, stream_t *stream)
+enforce_retention (record_log_t *log, stream_t *stream)
 {
   while (end_offset (stream) - first_offset (stream) > 1 &&
          (end_offset (stream) - first_offset (stream) > log->retain_records ||
@@ -74,12 +74,12 @@
 }
 
 static stream_t *
-get_or_create_stream (plg_t *log, const char *name)
+get_or_create_stream (record_log_t *log, const char *name)
 {
   stream_t *stream = g_hash_table_lookup (log->streams, name);
   if (stream != NULL)
     return stream;
-  if (g_hash_table_size (log->streams) >= PLG_LIMIT_STREAMS)
+  if (g_hash_table_size (log->streams) >= RECORD_LOG_MAX_STREAMS)
     return NULL;
   stream = g_new0 (stream_t, 1);
   stream->records = g_ptr_array_new_with_free_func (record_free);
@@ -96,10 +96,10 @@
                     *record_bytes);
 }
 
-plg_t *
-plg_new (uint64_t retain_records, uint64_t retain_bytes)
+record_log_t *
+record_log_new (uint64_t retain_records, uint64_t retain_bytes)
 {
-  plg_t *log = g_new0 (plg_t, 1);
+  record_log_t *log = g_new0 (record_log_t, 1);
   log->retain_records = retain_records;
   log->retain_bytes = retain_bytes;
   log->streams = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, stream_free);
@@ -107,7 +107,7 @@
 }
 
 void
-plg_free (plg_t *log)
+record_log_free (record_log_t *log)
 {
   if (log == NULL)
     return;
@@ -116,11 +116,14 @@
 }
 
 bool
-plg_append (
-    plg_t *log, const char *stream_name, const char *data, size_t data_bytes, uint64_t *offset)
+record_log_append (record_log_t *log,
+                   const char *stream_name,
+                   const char *data,
+                   size_t data_bytes,
+                   uint64_t *offset)
 {
   stream_t *stream = get_or_create_stream (log, stream_name);
-  if (stream == NULL || log->total_bytes + data_bytes > PLG_LIMIT_TOTAL_BYTES)
+  if (stream == NULL || log->total_bytes + data_bytes > RECORD_LOG_MAX_TOTAL_BYTES)
     return false;
   *offset = end_offset (stream);
   g_ptr_array_add (stream->records, g_bytes_new (data, data_bytes));
@@ -131,14 +134,17 @@
 }
 
 uint64_t
-plg_end (const plg_t *log, const char *stream_name)
+record_log_end_offset (const record_log_t *log, const char *stream_name)
 {
   const stream_t *stream = g_hash_table_lookup (log->streams, stream_name);
   return stream == NULL ? 0 : end_offset (stream);
 }
 
 json_t *
-plg_read (const plg_t *log, const char *stream_name, uint64_t from, uint32_t max_records)
+record_log_read (const record_log_t *log,
+                 const char *stream_name,
+                 uint64_t from,
+                 uint32_t max_records)
 {
   const stream_t *stream = g_hash_table_lookup (log->streams, stream_name);
   uint64_t first = stream == NULL ? 0 : first_offset (stream);
@@ -151,7 +157,7 @@
       gsize record_bytes;
       json_t *record = record_json (stream, next, &record_bytes);
       answer_bytes += record_bytes;
-      if (answer_bytes > PLG_LIMIT_ANSWER_BYTES && json_array_size (records) > 0)
+      if (answer_bytes > RECORD_LOG_MAX_ANSWER_BYTES && json_array_size (records) > 0)
         {
           json_decref (record);
           break;
@@ -163,7 +169,7 @@
 }
 
 void
-plg_truncate (plg_t *log, const char *stream_name, uint64_t before)
+record_log_truncate (record_log_t *log, const char *stream_name, uint64_t before)
 {
   stream_t *stream = g_hash_table_lookup (log->streams, stream_name);
   while (stream != NULL && first_offset (stream) < before &&
@@ -172,7 +178,7 @@
 }
 
 json_t *
-plg_streams (const plg_t *log)
+record_log_streams_json (const record_log_t *log)
 {
   json_t *list = json_object ();
   GHashTableIter iter;
--- a/standin/prefix_cache.c
+++ b/standin/prefix_cache.c
@@ -6,13 +6,13 @@
 typedef struct
 {
   uint64_t hash;
-  GList link; /* in pfx_t.lru; data points to this struct */
+  GList link; /* in prefix_cache_t.lru; data points to this struct */
 } block_t;
 
 struct prefix_cache
 {
   uint32_t max_blocks;
-  pfx_changed_t on_change;
+  prefix_cache_changed_t on_change;
   void *context;
   GHashTable *blocks_by_hash; /* &block->hash -> block; owns the blocks */
   GQueue lru;                 /* most recently used first */
@@ -21,25 +21,25 @@
 static uint64_t
 hash_block (uint64_t parent, const char *text)
 {
-  return XXH64 (text, PFX_BLOCK_BYTES, parent);
+  return XXH64 (text, PREFIX_CACHE_BLOCK_BYTES, parent);
 }
 
 static uint64_t *
 compute_block_hashes (const char *text, size_t text_bytes, size_t *count)
 {
-  *count = text_bytes / PFX_BLOCK_BYTES;
+  *count = text_bytes / PREFIX_CACHE_BLOCK_BYTES;
   uint64_t *hashes = g_new (uint64_t, *count + 1);
   uint64_t parent = 0;
   for (size_t i = 0; i < *count; i++)
     {
-      parent = hash_block (parent, text + i * PFX_BLOCK_BYTES);
+      parent = hash_block (parent, text + i * PREFIX_CACHE_BLOCK_BYTES);
       hashes[i] = parent;
     }
   return hashes;
 }
 
 static void
-move_to_front (pfx_t *cache, block_t *block)
+move_to_front (prefix_cache_t *cache, block_t *block)
 {
   g_queue_unlink (&cache->lru, &block->link);
   g_queue_push_head_link (&cache->lru, &block->link);
@@ -48,7 +48,7 @@
 /* Touches the last block first, so that a block is always more recently used than those that follow
  * it. A text then loses its last blocks first, and the remaining prefix can still be found. */
 static void
-touch_blocks (pfx_t *cache, const uint64_t *hashes, size_t count)
+touch_blocks (prefix_cache_t *cache, const uint64_t *hashes, size_t count)
 {
   for (size_t i = count; i > 0; i--)
     {
@@ -59,7 +59,7 @@
 }
 
 static void
-evict_oldest (pfx_t *cache)
+evict_oldest (prefix_cache_t *cache)
 {
   block_t *block = g_queue_peek_tail (&cache->lru);
   uint64_t hash = block->hash;
@@ -70,7 +70,7 @@
 }
 
 static void
-store_block (pfx_t *cache, uint64_t hash)
+store_block (prefix_cache_t *cache, uint64_t hash)
 {
   if (g_hash_table_contains (cache->blocks_by_hash, &hash))
     return;
@@ -85,11 +85,11 @@
     cache->on_change (hash, true, cache->context);
 }
 
-pfx_t *
-pfx_new (uint32_t limit_tokens, pfx_changed_t on_change, void *context)
+prefix_cache_t *
+prefix_cache_new (uint32_t limit_tokens, prefix_cache_changed_t on_change, void *context)
 {
-  pfx_t *cache = g_new0 (pfx_t, 1);
-  cache->max_blocks = limit_tokens / PFX_BLOCK_TOKENS;
+  prefix_cache_t *cache = g_new0 (prefix_cache_t, 1);
+  cache->max_blocks = limit_tokens / PREFIX_CACHE_BLOCK_TOKENS;
   cache->on_change = on_change;
   cache->context = context;
   cache->blocks_by_hash = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
@@ -98,7 +98,7 @@
 }
 
 void
-pfx_free (pfx_t *cache)
+prefix_cache_free (prefix_cache_t *cache)
 {
   if (cache == NULL)
     return;
@@ -107,13 +107,13 @@
 }
 
 uint32_t
-pfx_tokens_in (size_t text_bytes)
+prefix_cache_count_tokens (size_t text_bytes)
 {
-  return (uint32_t)((text_bytes + PFX_TOKEN_BYTES - 1) / PFX_TOKEN_BYTES);
+  return (uint32_t)((text_bytes + PREFIX_CACHE_TOKEN_BYTES - 1) / PREFIX_CACHE_TOKEN_BYTES);
 }
 
 uint32_t
-pfx_lookup (pfx_t *cache, const char *text, size_t text_bytes)
+prefix_cache_lookup (prefix_cache_t *cache, const char *text, size_t text_bytes)
 {
   size_t count;
   g_autofree uint64_t *hashes = compute_block_hashes (text, text_bytes, &count);
@@ -121,11 +121,11 @@
   while (found < count && g_hash_table_contains (cache->blocks_by_hash, &hashes[found]))
     found++;
   touch_blocks (cache, hashes, found);
-  return (uint32_t)found * PFX_BLOCK_TOKENS;
+  return (uint32_t)found * PREFIX_CACHE_BLOCK_TOKENS;
 }
 
 void
-pfx_store (pfx_t *cache, const char *text, size_t text_bytes)
+prefix_cache_store (prefix_cache_t *cache, const char *text, size_t text_bytes)
 {
   size_t count;
   g_autofree uint64_t *hashes = compute_block_hashes (text, text_bytes, &count);
@@ -137,7 +137,7 @@
 }
 
 uint32_t
-pfx_cached_tokens (const pfx_t *cache)
+prefix_cache_cached_tokens (const prefix_cache_t *cache)
 {
-  return cache->lru.length * PFX_BLOCK_TOKENS;
+  return cache->lru.length * PREFIX_CACHE_BLOCK_TOKENS;
 }
--- a/standin/standin_engine.c
+++ b/standin/standin_engine.c
@@ -79,7 +79,7 @@
 }
 
 static void
-apply_flag (sen_options_t *options, int flag, const char *value)
+apply_flag (standin_engine_options_t *options, int flag, const char *value)
 {
   switch (flag)
     {
@@ -134,20 +134,20 @@
     }
 }
 
-static sen_options_t
+static standin_engine_options_t
 parse_flags (int argc, char **argv)
 {
-  sen_options_t options = { .name = "engine",
-                            .slots = 16,
-                            .prefill_tokens_s = 20000,
-                            .token_us = 5000,
-                            .service_us = 1000,
-                            .cache_tokens = 256 * 1024,
-                            .report_lag_us = 200 * 1000,
-                            .event_loss_percent = 5,
-                            .check_fence = true,
-                            .record_fd = -1,
-                            .seed = 1 };
+  standin_engine_options_t options = { .name = "engine",
+                                       .slots = 16,
+                                       .prefill_tokens_s = 20000,
+                                       .token_us = 5000,
+                                       .service_us = 1000,
+                                       .cache_tokens = 256 * 1024,
+                                       .report_lag_us = 200 * 1000,
+                                       .event_loss_percent = 5,
+                                       .check_fence = true,
+                                       .record_fd = -1,
+                                       .seed = 1 };
   int flag;
   while ((flag = getopt_long (argc, argv, "", flags, NULL)) != -1)
     apply_flag (&options, flag, optarg);
@@ -159,49 +159,50 @@
 static void
 on_block_change (uint64_t block, bool stored, void *context)
 {
-  sen_t *engine = context;
-  cev_add (engine->events, (uint64_t)g_get_monotonic_time (), block, stored);
+  standin_engine_t *engine = context;
+  cache_events_add (engine->events, (uint64_t)g_get_monotonic_time (), block, stored);
 }
 
 static void
-on_call (sht_call_t *call, void *context)
+on_call (http_call_t *call, void *context)
 {
-  sen_t *engine = context;
-  if (sen_admin (engine, call))
+  standin_engine_t *engine = context;
+  if (standin_engine_handle_admin (engine, call))
     return;
   if (engine->options.plain)
-    sen_run_plain (engine, call);
-  else if (sht_is (call, "POST", "/v1/chat/completions"))
-    sen_run_chat (engine, call);
-  else if (sht_is (call, "POST", "/resume"))
-    sen_run_resume (engine, call);
+    standin_engine_run_plain (engine, call);
+  else if (http_call_matches (call, "POST", "/v1/chat/completions"))
+    standin_engine_run_chat (engine, call);
+  else if (http_call_matches (call, "POST", "/resume"))
+    standin_engine_resume_stream (engine, call);
   else
-    sen_answer_error (engine, call, 404, "no such path");
+    standin_engine_answer_error (engine, call, 404, "no such path");
 }
 
 static void
-start_load_reports (sen_t *engine)
+start_load_reports (standin_engine_t *engine)
 {
   struct timeval lag = { (time_t)(engine->options.report_lag_us / G_USEC_PER_SEC),
                          (suseconds_t)(engine->options.report_lag_us % G_USEC_PER_SEC) };
-  engine->report_timer = event_new (engine->base, -1, EV_PERSIST, sen_report, engine);
-  sen_report (-1, 0, engine);
+  engine->report_timer = event_new (engine->base, -1, EV_PERSIST, standin_engine_on_report, engine);
+  standin_engine_on_report (-1, 0, engine);
   if (engine->options.report_lag_us > 0)
     event_add (engine->report_timer, &lag);
 }
 
 static void
-engine_init (sen_t *engine, const sen_options_t *options)
+engine_init (standin_engine_t *engine, const standin_engine_options_t *options)
 {
   engine->options = *options;
-  engine->base = sht_base_new ();
+  engine->base = http_call_base_new ();
   engine->step_us =
       options->plain ? MIN (options->service_us, PLAIN_SERVICE_MAX_STEP_US) : options->token_us;
-  engine->batch = sen_batch_new (engine);
-  engine->step_timer = evtimer_new (engine->base, sen_step, engine);
-  engine->cache = pfx_new (options->cache_tokens, on_block_change, engine);
-  engine->events = cev_new (options->report_lag_us, options->event_loss_percent, options->seed);
-  engine->record = erc_new (options->record_fd);
+  engine->batch = standin_engine_create_batch (engine);
+  engine->step_timer = evtimer_new (engine->base, standin_engine_on_step, engine);
+  engine->cache = prefix_cache_new (options->cache_tokens, on_block_change, engine);
+  engine->events =
+      cache_events_new (options->report_lag_us, options->event_loss_percent, options->seed);
+  engine->record = run_record_new (options->record_fd);
   engine->active_runs = g_hash_table_new (g_str_hash, g_str_equal);
   g_queue_init (&engine->ended_streams);
   start_load_reports (engine);
@@ -218,12 +219,12 @@
 int
 main (int argc, char **argv)
 {
-  sen_options_t options = parse_flags (argc, argv);
-  static sen_t state; /* static, so that leak checkers treat its memory as reachable */
-  sen_t *engine = &state;
+  standin_engine_options_t options = parse_flags (argc, argv);
+  static standin_engine_t state; /* static, so that leak checkers treat its memory as reachable */
+  standin_engine_t *engine = &state;
   signal (SIGPIPE, SIG_IGN);
   engine_init (engine, &options);
-  if (sht_listen (engine->base, options.listen, on_call, engine) == NULL)
+  if (http_call_listen (engine->base, options.listen, on_call, engine) == NULL)
     return 1;
   event_add (evsignal_new (engine->base, SIGTERM, on_stop_signal, engine->base), NULL);
   event_add (evsignal_new (engine->base, SIGINT, on_stop_signal, engine->base), NULL);
--- a/standin/standin_platform.c
+++ b/standin/standin_platform.c
@@ -13,9 +13,9 @@
 #include <stdlib.h>
 
 static void
-on_call (sht_call_t *call, void *context)
+on_call (http_call_t *call, void *context)
 {
-  spl_admin (context, call);
+  standin_platform_handle_call (context, call);
 }
 
 static const struct option flags[] = {
@@ -39,7 +39,7 @@
 }
 
 static void
-apply_flag (spl_options_t *options, int flag, const char *value)
+apply_flag (standin_platform_options_t *options, int flag, const char *value)
 {
   switch (flag)
     {
@@ -65,10 +65,11 @@
     }
 }
 
-static spl_options_t
+static standin_platform_options_t
 parse_flags (int argc, char **argv)
 {
-  spl_options_t options = { .retain_records = 100000, .retain_bytes = 64 * 1024 * 1024 };
+  standin_platform_options_t options = { .retain_records = 100000,
+                                         .retain_bytes = 64 * 1024 * 1024 };
   int flag;
   while ((flag = getopt_long (argc, argv, "", flags, NULL)) != -1)
     apply_flag (&options, flag, optarg);
@@ -88,16 +89,16 @@
 int
 main (int argc, char **argv)
 {
-  static spl_t state; /* static, so that leak checkers treat its memory as reachable */
-  spl_t *platform = &state;
+  static standin_platform_t state; /* static, so that leak checkers treat its memory as reachable */
+  standin_platform_t *platform = &state;
   platform->options = parse_flags (argc, argv);
-  platform->base = sht_base_new ();
-  platform->log = plg_new (platform->options.retain_records, platform->options.retain_bytes);
-  platform->hosts = phl_new (platform->options.list_lag_us);
-  platform->keyed = kst_new (platform);
+  platform->base = http_call_base_new ();
+  platform->log = record_log_new (platform->options.retain_records, platform->options.retain_bytes);
+  platform->hosts = host_list_new (platform->options.list_lag_us);
+  platform->keyed = keyed_store_new (platform);
   g_queue_init (&platform->waiters);
   signal (SIGPIPE, SIG_IGN);
-  if (sht_listen (platform->base, platform->options.listen, on_call, platform) == NULL)
+  if (http_call_listen (platform->base, platform->options.listen, on_call, platform) == NULL)
     return 1;
   event_add (evsignal_new (platform->base, SIGTERM, on_stop_signal, platform->base), NULL);
   event_add (evsignal_new (platform->base, SIGINT, on_stop_signal, platform->base), NULL);
--- a/standin/standin_upstream.c
+++ b/standin/standin_upstream.c
@@ -69,7 +69,7 @@
 typedef struct
 {
   upstream_t *upstream;
-  sht_call_t *call;
+  http_call_t *call;
   char *id;
   char *account;
   uint64_t next_event;
@@ -118,7 +118,7 @@
       g_strdup_printf ("id: %" G_GUINT64_FORMAT "\ndata: %s %" G_GUINT64_FORMAT "\n\n",
                        run->next_event, run->id, run->next_event);
 
-  sht_stream (run->call, text);
+  http_call_send_part (run->call, text);
 }
 
 static void
@@ -133,9 +133,9 @@
 
   write_record (upstream, "end", run, is_failed ? "failed" : is_lost ? "lost" : "ok");
   if (is_lost)
-    sht_cut (run->call);
+    http_call_abort (run->call);
   else
-    sht_reply_bytes (run->call, is_failed ? 500 : 200, text, strlen (text));
+    http_call_reply_bytes (run->call, is_failed ? 500 : 200, text, strlen (text));
   run_free (run);
 }
 
@@ -159,46 +159,46 @@
       return;
     }
   write_record (run->upstream, "end", run, "ok");
-  sht_end_stream (run->call);
+  http_call_end_stream (run->call);
   run_free (run);
 }
 
 static void
-add_headers (const upstream_t *upstream, sht_call_t *call, const char *id)
+add_headers (const upstream_t *upstream, http_call_t *call, const char *id)
 {
   g_autofree char *load = g_strdup_printf ("%u,0,%u", upstream->running, upstream->options.slots);
 
-  sht_add_header (call, "X-Request-Id", id);
-  sht_add_header (call, "X-Response-Stamp", upstream->instance);
-  sht_add_header (call, "X-Engine-Load", load);
+  http_call_add_header (call, "X-Request-Id", id);
+  http_call_add_header (call, "X-Response-Stamp", upstream->instance);
+  http_call_add_header (call, "X-Engine-Load", load);
 }
 
 /* Return: whether the request was refused without running it */
 static bool
-refuse_request (upstream_t *upstream, sht_call_t *call, const char *id)
+refuse_request (upstream_t *upstream, http_call_t *call, const char *id)
 {
-  const char *expected = sht_header (call, "X-Expect-Instance");
+  const char *expected = http_call_header (call, "X-Expect-Instance");
 
   if (expected && strcmp (expected, upstream->instance) != 0)
     {
-      sht_add_header (call, "X-Instance-Id", upstream->instance);
-      sht_reply (call, 421, NULL);
+      http_call_add_header (call, "X-Instance-Id", upstream->instance);
+      http_call_reply_json (call, 421, NULL);
       return true;
     }
   if (id && upstream->running < upstream->options.slots)
     return false;
-  sht_add_header (call, "X-Not-Run", "1");
-  sht_reply (call, id ? 503 : 400, NULL);
+  http_call_add_header (call, "X-Not-Run", "1");
+  http_call_reply_json (call, id ? 503 : 400, NULL);
   return true;
 }
 
 static void
-on_call (sht_call_t *call, void *context)
+on_call (http_call_t *call, void *context)
 {
   upstream_t *upstream = context;
-  const char *id = sht_header (call, "X-Request-Id");
-  const char *account = sht_header (call, "X-Tenant");
-  const char *last_event_id = sht_header (call, "Last-Event-Id");
+  const char *id = http_call_header (call, "X-Request-Id");
+  const char *account = http_call_header (call, "X-Tenant");
+  const char *last_event_id = http_call_header (call, "Last-Event-Id");
   struct timeval wait = { 0, (suseconds_t)upstream->options.work_ms * 1000 };
   run_t *run;
 
@@ -213,11 +213,11 @@
     run->next_event = (last_event_id ? g_ascii_strtoull (last_event_id, NULL, 10) : 0) + 1;
   run->timer = evtimer_new (upstream->base, on_run_timer, run);
   upstream->running++;
-  write_record (upstream, "begin", run, sht_header (call, "X-Key") ? "key-shown" : "-");
+  write_record (upstream, "begin", run, http_call_header (call, "X-Key") ? "key-shown" : "-");
   add_headers (upstream, call, id);
-  sht_on_gone (call, on_caller_disconnect, run);
+  http_call_on_disconnect (call, on_caller_disconnect, run);
   if (run->next_event > 0)
-    sht_begin_stream (call);
+    http_call_begin_stream (call);
   event_add (run->timer, &wait);
 }
 
@@ -396,7 +396,7 @@
       g_printerr ("cannot open %s for writing\n", upstream->options.record);
       exit (2);
     }
-  upstream->base = sht_base_new ();
+  upstream->base = http_call_base_new ();
   upstream->store = platform_client_new (upstream->base, &store, NULL);
   upstream->rand = g_rand_new ();
   g_snprintf (upstream->instance, sizeof upstream->instance, "i-%" G_GINT64_MODIFIER "x-%d",
@@ -413,7 +413,7 @@
   upstream.options = parse_flags (argc, argv);
   signal (SIGPIPE, SIG_IGN);
   upstream_init (&upstream);
-  if (!sht_listen (upstream.base, upstream.options.listen, on_call, &upstream))
+  if (!http_call_listen (upstream.base, upstream.options.listen, on_call, &upstream))
     return 1;
   event_add (evsignal_new (upstream.base, SIGTERM, on_stop, &upstream), NULL);
   renew_entry (&upstream);
--- a/tests/session_gateway.c
+++ b/tests/session_gateway.c
@@ -133,7 +133,7 @@
   drv_process_t *process = drv_process_new (fleet->drv, DRV_GATEWAY, name, NULL);
 
   drv_process_flag (process, "--role=gateway");
-  drv_process_flag (process, "--renewal-ms=%u", KST_LAPSE_MS / 3);
+  drv_process_flag (process, "--renewal-ms=%u", KEYED_STORE_ENTRY_TTL_MS / 3);
   drv_process_flag (process, "--name=%s", name);
   drv_process_flag (process, "--data-center=hall-bayangol");
   drv_process_flag (process, "--region=ulaanbaatar");
