--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -120,8 +120,8 @@
   uint64_t entries;
   uint64_t read_bytes;
   uint64_t sent_bytes;
-  fig_list_t granted_ms;
-  fig_list_t refused_ms;
+  figures_samples_t granted_ms;
+  figures_samples_t refused_ms;
 } sim_t;
 
 static bool
@@ -148,12 +148,12 @@
       if (granted)
         {
           running_request_t run = { { result.claim_id[0], result.claim_id[1] }, request->key, 0 };
-          run.end_us = sim->now_us + (uint64_t)rnd_exponential (&sim->rand, MEAN_RUN_TIME_US);
+          run.end_us = sim->now_us + (uint64_t)random_exponential (&sim->rand, MEAN_RUN_TIME_US);
           g_array_append_val (follower->runs, run);
         }
       if (is_warm (sim))
         {
-          fig_add (granted ? &sim->granted_ms : &sim->refused_ms, ms);
+          figures_add_sample (granted ? &sim->granted_ms : &sim->refused_ms, ms);
           sim->granted += granted;
           sim->refused_claims += !granted;
         }
@@ -300,11 +300,11 @@
 add_request (sim_t *sim)
 {
   uint32_t count = sim->options.streams * sim->options.followers;
-  follower_t *follower = &sim->followers[rnd_below (&sim->rand, count)];
+  follower_t *follower = &sim->followers[random_below (&sim->rand, count)];
   uint64_t claim_id[2] = { 1, ++sim->next_id };
   waiting_request_t *request = g_new0 (waiting_request_t, 1);
   request->at_us = sim->now_us;
-  request->key = (claim_key_t){ { rnd_next (&sim->rand), rnd_next (&sim->rand) }, 5 };
+  request->key = (claim_key_t){ { random_next (&sim->rand), random_next (&sim->rand) }, 5 };
   sim->asked += is_warm (sim);
   claim_request (follower->claim_stream, sim->now_us, claim_id, &request->key,
                  sim->now_us + REQUEST_DEADLINE_US, request);
@@ -352,7 +352,7 @@
       claim_set_first_offset (follower->claim_stream, 0);
       follower->stream = sim->streams[i % options->streams];
       follower->runs = g_array_new (FALSE, FALSE, sizeof (running_request_t));
-      follower->tick_us = sim->now_us + (uint64_t)(rnd_unit (&sim->rand) * TICK_US);
+      follower->tick_us = sim->now_us + (uint64_t)(random_unit (&sim->rand) * TICK_US);
     }
 }
 
@@ -384,9 +384,9 @@
           options->keyed_s, options->streams, options->followers, options->appends_s,
           accepted / seconds, (double)sim->refused_appends / seconds,
           (double)sim->appends / MAX (1, sim->granted), (double)sim->entries / MAX (1, accepted),
-          100.0 * (double)sim->refused_claims / answered, fig_quantile (&sim->granted_ms, 0.5),
-          fig_quantile (&sim->granted_ms, 0.99), fig_quantile (&sim->refused_ms, 0.5),
-          fig_quantile (&sim->refused_ms, 0.99), (double)sim->sent_bytes / followers / seconds,
+          100.0 * (double)sim->refused_claims / answered, figures_quantile (&sim->granted_ms, 0.5),
+          figures_quantile (&sim->granted_ms, 0.99), figures_quantile (&sim->refused_ms, 0.5),
+          figures_quantile (&sim->refused_ms, 0.99), (double)sim->sent_bytes / followers / seconds,
           (double)sim->read_bytes / followers / seconds);
   fflush (stdout);
 }
@@ -401,7 +401,7 @@
   while (sim.now_us < end_us)
     {
       for (; next_us <= (double)sim.now_us;
-           next_us += rnd_exponential (&sim.rand, 1e6 / options->keyed_s))
+           next_us += random_exponential (&sim.rand, 1e6 / options->keyed_s))
         add_request (&sim);
       step (&sim);
     }
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -92,7 +92,7 @@
   fixture->details = g_new0 (candidates_engine_t, engine_count);
   for (uint32_t i = 0; i < engine_count; i++)
     fixture->engines[i] =
-        (rendezvous_engine_t){ .hash = rnd_next (&fixture->random), .index = i, .weight = 1.0f };
+        (rendezvous_engine_t){ .hash = random_next (&fixture->random), .index = i, .weight = 1.0f };
   const admission_options_t options = { .engine_hash = fixture->engines[0].hash,
                                         .service_hash = SERVICE_HASH,
                                         .slots = SLOTS,
@@ -122,7 +122,7 @@
 {
   uint32_t out[8];
   rendezvous_rank (fixture->engines, fixture->engine_count, SERVICE_HASH,
-                   rnd_next (&fixture->random), out, 8);
+                   random_next (&fixture->random), out, 8);
   fixture->sink += out[0];
 }
 
@@ -134,7 +134,7 @@
                                      .details = fixture->details,
                                      .engine_count = fixture->engine_count,
                                      .service_hash = SERVICE_HASH,
-                                     .chat_hash = rnd_next (&fixture->random),
+                                     .chat_hash = random_next (&fixture->random),
                                      .samples = &fixture->samples };
   fixture->sink += candidates_choose (&query).home_hash;
 }
@@ -143,7 +143,7 @@
 run_choose_at_gateway (fixture_t *fixture)
 {
   const GPtrArray *engines = engines_of_service (fixture->egs, g_intern_static_string ("pool"));
-  const engine_choice_request_t request = { .affinity = rnd_next (&fixture->random),
+  const engine_choice_request_t request = { .affinity = random_next (&fixture->random),
                                             .data_center = "hall",
                                             .gateways = 22 };
 
@@ -163,7 +163,7 @@
 make_request (fixture_t *fixture, uint64_t chat_hash)
 {
   return (
-      admission_request_t){ .item = { .account_hash = 1 + rnd_below (&fixture->random, ACCOUNTS),
+      admission_request_t){ .item = { .account_hash = 1 + random_below (&fixture->random, ACCOUNTS),
                                       .weight = FAIR_QUEUE_WEIGHT_ONE,
                                       .priority = 1,
                                       .queue_limit = LIMIT_QUEUED_PER_ACCOUNT,
@@ -179,7 +179,7 @@
 static void
 run_admit (fixture_t *fixture)
 {
-  admission_request_t request = make_request (fixture, 1 + rnd_below (&fixture->random, CHATS));
+  admission_request_t request = make_request (fixture, 1 + random_below (&fixture->random, CHATS));
   const admission_decision_t decision =
       admission_offer (fixture->admission, fixture->now_us, &request);
   fixture->sink += decision.action;
--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -77,25 +77,25 @@
 }
 
 static void
-fill_row (fig_t *figures, double row[COLUMNS])
+fill_row (figures_t *figures, double row[COLUMNS])
 {
   const double dispatches = (double)MAX (figures->dispatches, 1);
   row[COL_CACHED] = percent (figures->cached_tokens, figures->prefix_tokens);
   row[COL_GONE] = percent (figures->gone_tokens, figures->prefix_tokens);
   row[COL_MOVED] = percent (figures->moved_tokens, figures->prefix_tokens);
   row[COL_EVICTED] = percent (figures->evicted_tokens, figures->prefix_tokens);
-  row[COL_SKEW_P50] = fig_quantile (&figures->skew, 0.5);
-  row[COL_SKEW_P99] = fig_quantile (&figures->skew, 0.99);
-  row[COL_SKEW_PEAK] = fig_quantile (&figures->skew, 1.0);
+  row[COL_SKEW_P50] = figures_quantile (&figures->skew, 0.5);
+  row[COL_SKEW_P99] = figures_quantile (&figures->skew, 0.99);
+  row[COL_SKEW_PEAK] = figures_quantile (&figures->skew, 1.0);
   row[COL_OVER] = percent (figures->over_bound, figures->dispatches);
   row[COL_SLACK] = percent (figures->over_slack, figures->dispatches);
-  row[COL_EXCESS] = fig_quantile (&figures->excess, 1.0);
+  row[COL_EXCESS] = figures_quantile (&figures->excess, 1.0);
   row[COL_HOPS] = (double)figures->hops / (double)MAX (figures->requests, 1);
   row[COL_LOAD] = figures->load_sum / dispatches;
-  row[COL_SHORT_WAIT] = fig_quantile (&figures->short_wait, 0.99);
-  row[COL_SHORT_FIRST] = fig_quantile (&figures->short_first, 0.99);
-  row[COL_QUIET_WAIT] = fig_quantile (&figures->quiet_wait, 0.99);
-  row[COL_QUIET_FIRST] = fig_quantile (&figures->quiet_first, 0.99);
+  row[COL_SHORT_WAIT] = figures_quantile (&figures->short_wait, 0.99);
+  row[COL_SHORT_FIRST] = figures_quantile (&figures->short_first, 0.99);
+  row[COL_QUIET_WAIT] = figures_quantile (&figures->quiet_wait, 0.99);
+  row[COL_QUIET_FIRST] = figures_quantile (&figures->quiet_first, 0.99);
   row[COL_REFUSED] = percent (figures->refused, figures->requests);
   row[COL_QUIET_REFUSED] = percent (figures->quiet_refused, figures->quiet_requests);
   row[COL_MAY_HAVE_RUN] = (double)figures->may_have_run;
@@ -109,23 +109,23 @@
 }
 
 static void
-run_once (const wld_options_t *run, double row[COLUMNS])
+run_once (const fleet_sim_options_t *run, double row[COLUMNS])
 {
-  fig_t figures;
-  wld_run (run, &figures);
+  figures_t figures;
+  fleet_sim_run (run, &figures);
   fill_row (&figures, row);
-  fig_clear (&figures);
+  figures_clear (&figures);
 }
 
 /* Compares with a run of the same sessions and window without the fault. */
 static void
-add_fault_ratios (wld_options_t run, double row[COLUMNS])
+add_fault_ratios (fleet_sim_options_t run, double row[COLUMNS])
 {
   double fault_free[COLUMNS];
   row[COL_CACHED_RATIO] = 100;
   row[COL_QUIET_RATIO] = 1;
   row[COL_SHORT_RATIO] = 1;
-  if (run.fault == WLD_STEADY)
+  if (run.fault == FLEET_SIM_FAULT_NONE)
     return;
   run.without_fault = true;
   run_once (&run, fault_free);
@@ -143,17 +143,18 @@
 }
 
 static void
-write_tsv (const options_t *options, const wld_options_t *run, const double row[COLUMNS])
+write_tsv (const options_t *options, const fleet_sim_options_t *run, const double row[COLUMNS])
 {
   if (options->tsv == NULL)
     return;
-  fprintf (options->tsv, "%s\t%s\t%s\t%u\t%lu", run->workload->name, wld_fault_names[run->fault],
-           wld_policy_names[run->policy], run->engine_count, (unsigned long)run->seed);
+  fprintf (options->tsv, "%s\t%s\t%s\t%u\t%lu", run->workload->name,
+           fleet_sim_fault_names[run->fault], fleet_sim_policy_names[run->policy],
+           run->engine_count, (unsigned long)run->seed);
   print_row (options->tsv, row, '\t', 0);
 }
 
 static void
-run_policy (const options_t *options, wld_options_t run)
+run_policy (const options_t *options, fleet_sim_options_t run)
 {
   double sum[COLUMNS] = { 0 };
   for (uint32_t seed = 1; seed <= options->seeds; seed++)
@@ -167,33 +168,33 @@
         sum[i] = i == COL_SKEW_PEAK || i == COL_EXCESS ? MAX (sum[i], row[i])
                                                        : sum[i] + row[i] / options->seeds;
     }
-  printf ("%-10s", wld_policy_names[run.policy]);
+  printf ("%-10s", fleet_sim_policy_names[run.policy]);
   print_row (stdout, sum, ' ', 8);
   fflush (stdout);
 }
 
 static void
-run_fault (const options_t *options, const wkl_t *workload, wld_fault_t fault)
+run_fault (const options_t *options, const workload_t *workload, fleet_sim_fault_t fault)
 {
-  wld_options_t run = { .workload = workload,
-                        .fault = fault,
-                        .engine_count = options->engines,
-                        .router_count = options->routers,
-                        .bound_percent = options->bound_percent };
+  fleet_sim_options_t run = { .workload = workload,
+                              .fault = fault,
+                              .engine_count = options->engines,
+                              .router_count = options->routers,
+                              .bound_percent = options->bound_percent };
   run.warm_up_us = (uint64_t)workload->cache_lifetime_s * WARM_UP_LIFETIMES * CLOCK_US_PER_S;
   if (options->warm_up_s != 0)
     run.warm_up_us = (uint64_t)options->warm_up_s * CLOCK_US_PER_S;
   run.window_us = options->window_s != 0 ? (uint64_t)options->window_s * CLOCK_US_PER_S
-                                         : wld_window_us (workload, fault, options->engines);
+                                         : fleet_sim_window_us (workload, fault, options->engines);
   printf ("\n%s, %s, %u engines, %u routers, window %lu s\n%-10s", workload->name,
-          wld_fault_names[fault], options->engines, options->routers,
+          fleet_sim_fault_names[fault], options->engines, options->routers,
           (unsigned long)(run.window_us / CLOCK_US_PER_S), "");
   for (uint32_t i = 0; i < COLUMNS; i++)
     printf (" %8s", column_names[i]);
   putchar ('\n');
-  for (int policy = 0; policy < WLD_POLICIES; policy++)
+  for (int policy = 0; policy < FLEET_SIM_POLICY_COUNT; policy++)
     {
-      run.policy = (wld_policy_t)policy;
+      run.policy = (fleet_sim_policy_t)policy;
       if (options->policy < 0 || options->policy == policy)
         run_policy (options, run);
     }
@@ -246,10 +247,10 @@
         options->workload = optarg;
         break;
       case 'p':
-        options->policy = name_index (optarg, wld_policy_names, WLD_POLICIES);
+        options->policy = name_index (optarg, fleet_sim_policy_names, FLEET_SIM_POLICY_COUNT);
         break;
       case 'f':
-        options->fault = name_index (optarg, wld_fault_names, WLD_FAULTS);
+        options->fault = name_index (optarg, fleet_sim_fault_names, FLEET_SIM_FAULT_COUNT);
         break;
       case 'e':
         options->engines = (uint32_t)atoi (optarg);
@@ -287,12 +288,12 @@
   read_options (argc, argv, &options);
   printf ("seeds 1..%u\n", options.seeds);
   for (uint32_t i = 0; i < G_N_ELEMENTS (workloads); i++)
-    for (int fault = 0; fault < WLD_FAULTS; fault++)
+    for (int fault = 0; fault < FLEET_SIM_FAULT_COUNT; fault++)
       {
         const bool workload_wanted =
             options.workload == NULL || strcmp (options.workload, workloads[i]) == 0;
         if (workload_wanted && (options.fault < 0 || options.fault == fault))
-          run_fault (&options, wkl_find (workloads[i]), (wld_fault_t)fault);
+          run_fault (&options, workload_find (workloads[i]), (fleet_sim_fault_t)fault);
       }
   if (options.tsv != NULL)
     fclose (options.tsv);
--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -34,12 +34,12 @@
  */
 typedef struct
 {
-  const lop_t *options;
+  const load_options_t *options;
   struct event_base *base;
   GRand *rand;
-  lch_t *chats;
-  lcl_t *client;
-  lst_t *stats;
+  load_chats_t *chats;
+  load_client_t *client;
+  load_stats_t *stats;
   struct event *arrival_timer;
   struct event *end_timer;
   uint64_t started_us;
@@ -57,13 +57,13 @@
 typedef struct
 {
   load_t *load;
-  lch_chat_t *chat;
-  lan_kind_t kind;
-  lop_side_t side;
+  load_chats_chat_t *chat;
+  load_answer_kind_t kind;
+  load_side_t side;
   uint64_t start_us;
   uint64_t body_hash;
   uint32_t account;
-  const lop_class_t *class;
+  const load_class_t *class;
 } turn_t;
 
 /** struct worker - a worker of the closed loop that waits for a chat whose pause has ended */
@@ -88,10 +88,10 @@
   return time;
 }
 
-static const lop_class_t *
+static const load_class_t *
 draw_class (const load_t *load)
 {
-  const lop_t *options = load->options;
+  const load_options_t *options = load->options;
   double sum = 0;
   for (uint32_t i = 0; i < options->class_count; i++)
     sum += options->classes[i].weight;
@@ -128,46 +128,48 @@
 }
 
 static char *
-describe_failure (const lcl_answer_t *answer, const lan_t *parsed)
+describe_failure (const load_client_answer_t *answer, const load_answer_t *parsed)
 {
   if (answer->failure != NULL)
     return g_strdup (answer->failure);
   if (answer->status == 200)
-    return parsed->verdict == LAN_BROKEN ? g_strdup ("broken") : NULL;
-  g_autofree char *code = lan_error_code (answer->body);
+    return parsed->verdict == LOAD_ANSWER_MALFORMED ? g_strdup ("broken") : NULL;
+  g_autofree char *code = load_answer_error_code (answer->body);
   return g_strdup_printf ("%d %s %s", answer->status,
                           answer->verdict == NULL ? "-" : answer->verdict,
                           code == NULL ? "-" : code);
 }
 
 static void
-end_chat_turn (const turn_t *turn, const lan_t *parsed, bool succeeded)
+end_chat_turn (const turn_t *turn, const load_answer_t *parsed, bool succeeded)
 {
   uint64_t answer_bytes = strlen (parsed->text) + strlen ("assistant\n\n");
   uint64_t reusable = parsed->prompt_tokens + answer_bytes / TOKEN_BYTES;
   if (turn->chat != NULL)
-    lch_give (turn->load->chats, turn->chat, now_us (), succeeded ? parsed->text : NULL,
-              (uint32_t)reusable);
+    load_chats_end_turn (turn->load->chats, turn->chat, now_us (), succeeded ? parsed->text : NULL,
+                         (uint32_t)reusable);
 }
 
 static void
-on_answer (const lcl_answer_t *answer, void *context)
+on_answer (const load_client_answer_t *answer, void *context)
 {
   turn_t *turn = context;
   load_t *load = turn->load;
-  lan_t parsed = lan_read (turn->kind, answer->body, turn->body_hash);
+  load_answer_t parsed = load_answer_parse (turn->kind, answer->body, turn->body_hash);
   g_autofree char *failure = describe_failure (answer, &parsed);
-  lst_sample_t sample = { .side = turn->side,
-                          .latency_us = answer->end_us - turn->start_us,
-                          .first_token_us = answer->first_us - turn->start_us,
-                          .failure = failure,
-                          .engine = answer->engine,
-                          .class_name = turn->kind == LAN_PLAIN ? "plain" : turn->class->name,
-                          .account = load->options->accounts[turn->account].name,
-                          .reusable_tokens = turn->chat == NULL ? 0 : turn->chat->reusable_tokens,
-                          .answer = &parsed };
-  lst_add (load->stats, &sample);
-  end_chat_turn (turn, &parsed, failure == NULL && parsed.verdict == LAN_OWN);
+  load_stats_sample_t sample = { .side = turn->side,
+                                 .latency_us = answer->end_us - turn->start_us,
+                                 .first_token_us = answer->first_us - turn->start_us,
+                                 .failure = failure,
+                                 .engine = answer->engine,
+                                 .class_name =
+                                     turn->kind == LOAD_ANSWER_PLAIN ? "plain" : turn->class->name,
+                                 .account = load->options->accounts[turn->account].name,
+                                 .reusable_tokens =
+                                     turn->chat == NULL ? 0 : turn->chat->reusable_tokens,
+                                 .answer = &parsed };
+  load_stats_add (load->stats, &sample);
+  end_chat_turn (turn, &parsed, failure == NULL && parsed.verdict == LOAD_ANSWER_MATCHES);
   g_free (parsed.text);
   g_free (turn);
   load->in_flight--;
@@ -180,7 +182,7 @@
 choose_target (const load_t *load, const turn_t *turn)
 {
   uint32_t count = load->options->target_count[turn->side];
-  uint32_t index = turn->side == LOP_DIRECT && turn->chat != NULL
+  uint32_t index = turn->side == LOAD_SIDE_ENGINES && turn->chat != NULL
                        ? turn->chat->index % count
                        : (uint32_t)g_rand_int_range (load->rand, 0, (gint32)count);
   return &load->options->targets[turn->side][index];
@@ -192,41 +194,42 @@
   load_t *load = turn->load;
   g_autofree char *authorization =
       g_strdup_printf ("Bearer %s", load->options->accounts[turn->account].key);
-  g_autofree char *chat_id = turn->chat == NULL ? NULL : lch_id (turn->chat);
+  g_autofree char *chat_id = turn->chat == NULL ? NULL : load_chats_format_id (turn->chat);
   g_autofree char *request_id =
       g_strdup_printf ("load-%u-%" G_GUINT64_FORMAT, load->options->seed, (guint64)load->sent);
-  bool fleet = turn->side == LOP_FLEET;
-  bool needs_key = turn->kind == LAN_PLAIN && strcmp (method, "POST") == 0;
+  bool fleet = turn->side == LOAD_SIDE_ROUTERS;
+  bool needs_key = turn->kind == LOAD_ANSWER_PLAIN && strcmp (method, "POST") == 0;
   const char *class_name = load->options->has_classes ? turn->class->name : NULL;
-  lcl_header_t headers[] = { { "Content-Type", "application/json" },
-                             { "Authorization", fleet ? authorization : NULL },
-                             { CHAT_HEADER, fleet ? chat_id : NULL },
-                             { CLASS_HEADER, fleet ? class_name : NULL },
-                             { "Idempotency-Key", needs_key ? request_id : NULL },
-                             { "X-Request-Id", fleet ? NULL : request_id },
-                             { NULL, NULL } };
-  lcl_request_t request = { .address = choose_target (load, turn),
-                            .method = method,
-                            .target = target,
-                            .headers = headers,
-                            .body = body,
-                            .timeout_ms = load->options->timeout_ms,
-                            .done = on_answer,
-                            .context = turn };
+  load_client_header_t headers[] = { { "Content-Type", "application/json" },
+                                     { "Authorization", fleet ? authorization : NULL },
+                                     { CHAT_HEADER, fleet ? chat_id : NULL },
+                                     { CLASS_HEADER, fleet ? class_name : NULL },
+                                     { "Idempotency-Key", needs_key ? request_id : NULL },
+                                     { "X-Request-Id", fleet ? NULL : request_id },
+                                     { NULL, NULL } };
+  load_client_request_t request = { .address = choose_target (load, turn),
+                                    .method = method,
+                                    .target = target,
+                                    .headers = headers,
+                                    .body = body,
+                                    .timeout_ms = load->options->timeout_ms,
+                                    .done = on_answer,
+                                    .context = turn };
   turn->body_hash = XXH64 (body->str, body->len, 0);
   load->sent++;
   load->in_flight++;
-  lcl_send (load->client, &request);
+  load_client_send (load->client, &request);
 }
 
 static void
 start_plain (load_t *load, turn_t *turn)
 {
-  const lop_t *options = load->options;
+  const load_options_t *options = load->options;
   GString *body = g_string_new (NULL);
-  turn->kind = LAN_PLAIN;
+  turn->kind = LOAD_ANSWER_PLAIN;
   turn->account = (uint32_t)g_rand_int_range (load->rand, 0, (gint32)options->account_count);
-  turn->side = g_rand_double (load->rand) < options->direct_share ? LOP_DIRECT : LOP_FLEET;
+  turn->side =
+      g_rand_double (load->rand) < options->direct_share ? LOAD_SIDE_ENGINES : LOAD_SIDE_ROUTERS;
   if (strcmp (options->plain_method, "POST") == 0)
     g_string_printf (body, "{\"call\":%" G_GUINT64_FORMAT "}", (guint64)load->sent);
   send_turn (turn, options->plain_method, options->plain_path, body);
@@ -234,14 +237,14 @@
 }
 
 static void
-start_chat (load_t *load, turn_t *turn, lch_chat_t *chat)
+start_chat (load_t *load, turn_t *turn, load_chats_chat_t *chat)
 {
-  const lop_t *options = load->options;
+  const load_options_t *options = load->options;
   uint32_t max_tokens =
       turn->class->max_tokens == 0 ? options->max_tokens : turn->class->max_tokens;
   bool stream = g_rand_double (load->rand) < options->stream_share;
-  GString *body = lch_body (load->chats, chat, max_tokens, stream);
-  turn->kind = stream ? LAN_STREAM : LAN_CHAT;
+  GString *body = load_chats_format_body (load->chats, chat, max_tokens, stream);
+  turn->kind = stream ? LOAD_ANSWER_STREAM : LOAD_ANSWER_CHAT;
   turn->chat = chat;
   turn->side = chat->side;
   turn->account = chat->account;
@@ -280,7 +283,7 @@
 start_turn (load_t *load, uint64_t start_us)
 {
   bool plain = g_rand_double (load->rand) < load->options->plain_share;
-  lch_chat_t *chat = plain ? NULL : lch_take (load->chats, now_us ());
+  load_chats_chat_t *chat = plain ? NULL : load_chats_take (load->chats, now_us ());
   if (!plain && chat == NULL)
     {
       load->skipped += load->options->rate_s > 0 ? 1 : 0;
@@ -347,24 +350,24 @@
 }
 
 static bool
-run_load (const lop_t *options, struct event_base *base)
+run_load (const load_options_t *options, struct event_base *base)
 {
   load_t load = { .options = options, .base = base };
   load.rand = g_rand_new_with_seed (options->seed);
-  load.chats = lch_new (options, load.rand);
-  load.client = lcl_new (base);
-  load.stats = lst_new ();
+  load.chats = load_chats_new (options, load.rand);
+  load.client = load_client_new (base);
+  load.stats = load_stats_new ();
   load.arrival_timer = evtimer_new (base, on_arrival_timer, &load);
   load.end_timer = evtimer_new (base, stop_loop, base);
   start (&load);
   event_base_dispatch (base);
   uint64_t elapsed_us = now_us () - load.started_us;
-  bool has_mismatch = lst_print (load.stats, options, elapsed_us, load.skipped);
+  bool has_mismatch = load_stats_print (load.stats, options, elapsed_us, load.skipped);
   event_free (load.arrival_timer);
   event_free (load.end_timer);
-  lst_free (load.stats);
-  lcl_free (load.client);
-  lch_free (load.chats);
+  load_stats_free (load.stats);
+  load_client_free (load.client);
+  load_chats_free (load.chats);
   g_rand_free (load.rand);
   return has_mismatch;
 }
@@ -384,7 +387,7 @@
 int
 main (int argc, char **argv)
 {
-  lop_t *options = lop_load (argc, argv);
+  load_options_t *options = load_options_parse (argc, argv);
   struct event_base *base = precise_base_new ();
   struct event *interrupted = evsignal_new (base, SIGINT, stop_loop, base);
   struct event *terminated = evsignal_new (base, SIGTERM, stop_loop, base);
@@ -395,7 +398,7 @@
   if (options->idle == 0)
     has_mismatch = run_load (options, base);
   else
-    lid_hold (options, base);
+    load_idle_run (options, base);
   event_free (interrupted);
   event_free (terminated);
   event_base_free (base);
--- a/bench/bench_watch.c
+++ b/bench/bench_watch.c
@@ -29,15 +29,15 @@
 typedef struct
 {
   watch_t *watch;
-  wsm_daemon_t *daemon;
+  watch_stats_daemon_t *daemon;
   address_t address;
 } target_t;
 
 struct watch
 {
   struct event_base *base;
-  lcl_t *client;
-  wsm_t *stats;
+  load_client_t *client;
+  watch_stats_t *stats;
   GPtrArray *targets;
   struct event *timer;
   uint32_t interval_ms;
@@ -56,11 +56,11 @@
 {
   watch->pending--;
   if (watch->pending == 0)
-    wsm_round (watch->stats);
+    watch_stats_end_round (watch->stats);
 }
 
 static void
-on_status (const lcl_answer_t *answer, void *context)
+on_status (const load_client_answer_t *answer, void *context)
 {
   target_t *target = context;
   json_t *json = NULL;
@@ -78,27 +78,27 @@
 }
 
 static void
-on_metrics (const lcl_answer_t *answer, void *context)
+on_metrics (const load_client_answer_t *answer, void *context)
 {
   target_t *target = context;
   if (answer->failure == NULL && answer->status == 200)
-    wsm_metrics (target->daemon, answer->body->str);
+    watch_stats_read_metrics (target->daemon, answer->body->str);
   end_poll (target->watch);
 }
 
 static void
-poll_daemon (target_t *target, const char *path, lcl_done_t done)
+poll_daemon (target_t *target, const char *path, load_client_done_t done)
 {
-  static const lcl_header_t none[] = { { NULL, NULL } };
-  const lcl_request_t request = { .address = &target->address,
-                                  .method = "GET",
-                                  .target = path,
-                                  .headers = none,
-                                  .timeout_ms = POLL_TIMEOUT_MS,
-                                  .done = done,
-                                  .context = target };
+  static const load_client_header_t none[] = { { NULL, NULL } };
+  const load_client_request_t request = { .address = &target->address,
+                                          .method = "GET",
+                                          .target = path,
+                                          .headers = none,
+                                          .timeout_ms = POLL_TIMEOUT_MS,
+                                          .done = done,
+                                          .context = target };
   target->watch->pending++;
-  lcl_send (target->watch->client, &request);
+  load_client_send (target->watch->client, &request);
 }
 
 /* The next round waits until all polls of this one have ended, since loads are only comparable
@@ -141,7 +141,7 @@
   if (!address_parse (parts[2], &target->address, &error))
     exit_usage (error->message);
   target->watch = watch;
-  target->daemon = wsm_add (watch->stats, parts[0], parts[1]);
+  target->daemon = watch_stats_add_daemon (watch->stats, parts[0], parts[1]);
   g_ptr_array_add (watch->targets, target);
 }
 
@@ -153,7 +153,7 @@
   if (g_strv_length (parts) != 2 ||
       !g_ascii_string_to_unsigned (parts[1], 10, 100, 100000, &percent, NULL))
     exit_usage ("a bound is GROUP,PERCENT");
-  wsm_bound (watch->stats, parts[0], (uint32_t)percent);
+  watch_stats_set_bound (watch->stats, parts[0], (uint32_t)percent);
 }
 
 static void
@@ -202,7 +202,7 @@
   watch->timer = event_new (watch->base, -1, EV_PERSIST, on_timer, watch);
   event_add (watch->timer, &interval);
   event_base_dispatch (watch->base);
-  wsm_print (watch->stats, (double)(g_get_monotonic_time () - started_us) / G_USEC_PER_SEC);
+  watch_stats_print (watch->stats, (double)(g_get_monotonic_time () - started_us) / G_USEC_PER_SEC);
   event_free (watch->timer);
   event_free (interrupted);
   event_free (terminated);
@@ -213,14 +213,14 @@
 {
   watch_t watch = { .interval_ms = DEFAULT_INTERVAL_MS };
   watch.base = precise_base_new ();
-  watch.client = lcl_new (watch.base);
-  watch.stats = wsm_new ();
+  watch.client = load_client_new (watch.base);
+  watch.stats = watch_stats_new ();
   watch.targets = g_ptr_array_new_with_free_func (g_free);
   read_flags (&watch, argc, argv);
   signal (SIGPIPE, SIG_IGN);
   run (&watch);
-  lcl_free (watch.client);
-  wsm_free (watch.stats);
+  load_client_free (watch.client);
+  watch_stats_free (watch.stats);
   g_ptr_array_free (watch.targets, TRUE);
   event_base_free (watch.base);
   return 0;
--- a/bench/events.c
+++ b/bench/events.c
@@ -4,42 +4,42 @@
 #include <string.h>
 
 static bool
-is_before (const evt_t *a, const evt_t *b)
+is_before (const event_queue_entry_t *a, const event_queue_entry_t *b)
 {
   return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
 
 static void
-swap (evt_t *a, evt_t *b)
+swap (event_queue_entry_t *a, event_queue_entry_t *b)
 {
-  const evt_t saved = *a;
+  const event_queue_entry_t saved = *a;
   *a = *b;
   *b = saved;
 }
 
 void
-evt_init (evt_queue_t *queue)
+event_queue_init (event_queue_t *queue)
 {
   memset (queue, 0, sizeof *queue);
 }
 
 void
-evt_clear (evt_queue_t *queue)
+event_queue_clear (event_queue_t *queue)
 {
   g_free (queue->heap);
-  evt_init (queue);
+  event_queue_init (queue);
 }
 
 void
-evt_add (evt_queue_t *queue, uint64_t at_us, uint32_t kind, uint32_t number, void *data)
+event_queue_add (event_queue_t *queue, uint64_t at_us, uint32_t kind, uint32_t number, void *data)
 {
   if (queue->count == queue->capacity)
     {
       queue->capacity = queue->capacity * 2 + 1024;
-      queue->heap = g_renew (evt_t, queue->heap, queue->capacity);
+      queue->heap = g_renew (event_queue_entry_t, queue->heap, queue->capacity);
     }
   uint32_t at = queue->count++;
-  queue->heap[at] = (evt_t){
+  queue->heap[at] = (event_queue_entry_t){
     .at_us = at_us, .order = queue->added++, .kind = kind, .number = number, .data = data
   };
   while (at > 0 && is_before (&queue->heap[at], &queue->heap[(at - 1) / 2]))
@@ -50,7 +50,7 @@
 }
 
 bool
-evt_take (evt_queue_t *queue, evt_t *out)
+event_queue_pop (event_queue_t *queue, event_queue_entry_t *out)
 {
   if (queue->count == 0)
     return false;
--- a/bench/events.h
+++ b/bench/events.h
@@ -10,7 +10,7 @@
 #include <stdint.h>
 
 /**
- * struct evt - one event
+ * struct event_queue_entry - one event
  * @at_us: virtual time at which it is due
  * @order: insertion number; events of the same time are taken in the order of insertion, so that a
  *   run can be repeated exactly
@@ -23,25 +23,27 @@
   uint32_t kind;
   uint32_t number;
   void *data;
-} evt_t;
+} event_queue_entry_t;
 
 /**
- * struct evt_queue - the pending events
+ * struct event_queue - the pending events
  * @added: events added so far, the @order of the next one
  */
 typedef struct
 {
-  evt_t *heap;
+  event_queue_entry_t *heap;
   uint32_t count;
   uint32_t capacity;
   uint64_t added;
-} evt_queue_t;
+} event_queue_t;
 
-void evt_init (evt_queue_t *queue);
-/** evt_clear() - frees the heap; the queue is empty and can be used again. @data is not freed */
-void evt_clear (evt_queue_t *queue);
-void evt_add (evt_queue_t *queue, uint64_t at_us, uint32_t kind, uint32_t number, void *data);
-/** evt_take() - removes the earliest event. Return: false when the queue is empty */
-bool evt_take (evt_queue_t *queue, evt_t *out);
+void event_queue_init (event_queue_t *queue);
+/** event_queue_clear() - frees the heap; the queue is empty and can be used again. @data is not
+ * freed */
+void event_queue_clear (event_queue_t *queue);
+void
+event_queue_add (event_queue_t *queue, uint64_t at_us, uint32_t kind, uint32_t number, void *data);
+/** event_queue_pop() - removes the earliest event. Return: false when the queue is empty */
+bool event_queue_pop (event_queue_t *queue, event_queue_entry_t *out);
 
 #endif
--- a/bench/figures.c
+++ b/bench/figures.c
@@ -13,7 +13,7 @@
 }
 
 void
-fig_add (fig_list_t *list, double value)
+figures_add_sample (figures_samples_t *list, double value)
 {
   if (list->count == list->capacity)
     {
@@ -24,7 +24,7 @@
 }
 
 double
-fig_quantile (fig_list_t *list, double share)
+figures_quantile (figures_samples_t *list, double share)
 {
   if (list->count == 0)
     return 0;
@@ -34,7 +34,7 @@
 }
 
 void
-fig_clear (fig_t *figures)
+figures_clear (figures_t *figures)
 {
   g_free (figures->skew.values);
   g_free (figures->excess.values);
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -10,13 +10,13 @@
 
 #include <stdint.h>
 
-/** struct fig_list - a growing array of samples */
+/** struct figures_samples - a growing array of samples */
 typedef struct
 {
   float *values;
   uint32_t count;
   uint32_t capacity;
-} fig_list_t;
+} figures_samples_t;
 
 /**
  * struct figures - results of one run, counted after the warm-up
@@ -56,18 +56,19 @@
   uint64_t may_have_run;
   uint64_t refusals[VERDICT_REASON_COUNT];
   double load_sum;
-  fig_list_t skew;
-  fig_list_t excess;
-  fig_list_t short_wait;
-  fig_list_t quiet_wait;
-  fig_list_t short_first;
-  fig_list_t quiet_first;
-} fig_t;
+  figures_samples_t skew;
+  figures_samples_t excess;
+  figures_samples_t short_wait;
+  figures_samples_t quiet_wait;
+  figures_samples_t short_first;
+  figures_samples_t quiet_first;
+} figures_t;
 
-void fig_add (fig_list_t *list, double value);
-/** fig_quantile() - the quantile @share (0..1) of the samples, 0 when there are none; sorts them */
-double fig_quantile (fig_list_t *list, double share);
-/** fig_clear() - frees the samples and sets all counters to 0 */
-void fig_clear (fig_t *figures);
+void figures_add_sample (figures_samples_t *list, double value);
+/** figures_quantile() - the quantile @share (0..1) of the samples, 0 when there are none; sorts
+ * them */
+double figures_quantile (figures_samples_t *list, double share);
+/** figures_clear() - frees the samples and sets all counters to 0 */
+void figures_clear (figures_t *figures);
 
 #endif
--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -56,9 +56,10 @@
 
   if (rate_s <= 0)
     return;
-  evt_add (&sim->events,
-           sim->now_us + 1 + (uint64_t)rnd_exponential (&sim->random, CLOCK_US_PER_S / rate_s),
-           EVENT_ARRIVAL, kind, NULL);
+  event_queue_add (&sim->events,
+                   sim->now_us + 1 +
+                       (uint64_t)random_exponential (&sim->random, CLOCK_US_PER_S / rate_s),
+                   EVENT_ARRIVAL, kind, NULL);
 }
 
 static bool
@@ -72,11 +73,12 @@
 {
   uint32_t small_accounts = sim->site->accounts - LARGE_ACCOUNTS;
 
-  if (sim->faulty && has_surging_account (sim) && rnd_unit (&sim->random) < SURGING_ACCOUNT_SHARE)
+  if (sim->faulty && has_surging_account (sim) &&
+      random_unit (&sim->random) < SURGING_ACCOUNT_SHARE)
     return SURGING_ACCOUNT;
-  if (rnd_unit (&sim->random) < LARGE_ACCOUNTS_SHARE)
-    return rnd_below (&sim->random, LARGE_ACCOUNTS);
-  return LARGE_ACCOUNTS + rnd_below (&sim->random, small_accounts);
+  if (random_unit (&sim->random) < LARGE_ACCOUNTS_SHARE)
+    return random_below (&sim->random, LARGE_ACCOUNTS);
+  return LARGE_ACCOUNTS + random_below (&sim->random, small_accounts);
 }
 
 /* Returns the identity of a shared prefix; the square makes some prefixes more popular. */
@@ -84,12 +86,12 @@
 draw_prefix (sim_t *sim, const sit_kind_t *kind)
 {
   uint32_t kind_index = (uint32_t)(kind - sim->site->kinds);
-  double position = rnd_unit (&sim->random);
+  double position = random_unit (&sim->random);
 
   if (kind->prefixes == 0)
     return 0;
   if (kind_index == 0 && sim->faulty && sim->options.fault == SIM_HOT_PART &&
-      rnd_unit (&sim->random) < HOT_PREFIX_SHARE)
+      random_unit (&sim->random) < HOT_PREFIX_SHARE)
     position = 0;
   return kind_index * UINT64_C (1000) + 1 + (uint64_t)(position * position * kind->prefixes);
 }
@@ -126,14 +128,14 @@
 
   request->kind = &sim->site->kinds[kind];
   request->gateway =
-      g_ptr_array_index (sim->gateways, rnd_below (&sim->random, sim->site->gateways));
+      g_ptr_array_index (sim->gateways, random_below (&sim->random, sim->site->gateways));
   request->account = draw_account (sim);
   request->prefix = draw_prefix (sim, request->kind);
   request->arrived_us = sim->now_us;
   init_try (sim, request);
   g_ptr_array_add (sim->requests, request);
   g_ptr_array_add (request->gateway->requests, request);
-  evt_add (&sim->events, request->queue_item.deadline_us, EVENT_DEADLINE, 0, request);
+  event_queue_add (&sim->events, request->queue_item.deadline_us, EVENT_DEADLINE, 0, request);
   sim_place (sim, request);
 }
 
@@ -268,7 +270,7 @@
 }
 
 static void
-handle_event (sim_t *sim, const evt_t *event)
+handle_event (sim_t *sim, const event_queue_entry_t *event)
 {
   sim_send_t *attempt = event->data;
 
@@ -308,7 +310,7 @@
 static void
 init_run (sim_t *sim)
 {
-  evt_init (&sim->events);
+  event_queue_init (&sim->events);
   sim->engines = g_ptr_array_new_with_free_func (sim_engine_free);
   sim->gateways = g_ptr_array_new_with_free_func (sim_gateway_free);
   sim->requests = g_ptr_array_new_with_free_func (g_free);
@@ -325,8 +327,8 @@
     g_ptr_array_add (sim->gateways, sim_gateway_new (sim, i));
   for (uint32_t kind = 0; kind < SIT_KINDS; kind++)
     schedule_arrivals (sim, kind);
-  evt_add (&sim->events, SIM_FAULT_BEGIN_US, EVENT_FAULT_BEGINS, 0, NULL);
-  evt_add (&sim->events, SIM_FAULT_END_US, EVENT_FAULT_ENDS, 0, NULL);
+  event_queue_add (&sim->events, SIM_FAULT_BEGIN_US, EVENT_FAULT_BEGINS, 0, NULL);
+  event_queue_add (&sim->events, SIM_FAULT_END_US, EVENT_FAULT_ENDS, 0, NULL);
 }
 
 /* Every request is over by its deadline, so none refers to an engine any more. */
@@ -343,7 +345,7 @@
       g_array_free (sim->retry_times[service], TRUE);
       g_array_free (sim->request_times[service], TRUE);
     }
-  evt_clear (&sim->events);
+  event_queue_clear (&sim->events);
 }
 
 /* Returns the largest excess of retries over the retry budget in any window, negative if there is
@@ -418,12 +420,12 @@
   sim_t sim = { .options = *options,
                 .scaled_site = *options->site,
                 .random = options->seed * 2 + 1 };
-  evt_t event;
+  event_queue_entry_t event;
 
   scale_down (&sim.scaled_site, MAX (options->scale_divisor, 1U));
   sim.site = &sim.scaled_site;
   init_run (&sim);
-  while (evt_take (&sim.events, &event))
+  while (event_queue_pop (&sim.events, &event))
     {
       sim.now_us = event.at_us;
       handle_event (&sim, &event);
--- a/bench/gateway/sim_engine.c
+++ b/bench/gateway/sim_engine.c
@@ -19,7 +19,7 @@
   engine->index = index;
   engine->running = g_ptr_array_new ();
   engine->queue = g_ptr_array_new ();
-  engine->cache = cch_new (sim->site->cache_tokens);
+  engine->cache = cache_model_new (sim->site->cache_tokens);
   g_snprintf (entry->id, sizeof entry->id, "%s-%u", settings->name, index);
   g_snprintf (entry->data_center, sizeof entry->data_center, "hall-%u",
               index % sim->site->data_centers);
@@ -36,7 +36,7 @@
 
   g_ptr_array_free (engine->running, TRUE);
   g_ptr_array_free (engine->queue, TRUE);
-  cch_free (engine->cache);
+  cache_model_free (engine->cache);
   g_free (engine);
 }
 
@@ -45,11 +45,11 @@
 process_prompt (sim_t *sim, sim_engine_t *engine, const sim_request_t *request)
 {
   const sit_kind_t *kind = request->kind;
-  uint32_t cached = cch_get (engine->cache, request->prefix);
+  uint32_t cached = cache_model_use (engine->cache, request->prefix);
   uint32_t tokens = kind->own_tokens + kind->prefix_tokens - MIN (cached, kind->prefix_tokens);
   uint64_t start_us = MAX (sim->now_us, engine->prompts_done_us);
 
-  cch_put (engine->cache, request->prefix, kind->prefix_tokens);
+  cache_model_put (engine->cache, request->prefix, kind->prefix_tokens);
   if (sim->now_us >= SIM_MEASURED_FROM_US)
     {
       sim->figures.read_tokens += tokens;
@@ -77,7 +77,7 @@
   if (kind->events == 0)
     {
       head_us = sim->now_us +
-                slowdown * (uint64_t)rnd_lognormal (&sim->random, (double)kind->work_us, 0.5);
+                slowdown * (uint64_t)random_lognormal (&sim->random, (double)kind->work_us, 0.5);
       end_us = head_us;
     }
   else
@@ -88,8 +88,8 @@
       head_us = sim->now_us + slowdown * (prompt_us + step_us (engine) * TOKENS_PER_EVENT);
       end_us = head_us + slowdown * rest_us;
     }
-  evt_add (&sim->events, head_us, EVENT_HEAD, 0, attempt);
-  evt_add (&sim->events, end_us, EVENT_END, 0, attempt);
+  event_queue_add (&sim->events, head_us, EVENT_HEAD, 0, attempt);
+  event_queue_add (&sim->events, end_us, EVENT_END, 0, attempt);
 }
 
 /* Records the load of an engine that has accepted a request, relative to the mean. */
@@ -169,7 +169,7 @@
   attempt->reached = engine->mode != ENGINE_DOWN;
   if (!attempt->reached || (engine->running->len >= slots && engine->queue->len >= queue_limit))
     {
-      evt_add (&sim->events, sim->now_us + REFUSAL_DELAY_US, EVENT_REFUSED, 0, attempt);
+      event_queue_add (&sim->events, sim->now_us + REFUSAL_DELAY_US, EVENT_REFUSED, 0, attempt);
       return;
     }
   if (engine->running->len < slots)
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -36,8 +36,8 @@
       engines_put (gateway->engines, sim->now_us, &engine->entry);
     }
   engines_set_complete (gateway->engines);
-  evt_add (&sim->events, sim->now_us + TICK_US + rnd_below (&sim->random, TICK_US), EVENT_TICK,
-           index, NULL);
+  event_queue_add (&sim->events, sim->now_us + TICK_US + random_below (&sim->random, TICK_US),
+                   EVENT_TICK, index, NULL);
   return gateway;
 }
 
@@ -84,7 +84,7 @@
       return;
     }
   request->returned = true;
-  evt_add (&sim->events, retry_at_us, EVENT_CLIENT_RETRY, 0, request);
+  event_queue_add (&sim->events, retry_at_us, EVENT_CLIENT_RETRY, 0, request);
 }
 
 static bool
@@ -99,7 +99,7 @@
 static uint64_t
 baseline_rank (sim_t *sim, const sim_request_t *request, const engine_t *egn)
 {
-  uint64_t random_rank = rnd_next (&sim->random) >> 16;
+  uint64_t random_rank = random_next (&sim->random) >> 16;
 
   if (sim->options.policy == SIM_LEAST)
     return ((UINT64_C (1) << 62) - ((uint64_t)egn->own << 48)) + random_rank;
@@ -403,7 +403,7 @@
 
   if (attempt->over)
     return;
-  failed = engine->mode == ENGINE_FLAKY && rnd_unit (&sim->random) < 0.5;
+  failed = engine->mode == ENGINE_FLAKY && random_unit (&sim->random) < 0.5;
   attempt->heard_us = sim->now_us;
   attempt->known_engine->heard_us = sim->now_us;
   reported = sim->site->services[engine->service].reports_load_at_start ? attempt->begun_load
@@ -553,5 +553,5 @@
   for (guint i = 0; tick % TIMEOUT_CHECK_TICKS == 0 && i < gateway->requests->len; i++)
     check_timeout (sim, g_ptr_array_index (gateway->requests, i));
   if (sim->now_us < SIM_ARRIVALS_END_US + 20 * (uint64_t)CLOCK_US_PER_S)
-    evt_add (&sim->events, sim->now_us + TICK_US, EVENT_TICK, gateway->index, NULL);
+    event_queue_add (&sim->events, sim->now_us + TICK_US, EVENT_TICK, gateway->index, NULL);
 }
--- a/bench/gateway/sim_parts.h
+++ b/bench/gateway/sim_parts.h
@@ -85,7 +85,7 @@
   GPtrArray *running;
   GPtrArray *queue;
   uint64_t prompts_done_us;
-  cch_t *cache;
+  cache_model_t *cache;
 } sim_engine_t;
 
 /**
@@ -202,7 +202,7 @@
   const sit_t *site;
   uint64_t now_us;
   uint64_t random;
-  evt_queue_t events;
+  event_queue_t events;
   GPtrArray *engines;
   GPtrArray *gateways;
   GPtrArray *requests;
--- a/bench/load_answer.c
+++ b/bench/load_answer.c
@@ -8,7 +8,7 @@
 #define STREAM_END "[DONE]"
 
 static void
-read_usage (lan_t *result, const json_t *json)
+read_usage (load_answer_t *result, const json_t *json)
 {
   const json_t *usage = json_object_get (json, "usage");
   if (usage == NULL)
@@ -27,7 +27,7 @@
 }
 
 static bool
-read_event (lan_t *result, const char *line, GString *text)
+read_event (load_answer_t *result, const char *line, GString *text)
 {
   json_t *json = json_loads (line, 0, NULL);
   const char *content = first_choice_content (json, "delta");
@@ -40,7 +40,7 @@
 }
 
 static bool
-read_stream (lan_t *result, const GString *answer, GString *text)
+read_stream (load_answer_t *result, const GString *answer, GString *text)
 {
   g_auto (GStrv) lines = g_strsplit (answer->str, "\n", 0);
   bool done = false;
@@ -58,11 +58,12 @@
 }
 
 static bool
-read_whole (lan_t *result, lan_kind_t kind, const GString *answer, GString *text)
+read_whole (load_answer_t *result, load_answer_kind_t kind, const GString *answer, GString *text)
 {
   json_t *json = json_loadb (answer->str, answer->len, 0, NULL);
-  const char *found = kind == LAN_CHAT ? first_choice_content (json, "message")
-                                       : json_string_value (json_object_get (json, "body_hash"));
+  const char *found = kind == LOAD_ANSWER_CHAT
+                          ? first_choice_content (json, "message")
+                          : json_string_value (json_object_get (json, "body_hash"));
   bool is_valid = found != NULL;
   if (is_valid)
     g_string_append (text, found);
@@ -72,7 +73,7 @@
 }
 
 char *
-lan_error_code (const GString *answer)
+load_answer_error_code (const GString *answer)
 {
   json_t *json = json_loadb (answer->str, answer->len, 0, NULL);
   const json_t *error = json_object_get (json, "error");
@@ -81,20 +82,21 @@
   return code;
 }
 
-lan_t
-lan_read (lan_kind_t kind, const GString *answer, uint64_t body_hash)
+load_answer_t
+load_answer_parse (load_answer_kind_t kind, const GString *answer, uint64_t body_hash)
 {
-  lan_t result = { .verdict = LAN_BROKEN };
+  load_answer_t result = { .verdict = LOAD_ANSWER_MALFORMED };
   GString *text = g_string_new (NULL);
   char expected_prefix[64];
-  if (kind == LAN_PLAIN)
+  if (kind == LOAD_ANSWER_PLAIN)
     g_snprintf (expected_prefix, sizeof expected_prefix, "%016" PRIx64, body_hash);
   else
     g_snprintf (expected_prefix, sizeof expected_prefix, "answer to %016" PRIx64 " ", body_hash);
-  bool is_valid = kind == LAN_STREAM ? read_stream (&result, answer, text)
-                                     : read_whole (&result, kind, answer, text);
+  bool is_valid = kind == LOAD_ANSWER_STREAM ? read_stream (&result, answer, text)
+                                             : read_whole (&result, kind, answer, text);
   if (is_valid)
-    result.verdict = g_str_has_prefix (text->str, expected_prefix) ? LAN_OWN : LAN_OTHERS;
+    result.verdict =
+        g_str_has_prefix (text->str, expected_prefix) ? LOAD_ANSWER_MATCHES : LOAD_ANSWER_MISMATCH;
   result.text = g_string_free (text, FALSE);
   return result;
 }
--- a/bench/load_chats.c
+++ b/bench/load_chats.c
@@ -4,11 +4,11 @@
 
 #define MAX_DRAWS 64 /* of a random chat; bounds the search while most chats pause */
 
-struct lch
+struct load_chats
 {
-  const lop_t *options;
+  const load_options_t *options;
   GRand *rand;
-  lch_chat_t *items;
+  load_chats_chat_t *items;
   double *cumulative_weights; /* Zipf weights of the chats; NULL if the choice is uniform */
 };
 
@@ -33,7 +33,7 @@
 }
 
 static uint32_t
-draw_index (const lch_t *chats)
+draw_index (const load_chats_t *chats)
 {
   uint32_t count = chats->options->chats;
   if (chats->cumulative_weights == NULL)
@@ -53,9 +53,9 @@
 }
 
 static uint32_t
-draw_account (const lch_t *chats)
+draw_account (const load_chats_t *chats)
 {
-  const lop_t *options = chats->options;
+  const load_options_t *options = chats->options;
   double sum = 0;
   for (uint32_t i = 0; i < options->account_count; i++)
     sum += options->accounts[i].weight;
@@ -70,7 +70,7 @@
 }
 
 static void
-add_user_message (lch_t *chats, lch_chat_t *chat, uint32_t text_bytes)
+add_user_message (load_chats_t *chats, load_chats_chat_t *chat, uint32_t text_bytes)
 {
   GString *messages = chat->messages;
   if (messages->len > 0)
@@ -85,7 +85,7 @@
 }
 
 static void
-restart_chat (lch_chat_t *chat)
+restart_chat (load_chats_chat_t *chat)
 {
   g_string_truncate (chat->messages, 0);
   chat->turns = 0;
@@ -93,27 +93,28 @@
   chat->restarts++;
 }
 
-lch_t *
-lch_new (const lop_t *options, GRand *rand)
+load_chats_t *
+load_chats_new (const load_options_t *options, GRand *rand)
 {
-  lch_t *chats = g_new0 (lch_t, 1);
+  load_chats_t *chats = g_new0 (load_chats_t, 1);
   chats->options = options;
   chats->rand = rand;
-  chats->items = g_new0 (lch_chat_t, options->chats);
+  chats->items = g_new0 (load_chats_chat_t, options->chats);
   chats->cumulative_weights = cumulative_zipf_weights (options->chats, options->zipf);
   for (uint32_t i = 0; i < options->chats; i++)
     {
-      lch_chat_t *chat = &chats->items[i];
+      load_chats_chat_t *chat = &chats->items[i];
       chat->messages = g_string_new (NULL);
       chat->index = i;
       chat->account = draw_account (chats);
-      chat->side = g_rand_double (rand) < options->direct_share ? LOP_DIRECT : LOP_FLEET;
+      chat->side =
+          g_rand_double (rand) < options->direct_share ? LOAD_SIDE_ENGINES : LOAD_SIDE_ROUTERS;
     }
   return chats;
 }
 
 void
-lch_free (lch_t *chats)
+load_chats_free (load_chats_t *chats)
 {
   if (chats == NULL)
     return;
@@ -124,12 +125,12 @@
   g_free (chats);
 }
 
-lch_chat_t *
-lch_take (lch_t *chats, uint64_t now_us)
+load_chats_chat_t *
+load_chats_take (load_chats_t *chats, uint64_t now_us)
 {
   for (int i = 0; i < MAX_DRAWS; i++)
     {
-      lch_chat_t *chat = &chats->items[draw_index (chats)];
+      load_chats_chat_t *chat = &chats->items[draw_index (chats)];
       if (chat->available_us > now_us)
         continue;
       if (chat->messages->len > chats->options->history_limit_bytes)
@@ -143,13 +144,16 @@
 }
 
 char *
-lch_id (const lch_chat_t *chat)
+load_chats_format_id (const load_chats_chat_t *chat)
 {
   return g_strdup_printf ("chat-%u-%u", chat->index, chat->restarts);
 }
 
 GString *
-lch_body (const lch_t *chats, const lch_chat_t *chat, uint32_t max_tokens, bool stream)
+load_chats_format_body (const load_chats_t *chats,
+                        const load_chats_chat_t *chat,
+                        uint32_t max_tokens,
+                        bool stream)
 {
   GString *body = g_string_sized_new (chat->messages->len + 128);
   g_string_append_printf (body, "{\"model\":\"%s\",\"messages\":[", chats->options->model);
@@ -160,8 +164,11 @@
 }
 
 void
-lch_give (
-    lch_t *chats, lch_chat_t *chat, uint64_t now_us, const char *answer, uint32_t reusable_tokens)
+load_chats_end_turn (load_chats_t *chats,
+                     load_chats_chat_t *chat,
+                     uint64_t now_us,
+                     const char *answer,
+                     uint32_t reusable_tokens)
 {
   double pause_us =
       (double)chats->options->pause_ms * 1000 * -log (1 - g_rand_double (chats->rand));
--- a/bench/load_chats.h
+++ b/bench/load_chats.h
@@ -12,7 +12,7 @@
 #include <glib.h>
 
 /**
- * struct lch_chat - one chat
+ * struct load_chats_chat - one chat
  * @messages: its history: the elements of the JSON array "messages", without the brackets
  * @account: index of its account in the options
  * @turns: answered turns since its last restart
@@ -30,27 +30,36 @@
   uint32_t restarts;
   uint32_t reusable_tokens;
   uint64_t available_us;
-  lop_side_t side;
-} lch_chat_t;
+  load_side_t side;
+} load_chats_chat_t;
 
-typedef struct lch lch_t;
+typedef struct load_chats load_chats_t;
 
-/** lch_new() - @options and @rand must outlive it */
-lch_t *lch_new (const lop_t *options, GRand *rand);
-void lch_free (lch_t *chats);
-/** lch_take() - a random chat that is not paused, with a new user message; NULL if none is found */
-lch_chat_t *lch_take (lch_t *chats, uint64_t now_us);
-/** lch_id() - the chat's id, to be freed by g_free() */
-char *lch_id (const lch_chat_t *chat);
-/** lch_body() - the JSON body of the chat's next request, to be freed by g_string_free() */
-GString *lch_body (const lch_t *chats, const lch_chat_t *chat, uint32_t max_tokens, bool stream);
+/** load_chats_new() - @options and @rand must outlive it */
+load_chats_t *load_chats_new (const load_options_t *options, GRand *rand);
+void load_chats_free (load_chats_t *chats);
+/** load_chats_take() - a random chat that is not paused, with a new user message; NULL if none is
+ * found */
+load_chats_chat_t *load_chats_take (load_chats_t *chats, uint64_t now_us);
+/** load_chats_format_id() - the chat's id, to be freed by g_free() */
+char *load_chats_format_id (const load_chats_chat_t *chat);
+/** load_chats_format_body() - the JSON body of the chat's next request, to be freed by
+ * g_string_free() */
+GString *load_chats_format_body (const load_chats_t *chats,
+                                 const load_chats_chat_t *chat,
+                                 uint32_t max_tokens,
+                                 bool stream);
 /**
- * lch_give() - ends the turn of a chat that lch_take() returned, and starts its pause
+ * load_chats_end_turn() - ends the turn of a chat that load_chats_take() returned, and starts its
+ * pause
  * @answer: the answer's text, which is added to the history; NULL if the request failed, and the
  *   chat starts again with an empty history
  * @reusable_tokens: prompt and answer tokens of this turn
  */
-void lch_give (
-    lch_t *chats, lch_chat_t *chat, uint64_t now_us, const char *answer, uint32_t reusable_tokens);
+void load_chats_end_turn (load_chats_t *chats,
+                          load_chats_chat_t *chat,
+                          uint64_t now_us,
+                          const char *answer,
+                          uint32_t reusable_tokens);
 
 #endif
--- a/bench/load_client.c
+++ b/bench/load_client.c
@@ -10,7 +10,7 @@
 #include <netinet/tcp.h>
 #include <string.h>
 
-struct lcl
+struct load_client
 {
   struct event_base *base;
   GHashTable *idle; /* "IP:PORT" -> GQueue of evhttp_connection */
@@ -18,19 +18,19 @@
 
 typedef struct
 {
-  lcl_t *owner;
+  load_client_t *owner;
   struct evhttp_connection *connection;
   struct evhttp_request *request; /* NULL after evhttp has freed it */
   struct event *timer;            /* the timeout; after the request, the deferred callback */
   char *endpoint;
-  lcl_done_t done;
+  load_client_done_t done;
   void *context;
   GString *body;
-  lcl_answer_t answer;
+  load_client_answer_t answer;
   bool keep_alive;
   char *verdict;
   char *engine;
-} lcl_call_t;
+} load_client_call_t;
 
 static void
 queue_free (gpointer data)
@@ -42,7 +42,7 @@
 }
 
 static GQueue *
-idle_connections (lcl_t *client, const char *endpoint)
+idle_connections (load_client_t *client, const char *endpoint)
 {
   GQueue *queue = g_hash_table_lookup (client->idle, endpoint);
   if (queue == NULL)
@@ -54,7 +54,7 @@
 }
 
 static struct evhttp_connection *
-take_connection (lcl_t *client, const char *endpoint, const address_t *address)
+take_connection (load_client_t *client, const char *endpoint, const address_t *address)
 {
   struct evhttp_connection *connection = g_queue_pop_head (idle_connections (client, endpoint));
   if (connection != NULL)
@@ -63,7 +63,7 @@
 }
 
 static void
-call_free (lcl_call_t *call)
+call_free (load_client_call_t *call)
 {
   event_free (call->timer);
   g_string_free (call->body, TRUE);
@@ -74,7 +74,7 @@
 }
 
 static void
-call_end (lcl_call_t *call)
+call_end (load_client_call_t *call)
 {
   call->answer.body = call->body;
   call->answer.verdict = call->verdict;
@@ -91,7 +91,7 @@
 static void
 on_timer (evutil_socket_t fd, short what, void *arg)
 {
-  lcl_call_t *call = arg;
+  load_client_call_t *call = arg;
   (void)fd;
   (void)what;
   if (call->request != NULL)
@@ -105,7 +105,7 @@
 }
 
 static void
-end_deferred (lcl_call_t *call)
+end_deferred (load_client_call_t *call)
 {
   static const struct timeval no_delay = { 0, 0 };
   call->request = NULL;
@@ -126,7 +126,7 @@
 }
 
 static void
-read_headers (lcl_call_t *call, struct evhttp_request *request)
+read_headers (load_client_call_t *call, struct evhttp_request *request)
 {
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
   const char *connection = evhttp_find_header (headers, "Connection");
@@ -145,7 +145,7 @@
 static void
 on_body_part (struct evhttp_request *request, void *arg)
 {
-  lcl_call_t *call = arg;
+  load_client_call_t *call = arg;
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   size_t part_bytes = evbuffer_get_length (input);
   if (call->answer.first_us == 0)
@@ -156,7 +156,7 @@
 static void
 on_request_done (struct evhttp_request *request, void *arg)
 {
-  lcl_call_t *call = arg;
+  load_client_call_t *call = arg;
   call->answer.end_us = (uint64_t)g_get_monotonic_time ();
   if (request == NULL)
     call->answer.failure = "cut";
@@ -170,11 +170,11 @@
 }
 
 static void
-add_headers (struct evhttp_request *request, const lcl_request_t *options)
+add_headers (struct evhttp_request *request, const load_client_request_t *options)
 {
   struct evkeyvalq *out = evhttp_request_get_output_headers (request);
   evhttp_add_header (out, "Host", options->address->ip);
-  for (const lcl_header_t *header = options->headers; header->name != NULL; header++)
+  for (const load_client_header_t *header = options->headers; header->name != NULL; header++)
     if (header->value != NULL)
       evhttp_add_header (out, header->name, header->value);
 }
@@ -189,17 +189,17 @@
     setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-lcl_t *
-lcl_new (struct event_base *base)
+load_client_t *
+load_client_new (struct event_base *base)
 {
-  lcl_t *client = g_new0 (lcl_t, 1);
+  load_client_t *client = g_new0 (load_client_t, 1);
   client->base = base;
   client->idle = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, queue_free);
   return client;
 }
 
 void
-lcl_free (lcl_t *client)
+load_client_free (load_client_t *client)
 {
   if (client == NULL)
     return;
@@ -208,9 +208,9 @@
 }
 
 void
-lcl_send (lcl_t *client, const lcl_request_t *options)
+load_client_send (load_client_t *client, const load_client_request_t *options)
 {
-  lcl_call_t *call = g_new0 (lcl_call_t, 1);
+  load_client_call_t *call = g_new0 (load_client_call_t, 1);
   struct timeval timeout = { (time_t)(options->timeout_ms / 1000),
                              (suseconds_t)(options->timeout_ms % 1000 * 1000) };
   enum evhttp_cmd_type command =
--- a/bench/load_client.h
+++ b/bench/load_client.h
@@ -14,10 +14,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-typedef struct lcl lcl_t;
+typedef struct load_client load_client_t;
 
 /**
- * struct lcl_answer - how a request ended; valid during the callback
+ * struct load_client_answer - how a request ended; valid during the callback
  * @failure: "connect" (no connection or no answer), "cut" (the connection closed before the end),
  *   "timeout" or "no_length" (neither Content-Length nor Transfer-Encoding); NULL if the answer is
  *   complete
@@ -34,18 +34,18 @@
   const GString *body;
   uint64_t first_us;
   uint64_t end_us;
-} lcl_answer_t;
+} load_client_answer_t;
 
-typedef void (*lcl_done_t) (const lcl_answer_t *answer, void *context);
+typedef void (*load_client_done_t) (const load_client_answer_t *answer, void *context);
 
 typedef struct
 {
   const char *name;
   const char *value;
-} lcl_header_t;
+} load_client_header_t;
 
 /**
- * struct lcl_request - one request; everything in it is copied
+ * struct load_client_request - one request; everything in it is copied
  * @headers: ends with a NULL name; a header with a NULL value is not sent
  * @body: sent with POST only
  * @timeout_ms: from sending to the last byte of the answer
@@ -55,16 +55,17 @@
   const address_t *address;
   const char *method;
   const char *target;
-  const lcl_header_t *headers;
+  const load_client_header_t *headers;
   const GString *body;
   uint64_t timeout_ms;
-  lcl_done_t done;
+  load_client_done_t done;
   void *context;
-} lcl_request_t;
+} load_client_request_t;
 
-lcl_t *lcl_new (struct event_base *base);
-void lcl_free (lcl_t *client);
-/** lcl_send() - sends a request; @done is called exactly once, after lcl_send() has returned */
-void lcl_send (lcl_t *client, const lcl_request_t *request);
+load_client_t *load_client_new (struct event_base *base);
+void load_client_free (load_client_t *client);
+/** load_client_send() - sends a request; @done is called exactly once, after load_client_send() has
+ * returned */
+void load_client_send (load_client_t *client, const load_client_request_t *request);
 
 #endif
--- a/bench/load_idle.c
+++ b/bench/load_idle.c
@@ -29,10 +29,11 @@
 }
 
 void
-lid_hold (const lop_t *options, struct event_base *base)
+load_idle_run (const load_options_t *options, struct event_base *base)
 {
   idle_counts_t counts = { 0, 0 };
-  lop_side_t side = options->target_count[LOP_FLEET] > 0 ? LOP_FLEET : LOP_DIRECT;
+  load_side_t side =
+      options->target_count[LOAD_SIDE_ROUTERS] > 0 ? LOAD_SIDE_ROUTERS : LOAD_SIDE_ENGINES;
   struct timeval time = { (time_t)options->time_s, 0 };
   struct event *timer = evtimer_new (base, stop_loop, base);
   for (uint32_t i = 0; i < options->idle; i++)
--- a/bench/load_idle.h
+++ b/bench/load_idle.h
@@ -12,10 +12,10 @@
 #include <event2/event.h>
 
 /**
- * lid_hold() - keeps @options->idle connections open for @options->time_s seconds
+ * load_idle_run() - keeps @options->idle connections open for @options->time_s seconds
  *
  * Prints how many were opened and how many of them the server closed.
  */
-void lid_hold (const lop_t *options, struct event_base *base);
+void load_idle_run (const load_options_t *options, struct event_base *base);
 
 #endif
--- a/bench/load_options.c
+++ b/bench/load_options.c
@@ -105,10 +105,10 @@
 }
 
 static void
-add_target (lop_t *options, lop_side_t side, const char *text)
+add_target (load_options_t *options, load_side_t side, const char *text)
 {
   GError *error = NULL;
-  if (options->target_count[side] == LOP_LIMIT_TARGETS)
+  if (options->target_count[side] == LOAD_MAX_TARGETS)
     exit_usage ("too many targets");
   if (!address_parse (text, &options->targets[side][options->target_count[side]], &error))
     exit_usage (error->message);
@@ -116,20 +116,20 @@
 }
 
 static void
-add_account (lop_t *options, const char *text)
+add_account (load_options_t *options, const char *text)
 {
   g_auto (GStrv) parts = g_strsplit (text, ":", 3);
   guint count = g_strv_length (parts);
-  if (count < 2 || options->account_count == LOP_LIMIT_ACCOUNTS)
+  if (count < 2 || options->account_count == LOAD_MAX_ACCOUNTS)
     exit_usage ("an account is NAME:KEY[:WEIGHT]");
-  lop_account_t *account = &options->accounts[options->account_count++];
+  load_account_t *account = &options->accounts[options->account_count++];
   g_strlcpy (account->name, parts[0], sizeof account->name);
   g_strlcpy (account->key, parts[1], sizeof account->key);
   account->weight = count < 3 ? 1 : (uint32_t)parse_number (parts[2], 1000000);
 }
 
 static void
-add_accounts_from_file (lop_t *options, const char *path)
+add_accounts_from_file (load_options_t *options, const char *path)
 {
   g_autofree char *text = NULL;
   GError *error = NULL;
@@ -142,37 +142,37 @@
 }
 
 static void
-add_class (lop_t *options, const char *text)
+add_class (load_options_t *options, const char *text)
 {
   g_auto (GStrv) parts = g_strsplit (text, ":", 3);
   guint count = g_strv_length (parts);
-  if (count < 1 || options->class_count == LOP_LIMIT_CLASSES)
+  if (count < 1 || options->class_count == LOAD_MAX_CLASSES)
     exit_usage ("a class is NAME[:WEIGHT[:MAX_TOKENS]]");
-  lop_class_t *class = &options->classes[options->class_count++];
+  load_class_t *class = &options->classes[options->class_count++];
   g_strlcpy (class->name, parts[0], sizeof class->name);
   class->weight = count < 2 ? 1 : (uint32_t)parse_number (parts[1], 1000000);
   class->max_tokens = count < 3 ? 0 : (uint32_t)parse_number (parts[2], 65536);
 }
 
 static bool
-apply_load_flag (lop_t *options, int flag, const char *value)
+apply_load_flag (load_options_t *options, int flag, const char *value)
 {
   switch (flag)
     {
     case FLAG_REQUESTS:
-      options->requests = parse_number (value, LOP_LIMIT_REQUESTS);
+      options->requests = parse_number (value, LOAD_MAX_REQUESTS);
       return true;
     case FLAG_TIME:
-      options->time_s = parse_number (value, LOP_LIMIT_TIME_S);
+      options->time_s = parse_number (value, LOAD_MAX_TIME_S);
       return true;
     case FLAG_RATE:
       options->rate_s = parse_real (value, 1e6);
       return true;
     case FLAG_CONCURRENCY:
-      options->concurrency = (uint32_t)MAX (1, parse_number (value, LOP_LIMIT_CONCURRENCY));
+      options->concurrency = (uint32_t)MAX (1, parse_number (value, LOAD_MAX_CONCURRENCY));
       return true;
     case FLAG_CHATS:
-      options->chats = (uint32_t)MAX (1, parse_number (value, LOP_LIMIT_CHATS));
+      options->chats = (uint32_t)MAX (1, parse_number (value, LOAD_MAX_CHATS));
       return true;
     case FLAG_ZIPF:
       options->zipf = parse_real (value, 10);
@@ -198,15 +198,15 @@
 }
 
 static void
-apply_flag (lop_t *options, int flag, const char *value)
+apply_flag (load_options_t *options, int flag, const char *value)
 {
   switch (flag)
     {
     case FLAG_TARGET:
-      add_target (options, LOP_FLEET, value);
+      add_target (options, LOAD_SIDE_ROUTERS, value);
       break;
     case FLAG_DIRECT:
-      add_target (options, LOP_DIRECT, value);
+      add_target (options, LOAD_SIDE_ENGINES, value);
       break;
     case FLAG_ACCOUNT:
       add_account (options, value);
@@ -256,9 +256,10 @@
 }
 
 static void
-check_options (lop_t *options)
+check_options (load_options_t *options)
 {
-  uint32_t targets = options->target_count[LOP_FLEET] + options->target_count[LOP_DIRECT];
+  uint32_t targets =
+      options->target_count[LOAD_SIDE_ROUTERS] + options->target_count[LOAD_SIDE_ENGINES];
   if (targets == 0)
     exit_usage ("no --target and no --direct");
   if (options->account_count == 0)
@@ -272,16 +273,16 @@
     exit_usage ("--plain-method is GET or POST");
   if (options->concurrency == 0)
     options->concurrency = options->rate_s > 0 ? DEFAULT_OPEN_LOOP_IN_FLIGHT : DEFAULT_WORKERS;
-  if (options->target_count[LOP_FLEET] == 0)
+  if (options->target_count[LOAD_SIDE_ROUTERS] == 0)
     options->direct_share = 1;
-  if (options->target_count[LOP_DIRECT] == 0)
+  if (options->target_count[LOAD_SIDE_ENGINES] == 0)
     options->direct_share = 0;
 }
 
-lop_t *
-lop_load (int argc, char **argv)
+load_options_t *
+load_options_parse (int argc, char **argv)
 {
-  lop_t *options = g_new0 (lop_t, 1);
+  load_options_t *options = g_new0 (load_options_t, 1);
   options->requests = 1000;
   options->time_s = 60;
   options->chats = 200;
--- a/bench/load_options.h
+++ b/bench/load_options.h
@@ -11,24 +11,24 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LOP_LIMIT_TARGETS 1024
-#define LOP_LIMIT_ACCOUNTS 2048
-#define LOP_LIMIT_CLASSES 32
-#define LOP_LIMIT_REQUESTS 20000000
-#define LOP_LIMIT_CHATS 2000000
-#define LOP_LIMIT_CONCURRENCY 20000
-#define LOP_LIMIT_TIME_S (24 * 3600)
+#define LOAD_MAX_TARGETS 1024
+#define LOAD_MAX_ACCOUNTS 2048
+#define LOAD_MAX_CLASSES 32
+#define LOAD_MAX_REQUESTS 20000000
+#define LOAD_MAX_CHATS 2000000
+#define LOAD_MAX_CONCURRENCY 20000
+#define LOAD_MAX_TIME_S (24 * 3600)
 
-/** enum lop_side - where a request goes: to a router, or straight to an engine */
+/** enum load_side - where a request goes: to a router, or straight to an engine */
 typedef enum
 {
-  LOP_FLEET,
-  LOP_DIRECT,
-  LOP_SIDES /* number of sides */
-} lop_side_t;
+  LOAD_SIDE_ROUTERS,
+  LOAD_SIDE_ENGINES,
+  LOAD_SIDE_COUNT /* number of sides */
+} load_side_t;
 
 /**
- * struct lop_account - a client account
+ * struct load_account - a client account
  * @key: its API key
  * @weight: share of the chats, relative to the other accounts
  */
@@ -37,10 +37,10 @@
   char name[LIMIT_NAME_BYTES];
   char key[128];
   uint32_t weight;
-} lop_account_t;
+} load_account_t;
 
 /**
- * struct lop_class - a request class
+ * struct load_class - a request class
  * @weight: share of the requests, relative to the other classes
  * @max_tokens: output tokens to ask for; 0 for the tool's default
  */
@@ -49,7 +49,7 @@
   char name[LIMIT_NAME_BYTES];
   uint32_t weight;
   uint32_t max_tokens;
-} lop_class_t;
+} load_class_t;
 
 /**
  * struct load_options - the options
@@ -76,11 +76,11 @@
  */
 typedef struct
 {
-  address_t targets[LOP_SIDES][LOP_LIMIT_TARGETS];
-  uint32_t target_count[LOP_SIDES];
-  lop_account_t accounts[LOP_LIMIT_ACCOUNTS];
+  address_t targets[LOAD_SIDE_COUNT][LOAD_MAX_TARGETS];
+  uint32_t target_count[LOAD_SIDE_COUNT];
+  load_account_t accounts[LOAD_MAX_ACCOUNTS];
   uint32_t account_count;
-  lop_class_t classes[LOP_LIMIT_CLASSES];
+  load_class_t classes[LOAD_MAX_CLASSES];
   uint32_t class_count;
   bool has_classes;
   char model[LIMIT_NAME_BYTES];
@@ -105,9 +105,10 @@
   uint32_t seed;
   bool json;
   bool tsv;
-} lop_t;
+} load_options_t;
 
-/** lop_load() - parses the flags; on an invalid one, prints a message and exits with status 2 */
-lop_t *lop_load (int argc, char **argv);
+/** load_options_parse() - parses the flags; on an invalid one, prints a message and exits with
+ * status 2 */
+load_options_t *load_options_parse (int argc, char **argv);
 
 #endif
--- a/bench/load_stats.c
+++ b/bench/load_stats.c
@@ -7,12 +7,12 @@
 {
   GArray *latency_us; /* uint64_t, answered requests only */
   GArray *first_token_us;
-} lst_times_t;
+} load_stats_times_t;
 
 typedef struct
 {
-  lst_times_t all;
-  GHashTable *by_class; /* class name -> lst_times_t */
+  load_stats_times_t all;
+  GHashTable *by_class; /* class name -> load_stats_times_t */
   GHashTable *failures; /* failure -> count */
   GHashTable *engines;  /* engine name -> answered requests */
   GHashTable *accounts; /* account name -> answered requests */
@@ -25,24 +25,24 @@
   uint64_t returning_prompt_tokens;
   uint64_t returning_cached_tokens;
   uint64_t reusable_tokens;
-} lst_side_t;
+} load_stats_side_t;
 
-struct lst
+struct load_stats
 {
-  lst_side_t sides[LOP_SIDES];
+  load_stats_side_t sides[LOAD_SIDE_COUNT];
 };
 
 static const char *const side_names[] = { "fleet", "direct" };
 
 static void
-times_init (lst_times_t *times)
+times_init (load_stats_times_t *times)
 {
   times->latency_us = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   times->first_token_us = g_array_new (FALSE, FALSE, sizeof (uint64_t));
 }
 
 static void
-times_clear (lst_times_t *times)
+times_clear (load_stats_times_t *times)
 {
   g_array_free (times->latency_us, TRUE);
   g_array_free (times->first_token_us, TRUE);
@@ -56,7 +56,7 @@
 }
 
 static void
-times_add (lst_times_t *times, const lst_sample_t *sample)
+times_add (load_stats_times_t *times, const load_stats_sample_t *sample)
 {
   g_array_append_val (times->latency_us, sample->latency_us);
   g_array_append_val (times->first_token_us, sample->first_token_us);
@@ -80,13 +80,13 @@
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
-static lst_times_t *
-class_times (lst_side_t *side, const char *name)
+static load_stats_times_t *
+class_times (load_stats_side_t *side, const char *name)
 {
-  lst_times_t *times = g_hash_table_lookup (side->by_class, name);
+  load_stats_times_t *times = g_hash_table_lookup (side->by_class, name);
   if (times != NULL)
     return times;
-  times = g_new0 (lst_times_t, 1);
+  times = g_new0 (load_stats_times_t, 1);
   times_init (times);
   g_hash_table_insert (side->by_class, g_strdup (name), times);
   return times;
@@ -119,7 +119,7 @@
 }
 
 static json_t *
-times_json (lst_times_t *times)
+times_json (load_stats_times_t *times)
 {
   return json_pack ("{s:o, s:o}", "latency", percentiles (times->latency_us), "first_token",
                     percentiles (times->first_token_us));
@@ -139,7 +139,7 @@
 }
 
 static json_t *
-classes_json (lst_side_t *side)
+classes_json (load_stats_side_t *side)
 {
   json_t *json = json_object ();
   GHashTableIter iter;
@@ -158,7 +158,7 @@
 }
 
 static json_t *
-cache_json (const lst_side_t *side)
+cache_json (const load_stats_side_t *side)
 {
   return json_pack ("{s:I, s:I, s:I, s:I, s:f, s:f}", "returning", (json_int_t)side->returning,
                     "prompt_tokens", (json_int_t)side->returning_prompt_tokens, "cached_tokens",
@@ -169,7 +169,7 @@
 }
 
 static json_t *
-side_json (lst_side_t *side, uint64_t elapsed_us)
+side_json (load_stats_side_t *side, uint64_t elapsed_us)
 {
   double elapsed_s = (double)elapsed_us / G_USEC_PER_SEC;
   json_t *json = times_json (&side->all);
@@ -189,11 +189,11 @@
 
 /* Ratio of the latencies through the routers to those of the engines alone, in the same run. */
 static json_t *
-overhead_json (lst_t *stats)
+overhead_json (load_stats_t *stats)
 {
   json_t *json = json_object ();
-  lst_times_t *fleet = &stats->sides[LOP_FLEET].all;
-  lst_times_t *direct = &stats->sides[LOP_DIRECT].all;
+  load_stats_times_t *fleet = &stats->sides[LOAD_SIDE_ROUTERS].all;
+  load_stats_times_t *direct = &stats->sides[LOAD_SIDE_ENGINES].all;
   static const double shares[] = { 0.5, 0.99 };
   static const char *const latency_keys[] = { "latency_p50", "latency_p99" };
   static const char *const first_token_keys[] = { "first_token_p50", "first_token_p99" };
@@ -255,13 +255,13 @@
     }
 }
 
-lst_t *
-lst_new (void)
+load_stats_t *
+load_stats_new (void)
 {
-  lst_t *stats = g_new0 (lst_t, 1);
-  for (int i = 0; i < LOP_SIDES; i++)
+  load_stats_t *stats = g_new0 (load_stats_t, 1);
+  for (int i = 0; i < LOAD_SIDE_COUNT; i++)
     {
-      lst_side_t *side = &stats->sides[i];
+      load_stats_side_t *side = &stats->sides[i];
       times_init (&side->all);
       side->by_class = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, times_free);
       side->failures = counts_new ();
@@ -272,13 +272,13 @@
 }
 
 void
-lst_free (lst_t *stats)
+load_stats_free (load_stats_t *stats)
 {
   if (stats == NULL)
     return;
-  for (int i = 0; i < LOP_SIDES; i++)
+  for (int i = 0; i < LOAD_SIDE_COUNT; i++)
     {
-      lst_side_t *side = &stats->sides[i];
+      load_stats_side_t *side = &stats->sides[i];
       times_clear (&side->all);
       g_hash_table_destroy (side->by_class);
       g_hash_table_destroy (side->failures);
@@ -289,9 +289,9 @@
 }
 
 void
-lst_add (lst_t *stats, const lst_sample_t *sample)
+load_stats_add (load_stats_t *stats, const load_stats_sample_t *sample)
 {
-  lst_side_t *side = &stats->sides[sample->side];
+  load_stats_side_t *side = &stats->sides[sample->side];
   if (sample->failure != NULL)
     {
       side->failed++;
@@ -299,7 +299,7 @@
       return;
     }
   side->answered++;
-  side->mismatched += sample->answer->verdict == LAN_OTHERS ? 1 : 0;
+  side->mismatched += sample->answer->verdict == LOAD_ANSWER_MISMATCH ? 1 : 0;
   side->prompt_tokens += sample->answer->prompt_tokens;
   side->output_tokens += sample->answer->completion_tokens;
   times_add (&side->all, sample);
@@ -315,17 +315,20 @@
 }
 
 bool
-lst_print (lst_t *stats, const lop_t *options, uint64_t elapsed_us, uint64_t skipped)
+load_stats_print (load_stats_t *stats,
+                  const load_options_t *options,
+                  uint64_t elapsed_us,
+                  uint64_t skipped)
 {
   json_t *json = json_object ();
   bool has_mismatch = false;
-  for (int i = 0; i < LOP_SIDES; i++)
+  for (int i = 0; i < LOAD_SIDE_COUNT; i++)
     {
       has_mismatch = has_mismatch || stats->sides[i].mismatched > 0;
       if (options->target_count[i] > 0)
         json_object_set_new (json, side_names[i], side_json (&stats->sides[i], elapsed_us));
     }
-  if (json_object_size (json) == LOP_SIDES)
+  if (json_object_size (json) == LOAD_SIDE_COUNT)
     json_object_set_new (json, "fleet_to_direct", overhead_json (stats));
   json_object_set_new (json, "elapsed_s", json_real ((double)elapsed_us / G_USEC_PER_SEC));
   json_object_set_new (json, "not_sent", json_integer ((json_int_t)skipped));
--- a/bench/load_stats.h
+++ b/bench/load_stats.h
@@ -9,10 +9,10 @@
 #include "load_answer.h"
 #include "load_options.h"
 
-typedef struct lst lst_t;
+typedef struct load_stats load_stats_t;
 
 /**
- * struct lst_sample - one request that has ended
+ * struct load_stats_sample - one request that has ended
  * @latency_us: from the start of the request to the last byte of the answer
  * @first_token_us: from the start of the request to the first byte of the answer's body
  * @failure: NULL if answered, else what the client saw, e.g. "503 not_run queue_full" or "cut"
@@ -22,7 +22,7 @@
  */
 typedef struct
 {
-  lop_side_t side;
+  load_side_t side;
   uint64_t latency_us;
   uint64_t first_token_us;
   const char *failure;
@@ -30,18 +30,21 @@
   const char *class_name;
   const char *account;
   uint32_t reusable_tokens;
-  const lan_t *answer;
-} lst_sample_t;
+  const load_answer_t *answer;
+} load_stats_sample_t;
 
-lst_t *lst_new (void);
-void lst_free (lst_t *stats);
-void lst_add (lst_t *stats, const lst_sample_t *sample);
+load_stats_t *load_stats_new (void);
+void load_stats_free (load_stats_t *stats);
+void load_stats_add (load_stats_t *stats, const load_stats_sample_t *sample);
 /**
- * lst_print() - prints all measurements in the format that @options ask for
+ * load_stats_print() - prints all measurements in the format that @options ask for
  * @skipped: requests that were due but not sent
  *
  * Return: whether any answer belonged to another request
  */
-bool lst_print (lst_t *stats, const lop_t *options, uint64_t elapsed_us, uint64_t skipped);
+bool load_stats_print (load_stats_t *stats,
+                       const load_options_t *options,
+                       uint64_t elapsed_us,
+                       uint64_t skipped);
 
 #endif
--- a/bench/random.c
+++ b/bench/random.c
@@ -4,7 +4,7 @@
 
 /* splitmix64, which has no weak seeds. */
 uint64_t
-rnd_next (uint64_t *state)
+random_next (uint64_t *state)
 {
   uint64_t x = *state += UINT64_C (0x9e3779b97f4a7c15);
   x = (x ^ (x >> 30)) * UINT64_C (0xbf58476d1ce4e5b9);
@@ -13,27 +13,27 @@
 }
 
 double
-rnd_unit (uint64_t *state)
+random_unit (uint64_t *state)
 {
-  return ((double)(rnd_next (state) >> 11) + 0.5) / 9007199254740992.0;
+  return ((double)(random_next (state) >> 11) + 0.5) / 9007199254740992.0;
 }
 
 uint32_t
-rnd_below (uint64_t *state, uint32_t limit)
+random_below (uint64_t *state, uint32_t limit)
 {
-  return (uint32_t)(rnd_next (state) % limit);
+  return (uint32_t)(random_next (state) % limit);
 }
 
 double
-rnd_exponential (uint64_t *state, double mean)
+random_exponential (uint64_t *state, double mean)
 {
-  return -mean * log (rnd_unit (state));
+  return -mean * log (random_unit (state));
 }
 
 double
-rnd_lognormal (uint64_t *state, double median, double sigma)
+random_lognormal (uint64_t *state, double median, double sigma)
 {
-  const double radius = sqrt (-2.0 * log (rnd_unit (state)));
-  const double normal = radius * cos (2.0 * M_PI * rnd_unit (state));
+  const double radius = sqrt (-2.0 * log (random_unit (state)));
+  const double normal = radius * cos (2.0 * M_PI * random_unit (state));
   return median * exp (sigma * normal);
 }
--- a/bench/random.h
+++ b/bench/random.h
@@ -9,14 +9,14 @@
 
 #include <stdint.h>
 
-/** rnd_next() - the next 64 random bits; the first value of @state is the seed */
-uint64_t rnd_next (uint64_t *state);
-/** rnd_unit() - uniform in (0, 1) */
-double rnd_unit (uint64_t *state);
-/** rnd_below() - uniform in 0 .. @limit - 1 */
-uint32_t rnd_below (uint64_t *state, uint32_t limit);
-double rnd_exponential (uint64_t *state, double mean);
-/** rnd_lognormal() - log-normal; @sigma is the standard deviation of the logarithm */
-double rnd_lognormal (uint64_t *state, double median, double sigma);
+/** random_next() - the next 64 random bits; the first value of @state is the seed */
+uint64_t random_next (uint64_t *state);
+/** random_unit() - uniform in (0, 1) */
+double random_unit (uint64_t *state);
+/** random_below() - uniform in 0 .. @limit - 1 */
+uint32_t random_below (uint64_t *state, uint32_t limit);
+double random_exponential (uint64_t *state, double mean);
+/** random_lognormal() - log-normal; @sigma is the standard deviation of the logarithm */
+double random_lognormal (uint64_t *state, double median, double sigma);
 
 #endif
--- a/bench/spread/exchange.c
+++ b/bench/spread/exchange.c
@@ -55,13 +55,14 @@
 deliver (exchange_t *exchange, flt_node_t *to, datagram_t *datagram)
 {
   flt_t *fleet = exchange->node->flt;
-  bool lost = rnd_below (&fleet->random, 100) < fleet->options.lost_percent;
+  bool lost = random_below (&fleet->random, 100) < fleet->options.lost_percent;
   if (lost || to->stopped || is_partitioned (fleet, exchange->node, to))
     {
       g_free (datagram);
       return;
     }
-  evt_add (&fleet->events, fleet->now_us + NETWORK_DELAY_US, FLT_DATAGRAM, to->index, datagram);
+  event_queue_add (&fleet->events, fleet->now_us + NETWORK_DELAY_US, FLT_DATAGRAM, to->index,
+                   datagram);
 }
 
 static void
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -136,7 +136,7 @@
 draw_interval_us (flt_t *fleet)
 {
   return (uint64_t)((double)fleet->options.interval_ms * CLOCK_US_PER_MS *
-                    (0.75 + rnd_unit (&fleet->random) / 2));
+                    (0.75 + random_unit (&fleet->random) / 2));
 }
 
 static void
@@ -147,9 +147,9 @@
   node->index = index;
   node->data_center = data_center_of (index);
   node->service = service_of (index);
-  node->load_factor = rnd_lognormal (&fleet->random, 1, 0.25);
-  node->load_phase = rnd_unit (&fleet->random);
-  node->load_period_us = (5 + 10 * rnd_unit (&fleet->random)) * CLOCK_US_PER_S;
+  node->load_factor = random_lognormal (&fleet->random, 1, 0.25);
+  node->load_phase = random_unit (&fleet->random);
+  node->load_period_us = (5 + 10 * random_unit (&fleet->random)) * CLOCK_US_PER_S;
   init_settings (fleet, node);
   clock_init_paused (&node->daemon.clock, fleet->now_us);
   node->daemon.incarnation = 1;
@@ -159,9 +159,10 @@
   event_del (node->ctrl->tick); /* the timer follows real time; FLT_TICK replaces it */
   membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed,
                          fleet->options.watched, 1);
-  evt_add (&fleet->events, fleet->now_us + rnd_below (&fleet->random, TICK_US), FLT_TICK, index,
-           NULL);
-  evt_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER, index, NULL);
+  event_queue_add (&fleet->events, fleet->now_us + random_below (&fleet->random, TICK_US), FLT_TICK,
+                   index, NULL);
+  event_queue_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER, index,
+                   NULL);
 }
 
 static void
@@ -180,7 +181,7 @@
 }
 
 static void
-handle_event (flt_t *fleet, const evt_t *event)
+handle_event (flt_t *fleet, const event_queue_entry_t *event)
 {
   flt_node_t *node = &fleet->nodes[event->number];
   flt_enter (node);
@@ -189,13 +190,13 @@
     case FLT_TIMER:
       update_own_load (node);
       flt_exchange_timer (node);
-      evt_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER, node->index,
-               NULL);
+      event_queue_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER,
+                       node->index, NULL);
       break;
     case FLT_TICK:
       update_own_load (node);
       control_tick (node->ctrl);
-      evt_add (&fleet->events, fleet->now_us + TICK_US, FLT_TICK, node->index, NULL);
+      event_queue_add (&fleet->events, fleet->now_us + TICK_US, FLT_TICK, node->index, NULL);
       break;
     case FLT_DATAGRAM:
       flt_exchange_datagram (node, event->data);
@@ -248,7 +249,7 @@
   fleet->empty_members = membership_new ();
   membership_snapshot_unref (
       membership_take_snapshot (fleet->empty_members)); /* marks it as unchanged */
-  evt_init (&fleet->events);
+  event_queue_init (&fleet->events);
   flt_platform_init (fleet);
   init_host_list (fleet);
   publish_list (fleet);
@@ -263,10 +264,10 @@
 void
 flt_free (flt_t *fleet)
 {
-  evt_t event;
-  while (evt_take (&fleet->events, &event))
+  event_queue_entry_t event;
+  while (event_queue_pop (&fleet->events, &event))
     g_free (event.data);
-  evt_clear (&fleet->events);
+  event_queue_clear (&fleet->events);
   for (uint32_t i = 0; i < fleet->count; i++)
     control_free (fleet->nodes[i].ctrl);
   g_free (fleet->nodes);
@@ -292,12 +293,12 @@
   uint64_t end_us = fleet->now_us + span_us;
   uint32_t missing = count_missing (fleet);
   uint32_t handled = 0;
-  evt_t event;
-  while (!(until_received && missing == 0) && evt_take (&fleet->events, &event))
+  event_queue_entry_t event;
+  while (!(until_received && missing == 0) && event_queue_pop (&fleet->events, &event))
     {
       if (event.at_us > end_us)
         {
-          evt_add (&fleet->events, event.at_us, event.kind, event.number, event.data);
+          event_queue_add (&fleet->events, event.at_us, event.kind, event.number, event.data);
           break;
         }
       fleet->now_us = event.at_us;
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -134,7 +134,7 @@
   uint32_t count;
   uint64_t now_us;
   uint64_t random;
-  evt_queue_t events;
+  event_queue_t events;
   manifest_t *man;
   uint64_t log_end;
   membership_snapshot_t *members;
--- a/bench/spread/means.c
+++ b/bench/spread/means.c
@@ -20,7 +20,7 @@
  */
 typedef struct
 {
-  fig_list_t size;
+  figures_samples_t size;
   double sum;
   double margin_sum;
   double samples_sum;
@@ -54,7 +54,7 @@
   load_samples_estimate_t estimate =
       load_samples_estimate_mean (table, node->flt->now_us, own, count);
   double error_percent = 100 * ((double)estimate.mean_milli / 1000 - mean) / mean;
-  fig_add (&error->size, fabs (error_percent));
+  figures_add_sample (&error->size, fabs (error_percent));
   error->sum += error_percent;
   error->margin_sum += 100 * (double)estimate.margin_milli / 1000 / mean;
   error->samples_sum += estimate.count;
@@ -69,9 +69,9 @@
   if (count == 0)
     return;
   snprintf (row, sizeof row, "%s, %s: error, median", what, role);
-  run_print (run, row, "%", fig_quantile (&error->size, 0.5));
+  run_print (run, row, "%", figures_quantile (&error->size, 0.5));
   snprintf (row, sizeof row, "%s, %s: error, 95%%", what, role);
-  run_print (run, row, "%", fig_quantile (&error->size, 0.95));
+  run_print (run, row, "%", figures_quantile (&error->size, 0.95));
   snprintf (row, sizeof row, "%s, %s: error, mean with its sign", what, role);
   run_print (run, row, "%", error->sum / count);
   snprintf (row, sizeof row, "%s, %s: margin", what, role);
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -50,10 +50,10 @@
 {
   const flt_node_t *node = node_of (request->op);
   request->partitioned = is_partitioned (node);
-  uint64_t wait_us = ANSWER_MIN_US + rnd_below (&fleet->random, ANSWER_JITTER_US);
+  uint64_t wait_us = ANSWER_MIN_US + random_below (&fleet->random, ANSWER_JITTER_US);
   if (request->partitioned)
     wait_us = TIMEOUT_US;
-  evt_add (&fleet->events, fleet->now_us + wait_us, kind, node->index, request);
+  event_queue_add (&fleet->events, fleet->now_us + wait_us, kind, node->index, request);
 }
 
 static void
@@ -137,7 +137,7 @@
   if (!request->partitioned && request->from_offset >= fleet->log_end &&
       fleet->now_us < request->until_us)
     {
-      evt_add (&fleet->events, fleet->now_us + POLL_US, FLT_READ, node->index, request);
+      event_queue_add (&fleet->events, fleet->now_us + POLL_US, FLT_READ, node->index, request);
       return;
     }
   platform_read_t read = { .outcome = PLATFORM_UNKNOWN };
@@ -198,7 +198,7 @@
   fleet->counts.fetches++;
   uint64_t *peer = g_new (uint64_t, 1);
   *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].daemon.set.exchange.port);
-  evt_add (&fleet->events, fleet->now_us + FETCH_US, FLT_FETCH, node->index, peer);
+  event_queue_add (&fleet->events, fleet->now_us + FETCH_US, FLT_FETCH, node->index, peer);
 }
 
 void
--- a/bench/spread/run.c
+++ b/bench/spread/run.c
@@ -37,7 +37,7 @@
                  bool (*counts) (const flt_node_t *node, void *context),
                  void *context)
 {
-  fig_list_t list = { 0 };
+  figures_samples_t list = { 0 };
   uint32_t total = 0;
   uint32_t within_2s = 0;
   for (uint32_t i = 0; i < run->flt->count; i++)
@@ -50,15 +50,15 @@
         continue;
       uint64_t delay_us = node->received_us > start_us ? node->received_us - start_us : 0;
       within_2s += delay_us <= 2 * CLOCK_US_PER_S;
-      fig_add (&list, (double)delay_us / CLOCK_US_PER_S);
+      figures_add_sample (&list, (double)delay_us / CLOCK_US_PER_S);
     }
   char row[96];
   snprintf (row, sizeof row, "%s: half", what);
-  run_print (run, row, "s", fig_quantile (&list, 0.5));
+  run_print (run, row, "s", figures_quantile (&list, 0.5));
   snprintf (row, sizeof row, "%s: 99%%", what);
-  run_print (run, row, "s", fig_quantile (&list, 0.99));
+  run_print (run, row, "s", figures_quantile (&list, 0.99));
   snprintf (row, sizeof row, "%s: last", what);
-  run_print (run, row, "s", fig_quantile (&list, 1));
+  run_print (run, row, "s", figures_quantile (&list, 1));
   snprintf (row, sizeof row, "%s: within 2 s", what);
   run_print (run, row, "%", total > 0 ? 100.0 * within_2s / total : 0);
   snprintf (row, sizeof row, "%s: never", what);
--- a/bench/watch_sums.c
+++ b/bench/watch_sums.c
@@ -28,7 +28,7 @@
   GArray *ratios;
 } group_t;
 
-struct wsm
+struct watch_stats
 {
   GPtrArray *daemons;
   GHashTable *groups; /* name -> group_t */
@@ -37,7 +37,7 @@
 static void
 daemon_free (gpointer data)
 {
-  wsm_daemon_t *daemon = data;
+  watch_stats_daemon_t *daemon = data;
   g_hash_table_destroy (daemon->last_values);
   g_hash_table_destroy (daemon->growth);
   g_free (daemon->group);
@@ -54,7 +54,7 @@
 }
 
 static group_t *
-find_or_add_group (wsm_t *stats, const char *name)
+find_or_add_group (watch_stats_t *stats, const char *name)
 {
   group_t *group = g_hash_table_lookup (stats->groups, name);
   if (group != NULL)
@@ -94,7 +94,7 @@
 }
 
 static void
-add_counter (wsm_daemon_t *daemon, const char *name, uint64_t value)
+add_counter (watch_stats_daemon_t *daemon, const char *name, uint64_t value)
 {
   const uint64_t before = value_of (daemon->last_values, name);
   const uint64_t growth = value >= before ? value - before : value;
@@ -111,14 +111,14 @@
 }
 
 static void
-count_round (wsm_t *stats, const char *name, group_t *group)
+count_round (watch_stats_t *stats, const char *name, group_t *group)
 {
   uint64_t sum = 0;
   uint32_t max = 0;
   uint32_t count = 0;
   for (guint i = 0; i < stats->daemons->len; i++)
     {
-      const wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
+      const watch_stats_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
       if (!daemon->known || strcmp (daemon->group, name) != 0)
         continue;
       sum += daemon->load;
@@ -130,7 +130,7 @@
   const double mean = (double)sum / count;
   for (guint i = 0; i < stats->daemons->len; i++)
     {
-      wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
+      watch_stats_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
       if (!daemon->known || strcmp (daemon->group, name) != 0)
         continue;
       group->over_own_bound +=
@@ -167,14 +167,14 @@
 /* Maximum / mean of the daemons' loads averaged over the whole time. Unlike the ratios of single
  * rounds, it doesn't contain short random imbalance. */
 static double
-ratio_of_averages (const wsm_t *stats, const char *name)
+ratio_of_averages (const watch_stats_t *stats, const char *name)
 {
   double sum = 0;
   double max = 0;
   uint32_t count = 0;
   for (guint i = 0; i < stats->daemons->len; i++)
     {
-      const wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
+      const watch_stats_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
       if (strcmp (daemon->group, name) != 0 || daemon->load_count == 0)
         continue;
       const double load = (double)daemon->load_sum / (double)daemon->load_count;
@@ -186,7 +186,7 @@
 }
 
 static void
-print_group (const wsm_t *stats, const char *name, group_t *group)
+print_group (const watch_stats_t *stats, const char *name, group_t *group)
 {
   if (group->rounds == 0)
     return;
@@ -203,14 +203,14 @@
 }
 
 static uint64_t
-control_bytes (const wsm_daemon_t *daemon)
+control_bytes (const watch_stats_daemon_t *daemon)
 {
   return value_of (daemon->growth, CONTROL_PREFIX "sent_total") +
          value_of (daemon->growth, CONTROL_PREFIX "received_total");
 }
 
 static void
-print_control (const wsm_t *stats, double seconds)
+print_control (const watch_stats_t *stats, double seconds)
 {
   double sum = 0;
   double max = 0;
@@ -226,7 +226,7 @@
 }
 
 static void
-print_counters (const wsm_t *stats)
+print_counters (const watch_stats_t *stats)
 {
   g_autoptr (GHashTable) sums = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   GHashTableIter iter;
@@ -234,7 +234,7 @@
   gpointer value;
   for (guint i = 0; i < stats->daemons->len; i++)
     {
-      const wsm_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
+      const watch_stats_daemon_t *daemon = g_ptr_array_index (stats->daemons, i);
       g_hash_table_iter_init (&iter, daemon->growth);
       while (g_hash_table_iter_next (&iter, &name, &value))
         set_value (sums, name, value_of (sums, name) + *(guint64 *)value);
@@ -245,17 +245,17 @@
       g_print ("%s\t%" G_GUINT64_FORMAT "\n", (char *)name, *(guint64 *)value);
 }
 
-wsm_t *
-wsm_new (void)
+watch_stats_t *
+watch_stats_new (void)
 {
-  wsm_t *stats = g_new0 (wsm_t, 1);
+  watch_stats_t *stats = g_new0 (watch_stats_t, 1);
   stats->daemons = g_ptr_array_new_with_free_func (daemon_free);
   stats->groups = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, group_free);
   return stats;
 }
 
 void
-wsm_free (wsm_t *stats)
+watch_stats_free (watch_stats_t *stats)
 {
   if (stats == NULL)
     return;
@@ -264,10 +264,10 @@
   g_free (stats);
 }
 
-wsm_daemon_t *
-wsm_add (wsm_t *stats, const char *group, const char *name)
+watch_stats_daemon_t *
+watch_stats_add_daemon (watch_stats_t *stats, const char *group, const char *name)
 {
-  wsm_daemon_t *daemon = g_new0 (wsm_daemon_t, 1);
+  watch_stats_daemon_t *daemon = g_new0 (watch_stats_daemon_t, 1);
   daemon->group = g_strdup (group);
   daemon->name = g_strdup (name);
   daemon->last_values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -277,13 +277,13 @@
 }
 
 void
-wsm_bound (wsm_t *stats, const char *group, uint32_t percent)
+watch_stats_set_bound (watch_stats_t *stats, const char *group, uint32_t percent)
 {
   find_or_add_group (stats, group)->percent = percent;
 }
 
 void
-wsm_metrics (wsm_daemon_t *daemon, const char *text)
+watch_stats_read_metrics (watch_stats_daemon_t *daemon, const char *text)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", 0);
   for (char **line = lines; *line != NULL; line++)
@@ -299,7 +299,7 @@
 }
 
 void
-wsm_round (wsm_t *stats)
+watch_stats_end_round (watch_stats_t *stats)
 {
   GHashTableIter iter;
   gpointer name;
@@ -308,11 +308,11 @@
   while (g_hash_table_iter_next (&iter, &name, &group))
     count_round (stats, name, group);
   for (guint i = 0; i < stats->daemons->len; i++)
-    ((wsm_daemon_t *)g_ptr_array_index (stats->daemons, i))->known = false;
+    ((watch_stats_daemon_t *)g_ptr_array_index (stats->daemons, i))->known = false;
 }
 
 void
-wsm_print (wsm_t *stats, double seconds)
+watch_stats_print (watch_stats_t *stats, double seconds)
 {
   GHashTableIter iter;
   gpointer name;
--- a/bench/watch_sums.h
+++ b/bench/watch_sums.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 /**
- * struct wsm_daemon - one daemon
+ * struct watch_stats_daemon - one daemon
  * @group: its service, or "router"
  * @last_values: metric -> the value of a counter in the last poll
  * @growth: metric -> how much a counter has grown since the first poll
@@ -35,21 +35,23 @@
   uint32_t bound_milli;
   uint64_t load_sum;
   uint64_t load_count;
-} wsm_daemon_t;
+} watch_stats_daemon_t;
 
-typedef struct wsm wsm_t;
+typedef struct watch_stats watch_stats_t;
 
-wsm_t *wsm_new (void);
-void wsm_free (wsm_t *stats);
-/** wsm_add() - adds a daemon. Return: the daemon, owned by @stats */
-wsm_daemon_t *wsm_add (wsm_t *stats, const char *group, const char *name);
-/** wsm_bound() - sets the load bound of a service, in percent of its mean load; 125 if not set */
-void wsm_bound (wsm_t *stats, const char *group, uint32_t percent);
-/** wsm_metrics() - reads the counters in the text of the /metrics page of @daemon */
-void wsm_metrics (wsm_daemon_t *daemon, const char *text);
-/** wsm_round() - ends a round of polls: adds the reported loads, and resets @known */
-void wsm_round (wsm_t *stats);
-/** wsm_print() - prints lines NAME<TAB>VALUE; @seconds is the time watched */
-void wsm_print (wsm_t *stats, double seconds);
+watch_stats_t *watch_stats_new (void);
+void watch_stats_free (watch_stats_t *stats);
+/** watch_stats_add_daemon() - adds a daemon. Return: the daemon, owned by @stats */
+watch_stats_daemon_t *
+watch_stats_add_daemon (watch_stats_t *stats, const char *group, const char *name);
+/** watch_stats_set_bound() - sets the load bound of a service, in percent of its mean load; 125 if
+ * not set */
+void watch_stats_set_bound (watch_stats_t *stats, const char *group, uint32_t percent);
+/** watch_stats_read_metrics() - reads the counters in the text of the /metrics page of @daemon */
+void watch_stats_read_metrics (watch_stats_daemon_t *daemon, const char *text);
+/** watch_stats_end_round() - ends a round of polls: adds the reported loads, and resets @known */
+void watch_stats_end_round (watch_stats_t *stats);
+/** watch_stats_print() - prints lines NAME<TAB>VALUE; @seconds is the time watched */
+void watch_stats_print (watch_stats_t *stats, double seconds);
 
 #endif
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -10,7 +10,7 @@
 #define CONTEXT_LIMIT_TOKENS 60000
 
 /* The session rates give a mean load of about two thirds of the slots. */
-static const wkl_t workloads[] = {
+static const workload_t workloads[] = {
   { .name = "tuul",
     .slots = 32,
     .bound_percent = 112,
@@ -48,7 +48,7 @@
 static uint32_t
 draw_index (uint64_t *random, const double *shares, uint32_t count)
 {
-  double rest = rnd_unit (random);
+  double rest = random_unit (random);
   for (uint32_t i = 0; i + 1 < count; i++)
     {
       if (rest < shares[i])
@@ -59,22 +59,22 @@
 }
 
 static uint32_t
-draw_class (uint64_t *random, const wkl_t *workload)
+draw_class (uint64_t *random, const workload_t *workload)
 {
-  double shares[WKL_CLASSES];
-  for (uint32_t i = 0; i < WKL_CLASSES; i++)
+  double shares[WORKLOAD_CLASSES];
+  for (uint32_t i = 0; i < WORKLOAD_CLASSES; i++)
     shares[i] = workload->classes[i].share;
-  return draw_index (random, shares, WKL_CLASSES);
+  return draw_index (random, shares, WORKLOAD_CLASSES);
 }
 
 static uint32_t
 draw_tokens (uint64_t *random, double median)
 {
-  return median > 0 ? (uint32_t)rnd_lognormal (random, median, TOKEN_COUNT_SIGMA) + 1 : 0;
+  return median > 0 ? (uint32_t)random_lognormal (random, median, TOKEN_COUNT_SIGMA) + 1 : 0;
 }
 
-const wkl_t *
-wkl_find (const char *name)
+const workload_t *
+workload_find (const char *name)
 {
   for (uint32_t i = 0; i < G_N_ELEMENTS (workloads); i++)
     if (strcmp (workloads[i].name, name) == 0)
@@ -82,32 +82,32 @@
   return NULL;
 }
 
-wkl_session_t *
-wkl_session_new (const wkl_t *workload, uint64_t seed, int32_t account)
+workload_session_t *
+workload_session_new (const workload_t *workload, uint64_t seed, int32_t account)
 {
-  wkl_session_t *session = g_new0 (wkl_session_t, 1);
+  workload_session_t *session = g_new0 (workload_session_t, 1);
   session->random = seed;
-  session->chat_hash = rnd_next (&session->random) | 1;
+  session->chat_hash = random_next (&session->random) | 1;
   session->class_index = draw_class (&session->random, workload);
-  const uint32_t drawn = draw_index (&session->random, workload->account_shares, WKL_ACCOUNTS);
+  const uint32_t drawn = draw_index (&session->random, workload->account_shares, WORKLOAD_ACCOUNTS);
   session->account = account < 0 ? drawn : (uint32_t)account;
   session->of_surge = account >= 0;
   return session;
 }
 
-wkl_turn_t
-wkl_turn (const wkl_t *workload, wkl_session_t *session)
+workload_turn_t
+workload_draw_turn (const workload_t *workload, workload_session_t *session)
 {
-  const wkl_class_t *class = &workload->classes[session->class_index];
+  const workload_class_t *class = &workload->classes[session->class_index];
   uint64_t *random = &session->random;
-  wkl_turn_t turn = { 0 };
+  workload_turn_t turn = { 0 };
   const double median_tokens = session->turn == 0 ? class->opening_tokens : class->turn_tokens;
   turn.prompt_tokens = session->context_tokens + draw_tokens (random, median_tokens);
   turn.output_tokens = draw_tokens (random, class->output_tokens);
-  turn.returns = rnd_unit (random) < class->return_share &&
+  turn.returns = random_unit (random) < class->return_share &&
                  turn.prompt_tokens + turn.output_tokens < CONTEXT_LIMIT_TOKENS;
-  double pause_s = rnd_exponential (random, class->pause_s);
-  if (rnd_unit (random) < class->long_pause_share)
+  double pause_s = random_exponential (random, class->pause_s);
+  if (random_unit (random) < class->long_pause_share)
     pause_s *= LONG_PAUSE_FACTOR;
   turn.pause_us = (uint64_t)(pause_s * 1e6);
   return turn;
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -11,11 +11,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define WKL_ACCOUNTS 10
-#define WKL_CLASSES 5
+#define WORKLOAD_ACCOUNTS 10
+#define WORKLOAD_CLASSES 5
 
 /**
- * struct wkl_class - a request class
+ * struct workload_class - a request class
  * @share: fraction of the sessions that are of this class
  * @opening_tokens, @turn_tokens: median prompt tokens of the first turn, and added by each later
  * one
@@ -37,7 +37,7 @@
   double return_share;
   double pause_s;
   double long_pause_share;
-} wkl_class_t;
+} workload_class_t;
 
 /**
  * struct workload - a workload and the parameters of its engines
@@ -63,13 +63,13 @@
   uint64_t cache_tokens;
   double sessions_s;
   uint32_t surging_account;
-  double account_shares[WKL_ACCOUNTS];
-  uint32_t account_weights[WKL_ACCOUNTS];
-  wkl_class_t classes[WKL_CLASSES];
-} wkl_t;
+  double account_shares[WORKLOAD_ACCOUNTS];
+  uint32_t account_weights[WORKLOAD_ACCOUNTS];
+  workload_class_t classes[WORKLOAD_CLASSES];
+} workload_t;
 
 /**
- * struct wkl_session - a session and its state between two turns
+ * struct workload_session - a session and its state between two turns
  * @random: state of its random stream
  * @turn: turns that have ended
  * @context_tokens: prompt and answer of the earlier turns, the prefix of the next prompt
@@ -87,7 +87,7 @@
   bool of_surge;
   uint32_t last_engine;
   uint64_t last_incarnation;
-} wkl_session_t;
+} workload_session_t;
 
 /**
  * struct workload_turn - one request of a session
@@ -100,13 +100,14 @@
   uint32_t output_tokens;
   bool returns;
   uint64_t pause_us;
-} wkl_turn_t;
+} workload_turn_t;
 
-/** wkl_find() - the workload "tuul" or "jogak", else NULL */
-const wkl_t *wkl_find (const char *name);
-/** wkl_session_new() - a session of account @account, or of a random one if it is negative */
-wkl_session_t *wkl_session_new (const wkl_t *workload, uint64_t seed, int32_t account);
-/** wkl_turn() - draws the next turn of @session */
-wkl_turn_t wkl_turn (const wkl_t *workload, wkl_session_t *session);
+/** workload_find() - the workload "tuul" or "jogak", else NULL */
+const workload_t *workload_find (const char *name);
+/** workload_session_new() - a session of account @account, or of a random one if it is negative */
+workload_session_t *
+workload_session_new (const workload_t *workload, uint64_t seed, int32_t account);
+/** workload_draw_turn() - draws the next turn of @session */
+workload_turn_t workload_draw_turn (const workload_t *workload, workload_session_t *session);
 
 #endif
--- a/bench/world.h
+++ b/bench/world.h
@@ -23,34 +23,38 @@
 
 #include <glib.h>
 
-/** enum wld_policy - how routers choose engines: the product's policy and its baselines */
+/** enum fleet_sim_policy - how routers choose engines: the product's policy and its baselines */
 typedef enum
 {
-  WLD_FULL,       /* the product's policy */
-  WLD_BOUNDED,    /* rendezvous hashing with bounded loads, without directory and referrals */
-  WLD_RENDEZVOUS, /* always the first candidate of rendezvous hashing */
-  WLD_LEAST,      /* the least loaded engine by the load samples that the router has received */
-  WLD_ORACLE,     /* the least loaded engine by the true loads */
-  WLD_RANDOM,     /* a random engine */
-  WLD_POLICIES    /* number of policies */
-} wld_policy_t;
+  FLEET_SIM_POLICY_FULL,         /* the product's policy */
+  FLEET_SIM_POLICY_BOUNDED,      /* rendezvous hashing with bounded loads, without directory and
+                                    referrals */
+  FLEET_SIM_POLICY_RENDEZVOUS,   /* always the first candidate of rendezvous hashing */
+  FLEET_SIM_POLICY_LEAST_LOADED, /* the least loaded engine by the load samples that the router has
+                                    received */
+  FLEET_SIM_POLICY_ORACLE,       /* the least loaded engine by the true loads */
+  FLEET_SIM_POLICY_RANDOM,       /* a random engine */
+  FLEET_SIM_POLICY_COUNT         /* number of policies */
+} fleet_sim_policy_t;
 
-/** enum wld_fault - what goes wrong during the measurement */
+/** enum fleet_sim_fault - what goes wrong during the measurement */
 typedef enum
 {
-  WLD_STEADY,  /* nothing */
-  WLD_SURGE,   /* one small account sends 100 times its rate for a minute */
-  WLD_JOIN,    /* two engines are added, one after the other */
-  WLD_ROLLING, /* engines are replaced under their names, one per cache lifetime */
-  WLD_FLAP,    /* an engine is unreachable for 5 s in every 30 s */
-  WLD_CENTER,  /* a third of the engines crash at once and return empty after a minute */
-  WLD_DARK,    /* routers can't reach an engine, while its gossip reaches all daemons */
-  WLD_LATE,    /* as rolling, with host lists that are 3 to 7 s late */
-  WLD_FAULTS   /* number of faults */
-} wld_fault_t;
+  FLEET_SIM_FAULT_NONE,        /* nothing */
+  FLEET_SIM_FAULT_SURGE,       /* one small account sends 100 times its rate for a minute */
+  FLEET_SIM_FAULT_JOIN,        /* two engines are added, one after the other */
+  FLEET_SIM_FAULT_ROLLING,     /* engines are replaced under their names, one per cache lifetime */
+  FLEET_SIM_FAULT_FLAP,        /* an engine is unreachable for 5 s in every 30 s */
+  FLEET_SIM_FAULT_DATA_CENTER, /* a third of the engines crash at once and return empty after a
+                                  minute */
+  FLEET_SIM_FAULT_ROUTERS_BLOCKED, /* routers can't reach an engine, while its gossip reaches all
+                                      daemons */
+  FLEET_SIM_FAULT_LATE_LISTS,      /* as rolling, with host lists that are 3 to 7 s late */
+  FLEET_SIM_FAULT_COUNT            /* number of faults */
+} fleet_sim_fault_t;
 
 /**
- * struct wld_options - settings of one run
+ * struct fleet_sim_options - settings of one run
  * @bound_percent: load bound in percent of the mean load; 0 for the workload's own
  * @warm_up_us: virtual time before the measurement and the fault begin
  * @window_us: virtual time that is measured after the warm-up
@@ -58,9 +62,9 @@
  */
 typedef struct
 {
-  const wkl_t *workload;
-  wld_policy_t policy;
-  wld_fault_t fault;
+  const workload_t *workload;
+  fleet_sim_policy_t policy;
+  fleet_sim_fault_t fault;
   uint32_t engine_count;
   uint32_t router_count;
   uint32_t bound_percent;
@@ -68,14 +72,15 @@
   uint64_t warm_up_us;
   uint64_t window_us;
   bool without_fault;
-} wld_options_t;
+} fleet_sim_options_t;
 
-extern const char *const wld_policy_names[WLD_POLICIES];
-extern const char *const wld_fault_names[WLD_FAULTS];
+extern const char *const fleet_sim_policy_names[FLEET_SIM_POLICY_COUNT];
+extern const char *const fleet_sim_fault_names[FLEET_SIM_FAULT_COUNT];
 
-/** wld_window_us() - how long a fault has to be measured */
-uint64_t wld_window_us (const wkl_t *workload, wld_fault_t fault, uint32_t engine_count);
-/** wld_run() - simulates one run; @figures are to be cleared by fig_clear() */
-void wld_run (const wld_options_t *options, fig_t *figures);
+/** fleet_sim_window_us() - how long a fault has to be measured */
+uint64_t
+fleet_sim_window_us (const workload_t *workload, fleet_sim_fault_t fault, uint32_t engine_count);
+/** fleet_sim_run() - simulates one run; @figures are to be cleared by figures_clear() */
+void fleet_sim_run (const fleet_sim_options_t *options, figures_t *figures);
 
 #endif
--- a/bench/world_list.c
+++ b/bench/world_list.c
@@ -7,7 +7,7 @@
 } change_t;
 
 static membership_list_entry_t
-make_list_entry (const wld_engine_t *engine, membership_state_t state)
+make_list_entry (const fleet_sim_engine_t *engine, membership_state_t state)
 {
   membership_list_entry_t listed = { .state = state };
   g_strlcpy (listed.name, engine->name, sizeof listed.name);
@@ -15,7 +15,7 @@
 }
 
 static membership_report_t
-make_own_report (const wld_engine_t *engine)
+make_own_report (const fleet_sim_engine_t *engine)
 {
   return (membership_report_t){ .host_hash = engine->hash,
                                 .incarnation = engine->incarnation,
@@ -24,29 +24,29 @@
 }
 
 static void
-remember_report (wld_t *sim, wld_daemon_t *daemon, const membership_report_t *report)
+remember_report (fleet_sim_t *sim, fleet_sim_daemon_t *daemon, const membership_report_t *report)
 {
   daemon->reports[daemon->next_report] = *report;
   daemon->reports_heard_us[daemon->next_report] = sim->now_us;
-  daemon->next_report = (daemon->next_report + 1) % WLD_WORDS;
+  daemon->next_report = (daemon->next_report + 1) % FLEET_SIM_REPORTS;
 }
 
 static void
-send_reports (wld_t *sim, const wld_daemon_t *from, wld_daemon_t *to)
+send_reports (fleet_sim_t *sim, const fleet_sim_daemon_t *from, fleet_sim_daemon_t *to)
 {
   if (from->engine != NULL)
     {
       const membership_report_t report = make_own_report (from->engine);
-      lst_hear (sim, to, &report);
+      fleet_sim_receive_report (sim, to, &report);
     }
-  for (uint32_t i = 0; i < WLD_WORDS; i++)
+  for (uint32_t i = 0; i < FLEET_SIM_REPORTS; i++)
     if (from->reports[i].host_hash != 0 &&
-        from->reports_heard_us[i] + WLD_WORD_AGE_US > sim->now_us)
-      lst_hear (sim, to, &from->reports[i]);
+        from->reports_heard_us[i] + FLEET_SIM_REPORT_MAX_AGE_US > sim->now_us)
+      fleet_sim_receive_report (sim, to, &from->reports[i]);
 }
 
 static void
-send_samples (wld_t *sim, wld_daemon_t *from, wld_daemon_t *to)
+send_samples (fleet_sim_t *sim, fleet_sim_daemon_t *from, fleet_sim_daemon_t *to)
 {
   load_sample_t samples[LIMIT_LOAD_SAMPLES_PER_MESSAGE];
   uint32_t count = 0;
@@ -57,35 +57,35 @@
   for (uint32_t i = 0; i < count; i++)
     {
       const bool own = to->engine != NULL && to->engine->hash == samples[i].engine_hash;
-      if (!own && lst_is_live (samples[i].engine_hash, to->view))
+      if (!own && fleet_sim_view_has_engine (samples[i].engine_hash, to->view))
         load_samples_add (to->mean, &samples[i]);
     }
 }
 
 static bool
-is_reachable (const wld_daemon_t *daemon)
+is_reachable (const fleet_sim_daemon_t *daemon)
 {
   return daemon->engine == NULL || (daemon->engine->present && daemon->engine->reachable);
 }
 
 bool
-lst_is_live (uint64_t engine_hash, void *context)
+fleet_sim_view_has_engine (uint64_t engine_hash, void *context)
 {
-  const wld_view_t *view = context;
+  const fleet_sim_view_t *view = context;
   return g_hash_table_contains (view->live_hashes, &engine_hash);
 }
 
 /* The number of live engines is one of the options of admission. */
 static void
-configure_engines (wld_t *sim, const wld_view_t *view)
+configure_engines (fleet_sim_t *sim, const fleet_sim_view_t *view)
 {
   for (uint32_t i = 0; i < sim->engine_count; i++)
     if (sim->engines[i].daemon.view == view && sim->engines[i].admission != NULL)
-      eng_configure (sim, &sim->engines[i]);
+      fleet_sim_engine_configure (sim, &sim->engines[i]);
 }
 
 void
-lst_rebuild (wld_t *sim, wld_view_t *view)
+fleet_sim_view_rebuild (fleet_sim_t *sim, fleet_sim_view_t *view)
 {
   if (!membership_has_changed (view->members))
     return;
@@ -99,7 +99,7 @@
       const membership_host_t *host = &snapshot->hosts[i];
       if (host->state != MEMBERSHIP_LIVE)
         continue;
-      wld_engine_t *engine = g_hash_table_lookup (sim->engines_by_hash, &host->hash);
+      fleet_sim_engine_t *engine = g_hash_table_lookup (sim->engines_by_hash, &host->hash);
       view->details[view->count] =
           (candidates_engine_t){ .joined_us = host->joined_us, .settled_us = host->settled_us };
       view->engines[view->count] =
@@ -112,7 +112,7 @@
 }
 
 void
-lst_open (wld_t *sim, wld_view_t *view)
+fleet_sim_view_init (fleet_sim_t *sim, fleet_sim_view_t *view)
 {
   g_autofree membership_list_entry_t *listed =
       g_new0 (membership_list_entry_t, sim->options.engine_count);
@@ -122,11 +122,11 @@
   view->members = membership_new ();
   view->live_hashes = g_hash_table_new (g_int64_hash, g_int64_equal);
   membership_apply_list (view->members, sim->now_us, listed, sim->options.engine_count, 1);
-  lst_rebuild (sim, view);
+  fleet_sim_view_rebuild (sim, view);
 }
 
 void
-lst_close (wld_view_t *view)
+fleet_sim_view_clear (fleet_sim_view_t *view)
 {
   membership_free (view->members);
   g_hash_table_destroy (view->live_hashes);
@@ -135,44 +135,47 @@
 }
 
 void
-lst_change (wld_t *sim, const wld_engine_t *engine, membership_state_t state)
+fleet_sim_change_list (fleet_sim_t *sim, const fleet_sim_engine_t *engine, membership_state_t state)
 {
   for (uint32_t i = 0; i < sim->view_count; i++)
     {
       change_t *change = g_new0 (change_t, 1);
       change->listed = make_list_entry (engine, state);
-      evt_add (&sim->events, sim->now_us + sim->views[i].lag_us, EVT_LIST, i, change);
+      event_queue_add (&sim->events, sim->now_us + sim->views[i].lag_us,
+                       FLEET_SIM_EVENT_LIST_CHANGE, i, change);
     }
 }
 
 void
-lst_arrive (wld_t *sim, wld_view_t *view, void *data)
+fleet_sim_view_apply_change (fleet_sim_t *sim, fleet_sim_view_t *view, void *data)
 {
   change_t *change = data;
   membership_apply_list_changes (view->members, sim->now_us, &change->listed, 1, 0);
   g_free (change);
-  lst_rebuild (sim, view);
+  fleet_sim_view_rebuild (sim, view);
 }
 
 void
-lst_hear (wld_t *sim, wld_daemon_t *daemon, const membership_report_t *report)
+fleet_sim_receive_report (fleet_sim_t *sim,
+                          fleet_sim_daemon_t *daemon,
+                          const membership_report_t *report)
 {
   if (!membership_apply_report (daemon->view->members, sim->now_us, report))
     return;
   remember_report (sim, daemon, report);
   if (report->state != MEMBERSHIP_LIVE)
     load_samples_forget (daemon->mean, report->host_hash);
-  lst_rebuild (sim, daemon->view);
+  fleet_sim_view_rebuild (sim, daemon->view);
 }
 
 uint32_t
-lst_daemon_count (const wld_t *sim)
+fleet_sim_daemon_count (const fleet_sim_t *sim)
 {
   return sim->engine_count + sim->options.router_count;
 }
 
-wld_daemon_t *
-lst_daemon (wld_t *sim, uint32_t number)
+fleet_sim_daemon_t *
+fleet_sim_daemon_at (fleet_sim_t *sim, uint32_t number)
 {
   if (number < sim->engine_count)
     return &sim->engines[number].daemon;
@@ -180,7 +183,7 @@
 }
 
 void
-lst_tell (wld_t *sim, wld_daemon_t *from, wld_daemon_t *to)
+fleet_sim_send_gossip (fleet_sim_t *sim, fleet_sim_daemon_t *from, fleet_sim_daemon_t *to)
 {
   if (from == to || !is_reachable (from) || !is_reachable (to))
     return;
@@ -189,12 +192,13 @@
 }
 
 void
-lst_exchange (wld_t *sim, uint32_t number)
+fleet_sim_exchange_gossip (fleet_sim_t *sim, uint32_t number)
 {
-  wld_daemon_t *from = lst_daemon (sim, number);
-  wld_daemon_t *to = lst_daemon (sim, rnd_below (&sim->random_events, lst_daemon_count (sim)));
-  lst_tell (sim, from, to);
-  lst_tell (sim, to, from);
+  fleet_sim_daemon_t *from = fleet_sim_daemon_at (sim, number);
+  fleet_sim_daemon_t *to =
+      fleet_sim_daemon_at (sim, random_below (&sim->random_events, fleet_sim_daemon_count (sim)));
+  fleet_sim_send_gossip (sim, from, to);
+  fleet_sim_send_gossip (sim, to, from);
   if (from->engine != NULL && from->engine->present)
-    eng_pump (sim, from->engine);
+    fleet_sim_engine_run_queue (sim, from->engine);
 }
--- a/bench/world_router.c
+++ b/bench/world_router.c
@@ -1,7 +1,7 @@
 #include "world_parts.h"
 
-static wld_engine_t *
-find_engine (const wld_t *sim, uint64_t hash)
+static fleet_sim_engine_t *
+find_engine (const fleet_sim_t *sim, uint64_t hash)
 {
   return g_hash_table_lookup (sim->engines_by_hash, &hash);
 }
@@ -9,15 +9,18 @@
 static bool
 is_usable (uint64_t engine_hash, void *context)
 {
-  const wld_router_t *router = context;
+  const fleet_sim_router_t *router = context;
   return !health_is_skipped (router->health, router->now_us, engine_hash);
 }
 
 static void
-choose_by_rank (wld_t *sim, wld_router_t *router, const wld_flight_t *call, candidates_t *chosen)
+choose_by_rank (fleet_sim_t *sim,
+                fleet_sim_router_t *router,
+                const fleet_sim_call_t *call,
+                candidates_t *chosen)
 {
-  const wld_view_t *view = router->daemon.view;
-  const bool full = sim->options.policy == WLD_FULL;
+  const fleet_sim_view_t *view = router->daemon.view;
+  const bool full = sim->options.policy == FLEET_SIM_POLICY_FULL;
   const candidates_query_t query = {
     .now_us = sim->now_us,
     .engines = view->engines,
@@ -54,17 +57,17 @@
 }
 
 static uint64_t
-least_loaded_by_samples (wld_t *sim, const wld_router_t *router)
+least_loaded_by_samples (fleet_sim_t *sim, const fleet_sim_router_t *router)
 {
   uint64_t found = 0;
   uint32_t least = UINT32_MAX;
-  const uint32_t from = rnd_below (&sim->random_events, MAX (router->samples.count, 1));
+  const uint32_t from = random_below (&sim->random_events, MAX (router->samples.count, 1));
   for (uint32_t i = 0; i < router->samples.count; i++)
     {
       const load_sample_t *sample = &router->samples.samples[(from + i) % router->samples.count];
       if (sample->taken_us + LIMIT_LOAD_SAMPLE_AGE_US < sim->now_us ||
           sample->load + sample->waiting >= least ||
-          !lst_is_live (sample->engine_hash, router->daemon.view))
+          !fleet_sim_view_has_engine (sample->engine_hash, router->daemon.view))
         continue;
       least = sample->load + sample->waiting;
       found = sample->engine_hash;
@@ -73,14 +76,14 @@
 }
 
 static uint64_t
-least_loaded_by_truth (wld_t *sim)
+least_loaded_by_truth (fleet_sim_t *sim)
 {
   uint64_t found = 0;
   uint32_t least = UINT32_MAX;
-  const uint32_t from = rnd_below (&sim->random_events, sim->engine_count);
+  const uint32_t from = random_below (&sim->random_events, sim->engine_count);
   for (uint32_t i = 0; i < sim->engine_count; i++)
     {
-      const wld_engine_t *engine = &sim->engines[(from + i) % sim->engine_count];
+      const fleet_sim_engine_t *engine = &sim->engines[(from + i) % sim->engine_count];
       if (!engine->present || engine->leaving || !engine->reachable)
         continue;
       const uint32_t load =
@@ -94,23 +97,23 @@
 }
 
 static candidates_t
-choose (wld_t *sim, wld_router_t *router, const wld_flight_t *call)
+choose (fleet_sim_t *sim, fleet_sim_router_t *router, const fleet_sim_call_t *call)
 {
   candidates_t chosen;
   uint64_t first = 0;
   choose_by_rank (sim, router, call, &chosen);
-  const wld_view_t *view = router->daemon.view;
+  const fleet_sim_view_t *view = router->daemon.view;
   switch (sim->options.policy)
     {
-    case WLD_LEAST:
+    case FLEET_SIM_POLICY_LEAST_LOADED:
       first = least_loaded_by_samples (sim, router);
       break;
-    case WLD_ORACLE:
+    case FLEET_SIM_POLICY_ORACLE:
       first = least_loaded_by_truth (sim);
       break;
-    case WLD_RANDOM:
+    case FLEET_SIM_POLICY_RANDOM:
       if (view->count > 0)
-        first = view->engines[rnd_below (&sim->random_events, view->count)].hash;
+        first = view->engines[random_below (&sim->random_events, view->count)].hash;
       break;
     default:
       return chosen;
@@ -121,26 +124,27 @@
 }
 
 static void
-end_turn (wld_t *sim, wld_flight_t *call, bool served)
+end_turn (fleet_sim_t *sim, fleet_sim_call_t *call, bool served)
 {
-  wkl_session_t *session = call->session;
-  const wkl_turn_t *turn = &call->turn;
+  workload_session_t *session = call->session;
+  const workload_turn_t *turn = &call->turn;
   if (served)
     session->context_tokens = turn->prompt_tokens + turn->output_tokens;
   session->turn++;
   if (turn->returns && sim->now_us < sim->end_us)
-    evt_add (&sim->events, sim->now_us + turn->pause_us, EVT_RETURN, 0, session);
+    event_queue_add (&sim->events, sim->now_us + turn->pause_us, FLEET_SIM_EVENT_NEXT_TURN, 0,
+                     session);
   else
     g_free (session);
   g_free (call);
 }
 
 static void
-record_end (wld_t *sim, const wld_flight_t *call, bool served)
+record_end (fleet_sim_t *sim, const fleet_sim_call_t *call, bool served)
 {
-  if (!wld_measured (sim))
+  if (!fleet_sim_is_measured (sim))
     return;
-  fig_t *figures = sim->figures;
+  figures_t *figures = sim->figures;
   const bool quiet = call->session->account != sim->options.workload->surging_account;
   figures->requests++;
   figures->hops += call->hops;
@@ -150,10 +154,10 @@
 }
 
 static void
-fail_call (wld_t *sim, wld_flight_t *call, const forwarding_step_t *step)
+fail_call (fleet_sim_t *sim, fleet_sim_call_t *call, const forwarding_step_t *step)
 {
   record_end (sim, call, false);
-  if (wld_measured (sim) && step->verdict != VERDICT_NOT_RUN)
+  if (fleet_sim_is_measured (sim) && step->verdict != VERDICT_NOT_RUN)
     sim->figures->may_have_run++;
   end_turn (sim, call, false);
 }
@@ -170,7 +174,7 @@
 
 /* A router attaches load samples to each request that it sends to an engine. */
 static void
-attach_samples (wld_t *sim, wld_router_t *router, wld_engine_t *engine)
+attach_samples (fleet_sim_t *sim, fleet_sim_router_t *router, fleet_sim_engine_t *engine)
 {
   load_sample_t samples[HOP_SAMPLES_MAX];
   const uint32_t count =
@@ -182,7 +186,7 @@
 
 /* Each answer and refusal carries the load of its engine. */
 static void
-learn_load (wld_t *sim, wld_router_t *router, const wld_engine_t *engine)
+learn_load (fleet_sim_t *sim, fleet_sim_router_t *router, const fleet_sim_engine_t *engine)
 {
   const load_sample_t sample = admission_sample (engine->admission, sim->now_us);
   if (engine->leaving)
@@ -193,10 +197,10 @@
 
 /* Return: whether the engine runs or queues the request; else @step is the next step */
 static bool
-send_attempt (wld_t *sim, wld_flight_t *call, forwarding_step_t *step)
+send_attempt (fleet_sim_t *sim, fleet_sim_call_t *call, forwarding_step_t *step)
 {
-  wld_router_t *router = call->router;
-  wld_engine_t *engine = find_engine (sim, step->engine_hash);
+  fleet_sim_router_t *router = call->router;
+  fleet_sim_engine_t *engine = find_engine (sim, step->engine_hash);
   admission_decision_t decision;
   forwarding_outcome_t outcome = { .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_CONNECT };
   call->hops++;
@@ -207,7 +211,7 @@
       call->request.referred = step->referred;
       attach_samples (sim, router, engine);
       in_flight_begin (router->in_flight, engine->hash);
-      if (eng_offer (sim, engine, call, &decision))
+      if (fleet_sim_engine_offer (sim, engine, call, &decision))
         return true;
       in_flight_end (router->in_flight, engine->hash);
       learn_load (sim, router, engine);
@@ -220,7 +224,7 @@
 }
 
 static void
-run_attempts (wld_t *sim, wld_flight_t *call, forwarding_step_t step)
+run_attempts (fleet_sim_t *sim, fleet_sim_call_t *call, forwarding_step_t step)
 {
   for (;;)
     switch (step.action)
@@ -239,16 +243,16 @@
       }
 }
 
-static wld_flight_t *
-make_call (wld_t *sim, wld_router_t *router, wkl_session_t *session)
+static fleet_sim_call_t *
+make_call (fleet_sim_t *sim, fleet_sim_router_t *router, workload_session_t *session)
 {
-  const wkl_class_t *class = &sim->options.workload->classes[session->class_index];
-  wld_flight_t *call = g_new0 (wld_flight_t, 1);
+  const workload_class_t *class = &sim->options.workload->classes[session->class_index];
+  fleet_sim_call_t *call = g_new0 (fleet_sim_call_t, 1);
   admission_request_t *request = &call->request;
   call->router = router;
   call->session = session;
   call->arrived_us = sim->now_us;
-  call->turn = wkl_turn (sim->options.workload, session);
+  call->turn = workload_draw_turn (sim->options.workload, session);
   request->item =
       (fair_queue_item_t){ .account_hash = sim->account_hash[session->account],
                            .weight = sim->options.workload->account_weights[session->account],
@@ -266,7 +270,7 @@
 }
 
 void
-rtr_open (wld_t *sim, wld_router_t *router, uint32_t index)
+fleet_sim_router_init (fleet_sim_t *sim, fleet_sim_router_t *router, uint32_t index)
 {
   router->health = health_new ();
   router->in_flight = in_flight_new ();
@@ -277,17 +281,17 @@
 }
 
 void
-rtr_close (wld_router_t *router)
+fleet_sim_router_clear (fleet_sim_router_t *router)
 {
   health_free (router->health);
   in_flight_free (router->in_flight);
 }
 
 void
-rtr_begin (wld_t *sim, wld_router_t *router, wkl_session_t *session)
+fleet_sim_router_send (fleet_sim_t *sim, fleet_sim_router_t *router, workload_session_t *session)
 {
-  wld_flight_t *call = make_call (sim, router, session);
-  const wkl_class_t *class = &sim->options.workload->classes[session->class_index];
+  fleet_sim_call_t *call = make_call (sim, router, session);
+  const workload_class_t *class = &sim->options.workload->classes[session->class_index];
   const candidates_t chosen = choose (sim, router, call);
   call->request.home_hash = chosen.home_hash;
   call->request.former_hash = chosen.former_hash;
@@ -299,10 +303,12 @@
 }
 
 void
-rtr_refused (wld_t *sim, wld_flight_t *call, const admission_decision_t *decision)
+fleet_sim_router_handle_refusal (fleet_sim_t *sim,
+                                 fleet_sim_call_t *call,
+                                 const admission_decision_t *decision)
 {
   const forwarding_outcome_t outcome = refusal_outcome (decision);
-  if (wld_measured (sim))
+  if (fleet_sim_is_measured (sim))
     sim->figures->refusals[decision->reason]++;
   in_flight_end (call->router->in_flight, call->forwarding.last_engine);
   run_attempts (
@@ -311,7 +317,7 @@
 }
 
 void
-rtr_lost (wld_t *sim, wld_flight_t *call)
+fleet_sim_router_handle_loss (fleet_sim_t *sim, fleet_sim_call_t *call)
 {
   const forwarding_outcome_t outcome = { .lost = true,
                                          .verdict = VERDICT_MAY_HAVE_RUN,
@@ -325,15 +331,15 @@
 }
 
 void
-rtr_answered (wld_t *sim, wld_flight_t *call)
+fleet_sim_router_handle_answer (fleet_sim_t *sim, fleet_sim_call_t *call)
 {
   const forwarding_outcome_t outcome = { .answered = true, .verdict = VERDICT_RAN };
   in_flight_end (call->router->in_flight, call->forwarding.last_engine);
   forwarding_attempt_ended (&call->forwarding, sim->now_us, &call->router->budget, &outcome);
   learn_load (sim, call->router, call->engine);
   const admission_request_t *request = &call->request;
-  wld_engine_t *home = find_engine (sim, request->home_hash);
-  const bool home_must_know = sim->options.policy == WLD_FULL && request->has_chat &&
+  fleet_sim_engine_t *home = find_engine (sim, request->home_hash);
+  const bool home_must_know = sim->options.policy == FLEET_SIM_POLICY_FULL && request->has_chat &&
                               home != call->engine && home->present && home->reachable;
   if (home_must_know)
     admission_note_served_elsewhere (home->admission, sim->now_us, request->chat_hash,
