--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -22,7 +22,7 @@
  */
 typedef struct
 {
-  const sit_t *file;
+  const site_t *file;
   const char *site;
   const char *fault;
   const char *policy;
@@ -52,11 +52,15 @@
   add_count (&to->during, &more->during);
   add_count (&to->quiet, &more->quiet);
   to->sends += more->sends;
-  to->retries_most = to->retries_most > more->retries_most ? to->retries_most : more->retries_most;
+  to->retries_over_budget = to->retries_over_budget > more->retries_over_budget
+                                ? to->retries_over_budget
+                                : more->retries_over_budget;
   to->read_tokens += more->read_tokens;
   to->prompt_tokens += more->prompt_tokens;
-  to->over_cap += more->over_cap;
-  to->peak_milli = to->peak_milli > more->peak_milli ? to->peak_milli : more->peak_milli;
+  to->overloaded_accepts += more->overloaded_accepts;
+  to->relative_load_milli = to->relative_load_milli > more->relative_load_milli
+                                ? to->relative_load_milli
+                                : more->relative_load_milli;
 }
 
 static double
@@ -68,7 +72,7 @@
 static void
 run (const sim_options_t *options, uint32_t seeds)
 {
-  sim_figures_t sum = { .retries_most = INT64_MIN };
+  sim_figures_t sum = { .retries_over_budget = INT64_MIN };
   const sim_count_t *during = &sum.during;
 
   for (uint32_t seed = 1; seed <= seeds; seed++)
@@ -86,13 +90,13 @@
           ratio (during->late, during->requests), ratio (during->refused, during->requests),
           ratio (during->failed, during->requests), ratio (during->late_refusals, during->requests),
           ratio (sum.quiet.on_time + sum.quiet.late, sum.quiet.requests),
-          ratio (sum.read_tokens, sum.prompt_tokens), (long long)sum.retries_most,
-          (unsigned long long)sum.over_cap, sum.peak_milli / 1000.0);
+          ratio (sum.read_tokens, sum.prompt_tokens), (long long)sum.retries_over_budget,
+          (unsigned long long)sum.overloaded_accepts, sum.relative_load_milli / 1000.0);
   fflush (stdout);
 }
 
 static void
-run_site (const selection_t *selection, const sit_t *site)
+run_site (const selection_t *selection, const site_t *site)
 {
   for (int fault = 0; fault < SIM_FAULTS; fault++)
     for (int policy = 0; policy < SIM_POLICIES; policy++)
@@ -107,14 +111,14 @@
 static void
 run_all (const selection_t *selection)
 {
-  const sit_t *site;
+  const site_t *site;
 
   printf (
       "site\tfault\tpolicy\trequests\ton_time\tlate\trefused\tfailed\trefused_late\tquiet_served\t"
       "read\tretries_beyond\tover_cap\tpeak\n");
   if (selection->file)
     run_site (selection, selection->file);
-  for (uint32_t i = 0; !selection->file && (site = sit_at (i)); i++)
+  for (uint32_t i = 0; !selection->file && (site = site_get (i)); i++)
     if (is_selected (site->name, selection->site))
       run_site (selection, site);
 }
@@ -147,7 +151,7 @@
         selection.site = optarg;
         break;
       case 'F':
-        selection.file = sif_read (optarg);
+        selection.file = site_file_read (optarg);
         if (!selection.file)
           return 2;
         break;
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -36,27 +36,27 @@
 }
 
 static bool
-has_version (const flt_node_t *node, void *context)
+has_version (const fleet_node_t *node, void *context)
 {
   (void)context;
   return node->ctrl->manifest.sent_version >= node->flt->man->version;
 }
 
 static bool
-has_list (const flt_node_t *node, void *context)
+has_list (const fleet_node_t *node, void *context)
 {
   (void)context;
   return node->ctrl->list.revision >= node->flt->list_revision;
 }
 
 static bool
-is_of_service (const flt_node_t *node, void *context)
+is_of_service (const fleet_node_t *node, void *context)
 {
   return !run_is_router (node, NULL) && node->service == *(const uint32_t *)context;
 }
 
 static bool
-has_leaving (const flt_node_t *node, void *context)
+has_leaving (const fleet_node_t *node, void *context)
 {
   const uint64_t *hash = context;
   membership_report_t word;
@@ -65,7 +65,7 @@
 }
 
 static bool
-has_mark (const flt_node_t *node, void *context)
+has_mark (const fleet_node_t *node, void *context)
 {
   const gossip_t *gossip = &node->ctrl->talk.gossip;
   (void)context;
@@ -80,7 +80,7 @@
 /* Prints the traffic of one role. Routers and sidecars differ in what they send and receive. */
 static void
 print_role (const run_t *run,
-            bool (*is_role) (const flt_node_t *node, void *context),
+            bool (*is_role) (const fleet_node_t *node, void *context),
             const char *role)
 {
   uint64_t sent = 0;
@@ -89,7 +89,7 @@
   char row[96];
   for (uint32_t i = 0; i < run->flt->count; i++)
     {
-      const flt_node_t *node = &run->flt->nodes[i];
+      const fleet_node_t *node = &run->flt->nodes[i];
       if (!is_role (node, NULL))
         continue;
       sent += node->sent;
@@ -107,13 +107,13 @@
 bench_quiet (run_t *run)
 {
   run_begin (run, 0);
-  flt_counts_t before = run->flt->counts;
+  fleet_counts_t before = run->flt->counts;
   for (uint32_t i = 0; i < run->flt->count; i++)
     {
       run->flt->nodes[i].sent = 0;
       run->flt->nodes[i].sent_bytes = 0;
     }
-  flt_run (run->flt, 3 * RUN_WINDOW_US, false);
+  fleet_run (run->flt, 3 * RUN_WINDOW_US, false);
   run_print_traffic (run, "quiet", &before, 3 * RUN_WINDOW_US);
   print_role (run, run_is_router, "routers");
   print_role (run, run_is_sidecar, "sidecars");
@@ -126,15 +126,15 @@
   run_begin (run, 0);
   for (uint32_t round = 0; round < ROUNDS; round++)
     {
-      flt_counts_t before = run->flt->counts;
-      flt_publish (run->flt);
+      fleet_counts_t before = run->flt->counts;
+      fleet_publish_version (run->flt);
       uint64_t start_us = run->flt->now_us;
-      flt_wait_for (run->flt, has_version, NULL);
-      flt_run (run->flt, HORIZON_US, true);
-      run_print_heard (run, "version", start_us, NULL, NULL);
+      fleet_wait_for (run->flt, has_version, NULL);
+      fleet_run (run->flt, HORIZON_US, true);
+      run_print_delays (run, "version", start_us, NULL, NULL);
       uint64_t span_us = run->flt->now_us - start_us;
       run_print_traffic (run, "version", &before, span_us);
-      flt_run (run->flt, RUN_WINDOW_US, false);
+      fleet_run (run->flt, RUN_WINDOW_US, false);
     }
   run_end (run);
 }
@@ -145,12 +145,12 @@
   run_begin (run, 0);
   for (uint32_t round = 0; round < ROUNDS; round++)
     {
-      flt_list (run->flt, -1, MEMBERSHIP_LIVE);
+      fleet_list_hosts (run->flt, -1, MEMBERSHIP_LIVE);
       uint64_t start_us = run->flt->now_us;
-      flt_wait_for (run->flt, has_list, NULL);
-      flt_run (run->flt, HORIZON_US, true);
-      run_print_heard (run, "list", start_us, NULL, NULL);
-      flt_run (run->flt, RUN_WINDOW_US, false);
+      fleet_wait_for (run->flt, has_list, NULL);
+      fleet_run (run->flt, HORIZON_US, true);
+      run_print_delays (run, "list", start_us, NULL, NULL);
+      fleet_run (run->flt, RUN_WINDOW_US, false);
     }
   run_end (run);
 }
@@ -162,13 +162,13 @@
     {
       run->options.seed++;
       run_begin (run, TEST_SIDECAR + 1);
-      flt_node_t *leaving_node = &run->flt->nodes[TEST_SIDECAR];
+      fleet_node_t *leaving_node = &run->flt->nodes[TEST_SIDECAR];
       uint64_t start_us = run->flt->now_us;
-      flt_wait_for (run->flt, has_leaving, &leaving_node->ctrl->own_hash);
-      flt_enter (leaving_node);
+      fleet_wait_for (run->flt, has_leaving, &leaving_node->ctrl->own_hash);
+      fleet_set_clock (leaving_node);
       control_stop_start_leaving (leaving_node->ctrl, "bench");
-      flt_run (run->flt, HORIZON_US / 2, true);
-      run_print_heard (run, "leaving, routers", start_us, run_is_router, NULL);
+      fleet_run (run->flt, HORIZON_US / 2, true);
+      run_print_delays (run, "leaving, routers", start_us, run_is_router, NULL);
       run_end (run);
     }
 }
@@ -180,16 +180,16 @@
     {
       run->options.seed++;
       run_begin (run, 0);
-      flt_node_t *node = &run->flt->nodes[TEST_SIDECAR];
+      fleet_node_t *node = &run->flt->nodes[TEST_SIDECAR];
       message_crash_marks_t marks = { .count = 1 };
       marks.marks[0] = (suspect_mark_t){ FINGERPRINT, { node->ctrl->own_hash, 0 }, 0 };
       uint64_t start_us = run->flt->now_us;
-      flt_wait_for (run->flt, has_mark, NULL);
-      flt_enter (node);
+      fleet_wait_for (run->flt, has_mark, NULL);
+      fleet_set_clock (node);
       control_exchange_add_own_marks (node->ctrl, &marks);
-      flt_run (run->flt, HORIZON_US / 2, true);
-      run_print_heard (run, "mark, sidecars of the service", start_us, is_of_service,
-                       &node->service);
+      fleet_run (run->flt, HORIZON_US / 2, true);
+      run_print_delays (run, "mark, sidecars of the service", start_us, is_of_service,
+                        &node->service);
       run_end (run);
     }
 }
@@ -198,9 +198,9 @@
 bench_means (run_t *run)
 {
   run_begin (run, 0);
-  run_means (run, "mean, steady load");
+  run_mean_errors (run, "mean, steady load");
   run->flt->ramp_us = run->flt->now_us;
-  run_means (run, "mean, load doubles in 10 s");
+  run_mean_errors (run, "mean, load doubles in 10 s");
   run_end (run);
 }
 
@@ -228,7 +228,7 @@
     {
       if (flt->nodes[i].stopped || !run_is_router (&flt->nodes[i], NULL))
         continue;
-      for (uint32_t j = evacuation->data_center; j < evacuation->watched; j += FLT_DATA_CENTERS)
+      for (uint32_t j = evacuation->data_center; j < evacuation->watched; j += FLEET_DATA_CENTERS)
         {
           uint64_t hash = flt->nodes[j].ctrl->own_hash;
           evacuation->expected++;
@@ -245,16 +245,16 @@
   const uint32_t after_s[] = { 2, 3, 5, 10 };
   uint32_t at_s = 0;
   run_begin (run, evacuation.watched);
-  flt_counts_t before = run->flt->counts;
-  for (uint32_t i = evacuation.data_center; i < evacuation.watched; i += FLT_DATA_CENTERS)
+  fleet_counts_t before = run->flt->counts;
+  for (uint32_t i = evacuation.data_center; i < evacuation.watched; i += FLEET_DATA_CENTERS)
     {
-      flt_enter (&run->flt->nodes[i]);
+      fleet_set_clock (&run->flt->nodes[i]);
       control_stop_start_leaving (run->flt->nodes[i].ctrl, "bench");
     }
   for (uint32_t i = 0; i < G_N_ELEMENTS (after_s); i++)
     {
       char row[96];
-      flt_run (run->flt, (uint64_t)(after_s[i] - at_s) * CLOCK_US_PER_S, false);
+      fleet_run (run->flt, (uint64_t)(after_s[i] - at_s) * CLOCK_US_PER_S, false);
       at_s = after_s[i];
       count_heard (run, &evacuation);
       snprintf (row, sizeof row, "data centre leaves: words heard by routers after %u s", at_s);
@@ -269,30 +269,30 @@
 bench_drop (run_t *run)
 {
   run_begin (run, 0);
-  flt_counts_t before = run->flt->counts;
-  flt_stop (run->flt, 3);
-  flt_run (run->flt, 3 * CLOCK_US_PER_S, false);
-  flt_list (run->flt, 3, MEMBERSHIP_GONE);
-  flt_publish (run->flt);
+  fleet_counts_t before = run->flt->counts;
+  fleet_stop_data_center (run->flt, 3);
+  fleet_run (run->flt, 3 * CLOCK_US_PER_S, false);
+  fleet_list_hosts (run->flt, 3, MEMBERSHIP_GONE);
+  fleet_publish_version (run->flt);
   uint64_t start_us = run->flt->now_us;
-  flt_wait_for (run->flt, has_version, NULL);
-  flt_run (run->flt, HORIZON_US, true);
-  run_print_heard (run, "version as a data centre drops", start_us, NULL, NULL);
-  flt_run (run->flt, start_us + RUN_WINDOW_US - MIN (run->flt->now_us, start_us + RUN_WINDOW_US),
-           false);
+  fleet_wait_for (run->flt, has_version, NULL);
+  fleet_run (run->flt, HORIZON_US, true);
+  run_print_delays (run, "version as a data centre drops", start_us, NULL, NULL);
+  fleet_run (run->flt, start_us + RUN_WINDOW_US - MIN (run->flt->now_us, start_us + RUN_WINDOW_US),
+             false);
   run_print_traffic (run, "data centre drops", &before, RUN_WINDOW_US + 3 * CLOCK_US_PER_S);
-  run_means (run, "mean after a data centre dropped");
+  run_mean_errors (run, "mean after a data centre dropped");
   run_end (run);
 }
 
 static bool
-is_in_region (const flt_node_t *node, void *context)
+is_in_region (const fleet_node_t *node, void *context)
 {
-  return node->data_center % FLT_REGIONS == *(const uint32_t *)context;
+  return node->data_center % FLEET_REGIONS == *(const uint32_t *)context;
 }
 
 static bool
-is_outside_region (const flt_node_t *node, void *context)
+is_outside_region (const fleet_node_t *node, void *context)
 {
   return !is_in_region (node, context);
 }
@@ -305,18 +305,18 @@
   uint32_t region = 1;
   run_begin (run, 0);
   run->flt->cut_region = (int32_t)region;
-  flt_run (run->flt, 3 * CLOCK_US_PER_S, false);
-  flt_publish (run->flt);
+  fleet_run (run->flt, 3 * CLOCK_US_PER_S, false);
+  fleet_publish_version (run->flt);
   uint64_t start_us = run->flt->now_us;
-  flt_wait_for (run->flt, has_version, NULL);
-  flt_run (run->flt, 2 * HORIZON_US, false);
-  run_print_heard (run, "version while a region is cut, the others", start_us, is_outside_region,
-                   &region);
-  flt_counts_t before = run->flt->counts;
+  fleet_wait_for (run->flt, has_version, NULL);
+  fleet_run (run->flt, 2 * HORIZON_US, false);
+  run_print_delays (run, "version while a region is cut, the others", start_us, is_outside_region,
+                    &region);
+  fleet_counts_t before = run->flt->counts;
   run->flt->cut_region = -1;
   start_us = run->flt->now_us;
-  flt_run (run->flt, HORIZON_US, true);
-  run_print_heard (run, "version once the cut heals, the region", start_us, is_in_region, &region);
+  fleet_run (run->flt, HORIZON_US, true);
+  run_print_delays (run, "version once the cut heals, the region", start_us, is_in_region, &region);
   run_print_traffic (run, "cut heals", &before, run->flt->now_us - start_us);
   run_end (run);
 }
@@ -331,7 +331,7 @@
   { "quiet", bench_quiet },           { "version", bench_version }, { "list", bench_list },
   { "leaving", bench_leaving },       { "mark", bench_mark },       { "means", bench_means },
   { "evacuation", bench_evacuation }, { "drop", bench_drop },       { "cut", bench_cut },
-  { "restarts", run_restarts },       { "data", run_data },
+  { "restarts", run_restart_cost },   { "data", run_data },
 };
 
 static void
--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -83,7 +83,7 @@
 
 /* Returns the identity of a shared prefix; the square makes some prefixes more popular. */
 static uint64_t
-draw_prefix (sim_t *sim, const sit_kind_t *kind)
+draw_prefix (sim_t *sim, const site_kind_t *kind)
 {
   uint32_t kind_index = (uint32_t)(kind - sim->site->kinds);
   double position = random_unit (&sim->random);
@@ -136,7 +136,7 @@
   g_ptr_array_add (sim->requests, request);
   g_ptr_array_add (request->gateway->requests, request);
   event_queue_add (&sim->events, request->queue_item.deadline_us, EVENT_DEADLINE, 0, request);
-  sim_place (sim, request);
+  sim_place_request (sim, request);
 }
 
 static void
@@ -151,7 +151,7 @@
 count_answer (const sim_t *sim,
               sim_count_t *total,
               const sim_request_t *request,
-              sim_answer_t answer)
+              sim_result_t answer)
 {
   uint64_t half_us = request->kind->deadline_us / 2;
   bool on_time = request->head_us <= request->arrived_us + request->kind->aim_us;
@@ -166,7 +166,7 @@
 }
 
 void
-sim_finish (sim_t *sim, sim_request_t *request, sim_answer_t answer)
+sim_finish_request (sim_t *sim, sim_request_t *request, sim_result_t answer)
 {
   sim_figures_t *figures = &sim->figures;
 
@@ -182,11 +182,11 @@
     return;
   count_answer (sim, &figures->during, request, answer);
   count_answer (sim, &figures->kinds[request->kind - sim->site->kinds], request, answer);
-  if (request->account != SURGING_ACCOUNT && request->kind->service != SIT_MODEL)
+  if (request->account != SURGING_ACCOUNT && request->kind->service != SITE_MODEL_SERVICE)
     count_answer (sim, &figures->quiet, request, answer);
 }
 
-static sim_mode_t
+static sim_engine_mode_t
 engine_mode (sim_fault_t fault)
 {
   switch (fault)
@@ -266,15 +266,15 @@
   if (request->over)
     return;
   init_try (sim, request);
-  sim_place (sim, request);
+  sim_place_request (sim, request);
 }
 
 static void
 handle_event (sim_t *sim, const event_queue_entry_t *event)
 {
-  sim_send_t *attempt = event->data;
+  sim_attempt_t *attempt = event->data;
 
-  switch ((sim_event_t)event->kind)
+  switch ((sim_event_kind_t)event->kind)
     {
     case EVENT_ARRIVAL:
       if (sim->now_us < SIM_ARRIVALS_END_US)
@@ -286,11 +286,11 @@
     case EVENT_DEADLINE:
       sim_on_deadline (sim, event->data);
       return;
-    case EVENT_HEAD:
-      sim_on_head (sim, attempt);
+    case EVENT_RESPONSE_HEAD:
+      sim_on_response_head (sim, attempt);
       return;
-    case EVENT_END:
-      sim_on_end (sim, attempt, true, RETRY_PLAN_OUTCOME_UNKNOWN);
+    case EVENT_RESPONSE_END:
+      sim_on_response_end (sim, attempt, true, RETRY_PLAN_OUTCOME_UNKNOWN);
       return;
     case EVENT_REFUSED:
       sim_on_refused (sim, attempt);
@@ -316,7 +316,7 @@
   sim->requests = g_ptr_array_new_with_free_func (g_free);
   sim->attempts = g_ptr_array_new_with_free_func (g_free);
   sim->relative_loads = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-  for (uint32_t service = 0; service < SIT_SERVICES; service++)
+  for (uint32_t service = 0; service < SITE_SERVICES; service++)
     {
       sim->retry_times[service] = g_array_new (FALSE, FALSE, sizeof (uint64_t));
       sim->request_times[service] = g_array_new (FALSE, FALSE, sizeof (uint64_t));
@@ -325,7 +325,7 @@
     }
   for (uint32_t i = 0; i < sim->site->gateways; i++)
     g_ptr_array_add (sim->gateways, sim_gateway_new (sim, i));
-  for (uint32_t kind = 0; kind < SIT_KINDS; kind++)
+  for (uint32_t kind = 0; kind < SITE_KINDS; kind++)
     schedule_arrivals (sim, kind);
   event_queue_add (&sim->events, SIM_FAULT_BEGIN_US, EVENT_FAULT_BEGINS, 0, NULL);
   event_queue_add (&sim->events, SIM_FAULT_END_US, EVENT_FAULT_ENDS, 0, NULL);
@@ -340,7 +340,7 @@
   g_ptr_array_free (sim->requests, TRUE);
   g_ptr_array_free (sim->attempts, TRUE);
   g_array_free (sim->relative_loads, TRUE);
-  for (uint32_t service = 0; service < SIT_SERVICES; service++)
+  for (uint32_t service = 0; service < SITE_SERVICES; service++)
     {
       g_array_free (sim->retry_times[service], TRUE);
       g_array_free (sim->request_times[service], TRUE);
@@ -391,26 +391,27 @@
 {
   sim_figures_t *figures = &sim->figures;
 
-  figures->retries_most = INT64_MIN;
-  for (uint32_t service = 0; service < SIT_SERVICES; service++)
+  figures->retries_over_budget = INT64_MIN;
+  for (uint32_t service = 0; service < SITE_SERVICES; service++)
     {
-      figures->retries_most =
-          MAX (figures->retries_most,
+      figures->retries_over_budget =
+          MAX (figures->retries_over_budget,
                max_retry_excess (sim, sim->retry_times[service], sim->request_times[service]));
     }
   g_array_sort (sim->relative_loads, compare_u32);
   if (sim->relative_loads->len > 0)
-    figures->peak_milli =
+    figures->relative_load_milli =
         g_array_index (sim->relative_loads, uint32_t, sim->relative_loads->len / 2);
 }
 
 /* The number of plain engines stays: a site has only a few of them. */
 static void
-scale_down (sit_t *site, uint32_t divisor)
+scale_down (site_t *site, uint32_t divisor)
 {
   site->gateways = MAX (site->gateways / divisor, 1U);
-  site->services[SIT_MODEL].engines = MAX (site->services[SIT_MODEL].engines / divisor, 1U);
-  for (uint32_t i = 0; i < SIT_KINDS; i++)
+  site->services[SITE_MODEL_SERVICE].engines =
+      MAX (site->services[SITE_MODEL_SERVICE].engines / divisor, 1U);
+  for (uint32_t i = 0; i < SITE_KINDS; i++)
     site->kinds[i].rate_s /= divisor;
 }
 
--- a/bench/gateway/sim.h
+++ b/bench/gateway/sim.h
@@ -90,7 +90,7 @@
  */
 typedef struct
 {
-  const sit_t *site;
+  const site_t *site;
   uint32_t scale_divisor;
   sim_policy_t policy;
   sim_fault_t fault;
@@ -127,15 +127,15 @@
  * @sends: attempts, in the whole run: a request is sent to an engine once or several times
  * @early_refusals: rejections, in the whole run, of requests that had been sent to an engine and
  *   had more than half of their time left
- * @retries_most: retries that all gateways together sent in any 10 s beyond what the operator's
- *   retry budget allows for the requests of these seconds, at the worst moment; above 0 the budget
- *   was exceeded
+ * @retries_over_budget: retries that all gateways together sent in any 10 s beyond what the
+ * operator's retry budget allows for the requests of these seconds, at the worst moment; above 0
+ * the budget was exceeded
  * @read_tokens: prompt tokens that model engines had to process, from %SIM_MEASURED_FROM_US on
  * @prompt_tokens: prompt tokens that model engines received, including those found in their caches
- * @peak_milli: load of a model engine after it accepted a request, relative to the mean load of all
- *   model engines that accept requests; median over all accepted requests, in thousandths
- * @over_cap: requests that a model engine accepted with which its load exceeded twice the mean plus
- *   three, which is the limit from which operators call an engine overloaded
+ * @relative_load_milli: load of a model engine after it accepted a request, relative to the mean
+ * load of all model engines that accept requests; median over all accepted requests, in thousandths
+ * @overloaded_accepts: requests that a model engine accepted with which its load exceeded twice the
+ * mean plus three, which is the limit from which operators call an engine overloaded
  */
 typedef struct
 {
@@ -143,14 +143,14 @@
   sim_count_t during;
   sim_count_t quiet;
   sim_count_t after;
-  sim_count_t kinds[SIT_KINDS];
+  sim_count_t kinds[SITE_KINDS];
   uint64_t sends;
   uint64_t early_refusals;
-  int64_t retries_most;
+  int64_t retries_over_budget;
   uint64_t read_tokens;
   uint64_t prompt_tokens;
-  uint32_t peak_milli;
-  uint64_t over_cap;
+  uint32_t relative_load_milli;
+  uint64_t overloaded_accepts;
 } sim_figures_t;
 
 /** sim_policy_name() - the name of @policy on the command line and in the output */
--- a/bench/gateway/sim_engine.c
+++ b/bench/gateway/sim_engine.c
@@ -11,7 +11,7 @@
 sim_engine_t *
 sim_engine_new (sim_t *sim, uint32_t service, uint32_t index)
 {
-  const sit_service_t *settings = &sim->site->services[service];
+  const site_service_t *settings = &sim->site->services[service];
   sim_engine_t *engine = g_new0 (sim_engine_t, 1);
   engine_entry_t *entry = &engine->entry;
 
@@ -44,7 +44,7 @@
 static uint64_t
 process_prompt (sim_t *sim, sim_engine_t *engine, const sim_request_t *request)
 {
-  const sit_kind_t *kind = request->kind;
+  const site_kind_t *kind = request->kind;
   uint32_t cached = cache_model_use (engine->cache, request->prefix);
   uint32_t tokens = kind->own_tokens + kind->prefix_tokens - MIN (cached, kind->prefix_tokens);
   uint64_t start_us = MAX (sim->now_us, engine->prompts_done_us);
@@ -66,10 +66,10 @@
 }
 
 static void
-schedule_response (sim_t *sim, sim_send_t *attempt)
+schedule_response (sim_t *sim, sim_attempt_t *attempt)
 {
   sim_engine_t *engine = attempt->engine;
-  const sit_kind_t *kind = attempt->request->kind;
+  const site_kind_t *kind = attempt->request->kind;
   uint32_t slowdown = engine->mode == ENGINE_SLOW ? SLOW_FACTOR : 1;
   uint64_t head_us;
   uint64_t end_us;
@@ -88,8 +88,8 @@
       head_us = sim->now_us + slowdown * (prompt_us + step_us (engine) * TOKENS_PER_EVENT);
       end_us = head_us + slowdown * rest_us;
     }
-  event_queue_add (&sim->events, head_us, EVENT_HEAD, 0, attempt);
-  event_queue_add (&sim->events, end_us, EVENT_END, 0, attempt);
+  event_queue_add (&sim->events, head_us, EVENT_RESPONSE_HEAD, 0, attempt);
+  event_queue_add (&sim->events, end_us, EVENT_RESPONSE_END, 0, attempt);
 }
 
 /* Records the load of an engine that has accepted a request, relative to the mean. */
@@ -101,7 +101,7 @@
   uint32_t ready_engines = 0;
   uint64_t relative_milli;
 
-  const uint32_t service = SIT_MODEL;
+  const uint32_t service = SITE_MODEL_SERVICE;
   if (engine->service != service || sim->now_us < SIM_MEASURED_FROM_US)
     return;
   for (guint i = 0; i < sim->engines->len; i++)
@@ -114,7 +114,7 @@
       ready_engines++;
     }
   relative_milli = sum > 0 ? (uint64_t)load * 1000 * ready_engines / sum : 0;
-  sim->figures.over_cap += load * ready_engines > 2 * sum + 3 * ready_engines ? 1 : 0;
+  sim->figures.overloaded_accepts += load * ready_engines > 2 * sum + 3 * ready_engines ? 1 : 0;
   g_array_append_vals (sim->relative_loads, &(uint32_t){ (uint32_t)relative_milli }, 1);
 }
 
@@ -125,7 +125,7 @@
 }
 
 engine_load_t
-sim_engine_told (const sim_engine_t *engine)
+sim_engine_reported_load (const sim_engine_t *engine)
 {
   return (engine_load_t){ .running = engine->running->len,
                           .waiting = engine->queue->len,
@@ -133,24 +133,24 @@
 }
 
 static void
-start_attempt (sim_t *sim, sim_send_t *attempt)
+start_attempt (sim_t *sim, sim_attempt_t *attempt)
 {
   g_ptr_array_add (attempt->engine->running, attempt);
-  attempt->begun_load = sim_engine_told (attempt->engine);
+  attempt->begun_load = sim_engine_reported_load (attempt->engine);
   if (attempt->engine->mode != ENGINE_UNRESPONSIVE)
     schedule_response (sim, attempt);
 }
 
 /* Inserts by priority (0 is the most urgent), after those of the same priority. */
 static void
-insert_into_queue (sim_send_t *attempt)
+insert_into_queue (sim_attempt_t *attempt)
 {
   GPtrArray *queue = attempt->engine->queue;
   guint at = queue->len;
 
   while (at > 0)
     {
-      const sim_send_t *previous = g_ptr_array_index (queue, at - 1);
+      const sim_attempt_t *previous = g_ptr_array_index (queue, at - 1);
 
       if (previous->request->kind->priority <= attempt->request->kind->priority)
         break;
@@ -160,7 +160,7 @@
 }
 
 void
-sim_engine_take (sim_t *sim, sim_send_t *attempt)
+sim_engine_accept (sim_t *sim, sim_attempt_t *attempt)
 {
   sim_engine_t *engine = attempt->engine;
   uint32_t slots = engine->entry.slots;
@@ -180,7 +180,7 @@
 }
 
 void
-sim_engine_drop (sim_t *sim, sim_send_t *attempt)
+sim_engine_remove (sim_t *sim, sim_attempt_t *attempt)
 {
   sim_engine_t *engine = attempt->engine;
 
@@ -197,16 +197,16 @@
   while (sim_engine_load (engine) > 0)
     {
       GPtrArray *list = engine->queue->len > 0 ? engine->queue : engine->running;
-      sim_send_t *attempt = g_ptr_array_index (list, list->len - 1);
+      sim_attempt_t *attempt = g_ptr_array_index (list, list->len - 1);
       bool begun = attempt->request && attempt->request->begun;
 
-      sim_on_end (sim, attempt, false,
-                  begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN);
+      sim_on_response_end (sim, attempt, false,
+                           begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN);
     }
 }
 
 void
-sim_engine_set_mode (sim_t *sim, sim_engine_t *engine, sim_mode_t mode)
+sim_engine_set_mode (sim_t *sim, sim_engine_t *engine, sim_engine_mode_t mode)
 {
   engine->mode = mode;
   if (mode == ENGINE_DOWN)
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -27,7 +27,7 @@
   gateway->index = index;
   gateway->engines = engines_new ();
   gateway->requests = g_ptr_array_new ();
-  for (uint32_t i = 0; i < SIT_SERVICES; i++)
+  for (uint32_t i = 0; i < SITE_SERVICES; i++)
     gateway->queues[i] = wait_queue_new ();
   for (guint i = 0; i < sim->engines->len; i++)
     {
@@ -46,7 +46,7 @@
 {
   sim_gateway_t *gateway = data;
 
-  for (uint32_t i = 0; i < SIT_SERVICES; i++)
+  for (uint32_t i = 0; i < SITE_SERVICES; i++)
     wait_queue_free (gateway->queues[i]);
   engines_free (gateway->engines);
   g_ptr_array_free (gateway->requests, TRUE);
@@ -75,12 +75,12 @@
 
   if (request->begun || request->retry_plan.ran > 0)
     {
-      sim_finish (sim, request, SIM_FAILED);
+      sim_finish_request (sim, request, SIM_FAILED);
       return;
     }
   if (request->returned || retry_at_us >= request->queue_item.deadline_us)
     {
-      sim_finish (sim, request, SIM_REFUSED);
+      sim_finish_request (sim, request, SIM_REFUSED);
       return;
     }
   request->returned = true;
@@ -134,7 +134,7 @@
   return g_intern_string (sim->site->services[request->kind->service].name);
 }
 
-static sim_load_t *
+static sim_known_load_t *
 load_of (const sim_request_t *request)
 {
   return &request->gateway->loads[request->kind->service];
@@ -152,7 +152,7 @@
 static bool
 is_surge (const sim_t *sim, const sim_request_t *request)
 {
-  const sim_load_t *load = load_of (request);
+  const sim_known_load_t *load = load_of (request);
 
   return sim->options.policy != SIM_PATIENT &&
          load_gauge_is_surge (&load->gauge, sim->now_us, load->in_flight);
@@ -227,14 +227,14 @@
 static void
 send_request (sim_t *sim, sim_request_t *request, engine_t *egn)
 {
-  sim_send_t *attempt = g_new0 (sim_send_t, 1);
+  sim_attempt_t *attempt = g_new0 (sim_attempt_t, 1);
 
   leave_queue (sim, request);
   spend_retry (sim, request);
-  *attempt = (sim_send_t){ .request = request,
-                           .engine = find_engine (sim, egn),
-                           .known_engine = egn,
-                           .sent_us = sim->now_us };
+  *attempt = (sim_attempt_t){ .request = request,
+                              .engine = find_engine (sim, egn),
+                              .known_engine = egn,
+                              .sent_us = sim->now_us };
   g_ptr_array_add (sim->attempts, attempt);
   request->attempt = attempt;
   request->tried[request->tried_count % SIM_TRIED_MAX] = egn->hash;
@@ -245,7 +245,7 @@
   engine_begin_request (egn, sim->now_us);
   load_of (request)->in_flight++;
   engine_note_probe (egn, sim->now_us);
-  sim_engine_take (sim, attempt);
+  sim_engine_accept (sim, attempt);
 }
 
 static wait_queue_capacity_t
@@ -269,7 +269,7 @@
 }
 
 void
-sim_place (sim_t *sim, sim_request_t *request)
+sim_place_request (sim_t *sim, sim_request_t *request)
 {
   engine_choice_t choice;
 
@@ -358,7 +358,7 @@
     {
     case RETRY_PLAN_STEP_RESEND:
     case RETRY_PLAN_STEP_RESUME:
-      sim_place (sim, request);
+      sim_place_request (sim, request);
       return;
     case RETRY_PLAN_STEP_WAIT:
       if (wait_queue_push_delayed (queue_of (request), sim->now_us, &request->queue_item, wait_us))
@@ -373,7 +373,7 @@
     case RETRY_PLAN_STEP_PASS_ON:
     case RETRY_PLAN_STEP_FAIL:
     case RETRY_PLAN_STEP_CUT_OFF:
-      sim_finish (sim, request, SIM_FAILED);
+      sim_finish_request (sim, request, SIM_FAILED);
       return;
     }
 }
@@ -381,7 +381,7 @@
 /* Separates the attempt, which has ended or was abandoned, from its request. The caller removes it
  * from the engine, unless the engine never ran it. */
 static sim_request_t *
-detach_attempt (sim_send_t *attempt)
+detach_attempt (sim_attempt_t *attempt)
 {
   sim_request_t *request = attempt->request;
 
@@ -394,7 +394,7 @@
 }
 
 void
-sim_on_head (sim_t *sim, sim_send_t *attempt)
+sim_on_response_head (sim_t *sim, sim_attempt_t *attempt)
 {
   sim_request_t *request = attempt->request;
   sim_engine_t *engine = attempt->engine;
@@ -406,8 +406,9 @@
   failed = engine->mode == ENGINE_FLAKY && random_unit (&sim->random) < 0.5;
   attempt->heard_us = sim->now_us;
   attempt->known_engine->heard_us = sim->now_us;
-  reported = sim->site->services[engine->service].reports_load_at_start ? attempt->begun_load
-                                                                        : sim_engine_told (engine);
+  reported = sim->site->services[engine->service].reports_load_at_start
+                 ? attempt->begun_load
+                 : sim_engine_reported_load (engine);
   engine_note_load (attempt->known_engine, sim->now_us, &reported);
   load_gauge_add (&load_of (request)->gauge, sim->now_us, reported.running + reported.waiting,
                   reported.slots, load_of (request)->in_flight);
@@ -415,7 +416,7 @@
   wait_queue_note_head (queue_of (request), sim->now_us - attempt->sent_us);
   if (failed)
     {
-      sim_on_end (sim, attempt, false, RETRY_PLAN_OUTCOME_FAILED);
+      sim_on_response_end (sim, attempt, false, RETRY_PLAN_OUTCOME_FAILED);
       return;
     }
   request->begun = request->kind->events > 0;
@@ -424,9 +425,9 @@
 }
 
 static void
-record_duration (sim_t *sim, const sim_send_t *attempt)
+record_duration (sim_t *sim, const sim_attempt_t *attempt)
 {
-  const sit_kind_t *kind = attempt->request->kind;
+  const site_kind_t *kind = attempt->request->kind;
   uint64_t duration_us = kind->events > 0 ? (sim->now_us - attempt->heard_us) / kind->events
                                           : sim->now_us - attempt->sent_us;
 
@@ -436,14 +437,14 @@
 }
 
 void
-sim_on_end (sim_t *sim, sim_send_t *attempt, bool whole, retry_plan_outcome_t outcome)
+sim_on_response_end (sim_t *sim, sim_attempt_t *attempt, bool whole, retry_plan_outcome_t outcome)
 {
   sim_request_t *request;
   wait_queue_t *queue;
 
   if (attempt->over)
     return;
-  sim_engine_drop (sim, attempt);
+  sim_engine_remove (sim, attempt);
   if (whole)
     record_duration (sim, attempt);
   if (whole)
@@ -454,14 +455,14 @@
   request = detach_attempt (attempt);
   queue = queue_of (request);
   if (whole)
-    sim_finish (sim, request, SIM_SERVED);
+    sim_finish_request (sim, request, SIM_SERVED);
   else
     continue_request (sim, request, outcome);
   start_waiting (sim, queue);
 }
 
 void
-sim_on_refused (sim_t *sim, sim_send_t *attempt)
+sim_on_refused (sim_t *sim, sim_attempt_t *attempt)
 {
   sim_request_t *request;
 
@@ -482,7 +483,7 @@
 void
 sim_on_deadline (sim_t *sim, sim_request_t *request)
 {
-  sim_send_t *attempt = request->attempt;
+  sim_attempt_t *attempt = request->attempt;
   bool was_waiting = request->queue_item.waiting;
 
   if (request->over)
@@ -490,16 +491,16 @@
   wait_queue_remove (queue_of (request), sim->now_us, &request->queue_item);
   if (attempt)
     {
-      sim_engine_drop (sim, attempt);
+      sim_engine_remove (sim, attempt);
       detach_attempt (attempt);
     }
-  sim_finish (sim, request, was_waiting ? SIM_REFUSED : SIM_FAILED);
+  sim_finish_request (sim, request, was_waiting ? SIM_REFUSED : SIM_FAILED);
 }
 
 static void
 check_timeout (sim_t *sim, sim_request_t *request)
 {
-  sim_send_t *attempt = request->attempt;
+  sim_attempt_t *attempt = request->attempt;
   hop_timeout_t timeout;
 
   if (!attempt || is_baseline (sim))
@@ -519,7 +520,7 @@
       !hop_timeout_has_expired (&timeout, sim->now_us))
     return;
   engine_note_failure (attempt->known_engine, sim->now_us);
-  sim_engine_drop (sim, attempt);
+  sim_engine_remove (sim, attempt);
   detach_attempt (attempt);
   continue_request (sim, request, RETRY_PLAN_OUTCOME_UNKNOWN);
 }
@@ -543,7 +544,7 @@
 {
   uint64_t tick = sim->now_us / TICK_US;
 
-  for (uint32_t i = 0; i < SIT_SERVICES; i++)
+  for (uint32_t i = 0; i < SITE_SERVICES; i++)
     {
       start_waiting (sim, gateway->queues[i]);
       reject_expired (sim, gateway->queues[i]);
--- a/bench/gateway/sim_parts.h
+++ b/bench/gateway/sim_parts.h
@@ -23,12 +23,12 @@
 #define SIM_TRIED_MAX 8 /* engines that a request remembers to have been sent to */
 
 /**
- * enum sim_event - kinds of events, with the event fields that they use
+ * enum sim_event_kind - kinds of events, with the event fields that they use
  * @EVENT_ARRIVAL: clients send requests of the kind with index @number
  * @EVENT_CLIENT_RETRY: the client of the rejected request @data sends it again
  * @EVENT_DEADLINE: the deadline of the request @data
- * @EVENT_HEAD: the engine sends the response head of the attempt @data
- * @EVENT_END: the engine sends the end of the response of the attempt @data
+ * @EVENT_RESPONSE_HEAD: the engine sends the response head of the attempt @data
+ * @EVENT_RESPONSE_END: the engine sends the end of the response of the attempt @data
  * @EVENT_REFUSED: the gateway learns that the engine refused the attempt @data
  * @EVENT_TICK: periodic work of the gateway with index @number
  * @EVENT_FAULT_BEGINS: the fault of the run begins
@@ -39,16 +39,16 @@
   EVENT_ARRIVAL,
   EVENT_CLIENT_RETRY,
   EVENT_DEADLINE,
-  EVENT_HEAD,
-  EVENT_END,
+  EVENT_RESPONSE_HEAD,
+  EVENT_RESPONSE_END,
   EVENT_REFUSED,
   EVENT_TICK,
   EVENT_FAULT_BEGINS,
   EVENT_FAULT_ENDS
-} sim_event_t;
+} sim_event_kind_t;
 
 /**
- * enum sim_mode - how an engine behaves
+ * enum sim_engine_mode - how an engine behaves
  * @ENGINE_HEALTHY: without a fault
  * @ENGINE_FLAKY: fails half of its requests
  * @ENGINE_SLOW: takes several times as long
@@ -62,17 +62,17 @@
   ENGINE_SLOW,
   ENGINE_UNRESPONSIVE,
   ENGINE_DOWN
-} sim_mode_t;
+} sim_engine_mode_t;
 
-typedef struct sim_send sim_send_t;
+typedef struct sim_attempt sim_attempt_t;
 
 /**
  * struct sim_engine - the actual state of an engine
  * @entry: its entry in the directory of engines
  * @service: index of its service
  * @index: its number within the service
- * @running: sim_send_t that it runs
- * @queue: sim_send_t that wait for one of its slots, the next to start first
+ * @running: sim_attempt_t that it runs
+ * @queue: sim_attempt_t that wait for one of its slots, the next to start first
  * @prompts_done_us: when it has processed all prompts that it has accepted so far
  * @cache: prompt prefixes that it holds
  */
@@ -81,7 +81,7 @@
   engine_entry_t entry;
   uint32_t service;
   uint32_t index;
-  sim_mode_t mode;
+  sim_engine_mode_t mode;
   GPtrArray *running;
   GPtrArray *queue;
   uint64_t prompts_done_us;
@@ -89,7 +89,7 @@
 } sim_engine_t;
 
 /**
- * struct sim_load - load of a service's engines, as one gateway knows it
+ * struct sim_known_load - load of a service's engines, as one gateway knows it
  * @gauge: from the loads that responses report
  * @in_flight: attempts of this gateway that have not ended
  */
@@ -97,7 +97,7 @@
 {
   load_gauge_t gauge;
   uint64_t in_flight;
-} sim_load_t;
+} sim_known_load_t;
 
 /**
  * struct sim_gateway - a gateway and what it knows
@@ -113,10 +113,10 @@
 {
   uint32_t index;
   engines_t *engines;
-  wait_queue_t *queues[SIT_SERVICES];
-  sim_load_t loads[SIT_SERVICES];
-  retry_budget_t retries[SIT_SERVICES];
-  median_latency_t paces[SIT_KINDS];
+  wait_queue_t *queues[SITE_SERVICES];
+  sim_known_load_t loads[SITE_SERVICES];
+  retry_budget_t retries[SITE_SERVICES];
+  median_latency_t paces[SITE_KINDS];
   GPtrArray *requests;
 } sim_gateway_t;
 
@@ -139,14 +139,14 @@
  */
 typedef struct
 {
-  const sit_kind_t *kind;
+  const site_kind_t *kind;
   sim_gateway_t *gateway;
   uint32_t account;
   uint64_t prefix;
   uint64_t arrived_us;
   wait_queue_item_t queue_item;
   retry_plan_t retry_plan;
-  sim_send_t *attempt;
+  sim_attempt_t *attempt;
   uint64_t tried[SIM_TRIED_MAX];
   uint32_t tried_count;
   uint32_t attempt_count;
@@ -157,7 +157,7 @@
 } sim_request_t;
 
 /**
- * struct sim_send - an attempt: one transmission of a request to an engine
+ * struct sim_attempt - an attempt: one transmission of a request to an engine
  * @request: NULL once the attempt is over
  * @engine: the engine itself
  * @known_engine: the engine in the gateway's view
@@ -167,7 +167,7 @@
  * @over: it has ended or was abandoned; events of it that are still queued have no effect
  * @reached: the engine accepted the connection
  */
-struct sim_send
+struct sim_attempt
 {
   sim_request_t *request;
   sim_engine_t *engine;
@@ -189,17 +189,17 @@
  * @engines: sim_engine_t of all services
  * @gateways: all sim_gateway_t
  * @requests: all sim_request_t, also those that are over
- * @attempts: all sim_send_t, also those that are over
+ * @attempts: all sim_attempt_t, also those that are over
  * @retry_times: by service, when retries were sent: uint64_t in ascending order
  * @request_times: by service, when clients sent requests, likewise
- * @relative_loads: uint32_t, what the median of sim_figures.peak_milli is taken of
+ * @relative_loads: uint32_t, what the median of sim_figures.relative_load_milli is taken of
  * @faulty: the fault has begun and has not ended
  */
 typedef struct
 {
   sim_options_t options;
-  sit_t scaled_site;
-  const sit_t *site;
+  site_t scaled_site;
+  const site_t *site;
   uint64_t now_us;
   uint64_t random;
   event_queue_t events;
@@ -207,8 +207,8 @@
   GPtrArray *gateways;
   GPtrArray *requests;
   GPtrArray *attempts;
-  GArray *retry_times[SIT_SERVICES];
-  GArray *request_times[SIT_SERVICES];
+  GArray *retry_times[SITE_SERVICES];
+  GArray *request_times[SITE_SERVICES];
   GArray *relative_loads;
   bool faulty;
   sim_figures_t figures;
@@ -216,27 +216,30 @@
 
 sim_engine_t *sim_engine_new (sim_t *sim, uint32_t service, uint32_t index);
 void sim_engine_free (gpointer engine);
-/** sim_engine_take() - @send arrives at its engine, which runs it, queues it or refuses it */
-void sim_engine_take (sim_t *sim, sim_send_t *send);
-/** sim_engine_drop() - removes @send, which has ended or was abandoned, and starts the next one */
-void sim_engine_drop (sim_t *sim, sim_send_t *send);
+/** sim_engine_accept() - @send arrives at its engine, which runs it, queues it or refuses it */
+void sim_engine_accept (sim_t *sim, sim_attempt_t *send);
+/** sim_engine_remove() - removes @send, which has ended or was abandoned, and starts the next one
+ */
+void sim_engine_remove (sim_t *sim, sim_attempt_t *send);
 /** sim_engine_load() - attempts that run or wait at @engine */
 uint32_t sim_engine_load (const sim_engine_t *engine);
-/** sim_engine_told() - the load that @engine would report in a response now */
-engine_load_t sim_engine_told (const sim_engine_t *engine);
+/** sim_engine_reported_load() - the load that @engine would report in a response now */
+engine_load_t sim_engine_reported_load (const sim_engine_t *engine);
 /** sim_engine_set_mode() - changes the behaviour; %ENGINE_DOWN aborts all attempts at @engine */
-void sim_engine_set_mode (sim_t *sim, sim_engine_t *engine, sim_mode_t mode);
+void sim_engine_set_mode (sim_t *sim, sim_engine_t *engine, sim_engine_mode_t mode);
 
 sim_gateway_t *sim_gateway_new (sim_t *sim, uint32_t index);
 void sim_gateway_free (gpointer gateway);
-/** sim_place() - sends @request to an engine, queues it or rejects it */
-void sim_place (sim_t *sim, sim_request_t *request);
-/** sim_on_head() - the response head of @send arrives at the gateway */
-void sim_on_head (sim_t *sim, sim_send_t *send);
-/** sim_on_end() - the response of @send has ended: completely if @whole, else with @outcome */
-void sim_on_end (sim_t *sim, sim_send_t *send, bool whole, retry_plan_outcome_t outcome);
+/** sim_place_request() - sends @request to an engine, queues it or rejects it */
+void sim_place_request (sim_t *sim, sim_request_t *request);
+/** sim_on_response_head() - the response head of @send arrives at the gateway */
+void sim_on_response_head (sim_t *sim, sim_attempt_t *send);
+/** sim_on_response_end() - the response of @send has ended: completely if @whole, else with
+ * @outcome */
+void
+sim_on_response_end (sim_t *sim, sim_attempt_t *send, bool whole, retry_plan_outcome_t outcome);
 /** sim_on_refused() - the engine of @send did not run it: it was full or not reachable */
-void sim_on_refused (sim_t *sim, sim_send_t *send);
+void sim_on_refused (sim_t *sim, sim_attempt_t *send);
 /** sim_on_deadline() - ends @request if it is not over */
 void sim_on_deadline (sim_t *sim, sim_request_t *request);
 /** sim_on_tick() - starts waiting requests, rejects those that waited too long, and abandons
@@ -244,7 +247,7 @@
 void sim_on_tick (sim_t *sim, sim_gateway_t *gateway);
 
 /**
- * enum sim_answer - how a request ends for its client
+ * enum sim_result - how a request ends for its client
  * @SIM_SERVED: with a complete response
  * @SIM_REFUSED: rejected; no engine ran it
  * @SIM_FAILED: with an error, a truncated response or none
@@ -254,9 +257,9 @@
   SIM_SERVED,
   SIM_REFUSED,
   SIM_FAILED
-} sim_answer_t;
+} sim_result_t;
 
-/** sim_finish() - ends @request and counts its result */
-void sim_finish (sim_t *sim, sim_request_t *request, sim_answer_t answer);
+/** sim_finish_request() - ends @request and counts its result */
+void sim_finish_request (sim_t *sim, sim_request_t *request, sim_result_t answer);
 
 #endif
--- a/bench/gateway/site.c
+++ b/bench/gateway/site.c
@@ -7,7 +7,7 @@
 #define MS(n) ((n) * (uint64_t)CLOCK_US_PER_MS)
 #define RETRY_WINDOW_US (10 * (uint64_t)CLOCK_US_PER_S)
 
-static const sit_t builtin_sites[] = {
+static const site_t builtin_sites[] = {
   { .name = "tuul",
     .gateways = 22,
     .data_centers = 3,
@@ -44,29 +44,29 @@
     .retries = { .ratio_milli = 200, .slack = 96, .window_us = RETRY_WINDOW_US } },
 };
 
-const sit_t *
-sit_at (uint32_t index)
+const site_t *
+site_get (uint32_t index)
 {
   return index < sizeof builtin_sites / sizeof builtin_sites[0] ? &builtin_sites[index] : NULL;
 }
 
-const sit_t *
-sit_find (const char *name)
+const site_t *
+site_find (const char *name)
 {
-  const sit_t *site;
+  const site_t *site;
 
-  for (uint32_t i = 0; (site = sit_at (i)); i++)
+  for (uint32_t i = 0; (site = site_get (i)); i++)
     if (strcmp (site->name, name) == 0)
       return site;
   return NULL;
 }
 
 double
-sit_rate_s (const sit_t *site)
+site_rate_s (const site_t *site)
 {
   double rate_s = 0;
 
-  for (uint32_t i = 0; i < SIT_KINDS; i++)
+  for (uint32_t i = 0; i < SITE_KINDS; i++)
     rate_s += site->kinds[i].rate_s;
   return rate_s;
 }
--- a/bench/gateway/site.h
+++ b/bench/gateway/site.h
@@ -12,14 +12,14 @@
 
 #include <stdint.h>
 
-#define SIT_SERVICES 2 /* services of a site */
-#define SIT_KINDS 5    /* kinds of requests of a site */
+#define SITE_SERVICES 2 /* services of a site */
+#define SITE_KINDS 5    /* kinds of requests of a site */
 /* Index of the service whose engines run a language model: they process prompts and cache their
  * prefixes. The other service is plain: a request occupies a slot for some time. */
-#define SIT_MODEL 0
+#define SITE_MODEL_SERVICE 0
 
 /**
- * struct sit_service - a service and its engines
+ * struct site_service - a service and its engines
  * @engines: number of engines
  * @slots: requests that one engine runs at the same time
  * @queue_limit: requests that may wait at one engine for a slot; it refuses further ones
@@ -33,10 +33,10 @@
   uint32_t slots;
   uint32_t queue_limit;
   bool reports_load_at_start;
-} sit_service_t;
+} site_service_t;
 
 /**
- * struct sit_kind - a kind of requests
+ * struct site_kind - a kind of requests
  * @service: index of the service
  * @kind: how often the route may run a request
  * @resumable: an interrupted stream may be continued by another engine
@@ -67,7 +67,7 @@
   uint64_t work_us;
   uint64_t aim_us;
   uint64_t deadline_us;
-} sit_kind_t;
+} site_kind_t;
 
 /**
  * struct site - a site
@@ -83,16 +83,16 @@
   uint32_t data_centers;
   uint32_t accounts;
   uint64_t cache_tokens;
-  sit_service_t services[SIT_SERVICES];
-  sit_kind_t kinds[SIT_KINDS];
+  site_service_t services[SITE_SERVICES];
+  site_kind_t kinds[SITE_KINDS];
   retry_budget_options_t retries;
-} sit_t;
+} site_t;
 
-/** sit_find() - Return: the built-in site @name, or NULL */
-const sit_t *sit_find (const char *name);
-/** sit_at() - Return: the built-in site @index, or NULL after the last one */
-const sit_t *sit_at (uint32_t index);
-/** sit_rate_s() - requests per second, of all kinds together */
-double sit_rate_s (const sit_t *site);
+/** site_find() - Return: the built-in site @name, or NULL */
+const site_t *site_find (const char *name);
+/** site_get() - Return: the built-in site @index, or NULL after the last one */
+const site_t *site_get (uint32_t index);
+/** site_rate_s() - requests per second, of all kinds together */
+double site_rate_s (const site_t *site);
 
 #endif
--- a/bench/gateway/site_file.c
+++ b/bench/gateway/site_file.c
@@ -61,12 +61,12 @@
   return ROUTING_NON_IDEMPOTENT;
 }
 
-static sit_kind_t
+static site_kind_t
 parse_kind (parser_t *parser, const json_t *json)
 {
-  return (sit_kind_t){
+  return (site_kind_t){
     .name = parse_text (parser, json, "name"),
-    .service = parse_count (parser, json, "service") % SIT_SERVICES,
+    .service = parse_count (parser, json, "service") % SITE_SERVICES,
     .kind = parse_request_kind (parser, json),
     .resumable = json_is_true (json_object_get (json, "resumable")),
     .attempts = parse_count (parser, json, "attempts"),
@@ -82,17 +82,17 @@
   };
 }
 
-static sit_service_t
+static site_service_t
 parse_service (parser_t *parser, const json_t *json)
 {
-  return (sit_service_t){ .name = parse_text (parser, json, "name"),
-                          .engines = parse_count (parser, json, "engines"),
-                          .slots = parse_count (parser, json, "slots"),
-                          .queue_limit = parse_count (parser, json, "queue") };
+  return (site_service_t){ .name = parse_text (parser, json, "name"),
+                           .engines = parse_count (parser, json, "engines"),
+                           .slots = parse_count (parser, json, "slots"),
+                           .queue_limit = parse_count (parser, json, "queue") };
 }
 
 static void
-parse_site (parser_t *parser, const json_t *json, sit_t *site)
+parse_site (parser_t *parser, const json_t *json, site_t *site)
 {
   const json_t *retries = json_object_get (json, "retries");
   const json_t *services = json_object_get (json, "services");
@@ -103,29 +103,29 @@
   site->data_centers = parse_count (parser, json, "data_centers");
   site->accounts = parse_count (parser, json, "accounts");
   site->cache_tokens = (uint64_t)parse_number (parser, json, "cache_tokens", true);
-  for (uint32_t i = 0; i < SIT_SERVICES; i++)
+  for (uint32_t i = 0; i < SITE_SERVICES; i++)
     site->services[i] = parse_service (parser, json_array_get (services, i));
-  for (uint32_t i = 0; i < SIT_KINDS; i++)
+  for (uint32_t i = 0; i < SITE_KINDS; i++)
     site->kinds[i] = parse_kind (parser, json_array_get (kinds, i));
   site->retries.ratio_milli = parse_count (parser, retries, "ratio_milli");
   site->retries.slack = parse_count (parser, retries, "slack");
   site->retries.window_us = parse_ms_as_us (parser, retries, "window_ms", true);
 }
 
-const sit_t *
-sif_read (const char *path)
+const site_t *
+site_file_read (const char *path)
 {
   json_error_t error;
   json_t *json = json_load_file (path, JSON_REJECT_DUPLICATES, &error);
   parser_t parser = { 0 };
-  sit_t *site;
+  site_t *site;
 
   if (!json)
     {
       fprintf (stderr, "%s:%d: %s\n", path, error.line, error.text);
       return NULL;
     }
-  site = g_new0 (sit_t, 1);
+  site = g_new0 (site_t, 1);
   parse_site (&parser, json, site);
   json_decref (json);
   if (!parser.invalid)
--- a/bench/gateway/site_file.h
+++ b/bench/gateway/site_file.h
@@ -8,8 +8,8 @@
 
 #include "site.h"
 
-/** sif_read() - Return: the site, which is never freed; NULL when the file is not valid, after an
- * error message on standard error */
-const sit_t *sif_read (const char *path);
+/** site_file_read() - Return: the site, which is never freed; NULL when the file is not valid,
+ * after an error message on standard error */
+const site_t *site_file_read (const char *path);
 
 #endif
--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -17,27 +17,27 @@
 }
 
 static void
-receive_message (flt_node_t *node, const flt_node_t *from, uint64_t incarnation)
+receive_message (fleet_node_t *node, const fleet_node_t *from, uint64_t incarnation)
 {
   xch_message message = { 0 };
   message.sender.host_hash = from->ctrl->own_hash;
   message.sender.incarnation = incarnation;
   message.sender.sequence = 1;
   message.manifest_version = node->flt->man->version;
-  flt_enter (node);
+  fleet_set_clock (node);
   node->ctrl->list.read_once = true;
   control_exchange_receive (&message, true, node->ctrl);
 }
 
 void
-run_restarts (run_t *run)
+run_restart_cost (run_t *run)
 {
   if (run->options.lost_percent != 0)
     return;
   run_begin (run, 0);
   flt_t *fleet = run->flt;
-  flt_node_t *node = &fleet->nodes[0];
-  uint32_t restarted = fleet->count / FLT_DATA_CENTERS;
+  fleet_node_t *node = &fleet->nodes[0];
+  uint32_t restarted = fleet->count / FLEET_DATA_CENTERS;
   membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed, fleet->count, 1);
   for (uint32_t i = 1; i < fleet->count; i++)
     receive_message (node, &fleet->nodes[i], 1);
@@ -50,7 +50,7 @@
   for (uint32_t i = 0; i < restarted; i++)
     {
       fleet->now_us += 2 * CLOCK_US_PER_S / restarted;
-      receive_message (node, &fleet->nodes[3 + i * FLT_DATA_CENTERS % (fleet->count - 3)], 3);
+      receive_message (node, &fleet->nodes[3 + i * FLEET_DATA_CENTERS % (fleet->count - 3)], 3);
     }
   fleet->now_us += CLOCK_US_PER_S;
   receive_message (node, &fleet->nodes[2], 4);
--- a/bench/spread/exchange.c
+++ b/bench/spread/exchange.c
@@ -22,7 +22,7 @@
 struct exchange
 {
   exchange_options_t options;
-  flt_node_t *node;
+  fleet_node_t *node;
   byte_budget_t budget;
   uint32_t overhead_bytes; /* of a datagram without its XDR body */
 };
@@ -44,15 +44,15 @@
 }
 
 static bool
-is_partitioned (const flt_t *fleet, const flt_node_t *a, const flt_node_t *b)
+is_partitioned (const flt_t *fleet, const fleet_node_t *a, const fleet_node_t *b)
 {
-  int32_t region_a = (int32_t)(a->data_center % FLT_REGIONS);
-  int32_t region_b = (int32_t)(b->data_center % FLT_REGIONS);
+  int32_t region_a = (int32_t)(a->data_center % FLEET_REGIONS);
+  int32_t region_b = (int32_t)(b->data_center % FLEET_REGIONS);
   return region_a != region_b && (region_a == fleet->cut_region || region_b == fleet->cut_region);
 }
 
 static void
-deliver (exchange_t *exchange, flt_node_t *to, datagram_t *datagram)
+deliver (exchange_t *exchange, fleet_node_t *to, datagram_t *datagram)
 {
   flt_t *fleet = exchange->node->flt;
   bool lost = random_below (&fleet->random, 100) < fleet->options.lost_percent;
@@ -61,12 +61,12 @@
       g_free (datagram);
       return;
     }
-  event_queue_add (&fleet->events, fleet->now_us + NETWORK_DELAY_US, FLT_DATAGRAM, to->index,
-                   datagram);
+  event_queue_add (&fleet->events, fleet->now_us + NETWORK_DELAY_US, FLEET_EVENT_DATAGRAM,
+                   to->index, datagram);
 }
 
 static void
-send_message (exchange_t *exchange, flt_node_t *to, bool is_reply, const xch_word *requester)
+send_message (exchange_t *exchange, fleet_node_t *to, bool is_reply, const xch_word *requester)
 {
   flt_t *fleet = exchange->node->flt;
   datagram_t *datagram = g_new0 (datagram_t, 1);
@@ -104,7 +104,7 @@
   exchange_t *exchange = g_new0 (exchange_t, 1);
   (void)error;
   exchange->options = *options;
-  exchange->node = (flt_node_t *)ctrl->daemon;
+  exchange->node = (fleet_node_t *)ctrl->daemon;
   byte_budget_init (&exchange->budget, options->budget_bytes, exchange->node->flt->now_us);
   exchange->overhead_bytes = measure_overhead (options->fleet_key);
   return exchange;
@@ -149,7 +149,7 @@
 }
 
 void
-flt_exchange_timer (flt_node_t *node)
+fleet_start_exchange (fleet_node_t *node)
 {
   exchange_t *exchange = node->ctrl->exchange;
   address_t peer;
@@ -158,7 +158,7 @@
 }
 
 void
-flt_exchange_datagram (flt_node_t *node, void *data)
+fleet_receive_datagram (fleet_node_t *node, void *data)
 {
   datagram_t *datagram = data;
   exchange_t *exchange = node->ctrl->exchange;
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -30,13 +30,13 @@
 static uint32_t
 data_center_of (uint32_t index)
 {
-  return index % FLT_DATA_CENTERS;
+  return index % FLEET_DATA_CENTERS;
 }
 
 static uint32_t
 service_of (uint32_t index)
 {
-  return index / FLT_DATA_CENTERS % FLT_SERVICES;
+  return index / FLEET_DATA_CENTERS % FLEET_SERVICES;
 }
 
 static void
@@ -49,7 +49,8 @@
       format_host_name (fleet, i, host->name, sizeof host->name);
       host->router = !is_engine (fleet, i);
       g_snprintf (host->data_center, sizeof host->data_center, "dc-%u", data_center_of (i));
-      g_snprintf (host->region, sizeof host->region, "region-%u", data_center_of (i) % FLT_REGIONS);
+      g_snprintf (host->region, sizeof host->region, "region-%u",
+                  data_center_of (i) % FLEET_REGIONS);
       g_strlcpy (host->exchange.ip, "10.0.0.1", sizeof host->exchange.ip);
       host->exchange.port = (uint16_t)(PORT_BASE + i);
       host->http = host->exchange;
@@ -72,7 +73,7 @@
 services_to_json (const flt_t *fleet)
 {
   json_t *all = json_object ();
-  for (uint32_t s = 0; s < FLT_SERVICES; s++)
+  for (uint32_t s = 0; s < FLEET_SERVICES; s++)
     {
       char name[LIMIT_NAME_BYTES];
       json_t *engines = json_array ();
@@ -115,7 +116,7 @@
 }
 
 static void
-init_settings (flt_t *fleet, flt_node_t *node)
+init_settings (flt_t *fleet, fleet_node_t *node)
 {
   settings_t *set = &node->daemon.set;
   const membership_list_entry_t *listed = &fleet->listed[node->index];
@@ -142,7 +143,7 @@
 static void
 start_node (flt_t *fleet, uint32_t index)
 {
-  flt_node_t *node = &fleet->nodes[index];
+  fleet_node_t *node = &fleet->nodes[index];
   node->flt = fleet;
   node->index = index;
   node->data_center = data_center_of (index);
@@ -156,17 +157,17 @@
   node->daemon.counters = fleet->counters;
   node->daemon.to_data = fleet->mailbox;
   node->ctrl = control_new_with_platform (&node->daemon, fleet->base, &fleet->platform, NULL);
-  event_del (node->ctrl->tick); /* the timer follows real time; FLT_TICK replaces it */
+  event_del (node->ctrl->tick); /* the timer follows real time; FLEET_EVENT_TICK replaces it */
   membership_apply_list (node->ctrl->membership, fleet->now_us, fleet->listed,
                          fleet->options.watched, 1);
-  event_queue_add (&fleet->events, fleet->now_us + random_below (&fleet->random, TICK_US), FLT_TICK,
+  event_queue_add (&fleet->events, fleet->now_us + random_below (&fleet->random, TICK_US),
+                   FLEET_EVENT_TICK, index, NULL);
+  event_queue_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLEET_EVENT_EXCHANGE,
                    index, NULL);
-  event_queue_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER, index,
-                   NULL);
 }
 
 static void
-update_own_load (flt_node_t *node)
+update_own_load (fleet_node_t *node)
 {
   if (!is_engine (node->flt, node->index))
     return;
@@ -175,7 +176,7 @@
   talk->own_sample = (load_sample_t){
     .engine_hash = node->ctrl->own_hash,
     .service_hash = node->flt->man->services[node->service].hash,
-    .load = (uint32_t)llround (flt_load (node)),
+    .load = (uint32_t)llround (fleet_node_load (node)),
     .taken_us = node->flt->now_us,
   };
 }
@@ -183,38 +184,39 @@
 static void
 handle_event (flt_t *fleet, const event_queue_entry_t *event)
 {
-  flt_node_t *node = &fleet->nodes[event->number];
-  flt_enter (node);
-  switch ((flt_event_t)event->kind)
+  fleet_node_t *node = &fleet->nodes[event->number];
+  fleet_set_clock (node);
+  switch ((fleet_event_t)event->kind)
     {
-    case FLT_TIMER:
+    case FLEET_EVENT_EXCHANGE:
       update_own_load (node);
-      flt_exchange_timer (node);
-      event_queue_add (&fleet->events, fleet->now_us + draw_interval_us (fleet), FLT_TIMER,
-                       node->index, NULL);
+      fleet_start_exchange (node);
+      event_queue_add (&fleet->events, fleet->now_us + draw_interval_us (fleet),
+                       FLEET_EVENT_EXCHANGE, node->index, NULL);
       break;
-    case FLT_TICK:
+    case FLEET_EVENT_TICK:
       update_own_load (node);
       control_tick (node->ctrl);
-      event_queue_add (&fleet->events, fleet->now_us + TICK_US, FLT_TICK, node->index, NULL);
+      event_queue_add (&fleet->events, fleet->now_us + TICK_US, FLEET_EVENT_TICK, node->index,
+                       NULL);
       break;
-    case FLT_DATAGRAM:
-      flt_exchange_datagram (node, event->data);
+    case FLEET_EVENT_DATAGRAM:
+      fleet_receive_datagram (node, event->data);
       break;
-    case FLT_READ:
-      flt_platform_read (node, event->data);
+    case FLEET_EVENT_LOG_READ:
+      fleet_platform_answer_read (node, event->data);
       break;
-    case FLT_HOSTS:
-      flt_platform_hosts (node, event->data);
+    case FLEET_EVENT_HOST_LIST:
+      fleet_platform_answer_hosts (node, event->data);
       break;
-    case FLT_FETCH:
-      flt_fetch_end (node, event->data);
+    case FLEET_EVENT_FETCH:
+      fleet_end_fetch (node, event->data);
       break;
     }
 }
 
 static void
-record_received (flt_t *fleet, flt_node_t *node, uint32_t *missing)
+record_received (flt_t *fleet, fleet_node_t *node, uint32_t *missing)
 {
   if (fleet->has_received == NULL || node->received_us != 0 ||
       !fleet->has_received (node, fleet->context))
@@ -234,7 +236,7 @@
 }
 
 flt_t *
-flt_new (const flt_options_t *options)
+fleet_sim_new (const fleet_options_t *options)
 {
   flt_t *fleet = g_new0 (flt_t, 1);
   log_init ("bench-spread", "bench", LOG_LEVEL_ERROR);
@@ -250,19 +252,19 @@
   membership_snapshot_unref (
       membership_take_snapshot (fleet->empty_members)); /* marks it as unchanged */
   event_queue_init (&fleet->events);
-  flt_platform_init (fleet);
+  fleet_platform_init (fleet);
   init_host_list (fleet);
   publish_list (fleet);
   fleet->man = make_manifest (fleet);
   fleet->log_end = 1;
-  fleet->nodes = g_new0 (flt_node_t, fleet->count);
+  fleet->nodes = g_new0 (fleet_node_t, fleet->count);
   for (uint32_t i = 0; i < fleet->count; i++)
     start_node (fleet, i);
   return fleet;
 }
 
 void
-flt_free (flt_t *fleet)
+fleet_sim_free (flt_t *fleet)
 {
   event_queue_entry_t event;
   while (event_queue_pop (&fleet->events, &event))
@@ -282,13 +284,13 @@
 }
 
 void
-flt_enter (flt_node_t *node)
+fleet_set_clock (fleet_node_t *node)
 {
   node->daemon.clock.now_us = node->flt->now_us;
 }
 
 void
-flt_run (flt_t *fleet, uint64_t span_us, bool until_received)
+fleet_run (flt_t *fleet, uint64_t span_us, bool until_received)
 {
   uint64_t end_us = fleet->now_us + span_us;
   uint32_t missing = count_missing (fleet);
@@ -317,9 +319,9 @@
 }
 
 void
-flt_wait_for (flt_t *fleet,
-              bool (*has_received) (const flt_node_t *node, void *context),
-              void *context)
+fleet_wait_for (flt_t *fleet,
+                bool (*has_received) (const fleet_node_t *node, void *context),
+                void *context)
 {
   fleet->has_received = has_received;
   fleet->context = context;
@@ -328,7 +330,7 @@
 }
 
 void
-flt_publish (flt_t *fleet)
+fleet_publish_version (flt_t *fleet)
 {
   json_t *patch = json_pack ("{s{s{si}}}", "client_accounts", "one", "weight",
                              (int)(1000 + fleet->man->version));
@@ -344,7 +346,7 @@
 }
 
 void
-flt_list (flt_t *fleet, int32_t data_center, membership_state_t state)
+fleet_list_hosts (flt_t *fleet, int32_t data_center, membership_state_t state)
 {
   for (uint32_t i = 0; i < fleet->count; i++)
     {
@@ -355,14 +357,14 @@
 }
 
 void
-flt_stop (flt_t *fleet, uint32_t data_center)
+fleet_stop_data_center (flt_t *fleet, uint32_t data_center)
 {
   for (uint32_t i = 0; i < fleet->count; i++)
     fleet->nodes[i].stopped = fleet->nodes[i].stopped || data_center_of (i) == data_center;
 }
 
 double
-flt_load (const flt_node_t *node)
+fleet_node_load (const fleet_node_t *node)
 {
   const flt_t *fleet = node->flt;
   double level = MEAN_LOAD;
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -19,12 +19,12 @@
 #include "connection/budget.h"
 #include "process/control_private.h"
 
-#define FLT_DATA_CENTERS 12
-#define FLT_REGIONS 4 /* data centre i is in region i modulo this */
-#define FLT_SERVICES 3
+#define FLEET_DATA_CENTERS 12
+#define FLEET_REGIONS 4 /* data centre i is in region i modulo this */
+#define FLEET_SERVICES 3
 
 /**
- * struct flt_options - options of flt_new()
+ * struct fleet_options - options of fleet_sim_new()
  * @engines: number of sidecars, each with an engine; assigned to the data centres and services by
  *   round robin
  * @routers: number of routers, assigned to the data centres likewise
@@ -43,18 +43,18 @@
   uint32_t budget_bytes;
   uint32_t watched;
   uint64_t seed;
-} flt_options_t;
+} fleet_options_t;
 
 typedef struct flt flt_t;
 
 /**
- * struct flt_node - one daemon
+ * struct fleet_node - one daemon
  * @daemon: must be the first member: the fakes cast a pointer to it to the node
  * @ctrl: its control task
  * @index: its number in the fleet; sidecars come before routers
  * @service: index of the service of its engine; not used for a router
  * @stopped: it handles no event and receives nothing any more
- * @received_us: when it first had the information that flt_wait_for() names, 0 before
+ * @received_us: when it first had the information that fleet_wait_for() names, 0 before
  * @sent: datagrams sent
  * @sent_bytes: bytes of these datagrams, with headers
  * @load_factor: average load of its engine, relative to that of all engines
@@ -76,10 +76,10 @@
   double load_factor;
   double load_phase;
   double load_period_us;
-} flt_node_t;
+} fleet_node_t;
 
 /**
- * struct flt_counts - totals of all daemons since the start of the fleet
+ * struct fleet_counts - totals of all daemons since the start of the fleet
  * @datagrams: datagrams sent, including lost ones
  * @exchange_bytes: bytes of these datagrams, with headers
  * @charged_bytes: estimated bytes of requests to the platform and to peers
@@ -97,7 +97,7 @@
   uint64_t list_reads;
   uint64_t log_reads;
   uint64_t fetches;
-} flt_counts_t;
+} fleet_counts_t;
 
 /**
  * struct flt - the fleet
@@ -125,12 +125,12 @@
 struct flt
 {
   platform_t platform;
-  flt_options_t options;
+  fleet_options_t options;
   struct event_base *base;
   counter_registry_t *counters;
   mailbox_t *mailbox;
   membership_t *empty_members;
-  flt_node_t *nodes;
+  fleet_node_t *nodes;
   uint32_t count;
   uint64_t now_us;
   uint64_t random;
@@ -142,69 +142,72 @@
   uint64_t list_revision;
   int32_t cut_region;
   uint64_t ramp_us;
-  flt_counts_t counts;
-  bool (*has_received) (const flt_node_t *node, void *context);
+  fleet_counts_t counts;
+  bool (*has_received) (const fleet_node_t *node, void *context);
   void *context;
 };
 
 /**
- * enum flt_event - kinds of events; each concerns one node
- * @FLT_TIMER: the node starts an exchange with a peer
- * @FLT_TICK: periodic work of the control task
- * @FLT_DATAGRAM: a datagram arrives at the node
- * @FLT_READ: the platform's answer to a read of the log arrives
- * @FLT_HOSTS: the platform's answer with the list of hosts arrives
- * @FLT_FETCH: a manifest from a peer arrives
+ * enum fleet_event - kinds of events; each concerns one node
+ * @FLEET_EVENT_EXCHANGE: the node starts an exchange with a peer
+ * @FLEET_EVENT_TICK: periodic work of the control task
+ * @FLEET_EVENT_DATAGRAM: a datagram arrives at the node
+ * @FLEET_EVENT_LOG_READ: the platform's answer to a read of the log arrives
+ * @FLEET_EVENT_HOST_LIST: the platform's answer with the list of hosts arrives
+ * @FLEET_EVENT_FETCH: a manifest from a peer arrives
  */
 typedef enum
 {
-  FLT_TIMER,
-  FLT_TICK,
-  FLT_DATAGRAM,
-  FLT_READ,
-  FLT_HOSTS,
-  FLT_FETCH
-} flt_event_t;
+  FLEET_EVENT_EXCHANGE,
+  FLEET_EVENT_TICK,
+  FLEET_EVENT_DATAGRAM,
+  FLEET_EVENT_LOG_READ,
+  FLEET_EVENT_HOST_LIST,
+  FLEET_EVENT_FETCH
+} fleet_event_t;
 
-/** flt_new() - Return: a fleet whose daemons all run, with a platform that lists all hosts and has
- * one version of the manifest */
-flt_t *flt_new (const flt_options_t *options);
-void flt_free (flt_t *fleet);
-/** flt_run() - advances virtual time by @span_us; with @until_received it stops as soon as all
- * running daemons have the information that flt_wait_for() names */
-void flt_run (flt_t *fleet, uint64_t span_us, bool until_received);
-/** flt_wait_for() - sets the information to wait for and resets @received_us of all nodes;
+/** fleet_sim_new() - Return: a fleet whose daemons all run, with a platform that lists all hosts
+ * and has one version of the manifest */
+flt_t *fleet_sim_new (const fleet_options_t *options);
+void fleet_sim_free (flt_t *fleet);
+/** fleet_run() - advances virtual time by @span_us; with @until_received it stops as soon as all
+ * running daemons have the information that fleet_wait_for() names */
+void fleet_run (flt_t *fleet, uint64_t span_us, bool until_received);
+/** fleet_wait_for() - sets the information to wait for and resets @received_us of all nodes;
  * @has_received is asked after each event of a node */
-void flt_wait_for (flt_t *fleet,
-                   bool (*has_received) (const flt_node_t *node, void *context),
-                   void *context);
-/** flt_publish() - publishes another version of the manifest: appends it to the platform's log */
-void flt_publish (flt_t *fleet);
-/** flt_list() - sets the state of all hosts of @data_center, or of all hosts if it is -1, in the
- * platform's list, and publishes a new revision of the list */
-void flt_list (flt_t *fleet, int32_t data_center, membership_state_t state);
-/** flt_stop() - stops all daemons of @data_center without notice to the others */
-void flt_stop (flt_t *fleet, uint32_t data_center);
-/** flt_load() - Return: the load of the engine of @node now, in running requests */
-double flt_load (const flt_node_t *node);
-/** flt_enter() - sets the clock of @node to virtual time; to be called before any call into it */
-void flt_enter (flt_node_t *node);
+void fleet_wait_for (flt_t *fleet,
+                     bool (*has_received) (const fleet_node_t *node, void *context),
+                     void *context);
+/** fleet_publish_version() - publishes another version of the manifest: appends it to the
+ * platform's log */
+void fleet_publish_version (flt_t *fleet);
+/** fleet_list_hosts() - sets the state of all hosts of @data_center, or of all hosts if it is -1,
+ * in the platform's list, and publishes a new revision of the list */
+void fleet_list_hosts (flt_t *fleet, int32_t data_center, membership_state_t state);
+/** fleet_stop_data_center() - stops all daemons of @data_center without notice to the others */
+void fleet_stop_data_center (flt_t *fleet, uint32_t data_center);
+/** fleet_node_load() - Return: the load of the engine of @node now, in running requests */
+double fleet_node_load (const fleet_node_t *node);
+/** fleet_set_clock() - sets the clock of @node to virtual time; to be called before any call into
+ * it */
+void fleet_set_clock (fleet_node_t *node);
 
 /* The fake of connection/exchange.h */
-/** flt_exchange_timer() - handles %FLT_TIMER */
-void flt_exchange_timer (flt_node_t *node);
-/** flt_exchange_datagram() - handles %FLT_DATAGRAM; frees @data */
-void flt_exchange_datagram (flt_node_t *node, void *data);
-void flt_exchange_drop (void *data);
+/** fleet_start_exchange() - handles %FLEET_EVENT_EXCHANGE */
+void fleet_start_exchange (fleet_node_t *node);
+/** fleet_receive_datagram() - handles %FLEET_EVENT_DATAGRAM; frees @data */
+void fleet_receive_datagram (fleet_node_t *node, void *data);
+void fleet_drop_datagram (void *data);
 
 /* The fake of connection/platform.h and of downloads from a peer */
-/** flt_platform_init() - sets the operations of the fake platform */
-void flt_platform_init (flt_t *fleet);
-/** flt_platform_read() - handles %FLT_READ; frees @data, or keeps it while the read waits */
-void flt_platform_read (flt_node_t *node, void *data);
-/** flt_platform_hosts() - handles %FLT_HOSTS; frees @data */
-void flt_platform_hosts (flt_node_t *node, void *data);
-/** flt_fetch_end() - handles %FLT_FETCH; frees @data */
-void flt_fetch_end (flt_node_t *node, void *data);
+/** fleet_platform_init() - sets the operations of the fake platform */
+void fleet_platform_init (flt_t *fleet);
+/** fleet_platform_answer_read() - handles %FLEET_EVENT_LOG_READ; frees @data, or keeps it while the
+ * read waits */
+void fleet_platform_answer_read (fleet_node_t *node, void *data);
+/** fleet_platform_answer_hosts() - handles %FLEET_EVENT_HOST_LIST; frees @data */
+void fleet_platform_answer_hosts (fleet_node_t *node, void *data);
+/** fleet_end_fetch() - handles %FLEET_EVENT_FETCH; frees @data */
+void fleet_end_fetch (fleet_node_t *node, void *data);
 
 #endif
--- a/bench/spread/means.c
+++ b/bench/spread/means.c
@@ -28,24 +28,27 @@
 } estimate_error_t;
 
 static void
-true_means (const flt_t *fleet, double mean[FLT_SERVICES], uint32_t count[FLT_SERVICES])
+true_means (const flt_t *fleet, double mean[FLEET_SERVICES], uint32_t count[FLEET_SERVICES])
 {
-  memset (mean, 0, FLT_SERVICES * sizeof *mean);
-  memset (count, 0, FLT_SERVICES * sizeof *count);
+  memset (mean, 0, FLEET_SERVICES * sizeof *mean);
+  memset (count, 0, FLEET_SERVICES * sizeof *count);
   for (uint32_t i = 0; i < fleet->options.engines; i++)
     {
       if (fleet->nodes[i].stopped)
         continue;
-      mean[fleet->nodes[i].service] += flt_load (&fleet->nodes[i]);
+      mean[fleet->nodes[i].service] += fleet_node_load (&fleet->nodes[i]);
       count[fleet->nodes[i].service]++;
     }
-  for (uint32_t s = 0; s < FLT_SERVICES; s++)
+  for (uint32_t s = 0; s < FLEET_SERVICES; s++)
     mean[s] /= count[s];
 }
 
 static void
-add_estimate (
-    estimate_error_t *error, const flt_node_t *node, uint32_t service, double mean, uint32_t count)
+add_estimate (estimate_error_t *error,
+              const fleet_node_t *node,
+              uint32_t service,
+              double mean,
+              uint32_t count)
 {
   const manifest_service_t *manifest_service =
       &replay_manifest (node->ctrl->manifest.replay)->services[service];
@@ -84,20 +87,20 @@
 }
 
 void
-run_means (run_t *run, const char *what)
+run_mean_errors (run_t *run, const char *what)
 {
   estimate_error_t sidecars = { 0 };
   estimate_error_t routers = { 0 };
   for (uint32_t i = 0; i < RUN_WINDOW_US / CLOCK_US_PER_S; i++)
     {
-      double mean[FLT_SERVICES];
-      uint32_t count[FLT_SERVICES];
-      flt_run (run->flt, CLOCK_US_PER_S, false);
+      double mean[FLEET_SERVICES];
+      uint32_t count[FLEET_SERVICES];
+      fleet_run (run->flt, CLOCK_US_PER_S, false);
       true_means (run->flt, mean, count);
       for (uint32_t j = 0; j < run->flt->count; j++)
         {
-          const flt_node_t *node = &run->flt->nodes[j];
-          uint32_t service = run_is_router (node, NULL) ? i % FLT_SERVICES : node->service;
+          const fleet_node_t *node = &run->flt->nodes[j];
+          uint32_t service = run_is_router (node, NULL) ? i % FLEET_SERVICES : node->service;
           estimate_error_t *error = run_is_router (node, NULL) ? &routers : &sidecars;
           if (!node->stopped)
             add_estimate (error, node, service, mean[service], count[service]);
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -33,22 +33,22 @@
   bool partitioned;
 } request_t;
 
-static flt_node_t *
+static fleet_node_t *
 node_of (const control_call_t *op)
 {
-  return (flt_node_t *)op->ctrl->daemon;
+  return (fleet_node_t *)op->ctrl->daemon;
 }
 
 static bool
-is_partitioned (const flt_node_t *node)
+is_partitioned (const fleet_node_t *node)
 {
-  return (int32_t)(node->data_center % FLT_REGIONS) == node->flt->cut_region;
+  return (int32_t)(node->data_center % FLEET_REGIONS) == node->flt->cut_region;
 }
 
 static void
-schedule_answer (flt_t *fleet, flt_event_t kind, request_t *request)
+schedule_answer (flt_t *fleet, fleet_event_t kind, request_t *request)
 {
-  const flt_node_t *node = node_of (request->op);
+  const fleet_node_t *node = node_of (request->op);
   request->partitioned = is_partitioned (node);
   uint64_t wait_us = ANSWER_MIN_US + random_below (&fleet->random, ANSWER_JITTER_US);
   if (request->partitioned)
@@ -90,7 +90,7 @@
   request->from_offset = from_offset;
   request->until_us = fleet->now_us + (uint64_t)wait_ms * CLOCK_US_PER_MS;
   fleet->counts.log_reads++;
-  schedule_answer (fleet, FLT_READ, request);
+  schedule_answer (fleet, FLEET_EVENT_LOG_READ, request);
 }
 
 static void
@@ -102,7 +102,7 @@
   request->op = context;
   request->from_offset = revision;
   fleet->counts.list_reads++;
-  schedule_answer (fleet, FLT_HOSTS, request);
+  schedule_answer (fleet, FLEET_EVENT_HOST_LIST, request);
 }
 
 static void
@@ -113,7 +113,7 @@
 
 /* Hands the manifest to the node directly: the fake log has no records. */
 static void
-update_manifest (flt_node_t *node)
+update_manifest (fleet_node_t *node)
 {
   replay_t *replay = node->ctrl->manifest.replay;
   replay_set_first_offset (replay, 0);
@@ -121,7 +121,7 @@
 }
 
 void
-flt_platform_init (flt_t *fleet)
+fleet_platform_init (flt_t *fleet)
 {
   fleet->platform.append = fake_append;
   fleet->platform.read = fake_read;
@@ -130,14 +130,15 @@
 }
 
 void
-flt_platform_read (flt_node_t *node, void *data)
+fleet_platform_answer_read (fleet_node_t *node, void *data)
 {
   flt_t *fleet = node->flt;
   request_t *request = data;
   if (!request->partitioned && request->from_offset >= fleet->log_end &&
       fleet->now_us < request->until_us)
     {
-      event_queue_add (&fleet->events, fleet->now_us + POLL_US, FLT_READ, node->index, request);
+      event_queue_add (&fleet->events, fleet->now_us + POLL_US, FLEET_EVENT_LOG_READ, node->index,
+                       request);
       return;
     }
   platform_read_t read = { .outcome = PLATFORM_UNKNOWN };
@@ -155,7 +156,7 @@
 /* Gives the node the snapshot of the members that all nodes share. The list read itself brings an
  * empty change, to the table empty_members. */
 static void
-update_members (flt_node_t *node)
+update_members (fleet_node_t *node)
 {
   control_peers_t *peers = &node->ctrl->peers;
   if (peers->members == node->flt->members)
@@ -167,7 +168,7 @@
 }
 
 void
-flt_platform_hosts (flt_node_t *node, void *data)
+fleet_platform_answer_hosts (fleet_node_t *node, void *data)
 {
   flt_t *fleet = node->flt;
   request_t *request = data;
@@ -189,7 +190,7 @@
 void
 control_fetch_start (control_t *ctrl, const membership_host_t *host)
 {
-  flt_node_t *node = (flt_node_t *)ctrl->daemon;
+  fleet_node_t *node = (fleet_node_t *)ctrl->daemon;
   flt_t *fleet = node->flt;
   if (ctrl->fetch.call != NULL || fleet->now_us < ctrl->fetch.next_us)
     return;
@@ -198,7 +199,7 @@
   fleet->counts.fetches++;
   uint64_t *peer = g_new (uint64_t, 1);
   *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].daemon.set.exchange.port);
-  event_queue_add (&fleet->events, fleet->now_us + FETCH_US, FLT_FETCH, node->index, peer);
+  event_queue_add (&fleet->events, fleet->now_us + FETCH_US, FLEET_EVENT_FETCH, node->index, peer);
 }
 
 void
@@ -208,9 +209,9 @@
 }
 
 void
-flt_fetch_end (flt_node_t *node, void *data)
+fleet_end_fetch (fleet_node_t *node, void *data)
 {
-  const flt_node_t *peer = &node->flt->nodes[*(uint64_t *)data];
+  const fleet_node_t *peer = &node->flt->nodes[*(uint64_t *)data];
   replay_t *source = peer->ctrl->manifest.replay;
   bool reached = !peer->stopped && is_partitioned (peer) == is_partitioned (node);
   if (reached && replay_is_ready (source) &&
--- a/bench/spread/run.c
+++ b/bench/spread/run.c
@@ -9,7 +9,7 @@
 void
 run_print (const run_t *run, const char *what, const char *unit, double value)
 {
-  const flt_options_t *options = &run->options;
+  const fleet_options_t *options = &run->options;
   printf ("%u\t%u\t%s\t%s\t%.3f\n", options->engines + options->routers, options->lost_percent,
           what, unit, value);
   fflush (stdout);
@@ -19,30 +19,30 @@
 run_begin (run_t *run, uint32_t watched)
 {
   run->options.watched = watched;
-  run->flt = flt_new (&run->options);
-  flt_run (run->flt, WARM_UP_US, false);
+  run->flt = fleet_sim_new (&run->options);
+  fleet_run (run->flt, WARM_UP_US, false);
 }
 
 void
 run_end (run_t *run)
 {
-  g_clear_pointer (&run->flt, flt_free);
+  g_clear_pointer (&run->flt, fleet_sim_free);
 }
 
 /* Prints the distribution of received_us - start_us of the running nodes for which counts holds. */
 void
-run_print_heard (const run_t *run,
-                 const char *what,
-                 uint64_t start_us,
-                 bool (*counts) (const flt_node_t *node, void *context),
-                 void *context)
+run_print_delays (const run_t *run,
+                  const char *what,
+                  uint64_t start_us,
+                  bool (*counts) (const fleet_node_t *node, void *context),
+                  void *context)
 {
   figures_samples_t list = { 0 };
   uint32_t total = 0;
   uint32_t within_2s = 0;
   for (uint32_t i = 0; i < run->flt->count; i++)
     {
-      const flt_node_t *node = &run->flt->nodes[i];
+      const fleet_node_t *node = &run->flt->nodes[i];
       if (node->stopped || (counts != NULL && !counts (node, context)))
         continue;
       total++;
@@ -67,9 +67,12 @@
 }
 
 void
-run_print_traffic (const run_t *run, const char *what, const flt_counts_t *before, uint64_t span_us)
+run_print_traffic (const run_t *run,
+                   const char *what,
+                   const fleet_counts_t *before,
+                   uint64_t span_us)
 {
-  const flt_counts_t *now = &run->flt->counts;
+  const fleet_counts_t *now = &run->flt->counts;
   double node_s = (double)run->flt->count * (double)span_us / CLOCK_US_PER_S;
   double span_s = (double)span_us / CLOCK_US_PER_S;
   char row[96];
@@ -94,14 +97,14 @@
 }
 
 bool
-run_is_router (const flt_node_t *node, void *context)
+run_is_router (const fleet_node_t *node, void *context)
 {
   (void)context;
   return node->daemon.set.role == SETTINGS_ROLE_ROUTER;
 }
 
 bool
-run_is_sidecar (const flt_node_t *node, void *context)
+run_is_sidecar (const fleet_node_t *node, void *context)
 {
   return !run_is_router (node, context);
 }
--- a/tests/test_gateway_load.c
+++ b/tests/test_gateway_load.c
@@ -15,7 +15,7 @@
 simulate_seed (const char *site, sim_fault_t fault, sim_policy_t policy, uint32_t seed)
 {
   return sim_run (
-      &(sim_options_t){ .site = sit_find (site), .fault = fault, .policy = policy, .seed = seed });
+      &(sim_options_t){ .site = site_find (site), .fault = fault, .policy = policy, .seed = seed });
 }
 
 static sim_figures_t
@@ -52,7 +52,7 @@
 
   CU_ASSERT (on_time (&full.all) > 0.999);
   CU_ASSERT (processed_share (&full) < processed_share (&least) / 3);
-  CU_ASSERT (full.over_cap * 100 < full.sends);
+  CU_ASSERT (full.overloaded_accepts * 100 < full.sends);
 }
 
 /*
@@ -66,8 +66,8 @@
   sim_figures_t full = simulate ("jogak", SIM_HOT_PART, SIM_FULL);
   sim_figures_t hash = simulate ("jogak", SIM_HOT_PART, SIM_HASH);
 
-  CU_ASSERT (full.over_cap * 50 < full.sends);
-  CU_ASSERT (hash.over_cap > 8 * full.over_cap);
+  CU_ASSERT (full.overloaded_accepts * 50 < full.sends);
+  CU_ASSERT (hash.overloaded_accepts > 8 * full.overloaded_accepts);
   CU_ASSERT (processed_share (&full) < 0.15);
 }
 
@@ -139,9 +139,9 @@
     {
       sim_figures_t full = simulate ("jogak", (sim_fault_t)fault, SIM_FULL);
 
-      CU_ASSERT (full.retries_most <= 0);
+      CU_ASSERT (full.retries_over_budget <= 0);
     }
-  CU_ASSERT (simulate ("jogak", SIM_FEW, SIM_LEAST).retries_most > 0);
+  CU_ASSERT (simulate ("jogak", SIM_FEW, SIM_LEAST).retries_over_budget > 0);
 }
 
 /* Requests that can't be served are rejected early: hardly any rejection comes when more than half
@@ -200,7 +200,7 @@
 typedef struct
 {
   uint32_t gateways;
-  sit_service_t service;
+  site_service_t service;
   double rate_s;
   uint64_t work_us;
 } one_engine_t;
@@ -208,19 +208,19 @@
 static sim_figures_t
 simulate_one_engine (const one_engine_t *setup, uint64_t seed)
 {
-  sit_t site = { .gateways = setup->gateways,
-                 .data_centers = 3,
-                 .accounts = 10,
-                 .services = { { "models", 1, 1, 0, false }, setup->service },
-                 .kinds = { { .name = "look-up",
-                              .service = 1,
-                              .kind = ROUTING_IDEMPOTENT,
-                              .attempts = 2,
-                              .rate_s = setup->rate_s,
-                              .work_us = setup->work_us,
-                              .aim_us = 300 * 1000,
-                              .deadline_us = 4000 * 1000 } },
-                 .retries = { .ratio_milli = 200, .slack = 1000, .window_us = 10 * 1000 * 1000 } };
+  site_t site = { .gateways = setup->gateways,
+                  .data_centers = 3,
+                  .accounts = 10,
+                  .services = { { "models", 1, 1, 0, false }, setup->service },
+                  .kinds = { { .name = "look-up",
+                               .service = 1,
+                               .kind = ROUTING_IDEMPOTENT,
+                               .attempts = 2,
+                               .rate_s = setup->rate_s,
+                               .work_us = setup->work_us,
+                               .aim_us = 300 * 1000,
+                               .deadline_us = 4000 * 1000 } },
+                  .retries = { .ratio_milli = 200, .slack = 1000, .window_us = 10 * 1000 * 1000 } };
 
   return sim_run (
       &(sim_options_t){ .site = &site, .fault = SIM_CROWDS, .policy = SIM_FULL, .seed = seed });
