--- a/tests/driver_call.c
+++ b/tests/driver_call.c
@@ -13,7 +13,7 @@
  * parser cannot hide itself. */
 
 static void
-end_call (drv_call_t *call, drv_end_t end)
+end_call (driver_call_t *call, driver_outcome_t end)
 {
   call->outcome = end;
   call->ended_us = (uint64_t)g_get_monotonic_time ();
@@ -22,7 +22,7 @@
 }
 
 static void
-parse_header_line (drv_call_t *call, const char *line)
+parse_header_line (driver_call_t *call, const char *line)
 {
   const char *colon = strchr (line, ':');
   if (colon == NULL)
@@ -34,7 +34,7 @@
 
 /* Return: Whether the response header is complete. */
 static bool
-parse_header (drv_call_t *call, struct evbuffer *in)
+parse_header (driver_call_t *call, struct evbuffer *in)
 {
   struct evbuffer_ptr end = evbuffer_search (in, "\r\n\r\n", 4, NULL);
   char *line;
@@ -49,8 +49,8 @@
       free (line);
     }
   free (line);
-  const char *length = drv_header (call, "content-length");
-  call->chunked = g_strcmp0 (drv_header (call, "transfer-encoding"), "chunked") == 0;
+  const char *length = driver_call_header (call, "content-length");
+  call->chunked = g_strcmp0 (driver_call_header (call, "transfer-encoding"), "chunked") == 0;
   call->remaining_bytes = length != NULL ? (int64_t)g_ascii_strtoll (length, NULL, 10) : -1;
   if (call->chunked)
     call->remaining_bytes = 0;
@@ -60,7 +60,7 @@
 }
 
 static void
-read_body (drv_call_t *call, struct evbuffer *in, size_t limit)
+read_body (driver_call_t *call, struct evbuffer *in, size_t limit)
 {
   size_t bytes = MIN (limit, evbuffer_get_length (in));
   g_string_append_len (call->body, (const char *)evbuffer_pullup (in, (ev_ssize_t)bytes),
@@ -72,7 +72,7 @@
 
 /* Return: Whether the last chunk has arrived. */
 static bool
-read_chunks (drv_call_t *call, struct evbuffer *in)
+read_chunks (driver_call_t *call, struct evbuffer *in)
 {
   while (evbuffer_get_length (in) > 0)
     {
@@ -101,7 +101,7 @@
 static void
 on_read (struct bufferevent *bev, void *context)
 {
-  drv_call_t *call = context;
+  driver_call_t *call = context;
   struct evbuffer *in = bufferevent_get_input (bev);
   if (!call->has_head && !parse_header (call, in))
     return;
@@ -114,38 +114,38 @@
       whole = call->remaining_bytes == 0;
     }
   if (whole)
-    end_call (call, DRV_WHOLE);
+    end_call (call, DRIVER_OUTCOME_COMPLETE);
 }
 
 static void
 on_event (struct bufferevent *bev, short what, void *context)
 {
-  drv_call_t *call = context;
+  driver_call_t *call = context;
   (void)bev;
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-    end_call (call, call->has_head ? DRV_CUT : DRV_NO_ANSWER);
+    end_call (call, call->has_head ? DRIVER_OUTCOME_TRUNCATED : DRIVER_OUTCOME_NO_RESPONSE);
 }
 
-drv_call_t *
-drv_send_bytes (drv_t *drv,
-                const char *ip,
-                const char *method,
-                const char *target,
-                const char *headers,
-                const char *body,
-                size_t body_bytes)
+driver_call_t *
+driver_send_http_bytes (driver_t *driver,
+                        const char *ip,
+                        const char *method,
+                        const char *target,
+                        const char *headers,
+                        const char *body,
+                        size_t body_bytes)
 {
-  drv_call_t *call = g_new0 (drv_call_t, 1);
-  struct sockaddr_in to = { .sin_family = AF_INET, .sin_port = htons (DRV_PORT) };
+  driver_call_t *call = g_new0 (driver_call_t, 1);
+  struct sockaddr_in to = { .sin_family = AF_INET, .sin_port = htons (DRIVER_PORT) };
   struct evbuffer *output;
   inet_pton (AF_INET, ip, &to.sin_addr);
-  call->drv = drv;
+  call->driver = driver;
   call->headers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   call->body = g_string_new (NULL);
   call->sent_body = g_strndup (body != NULL ? body : "", body_bytes);
   call->sent_us = (uint64_t)g_get_monotonic_time ();
-  g_ptr_array_add (drv->calls, call);
-  call->bev = bufferevent_socket_new (drv->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  g_ptr_array_add (driver->calls, call);
+  call->bev = bufferevent_socket_new (driver->base, -1, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb (call->bev, on_read, NULL, on_event, call);
   output = bufferevent_get_output (call->bev);
   evbuffer_add_printf (output, "%s %s HTTP/1.1\r\nHost: fleet\r\nContent-Length: %zu\r\n%s\r\n",
@@ -153,23 +153,24 @@
   evbuffer_add (output, body, body_bytes);
   bufferevent_enable (call->bev, EV_READ | EV_WRITE);
   if (bufferevent_socket_connect (call->bev, (struct sockaddr *)&to, sizeof to) != 0)
-    end_call (call, DRV_NO_ANSWER);
+    end_call (call, DRIVER_OUTCOME_NO_RESPONSE);
   return call;
 }
 
-drv_call_t *
-drv_send (drv_t *drv,
-          const char *ip,
-          const char *method,
-          const char *target,
-          const char *headers,
-          const char *body)
+driver_call_t *
+driver_send_http (driver_t *driver,
+                  const char *ip,
+                  const char *method,
+                  const char *target,
+                  const char *headers,
+                  const char *body)
 {
-  return drv_send_bytes (drv, ip, method, target, headers, body, body != NULL ? strlen (body) : 0);
+  return driver_send_http_bytes (driver, ip, method, target, headers, body,
+                                 body != NULL ? strlen (body) : 0);
 }
 
 void
-drv_call_free (drv_call_t *call)
+driver_call_free (driver_call_t *call)
 {
   if (call->bev != NULL)
     bufferevent_free (call->bev);
@@ -183,15 +184,15 @@
 }
 
 static char *
-build_body (const drv_ask_t *request)
+build_body (const driver_request_t *request)
 {
   const char *name = request->same_body_as != NULL ? request->same_body_as : request->name;
-  if (request->kind == DRV_LOOKUP || request->kind == DRV_BOOKING)
+  if (request->kind == DRIVER_LOOKUP || request->kind == DRIVER_BOOKING)
     return g_strdup_printf ("{\"order\":\"%s\",\"text\":\"%s\"}", name,
                             request->text != NULL ? request->text : "");
   json_t *json =
       json_pack ("{s:s, s:[{s:s, s:s}, {s:s, s:s}], s:i, s:b}", "model",
-                 request->kind == DRV_TAG ? "claims-tags" : "claims", "messages", "role", "user",
+                 request->kind == DRIVER_TAG ? "claims-tags" : "claims", "messages", "role", "user",
                  "content", request->text != NULL ? request->text : "hello", "role", "user",
                  "content", name, "max_tokens", (int)(request->tokens != 0 ? request->tokens : 4),
                  "stream", (int)request->stream);
@@ -202,8 +203,8 @@
   return body;
 }
 
-drv_call_t *
-drv_ask (drv_t *drv, const drv_ask_t *request)
+driver_call_t *
+driver_send_request (driver_t *driver, const driver_request_t *request)
 {
   static const char *const targets[] = { "/v1/chat/completions", "/v1/chat/completions",
                                          "/portal/lookup", "/portal/bookings" };
@@ -220,8 +221,8 @@
     g_string_append_printf (headers, "X-Deadline-Ms: %u\r\n", request->deadline_ms);
   if (request->key != NULL)
     g_string_append_printf (headers, "Idempotency-Key: %s\r\n", request->key);
-  drv_call_t *call = drv_send (drv, drv->routers[request->router]->ip, "POST",
-                               targets[request->kind], headers->str, body);
+  driver_call_t *call = driver_send_http (driver, driver->routers[request->router]->ip, "POST",
+                                          targets[request->kind], headers->str, body);
   call->name = g_strdup (request->name);
   call->key = g_strdup (request->key);
   call->account = g_strdup (account);
@@ -236,69 +237,69 @@
 static bool
 call_ended (void *context)
 {
-  return ((drv_call_t *)context)->outcome != DRV_WAITING;
+  return ((driver_call_t *)context)->outcome != DRIVER_OUTCOME_PENDING;
 }
 
 void
-drv_answered (drv_call_t *call)
+driver_call_wait (driver_call_t *call)
 {
   g_autofree char *what =
       g_strdup_printf ("the response to %s", call->name != NULL ? call->name : "a call");
-  drv_until (call->drv, DRV_WAIT_MS, what, call_ended, call);
+  driver_wait_until (call->driver, DRIVER_WAIT_LIMIT_MS, what, call_ended, call);
 }
 
 static bool
 all_ended (void *context)
 {
-  drv_t *drv = context;
-  for (guint i = 0; i < drv->calls->len; i++)
-    if (!call_ended (drv->calls->pdata[i]))
+  driver_t *driver = context;
+  for (guint i = 0; i < driver->calls->len; i++)
+    if (!call_ended (driver->calls->pdata[i]))
       return false;
   return true;
 }
 
 void
-drv_all_answered (drv_t *drv)
+driver_wait_all_calls (driver_t *driver)
 {
-  drv_until (drv, 2 * DRV_WAIT_MS, "all responses", all_ended, drv);
+  driver_wait_until (driver, 2 * DRIVER_WAIT_LIMIT_MS, "all responses", all_ended, driver);
 }
 
 static bool
 has_body_or_ended (void *context)
 {
-  drv_call_t *call = context;
-  return call->body->len > 0 || call->outcome != DRV_WAITING;
+  driver_call_t *call = context;
+  return call->body->len > 0 || call->outcome != DRIVER_OUTCOME_PENDING;
 }
 
 void
-drv_begun (drv_call_t *call)
+driver_call_wait_body (driver_call_t *call)
 {
   g_autofree char *what = g_strdup_printf ("the first bytes of the response to %s", call->name);
-  drv_until (call->drv, DRV_WAIT_MS, what, has_body_or_ended, call);
+  driver_wait_until (call->driver, DRIVER_WAIT_LIMIT_MS, what, has_body_or_ended, call);
 }
 
 void
-drv_hang_up (drv_call_t *call)
+driver_call_cancel (driver_call_t *call)
 {
-  if (call->outcome == DRV_WAITING)
-    end_call (call, DRV_HUNG_UP);
+  if (call->outcome == DRIVER_OUTCOME_PENDING)
+    end_call (call, DRIVER_OUTCOME_CANCELLED);
 }
 
 const char *
-drv_header (const drv_call_t *call, const char *name)
+driver_call_header (const driver_call_t *call, const char *name)
 {
   return g_hash_table_lookup (call->headers, name);
 }
 
 const char *
-drv_verdict (const drv_call_t *call)
+driver_call_verdict (const driver_call_t *call)
 {
-  const char *verdict = drv_header (call, "x-medlarplank-verdict");
+  const char *verdict = driver_call_header (call, "x-medlarplank-verdict");
   return verdict != NULL ? verdict : "";
 }
 
 char *
-drv_reason (const drv_call_t *call)
+driver_call_error_code (const driver_call_t *call)
 {
   json_t *json = json_loadb (call->body->str, call->body->len, 0, NULL);
   char *code =
@@ -309,7 +310,7 @@
 
 /* What the stand-in engine says of this request: its hash, then one word for each token. */
 static bool
-is_expected_text (const drv_call_t *call, const char *text)
+is_expected_text (const driver_call_t *call, const char *text)
 {
   char start[64];
   g_snprintf (start, sizeof start, "answer to %016" PRIx64 " by ",
@@ -333,7 +334,7 @@
 }
 
 static bool
-is_expected_stream (const drv_call_t *call)
+is_expected_stream (const driver_call_t *call)
 {
   GString *text = g_string_new (NULL);
   bool done = false;
@@ -354,7 +355,7 @@
 }
 
 void
-drv_explain (const drv_call_t *call, const char *id)
+driver_call_print (const driver_call_t *call, const char *id)
 {
   uint64_t took_ms = (call->ended_us - call->sent_us) / 1000;
 
@@ -363,15 +364,15 @@
 }
 
 bool
-drv_own_answer (const drv_call_t *call)
+driver_call_is_correct (const driver_call_t *call)
 {
-  if (call->outcome != DRV_WHOLE || call->status != 200)
+  if (call->outcome != DRIVER_OUTCOME_COMPLETE || call->status != 200)
     return false;
   if (call->is_streamed)
     return is_expected_stream (call);
   json_t *json = json_loadb (call->body->str, call->body->len, 0, NULL);
   bool is_correct;
-  if (call->kind == DRV_CHAT || call->kind == DRV_TAG)
+  if (call->kind == DRIVER_CHAT || call->kind == DRIVER_TAG)
     is_correct = is_expected_text (call, choice_content (json, "message"));
   else
     {
--- a/tests/driver_forward.c
+++ b/tests/driver_forward.c
@@ -12,14 +12,14 @@
 #define CUT_REQUEST_BYTES 40
 #define CUT_RESPONSE_BYTES 700
 
-struct drv_forward
+struct driver_proxy
 {
-  drv_t *drv;
+  driver_t *driver;
   char *ip;
   char *target_ip;
   struct evconnlistener *listener;
   GPtrArray *connections; /* connection_t */
-  drv_mode_t mode;
+  driver_proxy_mode_t mode;
   char *match;
   uint32_t count;
   uint32_t hits;
@@ -29,10 +29,10 @@
  * current request. */
 typedef struct
 {
-  drv_forward_t *proxy;
+  driver_proxy_t *proxy;
   struct bufferevent *client;
   struct bufferevent *server;
-  drv_mode_t mode;
+  driver_proxy_mode_t mode;
   bool server_closed;  /* the server closed its connection while the response was held */
   bool response_begun; /* response bytes have arrived since the last request; the next bytes of the
                      client begin a request */
@@ -73,7 +73,7 @@
 }
 
 static bool
-is_matching (const drv_forward_t *proxy, struct evbuffer *in)
+is_matching (const driver_proxy_t *proxy, struct evbuffer *in)
 {
   return proxy->match == NULL ||
          evbuffer_search (in, proxy->match, strlen (proxy->match), NULL).pos >= 0;
@@ -82,16 +82,16 @@
 static void
 begin_request (connection_t *connection, struct evbuffer *in)
 {
-  drv_forward_t *proxy = connection->proxy;
-  connection->mode = DRV_PASS;
+  driver_proxy_t *proxy = connection->proxy;
+  connection->mode = DRIVER_PROXY_PASS;
   connection->response_begun = false;
   connection->response_bytes = 0;
-  if (proxy->mode == DRV_PASS || !is_matching (proxy, in))
+  if (proxy->mode == DRIVER_PROXY_PASS || !is_matching (proxy, in))
     return;
   connection->mode = proxy->mode;
   proxy->hits++;
   if (proxy->count > 0 && --proxy->count == 0)
-    proxy->mode = DRV_PASS;
+    proxy->mode = DRIVER_PROXY_PASS;
 }
 
 static void
@@ -101,7 +101,7 @@
   struct evbuffer *in = bufferevent_get_input (bev);
   if (connection->response_begun)
     begin_request (connection, in);
-  if (connection->mode != DRV_CUT_DURING)
+  if (connection->mode != DRIVER_PROXY_CUT_REQUEST)
     {
       evbuffer_add_buffer (bufferevent_get_output (connection->server), in);
       return;
@@ -117,15 +117,16 @@
   struct evbuffer *in = bufferevent_get_input (bev);
   connection->response_begun = true;
   connection->response_bytes += evbuffer_get_length (in);
-  if (connection->mode == DRV_HOLD)
+  if (connection->mode == DRIVER_PROXY_HOLD_RESPONSE)
     return;
-  if (connection->mode == DRV_CUT_AFTER)
+  if (connection->mode == DRIVER_PROXY_DROP_RESPONSE)
     {
       connection_free (connection);
       return;
     }
   evbuffer_add_buffer (bufferevent_get_output (connection->client), in);
-  if (connection->mode == DRV_CUT_ANSWER && connection->response_bytes >= CUT_RESPONSE_BYTES)
+  if (connection->mode == DRIVER_PROXY_CUT_RESPONSE &&
+      connection->response_bytes >= CUT_RESPONSE_BYTES)
     close_after_flush (connection, connection->client);
 }
 
@@ -135,7 +136,7 @@
   connection_t *connection = context;
   if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
     return;
-  if (bev == connection->server && connection->mode == DRV_HOLD)
+  if (bev == connection->server && connection->mode == DRIVER_PROXY_HOLD_RESPONSE)
     connection->server_closed = true;
   else if (bev == connection->server)
     close_after_flush (connection, connection->client);
@@ -146,7 +147,7 @@
 static struct sockaddr_in
 address_of (const char *ip)
 {
-  struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (DRV_PORT) };
+  struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (DRIVER_PORT) };
   inet_pton (AF_INET, ip, &address.sin_addr);
   return address;
 }
@@ -158,7 +159,7 @@
            int from_bytes,
            void *context)
 {
-  drv_forward_t *proxy = context;
+  driver_proxy_t *proxy = context;
   struct sockaddr_in target = address_of (proxy->target_ip);
   connection_t *connection = g_new0 (connection_t, 1);
   (void)listener;
@@ -166,8 +167,8 @@
   (void)from_bytes;
   connection->proxy = proxy;
   connection->response_begun = true;
-  connection->client = bufferevent_socket_new (proxy->drv->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  connection->server = bufferevent_socket_new (proxy->drv->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  connection->client = bufferevent_socket_new (proxy->driver->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  connection->server = bufferevent_socket_new (proxy->driver->base, -1, BEV_OPT_CLOSE_ON_FREE);
   g_ptr_array_add (proxy->connections, connection);
   bufferevent_setcb (connection->client, on_client_read, NULL, on_connection_event, connection);
   bufferevent_setcb (connection->server, on_server_read, NULL, on_connection_event, connection);
@@ -179,40 +180,40 @@
 }
 
 static void
-listen_on (drv_forward_t *proxy)
+listen_on (driver_proxy_t *proxy)
 {
   struct sockaddr_in address = address_of (proxy->ip);
-  proxy->listener = evconnlistener_new_bind (proxy->drv->base, on_accept, proxy,
+  proxy->listener = evconnlistener_new_bind (proxy->driver->base, on_accept, proxy,
                                              LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
                                              (struct sockaddr *)&address, sizeof address);
   if (proxy->listener == NULL)
-    drv_fail (proxy->drv, "cannot listen on %s: %s", proxy->ip, g_strerror (errno));
+    driver_fail (proxy->driver, "cannot listen on %s: %s", proxy->ip, g_strerror (errno));
 }
 
-drv_forward_t *
-drv_forward_new (drv_t *drv, const char *target_ip)
+driver_proxy_t *
+driver_proxy_new (driver_t *driver, const char *target_ip)
 {
-  drv_forward_t *proxy = g_new0 (drv_forward_t, 1);
-  proxy->drv = drv;
-  proxy->ip = drv_next_ip (drv);
+  driver_proxy_t *proxy = g_new0 (driver_proxy_t, 1);
+  proxy->driver = driver;
+  proxy->ip = driver_next_ip (driver);
   proxy->target_ip = g_strdup (target_ip);
   proxy->connections = g_ptr_array_new ();
-  g_ptr_array_add (drv->proxies, proxy);
+  g_ptr_array_add (driver->proxies, proxy);
   listen_on (proxy);
   return proxy;
 }
 
 void
-drv_forward_cut (drv_forward_t *proxy)
+driver_proxy_close_connections (driver_proxy_t *proxy)
 {
   while (proxy->connections->len > 0)
     connection_free (proxy->connections->pdata[0]);
 }
 
 void
-drv_forward_free (drv_forward_t *proxy)
+driver_proxy_free (driver_proxy_t *proxy)
 {
-  drv_forward_cut (proxy);
+  driver_proxy_close_connections (proxy);
   g_ptr_array_free (proxy->connections, TRUE);
   g_clear_pointer (&proxy->listener, evconnlistener_free);
   g_free (proxy->ip);
@@ -222,21 +223,21 @@
 }
 
 const char *
-drv_forward_ip (const drv_forward_t *proxy)
+driver_proxy_ip (const driver_proxy_t *proxy)
 {
   return proxy->ip;
 }
 
 /* Passes held responses on to their clients. */
 static void
-release_held_responses (drv_forward_t *proxy)
+release_held_responses (driver_proxy_t *proxy)
 {
   for (guint i = proxy->connections->len; i-- > 0;)
     {
       connection_t *connection = proxy->connections->pdata[i];
-      if (connection->mode != DRV_HOLD)
+      if (connection->mode != DRIVER_PROXY_HOLD_RESPONSE)
         continue;
-      connection->mode = DRV_PASS;
+      connection->mode = DRIVER_PROXY_PASS;
       evbuffer_add_buffer (bufferevent_get_output (connection->client),
                            bufferevent_get_input (connection->server));
       if (connection->server_closed)
@@ -245,16 +246,19 @@
 }
 
 void
-drv_forward_set (drv_forward_t *proxy, drv_mode_t mode, const char *match, uint32_t count)
+driver_proxy_set_mode (driver_proxy_t *proxy,
+                       driver_proxy_mode_t mode,
+                       const char *match,
+                       uint32_t count)
 {
   g_free (proxy->match);
   proxy->match = g_strdup (match);
   proxy->mode = mode;
   proxy->count = count;
   release_held_responses (proxy);
-  if (mode == DRV_CLOSED)
+  if (mode == DRIVER_PROXY_CLOSED)
     {
-      drv_forward_cut (proxy);
+      driver_proxy_close_connections (proxy);
       g_clear_pointer (&proxy->listener, evconnlistener_free);
     }
   else if (proxy->listener == NULL)
@@ -262,7 +266,7 @@
 }
 
 uint32_t
-drv_forward_hits (const drv_forward_t *proxy)
+driver_proxy_hits (const driver_proxy_t *proxy)
 {
   return proxy->hits;
 }
--- a/tests/driver_platform.c
+++ b/tests/driver_platform.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Manifest of the sessions, for drv_quoted(); its parameters are the key hashes of both accounts
- * and the engine names of both services. */
+/* Manifest of the sessions, for driver_parse_json(); its parameters are the key hashes of both
+ * accounts and the engine names of both services. */
 static const char manifest_template[] =
     "{'client_accounts': {'alpha': {'key_sha256': '%s'}, 'beta': {'key_sha256': '%s'}},"
     " 'classes': {"
@@ -27,7 +27,7 @@
     "   'class': 'call', 'idempotent': false}]}";
 
 json_t *
-drv_quoted (const char *text)
+driver_parse_json (const char *text)
 {
   g_autofree char *copy = g_strdelimit (g_strdup (text), "'", '"');
   json_error_t error;
@@ -48,93 +48,97 @@
 }
 
 static char *
-engine_names (const drv_t *drv, bool plain)
+engine_names (const driver_t *driver, bool plain)
 {
   GString *names = g_string_new (NULL);
-  for (uint32_t i = 0; i < drv->host_count; i++)
-    if (drv->hosts[i].is_plain == plain)
+  for (uint32_t i = 0; i < driver->host_count; i++)
+    if (driver->hosts[i].is_plain == plain)
       g_string_append_printf (names, "%s'%s'", names->len > 0 ? "," : "",
-                              drv->hosts[i].engine->name);
+                              driver->hosts[i].engine->name);
   return g_string_free (names, FALSE);
 }
 
 char *
-drv_manifest (const drv_t *drv)
+driver_build_manifest (const driver_t *driver)
 {
   g_autofree char *alpha = g_compute_checksum_for_string (G_CHECKSUM_SHA256, "key-alpha", -1);
   g_autofree char *beta = g_compute_checksum_for_string (G_CHECKSUM_SHA256, "key-beta", -1);
-  g_autofree char *models = engine_names (drv, false);
-  g_autofree char *plains = engine_names (drv, true);
+  g_autofree char *models = engine_names (driver, false);
+  g_autofree char *plains = engine_names (driver, true);
   g_autofree char *text = g_strdup_printf (manifest_template, alpha, beta, models, plains);
-  return dump_json (drv_quoted (text));
+  return dump_json (driver_parse_json (text));
 }
 
 json_t *
-drv_admin (drv_process_t *process, const char *method, const char *target, const char *body)
+driver_admin_call (driver_process_t *process,
+                   const char *method,
+                   const char *target,
+                   const char *body)
 {
-  drv_call_t *call = drv_send (process->drv, process->ip, method, target, NULL, body);
-  drv_answered (call);
+  driver_call_t *call = driver_send_http (process->driver, process->ip, method, target, NULL, body);
+  driver_call_wait (call);
   if (call->status != 200)
-    drv_fail (process->drv, "%s: %s %s was answered with status %d", process->name, method, target,
-              call->status);
+    driver_fail (process->driver, "%s: %s %s was answered with status %d", process->name, method,
+                 target, call->status);
   return json_loadb (call->body->str, call->body->len, 0, NULL);
 }
 
 void
-drv_fault (drv_t *drv, const char *fault)
+driver_set_fault (driver_t *driver, const char *fault)
 {
-  g_autofree char *body = dump_json (drv_quoted (fault));
-  json_decref (drv_admin (drv->platform, "POST", "/admin/fault", body));
+  g_autofree char *body = dump_json (driver_parse_json (fault));
+  json_decref (driver_admin_call (driver->platform, "POST", "/admin/fault", body));
 }
 
 static json_t *
-host_list_entry (const drv_process_t *process, const char *http_ip, const char *state)
+host_list_entry (const driver_process_t *process, const char *http_ip, const char *state)
 {
-  g_autofree char *http = g_strdup_printf ("%s:%d", http_ip, DRV_PORT);
-  g_autofree char *exchange = g_strdup_printf ("%s:%d", process->ip, DRV_PORT);
+  g_autofree char *http = g_strdup_printf ("%s:%d", http_ip, DRIVER_PORT);
+  g_autofree char *exchange = g_strdup_printf ("%s:%d", process->ip, DRIVER_PORT);
   return json_pack ("{s:s, s:s, s:s, s:s, s:s, s:s, s:s}", "name", process->name, "role",
-                    process->role == DRV_ROUTER ? "router" : "sidecar", "data_center",
+                    process->role == DRIVER_ROUTER ? "router" : "sidecar", "data_center",
                     "hall-bayangol", "region", "ulaanbaatar", "http", http, "exchange", exchange,
                     "state", state);
 }
 
 void
-drv_list (drv_t *drv)
+driver_update_host_list (driver_t *driver)
 {
   json_t *hosts = json_array ();
-  for (uint32_t i = 0; i < drv->host_count; i++)
+  for (uint32_t i = 0; i < driver->host_count; i++)
     {
-      const drv_host_t *host = &drv->hosts[i];
+      const driver_host_t *host = &driver->hosts[i];
       if (host->state == NULL)
         continue;
-      const char *ip = host->hop != NULL ? drv_forward_ip (host->hop) : host->sidecar->ip;
+      const char *ip = host->hop != NULL ? driver_proxy_ip (host->hop) : host->sidecar->ip;
       json_array_append_new (hosts, host_list_entry (host->sidecar, ip, host->state));
     }
-  for (uint32_t i = 0; i < drv->router_count; i++)
-    json_array_append_new (hosts, host_list_entry (drv->routers[i], drv->routers[i]->ip, "live"));
+  for (uint32_t i = 0; i < driver->router_count; i++)
+    json_array_append_new (hosts,
+                           host_list_entry (driver->routers[i], driver->routers[i]->ip, "live"));
   g_autofree char *body = dump_json (hosts);
-  json_decref (drv_admin (drv->platform, "POST", "/admin/hosts", body));
+  json_decref (driver_admin_call (driver->platform, "POST", "/admin/hosts", body));
 }
 
 void
-drv_publish (drv_t *drv, const char *id, uint64_t base, const char *patch)
+driver_publish_manifest (driver_t *driver, const char *id, uint64_t base, const char *patch)
 {
   json_t *record = json_pack ("{s:s, s:s, s:I, s:s}", "kind", "publish", "id", id, "base",
                               (json_int_t)base, "by", "session");
   if (patch != NULL)
-    json_object_set_new (record, "patch", drv_quoted (patch));
+    json_object_set_new (record, "patch", driver_parse_json (patch));
   else
     {
-      g_autofree char *manifest = drv_manifest (drv);
+      g_autofree char *manifest = driver_build_manifest (driver);
       json_object_set_new (record, "manifest", json_loads (manifest, 0, NULL));
     }
   g_autofree char *body = dump_json (record);
-  json_decref (drv_admin (drv->platform, "POST", "/log/append?stream=manifest", body));
+  json_decref (driver_admin_call (driver->platform, "POST", "/log/append?stream=manifest", body));
 }
 
 typedef struct
 {
-  drv_t *drv;
+  driver_t *driver;
   char *target;
   const char *text;
 } log_search_t;
@@ -143,7 +147,7 @@
 log_contains (void *context)
 {
   log_search_t *search = context;
-  json_t *log = drv_admin (search->drv->platform, "GET", search->target, NULL);
+  json_t *log = driver_admin_call (search->driver->platform, "GET", search->target, NULL);
   size_t index;
   json_t *record;
   bool found = false;
@@ -157,27 +161,28 @@
 }
 
 void
-drv_in_log (drv_t *drv, const char *stream, const char *text)
+driver_wait_log_record (driver_t *driver, const char *stream, const char *text)
 {
-  log_search_t search = { drv, g_strdup_printf ("/admin/log?stream=%s", stream), text };
-  drv_until (drv, DRV_WAIT_MS, text, log_contains, &search);
+  log_search_t search = { driver, g_strdup_printf ("/admin/log?stream=%s", stream), text };
+  driver_wait_until (driver, DRIVER_WAIT_LIMIT_MS, text, log_contains, &search);
   g_free (search.target);
 }
 
 /* Return: The status document of a daemon, or NULL if it does not answer within two seconds. */
 static json_t *
-read_status (drv_process_t *process)
+read_status (driver_process_t *process)
 {
-  drv_call_t *call = drv_send (process->drv, process->ip, "GET", "/medlarplank/status", NULL, NULL);
+  driver_call_t *call =
+      driver_send_http (process->driver, process->ip, "GET", "/medlarplank/status", NULL, NULL);
   gint64 limit_us = g_get_monotonic_time () + 2 * G_USEC_PER_SEC;
-  while (call->outcome == DRV_WAITING && g_get_monotonic_time () < limit_us)
-    drv_for (process->drv, 1);
-  drv_hang_up (call);
+  while (call->outcome == DRIVER_OUTCOME_PENDING && g_get_monotonic_time () < limit_us)
+    driver_run_loop (process->driver, 1);
+  driver_call_cancel (call);
   return json_loadb (call->body->str, call->body->len, 0, NULL);
 }
 
 uint64_t
-drv_version (drv_process_t *process)
+driver_process_version (driver_process_t *process)
 {
   json_t *status = read_status (process);
   uint64_t version = (uint64_t)json_integer_value (json_object_get (status, "version"));
@@ -195,15 +200,15 @@
 }
 
 void
-drv_ready (drv_process_t *process)
+driver_process_wait_ready (driver_process_t *process)
 {
   g_autofree char *what = g_strdup_printf ("%s to become ready", process->name);
-  drv_until (process->drv, DRV_WAIT_MS, what, is_ready, process);
+  driver_wait_until (process->driver, DRIVER_WAIT_LIMIT_MS, what, is_ready, process);
 }
 
 typedef struct
 {
-  drv_t *drv;
+  driver_t *driver;
   uint64_t version;
 } version_wait_t;
 
@@ -211,21 +216,21 @@
 all_in_force (void *context)
 {
   version_wait_t *wait = context;
-  for (guint i = 0; i < wait->drv->processes->len; i++)
+  for (guint i = 0; i < wait->driver->processes->len; i++)
     {
-      drv_process_t *process = wait->drv->processes->pdata[i];
-      bool daemon = process->role == DRV_SIDECAR || process->role == DRV_ROUTER;
+      driver_process_t *process = wait->driver->processes->pdata[i];
+      bool daemon = process->role == DRIVER_SIDECAR || process->role == DRIVER_ROUTER;
       if (daemon && process->pid > 0 && !process->is_paused &&
-          drv_version (process) != wait->version)
+          driver_process_version (process) != wait->version)
         return false;
     }
   return true;
 }
 
 void
-drv_in_force (drv_t *drv, uint64_t version)
+driver_wait_version (driver_t *driver, uint64_t version)
 {
-  version_wait_t wait = { drv, version };
+  version_wait_t wait = { driver, version };
   g_autofree char *what = g_strdup_printf ("version %u in force everywhere", (uint32_t)version);
-  drv_until (drv, DRV_WAIT_MS, what, all_in_force, &wait);
+  driver_wait_until (driver, DRIVER_WAIT_LIMIT_MS, what, all_in_force, &wait);
 }
--- a/tests/driver_process.c
+++ b/tests/driver_process.c
@@ -19,43 +19,43 @@
                                         "medlarplankd" };
 
 char *
-drv_next_ip (drv_t *drv)
+driver_next_ip (driver_t *driver)
 {
-  g_assert (drv->next_ip < 250);
-  return g_strdup_printf ("%s.%u", drv->network, ++drv->next_ip);
+  g_assert (driver->next_ip < 250);
+  return g_strdup_printf ("%s.%u", driver->network, ++driver->next_ip);
 }
 
 static char *
-program_path (drv_role_t role)
+program_path (driver_role_t role)
 {
   const char *build = g_getenv ("MEDLARPLANK_BUILD");
   return g_build_filename (build != NULL ? build : "build", programs[role], NULL);
 }
 
-drv_process_t *
-drv_process_new (drv_t *drv, drv_role_t role, const char *name, const char *flags)
+driver_process_t *
+driver_process_new (driver_t *driver, driver_role_t role, const char *name, const char *flags)
 {
-  drv_process_t *process = g_new0 (drv_process_t, 1);
-  process->drv = drv;
+  driver_process_t *process = g_new0 (driver_process_t, 1);
+  process->driver = driver;
   process->role = role;
   process->name = g_strdup (name);
-  process->ip = drv_next_ip (drv);
-  process->log_path = g_strdup_printf ("%s/%s-%d.log", drv->dir, name, (int)role);
+  process->ip = driver_next_ip (driver);
+  process->log_path = g_strdup_printf ("%s/%s-%d.log", driver->dir, name, (int)role);
   process->max_runs = -1;
   process->argv = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (process->argv, program_path (role));
-  if (role != DRV_TOOL)
-    drv_process_flag (process, "--listen=%s:%d", process->ip, DRV_PORT);
+  if (role != DRIVER_CTL)
+    driver_process_add_flag (process, "--listen=%s:%d", process->ip, DRIVER_PORT);
   g_auto (GStrv) words = g_strsplit (flags != NULL ? flags : "", " ", -1);
   for (char **word = words; *word != NULL; word++)
     if (**word != '\0')
-      drv_process_flag (process, "%s", *word);
-  g_ptr_array_add (drv->processes, process);
+      driver_process_add_flag (process, "%s", *word);
+  g_ptr_array_add (driver->processes, process);
   return process;
 }
 
 void
-drv_process_flag (drv_process_t *process, const char *format, ...)
+driver_process_add_flag (driver_process_t *process, const char *format, ...)
 {
   va_list args;
   va_start (args, format);
@@ -66,7 +66,7 @@
 /* Runs in the child. The kernel kills the child when the test ends, also after a crash. Sockets are
  * not inherited: a connection that the driver closes would stay open in the child. */
 static void
-exec_program (drv_process_t *process, int log_fd)
+exec_program (driver_process_t *process, int log_fd)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   dup2 (log_fd, STDOUT_FILENO);
@@ -78,7 +78,7 @@
 }
 
 void
-drv_process_start (drv_process_t *process)
+driver_process_start (driver_process_t *process)
 {
   g_assert (process->pid == 0);
   int log_fd = open (process->log_path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
@@ -95,15 +95,15 @@
 /* Waits until the kernel has stopped all threads: after SIGSTOP was sent, a thread that still runs
  * could accept the next request of the session. */
 static void
-wait_stopped (drv_process_t *process)
+wait_stopped (driver_process_t *process)
 {
   int status;
   if (waitpid (process->pid, &status, WUNTRACED) != process->pid || !WIFSTOPPED (status))
-    drv_fail (process->drv, "%s did not stop on SIGSTOP", process->name);
+    driver_fail (process->driver, "%s did not stop on SIGSTOP", process->name);
 }
 
 void
-drv_signal (drv_process_t *process, int number)
+driver_process_signal (driver_process_t *process, int number)
 {
   if (process->pid <= 0)
     return;
@@ -115,7 +115,7 @@
 }
 
 bool
-drv_reap (drv_process_t *process)
+driver_process_reap (driver_process_t *process)
 {
   if (process->pid <= 0)
     return true;
@@ -129,20 +129,20 @@
 static bool
 has_exited (void *context)
 {
-  return drv_reap (context);
+  return driver_process_reap (context);
 }
 
 int
-drv_ended (drv_process_t *process)
+driver_process_wait_exit (driver_process_t *process)
 {
   g_autofree char *what = g_strdup_printf ("the exit of %s", process->name);
-  if (!drv_until (process->drv, DRV_WAIT_MS, what, has_exited, process))
+  if (!driver_wait_until (process->driver, DRIVER_WAIT_LIMIT_MS, what, has_exited, process))
     return -1;
   return WIFEXITED (process->status) ? WEXITSTATUS (process->status) : -1;
 }
 
 void
-drv_kill (drv_process_t *process)
+driver_process_kill (driver_process_t *process)
 {
   if (process->pid <= 0)
     return;
@@ -153,9 +153,9 @@
 }
 
 void
-drv_process_free (drv_process_t *process)
+driver_process_free (driver_process_t *process)
 {
-  drv_kill (process);
+  driver_process_kill (process);
   g_ptr_array_free (process->argv, TRUE);
   g_free (process->name);
   g_free (process->ip);
@@ -165,7 +165,9 @@
 }
 
 uint32_t
-drv_logged (const drv_process_t *process, const char *first, const char *second)
+driver_process_count_log_lines (const driver_process_t *process,
+                                const char *first,
+                                const char *second)
 {
   g_autofree char *text = NULL;
   uint32_t count = 0;
@@ -178,20 +180,20 @@
   return count;
 }
 
-drv_process_t *
-drv_tool (drv_t *drv, const char *flags)
+driver_process_t *
+driver_start_ctl (driver_t *driver, const char *flags)
 {
-  g_autofree char *name = g_strdup_printf ("tool%u", drv->next_ip);
-  drv_process_t *tool = drv_process_new (drv, DRV_TOOL, name, flags);
-  drv_process_flag (tool, "--platform=%s:%d", drv->platform->ip, DRV_PORT);
-  drv_process_start (tool);
+  g_autofree char *name = g_strdup_printf ("tool%u", driver->next_ip);
+  driver_process_t *tool = driver_process_new (driver, DRIVER_CTL, name, flags);
+  driver_process_add_flag (tool, "--platform=%s:%d", driver->platform->ip, DRIVER_PORT);
+  driver_process_start (tool);
   return tool;
 }
 
 char *
-drv_file (drv_t *drv, const char *name, const char *text)
+driver_write_file (driver_t *driver, const char *name, const char *text)
 {
-  char *path = g_build_filename (drv->dir, name, NULL);
+  char *path = g_build_filename (driver->dir, name, NULL);
   g_file_set_contents (path, text, -1, NULL);
   return path;
 }
--- a/tests/driver_record.c
+++ b/tests/driver_record.c
@@ -16,7 +16,7 @@
 }
 
 json_t *
-drv_begun_on (const drv_process_t *engine)
+driver_engine_begun_records (const driver_process_t *engine)
 {
   json_t *begun = json_array ();
   g_autofree char *text = NULL;
@@ -35,77 +35,77 @@
 }
 
 uint32_t
-drv_runs_on (const drv_process_t *engine)
+driver_engine_run_count (const driver_process_t *engine)
 {
-  json_t *begun = drv_begun_on (engine);
+  json_t *begun = driver_engine_begun_records (engine);
   uint32_t count = (uint32_t)json_array_size (begun);
   json_decref (begun);
   return count;
 }
 
 static uint64_t
-record_bytes (const drv_t *drv)
+record_bytes (const driver_t *driver)
 {
   uint64_t bytes = 0;
   GStatBuf file;
-  for (uint32_t i = 0; i < drv->host_count; i++)
-    if (g_stat (drv->hosts[i].engine->record_path, &file) == 0)
+  for (uint32_t i = 0; i < driver->host_count; i++)
+    if (g_stat (driver->hosts[i].engine->record_path, &file) == 0)
       bytes += (uint64_t)file.st_size;
   return bytes;
 }
 
 static void
-increment_count (drv_t *drv, char *text)
+increment_count (driver_t *driver, char *text)
 {
-  uint32_t before = GPOINTER_TO_UINT (g_hash_table_lookup (drv->run_counts, text));
-  g_hash_table_replace (drv->run_counts, text, GUINT_TO_POINTER (before + 1));
+  uint32_t before = GPOINTER_TO_UINT (g_hash_table_lookup (driver->run_counts, text));
+  g_hash_table_replace (driver->run_counts, text, GUINT_TO_POINTER (before + 1));
 }
 
 /* Reads the records again only if they have grown: most queries come after the last run has begun.
  */
 static void
-update_run_counts (drv_t *drv)
+update_run_counts (driver_t *driver)
 {
-  uint64_t bytes = record_bytes (drv);
-  if (bytes == drv->counted_record_bytes)
+  uint64_t bytes = record_bytes (driver);
+  if (bytes == driver->counted_record_bytes)
     return;
-  g_hash_table_remove_all (drv->run_counts);
-  drv->counted_record_bytes = bytes;
-  for (uint32_t i = 0; i < drv->host_count; i++)
+  g_hash_table_remove_all (driver->run_counts);
+  driver->counted_record_bytes = bytes;
+  for (uint32_t i = 0; i < driver->host_count; i++)
     {
       size_t index;
       json_t *entry;
-      json_t *begun = drv_begun_on (drv->hosts[i].engine);
+      json_t *begun = driver_engine_begun_records (driver->hosts[i].engine);
       json_array_foreach (begun, index, entry)
         {
           const char *id = json_string_value (json_object_get (entry, "id"));
-          increment_count (drv,
+          increment_count (driver,
                            g_strdup (json_string_value (json_object_get (entry, "body_hash"))));
           if (id != NULL)
-            increment_count (drv, g_strndup (id, REQUEST_ID_DIGITS));
+            increment_count (driver, g_strndup (id, REQUEST_ID_DIGITS));
         }
       json_decref (begun);
     }
 }
 
 uint32_t
-drv_runs (const drv_call_t *call)
+driver_call_run_count (const driver_call_t *call)
 {
   g_autofree char *hash = hash_body (call->sent_body);
-  update_run_counts (call->drv);
-  return GPOINTER_TO_UINT (g_hash_table_lookup (call->drv->run_counts, hash));
+  update_run_counts (call->driver);
+  return GPOINTER_TO_UINT (g_hash_table_lookup (call->driver->run_counts, hash));
 }
 
 bool
-drv_request_ran (drv_t *drv, const char *request)
+driver_request_has_run (driver_t *driver, const char *request)
 {
   g_autofree char *id = g_strndup (request, REQUEST_ID_DIGITS);
-  update_run_counts (drv);
-  return g_hash_table_contains (drv->run_counts, id);
+  update_run_counts (driver);
+  return g_hash_table_contains (driver->run_counts, id);
 }
 
 void
-drv_left (drv_host_t *host)
+driver_host_forbid_new_runs (driver_host_t *host)
 {
-  host->engine->max_runs = drv_runs_on (host->engine);
+  host->engine->max_runs = driver_engine_run_count (host->engine);
 }
--- a/tests/driver_transcript.c
+++ b/tests/driver_transcript.c
@@ -8,67 +8,69 @@
 #include <string.h>
 #include <unistd.h>
 
-static drv_line_t *
-add_line (drv_t *drv, char *text)
+static driver_transcript_line_t *
+add_line (driver_t *driver, char *text)
 {
-  drv_line_t *line = g_new0 (drv_line_t, 1);
+  driver_transcript_line_t *line = g_new0 (driver_transcript_line_t, 1);
   line->text = text;
-  g_ptr_array_add (drv->transcript, line);
+  g_ptr_array_add (driver->transcript, line);
   return line;
 }
 
 void
-drv_say (drv_t *drv, const char *format, ...)
+driver_transcript_add (driver_t *driver, const char *format, ...)
 {
   va_list args;
   va_start (args, format);
-  add_line (drv, g_strdup_vprintf (format, args));
+  add_line (driver, g_strdup_vprintf (format, args));
   va_end (args);
 }
 
 void
-drv_tell (drv_call_t *call)
+driver_transcript_add_call (driver_call_t *call)
 {
-  drv_line_t *line = add_line (call->drv, g_strdup (call->name));
+  driver_transcript_line_t *line = add_line (call->driver, g_strdup (call->name));
   line->call = call;
 }
 
 static const char *
-outcome_name (const drv_call_t *call)
+outcome_name (const driver_call_t *call)
 {
   switch (call->outcome)
     {
-    case DRV_WAITING:
+    case DRIVER_OUTCOME_PENDING:
       return "waits";
-    case DRV_WHOLE:
-      return call->status != 200 ? "error" : drv_own_answer (call) ? "own answer" : "WRONG ANSWER";
-    case DRV_CUT:
+    case DRIVER_OUTCOME_COMPLETE:
+      return call->status != 200             ? "error"
+             : driver_call_is_correct (call) ? "own answer"
+                                             : "WRONG ANSWER";
+    case DRIVER_OUTCOME_TRUNCATED:
       return "cut answer";
-    case DRV_NO_ANSWER:
+    case DRIVER_OUTCOME_NO_RESPONSE:
       return "no answer";
-    case DRV_HUNG_UP:
+    case DRIVER_OUTCOME_CANCELLED:
       return "hung up";
     }
   return "";
 }
 
 static char *
-format_outcome (const drv_call_t *call)
+format_outcome (const driver_call_t *call)
 {
-  g_autofree char *reason = drv_reason (call);
+  g_autofree char *reason = driver_call_error_code (call);
   GString *text = g_string_new (NULL);
   g_string_append_printf (text, "%d %s", call->status, outcome_name (call));
-  if (*drv_verdict (call) != '\0')
-    g_string_append_printf (text, ", %s", drv_verdict (call));
+  if (*driver_call_verdict (call) != '\0')
+    g_string_append_printf (text, ", %s", driver_call_verdict (call));
   if (*reason != '\0')
     g_string_append_printf (text, ", %s", reason);
-  if (drv_header (call, "retry-after") != NULL)
+  if (driver_call_header (call, "retry-after") != NULL)
     g_string_append (text, ", retry later");
   return g_string_free (text, FALSE);
 }
 
 static void
-append_line (GString *out, const drv_line_t *line)
+append_line (GString *out, const driver_transcript_line_t *line)
 {
   if (line->call == NULL)
     {
@@ -77,7 +79,7 @@
     }
   g_autofree char *result = format_outcome (line->call);
   g_string_append_printf (out, "%s: %s; ran %" PRIu32 "\n", line->text, result,
-                          drv_runs (line->call));
+                          driver_call_run_count (line->call));
 }
 
 static void
@@ -96,26 +98,26 @@
 }
 
 void
-drv_compare (drv_t *drv)
+driver_transcript_compare (driver_t *driver)
 {
   const char *source = g_getenv ("MEDLARPLANK_SOURCE");
-  g_autofree char *file = g_strconcat (drv->name, ".txt", NULL);
+  g_autofree char *file = g_strconcat (driver->name, ".txt", NULL);
   g_autofree char *path =
       g_build_filename (source != NULL ? source : ".", "tests", "golden", file, NULL);
   g_autofree char *golden = NULL;
   GString *text = g_string_new (NULL);
-  for (guint i = 0; i < drv->transcript->len; i++)
-    append_line (text, drv->transcript->pdata[i]);
+  for (guint i = 0; i < driver->transcript->len; i++)
+    append_line (text, driver->transcript->pdata[i]);
   g_autofree char *folder = g_path_get_dirname (path);
   g_mkdir_with_parents (folder, 0755);
   if (g_strcmp0 (g_getenv ("MEDLARPLANK_GOLDEN"), "write") == 0)
     g_file_set_contents (path, text->str, -1, NULL);
   if (!g_file_get_contents (path, &golden, NULL, NULL))
-    drv_fail (drv, "no golden file %s; the transcript is:\n%s", path, text->str);
+    driver_fail (driver, "no golden file %s; the transcript is:\n%s", path, text->str);
   else if (strcmp (golden, text->str) != 0)
     {
       print_difference (path, text->str);
-      drv_fail (drv, "the transcript differs from %s", path);
+      driver_fail (driver, "the transcript differs from %s", path);
     }
   g_string_free (text, TRUE);
 }
--- a/tests/session_bound.c
+++ b/tests/session_bound.c
@@ -62,29 +62,29 @@
 
 typedef struct
 {
-  drv_t *drv;
-  drv_call_t *surge[SURGING_ACCOUNTS][SURGE_IN_FLIGHT];
-  drv_call_t *quiet;
-  GPtrArray *quiet_calls; /* drv_call_t */
+  driver_t *driver;
+  driver_call_t *surge[SURGING_ACCOUNTS][SURGE_IN_FLIGHT];
+  driver_call_t *quiet;
+  GPtrArray *quiet_calls; /* driver_call_t */
   GArray *decisions;      /* decision_entry_t, by time */
   GArray *outages;        /* outage_t */
   uint32_t sent_counts[SURGING_ACCOUNTS];
   uint64_t record_bytes[MODELS]; /* size of the record when the engine was killed */
 } bound_session_t;
 
-static drv_call_t *
+static driver_call_t *
 send_request (
     bound_session_t *session, const char *account, uint32_t number, bool stream, uint32_t tokens)
 {
   g_autofree char *name = g_strdup_printf ("%s %u", account, number);
   g_autofree char *chat = g_strdup_printf ("%s %u", account, number % (2 * SURGE_IN_FLIGHT));
-  drv_ask_t request = { .name = name,
-                        .account = account,
-                        .chat = chat,
-                        .router = number % 2,
-                        .stream = stream,
-                        .tokens = tokens };
-  return drv_ask (session->drv, &request);
+  driver_request_t request = { .name = name,
+                               .account = account,
+                               .chat = chat,
+                               .router = number % 2,
+                               .stream = stream,
+                               .tokens = tokens };
+  return driver_send_request (session->driver, &request);
 }
 
 static void
@@ -96,8 +96,8 @@
       uint32_t refilled = 0;
       for (uint32_t j = 0; j < SURGE_IN_FLIGHT && refilled < SURGE_STARTS_PER_TICK; j++)
         {
-          drv_call_t **call = &session->surge[i][j];
-          if (*call != NULL && (*call)->outcome == DRV_WAITING)
+          driver_call_t **call = &session->surge[i][j];
+          if (*call != NULL && (*call)->outcome == DRIVER_OUTCOME_PENDING)
             continue;
           uint32_t number = session->sent_counts[i]++;
           *call = send_request (session, accounts[i], number, true, 30 + number % 100);
@@ -111,22 +111,22 @@
 static void
 run_hot_chat (bound_session_t *session)
 {
-  drv_call_t *calls[HOT_CHAT_IN_FLIGHT] = { NULL };
+  driver_call_t *calls[HOT_CHAT_IN_FLIGHT] = { NULL };
   for (uint32_t passed_ms = 0; passed_ms < HOT_CHAT_MS; passed_ms += TICK_MS)
     {
       for (uint32_t i = 0; i < HOT_CHAT_IN_FLIGHT; i++)
-        if (calls[i] == NULL || calls[i]->outcome != DRV_WAITING)
+        if (calls[i] == NULL || calls[i]->outcome != DRIVER_OUTCOME_PENDING)
           calls[i] = send_request (session, "beta", HOT_CHAT_NUMBER, true, 20 + passed_ms % 50);
-      drv_for (session->drv, TICK_MS);
+      driver_run_loop (session->driver, TICK_MS);
     }
   for (uint32_t i = 0; i < HOT_CHAT_IN_FLIGHT; i++)
-    drv_answered (calls[i]);
+    driver_call_wait (calls[i]);
 }
 
 static void
 refill_quiet (bound_session_t *session)
 {
-  if (session->quiet != NULL && session->quiet->outcome == DRV_WAITING)
+  if (session->quiet != NULL && session->quiet->outcome == DRIVER_OUTCOME_PENDING)
     return;
   session->quiet = send_request (session, "alpha", session->quiet_calls->len, false, 8);
   g_ptr_array_add (session->quiet_calls, session->quiet);
@@ -139,7 +139,7 @@
     {
       refill_surges (session);
       refill_quiet (session);
-      drv_for (session->drv, TICK_MS);
+      driver_run_loop (session->driver, TICK_MS);
     }
 }
 
@@ -153,10 +153,10 @@
 kill_engine (bound_session_t *session, uint32_t host)
 {
   outage_t outage = { .host = host, .from_ms = wall_ms (), .until_ms = INT64_MAX };
-  drv_kill (session->drv->hosts[host].engine);
+  driver_process_kill (session->driver->hosts[host].engine);
   g_autofree char *text = NULL;
   gsize bytes = 0;
-  g_file_get_contents (session->drv->hosts[host].engine->record_path, &text, &bytes, NULL);
+  g_file_get_contents (session->driver->hosts[host].engine->record_path, &text, &bytes, NULL);
   session->record_bytes[host] = bytes;
   g_array_append_val (session->outages, outage);
 }
@@ -164,14 +164,14 @@
 static void
 kill_host (bound_session_t *session, uint32_t host)
 {
-  drv_kill (session->drv->hosts[host].sidecar);
+  driver_process_kill (session->driver->hosts[host].sidecar);
   kill_engine (session, host);
 }
 
 static void
 start_engine (bound_session_t *session, uint32_t host)
 {
-  drv_process_start (session->drv->hosts[host].engine);
+  driver_process_start (session->driver->hosts[host].engine);
   for (guint i = 0; i < session->outages->len; i++)
     {
       outage_t *outage = &g_array_index (session->outages, outage_t, i);
@@ -184,7 +184,7 @@
 start_host (bound_session_t *session, uint32_t host)
 {
   start_engine (session, host);
-  drv_process_start (session->drv->hosts[host].sidecar);
+  driver_process_start (session->driver->hosts[host].sidecar);
 }
 
 /* Return: The number after @name in a line, or -1. */
@@ -212,7 +212,7 @@
 read_log (bound_session_t *session, uint32_t host)
 {
   g_autofree char *text = NULL;
-  if (!g_file_get_contents (session->drv->hosts[host].sidecar->log_path, &text, NULL, NULL))
+  if (!g_file_get_contents (session->driver->hosts[host].sidecar->log_path, &text, NULL, NULL))
     return;
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
   for (char **line = lines; *line != NULL; line++)
@@ -342,11 +342,13 @@
       "%u dispatches, over the sidecar's bound %u, over the true bound %u, over that of the last "
       "second %u, and by more than the margin %u\n",
       dispatches, over_logged, over_now, over_recent, over_margin);
-  drv_say (session->drv, "no dispatch over the sidecar's own bound: %s",
-           over_logged == 0 ? "yes" : "no");
-  drv_say (session->drv, "none over the true bound of the last second and one request: %s",
-           over_margin == 0 ? "yes" : "no");
-  drv_say (session->drv, "the bound was tried: %s", dispatches > MIN_DISPATCHES ? "yes" : "no");
+  driver_transcript_add (session->driver, "no dispatch over the sidecar's own bound: %s",
+                         over_logged == 0 ? "yes" : "no");
+  driver_transcript_add (session->driver,
+                         "none over the true bound of the last second and one request: %s",
+                         over_margin == 0 ? "yes" : "no");
+  driver_transcript_add (session->driver, "the bound was tried: %s",
+                         dispatches > MIN_DISPATCHES ? "yes" : "no");
 }
 
 /* Return: The highest number of concurrent runs in an engine's record, which is ordered but holds
@@ -355,7 +357,7 @@
 max_running (const bound_session_t *session, uint32_t host)
 {
   g_autofree char *text = NULL;
-  g_file_get_contents (session->drv->hosts[host].engine->record_path, &text, NULL, NULL);
+  g_file_get_contents (session->driver->hosts[host].engine->record_path, &text, NULL, NULL);
   g_auto (GStrv) lines = g_strsplit (text != NULL ? text : "", "\n", -1);
   uint64_t bytes = 0;
   uint32_t running = 0;
@@ -378,10 +380,11 @@
   for (uint32_t host = 0; host < MODELS; host++)
     {
       uint32_t highest = max_running (session, host);
-      printf ("%s: at most %u at once\n", session->drv->hosts[host].engine->name, highest);
+      printf ("%s: at most %u at once\n", session->driver->hosts[host].engine->name, highest);
       is_within_slots = is_within_slots && highest <= SLOTS;
     }
-  drv_say (session->drv, "no engine ran more than its slots: %s", is_within_slots ? "yes" : "no");
+  driver_transcript_add (session->driver, "no engine ran more than its slots: %s",
+                         is_within_slots ? "yes" : "no");
 }
 
 static void
@@ -391,20 +394,20 @@
   uint64_t slowest_us = 0;
   for (guint i = 0; i < session->quiet_calls->len; i++)
     {
-      drv_call_t *call = session->quiet_calls->pdata[i];
-      answered += drv_own_answer (call) ? 1 : 0;
+      driver_call_t *call = session->quiet_calls->pdata[i];
+      answered += driver_call_is_correct (call) ? 1 : 0;
       slowest_us = MAX (slowest_us, call->ended_us - call->sent_us);
-      if (!drv_own_answer (call))
+      if (!driver_call_is_correct (call))
         {
-          g_autofree char *reason = drv_reason (call);
+          g_autofree char *reason = driver_call_error_code (call);
           printf ("%s: %d %s\n", call->name, call->status, reason);
         }
     }
   printf ("quiet account: %u of %u answered, the slowest in %u ms\n", answered,
           session->quiet_calls->len, (uint32_t)(slowest_us / 1000));
-  drv_say (session->drv, "the quiet account: all answered: %s, each in time: %s",
-           answered == session->quiet_calls->len ? "yes" : "no",
-           slowest_us < QUIET_LIMIT_US ? "yes" : "no");
+  driver_transcript_add (session->driver, "the quiet account: all answered: %s, each in time: %s",
+                         answered == session->quiet_calls->len ? "yes" : "no",
+                         slowest_us < QUIET_LIMIT_US ? "yes" : "no");
 }
 
 /* Streams of a surging account are cut off when their engine is killed, and a request that was
@@ -415,44 +418,45 @@
   uint32_t answered = 0;
   uint32_t refused = 0;
   uint32_t other = 0;
-  for (guint i = 0; i < session->drv->calls->len; i++)
+  for (guint i = 0; i < session->driver->calls->len; i++)
     {
-      const drv_call_t *call = session->drv->calls->pdata[i];
+      const driver_call_t *call = session->driver->calls->pdata[i];
       if (call->name == NULL || strcmp (call->account, "alpha") == 0)
         continue;
-      if (drv_own_answer (call))
+      if (driver_call_is_correct (call))
         answered++;
-      else if (strcmp (drv_verdict (call), "not_run") == 0)
+      else if (strcmp (driver_call_verdict (call), "not_run") == 0)
         refused++;
       else
         other++;
     }
   printf ("surging accounts: %u answered, %u not run, %u other\n", answered, refused, other);
-  drv_say (session->drv, "the surging accounts: some answered: %s", answered > 0 ? "yes" : "no");
+  driver_transcript_add (session->driver, "the surging accounts: some answered: %s",
+                         answered > 0 ? "yes" : "no");
 }
 
 /* Adds the third account, which is not in the manifest of the sessions. */
 static void
-add_account (drv_t *drv)
+add_account (driver_t *driver)
 {
   g_autofree char *key = g_compute_checksum_for_string (G_CHECKSUM_SHA256, "key-gamma", -1);
   g_autofree char *patch =
       g_strdup_printf ("{'client_accounts': {'gamma': {'key_sha256': '%s'}}}", key);
-  drv_publish (drv, "third account", 1, patch);
-  drv_in_force (drv, 2);
+  driver_publish_manifest (driver, "third account", 1, patch);
+  driver_wait_version (driver, 2);
 }
 
 static void
 run_surge_with_faults (bound_session_t *session)
 {
-  drv_t *drv = session->drv;
-  drv_host_t *late_host = &drv->hosts[MODELS - 1];
+  driver_t *driver = session->driver;
+  driver_host_t *late_host = &driver->hosts[MODELS - 1];
   run_surge (session, SURGE_MS / 4);
   kill_engine (session, 0);
   run_surge (session, SURGE_MS / 8);
-  drv_fault (drv, "{'view': {'r1': 'stale'}}");
+  driver_set_fault (driver, "{'view': {'r1': 'stale'}}");
   late_host->state = "live";
-  drv_list (drv);
+  driver_update_host_list (driver);
   start_host (session, MODELS - 1);
   run_surge (session, SURGE_MS / 8);
   kill_host (session, 1);
@@ -461,30 +465,30 @@
   run_surge (session, SURGE_MS / 8);
   start_host (session, 1);
   run_surge (session, SURGE_MS / 4);
-  drv_fault (drv, "{'view': {'r1': 'up'}}");
+  driver_set_fault (driver, "{'view': {'r1': 'up'}}");
 }
 
 static void
 test_bound (void)
 {
-  bound_session_t session = { .drv = drv_new ("bound"),
+  bound_session_t session = { .driver = driver_new ("bound"),
                               .quiet_calls = g_ptr_array_new (),
                               .decisions = g_array_new (FALSE, FALSE, sizeof (decision_entry_t)),
                               .outages = g_array_new (FALSE, FALSE, sizeof (outage_t)) };
-  drv_fleet_t fleet = { .model_hosts = MODELS, .plain_hosts = 1, .routers = 2 };
-  drv_start (session.drv, &fleet);
-  add_account (session.drv);
+  driver_fleet_t fleet = { .model_hosts = MODELS, .plain_hosts = 1, .routers = 2 };
+  driver_start (session.driver, &fleet);
+  add_account (session.driver);
   kill_host (&session, MODELS - 1);
-  session.drv->hosts[MODELS - 1].state = NULL;
-  drv_list (session.drv);
+  session.driver->hosts[MODELS - 1].state = NULL;
+  driver_update_host_list (session.driver);
   run_hot_chat (&session);
   run_surge_with_faults (&session);
-  drv_all_answered (session.drv);
+  driver_wait_all_calls (session.driver);
   report_quiet_account (&session);
   report_surging_accounts (&session);
   report_loads (&session);
   report_records (&session);
-  drv_finish (session.drv);
+  driver_finish (session.driver);
   g_ptr_array_free (session.quiet_calls, TRUE);
   g_array_free (session.decisions, TRUE);
   g_array_free (session.outages, TRUE);
@@ -493,7 +497,7 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "two accounts surge while engines come and go",
-                                        test_bound } };
-  return drv_main ("bound", tests, G_N_ELEMENTS (tests));
+  static const driver_test_t tests[] = { { "two accounts surge while engines come and go",
+                                           test_bound } };
+  return driver_main ("bound", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_daemon.c
+++ b/tests/session_daemon.c
@@ -270,26 +270,27 @@
 static bool
 has_second_signal (void *context)
 {
-  return drv_logged (context, "stop_signal", "first=no") > 0;
+  return driver_process_count_log_lines (context, "stop_signal", "first=no") > 0;
 }
 
 static void
-signal_twice (drv_process_t *process)
+signal_twice (driver_process_t *process)
 {
-  drv_signal (process, SIGTERM);
-  drv_signal (process, SIGHUP);
-  drv_signal (process, SIGINT);
-  drv_until (process->drv, DRV_WAIT_MS, "a second signal", has_second_signal, process);
+  driver_process_signal (process, SIGTERM);
+  driver_process_signal (process, SIGHUP);
+  driver_process_signal (process, SIGINT);
+  driver_wait_until (process->driver, DRIVER_WAIT_LIMIT_MS, "a second signal", has_second_signal,
+                     process);
 }
 
-static drv_process_t *
-sidecar_of (const drv_call_t *call)
+static driver_process_t *
+sidecar_of (const driver_call_t *call)
 {
-  const char *engine = drv_header (call, "x-medlarplank-engine");
+  const char *engine = driver_call_header (call, "x-medlarplank-engine");
 
-  for (uint32_t i = 0; i < call->drv->host_count; i++)
-    if (g_strcmp0 (engine, call->drv->hosts[i].engine->name) == 0)
-      return call->drv->hosts[i].sidecar;
+  for (uint32_t i = 0; i < call->driver->host_count; i++)
+    if (g_strcmp0 (engine, call->driver->hosts[i].engine->name) == 0)
+      return call->driver->hosts[i].sidecar;
   return NULL;
 }
 
@@ -299,25 +300,28 @@
 static void
 test_signals_in_flight (void)
 {
-  drv_t *drv = drv_new ("daemon-signals");
-  drv_fleet_t fleet = { .model_hosts = 2, .plain_hosts = 1, .routers = 1 };
-  drv_ask_t request = { .name = "stream", .chat = "c", .stream = true, .tokens = STREAM_TOKENS };
-  drv_process_t *sidecar;
-  drv_call_t *call;
-
-  drv_start (drv, &fleet);
-  call = drv_ask (drv, &request);
-  drv_begun (call);
+  driver_t *driver = driver_new ("daemon-signals");
+  driver_fleet_t fleet = { .model_hosts = 2, .plain_hosts = 1, .routers = 1 };
+  driver_request_t request = {
+    .name = "stream", .chat = "c", .stream = true, .tokens = STREAM_TOKENS
+  };
+  driver_process_t *sidecar;
+  driver_call_t *call;
+
+  driver_start (driver, &fleet);
+  call = driver_send_request (driver, &request);
+  driver_call_wait_body (call);
   sidecar = sidecar_of (call);
   CU_ASSERT_PTR_NOT_NULL_FATAL (sidecar);
   signal_twice (sidecar);
-  signal_twice (drv->routers[0]);
-  CU_ASSERT_EQUAL (call->outcome, DRV_WAITING);
-  drv_answered (call);
-  drv_tell (call);
-  drv_say (drv, "sidecar: status %d", drv_ended (sidecar));
-  drv_say (drv, "router: status %d", drv_ended (drv->routers[0]));
-  drv_finish (drv);
+  signal_twice (driver->routers[0]);
+  CU_ASSERT_EQUAL (call->outcome, DRIVER_OUTCOME_PENDING);
+  driver_call_wait (call);
+  driver_transcript_add_call (call);
+  driver_transcript_add (driver, "sidecar: status %d", driver_process_wait_exit (sidecar));
+  driver_transcript_add (driver, "router: status %d",
+                         driver_process_wait_exit (driver->routers[0]));
+  driver_finish (driver);
 }
 
 int
--- a/tests/session_gateway.c
+++ b/tests/session_gateway.c
@@ -21,9 +21,9 @@
 /** struct fleet - The processes of the session. */
 typedef struct
 {
-  drv_t *drv;
-  drv_process_t *gateways[GATEWAYS];
-  drv_process_t *upstreams[UPSTREAMS];
+  driver_t *driver;
+  driver_process_t *gateways[GATEWAYS];
+  driver_process_t *upstreams[UPSTREAMS];
   uint32_t next_id;
 } fleet_t;
 
@@ -42,16 +42,16 @@
 {
   size_t length = 1 + strlen (key) + strlen (value);
   GString *body = g_string_new (NULL);
-  drv_call_t *call;
+  driver_call_t *call;
 
   /* length of the record in four bytes, length of the key in one, key, value */
   for (int shift = 24; shift >= 0; shift -= 8)
     g_string_append_c (body, (char)(length >> shift));
   g_string_append_c (body, (char)strlen (key));
   g_string_append_printf (body, "%s%s", key, value);
-  call = drv_send_bytes (fleet->drv, fleet->drv->platform->ip, "POST",
-                         "/log-append?topic=keyed.op&part=0", "", body->str, body->len);
-  drv_answered (call);
+  call = driver_send_http_bytes (fleet->driver, fleet->driver->platform->ip, "POST",
+                                 "/log-append?topic=keyed.op&part=0", "", body->str, body->len);
+  driver_call_wait (call);
   CU_ASSERT_EQUAL (call->status, 200);
   g_string_free (body, TRUE);
 }
@@ -62,20 +62,20 @@
   write_record (fleet, "config", config);
 }
 
-static drv_call_t *
+static driver_call_t *
 send_request (fleet_t *fleet, uint32_t gateway, const char *method, const char *path)
 {
   g_autofree char *headers = g_strdup_printf ("X-Request-Id: q%u\r\nX-Key: key-1\r\n"
                                               "X-Deadline-Ms: 4000\r\n",
                                               ++fleet->next_id);
 
-  return drv_send (fleet->drv, fleet->gateways[gateway]->ip, method, path, headers, "");
+  return driver_send_http (fleet->driver, fleet->gateways[gateway]->ip, method, path, headers, "");
 }
 
 static bool
-is_complete_ok (const drv_call_t *call)
+is_complete_ok (const driver_call_t *call)
 {
-  return call->status == 200 && call->outcome == DRV_WHOLE;
+  return call->status == 200 && call->outcome == DRIVER_OUTCOME_COMPLETE;
 }
 
 /* Return: The number of requests that were answered completely with status 200. */
@@ -83,7 +83,7 @@
 run_batch (fleet_t *fleet, const char *method, const char *path)
 {
   uint32_t first_id = fleet->next_id + 1;
-  drv_call_t *calls[BATCH_REQUESTS];
+  driver_call_t *calls[BATCH_REQUESTS];
   uint32_t answered = 0;
 
   for (uint32_t i = 0; i < BATCH_REQUESTS; i++)
@@ -92,10 +92,10 @@
     {
       g_autofree char *id = g_strdup_printf ("q%u", first_id + i);
 
-      drv_answered (calls[i]);
+      driver_call_wait (calls[i]);
       answered += is_complete_ok (calls[i]) ? 1 : 0;
       if (!is_complete_ok (calls[i]))
-        drv_explain (calls[i], id);
+        driver_call_print (calls[i], id);
     }
   return answered;
 }
@@ -103,9 +103,9 @@
 static int
 request_status (fleet_t *fleet, uint32_t gateway, const char *path)
 {
-  drv_call_t *call = send_request (fleet, gateway, "GET", path);
+  driver_call_t *call = send_request (fleet, gateway, "GET", path);
 
-  drv_answered (call);
+  driver_call_wait (call);
   return call->status;
 }
 
@@ -113,39 +113,39 @@
 start_upstream (fleet_t *fleet, uint32_t index)
 {
   g_autofree char *name = g_strdup_printf ("upstream%u", index);
-  drv_process_t *process = drv_process_new (fleet->drv, DRV_UPSTREAM, name, NULL);
+  driver_process_t *process = driver_process_new (fleet->driver, DRIVER_UPSTREAM, name, NULL);
   bool streams = index < STREAM_UPSTREAMS;
 
-  process->record_path = g_strdup_printf ("%s/%s.record", fleet->drv->dir, name);
-  drv_process_flag (process, "--store=%s:%d", fleet->drv->platform->ip, DRV_PORT);
-  drv_process_flag (process, "--service=%s", streams ? "pool" : "ledger");
-  drv_process_flag (process, "--events=%d", streams ? 5 : 0);
-  drv_process_flag (process, "--work-ms=%d", streams ? 10 : 3);
-  drv_process_flag (process, "--record=%s", process->record_path);
+  process->record_path = g_strdup_printf ("%s/%s.record", fleet->driver->dir, name);
+  driver_process_add_flag (process, "--store=%s:%d", fleet->driver->platform->ip, DRIVER_PORT);
+  driver_process_add_flag (process, "--service=%s", streams ? "pool" : "ledger");
+  driver_process_add_flag (process, "--events=%d", streams ? 5 : 0);
+  driver_process_add_flag (process, "--work-ms=%d", streams ? 10 : 3);
+  driver_process_add_flag (process, "--record=%s", process->record_path);
   fleet->upstreams[index] = process;
-  drv_process_start (process);
+  driver_process_start (process);
 }
 
 static void
 start_gateway (fleet_t *fleet, uint32_t index)
 {
   g_autofree char *name = g_strdup_printf ("gateway%u", index);
-  drv_process_t *process = drv_process_new (fleet->drv, DRV_GATEWAY, name, NULL);
-
-  drv_process_flag (process, "--role=gateway");
-  drv_process_flag (process, "--renewal-ms=%u", KEYED_STORE_ENTRY_TTL_MS / 3);
-  drv_process_flag (process, "--name=%s", name);
-  drv_process_flag (process, "--data-center=hall-bayangol");
-  drv_process_flag (process, "--region=ulaanbaatar");
-  drv_process_flag (process, "--ready-listen=%s:%d", process->ip, DRV_PORT + 1);
-  drv_process_flag (process, "--control-listen=%s:%d", process->ip, DRV_PORT + 2);
-  drv_process_flag (process, "--exchange=%s:%d", process->ip, DRV_PORT + 3);
-  drv_process_flag (process, "--platform=%s:%d", fleet->drv->platform->ip, DRV_PORT);
-  drv_process_flag (process, "--exchange-interval-ms=100");
-  drv_process_flag (process, "--control-budget-bytes=7000");
-  drv_process_flag (process, "--retry-slack=1000");
+  driver_process_t *process = driver_process_new (fleet->driver, DRIVER_GATEWAY, name, NULL);
+
+  driver_process_add_flag (process, "--role=gateway");
+  driver_process_add_flag (process, "--renewal-ms=%u", KEYED_STORE_ENTRY_TTL_MS / 3);
+  driver_process_add_flag (process, "--name=%s", name);
+  driver_process_add_flag (process, "--data-center=hall-bayangol");
+  driver_process_add_flag (process, "--region=ulaanbaatar");
+  driver_process_add_flag (process, "--ready-listen=%s:%d", process->ip, DRIVER_PORT + 1);
+  driver_process_add_flag (process, "--control-listen=%s:%d", process->ip, DRIVER_PORT + 2);
+  driver_process_add_flag (process, "--exchange=%s:%d", process->ip, DRIVER_PORT + 3);
+  driver_process_add_flag (process, "--platform=%s:%d", fleet->driver->platform->ip, DRIVER_PORT);
+  driver_process_add_flag (process, "--exchange-interval-ms=100");
+  driver_process_add_flag (process, "--control-budget-bytes=7000");
+  driver_process_add_flag (process, "--retry-slack=1000");
   fleet->gateways[index] = process;
-  drv_process_start (process);
+  driver_process_start (process);
 }
 
 static bool
@@ -154,8 +154,9 @@
   const fleet_t *fleet = context;
 
   for (uint32_t i = 0; i < GATEWAYS; i++)
-    if (drv_logged (fleet->gateways[i], ": engine ", "state=ready") < UPSTREAMS ||
-        drv_logged (fleet->gateways[i], ": ready ", NULL) == 0)
+    if (driver_process_count_log_lines (fleet->gateways[i], ": engine ", "state=ready") <
+            UPSTREAMS ||
+        driver_process_count_log_lines (fleet->gateways[i], ": ready ", NULL) == 0)
       return false;
   return true;
 }
@@ -163,24 +164,26 @@
 static void
 start_fleet (fleet_t *fleet)
 {
-  drv_t *drv = fleet->drv;
+  driver_t *driver = fleet->driver;
 
-  drv_start_platform (drv);
+  driver_start_platform (driver);
   publish_config (fleet, CONFIG ("1", ""));
   for (uint32_t i = 0; i < UPSTREAMS; i++)
     start_upstream (fleet, i);
   for (uint32_t i = 0; i < GATEWAYS; i++)
     start_gateway (fleet, i);
-  drv_until (drv, DRV_WAIT_MS, "all upstreams at all gateways", all_registered, fleet);
+  driver_wait_until (driver, DRIVER_WAIT_LIMIT_MS, "all upstreams at all gateways", all_registered,
+                     fleet);
 }
 
 static void
 test_normal_operation (fleet_t *fleet)
 {
-  drv_say (fleet->drv, "calm: %u of %u lookups, %u of %u bookings, %u of %u streams",
-           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS, run_batch (fleet, "POST", "/book/"),
-           BATCH_REQUESTS, run_batch (fleet, "POST", "/talk/"), BATCH_REQUESTS);
-  drv_say (fleet->drv, "an unknown route: %d", request_status (fleet, 0, "/new/"));
+  driver_transcript_add (
+      fleet->driver, "calm: %u of %u lookups, %u of %u bookings, %u of %u streams",
+      run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS, run_batch (fleet, "POST", "/book/"),
+      BATCH_REQUESTS, run_batch (fleet, "POST", "/talk/"), BATCH_REQUESTS);
+  driver_transcript_add (fleet->driver, "an unknown route: %d", request_status (fleet, 0, "/new/"));
 }
 
 static bool
@@ -195,8 +198,9 @@
 test_new_route (fleet_t *fleet)
 {
   publish_config (fleet, CONFIG ("5", "," ROUTE ("new", "idempotent", "ledger", "")));
-  drv_until (fleet->drv, DRV_WAIT_MS, "the new route", new_route_is_served, fleet);
-  drv_say (fleet->drv, "version 5: the new route is served by both");
+  driver_wait_until (fleet->driver, DRIVER_WAIT_LIMIT_MS, "the new route", new_route_is_served,
+                     fleet);
+  driver_transcript_add (fleet->driver, "version 5: the new route is served by both");
 }
 
 static bool
@@ -205,7 +209,7 @@
   const fleet_t *fleet = context;
 
   for (uint32_t i = 0; i < GATEWAYS; i++)
-    if (drv_logged (fleet->gateways[i], ": data_center ", "state=drained") == 0)
+    if (driver_process_count_log_lines (fleet->gateways[i], ": data_center ", "state=drained") == 0)
       return false;
   return true;
 }
@@ -213,7 +217,8 @@
 static bool
 is_second_gateway_ready (void *context)
 {
-  return drv_logged (((const fleet_t *)context)->gateways[1], ": ready ", NULL) >= 2;
+  return driver_process_count_log_lines (((const fleet_t *)context)->gateways[1], ": ready ",
+                                         NULL) >= 2;
 }
 
 static bool
@@ -233,23 +238,28 @@
 test_drained_data_center (fleet_t *fleet)
 {
   write_record (fleet, "evacuate/" DATA_CENTER, "{}");
-  drv_until (fleet->drv, DRV_WAIT_MS, "a drained data centre at all gateways", all_drained, fleet);
-  drv_say (fleet->drv, "its data centre is drained: %u of %u lookups, each is refused with %d",
-           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS, request_status (fleet, 0, "/look/"));
-  drv_kill (fleet->gateways[1]);
-  drv_process_start (fleet->gateways[1]);
-  drv_until (fleet->drv, DRV_WAIT_MS, "a restarted gateway", is_second_gateway_ready, fleet);
-  drv_say (fleet->drv, "a gateway starts meanwhile: %d", request_status (fleet, 1, "/look/"));
+  driver_wait_until (fleet->driver, DRIVER_WAIT_LIMIT_MS, "a drained data centre at all gateways",
+                     all_drained, fleet);
+  driver_transcript_add (
+      fleet->driver, "its data centre is drained: %u of %u lookups, each is refused with %d",
+      run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS, request_status (fleet, 0, "/look/"));
+  driver_process_kill (fleet->gateways[1]);
+  driver_process_start (fleet->gateways[1]);
+  driver_wait_until (fleet->driver, DRIVER_WAIT_LIMIT_MS, "a restarted gateway",
+                     is_second_gateway_ready, fleet);
+  driver_transcript_add (fleet->driver, "a gateway starts meanwhile: %d",
+                         request_status (fleet, 1, "/look/"));
   write_record (fleet, "evacuate/" DATA_CENTER, "");
-  drv_until (fleet->drv, DRV_WAIT_MS, "a data centre that is taken back", all_serve_lookups, fleet);
-  drv_say (fleet->drv, "it is taken back: %u of %u lookups", run_batch (fleet, "GET", "/look/"),
-           BATCH_REQUESTS);
+  driver_wait_until (fleet->driver, DRIVER_WAIT_LIMIT_MS, "a data centre that is taken back",
+                     all_serve_lookups, fleet);
+  driver_transcript_add (fleet->driver, "it is taken back: %u of %u lookups",
+                         run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS);
 }
 
 static bool
 has_ended (void *context)
 {
-  return drv_reap (context);
+  return driver_process_reap (context);
 }
 
 /* An upstream that gets SIGTERM accepts no further requests and exits by itself. All lookups during
@@ -257,18 +267,18 @@
 static void
 test_upstream_leaves (fleet_t *fleet)
 {
-  drv_process_t *upstream = fleet->upstreams[UPSTREAMS - 1];
+  driver_process_t *upstream = fleet->upstreams[UPSTREAMS - 1];
   uint32_t answered = 0;
   uint32_t sent = 0;
 
-  drv_signal (upstream, SIGTERM);
-  while (!has_ended (upstream) && sent < 1000 * BATCH_REQUESTS && !fleet->drv->failed)
+  driver_process_signal (upstream, SIGTERM);
+  while (!has_ended (upstream) && sent < 1000 * BATCH_REQUESTS && !fleet->driver->failed)
     {
       answered += run_batch (fleet, "GET", "/look/");
       sent += BATCH_REQUESTS;
     }
-  drv_say (fleet->drv, "an upstream leaves: %s lookups answered, it ended with %d",
-           answered == sent ? "all" : "not all", drv_ended (upstream));
+  driver_transcript_add (fleet->driver, "an upstream leaves: %s lookups answered, it ended with %d",
+                         answered == sent ? "all" : "not all", driver_process_wait_exit (upstream));
 }
 
 /* An upstream is killed while it sends streams: they are resumed on other upstreams and deliver
@@ -276,19 +286,20 @@
 static void
 test_upstream_crashes (fleet_t *fleet)
 {
-  drv_call_t *calls[BATCH_REQUESTS];
+  driver_call_t *calls[BATCH_REQUESTS];
   uint32_t answered = 0;
 
   for (uint32_t i = 0; i < BATCH_REQUESTS; i++)
     calls[i] = send_request (fleet, i % GATEWAYS, "POST", "/talk/");
-  drv_begun (calls[0]);
-  drv_kill (fleet->upstreams[0]);
+  driver_call_wait_body (calls[0]);
+  driver_process_kill (fleet->upstreams[0]);
   for (uint32_t i = 0; i < BATCH_REQUESTS; i++)
     {
-      drv_answered (calls[i]);
+      driver_call_wait (calls[i]);
       answered += is_complete_ok (calls[i]) && strstr (calls[i]->body->str, "id: 5\n") ? 1 : 0;
     }
-  drv_say (fleet->drv, "an upstream crashes: %u of %u streams whole", answered, BATCH_REQUESTS);
+  driver_transcript_add (fleet->driver, "an upstream crashes: %u of %u streams whole", answered,
+                         BATCH_REQUESTS);
 }
 
 static bool
@@ -308,36 +319,38 @@
 static void
 test_store_down (fleet_t *fleet)
 {
-  drv_fault (fleet->drv, "{'log': 'down'}");
-  drv_until (fleet->drv, DRV_WAIT_MS, "a gateway that is not certain", is_unknown_route_unavailable,
-             fleet);
-  drv_say (fleet->drv, "the store is out: %u of %u lookups, an unknown route is not denied",
-           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS);
-  drv_fault (fleet->drv, "{'log': 'up'}");
-  drv_until (fleet->drv, DRV_WAIT_MS, "a gateway that is certain", is_unknown_route_not_found,
-             fleet);
-  drv_say (fleet->drv, "the store is back: %u of %u lookups, an unknown route is denied",
-           run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS);
+  driver_set_fault (fleet->driver, "{'log': 'down'}");
+  driver_wait_until (fleet->driver, DRIVER_WAIT_LIMIT_MS, "a gateway that is not certain",
+                     is_unknown_route_unavailable, fleet);
+  driver_transcript_add (fleet->driver,
+                         "the store is out: %u of %u lookups, an unknown route is not denied",
+                         run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS);
+  driver_set_fault (fleet->driver, "{'log': 'up'}");
+  driver_wait_until (fleet->driver, DRIVER_WAIT_LIMIT_MS, "a gateway that is certain",
+                     is_unknown_route_not_found, fleet);
+  driver_transcript_add (fleet->driver,
+                         "the store is back: %u of %u lookups, an unknown route is denied",
+                         run_batch (fleet, "GET", "/look/"), BATCH_REQUESTS);
 }
 
 static void
 test_gateway_stops (fleet_t *fleet)
 {
-  drv_call_t *stream = send_request (fleet, 0, "POST", "/talk/");
+  driver_call_t *stream = send_request (fleet, 0, "POST", "/talk/");
   int status;
 
-  drv_begun (stream);
-  drv_signal (fleet->gateways[0], SIGTERM);
-  drv_answered (stream);
-  status = drv_ended (fleet->gateways[0]);
-  drv_say (fleet->drv, "a gateway stops: its stream is %s, it ended with %d",
-           is_complete_ok (stream) ? "whole" : "cut", status);
+  driver_call_wait_body (stream);
+  driver_process_signal (fleet->gateways[0], SIGTERM);
+  driver_call_wait (stream);
+  status = driver_process_wait_exit (fleet->gateways[0]);
+  driver_transcript_add (fleet->driver, "a gateway stops: its stream is %s, it ended with %d",
+                         is_complete_ok (stream) ? "whole" : "cut", status);
 }
 
 static void
 test_gateway (void)
 {
-  fleet_t fleet = { .drv = drv_new ("gateway") };
+  fleet_t fleet = { .driver = driver_new ("gateway") };
 
   start_fleet (&fleet);
   test_normal_operation (&fleet);
@@ -347,7 +360,7 @@
   test_upstream_crashes (&fleet);
   test_store_down (&fleet);
   test_gateway_stops (&fleet);
-  drv_finish (fleet.drv);
+  driver_finish (fleet.driver);
 }
 
 /* Guards against lost log lines: a gateway that is killed must have logged each refusal that it
@@ -355,26 +368,29 @@
 static void
 test_killed_gateway_has_logged (void)
 {
-  fleet_t fleet = { .drv = drv_new ("gateway_killed") };
+  fleet_t fleet = { .driver = driver_new ("gateway_killed") };
   uint32_t answered;
 
   start_fleet (&fleet);
   write_record (&fleet, "evacuate/" DATA_CENTER, "{}");
-  drv_until (fleet.drv, DRV_WAIT_MS, "a drained data centre at all gateways", all_drained, &fleet);
+  driver_wait_until (fleet.driver, DRIVER_WAIT_LIMIT_MS, "a drained data centre at all gateways",
+                     all_drained, &fleet);
   answered = run_batch (&fleet, "GET", "/look/");
-  drv_kill (fleet.gateways[1]);
-  drv_say (fleet.drv, "%u of %u lookups, of the refused ones the killed gateway has logged %u",
-           answered, BATCH_REQUESTS, drv_logged (fleet.gateways[1], ": refuse ", "reason=leaving"));
-  drv_finish (fleet.drv);
+  driver_process_kill (fleet.gateways[1]);
+  driver_transcript_add (
+      fleet.driver, "%u of %u lookups, of the refused ones the killed gateway has logged %u",
+      answered, BATCH_REQUESTS,
+      driver_process_count_log_lines (fleet.gateways[1], ": refuse ", "reason=leaving"));
+  driver_finish (fleet.driver);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = {
+  static const driver_test_t tests[] = {
     { "two gateways under normal operation and faults", test_gateway },
     { "a killed gateway has logged its refusals", test_killed_gateway_has_logged }
   };
 
-  return drv_main ("gateway", tests, G_N_ELEMENTS (tests));
+  return driver_main ("gateway", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_manifest.c
+++ b/tests/session_manifest.c
@@ -9,136 +9,141 @@
 #include <string.h>
 
 /* Starts medlarplankctl to publish a patch; @more: additional flags, or "". */
-static drv_process_t *
-start_publish (drv_t *drv, uint64_t base, uint32_t priority, const char *more)
+static driver_process_t *
+start_publish (driver_t *driver, uint64_t base, uint32_t priority, const char *more)
 {
   g_autofree char *name = g_strdup_printf ("patch-%u-%u.json", (uint32_t)base, priority);
   g_autofree char *text =
       g_strdup_printf ("{\"classes\": {\"call\": {\"priority\": %u}}}", priority);
-  g_autofree char *path = drv_file (drv, name, text);
+  g_autofree char *path = driver_write_file (driver, name, text);
   g_autofree char *flags =
       g_strdup_printf ("manifest publish %s --patch --base=%u --by=session --timeout-ms=4000 %s",
                        path, (uint32_t)base, more);
-  return drv_tool (drv, flags);
+  return driver_start_ctl (driver, flags);
 }
 
 static void
-run_lookup (drv_t *drv, uint32_t router, const char *name)
+run_lookup (driver_t *driver, uint32_t router, const char *name)
 {
-  drv_ask_t request = { .name = name, .kind = DRV_LOOKUP, .router = router };
-  drv_call_t *call = drv_ask (drv, &request);
-  drv_answered (call);
-  drv_tell (call);
+  driver_request_t request = { .name = name, .kind = DRIVER_LOOKUP, .router = router };
+  driver_call_t *call = driver_send_request (driver, &request);
+  driver_call_wait (call);
+  driver_transcript_add_call (call);
 }
 
 /* Two operators publish on the same base version. The first record in the log wins; the other
  * operator gets exit status 3, and no daemon ever puts its version in force. */
 static void
-test_concurrent_publishes (drv_t *drv)
+test_concurrent_publishes (driver_t *driver)
 {
-  drv_process_t *first = start_publish (drv, 1, 2, "");
-  drv_process_t *second = start_publish (drv, 1, 3, "");
-  int statuses[] = { drv_ended (first), drv_ended (second) };
-  drv_say (drv, "two operators race: statuses %d and %d", MIN (statuses[0], statuses[1]),
-           MAX (statuses[0], statuses[1]));
-  drv_in_force (drv, 2);
+  driver_process_t *first = start_publish (driver, 1, 2, "");
+  driver_process_t *second = start_publish (driver, 1, 3, "");
+  int statuses[] = { driver_process_wait_exit (first), driver_process_wait_exit (second) };
+  driver_transcript_add (driver, "two operators race: statuses %d and %d",
+                         MIN (statuses[0], statuses[1]), MAX (statuses[0], statuses[1]));
+  driver_wait_version (driver, 2);
 }
 
 /* The append succeeds but its response is lost: medlarplankctl finds the record by its id and does
  * not publish twice. */
 static void
-test_lost_response (drv_t *drv)
+test_lost_response (driver_t *driver)
 {
-  drv_fault (drv, "{'log': 'lose_answers', 'count': 1}");
-  drv_say (drv, "answer lost: status %d", drv_ended (start_publish (drv, 2, 4, "")));
-  drv_in_force (drv, 3);
+  driver_set_fault (driver, "{'log': 'lose_answers', 'count': 1}");
+  driver_transcript_add (driver, "answer lost: status %d",
+                         driver_process_wait_exit (start_publish (driver, 2, 4, "")));
+  driver_wait_version (driver, 3);
 }
 
 /* While the log is down a publish fails and the version in force stays; requests are answered. */
 static void
-test_log_outage (drv_t *drv)
+test_log_outage (driver_t *driver)
 {
-  drv_fault (drv, "{'log': 'down'}");
-  drv_say (drv, "log out: status %d", drv_ended (start_publish (drv, 3, 5, "")));
-  drv_in_force (drv, 3);
-  run_lookup (drv, 0, "a request while the log is out");
-  drv_fault (drv, "{'log': 'up'}");
-  drv_say (drv, "log up again: status %d", drv_ended (start_publish (drv, 3, 6, "")));
-  drv_in_force (drv, 4);
+  driver_set_fault (driver, "{'log': 'down'}");
+  driver_transcript_add (driver, "log out: status %d",
+                         driver_process_wait_exit (start_publish (driver, 3, 5, "")));
+  driver_wait_version (driver, 3);
+  run_lookup (driver, 0, "a request while the log is out");
+  driver_set_fault (driver, "{'log': 'up'}");
+  driver_transcript_add (driver, "log up again: status %d",
+                         driver_process_wait_exit (start_publish (driver, 3, 6, "")));
+  driver_wait_version (driver, 4);
 }
 
 static uint64_t
-append_stale_checkpoint (drv_t *drv)
+append_stale_checkpoint (driver_t *driver)
 {
-  g_autofree char *manifest = drv_manifest (drv);
+  g_autofree char *manifest = driver_build_manifest (driver);
   g_autofree char *record = g_strdup_printf (
       "{\"kind\":\"checkpoint\",\"version\":1,\"as_of\":0,\"manifest\":%s}", manifest);
-  json_t *answer = drv_admin (drv->platform, "POST", "/log/append?stream=manifest", record);
+  json_t *answer =
+      driver_admin_call (driver->platform, "POST", "/log/append?stream=manifest", record);
   uint64_t offset = (uint64_t)json_integer_value (json_object_get (answer, "offset"));
   json_decref (answer);
   return offset;
 }
 
 static void
-restart_router (drv_t *drv)
+restart_router (driver_t *driver)
 {
-  drv_kill (drv->routers[1]);
-  drv_process_start (drv->routers[1]);
-  drv_ready (drv->routers[1]);
+  driver_process_kill (driver->routers[1]);
+  driver_process_start (driver->routers[1]);
+  driver_process_wait_ready (driver->routers[1]);
 }
 
 /* A process that was paused for a long time appends a checkpoint of an old version, and then
  * retention removes all records before it. A daemon that starts now and trusted the checkpoint
  * would put version 1 in force again; it must take the current version from its peers. */
 static void
-test_stale_checkpoint (drv_t *drv)
+test_stale_checkpoint (driver_t *driver)
 {
-  uint64_t offset = append_stale_checkpoint (drv);
-  restart_router (drv);
-  drv_in_force (drv, 4);
-  drv_say (drv, "stale checkpoint: version %u everywhere", (uint32_t)drv_version (drv->routers[1]));
+  uint64_t offset = append_stale_checkpoint (driver);
+  restart_router (driver);
+  driver_wait_version (driver, 4);
+  driver_transcript_add (driver, "stale checkpoint: version %u everywhere",
+                         (uint32_t)driver_process_version (driver->routers[1]));
   g_autofree char *target =
       g_strdup_printf ("/admin/truncate?stream=manifest&before=%u", (uint32_t)offset);
-  json_decref (drv_admin (drv->platform, "POST", target, NULL));
-  restart_router (drv);
-  drv_in_force (drv, 4);
-  drv_say (drv, "all but it past retention: version %u everywhere",
-           (uint32_t)drv_version (drv->routers[1]));
+  json_decref (driver_admin_call (driver->platform, "POST", target, NULL));
+  restart_router (driver);
+  driver_wait_version (driver, 4);
+  driver_transcript_add (driver, "all but it past retention: version %u everywhere",
+                         (uint32_t)driver_process_version (driver->routers[1]));
 }
 
 /* A router that starts while the log is down gets the version from its peers and serves requests.
  */
 static void
-test_start_in_outage (drv_t *drv)
+test_start_in_outage (driver_t *driver)
 {
-  drv_fault (drv, "{'log': 'down'}");
-  restart_router (drv);
-  drv_in_force (drv, 4);
-  run_lookup (drv, 1, "by a router that started while the log was out");
-  drv_fault (drv, "{'log': 'up'}");
+  driver_set_fault (driver, "{'log': 'down'}");
+  restart_router (driver);
+  driver_wait_version (driver, 4);
+  run_lookup (driver, 1, "by a router that started while the log was out");
+  driver_set_fault (driver, "{'log': 'up'}");
 }
 
 static void
 test_manifest (void)
 {
-  drv_t *drv = drv_new ("manifest");
-  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2 };
-  drv_start (drv, &fleet);
-  test_concurrent_publishes (drv);
-  test_lost_response (drv);
-  test_log_outage (drv);
-  test_stale_checkpoint (drv);
-  test_start_in_outage (drv);
-  g_autofree char *daemon = g_strdup_printf ("--daemon=%s:%d", drv->routers[0]->ip, DRV_PORT);
-  drv_say (drv, "publish on what a daemon tells: status %d",
-           drv_ended (start_publish (drv, 4, 7, daemon)));
-  drv_in_force (drv, 5);
-  drv_finish (drv);
+  driver_t *driver = driver_new ("manifest");
+  driver_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2 };
+  driver_start (driver, &fleet);
+  test_concurrent_publishes (driver);
+  test_lost_response (driver);
+  test_log_outage (driver);
+  test_stale_checkpoint (driver);
+  test_start_in_outage (driver);
+  g_autofree char *daemon = g_strdup_printf ("--daemon=%s:%d", driver->routers[0]->ip, DRIVER_PORT);
+  driver_transcript_add (driver, "publish on what a daemon tells: status %d",
+                         driver_process_wait_exit (start_publish (driver, 4, 7, daemon)));
+  driver_wait_version (driver, 5);
+  driver_finish (driver);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "versions never decrease", test_manifest } };
-  return drv_main ("manifest", tests, G_N_ELEMENTS (tests));
+  static const driver_test_t tests[] = { { "versions never decrease", test_manifest } };
+  return driver_main ("manifest", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_once.c
+++ b/tests/session_once.c
@@ -13,61 +13,61 @@
 #define CLAIM_STREAM "claims/claims-portal/0"
 #define SLOW_ENGINE_FLAGS "--service-us=600000"
 
-static drv_call_t *
-send_booking (drv_t *drv, uint32_t router, const char *name, const char *key)
+static driver_call_t *
+send_booking (driver_t *driver, uint32_t router, const char *name, const char *key)
 {
-  drv_ask_t request = {
-    .name = name, .same_body_as = key, .kind = DRV_BOOKING, .router = router, .key = key
+  driver_request_t request = {
+    .name = name, .same_body_as = key, .kind = DRIVER_BOOKING, .router = router, .key = key
   };
-  return drv_ask (drv, &request);
+  return driver_send_request (driver, &request);
 }
 
-static drv_call_t *
-run_booking (drv_t *drv, uint32_t router, const char *name, const char *key)
+static driver_call_t *
+run_booking (driver_t *driver, uint32_t router, const char *name, const char *key)
 {
-  drv_call_t *call = send_booking (drv, router, name, key);
-  drv_answered (call);
-  drv_tell (call);
+  driver_call_t *call = send_booking (driver, router, name, key);
+  driver_call_wait (call);
+  driver_transcript_add_call (call);
   return call;
 }
 
 /* Sends a booking again for as long as it is answered with the verdict not_run. */
 static void
-resend_until_run (drv_t *drv, const char *name, const char *key)
+resend_until_run (driver_t *driver, const char *name, const char *key)
 {
-  drv_call_t *call;
+  driver_call_t *call;
   do
     {
-      call = send_booking (drv, 0, name, key);
-      drv_answered (call);
-      drv_for (drv, 100);
+      call = send_booking (driver, 0, name, key);
+      driver_call_wait (call);
+      driver_run_loop (driver, 100);
     }
-  while (!drv->failed && strcmp (drv_verdict (call), "not_run") == 0);
-  drv_tell (call);
+  while (!driver->failed && strcmp (driver_call_verdict (call), "not_run") == 0);
+  driver_transcript_add_call (call);
 }
 
 static bool
 has_run (void *context)
 {
-  return drv_runs (context) > 0;
+  return driver_call_run_count (context) > 0;
 }
 
 static void
-wait_until_run (drv_call_t *call)
+wait_until_run (driver_call_t *call)
 {
-  drv_until (call->drv, DRV_WAIT_MS, "the booking to run", has_run, call);
+  driver_wait_until (call->driver, DRIVER_WAIT_LIMIT_MS, "the booking to run", has_run, call);
 }
 
 /* Return: The host whose engine has begun to run something; the session may have sent only one
  * booking so far. */
-static drv_host_t *
-host_with_run (drv_t *drv)
+static driver_host_t *
+host_with_run (driver_t *driver)
 {
-  for (uint32_t i = 0; i < drv->host_count; i++)
-    if (drv_runs_on (drv->hosts[i].engine) > 0)
-      return &drv->hosts[i];
-  drv_fail (drv, "nothing runs");
-  return &drv->hosts[0];
+  for (uint32_t i = 0; i < driver->host_count; i++)
+    if (driver_engine_run_count (driver->hosts[i].engine) > 0)
+      return &driver->hosts[i];
+  driver_fail (driver, "nothing runs");
+  return &driver->hosts[0];
 }
 
 /* A caller sends the same booking through both routers at once. The order of the claims in the log
@@ -76,26 +76,27 @@
 static void
 test_both_routers (void)
 {
-  drv_t *drv = drv_new ("once_both");
-  drv_fleet_t fleet = {
+  driver_t *driver = driver_new ("once_both");
+  driver_fleet_t fleet = {
     .model_hosts = 1, .plain_hosts = 3, .routers = 2, .engine_flags = SLOW_ENGINE_FLAGS
   };
-  drv_start (drv, &fleet);
+  driver_start (driver, &fleet);
   for (uint32_t i = 0; i < 5; i++)
     {
       g_autofree char *key = g_strdup_printf ("both %u", i);
-      drv_call_t *calls[] = { send_booking (drv, 0, "by r1", key),
-                              send_booking (drv, 1, "by r2", key) };
-      drv_answered (calls[0]);
-      drv_answered (calls[1]);
-      drv_call_t *refused = drv_own_answer (calls[0]) ? calls[1] : calls[0];
-      g_autofree char *reason = drv_reason (refused);
-      drv_say (drv, "%s: answered: %s, the other: %d %s, not_run: %s, ran %u", key,
-               drv_own_answer (calls[refused == calls[0]]) ? "one" : "none", refused->status,
-               reason, strcmp (drv_verdict (refused), "not_run") == 0 ? "yes" : "no",
-               drv_runs (refused));
+      driver_call_t *calls[] = { send_booking (driver, 0, "by r1", key),
+                                 send_booking (driver, 1, "by r2", key) };
+      driver_call_wait (calls[0]);
+      driver_call_wait (calls[1]);
+      driver_call_t *refused = driver_call_is_correct (calls[0]) ? calls[1] : calls[0];
+      g_autofree char *reason = driver_call_error_code (refused);
+      driver_transcript_add (driver, "%s: answered: %s, the other: %d %s, not_run: %s, ran %u", key,
+                             driver_call_is_correct (calls[refused == calls[0]]) ? "one" : "none",
+                             refused->status, reason,
+                             strcmp (driver_call_verdict (refused), "not_run") == 0 ? "yes" : "no",
+                             driver_call_run_count (refused));
     }
-  drv_finish (drv);
+  driver_finish (driver);
 }
 
 /* The append of a claim succeeds but its response is lost, or the append itself is lost. The
@@ -104,16 +105,16 @@
 static void
 test_claim_append_lost (void)
 {
-  drv_t *drv = drv_new ("once_lost");
-  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2 };
-  drv_start (drv, &fleet);
-  drv_fault (drv, "{'log': 'lose_answers', 'count': 1}");
-  run_booking (drv, 0, "answer of the claim lost", "lost answer");
-  drv_fault (drv, "{'log': 'lose_appends', 'count': 1}");
-  run_booking (drv, 0, "claim lost", "lost append");
-  drv_fault (drv, "{'log': 'up'}");
-  run_booking (drv, 1, "resend of the first", "lost answer");
-  drv_finish (drv);
+  driver_t *driver = driver_new ("once_lost");
+  driver_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2 };
+  driver_start (driver, &fleet);
+  driver_set_fault (driver, "{'log': 'lose_answers', 'count': 1}");
+  run_booking (driver, 0, "answer of the claim lost", "lost answer");
+  driver_set_fault (driver, "{'log': 'lose_appends', 'count': 1}");
+  run_booking (driver, 0, "claim lost", "lost append");
+  driver_set_fault (driver, "{'log': 'up'}");
+  run_booking (driver, 1, "resend of the first", "lost answer");
+  driver_finish (driver);
 }
 
 /* While the log is down, bookings with a key are refused with not_run at once instead of at their
@@ -122,27 +123,27 @@
 static void
 test_log_down (void)
 {
-  drv_t *drv = drv_new ("once_log_out");
-  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1 };
-  drv_start (drv, &fleet);
-  drv_fault (drv, "{'log': 'down'}");
-  run_booking (drv, 0, "log down: finds out", "first");
-  drv_call_t *refused = run_booking (drv, 0, "log down: known", "second");
-  drv_say (drv, "  at once: %s",
-           refused->ended_us - refused->sent_us < REFUSAL_LIMIT_US ? "yes" : "no");
-  run_booking (drv, 0, "log down, no key", NULL);
-  drv_ask_t lookup = { .name = "log down, idempotent", .kind = DRV_LOOKUP };
-  drv_call_t *looked_up = drv_ask (drv, &lookup);
-  drv_answered (looked_up);
-  drv_tell (looked_up);
-  drv_fault (drv, "{'log': 'up'}");
-  resend_until_run (drv, "log up again, resend", "second");
-  drv_fault (drv, "{'log': 'slow', 'slow_ms': 300}");
-  run_booking (drv, 0, "log slow", "third");
-  drv_fault (drv, "{'log': 'slow_effect', 'slow_ms': 8000}");
-  run_booking (drv, 0, "log too slow", "fourth");
-  drv_fault (drv, "{'log': 'up'}");
-  drv_finish (drv);
+  driver_t *driver = driver_new ("once_log_out");
+  driver_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1 };
+  driver_start (driver, &fleet);
+  driver_set_fault (driver, "{'log': 'down'}");
+  run_booking (driver, 0, "log down: finds out", "first");
+  driver_call_t *refused = run_booking (driver, 0, "log down: known", "second");
+  driver_transcript_add (driver, "  at once: %s",
+                         refused->ended_us - refused->sent_us < REFUSAL_LIMIT_US ? "yes" : "no");
+  run_booking (driver, 0, "log down, no key", NULL);
+  driver_request_t lookup = { .name = "log down, idempotent", .kind = DRIVER_LOOKUP };
+  driver_call_t *looked_up = driver_send_request (driver, &lookup);
+  driver_call_wait (looked_up);
+  driver_transcript_add_call (looked_up);
+  driver_set_fault (driver, "{'log': 'up'}");
+  resend_until_run (driver, "log up again, resend", "second");
+  driver_set_fault (driver, "{'log': 'slow', 'slow_ms': 300}");
+  run_booking (driver, 0, "log slow", "third");
+  driver_set_fault (driver, "{'log': 'slow_effect', 'slow_ms': 8000}");
+  run_booking (driver, 0, "log too slow", "fourth");
+  driver_set_fault (driver, "{'log': 'up'}");
+  driver_finish (driver);
 }
 
 /* The sidecar is killed while its engine runs a booking. The caller sends it again through the
@@ -151,18 +152,18 @@
 static void
 test_sidecar_killed (void)
 {
-  drv_t *drv = drv_new ("once_sidecar_killed");
-  drv_fleet_t fleet = {
+  driver_t *driver = driver_new ("once_sidecar_killed");
+  driver_fleet_t fleet = {
     .model_hosts = 1, .plain_hosts = 2, .routers = 2, .engine_flags = SLOW_ENGINE_FLAGS
   };
-  drv_start (drv, &fleet);
-  drv_call_t *first = send_booking (drv, 0, "sidecar killed", "k");
+  driver_start (driver, &fleet);
+  driver_call_t *first = send_booking (driver, 0, "sidecar killed", "k");
   wait_until_run (first);
-  drv_kill (host_with_run (drv)->sidecar);
-  drv_answered (first);
-  drv_tell (first);
-  run_booking (drv, 1, "resend by the other router", "k");
-  drv_finish (drv);
+  driver_process_kill (host_with_run (driver)->sidecar);
+  driver_call_wait (first);
+  driver_transcript_add_call (first);
+  run_booking (driver, 1, "resend by the other router", "k");
+  driver_finish (driver);
 }
 
 /* The engine is killed while it runs a booking, which may have taken effect already. The resend
@@ -170,19 +171,19 @@
 static void
 test_engine_killed (void)
 {
-  drv_t *drv = drv_new ("once_engine_killed");
-  drv_fleet_t fleet = {
+  driver_t *driver = driver_new ("once_engine_killed");
+  driver_fleet_t fleet = {
     .model_hosts = 1, .plain_hosts = 2, .routers = 2, .engine_flags = SLOW_ENGINE_FLAGS
   };
-  drv_start (drv, &fleet);
-  drv_call_t *first = send_booking (drv, 0, "engine killed", "k");
+  driver_start (driver, &fleet);
+  driver_call_t *first = send_booking (driver, 0, "engine killed", "k");
   wait_until_run (first);
-  drv_kill (host_with_run (drv)->engine);
-  drv_answered (first);
-  drv_tell (first);
-  run_booking (drv, 1, "resend by the other router", "k");
-  run_booking (drv, 1, "another booking", "l");
-  drv_finish (drv);
+  driver_process_kill (host_with_run (driver)->engine);
+  driver_call_wait (first);
+  driver_transcript_add_call (first);
+  run_booking (driver, 1, "resend by the other router", "k");
+  run_booking (driver, 1, "another booking", "l");
+  driver_finish (driver);
 }
 
 /* The router is killed while a booking runs. The caller's connection breaks, and it sends the
@@ -191,32 +192,32 @@
 static void
 test_router_killed (void)
 {
-  drv_t *drv = drv_new ("once_router_killed");
-  drv_fleet_t fleet = {
+  driver_t *driver = driver_new ("once_router_killed");
+  driver_fleet_t fleet = {
     .model_hosts = 1, .plain_hosts = 2, .routers = 2, .engine_flags = SLOW_ENGINE_FLAGS
   };
-  drv_start (drv, &fleet);
-  drv_call_t *first = send_booking (drv, 0, "router killed", "k");
+  driver_start (driver, &fleet);
+  driver_call_t *first = send_booking (driver, 0, "router killed", "k");
   wait_until_run (first);
-  drv_kill (drv->routers[0]);
-  drv_answered (first);
-  drv_tell (first);
+  driver_process_kill (driver->routers[0]);
+  driver_call_wait (first);
+  driver_transcript_add_call (first);
   /* The resend may wait at the sidecar until the first is done, or reach another sidecar. */
-  drv_call_t *resend = send_booking (drv, 1, "resend at once", "k");
-  drv_answered (resend);
-  g_autofree char *reason = drv_reason (resend);
-  drv_say (drv, "resend at once: %d %s", resend->status, reason);
-  drv_in_log (drv, CLAIM_STREAM, "\"d\"");
-  run_booking (drv, 1, "resend when it is done", "k");
-  drv_finish (drv);
+  driver_call_t *resend = send_booking (driver, 1, "resend at once", "k");
+  driver_call_wait (resend);
+  g_autofree char *reason = driver_call_error_code (resend);
+  driver_transcript_add (driver, "resend at once: %d %s", resend->status, reason);
+  driver_wait_log_record (driver, CLAIM_STREAM, "\"d\"");
+  run_booking (driver, 1, "resend when it is done", "k");
+  driver_finish (driver);
 }
 
-static drv_host_t *
-host_with_hits (drv_t *drv)
+static driver_host_t *
+host_with_hits (driver_t *driver)
 {
-  for (uint32_t i = 0; i < drv->host_count; i++)
-    if (drv_forward_hits (drv->hosts[i].log) > 0)
-      return &drv->hosts[i];
+  for (uint32_t i = 0; i < driver->host_count; i++)
+    if (driver_proxy_hits (driver->hosts[i].log) > 0)
+      return &driver->hosts[i];
   return NULL;
 }
 
@@ -233,46 +234,46 @@
 static void
 test_claim_owner_paused (void)
 {
-  drv_t *drv = drv_new ("once_frozen");
-  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2, .use_proxies = true };
-  drv_start (drv, &fleet);
-  for (uint32_t i = 0; i < drv->host_count; i++)
-    drv_forward_set (drv->hosts[i].log, DRV_HOLD, "claims", 0);
-  drv_ask_t request = { .name = "holder frozen",
-                        .same_body_as = "k",
-                        .kind = DRV_BOOKING,
-                        .key = "k",
-                        .deadline_ms = 3000 };
-  drv_call_t *first = drv_ask (drv, &request);
-  drv_until (drv, DRV_WAIT_MS, "the claim", any_host_has_hits, drv);
-  drv_host_t *claim_owner = host_with_hits (drv);
-  drv_in_log (drv, CLAIM_STREAM, "\"c\"");
-  drv_signal (claim_owner->sidecar, SIGSTOP);
-  for (uint32_t i = 0; i < drv->host_count; i++)
-    drv_forward_set (drv->hosts[i].log, DRV_PASS, NULL, 0);
-  drv_answered (first);
-  drv_tell (first);
+  driver_t *driver = driver_new ("once_frozen");
+  driver_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 2, .routers = 2, .use_proxies = true };
+  driver_start (driver, &fleet);
+  for (uint32_t i = 0; i < driver->host_count; i++)
+    driver_proxy_set_mode (driver->hosts[i].log, DRIVER_PROXY_HOLD_RESPONSE, "claims", 0);
+  driver_request_t request = { .name = "holder frozen",
+                               .same_body_as = "k",
+                               .kind = DRIVER_BOOKING,
+                               .key = "k",
+                               .deadline_ms = 3000 };
+  driver_call_t *first = driver_send_request (driver, &request);
+  driver_wait_until (driver, DRIVER_WAIT_LIMIT_MS, "the claim", any_host_has_hits, driver);
+  driver_host_t *claim_owner = host_with_hits (driver);
+  driver_wait_log_record (driver, CLAIM_STREAM, "\"c\"");
+  driver_process_signal (claim_owner->sidecar, SIGSTOP);
+  for (uint32_t i = 0; i < driver->host_count; i++)
+    driver_proxy_set_mode (driver->hosts[i].log, DRIVER_PROXY_PASS, NULL, 0);
+  driver_call_wait (first);
+  driver_transcript_add_call (first);
   /* The router keeps sending to a host after its first failures, and then chooses another. */
   request.name = "resend while it is frozen";
   request.deadline_ms = 1500;
-  drv_call_t *resend;
+  driver_call_t *resend;
   do
     {
-      resend = drv_ask (drv, &request);
-      drv_answered (resend);
+      resend = driver_send_request (driver, &request);
+      driver_call_wait (resend);
     }
-  while (!drv->failed && resend->status == 504);
-  drv_tell (resend);
-  drv_signal (claim_owner->sidecar, SIGCONT);
-  drv_in_log (drv, CLAIM_STREAM, "\"r\"");
-  run_booking (drv, 1, "resend after it woke", "k");
-  drv_finish (drv);
+  while (!driver->failed && resend->status == 504);
+  driver_transcript_add_call (resend);
+  driver_process_signal (claim_owner->sidecar, SIGCONT);
+  driver_wait_log_record (driver, CLAIM_STREAM, "\"r\"");
+  run_booking (driver, 1, "resend after it woke", "k");
+  driver_finish (driver);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = {
+  static const driver_test_t tests[] = {
     { "through both routers at once", test_both_routers },
     { "the append or its response is lost", test_claim_append_lost },
     { "the log is down or slow", test_log_down },
@@ -281,5 +282,5 @@
     { "the router is killed", test_router_killed },
     { "the owner of the claim is paused", test_claim_owner_paused }
   };
-  return drv_main ("once", tests, G_N_ELEMENTS (tests));
+  return driver_main ("once", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_random.c
+++ b/tests/session_random.c
@@ -48,11 +48,11 @@
  */
 typedef struct
 {
-  drv_process_t *process;
-  drv_host_t *host;
+  driver_process_t *process;
+  driver_host_t *host;
   state_t state;
   gint64 since_us;
-  drv_call_t *probe;
+  driver_call_t *probe;
 } target_t;
 
 /**
@@ -70,11 +70,11 @@
 
 typedef struct
 {
-  drv_t *drv;
+  driver_t *driver;
   GRand *rand;
   target_t targets[TARGETS]; /* routers, then sidecars, then engines */
   GArray *outages;           /* outage_t */
-  GPtrArray *keyed; /* drv_call_t: all requests with a key, of which the latest are sent again */
+  GPtrArray *keyed; /* driver_call_t: all requests with a key, of which the latest are sent again */
   uint32_t sent_count;
   uint32_t publishes;
   bool list_up;
@@ -100,7 +100,7 @@
 static bool
 is_engine (const target_t *target)
 {
-  return target->process->role == DRV_ENGINE;
+  return target->process->role == DRIVER_ENGINE;
 }
 
 static const char *
@@ -160,12 +160,12 @@
   return NULL;
 }
 
-static drv_call_t *
-send_via (random_session_t *session, target_t *router, drv_ask_t *request)
+static driver_call_t *
+send_via (random_session_t *session, target_t *router, driver_request_t *request)
 {
   request->router = (uint32_t)(router - session->targets);
   request->deadline_ms = DEADLINE_MS;
-  return drv_ask (session->drv, request);
+  return driver_send_request (session->driver, request);
 }
 
 static void
@@ -174,18 +174,18 @@
   target_t *router = pick_router (session);
   g_autofree char *name = g_strdup_printf ("ask %u", session->sent_count++);
   g_autofree char *chat = g_strdup_printf ("chat %u", draw (session, 30));
-  drv_ask_t request = { .name = name,
-                        .chat = chat,
-                        .kind = (drv_kind_t)draw (session, DRV_BOOKING + 1),
-                        .account = draw (session, 2) == 0 ? "alpha" : "beta",
-                        .tokens = 1 + draw (session, 60) };
-  bool plain = request.kind == DRV_LOOKUP || request.kind == DRV_BOOKING;
-  bool once = request.kind == DRV_TAG || request.kind == DRV_BOOKING;
+  driver_request_t request = { .name = name,
+                               .chat = chat,
+                               .kind = (driver_request_kind_t)draw (session, DRIVER_BOOKING + 1),
+                               .account = draw (session, 2) == 0 ? "alpha" : "beta",
+                               .tokens = 1 + draw (session, 60) };
+  bool plain = request.kind == DRIVER_LOOKUP || request.kind == DRIVER_BOOKING;
+  bool once = request.kind == DRIVER_TAG || request.kind == DRIVER_BOOKING;
   request.stream = !plain && draw (session, 2) == 0;
   request.key = once && draw (session, 3) > 0 ? name : NULL;
   if (router == NULL)
     return;
-  drv_call_t *call = send_via (session, router, &request);
+  driver_call_t *call = send_via (session, router, &request);
   if (call->key != NULL)
     g_ptr_array_add (session->keyed, call);
 }
@@ -198,15 +198,15 @@
   guint count = session->keyed->len;
   if (router == NULL || count == 0)
     return;
-  drv_call_t *first = session->keyed->pdata[count - 1 - draw (session, MIN (count, 8))];
+  driver_call_t *first = session->keyed->pdata[count - 1 - draw (session, MIN (count, 8))];
   g_autofree char *name = g_strdup_printf ("resend %u of %s", session->sent_count++, first->name);
-  drv_ask_t request = { .name = name,
-                        .same_body_as = first->key,
-                        .kind = first->kind,
-                        .account = first->account,
-                        .key = first->key,
-                        .stream = first->is_streamed,
-                        .tokens = first->tokens };
+  driver_request_t request = { .name = name,
+                               .same_body_as = first->key,
+                               .kind = first->kind,
+                               .account = first->account,
+                               .key = first->key,
+                               .stream = first->is_streamed,
+                               .tokens = first->tokens };
   send_via (session, router, &request);
 }
 
@@ -215,7 +215,7 @@
 {
   target_t *router = pick_router (session);
   g_autofree char *name = g_strdup_printf ("crash %u", session->sent_count++);
-  drv_ask_t request = { .name = name, .text = CRASH_TEXT, .stream = draw (session, 2) == 0 };
+  driver_request_t request = { .name = name, .text = CRASH_TEXT, .stream = draw (session, 2) == 0 };
   if (router != NULL)
     send_via (session, router, &request);
 }
@@ -253,7 +253,7 @@
   target_t *target = pick_target (session, TARGETS);
   if (target == NULL)
     return;
-  drv_kill (target->process);
+  driver_process_kill (target->process);
   set_state (session, target, DEAD);
 }
 
@@ -263,7 +263,7 @@
   target_t *target = pick_target (session, TARGETS);
   if (target == NULL)
     return;
-  drv_signal (target->process, SIGSTOP);
+  driver_process_signal (target->process, SIGSTOP);
   set_state (session, target, PAUSED);
 }
 
@@ -273,7 +273,7 @@
   target_t *target = pick_target (session, ROUTERS + HOSTS);
   if (target == NULL)
     return;
-  drv_signal (target->process, SIGTERM);
+  driver_process_signal (target->process, SIGTERM);
   set_state (session, target, STOPPING);
 }
 
@@ -286,13 +286,13 @@
   if (session->list_up && draw (session, 2) == 0)
     {
       target->host->state = "leaving";
-      drv_list (session->drv);
+      driver_update_host_list (session->driver);
     }
   else
     {
       g_autofree char *flags = g_strdup_printf ("drain %s --daemon=%s:%d", target->process->name,
-                                                target->process->ip, DRV_PORT);
-      drv_ended (drv_tool (session->drv, flags));
+                                                target->process->ip, DRIVER_PORT);
+      driver_process_wait_exit (driver_start_ctl (session->driver, flags));
     }
   set_state (session, target, LEAVING);
 }
@@ -300,16 +300,16 @@
 static void
 restart (random_session_t *session, target_t *target)
 {
-  drv_process_start (target->process);
+  driver_process_start (target->process);
   set_state (session, target, is_engine (target) ? RUNNING : STARTING);
 }
 
 static void
-check_runs_after_leaving (random_session_t *session, drv_host_t *host)
+check_runs_after_leaving (random_session_t *session, driver_host_t *host)
 {
   int64_t before = host->engine->max_runs;
-  session->ran_after_leaving =
-      session->ran_after_leaving || (before >= 0 && drv_runs_on (host->engine) > before);
+  session->ran_after_leaving = session->ran_after_leaving ||
+                               (before >= 0 && driver_engine_run_count (host->engine) > before);
   host->engine->max_runs = -1;
 }
 
@@ -322,7 +322,7 @@
       restart (session, target);
       break;
     case PAUSED:
-      drv_signal (target->process, SIGCONT);
+      driver_process_signal (target->process, SIGCONT);
       set_state (session, target, is_engine (target) ? RUNNING : STARTING);
       break;
     case LEAVING:
@@ -330,8 +330,8 @@
         break; /* its grace period has not ended */
       check_runs_after_leaving (session, target->host);
       target->host->state = "live";
-      drv_list (session->drv);
-      drv_signal (target->process, SIGTERM);
+      driver_update_host_list (session->driver);
+      driver_process_signal (target->process, SIGTERM);
       set_state (session, target, STOPPING);
       break;
     default: /* handled by update_state() */
@@ -366,7 +366,7 @@
                                         "{'log': 'refuse', 'count': 4}" };
   const char *fault = faults[draw (session, G_N_ELEMENTS (faults))];
   printf ("%s\n", fault);
-  drv_fault (session->drv, fault);
+  driver_set_fault (session->driver, fault);
 }
 
 /* Return: Whether a host may not have read yet that it is listed as leaving; the list must not fail
@@ -392,7 +392,7 @@
     return;
   session->list_up = fault == 0;
   printf ("%s\n", faults[fault]);
-  drv_fault (session->drv, faults[fault]);
+  driver_set_fault (session->driver, faults[fault]);
 }
 
 /* Return: The manifest version that the records in the log lead to. As in the daemons, only the
@@ -400,7 +400,8 @@
 static uint64_t
 version_in_log (random_session_t *session)
 {
-  json_t *log = drv_admin (session->drv->platform, "GET", "/admin/log?stream=manifest", NULL);
+  json_t *log =
+      driver_admin_call (session->driver->platform, "GET", "/admin/log?stream=manifest", NULL);
   uint64_t version = 0;
   size_t index;
   json_t *entry;
@@ -426,8 +427,8 @@
                               "base", (json_int_t)base, "by", "session", "patch", "client_accounts",
                               "beta", "weight", (int)(1000 + number));
   char *body = json_dumps (record, JSON_COMPACT);
-  drv_send (session->drv, session->drv->platform->ip, "POST", "/log/append?stream=manifest", NULL,
-            body);
+  driver_send_http (session->driver, session->driver->platform->ip, "POST",
+                    "/log/append?stream=manifest", NULL, body);
   free (body);
   json_decref (record);
 }
@@ -451,7 +452,7 @@
 update_state (random_session_t *session, target_t *target)
 {
   gint64 age_us = g_get_monotonic_time () - target->since_us;
-  bool ended = drv_reap (target->process);
+  bool ended = driver_process_reap (target->process);
   if (ended && target->state == STOPPING)
     {
       session->exited_wrongly = session->exited_wrongly || target->process->status != 0;
@@ -463,10 +464,11 @@
       set_state (session, target, DEAD);
     }
   if (target->state == LEAVING && age_us > GRACE_US && target->host->engine->max_runs < 0)
-    drv_left (target->host);
+    driver_host_forbid_new_runs (target->host);
   if (target->state == STARTING && target->probe == NULL)
-    target->probe = drv_send (session->drv, target->process->ip, "GET", "/readyz", NULL, NULL);
-  if (target->probe == NULL || target->probe->outcome == DRV_WAITING)
+    target->probe =
+        driver_send_http (session->driver, target->process->ip, "GET", "/readyz", NULL, NULL);
+  if (target->probe == NULL || target->probe->outcome == DRIVER_OUTCOME_PENDING)
     return;
   if (target->state == STARTING && target->probe->status == 200)
     set_state (session, target, RUNNING);
@@ -490,23 +492,23 @@
   } steps[] = { { 60, step_request }, { 12, step_resend }, { 8, step_repair },  { 3, step_kill },
                 { 3, step_pause },    { 2, step_stop },    { 2, step_drain },   { 1, step_crash },
                 { 4, step_log },      { 3, step_list },    { 1, step_publish }, { 1, step_race } };
-  for (uint32_t i = 0; i < STEPS && !session->drv->failed; i++)
+  for (uint32_t i = 0; i < STEPS && !session->driver->failed; i++)
     {
       uint32_t at = draw (session, 100);
       uint32_t step = 0;
       while (at >= steps[step].weight)
         at -= steps[step++].weight;
       steps[step].run (session);
-      drv_for (session->drv, draw (session, 2 * STEP_MS));
+      driver_run_loop (session->driver, draw (session, 2 * STEP_MS));
       update_all_states (session);
     }
 }
 
 static bool
-all_answered (const drv_t *drv)
+all_answered (const driver_t *driver)
 {
-  for (guint i = 0; i < drv->calls->len; i++)
-    if (((drv_call_t *)drv->calls->pdata[i])->outcome == DRV_WAITING)
+  for (guint i = 0; i < driver->calls->len; i++)
+    if (((driver_call_t *)driver->calls->pdata[i])->outcome == DRIVER_OUTCOME_PENDING)
       return false;
   return true;
 }
@@ -517,7 +519,7 @@
 all_running (void *context)
 {
   random_session_t *session = context;
-  bool is_running = all_answered (session->drv);
+  bool is_running = all_answered (session->driver);
   update_all_states (session);
   for (uint32_t i = 0; i < TARGETS; i++)
     {
@@ -534,7 +536,7 @@
   random_session_t *session = context;
   uint64_t version = version_in_log (session);
   for (uint32_t i = 0; i < ROUTERS + HOSTS; i++)
-    if (drv_version (session->targets[i].process) != version)
+    if (driver_process_version (session->targets[i].process) != version)
       return false;
   return true;
 }
@@ -542,19 +544,21 @@
 static bool
 run_round (random_session_t *session)
 {
-  drv_call_t *calls[ROUTERS * (DRV_BOOKING + 1)];
+  driver_call_t *calls[ROUTERS * (DRIVER_BOOKING + 1)];
   bool answered = true;
   for (uint32_t i = 0; i < G_N_ELEMENTS (calls); i++)
     {
       g_autofree char *name = g_strdup_printf ("settled %u", session->sent_count++);
-      drv_ask_t request = { .name = name, .chat = name, .kind = (drv_kind_t)(i / ROUTERS) };
-      request.key = request.kind == DRV_TAG || request.kind == DRV_BOOKING ? name : NULL;
+      driver_request_t request = { .name = name,
+                                   .chat = name,
+                                   .kind = (driver_request_kind_t)(i / ROUTERS) };
+      request.key = request.kind == DRIVER_TAG || request.kind == DRIVER_BOOKING ? name : NULL;
       calls[i] = send_via (session, &session->targets[i % ROUTERS], &request);
     }
   for (uint32_t i = 0; i < G_N_ELEMENTS (calls); i++)
     {
-      drv_answered (calls[i]);
-      answered = answered && drv_own_answer (calls[i]);
+      driver_call_wait (calls[i]);
+      answered = answered && driver_call_is_correct (calls[i]);
     }
   return answered;
 }
@@ -563,7 +567,7 @@
 all_engines_work (const random_session_t *session, const uint32_t *before)
 {
   for (uint32_t i = 0; i < HOSTS; i++)
-    if (drv_runs_on (session->drv->hosts[i].engine) == before[i])
+    if (driver_engine_run_count (session->driver->hosts[i].engine) == before[i])
       return false;
   return true;
 }
@@ -577,34 +581,34 @@
   uint32_t answered = 0;
   gint64 limit_us = g_get_monotonic_time () + SETTLE_MS * 1000;
   for (uint32_t i = 0; i < HOSTS; i++)
-    before[i] = drv_runs_on (session->drv->hosts[i].engine);
-  while (!session->drv->failed && g_get_monotonic_time () < limit_us)
+    before[i] = driver_engine_run_count (session->driver->hosts[i].engine);
+  while (!session->driver->failed && g_get_monotonic_time () < limit_us)
     {
       answered = run_round (session) ? answered + 1 : 0;
       if (answered >= GOOD_ROUNDS && all_engines_work (session, before))
         return true;
-      drv_for (session->drv, answered > 0 ? 1 : STEP_MS);
+      driver_run_loop (session->driver, answered > 0 ? 1 : STEP_MS);
     }
   return false;
 }
 
 static void
-report_violation (const drv_call_t *call, const char *what, bool *flag)
+report_violation (const driver_call_t *call, const char *what, bool *flag)
 {
   printf ("%s, request %s, %s: status %d, after %u ms\n", call->name,
-          drv_header (call, "x-medlarplank-request"), what, call->status,
+          driver_call_header (call, "x-medlarplank-request"), what, call->status,
           (uint32_t)((call->ended_us - call->sent_us) / 1000));
   *flag = true;
 }
 
 static const target_t *
-router_of (const random_session_t *session, const drv_call_t *call)
+router_of (const random_session_t *session, const driver_call_t *call)
 {
   return &session->targets[call->router];
 }
 
 static void
-check_call (random_session_t *session, const drv_call_t *call)
+check_call (random_session_t *session, const driver_call_t *call)
 {
   bool is_excused =
       failure_overlaps (session, router_of (session, call), call->sent_us, call->ended_us);
@@ -613,9 +617,9 @@
     return;
   if (head_us - call->sent_us > (DEADLINE_MS + MARGIN_MS) * 1000)
     report_violation (call, "answered too late", &session->answered_late);
-  if (call->outcome == DRV_NO_ANSWER || call->outcome == DRV_HUNG_UP)
+  if (call->outcome == DRIVER_OUTCOME_NO_RESPONSE || call->outcome == DRIVER_OUTCOME_CANCELLED)
     report_violation (call, "without a response", &session->unanswered);
-  if (call->outcome == DRV_CUT &&
+  if (call->outcome == DRIVER_OUTCOME_TRUNCATED &&
       (!call->is_streamed || !failure_overlaps (session, NULL, call->sent_us, call->ended_us)))
     report_violation (call, "truncated", &session->truncated);
 }
@@ -626,15 +630,15 @@
   uint32_t answered = 0;
   uint32_t refused = 0;
   uint32_t all = 0;
-  for (guint i = 0; i < session->drv->calls->len; i++)
+  for (guint i = 0; i < session->driver->calls->len; i++)
     {
-      const drv_call_t *call = session->drv->calls->pdata[i];
+      const driver_call_t *call = session->driver->calls->pdata[i];
       if (call->name == NULL)
         continue;
       check_call (session, call);
       all++;
-      answered += drv_own_answer (call) ? 1 : 0;
-      refused += strcmp (drv_verdict (call), "not_run") == 0 ? 1 : 0;
+      answered += driver_call_is_correct (call) ? 1 : 0;
+      refused += strcmp (driver_call_verdict (call), "not_run") == 0 ? 1 : 0;
     }
   printf ("%u requests, %u answered, %u not run, %u other\n", all, answered, refused,
           all - answered - refused);
@@ -643,20 +647,20 @@
 static void
 add_result (random_session_t *session, const char *what, bool held)
 {
-  drv_say (session->drv, "%s: %s", what, held ? "yes" : "no");
+  driver_transcript_add (session->driver, "%s: %s", what, held ? "yes" : "no");
 }
 
 static void
 add_targets (random_session_t *session)
 {
-  drv_t *drv = session->drv;
+  driver_t *driver = session->driver;
   target_t *next = session->targets;
   for (uint32_t i = 0; i < ROUTERS; i++)
-    *next++ = (target_t){ .process = drv->routers[i] };
+    *next++ = (target_t){ .process = driver->routers[i] };
   for (uint32_t i = 0; i < HOSTS; i++)
-    *next++ = (target_t){ .process = drv->hosts[i].sidecar, .host = &drv->hosts[i] };
+    *next++ = (target_t){ .process = driver->hosts[i].sidecar, .host = &driver->hosts[i] };
   for (uint32_t i = 0; i < HOSTS; i++)
-    *next++ = (target_t){ .process = drv->hosts[i].engine, .host = &drv->hosts[i] };
+    *next++ = (target_t){ .process = driver->hosts[i].engine, .host = &driver->hosts[i] };
 }
 
 static uint32_t
@@ -672,23 +676,26 @@
 test_random (void)
 {
   uint32_t seed = seed_of_run ();
-  random_session_t session = { .drv = drv_new ("random"),
+  random_session_t session = { .driver = driver_new ("random"),
                                .list_up = true,
                                .rand = g_rand_new_with_seed (seed),
                                .outages = g_array_new (FALSE, FALSE, sizeof (outage_t)),
                                .keyed = g_ptr_array_new () };
-  drv_fleet_t fleet = { .model_hosts = MODELS,
-                        .plain_hosts = PLAINS,
-                        .routers = ROUTERS,
-                        .engine_flags = "--service-us=60000 --crash-on=" CRASH_TEXT };
-  drv_start (session.drv, &fleet);
+  driver_fleet_t fleet = { .model_hosts = MODELS,
+                           .plain_hosts = PLAINS,
+                           .routers = ROUTERS,
+                           .engine_flags = "--service-us=60000 --crash-on=" CRASH_TEXT };
+  driver_start (session.driver, &fleet);
   add_targets (&session);
   run_steps (&session);
-  drv_fault (session.drv, "{'log': 'up', 'list': 'up', 'view': {'r1': 'up', 'm1': 'up'}}");
-  bool is_running = drv_until (session.drv, 2 * DRV_WAIT_MS,
-                               "all processes to be in operation again", all_running, &session);
-  is_running = is_running && drv_until (session.drv, DRV_WAIT_MS, "the same version at all daemons",
-                                        all_at_same_version, &session);
+  driver_set_fault (session.driver,
+                    "{'log': 'up', 'list': 'up', 'view': {'r1': 'up', 'm1': 'up'}}");
+  bool is_running =
+      driver_wait_until (session.driver, 2 * DRIVER_WAIT_LIMIT_MS,
+                         "all processes to be in operation again", all_running, &session);
+  is_running = is_running &&
+               driver_wait_until (session.driver, DRIVER_WAIT_LIMIT_MS,
+                                  "the same version at all daemons", all_at_same_version, &session);
   add_result (&session, "all processes are fit again, and in one version", is_running);
   add_result (&session, "requests of all kinds are answered again", recovers (&session));
   check_all_calls (&session);
@@ -697,7 +704,7 @@
   add_result (&session, "no answer was cut but by a failure", !session.truncated);
   add_result (&session, "nothing began on a host after its grace", !session.ran_after_leaving);
   add_result (&session, "no daemon ended but as it was told", !session.exited_wrongly);
-  drv_finish (session.drv);
+  driver_finish (session.driver);
   printf ("seed %u\n", seed);
   g_array_free (session.outages, TRUE);
   g_ptr_array_free (session.keyed, TRUE);
@@ -707,6 +714,6 @@
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "seeded faults and requests", test_random } };
-  return drv_main ("random", tests, G_N_ELEMENTS (tests));
+  static const driver_test_t tests[] = { { "seeded faults and requests", test_random } };
+  return driver_main ("random", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_stop.c
+++ b/tests/session_stop.c
@@ -14,94 +14,95 @@
 #define SEND_INTERVAL_MS 30
 #define STREAM_TOKENS 200 /* at 5 ms per token a stream lasts a second */
 
-static drv_call_t *
-start_stream (drv_t *drv, uint32_t router, const char *name)
+static driver_call_t *
+start_stream (driver_t *driver, uint32_t router, const char *name)
 {
-  drv_ask_t request = {
+  driver_request_t request = {
     .name = name, .chat = name, .router = router, .stream = true, .tokens = STREAM_TOKENS
   };
-  drv_call_t *call = drv_ask (drv, &request);
-  drv_begun (call);
+  driver_call_t *call = driver_send_request (driver, &request);
+  driver_call_wait_body (call);
   return call;
 }
 
 /* Return: The host whose engine answers @call. */
-static drv_host_t *
-host_of (drv_call_t *call)
+static driver_host_t *
+host_of (driver_call_t *call)
 {
-  const char *name = drv_header (call, "x-medlarplank-engine");
-  for (uint32_t i = 0; i < call->drv->host_count; i++)
-    if (g_strcmp0 (name, call->drv->hosts[i].engine->name) == 0)
-      return &call->drv->hosts[i];
-  drv_fail (call->drv, "%s doesn't tell its engine", call->name);
-  return &call->drv->hosts[0];
+  const char *name = driver_call_header (call, "x-medlarplank-engine");
+  for (uint32_t i = 0; i < call->driver->host_count; i++)
+    if (g_strcmp0 (name, call->driver->hosts[i].engine->name) == 0)
+      return &call->driver->hosts[i];
+  driver_fail (call->driver, "%s doesn't tell its engine", call->name);
+  return &call->driver->hosts[0];
 }
 
 static void
-run_chats (drv_t *drv, const char *title)
+run_chats (driver_t *driver, const char *title)
 {
-  drv_call_t *calls[CHATS];
+  driver_call_t *calls[CHATS];
   for (uint32_t i = 0; i < CHATS; i++)
     {
       g_autofree char *name = g_strdup_printf ("%s %u", title, i);
-      drv_ask_t request = { .name = name, .chat = name, .router = i % 2 };
-      calls[i] = drv_ask (drv, &request);
-      drv_answered (calls[i]);
+      driver_request_t request = { .name = name, .chat = name, .router = i % 2 };
+      calls[i] = driver_send_request (driver, &request);
+      driver_call_wait (calls[i]);
     }
   uint32_t answered = 0;
   for (uint32_t i = 0; i < CHATS; i++)
-    answered += drv_own_answer (calls[i]) ? 1 : 0;
-  drv_say (drv, "%s: %u of %d chats answered", title, answered, CHATS);
+    answered += driver_call_is_correct (calls[i]) ? 1 : 0;
+  driver_transcript_add (driver, "%s: %u of %d chats answered", title, answered, CHATS);
 }
 
 /* Makes a host leave while it streams a response. The stream must be complete, and after the grace
  * period no new run may begin on the engine of the host. */
 static void
-test_leave (drv_t *drv, const char *title, void (*start_leaving) (drv_host_t *host))
+test_leave (driver_t *driver, const char *title, void (*start_leaving) (driver_host_t *host))
 {
-  drv_call_t *in_flight = start_stream (drv, 0, title);
-  drv_host_t *host = host_of (in_flight);
+  driver_call_t *in_flight = start_stream (driver, 0, title);
+  driver_host_t *host = host_of (in_flight);
   start_leaving (host);
-  drv_for (drv, GRACE_MS);
-  drv_left (host);
+  driver_run_loop (driver, GRACE_MS);
+  driver_host_forbid_new_runs (host);
   g_autofree char *after = g_strdup_printf ("after %s", title);
-  run_chats (drv, after);
-  drv_answered (in_flight);
-  drv_tell (in_flight);
+  run_chats (driver, after);
+  driver_call_wait (in_flight);
+  driver_transcript_add_call (in_flight);
 }
 
 static void
-leave_by_list (drv_host_t *host)
+leave_by_list (driver_host_t *host)
 {
   host->state = "leaving";
-  drv_list (host->sidecar->drv);
+  driver_update_host_list (host->sidecar->driver);
 }
 
 static void
-leave_by_ctl (drv_host_t *host)
+leave_by_ctl (driver_host_t *host)
 {
-  drv_t *drv = host->sidecar->drv;
+  driver_t *driver = host->sidecar->driver;
   g_autofree char *flags = g_strdup_printf ("drain %s", host->sidecar->name);
-  drv_say (drv, "drain: status %d", drv_ended (drv_tool (drv, flags)));
+  driver_transcript_add (driver, "drain: status %d",
+                         driver_process_wait_exit (driver_start_ctl (driver, flags)));
 }
 
 static void
-leave_by_signal (drv_host_t *host)
+leave_by_signal (driver_host_t *host)
 {
-  drv_signal (host->sidecar, SIGTERM);
+  driver_process_signal (host->sidecar, SIGTERM);
 }
 
 static void
 test_leaving (void)
 {
-  drv_t *drv = drv_new ("leaving");
-  drv_fleet_t fleet = { .model_hosts = 5, .plain_hosts = 1, .routers = 2 };
-  drv_start (drv, &fleet);
-  run_chats (drv, "before");
-  test_leave (drv, "leaving by the list", leave_by_list);
-  test_leave (drv, "leaving by the tool", leave_by_ctl);
-  test_leave (drv, "leaving by SIGTERM", leave_by_signal);
-  drv_finish (drv);
+  driver_t *driver = driver_new ("leaving");
+  driver_fleet_t fleet = { .model_hosts = 5, .plain_hosts = 1, .routers = 2 };
+  driver_start (driver, &fleet);
+  run_chats (driver, "before");
+  test_leave (driver, "leaving by the list", leave_by_list);
+  test_leave (driver, "leaving by the tool", leave_by_ctl);
+  test_leave (driver, "leaving by SIGTERM", leave_by_signal);
+  driver_finish (driver);
 }
 
 /* A router and the leaving host itself get an outdated host list, in which the host is live. The
@@ -110,15 +111,15 @@
 static void
 test_outdated_lists (void)
 {
-  drv_t *drv = drv_new ("leaving_old_views");
-  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
-  drv_start (drv, &fleet);
-  drv_fault (drv, "{'view': {'r1': 'stale', 'm1': 'stale'}}");
-  leave_by_list (&drv->hosts[0]);
-  drv_for (drv, GRACE_MS);
-  drv_left (&drv->hosts[0]);
-  run_chats (drv, "leaving unseen by r1 and by itself");
-  drv_finish (drv);
+  driver_t *driver = driver_new ("leaving_old_views");
+  driver_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
+  driver_start (driver, &fleet);
+  driver_set_fault (driver, "{'view': {'r1': 'stale', 'm1': 'stale'}}");
+  leave_by_list (&driver->hosts[0]);
+  driver_run_loop (driver, GRACE_MS);
+  driver_host_forbid_new_runs (&driver->hosts[0]);
+  run_chats (driver, "leaving unseen by r1 and by itself");
+  driver_finish (driver);
 }
 
 /* The sidecar and the engine of a host are killed and restarted three times. Chats that arrive
@@ -126,31 +127,31 @@
 static void
 test_flapping (void)
 {
-  drv_t *drv = drv_new ("flapping");
-  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
-  drv_start (drv, &fleet);
-  drv_host_t *host = &drv->hosts[0];
+  driver_t *driver = driver_new ("flapping");
+  driver_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
+  driver_start (driver, &fleet);
+  driver_host_t *host = &driver->hosts[0];
   for (uint32_t i = 0; i < 3; i++)
     {
-      drv_kill (host->sidecar);
-      drv_kill (host->engine);
+      driver_process_kill (host->sidecar);
+      driver_process_kill (host->engine);
       g_autofree char *down = g_strdup_printf ("down %u", i);
-      run_chats (drv, down);
-      drv_process_start (host->engine);
-      drv_process_start (host->sidecar);
-      drv_ready (host->sidecar);
+      run_chats (driver, down);
+      driver_process_start (host->engine);
+      driver_process_start (host->sidecar);
+      driver_process_wait_ready (host->sidecar);
       g_autofree char *up = g_strdup_printf ("up again %u", i);
-      run_chats (drv, up);
+      run_chats (driver, up);
     }
-  drv_finish (drv);
+  driver_finish (driver);
 }
 
 static uint32_t
-count_ended (drv_call_t *const *calls)
+count_ended (driver_call_t *const *calls)
 {
   uint32_t ended = 0;
   for (uint32_t i = 0; i < CHATS; i++)
-    ended += calls[i]->outcome != DRV_WAITING ? 1 : 0;
+    ended += calls[i]->outcome != DRIVER_OUTCOME_PENDING ? 1 : 0;
   return ended;
 }
 
@@ -166,35 +167,39 @@
 static void
 test_leaving_paused (void)
 {
-  drv_t *drv = drv_new ("leaving_frozen");
-  drv_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
-  drv_start (drv, &fleet);
-  drv_host_t *host = &drv->hosts[0];
-  drv_call_t *calls[CHATS];
-  drv_signal (host->sidecar, SIGSTOP);
+  driver_t *driver = driver_new ("leaving_frozen");
+  driver_fleet_t fleet = { .model_hosts = 3, .plain_hosts = 1, .routers = 2 };
+  driver_start (driver, &fleet);
+  driver_host_t *host = &driver->hosts[0];
+  driver_call_t *calls[CHATS];
+  driver_process_signal (host->sidecar, SIGSTOP);
   for (uint32_t i = 0; i < CHATS; i++)
     {
       g_autofree char *name = g_strdup_printf ("tag %u", i);
-      drv_ask_t request = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
-      calls[i] = drv_ask (drv, &request);
+      driver_request_t request = {
+        .name = name, .kind = DRIVER_TAG, .chat = name, .router = i % 2
+      };
+      calls[i] = driver_send_request (driver, &request);
       /* If sent at once, most would be refused instead of waiting at the paused host. */
-      drv_for (drv, SEND_INTERVAL_MS);
+      driver_run_loop (driver, SEND_INTERVAL_MS);
     }
-  drv_until (drv, DRV_WAIT_MS, "tags on the other engines", half_have_ended, calls);
+  driver_wait_until (driver, DRIVER_WAIT_LIMIT_MS, "tags on the other engines", half_have_ended,
+                     calls);
   leave_by_list (host);
-  drv_for (drv, GRACE_MS);
-  drv_say (drv, "some wait for the frozen host: %s", count_ended (calls) < CHATS ? "yes" : "no");
-  drv_left (host);
-  drv_signal (host->sidecar, SIGCONT);
-  drv_all_answered (drv);
+  driver_run_loop (driver, GRACE_MS);
+  driver_transcript_add (driver, "some wait for the frozen host: %s",
+                         count_ended (calls) < CHATS ? "yes" : "no");
+  driver_host_forbid_new_runs (host);
+  driver_process_signal (host->sidecar, SIGCONT);
+  driver_wait_all_calls (driver);
   uint32_t answered = 0;
   for (uint32_t i = 0; i < CHATS; i++)
-    if (drv_own_answer (calls[i]))
+    if (driver_call_is_correct (calls[i]))
       answered++;
     else
-      drv_tell (calls[i]);
-  drv_say (drv, "after it woke: %u of %d tags answered", answered, CHATS);
-  drv_finish (drv);
+      driver_transcript_add_call (calls[i]);
+  driver_transcript_add (driver, "after it woke: %u of %d tags answered", answered, CHATS);
+  driver_finish (driver);
 }
 
 /* A router and a sidecar are stopped while requests pass through them: a stream and a booking with
@@ -203,45 +208,46 @@
 static void
 test_stop (void)
 {
-  drv_t *drv = drv_new ("stop");
-  drv_fleet_t fleet = {
+  driver_t *driver = driver_new ("stop");
+  driver_fleet_t fleet = {
     .model_hosts = 2, .plain_hosts = 2, .routers = 2, .engine_flags = "--service-us=600000"
   };
-  drv_start (drv, &fleet);
-  drv_ask_t booking = { .name = "booking through the stopping router",
-                        .kind = DRV_BOOKING,
-                        .key = "b" };
-  drv_call_t *in_flight = start_stream (drv, 0, "stream through the stopping router");
-  drv_call_t *booked = drv_ask (drv, &booking);
-  drv_for (drv, 50);
-  drv_signal (drv->routers[0], SIGTERM);
-  drv_say (drv, "router: status %d", drv_ended (drv->routers[0]));
-  drv_answered (in_flight);
-  drv_answered (booked);
-  drv_tell (in_flight);
-  drv_tell (booked);
-  in_flight = start_stream (drv, 1, "stream through the stopping sidecar");
-  drv_host_t *host = host_of (in_flight);
-  drv_signal (host->sidecar, SIGTERM);
-  drv_say (drv, "sidecar: status %d", drv_ended (host->sidecar));
-  drv_answered (in_flight);
-  drv_tell (in_flight);
-  drv_ask_t request = { .name = "after both", .router = 1 };
-  drv_call_t *after = drv_ask (drv, &request);
-  drv_answered (after);
-  drv_tell (after);
-  drv_finish (drv);
+  driver_start (driver, &fleet);
+  driver_request_t booking = { .name = "booking through the stopping router",
+                               .kind = DRIVER_BOOKING,
+                               .key = "b" };
+  driver_call_t *in_flight = start_stream (driver, 0, "stream through the stopping router");
+  driver_call_t *booked = driver_send_request (driver, &booking);
+  driver_run_loop (driver, 50);
+  driver_process_signal (driver->routers[0], SIGTERM);
+  driver_transcript_add (driver, "router: status %d",
+                         driver_process_wait_exit (driver->routers[0]));
+  driver_call_wait (in_flight);
+  driver_call_wait (booked);
+  driver_transcript_add_call (in_flight);
+  driver_transcript_add_call (booked);
+  in_flight = start_stream (driver, 1, "stream through the stopping sidecar");
+  driver_host_t *host = host_of (in_flight);
+  driver_process_signal (host->sidecar, SIGTERM);
+  driver_transcript_add (driver, "sidecar: status %d", driver_process_wait_exit (host->sidecar));
+  driver_call_wait (in_flight);
+  driver_transcript_add_call (in_flight);
+  driver_request_t request = { .name = "after both", .router = 1 };
+  driver_call_t *after = driver_send_request (driver, &request);
+  driver_call_wait (after);
+  driver_transcript_add_call (after);
+  driver_finish (driver);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = {
+  static const driver_test_t tests[] = {
     { "hosts leave", test_leaving },
     { "a host leaves, some daemons have an outdated list", test_outdated_lists },
     { "a host is restarted repeatedly", test_flapping },
     { "a host leaves while its sidecar is paused", test_leaving_paused },
     { "daemons are stopped", test_stop }
   };
-  return drv_main ("stop", tests, G_N_ELEMENTS (tests));
+  return driver_main ("stop", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_surge.c
+++ b/tests/session_surge.c
@@ -17,16 +17,16 @@
 
 typedef struct
 {
-  drv_t *drv;
-  drv_call_t *surge[SURGE_REQUESTS];
+  driver_t *driver;
+  driver_call_t *surge[SURGE_REQUESTS];
   bool is_within_bound;
   uint32_t max_load;
 } surge_t;
 
 static uint32_t
-read_load (drv_process_t *sidecar)
+read_load (driver_process_t *sidecar)
 {
-  json_t *status = drv_admin (sidecar, "GET", "/medlarplank/status", NULL);
+  json_t *status = driver_admin_call (sidecar, "GET", "/medlarplank/status", NULL);
   uint32_t load = (uint32_t)json_integer_value (json_object_get (status, "load"));
   json_decref (status);
   return load;
@@ -41,7 +41,7 @@
   uint32_t highest = 0;
   for (uint32_t i = 0; i < ENGINES; i++)
     {
-      uint32_t load = read_load (surge->drv->hosts[i].sidecar);
+      uint32_t load = read_load (surge->driver->hosts[i].sidecar);
       total += load;
       highest = MAX (highest, load);
     }
@@ -56,13 +56,13 @@
   for (uint32_t i = 0; i < SURGE_REQUESTS; i++)
     {
       g_autofree char *name = g_strdup_printf ("surge %u", i);
-      drv_ask_t request = { .name = name,
-                            .account = "beta",
-                            .chat = name,
-                            .router = i % 2,
-                            .stream = true,
-                            .tokens = 100 };
-      surge->surge[i] = drv_ask (surge->drv, &request);
+      driver_request_t request = { .name = name,
+                                   .account = "beta",
+                                   .chat = name,
+                                   .router = i % 2,
+                                   .stream = true,
+                                   .tokens = 100 };
+      surge->surge[i] = driver_send_request (surge->driver, &request);
     }
 }
 
@@ -74,51 +74,56 @@
   for (uint32_t i = 0; i < TAGS; i++)
     {
       g_autofree char *name = g_strdup_printf ("tag %u", i);
-      drv_ask_t request = { .name = name, .kind = DRV_TAG, .chat = name, .router = i % 2 };
-      drv_call_t *call = drv_ask (surge->drv, &request);
-      drv_answered (call);
-      answered += drv_own_answer (call) ? 1 : 0;
+      driver_request_t request = {
+        .name = name, .kind = DRIVER_TAG, .chat = name, .router = i % 2
+      };
+      driver_call_t *call = driver_send_request (surge->driver, &request);
+      driver_call_wait (call);
+      answered += driver_call_is_correct (call) ? 1 : 0;
       in_time = in_time && call->ended_us - call->sent_us < TAG_LIMIT_US;
       check_loads (surge);
     }
-  drv_say (surge->drv, "tags of the other account: %u of %d answered, each in time: %s", answered,
-           TAGS, in_time ? "yes" : "no");
+  driver_transcript_add (surge->driver,
+                         "tags of the other account: %u of %d answered, each in time: %s", answered,
+                         TAGS, in_time ? "yes" : "no");
 }
 
 static bool
-is_refused_with_retry (const drv_call_t *call)
+is_refused_with_retry (const driver_call_t *call)
 {
-  return call->outcome == DRV_WHOLE && (call->status == 429 || call->status == 503) &&
-         strcmp (drv_verdict (call), "not_run") == 0 && drv_header (call, "retry-after") != NULL;
+  return call->outcome == DRIVER_OUTCOME_COMPLETE && (call->status == 429 || call->status == 503) &&
+         strcmp (driver_call_verdict (call), "not_run") == 0 &&
+         driver_call_header (call, "retry-after") != NULL;
 }
 
 static void
 test_surge (void)
 {
-  surge_t surge = { .drv = drv_new ("surge"), .is_within_bound = true };
-  drv_fleet_t fleet = { .model_hosts = ENGINES, .plain_hosts = 1, .routers = 2 };
-  drv_start (surge.drv, &fleet);
+  surge_t surge = { .driver = driver_new ("surge"), .is_within_bound = true };
+  driver_fleet_t fleet = { .model_hosts = ENGINES, .plain_hosts = 1, .routers = 2 };
+  driver_start (surge.driver, &fleet);
   start_surge (&surge);
   run_tags (&surge);
-  drv_all_answered (surge.drv);
+  driver_wait_all_calls (surge.driver);
   uint32_t answered = 0;
   uint32_t refused = 0;
   for (uint32_t i = 0; i < SURGE_REQUESTS; i++)
     {
-      answered += drv_own_answer (surge.surge[i]) ? 1 : 0;
+      answered += driver_call_is_correct (surge.surge[i]) ? 1 : 0;
       refused += is_refused_with_retry (surge.surge[i]) ? 1 : 0;
     }
   printf ("%u answered, %u refused, most load %u\n", answered, refused, surge.max_load);
-  drv_say (surge.drv, "the surge: each answered or refused as not run: %s",
-           answered + refused == SURGE_REQUESTS ? "yes" : "no");
-  drv_say (surge.drv, "some were answered: %s", answered > 0 ? "yes" : "no");
-  drv_say (surge.drv, "no engine over its bound: %s", surge.is_within_bound ? "yes" : "no");
-  drv_finish (surge.drv);
+  driver_transcript_add (surge.driver, "the surge: each answered or refused as not run: %s",
+                         answered + refused == SURGE_REQUESTS ? "yes" : "no");
+  driver_transcript_add (surge.driver, "some were answered: %s", answered > 0 ? "yes" : "no");
+  driver_transcript_add (surge.driver, "no engine over its bound: %s",
+                         surge.is_within_bound ? "yes" : "no");
+  driver_finish (surge.driver);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "one account surges", test_surge } };
-  return drv_main ("surge", tests, G_N_ELEMENTS (tests));
+  static const driver_test_t tests[] = { { "one account surges", test_surge } };
+  return driver_main ("surge", tests, G_N_ELEMENTS (tests));
 }
--- a/tests/session_verdict.c
+++ b/tests/session_verdict.c
@@ -10,37 +10,37 @@
 
 #define BOOKING_PATH "POST /portal/bookings"
 
-static drv_call_t *
-send_booking (drv_t *drv, const char *name)
+static driver_call_t *
+send_booking (driver_t *driver, const char *name)
 {
-  drv_ask_t request = { .name = name, .kind = DRV_BOOKING, .deadline_ms = 3000 };
-  return drv_ask (drv, &request);
+  driver_request_t request = { .name = name, .kind = DRIVER_BOOKING, .deadline_ms = 3000 };
+  return driver_send_request (driver, &request);
 }
 
 static void
-run_booking (drv_t *drv, const char *name)
+run_booking (driver_t *driver, const char *name)
 {
-  drv_call_t *call = send_booking (drv, name);
-  drv_answered (call);
-  drv_tell (call);
+  driver_call_t *call = send_booking (driver, name);
+  driver_call_wait (call);
+  driver_transcript_add_call (call);
 }
 
 static bool
 has_run (void *context)
 {
-  return drv_runs (context) > 0;
+  return driver_call_run_count (context) > 0;
 }
 
 static void
-wait_until_run (drv_call_t *call)
+wait_until_run (driver_call_t *call)
 {
-  drv_until (call->drv, DRV_WAIT_MS, "the booking to run", has_run, call);
+  driver_wait_until (call->driver, DRIVER_WAIT_LIMIT_MS, "the booking to run", has_run, call);
 }
 
 static bool
 has_hits (void *context)
 {
-  return drv_forward_hits (context) > 0;
+  return driver_proxy_hits (context) > 0;
 }
 
 /* The connection between router and sidecar is closed during the request, after the request and
@@ -50,28 +50,28 @@
 static void
 test_connection_lost (void)
 {
-  drv_t *drv = drv_new ("verdict_hop");
-  drv_fleet_t fleet = { .model_hosts = 1,
-                        .plain_hosts = 1,
-                        .routers = 1,
-                        .use_proxies = true,
-                        .engine_flags = "--service-us=300000" };
-  drv_start (drv, &fleet);
-  drv_forward_t *hop = drv->hosts[1].hop;
-  run_booking (drv, "hop as it should be");
-  drv_forward_set (hop, DRV_CUT_DURING, BOOKING_PATH, 0);
-  run_booking (drv, "cut during the request");
-  drv_forward_set (hop, DRV_CUT_AFTER, BOOKING_PATH, 0);
-  run_booking (drv, "cut after the request");
-  drv_forward_set (hop, DRV_PASS, NULL, 0);
-  drv_call_t *call = send_booking (drv, "cut while it runs");
+  driver_t *driver = driver_new ("verdict_hop");
+  driver_fleet_t fleet = { .model_hosts = 1,
+                           .plain_hosts = 1,
+                           .routers = 1,
+                           .use_proxies = true,
+                           .engine_flags = "--service-us=300000" };
+  driver_start (driver, &fleet);
+  driver_proxy_t *hop = driver->hosts[1].hop;
+  run_booking (driver, "hop as it should be");
+  driver_proxy_set_mode (hop, DRIVER_PROXY_CUT_REQUEST, BOOKING_PATH, 0);
+  run_booking (driver, "cut during the request");
+  driver_proxy_set_mode (hop, DRIVER_PROXY_DROP_RESPONSE, BOOKING_PATH, 0);
+  run_booking (driver, "cut after the request");
+  driver_proxy_set_mode (hop, DRIVER_PROXY_PASS, NULL, 0);
+  driver_call_t *call = send_booking (driver, "cut while it runs");
   wait_until_run (call);
-  drv_forward_cut (hop);
-  drv_answered (call);
-  drv_tell (call);
-  drv_forward_set (hop, DRV_CLOSED, NULL, 0);
-  run_booking (drv, "nobody listens");
-  drv_finish (drv);
+  driver_proxy_close_connections (hop);
+  driver_call_wait (call);
+  driver_transcript_add_call (call);
+  driver_proxy_set_mode (hop, DRIVER_PROXY_CLOSED, NULL, 0);
+  run_booking (driver, "nobody listens");
+  driver_finish (driver);
 }
 
 /* The sidecar is killed while its engine runs a booking, and no other process knows the state of
@@ -80,17 +80,18 @@
 static void
 test_sidecar_killed (void)
 {
-  drv_t *drv = drv_new ("verdict_killed");
-  drv_fleet_t fleet = {
+  driver_t *driver = driver_new ("verdict_killed");
+  driver_fleet_t fleet = {
     .model_hosts = 1, .plain_hosts = 2, .routers = 1, .engine_flags = "--service-us=1000000"
   };
-  drv_start (drv, &fleet);
-  drv_call_t *call = send_booking (drv, "sidecar killed while it runs");
+  driver_start (driver, &fleet);
+  driver_call_t *call = send_booking (driver, "sidecar killed while it runs");
   wait_until_run (call);
-  drv_kill (drv->hosts[drv_runs_on (drv->hosts[1].engine) > 0 ? 1 : 2].sidecar);
-  drv_answered (call);
-  drv_tell (call);
-  drv_finish (drv);
+  driver_process_kill (
+      driver->hosts[driver_engine_run_count (driver->hosts[1].engine) > 0 ? 1 : 2].sidecar);
+  driver_call_wait (call);
+  driver_transcript_add_call (call);
+  driver_finish (driver);
 }
 
 /* The sidecar is killed while its engine runs a booking and restarted before the router sees the
@@ -100,27 +101,27 @@
 static void
 test_sidecar_restarted (void)
 {
-  drv_t *drv = drv_new ("verdict_restarted");
-  drv_fleet_t fleet = { .model_hosts = 1,
-                        .plain_hosts = 1,
-                        .routers = 1,
-                        .use_proxies = true,
-                        .engine_flags = "--service-us=1000000" };
-  drv_start (drv, &fleet);
-  drv_host_t *host = &drv->hosts[1];
-  drv_forward_set (host->hop, DRV_HOLD, BOOKING_PATH, 0);
-  drv_ask_t request = { .name = "sidecar restarted while it runs",
-                        .kind = DRV_BOOKING,
-                        .deadline_ms = 20000 };
-  drv_call_t *call = drv_ask (drv, &request);
+  driver_t *driver = driver_new ("verdict_restarted");
+  driver_fleet_t fleet = { .model_hosts = 1,
+                           .plain_hosts = 1,
+                           .routers = 1,
+                           .use_proxies = true,
+                           .engine_flags = "--service-us=1000000" };
+  driver_start (driver, &fleet);
+  driver_host_t *host = &driver->hosts[1];
+  driver_proxy_set_mode (host->hop, DRIVER_PROXY_HOLD_RESPONSE, BOOKING_PATH, 0);
+  driver_request_t request = { .name = "sidecar restarted while it runs",
+                               .kind = DRIVER_BOOKING,
+                               .deadline_ms = 20000 };
+  driver_call_t *call = driver_send_request (driver, &request);
   wait_until_run (call);
-  drv_kill (host->sidecar);
-  drv_process_start (host->sidecar);
-  drv_ready (host->sidecar);
-  drv_forward_set (host->hop, DRV_PASS, NULL, 0);
-  drv_answered (call);
-  drv_tell (call);
-  drv_finish (drv);
+  driver_process_kill (host->sidecar);
+  driver_process_start (host->sidecar);
+  driver_process_wait_ready (host->sidecar);
+  driver_proxy_set_mode (host->hop, DRIVER_PROXY_PASS, NULL, 0);
+  driver_call_wait (call);
+  driver_transcript_add_call (call);
+  driver_finish (driver);
 }
 
 /* The sidecar is stopped by SIGSTOP when a booking is sent to it. The router gives up at the
@@ -129,29 +130,29 @@
 static void
 test_sidecar_paused (void)
 {
-  drv_t *drv = drv_new ("verdict_frozen");
-  drv_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1, .use_proxies = true };
-  drv_start (drv, &fleet);
-  drv_host_t *host = &drv->hosts[1];
-  drv_forward_set (host->hop, DRV_HOLD, BOOKING_PATH, 1);
-  drv_signal (host->sidecar, SIGSTOP);
-  drv_call_t *call = send_booking (drv, "sidecar frozen");
-  drv_until (drv, DRV_WAIT_MS, "the booking on the hop", has_hits, host->hop);
-  drv_answered (call);
-  drv_signal (host->sidecar, SIGCONT);
-  drv_ready (host->sidecar);
-  drv_tell (call);
-  run_booking (drv, "after it woke");
-  drv_finish (drv);
+  driver_t *driver = driver_new ("verdict_frozen");
+  driver_fleet_t fleet = { .model_hosts = 1, .plain_hosts = 1, .routers = 1, .use_proxies = true };
+  driver_start (driver, &fleet);
+  driver_host_t *host = &driver->hosts[1];
+  driver_proxy_set_mode (host->hop, DRIVER_PROXY_HOLD_RESPONSE, BOOKING_PATH, 1);
+  driver_process_signal (host->sidecar, SIGSTOP);
+  driver_call_t *call = send_booking (driver, "sidecar frozen");
+  driver_wait_until (driver, DRIVER_WAIT_LIMIT_MS, "the booking on the hop", has_hits, host->hop);
+  driver_call_wait (call);
+  driver_process_signal (host->sidecar, SIGCONT);
+  driver_process_wait_ready (host->sidecar);
+  driver_transcript_add_call (call);
+  run_booking (driver, "after it woke");
+  driver_finish (driver);
 }
 
 int
 main (void)
 {
-  static const drv_test_t tests[] = { { "the connection to the sidecar is lost",
-                                        test_connection_lost },
-                                      { "the sidecar is killed", test_sidecar_killed },
-                                      { "the sidecar is restarted", test_sidecar_restarted },
-                                      { "the sidecar is paused", test_sidecar_paused } };
-  return drv_main ("verdict", tests, G_N_ELEMENTS (tests));
+  static const driver_test_t tests[] = { { "the connection to the sidecar is lost",
+                                           test_connection_lost },
+                                         { "the sidecar is killed", test_sidecar_killed },
+                                         { "the sidecar is restarted", test_sidecar_restarted },
+                                         { "the sidecar is paused", test_sidecar_paused } };
+  return driver_main ("verdict", tests, G_N_ELEMENTS (tests));
 }
