--- a/bench/gateway/sim.h
+++ b/bench/gateway/sim.h
@@ -128,14 +128,15 @@
  * @early_refusals: rejections, in the whole run, of requests that had been sent to an engine and
  *   had more than half of their time left
  * @retries_over_budget: retries that all gateways together sent in any 10 s beyond what the
- * operator's retry budget allows for the requests of these seconds, at the worst moment; above 0
- * the budget was exceeded
+ *   operator's retry budget allows for the requests of these seconds, at the worst moment; above 0
+ *   the budget was exceeded
  * @read_tokens: prompt tokens that model engines had to process, from %SIM_MEASURED_FROM_US on
  * @prompt_tokens: prompt tokens that model engines received, including those found in their caches
  * @relative_load_milli: load of a model engine after it accepted a request, relative to the mean
- * load of all model engines that accept requests; median over all accepted requests, in thousandths
+ *   load of all model engines that accept requests; median over all accepted requests, in
+ * thousandths
  * @overloaded_accepts: requests that a model engine accepted with which its load exceeded twice the
- * mean plus three, which is the limit from which operators call an engine overloaded
+ *   mean plus three, which is the limit from which operators call an engine overloaded
  */
 typedef struct
 {
--- a/bench/load_stats.h
+++ b/bench/load_stats.h
@@ -18,7 +18,7 @@
  * @failure: NULL if answered, else what the client saw, e.g. "503 not_run queue_full" or "cut"
  * @engine: the engine that answered, or NULL if the answer doesn't name one
  * @reusable_tokens: tokens of the chat's earlier turns that may have been cached; 0 in its first
- * turn
+ *   turn
  */
 typedef struct
 {
--- a/bench/spread/platform.c
+++ b/bench/spread/platform.c
@@ -10,9 +10,8 @@
 #define TIMEOUT_US (2 * CLOCK_US_PER_S) /* until a request of a partitioned node fails */
 #define POLL_US (10 * CLOCK_US_PER_MS)  /* between two checks of a read that waits */
 #define FETCH_US (50 * CLOCK_US_PER_MS) /* duration of a download from a peer */
-#define FETCH_INTERVAL_US                                                                          \
-  (1 * CLOCK_US_PER_S) /* between two downloads of a node, before jitter                           \
-                        */
+/* between two downloads of a node, before jitter */
+#define FETCH_INTERVAL_US (1 * CLOCK_US_PER_S)
 
 /**
  * struct request - a request to the platform
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -18,7 +18,7 @@
  * struct workload_class - a request class
  * @share: fraction of the sessions that are of this class
  * @opening_tokens, @turn_tokens: median prompt tokens of the first turn, and added by each later
- * one
+ *   one
  * @output_tokens: median tokens of an answer
  * @return_share: probability that another turn follows a turn; 0 for requests without a chat
  * @pause_s: mean pause between an answer and the next turn
--- a/bench/world.c
+++ b/bench/world.c
@@ -7,8 +7,8 @@
 
 #define MAX_VIEWS 32
 #define JOINING_ENGINES 2 /* added by the fault "join" */
-#define EXCHANGE_AFTER_END_US                                                                      \
-  (120 * (uint64_t)CLOCK_US_PER_S) /* until the last requests have ended */
+/* until the last requests have ended */
+#define EXCHANGE_AFTER_END_US (120 * (uint64_t)CLOCK_US_PER_S)
 #define LIST_LAG_MIN_US (CLOCK_US_PER_S / 5)
 #define LIST_LAG_MAX_US (3 * CLOCK_US_PER_S / 2)
 #define LATE_LIST_LAG_MIN_US (3 * CLOCK_US_PER_S)
--- a/ctl/explain_logs.h
+++ b/ctl/explain_logs.h
@@ -13,8 +13,8 @@
 /* A state change is printed if it precedes a line of the request by at most this: twice the time
  * within which a new version must be in force, which is also the time after which entries lapse. */
 #define EXPLAIN_LOGS_CONTEXT_MS 5000
-#define EXPLAIN_LOGS_LINE_BYTES                                                                    \
-  (64 * 1024) /* size of the line buffer; daemons log no longer lines */
+/* size of the line buffer; daemons log no longer lines */
+#define EXPLAIN_LOGS_LINE_BYTES (64 * 1024)
 
 /** explain_logs_print() - print the log lines that concern @request from @path, a file or a
  * directory */
--- a/ctl/options.h
+++ b/ctl/options.h
@@ -37,7 +37,7 @@
 /**
  * struct ctl_options - the parsed command line and environment
  * @given: options on the command line; CTL_OPTION_PLATFORM is also set when the environment names
- * one
+ *   one
  * @platform: address of the platform, valid when CTL_OPTION_PLATFORM is set
  * @daemon: address of a daemon, valid when CTL_OPTION_DAEMON is set
  * @fleet_key: key of the fleet from the environment, or NULL
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -21,8 +21,8 @@
 #include <sys/types.h>
 
 #define SOAK_GATEWAYS 3
-#define SOAK_UPSTREAMS                                                                             \
-  5 /* the first SOAK_STREAM_UPSTREAMS send event streams, the others plain responses */
+/* the first SOAK_STREAM_UPSTREAMS send event streams, the others plain responses */
+#define SOAK_UPSTREAMS 5
 #define SOAK_STREAM_UPSTREAMS 3
 #define SOAK_EVENTS 6 /* events of one stream */
 /* No request may begin on an upstream later than this after the upstream announced its leaving;
--- a/src/base/limits.h
+++ b/src/base/limits.h
@@ -41,8 +41,8 @@
 #define LIMIT_CLAIM_INTERVAL_MAX_US (2 * 1000 * 1000) /* likewise after any number of refusals */
 #define LIMIT_CLAIM_BACKOFF_US (4 * 1000 * 1000)      /* longest delay after consecutive failures */
 #define LIMIT_CLAIM_WAIT_US (3 * 1000 * 1000) /* until a claim not yet appended is refused */
-#define LIMIT_CLAIM_BATCH_DELAY_US                                                                 \
-  (1000 * 1000) /* a "done" entry waits to share a claim's record */
+/* a "done" entry waits to share a claim's record */
+#define LIMIT_CLAIM_BATCH_DELAY_US (1000 * 1000)
 /* After its host began to leave, a sidecar may start requests that were admitted and claimed
  * before. */
 #define LIMIT_LEAVING_GRACE_US (1000 * 1000)
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -47,8 +47,8 @@
 void log_flush (void);
 
 #define LOG_BUFFER_BYTES (64 * 1024)
-#define LOG_WRITE_BYTES                                                                            \
-  4096 /* PIPE_BUF on Linux: a writable pipe accepts this much without blocking */
+/* PIPE_BUF on Linux: a writable pipe accepts this much without blocking */
+#define LOG_WRITE_BYTES 4096
 #define LOG_FLUSH_DELAY_MS 10 /* longest time that a line stays in the buffer */
 
 /**
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -35,7 +35,7 @@
  * @status: HTTP status; 0 when none was received
  * @verdict: when not @whole: VERDICT_NOT_RUN if no byte was sent, otherwise VERDICT_MAY_HAVE_RUN
  * @reason: when not @whole: VERDICT_REASON_TIMEOUT after a timeout, VERDICT_REASON_CONNECT if no
- * byte was sent, VERDICT_REASON_CROSSED if the response belongs to another request, otherwise
+ *   byte was sent, VERDICT_REASON_CROSSED if the response belongs to another request, otherwise
  *   VERDICT_REASON_CUT
  */
 typedef struct
--- a/src/connection/http_client_internal.h
+++ b/src/connection/http_client_internal.h
@@ -24,7 +24,7 @@
  * @idle_timeout: after which an idle connection is closed
  * @connect_limit: time limit for connecting
  * @idle: queue of idle connections for each address (key of http_client_conn), most recently used
- * first
+ *   first
  * @conns: set of all connections
  * @calls: set of all calls
  */
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -142,7 +142,7 @@
  * take the part of the response that it has for the complete one */
 void http_server_abort (http_server_call_t *call);
 
-#define HTTP_SERVER_QUEUED_LIMIT_BYTES                                                             \
-  (256 * 1024) /* bytes queued for a client before http_server_send_part() says stop */
+/* bytes queued for a client before http_server_send_part() says stop */
+#define HTTP_SERVER_QUEUED_LIMIT_BYTES (256 * 1024)
 
 #endif
--- a/src/connection/http_server_internal.h
+++ b/src/connection/http_server_internal.h
@@ -119,7 +119,7 @@
  * @query: parsed by the first http_server_query_value()
  * @begun: the head of a streamed response has been queued
  * @full: http_server_send_part() has returned false, and the callback of http_server_on_writable()
- * has not run since
+ *   has not run since
  */
 struct http_server_call
 {
--- a/src/connection/platform.h
+++ b/src/connection/platform.h
@@ -95,9 +95,8 @@
 
 /* keys of PLATFORM_STREAM_ROUTING */
 #define PLATFORM_KEY_CONFIG "config" /* the newest configuration */
-#define PLATFORM_KEY_DRAIN_PREFIX                                                                  \
-  "drain/" /* followed by a data centre, drained while the key exists                              \
-            */
+/* followed by a data centre, drained while the key exists */
+#define PLATFORM_KEY_DRAIN_PREFIX "drain/"
 
 /**
  * struct platform - a platform
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -38,8 +38,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define DATAGRAM_VERIFIER_FLAVOR                                                                   \
-  0x20004d50 /* auth flavor of the verifier; equal to the RPC program number */
+/* auth flavor of the verifier; equal to the RPC program number */
+#define DATAGRAM_VERIFIER_FLAVOR 0x20004d50
 #define DATAGRAM_HMAC_BYTES 32
 
 typedef enum
--- a/src/process/gateway_fetch.h
+++ b/src/process/gateway_fetch.h
@@ -17,8 +17,8 @@
 #include <event2/event.h>
 
 #define GATEWAY_FETCH_STREAMS_MAX 4
-#define GATEWAY_FETCH_TIMEOUT_MS                                                                   \
-  1000 /* a link of 10 Mbit/s transfers a version of 350 KB in 0.3 s */
+/* a link of 10 Mbit/s transfers a version of 350 KB in 0.3 s */
+#define GATEWAY_FETCH_TIMEOUT_MS 1000
 
 /**
  * struct gateway_fetch_result - result of a fetch
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -34,8 +34,8 @@
  * request that arrives later than 3 s may not be finished when the process is killed.
  */
 #define GATEWAY_PROCESS_STOP_ACCEPT_MS 2500
-#define GATEWAY_PROCESS_EXIT_MARGIN_MS                                                             \
-  250 /* the process exits this long before it would be killed */
+/* the process exits this long before it would be killed */
+#define GATEWAY_PROCESS_EXIT_MARGIN_MS 250
 
 /**
  * struct gateway_process_parsers - parsers of the store's records
--- a/src/process/rumour.h
+++ b/src/process/rumour.h
@@ -18,9 +18,8 @@
 #define GOSSIP_SLOTS 32 /* items of each kind that are kept */
 /* Messages that carry an item; more than log2 of the number of daemons of a large fleet. */
 #define GOSSIP_SENDS 16
-#define GOSSIP_MARK_MAX_AGE_US                                                                     \
-  (UINT64_C (600) * 1000 * 1000) /* older marks are neither added nor sent                         \
-                                  */
+/* older marks are neither added nor sent */
+#define GOSSIP_MARK_MAX_AGE_US (UINT64_C (600) * 1000 * 1000)
 
 /** struct gossip_report - a report and how many more messages are to carry it */
 typedef struct
--- a/src/request/fault.h
+++ b/src/request/fault.h
@@ -21,7 +21,7 @@
  * @reason: why the request failed or was refused
  * @retry_after_ms: value of Retry-After; 0 leaves the header out
  * @exact_retry: write Retry-After in seconds with three decimals; without it, as HTTP has it, in
- * whole seconds, rounded up
+ *   whole seconds, rounded up
  * @request: the attempt id as text, or NULL
  */
 typedef struct
--- a/src/request/gateway/format.h
+++ b/src/request/gateway/format.h
@@ -14,8 +14,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define FORMAT_PROMPT_PARTS_MAX                                                                    \
-  16 /* of a longer prompt the first parts and the last one are kept */
+/* of a longer prompt the first parts and the last one are kept */
+#define FORMAT_PROMPT_PARTS_MAX 16
 #define FORMAT_ID_BYTES 128
 #define FORMAT_BACKOFF_MAX_MS (24 * 3600 * 1000) /* a longer backoff is taken for a mistake */
 
@@ -107,7 +107,7 @@
  * struct format - the operations of an adapter
  * @read: parses a client's request headers. Return: NULL, or an error message for the client
  * @write: appends the request headers for an engine to @out, an array of http_client_header_t:
- * those of the gateway, and the client's headers that are forwarded. @out borrows from @text and
+ *   those of the gateway, and the client's headers that are forwarded. @out borrows from @text and
  * @headers
  * @answer: parses an engine's response headers; @id is the id of the request, or NULL
  * @is_returned: whether a response header is forwarded to the client
--- a/src/request/gateway/gateway_private.h
+++ b/src/request/gateway/gateway_private.h
@@ -35,8 +35,8 @@
  * keeps it open: if the engine closed it at that moment, nobody could tell whether the request ran.
  */
 #define GATEWAY_REUSE_IDLE_MAX_US (1000 * 1000)
-#define GATEWAY_REUSE_IDLE_DIVISOR                                                                 \
-  4 /* reuse within this part of the idle time that the engine states */
+/* reuse within this part of the idle time that the engine states */
+#define GATEWAY_REUSE_IDLE_DIVISOR 4
 /* Bounds of Retry-After. A retry sooner than the minimum would find the same queue. */
 #define GATEWAY_RETRY_MIN_MS 100
 #define GATEWAY_RETRY_MAX_MS 8000
@@ -44,18 +44,18 @@
  * that. */
 #define GATEWAY_RETRY_DRAINED_MS 2000
 #define GATEWAY_SUSPECTS_MAX 256
-#define GATEWAY_SUSPECT_TTL_US                                                                     \
-  (UINT64_C (60) * CLOCK_US_PER_S) /* its client has sent it again by then */
+/* its client has sent it again by then */
+#define GATEWAY_SUSPECT_TTL_US (UINT64_C (60) * CLOCK_US_PER_S)
 /* Many clients send the same status check, so one of them is likely to run at any engine that
  * crashes. After two such crashes the check would be refused to all clients as one that crashes
  * engines. A request that was served within this time is therefore not marked. One that really
  * crashes every engine isn't served meanwhile, and is marked again after this time. */
 #define GATEWAY_SERVED_MAX 4096
 #define GATEWAY_SERVED_TTL_US (UINT64_C (10) * CLOCK_US_PER_S)
-#define GATEWAY_CACHE_WARM_MAX                                                                     \
-  4096 /* pairs of prompt and engine whose cache has the shared parts */
-#define GATEWAY_NEARLY_FULL_MILLI                                                                  \
-  900                         /* share of slots in use, in thousandths, from which requests queue */
+/* pairs of prompt and engine whose cache has the shared parts */
+#define GATEWAY_CACHE_WARM_MAX 4096
+/* share of slots in use, in thousandths, from which requests queue */
+#define GATEWAY_NEARLY_FULL_MILLI 900
 #define GATEWAY_WATCH_TICKS 4 /* ticks between two searches for hops whose engine is silent */
 #define GATEWAY_TICK_MS 25    /* queued requests are checked this often, and after all events */
 /* Levels of priority of an account, and of a route. Engines distinguish ten in all, so the pairs of
@@ -63,10 +63,10 @@
 #define GATEWAY_PRIORITIES 3
 /* Slots of a table of route statistics; of two routes with the same slot the later is kept. */
 #define GATEWAY_ROUTE_STATS_SLOTS 256
-#define GATEWAY_RUN_SMOOTHING                                                                      \
-  16 /* smoothing of a route's run times: about the last sixteen count */
-#define GATEWAY_HISTOGRAM_SERVICES_MAX                                                             \
-  64 /* services with histograms of their own; all further ones share one */
+/* smoothing of a route's run times: about the last sixteen count */
+#define GATEWAY_RUN_SMOOTHING 16
+/* services with histograms of their own; all further ones share one */
+#define GATEWAY_HISTOGRAM_SERVICES_MAX 64
 
 /**
  * struct gateway_service - state of one service
--- a/src/request/hop.h
+++ b/src/request/hop.h
@@ -19,9 +19,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define HOP_ATTEMPT_HEADER                                                                         \
-  "X-Medlarplank-Attempt"                    /* on every response of a sidecar: attempt id         \
-                                              */
+/* on every response of a sidecar: attempt id */
+#define HOP_ATTEMPT_HEADER "X-Medlarplank-Attempt"
 #define HOP_HEADER "X-Medlarplank-Hop"       /* all of hop_t, separated by semicolons */
 #define HOP_SEAL_HEADER "X-Medlarplank-Seal" /* HMAC of HOP_HEADER */
 #define HOP_REASON_HEADER "X-Medlarplank-Reason"
@@ -30,22 +29,20 @@
 #define HOP_INCARNATION_HEADER "X-Medlarplank-Incarnation" /* of the sidecar process */
 #define HOP_RETRY_AFTER_HEADER "X-Medlarplank-Retry-After-Ms"
 #define HOP_LOAD_HEADER "X-Medlarplank-Load" /* of the engine that responded: LOAD/WAITING/COST */
-#define HOP_CACHED_TOKENS_HEADER                                                                   \
-  "X-Cached-Tokens"                       /* from the engine: prompt tokens found in its cache     \
-                                           */
+/* from the engine: prompt tokens found in its cache */
+#define HOP_CACHED_TOKENS_HEADER "X-Cached-Tokens"
 #define HOP_PRIORITY_HEADER "X-Priority"  /* to the engine */
 #define HOP_ACCOUNT_HEADER "X-Account"    /* to the engine: name of the client account */
 #define HOP_REQUEST_HEADER "X-Request-Id" /* to the engine, which echoes it: the attempt id */
 
 #define HOP_REVOKE_PATH "/medlarplank/revoke" /* POST ?attempt=ID; responds with VERDICT_HEADER */
-#define HOP_SERVED_PATH                                                                            \
-  "/medlarplank/served" /* POST ?chat=HEX&engine=HEX: tells the chat's home who served it */
+/* POST ?chat=HEX&engine=HEX: tells the chat's home who served it */
+#define HOP_SERVED_PATH "/medlarplank/served"
 #define HOP_DIRECTORY_PATH "/medlarplank/directory" /* POST: hand-over of a leaving sidecar */
 
 #define HOP_SAMPLES_MAX 6
-#define HOP_SAMPLE_TYPICAL_BYTES                                                                   \
-  36 /* of one sample in the header, typically; used for traffic estimates                         \
-      */
+/* of one sample in the header, typically; used for traffic estimates */
+#define HOP_SAMPLE_TYPICAL_BYTES 36
 /**
  * struct hop_sample - load of one engine, as the router last heard it
  * @load: requests that the engine runs
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -113,7 +113,7 @@
 /**
  * struct message_flag - a state that goes on or off
  * @at_us: for MESSAGE_FRESHNESS the time since which everything was received again, for
- * MESSAGE_PAUSE_DETECTED the time at which the task woke
+ *   MESSAGE_PAUSE_DETECTED the time at which the task woke
  */
 typedef struct
 {
--- a/src/request/ops.h
+++ b/src/request/ops.h
@@ -36,7 +36,7 @@
  * @daemon: settings, clock, counters and mailboxes of the daemon; borrowed
  * @on_call: handles a request whose path is not one for operators
  * @on_sealed: handles a call below DATA_TASK_ADMIN_PREFIX whose path is not handled here, after its
- * seal was checked. Return: whether it responded
+ *   seal was checked. Return: whether it responded
  * @ready: whether the role is ready; version, members, pause and stop are checked here
  * @in_flight: number of requests, besides the listener's calls, that a graceful stop waits for
  * @status: adds the role's fields to the status document
--- a/src/request/policy/attempt.h
+++ b/src/request/policy/attempt.h
@@ -22,9 +22,8 @@
 #define FORWARDING_BUDGET_MAX_MILLI 10000 /* capacity of the budget: ten retries */
 #define FORWARDING_BUDGET_GAIN_MILLI 100  /* a tenth of a retry for each successful request */
 #define FORWARDING_RESERVE_MAX_MILLI 1000 /* reserve of a client account: one retry */
-#define FORWARDING_RESERVES_MAX                                                                    \
-  256 /* client accounts whose reserve may be used at the same time                                \
-       */
+/* client accounts whose reserve may be used at the same time */
+#define FORWARDING_RESERVES_MAX 256
 
 /**
  * struct forwarding_reserve - reserve of a client account that has used it
@@ -69,7 +68,7 @@
  * @candidates: hashes of the engines to try, best first; copied
  * @candidate_count: number of @candidates
  * @crashed: array of %LIMIT_SUSPECT_CRASHES hashes of engines that crashed on this request before,
- * 0 for an unused entry; NULL if there are none
+ *   0 for an unused entry; NULL if there are none
  */
 typedef struct
 {
--- a/src/request/policy/claim_table.h
+++ b/src/request/policy/claim_table.h
@@ -27,7 +27,7 @@
  * @holder_claim: fingerprint of the claim that holds the key
  * @holder_body: fingerprint of that claim's body
  * @claimed_s: wall time of the last claim of the key, in seconds; for %CLAIM_TABLE_RELEASED of the
- * release
+ *   release
  * @status: HTTP status, for %CLAIM_TABLE_DONE
  * @state: one of enum claim_table_state
  */
--- a/src/request/policy/line.h
+++ b/src/request/policy/line.h
@@ -31,8 +31,8 @@
 #include <stdint.h>
 
 #define WAIT_QUEUE_LIMIT 1024 /* limit of each queue, for one service at one gateway */
-#define WAIT_QUEUE_DEFAULT_RUN_US                                                                  \
-  (50 * 1000)                   /* duration of a request until one has been measured */
+/* duration of a request until one has been measured */
+#define WAIT_QUEUE_DEFAULT_RUN_US (50 * 1000)
 #define WAIT_QUEUE_SMOOTHING 16 /* smoothing of times: about the last 16 responses count */
 /* Credit of an account that was served less than others, as a time of this gateway's whole share of
  * the slots. A burst of such an account then starts before the requests of one that used the slots
--- a/src/request/policy/place.c
+++ b/src/request/policy/place.c
@@ -8,8 +8,8 @@
 
 #define HASH_UNIT                                                                                  \
   (1.0 / 9007199254740992.0) /* 2^-53 turns the top 53 bits of a hash into a fraction */
-#define CHAT_SEED                                                                                  \
-  0x63686174ULL /* differs from BODY_SEED: a chat id equal to a body has another hash */
+/* differs from BODY_SEED: a chat id equal to a body has another hash */
+#define CHAT_SEED 0x63686174ULL
 #define BODY_SEED 0x626f6479ULL
 
 /* An engine in the ranking: ordered by score, key and engine hash, so that all routers agree on a
--- a/src/request/policy/read_duty.h
+++ b/src/request/policy/read_duty.h
@@ -64,7 +64,7 @@
 /**
  * struct read_policy_stream - properties of a stream that don't change
  * @patience_us: how long the usual source of new records is waited for before the other one is
- * tried too; the usual source is the store for followers, and a peer for the others
+ *   tried too; the usual source is the store for followers, and a peer for the others
  * @bound_us: time within which a record of the stream must be in force at every gateway
  */
 typedef struct
@@ -121,7 +121,7 @@
  * @theirs: offset up to which the peer has the stream
  * @ours: offset up to which this gateway has it
  * @store_us: when the store answered the peer, or the one from which it has the records; 0 when
- * that is not known
+ *   that is not known
  */
 void read_policy_apply_peer (
     read_policy_t *read_policy, uint64_t now_us, uint64_t theirs, uint64_t ours, uint64_t store_us);
--- a/src/request/policy/retry_share.h
+++ b/src/request/policy/retry_share.h
@@ -26,8 +26,8 @@
  * of different routers begin at different times, and unevenly balanced connections give one router
  * more failures than its share. */
 #define RETRY_BUDGET_PART_MILLI 750
-#define RETRY_BUDGET_FIRST_MILLI                                                                   \
-  (1000 - RETRY_BUDGET_PART_MILLI) /* the same in the first window after a start */
+/* the same in the first window after a start */
+#define RETRY_BUDGET_FIRST_MILLI (1000 - RETRY_BUDGET_PART_MILLI)
 
 /**
  * struct retry_budget_options - the configured limit of a service
--- a/src/request/policy/spread.h
+++ b/src/request/policy/spread.h
@@ -101,7 +101,7 @@
  * @head_us: usual time until the head of an answer
  * @surge: traffic has grown so fast that the engines are full, whatever they last reported
  * @utilization_milli: recently reported requests at the engines, in thousandths of their slots; 0
- * when unknown
+ *   when unknown
  * @late: it can't be answered in time any more, so it gets only a slot that is surely free
  * @default_slots: of an engine that doesn't state its slots
  * @cold_per_s: requests per second that an engine sustains in its cold start; 0 when unknown
@@ -145,7 +145,7 @@
  * @candidates: number of engines that may get the request, also those that are full
  * @drained: with %ENGINE_CHOICE_NONE: there are engines, but all their data centres are drained
  * @rest_us: with %ENGINE_CHOICE_NONE: time until the first engine that asked for no requests
- * accepts them again; 0 when none did
+ *   accepts them again; 0 when none did
  */
 typedef struct
 {
--- a/src/request/sidecar/sidecar_leave.c
+++ b/src/request/sidecar/sidecar_leave.c
@@ -14,7 +14,7 @@
  * @batch_by_host: JSON array of entries for each host, by the host's index in the members; NULL
  *   when there are none
  * @batch_count: batches that were complete so far; those beyond SIDECAR_HANDOVER_MAX_BATCHES are
- * not sent
+ *   not sent
  */
 typedef struct
 {
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -51,7 +51,7 @@
  * @SIDECAR_CALL_CLAIMING: admitted, and the claim of its idempotency key is pending
  * @SIDECAR_CALL_RUNNING: admitted and sent to the engine
  * @SIDECAR_CALL_INTERRUPTED: the engine's answer broke off; a health check decides whether the
- * engine crashed
+ *   engine crashed
  */
 typedef enum
 {
--- a/src/version/replay.h
+++ b/src/version/replay.h
@@ -71,7 +71,7 @@
  *
  * A reader that is not ready becomes ready only after it has processed all records before
  * @end_offset: a daemon that just started must not serve with a version that was replaced long
- * ago. A reader that is ready stays ready when the log grows.
+ *   ago. A reader that is ready stays ready when the log grows.
  */
 void replay_set_end_offset (replay_t *replay, uint64_t end_offset);
 
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -56,7 +56,7 @@
  * @status: Wait status of the last exit, from waitpid().
  * @is_paused: Whether it is stopped by SIGSTOP.
  * @max_runs: Upper limit of the runs that its record may hold, set by
- * driver_host_forbid_new_runs(); -1 is no limit.
+ *   driver_host_forbid_new_runs(); -1 is no limit.
  */
 typedef struct
 {
@@ -80,7 +80,7 @@
  * @log: Proxy between sidecar and platform, or NULL.
  * @state: State of the host in the platform's host list; NULL leaves it out of the list.
  * @is_plain: Whether it belongs to the plain service claims-portal instead of the model service
- * medlar-pool.
+ *   medlar-pool.
  */
 typedef struct
 {
@@ -102,7 +102,7 @@
  * @platform_flags: Likewise, of the stand-in platform.
  * @daemon_flags: Likewise, of all sidecars and routers.
  * @use_proxies: Put a proxy in front of each sidecar, of each engine, and between each sidecar and
- * the platform.
+ *   the platform.
  * @manifest: Not evaluated.
  */
 typedef struct
@@ -252,7 +252,7 @@
  * @id: Identifies the record.
  * @base: Version that the record is based on.
  * @patch: JSON merge patch for driver_parse_json(), or NULL for the complete manifest of the
- * session.
+ *   session.
  */
 void driver_publish_manifest (driver_t *driver, const char *id, uint64_t base, const char *patch);
 /** driver_wait_log_record() - Wait until a record of the platform's log stream @stream contains
@@ -315,9 +315,9 @@
  * @DRIVER_OUTCOME_PENDING: It has not ended yet.
  * @DRIVER_OUTCOME_COMPLETE: The response is complete, whatever its status.
  * @DRIVER_OUTCOME_TRUNCATED: The connection was closed after the response header, before the end of
- * the body.
+ *   the body.
  * @DRIVER_OUTCOME_NO_RESPONSE: The connection failed or was closed before the end of the response
- * header.
+ *   header.
  * @DRIVER_OUTCOME_CANCELLED: The caller closed the connection.
  */
 typedef enum
@@ -340,7 +340,7 @@
  * @head_us: Monotonic time at which the response header was complete.
  * @ended_us: Monotonic time at which the call ended.
  * @remaining_bytes: Bytes that are missing from the body or, if it is chunked, from the current
- * chunk; -1 if the response has no Content-Length.
+ *   chunk; -1 if the response has no Content-Length.
  * @in_chunk: Whether the parser is within a chunk or before the line break that closes it.
  */
 struct driver_call
@@ -424,10 +424,10 @@
  * @DRIVER_PROXY_CLOSED: Do not listen.
  * @DRIVER_PROXY_CUT_REQUEST: Close the connection after passing on a part of the request.
  * @DRIVER_PROXY_DROP_RESPONSE: Pass the request on, and close the connection when its response
- * arrives.
+ *   arrives.
  * @DRIVER_PROXY_CUT_RESPONSE: Close the connection after passing on a part of the response.
  * @DRIVER_PROXY_HOLD_RESPONSE: Hold back the response, or the end of its connection, until the mode
- * changes.
+ *   changes.
  */
 typedef enum
 {
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -14,8 +14,8 @@
 #define GATEWAY_RIG_GATEWAYS_MAX 5
 #define GATEWAY_RIG_ENGINES_MAX 3
 #define GATEWAY_RIG_SLOTS 8 /* requests that each engine runs at the same time */
-#define GATEWAY_RIG_PORT                                                                           \
-  7310 /* control port of the first gateway; its exchange port is the next one */
+/* control port of the first gateway; its exchange port is the next one */
+#define GATEWAY_RIG_PORT 7310
 
 /**
  * struct gateway_rig_gateway - one gateway
--- a/tests/session_bound.c
+++ b/tests/session_bound.c
@@ -17,8 +17,8 @@
 
 #define MODELS 5
 #define SLOTS 8
-#define SURGE_IN_FLIGHT                                                                            \
-  100 /* requests in flight of each surging account; the quiet account has one */
+/* requests in flight of each surging account; the quiet account has one */
+#define SURGE_IN_FLIGHT 100
 #define SURGING_ACCOUNTS 2
 #define SURGE_STARTS_PER_TICK 12 /* requests that each surging account starts per tick at most */
 #define TICK_MS 25
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -1025,8 +1025,8 @@
 }
 
 #define SHORT_RENEWAL_MS 100 /* an outage is then found within 0.2 s */
-#define OUTAGE_MS                                                                                  \
-  1500 /* longer than a read's timeout and interval, so that all reads have failed */
+/* longer than a read's timeout and interval, so that all reads have failed */
+#define OUTAGE_MS 1500
 
 /** struct copies - number of copies of a peer's records that the second gateway took before */
 typedef struct
--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -12,7 +12,7 @@
 /**
  * struct fake - a fake sidecar that closes the connection on each request, and answers revokes
  * @moved_host: host whose address in the member list becomes @new_address when a request arrives,
- * or NULL
+ *   or NULL
  * @verdict: answer to a revoke
  * @incarnation: incarnation that the answer to a revoke carries
  * @requests: requests received
--- a/tests/test_stream_follow.c
+++ b/tests/test_stream_follow.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 #define WAIT_MS 1000
-#define LONG_PACE_MS                                                                               \
-  (60 * 1000) /* longer than a test lasts, so a read that waits for it is missed */
+/* longer than a test lasts, so a read that waits for it is missed */
+#define LONG_PACE_MS (60 * 1000)
 #define RECORDED_CALLS 8
 
 /** store_t - fake platform that records calls, which the test answers; @platform is first for the
