--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -6,14 +6,14 @@
  * value". Processor time is that of the thread, so that other load on the machine has little
  * effect.
  */
-#include "connection/wire.h"
+#include "connection/datagram.h"
 #include "base/clock.h"
 #include "request/policy/claim.h"
-#include "request/policy/directory.h"
+#include "request/policy/chat_directory.h"
 #include "request/hop.h"
-#include "request/policy/mean.h"
-#include "request/policy/member.h"
-#include "request/policy/place.h"
+#include "request/policy/load_samples.h"
+#include "request/policy/membership.h"
+#include "request/policy/rendezvous.h"
 #include "version/manifest.h"
 #include "version/replay.h"
 
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -6,9 +6,9 @@
  */
 #include "random.h"
 
-#include "request/policy/admit.h"
-#include "request/policy/choose.h"
-#include "request/policy/spread.h"
+#include "request/policy/admission.h"
+#include "request/policy/candidates.h"
+#include "request/policy/engine_choice.h"
 
 #include <glib.h>
 #include <malloc.h>
--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -5,7 +5,7 @@
  * each workload and fault, averaged over the seeds; with --tsv also a line for each run. See
  * docs/measurements/.
  */
-#include "world.h"
+#include "fleet_sim.h"
 
 #include <getopt.h>
 #include <stdio.h>
--- a/bench/bench_watch.c
+++ b/bench/bench_watch.c
@@ -6,7 +6,7 @@
  * NAME<TAB>VALUE and ends.
  */
 #include "load_client.h"
-#include "watch_sums.h"
+#include "watch_stats.h"
 
 #include <event2/event.h>
 #include <getopt.h>
--- a/bench/cache.c
+++ b/bench/cache_model.c
@@ -1,4 +1,4 @@
-#include "cache.h"
+#include "cache_model.h"
 
 #include <glib.h>
 
--- a/bench/cache.h
+++ b/bench/cache_model.h
@@ -1,11 +1,11 @@
 /**
- * DOC: cache
+ * DOC: cache_model
  *
  * Model of one engine's prefix cache: the number of cached tokens of each chat. The total is
  * limited and the least recently used chats are evicted first.
  */
-#ifndef BENCH_CACHE_H
-#define BENCH_CACHE_H
+#ifndef BENCH_CACHE_MODEL_H
+#define BENCH_CACHE_MODEL_H
 
 #include <stdint.h>
 
--- a/bench/events.c
+++ b/bench/event_queue.c
@@ -1,4 +1,4 @@
-#include "events.h"
+#include "event_queue.h"
 
 #include <glib.h>
 #include <string.h>
--- a/bench/events.h
+++ b/bench/event_queue.h
@@ -1,10 +1,10 @@
 /**
- * DOC: events
+ * DOC: event_queue
  *
  * Event queue of a discrete-event simulation: a binary heap ordered by virtual time.
  */
-#ifndef BENCH_EVENTS_H
-#define BENCH_EVENTS_H
+#ifndef BENCH_EVENT_QUEUE_H
+#define BENCH_EVENT_QUEUE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/bench/world.c
+++ b/bench/fleet_sim.c
@@ -1,6 +1,6 @@
-#include "world.h"
+#include "fleet_sim.h"
 
-#include "world_parts.h"
+#include "fleet_sim_private.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/bench/world.h
+++ b/bench/fleet_sim.h
@@ -1,5 +1,5 @@
 /**
- * DOC: world
+ * DOC: fleet_sim
  *
  * Discrete-event simulation of engines, routers and their clients in virtual time. The decisions
  * are made by the product's own code: the choice of candidates, attempts, admission, mean load,
@@ -7,19 +7,19 @@
  * without delay. An engine takes a fixed time for each uncached prompt token and for each output
  * token, independent of its load.
  */
-#ifndef BENCH_WORLD_H
-#define BENCH_WORLD_H
+#ifndef BENCH_FLEET_SIM_H
+#define BENCH_FLEET_SIM_H
 
-#include "cache.h"
-#include "events.h"
+#include "cache_model.h"
+#include "event_queue.h"
 #include "figures.h"
 #include "workload.h"
 
-#include "request/policy/admit.h"
-#include "request/policy/attempt.h"
-#include "request/policy/choose.h"
+#include "request/policy/admission.h"
+#include "request/policy/forwarding.h"
+#include "request/policy/candidates.h"
 #include "request/policy/health.h"
-#include "request/policy/member.h"
+#include "request/policy/membership.h"
 
 #include <glib.h>
 
--- a/bench/world_engine.c
+++ b/bench/fleet_sim_engine.c
@@ -1,4 +1,4 @@
-#include "world_parts.h"
+#include "fleet_sim_private.h"
 
 /** struct completion - data of the event that ends a request; no @call after its engine's crash */
 typedef struct
--- a/bench/world_fault.c
+++ b/bench/fleet_sim_fault.c
@@ -1,4 +1,4 @@
-#include "world_parts.h"
+#include "fleet_sim_private.h"
 
 #include <math.h>
 
--- a/bench/world_list.c
+++ b/bench/fleet_sim_gossip.c
@@ -1,4 +1,4 @@
-#include "world_parts.h"
+#include "fleet_sim_private.h"
 
 /** struct change - a change of the platform's list that a view has not received yet */
 typedef struct
--- a/bench/world_parts.h
+++ b/bench/fleet_sim_private.h
@@ -1,13 +1,13 @@
 /**
- * DOC: world_parts
+ * DOC: fleet_sim_private
  *
  * Internals of the simulation, shared by its source files.
  */
-#ifndef BENCH_WORLD_PARTS_H
-#define BENCH_WORLD_PARTS_H
+#ifndef BENCH_FLEET_SIM_PRIVATE_H
+#define BENCH_FLEET_SIM_PRIVATE_H
 
 #include "random.h"
-#include "world.h"
+#include "fleet_sim.h"
 
 #include "request/hop.h"
 
@@ -191,7 +191,7 @@
   return sim->now_us >= sim->options.warm_up_us && sim->now_us < sim->end_us;
 }
 
-/* world_engine.c */
+/* fleet_sim_engine.c */
 /** fleet_sim_engine_start() - starts an engine with an empty cache; @joined: while the fleet runs
  */
 void fleet_sim_engine_start (fleet_sim_t *sim, fleet_sim_engine_t *engine, bool joined);
@@ -219,7 +219,7 @@
 /** fleet_sim_engine_set_counted() - adds an engine to the true mean or removes it */
 void fleet_sim_engine_set_counted (fleet_sim_t *sim, fleet_sim_engine_t *engine, bool counted);
 
-/* world_router.c */
+/* fleet_sim_router.c */
 void fleet_sim_router_init (fleet_sim_t *sim, fleet_sim_router_t *router, uint32_t index);
 void fleet_sim_router_clear (fleet_sim_router_t *router);
 /** fleet_sim_router_send() - sends the next request of @session */
@@ -234,7 +234,7 @@
 /** fleet_sim_router_handle_answer() - a request has its whole answer */
 void fleet_sim_router_handle_answer (fleet_sim_t *sim, fleet_sim_call_t *call);
 
-/* world_list.c */
+/* fleet_sim_gossip.c */
 void fleet_sim_view_init (fleet_sim_t *sim, fleet_sim_view_t *view);
 void fleet_sim_view_clear (fleet_sim_view_t *view);
 /** fleet_sim_change_list() - changes the platform's list, which arrives at each view after the
@@ -262,7 +262,7 @@
  * reachable */
 void fleet_sim_send_gossip (fleet_sim_t *sim, fleet_sim_daemon_t *from, fleet_sim_daemon_t *to);
 
-/* world_fault.c */
+/* fleet_sim_fault.c */
 /** fleet_sim_schedule_fault() - schedules the actions of the run's fault */
 void fleet_sim_schedule_fault (fleet_sim_t *sim);
 /** fleet_sim_run_fault_action() - runs an action of the fault; @engine may be NULL where it
--- a/bench/world_router.c
+++ b/bench/fleet_sim_router.c
@@ -1,4 +1,4 @@
-#include "world_parts.h"
+#include "fleet_sim_private.h"
 
 static fleet_sim_engine_t *
 find_engine (const fleet_sim_t *sim, uint64_t hash)
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -1,6 +1,6 @@
 #include "sim_parts.h"
 
-#include "request/policy/patience.h"
+#include "request/policy/hop_timeout.h"
 
 #include <xxhash.h>
 
--- a/bench/gateway/sim_parts.h
+++ b/bench/gateway/sim_parts.h
@@ -7,15 +7,15 @@
 #ifndef BENCH_GATEWAY_SIM_PARTS_H
 #define BENCH_GATEWAY_SIM_PARTS_H
 
-#include "../cache.h"
-#include "../events.h"
+#include "../cache_model.h"
+#include "../event_queue.h"
 #include "../random.h"
 #include "base/clock.h"
-#include "request/policy/course.h"
-#include "request/policy/line.h"
+#include "request/policy/retry_plan.h"
+#include "request/policy/wait_queue.h"
 #include "request/policy/load_gauge.h"
-#include "request/policy/pace.h"
-#include "request/policy/spread.h"
+#include "request/policy/median_latency.h"
+#include "request/policy/engine_choice.h"
 #include "sim.h"
 
 #include <glib.h>
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -2,7 +2,7 @@
 
 #include "../random.h"
 #include "base/log.h"
-#include "request/policy/place.h"
+#include "request/policy/rendezvous.h"
 
 #include <math.h>
 #include <string.h>
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -15,8 +15,8 @@
 #ifndef BENCH_SPREAD_FLEET_H
 #define BENCH_SPREAD_FLEET_H
 
-#include "../events.h"
-#include "connection/budget.h"
+#include "../event_queue.h"
+#include "connection/byte_budget.h"
 #include "process/control_private.h"
 
 #define FLEET_DATA_CENTERS 12
--- a/bench/watch_sums.c
+++ b/bench/watch_stats.c
@@ -1,4 +1,4 @@
-#include "watch_sums.h"
+#include "watch_stats.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/bench/watch_sums.h
+++ b/bench/watch_stats.h
@@ -1,12 +1,12 @@
 /**
- * DOC: watch_sums
+ * DOC: watch_stats
  *
  * Statistics of a fleet that is polled: how evenly the load is distributed at each moment, and by
  * how much the counters grew. When a counter is smaller than before, its daemon was restarted, and
  * the new value counts as growth.
  */
-#ifndef BENCH_WATCH_SUMS_H
-#define BENCH_WATCH_SUMS_H
+#ifndef BENCH_WATCH_STATS_H
+#define BENCH_WATCH_STATS_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/ctl/ask.c
+++ b/ctl/admin_call.c
@@ -1,6 +1,6 @@
-#include "ask.h"
+#include "admin_call.h"
 #include "connection/admin_seal.h"
-#include "request/policy/order.h"
+#include "request/policy/call_seal.h"
 
 #include <inttypes.h>
 #include <jansson.h>
--- a/ctl/ask.h
+++ b/ctl/admin_call.h
@@ -1,14 +1,14 @@
 /**
- * DOC: ask
+ * DOC: admin_call
  *
  * HTTP calls to the administrative interface of daemons, one at a time or many in parallel. Calls
  * carry a seal, an authentication code made with the fleet key, when that key is configured.
  */
-#ifndef CTL_ASK_H
-#define CTL_ASK_H
+#ifndef CTL_ADMIN_CALL_H
+#define CTL_ADMIN_CALL_H
 
 #include "ctl.h"
-#include "request/policy/member.h"
+#include "request/policy/membership.h"
 
 #include <glib.h>
 
--- a/ctl/cmd_manifest.c
+++ b/ctl/cmd_manifest.c
@@ -1,5 +1,5 @@
 #include "ctl.h"
-#include "follow.h"
+#include "manifest_reader.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/ctl/cmd_publish.c
+++ b/ctl/cmd_publish.c
@@ -1,6 +1,6 @@
-#include "ask.h"
+#include "admin_call.h"
 #include "ctl.h"
-#include "follow.h"
+#include "manifest_reader.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/ctl/cmd_status.c
+++ b/ctl/cmd_status.c
@@ -1,4 +1,4 @@
-#include "ask.h"
+#include "admin_call.h"
 #include "ctl.h"
 
 #include <inttypes.h>
--- a/ctl/follow.c
+++ b/ctl/manifest_reader.c
@@ -1,5 +1,5 @@
-#include "follow.h"
-#include "ask.h"
+#include "manifest_reader.h"
+#include "admin_call.h"
 
 #define READ_RECORDS 256
 #define RETRY_MS 200
--- a/ctl/follow.h
+++ b/ctl/manifest_reader.h
@@ -1,11 +1,11 @@
 /**
- * DOC: follow
+ * DOC: manifest_reader
  *
  * Reads the manifest stream and applies it to a replay, the same code as in the daemons, so that
  * the tool accepts and rejects the same records as they do.
  */
-#ifndef CTL_FOLLOW_H
-#define CTL_FOLLOW_H
+#ifndef CTL_MANIFEST_READER_H
+#define CTL_MANIFEST_READER_H
 
 #include "ctl.h"
 #include "version/replay.h"
--- a/soak/soak_fleet.c
+++ b/soak/soak_fleet.c
@@ -1,7 +1,7 @@
 /* The processes of the test: starts, supervises and ends them, and publishes configurations. */
 #include "soak.h"
 
-#include "connection/platform_call.h"
+#include "connection/platform_client.h"
 #include "standin/keyed_store.h"
 
 #include <fcntl.h>
--- a/src/connection/budget.c
+++ b/src/connection/byte_budget.c
@@ -1,4 +1,4 @@
-#include "connection/budget.h"
+#include "connection/byte_budget.h"
 
 #include "base/clock.h"
 #include "base/limits.h"
--- a/src/connection/budget.h
+++ b/src/connection/byte_budget.h
@@ -1,12 +1,12 @@
 /**
- * DOC: budget
+ * DOC: byte_budget
  *
  * Token bucket, counted in bytes, that limits the rate of control traffic. Does no I/O. Its
  * capacity is one second's worth, but at least one datagram of maximum size: with a smaller
  * capacity a low rate could never send one.
  */
-#ifndef CONNECTION_BUDGET_H
-#define CONNECTION_BUDGET_H
+#ifndef CONNECTION_BYTE_BUDGET_H
+#define CONNECTION_BYTE_BUDGET_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/connection/wire.c
+++ b/src/connection/datagram.c
@@ -1,4 +1,4 @@
-#include "connection/wire.h"
+#include "connection/datagram.h"
 
 #include "base/limits.h"
 
--- a/src/connection/wire.h
+++ b/src/connection/datagram.h
@@ -1,5 +1,5 @@
 /**
- * DOC: wire
+ * DOC: datagram
  *
  * Encodes and decodes the datagrams of the exchange: ONC RPC call and reply headers, XDR bodies,
  * and an HMAC-SHA256 under the fleet key in the RPC verifier. Uses no sockets.
@@ -24,12 +24,13 @@
  * since a version never decreases. Send times in messages would prevent this, but hosts' clocks
  * differ, and a host with a wrong clock would be cut off.
  */
-#ifndef CONNECTION_WIRE_H
-#define CONNECTION_WIRE_H
+#ifndef CONNECTION_DATAGRAM_H
+#define CONNECTION_DATAGRAM_H
 
 #include "proto/exchange.h"
 
-/* libtirpc defines these as macros, which would replace the functions of request/policy/member.h.
+/* libtirpc defines these as macros, which would replace the functions of
+ * request/policy/membership.h.
  */
 #undef mem_alloc
 #undef membership_free
--- a/src/connection/exchange.h
+++ b/src/connection/exchange.h
@@ -12,8 +12,8 @@
 #ifndef CONNECTION_EXCHANGE_H
 #define CONNECTION_EXCHANGE_H
 
-#include "connection/budget.h"
-#include "connection/wire.h"
+#include "connection/byte_budget.h"
+#include "connection/datagram.h"
 #include "base/clock.h"
 #include "base/counters.h"
 #include "base/settings.h"
--- a/src/connection/platform.c
+++ b/src/connection/platform.c
@@ -1,7 +1,7 @@
 #include "connection/platform.h"
 
 #include "connection/platform_answer.h"
-#include "connection/platform_call.h"
+#include "connection/platform_client.h"
 
 #include <event2/http.h>
 
--- a/src/connection/platform.h
+++ b/src/connection/platform.h
@@ -9,7 +9,7 @@
 #define CONNECTION_PLATFORM_H
 
 #include "base/settings.h"
-#include "request/policy/member.h"
+#include "request/policy/membership.h"
 
 #include <event2/event.h>
 #include <glib.h>
--- a/src/connection/platform_call.c
+++ b/src/connection/platform_client.c
@@ -1,4 +1,4 @@
-#include "connection/platform_call.h"
+#include "connection/platform_client.h"
 
 #include <event2/buffer.h>
 #include <event2/http.h>
--- a/src/connection/platform_call.h
+++ b/src/connection/platform_client.h
@@ -1,12 +1,12 @@
 /**
- * DOC: platform_call
+ * DOC: platform_client
  *
  * HTTP client of the adapters of platforms, independent of a platform's format. A call ends with
  * one response of bounded size, or with the information whether anything was sent. The adapter that
  * made the call interprets the response.
  */
-#ifndef CONNECTION_PLATFORM_CALL_H
-#define CONNECTION_PLATFORM_CALL_H
+#ifndef CONNECTION_PLATFORM_CLIENT_H
+#define CONNECTION_PLATFORM_CLIENT_H
 
 #include "connection/http_client.h"
 #include "base/settings.h"
--- a/src/connection/stream_follow.c
+++ b/src/connection/stream_follower.c
@@ -1,4 +1,4 @@
-#include "connection/stream_follow.h"
+#include "connection/stream_follower.h"
 
 #include "base/log.h"
 
--- a/src/connection/stream_follow.h
+++ b/src/connection/stream_follower.h
@@ -1,13 +1,13 @@
 /**
- * DOC: stream_follow
+ * DOC: stream_follower
  *
  * Keeps a view up to date with a keyed stream of the platform. Lists the newest record of each key
  * first, then reads on from the end of that list; lists again when the records to be read are no
  * longer retained. Backs off while the platform fails. A resting follower reads only on request:
  * its owner learns from other hosts whether there are new records.
  */
-#ifndef CONNECTION_STREAM_FOLLOW_H
-#define CONNECTION_STREAM_FOLLOW_H
+#ifndef CONNECTION_STREAM_FOLLOWER_H
+#define CONNECTION_STREAM_FOLLOWER_H
 
 #include "base/clock.h"
 #include "base/counters.h"
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -15,7 +15,7 @@
 #include "process/control.h"
 #include "request/messages.h"
 #include "base/pause.h"
-#include "process/rumour.h"
+#include "process/gossip.h"
 #include "request/policy/leave_notice.h"
 #include "version/manifest_sync.h"
 #include "version/replay.h"
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -2,8 +2,8 @@
 
 #include "connection/exchange.h"
 #include "base/log.h"
-#include "process/rumour.h"
-#include "request/policy/retry_share.h"
+#include "process/gossip.h"
+#include "request/policy/retry_budget.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/process/gateway_peers.h
+++ b/src/process/gateway_peers.h
@@ -16,7 +16,7 @@
 #include "base/clock.h"
 #include "base/counters.h"
 #include "base/settings.h"
-#include "request/policy/load_news.h"
+#include "request/policy/load_reports.h"
 #include "request/policy/suspect.h"
 
 #include <event2/event.h>
--- a/src/process/gateway_start.h
+++ b/src/process/gateway_start.h
@@ -9,7 +9,7 @@
 
 #include "base/clock.h"
 #include "base/settings.h"
-#include "request/policy/start_ask.h"
+#include "request/policy/bootstrap.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -1,12 +1,12 @@
 #include "process/gateway_store.h"
 
 #include "base/log.h"
-#include "connection/stream_follow.h"
+#include "connection/stream_follower.h"
 #include "process/gateway_fetch.h"
 #include "process/gateway_peers.h"
 #include "process/gateway_start.h"
-#include "request/policy/outage.h"
-#include "request/policy/read_duty.h"
+#include "request/policy/store_outage.h"
+#include "request/policy/read_policy.h"
 
 #include <string.h>
 
--- a/src/process/rumour.c
+++ b/src/process/gossip.c
@@ -1,4 +1,4 @@
-#include "process/rumour.h"
+#include "process/gossip.h"
 
 #include "base/clock.h"
 
--- a/src/process/rumour.h
+++ b/src/process/gossip.h
@@ -1,15 +1,15 @@
 /**
- * DOC: rumour
+ * DOC: gossip
  *
  * Gossip on the exchange: state reports of daemons and marks of requests that crash engines. Every
  * daemon that receives an item for the first time sends it with a limited number of messages. So an
  * item reaches the whole fleet within a few exchange intervals, then stops being sent, and messages
  * do not grow with the fleet.
  */
-#ifndef PROCESS_RUMOUR_H
-#define PROCESS_RUMOUR_H
+#ifndef PROCESS_GOSSIP_H
+#define PROCESS_GOSSIP_H
 
-#include "request/policy/member.h"
+#include "request/policy/membership.h"
 #include "request/policy/suspect.h"
 
 #include <stdbool.h>
--- a/src/request/ops.c
+++ b/src/request/data_task.c
@@ -1,4 +1,4 @@
-#include "request/ops_private.h"
+#include "request/data_task_private.h"
 
 #include "base/log.h"
 #include "request/hop.h"
--- a/src/request/ops.h
+++ b/src/request/data_task.h
@@ -14,8 +14,8 @@
  *                                   the client account that sent the request)
  *   POST /medlarplank/drain         stop gracefully and leave the fleet (sealed)
  */
-#ifndef REQUEST_OPS_H
-#define REQUEST_OPS_H
+#ifndef REQUEST_DATA_TASK_H
+#define REQUEST_DATA_TASK_H
 
 #include "connection/http_server.h"
 #include "base/daemon.h"
--- a/src/request/ops_private.h
+++ b/src/request/data_task_private.h
@@ -4,11 +4,11 @@
  * State shared by data_task.c (start, stop and messages) and data_task_serve.c (the HTTP paths of
  * operators).
  */
-#ifndef REQUEST_OPS_PRIVATE_H
-#define REQUEST_OPS_PRIVATE_H
+#ifndef REQUEST_DATA_TASK_PRIVATE_H
+#define REQUEST_DATA_TASK_PRIVATE_H
 
 #include "base/pause.h"
-#include "request/ops.h"
+#include "request/data_task.h"
 
 #include <event2/event.h>
 
--- a/src/request/ops_serve.c
+++ b/src/request/data_task_serve.c
@@ -1,10 +1,10 @@
-#include "request/ops_private.h"
+#include "request/data_task_private.h"
 
 #include "connection/admin_seal.h"
 #include "base/log.h"
-#include "request/fault.h"
+#include "request/error_reply.h"
 #include "request/hop.h"
-#include "request/policy/order.h"
+#include "request/policy/call_seal.h"
 #include "version/manifest_sync.h"
 
 #include <stdlib.h>
--- a/src/request/fault.c
+++ b/src/request/error_reply.c
@@ -1,4 +1,4 @@
-#include "request/fault.h"
+#include "request/error_reply.h"
 
 #include <glib.h>
 #include <inttypes.h>
--- a/src/request/fault.h
+++ b/src/request/error_reply.h
@@ -4,8 +4,8 @@
  * Error responses to clients. All have the same JSON body; the verdict (whether the request may
  * have run) is in the body and in a header, and Retry-After is set where a retry makes sense.
  */
-#ifndef REQUEST_FAULT_H
-#define REQUEST_FAULT_H
+#ifndef REQUEST_ERROR_REPLY_H
+#define REQUEST_ERROR_REPLY_H
 
 #include "connection/http_server.h"
 #include "request/policy/verdict.h"
--- a/src/request/gateway/event_split.c
+++ b/src/request/gateway/event_splitter.c
@@ -1,5 +1,5 @@
 #define _GNU_SOURCE /* memmem */
-#include "request/gateway/event_split.h"
+#include "request/gateway/event_splitter.h"
 
 #include <glib.h>
 #include <stdlib.h>
--- a/src/request/gateway/event_split.h
+++ b/src/request/gateway/event_splitter.h
@@ -4,8 +4,8 @@
  * Splits a stream of server-sent events into whole events and remembers the id of the last one.
  * Only whole events are forwarded, so a stream that breaks off can be resumed at another engine.
  */
-#ifndef REQUEST_GATEWAY_EVENT_SPLIT_H
-#define REQUEST_GATEWAY_EVENT_SPLIT_H
+#ifndef REQUEST_GATEWAY_EVENT_SPLITTER_H
+#define REQUEST_GATEWAY_EVENT_SPLITTER_H
 
 #include <event2/buffer.h>
 #include <stdbool.h>
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -13,8 +13,8 @@
 #include "base/settings.h"
 #include "request/policy/engines.h"
 #include "request/gateway/format.h"
-#include "request/policy/retry_share.h"
-#include "request/policy/load_news.h"
+#include "request/policy/retry_budget.h"
+#include "request/policy/load_reports.h"
 #include "request/policy/suspect.h"
 #include "version/routing.h"
 
--- a/src/request/headers.c
+++ b/src/request/header_filter.c
@@ -1,4 +1,4 @@
-#include "request/headers.h"
+#include "request/header_filter.h"
 
 #include <glib.h>
 #include <string.h>
--- a/src/request/headers.h
+++ b/src/request/header_filter.h
@@ -5,8 +5,8 @@
  * not, and neither are those with which the daemons of a fleet talk to each other: they are never
  * accepted from a client or an engine.
  */
-#ifndef REQUEST_HEADERS_H
-#define REQUEST_HEADERS_H
+#ifndef REQUEST_HEADER_FILTER_H
+#define REQUEST_HEADER_FILTER_H
 
 #include "connection/http_client.h"
 
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -10,8 +10,8 @@
 
 #include "base/mailbox.h"
 #include "request/policy/claim.h"
-#include "request/policy/mean.h"
-#include "request/policy/member.h"
+#include "request/policy/load_samples.h"
+#include "request/policy/membership.h"
 #include "request/policy/suspect.h"
 #include "version/manifest.h"
 
--- a/src/request/policy/admit.c
+++ b/src/request/policy/admission.c
@@ -1,4 +1,4 @@
-#include "request/policy/admit_private.h"
+#include "request/policy/admission_private.h"
 
 /* Context of may_serve(), computed once for all waiting requests. */
 typedef struct
--- a/src/request/policy/admit.h
+++ b/src/request/policy/admission.h
@@ -20,14 +20,14 @@
  * After each event (offer, finish, cancel, a new sample, a timer) the caller calls
  * admission_next_rejected() and then admission_next(), each until it returns NULL.
  */
-#ifndef REQUEST_POLICY_ADMIT_H
-#define REQUEST_POLICY_ADMIT_H
+#ifndef REQUEST_POLICY_ADMISSION_H
+#define REQUEST_POLICY_ADMISSION_H
 
 #include "base/clock.h"
 #include "base/limits.h"
-#include "request/policy/directory.h"
-#include "request/policy/fairq.h"
-#include "request/policy/mean.h"
+#include "request/policy/chat_directory.h"
+#include "request/policy/fair_queue.h"
+#include "request/policy/load_samples.h"
 #include "request/policy/suspect.h"
 #include "request/policy/verdict.h"
 
--- a/src/request/policy/start_ask.c
+++ b/src/request/policy/bootstrap.c
@@ -1,4 +1,4 @@
-#include "request/policy/start_ask.h"
+#include "request/policy/bootstrap.h"
 
 #include <glib.h>
 
--- a/src/request/policy/start_ask.h
+++ b/src/request/policy/bootstrap.h
@@ -1,5 +1,5 @@
 /**
- * DOC: start_ask
+ * DOC: bootstrap
  *
  * How a gateway that starts gets the content of the platform's store: from a gateway that has it,
  * so that calls to the store don't grow with the number of starts, or from the store when no
@@ -11,8 +11,8 @@
  * each other. At any other start requests are waiting, so a peer that has nothing either is not
  * waited for.
  */
-#ifndef REQUEST_POLICY_START_ASK_H
-#define REQUEST_POLICY_START_ASK_H
+#ifndef REQUEST_POLICY_BOOTSTRAP_H
+#define REQUEST_POLICY_BOOTSTRAP_H
 
 #include "base/settings.h"
 
--- a/src/request/policy/order.c
+++ b/src/request/policy/call_seal.c
@@ -1,4 +1,4 @@
-#include "request/policy/order.h"
+#include "request/policy/call_seal.h"
 
 #include "request/policy/digest.h"
 
--- a/src/request/policy/order.h
+++ b/src/request/policy/call_seal.h
@@ -1,5 +1,5 @@
 /**
- * DOC: order
+ * DOC: call_seal
  *
  * Seals, which authenticate the calls between daemons that are not client requests: revokes, hints
  * of where a chat was served, hand-overs of directory entries, and fetches of a manifest. A seal is
@@ -9,8 +9,8 @@
  * replay a call. That is harmless: all these calls are idempotent, and a replay tells the daemon
  * nothing new.
  */
-#ifndef REQUEST_POLICY_ORDER_H
-#define REQUEST_POLICY_ORDER_H
+#ifndef REQUEST_POLICY_CALL_SEAL_H
+#define REQUEST_POLICY_CALL_SEAL_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/request/policy/choose.c
+++ b/src/request/policy/candidates.c
@@ -1,6 +1,6 @@
-#include "request/policy/choose.h"
+#include "request/policy/candidates.h"
 
-#include "request/policy/refer.h"
+#include "request/policy/referral.h"
 
 #include <glib.h>
 #include <stddef.h>
--- a/src/request/policy/choose.h
+++ b/src/request/policy/candidates.h
@@ -12,13 +12,13 @@
  *
  * An engine that has returned too recently (flap damping) is no chat's home, and goes last.
  */
-#ifndef REQUEST_POLICY_CHOOSE_H
-#define REQUEST_POLICY_CHOOSE_H
+#ifndef REQUEST_POLICY_CANDIDATES_H
+#define REQUEST_POLICY_CANDIDATES_H
 
-#include "request/policy/attempt.h"
-#include "request/policy/mean.h"
-#include "request/policy/place.h"
-#include "request/policy/under_way.h"
+#include "request/policy/forwarding.h"
+#include "request/policy/load_samples.h"
+#include "request/policy/rendezvous.h"
+#include "request/policy/in_flight.h"
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/request/policy/drain.c
+++ b/src/request/policy/completion_rate.c
@@ -1,4 +1,4 @@
-#include "request/policy/drain.h"
+#include "request/policy/completion_rate.h"
 
 #include <glib.h>
 
--- a/src/request/policy/spread.c
+++ b/src/request/policy/engine_choice.c
@@ -1,6 +1,6 @@
-#include "request/policy/spread.h"
+#include "request/policy/engine_choice.h"
 
-#include "request/policy/cold_share.h"
+#include "request/policy/cold_start_limit.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/request/policy/attempt.c
+++ b/src/request/policy/forwarding.c
@@ -1,4 +1,4 @@
-#include "request/policy/attempt.h"
+#include "request/policy/forwarding.h"
 
 #include <glib.h>
 #include <string.h>
--- a/src/request/policy/attempt.h
+++ b/src/request/policy/forwarding.h
@@ -10,8 +10,8 @@
  * of the router. All client accounts share the budget, and each has a reserve that no other one
  * uses.
  */
-#ifndef REQUEST_POLICY_ATTEMPT_H
-#define REQUEST_POLICY_ATTEMPT_H
+#ifndef REQUEST_POLICY_FORWARDING_H
+#define REQUEST_POLICY_FORWARDING_H
 
 #include "base/limits.h"
 #include "request/policy/verdict.h"
--- a/src/request/policy/patience.c
+++ b/src/request/policy/hop_timeout.c
@@ -1,4 +1,4 @@
-#include "request/policy/patience.h"
+#include "request/policy/hop_timeout.h"
 
 #include <glib.h>
 
--- a/src/request/policy/under_way.c
+++ b/src/request/policy/in_flight.c
@@ -1,4 +1,4 @@
-#include "request/policy/under_way.h"
+#include "request/policy/in_flight.h"
 
 #include <glib.h>
 
--- a/src/request/policy/under_way.h
+++ b/src/request/policy/in_flight.h
@@ -1,11 +1,11 @@
 /**
- * DOC: under_way
+ * DOC: in_flight
  *
  * How many of a router's own requests each engine is serving: the only part of an engine's load
  * that the router knows without delay.
  */
-#ifndef REQUEST_POLICY_UNDER_WAY_H
-#define REQUEST_POLICY_UNDER_WAY_H
+#ifndef REQUEST_POLICY_IN_FLIGHT_H
+#define REQUEST_POLICY_IN_FLIGHT_H
 
 #include <stdint.h>
 
--- a/src/request/policy/drift.c
+++ b/src/request/policy/load_drift.c
@@ -1,4 +1,4 @@
-#include "request/policy/drift.h"
+#include "request/policy/load_drift.h"
 
 #include <glib.h>
 
--- a/src/request/policy/load_news.c
+++ b/src/request/policy/load_reports.c
@@ -1,4 +1,4 @@
-#include "request/policy/load_news.h"
+#include "request/policy/load_reports.h"
 
 #include <stdlib.h>
 
--- a/src/request/policy/mean.c
+++ b/src/request/policy/load_samples.c
@@ -1,4 +1,4 @@
-#include "request/policy/mean.h"
+#include "request/policy/load_samples.h"
 
 #include <glib.h>
 #include <math.h>
--- a/src/request/policy/pace.c
+++ b/src/request/policy/median_latency.c
@@ -1,4 +1,4 @@
-#include "request/policy/pace.h"
+#include "request/policy/median_latency.h"
 
 #include <glib.h>
 
--- a/src/request/policy/member.c
+++ b/src/request/policy/membership.c
@@ -1,6 +1,6 @@
-#include "request/policy/member.h"
+#include "request/policy/membership.h"
 
-#include "request/policy/place.h"
+#include "request/policy/rendezvous.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/request/policy/member_snapshot.c
+++ b/src/request/policy/membership_snapshot.c
@@ -1,4 +1,4 @@
-#include "request/policy/member.h"
+#include "request/policy/membership.h"
 
 #include <string.h>
 
--- a/src/request/policy/read_duty.c
+++ b/src/request/policy/read_policy.c
@@ -1,4 +1,4 @@
-#include "request/policy/read_duty.h"
+#include "request/policy/read_policy.h"
 
 #include <glib.h>
 
--- a/src/request/policy/read_duty.h
+++ b/src/request/policy/read_policy.h
@@ -1,5 +1,5 @@
 /**
- * DOC: read_duty
+ * DOC: read_policy
  *
  * Decides for one gateway whether it reads a stream of the platform's store itself or gets the
  * stream's records from a peer. A pure state machine, one for each stream of each gateway.
@@ -12,8 +12,8 @@
  * calls, and 7,566 when every gateway read for itself. No gateway depends on the followers: one
  * whose copy isn't confirmed any longer reads the store itself.
  */
-#ifndef REQUEST_POLICY_READ_DUTY_H
-#define REQUEST_POLICY_READ_DUTY_H
+#ifndef REQUEST_POLICY_READ_POLICY_H
+#define REQUEST_POLICY_READ_POLICY_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/request/policy/proven.c
+++ b/src/request/policy/recent_answers.c
@@ -1,4 +1,4 @@
-#include "request/policy/proven.h"
+#include "request/policy/recent_answers.h"
 
 #include <glib.h>
 
--- a/src/request/policy/refer.c
+++ b/src/request/policy/referral.c
@@ -1,4 +1,4 @@
-#include "request/policy/refer.h"
+#include "request/policy/referral.h"
 
 #include <stddef.h>
 
--- a/src/request/policy/home_regions.h
+++ b/src/request/policy/region_filter.h
@@ -4,8 +4,8 @@
  * Restriction of a request to regions, which operators set for its route or for its client account.
  * When both are restricted, an engine must be allowed by both. Pure functions.
  */
-#ifndef REQUEST_POLICY_HOME_REGIONS_H
-#define REQUEST_POLICY_HOME_REGIONS_H
+#ifndef REQUEST_POLICY_REGION_FILTER_H
+#define REQUEST_POLICY_REGION_FILTER_H
 
 #include "request/policy/engines.h"
 
--- a/src/request/policy/place.c
+++ b/src/request/policy/rendezvous.c
@@ -1,4 +1,4 @@
-#include "request/policy/place.h"
+#include "request/policy/rendezvous.h"
 
 #include <math.h>
 #include <stdbool.h>
--- a/src/request/policy/own_word.c
+++ b/src/request/policy/self_reports.c
@@ -1,4 +1,4 @@
-#include "request/policy/own_word.h"
+#include "request/policy/self_reports.h"
 
 #include <glib.h>
 
--- a/src/request/policy/outage.c
+++ b/src/request/policy/store_outage.c
@@ -1,4 +1,4 @@
-#include "request/policy/outage.h"
+#include "request/policy/store_outage.h"
 
 #include <stdbool.h>
 
--- a/src/request/policy/outage.h
+++ b/src/request/policy/store_outage.h
@@ -1,5 +1,5 @@
 /**
- * DOC: outage
+ * DOC: store_outage
  *
  * When the last outage of the platform's store was: decided once for the whole store, from the
  * answers that this gateway's reads got and from those that its peers got. A pure state machine.
@@ -13,8 +13,8 @@
  * A peer may report an answer of the store late. A moment inside what looked like an outage
  * shortens it or shows that there was none. The result doesn't depend on the order of the reports.
  */
-#ifndef REQUEST_POLICY_OUTAGE_H
-#define REQUEST_POLICY_OUTAGE_H
+#ifndef REQUEST_POLICY_STORE_OUTAGE_H
+#define REQUEST_POLICY_STORE_OUTAGE_H
 
 #include <stdint.h>
 
--- a/src/request/relay.c
+++ b/src/request/relay.c
@@ -1,6 +1,6 @@
 #include "request/relay.h"
 
-#include "request/headers.h"
+#include "request/header_filter.h"
 
 #include <event2/http.h>
 #include <glib.h>
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -11,7 +11,7 @@
 
 #include "connection/http_client.h"
 #include "connection/http_server.h"
-#include "request/fault.h"
+#include "request/error_reply.h"
 
 #include <event2/buffer.h>
 #include <event2/keyvalq_struct.h>
--- a/src/request/router/target.h
+++ b/src/request/router/request_target.h
@@ -5,8 +5,8 @@
  * and with it whether a request may be repeated, by the bytes of the path. An engine that decodes
  * or normalises the path first could see another path than the router did.
  */
-#ifndef REQUEST_ROUTER_TARGET_H
-#define REQUEST_ROUTER_TARGET_H
+#ifndef REQUEST_ROUTER_REQUEST_TARGET_H
+#define REQUEST_ROUTER_REQUEST_TARGET_H
 
 #include <stdbool.h>
 
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -2,9 +2,9 @@
 
 #include "request/router/chat_body.h"
 #include "request/policy/digest.h"
-#include "request/fault.h"
-#include "request/headers.h"
-#include "request/router/target.h"
+#include "request/error_reply.h"
+#include "request/header_filter.h"
+#include "request/router/request_target.h"
 
 #include <inttypes.h>
 #include <string.h>
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -13,17 +13,17 @@
 #ifndef REQUEST_ROUTER_ROUTER_PRIVATE_H
 #define REQUEST_ROUTER_ROUTER_PRIVATE_H
 
-#include "connection/budget.h"
+#include "connection/byte_budget.h"
 #include "connection/http_client.h"
 #include "base/daemon.h"
 #include "request/router/router.h"
-#include "request/policy/attempt.h"
-#include "request/policy/choose.h"
+#include "request/policy/forwarding.h"
+#include "request/policy/candidates.h"
 #include "request/policy/health.h"
 #include "request/hop.h"
-#include "request/ops.h"
-#include "request/policy/place.h"
-#include "request/policy/proven.h"
+#include "request/data_task.h"
+#include "request/policy/rendezvous.h"
+#include "request/policy/recent_answers.h"
 #include "request/relay.h"
 #include "request/policy/suspect.h"
 
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -1,7 +1,7 @@
 #include "request/sidecar/sidecar_private.h"
 
 #include "request/policy/digest.h"
-#include "request/headers.h"
+#include "request/header_filter.h"
 
 #include <string.h>
 
--- a/src/version/manifest_check.c
+++ b/src/version/json_reader.c
@@ -1,4 +1,4 @@
-#include "version/manifest_check.h"
+#include "version/json_reader.h"
 
 #include <string.h>
 
--- a/src/version/manifest_check.h
+++ b/src/version/json_reader.h
@@ -4,8 +4,8 @@
  * Typed access to the members of a JSON object. Every failure sets an error whose message starts
  * with the path of the invalid member; text quoted from the document is escaped and truncated.
  */
-#ifndef VERSION_MANIFEST_CHECK_H
-#define VERSION_MANIFEST_CHECK_H
+#ifndef VERSION_JSON_READER_H
+#define VERSION_JSON_READER_H
 
 #include "version/manifest.h"
 
--- a/src/version/manifest.c
+++ b/src/version/manifest.c
@@ -1,5 +1,5 @@
 #include "version/manifest.h"
-#include "version/manifest_check.h"
+#include "version/json_reader.h"
 #include "version/manifest_read.h"
 
 #include <stdlib.h>
--- a/src/version/manifest_read.c
+++ b/src/version/manifest_read.c
@@ -1,6 +1,6 @@
 #include "version/manifest_read.h"
-#include "request/policy/place.h"
-#include "version/manifest_check.h"
+#include "request/policy/rendezvous.h"
+#include "version/json_reader.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/version/record.c
+++ b/src/version/manifest_record.c
@@ -1,4 +1,4 @@
-#include "version/record.h"
+#include "version/manifest_record.h"
 
 #include <string.h>
 
--- a/src/version/record.h
+++ b/src/version/manifest_record.h
@@ -4,8 +4,8 @@
  * Parses and formats the JSON records of the manifest stream. Parsing is strict: duplicate or
  * unknown keys make a record invalid.
  */
-#ifndef VERSION_RECORD_H
-#define VERSION_RECORD_H
+#ifndef VERSION_MANIFEST_RECORD_H
+#define VERSION_MANIFEST_RECORD_H
 
 #include "base/limits.h"
 
--- a/src/version/judged.h
+++ b/src/version/publish_history.h
@@ -6,8 +6,8 @@
  * never influence whether a publish is accepted, because readers that started at different offsets
  * hold different histories.
  */
-#ifndef VERSION_JUDGED_H
-#define VERSION_JUDGED_H
+#ifndef VERSION_PUBLISH_HISTORY_H
+#define VERSION_PUBLISH_HISTORY_H
 
 #include "base/limits.h"
 
--- a/src/version/replay.c
+++ b/src/version/replay.c
@@ -1,6 +1,6 @@
 #include "version/replay.h"
-#include "version/judged.h"
-#include "version/record.h"
+#include "version/publish_history.h"
+#include "version/manifest_record.h"
 
 #include <string.h>
 
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -9,8 +9,8 @@
 
 #include "batch.h"
 #include "cache_events.h"
-#include "engine_record.h"
-#include "http.h"
+#include "run_record.h"
+#include "http_call.h"
 #include "prefix_cache.h"
 
 #include <event2/event.h>
--- a/standin/platform_hosts.c
+++ b/standin/host_list.c
@@ -1,4 +1,4 @@
-#include "platform_hosts.h"
+#include "host_list.h"
 
 #include <glib.h>
 #include <string.h>
--- a/standin/platform_hosts.h
+++ b/standin/host_list.h
@@ -1,11 +1,11 @@
 /**
- * DOC: platform_hosts
+ * DOC: host_list
  *
  * The host list of the stand-in platform. Tests set the current state; readers see it after a lag.
  * A reader whose view is frozen sees no later changes.
  */
-#ifndef STANDIN_PLATFORM_HOSTS_H
-#define STANDIN_PLATFORM_HOSTS_H
+#ifndef STANDIN_HOST_LIST_H
+#define STANDIN_HOST_LIST_H
 
 #include <jansson.h>
 #include <stdbool.h>
--- a/standin/http.c
+++ b/standin/http_call.c
@@ -1,4 +1,4 @@
-#include "http.h"
+#include "http_call.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
--- a/standin/http.h
+++ b/standin/http_call.h
@@ -1,12 +1,12 @@
 /**
- * DOC: http
+ * DOC: http_call
  *
  * HTTP server helpers of the stand-ins, on top of evhttp: a listener, requests that are answered
  * asynchronously, streamed answers, and notification when a caller disconnects. Functions that end
  * a call free it.
  */
-#ifndef STANDIN_HTTP_H
-#define STANDIN_HTTP_H
+#ifndef STANDIN_HTTP_CALL_H
+#define STANDIN_HTTP_CALL_H
 
 #include <event2/event.h>
 #include <event2/http.h>
--- a/standin/platform.h
+++ b/standin/platform.h
@@ -7,9 +7,9 @@
 #ifndef STANDIN_PLATFORM_H
 #define STANDIN_PLATFORM_H
 
-#include "http.h"
-#include "platform_hosts.h"
-#include "platform_log.h"
+#include "http_call.h"
+#include "host_list.h"
+#include "record_log.h"
 
 #include <glib.h>
 
--- a/standin/platform_log.c
+++ b/standin/record_log.c
@@ -1,4 +1,4 @@
-#include "platform_log.h"
+#include "record_log.h"
 
 #include <glib.h>
 
--- a/standin/platform_log.h
+++ b/standin/record_log.h
@@ -1,11 +1,11 @@
 /**
- * DOC: platform_log
+ * DOC: record_log
  *
  * The append-only log of the stand-in platform: named streams of records with offsets. Each stream
  * retains a limited number of records and bytes.
  */
-#ifndef STANDIN_PLATFORM_LOG_H
-#define STANDIN_PLATFORM_LOG_H
+#ifndef STANDIN_RECORD_LOG_H
+#define STANDIN_RECORD_LOG_H
 
 #include <jansson.h>
 #include <stdbool.h>
--- a/standin/engine_record.c
+++ b/standin/run_record.c
@@ -1,4 +1,4 @@
-#include "engine_record.h"
+#include "run_record.h"
 
 #include <glib.h>
 #include <inttypes.h>
--- a/standin/engine_record.h
+++ b/standin/run_record.h
@@ -1,12 +1,12 @@
 /**
- * DOC: engine_record
+ * DOC: run_record
  *
  * Record of the requests that ran on the stand-in engine, in order of start. Tests verify the
  * delivery guarantees against it. A ring buffer in memory answers GET /record. The optional file
  * gets one line per state change at once, so that the record survives a crash of the engine.
  */
-#ifndef STANDIN_ENGINE_RECORD_H
-#define STANDIN_ENGINE_RECORD_H
+#ifndef STANDIN_RUN_RECORD_H
+#define STANDIN_RUN_RECORD_H
 
 #include <jansson.h>
 #include <stdint.h>
--- a/standin/standin_upstream.c
+++ b/standin/standin_upstream.c
@@ -8,8 +8,8 @@
  * each confirmed update of the entry during the exit. With --advertise the entry names another
  * address, for example of a proxy in front of it.
  */
-#include "connection/platform_call.h"
-#include "http.h"
+#include "connection/platform_client.h"
+#include "http_call.h"
 
 #include <getopt.h>
 #include <signal.h>
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -1,6 +1,6 @@
 #include "control_rig.h"
 
-#include "request/policy/place.h"
+#include "request/policy/rendezvous.h"
 
 #include <string.h>
 #include <unistd.h>
--- a/tests/http_bench.c
+++ b/tests/server_fixture.c
@@ -1,4 +1,4 @@
-#include "http_bench.h"
+#include "server_fixture.h"
 
 #include <CUnit/Basic.h>
 #include <string.h>
--- a/tests/http_bench.h
+++ b/tests/server_fixture.h
@@ -1,11 +1,11 @@
 /**
- * DOC: http_bench
+ * DOC: server_fixture
  *
  * Fixture for tests of the HTTP server: a server whose calls stay pending until the test answers
  * them, and clients that send raw bytes to it.
  */
-#ifndef TESTS_HTTP_BENCH_H
-#define TESTS_HTTP_BENCH_H
+#ifndef TESTS_SERVER_FIXTURE_H
+#define TESTS_SERVER_FIXTURE_H
 
 #include "connection/http_server.h"
 #include "raw_peer.h"
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -1,6 +1,6 @@
 #include "control_rig.h"
 #include "suite.h"
-#include "request/policy/place.h"
+#include "request/policy/rendezvous.h"
 
 static void
 test_start (void)
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -1,8 +1,8 @@
 #include "connection/http_server.h"
 #include "control_rig.h"
 #include "suite.h"
-#include "request/policy/order.h"
-#include "request/policy/place.h"
+#include "request/policy/call_seal.h"
+#include "request/policy/rendezvous.h"
 
 #include <string.h>
 
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -1,5 +1,5 @@
 #include "connection/exchange.h"
-#include "connection/wire.h"
+#include "connection/datagram.h"
 #include "base/clock.h"
 #include "base/limits.h"
 #include "suite.h"
--- a/tests/test_fairq.c
+++ b/tests/test_fair_queue.c
@@ -1,5 +1,5 @@
-#include "request/policy/drain.h"
-#include "request/policy/fairq.h"
+#include "request/policy/completion_rate.h"
+#include "request/policy/fair_queue.h"
 #include "suite.h"
 
 #include <glib.h>
--- a/tests/test_rumour.c
+++ b/tests/test_gossip.c
@@ -1,5 +1,5 @@
 #include "base/clock.h"
-#include "process/rumour.h"
+#include "process/gossip.h"
 #include "suite.h"
 
 #define NOW_US (UINT64_C (1000) * CLOCK_US_PER_S)
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -1,4 +1,4 @@
-#include "http_bench.h"
+#include "server_fixture.h"
 #include "suite.h"
 
 #include <event2/keyvalq_struct.h>
--- a/tests/test_load_news.c
+++ b/tests/test_load_reports.c
@@ -1,6 +1,6 @@
 /* Unit tests of the reports of high engine loads that gateways pass on to each other. */
 #include "request/policy/engines.h"
-#include "request/policy/load_news.h"
+#include "request/policy/load_reports.h"
 #include "tests/suite.h"
 
 #define S_US (UINT64_C (1000) * 1000)
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -1,9 +1,9 @@
-#include "path_crowd.h"
+#include "testbed_burst.h"
 #include "suite.h"
 
 #include "request/policy/digest.h"
 #include "request/hop.h"
-#include "request/policy/order.h"
+#include "request/policy/call_seal.h"
 
 #include <string.h>
 
--- a/tests/test_path_chats.c
+++ b/tests/test_path_chats.c
@@ -1,8 +1,8 @@
-#include "path_fleet.h"
+#include "testbed.h"
 #include "suite.h"
 
 #include "request/hop.h"
-#include "request/ops.h"
+#include "request/data_task.h"
 
 #include <string.h>
 
--- a/tests/test_path_copies.c
+++ b/tests/test_path_copies.c
@@ -1,4 +1,4 @@
-#include "path_crowd.h"
+#include "testbed_burst.h"
 #include "suite.h"
 
 #include "request/policy/digest.h"
--- a/tests/test_path_hostile.c
+++ b/tests/test_path_hostile.c
@@ -1,4 +1,4 @@
-#include "path_fleet.h"
+#include "testbed.h"
 #include "raw_peer.h"
 #include "suite.h"
 
--- a/tests/test_path_lost.c
+++ b/tests/test_path_lost.c
@@ -1,4 +1,4 @@
-#include "path_fleet.h"
+#include "testbed.h"
 #include "suite.h"
 
 #include "request/hop.h"
--- a/tests/test_place.c
+++ b/tests/test_rendezvous.c
@@ -1,6 +1,6 @@
-#include "request/policy/choose.h"
-#include "request/policy/place.h"
-#include "request/policy/proven.h"
+#include "request/policy/candidates.h"
+#include "request/policy/rendezvous.h"
+#include "request/policy/recent_answers.h"
 #include "request/policy/verdict.h"
 #include "suite.h"
 
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -1,4 +1,4 @@
-#include "version/judged.h"
+#include "version/publish_history.h"
 #include "version/replay.h"
 #include "suite.h"
 
--- a/tests/test_course.c
+++ b/tests/test_retry_plan.c
@@ -1,10 +1,10 @@
 /* Unit tests of how a gateway retries requests, limits retries, splits event streams, times
  * attempts out and attributes crashes. */
-#include "request/policy/course.h"
+#include "request/policy/retry_plan.h"
 #include "request/policy/crash_watch.h"
-#include "request/gateway/event_split.h"
-#include "request/policy/patience.h"
-#include "request/policy/retry_share.h"
+#include "request/gateway/event_splitter.h"
+#include "request/policy/hop_timeout.h"
+#include "request/policy/retry_budget.h"
 #include "suite.h"
 
 #include <glib.h>
--- a/tests/test_own_word.c
+++ b/tests/test_self_reports.c
@@ -2,7 +2,7 @@
  * want no requests for a time. */
 #include "platform/request_format.h"
 #include "request/policy/engines.h"
-#include "request/policy/own_word.h"
+#include "request/policy/self_reports.h"
 #include "suite.h"
 
 #include <event2/http.h>
--- a/tests/test_standin.c
+++ b/tests/test_standin.c
@@ -6,9 +6,9 @@
  */
 #include "../standin/batch.h"
 #include "../standin/cache_events.h"
-#include "../standin/engine_record.h"
-#include "../standin/platform_hosts.h"
-#include "../standin/platform_log.h"
+#include "../standin/run_record.h"
+#include "../standin/host_list.h"
+#include "../standin/record_log.h"
 #include "../standin/prefix_cache.h"
 #include "suite.h"
 
--- a/tests/test_stream_follow.c
+++ b/tests/test_stream_follower.c
@@ -1,5 +1,5 @@
 /* Unit tests of stream_follow: when reads start, and how long they wait at the platform. */
-#include "connection/stream_follow.h"
+#include "connection/stream_follower.h"
 #include "raw_peer.h"
 #include "suite.h"
 
--- a/tests/test_target.c
+++ b/tests/test_target.c
@@ -1,4 +1,4 @@
-#include "request/router/target.h"
+#include "request/router/request_target.h"
 #include "suite.h"
 
 #include <glib.h>
--- a/tests/path_fleet.c
+++ b/tests/testbed.c
@@ -1,6 +1,6 @@
-#include "path_fleet.h"
+#include "testbed.h"
 
-#include "request/policy/place.h"
+#include "request/policy/rendezvous.h"
 
 #include <arpa/inet.h>
 #include <event2/http.h>
--- a/tests/path_fleet.h
+++ b/tests/testbed.h
@@ -5,8 +5,8 @@
  * The test replaces the control tasks of these daemons: it sets the version and the members that
  * they have, and decides claims from a table in memory.
  */
-#ifndef TESTS_PATH_FLEET_H
-#define TESTS_PATH_FLEET_H
+#ifndef TESTS_TESTBED_H
+#define TESTS_TESTBED_H
 
 #include "connection/http_client.h"
 #include "connection/http_server.h"
--- a/tests/path_crowd.c
+++ b/tests/testbed_burst.c
@@ -1,4 +1,4 @@
-#include "path_crowd.h"
+#include "testbed_burst.h"
 
 uint32_t
 testbed_count_held (const testbed_t *testbed)
--- a/tests/path_crowd.h
+++ b/tests/testbed_burst.h
@@ -3,10 +3,10 @@
  *
  * Sends more requests than the engines take at once, so that the sidecars queue some of them.
  */
-#ifndef TESTS_PATH_CROWD_H
-#define TESTS_PATH_CROWD_H
+#ifndef TESTS_TESTBED_BURST_H
+#define TESTS_TESTBED_BURST_H
 
-#include "path_fleet.h"
+#include "testbed.h"
 
 #define TESTBED_BURST_REQUESTS 60 /* requests; the engines take fewer at once */
 
