--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -145,7 +145,7 @@
       listed[i].http.port = 7080;
       listed[i].exchange = listed[i].http;
       listed[i].exchange.port = 7081;
-      listed[i].router = i < host_count / 5;
+      listed[i].is_router = i < host_count / 5;
       listed[i].state = MEMBERSHIP_LIVE;
     }
   return listed;
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -144,7 +144,7 @@
 {
   const GPtrArray *engines = engines_of_service (fixture->egs, g_intern_static_string ("pool"));
   const engine_choice_request_t request = { .affinity = random_next (&fixture->random),
-                                            .data_center = "hall",
+                                            .own_data_center = "hall",
                                             .gateways = 22 };
 
   fixture->sink += engine_choice_make (engines, fixture->now_us, &request).load;
--- a/bench/gateway/sim.c
+++ b/bench/gateway/sim.c
@@ -105,15 +105,15 @@
   request->queue_item =
       (wait_queue_item_t){ .priority = request->kind->priority,
                            .arrived_us = sim->now_us,
-                           .in_time_us =
-                               no_target ? 0 : request->arrived_us + request->kind->aim_us,
+                           .target_us = no_target ? 0 : request->arrived_us + request->kind->aim_us,
                            .deadline_us = request->arrived_us + request->kind->deadline_us,
-                           .returns = request->returned,
-                           .fair = { .account_hash = request->account + 1, .owner = request } };
+                           .is_retry = request->returned,
+                           .fair_entry = { .account_hash = request->account + 1,
+                                           .owner = request } };
   retry_plan_init (&request->retry_plan,
                    &(retry_plan_rules_t){ .idempotent = request->kind->kind == ROUTING_IDEMPOTENT,
                                           .resumable = request->kind->resumable,
-                                          .attempts = request->kind->attempts });
+                                          .max_runs = request->kind->attempts });
   request->tried_count = 0;
   request->attempt_count = 0;
   retry_budget_count_request (&request->gateway->retries[request->kind->service],
--- a/bench/gateway/sim_gateway.c
+++ b/bench/gateway/sim_gateway.c
@@ -102,7 +102,7 @@
   uint64_t random_rank = random_next (&sim->random) >> 16;
 
   if (sim->options.policy == SIM_LEAST)
-    return ((UINT64_C (1) << 62) - ((uint64_t)egn->own << 48)) + random_rank;
+    return ((UINT64_C (1) << 62) - ((uint64_t)egn->own_requests << 48)) + random_rank;
   if (sim->options.policy == SIM_HASH && request->prefix != 0)
     return XXH64 (&egn->hash, sizeof egn->hash, request->prefix);
   return random_rank;
@@ -171,20 +171,20 @@
               request->gateway->index % sim->site->data_centers);
   return engine_choice_make (
       engines, sim->now_us,
-      &(engine_choice_request_t){ .affinity = request->prefix,
-                                  .affinity_tokens = request->kind->prefix_tokens,
-                                  .data_center = data_center,
-                                  .repeatable =
-                                      retry_plan_may_move (&request->retry_plan, request->begun),
-                                  .gateways = sim->site->gateways,
-                                  .gateway_hash = request->gateway->index,
-                                  .run_us = wait_queue_run_us (queue_of (request)),
-                                  .head_us = wait_queue_head_us (queue_of (request)),
-                                  .surge = is_surge (sim, request),
-                                  .utilization_milli = reported_load_milli (sim, request),
-                                  .late = request->queue_item.waiting && request->queue_item.late,
-                                  .tried = request->tried,
-                                  .tried_count = request->tried_count });
+      &(engine_choice_request_t){
+          .affinity = request->prefix,
+          .affinity_tokens = request->kind->prefix_tokens,
+          .own_data_center = data_center,
+          .repeatable = retry_plan_may_move (&request->retry_plan, request->begun),
+          .gateways = sim->site->gateways,
+          .gateway_hash = request->gateway->index,
+          .slot_time_us = wait_queue_run_us (queue_of (request)),
+          .usual_head_us = wait_queue_head_us (queue_of (request)),
+          .surge = is_surge (sim, request),
+          .utilization_milli = reported_load_milli (sim, request),
+          .past_deadline = request->queue_item.waiting && request->queue_item.is_late,
+          .tried = request->tried,
+          .tried_count = request->tried_count });
 }
 
 static sim_engine_t *
@@ -405,7 +405,7 @@
     return;
   failed = engine->mode == ENGINE_FLAKY && random_unit (&sim->random) < 0.5;
   attempt->heard_us = sim->now_us;
-  attempt->known_engine->heard_us = sim->now_us;
+  attempt->known_engine->last_byte_us = sim->now_us;
   reported = sim->site->services[engine->service].reports_load_at_start
                  ? attempt->begun_load
                  : sim_engine_reported_load (engine);
@@ -507,12 +507,12 @@
     return;
   timeout =
       (hop_timeout_t){ .sent_us = attempt->sent_us,
-                       .heard_us = attempt->heard_us,
-                       .engine_heard_us = attempt->known_engine->heard_us,
+                       .last_byte_us = attempt->heard_us,
+                       .engine_last_byte_us = attempt->known_engine->last_byte_us,
                        .prompt_tokens = request->kind->own_tokens + request->kind->prefix_tokens,
                        .usual_us = wait_queue_head_us (queue_of (request)),
-                       .time_us = request->queue_item.deadline_us - attempt->sent_us,
-                       .full = reported_load_milli (sim, request) >= FULL_MILLI };
+                       .time_limit_us = request->queue_item.deadline_us - attempt->sent_us,
+                       .engines_full = reported_load_milli (sim, request) >= FULL_MILLI };
 
   /* A simulated engine that has begun a response always finishes it, except in a crash, which ends
    * the attempt by itself: so only attempts without a response head can time out. */
--- a/bench/spread/fake_exchange.c
+++ b/bench/spread/fake_exchange.c
@@ -75,7 +75,7 @@
   datagram->message.samples.samples_val = datagram->samples;
   datagram->message.words.words_val = datagram->words;
   datagram->message.marks.marks_val = datagram->marks;
-  exchange->options.fill (&datagram->message, requester, exchange->options.context);
+  exchange->options.fill_message (&datagram->message, requester, exchange->options.context);
   uint32_t bytes = body_bytes (&datagram->message) + exchange->overhead_bytes;
   if (!byte_budget_take (&exchange->budget, fleet->now_us, bytes))
     {
@@ -153,7 +153,7 @@
 {
   exchange_t *exchange = node->ctrl->exchange;
   address_t peer;
-  if (exchange->options.pick (&peer, exchange->options.context))
+  if (exchange->options.choose_peer (&peer, exchange->options.context))
     send_request (exchange, &peer);
 }
 
@@ -162,8 +162,8 @@
 {
   datagram_t *datagram = data;
   exchange_t *exchange = node->ctrl->exchange;
-  bool wants_reply =
-      exchange->options.heard (&datagram->message, datagram->is_reply, exchange->options.context);
+  bool wants_reply = exchange->options.on_message (&datagram->message, datagram->is_reply,
+                                                   exchange->options.context);
   if (wants_reply && !datagram->is_reply)
     send_message (exchange, &node->flt->nodes[datagram->from], true, &datagram->message.sender);
   g_free (datagram);
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -47,7 +47,7 @@
     {
       membership_list_entry_t *host = &fleet->listed[i];
       format_host_name (fleet, i, host->name, sizeof host->name);
-      host->router = !is_engine (fleet, i);
+      host->is_router = !is_engine (fleet, i);
       g_snprintf (host->data_center, sizeof host->data_center, "dc-%u", data_center_of (i));
       g_snprintf (host->region, sizeof host->region, "region-%u",
                   data_center_of (i) % FLEET_REGIONS);
@@ -120,7 +120,7 @@
 {
   settings_t *set = &node->daemon.set;
   const membership_list_entry_t *listed = &fleet->listed[node->index];
-  set->role = listed->router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
+  set->role = listed->is_router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
   g_strlcpy (set->name, listed->name, sizeof set->name);
   g_strlcpy (set->data_center, listed->data_center, sizeof set->data_center);
   g_strlcpy (set->region, listed->region, sizeof set->region);
--- a/ctl/admin_call.c
+++ b/ctl/admin_call.c
@@ -59,8 +59,8 @@
   pending_call_t *pending = context;
   batch_t *batch = pending->batch;
 
-  pending->call->status = end->whole ? end->status : 0;
-  if (!end->whole)
+  pending->call->status = end->complete ? end->status : 0;
+  if (!end->complete)
     g_string_truncate (pending->call->body, 0);
   batch->unfinished_count--;
   batch->done = batch->unfinished_count == 0;
--- a/ctl/cmd_publish.c
+++ b/ctl/cmd_publish.c
@@ -118,7 +118,7 @@
         const char *name = manifest->services[i].engines[engine];
         const membership_list_entry_t *host = host_list_find (hosts, name);
 
-        if (host != NULL && !host->router && host->state != MEMBERSHIP_GONE)
+        if (host != NULL && !host->is_router && host->state != MEMBERSHIP_GONE)
           continue;
         ctl_report (CTL_OK, "services.%s.engines[%u]: the platform lists no engine host \"%s\"",
                     manifest->services[i].name, engine, name);
--- a/soak/soak_client.c
+++ b/soak/soak_client.c
@@ -48,7 +48,7 @@
 {
   soak_request_t *call = context;
 
-  call->complete = end->whole;
+  call->complete = end->complete;
   call->ended_us = soak_now_us ();
   call->http_call = NULL;
 }
--- a/soak/soak_fleet.c
+++ b/soak/soak_fleet.c
@@ -294,7 +294,7 @@
                                                                         .timeout_ms = 1000,
                                                                         .answer_limit_bytes = 65536,
                                                                         .done = on_store_reply,
-                                                                        .dropped = on_dropped,
+                                                                        .on_dropped = on_dropped,
                                                                         .context = &status });
   while (status == 0)
     event_base_loop (soak->base, EVLOOP_ONCE);
--- a/src/connection/exchange.c
+++ b/src/connection/exchange.c
@@ -109,7 +109,7 @@
   message.samples.samples_val = samples;
   message.words.words_val = words;
   message.marks.marks_val = marks;
-  exchange->options.fill (&message, to, exchange->options.context);
+  exchange->options.fill_message (&message, to, exchange->options.context);
   char datagram[LIMIT_DATAGRAM_BYTES];
   size_t bytes =
       datagram_encode (datagram, sizeof datagram, exchange->fleet_key, xid, is_reply, &message);
@@ -158,7 +158,7 @@
       counter_add (exchange->counts.unasked, 1);
       return;
     }
-  bool answer = exchange->options.heard (message, is_reply, exchange->options.context);
+  bool answer = exchange->options.on_message (message, is_reply, exchange->options.context);
   if (answer && !is_reply)
     send_message (exchange, xid, true, &message->sender, peer);
 }
@@ -235,7 +235,7 @@
   (void)socket;
   (void)what;
   address_t peer;
-  if (exchange->options.pick (&peer, exchange->options.context))
+  if (exchange->options.choose_peer (&peer, exchange->options.context))
     start_call (exchange, &peer);
   arm_timer (exchange);
 }
--- a/src/connection/exchange.h
+++ b/src/connection/exchange.h
@@ -26,12 +26,12 @@
  * @interval_ms: mean time between two calls; each one varies by a quarter
  * @budget_bytes: bytes per second that may be sent, UDP and IP headers included
  * @seed: for xids and the jitter of the interval
- * @fill: fills in an outgoing message, whose arrays have the sizes of src/proto/exchange.x; @to
- *   is the sender entry of the call when this is a reply, otherwise NULL
- * @heard: processes an authenticated message; a reply was sent after the call that it answers.
+ * @fill_message: fills in an outgoing message, whose arrays have the sizes of src/proto/exchange.x;
+ *   @to is the sender entry of the call when this is a reply, otherwise NULL
+ * @on_message: processes an authenticated message; a reply was sent after the call that it answers.
  *   Return: whether to answer a call; false for one that is older than what is known of its
  *   sender
- * @pick: chooses the peer to call. Return: false when there is none
+ * @choose_peer: chooses the peer to call. Return: false when there is none
  */
 typedef struct
 {
@@ -43,9 +43,9 @@
   uint32_t interval_ms;
   uint32_t budget_bytes;
   uint64_t seed;
-  void (*fill) (xch_message *message, const xch_word *to, void *context);
-  bool (*heard) (const xch_message *message, bool is_reply, void *context);
-  bool (*pick) (address_t *peer, void *context);
+  void (*fill_message) (xch_message *message, const xch_word *to, void *context);
+  bool (*on_message) (const xch_message *message, bool is_reply, void *context);
+  bool (*choose_peer) (address_t *peer, void *context);
   void *context;
 } exchange_options_t;
 
--- a/src/connection/http_client.c
+++ b/src/connection/http_client.c
@@ -52,7 +52,7 @@
 {
   http_client_conn_t *conn = call->conn;
 
-  call->end.whole = whole;
+  call->end.complete = whole;
   call->end.verdict = whole ? VERDICT_RAN : call->sent ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
   call->end.reason = reason == VERDICT_REASON_CUT && !call->sent ? VERDICT_REASON_CONNECT : reason;
   call->conn = NULL;
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -30,17 +30,17 @@
 
 /**
  * struct http_client_result - result of a call
- * @whole: the response is complete, its length was declared, and header @check_name of the
+ * @complete: the response is complete, its length was declared, and header @check_name of the
  *   options, if set, had the value @check_value
  * @status: HTTP status; 0 when none was received
- * @verdict: when not @whole: VERDICT_NOT_RUN if no byte was sent, otherwise VERDICT_MAY_HAVE_RUN
- * @reason: when not @whole: VERDICT_REASON_TIMEOUT after a timeout, VERDICT_REASON_CONNECT if no
+ * @verdict: when not @complete: VERDICT_NOT_RUN if no byte was sent, otherwise VERDICT_MAY_HAVE_RUN
+ * @reason: when not @complete: VERDICT_REASON_TIMEOUT after a timeout, VERDICT_REASON_CONNECT if no
  *   byte was sent, VERDICT_REASON_CROSSED if the response belongs to another request, otherwise
  *   VERDICT_REASON_CUT
  */
 typedef struct
 {
-  bool whole;
+  bool complete;
   int status;
   verdict_t verdict;
   verdict_reason_t reason;
--- a/src/connection/http_server_call.c
+++ b/src/connection/http_server_call.c
@@ -156,14 +156,14 @@
 void
 http_server_on_disconnect (http_server_call_t *call, void (*gone) (void *context), void *context)
 {
-  call->gone = gone;
+  call->on_disconnect = gone;
   call->gone_context = context;
 }
 
 void
 http_server_on_writable (http_server_call_t *call, void (*room) (void *context), void *context)
 {
-  call->room = room;
+  call->on_writable = room;
   call->room_context = context;
 }
 
--- a/src/connection/http_server_conn.c
+++ b/src/connection/http_server_conn.c
@@ -134,8 +134,8 @@
   if (call)
     {
       counter_add (http_server->gone, 1);
-      if (call->gone)
-        call->gone (call->gone_context);
+      if (call->on_disconnect)
+        call->on_disconnect (call->gone_context);
       http_server_call_free (call);
     }
   if (request)
@@ -190,8 +190,8 @@
   if (conn->notify_writable)
     {
       conn->notify_writable = false;
-      if (conn->call && conn->call->room)
-        conn->call->room (conn->call->room_context); /* may free conn */
+      if (conn->call && conn->call->on_writable)
+        conn->call->on_writable (conn->call->room_context); /* may free conn */
     }
 }
 
--- a/src/connection/http_server_internal.h
+++ b/src/connection/http_server_internal.h
@@ -130,9 +130,9 @@
   bool query_parsed;
   bool begun;
   bool full;
-  void (*gone) (void *context);
+  void (*on_disconnect) (void *context);
   void *gone_context;
-  void (*room) (void *context);
+  void (*on_writable) (void *context);
   void *room_context;
 };
 
--- a/src/connection/platform.c
+++ b/src/connection/platform.c
@@ -110,7 +110,7 @@
 start_call (platform_t *platform, platform_call_t *call, platform_client_request_t *request)
 {
   request->done = on_call_done;
-  request->dropped = g_free;
+  request->on_dropped = g_free;
   request->context = call;
   platform_client_start (((platform_http_t *)platform)->platform_client, request);
 }
--- a/src/connection/platform_answer.c
+++ b/src/connection/platform_answer.c
@@ -56,7 +56,7 @@
 static bool
 get_host (const json_t *object, membership_list_entry_t *host)
 {
-  return get_name (object, "name", host->name) && get_role (object, &host->router) &&
+  return get_name (object, "name", host->name) && get_role (object, &host->is_router) &&
          get_name (object, "data_center", host->data_center) &&
          get_name (object, "region", host->region) && get_address (object, "http", &host->http) &&
          get_address (object, "exchange", &host->exchange) && get_state (object, &host->state);
--- a/src/connection/platform_client.c
+++ b/src/connection/platform_client.c
@@ -73,10 +73,10 @@
 on_end (const http_client_result_t *end, void *context)
 {
   call_t *call = context;
-  bool complete = end->whole && !call->too_large;
+  bool complete = end->complete && !call->too_large;
   size_t body_bytes = complete ? evbuffer_get_length (call->answer) : 0;
   platform_client_answer_t answer = { .status = complete ? end->status : 0,
-                                      .not_sent = !end->whole && end->verdict == VERDICT_NOT_RUN,
+                                      .not_sent = !end->complete && end->verdict == VERDICT_NOT_RUN,
                                       .headers = &call->headers,
                                       .body = "",
                                       .body_bytes = body_bytes };
@@ -102,7 +102,7 @@
   call->answer = evbuffer_new ();
   call->answer_limit_bytes = request->answer_limit_bytes;
   call->done = request->done;
-  call->dropped = request->dropped;
+  call->dropped = request->on_dropped;
   call->context = request->context;
   call->link.data = call;
   g_queue_push_tail_link (&platform_client->calls, &call->link);
--- a/src/connection/platform_client.h
+++ b/src/connection/platform_client.h
@@ -38,7 +38,7 @@
  * @content_type: NULL for none
  * @timeout_ms: limit on the duration of the call
  * @answer_limit_bytes: a longer response body counts as incomplete
- * @dropped: called instead of @done when platform_client_free() drops the call
+ * @on_dropped: called instead of @done when platform_client_free() drops the call
  */
 typedef struct
 {
@@ -50,7 +50,7 @@
   uint32_t timeout_ms;
   size_t answer_limit_bytes;
   platform_client_done_t done;
-  void (*dropped) (void *context);
+  void (*on_dropped) (void *context);
   void *context;
 } platform_client_request_t;
 
--- a/src/connection/stream_follower.c
+++ b/src/connection/stream_follower.c
@@ -99,7 +99,7 @@
     {
       log_dependency (follower, LOG_LEVEL_WARNING, "dependency_lost");
       follower->catching_up = true;
-      follower->options.told (STREAM_FOLLOWER_LOST, follower->options.context);
+      follower->options.on_event (STREAM_FOLLOWER_LOST, follower->options.context);
     }
   if (follower->listing)
     reset_listing (follower);
@@ -118,7 +118,7 @@
   if (follower->backoff_ms == 0)
     return;
   follower->backoff_ms = 0;
-  follower->options.told (STREAM_FOLLOWER_REGAINED, follower->options.context);
+  follower->options.on_event (STREAM_FOLLOWER_REGAINED, follower->options.context);
 }
 
 /* Measures the pace from the start of the last call, so that a slow response does not add to it. */
@@ -167,7 +167,7 @@
   follower->has_listed = true;
   follower->next_offset = MAX (follower->next_offset, follower->list_end_offset);
   g_clear_pointer (&follower->last_listed_key, g_free);
-  follower->options.told (STREAM_FOLLOWER_LISTED, follower->options.context);
+  follower->options.on_event (STREAM_FOLLOWER_LISTED, follower->options.context);
   schedule_in (follower, (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLOCK_US_PER_MS);
 }
 
@@ -287,7 +287,7 @@
   follower->read_count = counter (options, "medlarplank_store_reads_total", "Reads of the store");
   follower->failure_count = counter (options, "medlarplank_store_failures_total",
                                      "Pages and reads that the store did not answer");
-  follower->held = options->held;
+  follower->held = options->start_suspended;
   if (!follower->held)
     schedule_in (follower, 0);
   return follower;
--- a/src/connection/stream_follower.h
+++ b/src/connection/stream_follower.h
@@ -46,9 +46,9 @@
  * @latest_only: only the newest record of each key matters. When more than one new record
  *   exists they are listed instead of read, so that a quick series of large records does not
  *   saturate the host's link
- * @held: no call starts before stream_follower_resume()
+ * @start_suspended: no call starts before stream_follower_resume()
  * @seed: for the jitter of the backoff
- * @told: called with each event of stream_follower_state_t
+ * @on_event: called with each event of stream_follower_state_t
  */
 typedef struct
 {
@@ -61,9 +61,9 @@
   uint32_t wait_ms;
   uint32_t pace_ms;
   bool latest_only;
-  bool held;
+  bool start_suspended;
   uint64_t seed;
-  void (*told) (stream_follower_state_t state, void *context);
+  void (*on_event) (stream_follower_state_t state, void *context);
   void *context;
 } stream_follower_options_t;
 
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -35,9 +35,9 @@
     .interval_ms = set->exchange_interval_ms,
     .budget_bytes = set->control_budget_bytes,
     .seed = ctrl->own_hash ^ ctrl->daemon->incarnation,
-    .fill = control_exchange_compose,
-    .heard = control_exchange_receive,
-    .pick = control_exchange_pick_peer,
+    .fill_message = control_exchange_compose,
+    .on_message = control_exchange_receive,
+    .choose_peer = control_exchange_pick_peer,
     .context = ctrl,
   };
   return exchange_new (&options, error);
--- a/src/process/control_compose.c
+++ b/src/process/control_compose.c
@@ -93,7 +93,7 @@
   if (man == NULL || ctrl->peers.members == NULL)
     return NULL;
   const membership_host_t *host = membership_find_by_hash (ctrl->peers.members, host_hash);
-  return host != NULL && !host->router ? manifest_service_of_engine (man, host->name) : NULL;
+  return host != NULL && !host->is_router ? manifest_service_of_engine (man, host->name) : NULL;
 }
 
 /* Routers need the samples of all services. A sidecar gives three quarters of @room to its own
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -237,10 +237,10 @@
 {
   control_t *ctrl = context;
   membership_report_t sender;
-  uint64_t woke_us = ctrl->fresh.pause.woke_us;
+  uint64_t woke_us = ctrl->freshness.pause.woke_us;
   control_freshness_check_pause (ctrl);
   /* It was in the socket buffer during the pause, so its age is unknown. */
-  if (ctrl->fresh.pause.woke_us != woke_us || !decode_report (&message->sender, &sender))
+  if (ctrl->freshness.pause.woke_us != woke_us || !decode_report (&message->sender, &sender))
     return false;
   if (!is_newer_message (ctrl, &sender))
     return is_older_incarnation (ctrl, &sender);
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -70,7 +70,7 @@
   control_t *ctrl = context;
   ctrl->fetch.call = NULL;
   control_freshness_check_pause (ctrl);
-  if (end->whole)
+  if (end->complete)
     adopt_manifest (ctrl);
   else
     log_fetch_outcome (ctrl, "failed", 0, verdict_reason_to_string (end->reason));
--- a/src/process/control_freshness.c
+++ b/src/process/control_freshness.c
@@ -10,7 +10,7 @@
 static void
 restart_confirmation (control_t *ctrl)
 {
-  control_freshness_t *fresh = &ctrl->fresh;
+  control_freshness_t *fresh = &ctrl->freshness;
   fresh->since_us = control_now_us (ctrl);
   fresh->list_ok = false;
   fresh->list_failed = false;
@@ -29,15 +29,15 @@
 {
   message_flag_t *flag = message_new (MESSAGE_FRESHNESS);
   flag->on = on;
-  flag->at_us = ctrl->fresh.pause.woke_us;
+  flag->at_us = ctrl->freshness.pause.woke_us;
   control_send_to_data (ctrl, flag);
-  counter_set (ctrl->fresh.stale, !on);
+  counter_set (ctrl->freshness.stale, !on);
 }
 
 static void
 handle_pause (control_t *ctrl, const char *task)
 {
-  counter_add (ctrl->fresh.pauses, 1);
+  counter_add (ctrl->freshness.pauses, 1);
   log_event (LOG_LEVEL_WARNING, "woke_from_pause", "task", task, NULL);
   send_freshness (ctrl, false);
   restart_confirmation (ctrl);
@@ -57,7 +57,7 @@
 static bool
 own_state_known (const control_t *ctrl)
 {
-  const control_freshness_t *fresh = &ctrl->fresh;
+  const control_freshness_t *fresh = &ctrl->freshness;
   if (ctrl->list.own_unclear)
     return false;
   return fresh->list_ok || (fresh->list_failed && fresh->replies >= replies_needed (ctrl));
@@ -66,7 +66,7 @@
 static bool
 version_known (const control_t *ctrl)
 {
-  const control_freshness_t *fresh = &ctrl->fresh;
+  const control_freshness_t *fresh = &ctrl->freshness;
   if (!replay_is_ready (ctrl->manifest.replay))
     return false;
   return fresh->log_ok || (fresh->log_failed && fresh->current_replies >= replies_needed (ctrl));
@@ -76,19 +76,21 @@
 control_freshness_init (control_t *ctrl)
 {
   counter_registry_t *counters = ctrl->daemon->counters;
-  ctrl->fresh.pauses = counter_get (counters, "medlarplank_pauses_total",
-                                    "Times the daemon found that it had not run for a while");
-  ctrl->fresh.stale = counter_get (counters, "medlarplank_stale",
-                                   "Whether the daemon has not heard all it needs since it started "
-                                   "or last woke");
-  counter_set (ctrl->fresh.stale, 1);
-  pause_init (&ctrl->fresh.pause, control_now_us (ctrl), ctrl->daemon->set.exchange_interval_ms);
+  ctrl->freshness.pauses = counter_get (counters, "medlarplank_pauses_total",
+                                        "Times the daemon found that it had not run for a while");
+  ctrl->freshness.stale =
+      counter_get (counters, "medlarplank_stale",
+                   "Whether the daemon has not heard all it needs since it started "
+                   "or last woke");
+  counter_set (ctrl->freshness.stale, 1);
+  pause_init (&ctrl->freshness.pause, control_now_us (ctrl),
+              ctrl->daemon->set.exchange_interval_ms);
 }
 
 void
 control_freshness_check_pause (control_t *ctrl)
 {
-  if (pause_check (&ctrl->fresh.pause, control_now_us (ctrl)))
+  if (pause_check (&ctrl->freshness.pause, control_now_us (ctrl)))
     handle_pause (ctrl, "control");
 }
 
@@ -97,14 +99,14 @@
 static bool
 is_same_pause (const control_t *ctrl)
 {
-  uint64_t since_us = ctrl->fresh.since_us;
+  uint64_t since_us = ctrl->freshness.since_us;
   return since_us != 0 && control_now_us (ctrl) - since_us < SAME_PAUSE_US;
 }
 
 void
 control_freshness_note_pause (control_t *ctrl, uint64_t woke_us)
 {
-  if (!pause_mark_woken (&ctrl->fresh.pause, woke_us))
+  if (!pause_mark_woken (&ctrl->freshness.pause, woke_us))
     return;
   if (is_same_pause (ctrl))
     control_freshness_send_if_fresh (ctrl);
@@ -115,45 +117,45 @@
 void
 control_freshness_note_list_read (control_t *ctrl, uint64_t started_us, bool worked)
 {
-  if (started_us < ctrl->fresh.since_us)
+  if (started_us < ctrl->freshness.since_us)
     return;
-  ctrl->fresh.list_ok = ctrl->fresh.list_ok || worked;
-  ctrl->fresh.list_failed = ctrl->fresh.list_failed || !worked;
+  ctrl->freshness.list_ok = ctrl->freshness.list_ok || worked;
+  ctrl->freshness.list_failed = ctrl->freshness.list_failed || !worked;
   control_freshness_send_if_fresh (ctrl);
 }
 
 void
 control_freshness_note_log_read (control_t *ctrl, uint64_t started_us, bool worked)
 {
-  if (started_us < ctrl->fresh.since_us)
+  if (started_us < ctrl->freshness.since_us)
     return;
-  ctrl->fresh.log_ok = ctrl->fresh.log_ok || worked;
-  ctrl->fresh.log_failed = ctrl->fresh.log_failed || !worked;
+  ctrl->freshness.log_ok = ctrl->freshness.log_ok || worked;
+  ctrl->freshness.log_failed = ctrl->freshness.log_failed || !worked;
   control_freshness_send_if_fresh (ctrl);
 }
 
 void
 control_freshness_note_reply (control_t *ctrl, uint64_t version)
 {
-  ctrl->fresh.replies++;
+  ctrl->freshness.replies++;
   if (version <= control_manifest_version (ctrl))
-    ctrl->fresh.current_replies++;
+    ctrl->freshness.current_replies++;
   else
-    ctrl->fresh.current_replies = 0;
+    ctrl->freshness.current_replies = 0;
   control_freshness_send_if_fresh (ctrl);
 }
 
 void
 control_freshness_send_if_fresh (control_t *ctrl)
 {
-  pause_detector_t *pause = &ctrl->fresh.pause;
+  pause_detector_t *pause = &ctrl->freshness.pause;
   if (!pause_is_stale (pause) || !own_state_known (ctrl) || !version_known (ctrl))
     return;
   control_members_send_now (ctrl);
   control_manifest_send_if_changed (ctrl);
   pause_mark_fresh (pause, pause->woke_us);
-  log_event (LOG_LEVEL_NOTICE, "fresh", "list", ctrl->fresh.list_ok ? "platform" : "peers",
+  log_event (LOG_LEVEL_NOTICE, "fresh", "list", ctrl->freshness.list_ok ? "platform" : "peers",
              "version", LOG_U64 (control_manifest_version (ctrl)), "version_by",
-             ctrl->fresh.log_ok ? "platform" : "peers", NULL);
+             ctrl->freshness.log_ok ? "platform" : "peers", NULL);
   send_freshness (ctrl, true);
 }
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -134,7 +134,7 @@
   control_poll_t *poll = &ctrl->manifest.poll;
   if (poll->call != NULL || control_now_us (ctrl) < poll->due_us)
     return;
-  bool may_wait = ctrl->peers.is_follower && ctrl->fresh.log_ok && !poll->down;
+  bool may_wait = ctrl->peers.is_follower && ctrl->freshness.log_ok && !poll->down;
   poll->call = control_call_new (ctrl);
   exchange_charge_budget (ctrl->exchange, CONTROL_LOG_READ_BYTES);
   ctrl->platform->read (ctrl->platform, REPLAY_STREAM, replay_next_offset (ctrl->manifest.replay),
@@ -162,7 +162,7 @@
   bool behind =
       manifest->behind_since_us != 0 && now_us - manifest->behind_since_us >= fetch_after_us;
   bool out_of_sync =
-      !replay_is_ready (manifest->replay) && (manifest->poll.down || ctrl->fresh.log_ok);
+      !replay_is_ready (manifest->replay) && (manifest->poll.down || ctrl->freshness.log_ok);
   bool needs_state =
       out_of_sync && (manifest->peer_version != 0 || control_manifest_version (ctrl) != 0);
   if (!behind && !needs_state)
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -177,7 +177,7 @@
           host->exchange.port == 0)
         continue;
       g_array_append_val (peers->all, i);
-      if (host->router)
+      if (host->is_router)
         continue;
       g_array_append_val (peers->sidecars, i);
       if (own != NULL && g_strcmp0 (host->region, set->region) == 0 &&
--- a/src/process/control_private.h
+++ b/src/process/control_private.h
@@ -266,7 +266,7 @@
   control_manifest_t manifest;
   control_fetch_t fetch;
   control_exchange_t talk;
-  control_freshness_t fresh;
+  control_freshness_t freshness;
   control_claims_t claims;
   control_stop_t stop;
   uint64_t conflict_logged_us;
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -143,7 +143,7 @@
   result.store_age_ms = (uint32_t)age_ms;
   if (fetch->fetching_all && fetch->refusal != BOOTSTRAP_NO_ANSWER)
     result.reason = refusal_names[fetch->refusal];
-  else if (!end->whole)
+  else if (!end->complete)
     result.reason = verdict_reason_to_string (end->reason);
   else if (!answer_seal_equal (fetch->seal, expected_seal))
     result.reason = "seal";
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -153,7 +153,7 @@
 
       out->engine_hash = items[i].engine_hash;
       out->load = items[i].load;
-      out->age_ms = (uint32_t)((now_us (peers) - items[i].told_us) / CLOCK_US_PER_MS);
+      out->age_ms = (uint32_t)((now_us (peers) - items[i].reported_us) / CLOCK_US_PER_MS);
     }
   message->samples.samples_len = count;
 }
@@ -167,7 +167,7 @@
       uint64_t age_us = (uint64_t)received->age_ms * CLOCK_US_PER_MS;
       load_report_t item = { .engine_hash = received->engine_hash,
                              .load = received->load,
-                             .told_us = now_us (peers) - MIN (age_us, now_us (peers)) };
+                             .reported_us = now_us (peers) - MIN (age_us, now_us (peers)) };
 
       if (load_reports_add (&peers->loads, now_us (peers), &item))
         peers->options.on_load (&item, peers->options.context);
@@ -371,9 +371,9 @@
                                            .interval_ms = set->exchange_interval_ms,
                                            .budget_bytes = set->control_budget_bytes,
                                            .seed = peers->own_hash ^ options->incarnation,
-                                           .fill = fill_message,
-                                           .heard = on_message,
-                                           .pick = pick_destination,
+                                           .fill_message = fill_message,
+                                           .on_message = on_message,
+                                           .choose_peer = pick_destination,
                                            .context = peers },
                     error);
   if (peers->exchange)
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -164,15 +164,16 @@
   const stream_follower_t *follower = store->followers[stream];
   uint32_t gateways_before = gateway_peers_count_ranked_before (store->peers);
 
-  return (read_policy_view_t){ .close = gateways_before < GATEWAY_PEERS_FOLLOWERS &&
-                                        has_own_entry (store),
-                               .listed = stream_follower_has_listed (follower),
-                               .lost = store->store_lost || stream_follower_is_failing (follower),
-                               .alone = gateway_peers_is_isolated (store->peers),
-                               .before = gateways_before,
-                               .count = gateway_peers_count_running (store->peers),
-                               .own_us = stream_follower_last_answer_us (follower),
-                               .tried_us = stream_follower_last_call_us (follower) };
+  return (read_policy_view_t){
+    .is_follower = gateways_before < GATEWAY_PEERS_FOLLOWERS && has_own_entry (store),
+    .has_copy = stream_follower_has_listed (follower),
+    .store_call_failed = store->store_lost || stream_follower_is_failing (follower),
+    .has_no_peers = gateway_peers_is_isolated (store->peers),
+    .earlier_readers = gateways_before,
+    .count = gateway_peers_count_running (store->peers),
+    .answered_us = stream_follower_last_answer_us (follower),
+    .read_started_us = stream_follower_last_call_us (follower)
+  };
 }
 
 static read_policy_stream_t
@@ -333,7 +334,7 @@
 
   fill_streams (store, streams);
   store->applying_copy = true;
-  store->copy_unsettled = !answer->settled;
+  store->copy_unsettled = !answer->deletions_confirmed;
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     stream_follower_advance (store->followers[i], view_share_apply (answer, &streams[i]));
   store->applying_copy = false;
@@ -524,8 +525,8 @@
   store->next_fetch_us =
       now_us (store) + (uint64_t)GATEWAY_STORE_FETCH_INTERVAL_MS * CLOCK_US_PER_MS;
   gateway_fetch_newer (store->fetch, &store->ahead_control, streams, STREAM_COUNT,
-                       store->policies[STREAM_ROUTING].large ||
-                           policy_view (store, STREAM_ROUTING).lost);
+                       store->policies[STREAM_ROUTING].new_records_too_large ||
+                           policy_view (store, STREAM_ROUTING).store_call_failed);
 }
 
 static void
@@ -634,9 +635,9 @@
                                     .wait_ms = wait_ms,
                                     .pace_ms = read_interval_ms (store, stream),
                                     .latest_only = stream == STREAM_ROUTING,
-                                    .held = true,
+                                    .start_suspended = true,
                                     .seed = store->options.incarnation + stream,
-                                    .told = on_state,
+                                    .on_event = on_state,
                                     .context = store });
 }
 
--- a/src/request/gateway/event_splitter.c
+++ b/src/request/gateway/event_splitter.c
@@ -76,7 +76,7 @@
       splitter->last_id = id;
       splitter->has_id = true;
     }
-  splitter->count++;
+  splitter->event_count++;
   return true;
 }
 
@@ -84,7 +84,7 @@
 event_splitter_feed (event_splitter_t *splitter, struct evbuffer *in, struct evbuffer *out)
 {
   evbuffer_add_buffer (splitter->partial, in);
-  while (!splitter->broken)
+  while (!splitter->overflowed)
     {
       size_t have = evbuffer_get_length (splitter->partial);
       const char *text = have > 0 ? (const char *)evbuffer_pullup (splitter->partial, -1) : "";
@@ -92,7 +92,7 @@
 
       if (bytes == 0)
         {
-          splitter->broken = have > EVENT_SPLITTER_LIMIT_BYTES;
+          splitter->overflowed = have > EVENT_SPLITTER_LIMIT_BYTES;
           return;
         }
       if (accept_event (splitter, text, bytes))
@@ -112,7 +112,7 @@
 event_splitter_restart (event_splitter_t *splitter)
 {
   evbuffer_drain (splitter->partial, evbuffer_get_length (splitter->partial));
-  splitter->broken = false;
+  splitter->overflowed = false;
 }
 
 void
--- a/src/request/gateway/event_splitter.h
+++ b/src/request/gateway/event_splitter.h
@@ -17,18 +17,18 @@
  * struct splitter - state of one stream of events
  * @partial: what has come of an event that has not ended yet
  * @last_id: id of the last event that had one; valid when @has_id is set
- * @count: number of whole events that were forwarded
+ * @event_count: number of whole events that were forwarded
  * @resumed: the stream was resumed: events up to @last_id are dropped
- * @broken: an event exceeded %EVENT_SPLITTER_LIMIT_BYTES; nothing more is forwarded
+ * @overflowed: an event exceeded %EVENT_SPLITTER_LIMIT_BYTES; nothing more is forwarded
  */
 typedef struct
 {
   struct evbuffer *partial;
   uint64_t last_id;
-  uint64_t count;
+  uint64_t event_count;
   bool has_id;
   bool resumed;
-  bool broken;
+  bool overflowed;
 } event_splitter_t;
 
 void event_splitter_init (event_splitter_t *splitter);
--- a/src/request/gateway/format.h
+++ b/src/request/gateway/format.h
@@ -71,7 +71,7 @@
 
 /**
  * struct format_response - what the headers of an engine's response say
- * @crossed: the response belongs to another request
+ * @is_for_other_request: the response belongs to another request
  * @not_run: the engine states that it did not run the request
  * @is_other_engine: the response is from another engine than the one that the request named
  * @has_signature: the response carries the engine's signature
@@ -83,7 +83,7 @@
  */
 typedef struct
 {
-  bool crossed;
+  bool is_for_other_request;
   bool not_run;
   bool is_other_engine;
   bool has_signature;
@@ -105,24 +105,25 @@
 
 /**
  * struct format - the operations of an adapter
- * @read: parses a client's request headers. Return: NULL, or an error message for the client
- * @write: appends the request headers for an engine to @out, an array of http_client_header_t:
- *   those of the gateway, and the client's headers that are forwarded. @out borrows from @text and
- * @headers
- * @answer: parses an engine's response headers; @id is the id of the request, or NULL
+ * @read_request: parses a client's request headers. Return: NULL, or an error message for the
+ *   client
+ * @write_request: appends the request headers for an engine to @out, an array of
+ *   http_client_header_t: those of the gateway, and the client's headers that are forwarded. @out
+ *   borrows from @text and @headers
+ * @read_response: parses an engine's response headers; @id is the id of the request, or NULL
  * @is_returned: whether a response header is forwarded to the client
  */
 typedef struct
 {
-  const char *(*read) (format_request_t *out, const struct evkeyvalq *headers);
-  void (*write) (const format_upstream_request_t *hop,
-                 const struct evkeyvalq *headers,
-                 GArray *out,
-                 format_buffers_t *text);
-  void (*answer) (format_response_t *out,
-                  int status,
-                  const struct evkeyvalq *headers,
-                  const char *id);
+  const char *(*read_request) (format_request_t *out, const struct evkeyvalq *headers);
+  void (*write_request) (const format_upstream_request_t *hop,
+                         const struct evkeyvalq *headers,
+                         GArray *out,
+                         format_buffers_t *text);
+  void (*read_response) (format_response_t *out,
+                         int status,
+                         const struct evkeyvalq *headers,
+                         const char *id);
   bool (*is_returned) (const char *name);
 } format_t;
 
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -114,7 +114,7 @@
       log_event (LOG_LEVEL_WARNING, "suspect", "fingerprint", LOG_HEX (loss.fingerprint), "engine",
                  LOG_HEX (loss.engine_hash), "age_ms",
                  LOG_U64 ((now_us - loss.lost_us) / CLOCK_US_PER_MS), NULL);
-      gateway->options.suspected (&mark, gateway->options.context);
+      gateway->options.on_suspect (&mark, gateway->options.context);
     }
 }
 
@@ -138,7 +138,7 @@
   suspect_mark_t cleared = { .fingerprint = fingerprint };
 
   log_event (LOG_LEVEL_INFO, "cleared", "fingerprint", LOG_HEX (fingerprint), NULL);
-  gateway->options.suspected (&cleared, gateway->options.context);
+  gateway->options.on_suspect (&cleared, gateway->options.context);
 }
 
 void
@@ -147,7 +147,7 @@
   engine_t *engine = engines_find_by_hash (gateway->options.engines, item->engine_hash);
 
   if (engine)
-    engine_note_peer_load (engine, item->told_us, item->load);
+    engine_note_peer_load (engine, item->reported_us, item->load);
 }
 
 void
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -32,9 +32,9 @@
  * @engines: engines of all services; the owner reports changes by gateway_engines_changed()
  * @format: adapter for the headers of clients and engines
  * @retries: limit of the retries that all gateways may send
- * @suspected: called with the mark of a request that is suspected of crashing engines, or that is
+ * @on_suspect: called with the mark of a request that is suspected of crashing engines, or that is
  *   cleared of it, for the other gateways
- * @high_load: called with a high load that an engine reported, for the other gateways
+ * @on_high_load: called with a high load that an engine reported, for the other gateways
  * @context: passed to the callbacks
  */
 typedef struct
@@ -46,8 +46,8 @@
   engines_t *engines;
   const format_t *format;
   retry_budget_options_t retries;
-  void (*suspected) (const suspect_mark_t *mark, void *context);
-  void (*high_load) (const load_report_t *item, void *context);
+  void (*on_suspect) (const suspect_mark_t *mark, void *context);
+  void (*on_high_load) (const load_report_t *item, void *context);
   void *context;
 } gateway_options_t;
 
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -91,7 +91,7 @@
   const routing_account_t *account = NULL;
   format_request_t request;
   const char *problem =
-      gateway->options.format->read (&request, http_server_request_headers (client));
+      gateway->options.format->read_request (&request, http_server_request_headers (client));
   gateway_call_t *call;
 
   if (problem)
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -113,7 +113,7 @@
   count_failure (call);
   if (!call->client)
     gateway_call_free (call);
-  else if (call->relay.begun)
+  else if (call->relay.has_started)
     {
       relay_abort (&call->relay, &(flt_t){ .reason = VERDICT_REASON_TIMEOUT });
       gateway_call_free (call);
@@ -162,21 +162,21 @@
   gateway_route_stats_t *stats = gateway_route_stats (call->gateway, call->route);
   uint64_t age_us =
       first_attempt_age_us (&stats->first_ask, call->arrived_us, call->request.deadline_ms);
-  uint64_t aim_us = (uint64_t)call->route->aim_ms * CLOCK_US_PER_MS;
-  uint64_t silence_us = (uint64_t)call->route->silence_ms * CLOCK_US_PER_MS;
-
-  return (
-      wait_queue_item_t){ .priority = call->route->priority,
-                          .arrived_us = call->arrived_us,
-                          .deadline_us = call->deadline_us,
-                          .client_gives_up_us = silence_us ? call->arrived_us + silence_us : 0,
-                          .in_time_us = call->arrived_us + aim_us - MIN (age_us, aim_us),
-                          .run_us = stats->run_us,
-                          .returns = age_us > 0,
-                          .fair = { .account_hash = call->account ? call->account->hash : 0,
-                                    .has_precedence = call->account && call->account->has_priority,
-                                    .precedence = call->account ? call->account->priority : 0,
-                                    .owner = call } };
+  uint64_t aim_us = (uint64_t)call->route->target_response_ms * CLOCK_US_PER_MS;
+  uint64_t silence_us = (uint64_t)call->route->client_silence_limit_ms * CLOCK_US_PER_MS;
+
+  return (wait_queue_item_t){ .priority = call->route->priority,
+                              .arrived_us = call->arrived_us,
+                              .deadline_us = call->deadline_us,
+                              .client_gives_up_us = silence_us ? call->arrived_us + silence_us : 0,
+                              .target_us = call->arrived_us + aim_us - MIN (age_us, aim_us),
+                              .run_us = stats->run_us,
+                              .is_retry = age_us > 0,
+                              .fair_entry = {
+                                  .account_hash = call->account ? call->account->hash : 0,
+                                  .has_precedence = call->account && call->account->has_priority,
+                                  .precedence = call->account ? call->account->priority : 0,
+                                  .owner = call } };
 }
 
 gateway_call_t *
@@ -208,7 +208,7 @@
   retry_plan_init (&call->course,
                    &(retry_plan_rules_t){ .idempotent = route->kind == ROUTING_IDEMPOTENT,
                                           .resumable = is_stream && route->resumable,
-                                          .attempts = route->attempts });
+                                          .max_runs = route->attempts });
   event_splitter_init (&call->splitter);
   relay_init (&call->relay, client);
   call->relay.is_returned = gateway->options.format->is_returned;
@@ -251,7 +251,7 @@
       LOG_U64 (routing_version (call->table)), "engine",
       call->engine ? call->engine->entry.id : NULL, "outcome", outcome, "reason",
       reason == VERDICT_REASON_NONE ? NULL : verdict_reason_to_string (reason), "hops",
-      LOG_U64 (call->hops), "full", LOG_U64 (call->course.full), "unsent",
+      LOG_U64 (call->hops), "full", LOG_U64 (call->course.rejected_full), "unsent",
       LOG_U64 (call->course.unsent), "status", LOG_U64 ((uint64_t)call->status), "head_ms",
       call->has_head ? LOG_U64 ((call->head_us - call->sent_us) / CLOCK_US_PER_MS) : NULL, "ms",
       LOG_U64 ((now_us - call->arrived_us) / CLOCK_US_PER_MS), "left_ms",
@@ -302,19 +302,19 @@
       &(engine_choice_request_t){
           .affinity = call->affinity,
           .affinity_tokens = call->affinity_tokens,
-          .data_center = gateway->options.set->data_center,
-          .repeatable = retry_plan_may_move (&call->course, call->relay.begun),
+          .own_data_center = gateway->options.set->data_center,
+          .repeatable = retry_plan_may_move (&call->course, call->relay.has_started),
           .gateways = gateway->routers,
           .gateway_hash = gateway->name_hash,
-          .run_us = wait_queue_run_us (service->queue),
-          .head_us = wait_queue_head_us (service->queue),
+          .slot_time_us = wait_queue_run_us (service->queue),
+          .usual_head_us = wait_queue_head_us (service->queue),
           .utilization_milli = load_gauge_utilization_milli (&service->load_gauge, now_us),
           .surge = load_gauge_is_surge (&service->load_gauge, now_us, service->in_flight),
-          .late = call->queue_item.waiting && call->queue_item.late,
-          .cold_per_s = rules ? rules->cold_per_s : 0,
+          .past_deadline = call->queue_item.waiting && call->queue_item.is_late,
+          .cold_per_s = rules ? rules->cold_requests_per_s : 0,
           .cold_start_us = rules ? rules->cold_start_us : 0,
           .known_gateways = gateway->known_routers,
-          .homes = bound_regions (call),
+          .region_filter = bound_regions (call),
           .drain_us = (uint64_t)gateway->options.set->center_drain_ms * CLOCK_US_PER_MS,
           .tried = call->tried,
           .tried_count = call->tried_count });
@@ -343,8 +343,8 @@
     gateway_hop_send (call, &choice);
   else if (choice.action == ENGINE_CHOICE_WAIT)
     gateway_queue_push (call);
-  else if (choice.rest_us > 0)
-    gateway_queue_for_backoff (call, choice.rest_us);
+  else if (choice.backoff_us > 0)
+    gateway_queue_for_backoff (call, choice.backoff_us);
   else
     gateway_call_fail_no_engine (call, &choice);
 }
@@ -416,13 +416,13 @@
   switch (retry_plan_next (&call->course, outcome, left_us, may_retry, call))
     {
     case RETRY_PLAN_STEP_RESEND:
-      retry (call, call->relay.begun, reason);
+      retry (call, call->relay.has_started, reason);
       return;
     case RETRY_PLAN_STEP_RESUME:
       retry (call, true, reason);
       return;
     case RETRY_PLAN_STEP_WAIT:
-      prepare_retry (call, call->relay.begun, reason);
+      prepare_retry (call, call->relay.has_started, reason);
       gateway_queue_for_retry (call);
       return;
     case RETRY_PLAN_STEP_PASS_ON:
@@ -484,15 +484,15 @@
              LOG_U64 (routing_version (call->table)), "outcome",
              is_repeatable (call) ? "repeatable" : "not_run", "reason",
              verdict_reason_to_string (reason), "hops", LOG_U64 (call->hops), "full",
-             LOG_U64 (call->course.full), "unsent", LOG_U64 (call->course.unsent), "retry_wait_ms",
-             LOG_U64 (retry_wait_us / CLOCK_US_PER_MS), "ms",
+             LOG_U64 (call->course.rejected_full), "unsent", LOG_U64 (call->course.unsent),
+             "retry_wait_ms", LOG_U64 (retry_wait_us / CLOCK_US_PER_MS), "ms",
              LOG_U64 ((now_us - call->arrived_us) / CLOCK_US_PER_MS), "retry_after_ms",
              LOG_U64 (retry_after_ms), "overloaded",
              wait_queue_is_overloaded (queue, now_us) ? "yes" : "no", "waiting",
              LOG_U64 (wait_queue_count (queue)), "waiting_in_time",
              LOG_U64 (wait_queue_count_in_time (queue)), "odds_milli",
              LOG_U64 (wait_queue_in_time_milli (queue)), "returns",
-             call->queue_item.returns ? "yes" : "no", NULL);
+             call->queue_item.is_retry ? "yes" : "no", NULL);
   log_flush ();
 }
 
@@ -518,7 +518,7 @@
 void
 gateway_call_fail (gateway_call_t *call, verdict_reason_t reason, uint32_t retry_after_ms)
 {
-  if (call->relay.begun)
+  if (call->relay.has_started)
     end_cut (call, reason);
   else if (call->failure_buffered)
     gateway_call_complete (call);
--- a/src/request/gateway/gateway_hop.c
+++ b/src/request/gateway/gateway_hop.c
@@ -60,11 +60,11 @@
   const gateway_task_t *gateway = call->gateway;
   load_report_t item = { .engine_hash = call->engine->hash,
                          .load = call->response.load.running + call->response.load.waiting,
-                         .told_us = now_us };
+                         .reported_us = now_us };
 
   if (load_reports_is_high (item.load, call->service->mean_milli, ENGINE_CHOICE_OVERLOAD_FACTOR,
                             ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI))
-    gateway->options.high_load (&item, gateway->options.context);
+    gateway->options.on_high_load (&item, gateway->options.context);
 }
 
 static void
@@ -104,8 +104,8 @@
 
   call->head_us = now_us;
   call->last_byte_us = now_us;
-  call->events_before_head = call->splitter.count;
-  call->engine->heard_us = now_us;
+  call->events_before_head = call->splitter.event_count;
+  call->engine->last_byte_us = now_us;
   if (!call->response.not_run)
     wait_queue_note_head (call->service->queue, now_us - call->sent_us);
   if (status == 200)
@@ -125,9 +125,9 @@
 {
   gateway_call_t *call = context;
 
-  call->gateway->options.format->answer (&call->response, status, headers,
-                                         call->id[0] != '\0' ? call->id : NULL);
-  if (call->response.crossed)
+  call->gateway->options.format->read_response (&call->response, status, headers,
+                                                call->id[0] != '\0' ? call->id : NULL);
+  if (call->response.is_for_other_request)
     return false;
   call->has_head = true;
   record_head (call, status);
@@ -140,12 +140,12 @@
   call->streaming = is_event_stream (headers) && status == 200;
   call->failure_buffered = false;
   relay_start (&call->relay, call->upstream, status, headers);
-  call->relay.events = false; /* no error event may be added to an engine's events */
+  call->relay.is_event_stream = false; /* no error event may be added to an engine's events */
   /* An error is buffered, as another engine may serve the request; and so is a response without a
    * length, as only its end shows that it is complete. */
   if (!call->streaming &&
       (status >= STATUS_SERVER_ERROR || !evhttp_find_header (headers, "Content-Length")))
-    call->relay.holding = true;
+    call->relay.is_buffering = true;
   return true;
 }
 
@@ -167,7 +167,7 @@
 
   call->last_byte_us = gateway_now_us (call->gateway);
   if (call->engine)
-    call->engine->heard_us = call->last_byte_us;
+    call->engine->last_byte_us = call->last_byte_us;
   if (!call->client || call->response.not_run)
     evbuffer_drain (data, evbuffer_get_length (data));
   else if (call->streaming)
@@ -201,7 +201,7 @@
 static void
 record_pace (gateway_call_t *call, uint64_t now_us)
 {
-  uint64_t events = call->splitter.count - call->events_before_head;
+  uint64_t events = call->splitter.event_count - call->events_before_head;
   uint64_t took_us;
 
   if (relay_was_blocked (&call->relay) || call->client_was_slow || (call->streaming && events < 2))
@@ -264,7 +264,7 @@
     finish_refused (call);
   else if (call->streaming && !event_splitter_is_between (&call->splitter))
     gateway_call_hop_ended (
-        call, call->relay.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN,
+        call, call->relay.has_started ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN,
         VERDICT_REASON_CUT);
   else if (call->status >= STATUS_SERVER_ERROR && call->client)
     gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_FAILED, VERDICT_REASON_NONE);
@@ -283,7 +283,7 @@
     gateway_call_hop_ended (
         call, is_unsent (end) ? RETRY_PLAN_OUTCOME_UNSENT : RETRY_PLAN_OUTCOME_NOT_RUN,
         end->reason);
-  else if (call->relay.begun)
+  else if (call->relay.has_started)
     gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_BROKE_OFF, end->reason);
   else
     gateway_call_hop_ended (call, RETRY_PLAN_OUTCOME_UNKNOWN, end->reason);
@@ -299,7 +299,8 @@
 
   if (is_unsent (end))
     crash_watch_note_down (&gateway->crashes, now_us, call->engine->hash);
-  else if (end->reason == VERDICT_REASON_CUT && call->client && !call->response.crossed)
+  else if (end->reason == VERDICT_REASON_CUT && call->client &&
+           !call->response.is_for_other_request)
     crash_watch_note_loss (&gateway->crashes, now_us, call->engine->hash,
                            gateway_call_fingerprint (call));
 }
@@ -322,18 +323,18 @@
   gateway_service_t *service = call->service;
 
   call->relay.from = NULL;
-  if (end->whole)
+  if (end->complete)
     record_times (call);
   else if (!call->has_head || !call->response.not_run)
     record_engine_failure (call, end);
   if (call->has_head && call->response.not_run)
     record_refusal (call, call->engine);
-  if (!end->whole)
+  if (!end->complete)
     record_crash (call, end);
-  if (!end->whole)
+  if (!end->complete)
     gateway_call_log (call, "hop_lost", verdict_to_string (end->verdict), end->reason);
   release_engine (call);
-  if (end->whole)
+  if (end->complete)
     finish_complete (call);
   else
     finish_broken (call, end);
@@ -346,7 +347,8 @@
   gateway_call_log (call, "hop_lost", why, reason);
   gateway_hop_cancel (call);
   gateway_call_hop_ended (
-      call, call->relay.begun ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN, reason);
+      call, call->relay.has_started ? RETRY_PLAN_OUTCOME_BROKE_OFF : RETRY_PLAN_OUTCOME_UNKNOWN,
+      reason);
 }
 
 /*
@@ -360,14 +362,14 @@
   uint64_t now_us = gateway_now_us (call->gateway);
   hop_timeout_t hop_timeout = {
     .sent_us = call->sent_us,
-    .heard_us = call->last_byte_us,
-    .engine_heard_us = call->engine ? call->engine->heard_us : 0,
+    .last_byte_us = call->last_byte_us,
+    .engine_last_byte_us = call->engine ? call->engine->last_byte_us : 0,
     .prompt_tokens = call->request.prompt_tokens,
     .usual_us = wait_queue_head_us (call->service->queue),
-    .time_us = call->deadline_us - MIN (call->sent_us, call->deadline_us),
-    .gap_us = (uint64_t)call->route->gap_ms * CLOCK_US_PER_MS,
-    .full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >=
-            GATEWAY_NEARLY_FULL_MILLI
+    .time_limit_us = call->deadline_us - MIN (call->sent_us, call->deadline_us),
+    .gap_us = (uint64_t)call->route->event_gap_target_ms * CLOCK_US_PER_MS,
+    .engines_full = load_gauge_utilization_milli (&call->service->load_gauge, now_us) >=
+                    GATEWAY_NEARLY_FULL_MILLI
   };
 
   if (!call->upstream || !call->client)
@@ -377,7 +379,7 @@
       call->client_was_slow = true;
       return;
     }
-  if (!retry_plan_may_move (&call->course, call->relay.begun) ||
+  if (!retry_plan_may_move (&call->course, call->relay.has_started) ||
       !hop_timeout_has_expired (&hop_timeout, now_us))
     return;
   engine_note_failure (call->engine, now_us);
@@ -453,8 +455,8 @@
 log_place (const gateway_call_t *call, const engine_choice_t *choice)
 {
   const engine_t *engine = choice->engine;
-  bool of_peer = engine->peer_report_us > engine->told_us;
-  uint64_t told_us = MAX (engine->told_us, engine->peer_report_us);
+  bool of_peer = engine->peer_report_us > engine->reported_us;
+  uint64_t told_us = MAX (engine->reported_us, engine->peer_report_us);
   uint64_t age_ms = (call->sent_us - MIN (told_us, call->sent_us)) / CLOCK_US_PER_MS;
 
   log_event (LOG_LEVEL_INFO, "place", "id", call->id, "service", call->service->name, "engine",
@@ -489,8 +491,8 @@
   log_place (call, choice);
   hop.left_ms =
       (uint32_t)((call->deadline_us - MIN (call->sent_us, call->deadline_us)) / CLOCK_US_PER_MS);
-  call->gateway->options.format->write (&hop, http_server_request_headers (call->client), headers,
-                                        &text);
+  call->gateway->options.format->write_request (&hop, http_server_request_headers (call->client),
+                                                headers, &text);
   call->upstream = http_client_start_call (
       call->gateway->upstreams,
       &(http_client_options_t){ .address = &choice->engine->entry.address,
--- a/src/request/gateway/gateway_queue.c
+++ b/src/request/gateway/gateway_queue.c
@@ -102,7 +102,7 @@
   if (call->course.retry_due && gateway_call_retry_wait_us (call) > 0)
     return false;
   *choice = gateway_call_choose_engine (call);
-  return choice->action != ENGINE_CHOICE_WAIT && choice->rest_us == 0;
+  return choice->action != ENGINE_CHOICE_WAIT && choice->backoff_us == 0;
 }
 
 void
--- a/src/request/policy/admission.h
+++ b/src/request/policy/admission.h
@@ -99,8 +99,8 @@
  * @chat_hash: its chat, used if @has_chat
  * @fingerprint: hash that identifies the request when it is sent again after a crash
  * @home_hash: home engine of the chat, the router's first candidate
- * @former_hash: home engine of the chat before the present one joined; 0 if none, or if this is the
- *   first message of the chat, whose context is cached nowhere
+ * @former_home_hash: home engine of the chat before the present one joined; 0 if none, or if this
+ *   is the first message of the chat, whose context is cached nowhere
  * @prompt_tokens: estimated tokens to read
  * @output_tokens: estimated tokens to generate
  * @may_wait: the router has no other engine left to try, so the request may be queued here; without
@@ -117,7 +117,7 @@
   uint64_t chat_hash;
   uint64_t fingerprint;
   uint64_t home_hash;
-  uint64_t former_hash;
+  uint64_t former_home_hash;
   uint32_t prompt_tokens;
   uint32_t output_tokens;
   bool may_wait;
--- a/src/request/policy/admission_cached.c
+++ b/src/request/policy/admission_cached.c
@@ -45,7 +45,7 @@
 is_from_new_home (const admission_t *admission, const admission_request_t *request)
 {
   return request->referred && request->home_hash != admission->options.engine_hash &&
-         request->former_hash == admission->options.engine_hash;
+         request->former_home_hash == admission->options.engine_hash;
 }
 
 static admission_decision_t
@@ -69,8 +69,9 @@
   if (chat_directory_get (admission->directory, now_us, referral_lifetime_us (admission),
                           request->chat_hash, &entry))
     return entry.engine_hash != own ? entry.engine_hash : 0;
-  if (is_at_home (admission, request) && is_new (admission, now_us) && request->former_hash != own)
-    return request->former_hash;
+  if (is_at_home (admission, request) && is_new (admission, now_us) &&
+      request->former_home_hash != own)
+    return request->former_home_hash;
   return 0;
 }
 
--- a/src/request/policy/engine_choice.c
+++ b/src/request/policy/engine_choice.c
@@ -60,7 +60,7 @@
 static bool
 has_joined (const service_view_t *view, const engine_t *engine)
 {
-  if (!engine_is_open (engine) || engine->told_us != 0 || engine->joined_us == 0)
+  if (!engine_is_open (engine) || engine->reported_us != 0 || engine->joined_us == 0)
     return false;
   return is_cold (view, engine) || view->now_us < engine->joined_us + ENGINE_CHOICE_IDLE_US;
 }
@@ -83,7 +83,7 @@
 load_at (const service_view_t *view, const engine_t *engine)
 {
   if (has_joined (view, engine))
-    return engine->own + (uint32_t)(view->others_mean_milli / MILLI);
+    return engine->own_requests + (uint32_t)(view->others_mean_milli / MILLI);
   return engine_estimate_load (engine, view->now_us, view->others_mean_milli);
 }
 
@@ -137,8 +137,8 @@
           engine_is_open (engine) ? engine_load_weight_milli (engine, view->now_us) : 0;
 
       weights += weight;
-      own += (uint64_t)weight * engine->own;
-      others += (uint64_t)weight * engine->others;
+      own += (uint64_t)weight * engine->own_requests;
+      others += (uint64_t)weight * engine->other_requests;
     }
   /* One idle engine is added: the first report says little about the other engines. */
   view->others_mean_milli = others * MILLI / (weights + MILLI);
@@ -198,7 +198,7 @@
       if (!engine_is_open (engine))
         continue;
       view->open++;
-      view->own += engine->own;
+      view->own += engine->own_requests;
       view->slots += engine_slots (engine, view->request->default_slots);
       view->joined += has_joined (view, engine) ? 1 : 0;
       ejected += engine->failures >= ENGINE_EJECTION_FAILURES ? 1 : 0;
@@ -213,7 +213,8 @@
   view->full =
       view->request->surge || (view->request->utilization_milli >= ENGINE_CHOICE_FULL_MILLI &&
                                view->slots >= gateways * ENGINE_CHOICE_SHARE_MIN_SLOTS);
-  view->is_below_share = !view->request->late && view->own * gateways < view->slots + gateways - 1;
+  view->is_below_share =
+      !view->request->past_deadline && view->own * gateways < view->slots + gateways - 1;
   view->error_limit_milli = error_limit (view);
 }
 
@@ -239,7 +240,7 @@
                                .gateway_hash = request->gateway_hash,
                                .engine_hash = engine->hash,
                                .since_us = engine_cold_since_us (engine),
-                               .sent_us = engine->sent_us };
+                               .sent_us = engine->last_sent_us };
 
   return !is_cold (view, engine) || cold_start_limit_allows (&share, view->now_us);
 }
@@ -252,7 +253,8 @@
   return engine_error_rate_milli (engine, view->now_us) > view->error_limit_milli ||
          (view->request->cold_per_s == 0 && is_cold (view, engine)) ||
          engine_latency_ratio_milli (engine, view->now_us) > ENGINE_CHOICE_LATENCY_RATIO_MILLI ||
-         engine_is_silent (engine, view->now_us, view->request->head_us, view->request->repeatable);
+         engine_is_silent (engine, view->now_us, view->request->usual_head_us,
+                           view->request->repeatable);
 }
 
 /*
@@ -268,11 +270,11 @@
 may_queue (const service_view_t *view, const engine_t *engine, uint32_t slots)
 {
   uint64_t gateways = MAX (view->request->gateways, 1U);
-  uint64_t share_us = view->request->run_us * gateways / slots;
+  uint64_t share_us = view->request->slot_time_us * gateways / slots;
 
   return view->is_below_share && !engine_is_full (engine, view->now_us) &&
-         engine->own * gateways < slots + gateways - 1 &&
-         view->now_us >= engine->sent_us + share_us / ENGINE_CHOICE_SEND_RATE_FACTOR;
+         engine->own_requests * gateways < slots + gateways - 1 &&
+         view->now_us >= engine->last_sent_us + share_us / ENGINE_CHOICE_SEND_RATE_FACTOR;
 }
 
 /* Time in which a slot of this gateway's share comes free, and in which it learns whether the
@@ -281,9 +283,9 @@
 window_pause_us (const service_view_t *view, uint32_t slots)
 {
   uint64_t gateways = MAX (view->request->gateways, 1U);
-  uint64_t share_us = view->request->run_us * gateways / MAX (slots, 1U);
+  uint64_t share_us = view->request->slot_time_us * gateways / MAX (slots, 1U);
 
-  return MAX (share_us / ENGINE_CHOICE_SEND_RATE_FACTOR, view->request->head_us);
+  return MAX (share_us / ENGINE_CHOICE_SEND_RATE_FACTOR, view->request->usual_head_us);
 }
 
 /* Whether the engine has a slot, or a place in its queue, for one more request of this gateway. */
@@ -500,7 +502,7 @@
   uint64_t load_after = (uint64_t)load_at (view, engine) + 1;
   uint64_t slowdown_milli = (uint64_t)engine_slowdown_percent (engine, view->now_us) * MILLI /
                             ENGINE_SLOWDOWN_NONE_PERCENT;
-  bool is_local = strcmp (engine->entry.data_center, view->request->data_center) == 0;
+  bool is_local = strcmp (engine->entry.data_center, view->request->own_data_center) == 0;
 
   return load_after * slowdown_milli * 2 +
          (is_local ? 0 : (ENGINE_CHOICE_LOCAL_EXTRA_REQUESTS * 2 + 1) * MILLI);
@@ -676,7 +678,7 @@
     {
       choice.action = choice.candidates > 0 ? ENGINE_CHOICE_WAIT : ENGINE_CHOICE_NONE;
       choice.drained = choice.action == ENGINE_CHOICE_NONE && is_all_drained (&view);
-      choice.rest_us = choice.action == ENGINE_CHOICE_NONE ? min_backoff_us (&view) : 0;
+      choice.backoff_us = choice.action == ENGINE_CHOICE_NONE ? min_backoff_us (&view) : 0;
       return choice;
     }
   choice.action = ENGINE_CHOICE_SEND;
@@ -695,7 +697,7 @@
 {
   g_autoptr (GPtrArray) allowed = NULL;
 
-  if (region_filter_is_active (&request->homes))
-    allowed = region_filter_apply (&request->homes, engines);
+  if (region_filter_is_active (&request->region_filter))
+    allowed = region_filter_apply (&request->region_filter, engines);
   return choose_among (allowed ? allowed : engines, now_us, request);
 }
--- a/src/request/policy/engine_choice.h
+++ b/src/request/policy/engine_choice.h
@@ -92,45 +92,45 @@
  * struct engine_choice_request - a request, and what the gateway knows of its service
  * @affinity: hash of the prompt part that saves most when it is cached; 0 for none
  * @affinity_tokens: length of that part
- * @data_center: of this gateway
+ * @own_data_center: of this gateway
  * @tried: hashes of the engines that already had this request
  * @repeatable: it can be sent to another engine when one fails it
  * @gateways: number that share the engines; 0 counts as 1
  * @gateway_hash: of this gateway's name
- * @run_us: usual time that a request of the service keeps its slot
- * @head_us: usual time until the head of an answer
+ * @slot_time_us: usual time that a request of the service keeps its slot
+ * @usual_head_us: usual time until the head of an answer
  * @surge: traffic has grown so fast that the engines are full, whatever they last reported
  * @utilization_milli: recently reported requests at the engines, in thousandths of their slots; 0
  *   when unknown
- * @late: it can't be answered in time any more, so it gets only a slot that is surely free
+ * @past_deadline: it can't be answered in time any more, so it gets only a slot that is surely free
  * @default_slots: of an engine that doesn't state its slots
  * @cold_per_s: requests per second that an engine sustains in its cold start; 0 when unknown
  * @cold_start_us: duration of a cold start
  * @known_gateways: number that may send to the engines, with those not heard recently; 0 when
  *   unknown
- * @homes: regions that the request is restricted to
+ * @region_filter: regions that the request is restricted to
  * @drain_us: time from the order to drain a data centre until its engines must get nothing more
  */
 typedef struct
 {
   uint64_t affinity;
   uint32_t affinity_tokens;
-  const char *data_center;
+  const char *own_data_center;
   const uint64_t *tried;
   uint32_t tried_count;
   bool repeatable;
   uint32_t gateways;
   uint64_t gateway_hash;
-  uint64_t run_us;
-  uint64_t head_us;
+  uint64_t slot_time_us;
+  uint64_t usual_head_us;
   bool surge;
   uint32_t utilization_milli;
-  bool late;
+  bool past_deadline;
   uint32_t default_slots;
   uint32_t cold_per_s;
   uint64_t cold_start_us;
   uint32_t known_gateways;
-  region_filter_t homes;
+  region_filter_t region_filter;
   uint64_t drain_us;
 } engine_choice_request_t;
 
@@ -144,7 +144,7 @@
  * @mean_milli: mean load of the service, in thousandths of a request
  * @candidates: number of engines that may get the request, also those that are full
  * @drained: with %ENGINE_CHOICE_NONE: there are engines, but all their data centres are drained
- * @rest_us: with %ENGINE_CHOICE_NONE: time until the first engine that asked for no requests
+ * @backoff_us: with %ENGINE_CHOICE_NONE: time until the first engine that asked for no requests
  *   accepts them again; 0 when none did
  */
 typedef struct
@@ -157,7 +157,7 @@
   uint32_t mean_milli;
   uint32_t candidates;
   bool drained;
-  uint64_t rest_us;
+  uint64_t backoff_us;
 } engine_choice_t;
 
 /** engine_choice_make() - chooses among @engines, an array of engine_t of one service */
--- a/src/request/policy/engines.c
+++ b/src/request/policy/engines.c
@@ -110,8 +110,8 @@
 static void
 clear_load (engine_t *engine)
 {
-  engine->others = 0;
-  engine->told_us = 0;
+  engine->other_requests = 0;
+  engine->reported_us = 0;
   engine->peer_report_us = 0;
 }
 
@@ -306,27 +306,27 @@
   uint64_t probe_interval_us =
       ENGINE_SILENT_PROBE_US + (repeatable ? 0 : ENGINE_UNREPEATABLE_PROBE_DELAY_US);
 
-  if (engine->own == 0 || engine->heard_us >= engine->unanswered_since_us ||
+  if (engine->own_requests == 0 || engine->last_byte_us >= engine->unanswered_since_us ||
       now_us < silent_from_us)
     return false;
-  return now_us < MAX (silent_from_us, engine->sent_us) + probe_interval_us;
+  return now_us < MAX (silent_from_us, engine->last_sent_us) + probe_interval_us;
 }
 
 void
 engine_begin_request (engine_t *engine, uint64_t now_us)
 {
-  if (engine->own == 0 || engine->heard_us >= engine->unanswered_since_us)
+  if (engine->own_requests == 0 || engine->last_byte_us >= engine->unanswered_since_us)
     engine->unanswered_since_us = now_us;
-  engine->sent_us = now_us;
+  engine->last_sent_us = now_us;
   engine->refs++;
-  engine->own++;
+  engine->own_requests++;
 }
 
 void
 engine_end_request (engine_t *engine)
 {
-  g_assert (engine->own > 0);
-  engine->own--;
+  g_assert (engine->own_requests > 0);
+  engine->own_requests--;
   engine_unref (engine);
 }
 
@@ -335,8 +335,8 @@
 {
   uint32_t total = load->running + load->waiting;
 
-  engine->others = total > engine->own ? total - engine->own : 0;
-  engine->told_us = now_us;
+  engine->other_requests = total > engine->own_requests ? total - engine->own_requests : 0;
+  engine->reported_us = now_us;
   if (load->slots > 0)
     engine->entry.slots = load->slots;
   if (load->slowdown_percent > 0)
@@ -349,20 +349,21 @@
 void
 engine_note_peer_load (engine_t *engine, uint64_t reported_us, uint32_t load)
 {
-  if (reported_us <= MAX (engine->told_us, engine->peer_report_us))
+  if (reported_us <= MAX (engine->reported_us, engine->peer_report_us))
     return;
-  engine->peer_report_others = load > engine->own ? load - engine->own : 0;
+  engine->peer_report_others = load > engine->own_requests ? load - engine->own_requests : 0;
   engine->peer_report_us = reported_us;
 }
 
 void
 engine_note_full (engine_t *engine, uint64_t now_us)
 {
-  uint32_t accepted = engine->own > 0 ? engine->own - 1 : 0; /* without the refused request */
+  uint32_t accepted =
+      engine->own_requests > 0 ? engine->own_requests - 1 : 0; /* without the refused request */
   uint32_t slots = engine->entry.slots;
 
-  engine->others = slots > accepted ? slots - accepted : 0;
-  engine->told_us = now_us;
+  engine->other_requests = slots > accepted ? slots - accepted : 0;
+  engine->reported_us = now_us;
   engine->full_until_us = now_us + ENGINE_FULL_US;
   engine->window_milli = (uint64_t)accepted * MILLI;
   engine->refused_us = now_us;
@@ -373,16 +374,17 @@
 {
   if (engine->refused_us == 0 || now_us >= engine->refused_us + ENGINE_WINDOW_US)
     return true;
-  if (engine->own > 0 && (uint64_t)(engine->own + 1) * MILLI <= engine->window_milli)
+  if (engine->own_requests > 0 &&
+      (uint64_t)(engine->own_requests + 1) * MILLI <= engine->window_milli)
     return true;
-  return now_us >= MAX (engine->refused_us, engine->sent_us) + pause_us;
+  return now_us >= MAX (engine->refused_us, engine->last_sent_us) + pause_us;
 }
 
 /* Adds about one request per full window of answers, and only while the window is used. */
 static void
 grow_window (engine_t *engine)
 {
-  bool is_used = (uint64_t)(engine->own + 1) * MILLI > engine->window_milli;
+  bool is_used = (uint64_t)(engine->own_requests + 1) * MILLI > engine->window_milli;
 
   if (engine->refused_us != 0 && is_used)
     engine->window_milli += MILLI * MILLI / MAX (engine->window_milli, MILLI);
@@ -498,20 +500,20 @@
 uint32_t
 engine_load_weight_milli (const engine_t *engine, uint64_t now_us)
 {
-  return report_weight_milli (engine->told_us, now_us);
+  return report_weight_milli (engine->reported_us, now_us);
 }
 
 uint32_t
 engine_estimate_load (const engine_t *engine, uint64_t now_us, uint64_t usual_milli)
 {
-  bool is_peer_report = engine->peer_report_us > engine->told_us;
-  uint64_t others = is_peer_report ? engine->peer_report_others : engine->others;
+  bool is_peer_report = engine->peer_report_us > engine->reported_us;
+  uint64_t others = is_peer_report ? engine->peer_report_others : engine->other_requests;
   uint64_t weight_milli =
-      report_weight_milli (is_peer_report ? engine->peer_report_us : engine->told_us, now_us);
+      report_weight_milli (is_peer_report ? engine->peer_report_us : engine->reported_us, now_us);
   uint64_t unknown_milli = usual_milli * ENGINE_UNKNOWN_LOAD_MILLI / MILLI;
   uint64_t others_milli = others * weight_milli + unknown_milli * (MILLI - weight_milli) / MILLI;
 
-  return engine->own + (uint32_t)((others_milli + MILLI / 2) / MILLI);
+  return engine->own_requests + (uint32_t)((others_milli + MILLI / 2) / MILLI);
 }
 
 uint32_t
--- a/src/request/policy/engines.h
+++ b/src/request/policy/engines.h
@@ -73,10 +73,10 @@
  *   same id, whose cache is empty
  * @rank_hash: of the id; rendezvous hashing of shared prompt parts uses it
  * @refs: one of the registry's entry and one of each request of this gateway
- * @own: requests of this gateway at the engine
- * @told_us: when the engine last reported its load to this gateway; 0 for never
+ * @own_requests: requests of this gateway at the engine
+ * @reported_us: when the engine last reported its load to this gateway; 0 for never
  * @peer_report_us: when it reported the load that another gateway passed on; 0 for never
- * @others: requests of other gateways there, as of @told_us
+ * @other_requests: requests of other gateways there, as of @reported_us
  * @peer_report_others: requests of other gateways there, as of @peer_report_us
  * @slowdown_us: when it reported @slowdown_percent
  * @slowdown_percent: as in engine_load_t; 0 when it never reported it
@@ -91,9 +91,9 @@
  * @error_rate_milli: share of its answers that were failures, smoothed, in thousandths
  * @latency_ratio_milli: duration of its answers relative to the service's usual duration, smoothed,
  *   in thousandths; 0 when unknown
- * @heard_us: when its last byte was received
+ * @last_byte_us: when its last byte was received
  * @unanswered_since_us: when the first request after that byte was sent
- * @sent_us: when this gateway last sent a request there
+ * @last_sent_us: when this gateway last sent a request there
  * @joined_us: when the engine was first seen, or returned; 0 when it was in the first list that
  *   this gateway read
  * @cold_until_us: it is in its cold start until then, by its entry
@@ -115,10 +115,10 @@
   uint64_t hash;
   uint64_t rank_hash;
   uint32_t refs;
-  uint32_t own;
-  uint64_t told_us;
+  uint32_t own_requests;
+  uint64_t reported_us;
   uint64_t peer_report_us;
-  uint32_t others;
+  uint32_t other_requests;
   uint32_t peer_report_others;
   uint64_t slowdown_us;
   uint32_t slowdown_percent;
@@ -132,9 +132,9 @@
   uint64_t latency_ratio_us;
   uint32_t error_rate_milli;
   uint32_t latency_ratio_milli;
-  uint64_t heard_us;
+  uint64_t last_byte_us;
   uint64_t unanswered_since_us;
-  uint64_t sent_us;
+  uint64_t last_sent_us;
   uint64_t joined_us;
   uint64_t cold_until_us;
   uint64_t cold_since_us;
--- a/src/request/policy/forwarding.c
+++ b/src/request/policy/forwarding.c
@@ -23,7 +23,7 @@
     case VERDICT_REASON_DEADLINE:
     case VERDICT_REASON_ACCOUNT_SHARE:
       /* Applies to one engine only, unless it was the last one to try. */
-      return forwarding->waited ? REACTION_RETRY_LATER : REACTION_NEXT_ENGINE;
+      return forwarding->may_have_queued ? REACTION_RETRY_LATER : REACTION_NEXT_ENGINE;
     case VERDICT_REASON_LOG_DOWN:
       return REACTION_RETRY_LATER;
     case VERDICT_REASON_SUSPECT:
@@ -55,7 +55,7 @@
 
   if (forwarding->target_count == G_N_ELEMENTS (forwarding->targets))
     return;
-  while (at < forwarding->target_count && forwarding->targets[at].again)
+  while (at < forwarding->target_count && forwarding->targets[at].may_repeat)
     at++;
   memmove (&forwarding->targets[at + 1], &forwarding->targets[at],
            (forwarding->target_count - at) * sizeof forwarding->targets[0]);
@@ -71,7 +71,7 @@
     {
       const forwarding_target_t *target = &forwarding->targets[forwarding->target_next];
 
-      if (target->again || !was_tried (forwarding, target->engine_hash))
+      if (target->may_repeat || !was_tried (forwarding, target->engine_hash))
         return true;
       forwarding->target_next++;
     }
@@ -120,7 +120,7 @@
   forwarding->tried[forwarding->tried_count++] = engine_hash;
   forwarding->last_engine = engine_hash;
   forwarding->last_referred = referred;
-  forwarding->waited = may_wait;
+  forwarding->may_have_queued = may_wait;
   return (forwarding_step_t){ .action = FORWARDING_SEND,
                               .engine_hash = engine_hash,
                               .may_wait = may_wait,
@@ -171,8 +171,9 @@
                    (forwarding_target_t){ .engine_hash = outcome->referrals[i], .referred = true });
   if (outcome->reason == VERDICT_REASON_ELSEWHERE && !forwarding->last_referred)
     insert_target (forwarding, count,
-                   (forwarding_target_t){
-                       .engine_hash = forwarding->last_engine, .referred = true, .again = true });
+                   (forwarding_target_t){ .engine_hash = forwarding->last_engine,
+                                          .referred = true,
+                                          .may_repeat = true });
 }
 
 static bool
@@ -204,10 +205,10 @@
     forwarding->retry_after_ms = outcome->retry_after_ms;
   if (reaction_to (forwarding, outcome->reason) != REACTION_NEXT_ENGINE)
     return give_up (forwarding, VERDICT_NOT_RUN, outcome->reason);
-  if (forwarding->waited && is_unavailable (outcome->reason))
+  if (forwarding->may_have_queued && is_unavailable (outcome->reason))
     restart_targets (forwarding);
   if (outcome->reason == VERDICT_REASON_OVER_BOUND && forwarding->queue_engine == 0 &&
-      !forwarding->waited)
+      !forwarding->may_have_queued)
     forwarding->queue_engine = forwarding->last_engine;
   add_referrals (forwarding, outcome);
   return next_step (forwarding, now_us);
@@ -233,7 +234,7 @@
       !forwarding_budget_take (budget, forwarding->account_hash))
     return give_up (forwarding, verdict, forwarding->last_reason);
   forwarding->retries++;
-  if (forwarding->waited)
+  if (forwarding->may_have_queued)
     restart_targets (forwarding);
   return next_step (forwarding, now_us);
 }
@@ -334,7 +335,7 @@
 void
 forwarding_response_begun (forwarding_t *forwarding)
 {
-  forwarding->answer_begun = true;
+  forwarding->response_begun = true;
 }
 
 forwarding_step_t
@@ -349,7 +350,7 @@
       return (forwarding_step_t){ .action = FORWARDING_DONE, .verdict = VERDICT_RAN };
     }
   forwarding->last_reason = outcome->reason;
-  if (forwarding->answer_begun)
+  if (forwarding->response_begun)
     return give_up (forwarding, MAX (outcome->verdict, VERDICT_MAY_HAVE_RUN), outcome->reason);
   /* Two sidecars may each know of one crash and not yet of the other. Only the router that tried
    * both can count two crashes before the request crashes a third engine. */
@@ -359,7 +360,7 @@
     return handle_rejection (forwarding, now_us, outcome);
   if (reaction_to (forwarding, outcome->reason) != REACTION_NEXT_ENGINE)
     return give_up (forwarding, outcome->verdict, outcome->reason);
-  if (outcome->lost && now_us < forwarding->deadline_us)
+  if (outcome->connection_lost && now_us < forwarding->deadline_us)
     return (forwarding_step_t){ .action = FORWARDING_REVOKE,
                                 .engine_hash = forwarding->last_engine };
   return retry (forwarding, now_us, budget, outcome->verdict);
@@ -371,7 +372,7 @@
                     forwarding_budget_t *budget,
                     verdict_t verdict)
 {
-  if (verdict == VERDICT_NOT_RUN && forwarding->waited)
+  if (verdict == VERDICT_NOT_RUN && forwarding->may_have_queued)
     restart_targets (forwarding);
   if (verdict == VERDICT_NOT_RUN)
     return next_step (forwarding, now_us);
--- a/src/request/policy/forwarding.h
+++ b/src/request/policy/forwarding.h
@@ -116,20 +116,21 @@
  * struct forwarding_target - an engine to try
  * @engine_hash: the engine
  * @referred: a sidecar named it
- * @again: it may be tried though it was tried before
+ * @may_repeat: it may be tried though it was tried before
  */
 typedef struct
 {
   uint64_t engine_hash;
   bool referred;
-  bool again;
+  bool may_repeat;
 } forwarding_target_t;
 
 /**
  * struct forwarding - state of one request; it owns no memory
  * @idempotent: the request may be executed more than once
- * @answer_begun: the first byte of a response went to the client
- * @waited: the last sidecar was allowed to queue the request, since no other engine was left
+ * @response_begun: the first byte of a response went to the client
+ * @may_have_queued: the last sidecar was allowed to queue the request, since no other engine was
+ *   left
  * @may_have_run: an earlier attempt may have been executed, so the verdict is never VERDICT_NOT_RUN
  * @account_hash: client account
  * @deadline_us: deadline of the client
@@ -154,8 +155,8 @@
 typedef struct
 {
   bool idempotent;
-  bool answer_begun;
-  bool waited;
+  bool response_begun;
+  bool may_have_queued;
   bool may_have_run;
   uint64_t account_hash;
   uint64_t deadline_us;
@@ -181,8 +182,8 @@
 /**
  * struct forwarding_outcome - how an attempt ended
  * @answered: the engine sent a complete response, which is forwarded
- * @lost: the connection to the sidecar failed; @verdict is then an assumption of the router, and a
- *   revoke may show that the request wasn't executed
+ * @connection_lost: the connection to the sidecar failed; @verdict is then an assumption of the
+ *   router, and a revoke may show that the request wasn't executed
  * @verdict: whether the request may have been executed
  * @reason: why it was rejected or failed
  * @retry_after_ms: retry time from the sidecar, 0 if none
@@ -192,7 +193,7 @@
 typedef struct
 {
   bool answered;
-  bool lost;
+  bool connection_lost;
   verdict_t verdict;
   verdict_reason_t reason;
   uint32_t retry_after_ms;
--- a/src/request/policy/hop_timeout.h
+++ b/src/request/policy/hop_timeout.h
@@ -38,24 +38,24 @@
 /**
  * struct hop_timeout - one attempt of a request at an engine; times in microseconds
  * @sent_us: when the request was sent
- * @heard_us: when the last byte of its response arrived, 0 if none has
- * @engine_heard_us: when the engine last sent a byte for any request, 0 if it never has
+ * @last_byte_us: when the last byte of its response arrived, 0 if none has
+ * @engine_last_byte_us: when the engine last sent a byte for any request, 0 if it never has
  * @prompt_tokens: prompt tokens that the engine may have to read
  * @usual_us: usual time from sending a request to the response header
- * @time_us: time from sending the request to its deadline
+ * @time_limit_us: time from sending the request to its deadline
  * @gap_us: longest regular gap between the events of a stream; 0 if unknown
- * @full: all engines of the service are full
+ * @engines_full: all engines of the service are full
  */
 typedef struct
 {
   uint64_t sent_us;
-  uint64_t heard_us;
-  uint64_t engine_heard_us;
+  uint64_t last_byte_us;
+  uint64_t engine_last_byte_us;
   uint64_t prompt_tokens;
   uint64_t usual_us;
-  uint64_t time_us;
+  uint64_t time_limit_us;
   uint64_t gap_us;
-  bool full;
+  bool engines_full;
 } hop_timeout_t;
 
 /** hop_timeout_has_expired() - Return: whether to abandon the attempt */
--- a/src/request/policy/load_reports.c
+++ b/src/request/policy/load_reports.c
@@ -7,7 +7,7 @@
 static bool
 is_fresh (const load_report_t *item, uint64_t now_us)
 {
-  return item->told_us != 0 && now_us < item->told_us + LOAD_REPORTS_AGE_MAX_US;
+  return item->reported_us != 0 && now_us < item->reported_us + LOAD_REPORTS_AGE_MAX_US;
 }
 
 bool
@@ -30,7 +30,7 @@
 
       if (slot->engine_hash == engine_hash)
         return slot;
-      if (slot->told_us < oldest->told_us)
+      if (slot->reported_us < oldest->reported_us)
         oldest = slot;
     }
   return oldest;
@@ -41,7 +41,7 @@
 {
   load_report_t *slot = find_slot (reports, item->engine_hash);
 
-  if (!is_fresh (item, now_us) || slot->told_us >= item->told_us)
+  if (!is_fresh (item, now_us) || slot->reported_us >= item->reported_us)
     return false;
   *slot = *item;
   return true;
@@ -53,7 +53,7 @@
   const load_report_t *left = a;
   const load_report_t *right = b;
 
-  return left->told_us > right->told_us ? -1 : left->told_us < right->told_us;
+  return left->reported_us > right->reported_us ? -1 : left->reported_us < right->reported_us;
 }
 
 uint32_t
--- a/src/request/policy/load_reports.h
+++ b/src/request/policy/load_reports.h
@@ -25,13 +25,13 @@
  * struct load_report - load that an engine reported to some gateway
  * @engine_hash: of the engine's id and start time
  * @load: requests that ran or waited there
- * @told_us: when it was reported, on the clock of this process
+ * @reported_us: when it was reported, on the clock of this process
  */
 typedef struct
 {
   uint64_t engine_hash;
   uint32_t load;
-  uint64_t told_us;
+  uint64_t reported_us;
 } load_report_t;
 
 /** struct load_reports - the latest report of each engine; initialized with zeros */
--- a/src/request/policy/membership.c
+++ b/src/request/policy/membership.c
@@ -136,14 +136,14 @@
 update_location (membership_t *membership, member_t *entry, const membership_list_entry_t *listed)
 {
   membership_host_t *published = &entry->published;
-  bool same = published->router == listed->router &&
+  bool same = published->is_router == listed->is_router &&
               same_address (&published->http, &listed->http) &&
               same_address (&published->exchange, &listed->exchange) &&
               strcmp (published->data_center, listed->data_center) == 0 &&
               strcmp (published->region, listed->region) == 0;
   if (same)
     return;
-  published->router = listed->router;
+  published->is_router = listed->is_router;
   published->http = listed->http;
   published->exchange = listed->exchange;
   g_strlcpy (published->data_center, listed->data_center, sizeof published->data_center);
--- a/src/request/policy/membership.h
+++ b/src/request/policy/membership.h
@@ -32,7 +32,7 @@
 typedef struct
 {
   char name[LIMIT_NAME_BYTES];
-  bool router; /* else a sidecar */
+  bool is_router; /* else a sidecar */
   char data_center[LIMIT_NAME_BYTES];
   char region[LIMIT_NAME_BYTES];
   address_t http;     /* takes requests */
@@ -60,7 +60,7 @@
 /**
  * struct membership_host - a host in a snapshot
  * @hash: hash of @name
- * @router: whether the host is a router; else it is a sidecar
+ * @is_router: whether the host is a router; else it is a sidecar
  * @http: address for requests
  * @exchange: address for datagrams of the exchange
  * @state: leaving when any source says so
@@ -73,7 +73,7 @@
 {
   char name[LIMIT_NAME_BYTES];
   uint64_t hash;
-  bool router;
+  bool is_router;
   char data_center[LIMIT_NAME_BYTES];
   char region[LIMIT_NAME_BYTES];
   address_t http;
--- a/src/request/policy/read_policy.c
+++ b/src/request/policy/read_policy.c
@@ -34,19 +34,19 @@
 {
   read_policy->behind_since_us = 0;
   read_policy->ahead_as_of_us = 0;
-  read_policy->large = false;
+  read_policy->new_records_too_large = false;
 }
 
 void
 read_policy_fetch_too_large (read_policy_t *read_policy)
 {
-  read_policy->large = true;
+  read_policy->new_records_too_large = true;
 }
 
 uint64_t
 read_policy_current_as_of_us (const read_policy_t *read_policy, const read_policy_view_t *view)
 {
-  return MAX (read_policy->current_as_of_us, view->own_us);
+  return MAX (read_policy->current_as_of_us, view->answered_us);
 }
 
 /* Return: until when the copy counts as current; 0 when it never did */
@@ -70,12 +70,12 @@
 static bool
 has_turn (const read_policy_view_t *view, uint64_t since_us, uint64_t now_us)
 {
-  uint64_t first_turn_us = since_us + view->before * READ_POLICY_TURN_US;
+  uint64_t first_turn_us = since_us + view->earlier_readers * READ_POLICY_TURN_US;
   uint64_t round_us = MAX (view->count * READ_POLICY_TURN_US, READ_POLICY_ROUND_MIN_US);
 
-  if (view->tried_us < since_us)
+  if (view->read_started_us < since_us)
     return now_us >= first_turn_us;
-  return now_us >= view->tried_us + round_us;
+  return now_us >= view->read_started_us + round_us;
 }
 
 static bool
@@ -88,8 +88,8 @@
 static bool
 is_acting_follower (const read_policy_t *read_policy, const read_policy_view_t *view)
 {
-  return read_policy->reading_since_us != 0 && view->own_us >= read_policy->reading_since_us &&
-         !view->lost;
+  return read_policy->reading_since_us != 0 && view->answered_us >= read_policy->reading_since_us &&
+         !view->store_call_failed;
 }
 
 /*
@@ -106,13 +106,13 @@
 {
   uint64_t until_us = current_until_us (read_policy, stream, view);
 
-  if (view->close || !view->listed)
+  if (view->is_follower || !view->has_copy)
     return READ_POLICY_FOLLOW;
-  if (read_policy->current_as_of_us > MAX (view->own_us, read_policy->reading_since_us))
+  if (read_policy->current_as_of_us > MAX (view->answered_us, read_policy->reading_since_us))
     read_policy->reading_since_us = 0;
   if (is_acting_follower (read_policy, view))
     return READ_POLICY_FOLLOW;
-  if (now_us >= until_us && view->alone)
+  if (now_us >= until_us && view->has_no_peers)
     return READ_POLICY_FOLLOW;
   if (now_us >= until_us && !has_turn (view, until_us, now_us))
     return READ_POLICY_WAIT;
@@ -122,7 +122,8 @@
           read_policy->reading_since_us != 0 ? read_policy->reading_since_us : now_us;
       return READ_POLICY_READ_ONCE;
     }
-  return has_been_behind_for (read_policy, now_us, read_policy->large ? 0 : stream->patience_us)
+  return has_been_behind_for (read_policy, now_us,
+                              read_policy->new_records_too_large ? 0 : stream->patience_us)
              ? READ_POLICY_READ_ONCE
              : READ_POLICY_WAIT;
 }
@@ -133,11 +134,11 @@
                              const read_policy_view_t *view,
                              uint64_t now_us)
 {
-  uint64_t patience_us = view->close ? stream->patience_us : 0;
+  uint64_t patience_us = view->is_follower ? stream->patience_us : 0;
 
-  if (read_policy->large)
+  if (read_policy->new_records_too_large)
     patience_us = stream->patience_us;
-  if (view->lost)
+  if (view->store_call_failed)
     patience_us = MIN (patience_us, READ_POLICY_ASK_PEER_US);
   return has_been_behind_for (read_policy, now_us, patience_us);
 }
--- a/src/request/policy/read_policy.h
+++ b/src/request/policy/read_policy.h
@@ -75,25 +75,25 @@
 
 /**
  * struct read_policy_view - the state of a gateway and a stream at the moment of a decision
- * @close: the gateway is a follower
- * @listed: it has a complete copy of the stream, from the store or from a peer
- * @lost: its last call to the store failed
- * @alone: no message of a peer came lately, so none can confirm the copy
- * @before: gateways whose turn to read comes earlier in a round
+ * @is_follower: the gateway is a follower
+ * @has_copy: it has a complete copy of the stream, from the store or from a peer
+ * @store_call_failed: its last call to the store failed
+ * @has_no_peers: no message of a peer came lately, so none can confirm the copy
+ * @earlier_readers: gateways whose turn to read comes earlier in a round
  * @count: gateways that read in a round
- * @own_us: when the store last answered a read of this gateway; 0 for never
- * @tried_us: when this gateway's last read began; 0 for never
+ * @answered_us: when the store last answered a read of this gateway; 0 for never
+ * @read_started_us: when this gateway's last read began; 0 for never
  */
 typedef struct
 {
-  bool close;
-  bool listed;
-  bool lost;
-  bool alone;
-  uint32_t before;
+  bool is_follower;
+  bool has_copy;
+  bool store_call_failed;
+  bool has_no_peers;
+  uint32_t earlier_readers;
   uint32_t count;
-  uint64_t own_us;
-  uint64_t tried_us;
+  uint64_t answered_us;
+  uint64_t read_started_us;
 } read_policy_view_t;
 
 /**
@@ -104,8 +104,9 @@
  * @ahead_as_of_us: when the store answered that peer, or the one from which it has the records
  * @reading_since_us: when the gateway began to read because no peer confirmed its copy; 0
  *   once one does
- * @large: the peer declined to send the new records because they are large. They are read from
- *   the store at once, and asked of a peer again when they haven't come by the end of the patience
+ * @new_records_too_large: the peer declined to send the new records because they are large. They
+ *   are read from the store at once, and asked of a peer again when they haven't come by the end of
+ *   the patience
  */
 typedef struct
 {
@@ -113,7 +114,7 @@
   uint64_t behind_since_us;
   uint64_t ahead_as_of_us;
   uint64_t reading_since_us;
-  bool large;
+  bool new_records_too_large;
 } read_policy_t;
 
 /**
--- a/src/request/policy/retry_plan.c
+++ b/src/request/policy/retry_plan.c
@@ -10,7 +10,7 @@
 static bool
 may_rerun (const retry_plan_rules_t *rules, uint32_t ran, bool begun)
 {
-  if (ran >= rules->attempts)
+  if (ran >= rules->max_runs)
     return false;
   return rules->resumable || (rules->idempotent && !begun);
 }
@@ -24,14 +24,14 @@
 static bool
 may_repeat (const retry_plan_t *retry_plan, retry_plan_outcome_t outcome)
 {
-  bool runs_left = retry_plan->ran < retry_plan->rules.attempts;
+  bool runs_left = retry_plan->ran < retry_plan->rules.max_runs;
 
   switch (outcome)
     {
     case RETRY_PLAN_OUTCOME_NOT_RUN:
-      return retry_plan->refused < RETRY_PLAN_REJECTIONS_MAX && runs_left;
+      return retry_plan->rejected < RETRY_PLAN_REJECTIONS_MAX && runs_left;
     case RETRY_PLAN_OUTCOME_FULL:
-      return retry_plan->full < RETRY_PLAN_FULL_MAX && runs_left;
+      return retry_plan->rejected_full < RETRY_PLAN_FULL_MAX && runs_left;
     case RETRY_PLAN_OUTCOME_UNSENT:
       return retry_plan->unsent < RETRY_PLAN_UNSENT_MAX && runs_left;
     case RETRY_PLAN_OUTCOME_UNKNOWN:
@@ -67,10 +67,10 @@
   switch (outcome)
     {
     case RETRY_PLAN_OUTCOME_NOT_RUN:
-      retry_plan->refused++;
+      retry_plan->rejected++;
       return;
     case RETRY_PLAN_OUTCOME_FULL:
-      retry_plan->full++;
+      retry_plan->rejected_full++;
       return;
     case RETRY_PLAN_OUTCOME_UNSENT:
       retry_plan->unsent++;
--- a/src/request/policy/retry_plan.h
+++ b/src/request/policy/retry_plan.h
@@ -55,21 +55,21 @@
  * struct retry_plan_rules - what the route allows
  * @idempotent: the request may be executed more than once
  * @resumable: the response is a stream that another engine can continue
- * @attempts: maximum number of engines that may execute the request
+ * @max_runs: maximum number of engines that may execute the request
  */
 typedef struct
 {
   bool idempotent;
   bool resumable;
-  uint32_t attempts;
+  uint32_t max_runs;
 } retry_plan_rules_t;
 
 /**
  * struct retry_plan - state of one request
  * @rules: what its route allows
  * @ran: engines that executed it or may have
- * @refused: engines that certainly didn't execute it, other than those counted below
- * @full: rejections by full engines
+ * @rejected: engines that certainly didn't execute it, other than those counted below
+ * @rejected_full: rejections by full engines
  * @unsent: failed connections
  * @retry_due: the next attempt is a retry that the retry budget hasn't counted yet
  */
@@ -77,8 +77,8 @@
 {
   retry_plan_rules_t rules;
   uint32_t ran;
-  uint32_t refused;
-  uint32_t full;
+  uint32_t rejected;
+  uint32_t rejected_full;
   uint32_t unsent;
   bool retry_due;
 } retry_plan_t;
--- a/src/request/policy/wait_queue.c
+++ b/src/request/policy/wait_queue.c
@@ -68,7 +68,7 @@
   wait_queue->head_us = smooth (wait_queue->head_us, head_us);
 }
 
-/* The cast is valid since @fair is the first member. */
+/* The cast is valid since @fair_entry is the first member. */
 static wait_queue_item_t *
 item_of (fair_queue_item_t *fair)
 {
@@ -78,7 +78,7 @@
 static fair_queue_t *
 queue_of (const wait_queue_t *wait_queue, const wait_queue_item_t *item)
 {
-  return item->late ? wait_queue->late : wait_queue->in_time;
+  return item->is_late ? wait_queue->late : wait_queue->in_time;
 }
 
 /* The account is charged for what exceeds the estimate; otherwise accounts with longer requests
@@ -87,7 +87,8 @@
 wait_queue_note_run (wait_queue_t *wait_queue, const wait_queue_item_t *item, uint64_t run_us)
 {
   wait_queue->run_us = smooth (wait_queue->run_us, run_us);
-  fair_queue_charge_excess (queue_of (wait_queue, item), &item->fair, run_us / CLOCK_US_PER_MS);
+  fair_queue_charge_excess (queue_of (wait_queue, item), &item->fair_entry,
+                            run_us / CLOCK_US_PER_MS);
 }
 
 uint64_t
@@ -126,7 +127,8 @@
                     const wait_queue_capacity_t *room,
                     const wait_queue_item_t *item)
 {
-  uint64_t ahead_us = fair_queue_ahead (wait_queue->in_time, &item->fair).cost * CLOCK_US_PER_MS;
+  uint64_t ahead_us =
+      fair_queue_ahead (wait_queue->in_time, &item->fair_entry).cost * CLOCK_US_PER_MS;
 
   return wait_queue_share_us (room, ahead_us + wait_queue->run_us);
 }
@@ -177,12 +179,12 @@
 in_time_start_us (const wait_queue_t *wait_queue, const wait_queue_item_t *item)
 {
   uint64_t last_us = last_start_us (wait_queue, item);
-  uint64_t target_us = item->in_time_us - MIN (item->arrived_us, item->in_time_us);
-  uint64_t start_us = item->in_time_us - MIN (wait_queue->head_us, item->in_time_us);
+  uint64_t target_us = item->target_us - MIN (item->arrived_us, item->target_us);
+  uint64_t start_us = item->target_us - MIN (wait_queue->head_us, item->target_us);
 
-  if (item->in_time_us == 0)
+  if (item->target_us == 0)
     return last_us;
-  if (!item->returns)
+  if (!item->is_retry)
     start_us = MAX (start_us, item->arrived_us + target_us / WAIT_QUEUE_MIN_WAIT_DIVISOR);
   return MIN (start_us, last_us);
 }
@@ -248,10 +250,10 @@
 static void
 note_odds (wait_queue_t *wait_queue, uint64_t now_us, const wait_queue_item_t *item, bool started)
 {
-  if (item->returns)
+  if (item->is_retry)
     return;
   priority_fairness_record (&wait_queue->odds, now_us, item->priority, started);
-  if (fair_queue_has_credit (wait_queue->in_time, &item->fair))
+  if (fair_queue_has_credit (wait_queue->in_time, &item->fair_entry))
     priority_fairness_record (&wait_queue->quiet_odds, now_us, item->priority, started);
 }
 
@@ -265,11 +267,11 @@
 static void
 set_fair_queue_fields (const wait_queue_t *wait_queue, wait_queue_item_t *item)
 {
-  item->fair.weight = FAIR_QUEUE_WEIGHT_ONE;
-  item->fair.priority = item->priority;
-  item->fair.cost =
+  item->fair_entry.weight = FAIR_QUEUE_WEIGHT_ONE;
+  item->fair_entry.priority = item->priority;
+  item->fair_entry.cost =
       (uint32_t)((item->run_us ? item->run_us : wait_queue->run_us) / CLOCK_US_PER_MS) + 1;
-  item->fair.queue_limit = WAIT_QUEUE_LIMIT;
+  item->fair_entry.queue_limit = WAIT_QUEUE_LIMIT;
 }
 
 /* @until_us: when the item expires from this queue */
@@ -280,11 +282,11 @@
            bool late,
            uint64_t until_us)
 {
-  item->late = late;
-  item->fair.queued_us = now_us;
-  item->fair.deadline_us = until_us;
+  item->is_late = late;
+  item->fair_entry.queued_us = now_us;
+  item->fair_entry.deadline_us = until_us;
   note_wait_begins (wait_queue, now_us);
-  if (fair_queue_push (queue_of (wait_queue, item), &item->fair) != FAIR_QUEUE_QUEUED)
+  if (fair_queue_push (queue_of (wait_queue, item), &item->fair_entry) != FAIR_QUEUE_QUEUED)
     return WAIT_QUEUE_FULL;
   item->waiting = true;
   return WAIT_QUEUE_QUEUED;
@@ -300,7 +302,8 @@
           ? priority_fairness_decide (&wait_queue->odds, item->priority)
           : PRIORITY_FAIRNESS_IN_ORDER;
 
-  if (turn == PRIORITY_FAIRNESS_YIELD && fair_queue_has_credit (wait_queue->in_time, &item->fair))
+  if (turn == PRIORITY_FAIRNESS_YIELD &&
+      fair_queue_has_credit (wait_queue->in_time, &item->fair_entry))
     return PRIORITY_FAIRNESS_IN_ORDER;
   return turn;
 }
@@ -314,7 +317,7 @@
   return (!wait_queue->scarce || is_surge (wait_queue)) &&
          priority_fairness_started_milli (&wait_queue->quiet_odds) >=
              WAIT_QUEUE_CREDIT_IN_TIME_MILLI &&
-         fair_queue_has_credit (wait_queue->in_time, &item->fair);
+         fair_queue_has_credit (wait_queue->in_time, &item->fair_entry);
 }
 
 static wait_queue_outcome_t
@@ -348,10 +351,10 @@
   set_fair_queue_fields (wait_queue, item);
   turn = turn_of (wait_queue, now_us, item);
   if (turn == PRIORITY_FAIRNESS_FIRST)
-    item->fair.priority = 0;
+    item->fair_entry.priority = 0;
   fair_queue_set_credit (wait_queue->in_time,
                          WAIT_QUEUE_CREDIT_MS * room->slots / MAX (room->gateways, 1U));
-  item->late = false;
+  item->is_late = false;
   *wait_us = wait_queue_wait_us (wait_queue, room, item);
   if (now_us + *wait_us >= last_us)
     return WAIT_QUEUE_TOO_LATE;
@@ -392,7 +395,7 @@
 {
   if (!item->waiting)
     return;
-  fair_queue_remove (queue_of (wait_queue, item), &item->fair);
+  fair_queue_remove (queue_of (wait_queue, item), &item->fair_entry);
   note_wait_ends (wait_queue, now_us, item);
 }
 
@@ -446,10 +449,10 @@
   if (item->waiting)
     {
       fair_queue_item_t *first =
-          fair_queue_pop_allowed (queue_of (wait_queue, item), is_same_item, &item->fair);
+          fair_queue_pop_allowed (queue_of (wait_queue, item), is_same_item, &item->fair_entry);
 
-      g_assert (first == &item->fair);
-      if (item->late)
+      g_assert (first == &item->fair_entry);
+      if (item->is_late)
         note_late_start (wait_queue, now_us);
       else
         note_odds (wait_queue, now_us, item, true);
@@ -458,7 +461,7 @@
     }
   note_odds (wait_queue, now_us, item, true);
   set_fair_queue_fields (wait_queue, item);
-  fair_queue_charge (wait_queue->in_time, &item->fair);
+  fair_queue_charge (wait_queue->in_time, &item->fair_entry);
 }
 
 /** struct start_check - the owner's callback that decides whether a request may start */
--- a/src/request/policy/wait_queue.h
+++ b/src/request/policy/wait_queue.h
@@ -87,29 +87,30 @@
 } wait_queue_capacity_t;
 
 /**
- * struct wait_queue_item - embedded in a waiting request; its owner sets all but @waiting and @late
- * @fair: entry in the fair queue, with the account and the owner
+ * struct wait_queue_item - embedded in a waiting request; its owner sets all but @waiting and
+ * @is_late
+ * @fair_entry: entry in the fair queue, with the account and the owner
  * @priority: 0 is the highest
  * @arrived_us: when the request arrived
  * @deadline_us: deadline of its client
  * @client_gives_up_us: when its client gives up unless a response has begun; 0 if it doesn't
- * @in_time_us: target for the begin of the response; 0 if there is none
+ * @target_us: target for the begin of the response; 0 if there is none
  * @run_us: usual duration of this kind of request at an engine; 0 if unknown
- * @returns: the client retries after a rejection
- * @late: it is in the second queue
+ * @is_retry: the client retries after a rejection
+ * @is_late: it is in the second queue
  * @waiting: it is in one of the queues
  */
 typedef struct
 {
-  fair_queue_item_t fair;
+  fair_queue_item_t fair_entry;
   uint32_t priority;
   uint64_t arrived_us;
   uint64_t deadline_us;
   uint64_t client_gives_up_us;
-  uint64_t in_time_us;
+  uint64_t target_us;
   uint64_t run_us;
-  bool returns;
-  bool late;
+  bool is_retry;
+  bool is_late;
   bool waiting;
 } wait_queue_item_t;
 
--- a/src/request/relay.c
+++ b/src/request/relay.c
@@ -44,7 +44,7 @@
 {
   relay_t *relay = context;
 
-  relay->full = false;
+  relay->client_blocked = false;
   if (relay->from != NULL)
     http_client_set_paused (relay->from, false);
 }
@@ -61,7 +61,7 @@
 static void
 begin_streaming (relay_t *relay)
 {
-  relay->begun = true;
+  relay->has_started = true;
   send_headers (relay);
   http_server_on_writable (relay->to, on_room, relay);
   http_server_begin_reply (relay->to, relay->status);
@@ -88,12 +88,12 @@
 static void
 stream_part (relay_t *relay, struct evbuffer *data)
 {
-  relay->at_event_end = relay->events && ends_event (data);
-  if (!relay->begun)
+  relay->at_event_end = relay->is_event_stream && ends_event (data);
+  if (!relay->has_started)
     begin_streaming (relay);
-  relay->full = !http_server_send_part (relay->to, data);
-  relay->was_blocked |= relay->full;
-  if (relay->full && relay->from != NULL)
+  relay->client_blocked = !http_server_send_part (relay->to, data);
+  relay->was_blocked |= relay->client_blocked;
+  if (relay->client_blocked && relay->from != NULL)
     http_client_set_paused (relay->from, true);
 }
 
@@ -103,14 +103,14 @@
   memset (relay, 0, sizeof *relay);
   relay->to = to;
   relay->is_returned = header_is_returned;
-  relay->held = evbuffer_new ();
+  relay->held_data = evbuffer_new ();
   TAILQ_INIT (&relay->headers);
 }
 
 void
 relay_clear (relay_t *relay)
 {
-  evbuffer_free (relay->held);
+  evbuffer_free (relay->held_data);
   evhttp_clear_headers (&relay->headers);
 }
 
@@ -120,13 +120,13 @@
   const struct evkeyval *header;
   const char *type = evhttp_find_header (headers, "Content-Type");
 
-  g_assert (!relay->begun);
-  evbuffer_drain (relay->held, evbuffer_get_length (relay->held));
+  g_assert (!relay->has_started);
+  evbuffer_drain (relay->held_data, evbuffer_get_length (relay->held_data));
   evhttp_clear_headers (&relay->headers);
   relay->from = from;
   relay->status = status;
-  relay->holding = is_buffered (status, headers);
-  relay->events =
+  relay->is_buffering = is_buffered (status, headers);
+  relay->is_event_stream =
       type != NULL && g_ascii_strncasecmp (type, EVENT_STREAM, strlen (EVENT_STREAM)) == 0;
   for (header = headers->tqh_first; header != NULL; header = header->next.tqe_next)
     if (relay->is_returned (header->key))
@@ -145,8 +145,8 @@
 {
   if (relay->to == NULL)
     evbuffer_drain (data, evbuffer_get_length (data));
-  else if (relay->holding)
-    evbuffer_add_buffer (relay->held, data);
+  else if (relay->is_buffering)
+    evbuffer_add_buffer (relay->held_data, data);
   else
     stream_part (relay, data);
 }
@@ -155,20 +155,20 @@
 relay_finish (relay_t *relay)
 {
   http_server_call_t *to = relay->to;
-  size_t held_bytes = evbuffer_get_length (relay->held);
+  size_t held_bytes = evbuffer_get_length (relay->held_data);
 
   relay->from = NULL;
   if (to == NULL)
     return;
-  if (!relay->begun && !relay->holding)
+  if (!relay->has_started && !relay->is_buffering)
     begin_streaming (relay);
-  if (!relay->begun)
+  if (!relay->has_started)
     send_headers (relay);
   relay->to = NULL;
-  if (relay->begun)
+  if (relay->has_started)
     http_server_end_reply (to);
   else
-    http_server_reply (to, relay->status, evbuffer_pullup (relay->held, -1), held_bytes);
+    http_server_reply (to, relay->status, evbuffer_pullup (relay->held_data, -1), held_bytes);
 }
 
 void
@@ -176,12 +176,12 @@
 {
   http_server_call_t *to = relay->to;
 
-  g_assert (relay->begun);
+  g_assert (relay->has_started);
   relay->from = NULL;
   relay->to = NULL;
   if (to == NULL)
     return;
-  if (relay->events && relay->at_event_end)
+  if (relay->is_event_stream && relay->at_event_end)
     {
       struct evbuffer *part = evbuffer_new ();
       char *body = error_reply_body (fault);
@@ -197,9 +197,9 @@
 bool
 relay_was_blocked (relay_t *relay)
 {
-  bool held_up = relay->full || relay->was_blocked;
+  bool held_up = relay->client_blocked || relay->was_blocked;
 
-  relay->was_blocked = relay->full;
+  relay->was_blocked = relay->client_blocked;
   return held_up;
 }
 
@@ -207,7 +207,7 @@
 relay_client_gone (relay_t *relay)
 {
   relay->to = NULL;
-  relay->full = false;
+  relay->client_blocked = false;
   if (relay->from != NULL)
     http_client_set_paused (relay->from, false);
 }
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -24,28 +24,29 @@
  * struct relay - state of one response; embedded in the call that owns it
  * @to: call of the listener; NULL when the client has gone: the response is then read and dropped
  * @from: call of the HTTP client; NULL when it has ended
- * @held: body of a response that is buffered
+ * @held_data: body of a response that is buffered
  * @is_returned: which headers are forwarded; header_is_returned() unless the owner sets another
- * @holding: the response is buffered until it is complete; the owner may set it after relay_start()
- * @begun: the first byte was sent to @to
- * @full: the send buffer of @to is full, and @from is paused
- * @was_blocked: @full was set since the last call of relay_was_blocked()
- * @events: the response is a stream of server-sent events
+ * @is_buffering: the response is buffered until it is complete; the owner may set it after
+ *   relay_start()
+ * @has_started: the first byte was sent to @to
+ * @client_blocked: the send buffer of @to is full, and @from is paused
+ * @was_blocked: @client_blocked was set since the last call of relay_was_blocked()
+ * @is_event_stream: the response is a stream of server-sent events
  * @at_event_end: the last byte that was forwarded ended an event
  */
 typedef struct
 {
   http_server_call_t *to;
   http_client_call_t *from;
-  struct evbuffer *held;
+  struct evbuffer *held_data;
   struct evkeyvalq headers;
   int status;
   bool (*is_returned) (const char *name);
-  bool holding;
-  bool begun;
-  bool full;
+  bool is_buffering;
+  bool has_started;
+  bool client_blocked;
   bool was_blocked;
-  bool events;
+  bool is_event_stream;
   bool at_event_end;
 } relay_t;
 
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -82,7 +82,7 @@
   router_call_log_decision (call, "give_up", call->attempts.last_engine, step->verdict,
                             step->reason);
   counter_add (call->router->ended[step->verdict], 1);
-  if (call->relay.begun)
+  if (call->relay.has_started)
     relay_abort (&call->relay, &fault);
   else if (call->inbound != NULL)
     error_reply_send (call->inbound, &fault);
--- a/src/request/router/router_candidates.c
+++ b/src/request/router/router_candidates.c
@@ -12,7 +12,7 @@
 static bool
 is_candidate (const membership_host_t *host)
 {
-  return !host->router && host->state == MEMBERSHIP_LIVE;
+  return !host->is_router && host->state == MEMBERSHIP_LIVE;
 }
 
 static void
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -147,7 +147,7 @@
       return;
     }
   relay_forward (&call->relay, data);
-  if (call->relay.begun && !call->attempts.answer_begun)
+  if (call->relay.has_started && !call->attempts.response_begun)
     forwarding_response_begun (&call->attempts);
   set_timer (call, ROUTER_STALL_TIMEOUT_US);
 }
@@ -165,7 +165,7 @@
                          call->attempts.last_engine);
   return (forwarding_outcome_t){ .verdict = verdict,
                                  .reason = reason,
-                                 .lost = verdict != VERDICT_NOT_RUN };
+                                 .connection_lost = verdict != VERDICT_NOT_RUN };
 }
 
 static forwarding_outcome_t
@@ -192,7 +192,7 @@
   event_del (call->timer);
   if (call->answer.received && !call->answer.from_engine)
     outcome = refusal_outcome (call); /* a refusal is complete with its headers */
-  else if (end->whole)
+  else if (end->complete)
     outcome = (forwarding_outcome_t){ .answered = true, .verdict = VERDICT_RAN };
   else
     outcome = lost_outcome (call, end->verdict, end->reason);
@@ -232,7 +232,7 @@
     }
   /* A slow caller is not a stalled answer; the listener has a timeout of its own for callers that
    * read nothing. */
-  if (call->relay.begun && relay_was_blocked (&call->relay))
+  if (call->relay.has_started && relay_was_blocked (&call->relay))
     {
       set_timer (call, ROUTER_STALL_TIMEOUT_US);
       return;
--- a/src/request/router/router_host_probe.c
+++ b/src/request/router/router_host_probe.c
@@ -82,7 +82,7 @@
   router_t *router = host_probe->router;
 
   host_probe->request = NULL;
-  if (end->whole)
+  if (end->complete)
     {
       host_probe->last_heard_us = data_task_now_us (router->ops);
       return;
--- a/src/request/router/router_notify.c
+++ b/src/request/router/router_notify.c
@@ -76,7 +76,7 @@
 {
   router_call_t *call = context;
   router_t *router = call->router;
-  verdict_t verdict = end->whole ? call->revoke_verdict : VERDICT_MAY_HAVE_RUN;
+  verdict_t verdict = end->complete ? call->revoke_verdict : VERDICT_MAY_HAVE_RUN;
   uint32_t retries = call->attempts.retries;
   forwarding_step_t step;
 
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -57,7 +57,7 @@
   const membership_host_t *host =
       members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
 
-  return host != NULL && !host->router && host->state == MEMBERSHIP_LIVE;
+  return host != NULL && !host->is_router && host->state == MEMBERSHIP_LIVE;
 }
 
 static void
@@ -75,7 +75,7 @@
     {
       const membership_host_t *host = &members->hosts[i];
 
-      if (host->hash == sidecar->own_hash || host->router || host->state != MEMBERSHIP_LIVE ||
+      if (host->hash == sidecar->own_hash || host->is_router || host->state != MEMBERSHIP_LIVE ||
           manifest_service_of_engine (manifest, host->name) != sidecar->service)
         continue;
       sidecar->other_engines[sidecar->other_engine_count++] =
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -30,7 +30,7 @@
   request->chat_hash = hop->chat_hash;
   request->fingerprint = hop->fingerprint;
   request->home_hash = hop->home_hash;
-  request->former_hash = hop->former_hash;
+  request->former_home_hash = hop->former_hash;
   request->prompt_tokens = hop->prompt_tokens;
   request->output_tokens = hop->output_tokens;
   request->may_wait = hop->may_wait;
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -166,7 +166,7 @@
   sidecar_call_log_decision (call, "fail", VERDICT_MAY_HAVE_RUN, reason);
   counter_add (call->sidecar->refusals[reason], 1);
   record_outcome (call, VERDICT_MAY_HAVE_RUN);
-  if (call->relay.begun)
+  if (call->relay.has_started)
     relay_abort (&call->relay, &(flt_t){ .verdict = VERDICT_MAY_HAVE_RUN, .reason = reason });
   else if (call->inbound != NULL)
     reply_refusal (call, &decision, VERDICT_MAY_HAVE_RUN);
@@ -220,7 +220,7 @@
     }
   sidecar_call_log_decision (call, "drop", verdict, VERDICT_REASON_REVOKED);
   record_outcome (call, verdict);
-  if (call->inbound != NULL && !call->relay.begun)
+  if (call->inbound != NULL && !call->relay.has_started)
     reply_refusal (call, &(admission_decision_t){ .reason = VERDICT_REASON_REVOKED }, verdict);
   else if (call->inbound != NULL)
     relay_abort (&call->relay, &(flt_t){ .verdict = verdict, .reason = VERDICT_REASON_REVOKED });
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -40,11 +40,11 @@
   call->head_received = true;
   relay_start (&call->relay, call->outbound, status, headers);
   /* If the stream breaks off, the router sends the error event; the caller must not get two. */
-  call->relay.events = false;
+  call->relay.is_event_stream = false;
   relay_add_header (&call->relay, HOP_ATTEMPT_HEADER, call->attempt_text);
   relay_add_header (&call->relay, HOP_ENGINE_HEADER, call->sidecar->daemon->set.name);
   relay_add_header (&call->relay, HOP_INCARNATION_HEADER, call->sidecar->incarnation_text);
-  if (!call->relay.holding)
+  if (!call->relay.is_buffering)
     add_load_header (call);
   relay_add_header (&call->relay, VERDICT_HEADER, verdict_to_string (VERDICT_RAN));
   set_timer (call, SIDECAR_STALL_TIMEOUT_US);
@@ -70,7 +70,7 @@
   admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request,
                     fills_cache);
   sidecar_claim_end (call, true, (uint32_t)status);
-  if (!call->relay.begun)
+  if (!call->relay.has_started)
     add_load_header (call); /* the load without this request, which has ended */
   sidecar_call_complete (call);
 }
@@ -98,7 +98,7 @@
 
   call->state = SIDECAR_CALL_INTERRUPTED;
   call->interrupted_us = data_task_now_us (sidecar->ops);
-  if (call->relay.begun)
+  if (call->relay.has_started)
     {
       relay_abort (&call->relay, &(flt_t){ .verdict = VERDICT_RAN,
                                            .reason = VERDICT_REASON_CUT,
@@ -117,7 +117,7 @@
   call->outbound = NULL;
   call->relay.from = NULL;
   event_del (call->timer);
-  if (end->whole)
+  if (end->complete)
     on_answer_complete (call, end->status);
   else if (end->verdict == VERDICT_NOT_RUN)
     on_engine_unreachable (call);
@@ -141,7 +141,7 @@
   (void)what;
   if (call->outbound == NULL)
     return;
-  if (call->relay.begun && relay_was_blocked (&call->relay))
+  if (call->relay.has_started && relay_was_blocked (&call->relay))
     {
       set_timer (call, SIDECAR_STALL_TIMEOUT_US);
       return;
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -124,9 +124,9 @@
 on_end (const http_client_result_t *end, void *context)
 {
   sidecar_t *sidecar = context;
-  bool disconnected =
-      !end->whole && (end->reason == VERDICT_REASON_CUT || end->reason == VERDICT_REASON_CROSSED);
-  bool crashed = !end->whole && end->reason == VERDICT_REASON_CONNECT;
+  bool disconnected = !end->complete &&
+                      (end->reason == VERDICT_REASON_CUT || end->reason == VERDICT_REASON_CROSSED);
+  bool crashed = !end->complete && end->reason == VERDICT_REASON_CONNECT;
 
   sidecar->probe = NULL;
   sidecar->probe_disconnects = disconnected ? sidecar->probe_disconnects + 1 : 0;
@@ -135,10 +135,10 @@
       schedule_probe (sidecar);
       return;
     }
-  set_engine_up (sidecar, end->whole);
+  set_engine_up (sidecar, end->complete);
   if (end_interrupted_calls (sidecar, crashed || disconnected))
     sidecar_probe_start (sidecar);
-  else if (!end->whole)
+  else if (!end->complete)
     schedule_probe (sidecar);
   sidecar_process_queue (sidecar);
 }
--- a/src/version/routing.h
+++ b/src/version/routing.h
@@ -34,11 +34,12 @@
  * @host: in lower case
  * @path_prefix: begins and ends with a slash
  * @timeout_ms: longest time that a client waits for a response
- * @aim_ms: target response time; a later response is worth less to the client
+ * @target_response_ms: target response time; a later response is worth less to the client
  * @attempts: maximum number of engines that may be tried for one request
  * @priority: 0 is the highest priority
- * @gap_ms: target for the longest pause between two events of a stream; 0 when unknown
- * @silence_ms: clients of a stream disconnect after this time without data; 0 when unknown
+ * @event_gap_target_ms: target for the longest pause between two events of a stream; 0 when unknown
+ * @client_silence_limit_ms: clients of a stream disconnect after this time without data; 0 when
+ *   unknown
  * @is_public: requests need no API key
  * @sticky: requests with common prompt parts should go to the same engine
  * @resumable: a stream can be continued by another engine
@@ -54,11 +55,11 @@
   char *path_prefix;
   routing_kind_t kind;
   uint32_t timeout_ms;
-  uint32_t aim_ms;
+  uint32_t target_response_ms;
   uint32_t attempts;
   uint32_t priority;
-  uint32_t gap_ms;
-  uint32_t silence_ms;
+  uint32_t event_gap_target_ms;
+  uint32_t client_silence_limit_ms;
   bool is_public;
   bool sticky;
   bool resumable;
@@ -87,13 +88,13 @@
 /**
  * struct routing_find_service - configuration of a service
  * @name: interned string
- * @cold_per_s: requests per second that a cold engine can handle; 0 when unknown
+ * @cold_requests_per_s: requests per second that a cold engine can handle; 0 when unknown
  * @cold_start_us: time after its start during which an engine counts as cold; 0 when it never does
  */
 typedef struct
 {
   const char *name; /* interned */
-  uint32_t cold_per_s;
+  uint32_t cold_requests_per_s;
   uint64_t cold_start_us;
 } routing_service_t;
 
--- a/src/version/view_share.c
+++ b/src/version/view_share.c
@@ -73,7 +73,7 @@
 
   answer->json = json_loadb (body, body_bytes, JSON_REJECT_DUPLICATES, NULL);
   settled = json_object_get (answer->json, "settled");
-  answer->settled = json_is_true (settled);
+  answer->deletions_confirmed = json_is_true (settled);
   return json_is_boolean (settled);
 }
 
--- a/src/version/view_share.h
+++ b/src/version/view_share.h
@@ -48,12 +48,12 @@
 /**
  * struct view_share_answer - a parsed response; release it with view_share_clear()
  * @json: the body
- * @settled: whether the sender has confirmed its recent deletions
+ * @deletions_confirmed: whether the sender has confirmed its recent deletions
  */
 typedef struct
 {
   json_t *json;
-  bool settled;
+  bool deletions_confirmed;
 } view_share_answer_t;
 
 /** view_share_parse() - parse a response; view_share_clear() must follow in any case. Return: false
--- a/standin/standin_upstream.c
+++ b/standin/standin_upstream.c
@@ -259,7 +259,7 @@
                                     .timeout_ms = HEARTBEAT_MS,
                                     .answer_limit_bytes = 4096,
                                     .done = on_entry_stored,
-                                    .dropped = on_store_call_dropped,
+                                    .on_dropped = on_store_call_dropped,
                                     .context = upstream });
   g_string_free (body, TRUE);
 }
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -254,7 +254,7 @@
   g_strlcpy (host->exchange.ip, ip, sizeof host->exchange.ip);
   host->exchange.port = port;
   host->http = host->exchange;
-  host->router = router;
+  host->is_router = router;
   host->state = state;
   fake->revision++;
 }
--- a/tests/gateway_rig.c
+++ b/tests/gateway_rig.c
@@ -285,8 +285,8 @@
 is_complete (void *context)
 {
   const raw_peer_t *raw = context;
-  const char *end = strstr (raw->got->str, "\r\n\r\n");
-  const char *length = strstr (raw->got->str, "Content-Length: ");
+  const char *end = strstr (raw->received->str, "\r\n\r\n");
+  const char *length = strstr (raw->received->str, "Content-Length: ");
 
   if (raw->eof)
     return true;
@@ -312,6 +312,6 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < rig->engine_count; i++)
-    count += rig->engines[i]->answered;
+    count += rig->engines[i]->request_count;
   return count;
 }
--- a/tests/raw_peer.c
+++ b/tests/raw_peer.c
@@ -36,7 +36,7 @@
 
   (void)what;
   if (count > 0)
-    g_string_append_len (raw->got, bytes, count);
+    g_string_append_len (raw->received, bytes, count);
   else if (count < 0 && errno == EAGAIN)
     return;
   else
@@ -54,7 +54,7 @@
 
   raw->base = base;
   raw->fd = fd;
-  raw->got = g_string_new (NULL);
+  raw->received = g_string_new (NULL);
   raw->readable = event_new (base, fd, EV_READ | EV_PERSIST, readable, context ? context : raw);
   event_add (raw->readable, NULL);
   return raw;
@@ -95,7 +95,7 @@
 {
   raw_peer_close (raw, false);
   event_free (raw->readable);
-  g_string_free (raw->got, TRUE);
+  g_string_free (raw->received, TRUE);
   g_free (raw);
 }
 
@@ -103,9 +103,9 @@
 send_script (raw_server_t *server, raw_peer_t *raw)
 {
   uint32_t last = server->script_count - 1;
-  const char *script = server->scripts[MIN (server->answered, last)];
+  const char *script = server->scripts[MIN (server->request_count, last)];
 
-  server->answered++;
+  server->request_count++;
   if (script)
     raw_peer_send (raw, script);
   if (server->close_after || server->reset_after)
@@ -117,19 +117,19 @@
 {
   raw_server_t *server = context;
 
-  for (guint i = 0; i < server->conns->len; i++)
+  for (guint i = 0; i < server->connections->len; i++)
     {
-      raw_peer_t *raw = server->conns->pdata[i];
+      raw_peer_t *raw = server->connections->pdata[i];
       const char *end;
 
       if (raw->fd != fd)
         continue;
       on_readable (fd, what, raw);
-      end = strstr (raw->got->str, "\r\n\r\n");
+      end = strstr (raw->received->str, "\r\n\r\n");
       if (!end)
         return;
       if (!server->keep_head)
-        g_string_erase (raw->got, 0, end + 4 - raw->got->str);
+        g_string_erase (raw->received, 0, end + 4 - raw->received->str);
       send_script (server, raw);
       return;
     }
@@ -149,7 +149,7 @@
   raw = raw_new (server->base, conn_fd, on_server_readable, server);
   if (server->never_read)
     event_del (raw->readable);
-  g_ptr_array_add (server->conns, raw);
+  g_ptr_array_add (server->connections, raw);
 }
 
 raw_server_t *
@@ -163,7 +163,7 @@
   server->scripts = scripts;
   server->script_count = count;
   server->address = raw_peer_loopback_address ();
-  server->conns = g_ptr_array_new_with_free_func ((GDestroyNotify)raw_peer_free);
+  server->connections = g_ptr_array_new_with_free_func ((GDestroyNotify)raw_peer_free);
   server->fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
   name = sockaddr_of (&server->address);
   g_assert (bind (server->fd, (struct sockaddr *)&name, sizeof name) == 0);
@@ -197,7 +197,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (server->backlog_fds); i++)
     if (server->backlog_fds[i] > 0)
       close (server->backlog_fds[i]);
-  g_ptr_array_free (server->conns, TRUE);
+  g_ptr_array_free (server->connections, TRUE);
   g_free (server);
 }
 
--- a/tests/raw_peer.h
+++ b/tests/raw_peer.h
@@ -14,7 +14,7 @@
 
 /**
  * raw_peer_t - a connection, made by raw_peer_connect() or accepted by a raw_server_t
- * @got: bytes received
+ * @received: bytes received
  * @eof: the peer has closed or reset the connection
  * @reset: the peer has reset it
  */
@@ -23,7 +23,7 @@
   struct event_base *base;
   struct event *readable;
   int fd;
-  GString *got;
+  GString *received;
   bool eof;
   bool reset;
 } raw_peer_t;
@@ -31,12 +31,12 @@
 /**
  * raw_server_t - a server that sends one script for each request head
  * @scripts: sent in turn, the last one repeatedly; nothing is sent for a NULL script
- * @answered: number of request heads so far
+ * @request_count: number of request heads so far
  * @close_after: close the connection after each script
  * @reset_after: reset the connection after each script
  * @never_read: leave received bytes in the socket
- * @keep_head: don't remove the request head from @got of the connection
- * @conns: all accepted connections, of raw_peer_t
+ * @keep_head: don't remove the request head from @received of the connection
+ * @connections: all accepted connections, of raw_peer_t
  * @accepted: number of accepted connections
  * @backlog_fds: connections that fill the kernel's queue, see raw_server_fill()
  */
@@ -48,12 +48,12 @@
   address_t address;
   const char *const *scripts;
   uint32_t script_count;
-  uint32_t answered;
+  uint32_t request_count;
   bool close_after;
   bool reset_after;
   bool never_read;
   bool keep_head;
-  GPtrArray *conns;
+  GPtrArray *connections;
   uint32_t accepted;
   int backlog_fds[4];
 } raw_server_t;
--- a/tests/server_fixture.c
+++ b/tests/server_fixture.c
@@ -114,7 +114,7 @@
 {
   expected_text_t *expected = context;
 
-  return strstr (expected->raw->got->str, expected->text);
+  return strstr (expected->raw->received->str, expected->text);
 }
 
 bool
@@ -183,7 +183,7 @@
 void
 server_fixture_check_absent (const raw_peer_t *raw, const char *text)
 {
-  CU_ASSERT_PTR_NULL (strstr (raw->got->str, text));
+  CU_ASSERT_PTR_NULL (strstr (raw->received->str, text));
 }
 
 static struct evbuffer *
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -400,7 +400,7 @@
   add_samples (rig, 1, 0);
   admission_set_joined (rig->admission, rig->now_us);
   admission_request_t *first = make (rig, 1, 77);
-  first->former_hash = 12;
+  first->former_home_hash = 12;
   CU_ASSERT_EQUAL (offer (rig, first).reason, VERDICT_REASON_ELSEWHERE);
   first->referred = true;
   CU_ASSERT_EQUAL (offer (rig, first).action, ADMISSION_DISPATCH);
@@ -409,7 +409,7 @@
   CU_ASSERT_EQUAL (offer (rig, first).action, ADMISSION_DISPATCH);
   admission_finish (rig->admission, rig->now_us, first, true);
   admission_request_t *later = make (rig, 1, 78);
-  later->former_hash = 12;
+  later->former_home_hash = 12;
   rig->now_us += ADMISSION_REFERRAL_LIFETIMES * LIFETIME_US - 1;
   CU_ASSERT_EQUAL (offer (rig, later).reason, VERDICT_REASON_ELSEWHERE);
   rig->now_us++;
@@ -432,7 +432,7 @@
       admission_request_t *back = make (rig, 1, chat);
       back->home_hash = 12;
       back->prompt_tokens = 40000;
-      back->former_hash = OWN;
+      back->former_home_hash = OWN;
       back->referred = true;
       if (chat == 79)
         admission_note_served_elsewhere (rig->admission, rig->now_us, 79, 14);
@@ -442,7 +442,7 @@
         CU_ASSERT_EQUAL (decision.reason, VERDICT_REASON_COLD);
       if (chat == 79)
         CU_ASSERT_EQUAL (decision.referrals[0], 14);
-      back->former_hash = 0;
+      back->former_home_hash = 0;
       CU_ASSERT (chat == 77 || offer (rig, back).action == ADMISSION_DISPATCH);
     }
 }
--- a/tests/test_cold_start_limit.c
+++ b/tests/test_cold_start_limit.c
@@ -122,7 +122,7 @@
 choose (const engines_t *engines, uint64_t now_us, uint32_t known_gateways)
 {
   return engine_choice_make (engines_of_service (engines, g_intern_static_string ("pool")), now_us,
-                             &(engine_choice_request_t){ .data_center = "hall-1",
+                             &(engine_choice_request_t){ .own_data_center = "hall-1",
                                                          .gateways = 2,
                                                          .known_gateways = known_gateways,
                                                          .cold_per_s = PER_S,
@@ -224,7 +224,7 @@
 test_drained_caches_are_copied_for_a_while (void)
 {
   g_autoptr (engines_t) engines = engines_new ();
-  engine_choice_request_t request = { .data_center = "hall-1",
+  engine_choice_request_t request = { .own_data_center = "hall-1",
                                       .affinity = 7,
                                       .drain_us = 4 * SECOND_US };
   const GPtrArray *list;
--- a/tests/test_engine_choice.c
+++ b/tests/test_engine_choice.c
@@ -41,7 +41,7 @@
 {
   return engine_choice_make (
       engines_of_service (engines, g_intern_static_string ("pool")), now_us,
-      &(engine_choice_request_t){ .affinity = affinity, .data_center = HERE });
+      &(engine_choice_request_t){ .affinity = affinity, .own_data_center = HERE });
 }
 
 static engine_choice_t
@@ -67,7 +67,7 @@
 
       g_snprintf (id, sizeof id, "e%u", i);
       engine = engines_find (engines, id);
-      while (engine && engine->own > 0)
+      while (engine && engine->own_requests > 0)
         engine_end_request (engine);
     }
 }
@@ -161,7 +161,7 @@
   while (choose (engines, 42).engine == home)
     engine_begin_request (home, NOW_US);
   spill = choose (engines, 42);
-  CU_ASSERT (home->own <= 2 * ENGINE_CHOICE_MARGIN_EXTRA_MILLI / 1000 + 1);
+  CU_ASSERT (home->own_requests <= 2 * ENGINE_CHOICE_MARGIN_EXTRA_MILLI / 1000 + 1);
   CU_ASSERT_EQUAL (spill.rank, 1);
   CU_ASSERT_PTR_EQUAL (spill.source, home);
   CU_ASSERT_PTR_EQUAL (spill.engine, home_source);
@@ -382,7 +382,7 @@
 {
   g_autoptr (engines_t) engines = make_engines (2);
   uint64_t tried[2] = { engines_find (engines, "e0")->hash, engines_find (engines, "e1")->hash };
-  engine_choice_request_t request = { .data_center = HERE, .tried = tried, .tried_count = 1 };
+  engine_choice_request_t request = { .own_data_center = HERE, .tried = tried, .tried_count = 1 };
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
 
   CU_ASSERT_STRING_EQUAL (engine_choice_make (list, NOW_US, &request).engine->entry.id, "e1");
@@ -467,7 +467,7 @@
   CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us, 9).engine, silent);
   engine_begin_request (silent, probe_us);
   CU_ASSERT_PTR_NOT_EQUAL (choose_at (engines, probe_us + 1, 9).engine, silent);
-  silent->heard_us = probe_us + 2;
+  silent->last_byte_us = probe_us + 2;
   engine_end_request (silent);
   CU_ASSERT_PTR_EQUAL (choose_at (engines, probe_us + 3, 9).engine, silent);
   unload (engines, 3);
@@ -481,14 +481,15 @@
   g_autoptr (engines_t) engines = make_engines (3);
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
   engine_choice_request_t request = { .affinity = 9,
-                                      .data_center = HERE,
-                                      .head_us = 2 * CLOCK_US_PER_S };
+                                      .own_data_center = HERE,
+                                      .usual_head_us = 2 * CLOCK_US_PER_S };
   engine_t *home = choose (engines, 9).engine;
 
   engine_begin_request (home, NOW_US);
   CU_ASSERT_PTR_EQUAL (engine_choice_make (list, NOW_US + CLOCK_US_PER_S, &request).engine, home);
   CU_ASSERT_PTR_NOT_EQUAL (
-      engine_choice_make (list, NOW_US + ENGINE_SILENT_FACTOR * request.head_us, &request).engine,
+      engine_choice_make (list, NOW_US + ENGINE_SILENT_FACTOR * request.usual_head_us, &request)
+          .engine,
       home);
   unload (engines, 3);
 }
@@ -501,7 +502,7 @@
   g_autoptr (engines_t) engines = make_engines (3);
   engine_t *ejected = choose (engines, 9).engine;
   uint64_t due_us = NOW_US + ENGINE_EJECTION_MIN_US;
-  engine_choice_request_t request = { .affinity = 9, .data_center = HERE };
+  engine_choice_request_t request = { .affinity = 9, .own_data_center = HERE };
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
 
   engine_note_failure (ejected, NOW_US);
@@ -543,7 +544,7 @@
   g_autoptr (engines_t) engines = make_engines (1);
   engine_t *engine = engines_find (engines, "e0");
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
-  engine_choice_request_t request = { .data_center = HERE, .gateways = 22 };
+  engine_choice_request_t request = { .own_data_center = HERE, .gateways = 22 };
 
   engine_note_load (engine, NOW_US, &(engine_load_t){ .running = 6, .waiting = 8, .slots = 6 });
   CU_ASSERT_EQUAL (engine_choice_make (list, NOW_US, &request).action, ENGINE_CHOICE_SEND);
@@ -568,7 +569,7 @@
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
   const engine_load_t one_free = { .running = 15, .slots = 16 };
   engine_choice_request_t request = {
-    .data_center = HERE, .gateways = 2, .run_us = 3000, .head_us = 3000
+    .own_data_center = HERE, .gateways = 2, .slot_time_us = 3000, .usual_head_us = 3000
   };
 
   load (engine, 10);
@@ -679,7 +680,9 @@
 {
   g_autoptr (engines_t) engines = make_engines (12);
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
-  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = gateways };
+  engine_choice_request_t request = { .affinity = 9,
+                                      .own_data_center = HERE,
+                                      .gateways = gateways };
   engine_t *home = engine_choice_make (list, NOW_US, &request).engine;
   uint32_t count = 0;
 
@@ -723,7 +726,7 @@
       g_autoptr (engines_t) engines = make_engines (12);
       const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
       engine_choice_request_t request = { .affinity = 9,
-                                          .data_center = HERE,
+                                          .own_data_center = HERE,
                                           .gateways = gateways[i] };
       engine_t *home = engine_choice_make (list, NOW_US, &request).engine;
 
@@ -732,7 +735,7 @@
                           &(engine_load_t){ .running = loads[i], .slots = 128 });
       while (engine_choice_make (list, NOW_US, &request).engine == home)
         engine_begin_request (home, NOW_US);
-      margins[i] = home->own * 1000 / loads[i];
+      margins[i] = home->own_requests * 1000 / loads[i];
       unload (engines, 12);
     }
   CU_ASSERT (margins[1] > 0 && margins[1] < margins[0]);
@@ -747,7 +750,7 @@
 static uint32_t
 fill_home_at (const GPtrArray *list, uint64_t now_us)
 {
-  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
+  engine_choice_request_t request = { .affinity = 9, .own_data_center = HERE, .gateways = 22 };
   engine_t *home = engine_choice_make (list, now_us, &request).engine;
 
   while (engine_choice_make (list, now_us, &request).engine == home)
@@ -836,7 +839,7 @@
 choose_by (const engines_t *engines, uint32_t gateways, uint64_t gateway_hash, uint64_t part)
 {
   engine_choice_request_t request = {
-    .affinity = part, .data_center = HERE, .gateways = gateways, .gateway_hash = gateway_hash
+    .affinity = part, .own_data_center = HERE, .gateways = gateways, .gateway_hash = gateway_hash
   };
 
   return engine_choice_make (engines_of_service (engines, g_intern_static_string ("pool")), NOW_US,
@@ -855,7 +858,7 @@
     {
       const engine_t *engine = choose_by (engines, 103, part, part);
 
-      joined += engine && engine->told_us == 0 ? 1 : 0;
+      joined += engine && engine->reported_us == 0 ? 1 : 0;
     }
   return joined;
 }
@@ -883,7 +886,7 @@
   uint32_t few = 0;
   uint32_t many = 0;
 
-  while (!home || home->told_us != 0)
+  while (!home || home->reported_us != 0)
     home = choose_by (engines, 1, 0, ++part);
   for (uint64_t gateway = 1; gateway <= PARTS; gateway++)
     {
@@ -901,7 +904,7 @@
 {
   g_autoptr (engines_t) engines = make_engines (12);
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
-  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 4 };
+  engine_choice_request_t request = { .affinity = 9, .own_data_center = HERE, .gateways = 4 };
   engine_t *home = engine_choice_make (list, NOW_US, &request).engine;
   uint32_t mean;
 
@@ -910,9 +913,9 @@
                       &(engine_load_t){ .running = 6, .slots = 128 });
   while (engine_choice_make (list, NOW_US, &request).engine == home)
     engine_begin_request (home, NOW_US);
-  mean = (11 * 6 + 6 + home->own) / 12;
-  CU_ASSERT (6 + home->own >= 2 * mean);
-  CU_ASSERT (6 + home->own <= 2 * mean + 3);
+  mean = (11 * 6 + 6 + home->own_requests) / 12;
+  CU_ASSERT (6 + home->own_requests >= 2 * mean);
+  CU_ASSERT (6 + home->own_requests <= 2 * mean + 3);
   unload (engines, 12);
 }
 
@@ -927,7 +930,7 @@
 {
   g_autoptr (engines_t) engines = make_engines (12);
   const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
-  engine_choice_request_t request = { .affinity = 9, .data_center = HERE, .gateways = 22 };
+  engine_choice_request_t request = { .affinity = 9, .own_data_center = HERE, .gateways = 22 };
   engine_t *few[ENGINE_CHOICE_HOMES_MAX];
   engine_t *far = NULL;
 
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -253,9 +253,9 @@
     .interval_ms = 10,
     .budget_bytes = budget_bytes,
     .seed = 1,
-    .fill = node_fill,
-    .heard = node_heard,
-    .pick = node_pick,
+    .fill_message = node_fill,
+    .on_message = node_heard,
+    .choose_peer = node_pick,
     .context = node,
   };
   node->exchange = exchange_new (&options, NULL);
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -46,7 +46,7 @@
 {
   return (forwarding_outcome_t){ .verdict = VERDICT_MAY_HAVE_RUN,
                                  .reason = VERDICT_REASON_CUT,
-                                 .lost = true };
+                                 .connection_lost = true };
 }
 
 static forwarding_step_t
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -36,13 +36,13 @@
 static bool
 starts_with (const raw_peer_t *raw, const char *text)
 {
-  return g_str_has_prefix (raw->got->str, text);
+  return g_str_has_prefix (raw->received->str, text);
 }
 
 static bool
 contains (const raw_peer_t *raw, const char *text)
 {
-  return strstr (raw->got->str, text) != NULL;
+  return strstr (raw->received->str, text) != NULL;
 }
 
 /* Return: what the engine received on its latest connection */
@@ -51,9 +51,9 @@
 {
   const raw_peer_t *raw;
 
-  CU_ASSERT_FATAL (engine->conns->len > 0);
-  raw = g_ptr_array_index (engine->conns, engine->conns->len - 1);
-  return raw->got->str;
+  CU_ASSERT_FATAL (engine->connections->len > 0);
+  raw = g_ptr_array_index (engine->connections, engine->connections->len - 1);
+  return raw->received->str;
 }
 
 static void
@@ -69,7 +69,7 @@
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 "));
   CU_ASSERT (contains (raw, "X-Response-Stamp: s1\r\n") && contains (raw, "X-Request-Id: r1\r\n"));
   CU_ASSERT (!contains (raw, "X-Engine-Load"));
-  CU_ASSERT (g_str_has_suffix (raw->got->str, "\r\n\r\nfine"));
+  CU_ASSERT (g_str_has_suffix (raw->received->str, "\r\n\r\nfine"));
   CU_ASSERT (g_str_has_prefix (got, "GET /look/x?y=1 HTTP/1.1\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (got, "X-Expect-Instance: e0\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (got, "X-Tenant: alpha\r\n"));
@@ -265,21 +265,21 @@
   raw_server_t *other = gateway_rig_add_engine (rig, SCRIPTS (OTHER_ENGINE_RESPONSE), 1);
 
   expect (rig, "POST", "/book/", EMPTY_BODY, "503");
-  CU_ASSERT_EQUAL (other->answered, 1);
+  CU_ASSERT_EQUAL (other->request_count, 1);
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   for (uint32_t i = 0; i < 4; i++)
     expect (rig, "POST", "/book/", EMPTY_BODY, "200");
-  CU_ASSERT (other->answered <= 5);
+  CU_ASSERT (other->request_count <= 5);
 }
 
 static bool
 first_gets_request (void *context)
 {
   gateway_rig_t *rig = context;
-  uint32_t before = rig->engines[0]->answered;
+  uint32_t before = rig->engines[0]->request_count;
 
   expect (rig, "GET", "/look/", "", "200");
-  return rig->engines[0]->answered > before;
+  return rig->engines[0]->request_count > before;
 }
 
 /*
@@ -302,8 +302,8 @@
   third = gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   for (uint32_t i = 0; i < LOOKUPS; i++)
     expect (rig, "GET", "/look/", "", "200");
-  CU_ASSERT (first->answered <= 1 && second->answered <= 1);
-  CU_ASSERT_EQUAL (third->answered, LOOKUPS);
+  CU_ASSERT (first->request_count <= 1 && second->request_count <= 1);
+  CU_ASSERT_EQUAL (third->request_count, LOOKUPS);
   gateway_rig_register (rig, 0, "ready");
   CU_ASSERT (raw_peer_run_until (rig->base, first_gets_request, rig));
 }
@@ -334,11 +334,11 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < rig->engine_count; i++)
-    for (guint j = 0; j < rig->engines[i]->conns->len; j++)
+    for (guint j = 0; j < rig->engines[i]->connections->len; j++)
       {
-        const raw_peer_t *raw = g_ptr_array_index (rig->engines[i]->conns, j);
+        const raw_peer_t *raw = g_ptr_array_index (rig->engines[i]->connections, j);
 
-        for (const char *at = raw->got->str; (at = strstr (at, "Kv-Fetch: ")); at++)
+        for (const char *at = raw->received->str; (at = strstr (at, "Kv-Fetch: ")); at++)
           count++;
       }
   return count;
@@ -381,7 +381,7 @@
       /* the error response of the last engine must be forwarded unchanged, with its signature */
       CU_ASSERT (starts_with (raw, "HTTP/1.1 200 ") ||
                  (starts_with (raw, "HTTP/1.1 500 ") && contains (raw, "Stamp: s2\r\n") &&
-                  g_str_has_suffix (raw->got->str, "\r\n\r\nbad")));
+                  g_str_has_suffix (raw->received->str, "\r\n\r\nbad")));
       raw_peer_free (raw);
     }
   CU_ASSERT (gateway_rig_request_count (rig) >= 4 && gateway_rig_request_count (rig) <= 6);
@@ -398,7 +398,7 @@
   gateway_rig_add_engine (rig, SCRIPTS (ERROR_RESPONSE), 1);
   raw = gateway_rig_fetch (rig, "GET", "/look/", "");
   CU_ASSERT (starts_with (raw, "HTTP/1.1 500 ") && contains (raw, "Stamp: s2\r\n"));
-  CU_ASSERT (g_str_has_suffix (raw->got->str, "\r\n\r\nbad"));
+  CU_ASSERT (g_str_has_suffix (raw->received->str, "\r\n\r\nbad"));
   raw_peer_free (raw);
 }
 
@@ -445,7 +445,7 @@
   engine->close_after = true;
   raw = gateway_rig_fetch (rig, "POST", "/book/", EMPTY_BODY);
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 "));
-  CU_ASSERT (g_str_has_suffix (raw->got->str, "\r\n\r\nwhole"));
+  CU_ASSERT (g_str_has_suffix (raw->received->str, "\r\n\r\nwhole"));
   raw_peer_free (raw);
   engine->close_after = false;
   engine->reset_after = true;
@@ -482,7 +482,7 @@
   CU_ASSERT (starts_with (raw, "HTTP/1.1 200 "));
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 2);
   if (contains (raw, "id: 4"))
-    CU_ASSERT (g_str_has_suffix (raw->got->str, STREAM_END));
+    CU_ASSERT (g_str_has_suffix (raw->received->str, STREAM_END));
   raw_peer_free (raw);
   /* The first response of either engine breaks off, so it doesn't matter which one was asked first.
    */
@@ -511,7 +511,7 @@
       raw = gateway_rig_fetch (rig, "POST", "/talk/", more);
       if (contains (raw, "id: 1\n"))
         {
-          CU_ASSERT (g_str_has_suffix (raw->got->str, STREAM_END));
+          CU_ASSERT (g_str_has_suffix (raw->received->str, STREAM_END));
           for (char id = '1'; id <= '4'; id++)
             {
               char text[] = "id: 0\ndata:a\n\n";
@@ -539,7 +539,7 @@
       true;
   raw = gateway_rig_fetch (rig, "POST", "/tell/", EMPTY_BODY);
   CU_ASSERT (contains (raw, "id: 1\ndata:a\n\n") && !contains (raw, "id: 2"));
-  CU_ASSERT (raw->eof && !g_str_has_suffix (raw->got->str, STREAM_END));
+  CU_ASSERT (raw->eof && !g_str_has_suffix (raw->received->str, STREAM_END));
   CU_ASSERT_EQUAL (gateway_rig_request_count (rig), 1);
   raw_peer_free (raw);
 }
@@ -583,7 +583,8 @@
 engine_sees_close (void *context)
 {
   const raw_server_t *engine = context;
-  const raw_peer_t *raw = engine->conns->len > 0 ? g_ptr_array_index (engine->conns, 0) : NULL;
+  const raw_peer_t *raw =
+      engine->connections->len > 0 ? g_ptr_array_index (engine->connections, 0) : NULL;
 
   return raw && raw->eof;
 }
@@ -596,7 +597,7 @@
   raw_peer_t *raw = gateway_rig_send (rig, 0, "GET", "/look/", "");
 
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_gateway_gone_total", 0));
-  while (engine->answered == 0)
+  while (engine->request_count == 0)
     raw_peer_run_ms (rig->base, 1);
   raw_peer_close (raw, false);
   CU_ASSERT (raw_peer_run_until (rig->base, engine_sees_close, engine));
@@ -631,7 +632,7 @@
   raw_server_t *engine = gateway_rig_add_engine (rig, SCRIPTS (NULL), 1);
   raw_peer_t *raw = gateway_rig_send (rig, 0, "POST", "/book/", EMPTY_BODY);
 
-  while (engine->answered == 0)
+  while (engine->request_count == 0)
     raw_peer_run_ms (rig->base, 1);
   register_restart (rig, "8", "ready");
   CU_ASSERT (raw_peer_run_until (rig->base, is_answered, raw));
@@ -668,7 +669,7 @@
   CU_ASSERT (raw_peer_run_until (rig->base, has_one_event, raw));
   second = gateway_rig_add_engine (rig, SCRIPTS (NULL), 1);
   register_restart (rig, "8", "ready");
-  while (second->answered == 0)
+  while (second->request_count == 0)
     raw_peer_run_ms (rig->base, 1);
   raw_peer_close (raw, false);
   CU_ASSERT (raw_peer_run_until (rig->base, client_is_gone, rig));
@@ -703,10 +704,10 @@
   fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e0",
                   "{\"service\":\"pool\",\"slots\":\"8\"}");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
-  answered = rig->engines[0]->answered;
+  answered = rig->engines[0]->request_count;
   for (uint32_t i = 0; i < 4; i++)
     expect (rig, "GET", "/look/", "", "200");
-  CU_ASSERT_EQUAL (rig->engines[0]->answered, answered);
+  CU_ASSERT_EQUAL (rig->engines[0]->request_count, answered);
   gateway_rig_register (rig, 0, "ready");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 2));
 }
@@ -755,7 +756,7 @@
   gateway_rig_register (rig, 0, "ready");
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 1));
   expect (rig, "GET", "/look/", "", "503");
-  CU_ASSERT_EQUAL (engine->answered, 1);
+  CU_ASSERT_EQUAL (engine->request_count, 1);
 }
 
 /* Guards against refusals beside an engine that leaves: the next engine must serve all requests. */
@@ -768,8 +769,8 @@
 
   for (uint32_t i = 0; i < LOOKUPS; i++)
     expect (rig, "GET", "/look/", "", "200");
-  CU_ASSERT (leaving->answered <= 1);
-  CU_ASSERT (other->answered >= LOOKUPS - 1);
+  CU_ASSERT (leaving->request_count <= 1);
+  CU_ASSERT (other->request_count >= LOOKUPS - 1);
 }
 
 /* Guards against requests to an engine that refused one with Retry-After, before that time is over.
@@ -783,12 +784,12 @@
 
   expect (rig, "POST", "/book/", EMPTY_BODY, "503");
   expect (rig, "GET", "/look/", "", "503");
-  CU_ASSERT_EQUAL (engine->answered, 1);
+  CU_ASSERT_EQUAL (engine->request_count, 1);
   other = gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   for (uint32_t i = 0; i < LOOKUPS; i++)
     expect (rig, "GET", "/look/", "", "200");
-  CU_ASSERT_EQUAL (engine->answered, 1);
-  CU_ASSERT_EQUAL (other->answered, LOOKUPS);
+  CU_ASSERT_EQUAL (engine->request_count, 1);
+  CU_ASSERT_EQUAL (other->request_count, LOOKUPS);
 }
 
 /* Guards against a client that waits, or retries at once, while the only engine accepts nothing
@@ -819,7 +820,7 @@
   engine = gateway_rig_add_engine (rig, SCRIPTS (SHORT_BACKOFF_RESPONSE, OK_RESPONSE), 2);
   asked_us = clock_now_us (&rig->clock);
   expect (rig, "POST", "/book/", EMPTY_BODY, "200");
-  CU_ASSERT_EQUAL (engine->answered, 2);
+  CU_ASSERT_EQUAL (engine->request_count, 2);
   CU_ASSERT (clock_now_us (&rig->clock) - asked_us >= 400 * CLOCK_US_PER_MS);
 }
 
@@ -977,20 +978,20 @@
 
   crashes->close_after = true;
   gateway_rig_add_engine (rig, SCRIPTS (whole), 1);
-  for (uint32_t tries = 0; tries < 16 && crashes->answered == 0; tries++)
+  for (uint32_t tries = 0; tries < 16 && crashes->request_count == 0; tries++)
     {
       g_autofree char *more =
           g_strdup_printf (EMPTY_BODY "X-Prompt-Prefix: a%u:900,bb:10\r\n", tries);
       raw_peer_t *raw = gateway_rig_fetch (rig, "POST", "/talk/", more);
 
       CU_ASSERT (starts_with (raw, "HTTP/1.1 200 ") &&
-                 g_str_has_suffix (raw->got->str, STREAM_END));
+                 g_str_has_suffix (raw->received->str, STREAM_END));
       CU_ASSERT (contains (raw, "\r\nid: 1\ndata:a\n\n") &&
                  contains (raw, "\r\nid: 2\ndata:a\n\n"));
       CU_ASSERT (!contains (raw, "data:s"));
       raw_peer_free (raw);
     }
-  CU_ASSERT (crashes->answered > 0);
+  CU_ASSERT (crashes->request_count > 0);
 }
 
 #define BOUND_ROUTE                                                                                \
@@ -1015,13 +1016,13 @@
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_version", 7));
   for (uint32_t i = 0; i < LOOKUPS; i++)
     expect (rig, "GET", "/bound/", "", "500");
-  CU_ASSERT_EQUAL (rig->engines[0]->answered + rig->engines[2]->answered, 0);
-  CU_ASSERT_EQUAL (rig->engines[1]->answered, LOOKUPS);
+  CU_ASSERT_EQUAL (rig->engines[0]->request_count + rig->engines[2]->request_count, 0);
+  CU_ASSERT_EQUAL (rig->engines[1]->request_count, LOOKUPS);
   fake_store_put (rig->store, PLATFORM_STREAM_ENGINES, "e1", NULL);
   CU_ASSERT (gateway_rig_wait_counter (rig, "medlarplank_engines", 2));
   expect (rig, "GET", "/bound/", "", "503");
   expect (rig, "GET", "/look/", "", "200");
-  CU_ASSERT_EQUAL (rig->engines[0]->answered + rig->engines[2]->answered, 1);
+  CU_ASSERT_EQUAL (rig->engines[0]->request_count + rig->engines[2]->request_count, 1);
 }
 
 #define SHORT_RENEWAL_MS 100 /* an outage is then found within 0.2 s */
@@ -1134,7 +1135,7 @@
   remove_entries_during_outage (rig, 1);
   for (uint32_t i = 0; i < LOOKUPS; i++)
     expect (rig, "GET", "/look/", "", "200");
-  CU_ASSERT_EQUAL (left->answered, 0);
+  CU_ASSERT_EQUAL (left->request_count, 0);
 }
 
 /* Guards against a service without engines after an outage of the store in which their entries
@@ -1150,7 +1151,7 @@
   remove_entries_during_outage (rig, GATEWAY_RIG_ENGINES_MAX - 1);
   for (uint32_t i = 0; i < LOOKUPS; i++)
     expect (rig, "GET", "/look/", "", "200");
-  CU_ASSERT (rig->engines[0]->answered + rig->engines[1]->answered > 0);
+  CU_ASSERT (rig->engines[0]->request_count + rig->engines[1]->request_count > 0);
 }
 
 #define FLEET 5
@@ -1425,7 +1426,7 @@
 has_second_answer (void *context)
 {
   const raw_peer_t *raw = context;
-  const char *end = strstr (raw->got->str, STREAM_END);
+  const char *end = strstr (raw->received->str, STREAM_END);
 
   return raw->eof || raw->reset || (end && strstr (end, "\r\n\r\n{"));
 }
@@ -1445,7 +1446,7 @@
   clock_init_paused (&rig->clock,
                      clock_now_us (&rig->clock) + GATEWAY_PROCESS_STOP_ACCEPT_MS * CLOCK_US_PER_MS);
   raw_peer_run_ms (rig->base, 2 * GATEWAY_PROCESS_TICK_MS);
-  raw_peer_send (g_ptr_array_index (engine->conns, 0), STREAM_END);
+  raw_peer_send (g_ptr_array_index (engine->connections, 0), STREAM_END);
   CU_ASSERT (raw_peer_run_until (rig->base, has_stream_end, raw));
   raw_peer_send (
       raw, "GET /look/ HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r2\r\nX-Key: key-1\r\n\r\n");
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -147,7 +147,7 @@
 static void
 check_failed (const call_state_t *state, verdict_t verdict, verdict_reason_t reason)
 {
-  CU_ASSERT_FALSE (state->end.whole);
+  CU_ASSERT_FALSE (state->end.complete);
   CU_ASSERT_EQUAL (state->end.verdict, verdict);
   CU_ASSERT_EQUAL (state->end.reason, reason);
 }
@@ -163,7 +163,7 @@
 run_successful_call (fixture_t *fixture, int status, const char *body)
 {
   run_call (fixture);
-  CU_ASSERT_TRUE (fixture->state.end.whole);
+  CU_ASSERT_TRUE (fixture->state.end.complete);
   CU_ASSERT_EQUAL (fixture->state.end.status, status);
   CU_ASSERT_STRING_EQUAL (fixture->state.body->str, body);
 }
@@ -270,7 +270,7 @@
   run_successful_call (fixture, 200, "ok");
   run_successful_call (fixture, 200, "ours");
   CU_ASSERT_EQUAL (fixture->server->accepted, 2);
-  raw_peer_send (fixture->server->conns->pdata[1], scripts[0]);
+  raw_peer_send (fixture->server->connections->pdata[1], scripts[0]);
   run_successful_call (fixture, 200, "ours");
   CU_ASSERT_EQUAL (fixture->server->accepted, 3);
 }
@@ -310,7 +310,7 @@
     {
       run_successful_call (fixture, 200, "ok");
       CU_ASSERT_EQUAL (fixture->server->accepted, i + 1);
-      raw_peer_close (fixture->server->conns->pdata[i], i % 2 == 1);
+      raw_peer_close (fixture->server->connections->pdata[i], i % 2 == 1);
     }
 }
 
@@ -326,7 +326,7 @@
   run_successful_call (fixture, 200, "ok");
   reset_state (&fixture->state);
   http_client_start_call (fixture->http_client, &fixture->options);
-  raw_peer_close (fixture->server->conns->pdata[0], true);
+  raw_peer_close (fixture->server->connections->pdata[0], true);
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_ended, &fixture->state));
   check_failed (&fixture->state, VERDICT_NOT_RUN, VERDICT_REASON_CONNECT);
   CU_ASSERT_EQUAL (fixture->server->accepted, 1);
@@ -407,8 +407,8 @@
 {
   raw_server_t *server = context;
 
-  return server->conns->len > 0 &&
-         strstr (((raw_peer_t *)server->conns->pdata[0])->got->str, "body");
+  return server->connections->len > 0 &&
+         strstr (((raw_peer_t *)server->connections->pdata[0])->received->str, "body");
 }
 
 /* The request has one Host, one Content-Length, and none of the caller's framing headers */
@@ -434,7 +434,8 @@
   g_autofree char *expected = g_strdup_printf (
       "POST /x HTTP/1.1\r\nX-One: 1\r\nHost: %s:%u\r\nContent-Length: 4\r\n\r\nbody",
       fixture->server->address.ip, fixture->server->address.port);
-  CU_ASSERT_STRING_EQUAL (((raw_peer_t *)fixture->server->conns->pdata[0])->got->str, expected);
+  CU_ASSERT_STRING_EQUAL (((raw_peer_t *)fixture->server->connections->pdata[0])->received->str,
+                          expected);
 }
 
 /*
@@ -541,7 +542,7 @@
   fixture->options.body_bytes = BODY_BYTES;
   fixture->state.call = http_client_start_call (fixture->http_client, &fixture->options);
   raw_peer_run_ms (fixture->base, 30);
-  raw = fixture->server->conns->pdata[0];
+  raw = fixture->server->connections->pdata[0];
   CU_ASSERT_FALSE (received_contains (raw, 'y'));
   cancel = event_new (fixture->base, -1, 0, cancel_and_reuse, fixture);
   event_active (cancel, EV_TIMEOUT, 0);
@@ -589,7 +590,7 @@
   http_client_set_paused (fixture->state.call, false);
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, has_ended, &fixture->state));
   g_string_append (received, fixture->state.body->str);
-  CU_ASSERT_TRUE (fixture->state.end.whole);
+  CU_ASSERT_TRUE (fixture->state.end.complete);
   CU_ASSERT_STRING_EQUAL (received->str, strstr (script->str, "\r\n\r\n") + 4);
 }
 
@@ -621,8 +622,8 @@
 {
   uint32_t closed = 0;
 
-  for (guint i = 0; i < server->conns->len; i++)
-    closed += ((raw_peer_t *)server->conns->pdata[i])->eof;
+  for (guint i = 0; i < server->connections->len; i++)
+    closed += ((raw_peer_t *)server->connections->pdata[i])->eof;
   return closed;
 }
 
--- a/tests/test_http_client_cancel.c
+++ b/tests/test_http_client_cancel.c
@@ -73,8 +73,8 @@
 {
   uint32_t count = 0;
 
-  for (guint i = 0; i < fixture->server->conns->len; i++)
-    count += ((const raw_peer_t *)fixture->server->conns->pdata[i])->got->len > 0;
+  for (guint i = 0; i < fixture->server->connections->len; i++)
+    count += ((const raw_peer_t *)fixture->server->connections->pdata[i])->received->len > 0;
   return count;
 }
 
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -40,9 +40,9 @@
   http_server_add_header (call, "Content-Length", "99");
   http_server_reply_text (call, 201, "text/plain", "done");
   server_fixture_run_until_received (fixture, raw, "done");
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "HTTP/1.1 201 "));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "X-Good: yes\r\n"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "Content-Length: 4\r\n"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "HTTP/1.1 201 "));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "X-Good: yes\r\n"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "Content-Length: 4\r\n"));
   server_fixture_check_absent (raw, "X-Evil");
   server_fixture_check_absent (raw, "chunked");
   server_fixture_check_absent (raw, "99");
@@ -103,10 +103,10 @@
       raw_peer_t *raw = server_fixture_connect (fixture, cases[i].request);
       CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
       CU_ASSERT_FALSE (raw->reset);
-      CU_ASSERT_TRUE (g_str_has_prefix (raw->got->str, status));
-      CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\n{\"error\":{\"message\":"));
-      CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, cases[i].code));
-      CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "X-Medlarplank-Verdict: not_run\r\n"));
+      CU_ASSERT_TRUE (g_str_has_prefix (raw->received->str, status));
+      CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "\r\n\r\n{\"error\":{\"message\":"));
+      CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, cases[i].code));
+      CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "X-Medlarplank-Verdict: not_run\r\n"));
       CU_ASSERT_EQUAL (server_fixture_refused_count (fixture, rejection_reason (cases[i].status)),
                        1);
       CU_ASSERT_EQUAL (fixture->calls, 0);
@@ -127,7 +127,7 @@
       server_fixture_connect (fixture, "POST / HTTP/1.1\r\nContent-Length: 300000\r\n\r\nfirst");
 
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "body_too_large"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "body_too_large"));
   for (int i = 0; i < 5; i++)
     {
       CU_ASSERT_EQUAL (send (raw->fd, "more", 4, MSG_NOSIGNAL), 4);
@@ -196,7 +196,7 @@
   raw = server_fixture_connect (
       fixture, "HEAD / HTTP/1.1\r\nContent-Length: 23\r\n\r\nGET /inner HTTP/1.1\r\n\r\n");
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "HTTP/1.1 400 "));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "HTTP/1.1 400 "));
   CU_ASSERT_EQUAL (fixture->calls, 0);
 }
 
@@ -230,8 +230,8 @@
     }
   raw_peer_t *raw = server_fixture_connect (fixture, "GET /out HTTP/1.1\r\n\r\n");
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "HTTP/1.1 503 "));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "too_many_connections"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "HTTP/1.1 503 "));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "too_many_connections"));
   CU_ASSERT_EQUAL (server_fixture_refused_count (fixture, "connections"), 1);
   raw_peer_close (clients[0], false);
   raw_peer_close (clients[1], false);
@@ -287,9 +287,9 @@
       clients[i] = server_fixture_connect (fixture, request);
     }
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, clients[1]));
-  CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->got->str, "HTTP/1.1 503 "));
-  CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->got->str, "too_many_bytes"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->got->str, "not_run"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->received->str, "HTTP/1.1 503 "));
+  CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->received->str, "too_many_bytes"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (clients[1]->received->str, "not_run"));
   CU_ASSERT_FALSE (clients[1]->reset);
   for (guint i = 0; i < G_N_ELEMENTS (PADDINGS); i += 2)
     {
@@ -299,7 +299,7 @@
   for (int i = 0; i < 9; i++)
     {
       raw_peer_send (clients[0], "GET /short HTTP/1.1\r\n\r\n");
-      g_string_truncate (clients[0]->got, 0);
+      g_string_truncate (clients[0]->received, 0);
       server_fixture_run_until_received (fixture, clients[0], "\r\n\r\n/short");
     }
   CU_ASSERT_EQUAL (server_fixture_refused_count (fixture, "body"), 1);
@@ -355,9 +355,9 @@
   http_server_reply_text (server_fixture_call_at (fixture, 0), 200, "text/plain", "/one");
   raw_peer_send (raw, "dy");
   server_fixture_run_until_received (fixture, raw, "\r\n\r\n/3");
-  first = strstr (raw->got->str, "\r\n\r\n/one");
-  second = strstr (raw->got->str, "\r\n\r\n/2");
-  third = strstr (raw->got->str, "\r\n\r\n/3");
+  first = strstr (raw->received->str, "\r\n\r\n/one");
+  second = strstr (raw->received->str, "\r\n\r\n/2");
+  third = strstr (raw->received->str, "\r\n\r\n/3");
   CU_ASSERT_TRUE (first && second && first < second && second < third);
   CU_ASSERT_EQUAL (fixture->disconnects, 0);
 }
@@ -396,7 +396,7 @@
   http_server_end_reply (server_fixture_call_at (fixture, 0));
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_connection_closed, raw));
   CU_ASSERT_FALSE (raw->reset);
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\nwhole"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "\r\n\r\nwhole"));
   server_fixture_check_absent (raw, "chunked");
 }
 
--- a/tests/test_http_server_end.c
+++ b/tests/test_http_server_end.c
@@ -195,7 +195,7 @@
   raw_peer_run_ms (fixture->base, LIMIT_HTTP_STOP_LINGER_MS + 50);
   raw_peer_send (incomplete, "TP/1.1\r\n\r\n");
   server_fixture_run_until_received (fixture, incomplete, "\r\n\r\n/half");
-  CU_ASSERT_PTR_NOT_NULL (strstr (incomplete->got->str, "Connection: close\r\n"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (incomplete->received->str, "Connection: close\r\n"));
   CU_ASSERT_EQUAL (http_server_busy_count (fixture->http_server), 1);
   http_server_reply_text (server_fixture_call_at (fixture, 0), 200, "text/plain", "/waits");
   server_fixture_run_until_received (fixture, pending, "\r\n\r\n/waits");
@@ -220,7 +220,7 @@
   server_fixture_send_part (server_fixture_call_at (fixture, 0), "whole");
   http_server_end_reply (server_fixture_call_at (fixture, 0));
   CU_ASSERT_TRUE (raw_peer_run_until (fixture->base, server_fixture_is_idle, fixture));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "0\r\n\r\n"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "0\r\n\r\n"));
 }
 
 static bool
--- a/tests/test_keyed_view.c
+++ b/tests/test_keyed_view.c
@@ -119,7 +119,7 @@
   uint64_t next_offset = 0;
 
   CU_ASSERT (view_share_parse (&answer, body, strlen (body)));
-  CU_ASSERT (answer.settled);
+  CU_ASSERT (answer.deletions_confirmed);
   next_offset = view_share_apply (&answer, &receiver);
   view_share_clear (&answer);
   return next_offset;
--- a/tests/test_overloaded.c
+++ b/tests/test_overloaded.c
@@ -166,12 +166,12 @@
   uint64_t now_us = BEGIN_US + tick * TICK_US;
   engine_choice_request_t request = { .affinity = draw_part (fleet, kind),
                                       .affinity_tokens = fleet->kinds[kind].tokens,
-                                      .data_center = "hall",
+                                      .own_data_center = "hall",
                                       .repeatable = true,
                                       .gateways = fleet->gateways,
                                       .gateway_hash = gateway * 7919 + 13,
-                                      .run_us = RUN_TICKS * TICK_US,
-                                      .head_us = HEAD_TICKS * TICK_US };
+                                      .slot_time_us = RUN_TICKS * TICK_US,
+                                      .usual_head_us = HEAD_TICKS * TICK_US };
   engine_choice_t choice =
       engine_choice_make (engines_of_service (fleet->known[gateway], SERVICE), now_us, &request);
   run_t *run = g_new0 (run_t, 1);
@@ -192,7 +192,7 @@
 {
   load_report_t item = { .engine_hash = engine_of (fleet, run->gateway, run->engine)->hash,
                          .load = fleet->load[run->engine],
-                         .told_us = now_us };
+                         .reported_us = now_us };
 
   if (load_reports_is_high (item.load, fleet->mean_milli[run->gateway],
                             ENGINE_CHOICE_OVERLOAD_FACTOR, ENGINE_CHOICE_OVERLOAD_EXTRA_MILLI))
@@ -208,7 +208,7 @@
   for (uint32_t i = 0; i < count; i++)
     if (load_reports_add (&fleet->reports[to], now_us, &items[i]))
       engine_note_peer_load (engines_find_by_hash (fleet->known[to], items[i].engine_hash),
-                             items[i].told_us, items[i].load);
+                             items[i].reported_us, items[i].load);
 }
 
 /* Each gateway exchanges its reports with a random peer, once per EXCHANGE_TICKS. */
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -21,7 +21,7 @@
   g_auto (testbed_answer_t) answer = { 0 };
 
   testbed_ask (testbed, request, &answer);
-  CU_ASSERT_TRUE (answer.end.whole);
+  CU_ASSERT_TRUE (answer.end.complete);
   CU_ASSERT_EQUAL (answer.status, status);
   CU_ASSERT_STRING_EQUAL (answer.verdict, verdict);
 }
@@ -33,7 +33,7 @@
   testbed_answer_t answer;
 
   testbed_ask (testbed, &CHAT, &answer);
-  CU_ASSERT_TRUE (answer.end.whole);
+  CU_ASSERT_TRUE (answer.end.complete);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_STRING_EQUAL (answer.body->str, "ran:" CHAT_BODY);
   CU_ASSERT_STRING_EQUAL (answer.verdict, "ran");
@@ -181,7 +181,7 @@
   g_auto (testbed_answer_t) answer = { 0 };
 
   testbed_ask (context, &(testbed_request_t){ .path = "/livez" }, &answer);
-  bool closed = !answer.end.whole && answer.end.reason == VERDICT_REASON_CONNECT;
+  bool closed = !answer.end.complete && answer.end.reason == VERDICT_REASON_CONNECT;
   return closed;
 }
 
@@ -205,7 +205,7 @@
   CU_ASSERT_FALSE (testbed->router.drained);
   testbed_release (engine);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
-  CU_ASSERT_TRUE (answer.end.whole);
+  CU_ASSERT_TRUE (answer.end.complete);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, is_drained, sidecar));
   CU_ASSERT_TRUE (testbed_wait_until (testbed, is_drained, &testbed->router));
@@ -253,7 +253,7 @@
   testbed_set_mode (testbed, TESTBED_DISCONNECT_MID_STREAM);
   testbed_ask (testbed, &CHAT, &answer);
   CU_ASSERT_TRUE (answer.done);
-  CU_ASSERT_FALSE (answer.end.whole);
+  CU_ASSERT_FALSE (answer.end.complete);
   CU_ASSERT_EQUAL (testbed_count_received (testbed), 1);
 }
 
--- a/tests/test_path_answers.c
+++ b/tests/test_path_answers.c
@@ -11,7 +11,7 @@
 {
   const raw_peer_t *raw = context;
 
-  return raw->eof || strstr (raw->got->str, "ran:next") != NULL;
+  return raw->eof || strstr (raw->received->str, "ran:next") != NULL;
 }
 
 /* The answer to HEAD has the Content-Length that a GET would have, and no body; the next bytes on
@@ -26,10 +26,10 @@
                       "POST /look HTTP/1.1\r\nX-Api-Key: " TESTBED_API_KEY
                       "\r\nContent-Length: 4\r\n\r\nnext");
   CU_ASSERT_TRUE (testbed_wait_until (testbed, got_next_answer, raw));
-  CU_ASSERT_TRUE (g_str_has_prefix (raw->got->str, "HTTP/1.1 200 "));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "Content-Length: 4\r\n"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (raw->got->str, "\r\n\r\nHTTP/1.1 200 "));
-  CU_ASSERT_PTR_NULL (strstr (raw->got->str, "Content-Length: 0\r\n"));
+  CU_ASSERT_TRUE (g_str_has_prefix (raw->received->str, "HTTP/1.1 200 "));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "Content-Length: 4\r\n"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (raw->received->str, "\r\n\r\nHTTP/1.1 200 "));
+  CU_ASSERT_PTR_NULL (strstr (raw->received->str, "Content-Length: 0\r\n"));
   raw_peer_free (raw);
 }
 
@@ -39,7 +39,7 @@
   const testbed_t *testbed = context;
   const router_call_t *call = g_queue_peek_head (&testbed->router.router_task->calls);
 
-  return call != NULL && call->relay.full;
+  return call != NULL && call->relay.client_blocked;
 }
 
 static void
@@ -53,7 +53,8 @@
   for (uint32_t i = 0; i < TESTBED_SIDECARS; i++)
     {
       g_hash_table_iter_init (&iter, testbed->sidecars[i].sidecar_task->calls);
-      if (g_hash_table_iter_next (&iter, NULL, &call) && ((sidecar_call_t *)call)->relay.full)
+      if (g_hash_table_iter_next (&iter, NULL, &call) &&
+          ((sidecar_call_t *)call)->relay.client_blocked)
         sidecar_engine_on_timer (-1, EV_TIMEOUT, call);
     }
 }
@@ -76,7 +77,7 @@
   http_client_set_paused (answer.call, false);
   fire_stall_timers (testbed);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, testbed_is_done, &answer));
-  CU_ASSERT_TRUE (answer.end.whole);
+  CU_ASSERT_TRUE (answer.end.complete);
   CU_ASSERT_EQUAL (answer.body->len, TESTBED_LONG_ANSWER_BYTES);
 }
 
@@ -91,7 +92,7 @@
   testbed_set_mode (testbed, TESTBED_DISCONNECT_MID_STREAM);
   testbed_ask (testbed, &(testbed_request_t){ .path = "/look" }, &answer);
   CU_ASSERT_TRUE (answer.done);
-  CU_ASSERT_FALSE (answer.end.whole);
+  CU_ASSERT_FALSE (answer.end.complete);
   CU_ASSERT_TRUE (g_str_has_prefix (answer.body->str, "data: one\n\nevent: error\ndata: {"));
   CU_ASSERT_TRUE (g_str_has_suffix (answer.body->str, "}\n\n"));
   CU_ASSERT_PTR_EQUAL (strstr (answer.body->str, "event: error"),
--- a/tests/test_path_chats.c
+++ b/tests/test_path_chats.c
@@ -142,7 +142,7 @@
 
   testbed_set_mode (testbed, TESTBED_LONG_ANSWER);
   testbed_ask (testbed, &request, &answer);
-  CU_ASSERT_TRUE (answer.end.whole);
+  CU_ASSERT_TRUE (answer.end.complete);
   CU_ASSERT_EQUAL (answer.body->len, TESTBED_LONG_ANSWER_BYTES);
   for (size_t i = 0; i < answer.body->len; i += 1000)
     if (answer.body->str[i] != (char)('a' + i / TESTBED_PART_BYTES % 26))
--- a/tests/test_path_hostile.c
+++ b/tests/test_path_hostile.c
@@ -10,7 +10,7 @@
 {
   const raw_peer_t *raw = context;
 
-  return raw->eof || strstr (raw->got->str, "\r\n\r\n") != NULL;
+  return raw->eof || strstr (raw->received->str, "\r\n\r\n") != NULL;
 }
 
 /* send_raw() - sends bytes to the router. Return: the status of the answer, 0 when the connection
@@ -23,7 +23,7 @@
 
   raw_peer_send (raw, text);
   CU_ASSERT_TRUE (testbed_wait_until (testbed, answered, raw));
-  sscanf (raw->got->str, "HTTP/1.1 %d", &status);
+  sscanf (raw->received->str, "HTTP/1.1 %d", &status);
   raw_peer_free (raw);
   return status;
 }
--- a/tests/test_read_policy.c
+++ b/tests/test_read_policy.c
@@ -11,10 +11,12 @@
 #define PATIENCE_US (UINT64_C (800) * CLOCK_US_PER_MS)
 
 static const read_policy_stream_t engines_stream = { .patience_us = PATIENCE_US };
-static const read_policy_view_t follower = { .close = true, .listed = true };
-static const read_policy_view_t other = { .listed = true };
-static const read_policy_view_t other_alone = { .listed = true, .alone = true };
-static const read_policy_view_t follower_lost = { .close = true, .listed = true, .lost = true };
+static const read_policy_view_t follower = { .is_follower = true, .has_copy = true };
+static const read_policy_view_t other = { .has_copy = true };
+static const read_policy_view_t other_alone = { .has_copy = true, .has_no_peers = true };
+static const read_policy_view_t follower_lost = { .is_follower = true,
+                                                  .has_copy = true,
+                                                  .store_call_failed = true };
 
 /* Return: the state after a peer with the same offset had an answer of the store at @store_us */
 static read_policy_t
@@ -82,7 +84,7 @@
       read_policy_t read_policy = confirmed_at (START_US);
       uint64_t bound_us = (uint64_t)bounds_s[i] * CLOCK_US_PER_S;
       read_policy_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = bound_us };
-      read_policy_view_t next = { .listed = true, .before = 4, .count = 5 };
+      read_policy_view_t next = { .has_copy = true, .earlier_readers = 4, .count = 5 };
 
       CU_ASSERT_EQUAL (
           read_policy_decide (&read_policy, &stream, &next, START_US + bound_us * 85 / 100),
@@ -102,18 +104,18 @@
 
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us),
                    READ_POLICY_READ_ONCE);
-  view.own_us = view.tried_us = now_us;
+  view.answered_us = view.read_started_us = now_us;
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 1),
                    READ_POLICY_FOLLOW);
-  view.lost = true;
+  view.store_call_failed = true;
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 2), READ_POLICY_WAIT);
-  view.lost = false;
+  view.store_call_failed = false;
   read_policy_apply_peer (&read_policy, now_us, 7, 7, now_us - 1);
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 3),
                    READ_POLICY_FOLLOW);
   read_policy_apply_peer (&read_policy, now_us + 4, 7, 7, now_us + 4);
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 5), READ_POLICY_WAIT);
-  view.own_us = now_us + 6;
+  view.answered_us = now_us + 6;
   CU_ASSERT_EQUAL (read_policy_decide (&read_policy, &stream, &view, now_us + 7), READ_POLICY_WAIT);
 }
 
@@ -266,13 +268,13 @@
   for (uint32_t i = 0; i < gateways; i++)
     {
       policies[i] = confirmed_at (START_US);
-      views[i] = (read_policy_view_t){ .listed = true, .before = i, .count = gateways };
+      views[i] = (read_policy_view_t){ .has_copy = true, .earlier_readers = i, .count = gateways };
     }
   for (uint64_t at_us = START_US; at_us < START_US + OUTAGE_US; at_us += TICK_US)
     for (uint32_t i = 0; i < gateways; i++)
       if (read_policy_decide (&policies[i], &engines_stream, &views[i], at_us) != READ_POLICY_WAIT)
         {
-          views[i].tried_us = at_us;
+          views[i].read_started_us = at_us;
           reads++;
         }
   return reads;
--- a/tests/test_regions.c
+++ b/tests/test_regions.c
@@ -157,10 +157,10 @@
       const char *by_account[REGIONS + 1];
       g_autoptr (engines_t) engines = random_engines (rand);
       engine_choice_request_t request = { .affinity = g_rand_int_range (rand, 0, 3),
-                                          .data_center = "hall-1",
-                                          .homes = { .route = random_regions (rand, by_route),
-                                                     .account =
-                                                         random_regions (rand, by_account) } };
+                                          .own_data_center = "hall-1",
+                                          .region_filter = {
+                                              .route = random_regions (rand, by_route),
+                                              .account = random_regions (rand, by_account) } };
       const GPtrArray *list = engines_of_service (engines, g_intern_static_string ("pool"));
       engine_choice_t choice = engine_choice_make (list, NOW_US, &request);
       uint32_t allowed = 0;
@@ -169,8 +169,8 @@
         {
           const engine_t *engine = g_ptr_array_index (list, k);
 
-          allowed += engine_is_open (engine) && is_allowed (engine, request.homes.route) &&
-                             is_allowed (engine, request.homes.account)
+          allowed += engine_is_open (engine) && is_allowed (engine, request.region_filter.route) &&
+                             is_allowed (engine, request.region_filter.account)
                          ? 1
                          : 0;
         }
@@ -178,18 +178,18 @@
       CU_ASSERT (choice.candidates <= allowed &&
                  (allowed > 0 || choice.action == ENGINE_CHOICE_NONE));
       if (choice.engine)
-        CU_ASSERT (is_allowed (choice.engine, request.homes.route) &&
-                   is_allowed (choice.engine, request.homes.account));
+        CU_ASSERT (is_allowed (choice.engine, request.region_filter.route) &&
+                   is_allowed (choice.engine, request.region_filter.account));
       if (choice.source)
-        CU_ASSERT (is_allowed (choice.source, request.homes.route) &&
-                   is_allowed (choice.source, request.homes.account));
+        CU_ASSERT (is_allowed (choice.source, request.region_filter.route) &&
+                   is_allowed (choice.source, request.region_filter.account));
       sent += choice.action == ENGINE_CHOICE_SEND ? 1 : 0;
       refused += choice.action == ENGINE_CHOICE_NONE ? 1 : 0;
       for (guint k = 0; k < list->len; k++)
         {
           engine_t *engine = g_ptr_array_index (list, k);
 
-          while (engine->own > 0)
+          while (engine->own_requests > 0)
             engine_end_request (engine);
         }
     }
--- a/tests/test_retry_plan.c
+++ b/tests/test_retry_plan.c
@@ -100,9 +100,9 @@
   retry_plan_t lookup;
   retry_plan_t stream;
 
-  retry_plan_init (&payment, &(retry_plan_rules_t){ .attempts = 3 });
-  retry_plan_init (&lookup, &(retry_plan_rules_t){ .idempotent = true, .attempts = 2 });
-  retry_plan_init (&stream, &(retry_plan_rules_t){ .resumable = true, .attempts = 2 });
+  retry_plan_init (&payment, &(retry_plan_rules_t){ .max_runs = 3 });
+  retry_plan_init (&lookup, &(retry_plan_rules_t){ .idempotent = true, .max_runs = 2 });
+  retry_plan_init (&stream, &(retry_plan_rules_t){ .resumable = true, .max_runs = 2 });
   CU_ASSERT_FALSE (retry_plan_may_move (&payment, false));
   CU_ASSERT_TRUE (retry_plan_may_move (&lookup, false));
   CU_ASSERT_FALSE (retry_plan_may_move (&lookup, true));
@@ -293,7 +293,7 @@
       CU_ASSERT_STRING_EQUAL (split.out->str, text);
       CU_ASSERT (event_splitter_is_between (&split.splitter));
       CU_ASSERT_EQUAL (split.splitter.last_id, 3);
-      CU_ASSERT_EQUAL (split.splitter.count, 4);
+      CU_ASSERT_EQUAL (split.splitter.event_count, 4);
       split_clear (&split);
     }
 }
@@ -324,7 +324,7 @@
 
   split_init (&split);
   feed (&split, text);
-  CU_ASSERT (split.splitter.broken);
+  CU_ASSERT (split.splitter.overflowed);
   split_clear (&split);
 }
 
@@ -344,9 +344,10 @@
 static void
 test_silent_engine_is_abandoned (void)
 {
-  hop_timeout_t hop_timeout = {
-    .sent_us = SENT_US, .engine_heard_us = SENT_US - 1000, .usual_us = 50 * 1000, .time_us = TIME_US
-  };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US,
+                                .engine_last_byte_us = SENT_US - 1000,
+                                .usual_us = 50 * 1000,
+                                .time_limit_us = TIME_US };
 
   CU_ASSERT (!is_lost (&hop_timeout, 490));
   CU_ASSERT (is_lost (&hop_timeout, 510));
@@ -359,13 +360,15 @@
 static void
 test_late_request_is_abandoned_later (void)
 {
-  hop_timeout_t hop_timeout = { .sent_us = SENT_US, .usual_us = 50 * 1000, .time_us = TIME_US };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US,
+                                .usual_us = 50 * 1000,
+                                .time_limit_us = TIME_US };
 
-  hop_timeout.engine_heard_us = SENT_US + 990 * 1000;
+  hop_timeout.engine_last_byte_us = SENT_US + 990 * 1000;
   CU_ASSERT (!is_lost (&hop_timeout, 995));
   CU_ASSERT (is_lost (&hop_timeout, 1000));
   hop_timeout.usual_us = 300 * 1000;
-  hop_timeout.engine_heard_us = SENT_US + 2290 * 1000;
+  hop_timeout.engine_last_byte_us = SENT_US + 2290 * 1000;
   CU_ASSERT (!is_lost (&hop_timeout, 2300));
 }
 
@@ -374,9 +377,11 @@
 static void
 test_lost_response_of_a_short_request (void)
 {
-  hop_timeout_t hop_timeout = { .sent_us = SENT_US, .usual_us = 25 * 1000, .time_us = 1000 * 1000 };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US,
+                                .usual_us = 25 * 1000,
+                                .time_limit_us = 1000 * 1000 };
 
-  hop_timeout.engine_heard_us = SENT_US + 240 * 1000;
+  hop_timeout.engine_last_byte_us = SENT_US + 240 * 1000;
   CU_ASSERT (!is_lost (&hop_timeout, 245));
   CU_ASSERT (is_lost (&hop_timeout, 250));
   hop_timeout.usual_us = 60 * 1000;
@@ -387,16 +392,17 @@
 static void
 test_silent_stream_is_abandoned (void)
 {
-  hop_timeout_t hop_timeout = {
-    .sent_us = SENT_US, .heard_us = SENT_US + 100 * 1000, .usual_us = 50 * 1000, .time_us = TIME_US
-  };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US,
+                                .last_byte_us = SENT_US + 100 * 1000,
+                                .usual_us = 50 * 1000,
+                                .time_limit_us = TIME_US };
 
   CU_ASSERT (!is_lost (&hop_timeout, 60 * 1000));
   hop_timeout.gap_us = 300 * 1000;
-  hop_timeout.engine_heard_us = SENT_US + 900 * 1000;
+  hop_timeout.engine_last_byte_us = SENT_US + 900 * 1000;
   CU_ASSERT (!is_lost (&hop_timeout, 1000));
   CU_ASSERT (is_lost (&hop_timeout, 1100));
-  hop_timeout.engine_heard_us = hop_timeout.heard_us;
+  hop_timeout.engine_last_byte_us = hop_timeout.last_byte_us;
   CU_ASSERT (is_lost (&hop_timeout, 610));
 }
 
@@ -473,10 +479,12 @@
 static void
 test_timeout_is_longer_if_engines_are_full (void)
 {
-  hop_timeout_t hop_timeout = { .sent_us = SENT_US, .usual_us = 100 * 1000, .time_us = TIME_US };
+  hop_timeout_t hop_timeout = { .sent_us = SENT_US,
+                                .usual_us = 100 * 1000,
+                                .time_limit_us = TIME_US };
 
   CU_ASSERT (is_lost (&hop_timeout, 1000));
-  hop_timeout.full = true;
+  hop_timeout.engines_full = true;
   CU_ASSERT (!is_lost (&hop_timeout, 1000));
   CU_ASSERT (!is_lost (&hop_timeout, 1999));
   CU_ASSERT (is_lost (&hop_timeout, 2000));
--- a/tests/test_retry_sum.c
+++ b/tests/test_retry_sum.c
@@ -174,7 +174,7 @@
     {
       retry_plan_t retry_plan;
 
-      retry_plan_init (&retry_plan, &(retry_plan_rules_t){ .idempotent = true, .attempts = 4 });
+      retry_plan_init (&retry_plan, &(retry_plan_rules_t){ .idempotent = true, .max_runs = 4 });
       if (retry_plan_next (&retry_plan, RETRY_PLAN_OUTCOME_FAILED, S_US, may_retry, &chance) !=
           RETRY_PLAN_STEP_RESEND)
         return;
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -58,10 +58,11 @@
   const routing_service_t *pool = routing_find_service (routing, g_intern_static_string ("pool"));
   const routing_service_t *odd = routing_find_service (routing, g_intern_static_string ("odd"));
 
-  CU_ASSERT_EQUAL (pool->cold_per_s, 16);
+  CU_ASSERT_EQUAL (pool->cold_requests_per_s, 16);
   CU_ASSERT_EQUAL (pool->cold_start_us, 2500 * 1000);
-  CU_ASSERT_EQUAL (routing_find_service (routing, g_intern_static_string ("slow"))->cold_per_s, 1);
-  CU_ASSERT_EQUAL (odd->cold_per_s, 0);
+  CU_ASSERT_EQUAL (
+      routing_find_service (routing, g_intern_static_string ("slow"))->cold_requests_per_s, 1);
+  CU_ASSERT_EQUAL (odd->cold_requests_per_s, 0);
   CU_ASSERT_EQUAL (odd->cold_start_us, 0);
   CU_ASSERT_PTR_NULL (routing_find_service (routing, g_intern_static_string ("none")));
 }
@@ -164,7 +165,7 @@
   CU_ASSERT_PTR_NOT_NULL_FATAL (route);
   CU_ASSERT_EQUAL (route->kind, ROUTING_STREAM);
   CU_ASSERT_EQUAL (route->timeout_ms, 15000);
-  CU_ASSERT_EQUAL (route->gap_ms, 300);
+  CU_ASSERT_EQUAL (route->event_gap_target_ms, 300);
   CU_ASSERT (route->resumable && route->sticky && !route->is_public);
   CU_ASSERT (routing_needs_key (routing, route));
   CU_ASSERT_STRING_EQUAL (routing_route_choose_service (route, 95), "t");
--- a/tests/test_stream_follower.c
+++ b/tests/test_stream_follower.c
@@ -118,7 +118,7 @@
                                                          .wait_ms = WAIT_MS,
                                                          .pace_ms = pace_ms,
                                                          .latest_only = true,
-                                                         .told = ignore_state });
+                                                         .on_event = ignore_state });
   stream_follower_set_on_demand (fixture->follower, resting);
   CU_ASSERT (raw_peer_run_until (fixture->base, has_listed_once, fixture));
   fixture->store.newest_done (
--- a/tests/test_wait_queue.c
+++ b/tests/test_wait_queue.c
@@ -30,8 +30,8 @@
                           .line = { .arrived_us = NOW_US,
                                     .priority = priority,
                                     .deadline_us = deadline_us,
-                                    .fair = { .account_hash = account } } };
-  request->line.fair.owner = request;
+                                    .fair_entry = { .account_hash = account } } };
+  request->line.fair_entry.owner = request;
   return wait_queue_push (wait_queue, NOW_US, &ROOM, &request->line, &wait_us);
 }
 
@@ -97,7 +97,7 @@
   g_autoptr (wait_queue_t) wait_queue = wait_queue_new ();
   request_t busy[MANY];
   request_t quiet[MANY];
-  request_t before = { .line = { .priority = 1, .fair = { .account_hash = 1 } } };
+  request_t before = { .line = { .priority = 1, .fair_entry = { .account_hash = 1 } } };
   uint32_t served = 0;
 
   for (uint32_t i = 0; i < 200; i++)
@@ -269,7 +269,7 @@
   uint64_t wait_us;
 
   late.line.waiting = false;
-  late.line.in_time_us = NOW_US + 1;
+  late.line.target_us = NOW_US + 1;
   late.line.deadline_us = NOW_US + 10 * CLOCK_US_PER_S;
   if (wait_queue_push (wait_queue, OVERLOADED_US, &ROOM, &late.line, &wait_us) == WAIT_QUEUE_QUEUED)
     wait_queue_remove (wait_queue, OVERLOADED_US, &late.line);
@@ -286,10 +286,10 @@
 
   *request = (request_t){ .account = account,
                           .line = { .arrived_us = at_us,
-                                    .in_time_us = in_time_us,
+                                    .target_us = in_time_us,
                                     .deadline_us = at_us + 10 * CLOCK_US_PER_S,
-                                    .fair = { .account_hash = account } } };
-  request->line.fair.owner = request;
+                                    .fair_entry = { .account_hash = account } } };
+  request->line.fair_entry.owner = request;
   return wait_queue_push (wait_queue, at_us, &ROOM, &request->line, &wait_us);
 }
 
@@ -328,7 +328,7 @@
   push (wait_queue, &other, 1, 0);
   CU_ASSERT_PTR_EQUAL (wait_queue_first (wait_queue, may_always_start, NULL), &soon);
   CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + 100 * CLOCK_US_PER_MS));
-  CU_ASSERT (soon.line.late);
+  CU_ASSERT (soon.line.is_late);
   CU_ASSERT_EQUAL (wait_queue_count (wait_queue), 2);
   CU_ASSERT_EQUAL (wait_queue_count_in_time (wait_queue), 1);
   CU_ASSERT_PTR_EQUAL (start_first (wait_queue), &other);
@@ -373,7 +373,7 @@
   start_first (wait_queue);
   CU_ASSERT_EQUAL (push_with_target (wait_queue, &quiet, NOW_US, 2, NOW_US + 1), WAIT_QUEUE_QUEUED);
   CU_ASSERT_PTR_NULL (wait_queue_pop_expired (wait_queue, NOW_US + CLOCK_US_PER_S));
-  CU_ASSERT (!quiet.line.late);
+  CU_ASSERT (!quiet.line.is_late);
   CU_ASSERT_PTR_EQUAL (start_first (wait_queue), &quiet);
   remove_all (wait_queue);
 }
@@ -405,11 +405,12 @@
   wait_queue_outcome_t outcome;
   uint64_t wait_us;
 
-  request->line = (wait_queue_item_t){ .arrived_us = OVERLOADED_US,
-                                       .deadline_us = OVERLOADED_US + 60 * CLOCK_US_PER_S,
-                                       .in_time_us = late ? 1 : 0,
-                                       .run_us = 60 * CLOCK_US_PER_MS,
-                                       .fair = { .account_hash = account, .owner = request } };
+  request->line =
+      (wait_queue_item_t){ .arrived_us = OVERLOADED_US,
+                           .deadline_us = OVERLOADED_US + 60 * CLOCK_US_PER_S,
+                           .target_us = late ? 1 : 0,
+                           .run_us = 60 * CLOCK_US_PER_MS,
+                           .fair_entry = { .account_hash = account, .owner = request } };
   outcome = wait_queue_push (overload->line, OVERLOADED_US, &SCARCE, &request->line, &wait_us);
   if (!late)
     wait_queue_start (overload->line, OVERLOADED_US, &request->line);
@@ -461,7 +462,7 @@
   request_t first = { .line = { .arrived_us = NOW_US, .deadline_us = NOW_US + CLOCK_US_PER_S } };
   request_t second;
 
-  first.line.fair.owner = &first;
+  first.line.fair_entry.owner = &first;
   CU_ASSERT_FALSE (wait_queue_push_delayed (wait_queue, NOW_US, &first.line, CLOCK_US_PER_S));
   CU_ASSERT_FALSE (first.line.waiting);
   CU_ASSERT_TRUE (wait_queue_push_delayed (wait_queue, NOW_US, &first.line, CLOCK_US_PER_S / 2));
--- a/tests/testbed.c
+++ b/tests/testbed.c
@@ -440,8 +440,8 @@
     {
       membership_host_t *host = &testbed->hosts[i];
 
-      host->router = i == TESTBED_SIDECARS;
-      g_snprintf (host->name, sizeof host->name, "%s%u", host->router ? "r" : "e", i);
+      host->is_router = i == TESTBED_SIDECARS;
+      g_snprintf (host->name, sizeof host->name, "%s%u", host->is_router ? "r" : "e", i);
       host->hash = rendezvous_hash_name (host->name);
       g_strlcpy (host->region, "r", sizeof host->region);
       host->http = testbed_address (i + 1);
