--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -106,9 +106,9 @@
   uint64_t heap = heap_bytes ();
   uint64_t start = cpu_ns ();
   GError *error = NULL;
-  manifest_t *man = manifest_parse (text, text_bytes, &error);
+  manifest_t *manifest = manifest_parse (text, text_bytes, &error);
   uint64_t parse_ns = cpu_ns () - start;
-  if (man == NULL)
+  if (manifest == NULL)
     {
       fprintf (stderr, "bench_capacity: %s\n", error->message);
       exit (1);
@@ -120,14 +120,14 @@
 
   json_t *patch = json_pack ("{s:{s:{s:i}}}", "client_accounts", "account-1", "weight", 2000);
   start = cpu_ns ();
-  manifest_t *patched = manifest_patch (man, patch, &error);
+  manifest_t *patched = manifest_patch (manifest, patch, &error);
   print_row ("manifest patch of one account", size, "us", (double)(cpu_ns () - start) / 1000);
   char *record = replay_format_publish ("0123456789abcdef", 1, "operator", NULL, patch);
   print_row ("manifest patch record", size, "bytes", (double)strlen (record));
   g_free (record);
   json_decref (patch);
   manifest_unref (patched);
-  manifest_unref (man);
+  manifest_unref (manifest);
   free (text);
 }
 
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -39,7 +39,7 @@
 has_version (const fleet_node_t *node, void *context)
 {
   (void)context;
-  return node->ctrl->manifest.sent_version >= node->flt->man->version;
+  return node->ctrl->manifest.sent_version >= node->flt->manifest->version;
 }
 
 static bool
--- a/bench/fleet_sim_router.c
+++ b/bench/fleet_sim_router.c
@@ -294,7 +294,7 @@
   const workload_class_t *class = &sim->options.workload->classes[session->class_index];
   const candidates_t chosen = choose (sim, router, call);
   call->request.home_hash = chosen.home_hash;
-  call->request.former_home_hash = chosen.former_hash;
+  call->request.former_home_hash = chosen.former_home_hash;
   const forwarding_options_t options = { .idempotent = class->idempotent,
                                          .deadline_us = call->request.item.deadline_us,
                                          .candidates = chosen.candidates,
--- a/bench/spread/costs.c
+++ b/bench/spread/costs.c
@@ -23,7 +23,7 @@
   message.sender.host_hash = from->ctrl->own_hash;
   message.sender.incarnation = incarnation;
   message.sender.sequence = 1;
-  message.manifest_version = node->flt->man->version;
+  message.manifest_version = node->flt->manifest->version;
   fleet_set_clock (node);
   node->ctrl->list.read_once = true;
   control_exchange_receive (&message, true, node->ctrl);
@@ -78,7 +78,7 @@
                  void *task)
 {
   message_version_t *version = message_new (MESSAGE_VERSION);
-  version->man = manifest_ref (fleet->man);
+  version->manifest = manifest_ref (fleet->manifest);
   deliver (version, handler, task);
   uint64_t start_us = 0;
   for (uint32_t i = 0; i <= REPEATS; i++)
@@ -103,9 +103,9 @@
   daemon_t *sidecar = &fleet->nodes[0].daemon;
   router->to_control = fleet->mailbox;
   sidecar->to_control = fleet->mailbox;
-  g_strlcpy (router->set.listen.ip, "127.0.0.1", sizeof router->set.listen.ip);
-  sidecar->set.listen = router->set.listen;
-  sidecar->set.engine = router->set.listen;
+  g_strlcpy (router->settings.listen.ip, "127.0.0.1", sizeof router->settings.listen.ip);
+  sidecar->settings.listen = router->settings.listen;
+  sidecar->settings.engine = router->settings.listen;
   router_t *rtr = router_new (router, fleet->base, NULL);
   sidecar_t *sdc = sidecar_new (sidecar, fleet->base, NULL);
   if (rtr == NULL || sdc == NULL)
--- a/bench/spread/fake_platform.c
+++ b/bench/spread/fake_platform.c
@@ -116,7 +116,7 @@
 {
   replay_t *replay = node->ctrl->manifest.replay;
   replay_set_first_offset (replay, 0);
-  replay_adopt (replay, node->flt->man, node->flt->log_end);
+  replay_adopt (replay, node->flt->manifest, node->flt->log_end);
 }
 
 void
@@ -197,7 +197,7 @@
   exchange_charge_budget (ctrl->exchange, CONTROL_REQUEST_BYTES);
   fleet->counts.fetches++;
   uint64_t *peer = g_new (uint64_t, 1);
-  *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].daemon.set.exchange.port);
+  *peer = (uint64_t)(host->exchange.port - fleet->nodes[0].daemon.settings.exchange.port);
   event_queue_add (&fleet->events, fleet->now_us + FETCH_US, FLEET_EVENT_FETCH, node->index, peer);
 }
 
--- a/bench/spread/fleet.c
+++ b/bench/spread/fleet.c
@@ -99,12 +99,12 @@
                  digest, "classes", "chat", "services", services_to_json (fleet), "routes", "path",
                  "/a", "service", "service-0", "class", "chat");
   GError *error = NULL;
-  manifest_t *man = manifest_from_json (json, &error);
+  manifest_t *manifest = manifest_from_json (json, &error);
   json_decref (json);
-  if (man == NULL)
+  if (manifest == NULL)
     g_error ("%s", error->message);
-  man->version = 1;
-  return man;
+  manifest->version = 1;
+  return manifest;
 }
 
 /* Messages to data tasks are dropped: the simulation has no data tasks. */
@@ -118,19 +118,19 @@
 static void
 init_settings (flt_t *fleet, fleet_node_t *node)
 {
-  settings_t *set = &node->daemon.set;
+  settings_t *settings = &node->daemon.settings;
   const membership_list_entry_t *listed = &fleet->listed[node->index];
-  set->role = listed->is_router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
-  g_strlcpy (set->name, listed->name, sizeof set->name);
-  g_strlcpy (set->data_center, listed->data_center, sizeof set->data_center);
-  g_strlcpy (set->region, listed->region, sizeof set->region);
-  g_strlcpy (set->fleet_key, FLEET_KEY, sizeof set->fleet_key);
-  set->exchange = listed->exchange;
-  set->exchange_interval_ms = fleet->options.interval_ms;
-  set->list_interval_ms = 1000;
-  set->control_budget_bytes = fleet->options.budget_bytes;
-  set->claim_horizon_s = 86400;
-  set->log_retention_s = 604800;
+  settings->role = listed->is_router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
+  g_strlcpy (settings->name, listed->name, sizeof settings->name);
+  g_strlcpy (settings->data_center, listed->data_center, sizeof settings->data_center);
+  g_strlcpy (settings->region, listed->region, sizeof settings->region);
+  g_strlcpy (settings->fleet_key, FLEET_KEY, sizeof settings->fleet_key);
+  settings->exchange = listed->exchange;
+  settings->exchange_interval_ms = fleet->options.interval_ms;
+  settings->list_interval_ms = 1000;
+  settings->control_budget_bytes = fleet->options.budget_bytes;
+  settings->claim_horizon_s = 86400;
+  settings->log_retention_s = 604800;
 }
 
 static uint64_t
@@ -175,7 +175,7 @@
   talk->has_own_sample = true;
   talk->own_sample = (load_sample_t){
     .engine_hash = node->ctrl->own_hash,
-    .service_hash = node->flt->man->services[node->service].hash,
+    .service_hash = node->flt->manifest->services[node->service].hash,
     .load = (uint32_t)llround (fleet_node_load (node)),
     .taken_us = node->flt->now_us,
   };
@@ -255,7 +255,7 @@
   fleet_platform_init (fleet);
   init_host_list (fleet);
   publish_list (fleet);
-  fleet->man = make_manifest (fleet);
+  fleet->manifest = make_manifest (fleet);
   fleet->log_end = 1;
   fleet->nodes = g_new0 (fleet_node_t, fleet->count);
   for (uint32_t i = 0; i < fleet->count; i++)
@@ -275,7 +275,7 @@
   g_free (fleet->nodes);
   g_free (fleet->listed);
   membership_snapshot_unref (fleet->members);
-  manifest_unref (fleet->man);
+  manifest_unref (fleet->manifest);
   membership_free (fleet->empty_members);
   mailbox_free (fleet->mailbox);
   counter_registry_free (fleet->counters);
@@ -333,15 +333,15 @@
 fleet_publish_version (flt_t *fleet)
 {
   json_t *patch = json_pack ("{s{s{si}}}", "client_accounts", "one", "weight",
-                             (int)(1000 + fleet->man->version));
+                             (int)(1000 + fleet->manifest->version));
   GError *error = NULL;
-  manifest_t *man = manifest_patch (fleet->man, patch, &error);
+  manifest_t *manifest = manifest_patch (fleet->manifest, patch, &error);
   json_decref (patch);
-  if (man == NULL)
+  if (manifest == NULL)
     g_error ("%s", error->message);
-  man->version = fleet->man->version + 1;
-  manifest_unref (fleet->man);
-  fleet->man = man;
+  manifest->version = fleet->manifest->version + 1;
+  manifest_unref (fleet->manifest);
+  fleet->manifest = manifest;
   fleet->log_end++;
 }
 
--- a/bench/spread/fleet.h
+++ b/bench/spread/fleet.h
@@ -111,7 +111,7 @@
  * @now_us: virtual time
  * @random: state of the random numbers
  * @events: what happens next
- * @man: the manifest in force at the end of the log
+ * @manifest: the manifest in force at the end of the log
  * @log_end: offset after the last record of the log
  * @members: snapshot of the hosts that the platform lists
  * @listed: the list of hosts, by index of the node
@@ -135,7 +135,7 @@
   uint64_t now_us;
   uint64_t random;
   event_queue_t events;
-  manifest_t *man;
+  manifest_t *manifest;
   uint64_t log_end;
   membership_snapshot_t *members;
   membership_list_entry_t *listed;
--- a/bench/spread/run.c
+++ b/bench/spread/run.c
@@ -100,7 +100,7 @@
 run_is_router (const fleet_node_t *node, void *context)
 {
   (void)context;
-  return node->daemon.set.role == SETTINGS_ROLE_ROUTER;
+  return node->daemon.settings.role == SETTINGS_ROLE_ROUTER;
 }
 
 bool
--- a/src/base/daemon.h
+++ b/src/base/daemon.h
@@ -17,7 +17,7 @@
 
 /**
  * struct daemon - context of a daemon process
- * @set: settings, checked at start
+ * @settings: settings, checked at start
  * @clock: time source of both tasks
  * @counters: exported metrics of both tasks
  * @incarnation: wall-clock time of the start in milliseconds; a restarted daemon has a higher one
@@ -26,7 +26,7 @@
  */
 typedef struct
 {
-  settings_t set;
+  settings_t settings;
   clock_source_t clock;
   counter_registry_t *counters;
   uint64_t incarnation;
--- a/src/connection/exchange.c
+++ b/src/connection/exchange.c
@@ -263,27 +263,27 @@
 }
 
 static void
-get_counters (counters_t *counts, counter_registry_t *set)
+get_counters (counters_t *counts, counter_registry_t *registry)
 {
   counts->bytes_sent =
-      counter_get (set, "medlarplank_control_bytes_sent_total",
+      counter_get (registry, "medlarplank_control_bytes_sent_total",
                    "Bytes of control traffic sent, with headers; requests to the platform "
                    "and for manifests by estimate");
-  counts->bytes_received = counter_get (set, "medlarplank_control_bytes_received_total",
+  counts->bytes_received = counter_get (registry, "medlarplank_control_bytes_received_total",
                                         "Bytes of the exchange received, headers included");
-  counts->sent = counter_get (set, "medlarplank_control_datagrams_sent_total",
+  counts->sent = counter_get (registry, "medlarplank_control_datagrams_sent_total",
                               "Datagrams of the exchange sent");
-  counts->received = counter_get (set, "medlarplank_control_datagrams_received_total",
+  counts->received = counter_get (registry, "medlarplank_control_datagrams_received_total",
                                   "Datagrams of the exchange received");
-  counts->bad_auth = counter_get (set, "medlarplank_control_bad_auth_total",
+  counts->bad_auth = counter_get (registry, "medlarplank_control_bad_auth_total",
                                   "Datagrams dropped as their HMAC did not fit");
-  counts->broken = counter_get (set, "medlarplank_control_broken_total",
+  counts->broken = counter_get (registry, "medlarplank_control_broken_total",
                                 "Datagrams dropped as they could not be read");
-  counts->unasked = counter_get (set, "medlarplank_control_unasked_total",
+  counts->unasked = counter_get (registry, "medlarplank_control_unasked_total",
                                  "Replies dropped as no call of ours was open");
-  counts->over_budget = counter_get (set, "medlarplank_control_over_budget_total",
+  counts->over_budget = counter_get (registry, "medlarplank_control_over_budget_total",
                                      "Datagrams not sent as the byte budget was used up");
-  counts->send_failed = counter_get (set, "medlarplank_control_send_failed_total",
+  counts->send_failed = counter_get (registry, "medlarplank_control_send_failed_total",
                                      "Datagrams that the system did not send");
 }
 
--- a/src/connection/http_client.c
+++ b/src/connection/http_client.c
@@ -52,9 +52,10 @@
 {
   http_client_conn_t *conn = call->conn;
 
-  call->end.complete = whole;
-  call->end.verdict = whole ? VERDICT_RAN : call->sent ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
-  call->end.reason = reason == VERDICT_REASON_CUT && !call->sent ? VERDICT_REASON_CONNECT : reason;
+  call->result.complete = whole;
+  call->result.verdict = whole ? VERDICT_RAN : call->sent ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN;
+  call->result.reason =
+      reason == VERDICT_REASON_CUT && !call->sent ? VERDICT_REASON_CONNECT : reason;
   call->conn = NULL;
   event_del (call->event);
   event_active (call->event, EV_TIMEOUT, 0);
@@ -88,7 +89,7 @@
       end_call (call, false, VERDICT_REASON_TIMEOUT);
       return;
     }
-  end = call->end;
+  end = call->result;
   call_free (call);
   on_end (&end, on_end_context);
 }
@@ -137,7 +138,7 @@
       evhttp_clear_headers (headers);
       return 0;
     }
-  call->end.status = status;
+  call->result.status = status;
   reason = check_head (call, status, headers);
   if (reason != VERDICT_REASON_NONE)
     {
--- a/src/connection/http_client_internal.h
+++ b/src/connection/http_client_internal.h
@@ -64,7 +64,7 @@
 /**
  * struct http_client_call - one request in flight
  * @conn: NULL after the call has ended
- * @event: the timeout; after the call has ended, delivers @end
+ * @event: the timeout; after the call has ended, delivers @result
  * @sent: a byte of the request may have been sent
  * @head_received: the head of the response was accepted and passed on
  * @paused: reading the response is stopped
@@ -81,7 +81,7 @@
   void (*on_end) (const http_client_result_t *end, void *context);
   void *context;
   enum evhttp_cmd_type method;
-  http_client_result_t end;
+  http_client_result_t result;
   bool sent;
   bool head_received;
   bool paused;
--- a/src/connection/http_server.c
+++ b/src/connection/http_server.c
@@ -17,18 +17,18 @@
 static void
 get_counters (http_server_t *http_server)
 {
-  counter_registry_t *set = http_server->options.counters;
+  counter_registry_t *registry = http_server->options.counters;
 
   http_server->connections =
-      counter_get (set, "medlarplank_http_connections", "Open connections of callers");
+      counter_get (registry, "medlarplank_http_connections", "Open connections of callers");
   http_server->requests =
-      counter_get (set, "medlarplank_http_requests_total", "Whole requests of callers");
-  http_server->gone = counter_get (set, "medlarplank_http_gone_total",
+      counter_get (registry, "medlarplank_http_requests_total", "Whole requests of callers");
+  http_server->gone = counter_get (registry, "medlarplank_http_gone_total",
                                    "Requests whose caller closed before the answer");
-  http_server->bad_headers = counter_get (set, "medlarplank_http_bad_headers_total",
+  http_server->bad_headers = counter_get (registry, "medlarplank_http_bad_headers_total",
                                           "Headers of answers left out for a control character");
   for (int i = 0; i < HTTP_SERVER_REFUSED_COUNT; i++)
-    http_server->refused[i] = counter_get (set, rejected_metric_names[i],
+    http_server->refused[i] = counter_get (registry, rejected_metric_names[i],
                                            "Requests refused by the listener before they ran");
 }
 
--- a/src/connection/stream_follower.c
+++ b/src/connection/stream_follower.c
@@ -8,8 +8,8 @@
  * struct follower - state of a follower
  * @timer: starts the next call; not pending while a call is, or while the follower rests
  * @call_pending: a call has not been answered
- * @resting: reads start only by stream_follower_read_soon()
- * @held: no call may start
+ * @on_demand: reads start only by stream_follower_read_soon()
+ * @suspended: no call may start
  * @listing: the next call requests a page of the list
  * @has_listed: see stream_follower_has_listed()
  * @last_listed_key: last key of the previous page, NULL for the first page
@@ -27,8 +27,8 @@
   struct event *timer;
   GRand *rand;
   bool call_pending;
-  bool resting;
-  bool held;
+  bool on_demand;
+  bool suspended;
   bool listing;
   bool has_listed;
   char *last_listed_key;
@@ -60,9 +60,9 @@
 schedule_at (stream_follower_t *follower, uint64_t due_us)
 {
   follower->due_us = due_us;
-  if (follower->held)
+  if (follower->suspended)
     return;
-  if (!follower->resting || follower->listing || !follower->has_listed)
+  if (!follower->on_demand || follower->listing || !follower->has_listed)
     start_timer (follower);
 }
 
@@ -215,7 +215,7 @@
       list_newest (follower);
       return;
     }
-  if (read->record_count == 0 && !follower->resting)
+  if (read->record_count == 0 && !follower->on_demand)
     pace_us = (uint64_t)STREAM_FOLLOWER_READ_INTERVAL_MIN_MS * CLOCK_US_PER_MS;
   schedule_next (follower, pace_us);
 }
@@ -238,7 +238,7 @@
       (clock_now_us (follower->options.clock) - follower->last_answer_us) / CLOCK_US_PER_MS;
   uint64_t answer_interval_max_ms = wait_ms + wait_ms / STREAM_FOLLOWER_WAIT_MARGIN_DIVISOR;
 
-  if (follower->resting || follower->backoff_ms > 0)
+  if (follower->on_demand || follower->backoff_ms > 0)
     return 0;
   if (follower->last_answer_us == 0)
     return wait_ms;
@@ -287,8 +287,8 @@
   follower->read_count = counter (options, "medlarplank_store_reads_total", "Reads of the store");
   follower->failure_count = counter (options, "medlarplank_store_failures_total",
                                      "Pages and reads that the store did not answer");
-  follower->held = options->start_suspended;
-  if (!follower->held)
+  follower->suspended = options->start_suspended;
+  if (!follower->suspended)
     schedule_in (follower, 0);
   return follower;
 }
@@ -296,16 +296,16 @@
 void
 stream_follower_suspend (stream_follower_t *follower)
 {
-  follower->held = true;
+  follower->suspended = true;
   event_del (follower->timer);
 }
 
 void
 stream_follower_resume (stream_follower_t *follower)
 {
-  if (!follower->held)
+  if (!follower->suspended)
     return;
-  follower->held = false;
+  follower->suspended = false;
   if (!follower->call_pending)
     schedule_in (follower, 0);
 }
@@ -332,7 +332,7 @@
   if (next_offset <= follower->next_offset)
     return;
   follower->next_offset = next_offset;
-  follower->held = false;
+  follower->suspended = false;
   follower->listing = false;
   follower->has_listed = true;
 }
@@ -340,15 +340,15 @@
 static bool
 is_idle (const stream_follower_t *follower)
 {
-  return !follower->held && !follower->call_pending &&
+  return !follower->suspended && !follower->call_pending &&
          !event_pending (follower->timer, EV_TIMEOUT, NULL);
 }
 
 void
-stream_follower_set_on_demand (stream_follower_t *follower, bool resting)
+stream_follower_set_on_demand (stream_follower_t *follower, bool on_demand)
 {
-  follower->resting = resting;
-  if (!resting && is_idle (follower))
+  follower->on_demand = on_demand;
+  if (!on_demand && is_idle (follower))
     start_timer (follower);
 }
 
--- a/src/connection/stream_follower.h
+++ b/src/connection/stream_follower.h
@@ -86,7 +86,7 @@
 void stream_follower_advance (stream_follower_t *follower, uint64_t next);
 /** stream_follower_set_on_demand() - whether, after a completed list, no read starts by itself. A
  * pending call is not cancelled */
-void stream_follower_set_on_demand (stream_follower_t *follower, bool resting);
+void stream_follower_set_on_demand (stream_follower_t *follower, bool on_demand);
 /** stream_follower_read_soon() - make a resting follower read once, as soon as pace and backoff
  * allow */
 void stream_follower_read_soon (stream_follower_t *follower);
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -25,15 +25,15 @@
 static exchange_t *
 open_exchange (control_t *ctrl, GError **error)
 {
-  const settings_t *set = &ctrl->daemon->set;
+  const settings_t *settings = &ctrl->daemon->settings;
   exchange_options_t options = {
     .base = ctrl->base,
     .clock = &ctrl->daemon->clock,
     .counters = ctrl->daemon->counters,
-    .listen = set->exchange,
-    .fleet_key = set->fleet_key,
-    .interval_ms = set->exchange_interval_ms,
-    .budget_bytes = set->control_budget_bytes,
+    .listen = settings->exchange,
+    .fleet_key = settings->fleet_key,
+    .interval_ms = settings->exchange_interval_ms,
+    .budget_bytes = settings->control_budget_bytes,
     .seed = ctrl->own_hash ^ ctrl->daemon->incarnation,
     .fill_message = control_exchange_compose,
     .on_message = control_exchange_receive,
@@ -53,7 +53,7 @@
   ctrl->daemon = daemon;
   ctrl->base = base;
   ctrl->platform = platform;
-  ctrl->own_hash = rendezvous_hash_name (daemon->set.name);
+  ctrl->own_hash = rendezvous_hash_name (daemon->settings.name);
   ctrl->rand = g_rand_new_with_seed ((guint32)(ctrl->own_hash ^ daemon->incarnation));
   ctrl->calls = g_ptr_array_new_with_free_func (g_free);
   ctrl->membership = membership_new ();
@@ -80,7 +80,8 @@
 control_t *
 control_new (daemon_t *daemon, struct event_base *base, GError **error)
 {
-  platform_t *platform = platform_http_new (base, &daemon->set.platform, daemon->set.name);
+  platform_t *platform =
+      platform_http_new (base, &daemon->settings.platform, daemon->settings.name);
   return control_new_with_platform (daemon, base, platform, error);
 }
 
--- a/src/process/control_claims.c
+++ b/src/process/control_claims.c
@@ -340,7 +340,7 @@
       stream->name = g_strdup (name);
       stream->timer = evtimer_new (ctrl->base, on_timer, stream);
       stream->claim_stream =
-          claim_new ((uint64_t)ctrl->daemon->set.claim_horizon_s * CLOCK_US_PER_S);
+          claim_new ((uint64_t)ctrl->daemon->settings.claim_horizon_s * CLOCK_US_PER_S);
       g_hash_table_insert (ctrl->claims.streams, stream->name, stream);
       log_event (LOG_LEVEL_INFO, "claims_opened", "stream", name, NULL);
     }
--- a/src/process/control_compose.c
+++ b/src/process/control_compose.c
@@ -38,10 +38,10 @@
 static uint32_t
 samples_per_message (const control_t *ctrl)
 {
-  const settings_t *set = &ctrl->daemon->set;
+  const settings_t *settings = &ctrl->daemon->settings;
   uint32_t platform_bytes = ctrl->peers.is_follower ? FOLLOW_BYTES_S : RECHECK_BYTES_S;
-  uint64_t budget_bytes = MAX (set->control_budget_bytes, platform_bytes) - platform_bytes;
-  uint64_t interval_bytes = budget_bytes * set->exchange_interval_ms / 1000 * 9 / 10;
+  uint64_t budget_bytes = MAX (settings->control_budget_bytes, platform_bytes) - platform_bytes;
+  uint64_t interval_bytes = budget_bytes * settings->exchange_interval_ms / 1000 * 9 / 10;
   uint64_t message_bytes = interval_bytes / MESSAGES_PER_INTERVAL;
   if (message_bytes < MESSAGE_BASE_BYTES + SAMPLE_BYTES)
     return 1;
@@ -89,11 +89,12 @@
 static const manifest_service_t *
 service_of_host (const control_t *ctrl, uint64_t host_hash)
 {
-  const manifest_t *man = replay_manifest (ctrl->manifest.replay);
-  if (man == NULL || ctrl->peers.members == NULL)
+  const manifest_t *manifest = replay_manifest (ctrl->manifest.replay);
+  if (manifest == NULL || ctrl->peers.members == NULL)
     return NULL;
   const membership_host_t *host = membership_find_by_hash (ctrl->peers.members, host_hash);
-  return host != NULL && !host->is_router ? manifest_service_of_engine (man, host->name) : NULL;
+  return host != NULL && !host->is_router ? manifest_service_of_engine (manifest, host->name)
+                                          : NULL;
 }
 
 /* Routers need the samples of all services. A sidecar gives three quarters of @room to its own
--- a/src/process/control_exchange.c
+++ b/src/process/control_exchange.c
@@ -203,11 +203,11 @@
 static gboolean
 is_unknown_service (gpointer key, gpointer value, gpointer data)
 {
-  const manifest_t *man = data;
+  const manifest_t *manifest = data;
   (void)value;
-  for (uint32_t i = 0; i < man->service_count; i++)
+  for (uint32_t i = 0; i < manifest->service_count; i++)
     {
-      if (man->services[i].hash == *(const uint64_t *)key)
+      if (manifest->services[i].hash == *(const uint64_t *)key)
         return FALSE;
     }
   return TRUE;
@@ -296,12 +296,12 @@
 void
 control_exchange_update_services (control_t *ctrl)
 {
-  manifest_t *man = replay_manifest (ctrl->manifest.replay);
+  manifest_t *manifest = replay_manifest (ctrl->manifest.replay);
   GHashTable *tables = ctrl->talk.samples;
-  g_hash_table_foreach_remove (tables, is_unknown_service, man);
-  for (uint32_t i = 0; i < man->service_count; i++)
+  g_hash_table_foreach_remove (tables, is_unknown_service, manifest);
+  for (uint32_t i = 0; i < manifest->service_count; i++)
     {
-      uint64_t hash = man->services[i].hash;
+      uint64_t hash = manifest->services[i].hash;
       if (control_exchange_find_samples (ctrl, hash) != NULL)
         continue;
       load_samples_t *table = g_new (load_samples_t, 1);
--- a/src/process/control_fetch.c
+++ b/src/process/control_fetch.c
@@ -45,17 +45,17 @@
   uint64_t next_offset = 0;
   size_t bytes = evbuffer_get_length (fetch->body);
   const char *body = (const char *)evbuffer_pullup (fetch->body, -1);
-  manifest_t *man = manifest_sync_parse (ctrl->daemon->set.fleet_key, fetch->nonce, fetch->seal,
-                                         body, bytes, &next_offset, &error);
-  if (man == NULL)
+  manifest_t *manifest = manifest_sync_parse (ctrl->daemon->settings.fleet_key, fetch->nonce,
+                                              fetch->seal, body, bytes, &next_offset, &error);
+  if (manifest == NULL)
     {
       log_fetch_outcome (ctrl, "refused", 0, error->message);
       g_error_free (error);
       return;
     }
-  bool adopted = replay_adopt (ctrl->manifest.replay, man, next_offset);
-  log_fetch_outcome (ctrl, adopted ? "adopted" : "no_news", man->version, NULL);
-  manifest_unref (man);
+  bool adopted = replay_adopt (ctrl->manifest.replay, manifest, next_offset);
+  log_fetch_outcome (ctrl, adopted ? "adopted" : "no_news", manifest->version, NULL);
+  manifest_unref (manifest);
   if (!adopted)
     return;
   control_count_event (ctrl, "medlarplank_manifest_from_peer_total",
@@ -92,7 +92,7 @@
   answer_seal_make_nonce (fetch->nonce);
   sealed_call_t order = { .host = host->name, .method = "GET", .target = MANIFEST_SYNC_PATH };
   char seal[CALL_SEAL_BYTES];
-  call_seal_compute (&order, ctrl->daemon->set.fleet_key, seal);
+  call_seal_compute (&order, ctrl->daemon->settings.fleet_key, seal);
   http_client_header_t headers[] = { { ANSWER_SEAL_NONCE_HEADER, fetch->nonce },
                                      { CALL_SEAL_HEADER, seal } };
   http_client_options_t options = {
--- a/src/process/control_freshness.c
+++ b/src/process/control_freshness.c
@@ -84,7 +84,7 @@
                    "or last woke");
   counter_set (ctrl->freshness.stale, 1);
   pause_init (&ctrl->freshness.pause, control_now_us (ctrl),
-              ctrl->daemon->set.exchange_interval_ms);
+              ctrl->daemon->settings.exchange_interval_ms);
 }
 
 void
--- a/src/process/control_list.c
+++ b/src/process/control_list.c
@@ -43,7 +43,7 @@
 {
   for (uint32_t i = 0; i < hosts->host_count; i++)
     {
-      if (strcmp (hosts->hosts[i].name, ctrl->daemon->set.name) == 0)
+      if (strcmp (hosts->hosts[i].name, ctrl->daemon->settings.name) == 0)
         return &hosts->hosts[i];
     }
   return NULL;
@@ -58,7 +58,7 @@
 static void
 note_leaving_hosts (control_t *ctrl, const platform_hosts_t *hosts)
 {
-  const char *data_center = ctrl->daemon->set.data_center;
+  const char *data_center = ctrl->daemon->settings.data_center;
   if (!ctrl->peers.is_follower)
     return;
   for (uint32_t i = 0; i < hosts->host_count; i++)
@@ -108,7 +108,7 @@
 static uint64_t
 poll_interval_us (const control_t *ctrl)
 {
-  return (uint64_t)ctrl->daemon->set.list_interval_ms * CLOCK_US_PER_MS;
+  return (uint64_t)ctrl->daemon->settings.list_interval_ms * CLOCK_US_PER_MS;
 }
 
 /* The delay until the next read. A daemon that isn't a follower relies on peers to announce new
--- a/src/process/control_manifest.c
+++ b/src/process/control_manifest.c
@@ -199,7 +199,7 @@
     return false;
   if (replay_checkpoint_due (manifest->replay, CHECKPOINT_RECORDS))
     return true;
-  uint64_t retention_us = (uint64_t)ctrl->daemon->set.log_retention_s * CLOCK_US_PER_S;
+  uint64_t retention_us = (uint64_t)ctrl->daemon->settings.log_retention_s * CLOCK_US_PER_S;
   uint64_t age_us = control_now_us (ctrl) - manifest->checkpoint_seen_us;
   return age_us > retention_us / CHECKPOINTS_PER_RETENTION;
 }
@@ -255,8 +255,8 @@
 uint64_t
 control_manifest_version (const control_t *ctrl)
 {
-  const manifest_t *man = replay_manifest (ctrl->manifest.replay);
-  return man != NULL ? man->version : 0;
+  const manifest_t *manifest = replay_manifest (ctrl->manifest.replay);
+  return manifest != NULL ? manifest->version : 0;
 }
 
 void
@@ -280,7 +280,7 @@
         ctrl, MIN (VERSION_CALLS_MAX, ctrl->peers.all->len / PEERS_PER_VERSION_CALL));
   control_exchange_update_services (ctrl);
   message_version_t *message = message_new (MESSAGE_VERSION);
-  message->man = manifest_ref (man);
+  message->manifest = manifest_ref (man);
   message->next_offset = replay_next_offset (manifest->replay);
   control_send_to_data (ctrl, message);
 }
--- a/src/process/control_members.c
+++ b/src/process/control_members.c
@@ -125,8 +125,8 @@
 static const manifest_service_t *
 find_service (const control_t *ctrl, const char *name)
 {
-  const manifest_t *man = replay_manifest (ctrl->manifest.replay);
-  return man != NULL ? manifest_service_of_engine (man, name) : NULL;
+  const manifest_t *manifest = replay_manifest (ctrl->manifest.replay);
+  return manifest != NULL ? manifest_service_of_engine (manifest, name) : NULL;
 }
 
 static const membership_host_t *
@@ -168,8 +168,8 @@
   g_array_set_size (peers->all, 0);
   g_array_set_size (peers->sidecars, 0);
   g_array_set_size (peers->same_service, 0);
-  const settings_t *set = &ctrl->daemon->set;
-  const manifest_service_t *own = find_service (ctrl, set->name);
+  const settings_t *settings = &ctrl->daemon->settings;
+  const manifest_service_t *own = find_service (ctrl, settings->name);
   for (uint32_t i = 0; i < peers->members->host_count; i++)
     {
       const membership_host_t *host = &peers->members->hosts[i];
@@ -180,7 +180,7 @@
       if (host->is_router)
         continue;
       g_array_append_val (peers->sidecars, i);
-      if (own != NULL && g_strcmp0 (host->region, set->region) == 0 &&
+      if (own != NULL && g_strcmp0 (host->region, settings->region) == 0 &&
           find_service (ctrl, host->name) == own)
         g_array_append_val (peers->same_service, i);
     }
@@ -251,7 +251,7 @@
 control_pick_useful_peer (control_t *ctrl)
 {
   const membership_host_t *host = NULL;
-  if (ctrl->daemon->set.role == SETTINGS_ROLE_ROUTER)
+  if (ctrl->daemon->settings.role == SETTINGS_ROLE_ROUTER)
     host = pick_random (ctrl, ctrl->peers.sidecars);
   else if (g_rand_boolean (ctrl->rand))
     host = pick_random (ctrl, ctrl->peers.same_service);
--- a/src/process/gateway_fetch.c
+++ b/src/process/gateway_fetch.c
@@ -283,10 +283,10 @@
 
   for (uint32_t i = 0; i < count; i++)
     {
-      bool lacks = streams[i].next > from[i];
+      bool lacks = streams[i].next_offset > from[i];
 
       wanted.from[i] = from[i];
-      wanted.next[i] = lacks ? streams[i].next : 0;
+      wanted.next[i] = lacks ? streams[i].next_offset : 0;
       wanted.revision[i] = lacks ? keyed_view_revision (streams[i].view) : 0;
     }
   if (matches_cache (&fetch->cached, &wanted, count))
@@ -376,7 +376,7 @@
   for (uint32_t i = 0; i < count; i++)
     {
       sent[i] = streams[i];
-      sent[i].most_bytes = any_size ? 0 : streams[i].most_bytes;
+      sent[i].max_value_bytes = any_size ? 0 : streams[i].max_value_bytes;
     }
   body = encode_answer (fetch, sent, from, count, state->settled);
   if (control)
--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -90,7 +90,7 @@
 static uint64_t
 alive_timeout_us (const gateway_peers_t *peers)
 {
-  uint64_t interval_us = (uint64_t)peers->options.set->exchange_interval_ms * CLOCK_US_PER_MS;
+  uint64_t interval_us = (uint64_t)peers->options.settings->exchange_interval_ms * CLOCK_US_PER_MS;
 
   return MAX (GATEWAY_PEERS_ALIVE_US,
               interval_us * peers->list->len * GATEWAY_PEERS_ALIVE_INTERVALS);
@@ -354,11 +354,11 @@
 gateway_peers_new (const gateway_peers_options_t *options, GError **error)
 {
   gateway_peers_t *peers = g_new0 (gateway_peers_t, 1);
-  const settings_t *set = options->set;
+  const settings_t *settings = options->settings;
 
   peers->options = *options;
   peers->list = g_ptr_array_new_with_free_func (g_free);
-  peers->own_hash = hash_of (set->name);
+  peers->own_hash = hash_of (settings->name);
   gossip_init (&peers->gossip);
   peers->news_timer = evtimer_new (options->base, on_news_timer, peers);
   peers->rand = g_rand_new_with_seed ((guint32)(peers->own_hash ^ options->incarnation));
@@ -366,10 +366,10 @@
       exchange_new (&(exchange_options_t){ .base = options->base,
                                            .clock = options->clock,
                                            .counters = options->counters,
-                                           .listen = set->exchange,
-                                           .fleet_key = set->fleet_key,
-                                           .interval_ms = set->exchange_interval_ms,
-                                           .budget_bytes = set->control_budget_bytes,
+                                           .listen = settings->exchange,
+                                           .fleet_key = settings->fleet_key,
+                                           .interval_ms = settings->exchange_interval_ms,
+                                           .budget_bytes = settings->control_budget_bytes,
                                            .seed = peers->own_hash ^ options->incarnation,
                                            .fill_message = fill_message,
                                            .on_message = on_message,
@@ -398,8 +398,8 @@
 char *
 gateway_peers_format_own_entry (const gateway_peers_t *peers)
 {
-  g_autofree char *exchange = address_to_text (&peers->options.set->exchange);
-  g_autofree char *control = address_to_text (&peers->options.set->control_listen);
+  g_autofree char *exchange = address_to_text (&peers->options.settings->exchange);
+  g_autofree char *control = address_to_text (&peers->options.settings->control_listen);
 
   return g_strdup_printf (NO_INCARNATION " %s %s", exchange, control);
 }
--- a/src/process/gateway_peers.h
+++ b/src/process/gateway_peers.h
@@ -70,7 +70,7 @@
   struct event_base *base;
   const clock_source_t *clock;
   counter_registry_t *counters;
-  const settings_t *set;
+  const settings_t *settings;
   uint64_t incarnation;
   gateway_peers_progress_t (*get_progress) (void *context);
   void (*on_progress) (const gateway_peers_progress_t *theirs,
--- a/src/process/gateway_process.c
+++ b/src/process/gateway_process.c
@@ -212,7 +212,7 @@
     }
   lapses_remove (process->lapsed, id);
   entry.region =
-      g_intern_string (region_map_find (&process->options.set->regions, entry.data_center));
+      g_intern_string (region_map_find (&process->options.settings->regions, entry.data_center));
   engine = engines_put (process->engines, now_us (process), &entry);
   if (previous.state != ENGINE_GONE && engine->hash != previous.hash)
     {
@@ -336,7 +336,7 @@
     return;
   gateway_stop (process->gateway);
   if (gateway_busy_count (process->gateway) > 0 &&
-      since_ms + GATEWAY_PROCESS_EXIT_MARGIN_MS < process->options.set->grace_ms)
+      since_ms + GATEWAY_PROCESS_EXIT_MARGIN_MS < process->options.settings->grace_ms)
     return;
   event_base_loopexit (process->options.base, NULL);
 }
@@ -428,23 +428,23 @@
 static bool
 listen_all (gateway_process_t *process, GError **error)
 {
-  const settings_t *set = process->options.set;
-
-  process->gateway =
-      gateway_new (&(gateway_options_t){ .base = process->options.base,
-                                         .clock = process->options.clock,
-                                         .counters = process->options.counters,
-                                         .set = set,
-                                         .engines = process->engines,
-                                         .format = process->options.format,
-                                         .on_suspect = on_own_suspect,
-                                         .on_high_load = on_own_load,
-                                         .context = process,
-                                         .retries = { .ratio_milli = set->retry_ratio_milli,
-                                                      .slack = set->retry_slack_milli / 1000,
-                                                      .window_us = (uint64_t)set->retry_window_ms *
-                                                                   CLOCK_US_PER_MS } },
-                   error);
+  const settings_t *settings = process->options.settings;
+
+  process->gateway = gateway_new (
+      &(gateway_options_t){
+          .base = process->options.base,
+          .clock = process->options.clock,
+          .counters = process->options.counters,
+          .settings = settings,
+          .engines = process->engines,
+          .format = process->options.format,
+          .on_suspect = on_own_suspect,
+          .on_high_load = on_own_load,
+          .context = process,
+          .retries = { .ratio_milli = settings->retry_ratio_milli,
+                       .slack = settings->retry_slack_milli / 1000,
+                       .window_us = (uint64_t)settings->retry_window_ms * CLOCK_US_PER_MS } },
+      error);
   if (process->gateway)
     {
       gateway_pause_accept (process->gateway);
@@ -452,10 +452,10 @@
           now_us (process) + (uint64_t)GATEWAY_PROCESS_ACCEPT_DELAY_MAX_MS * CLOCK_US_PER_MS;
     }
   if (process->gateway)
-    process->ready_listener = listen_admin (process, &set->ready_listen, on_ready_call, error);
+    process->ready_listener = listen_admin (process, &settings->ready_listen, on_ready_call, error);
   if (process->ready_listener)
     process->control_listener =
-        listen_admin (process, &set->control_listen, on_control_call, error);
+        listen_admin (process, &settings->control_listen, on_control_call, error);
   return process->control_listener != NULL;
 }
 
@@ -466,7 +466,7 @@
       gateway_store_new (&(gateway_store_options_t){ .base = process->options.base,
                                                      .clock = process->options.clock,
                                                      .counters = process->options.counters,
-                                                     .set = process->options.set,
+                                                     .settings = process->options.settings,
                                                      .platform = process->options.platform,
                                                      .incarnation = process->options.incarnation,
                                                      .get_version = get_version,
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -63,7 +63,7 @@
   struct event_base *base;
   const clock_source_t *clock;
   counter_registry_t *counters;
-  const settings_t *set;
+  const settings_t *settings;
   platform_t *platform;
   const format_t *format;
   gateway_process_parsers_t readers;
--- a/src/process/gateway_start.c
+++ b/src/process/gateway_start.c
@@ -29,17 +29,17 @@
 }
 
 static bool
-is_own_address (const settings_t *set, const address_t *address)
+is_own_address (const settings_t *settings, const address_t *address)
 {
-  return strcmp (address->ip, set->control_listen.ip) == 0 &&
-         address->port == set->control_listen.port;
+  return strcmp (address->ip, settings->control_listen.ip) == 0 &&
+         address->port == settings->control_listen.port;
 }
 
 static bool
-is_own_address_a_seed (const settings_t *set)
+is_own_address_a_seed (const settings_t *settings)
 {
-  for (uint32_t i = 0; i < set->seed_count; i++)
-    if (is_own_address (set, &set->seeds[i]))
+  for (uint32_t i = 0; i < settings->seed_count; i++)
+    if (is_own_address (settings, &settings->seeds[i]))
       return true;
   return false;
 }
@@ -48,13 +48,13 @@
 static bool
 pick_seed (gateway_start_t *start, address_t *control)
 {
-  const settings_t *set = start->options.set;
+  const settings_t *settings = start->options.settings;
 
-  for (uint32_t i = 0; i < set->seed_count; i++)
+  for (uint32_t i = 0; i < settings->seed_count; i++)
     {
-      const address_t *seed = &set->seeds[start->next_seed++ % set->seed_count];
+      const address_t *seed = &settings->seeds[start->next_seed++ % settings->seed_count];
 
-      if (is_own_address (set, seed))
+      if (is_own_address (settings, seed))
         continue;
       *control = *seed;
       return true;
@@ -85,13 +85,13 @@
 gateway_start_new (const gateway_start_options_t *options)
 {
   gateway_start_t *start = g_new0 (gateway_start_t, 1);
-  const settings_t *set = options->set;
+  const settings_t *settings = options->settings;
 
   start->options = *options;
   start->rand = g_rand_new_with_seed ((guint32)options->seed);
   start->next_seed = g_rand_int (start->rand);
-  bootstrap_init (&start->policy, now_us (start), set->first_start,
-                  set->seed_count > 0 && !is_own_address_a_seed (set));
+  bootstrap_init (&start->policy, now_us (start), settings->first_start,
+                  settings->seed_count > 0 && !is_own_address_a_seed (settings));
   return start;
 }
 
--- a/src/process/gateway_start.h
+++ b/src/process/gateway_start.h
@@ -29,7 +29,7 @@
 typedef struct
 {
   const clock_source_t *clock;
-  const settings_t *set;
+  const settings_t *settings;
   uint64_t seed;
   bool (*has_all_streams) (void *context);
   bool (*is_store_down) (void *context);
--- a/src/process/gateway_store.c
+++ b/src/process/gateway_store.c
@@ -93,7 +93,7 @@
 static uint64_t
 min_outage_us (const gateway_store_t *store)
 {
-  return store_outage_min_us (store->options.set->renewal_ms);
+  return store_outage_min_us (store->options.settings->renewal_ms);
 }
 
 /* Each stream has its own connection; a good answer on any of them shows that the store is up. */
@@ -154,8 +154,8 @@
   size_t bytes;
   uint64_t offset;
 
-  return keyed_view_get (store->views[STREAM_ROUTERS], store->options.set->name, &bytes, &offset) !=
-         NULL;
+  return keyed_view_get (store->views[STREAM_ROUTERS], store->options.settings->name, &bytes,
+                         &offset) != NULL;
 }
 
 static read_policy_view_t
@@ -170,7 +170,7 @@
     .store_call_failed = store->store_lost || stream_follower_is_failing (follower),
     .has_no_peers = gateway_peers_is_isolated (store->peers),
     .earlier_readers = gateways_before,
-    .count = gateway_peers_count_running (store->peers),
+    .reader_count = gateway_peers_count_running (store->peers),
     .answered_us = stream_follower_last_answer_us (follower),
     .read_started_us = stream_follower_last_call_us (follower)
   };
@@ -179,11 +179,12 @@
 static read_policy_stream_t
 policy_stream (const gateway_store_t *store, uint32_t stream)
 {
-  const settings_t *set = store->options.set;
+  const settings_t *settings = store->options.settings;
   bool routing = stream == STREAM_ROUTING;
   uint32_t percent =
       routing ? GATEWAY_STORE_ROUTING_LAG_PERCENT : GATEWAY_STORE_ENGINES_LAG_PERCENT;
-  uint64_t bound_us = (uint64_t)(routing ? set->version_ms : set->drain_ms) * CLOCK_US_PER_MS;
+  uint64_t bound_us =
+      (uint64_t)(routing ? settings->version_ms : settings->drain_ms) * CLOCK_US_PER_MS;
 
   return (read_policy_stream_t){ .patience_us = bound_us * percent / 100, .bound_us = bound_us };
 }
@@ -309,11 +310,12 @@
 fill_streams (const gateway_store_t *store, view_share_stream_t out[STREAM_COUNT])
 {
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
-    out[i] = (view_share_stream_t){ .name = stream_names[i],
-                                    .view = store->views[i],
-                                    .next = stream_follower_next_offset (store->followers[i]),
-                                    .most_bytes =
-                                        i == STREAM_ROUTING ? GATEWAY_STORE_UPDATE_MAX_BYTES : 0 };
+    out[i] =
+        (view_share_stream_t){ .name = stream_names[i],
+                               .view = store->views[i],
+                               .next_offset = stream_follower_next_offset (store->followers[i]),
+                               .max_value_bytes =
+                                   i == STREAM_ROUTING ? GATEWAY_STORE_UPDATE_MAX_BYTES : 0 };
 }
 
 static void
@@ -521,7 +523,7 @@
   fill_streams (store, streams);
   for (uint32_t i = 0; i < STREAM_COUNT; i++)
     if (!store->fetching[i])
-      streams[i].next = UINT64_MAX; /* no record is newer, so none is sent */
+      streams[i].next_offset = UINT64_MAX; /* no record is newer, so none is sent */
   store->next_fetch_us =
       now_us (store) + (uint64_t)GATEWAY_STORE_FETCH_INTERVAL_MS * CLOCK_US_PER_MS;
   gateway_fetch_newer (store->fetch, &store->ahead_control, streams, STREAM_COUNT,
@@ -554,15 +556,16 @@
     return;
   store->entry_retry_us = now_us (store) + OWN_ENTRY_RETRY_US;
   entry = gateway_peers_format_own_entry (store->peers);
-  listed = keyed_view_get (store->views[STREAM_ROUTERS], store->options.set->name, &listed_bytes,
-                           &offset);
+  listed = keyed_view_get (store->views[STREAM_ROUTERS], store->options.settings->name,
+                           &listed_bytes, &offset);
   if (listed && strcmp (listed, entry) == 0)
     store->entry_written = true;
   else
     {
       counter_add (store->write_count, 1);
       store->options.platform->put (store->options.platform, PLATFORM_STREAM_ROUTERS,
-                                    store->options.set->name, entry, strlen (entry), on_put, store);
+                                    store->options.settings->name, entry, strlen (entry), on_put,
+                                    store);
     }
 }
 
@@ -608,12 +611,12 @@
 static uint32_t
 read_interval_ms (const gateway_store_t *store, uint32_t stream)
 {
-  const settings_t *set = store->options.set;
+  const settings_t *settings = store->options.settings;
 
   if (stream == STREAM_ROUTING)
-    return set->version_ms * GATEWAY_STORE_ROUTING_INTERVAL_PERCENT / 100;
+    return settings->version_ms * GATEWAY_STORE_ROUTING_INTERVAL_PERCENT / 100;
   if (stream == STREAM_ENGINES)
-    return set->drain_ms * GATEWAY_STORE_ENGINES_INTERVAL_PERCENT / 100;
+    return settings->drain_ms * GATEWAY_STORE_ENGINES_INTERVAL_PERCENT / 100;
   return GATEWAY_STORE_ROUTERS_INTERVAL_MS;
 }
 
@@ -663,13 +666,13 @@
   store->fetch = gateway_fetch_new (
       &(gateway_fetch_options_t){ .base = options->base,
                                   .clock = options->clock,
-                                  .fleet_key = options->set->fleet_key,
-                                  .control_address = &options->set->control_listen,
+                                  .fleet_key = options->settings->fleet_key,
+                                  .control_address = &options->settings->control_listen,
                                   .on_finished = on_fetched,
                                   .context = store });
   store->start =
       gateway_start_new (&(gateway_start_options_t){ .clock = options->clock,
-                                                     .set = options->set,
+                                                     .settings = options->settings,
                                                      .seed = options->incarnation,
                                                      .has_all_streams = start_has_all_streams,
                                                      .is_store_down = start_is_store_down,
@@ -685,7 +688,7 @@
   store->peers = gateway_peers_new (&(gateway_peers_options_t){ .base = options->base,
                                                                 .clock = options->clock,
                                                                 .counters = options->counters,
-                                                                .set = options->set,
+                                                                .settings = options->settings,
                                                                 .incarnation = options->incarnation,
                                                                 .get_progress = get_progress,
                                                                 .on_progress = on_peer_progress,
--- a/src/process/gateway_store.h
+++ b/src/process/gateway_store.h
@@ -73,7 +73,7 @@
   struct event_base *base;
   const clock_source_t *clock;
   counter_registry_t *counters;
-  const settings_t *set;
+  const settings_t *settings;
   platform_t *platform;
   uint64_t incarnation;
   uint64_t (*get_version) (void *context);
--- a/src/process/main.c
+++ b/src/process/main.c
@@ -33,8 +33,8 @@
 
 /**
  * struct member_process - state of a router or sidecar process
- * @router: data task of a router, else NULL
- * @sidecar: data task of a sidecar, else NULL
+ * @router_task: data task of a router, else NULL
+ * @sidecar_task: data task of a sidecar, else NULL
  * @draining: the stop signal came
  * @data_failed: the data task's event loop ended without being told to; valid once its thread was
  *   joined
@@ -46,8 +46,8 @@
   log_flusher_t *flusher;
   struct event_base *data_base;
   control_t *control_task;
-  router_t *router;
-  sidecar_t *sidecar;
+  router_t *router_task;
+  sidecar_t *sidecar_task;
   struct event *on_sigterm;
   struct event *on_sigint;
   bool draining;
@@ -76,10 +76,10 @@
 {
   member_process_t *process = context;
 
-  if (process->router != NULL)
-    router_handle_message (message, process->router);
+  if (process->router_task != NULL)
+    router_handle_message (message, process->router_task);
   else
-    sidecar_handle_message (message, process->sidecar);
+    sidecar_handle_message (message, process->sidecar_task);
 }
 
 /*
@@ -115,9 +115,9 @@
 }
 
 static void
-check_file_limit (const settings_t *set)
+check_file_limit (const settings_t *settings)
 {
-  uint64_t wanted = (uint64_t)set->connection_limit * FILES_PER_CONNECTION + OTHER_FILES;
+  uint64_t wanted = (uint64_t)settings->connection_limit * FILES_PER_CONNECTION + OTHER_FILES;
   struct rlimit limit;
 
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= wanted)
@@ -175,21 +175,21 @@
   process->control_task = control_new (daemon, process->control_base, error);
   if (process->control_task == NULL)
     return false;
-  if (daemon->set.role == SETTINGS_ROLE_ROUTER)
-    process->router = router_new (daemon, process->data_base, error);
+  if (daemon->settings.role == SETTINGS_ROLE_ROUTER)
+    process->router_task = router_new (daemon, process->data_base, error);
   else
-    process->sidecar = sidecar_new (daemon, process->data_base, error);
-  return process->router != NULL || process->sidecar != NULL;
+    process->sidecar_task = sidecar_new (daemon, process->data_base, error);
+  return process->router_task != NULL || process->sidecar_task != NULL;
 }
 
 /* The tasks are freed before the mailboxes, to which they may still send while they are freed. */
 static void
 close_process (member_process_t *process)
 {
-  if (process->router != NULL)
-    router_free (process->router);
-  if (process->sidecar != NULL)
-    sidecar_free (process->sidecar);
+  if (process->router_task != NULL)
+    router_free (process->router_task);
+  if (process->sidecar_task != NULL)
+    sidecar_free (process->sidecar_task);
   if (process->control_task != NULL)
     control_free (process->control_task);
   mailbox_free (process->daemon.to_data);
@@ -256,7 +256,7 @@
 log_started (const daemon_t *daemon)
 {
   log_event (LOG_LEVEL_NOTICE, "started", "version", PROGRAM_VERSION, "role",
-             daemon->set.role == SETTINGS_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
+             daemon->settings.role == SETTINGS_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
              LOG_U64 (daemon->incarnation), NULL);
 }
 
@@ -359,7 +359,7 @@
 }
 
 static int
-run_gateway (const settings_t *set)
+run_gateway (const settings_t *settings)
 {
   gateway_t gateway = { 0 };
   GError *error = NULL;
@@ -376,8 +376,8 @@
           .base = gateway.base,
           .clock = &gateway.clock,
           .counters = gateway.counters,
-          .set = set,
-          .platform = store_new (gateway.base, &set->platform),
+          .settings = settings,
+          .platform = store_new (gateway.base, &settings->platform),
           .format = request_format_get (),
           .readers = { .routing = records_read_routing, .engine = records_read_engine },
           .incarnation = gateway.incarnation },
@@ -408,7 +408,7 @@
   member_process_t process = { 0 };
   GError *error = NULL;
   settings_outcome_t outcome =
-      settings_load (&process.daemon.set, argc, argv, get_environment, &error);
+      settings_load (&process.daemon.settings, argc, argv, get_environment, &error);
 
   if (outcome == SETTINGS_EXIT_SUCCESS)
     return EXIT_SUCCESS;
@@ -418,15 +418,15 @@
       g_error_free (error);
       return EXIT_BAD_SETTINGS;
     }
-  log_init (PROGRAM, process.daemon.set.name, process.daemon.set.log_level);
+  log_init (PROGRAM, process.daemon.settings.name, process.daemon.settings.log_level);
   log_open_buffered (STDOUT_FILENO);
   signal (SIGPIPE, SIG_IGN);
-  if (process.daemon.set.role != SETTINGS_ROLE_GATEWAY)
+  if (process.daemon.settings.role != SETTINGS_ROLE_GATEWAY)
     signal (SIGHUP, SIG_IGN);
   evthread_use_pthreads ();
   event_set_log_callback (log_libevent);
-  check_file_limit (&process.daemon.set);
-  if (process.daemon.set.role == SETTINGS_ROLE_GATEWAY)
-    return run_gateway (&process.daemon.set);
+  check_file_limit (&process.daemon.settings);
+  if (process.daemon.settings.role == SETTINGS_ROLE_GATEWAY)
+    return run_gateway (&process.daemon.settings);
   return run_process (&process);
 }
--- a/src/request/data_task.c
+++ b/src/request/data_task.c
@@ -64,9 +64,9 @@
 static void
 set_version (data_task_t *data_task, message_version_t *message)
 {
-  if (data_task->man != NULL)
-    manifest_unref (data_task->man);
-  data_task->man = manifest_ref (message->man);
+  if (data_task->manifest != NULL)
+    manifest_unref (data_task->manifest);
+  data_task->manifest = manifest_ref (message->manifest);
   data_task->man_next_offset = message->next_offset;
 }
 
@@ -92,18 +92,18 @@
 static http_server_options_t
 listener_options (data_task_t *data_task)
 {
-  const settings_t *set = &data_task->options.daemon->set;
-  bool sidecar = set->role == SETTINGS_ROLE_SIDECAR;
+  const settings_t *settings = &data_task->options.daemon->settings;
+  bool sidecar = settings->role == SETTINGS_ROLE_SIDECAR;
 
   return (http_server_options_t){
     .base = data_task->options.base,
     .counters = data_task->options.daemon->counters,
-    .listen = set->listen,
-    .body_limit_bytes = set->body_limit_bytes,
-    .header_limit_bytes = set->header_limit_bytes + (sidecar ? HOP_HEADERS_MAX_BYTES : 0),
-    .header_limit_count = set->header_limit_count + (sidecar ? HOP_HEADER_COUNT : 0),
-    .connection_limit = set->connection_limit,
-    .idle_timeout_ms = set->idle_timeout_ms,
+    .listen = settings->listen,
+    .body_limit_bytes = settings->body_limit_bytes,
+    .header_limit_bytes = settings->header_limit_bytes + (sidecar ? HOP_HEADERS_MAX_BYTES : 0),
+    .header_limit_count = settings->header_limit_count + (sidecar ? HOP_HEADER_COUNT : 0),
+    .connection_limit = settings->connection_limit,
+    .idle_timeout_ms = settings->idle_timeout_ms,
     .on_call = data_task_serve,
     .context = data_task
   };
@@ -118,7 +118,7 @@
   data_task->options = *options;
   data_task->decisions = decision_ring_new (DECISION_RING_CAPACITY);
   pause_init (&data_task->pause, data_task_now_us (data_task),
-              options->daemon->set.exchange_interval_ms);
+              options->daemon->settings.exchange_interval_ms);
   listen = listener_options (data_task);
   data_task->http_server = http_server_new (&listen, error);
   if (data_task->http_server == NULL)
@@ -145,8 +145,8 @@
   event_free (data_task->tick);
   event_free (data_task->drain_poll);
   http_server_free (data_task->http_server);
-  if (data_task->man != NULL)
-    manifest_unref (data_task->man);
+  if (data_task->manifest != NULL)
+    manifest_unref (data_task->manifest);
   if (data_task->members != NULL)
     membership_snapshot_unref (data_task->members);
   decision_ring_free (data_task->decisions);
@@ -180,7 +180,7 @@
 manifest_t *
 data_task_manifest (const data_task_t *data_task)
 {
-  return data_task->man;
+  return data_task->manifest;
 }
 
 membership_snapshot_t *
@@ -235,7 +235,7 @@
 
   if (authorization != NULL && g_ascii_strncasecmp (authorization, BEARER, strlen (BEARER)) == 0)
     key = authorization + strlen (BEARER);
-  if (key == NULL || data_task->man == NULL)
+  if (key == NULL || data_task->manifest == NULL)
     return NULL;
-  return manifest_account_for_key (data_task->man, key);
+  return manifest_account_for_key (data_task->manifest, key);
 }
--- a/src/request/data_task_private.h
+++ b/src/request/data_task_private.h
@@ -15,8 +15,8 @@
 /**
  * struct data_task - state of one data task
  * @http_server: the listener
- * @man: manifest in force, or NULL before the first one
- * @man_next_offset: offset in the manifest stream after the record of @man
+ * @manifest: manifest in force, or NULL before the first one
+ * @man_next_offset: offset in the manifest stream after the record of @manifest
  * @members: list of hosts in force, or NULL before the first one
  * @pause: whether the task woke from a pause and its knowledge may be out of date
  * @draining: a graceful stop began
@@ -29,7 +29,7 @@
 {
   data_task_options_t options;
   http_server_t *http_server;
-  manifest_t *man;
+  manifest_t *manifest;
   uint64_t man_next_offset;
   membership_snapshot_t *members;
   decision_ring_t *decisions;
--- a/src/request/data_task_serve.c
+++ b/src/request/data_task_serve.c
@@ -13,7 +13,7 @@
 static bool
 is_ready (data_task_t *data_task)
 {
-  return data_task->man != NULL && data_task->members != NULL && !data_task->draining &&
+  return data_task->manifest != NULL && data_task->members != NULL && !data_task->draining &&
          !data_task_is_stale (data_task) && data_task->options.ready (data_task->options.context);
 }
 
@@ -41,13 +41,13 @@
 serve_status (data_task_t *data_task, http_server_call_t *call)
 {
   const daemon_t *daemon = data_task->options.daemon;
-  uint64_t version = data_task->man != NULL ? data_task->man->version : 0;
+  uint64_t version = data_task->manifest != NULL ? data_task->manifest->version : 0;
   uint32_t hosts = data_task->members != NULL ? data_task->members->host_count : 0;
   json_t *json =
-      json_pack ("{s:s,s:s,s:I,s:I,s:i,s:b,s:b,s:b}", "name", daemon->set.name, "role",
-                 daemon->set.role == SETTINGS_ROLE_ROUTER ? "router" : "sidecar", "incarnation",
-                 (json_int_t)daemon->incarnation, "version", (json_int_t)version, "hosts",
-                 (int)hosts, "ready", (int)is_ready (data_task), "draining",
+      json_pack ("{s:s,s:s,s:I,s:I,s:i,s:b,s:b,s:b}", "name", daemon->settings.name, "role",
+                 daemon->settings.role == SETTINGS_ROLE_ROUTER ? "router" : "sidecar",
+                 "incarnation", (json_int_t)daemon->incarnation, "version", (json_int_t)version,
+                 "hosts", (int)hosts, "ready", (int)is_ready (data_task), "draining",
                  (int)data_task->draining, "stale", (int)data_task_is_stale (data_task));
 
   data_task->options.status (json, data_task->options.context);
@@ -57,16 +57,16 @@
 static void
 serve_manifest (data_task_t *data_task, http_server_call_t *call)
 {
-  if (data_task->man == NULL)
+  if (data_task->manifest == NULL)
     {
       error_reply_reject (call, 503, "no_version", "no version of the manifest is known here");
       return;
     }
   char seal[ANSWER_SEAL_BYTES];
   g_autofree char *body =
-      manifest_sync_format (data_task->options.daemon->set.fleet_key,
+      manifest_sync_format (data_task->options.daemon->settings.fleet_key,
                             http_server_request_header (call, ANSWER_SEAL_NONCE_HEADER),
-                            data_task->man, data_task->man_next_offset, seal);
+                            data_task->manifest, data_task->man_next_offset, seal);
 
   if (seal[0] != '\0')
     http_server_add_header (call, ANSWER_SEAL_HEADER, seal);
@@ -124,7 +124,8 @@
 
   leave->on = true;
   mailbox_send (data_task->options.daemon->to_control, &leave->head);
-  log_event (LOG_LEVEL_NOTICE, "drain_ordered", "name", data_task->options.daemon->set.name, NULL);
+  log_event (LOG_LEVEL_NOTICE, "drain_ordered", "name", data_task->options.daemon->settings.name,
+             NULL);
   http_server_reply_text (call, 202, "text/plain", "leaving\n");
 }
 
@@ -149,13 +150,13 @@
 static bool
 has_valid_seal (data_task_t *data_task, http_server_call_t *call)
 {
-  const settings_t *set = &data_task->options.daemon->set;
-  sealed_call_t order = { .host = set->name,
+  const settings_t *settings = &data_task->options.daemon->settings;
+  sealed_call_t order = { .host = settings->name,
                           .method = http_server_method (call),
                           .target = http_server_target (call) };
 
   order.body = http_server_body (call, &order.body_bytes);
-  return call_seal_verify (&order, set->fleet_key,
+  return call_seal_verify (&order, settings->fleet_key,
                            http_server_request_header (call, CALL_SEAL_HEADER));
 }
 
@@ -168,8 +169,8 @@
 
   if (text == NULL || !g_ascii_string_to_unsigned (text, 10, 0, UINT64_MAX, &time_s, NULL))
     return false;
-  return admin_seal_check (daemon->set.fleet_key, ADMIN_SEAL_DRAIN, daemon->set.name, time_s,
-                           clock_wall_ms (&daemon->clock) / 1000,
+  return admin_seal_check (daemon->settings.fleet_key, ADMIN_SEAL_DRAIN, daemon->settings.name,
+                           time_s, clock_wall_ms (&daemon->clock) / 1000,
                            http_server_request_header (call, ADMIN_SEAL_HEADER));
 }
 
--- a/src/request/error_reply.c
+++ b/src/request/error_reply.c
@@ -85,7 +85,7 @@
 }
 
 char *
-error_reply_body (const flt_t *fault)
+error_reply_body (const error_reply_t *fault)
 {
   int status =
       fault->status != 0 ? fault->status : error_reply_status (fault->reason, fault->verdict);
@@ -103,7 +103,7 @@
 }
 
 void
-error_reply_send (http_server_call_t *call, const flt_t *fault)
+error_reply_send (http_server_call_t *call, const error_reply_t *fault)
 {
   int status =
       fault->status != 0 ? fault->status : error_reply_status (fault->reason, fault->verdict);
@@ -130,6 +130,6 @@
 error_reply_reject (http_server_call_t *call, int status, const char *code, const char *message)
 {
   error_reply_send (
-      call,
-      &(flt_t){ .status = status, .code = code, .message = message, .verdict = VERDICT_NOT_RUN });
+      call, &(error_reply_t){
+                .status = status, .code = code, .message = message, .verdict = VERDICT_NOT_RUN });
 }
--- a/src/request/error_reply.h
+++ b/src/request/error_reply.h
@@ -13,7 +13,7 @@
 #define ERROR_REPLY_REQUEST_HEADER "X-Medlarplank-Request" /* the attempt id */
 
 /**
- * struct flt - one error response
+ * struct error_reply - one error response
  * @status: HTTP status; 0 takes that of @reason
  * @code: identifier for programs; NULL takes the name of @reason
  * @message: one sentence for people; NULL takes that of @reason
@@ -34,16 +34,16 @@
   uint32_t retry_after_ms;
   bool exact_retry;
   const char *request;
-} flt_t;
+} error_reply_t;
 
 /** error_reply_send() - sends the error response, which ends the call */
-void error_reply_send (http_server_call_t *call, const flt_t *fault);
+void error_reply_send (http_server_call_t *call, const error_reply_t *fault);
 /** error_reply_reject() - rejects a request that is itself wrong, before anything was forwarded;
  * ends the call */
 void
 error_reply_reject (http_server_call_t *call, int status, const char *code, const char *message);
 /** error_reply_body() - the JSON body of the error; the caller frees it with g_free() */
-char *error_reply_body (const flt_t *fault);
+char *error_reply_body (const error_reply_t *fault);
 /** error_reply_status() - the HTTP status for a reason and a verdict */
 int error_reply_status (verdict_reason_t reason, verdict_t verdict);
 
--- a/src/request/gateway/gateway.c
+++ b/src/request/gateway/gateway.c
@@ -29,20 +29,20 @@
 static void
 make_histograms (gateway_task_t *gateway, gateway_service_t *service)
 {
-  counter_registry_t *set = gateway->options.counters;
+  counter_registry_t *registry = gateway->options.counters;
   bool own = g_hash_table_size (gateway->services) < GATEWAY_HISTOGRAM_SERVICES_MAX;
   g_autofree char *name = g_strdup (own ? service->name : "other");
   g_autofree char *labels =
       g_strdup_printf ("service=\"%s\"", g_strdelimit (name, "\"\\\n{},", '_'));
 
-  service->wait_histogram = latency_new (set, "medlarplank_gateway_wait_ms", labels,
+  service->wait_histogram = latency_new (registry, "medlarplank_gateway_wait_ms", labels,
                                          "From a request's arrival until it was first sent");
-  service->head_histogram = latency_new (set, "medlarplank_gateway_head_ms", labels,
+  service->head_histogram = latency_new (registry, "medlarplank_gateway_head_ms", labels,
                                          "From a send until the head of its answer");
-  service->answer_histogram = latency_new (set, "medlarplank_gateway_answer_ms", labels,
+  service->answer_histogram = latency_new (registry, "medlarplank_gateway_answer_ms", labels,
                                            "From a request's arrival until its answer was whole");
   service->failure_histogram =
-      latency_new (set, "medlarplank_gateway_failure_ms", labels,
+      latency_new (registry, "medlarplank_gateway_failure_ms", labels,
                    "From a request's arrival until it was refused or had failed");
 }
 
@@ -175,31 +175,33 @@
 static void
 register_counters (gateway_task_t *gateway)
 {
-  counter_registry_t *set = gateway->options.counters;
+  counter_registry_t *registry = gateway->options.counters;
 
-  gateway->answered = counter_get (set, "medlarplank_gateway_answered_total", "Requests answered");
+  gateway->answered =
+      counter_get (registry, "medlarplank_gateway_answered_total", "Requests answered");
   gateway->refused =
-      counter_get (set, "medlarplank_gateway_refused_total", "Requests refused, not run");
-  gateway->failed =
-      counter_get (set, "medlarplank_gateway_failed_total", "Requests that failed or were cut");
+      counter_get (registry, "medlarplank_gateway_refused_total", "Requests refused, not run");
+  gateway->failed = counter_get (registry, "medlarplank_gateway_failed_total",
+                                 "Requests that failed or were cut");
   gateway->retried =
-      counter_get (set, "medlarplank_gateway_retried_total", "Sends to another engine");
+      counter_get (registry, "medlarplank_gateway_retried_total", "Sends to another engine");
   gateway->resumed =
-      counter_get (set, "medlarplank_gateway_resumed_total", "Streams that went on elsewhere");
-  gateway->gone = counter_get (set, "medlarplank_gateway_gone_total", "Requests whose caller left");
-  gateway->waited =
-      counter_get (set, "medlarplank_gateway_waited_total", "Times that requests waited for room");
+      counter_get (registry, "medlarplank_gateway_resumed_total", "Streams that went on elsewhere");
+  gateway->gone =
+      counter_get (registry, "medlarplank_gateway_gone_total", "Requests whose caller left");
+  gateway->waited = counter_get (registry, "medlarplank_gateway_waited_total",
+                                 "Times that requests waited for room");
 }
 
 gateway_task_t *
 gateway_new (const gateway_options_t *options, GError **error)
 {
   gateway_task_t *gateway = g_new0 (gateway_task_t, 1);
-  const settings_t *set = options->set;
+  const settings_t *settings = options->settings;
   struct timeval tick = { 0, GATEWAY_TICK_MS * 1000 };
 
   gateway->options = *options;
-  gateway->name_hash = XXH64 (set->name, strlen (set->name), 0);
+  gateway->name_hash = XXH64 (settings->name, strlen (settings->name), 0);
   gateway->started_us = gateway_now_us (gateway);
   gateway->routers = 1;
   gateway->suspects = suspect_new (GATEWAY_SUSPECTS_MAX, GATEWAY_SUSPECT_TTL_US);
@@ -216,12 +218,12 @@
   gateway->listener =
       http_server_new (&(http_server_options_t){ .base = options->base,
                                                  .counters = options->counters,
-                                                 .listen = set->listen,
-                                                 .body_limit_bytes = set->body_limit_bytes,
-                                                 .header_limit_bytes = set->header_limit_bytes,
-                                                 .header_limit_count = set->header_limit_count,
-                                                 .connection_limit = set->connection_limit,
-                                                 .idle_timeout_ms = set->idle_timeout_ms,
+                                                 .listen = settings->listen,
+                                                 .body_limit_bytes = settings->body_limit_bytes,
+                                                 .header_limit_bytes = settings->header_limit_bytes,
+                                                 .header_limit_count = settings->header_limit_count,
+                                                 .connection_limit = settings->connection_limit,
+                                                 .idle_timeout_ms = settings->idle_timeout_ms,
                                                  .on_call = gateway_accept,
                                                  .context = gateway },
                        error);
--- a/src/request/gateway/gateway.h
+++ b/src/request/gateway/gateway.h
@@ -28,7 +28,7 @@
 
 /**
  * struct gateway_options - options of gateway_new(); the pointers are borrowed
- * @set: settings of the process
+ * @settings: settings of the process
  * @engines: engines of all services; the owner reports changes by gateway_engines_changed()
  * @format: adapter for the headers of clients and engines
  * @retries: limit of the retries that all gateways may send
@@ -42,7 +42,7 @@
   struct event_base *base;
   const clock_source_t *clock;
   counter_registry_t *counters;
-  const settings_t *set;
+  const settings_t *settings;
   engines_t *engines;
   const format_t *format;
   retry_budget_options_t retries;
--- a/src/request/gateway/gateway_accept.c
+++ b/src/request/gateway/gateway_accept.c
@@ -7,7 +7,7 @@
 reject (gateway_task_t *gateway,
         http_server_call_t *client,
         const format_request_t *request,
-        const flt_t *fault)
+        const error_reply_t *fault)
 {
   log_event (LOG_LEVEL_NOTICE, "reject", "id", request->id, "status",
              LOG_U64 ((uint64_t)fault->status), "code", fault->code, "version",
@@ -32,14 +32,14 @@
 
   counter_add (gateway->refused, 1);
   reject (gateway, client, request,
-          &(flt_t){ .status = is_current ? status : 503,
-                    .code = is_current ? code : "configuration_uncertain",
-                    .message = is_current
-                                   ? "no such route, or no such key"
-                                   : "this router does not know the newest configuration yet",
-                    .verdict = VERDICT_NOT_RUN,
-                    .retry_after_ms = is_current ? 0 : GATEWAY_RETRY_MIN_MS,
-                    .exact_retry = true });
+          &(error_reply_t){
+              .status = is_current ? status : 503,
+              .code = is_current ? code : "configuration_uncertain",
+              .message = is_current ? "no such route, or no such key"
+                                    : "this router does not know the newest configuration yet",
+              .verdict = VERDICT_NOT_RUN,
+              .retry_after_ms = is_current ? 0 : GATEWAY_RETRY_MIN_MS,
+              .exact_retry = true });
 }
 
 static bool
@@ -58,8 +58,8 @@
 {
   counter_add (call->gateway->refused, 1);
   gateway_call_log_failure (call, "refuse", "final", VERDICT_REASON_SUSPECT);
-  error_reply_send (call->client,
-                    &(flt_t){ .reason = VERDICT_REASON_SUSPECT, .verdict = VERDICT_NOT_RUN });
+  error_reply_send (call->client, &(error_reply_t){ .reason = VERDICT_REASON_SUSPECT,
+                                                    .verdict = VERDICT_NOT_RUN });
   gateway_call_free (call);
 }
 
@@ -75,12 +75,12 @@
 {
   counter_add (gateway->refused, 1);
   reject (gateway, client, request,
-          &(flt_t){ .status = 503,
-                    .code = "stopping",
-                    .message = "this router stops",
-                    .verdict = VERDICT_NOT_RUN,
-                    .retry_after_ms = GATEWAY_RETRY_MIN_MS,
-                    .exact_retry = true });
+          &(error_reply_t){ .status = 503,
+                            .code = "stopping",
+                            .message = "this router stops",
+                            .verdict = VERDICT_NOT_RUN,
+                            .retry_after_ms = GATEWAY_RETRY_MIN_MS,
+                            .exact_retry = true });
 }
 
 void
@@ -97,7 +97,7 @@
   if (problem)
     {
       reject (gateway, client, &request,
-              &(flt_t){ .status = 400, .code = "bad_request", .message = problem });
+              &(error_reply_t){ .status = 400, .code = "bad_request", .message = problem });
       return;
     }
   if (gateway->stopping)
--- a/src/request/gateway/gateway_call.c
+++ b/src/request/gateway/gateway_call.c
@@ -75,9 +75,9 @@
 
   count_failure (call);
   gateway_call_log_failure (call, "end", "failed", reason);
-  error_reply_send (call->client,
-                    &(flt_t){ .reason = in_time ? VERDICT_REASON_CUT : VERDICT_REASON_TIMEOUT,
-                              .verdict = VERDICT_MAY_HAVE_RUN });
+  error_reply_send (call->client, &(error_reply_t){ .reason = in_time ? VERDICT_REASON_CUT
+                                                                      : VERDICT_REASON_TIMEOUT,
+                                                    .verdict = VERDICT_MAY_HAVE_RUN });
   gateway_call_free (call);
 }
 
@@ -86,7 +86,7 @@
 {
   count_failure (call);
   gateway_call_log_failure (call, "end", "cut", reason);
-  relay_abort (&call->relay, &(flt_t){ .reason = VERDICT_REASON_CUT });
+  relay_abort (&call->relay, &(error_reply_t){ .reason = VERDICT_REASON_CUT });
   gateway_call_free (call);
 }
 
@@ -115,13 +115,13 @@
     gateway_call_free (call);
   else if (call->relay.has_started)
     {
-      relay_abort (&call->relay, &(flt_t){ .reason = VERDICT_REASON_TIMEOUT });
+      relay_abort (&call->relay, &(error_reply_t){ .reason = VERDICT_REASON_TIMEOUT });
       gateway_call_free (call);
     }
   else
     {
-      error_reply_send (call->client, &(flt_t){ .reason = VERDICT_REASON_TIMEOUT,
-                                                .verdict = VERDICT_MAY_HAVE_RUN });
+      error_reply_send (call->client, &(error_reply_t){ .reason = VERDICT_REASON_TIMEOUT,
+                                                        .verdict = VERDICT_MAY_HAVE_RUN });
       gateway_call_free (call);
     }
 }
@@ -302,7 +302,7 @@
       &(engine_choice_request_t){
           .affinity = call->affinity,
           .affinity_tokens = call->affinity_tokens,
-          .own_data_center = gateway->options.set->data_center,
+          .own_data_center = gateway->options.settings->data_center,
           .repeatable = retry_plan_may_move (&call->course, call->relay.has_started),
           .gateways = gateway->routers,
           .gateway_hash = gateway->name_hash,
@@ -315,7 +315,7 @@
           .cold_start_us = rules ? rules->cold_start_us : 0,
           .known_gateways = gateway->known_routers,
           .region_filter = bound_regions (call),
-          .drain_us = (uint64_t)gateway->options.set->center_drain_ms * CLOCK_US_PER_MS,
+          .drain_us = (uint64_t)gateway->options.settings->center_drain_ms * CLOCK_US_PER_MS,
           .tried = call->tried,
           .tried_count = call->tried_count });
 }
@@ -451,7 +451,7 @@
 uint64_t
 gateway_call_fingerprint (const gateway_call_t *call)
 {
-  uint64_t hash = hash_text (0, call->gateway->options.set->fleet_key);
+  uint64_t hash = hash_text (0, call->gateway->options.settings->fleet_key);
 
   hash = hash_text (hash, call->account ? call->account->name : "");
   hash = hash_text (hash, http_server_method (call->client));
@@ -504,11 +504,11 @@
   counter_add (call->gateway->refused, 1);
   latency_add (call->service->failure_histogram, gateway_now_us (call->gateway) - call->arrived_us);
   log_refusal (call, reason, wait_ms);
-  error_reply_send (call->client, &(flt_t){ .status = 503,
-                                            .reason = reason,
-                                            .verdict = VERDICT_NOT_RUN,
-                                            .retry_after_ms = wait_ms,
-                                            .exact_retry = true });
+  error_reply_send (call->client, &(error_reply_t){ .status = 503,
+                                                    .reason = reason,
+                                                    .verdict = VERDICT_NOT_RUN,
+                                                    .retry_after_ms = wait_ms,
+                                                    .exact_retry = true });
   gateway_call_free (call);
 }
 
--- a/src/request/gateway/gateway_queue.c
+++ b/src/request/gateway/gateway_queue.c
@@ -24,10 +24,10 @@
 void
 gateway_queue_push (gateway_call_t *call)
 {
-  wait_queue_capacity_t room = measure_room (call->gateway, call->service);
+  wait_queue_capacity_t capacity = measure_room (call->gateway, call->service);
   uint64_t wait_us;
 
-  switch (wait_queue_push (call->service->queue, gateway_now_us (call->gateway), &room,
+  switch (wait_queue_push (call->service->queue, gateway_now_us (call->gateway), &capacity,
                            &call->queue_item, &wait_us))
     {
     case WAIT_QUEUE_QUEUED:
@@ -84,8 +84,8 @@
 
   while ((call = wait_queue_pop_expired (service->queue, gateway_now_us (service->gateway))))
     {
-      wait_queue_capacity_t room = measure_room (call->gateway, service);
-      uint64_t wait_us = wait_queue_wait_us (service->queue, &room, &call->queue_item);
+      wait_queue_capacity_t capacity = measure_room (call->gateway, service);
+      uint64_t wait_us = wait_queue_wait_us (service->queue, &capacity, &call->queue_item);
 
       gateway_call_fail (call, VERDICT_REASON_DEADLINE, compute_retry_ms (call, wait_us));
     }
--- a/src/request/hop.c
+++ b/src/request/hop.c
@@ -180,7 +180,7 @@
          parse_name (values[FIELD_CLASS], hop->class_name) &&
          parse_hash (values[FIELD_CHAT], &hop->chat_hash) &&
          parse_hash (values[FIELD_HOME], &hop->home_hash) &&
-         parse_hash (values[FIELD_FORMER], &hop->former_hash) &&
+         parse_hash (values[FIELD_FORMER], &hop->former_home_hash) &&
          parse_hash (values[FIELD_FINGERPRINT], &hop->fingerprint) &&
          parse_pair (values[FIELD_KEY], hop->key_hash) &&
          parse_hash (values[FIELD_BODY], &hop->body_hash) &&
@@ -264,7 +264,7 @@
     case FIELD_HOME:
       return write_hash (out, hop->home_hash);
     case FIELD_FORMER:
-      return write_hash (out, hop->former_hash);
+      return write_hash (out, hop->former_home_hash);
     case FIELD_FINGERPRINT:
       return write_hash (out, hop->fingerprint);
     case FIELD_KEY:
--- a/src/request/hop.h
+++ b/src/request/hop.h
@@ -62,7 +62,7 @@
 /**
  * struct hop - one request on its way to a sidecar
  * @home_hash: first candidate for the chat by the router's view
- * @former_hash: first candidate for the chat before the present one joined; 0 for none
+ * @former_home_hash: first candidate for the chat before the present one joined; 0 for none
  * @fingerprint: digest by which requests that crash engines are known
  * @key_hash: of the idempotency key and the account; zero without a key
  * @body_hash: of method, target and body, so that a seal is valid for this request only
@@ -87,7 +87,7 @@
   char class_name[LIMIT_NAME_BYTES];
   uint64_t chat_hash;
   uint64_t home_hash;
-  uint64_t former_hash;
+  uint64_t former_home_hash;
   uint64_t fingerprint;
   uint64_t key_hash[2];
   uint64_t body_hash;
--- a/src/request/messages.c
+++ b/src/request/messages.c
@@ -13,8 +13,8 @@
 {
   message_version_t *version = (message_version_t *)message;
 
-  if (version->man != NULL)
-    manifest_unref (version->man);
+  if (version->manifest != NULL)
+    manifest_unref (version->manifest);
   g_free (version);
 }
 
--- a/src/request/messages.h
+++ b/src/request/messages.h
@@ -42,12 +42,12 @@
 
 /**
  * struct message_version - a manifest in force
- * @next_offset: offset in the manifest stream after the record of @man
+ * @next_offset: offset in the manifest stream after the record of @manifest
  */
 typedef struct
 {
   mailbox_message_t head;
-  manifest_t *man;
+  manifest_t *manifest;
   uint64_t next_offset;
 } message_version_t;
 
--- a/src/request/policy/candidates.c
+++ b/src/request/policy/candidates.c
@@ -104,7 +104,7 @@
   if (ranked.count == 0)
     return chosen;
   chosen.home_hash = ranked.hash[0];
-  chosen.former_hash = find_former (query, &ranked);
+  chosen.former_home_hash = find_former (query, &ranked);
   while (chosen.candidate_count < ranked.count &&
          chosen.candidate_count < FORWARDING_CANDIDATES_MAX)
     {
--- a/src/request/policy/candidates.h
+++ b/src/request/policy/candidates.h
@@ -75,14 +75,14 @@
  * @candidates: hashes in the order in which they are tried
  * @candidate_count: number of @candidates
  * @home_hash: home engine of the chat, as in admission_request_t; 0 for none
- * @former_hash: its home before, as in admission_request_t; 0 for none
+ * @former_home_hash: its home before, as in admission_request_t; 0 for none
  */
 typedef struct
 {
   uint64_t candidates[FORWARDING_CANDIDATES_MAX];
   uint32_t candidate_count;
   uint64_t home_hash;
-  uint64_t former_hash;
+  uint64_t former_home_hash;
 } candidates_t;
 
 /** candidates_choose() - finds the engines for a request; takes O(engines) time and allocates no
--- a/src/request/policy/median_latency.c
+++ b/src/request/policy/median_latency.c
@@ -8,15 +8,15 @@
 uint32_t
 median_latency_add (median_latency_t *median_latency, uint64_t sample_us)
 {
-  uint64_t usual_us = MAX (median_latency->usual_us, 1);
+  uint64_t usual_us = MAX (median_latency->median_us, 1);
   uint64_t step_us = usual_us / MEDIAN_LATENCY_STEP_DIVISOR + 1;
 
-  if (median_latency->usual_us == 0)
-    median_latency->usual_us = sample_us;
+  if (median_latency->median_us == 0)
+    median_latency->median_us = sample_us;
   else if (sample_us > usual_us)
-    median_latency->usual_us += step_us;
+    median_latency->median_us += step_us;
   else if (sample_us < usual_us)
-    median_latency->usual_us -= MIN (step_us, usual_us - 1);
+    median_latency->median_us -= MIN (step_us, usual_us - 1);
   else
     return MILLI;
   if (usual_us == 1)
--- a/src/request/policy/median_latency.h
+++ b/src/request/policy/median_latency.h
@@ -19,11 +19,11 @@
 /**
  * struct median_latency - median latency of one kind of responses of a service; initialized with
  * zeros
- * @usual_us: the median, 0 before the first sample
+ * @median_us: the median, 0 before the first sample
  */
 typedef struct
 {
-  uint64_t usual_us;
+  uint64_t median_us;
 } median_latency_t;
 
 /**
--- a/src/request/policy/read_policy.c
+++ b/src/request/policy/read_policy.c
@@ -71,7 +71,7 @@
 has_turn (const read_policy_view_t *view, uint64_t since_us, uint64_t now_us)
 {
   uint64_t first_turn_us = since_us + view->earlier_readers * READ_POLICY_TURN_US;
-  uint64_t round_us = MAX (view->count * READ_POLICY_TURN_US, READ_POLICY_ROUND_MIN_US);
+  uint64_t round_us = MAX (view->reader_count * READ_POLICY_TURN_US, READ_POLICY_ROUND_MIN_US);
 
   if (view->read_started_us < since_us)
     return now_us >= first_turn_us;
--- a/src/request/policy/read_policy.h
+++ b/src/request/policy/read_policy.h
@@ -80,7 +80,7 @@
  * @store_call_failed: its last call to the store failed
  * @has_no_peers: no message of a peer came lately, so none can confirm the copy
  * @earlier_readers: gateways whose turn to read comes earlier in a round
- * @count: gateways that read in a round
+ * @reader_count: gateways that read in a round
  * @answered_us: when the store last answered a read of this gateway; 0 for never
  * @read_started_us: when this gateway's last read began; 0 for never
  */
@@ -91,7 +91,7 @@
   bool store_call_failed;
   bool has_no_peers;
   uint32_t earlier_readers;
-  uint32_t count;
+  uint32_t reader_count;
   uint64_t answered_us;
   uint64_t read_started_us;
 } read_policy_view_t;
--- a/src/request/relay.c
+++ b/src/request/relay.c
@@ -172,7 +172,7 @@
 }
 
 void
-relay_abort (relay_t *relay, const flt_t *fault)
+relay_abort (relay_t *relay, const error_reply_t *fault)
 {
   http_server_call_t *to = relay->to;
 
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -63,7 +63,7 @@
 void relay_finish (relay_t *relay);
 /** relay_abort() - ends the listener's call after a response that broke off when a part of it had
  * been sent: cuts the connection, in an event stream after an error event */
-void relay_abort (relay_t *relay, const flt_t *fault);
+void relay_abort (relay_t *relay, const error_reply_t *fault);
 /** relay_was_blocked() - whether a slow client blocked the response since the last call of this
  * function: a gap in the response is then not the sender's fault */
 bool relay_was_blocked (relay_t *relay);
--- a/src/request/router/router.c
+++ b/src/request/router/router.c
@@ -29,7 +29,7 @@
 {
   const router_t *router = context;
   json_t *services = json_object ();
-  const manifest_t *manifest = data_task_manifest (router->ops);
+  const manifest_t *manifest = data_task_manifest (router->data_task);
 
   for (uint32_t i = 0; i < router->pool_count; i++)
     json_object_set_new (
@@ -72,7 +72,7 @@
 static void
 update_members (router_t *router)
 {
-  membership_snapshot_t *members = data_task_members (router->ops);
+  membership_snapshot_t *members = data_task_members (router->data_task);
 
   if (members == NULL)
     return;
@@ -98,7 +98,7 @@
 static void
 update_load_tables (router_t *router)
 {
-  manifest_t *manifest = data_task_manifest (router->ops);
+  manifest_t *manifest = data_task_manifest (router->data_task);
 
   if (manifest == NULL)
     return;
@@ -129,29 +129,31 @@
 static void
 make_counters (router_t *router)
 {
-  counter_registry_t *set = router->daemon->counters;
+  counter_registry_t *registry = router->daemon->counters;
   char name[128];
 
-  router->hops = counter_get (set, "medlarplank_hops_total", "Requests sent to sidecars.");
-  router->retries = counter_get (set, "medlarplank_retries_total",
+  router->hops = counter_get (registry, "medlarplank_hops_total", "Requests sent to sidecars.");
+  router->retries = counter_get (registry, "medlarplank_retries_total",
                                  "Requests sent again that may have run before.");
   router->revokes =
-      counter_get (set, "medlarplank_revokes_total", "Attempts given up at a sidecar.");
+      counter_get (registry, "medlarplank_revokes_total", "Attempts given up at a sidecar.");
   router->probes =
-      counter_get (set, "medlarplank_probes_total", "Quiet hosts asked whether they run.");
-  router->served_hints_sent =
-      counter_get (set, "medlarplank_served_hints_total", "Homes told where a chat was served.");
+      counter_get (registry, "medlarplank_probes_total", "Quiet hosts asked whether they run.");
+  router->served_hints_sent = counter_get (registry, "medlarplank_served_hints_total",
+                                           "Homes told where a chat was served.");
   for (uint32_t i = 0; i <= VERDICT_RAN; i++)
     {
       snprintf (name, sizeof name, "medlarplank_requests_total{verdict=\"%s\"}",
                 verdict_to_string (i));
-      router->ended[i] = counter_get (set, name, "Requests of callers that ended, by verdict.");
+      router->ended[i] =
+          counter_get (registry, name, "Requests of callers that ended, by verdict.");
     }
   for (uint32_t i = 0; i < VERDICT_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_hop_failures_total{reason=\"%s\"}",
                 verdict_reason_to_string (i));
-      router->hop_failures[i] = counter_get (set, name, "Hops that brought no answer, by reason.");
+      router->hop_failures[i] =
+          counter_get (registry, name, "Hops that brought no answer, by reason.");
     }
 }
 
@@ -193,8 +195,8 @@
 
   router->daemon = daemon;
   router->base = base;
-  router->ops = data_task_new (&options, error);
-  if (router->ops == NULL)
+  router->data_task = data_task_new (&options, error);
+  if (router->data_task == NULL)
     {
       g_free (router);
       return NULL;
@@ -209,13 +211,13 @@
   router->served_hints = g_new0 (router_hint_t, ROUTER_HINT_ENTRIES);
   router->answered_requests = recent_answers_new (ROUTER_ANSWERED_ENTRIES, ROUTER_ANSWERED_TTL_US);
   router->requests_in_flight = in_flight_new ();
-  byte_budget_init (&router->control_budget, daemon->set.control_budget_bytes,
+  byte_budget_init (&router->control_budget, daemon->settings.control_budget_bytes,
                     clock_now_us (&daemon->clock));
   router->suspects = suspect_new (LIMIT_SUSPECTS, ROUTER_SUSPECT_TTL_US);
   g_queue_init (&router->calls);
   /* The name is included because two routers may start in the same millisecond, and must not use
    * the same attempt ids. */
-  router->request_id_high = rendezvous_hash_name (daemon->set.name) + daemon->incarnation;
+  router->request_id_high = rendezvous_hash_name (daemon->settings.name) + daemon->incarnation;
   make_counters (router);
   return router;
 }
@@ -234,7 +236,7 @@
       router_call_free (call);
     }
   g_hash_table_destroy (router->host_probes);
-  data_task_free (router->ops);
+  data_task_free (router->data_task);
   http_client_free (router->http_client);
   health_free (router->health);
   router_pools_clear (router);
@@ -252,6 +254,7 @@
 {
   router_t *router = context;
 
-  if (!data_task_handle_message (router->ops, message) && message->kind == MESSAGE_LOAD_SAMPLES)
+  if (!data_task_handle_message (router->data_task, message) &&
+      message->kind == MESSAGE_LOAD_SAMPLES)
     router_merge_samples (router, (message_load_samples_t *)message);
 }
--- a/src/request/router/router_accept.c
+++ b/src/request/router/router_accept.c
@@ -177,14 +177,14 @@
   if (hop->key_hash[1] != 0)
     hop->has_chat = false;
   hop->home_hash = call->placement.home_hash;
-  hop->former_hash = call->placement.former_hash;
+  hop->former_home_hash = call->placement.former_home_hash;
   estimate_tokens (call, chat);
 }
 
 static void
 copy_headers (router_call_t *call)
 {
-  uint32_t limit = call->router->daemon->set.header_limit_count;
+  uint32_t limit = call->router->daemon->settings.header_limit_count;
 
   call->headers = g_new0 (http_client_header_t, limit);
   call->header_count =
@@ -203,7 +203,7 @@
   chat_body_t chat = { 0 };
   bool valid;
 
-  call->account = data_task_find_account (call->router->ops, call->inbound);
+  call->account = data_task_find_account (call->router->data_task, call->inbound);
   if (call->account == NULL)
     return reject (rejection, 401, "unauthorized", "the key of a client account is needed");
   valid = check_target (call, rejection) && read_body (call, &chat, rejection) &&
@@ -227,10 +227,10 @@
   call->inbound = inbound;
   call->link.data = call;
   g_queue_push_tail_link (&router->calls, &call->link);
-  call->manifest = manifest_ref (data_task_manifest (router->ops));
+  call->manifest = manifest_ref (data_task_manifest (router->data_task));
   call->method = g_strdup (http_server_method (inbound));
   call->target = g_strdup (http_server_target (inbound));
-  call->arrived_us = data_task_now_us (router->ops);
+  call->arrived_us = data_task_now_us (router->data_task);
   call->timer = evtimer_new (router->base, router_hop_on_timer, call);
   router->request_id_low += 0x100; /* the lowest byte is the number of the hop */
   call->request_id[0] = router->request_id_high;
@@ -247,12 +247,12 @@
   rejection_t rejection;
   router_call_t *call;
 
-  if (data_task_is_stale (router->ops) || data_task_manifest (router->ops) == NULL ||
-      data_task_members (router->ops) == NULL)
+  if (data_task_is_stale (router->data_task) || data_task_manifest (router->data_task) == NULL ||
+      data_task_members (router->data_task) == NULL)
     {
-      error_reply_send (inbound, &(flt_t){ .verdict = VERDICT_NOT_RUN,
-                                           .reason = VERDICT_REASON_STALE,
-                                           .retry_after_ms = STALE_RETRY_AFTER_MS });
+      error_reply_send (inbound, &(error_reply_t){ .verdict = VERDICT_NOT_RUN,
+                                                   .reason = VERDICT_REASON_STALE,
+                                                   .retry_after_ms = STALE_RETRY_AFTER_MS });
       return;
     }
   call = call_new (router, inbound);
--- a/src/request/router/router_call.c
+++ b/src/request/router/router_call.c
@@ -6,7 +6,7 @@
 append_host_name (char *out, const router_t *router, uint64_t engine_hash)
 {
   const membership_host_t *host =
-      membership_find_by_hash (data_task_members (router->ops), engine_hash);
+      membership_find_by_hash (data_task_members (router->data_task), engine_hash);
 
   if (host == NULL)
     return;
@@ -24,7 +24,7 @@
 {
   const router_t *router = call->router;
   const membership_host_t *host =
-      membership_find_by_hash (data_task_members (router->ops), engine_hash);
+      membership_find_by_hash (data_task_members (router->data_task), engine_hash);
   decision_t decision = { .request = { call->request_id[0],
                                        call->request_id[1] | call->attempts.hops },
                           .wall_ms = clock_wall_ms (&router->daemon->clock),
@@ -33,7 +33,7 @@
                           .verdict = verdict,
                           .reason = reason,
                           .hop = call->attempts.hops,
-                          .wait_us = data_task_now_us (router->ops) - call->arrived_us };
+                          .wait_us = data_task_now_us (router->data_task) - call->arrived_us };
 
   g_strlcpy (decision.account, call->hop.account, sizeof decision.account);
   g_strlcpy (decision.service, call->hop.service, sizeof decision.service);
@@ -41,13 +41,13 @@
   g_strlcpy (decision.chosen, host != NULL ? host->name : "", sizeof decision.chosen);
   for (uint32_t i = 0; i < call->placement.candidate_count; i++)
     append_host_name (decision.candidates, router, call->placement.candidates[i]);
-  decision_ring_record (data_task_decisions (router->ops), "route", &decision);
+  decision_ring_record (data_task_decisions (router->data_task), "route", &decision);
 }
 
-flt_t
+error_reply_t
 router_call_fault (const router_call_t *call, verdict_t verdict, verdict_reason_t reason)
 {
-  return (flt_t){ .verdict = verdict, .reason = reason, .request = call->request_text };
+  return (error_reply_t){ .verdict = verdict, .reason = reason, .request = call->request_text };
 }
 
 void
@@ -76,7 +76,7 @@
 static void
 give_up (router_call_t *call, const forwarding_step_t *step)
 {
-  flt_t fault = router_call_fault (call, step->verdict, step->reason);
+  error_reply_t fault = router_call_fault (call, step->verdict, step->reason);
 
   fault.retry_after_ms = step->retry_after_ms;
   router_call_log_decision (call, "give_up", call->attempts.last_engine, step->verdict,
@@ -95,7 +95,7 @@
   router_call_log_decision (call, "answer", call->attempts.last_engine, VERDICT_RAN,
                             VERDICT_REASON_NONE);
   counter_add (call->router->ended[VERDICT_RAN], 1);
-  recent_answers_add (call->router->answered_requests, data_task_now_us (call->router->ops),
+  recent_answers_add (call->router->answered_requests, data_task_now_us (call->router->data_task),
                       call->hop.fingerprint);
   router_send_served_hint (call, call->attempts.last_engine);
   relay_finish (&call->relay);
@@ -124,7 +124,7 @@
 send_revoke (router_call_t *call, const forwarding_step_t *step)
 {
   const membership_host_t *host =
-      membership_find_by_hash (data_task_members (call->router->ops), step->engine_hash);
+      membership_find_by_hash (data_task_members (call->router->data_task), step->engine_hash);
 
   if (host == NULL)
     return false;
@@ -143,7 +143,7 @@
 
   for (;;)
     {
-      uint64_t now_us = data_task_now_us (call->router->ops);
+      uint64_t now_us = data_task_now_us (call->router->data_task);
 
       switch (step.action)
         {
@@ -182,7 +182,7 @@
   router_t *router = call->router;
 
   recent_answers_remove (router->answered_requests, call->hop.fingerprint);
-  suspect_add_crash (router->suspects, data_task_now_us (router->ops), call->hop.fingerprint,
+  suspect_add_crash (router->suspects, data_task_now_us (router->data_task), call->hop.fingerprint,
                      call->attempts.last_engine);
 }
 
@@ -198,7 +198,7 @@
   if (outcome->reason == VERDICT_REASON_ENGINE_CRASHED ||
       outcome->reason == VERDICT_REASON_SUSPECT_HERE)
     record_crash (call);
-  step = forwarding_attempt_ended (&call->attempts, data_task_now_us (router->ops),
+  step = forwarding_attempt_ended (&call->attempts, data_task_now_us (router->data_task),
                                    &router->retry_budget, outcome);
   counter_add (router->retries, call->attempts.retries - retries);
   router_call_take_step (call, step);
--- a/src/request/router/router_candidates.c
+++ b/src/request/router/router_candidates.c
@@ -69,7 +69,7 @@
 static const router_pool_t *
 pool_of (const router_t *router, const manifest_t *manifest, const manifest_service_t *service)
 {
-  const manifest_t *in_force = data_task_manifest (router->ops);
+  const manifest_t *in_force = data_task_manifest (router->data_task);
 
   if (router->pools == NULL)
     return NULL;
@@ -127,8 +127,8 @@
 void
 router_pools_rebuild (router_t *router)
 {
-  const manifest_t *manifest = data_task_manifest (router->ops);
-  const membership_snapshot_t *members = data_task_members (router->ops);
+  const manifest_t *manifest = data_task_manifest (router->data_task);
+  const membership_snapshot_t *members = data_task_members (router->data_task);
 
   router_pools_clear (router);
   if (manifest == NULL || members == NULL)
@@ -139,7 +139,7 @@
       const membership_host_t *host = &members->hosts[i];
       const manifest_service_t *service = manifest_service_of_engine (manifest, host->name);
       router_pool_t *pool;
-      bool in_own_region = strcmp (host->region, router->daemon->set.region) == 0;
+      bool in_own_region = strcmp (host->region, router->daemon->settings.region) == 0;
 
       if (service == NULL || !is_candidate (host))
         continue;
@@ -152,7 +152,7 @@
 const membership_host_t *
 router_find_host (const router_t *router, uint64_t engine_hash)
 {
-  const membership_snapshot_t *members = data_task_members (router->ops);
+  const membership_snapshot_t *members = data_task_members (router->data_task);
   const membership_host_t *host =
       members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
 
@@ -180,7 +180,8 @@
   const manifest_service_t *service = call->service;
   const router_pool_t *pool = pool_of (router, call->manifest, service);
   const router_loads_t *loads = g_hash_table_lookup (router->loads, &service->hash);
-  health_query_t health_query = { .router = router, .now_us = data_task_now_us (router->ops) };
+  health_query_t health_query = { .router = router,
+                                  .now_us = data_task_now_us (router->data_task) };
   candidates_query_t query = {
     .now_us = health_query.now_us,
     .service_hash = service->hash,
--- a/src/request/router/router_hop.c
+++ b/src/request/router/router_hop.c
@@ -18,7 +18,7 @@
 static void
 set_hop_timer (router_call_t *call)
 {
-  uint64_t now_us = data_task_now_us (call->router->ops);
+  uint64_t now_us = data_task_now_us (call->router->data_task);
   uint64_t give_up_us = call->deadline_us + ROUTER_DEADLINE_GRACE_US;
 
   set_timer (call, now_us < give_up_us ? MIN (give_up_us - now_us, ROUTER_HOST_PROBE_DELAY_US) : 0);
@@ -57,7 +57,7 @@
       uint64_t hash = rendezvous_hash_name (g_strstrip (parts[i]));
 
       if (router_find_host (router, hash) == NULL ||
-          health_is_skipped (router->health, data_task_now_us (router->ops), hash))
+          health_is_skipped (router->health, data_task_now_us (router->data_task), hash))
         continue;
       answer->referrals[answer->referral_count++] = hash;
     }
@@ -77,7 +77,7 @@
 {
   router_t *router = call->router;
   router_loads_t *loads = g_hash_table_lookup (router->loads, &call->service->hash);
-  uint64_t now_us = data_task_now_us (router->ops);
+  uint64_t now_us = data_task_now_us (router->data_task);
   hop_sample_t load;
 
   if (loads == NULL)
@@ -161,7 +161,7 @@
   /* The engine's answer has begun, so the request ran and there is nothing to revoke. */
   if (answer->from_engine)
     return (forwarding_outcome_t){ .verdict = VERDICT_RAN, .reason = reason };
-  health_record_failure (call->router->health, data_task_now_us (call->router->ops),
+  health_record_failure (call->router->health, data_task_now_us (call->router->data_task),
                          call->attempts.last_engine);
   return (forwarding_outcome_t){ .verdict = verdict,
                                  .reason = reason,
@@ -224,7 +224,7 @@
   if (call->outbound == NULL)
     return;
   if (!call->answer.received &&
-      data_task_now_us (call->router->ops) < call->deadline_us + ROUTER_DEADLINE_GRACE_US)
+      data_task_now_us (call->router->data_task) < call->deadline_us + ROUTER_DEADLINE_GRACE_US)
     {
       router_host_probe_check (call);
       set_hop_timer (call);
@@ -274,7 +274,8 @@
   if (!byte_budget_take (&call->router->control_budget, now_us,
                          hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES))
     hop->sample_count = 0;
-  data_task_count_control_bytes (call->router->ops, hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES);
+  data_task_count_control_bytes (call->router->data_task,
+                                 hop->sample_count * HOP_SAMPLE_TYPICAL_BYTES);
   for (uint32_t i = 0; i < hop->sample_count; i++)
     hop->samples[i] =
         (hop_sample_t){ .engine_hash = picked[i].engine_hash,
@@ -302,7 +303,7 @@
 router_hop_send (router_call_t *call, const membership_host_t *host)
 {
   router_t *router = call->router;
-  uint64_t now_us = data_task_now_us (router->ops);
+  uint64_t now_us = data_task_now_us (router->data_task);
   g_autofree http_client_header_t *headers =
       g_new (http_client_header_t, call->header_count + HOP_HEADER_COUNT);
   hop_header_t hop_headers[HOP_HEADER_COUNT];
@@ -321,7 +322,7 @@
   uint32_t hop_count;
 
   fill_attempt (call, now_us);
-  hop_count = hop_write (&call->hop, router->daemon->set.fleet_key, hop_headers);
+  hop_count = hop_write (&call->hop, router->daemon->settings.fleet_key, hop_headers);
   memcpy (headers, call->headers, call->header_count * sizeof headers[0]);
   for (uint32_t i = 0; i < hop_count; i++)
     headers[call->header_count + i] =
--- a/src/request/router/router_host_probe.c
+++ b/src/request/router/router_host_probe.c
@@ -84,14 +84,15 @@
   host_probe->request = NULL;
   if (end->complete)
     {
-      host_probe->last_heard_us = data_task_now_us (router->ops);
+      host_probe->last_heard_us = data_task_now_us (router->data_task);
       return;
     }
   /* Only a timeout shows that the host is frozen. A host that stops gracefully refuses connections
    * while it finishes its requests, and a process that ended has closed its connections already. */
   if (end->reason != VERDICT_REASON_TIMEOUT)
     return;
-  health_record_failure (router->health, data_task_now_us (router->ops), host_probe->host_hash);
+  health_record_failure (router->health, data_task_now_us (router->data_task),
+                         host_probe->host_hash);
   fail_waiting_calls (host_probe);
 }
 
@@ -108,17 +109,17 @@
 void
 router_host_probe_record_answer (router_t *router, uint64_t host_hash)
 {
-  find_or_add (router, host_hash)->last_heard_us = data_task_now_us (router->ops);
+  find_or_add (router, host_hash)->last_heard_us = data_task_now_us (router->data_task);
 }
 
 void
 router_host_probe_check (router_call_t *call)
 {
   router_t *router = call->router;
-  uint64_t now_us = data_task_now_us (router->ops);
+  uint64_t now_us = data_task_now_us (router->data_task);
   router_host_probe_t *host_probe = find_or_add (router, call->attempts.last_engine);
   const membership_host_t *host =
-      membership_find_by_hash (data_task_members (router->ops), call->attempts.last_engine);
+      membership_find_by_hash (data_task_members (router->data_task), call->attempts.last_engine);
   http_client_options_t options = { .method = "GET",
                                     .target = PROBE_TARGET,
                                     .timeout_us = ROUTER_HOST_PROBE_TIMEOUT_US,
@@ -132,6 +133,6 @@
   options.address = &host->http;
   host_probe->probe_started_us = now_us;
   counter_add (router->probes, 1);
-  data_task_count_control_bytes (router->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
+  data_task_count_control_bytes (router->data_task, DATA_TASK_CALL_OVERHEAD_BYTES);
   host_probe->request = http_client_start_call (router->http_client, &options);
 }
--- a/src/request/router/router_notify.c
+++ b/src/request/router/router_notify.c
@@ -19,13 +19,13 @@
   http_client_options_t options = *handlers;
 
   call_seal_compute (&(sealed_call_t){ .host = host->name, .method = "POST", .target = target },
-                     router->daemon->set.fleet_key, seal);
+                     router->daemon->settings.fleet_key, seal);
   options.address = address;
   options.method = "POST";
   options.target = target;
   options.headers = &header;
   options.header_count = 1;
-  data_task_count_control_bytes (router->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
+  data_task_count_control_bytes (router->data_task, DATA_TASK_CALL_OVERHEAD_BYTES);
   return http_client_start_call (router->http_client, &options);
 }
 
@@ -81,8 +81,8 @@
   forwarding_step_t step;
 
   call->revoke_request = NULL;
-  step = forwarding_revoked (&call->attempts, data_task_now_us (router->ops), &router->retry_budget,
-                             verdict);
+  step = forwarding_revoked (&call->attempts, data_task_now_us (router->data_task),
+                             &router->retry_budget, verdict);
   counter_add (router->retries, call->attempts.retries - retries);
   router_call_take_step (call, step);
 }
@@ -97,7 +97,7 @@
 static void
 revoke_target (const router_call_t *call, char out[TARGET_BYTES])
 {
-  uint64_t age_us = data_task_now_us (call->router->ops) - call->sent_us;
+  uint64_t age_us = data_task_now_us (call->router->data_task) - call->sent_us;
 
   g_snprintf (out, TARGET_BYTES, "%s?attempt=%s&age_ms=%" PRIu64, HOP_REVOKE_PATH,
               call->attempt_text, age_us / CLOCK_US_PER_MS + 1);
@@ -122,8 +122,8 @@
 void
 router_revoke_and_forget (router_call_t *call)
 {
-  const membership_host_t *host =
-      membership_find_by_hash (data_task_members (call->router->ops), call->attempts.last_engine);
+  const membership_host_t *host = membership_find_by_hash (
+      data_task_members (call->router->data_task), call->attempts.last_engine);
   char target[TARGET_BYTES];
 
   if (host == NULL)
@@ -138,7 +138,7 @@
 {
   router_t *router = call->router;
   uint64_t chat_hash = call->hop.chat_hash;
-  uint64_t now_us = data_task_now_us (router->ops);
+  uint64_t now_us = data_task_now_us (router->data_task);
   router_hint_t *hint = &router->served_hints[chat_hash % ROUTER_HINT_ENTRIES];
   const membership_host_t *home = router_find_host (router, call->hop.home_hash);
   bool already_sent = hint->chat_hash == chat_hash && hint->engine_hash == engine_hash &&
--- a/src/request/router/router_private.h
+++ b/src/request/router/router_private.h
@@ -132,7 +132,7 @@
 {
   daemon_t *daemon;
   struct event_base *base;
-  data_task_t *ops;
+  data_task_t *data_task;
   http_client_t *http_client;
   health_t *health;
   forwarding_budget_t retry_budget;
@@ -266,7 +266,8 @@
                                verdict_t verdict,
                                verdict_reason_t reason);
 /** router_call_fault() - the error answer for the caller */
-flt_t router_call_fault (const router_call_t *call, verdict_t verdict, verdict_reason_t reason);
+error_reply_t
+router_call_fault (const router_call_t *call, verdict_t verdict, verdict_reason_t reason);
 
 /** router_hop_send() - sends the request to the sidecar of a host */
 void router_hop_send (router_call_t *call, const membership_host_t *host);
--- a/src/request/sidecar/sidecar.c
+++ b/src/request/sidecar/sidecar.c
@@ -30,7 +30,7 @@
 add_status (json_t *out, void *context)
 {
   const sidecar_t *sidecar = context;
-  uint64_t now_us = data_task_now_us (sidecar->ops);
+  uint64_t now_us = data_task_now_us (sidecar->data_task);
   load_sample_t own = admission_sample (sidecar->admission, now_us);
   load_samples_estimate_t mean = load_samples_estimate_mean (
       admission_mean (sidecar->admission), now_us, &own, sidecar->other_engine_count + 1);
@@ -53,7 +53,7 @@
 is_live (uint64_t engine_hash, void *context)
 {
   const sidecar_t *sidecar = context;
-  const membership_snapshot_t *members = data_task_members (sidecar->ops);
+  const membership_snapshot_t *members = data_task_members (sidecar->data_task);
   const membership_host_t *host =
       members != NULL ? membership_find_by_hash (members, engine_hash) : NULL;
 
@@ -63,8 +63,8 @@
 static void
 list_other_engines (sidecar_t *sidecar)
 {
-  const manifest_t *manifest = data_task_manifest (sidecar->ops);
-  const membership_snapshot_t *members = data_task_members (sidecar->ops);
+  const manifest_t *manifest = data_task_manifest (sidecar->data_task);
+  const membership_snapshot_t *members = data_task_members (sidecar->data_task);
 
   g_clear_pointer (&sidecar->other_engines, g_free);
   sidecar->other_engine_count = 0;
@@ -107,18 +107,19 @@
 static bool
 is_leaving (const sidecar_t *sidecar)
 {
-  const membership_snapshot_t *members = data_task_members (sidecar->ops);
+  const membership_snapshot_t *members = data_task_members (sidecar->data_task);
   const membership_host_t *own =
       members != NULL ? membership_find_by_hash (members, sidecar->own_hash) : NULL;
 
-  return data_task_is_draining (sidecar->ops) || (own != NULL && own->state != MEMBERSHIP_LIVE);
+  return data_task_is_draining (sidecar->data_task) ||
+         (own != NULL && own->state != MEMBERSHIP_LIVE);
 }
 
 bool
 sidecar_accepts_requests (const sidecar_t *sidecar)
 {
   return sidecar->service != NULL && sidecar->engine_up && !is_leaving (sidecar) &&
-         !data_task_is_stale (sidecar->ops);
+         !data_task_is_stale (sidecar->data_task);
 }
 
 verdict_reason_t
@@ -126,7 +127,7 @@
 {
   const sidecar_t *sidecar = call->sidecar;
 
-  if (data_task_is_stale (sidecar->ops))
+  if (data_task_is_stale (sidecar->data_task))
     return VERDICT_REASON_STALE;
   if (is_leaving (sidecar))
     return VERDICT_REASON_LEAVING;
@@ -139,7 +140,7 @@
 sidecar_in_leaving_grace (const sidecar_t *sidecar)
 {
   return sidecar->leaving_since_us != 0 &&
-         data_task_now_us (sidecar->ops) - sidecar->leaving_since_us < LIMIT_LEAVING_GRACE_US;
+         data_task_now_us (sidecar->data_task) - sidecar->leaving_since_us < LIMIT_LEAVING_GRACE_US;
 }
 
 static void
@@ -148,18 +149,19 @@
   if (!is_leaving (sidecar))
     sidecar->leaving_since_us = 0;
   else if (sidecar->leaving_since_us == 0)
-    sidecar->leaving_since_us = data_task_now_us (sidecar->ops);
+    sidecar->leaving_since_us = data_task_now_us (sidecar->data_task);
 }
 
 static void
 on_configuration_changed (void *context)
 {
   sidecar_t *sidecar = context;
-  const manifest_t *manifest = data_task_manifest (sidecar->ops);
+  const manifest_t *manifest = data_task_manifest (sidecar->data_task);
   admission_options_t options;
 
-  sidecar->service =
-      manifest != NULL ? manifest_service_of_engine (manifest, sidecar->daemon->set.name) : NULL;
+  sidecar->service = manifest != NULL
+                         ? manifest_service_of_engine (manifest, sidecar->daemon->settings.name)
+                         : NULL;
   list_other_engines (sidecar);
   options = admission_options (sidecar);
   admission_configure (sidecar->admission, &options);
@@ -191,7 +193,8 @@
     return;
   message = message_new (MESSAGE_OWN_LOAD_SAMPLE);
   message->count = 1;
-  message->samples[0] = admission_sample (sidecar->admission, data_task_now_us (sidecar->ops));
+  message->samples[0] =
+      admission_sample (sidecar->admission, data_task_now_us (sidecar->data_task));
   sidecar->reported_sample = message->samples[0];
   mailbox_send (sidecar->daemon->to_control, &message->head);
 }
@@ -215,7 +218,7 @@
   (void)what;
   sidecar_process_queue (sidecar);
   counter_set (sidecar->bound_milli,
-               admission_bound_milli (sidecar->admission, data_task_now_us (sidecar->ops)));
+               admission_bound_milli (sidecar->admission, data_task_now_us (sidecar->data_task)));
   if (load_change >= REPORT_LOAD_CHANGE || load_change <= -REPORT_LOAD_CHANGE)
     report_load (sidecar);
 }
@@ -238,33 +241,34 @@
 merge_crash_marks (sidecar_t *sidecar, const message_crash_marks_t *message)
 {
   for (uint32_t i = 0; i < message->count; i++)
-    suspect_merge_mark (admission_suspects (sidecar->admission), data_task_now_us (sidecar->ops),
-                        &message->marks[i]);
+    suspect_merge_mark (admission_suspects (sidecar->admission),
+                        data_task_now_us (sidecar->data_task), &message->marks[i]);
 }
 
 static void
 make_counters (sidecar_t *sidecar)
 {
-  counter_registry_t *set = sidecar->daemon->counters;
+  counter_registry_t *registry = sidecar->daemon->counters;
   char name[128];
 
   sidecar->dispatched =
-      counter_get (set, "medlarplank_dispatched_total", "Requests passed to the engine.");
+      counter_get (registry, "medlarplank_dispatched_total", "Requests passed to the engine.");
   sidecar->waited =
-      counter_get (set, "medlarplank_queued_total", "Requests that had to wait here.");
+      counter_get (registry, "medlarplank_queued_total", "Requests that had to wait here.");
   sidecar->crashes =
-      counter_get (set, "medlarplank_engine_crashes_total", "Crashes of the engine.");
-  sidecar->directory_notes = counter_get (set, SIDECAR_DIRECTORY_NOTES_COUNTER,
+      counter_get (registry, "medlarplank_engine_crashes_total", "Crashes of the engine.");
+  sidecar->directory_notes = counter_get (registry, SIDECAR_DIRECTORY_NOTES_COUNTER,
                                           "Chats told to be warm on another engine.");
-  sidecar->load = counter_get (set, "medlarplank_load", "Requests that the engine runs now.");
-  sidecar->waiting = counter_get (set, "medlarplank_waiting", "Requests that wait here now.");
+  sidecar->load = counter_get (registry, "medlarplank_load", "Requests that the engine runs now.");
+  sidecar->waiting = counter_get (registry, "medlarplank_waiting", "Requests that wait here now.");
   sidecar->bound_milli =
-      counter_get (set, "medlarplank_bound_milli", "Load bound, in thousandths of a request.");
+      counter_get (registry, "medlarplank_bound_milli", "Load bound, in thousandths of a request.");
   for (uint32_t i = 0; i < VERDICT_REASON_COUNT; i++)
     {
       snprintf (name, sizeof name, "medlarplank_refusals_total{reason=\"%s\"}",
                 verdict_reason_to_string (i));
-      sidecar->refusals[i] = counter_get (set, name, "Requests refused or failed here, by reason.");
+      sidecar->refusals[i] =
+          counter_get (registry, name, "Requests refused or failed here, by reason.");
     }
 }
 
@@ -297,9 +301,9 @@
 
   sidecar->daemon = daemon;
   sidecar->base = base;
-  sidecar->own_hash = rendezvous_hash_name (daemon->set.name);
-  sidecar->ops = data_task_new (&options, error);
-  if (sidecar->ops == NULL)
+  sidecar->own_hash = rendezvous_hash_name (daemon->settings.name);
+  sidecar->data_task = data_task_new (&options, error);
+  if (sidecar->data_task == NULL)
     {
       g_free (sidecar);
       return NULL;
@@ -307,7 +311,7 @@
   first = admission_options (sidecar);
   sidecar->admission = admission_new (&first);
   admission_set_engine_up (sidecar->admission, false);
-  admission_set_joined (sidecar->admission, data_task_now_us (sidecar->ops));
+  admission_set_joined (sidecar->admission, data_task_now_us (sidecar->data_task));
   sidecar->history = history_new (LIMIT_REVOKED_ATTEMPTS);
   sidecar->http_client = http_client_new (base, SIDECAR_IDLE_CONNECTIONS, SIDECAR_IDLE_TIMEOUT_MS);
   sidecar->calls = g_hash_table_new (hop_hash_attempt, hop_equal_attempt);
@@ -316,7 +320,7 @@
   make_counters (sidecar);
   sidecar->probe_timer = evtimer_new (base, sidecar_probe_on_timer, sidecar);
   sidecar->tick_timer = start_timer (sidecar, SIDECAR_QUEUE_CHECK_MS, on_tick);
-  sidecar->report_timer = start_timer (sidecar, daemon->set.exchange_interval_ms, on_report);
+  sidecar->report_timer = start_timer (sidecar, daemon->settings.exchange_interval_ms, on_report);
   sidecar_probe_start (sidecar);
   return sidecar;
 }
@@ -341,7 +345,7 @@
   event_free (sidecar->probe_timer);
   event_free (sidecar->tick_timer);
   event_free (sidecar->report_timer);
-  data_task_free (sidecar->ops);
+  data_task_free (sidecar->data_task);
   http_client_free (sidecar->http_client);
   admission_free (sidecar->admission);
   history_free (sidecar->history);
@@ -355,7 +359,7 @@
 {
   sidecar_t *sidecar = context;
 
-  if (data_task_handle_message (sidecar->ops, message))
+  if (data_task_handle_message (sidecar->data_task, message))
     return;
   switch ((message_kind_t)message->kind)
     {
--- a/src/request/sidecar/sidecar_accept.c
+++ b/src/request/sidecar/sidecar_accept.c
@@ -30,7 +30,7 @@
   request->chat_hash = hop->chat_hash;
   request->fingerprint = hop->fingerprint;
   request->home_hash = hop->home_hash;
-  request->former_home_hash = hop->former_hash;
+  request->former_home_hash = hop->former_home_hash;
   request->prompt_tokens = hop->prompt_tokens;
   request->output_tokens = hop->output_tokens;
   request->may_wait = hop->may_wait;
@@ -41,7 +41,7 @@
 static void
 merge_samples (sidecar_t *sidecar, const hop_t *hop)
 {
-  uint64_t now_us = data_task_now_us (sidecar->ops);
+  uint64_t now_us = data_task_now_us (sidecar->data_task);
 
   for (uint32_t i = 0; i < hop->sample_count; i++)
     {
@@ -63,7 +63,7 @@
 static void
 copy_request (sidecar_call_t *call)
 {
-  uint32_t limit = call->sidecar->daemon->set.header_limit_count;
+  uint32_t limit = call->sidecar->daemon->settings.header_limit_count;
 
   /* A non-idempotent request continues after its router disconnects, so everything is copied. */
   call->body = http_server_take_body (call->inbound, &call->body_bytes);
@@ -87,8 +87,8 @@
   call->sidecar = sidecar;
   call->inbound = inbound;
   call->hop = *hop;
-  call->manifest = manifest_ref (data_task_manifest (sidecar->ops));
-  call->arrived_us = data_task_now_us (sidecar->ops);
+  call->manifest = manifest_ref (data_task_manifest (sidecar->data_task));
+  call->arrived_us = data_task_now_us (sidecar->data_task);
   call->deadline_us = call->arrived_us + (uint64_t)hop->deadline_ms * CLOCK_US_PER_MS;
   call->timer = evtimer_new (sidecar->base, sidecar_engine_on_timer, call);
   hop_format_attempt (hop->attempt, call->attempt_text);
@@ -104,7 +104,7 @@
 refuse_without_call (sidecar_t *sidecar,
                      http_server_call_t *inbound,
                      const char *attempt,
-                     const flt_t *fault)
+                     const error_reply_t *fault)
 {
   sidecar_add_headers (sidecar, inbound, attempt);
   if (fault->reason != VERDICT_REASON_NONE)
@@ -116,7 +116,7 @@
 read_hop_headers (sidecar_t *sidecar, http_server_call_t *inbound, hop_t *hop)
 {
   hop_read_result_t outcome =
-      hop_read (hop, sidecar->daemon->set.fleet_key, http_server_request_headers (inbound));
+      hop_read (hop, sidecar->daemon->settings.fleet_key, http_server_request_headers (inbound));
   size_t body_bytes;
   const char *body = http_server_body (inbound, &body_bytes);
 
@@ -141,10 +141,10 @@
                      const hop_t *hop,
                      const char *attempt)
 {
-  flt_t fault = { .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_REVOKED };
+  error_reply_t fault = { .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_REVOKED };
   verdict_t ended;
   history_state_t state =
-      history_find (sidecar->history, data_task_now_us (sidecar->ops), hop->attempt, &ended);
+      history_find (sidecar->history, data_task_now_us (sidecar->data_task), hop->attempt, &ended);
 
   if (state == HISTORY_UNKNOWN && !g_hash_table_contains (sidecar->calls, hop->attempt))
     return false;
@@ -161,7 +161,7 @@
 static verdict_reason_t
 refusal_reason (sidecar_t *sidecar, const hop_t *hop)
 {
-  if (data_task_is_stale (sidecar->ops) || data_task_manifest (sidecar->ops) == NULL)
+  if (data_task_is_stale (sidecar->data_task) || data_task_manifest (sidecar->data_task) == NULL)
     return VERDICT_REASON_STALE;
   if (sidecar->service == NULL || strcmp (sidecar->service->name, hop->service) != 0)
     return VERDICT_REASON_WRONG_SERVICE;
@@ -184,11 +184,11 @@
   reason = refusal_reason (sidecar, &hop);
   if (reason != VERDICT_REASON_NONE)
     {
-      history_record (sidecar->history, data_task_now_us (sidecar->ops), hop.attempt,
+      history_record (sidecar->history, data_task_now_us (sidecar->data_task), hop.attempt,
                       VERDICT_NOT_RUN);
       counter_add (sidecar->refusals[reason], 1);
       refuse_without_call (sidecar, inbound, attempt,
-                           &(flt_t){ .verdict = VERDICT_NOT_RUN, .reason = reason });
+                           &(error_reply_t){ .verdict = VERDICT_NOT_RUN, .reason = reason });
       return;
     }
   merge_samples (sidecar, &hop);
--- a/src/request/sidecar/sidecar_call.c
+++ b/src/request/sidecar/sidecar_call.c
@@ -18,24 +18,24 @@
                           .verdict = verdict,
                           .reason = reason,
                           .hop = (uint32_t)(call->hop.attempt[1] & 0xff),
-                          .wait_us = data_task_now_us (sidecar->ops) - call->arrived_us,
+                          .wait_us = data_task_now_us (sidecar->data_task) - call->arrived_us,
                           .has_engine_load = true,
                           .load = admission_load (sidecar->admission),
                           .waiting = admission_waiting (sidecar->admission),
-                          .bound_milli = admission_bound_milli (sidecar->admission,
-                                                                data_task_now_us (sidecar->ops)) };
+                          .bound_milli = admission_bound_milli (
+                              sidecar->admission, data_task_now_us (sidecar->data_task)) };
 
   g_strlcpy (decision.account, call->hop.account, sizeof decision.account);
   g_strlcpy (decision.service, call->hop.service, sizeof decision.service);
   g_strlcpy (decision.class_name, call->hop.class_name, sizeof decision.class_name);
-  g_strlcpy (decision.chosen, sidecar->daemon->set.name, sizeof decision.chosen);
-  decision_ring_record (data_task_decisions (sidecar->ops), "place", &decision);
+  g_strlcpy (decision.chosen, sidecar->daemon->settings.name, sizeof decision.chosen);
+  decision_ring_record (data_task_decisions (sidecar->data_task), "place", &decision);
 }
 
 bool
 sidecar_format_load (const sidecar_t *sidecar, char out[48])
 {
-  load_sample_t own = admission_sample (sidecar->admission, data_task_now_us (sidecar->ops));
+  load_sample_t own = admission_sample (sidecar->admission, data_task_now_us (sidecar->data_task));
 
   /* An engine that accepts no requests is left out of the mean load. Counted as idle, it would
    * lower the load bound of the engines that have to take over its share. */
@@ -56,7 +56,7 @@
   if (sidecar_format_load (sidecar, load))
     http_server_add_header (inbound, HOP_LOAD_HEADER, load);
   http_server_add_header (inbound, HOP_ATTEMPT_HEADER, attempt_text);
-  http_server_add_header (inbound, HOP_ENGINE_HEADER, sidecar->daemon->set.name);
+  http_server_add_header (inbound, HOP_ENGINE_HEADER, sidecar->daemon->settings.name);
   http_server_add_header (inbound, HOP_INCARNATION_HEADER, sidecar->incarnation_text);
 }
 
@@ -87,14 +87,14 @@
 static void
 record_outcome (sidecar_call_t *call, verdict_t verdict)
 {
-  history_record (call->sidecar->history, data_task_now_us (call->sidecar->ops), call->hop.attempt,
-                  verdict);
+  history_record (call->sidecar->history, data_task_now_us (call->sidecar->data_task),
+                  call->hop.attempt, verdict);
 }
 
 static void
 add_referrals (sidecar_call_t *call, const admission_decision_t *decision)
 {
-  const membership_snapshot_t *members = data_task_members (call->sidecar->ops);
+  const membership_snapshot_t *members = data_task_members (call->sidecar->data_task);
   GString *names = g_string_new (NULL);
 
   for (uint32_t i = 0; members != NULL && i < decision->referral_count; i++)
@@ -123,9 +123,9 @@
       snprintf (retry, sizeof retry, "%" PRIu32, decision->retry_after_ms);
       http_server_add_header (call->inbound, HOP_RETRY_AFTER_HEADER, retry);
     }
-  error_reply_send (call->inbound, &(flt_t){ .verdict = verdict,
-                                             .reason = decision->reason,
-                                             .retry_after_ms = decision->retry_after_ms });
+  error_reply_send (call->inbound, &(error_reply_t){ .verdict = verdict,
+                                                     .reason = decision->reason,
+                                                     .retry_after_ms = decision->retry_after_ms });
   call->inbound = NULL;
   relay_client_gone (&call->relay);
 }
@@ -154,7 +154,8 @@
 {
   sidecar_t *sidecar = call->sidecar;
 
-  admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request, false);
+  admission_finish (sidecar->admission, data_task_now_us (sidecar->data_task), &call->request,
+                    false);
   refuse_call (call, &(admission_decision_t){ .reason = reason }, verdict);
 }
 
@@ -167,7 +168,8 @@
   counter_add (call->sidecar->refusals[reason], 1);
   record_outcome (call, VERDICT_MAY_HAVE_RUN);
   if (call->relay.has_started)
-    relay_abort (&call->relay, &(flt_t){ .verdict = VERDICT_MAY_HAVE_RUN, .reason = reason });
+    relay_abort (&call->relay,
+                 &(error_reply_t){ .verdict = VERDICT_MAY_HAVE_RUN, .reason = reason });
   else if (call->inbound != NULL)
     reply_refusal (call, &decision, VERDICT_MAY_HAVE_RUN);
   call->inbound = NULL;
@@ -195,7 +197,7 @@
 sidecar_call_cancel (sidecar_call_t *call)
 {
   sidecar_t *sidecar = call->sidecar;
-  uint64_t now_us = data_task_now_us (sidecar->ops);
+  uint64_t now_us = data_task_now_us (sidecar->data_task);
   verdict_t verdict = VERDICT_NOT_RUN;
 
   switch (call->state)
@@ -223,7 +225,8 @@
   if (call->inbound != NULL && !call->relay.has_started)
     reply_refusal (call, &(admission_decision_t){ .reason = VERDICT_REASON_REVOKED }, verdict);
   else if (call->inbound != NULL)
-    relay_abort (&call->relay, &(flt_t){ .verdict = verdict, .reason = VERDICT_REASON_REVOKED });
+    relay_abort (&call->relay,
+                 &(error_reply_t){ .verdict = verdict, .reason = VERDICT_REASON_REVOKED });
   sidecar_call_free (call);
   return verdict;
 }
@@ -250,7 +253,7 @@
 {
   sidecar_t *sidecar = call->sidecar;
   suspects_t *suspects = admission_suspects (sidecar->admission);
-  uint64_t now_us = data_task_now_us (sidecar->ops);
+  uint64_t now_us = data_task_now_us (sidecar->data_task);
   suspect_mark_t mark = { .fingerprint = call->hop.fingerprint };
 
   if (call->hop.crashed[0] != 0)
@@ -278,8 +281,9 @@
 {
   const sidecar_t *sidecar = call->sidecar;
 
-  switch (suspect_check (admission_suspects (sidecar->admission), data_task_now_us (sidecar->ops),
-                         call->hop.fingerprint, sidecar->own_hash))
+  switch (suspect_check (admission_suspects (sidecar->admission),
+                         data_task_now_us (sidecar->data_task), call->hop.fingerprint,
+                         sidecar->own_hash))
     {
     case SUSPECT_REFUSED:
       return VERDICT_REASON_SUSPECT;
@@ -348,10 +352,10 @@
                                     .reason = VERDICT_REASON_QUARANTINE };
 
   http_server_on_disconnect (call->inbound, on_router_disconnect, call);
-  admission_set_stale (sidecar->admission, data_task_is_stale (sidecar->ops));
+  admission_set_stale (sidecar->admission, data_task_is_stale (sidecar->data_task));
   if (!must_quarantine (call))
     decision =
-        admission_offer (sidecar->admission, data_task_now_us (sidecar->ops), &call->request);
+        admission_offer (sidecar->admission, data_task_now_us (sidecar->data_task), &call->request);
   switch (decision.action)
     {
     case ADMISSION_DISPATCH:
@@ -374,11 +378,12 @@
   admission_decision_t decision;
   admission_request_t *request;
 
-  admission_set_stale (sidecar->admission, data_task_is_stale (sidecar->ops));
-  while ((request = admission_next_rejected (sidecar->admission, data_task_now_us (sidecar->ops),
-                                             &decision)) != NULL)
+  admission_set_stale (sidecar->admission, data_task_is_stale (sidecar->data_task));
+  while ((request = admission_next_rejected (
+              sidecar->admission, data_task_now_us (sidecar->data_task), &decision)) != NULL)
     reject_queued ((sidecar_call_t *)request, &decision);
-  while ((request = admission_next (sidecar->admission, data_task_now_us (sidecar->ops))) != NULL)
+  while ((request = admission_next (sidecar->admission, data_task_now_us (sidecar->data_task))) !=
+         NULL)
     dispatch ((sidecar_call_t *)request);
   counter_set (sidecar->load, admission_load (sidecar->admission));
   counter_set (sidecar->waiting, admission_waiting (sidecar->admission));
--- a/src/request/sidecar/sidecar_claim.c
+++ b/src/request/sidecar/sidecar_claim.c
@@ -75,7 +75,8 @@
 
   if (reason == VERDICT_REASON_LEAVING && sidecar_in_leaving_grace (call->sidecar))
     reason = VERDICT_REASON_NONE;
-  if (reason == VERDICT_REASON_NONE && data_task_now_us (call->sidecar->ops) >= call->deadline_us)
+  if (reason == VERDICT_REASON_NONE &&
+      data_task_now_us (call->sidecar->data_task) >= call->deadline_us)
     reason = VERDICT_REASON_DEADLINE;
   return reason;
 }
--- a/src/request/sidecar/sidecar_engine.c
+++ b/src/request/sidecar/sidecar_engine.c
@@ -42,7 +42,7 @@
   /* If the stream breaks off, the router sends the error event; the caller must not get two. */
   call->relay.is_event_stream = false;
   relay_add_header (&call->relay, HOP_ATTEMPT_HEADER, call->attempt_text);
-  relay_add_header (&call->relay, HOP_ENGINE_HEADER, call->sidecar->daemon->set.name);
+  relay_add_header (&call->relay, HOP_ENGINE_HEADER, call->sidecar->daemon->settings.name);
   relay_add_header (&call->relay, HOP_INCARNATION_HEADER, call->sidecar->incarnation_text);
   if (!call->relay.is_buffering)
     add_load_header (call);
@@ -67,7 +67,7 @@
   bool fills_cache =
       sidecar->service != NULL && sidecar->service->kind == MANIFEST_KIND_MODEL && status == 200;
 
-  admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request,
+  admission_finish (sidecar->admission, data_task_now_us (sidecar->data_task), &call->request,
                     fills_cache);
   sidecar_claim_end (call, true, (uint32_t)status);
   if (!call->relay.has_started)
@@ -97,12 +97,12 @@
   sidecar_t *sidecar = call->sidecar;
 
   call->state = SIDECAR_CALL_INTERRUPTED;
-  call->interrupted_us = data_task_now_us (sidecar->ops);
+  call->interrupted_us = data_task_now_us (sidecar->data_task);
   if (call->relay.has_started)
     {
-      relay_abort (&call->relay, &(flt_t){ .verdict = VERDICT_RAN,
-                                           .reason = VERDICT_REASON_CUT,
-                                           .request = call->attempt_text });
+      relay_abort (&call->relay, &(error_reply_t){ .verdict = VERDICT_RAN,
+                                                   .reason = VERDICT_REASON_CUT,
+                                                   .request = call->attempt_text });
       call->inbound = NULL;
     }
   sidecar_probe_start (sidecar);
@@ -123,7 +123,8 @@
     on_engine_unreachable (call);
   else if (call->answer_mismatch)
     {
-      admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request, false);
+      admission_finish (sidecar->admission, data_task_now_us (sidecar->data_task), &call->request,
+                        false);
       sidecar_call_fail (call, VERDICT_REASON_CROSSED);
     }
   else
@@ -156,7 +157,8 @@
       set_timer (call, SIDECAR_STALL_TIMEOUT_US);
       return;
     }
-  admission_finish (sidecar->admission, data_task_now_us (sidecar->ops), &call->request, false);
+  admission_finish (sidecar->admission, data_task_now_us (sidecar->data_task), &call->request,
+                    false);
   sidecar_call_fail (call, VERDICT_REASON_TIMEOUT);
   sidecar_process_queue (sidecar);
 }
@@ -165,13 +167,13 @@
 sidecar_engine_send (sidecar_call_t *call)
 {
   sidecar_t *sidecar = call->sidecar;
-  uint64_t now_us = data_task_now_us (sidecar->ops);
+  uint64_t now_us = data_task_now_us (sidecar->data_task);
   uint64_t remaining_us = call->deadline_us > now_us ? call->deadline_us - now_us : 0;
   char priority[16];
   g_autofree http_client_header_t *headers =
       g_new (http_client_header_t, call->header_count + ADDED_HEADERS);
   http_client_header_t *added = headers + call->header_count;
-  http_client_options_t options = { .address = &sidecar->daemon->set.engine,
+  http_client_options_t options = { .address = &sidecar->daemon->settings.engine,
                                     .method = call->method,
                                     .target = call->target,
                                     .headers = headers,
--- a/src/request/sidecar/sidecar_handover.c
+++ b/src/request/sidecar/sidecar_handover.c
@@ -64,8 +64,8 @@
                                        .target = HOP_DIRECTORY_PATH,
                                        .body = request->body,
                                        .body_bytes = options.body_bytes },
-                     sidecar->daemon->set.fleet_key, seal);
-  data_task_count_control_bytes (sidecar->ops,
+                     sidecar->daemon->settings.fleet_key, seal);
+  data_task_count_control_bytes (sidecar->data_task,
                                  DATA_TASK_CALL_OVERHEAD_BYTES + (uint32_t)options.body_bytes);
   http_client_start_call (sidecar->http_client, &options);
 }
@@ -78,7 +78,7 @@
   if (entries == NULL)
     return;
   if (handover->batch_count++ < SIDECAR_HANDOVER_MAX_BATCHES)
-    send_batch (handover->sidecar, &data_task_members (handover->sidecar->ops)->hosts[index],
+    send_batch (handover->sidecar, &data_task_members (handover->sidecar->data_task)->hosts[index],
                 entries);
   json_decref (entries);
   handover->batch_by_host[index] = NULL;
@@ -112,7 +112,7 @@
 void
 sidecar_hand_over_directory (sidecar_t *sidecar)
 {
-  const membership_snapshot_t *members = data_task_members (sidecar->ops);
+  const membership_snapshot_t *members = data_task_members (sidecar->data_task);
   handover_t handover = { .sidecar = sidecar };
 
   if (sidecar->directory_handed_over || sidecar->service == NULL || members == NULL ||
--- a/src/request/sidecar/sidecar_peer_requests.c
+++ b/src/request/sidecar/sidecar_peer_requests.c
@@ -23,7 +23,8 @@
   sidecar_call_t *call = g_hash_table_lookup (sidecar->calls, attempt);
 
   if (call == NULL)
-    return history_revoke (sidecar->history, data_task_now_us (sidecar->ops), attempt, age_us);
+    return history_revoke (sidecar->history, data_task_now_us (sidecar->data_task), attempt,
+                           age_us);
   return sidecar_call_cancel (call);
 }
 
@@ -61,7 +62,7 @@
       error_reply_reject (inbound, 400, "bad_request", "chat or engine is missing or not valid");
       return;
     }
-  admission_note_served_elsewhere (sidecar->admission, data_task_now_us (sidecar->ops), chat,
+  admission_note_served_elsewhere (sidecar->admission, data_task_now_us (sidecar->data_task), chat,
                                    engine);
   counter_add (sidecar->directory_notes, 1);
   http_server_reply_text (inbound, 200, "text/plain", "noted\n");
@@ -86,8 +87,8 @@
       if (!parse_hash (json_string_value (json_array_get (entry, 0)), &chat) ||
           !parse_hash (json_string_value (json_array_get (entry, 1)), &engine))
         continue;
-      admission_note_served_elsewhere (sidecar->admission, data_task_now_us (sidecar->ops), chat,
-                                       engine);
+      admission_note_served_elsewhere (sidecar->admission, data_task_now_us (sidecar->data_task),
+                                       chat, engine);
       counter_add (sidecar->directory_notes, 1);
       stored++;
     }
@@ -121,7 +122,7 @@
 
   if (strcmp (http_server_method (inbound), "POST") != 0)
     return false;
-  data_task_count_control_bytes (sidecar->ops, DATA_TASK_CALL_OVERHEAD_BYTES);
+  data_task_count_control_bytes (sidecar->data_task, DATA_TASK_CALL_OVERHEAD_BYTES);
   if (strcmp (path, HOP_REVOKE_PATH) == 0)
     serve_revoke (sidecar, inbound);
   else if (strcmp (path, HOP_SERVED_PATH) == 0)
--- a/src/request/sidecar/sidecar_private.h
+++ b/src/request/sidecar/sidecar_private.h
@@ -64,7 +64,8 @@
 
 /**
  * struct sidecar - the data task of a sidecar
- * @service: the service of the own engine in the version in force, which @ops holds; NULL if none
+ * @service: the service of the own engine in the version in force, which @data_task holds; NULL if
+ *   none
  * @other_engines: live engines of the service except the own one
  * @calls: the requests here, attempt id -> sidecar_call_t
  * @suspect_calls: number of requests here that are marked as having crashed another engine
@@ -91,7 +92,7 @@
 {
   daemon_t *daemon;
   struct event_base *base;
-  data_task_t *ops;
+  data_task_t *data_task;
   http_client_t *http_client;
   admission_t *admission;
   history_t *history;
--- a/src/request/sidecar/sidecar_probe.c
+++ b/src/request/sidecar/sidecar_probe.c
@@ -27,7 +27,7 @@
   sidecar->engine_up = up;
   admission_set_engine_up (sidecar->admission, up);
   log_event (LOG_LEVEL_NOTICE, up ? "engine_up" : "engine_down", "engine",
-             sidecar->daemon->set.name, NULL);
+             sidecar->daemon->settings.name, NULL);
 }
 
 /* publish_crash_mark() - has the control task distribute the mark of a request to other sidecars */
@@ -37,8 +37,8 @@
   message_crash_marks_t *message = message_new (MESSAGE_NEW_CRASH_MARK);
 
   message->count = 1;
-  if (suspect_get_mark (admission_suspects (sidecar->admission), data_task_now_us (sidecar->ops),
-                        fingerprint, &message->marks[0]))
+  if (suspect_get_mark (admission_suspects (sidecar->admission),
+                        data_task_now_us (sidecar->data_task), fingerprint, &message->marks[0]))
     mailbox_send (sidecar->daemon->to_control, &message->head);
   else
     message->head.free (&message->head);
@@ -53,7 +53,7 @@
 end_interrupted_call (sidecar_call_t *call, bool crashed)
 {
   sidecar_t *sidecar = call->sidecar;
-  uint64_t now_us = data_task_now_us (sidecar->ops);
+  uint64_t now_us = data_task_now_us (sidecar->data_task);
 
   if (crashed)
     {
@@ -92,7 +92,7 @@
   if (ended > 0 && crashed)
     {
       counter_add (sidecar->crashes, 1);
-      log_event (LOG_LEVEL_WARNING, "engine_crashed", "engine", sidecar->daemon->set.name,
+      log_event (LOG_LEVEL_WARNING, "engine_crashed", "engine", sidecar->daemon->settings.name,
                  "in_flight", LOG_U64 (ended), NULL);
     }
   return remaining > 0;
@@ -146,7 +146,7 @@
 void
 sidecar_probe_start (sidecar_t *sidecar)
 {
-  http_client_options_t options = { .address = &sidecar->daemon->set.engine,
+  http_client_options_t options = { .address = &sidecar->daemon->settings.engine,
                                     .method = "GET",
                                     .target = PROBE_TARGET,
                                     .timeout_us = SIDECAR_PROBE_TIMEOUT_US,
@@ -159,7 +159,7 @@
   if (sidecar->probe != NULL)
     return;
   event_del (sidecar->probe_timer);
-  sidecar->probe_started_us = data_task_now_us (sidecar->ops);
+  sidecar->probe_started_us = data_task_now_us (sidecar->data_task);
   sidecar->probe = http_client_start_call (sidecar->http_client, &options);
 }
 
--- a/src/version/view_share.c
+++ b/src/version/view_share.c
@@ -11,7 +11,7 @@
 
   for (uint32_t i = 0; i < count; i++)
     g_string_append_printf (target, "%c%s=%" PRIu64, i == 0 ? '?' : '&', streams[i].name,
-                            streams[i].next);
+                            streams[i].next_offset);
   return g_string_free (target, FALSE);
 }
 
@@ -37,13 +37,13 @@
   bool full_listing = from < keyed_view_listed_offset (stream->view);
   json_t *records;
 
-  if (stream->most_bytes != 0 &&
-      keyed_view_bytes_since (stream->view, full_listing ? 0 : from) > stream->most_bytes)
+  if (stream->max_value_bytes != 0 &&
+      keyed_view_bytes_since (stream->view, full_listing ? 0 : from) > stream->max_value_bytes)
     return json_pack ("{s:b}", "large", 1);
   records = json_array ();
   keyed_view_visit_since (stream->view, full_listing ? 0 : from, add_record, records);
-  return json_pack ("{s:b, s:I, s:o}", "whole", full_listing, "next", (json_int_t)stream->next,
-                    "records", records);
+  return json_pack ("{s:b, s:I, s:o}", "whole", full_listing, "next",
+                    (json_int_t)stream->next_offset, "records", records);
 }
 
 char *
@@ -57,7 +57,7 @@
   char *body;
 
   for (uint32_t i = 0; i < count; i++)
-    if (streams[i].next > from[i])
+    if (streams[i].next_offset > from[i])
       json_object_set_new (json, streams[i].name, format_stream (&streams[i], from[i]));
   text = json_dumps (json, JSON_COMPACT);
   body = g_strdup (text);
--- a/src/version/view_share.h
+++ b/src/version/view_share.h
@@ -20,16 +20,16 @@
 /**
  * struct view_share_stream - a stream and one gateway's view of it
  * @name: static string; also the query parameter with the offset from which records are requested
- * @next: all records before this offset are included in @view
- * @most_bytes: maximum total size of the values in a response; the requester reads the store
+ * @next_offset: all records before this offset are included in @view
+ * @max_value_bytes: maximum total size of the values in a response; the requester reads the store
  *   instead when they are larger; 0 for no limit
  */
 typedef struct
 {
   const char *name;
   keyed_view_t *view;
-  uint64_t next;
-  size_t most_bytes;
+  uint64_t next_offset;
+  size_t max_value_bytes;
 } view_share_stream_t;
 
 /** view_share_format_target() - format the path and query of a request for all records that
--- a/tests/control_rig.c
+++ b/tests/control_rig.c
@@ -33,7 +33,7 @@
   switch (message->kind)
     {
     case MESSAGE_VERSION:
-      received->version = ((message_version_t *)message)->man->version;
+      received->version = ((message_version_t *)message)->manifest->version;
       received->version_count++;
       break;
     case MESSAGE_MEMBERS:
@@ -105,19 +105,19 @@
   memset (rig, 0, sizeof *rig);
   rig->base = base;
   fake_platform_init (&rig->platform);
-  settings_t *set = &rig->daemon.set;
-  set->role = SETTINGS_ROLE_SIDECAR;
-  g_strlcpy (set->name, name, sizeof set->name);
-  g_strlcpy (set->data_center, "hall", sizeof set->data_center);
-  g_strlcpy (set->region, "town", sizeof set->region);
-  g_strlcpy (set->fleet_key, RIG_KEY, sizeof set->fleet_key);
-  g_strlcpy (set->exchange.ip, rig_loopback_ip (), sizeof set->exchange.ip);
-  set->exchange.port = port;
-  set->exchange_interval_ms = 10000;
-  set->list_interval_ms = 1000;
-  set->control_budget_bytes = 100000;
-  set->claim_horizon_s = 86400;
-  set->log_retention_s = 604800;
+  settings_t *settings = &rig->daemon.settings;
+  settings->role = SETTINGS_ROLE_SIDECAR;
+  g_strlcpy (settings->name, name, sizeof settings->name);
+  g_strlcpy (settings->data_center, "hall", sizeof settings->data_center);
+  g_strlcpy (settings->region, "town", sizeof settings->region);
+  g_strlcpy (settings->fleet_key, RIG_KEY, sizeof settings->fleet_key);
+  g_strlcpy (settings->exchange.ip, rig_loopback_ip (), sizeof settings->exchange.ip);
+  settings->exchange.port = port;
+  settings->exchange_interval_ms = 10000;
+  settings->list_interval_ms = 1000;
+  settings->control_budget_bytes = 100000;
+  settings->claim_horizon_s = 86400;
+  settings->log_retention_s = 604800;
   clock_init_paused (&rig->daemon.clock, 100 * (uint64_t)CLOCK_US_PER_S);
   rig->daemon.incarnation = 50;
   rig->daemon.counters = counter_registry_new ();
--- a/tests/gateway_rig.c
+++ b/tests/gateway_rig.c
@@ -33,37 +33,37 @@
 fill_settings (gateway_rig_t *rig, uint32_t index)
 {
   gateway_rig_gateway_t *gateway = &rig->gateways[index];
-  settings_t *set = &gateway->set;
-
-  set->role = SETTINGS_ROLE_GATEWAY;
-  g_snprintf (set->name, sizeof set->name, "gateway-%u", index);
-  g_strlcpy (set->data_center, "hall-1", sizeof set->data_center);
-  g_assert (region_map_parse (&set->regions, "hall-1=north,hall-2=south,hall-3=west"));
-  g_strlcpy (set->fleet_key, "a fleet key of the tests", sizeof set->fleet_key);
-  set->listen = raw_peer_loopback_address ();
-  set->ready_listen = raw_peer_loopback_address ();
-  set->control_listen = raw_peer_loopback_address ();
-  set->control_listen.port = (uint16_t)(GATEWAY_RIG_PORT + 2 * index);
-  set->exchange = raw_peer_loopback_address ();
-  set->exchange.port = (uint16_t)(GATEWAY_RIG_PORT + 2 * index + 1);
-  set->body_limit_bytes = 65536;
-  set->header_limit_bytes = 8192;
-  set->header_limit_count = 100;
-  set->connection_limit = 100;
-  set->idle_timeout_ms = 15000;
-  set->exchange_interval_ms = 100;
-  set->control_budget_bytes = 7000;
-  set->retry_ratio_milli = 200;
-  set->retry_slack_milli = 50 * 1000;
-  set->retry_window_ms = 10000;
-  set->version_ms = 2000;
-  set->renewal_ms = 1200;
-  set->drain_ms = 2000;
-  set->grace_ms = 8000;
+  settings_t *settings = &gateway->settings;
+
+  settings->role = SETTINGS_ROLE_GATEWAY;
+  g_snprintf (settings->name, sizeof settings->name, "gateway-%u", index);
+  g_strlcpy (settings->data_center, "hall-1", sizeof settings->data_center);
+  g_assert (region_map_parse (&settings->regions, "hall-1=north,hall-2=south,hall-3=west"));
+  g_strlcpy (settings->fleet_key, "a fleet key of the tests", sizeof settings->fleet_key);
+  settings->listen = raw_peer_loopback_address ();
+  settings->ready_listen = raw_peer_loopback_address ();
+  settings->control_listen = raw_peer_loopback_address ();
+  settings->control_listen.port = (uint16_t)(GATEWAY_RIG_PORT + 2 * index);
+  settings->exchange = raw_peer_loopback_address ();
+  settings->exchange.port = (uint16_t)(GATEWAY_RIG_PORT + 2 * index + 1);
+  settings->body_limit_bytes = 65536;
+  settings->header_limit_bytes = 8192;
+  settings->header_limit_count = 100;
+  settings->connection_limit = 100;
+  settings->idle_timeout_ms = 15000;
+  settings->exchange_interval_ms = 100;
+  settings->control_budget_bytes = 7000;
+  settings->retry_ratio_milli = 200;
+  settings->retry_slack_milli = 50 * 1000;
+  settings->retry_window_ms = 10000;
+  settings->version_ms = 2000;
+  settings->renewal_ms = 1200;
+  settings->drain_ms = 2000;
+  settings->grace_ms = 8000;
   if (rig->seeded)
     {
-      set->seeds[0] = rig->gateways[0].set.control_listen;
-      set->seed_count = 1;
+      settings->seeds[0] = rig->gateways[0].settings.control_listen;
+      settings->seed_count = 1;
     }
 }
 
@@ -71,7 +71,7 @@
 start_gateway (gateway_rig_t *rig, uint32_t index)
 {
   gateway_rig_gateway_t *gateway = &rig->gateways[index];
-  settings_t *set = &gateway->set;
+  settings_t *settings = &gateway->settings;
   GError *error = NULL;
 
   gateway->counters = counter_registry_new ();
@@ -81,7 +81,7 @@
           .base = rig->base,
           .clock = &rig->clock,
           .counters = gateway->counters,
-          .set = set,
+          .settings = settings,
           .platform = &gateway->front->platform,
           .format = request_format_get (),
           .readers = { .routing = records_read_routing, .engine = records_read_engine },
@@ -119,7 +119,7 @@
   for (uint32_t i = 0; i < gateways; i++)
     {
       fill_settings (rig, i);
-      rig->gateways[i].set.first_start = first_start;
+      rig->gateways[i].settings.first_start = first_start;
       start_gateway (rig, i);
     }
   g_assert (raw_peer_run_until (rig->base, all_ready, rig));
@@ -249,10 +249,10 @@
 void
 gateway_rig_skip_retry_window (gateway_rig_t *rig)
 {
-  settings_t *set = &rig->gateways[0].set;
+  settings_t *settings = &rig->gateways[0].settings;
   time_wait_t wait = { .clock = &rig->clock };
 
-  set->retry_window_ms = SHORT_RETRY_WINDOW_MS;
+  settings->retry_window_ms = SHORT_RETRY_WINDOW_MS;
   gateway_rig_restart (rig, 0);
   wait.at_us = clock_now_us (&rig->clock) + UINT64_C (2) * SHORT_RETRY_WINDOW_MS * CLOCK_US_PER_MS;
   g_assert (raw_peer_run_until (rig->base, time_has_come, &wait));
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -24,7 +24,7 @@
  */
 typedef struct
 {
-  settings_t set;
+  settings_t settings;
   counter_registry_t *counters;
   fake_store_client_t *front;
   gateway_process_t *gateway_process;
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -161,7 +161,7 @@
   rig_publish_version (&peer.platform, 0);
   rig_start (&peer);
   TICK_UNTIL (&peer, peer.received.fresh);
-  exchange_send_now (own.ctrl->exchange, &peer.daemon.set.exchange);
+  exchange_send_now (own.ctrl->exchange, &peer.daemon.settings.exchange);
   membership_report_t word = { 0 };
   gint64 end_us = g_get_monotonic_time () + RIG_DEADLINE_S * G_USEC_PER_SEC;
   while (!membership_last_report (peer.ctrl->membership, own.ctrl->own_hash, &word) &&
--- a/tests/test_control_exchange.c
+++ b/tests/test_control_exchange.c
@@ -203,7 +203,7 @@
   rig_compose (&incoming, "peer", 3)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (counter_value (sent), before);
-  exchange_charge_budget (rig.ctrl->exchange, rig.daemon.set.control_budget_bytes / 2);
+  exchange_charge_budget (rig.ctrl->exchange, rig.daemon.settings.control_budget_bytes / 2);
   rig_compose (&incoming, "third", 1)->sender.state = MEMBERSHIP_LEAVING;
   control_exchange_receive (&incoming.message, false, rig.ctrl);
   CU_ASSERT_EQUAL (counter_value (sent), before);
@@ -240,8 +240,8 @@
     {
       rig_t rig;
       rig_start_fresh (&rig, base);
-      rig.daemon.set.control_budget_bytes = budgets[i];
-      rig.daemon.set.exchange_interval_ms = 500;
+      rig.daemon.settings.control_budget_bytes = budgets[i];
+      rig.daemon.settings.exchange_interval_ms = 500;
       load_samples_t *table =
           g_hash_table_lookup (rig.ctrl->talk.samples, &(uint64_t){ POOL_HASH });
       CU_ASSERT_PTR_NOT_NULL_FATAL (table);
@@ -368,7 +368,7 @@
 {
   http_server_t *http_server;
   counter_registry_t *counters;
-  manifest_t *man;
+  manifest_t *manifest;
   const char *fleet_key;
   uint32_t served;
 } version_server_t;
@@ -384,7 +384,7 @@
   char seal[ANSWER_SEAL_BYTES];
   char *body = manifest_sync_format (server->fleet_key,
                                      http_server_request_header (call, ANSWER_SEAL_NONCE_HEADER),
-                                     server->man, 9, seal);
+                                     server->manifest, 9, seal);
   http_server_add_header (call, ANSWER_SEAL_HEADER, seal);
   http_server_reply (call, 200, body, strlen (body));
   g_free (body);
@@ -413,8 +413,8 @@
   server->fleet_key = RIG_KEY;
   server->counters = counter_registry_new ();
   options.counters = server->counters;
-  server->man = manifest_from_json (replay_manifest (rig->ctrl->manifest.replay)->json, NULL);
-  server->man->version = version;
+  server->manifest = manifest_from_json (replay_manifest (rig->ctrl->manifest.replay)->json, NULL);
+  server->manifest->version = version;
   server->http_server = http_server_new (&options, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (server->http_server);
 }
@@ -424,7 +424,7 @@
 {
   http_server_free (server->http_server);
   counter_registry_free (server->counters);
-  manifest_unref (server->man);
+  manifest_unref (server->manifest);
 }
 
 /* The log goes down right after a version was published that one daemon has read and this one has
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -1080,7 +1080,7 @@
   CU_ASSERT (raw_peer_run_until (rig->base, second_heard_its_peer, rig));
   for (uint32_t i = 0; i < 2; i++)
     {
-      rig->gateways[i].set.renewal_ms = SHORT_RENEWAL_MS;
+      rig->gateways[i].settings.renewal_ms = SHORT_RENEWAL_MS;
       rig->gateways[i].front->down = true;
     }
   raw_peer_run_ms (rig->base, OUTAGE_MS);
@@ -1109,7 +1109,7 @@
 static void
 remove_entries_during_outage (gateway_rig_t *rig, uint32_t count)
 {
-  rig->gateways[0].set.renewal_ms = SHORT_RENEWAL_MS;
+  rig->gateways[0].settings.renewal_ms = SHORT_RENEWAL_MS;
   rig->gateways[0].front->down = true;
   raw_peer_run_ms (rig->base, OUTAGE_MS);
   for (uint32_t i = 0; i < count; i++)
@@ -1258,7 +1258,7 @@
   bool idle[FLEET];
 
   for (uint32_t i = 0; i < FLEET; i++)
-    rig->gateways[i].set.version_ms = LONG_VERSION_MS;
+    rig->gateways[i].settings.version_ms = LONG_VERSION_MS;
   CU_ASSERT (raw_peer_run_until (rig->base, two_are_idle, rig));
   CU_ASSERT (find_idle_gateways (rig, idle) >= 2);
   for (uint32_t i = 0; i < FLEET; i++)
@@ -1329,7 +1329,7 @@
   gateway_rig_add_engine (rig, SCRIPTS (OK_RESPONSE), 1);
   CU_ASSERT (raw_peer_run_until (rig->base, all_know_engines, rig));
   CU_ASSERT (raw_peer_run_until (rig->base, both_know_each_other, rig));
-  rig->gateways[1].set.first_start = false;
+  rig->gateways[1].settings.first_start = false;
   gateway_rig_restart (rig, 1);
   rig->gateways[1].front->down = true;
   CU_ASSERT (raw_peer_run_until (rig->base, second_has_engine, rig));
@@ -1350,7 +1350,7 @@
   bool idle[FLEET];
 
   for (uint32_t i = 0; i < FLEET; i++)
-    rig->gateways[i].set.version_ms = LONG_VERSION_MS;
+    rig->gateways[i].settings.version_ms = LONG_VERSION_MS;
   CU_ASSERT (raw_peer_run_until (rig->base, two_are_idle, rig));
   CU_ASSERT (find_idle_gateways (rig, idle) >= 2);
   for (uint32_t i = 0; i < FLEET; i++)
--- a/tests/test_hop.c
+++ b/tests/test_hop.c
@@ -18,7 +18,7 @@
                 .class_name = "appeal",
                 .chat_hash = 1,
                 .home_hash = 2,
-                .former_hash = 3,
+                .former_home_hash = 3,
                 .fingerprint = UINT64_MAX,
                 .key_hash = { 4, 5 },
                 .body_hash = 6,
@@ -69,7 +69,7 @@
   CU_ASSERT_STRING_EQUAL (back.class_name, hop.class_name);
   CU_ASSERT_EQUAL (back.chat_hash, 1);
   CU_ASSERT_EQUAL (back.home_hash, 2);
-  CU_ASSERT_EQUAL (back.former_hash, 3);
+  CU_ASSERT_EQUAL (back.former_home_hash, 3);
   CU_ASSERT_EQUAL (back.fingerprint, UINT64_MAX);
   CU_ASSERT_EQUAL (back.key_hash[1], 5);
   CU_ASSERT_EQUAL (back.body_hash, 6);
--- a/tests/test_keyed_view.c
+++ b/tests/test_keyed_view.c
@@ -112,8 +112,8 @@
 static uint64_t
 transfer (pair_t *pair, uint64_t next, uint64_t from)
 {
-  view_share_stream_t sender = { .name = "engines", .view = pair->view[0], .next = next };
-  view_share_stream_t receiver = { .name = "engines", .view = pair->view[1], .next = from };
+  view_share_stream_t sender = { .name = "engines", .view = pair->view[0], .next_offset = next };
+  view_share_stream_t receiver = { .name = "engines", .view = pair->view[1], .next_offset = from };
   g_autofree char *body = view_share_format (&sender, &from, 1, true);
   view_share_answer_t answer;
   uint64_t next_offset = 0;
--- a/tests/test_median_latency.c
+++ b/tests/test_median_latency.c
@@ -21,7 +21,7 @@
   median_latency_t median_latency = { 0 };
 
   CU_ASSERT_EQUAL (median_latency_add (&median_latency, SLOW_US), 1000);
-  CU_ASSERT_EQUAL (median_latency.usual_us, SLOW_US);
+  CU_ASSERT_EQUAL (median_latency.median_us, SLOW_US);
 }
 
 /* A quarter of the engines becomes six times slower for good. Guards against a median that follows
@@ -57,7 +57,7 @@
   CU_ASSERT_EQUAL (median_latency_add (&median_latency, UINT64_C (1) << 50), 10000);
   for (uint32_t i = 0; i < 5000; i++)
     median_latency_add (&median_latency, 0);
-  CU_ASSERT (median_latency.usual_us >= 1);
+  CU_ASSERT (median_latency.median_us >= 1);
   CU_ASSERT (median_latency_add (&median_latency, USUAL_US) <= 10000);
 }
 
--- a/tests/test_path_chats.c
+++ b/tests/test_path_chats.c
@@ -125,7 +125,7 @@
       g_snprintf (chat, sizeof chat, "s%u", i);
       ask_engine (testbed, chat);
     }
-  allowed_bytes = daemon->set.control_budget_bytes *
+  allowed_bytes = daemon->settings.control_budget_bytes *
                   (CLOCK_US_PER_S + clock_now_us (&daemon->clock) - began_us) / CLOCK_US_PER_S;
   CU_ASSERT (counter_value (hints) > 0);
   CU_ASSERT (counter_value (hints) * DATA_TASK_CALL_OVERHEAD_BYTES <= allowed_bytes);
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -557,19 +557,19 @@
 static void
 test_messages_drop_references (void)
 {
-  manifest_t man = { 0 };
+  manifest_t manifest = { 0 };
   membership_snapshot_t members = { 0 };
   message_version_t *version = message_new (MESSAGE_VERSION);
   message_members_t *view = message_new (MESSAGE_MEMBERS);
 
-  g_atomic_ref_count_init (&man.refs);
+  g_atomic_ref_count_init (&manifest.refs);
   g_atomic_ref_count_init (&members.refs);
-  version->man = manifest_ref (&man);
+  version->manifest = manifest_ref (&manifest);
   view->members = membership_snapshot_ref (&members);
-  CU_ASSERT_FALSE (g_atomic_ref_count_compare (&man.refs, 1));
+  CU_ASSERT_FALSE (g_atomic_ref_count_compare (&manifest.refs, 1));
   version->head.free (&version->head);
   view->head.free (&view->head);
-  CU_ASSERT (g_atomic_ref_count_compare (&man.refs, 1));
+  CU_ASSERT (g_atomic_ref_count_compare (&manifest.refs, 1));
   CU_ASSERT (g_atomic_ref_count_compare (&members.refs, 1));
 }
 
--- a/tests/test_read_policy.c
+++ b/tests/test_read_policy.c
@@ -84,7 +84,7 @@
       read_policy_t read_policy = confirmed_at (START_US);
       uint64_t bound_us = (uint64_t)bounds_s[i] * CLOCK_US_PER_S;
       read_policy_stream_t stream = { .patience_us = PATIENCE_US, .bound_us = bound_us };
-      read_policy_view_t next = { .has_copy = true, .earlier_readers = 4, .count = 5 };
+      read_policy_view_t next = { .has_copy = true, .earlier_readers = 4, .reader_count = 5 };
 
       CU_ASSERT_EQUAL (
           read_policy_decide (&read_policy, &stream, &next, START_US + bound_us * 85 / 100),
@@ -268,7 +268,8 @@
   for (uint32_t i = 0; i < gateways; i++)
     {
       policies[i] = confirmed_at (START_US);
-      views[i] = (read_policy_view_t){ .has_copy = true, .earlier_readers = i, .count = gateways };
+      views[i] =
+          (read_policy_view_t){ .has_copy = true, .earlier_readers = i, .reader_count = gateways };
     }
   for (uint64_t at_us = START_US; at_us < START_US + OUTAGE_US; at_us += TICK_US)
     for (uint32_t i = 0; i < gateways; i++)
--- a/tests/test_rendezvous.c
+++ b/tests/test_rendezvous.c
@@ -167,7 +167,7 @@
   const candidates_t all = candidates_choose (&query);
   CU_ASSERT_EQUAL_FATAL (all.candidate_count, FORWARDING_CANDIDATES_MAX);
   CU_ASSERT_EQUAL (all.home_hash, all.candidates[0]);
-  CU_ASSERT_EQUAL (all.former_hash, 0);
+  CU_ASSERT_EQUAL (all.former_home_hash, 0);
   uint64_t dead = all.candidates[0];
   query.is_usable = is_not_dead;
   query.context = &dead;
@@ -180,12 +180,12 @@
   CU_ASSERT_EQUAL (candidates_choose (&query).home_hash, all.candidates[1]);
   query.now_us = 1001;
   CU_ASSERT_EQUAL (candidates_choose (&query).home_hash, dead);
-  CU_ASSERT_EQUAL (candidates_choose (&query).former_hash, all.candidates[1]);
+  CU_ASSERT_EQUAL (candidates_choose (&query).former_home_hash, all.candidates[1]);
   query.first_turn = true;
-  CU_ASSERT_EQUAL (candidates_choose (&query).former_hash, 0);
+  CU_ASSERT_EQUAL (candidates_choose (&query).former_home_hash, 0);
   query.first_turn = false;
   query.now_us = 1400;
-  CU_ASSERT_EQUAL (candidates_choose (&query).former_hash, 0);
+  CU_ASSERT_EQUAL (candidates_choose (&query).former_home_hash, 0);
 }
 
 static void
--- a/tests/test_request_parts.c
+++ b/tests/test_request_parts.c
@@ -109,8 +109,8 @@
 static void
 errors_carry_the_verdict (void)
 {
-  g_autofree char *body = error_reply_body (
-      &(flt_t){ .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_DEADLINE, .request = "ab" });
+  g_autofree char *body = error_reply_body (&(error_reply_t){
+      .verdict = VERDICT_NOT_RUN, .reason = VERDICT_REASON_DEADLINE, .request = "ab" });
 
   CU_ASSERT_STRING_EQUAL (body, "{\"error\":{\"message\":\"the request could not start before its "
                                 "deadline\",\"type\":\"overloaded_error\",\"code\":\"deadline\","
--- a/tests/testbed.c
+++ b/tests/testbed.c
@@ -342,7 +342,7 @@
 {
   message_version_t *version = message_new (MESSAGE_VERSION);
 
-  version->man = manifest_ref (node->testbed->manifest);
+  version->manifest = manifest_ref (node->testbed->manifest);
   mailbox_send (node->daemon.to_data, &version->head);
 }
 
@@ -376,25 +376,25 @@
 static void
 start_daemon (testbed_t *testbed, testbed_node_t *node, uint32_t host, const address_t *engine)
 {
-  settings_t *set = &node->daemon.set;
+  settings_t *settings = &node->daemon.settings;
   GError *error = NULL;
   bool router = engine == NULL;
 
   node->testbed = testbed;
-  set->role = router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
-  g_strlcpy (set->name, testbed->hosts[host].name, sizeof set->name);
-  g_strlcpy (set->region, "r", sizeof set->region);
-  g_strlcpy (set->fleet_key, TESTBED_FLEET_KEY, sizeof set->fleet_key);
-  set->listen = testbed->hosts[host].http;
+  settings->role = router ? SETTINGS_ROLE_ROUTER : SETTINGS_ROLE_SIDECAR;
+  g_strlcpy (settings->name, testbed->hosts[host].name, sizeof settings->name);
+  g_strlcpy (settings->region, "r", sizeof settings->region);
+  g_strlcpy (settings->fleet_key, TESTBED_FLEET_KEY, sizeof settings->fleet_key);
+  settings->listen = testbed->hosts[host].http;
   if (engine != NULL)
-    set->engine = *engine;
-  set->body_limit_bytes = 1 << 20;
-  set->header_limit_bytes = 1 << 16;
-  set->header_limit_count = 10;
-  set->connection_limit = 100;
-  set->idle_timeout_ms = 30000;
-  set->exchange_interval_ms = 250;
-  set->control_budget_bytes = 2000;
+    settings->engine = *engine;
+  settings->body_limit_bytes = 1 << 20;
+  settings->header_limit_bytes = 1 << 16;
+  settings->header_limit_count = 10;
+  settings->connection_limit = 100;
+  settings->idle_timeout_ms = 30000;
+  settings->exchange_interval_ms = 250;
+  settings->control_budget_bytes = 2000;
   clock_init_running (&node->daemon.clock);
   node->daemon.counters = counter_registry_new ();
   node->daemon.incarnation = testbed->hosts[host].incarnation;
