--- a/src/process/gateway_peers.c
+++ b/src/process/gateway_peers.c
@@ -90,7 +90,7 @@
 static uint64_t
 alive_timeout_us (const gateway_peers_t *peers)
 {
-  uint64_t interval_us = (uint64_t)peers->options.set->exchange_interval_ms * CLOCK_US_PER_MS;
+  uint64_t interval_us = (uint64_t)peers->options.settings->exchange_interval_ms * CLOCK_US_PER_MS;
 
   return MAX (GATEWAY_PEERS_ALIVE_US,
               interval_us * peers->list->len * GATEWAY_PEERS_ALIVE_INTERVALS);
@@ -153,7 +153,7 @@
 
       out->engine_hash = items[i].engine_hash;
       out->load = items[i].load;
-      out->age_ms = (uint32_t)((now_us (peers) - items[i].told_us) / CLOCK_US_PER_MS);
+      out->age_ms = (uint32_t)((now_us (peers) - items[i].reported_us) / CLOCK_US_PER_MS);
     }
   message->samples.samples_len = count;
 }
@@ -167,7 +167,7 @@
       uint64_t age_us = (uint64_t)received->age_ms * CLOCK_US_PER_MS;
       load_report_t item = { .engine_hash = received->engine_hash,
                              .load = received->load,
-                             .told_us = now_us (peers) - MIN (age_us, now_us (peers)) };
+                             .reported_us = now_us (peers) - MIN (age_us, now_us (peers)) };
 
       if (load_reports_add (&peers->loads, now_us (peers), &item))
         peers->options.on_load (&item, peers->options.context);
@@ -354,11 +354,11 @@
 gateway_peers_new (const gateway_peers_options_t *options, GError **error)
 {
   gateway_peers_t *peers = g_new0 (gateway_peers_t, 1);
-  const settings_t *set = options->set;
+  const settings_t *settings = options->settings;
 
   peers->options = *options;
   peers->list = g_ptr_array_new_with_free_func (g_free);
-  peers->own_hash = hash_of (set->name);
+  peers->own_hash = hash_of (settings->name);
   gossip_init (&peers->gossip);
   peers->news_timer = evtimer_new (options->base, on_news_timer, peers);
   peers->rand = g_rand_new_with_seed ((guint32)(peers->own_hash ^ options->incarnation));
@@ -366,14 +366,14 @@
       exchange_new (&(exchange_options_t){ .base = options->base,
                                            .clock = options->clock,
                                            .counters = options->counters,
-                                           .listen = set->exchange,
-                                           .fleet_key = set->fleet_key,
-                                           .interval_ms = set->exchange_interval_ms,
-                                           .budget_bytes = set->control_budget_bytes,
+                                           .listen = settings->exchange,
+                                           .fleet_key = settings->fleet_key,
+                                           .interval_ms = settings->exchange_interval_ms,
+                                           .budget_bytes = settings->control_budget_bytes,
                                            .seed = peers->own_hash ^ options->incarnation,
-                                           .fill = fill_message,
-                                           .heard = on_message,
-                                           .pick = pick_destination,
+                                           .fill_message = fill_message,
+                                           .on_message = on_message,
+                                           .choose_peer = pick_destination,
                                            .context = peers },
                     error);
   if (peers->exchange)
@@ -398,8 +398,8 @@
 char *
 gateway_peers_format_own_entry (const gateway_peers_t *peers)
 {
-  g_autofree char *exchange = address_to_text (&peers->options.set->exchange);
-  g_autofree char *control = address_to_text (&peers->options.set->control_listen);
+  g_autofree char *exchange = address_to_text (&peers->options.settings->exchange);
+  g_autofree char *control = address_to_text (&peers->options.settings->control_listen);
 
   return g_strdup_printf (NO_INCARNATION " %s %s", exchange, control);
 }
