--- a/bench/gateway/sim.h
+++ b/bench/gateway/sim.h
@@ -134,7 +134,7 @@
  * @prompt_tokens: prompt tokens that model engines received, including those found in their caches
  * @relative_load_milli: load of a model engine after it accepted a request, relative to the mean
  *   load of all model engines that accept requests; median over all accepted requests, in
- * thousandths
+ *   thousandths
  * @overloaded_accepts: requests that a model engine accepted with which its load exceeded twice the
  *   mean plus three, which is the limit from which operators call an engine overloaded
  */
